--- /dev/null
+++ b/tests/test_golden.c
@@ -0,0 +1,562 @@
+/* Records of the state service keep their bytes: each golden record is read, and what was
+ * read is written again to the same bytes; the writes that carry them go to the same keys
+ * and hang on the same leases. */
+#include "golden.h"
+
+#include "base/clock.h"
+#include "base/tuning.h"
+#include "own/block.h"
+#include "own/flush.h"
+#include "own/holder.h"
+#include "own/limit_transfer.h"
+#include "own/owner.h"
+#include "own/partition.h"
+#include "serve/replies.h"
+#include "serve/submission.h"
+#include "standby/stream.h"
+#include "state/mirror.h"
+#include "state/owner_state.h"
+#include "state/records.h"
+#include "state/state.h"
+
+/* Past cores are left behind as they are. */
+const char *__asan_default_options(void);
+const char *__asan_default_options(void)
+{
+    return "detect_leaks=0";
+}
+
+static struct timespec now = {1000000, 0};
+static struct lmn_team teams[] = {
+    {.name = "ml train", .cpus = 10, .cpus_max = 100.5, .gpus = 1, .gpus_max = 8}};
+static struct lmn_settings cfg;
+
+static struct lmn_core *make(void)
+{
+    memset(&cfg, 0, sizeof cfg);
+    g_strlcpy(cfg.node, "na", LMN_NAME);
+    g_strlcpy(cfg.zone, "y", LMN_NAME);
+    cfg.nmembers = 1;
+    g_strlcpy(cfg.members[0].name, "nb", LMN_NAME);
+    g_strlcpy(cfg.members[0].zone, "z", LMN_NAME);
+    cfg.partitions = 2;
+    cfg.report_s = 1;
+    cfg.lease_s = 8;
+    cfg.cancel_s = 30;
+    cfg.state_rps = cfg.state_write_rps = 1e6;
+    cfg.value_kb = 16;
+    cfg.txn_ops = 12;
+    cfg.teams = teams;
+    cfg.nteams = G_N_ELEMENTS(teams);
+    struct lmn_core *c = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    c->types.n = 1;
+    c->types.v[0] = (struct lmn_type){.name = "x", .cpus = 8, .mem = 64};
+    c->types_known = c->synced = true;
+    c->lease = 77;
+    c->booted = c->synced_at = c->leased = lmn_after(now, -100);
+    c->members.synced = c->members.fresh = c->members.steady = lmn_after(now, -100);
+    c->fresh = now;
+    return c;
+}
+
+/* --- what a transaction writes --- */
+
+struct sought {
+    const char *key;
+    GByteArray *value;
+    uint64_t lease;
+    bool removed;
+};
+
+static void seek(void *arg, const char *key, const GByteArray *value, uint64_t lease)
+{
+    struct sought *s = arg;
+
+    if (strcmp(s->key, key))
+        return;
+    s->removed = !value;
+    s->lease = lease;
+    if (value)
+        s->value = g_byte_array_append(g_byte_array_new(), value->data, value->len);
+}
+
+/* The write to the key is the golden record, and hangs on the lease. */
+static void writes_record(const struct lmn_txn *t, const char *key, uint64_t lease,
+                          const char *name)
+{
+    struct sought s = {.key = key};
+
+    assert_non_null(t);
+    lmn_txn_each(t, seek, &s);
+    if (!s.value)
+        fail_msg("nothing is written to %s", key);
+    assert_int_equal(s.lease, lease);
+    golden_same(name, s.value->data, s.value->len);
+    g_byte_array_unref(s.value);
+}
+
+static void take_record(struct lmn_core *c, const char *key, uint64_t lease,
+                        const char *name)
+{
+    struct lmn_txn *t = lmn_state_take(c->state);
+
+    writes_record(t, key, lease, name);
+    lmn_txn_finish(t, LMN_REFUSED, 0);
+}
+
+static void apply(struct lmn_core *c, const char *key, const char *name, uint64_t rev)
+{
+    GByteArray *b = golden_read(name);
+    struct lmn_doc d;
+
+    assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
+    lmn_mirror_apply(c, key, &d, lmn_root(&d), rev, now);
+    lmn_doc_free(&d);
+    g_byte_array_unref(b);
+}
+
+/* --- jobs --- */
+
+static struct lmn_spec plain(void)
+{
+    return (struct lmn_spec){.ref = "run-000412",
+                             .class_name = (char *)"etl",
+                             .team = (char *)"ml train",
+                             .image = (char *)"base:1",
+                             .kind = LMN_BATCH,
+                             .urgency = LMN_NORMAL,
+                             .tasks = 100,
+                             .cpus = 2,
+                             .mem = 4.5,
+                             .image_gb = 1.25,
+                             .estimate_s = 60,
+                             .deadline_s = -1};
+}
+
+static struct lmn_spec full(void)
+{
+    static const char *const types[] = {"x", "y-large", NULL};
+
+    return (struct lmn_spec){.ref = "run-7",
+                             .class_name = (char *)"serving",
+                             .team = (char *)"ml train",
+                             .image = (char *)"modèle:2",
+                             .zone = (char *)"a",
+                             .types = (char **)(void *)types,
+                             .kind = LMN_DAEMON,
+                             .urgency = LMN_PROD,
+                             .tasks = 70000,
+                             .cpus = 0.5,
+                             .gpus = 1,
+                             .mem = 16,
+                             .image_gb = 0,
+                             .estimate_s = 3600.25,
+                             .checkpoint_s = 300,
+                             .save_s = 12,
+                             .deadline_s = 86400,
+                             .one_zone = true,
+                             .spread = true,
+                             .spot = true};
+}
+
+static void same_spec(const struct lmn_spec *a, const struct lmn_spec *b)
+{
+    assert_string_equal(a->ref, b->ref);
+    assert_string_equal(a->class_name, b->class_name);
+    assert_string_equal(a->team, b->team);
+    assert_string_equal(a->image, b->image);
+    assert_int_equal(g_strcmp0(a->zone, b->zone), 0);
+    assert_int_equal(a->types != NULL, b->types != NULL);
+    if (a->types)
+        assert_true(
+            g_strv_equal((const char *const *)a->types, (const char *const *)b->types));
+    assert_int_equal(a->kind, b->kind);
+    assert_int_equal(a->urgency, b->urgency);
+    assert_int_equal(a->tasks, b->tasks);
+    assert_true(a->cpus == b->cpus && a->gpus == b->gpus && a->mem == b->mem);
+    assert_true(a->image_gb == b->image_gb && a->estimate_s == b->estimate_s);
+    assert_true(a->checkpoint_s == b->checkpoint_s && a->save_s == b->save_s);
+    assert_true(a->deadline_s == b->deadline_s);
+    assert_int_equal(a->one_zone, b->one_zone);
+    assert_int_equal(a->spread, b->spread);
+    assert_int_equal(a->spot, b->spot);
+}
+
+static void job_keeps(const char *name, struct lmn_spec spec, enum lmn_phase phase,
+                      uint32_t open, double at)
+{
+    enum lmn_phase read_phase;
+    struct lmn_spec read;
+    uint32_t read_open;
+    struct lmn_doc d;
+    double read_at;
+
+    GByteArray *b = lmn_job_record(&spec, phase, open, at);
+    golden_same(name, b->data, b->len);
+    g_byte_array_unref(b);
+
+    GByteArray *kept = golden_read(name);
+    assert_int_equal(lmn_doc_parse(&d, kept->data, kept->len), 0);
+    assert_int_equal(
+        lmn_job_read(&d, lmn_root(&d), &read, &read_phase, &read_open, &read_at), 0);
+    same_spec(&read, &spec);
+    assert_int_equal(read_phase, phase);
+    assert_int_equal(read_open, open);
+    assert_true(read_at == at);
+    b = lmn_job_record(&read, read_phase, read_open, read_at);
+    golden_same(name, b->data, b->len);
+    g_byte_array_unref(b);
+    lmn_spec_clear(&read);
+    lmn_doc_free(&d);
+    g_byte_array_unref(kept);
+}
+
+static void job_record_of_an_active_job_keeps_its_bytes(void **state)
+{
+    (void)state;
+    job_keeps("job_active", plain(), LMN_ACTIVE, 1, 1700000000.25);
+}
+
+static void job_record_of_a_cancelled_job_keeps_its_bytes(void **state)
+{
+    (void)state;
+    job_keeps("job_withdrawn", plain(), LMN_WITHDRAWN, 1, 1700000000.25);
+    struct lmn_job_reading r = {
+        .status = 200, .rev = 5, .spec = plain(), .open = 1, .at = 1700000000.25};
+    struct lmn_reply reply;
+    struct lmn_txn *t = lmn_cancellation("run-000412", &r, 404, &reply);
+    writes_record(t, "j/run-000412", 0, "job_withdrawn");
+    lmn_txn_free(t);
+}
+
+static void job_record_of_a_finished_job_keeps_its_bytes(void **state)
+{
+    (void)state;
+    job_keeps("job_finished", plain(), LMN_FINISHED, 0, 1700000000.25);
+}
+
+static void job_record_with_all_optional_fields_keeps_its_bytes(void **state)
+{
+    (void)state;
+    job_keeps("job_all_fields", full(), LMN_ACTIVE, 300, 0);
+    job_keeps("job_all_fields_withdrawn", full(), LMN_WITHDRAWN, 70000, 1e10);
+}
+
+static void submission_writes_the_records_of_job_and_range(void **state)
+{
+    struct lmn_core *c = make();
+    struct lmn_spec s = plain();
+    (void)state;
+
+    s.one_zone = true; /* in one partition */
+    struct lmn_txn *t = lmn_submission_txn(c, &s, 1700000000.25, NULL, NULL);
+    assert_int_equal(lmn_txn_changes(t), 2);
+    writes_record(t, "j/run-000412", 0, "job_submitted");
+    int part = (int)(g_str_hash(s.ref) % 2);
+    char key[64];
+    g_snprintf(key, sizeof key, "r/%d/run-000412/0", part);
+    writes_record(t, key, 0, "range_submitted");
+    lmn_txn_free(t);
+    apply(c, "j/run-000412", "job_submitted", 3);
+    apply(c, key, "range_submitted", 3);
+    const struct lmn_range *r = g_hash_table_lookup(c->parts[part].ranges, key);
+    assert_non_null(r);
+    assert_int_equal(r->lo, 0);
+    assert_int_equal(r->hi, 100);
+    assert_int_equal(r->ndone, 0);
+    assert_true(r->job->at == 1700000000.25);
+}
+
+/* --- ranges --- */
+
+static void range_record_with_a_done_set_keeps_its_bytes(void **state)
+{
+    static const char key[] = "r/1/run-000412/20";
+    uint8_t done[8] = {0};
+    struct lmn_core *c = make();
+    (void)state;
+
+    for (uint32_t i = 0; i < 40; i += i % 3 + 1)
+        lmn_set_bit(done, i);
+    struct lmn_range range = {.lo = 20, .hi = 80};
+    GByteArray *b = lmn_range_record(&range, done);
+    golden_same("range_done", b->data, b->len);
+    g_byte_array_unref(b);
+
+    c->parts[1].mine = c->parts[1].ready = true;
+    apply(c, "j/run-000412", "job_active", 3);
+    apply(c, key, "range_done", 4);
+    struct lmn_range *r = g_hash_table_lookup(c->parts[1].ranges, key);
+    assert_non_null(r);
+    assert_int_equal(r->lo, 20);
+    assert_int_equal(r->hi, 80);
+    assert_memory_equal(r->done, done, 8);
+    assert_int_equal(r->ndone, lmn_bits_count(done, 60));
+    b = lmn_range_record(r, r->done);
+    golden_same("range_done", b->data, b->len);
+    g_byte_array_unref(b);
+
+    /* As its owner writes it, with one task more. */
+    r->st[59] = LMN_T_DONE;
+    r->nfinished++;
+    r->dirty = lmn_after(now, -10);
+    lmn_ranges_flush(c, now);
+    take_record(c, key, 0, "range_done_last");
+
+    /* Its job ends with it. */
+    memset(r->st, LMN_T_DONE, 60);
+    r->nfinished = 60;
+    lmn_ranges_flush(c, lmn_after(now, 5));
+    struct lmn_txn *t = lmn_state_take(c->state);
+    struct sought removal = {.key = key};
+    writes_record(t, "j/run-000412", 0, "job_finished");
+    lmn_txn_each(t, seek, &removal);
+    assert_true(removal.removed);
+    lmn_txn_finish(t, LMN_REFUSED, 0);
+}
+
+/* --- machines --- */
+
+static void block_record_of_machines_keeps_its_bytes(void **state)
+{
+    static const char *const names[] = {"host-1", "host-2", "host-3"};
+    (void)state;
+
+    struct lmn_core *c = make();
+    struct lmn_partition *p = &c->parts[0];
+    p->mine = p->ready = true;
+    for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
+        struct lmn_machine *m = lmn_machine_new(p, names[i]);
+        m->type = &c->types.v[0];
+        g_strlcpy(m->type_name, "x", LMN_NAME);
+        char addr[LMN_ADDR];
+        g_snprintf(addr, sizeof addr, "10.0.0.%u:9000", i + 1);
+        lmn_machine_at(m, addr);
+        g_strlcpy(m->zone, i % 2 ? "a" : "b", LMN_NAME);
+        m->spot = i == 2;
+        m->heard = m->accounted = true;
+        /* One after another: the order of a table is no part of the record. */
+        lmn_blocks_flush(c, p, false, lmn_after(now, 10 * i));
+        struct lmn_txn *t;
+        while ((t = lmn_state_take(c->state))) {
+            if (i == 2)
+                writes_record(t, "m/0/0", 0, "machines");
+            lmn_txn_finish(t, LMN_REFUSED, 0);
+        }
+        ((struct lmn_block *)p->blocks->pdata[0])->retry = (struct timespec){0, 0};
+    }
+
+    struct lmn_core *other = make();
+    apply(other, "m/0/0", "machines", 9);
+    assert_int_equal(other->parts[0].list->len, 3);
+    const struct lmn_machine *m = g_hash_table_lookup(other->parts[0].machines, "host-3");
+    assert_non_null(m);
+    assert_string_equal(m->addr, "10.0.0.3:9000");
+    assert_string_equal(m->type_name, "x");
+    assert_string_equal(m->zone, "b");
+    assert_true(m->spot);
+    m = g_hash_table_lookup(other->parts[0].machines, "host-2");
+    assert_string_equal(m->zone, "a");
+    assert_false(m->spot);
+}
+
+/* --- parts of limits --- */
+
+static void record_of_a_teams_parts_keeps_its_bytes(void **state)
+{
+    struct lmn_core *c = make();
+    (void)state;
+
+    c->parts[0].mine = c->parts[0].ready = true;
+    assert_true(lmn_quota_give(c, &c->parts[0], 0, 1, 7.25, 2));
+    take_record(c, "q/ml%20train", 0, "team_parts");
+    apply(c, "q/ml%20train", "team_parts", 6);
+    assert_true(c->quota_known[0]);
+    assert_true(c->parts[0].quota_cpus[0] == 43);
+    assert_true(c->parts[1].quota_cpus[0] == 57.5);
+    assert_true(c->parts[0].quota_gpus[0] == 2);
+    assert_true(c->parts[1].quota_gpus[0] == 6);
+}
+
+/* --- ownership --- */
+
+static void records_of_owner_and_term_keep_their_bytes(void **state)
+{
+    struct lmn_core *c = make();
+    struct lmn_partition *p = &c->parts[1];
+    (void)state;
+
+    p->term = 41;
+    struct lmn_txn *t = lmn_partition_claim(c, p, 77);
+    writes_record(t, "o/1", 77, "owner_claim");
+    writes_record(t, "t/1", 0, "term");
+    lmn_txn_free(t);
+    apply(c, "t/1", "term", 8);
+    apply(c, "o/1", "owner_claim", 8);
+    assert_int_equal(p->term, 42);
+    assert_string_equal(p->owner, "na");
+    assert_int_equal(p->owner_lease, 77);
+    assert_int_equal(p->owner_term, 42);
+    assert_int_equal(p->owner_stream, 0);
+
+    /* To a standby in step. */
+    g_strlcpy(p->standby, "nb", LMN_NAME);
+    p->standby_stream = (uint64_t)42 << 20 | 3;
+    p->standby_term = 42;
+    c->members.v[1].lease = 300;
+    t = lmn_partition_handover(c, p, 1);
+    writes_record(t, "o/1", 300, "owner_handover");
+    lmn_txn_free(t);
+    apply(c, "o/1", "owner_handover", 9);
+    assert_string_equal(p->owner, "nb");
+    assert_int_equal(p->owner_lease, 300);
+    assert_int_equal(p->owner_term, 43);
+    assert_int_equal(p->owner_stream, (uint64_t)42 << 20 | 3);
+}
+
+static struct lmn_txn *standby_write(struct lmn_core *c, enum lmn_stream_phase phase)
+{
+    struct lmn_partition *p = &c->parts[1];
+    struct lmn_batch *batch = NULL;
+    struct lmn_txn *t = NULL;
+    double wait;
+
+    p->mine = true;
+    p->my_term = 42;
+    p->my_rev = 8;
+    c->tuning.standby = 1;
+    lmn_member_record(&c->members, 1, 5, 300, now);
+    p->stream.phase = phase;
+    p->stream.to = 1;
+    p->stream.to_lease = 300;
+    p->stream.id = (uint64_t)42 << 20 | 3;
+    assert_int_equal(lmn_stream_next(c, p, now, &batch, &t, &wait), LMN_STREAM_WRITE);
+    return t;
+}
+
+static void record_of_a_standby_keeps_its_bytes(void **state)
+{
+    struct lmn_core *c = make();
+    (void)state;
+
+    struct lmn_txn *t = standby_write(c, LMN_STREAM_NAMING);
+    writes_record(t, "b/1", 0, "standby_named");
+    lmn_txn_free(t);
+    apply(c, "b/1", "standby_named", 9);
+    assert_string_equal(c->parts[1].standby, "nb");
+    assert_int_equal(c->parts[1].standby_lease, 300);
+    assert_int_equal(c->parts[1].standby_stream, (uint64_t)42 << 20 | 3);
+    assert_int_equal(c->parts[1].standby_term, 42);
+
+    c = make();
+    t = standby_write(c, LMN_STREAM_STRIKING);
+    writes_record(t, "b/1", 0, "standby_struck");
+    lmn_txn_free(t);
+    apply(c, "b/1", "standby_struck", 10);
+    assert_string_equal(c->parts[1].standby, "");
+    assert_int_equal(c->parts[1].standby_lease, 0);
+    assert_int_equal(c->parts[1].standby_stream, 0);
+    assert_int_equal(c->parts[1].standby_term, 42);
+}
+
+/* --- controllers --- */
+
+static void record_of_a_controller_keeps_its_bytes(void **state)
+{
+    struct lmn_core *c = make();
+    (void)state;
+
+    struct lmn_txn *t = lmn_holder_announce(c, 77, now);
+    writes_record(t, "n/na", 77, "controller_up");
+    lmn_txn_free(t);
+    apply(c, "n/na", "controller_up", 5);
+    assert_true(c->members.v[0].present);
+    assert_false(c->members.v[0].leaving);
+    assert_int_equal(c->members.v[0].lease, 77);
+
+    c->leaving = true;
+    t = lmn_holder_announce(c, 77, now);
+    writes_record(t, "n/na", 77, "controller_leaving");
+    lmn_txn_free(t);
+    apply(c, "n/na", "controller_leaving", 6);
+    assert_true(c->members.v[0].leaving);
+    assert_int_equal(c->members.v[0].lease, 77);
+}
+
+static void record_of_a_suspicion_keeps_its_bytes(void **state)
+{
+    struct lmn_core *c = make();
+    struct lmn_peer_view *m = &c->members.v[1];
+    (void)state;
+
+    apply(c, "n/nb", "controller_up", 5);
+    m->ever = true;
+    m->heard = lmn_after(now, -60);
+    m->unanswered = lmn_after(now, -50);
+    m->failures = 9;
+    for (double s = -5; s <= 0; s += 0.1)
+        lmn_members_tick(&c->members, 0, lmn_after(now, s));
+    c->members.steady = lmn_after(now, -100);
+    lmn_members_fresh(&c->members, now);
+    struct lmn_txn *t = lmn_holder_suspicion(c, 1, 77, now);
+    writes_record(t, "u/nb", 77, "suspicion");
+    lmn_txn_free(t);
+    apply(c, "u/nb", "suspicion", 7);
+    assert_int_equal(m->doubt_inc, 5);
+    assert_string_equal(m->doubt_by, "na");
+    assert_int_equal(m->doubt_why, LMN_SILENT);
+}
+
+/* --- operators' settings --- */
+
+static void record_of_operators_settings_keeps_its_bytes(void **state)
+{
+    struct lmn_core *c = make();
+    struct lmn_tuning t = lmn_tuning_default;
+    (void)state;
+
+    GByteArray *b = lmn_tuning_record(&t);
+    golden_same("settings_default", b->data, b->len);
+    g_byte_array_unref(b);
+    t = (struct lmn_tuning){.sample = 12,
+                            .share = 0.25,
+                            .poll_floor_s = 0.002,
+                            .poll_cap_s = 2.5,
+                            .idle_return_s = 60,
+                            .spare_cpus = 128,
+                            .horizon_s = 45,
+                            .spot = 0,
+                            .standby = 0};
+    b = lmn_tuning_record(&t);
+    golden_same("settings_all_set", b->data, b->len);
+    g_byte_array_unref(b);
+    apply(c, "s", "settings_all_set", 4);
+    assert_true(c->tuning.sample == 12 && c->tuning.share == 0.25);
+    assert_true(c->tuning.poll_floor_s == 0.002 && c->tuning.poll_cap_s == 2.5);
+    assert_true(c->tuning.idle_return_s == 60 && c->tuning.spare_cpus == 128);
+    assert_true(c->tuning.horizon_s == 45);
+    assert_true(c->tuning.spot == 0 && c->tuning.standby == 0);
+    b = lmn_tuning_record(&c->tuning);
+    golden_same("settings_all_set", b->data, b->len);
+    g_byte_array_unref(b);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(job_record_of_an_active_job_keeps_its_bytes),
+        cmocka_unit_test(job_record_of_a_cancelled_job_keeps_its_bytes),
+        cmocka_unit_test(job_record_of_a_finished_job_keeps_its_bytes),
+        cmocka_unit_test(job_record_with_all_optional_fields_keeps_its_bytes),
+        cmocka_unit_test(submission_writes_the_records_of_job_and_range),
+        cmocka_unit_test(range_record_with_a_done_set_keeps_its_bytes),
+        cmocka_unit_test(block_record_of_machines_keeps_its_bytes),
+        cmocka_unit_test(record_of_a_teams_parts_keeps_its_bytes),
+        cmocka_unit_test(records_of_owner_and_term_keep_their_bytes),
+        cmocka_unit_test(record_of_a_standby_keeps_its_bytes),
+        cmocka_unit_test(record_of_a_controller_keeps_its_bytes),
+        cmocka_unit_test(record_of_a_suspicion_keeps_its_bytes),
+        cmocka_unit_test(record_of_operators_settings_keeps_its_bytes),
+    };
+    return golden_end(cmocka_run_group_tests(tests, NULL, NULL));
+}
