--- /dev/null
+++ b/tests/test_golden_protocol.c
@@ -0,0 +1,286 @@
+/* What workers, users and keepers are told, and what workers say, keeps its bytes. */
+#include "golden.h"
+
+#include "agent/agent.h"
+#include "agent/keeper.h"
+#include "own/owner.h"
+#include "own/worker.h"
+#include "own/worker_part.h"
+#include "serve/replies.h"
+#include "state/mirror.h"
+#include "state/records.h"
+#include "state/state.h"
+
+/* Past cores are left behind as they are. */
+const char *__asan_default_options(void);
+const char *__asan_default_options(void)
+{
+    return "detect_leaks=0";
+}
+
+/* Takes the bytes over. */
+static void same(const char *name, GByteArray *b)
+{
+    golden_same(name, b->data, b->len);
+    g_byte_array_unref(b);
+}
+
+/* --- workers --- */
+
+static struct timespec now = {1000, 0};
+static struct lmn_settings cfg;
+static struct lmn_team team = {.name = "t"};
+
+static void leased(void *arg, struct timespec until)
+{
+    (void)arg;
+    (void)until;
+}
+
+/* A report with an attempt in each state and for each end, as the agent writes it. */
+static void report_of_a_worker_keeps_its_bytes(void **state)
+{
+    static const enum lmn_run_state states[] = {LMN_R_ASKING, LMN_R_FETCHING,
+                                                LMN_R_RUNNING, LMN_R_SAVING};
+    static const enum lmn_attempt_state read_states[] = {LMN_A_FETCHING, LMN_A_FETCHING,
+                                                         LMN_A_RUNNING, LMN_A_SAVING};
+    const struct lmn_agent_ops ops = {.leased = leased};
+    struct lmn_agent a = {0};
+    struct lmn_report r;
+    struct lmn_doc d;
+    (void)state;
+
+    lmn_agent_init(&a, &ops, NULL, 5, now);
+    g_strlcpy(a.name, "host-000001", sizeof a.name);
+    g_strlcpy(a.addr, "10.0.0.1:9000", sizeof a.addr);
+    g_strlcpy(a.zone, "a", sizeof a.zone);
+    g_strlcpy(a.type.name, "x", sizeof a.type.name);
+    a.session = 5;
+    a.spot = a.noticed = true;
+    a.gone_at = lmn_after(now, 30.5);
+    a.token = 42;
+    a.seq = 16;
+    for (uint32_t i = 0; i < 4 + LMN_NO_SUCH + 1; i++) {
+        struct lmn_run *run = g_new0(struct lmn_run, 1);
+        g_strlcpy(run->ref, "run-000412", sizeof run->ref);
+        run->index = i;
+        run->attempt = 0x2a00000001ULL + i;
+        run->state = i < 4 ? states[i] : LMN_R_ENDED;
+        run->why = i < 4 ? LMN_DONE : (enum lmn_why)(i - 4);
+        run->saved = run->why == LMN_STOPPED;
+        g_ptr_array_add(a.runs, run);
+    }
+    GByteArray *b = g_byte_array_new();
+    lmn_agent_report(&a, b, now);
+    lmn_agent_clear(&a);
+    same("worker_report", b);
+
+    b = golden_read("worker_report");
+    assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
+    assert_null(lmn_report_read(&r, &d));
+    assert_string_equal(r.name, "host-000001");
+    assert_string_equal(r.addr, "10.0.0.1:9000");
+    assert_string_equal(r.type, "x");
+    assert_string_equal(r.zone, "a");
+    assert_true(r.spot && r.noticed && r.notice_s == 30.5);
+    assert_int_equal(r.session, 5);
+    assert_int_equal(r.seq, 17);
+    assert_int_equal(r.token, 42);
+    uint32_t i = 0;
+    for (const struct lmn_node *n = lmn_child(&d, r.tasks); n; n = lmn_next(&d, n)) {
+        struct lmn_attempt read;
+        assert_true(lmn_report_task(&read, &d, n));
+        assert_string_equal(read.ref, "run-000412");
+        assert_int_equal(read.index, i);
+        assert_true(read.number == 0x2a00000001ULL + i);
+        assert_int_equal(read.state, i < 4 ? read_states[i] : LMN_A_ENDED);
+        i++;
+    }
+    assert_int_equal(i, 4 + LMN_NO_SUCH + 1);
+    lmn_doc_free(&d);
+    g_byte_array_unref(b);
+}
+
+static void put(struct lmn_core *c, const char *key, GByteArray *value, uint64_t rev)
+{
+    struct lmn_doc d;
+
+    assert_int_equal(lmn_doc_parse(&d, value->data, value->len), 0);
+    lmn_mirror_apply(c, key, &d, lmn_root(&d), rev, now);
+    lmn_doc_free(&d);
+    g_byte_array_unref(value);
+}
+
+static struct lmn_core *owner(void)
+{
+    memset(&cfg, 0, sizeof cfg);
+    cfg.teams = &team;
+    cfg.nteams = 1;
+    cfg.partitions = 1;
+    cfg.state_rps = cfg.state_write_rps = 1000;
+    cfg.txn_ops = 12;
+    cfg.value_kb = 16;
+    cfg.report_s = 8;
+    cfg.lease_s = 44;
+    cfg.cancel_s = 64;
+    struct lmn_core *c = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    c->parts[0].mine = c->parts[0].ready = c->parts[0].open = true;
+    c->parts[0].my_term = 42;
+    c->parts[0].my_rev = 1;
+    c->parts[0].since = c->fresh = now;
+    c->synced = true;
+    c->members.tick = c->members.fresh = c->members.synced = now;
+    c->types.n = 1;
+    c->types.v[0] = (struct lmn_type){
+        .name = "x", .cpus = 8, .gpus = 1, .mem = 64, .zones = {"a"}, .nzones = 1};
+    c->types_known = true;
+    return c;
+}
+
+/* As workers send them, under the names of the protocol. */
+static GByteArray *report(uint64_t seq, uint64_t token, const char *const *tasks,
+                          const char *const *states, size_t n)
+{
+    GByteArray *b = g_byte_array_new();
+
+    lmn_put_map(b, 9);
+    lmn_put_text(b, "Voiture"), lmn_put_text(b, "host-000001");
+    lmn_put_text(b, "Endpoint"), lmn_put_text(b, "10.0.0.1:9000");
+    lmn_put_text(b, "GabaritMachine"), lmn_put_text(b, "x");
+    lmn_put_text(b, "Secteur"), lmn_put_text(b, "a");
+    lmn_put_text(b, "TaxiLibre"), lmn_put_truth(b, false);
+    lmn_put_text(b, "Service"), lmn_put_count(b, 5);
+    lmn_put_text(b, "Compteur"), lmn_put_count(b, seq);
+    lmn_put_text(b, "Jeton"), lmn_put_count(b, token);
+    lmn_put_text(b, "Courses"), lmn_put_list(b, n);
+    for (size_t i = 0; i < n; i++) {
+        lmn_put_map(b, 3);
+        lmn_put_text(b, "Course"), lmn_put_text(b, tasks[i]);
+        lmn_put_text(b, "Essai"), lmn_put_count(b, 100 + i);
+        lmn_put_text(b, "Etat"), lmn_put_text(b, states[i]);
+    }
+    return b;
+}
+
+static void answers(struct lmn_core *c, GByteArray *body, const char *name)
+{
+    GByteArray *out = g_byte_array_new();
+    struct lmn_held held;
+
+    assert_int_equal(lmn_worker_report(c, body->data, body->len, out, &held, now), 200);
+    g_byte_array_unref(body);
+    same(name, out);
+}
+
+static void answer_to_a_report_keeps_its_bytes(void **state)
+{
+    static const char *const tasks[] = {"run-9/0", "run-9/1"};
+    static const char *const states[] = {"running", "ended"};
+    struct lmn_core *c = owner();
+    struct lmn_spec spec = {.ref = "run-000412",
+                            .class_name = (char *)"etl",
+                            .team = (char *)"t",
+                            .image = (char *)"base:1",
+                            .urgency = LMN_NORMAL,
+                            .tasks = 1,
+                            .cpus = 2,
+                            .estimate_s = 60,
+                            .deadline_s = -1};
+    struct lmn_range range = {.lo = 0, .hi = 1};
+    uint8_t none = 0;
+    (void)state;
+
+    /* It has not seen the term yet; then nothing has to be done. */
+    answers(c, report(1, 41, NULL, NULL, 0), "worker_answer_without_commands");
+    answers(c, report(2, 42, tasks, states, 2), "worker_answer_kill_and_clear");
+    put(c, "j/run-000412", lmn_job_record(&spec, LMN_ACTIVE, 1, 1e9), 3);
+    put(c, "r/0/run-000412/0", lmn_range_record(&range, &none), 3);
+    struct lmn_machine *m = c->parts[0].list->pdata[0];
+    m->rev = 1; /* recorded */
+    answers(c, report(3, 42, NULL, NULL, 0), "worker_answer_start");
+    assert_int_equal(m->attempts->len, 1);
+}
+
+static void answer_to_a_malformed_report_keeps_its_bytes(void **state)
+{
+    GByteArray *out = g_byte_array_new();
+    struct lmn_held held;
+    (void)state;
+
+    assert_int_equal(lmn_worker_report(owner(), "\xa0", 1, out, &held, now), 400);
+    same("worker_answer_malformed", out);
+}
+
+static void commands_to_workers_keep_their_bytes(void **state)
+{
+    struct lmn_attempt a = {.ref = "run-000412", .index = 7, .number = 0x2a00000001ULL};
+    GByteArray *b = g_byte_array_new();
+    (void)state;
+
+    lmn_command(b, "start", &a, -1);
+    same("command_start", b);
+    b = g_byte_array_new();
+    lmn_command(b, "kill", &a, 12.5);
+    same("command_kill_with_grace", b);
+}
+
+/* --- users --- */
+
+static void reply_keeps(const char *name, struct lmn_reply r)
+{
+    GByteArray *b = lmn_reply_body(&r, "run-000412");
+
+    assert_non_null(b);
+    same(name, b);
+}
+
+static void replies_to_users_keep_their_bytes(void **state)
+{
+    struct lmn_reply r = {.status = 200, .shows_job = true, .phase = LMN_ACTIVE};
+    (void)state;
+
+    reply_keeps("reply_queued", r);
+    r.status = 201;
+    reply_keeps("reply_submitted", r);
+    r.status = 200;
+    r.done = 40;
+    r.running = 3;
+    reply_keeps("reply_running", r);
+    r.phase = LMN_FINISHED;
+    r.done = 100;
+    r.running = 0;
+    reply_keeps("reply_done", r);
+    r.phase = LMN_WITHDRAWN;
+    reply_keeps("reply_withdrawn", r);
+    reply_keeps("reply_error", (struct lmn_reply){.status = 400, .error = "not CBOR"});
+}
+
+/* --- the keeper --- */
+
+static void messages_to_the_keeper_keep_their_bytes(void **state)
+{
+    static const char *const argv[] = {"/bin/sh", "-c", "true", NULL};
+    static const char *const env[] = {"A=1", "B=", NULL};
+    (void)state;
+
+    same("keeper_start",
+         lmn_keeper_msg_start(300, (char *const *)(guintptr)argv,
+                              (char *const *)(guintptr)env, "/srv/task", 1 << 20));
+    same("keeper_save", lmn_keeper_msg_save(300, 12.5));
+    same("keeper_kill", lmn_keeper_msg_kill(300));
+    same("keeper_kill_all", lmn_keeper_msg_kill_all());
+    same("keeper_until", lmn_keeper_msg_until((struct timespec){70000, 999}));
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(report_of_a_worker_keeps_its_bytes),
+        cmocka_unit_test(answer_to_a_report_keeps_its_bytes),
+        cmocka_unit_test(answer_to_a_malformed_report_keeps_its_bytes),
+        cmocka_unit_test(commands_to_workers_keep_their_bytes),
+        cmocka_unit_test(replies_to_users_keep_their_bytes),
+        cmocka_unit_test(messages_to_the_keeper_keep_their_bytes),
+    };
+    return golden_end(cmocka_run_group_tests(tests, NULL, NULL));
+}
