--- /dev/null
+++ b/tests/digest/messages.c
@@ -0,0 +1,113 @@
+#include "messages.h"
+
+void digest_outcome(enum lmn_outcome outcome)
+{
+    switch (outcome) {
+    case LMN_OK:
+        digest_text("ok");
+        break;
+    case LMN_CONFLICT:
+        digest_text("conflict");
+        break;
+    case LMN_REFUSED:
+        digest_text("refused");
+        break;
+    case LMN_UNKNOWN:
+        digest_text("unknown");
+        break;
+    }
+}
+
+/* --- transactions --- */
+
+static void add_condition(void *unused, const char *key, uint64_t version)
+{
+    (void)unused;
+    digest_text(key);
+    digest_number(version);
+}
+
+static void add_change(void *unused, const char *key, const GByteArray *value,
+                       uint64_t lease)
+{
+    (void)unused;
+    digest_text(key);
+    digest_array(value);
+    digest_number(lease);
+}
+
+void digest_transaction(const char *kind, struct timespec now,
+                        const struct lmn_txn *transaction)
+{
+    if (!digest_is_open())
+        return;
+    digest_message(kind, now);
+    digest_text("if");
+    lmn_txn_each_condition(transaction, add_condition, NULL);
+    digest_text("then");
+    lmn_txn_each(transaction, add_change, NULL);
+}
+
+/* --- batches --- */
+
+static void add_attempt(const struct lmn_told_attempt *attempt)
+{
+    digest_text(attempt->ref);
+    digest_number(attempt->index);
+    digest_number(attempt->number);
+    digest_number(attempt->ended);
+    digest_number(attempt->done);
+}
+
+static void add_image(const struct lmn_told_image *image)
+{
+    digest_text(image->name);
+    digest_real(image->gb);
+    digest_number(image->there);
+}
+
+static void add_machine(const struct lmn_told *machine)
+{
+    digest_text(machine->name);
+    digest_number(machine->session);
+    digest_number(machine->gone);
+    digest_number(machine->forget);
+    digest_number(machine->attempts->len);
+    for (guint i = 0; i < machine->attempts->len; i++)
+        add_attempt(&g_array_index(machine->attempts, struct lmn_told_attempt, i));
+    digest_number(machine->images != NULL);
+    for (guint i = 0; machine->images && i < machine->images->len; i++)
+        add_image(&g_array_index(machine->images, struct lmn_told_image, i));
+}
+
+static const char *answer_name(enum lmn_copy_answer answer)
+{
+    switch (answer) {
+    case LMN_COPY_TAKEN:
+        return "taken";
+    case LMN_COPY_UNKNOWN:
+        return "unknown";
+    case LMN_COPY_REFUSED:
+        return "refused";
+    }
+    return NULL;
+}
+
+void digest_batch(int from, int to, struct timespec now, const struct lmn_batch *batch,
+                  bool heard, enum lmn_copy_answer answer)
+{
+    if (!digest_is_open())
+        return;
+    digest_message("batch", now);
+    digest_number((uint64_t)from);
+    digest_number((uint64_t)to);
+    digest_number((uint64_t)batch->part);
+    digest_number(batch->term);
+    digest_number(batch->stream);
+    digest_number(batch->number);
+    digest_number(batch->mark);
+    digest_number(batch->machines->len);
+    for (guint i = 0; i < batch->machines->len; i++)
+        add_machine(batch->machines->pdata[i]);
+    digest_text(heard ? answer_name(answer) : NULL);
+}
--- /dev/null
+++ b/tests/digest/messages.h
@@ -0,0 +1,20 @@
+/* How the product's messages enter a digest (digest.h), for all simulations alike. */
+#ifndef LMN_TESTS_DIGEST_MESSAGES_H
+#define LMN_TESTS_DIGEST_MESSAGES_H
+
+#include "digest/digest.h"
+#include "standby/batch.h"
+#include "standby/copy.h"
+#include "state/state.h"
+
+/* A field: enumerators of the product by fixed names, not by their numbers. */
+void digest_outcome(enum lmn_outcome outcome);
+/* A message: the transaction's conditions and changes, in order. Further fields may
+ * follow. */
+void digest_transaction(const char *kind, struct timespec now,
+                        const struct lmn_txn *transaction);
+/* A message: a batch from an owner to its standby, and the answer if it was heard. */
+void digest_batch(int from, int to, struct timespec now, const struct lmn_batch *batch,
+                  bool heard, enum lmn_copy_answer answer);
+
+#endif
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -75,6 +75,11 @@
         g_byte_array_unref(body);
         return false;
     }
+    digest_message("direct", explored.now);
+    digest_number((uint64_t)n);
+    digest_text(name);
+    digest_text(addr);
+    digest_array(body);
     if (!lmn_direct_mark(node->core, name, &id))
         return send_directly(n, name, body);
     node->pending = body;
@@ -98,6 +103,12 @@
     struct lmn_partition *p = node_partition(n);
     struct lmn_held held;
     int status = lmn_worker_report(c, body->data, body->len, answer, &held, explored.now);
+    digest_message("report", explored.now);
+    digest_number((uint64_t)n);
+    digest_array(body);
+    digest_number((uint64_t)status);
+    digest_array(answer);
+    digest_number(status == 200 ? held.mark : 0);
 
     if (status != 200 || !held.mark)
         return status;
--- a/tests/takeover/explorer.c
+++ b/tests/takeover/explorer.c
@@ -2,12 +2,23 @@
  * from its beginning, and states that were seen are not gone on from. */
 #include "takeover.h"
 
+#include <errno.h>
+
 enum {
     STATES = 3000,        /* that a search goes up to */
     FEWEST_STATES = 2500, /* fewer: it did not find what it should */
     FAIR_EVERY = 16,      /* states, of which one is played to its fair end */
 };
 
+void begin_search_digest(void)
+{
+    static unsigned searches;
+    char *name = g_strdup_printf("search_%u", ++searches);
+
+    digest_begin(program_invocation_short_name, name, 0);
+    g_free(name);
+}
+
 static GByteArray *path_with(const GByteArray *path, enum move move)
 {
     GByteArray *longer = g_byte_array_new();
@@ -52,6 +63,7 @@
 
     *broken = NULL;
     explored.without = without;
+    begin_search_digest();
     g_ptr_array_add(work, play_all(from));
     while (at < work->len && work->len < states && !*broken) {
         const GByteArray *path = work->pdata[at++];
@@ -70,6 +82,10 @@
         }
     }
     guint found = g_hash_table_size(seen);
+    digest_message("end", explored.now);
+    digest_number(found);
+    digest_text(*broken);
+    digest_end();
     if (*broken) {
         const GByteArray *path = work->pdata[at - 1];
         print_message("after %u states, %u moves: %s\n", found, path->len + 1, *broken);
--- a/tests/takeover/machines.c
+++ b/tests/takeover/machines.c
@@ -74,6 +74,10 @@
             carry_out(m, &d, c);
     }
     lmn_doc_free(&d);
+    digest_message(direct ? "command" : "answer", explored.now);
+    digest_number((uint64_t)k);
+    digest_array(body);
+    digest_number(accepted);
     return accepted;
 }
 
--- a/tests/takeover/moves.c
+++ b/tests/takeover/moves.c
@@ -116,7 +116,7 @@
            !node_partition(A)->mine && claim(A);
 }
 
-bool play(enum move move)
+static bool carry_out(enum move move)
 {
     switch (move) {
     case MIRROR_A:
@@ -199,6 +199,16 @@
     }
 }
 
+bool play(enum move move)
+{
+    bool possible = carry_out(move);
+
+    digest_message("move", explored.now);
+    digest_number((uint64_t)move);
+    digest_number(possible);
+    return possible;
+}
+
 void check_rules(void)
 {
     if (machine_runs(0) && machine_runs(1))
--- a/tests/takeover/placement.c
+++ b/tests/takeover/placement.c
@@ -147,7 +147,12 @@
 
     explored.without = without;
     explored.allowed = faults_allowed;
+    begin_search_digest();
     place_all(&base, &tally);
+    digest_message("end", explored.now);
+    digest_number(g_hash_table_size(tally.seen));
+    digest_text(tally.broken);
+    digest_end();
     explored.without = GUARD_NONE;
     explored.allowed = only_a_restart;
     print_message("%u steps: %u placements (copies %u, lost answers %u, restarts %u), %u "
--- a/tests/takeover/replication.c
+++ b/tests/takeover/replication.c
@@ -26,6 +26,7 @@
     bool taken = how != BATCH_LOST && take_batch(p->stream.to, batch, &answer);
     if (how == BATCH_LOST)
         p->stream.failures = MANY_FAILURES;
+    digest_batch(n, p->stream.to, explored.now, batch, taken && how == DELIVERED, answer);
     lmn_stream_sent(explored.nodes[n].core, p, batch, taken && how == DELIVERED, answer,
                     explored.now);
 }
--- a/tests/takeover/store.c
+++ b/tests/takeover/store.c
@@ -28,6 +28,11 @@
     e->value = value ? g_byte_array_ref((GByteArray *)value) : NULL;
     e->revision = explored.revision;
     e->lease = lease;
+    digest_message("event", explored.now);
+    digest_text(key);
+    digest_array(value);
+    digest_number(explored.revision);
+    digest_number(lease);
     assert_true(explored.nevents < EVENTS);
     explored.events[explored.nevents++] = *e;
 }
@@ -56,7 +61,7 @@
         *(bool *)arg = false;
 }
 
-enum lmn_outcome store_commit(const struct lmn_txn *transaction, uint64_t *revision)
+static enum lmn_outcome carry_out(const struct lmn_txn *transaction, uint64_t *revision)
 {
     bool holds = true;
 
@@ -74,6 +79,15 @@
     return LMN_OK;
 }
 
+enum lmn_outcome store_commit(const struct lmn_txn *transaction, uint64_t *revision)
+{
+    enum lmn_outcome outcome = carry_out(transaction, revision);
+
+    digest_transaction("transaction", explored.now, transaction);
+    digest_outcome(outcome);
+    return outcome;
+}
+
 void store_end_lease(uint64_t lease)
 {
     explored.lease_alive[lease] = false;
--- a/tests/takeover/takeover.h
+++ b/tests/takeover/takeover.h
@@ -9,6 +9,7 @@
 #include "base/clock.h"
 #include "base/codec.h"
 #include "base/settings.h"
+#include "digest/messages.h"
 #include "state/core.h"
 #include "state/model.h"
 #include "state/state.h"
@@ -243,6 +244,9 @@
  * what is broken in the end, or NULL. */
 const char *finish_fairly(void);
 
+/* Begins the digest of the program's next search; without a seed, they are numbered. */
+void begin_search_digest(void);
+
 struct sequence {
     const enum move *moves;
     guint len;
--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -12,9 +12,21 @@
     return "detect_leaks=0";
 }
 
+static void play_digested(const char *scenario, const struct layout *l, uint32_t seed,
+                          enum guard broken)
+{
+    digest_begin("test_model", scenario, seed);
+    world_play(l, seed, broken);
+    digest_end();
+}
+
 static void play(uint32_t seed, enum guard broken)
 {
-    world_play(&usual, seed, broken);
+    char *scenario =
+        broken ? g_strdup_printf("usual without guard %d", broken) : g_strdup("usual");
+
+    play_digested(scenario, &usual, seed, broken);
+    g_free(scenario);
 }
 
 static const char *const rule_names[] = {"ran_twice",     "quota",    "wrong_place",
@@ -41,7 +53,7 @@
             l.every = l.steps * STEP_S / JOBS / 2;
             g_rand_free(r);
             standbys = seed % 2;
-            world_play(&l, 500 + 10 * k + seed, G_NONE);
+            play_digested("any layout", &l, 500 + 10 * k + seed, G_NONE);
             standbys = false;
             for (int i = 0; i < RULES; i++)
                 if (w.broke[i])
@@ -106,7 +118,7 @@
         for (uint32_t seed = 1; seed <= 3; seed++) {
             flap = true;
             standbys = seed != 2;
-            world_play(&l, 900 + 10 * k + seed, G_NONE);
+            play_digested("flapping", &l, 900 + 10 * k + seed, G_NONE);
             flap = standbys = false;
             for (int i = 0; i < n; i++)
                 warm += (unsigned)w.nodes[i].core->count.warm;
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -140,7 +140,15 @@
         g_byte_array_set_size(x->body, x->token_at);
         lmn_put_count(x->body, p->my_term);
     }
-    return lmn_worker_report(n->core, x->body->data, x->body->len, out, held, w.clock);
+    int status =
+        lmn_worker_report(n->core, x->body->data, x->body->len, out, held, w.clock);
+    digest_message("report", w.clock);
+    digest_number((uint64_t)x->node);
+    digest_array(x->body);
+    digest_number((uint64_t)status);
+    digest_array(out);
+    digest_number(status == 200 ? held->mark : 0);
+    return status;
 }
 
 static void deliver(void)
--- a/tests/world/machines.c
+++ b/tests/world/machines.c
@@ -156,6 +156,11 @@
     struct lmn_doc d;
     uint64_t token = 0;
 
+    digest_message("answer", w.clock);
+    digest_text(m->name);
+    digest_number(x->session);
+    digest_number(x->seq);
+    digest_array(x->body);
     /* An answer counts only while its report waits for it. */
     if (!m->in_flight || m->flight_seq != x->seq || x->session != m->session)
         return;
@@ -206,6 +211,11 @@
     lmn_doc_free(&d);
     if (report)
         put_report(m, report);
+    digest_message("command", w.clock);
+    digest_text(m->name);
+    digest_array(body);
+    digest_number((uint64_t)status);
+    digest_array(report);
     return status;
 }
 
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -143,6 +143,8 @@
     uint64_t rev;
     double luck = g_rand_double(w.r);
 
+    digest_transaction("sending", w.clock, t);
+    digest_number((uint64_t)w.acting);
     if (world_loses(t, luck)) {
         r = world_lose(n, t);
         lmn_txn_free(t);
@@ -357,6 +359,10 @@
             lmn_victim_load(o->core, &o->core->parts[victim], t))
             got = lmn_victim_give(o->core, &o->core->parts[victim], t, w.clock);
     }
+    digest_message("theft", w.clock);
+    digest_number((uint64_t)t->part);
+    digest_number((uint64_t)victim);
+    digest_number(got);
     return got;
 }
 
@@ -381,6 +387,23 @@
     }
 }
 
+static bool ask_for_limit(struct node *o, int victim, int part,
+                          const struct lmn_quota_want *want)
+{
+    bool given = lmn_quota_asked(o->core, &o->core->parts[victim], part, want, w.clock);
+
+    digest_message("limit", w.clock);
+    digest_number((uint64_t)victim);
+    digest_number((uint64_t)part);
+    digest_number((uint64_t)want->team);
+    digest_real(want->cpus);
+    digest_real(want->gpus);
+    digest_real(want->least_cpus);
+    digest_real(want->least_gpus);
+    digest_number(given);
+    return given;
+}
+
 /* A partition that is short of a team's limit asks the others, as serve/peer.c does. */
 static void seek_limits(struct node *n, int part)
 {
@@ -397,8 +420,7 @@
             struct node *o = &w.nodes[i % w.layout.nodes];
             int victim = (first + i / w.layout.nodes) % w.layout.nodes;
             if (victim != part && node_talks(n, o) && o->core->parts[victim].mine)
-                got |= lmn_quota_asked(o->core, &o->core->parts[victim], part, &want,
-                                       w.clock);
+                got |= ask_for_limit(o, victim, part, &want);
         }
     }
     if (!any)
@@ -441,6 +463,8 @@
                 x->dead = true;
                 x->ntasks = 0;
             }
+            digest_message("removal", w.clock);
+            digest_text(m->name);
             lmn_machine_gone(n->core, m, w.clock);
         }
         g_list_free(all);
@@ -538,6 +562,7 @@
         node_write(n);
     else
         for (struct lmn_txn *t; (t = lmn_state_take(n->state));) {
+            digest_transaction("refusal", w.clock, t);
             lmn_txn_finish(t, LMN_REFUSED, 0);
         }
     node_tell(n, i, cut);
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -23,13 +23,37 @@
            (talk((int)(from - w.nodes), (int)(to - w.nodes)) && w.now >= to->still_until);
 }
 
+static void add_statement(const struct lmn_statement *s)
+{
+    digest_number((uint64_t)s->of);
+    digest_number(s->inc);
+    digest_real(s->heard_s);
+    digest_real(s->unanswered_s);
+    digest_number(s->visitors);
+}
+
+static void digest_word(const char *kind, int from, int to, const struct lmn_word *word)
+{
+    digest_message(kind, w.clock);
+    digest_number((uint64_t)from);
+    digest_number((uint64_t)to);
+    digest_real(word->behind_s);
+    digest_real(word->stale_s);
+    digest_real(word->deaf);
+}
+
 static void tell(struct node *from, struct node *to, int about)
 {
     struct lmn_statement s[LMN_STATEMENTS];
     unsigned n = lmn_member_statements(&from->core->members, to->core->members.me, about,
                                        w.clock, s);
-    for (unsigned i = 0; i < n; i++)
+    digest_message("statements", w.clock);
+    digest_number((uint64_t)from->core->members.me);
+    digest_number((uint64_t)to->core->members.me);
+    for (unsigned i = 0; i < n; i++) {
+        add_statement(&s[i]);
         lmn_member_told(&to->core->members, from->core->members.me, &s[i], w.clock);
+    }
 }
 
 static void tell_tombstones(struct node *from, struct node *to, int rank)
@@ -40,6 +64,10 @@
 
     if (!w.helped)
         return;
+    digest_message("tombstones", w.clock);
+    digest_number((uint64_t)rank);
+    for (unsigned i = 0; i < n; i++)
+        digest_text(refs[i]);
     for (unsigned i = 0; i < n; i++)
         w.tombstones += lmn_tombstone_heard(to->core, refs[i], w.clock);
     if (!world_trouble(0.05)) /* else the answer is lost, and they are told again */
@@ -57,6 +85,9 @@
     while (lmn_member_question(ms, w.r, w.clock, &q, &wait)) {
         struct node *o = &w.nodes[q.rank];
         struct lmn_word mine = node_word(n);
+        digest_word("question", me, q.rank, &mine);
+        digest_number((uint64_t)q.about);
+        digest_real(q.patience_s);
         if (!talk(me, q.rank) || w.now < o->still_until || world_trouble(0.05)) {
             lmn_member_unanswered(ms, q.rank, w.clock, w.clock);
             continue;
@@ -70,6 +101,7 @@
             lmn_member_unanswered(ms, q.rank, w.clock, w.clock);
             continue;
         }
+        digest_word("word", q.rank, me, &its);
         lmn_member_answered(ms, q.rank, &its, w.clock, w.clock);
         tell_tombstones(n, o, q.rank);
         tell(o, n, q.about);
@@ -131,6 +163,7 @@
                 lmn_batch_free(same);
                 heard = !world_trouble(0.02);
             }
+            digest_batch(me, p->stream.to, w.clock, b, heard, answer);
             lmn_stream_sent(n->core, p, b, heard, answer, w.clock);
         }
         if (p->mine)
@@ -225,6 +258,11 @@
     int me = (int)(n - w.nodes);
 
     while (lmn_probe_next(n->core, 0, 1, name, addr, &term, w.clock)) {
+        digest_message("probe", w.clock);
+        digest_number((uint64_t)me);
+        digest_text(name);
+        digest_text(addr);
+        digest_number(term);
         struct machine *m = machine_named(name);
         if (!m || !machine_told(me, m) || world_chance(0.3)) {
             lmn_probe_outcome(n->core, name, term, LMN_NO_ANSWER, answer, w.clock);
@@ -244,6 +282,11 @@
         lmn_probe_outcome(n->core, name, term, status, answer, w.clock);
     }
     while (lmn_direct_next(n->core, 0, 1, name, addr, body, w.clock)) {
+        digest_message("direct", w.clock);
+        digest_number((uint64_t)me);
+        digest_text(name);
+        digest_text(addr);
+        digest_array(body);
         struct machine *m = machine_named(name);
         double luck = g_rand_double(w.r);
         struct lmn_held held = {0};
--- a/tests/world/scenario.c
+++ b/tests/world/scenario.c
@@ -2,6 +2,7 @@
 
 #include "base/log.h"
 
+#include <errno.h>
 #include <stdlib.h>
 
 const char *__asan_default_options(void);
@@ -142,7 +143,11 @@
     if (m->begin)
         m->begin();
     standbys = m->standbys || seed % 2;
+    char *name = g_strconcat(m->name, g ? "_without_guard" : "", NULL);
+    digest_begin(program_invocation_short_name, name, seed);
+    g_free(name);
     world_play(m->layout ? m->layout : &day, seed, g);
+    digest_end();
     standbys = false;
     plan = NULL;
     bool broke = false;
--- a/tests/world/store.c
+++ b/tests/world/store.c
@@ -28,6 +28,11 @@
         e->value = g_byte_array_ref(it->value);
     e->rev = w.rev;
     g_ptr_array_add(w.log, e);
+    digest_message("event", w.clock);
+    digest_text(key);
+    digest_array(value);
+    digest_number(w.rev);
+    digest_number(lease);
 }
 
 bool world_lease_alive(uint64_t id)
@@ -71,7 +76,7 @@
     world_put(key, value, lease);
 }
 
-static enum lmn_outcome commit(const struct lmn_txn *t, bool late, uint64_t *rev)
+static enum lmn_outcome carry_out(const struct lmn_txn *t, bool late, uint64_t *rev)
 {
     bool ok = true;
 
@@ -86,6 +91,15 @@
     return LMN_OK;
 }
 
+static enum lmn_outcome commit(const struct lmn_txn *t, bool late, uint64_t *rev)
+{
+    enum lmn_outcome outcome = carry_out(t, late, rev);
+
+    digest_transaction("transaction", w.clock, t);
+    digest_outcome(outcome);
+    return outcome;
+}
+
 enum lmn_outcome world_commit(const struct lmn_txn *t, uint64_t *rev)
 {
     return commit(t, false, rev);
@@ -95,6 +109,9 @@
 {
     g_ptr_array_set_size(failed, 0);
     lmn_txn_each_condition(t, collect_failed, failed);
+    digest_transaction("confirmation", w.clock, t);
+    for (guint i = 0; i < failed->len; i++)
+        digest_text(failed->pdata[i]);
     return failed->len ? LMN_CONFLICT : LMN_OK;
 }
 
@@ -166,6 +183,8 @@
 enum lmn_outcome world_send(struct node *n, const struct lmn_txn *t, double luck,
                             uint64_t *rev)
 {
+    digest_transaction("sending", w.clock, t);
+    digest_number((uint64_t)w.acting);
     if (world_loses(t, luck))
         return world_lose(n, t);
     if (w.now < w.late_until && luck < 0.3) {
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -129,6 +129,22 @@
 
 /* --- requests --- */
 
+static void digest_reply(const struct request *q, const struct lmn_reply *r)
+{
+    GByteArray *body = r->status ? lmn_reply_body(r, q->ref) : NULL;
+
+    digest_message("reply", w.clock);
+    digest_number((uint64_t)q->kind);
+    digest_number((uint64_t)q->form);
+    digest_number((uint64_t)q->node);
+    digest_text(q->ref);
+    digest_number((uint64_t)r->status);
+    digest_number((uint64_t)r->retry_after);
+    digest_array(body);
+    if (body)
+        g_byte_array_unref(body);
+}
+
 void request_reply(struct request *q, const struct lmn_reply *r)
 {
     int i = q->job ? (int)(q->job - w.jobs) : -1;
@@ -136,6 +152,8 @@
     if (q->answered)
         return;
     q->answered = true;
+    if (digest_is_open())
+        digest_reply(q, r);
     receive(q, r);
     for (int k = 0; k < 2 && i >= 0; k++)
         if (users.pending[i][k] == q) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -8,6 +8,7 @@
 #define LMN_TESTS_WORLD_H
 
 #include "base/codec.h"
+#include "digest/messages.h"
 #include "own/worker.h"
 #include "state/model.h"
 #include "state/state.h"
