--- a/tests/takeover/placement.c
+++ b/tests/takeover/placement.c
@@ -12,6 +12,10 @@
 
 enum { MOST_INSERTIONS = 4 };
 
+/* Of a search from each step, where its digest alone is asked for: the whole search takes
+ * longer than all other digests together. */
+enum { DIGEST_STATES = 60 };
+
 struct schedule {
     struct sequence sequence;
     struct insertion insertions[MOST_INSERTIONS];
@@ -147,7 +151,12 @@
 
     explored.without = without;
     explored.allowed = faults_allowed;
+    begin_search_digest();
     place_all(&base, &tally);
+    digest_message("end", explored.now);
+    digest_number(g_hash_table_size(tally.seen));
+    digest_text(tally.broken);
+    digest_end();
     explored.without = GUARD_NONE;
     explored.allowed = only_a_restart;
     print_message("%u steps: %u placements (copies %u, lost answers %u, restarts %u), %u "
@@ -163,6 +172,8 @@
     const char *broken = NULL;
     guint sum = 0;
 
+    if (digest_is_wanted())
+        states = MIN(states, DIGEST_STATES);
     explored.allowed = faults_allowed;
     for (guint step = 0; step <= sequence.len && !broken; step++) {
         struct sequence from = {sequence.moves, step};
