--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -5,11 +5,11 @@
  *
  * Two state services and two gateways, no controllers: the records are written as the
  * gateways would have, by this program, before they start. */
-#include "base/clock.h"
-#include "base/latency.h"
-#include "base/proc.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/latency.h"
+#include "util/process.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "gateway/book.h"
 #include "gateway/keys.h"
 
--- a/bench/common.h
+++ b/bench/common.h
@@ -2,8 +2,8 @@
 #ifndef LMN_BENCH_COMMON_H
 #define LMN_BENCH_COMMON_H
 
-#include "base/codec.h"
-#include "base/http_client.h"
+#include "protocol/cbor.h"
+#include "http/client.h"
 
 #include <glib.h>
 #include <stdio.h>
--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -10,11 +10,11 @@
  * second fell below 0.9 of the best so far. --untimed, for machines that have other
  * things to do: a health check has 20 s, which a node that is full would not answer in
  * either, and rates are told, not judged. */
-#include "base/clock.h"
-#include "base/latency.h"
-#include "base/proc.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/latency.h"
+#include "util/process.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "cli/users.h"
 #include "common.h"
 #include "limits/sockets.h"
--- a/bench/failover.c
+++ b/bench/failover.c
@@ -16,11 +16,11 @@
  * status 1 if a job was lost, a task began while it ran elsewhere, a member that only its
  * peers could not reach was judged, or a partition was not taken over; --untimed judges
  * no times: then the lease may have been first. */
-#include "base/clock.h"
-#include "base/latency.h"
-#include "base/proc.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/latency.h"
+#include "util/process.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "cli/users.h"
 #include "common.h"
 #include "relay.h"
--- a/bench/fuzz/frames.c
+++ b/bench/fuzz/frames.c
@@ -1,6 +1,6 @@
 /* libFuzzer: what a peer, a worker or a user may send. The first byte picks the reader.
  */
-#include "base/job.h"
+#include "job/job_spec.h"
 #include "depot/work.h"
 #include "gateway/link.h"
 
--- a/bench/gateway.c
+++ b/bench/gateway.c
@@ -8,12 +8,12 @@
  * every task says in a file of its own when it starts and when it ends, and holds a lock
  * on it meanwhile. There must be one outcome for each job, at its home, told twice alike;
  * no task lost, none ended twice, none at two sites at a time. */
-#include "base/clock.h"
-#include "base/latency.h"
-#include "base/log.h"
-#include "base/proc.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/latency.h"
+#include "util/log.h"
+#include "util/process.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "cli/users.h"
 #include "common.h"
 #include "relay.h"
--- a/bench/rehearsal.c
+++ b/bench/rehearsal.c
@@ -6,12 +6,12 @@
  * The check does not trust the service: each task holds a lock on a file of its own while
  * any process of it lives, says so if another attempt holds it, and writes its start and
  * end there. */
-#include "base/clock.h"
-#include "base/latency.h"
-#include "base/log.h"
-#include "base/proc.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/latency.h"
+#include "util/log.h"
+#include "util/process.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "cli/users.h"
 #include "common.h"
 #include "submit.h"
--- a/bench/relay.h
+++ b/bench/relay.h
@@ -2,7 +2,7 @@
 #ifndef LMN_BENCH_RELAY_H
 #define LMN_BENCH_RELAY_H
 
-#include "base/thread.h"
+#include "util/thread.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/bench/retention.c
+++ b/bench/retention.c
@@ -1,8 +1,8 @@
 /* Memory of a controller's mirror over a million jobs that come and end.
  *
  *   bench_retention JOBS */
-#include "base/clock.h"
-#include "base/codec.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
 #include "own/owner.h"
 #include "state/core.h"
 #include "state/retention.h"
--- a/bench/site.c
+++ b/bench/site.c
@@ -5,11 +5,11 @@
  *
  * The workers' time is emulated, everything else is real: controllers, state service,
  * depot, sockets. */
-#include "base/clock.h"
-#include "base/latency.h"
-#include "base/proc.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/latency.h"
+#include "util/process.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "cli/users.h"
 #include "common.h"
 #include "submit.h"
--- a/bench/state.c
+++ b/bench/state.c
@@ -11,13 +11,13 @@
  * counter's values must be 1 to n, each made once (so conditions were linearizable and
  * nothing was half applied); and whoever began after another was acknowledged must have
  * the higher revision. */
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/http_client.h"
-#include "base/latency.h"
-#include "base/proc.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "http/client.h"
+#include "util/latency.h"
+#include "util/process.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "store/db.h"
 
 #include <arpa/inet.h>
--- a/bench/submit.h
+++ b/bench/submit.h
@@ -2,8 +2,8 @@
 #ifndef LMN_BENCH_SUBMIT_H
 #define LMN_BENCH_SUBMIT_H
 
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "depot/depot.h"
 #include "depot/work.h"
 
--- a/src/agent/agent.c
+++ b/src/agent/agent.c
@@ -1,7 +1,7 @@
 #include "agent/agent.h"
-#include "base/clock.h"
-#include "base/log.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/log.h"
+#include "protocol/wire.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -8,9 +8,9 @@
 #ifndef LMN_AGENT_H
 #define LMN_AGENT_H
 
-#include "base/codec.h"
-#include "base/job.h"
-#include "base/settings.h"
+#include "protocol/cbor.h"
+#include "job/job_spec.h"
+#include "config/settings.h"
 
 #include <time.h>
 
--- a/src/agent/keeper.c
+++ b/src/agent/keeper.c
@@ -1,7 +1,7 @@
 #include "agent/keeper.h"
-#include "base/clock.h"
-#include "base/log.h"
-#include "base/proc.h"
+#include "util/clock.h"
+#include "util/log.h"
+#include "util/process.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/src/agent/keeper.h
+++ b/src/agent/keeper.h
@@ -12,7 +12,7 @@
 #ifndef LMN_KEEPER_H
 #define LMN_KEEPER_H
 
-#include "base/codec.h"
+#include "protocol/cbor.h"
 
 #include <sys/types.h>
 #include <time.h>
--- a/src/agent/run.h
+++ b/src/agent/run.h
@@ -3,8 +3,8 @@
 #ifndef LMN_RUN_H
 #define LMN_RUN_H
 
-#include "base/job.h"
-#include "base/settings.h"
+#include "job/job_spec.h"
+#include "config/settings.h"
 
 #include <stdbool.h>
 
--- a/src/agent/run_part.h
+++ b/src/agent/run_part.h
@@ -7,7 +7,7 @@
 
 #include "agent/agent.h"
 #include "agent/run.h"
-#include "base/http_client.h"
+#include "http/client.h"
 #include "depot/work.h"
 
 #include <pthread.h>
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -1,10 +1,10 @@
 /* A real machine's tasks: their descriptions, images, results and output. */
 #include "agent/keeper.h"
 #include "agent/run_part.h"
-#include "base/clock.h"
-#include "base/log.h"
-#include "base/proc.h"
-#include "base/thread.h"
+#include "util/clock.h"
+#include "util/log.h"
+#include "util/process.h"
+#include "util/thread.h"
 #include "depot/depot.h"
 #include "depot/image.h"
 
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -1,5 +1,5 @@
 #include "cli/cli.h"
-#include "base/proc.h"
+#include "util/process.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/cli/controller.c
+++ b/src/cli/controller.c
@@ -1,6 +1,6 @@
 /* lemonspar controller, and lemonspar admin. */
 #include "cli/cli.h"
-#include "base/settings.h"
+#include "config/settings.h"
 #include "serve/admin.h"
 #include "serve/service.h"
 
--- a/src/cli/fleet.c
+++ b/src/cli/fleet.c
@@ -1,11 +1,11 @@
 /* lemonspar fleet and lemonspar worker. */
 #include "cli/cli.h"
-#include "base/conf.h"
-#include "base/http_client.h"
-#include "base/json.h"
+#include "config/config.h"
+#include "http/client.h"
+#include "protocol/json.h"
 
-#include "base/log.h"
-#include "base/thread.h"
+#include "util/log.h"
+#include "util/thread.h"
 #include "depot/depot.h"
 #include "emulate/run.h"
 #include "fleet/slot.h"
--- a/src/cli/gateway.c
+++ b/src/cli/gateway.c
@@ -1,9 +1,9 @@
 /* lemonspar gateway. */
 #include "cli/cli.h"
-#include "base/http_client.h"
-#include "base/json.h"
-#include "base/log.h"
-#include "base/wire.h"
+#include "http/client.h"
+#include "protocol/json.h"
+#include "util/log.h"
+#include "protocol/wire.h"
 #include "gateway/gateway.h"
 
 #include <curl/curl.h>
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -3,10 +3,10 @@
  * Exit statuses of job watch: 0 done, 1 failed or unreachable, 3 withdrawn, 4 not
  * finished in time. */
 #include "cli/cli.h"
-#include "base/clock.h"
-#include "base/json.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "protocol/json.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "cli/users.h"
 #include "depot/image.h"
 
--- a/src/cli/key.c
+++ b/src/cli/key.c
@@ -1,6 +1,6 @@
 /* lemonspar key: a site's authority and its certificates. */
 #include "cli/cli.h"
-#include "base/json.h"
+#include "protocol/json.h"
 #include "gateway/keys.h"
 
 #include <stdio.h>
--- a/src/cli/site.c
+++ b/src/cli/site.c
@@ -1,12 +1,12 @@
 /* lemonspar site. */
 #include "cli/cli.h"
-#include "base/clock.h"
-#include "base/http_client.h"
-#include "base/json.h"
-#include "base/log.h"
-#include "base/proc.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "http/client.h"
+#include "protocol/json.h"
+#include "util/log.h"
+#include "util/process.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "site/site.h"
 
 #include <curl/curl.h>
--- a/src/cli/state.c
+++ b/src/cli/state.c
@@ -1,9 +1,9 @@
 /* lemonspar state: serves, or cares for, a state service's database. */
 #include "cli/cli.h"
-#include "base/conf.h"
-#include "base/json.h"
-#include "base/log.h"
-#include "base/thread.h"
+#include "config/config.h"
+#include "protocol/json.h"
+#include "util/log.h"
+#include "util/thread.h"
 #include "store/db.h"
 #include "store/store.h"
 
--- a/src/cli/users.c
+++ b/src/cli/users.c
@@ -1,7 +1,7 @@
 #include "cli/users.h"
-#include "base/clock.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 
 #include <curl/curl.h>
 #include <stdio.h>
--- a/src/cli/users.h
+++ b/src/cli/users.h
@@ -2,7 +2,7 @@
 #ifndef LMN_USERS_H
 #define LMN_USERS_H
 
-#include "base/http_client.h"
+#include "http/client.h"
 #include "depot/depot.h"
 #include "depot/work.h"
 #include "site/site.h"
--- a/src/base/conf.c
+++ b/src/config/config.c
@@ -1,5 +1,5 @@
-#include "base/conf.h"
-#include "base/settings.h"
+#include "config/config.h"
+#include "config/settings.h"
 
 #include <stdarg.h>
 #include <stdio.h>
--- a/src/base/conf.h
+++ b/src/config/config.h
@@ -1,12 +1,12 @@
 /* Operators' TOML files: every field is read through here, so that what is wrong, or
  * isn't known, is named with file, line, field and mend. The platform's own file is read
- * by base/settings.h.
+ * by config/settings.h.
  *
  * The first thing that is wrong is kept; the getters then go on with defaults, and
  * lmn_conf_end says it. Paths are dotted, with numbers for arrays: "machines[2].zone".
  * One thread. */
-#ifndef LMN_CONF_H
-#define LMN_CONF_H
+#ifndef LMN_CONFIG_CONFIG_H
+#define LMN_CONFIG_CONFIG_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/base/tuning.c
+++ b/src/config/operator_settings.c
@@ -1,4 +1,4 @@
-#include "base/tuning.h"
+#include "config/operator_settings.h"
 
 #include <stddef.h>
 #include <stdio.h>
--- a/src/base/tuning.h
+++ b/src/config/operator_settings.h
@@ -1,9 +1,9 @@
 /* Operators' own settings: set through the administration API, kept in the state service.
  */
-#ifndef LMN_TUNING_H
-#define LMN_TUNING_H
+#ifndef LMN_CONFIG_OPERATOR_SETTINGS_H
+#define LMN_CONFIG_OPERATOR_SETTINGS_H
 
-#include "base/codec.h"
+#include "protocol/cbor.h"
 
 struct lmn_tuning {
     double sample;       /* queues asked in a steal; 0: the square root of their number */
--- a/src/base/settings.c
+++ b/src/config/settings.c
@@ -1,4 +1,4 @@
-#include "base/settings.h"
+#include "config/settings.h"
 
 #include <arpa/inet.h>
 #include <math.h>
--- a/src/base/settings.h
+++ b/src/config/settings.h
@@ -1,6 +1,6 @@
 /* The settings that the platform hands over, read once at the start and never changed. */
-#ifndef LMN_SETTINGS_H
-#define LMN_SETTINGS_H
+#ifndef LMN_CONFIG_SETTINGS_H
+#define LMN_CONFIG_SETTINGS_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/base/toml.cpp
+++ b/src/config/toml.cpp
@@ -1,6 +1,6 @@
 // The one C++ file: libtomlplusplus, since Debian packages no C library for TOML.
-#include "base/conf.h"
-#include "base/settings.h"
+#include "config/config.h"
+#include "config/settings.h"
 
 #include <cerrno>
 #include <cmath>
--- a/src/decide/preempt.c
+++ b/src/decide/preempt.c
@@ -3,7 +3,7 @@
  * made starts nothing less urgent until then; otherwise small tasks would take each piece
  * as it becomes free. */
 #include "decide/preempt.h"
-#include "base/log.h"
+#include "util/log.h"
 #include "decide/place.h"
 #include "decide/queue.h"
 #include "state/owner_state.h"
--- a/src/decide/queue.c
+++ b/src/decide/queue.c
@@ -1,7 +1,7 @@
 /* Queues of machines: dealing, order, starting, stealing. */
 #include "decide/queue.h"
-#include "base/log.h"
-#include "base/wire.h"
+#include "util/log.h"
+#include "protocol/wire.h"
 #include "decide/order.h"
 #include "decide/place.h"
 #include "standby/stream.h"
--- a/src/decide/reserve.c
+++ b/src/decide/reserve.c
@@ -1,5 +1,5 @@
 #include "decide/reserve.h"
-#include "base/log.h"
+#include "util/log.h"
 #include "decide/queue.h"
 #include "state/owner_state.h"
 
--- a/src/decide/steal.c
+++ b/src/decide/steal.c
@@ -3,7 +3,7 @@
  * moves the end of a range by one conditional write: never a task that was started, under
  * whatever term. */
 #include "decide/steal.h"
-#include "base/log.h"
+#include "util/log.h"
 #include "decide/order.h"
 #include "decide/queue.h"
 #include "decide/quota.h"
--- a/src/depot/depot.h
+++ b/src/depot/depot.h
@@ -13,8 +13,8 @@
 #ifndef LMN_DEPOT_H
 #define LMN_DEPOT_H
 
-#include "base/http_client.h"
-#include "base/httpd.h"
+#include "http/client.h"
+#include "http/server.h"
 
 enum { LMN_BLOB_MAX = 8 << 20, LMN_DIGEST = 65 };
 
--- a/src/depot/image.c
+++ b/src/depot/image.c
@@ -1,7 +1,7 @@
 #include "depot/image.h"
-#include "base/clock.h"
-#include "base/proc.h"
-#include "base/thread.h"
+#include "util/clock.h"
+#include "util/process.h"
+#include "util/thread.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/src/depot/serve.c
+++ b/src/depot/serve.c
@@ -1,5 +1,5 @@
-#include "base/log.h"
-#include "base/proc.h"
+#include "util/log.h"
+#include "util/process.h"
 #include "depot/depot.h"
 #include "depot/image.h"
 
--- a/src/depot/work.h
+++ b/src/depot/work.h
@@ -2,7 +2,7 @@
 #ifndef LMN_WORK_H
 #define LMN_WORK_H
 
-#include "base/job.h"
+#include "job/job_spec.h"
 
 struct lmn_work {
     struct lmn_spec spec;
--- a/src/emulate/cloud.c
+++ b/src/emulate/cloud.c
@@ -1,5 +1,5 @@
 #include "emulate/cloud.h"
-#include "base/wire.h"
+#include "protocol/wire.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/emulate/worker.c
+++ b/src/emulate/worker.c
@@ -1,5 +1,5 @@
 #include "emulate/worker.h"
-#include "base/clock.h"
+#include "util/clock.h"
 
 #include <gsl/gsl_cdf.h>
 #include <math.h>
--- a/src/fleet/cloud.h
+++ b/src/fleet/cloud.h
@@ -3,8 +3,8 @@
 #ifndef LMN_FLEET_CLOUD_H
 #define LMN_FLEET_CLOUD_H
 
-#include "base/httpd.h"
-#include "base/job.h"
+#include "http/server.h"
+#include "job/job_spec.h"
 
 #include <time.h>
 
--- a/src/fleet/local.c
+++ b/src/fleet/local.c
@@ -1,9 +1,9 @@
 #include "fleet/local.h"
 #include "agent/keeper.h"
-#include "base/clock.h"
-#include "base/conf.h"
-#include "base/log.h"
-#include "base/proc.h"
+#include "util/clock.h"
+#include "config/config.h"
+#include "util/log.h"
+#include "util/process.h"
 
 #include <errno.h>
 #include <string.h>
--- a/src/fleet/serve.c
+++ b/src/fleet/serve.c
@@ -1,8 +1,8 @@
-#include "base/budget.h"
-#include "base/log.h"
-#include "base/metrics.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/token_bucket.h"
+#include "util/log.h"
+#include "http/metrics.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "fleet/cloud.h"
 
 #include <stdlib.h>
--- a/src/fleet/slot.c
+++ b/src/fleet/slot.c
@@ -1,10 +1,10 @@
 #include "fleet/slot.h"
-#include "base/clock.h"
-#include "base/conf.h"
-#include "base/http_client.h"
-#include "base/log.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "config/config.h"
+#include "http/client.h"
+#include "util/log.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 
 #include <curl/curl.h>
 #include <string.h>
--- a/src/fleet/static.c
+++ b/src/fleet/static.c
@@ -1,9 +1,9 @@
 #include "fleet/static.h"
-#include "base/clock.h"
-#include "base/log.h"
-#include "base/metrics.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/log.h"
+#include "http/metrics.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "store/db.h"
 
 #include <stdio.h>
--- a/src/gateway/book.c
+++ b/src/gateway/book.c
@@ -1,8 +1,8 @@
 #include "gateway/book.h"
-#include "base/clock.h"
-#include "base/log.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/log.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/gateway/book.h
+++ b/src/gateway/book.h
@@ -12,8 +12,8 @@
 #ifndef LMN_BOOK_H
 #define LMN_BOOK_H
 
-#include "base/http_client.h"
-#include "base/job.h"
+#include "http/client.h"
+#include "job/job_spec.h"
 #include "gateway/hand.h"
 
 #include <pthread.h>
--- a/src/gateway/feed.c
+++ b/src/gateway/feed.c
@@ -1,9 +1,9 @@
 /* The own controllers, reached as any user does: jobs of this home that stay, and guests.
  */
-#include "base/clock.h"
-#include "base/log.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/log.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "depot/depot.h"
 #include "depot/work.h"
 #include "gateway/gateway_part.h"
--- a/src/gateway/front.c
+++ b/src/gateway/front.c
@@ -1,11 +1,11 @@
 /* The users' interface of the gateway: as a controller's, for jobs that may be run
  * elsewhere; and what the command line asks. Whatever writes is done by a few hands;
  * nothing is told before it is written. */
-#include "base/clock.h"
-#include "base/log.h"
-#include "base/metrics.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/log.h"
+#include "http/metrics.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "depot/depot.h"
 #include "gateway/gateway_part.h"
 
--- a/src/gateway/gateway_part.h
+++ b/src/gateway/gateway_part.h
@@ -2,8 +2,8 @@
 #ifndef LMN_GATEWAY_PART_H
 #define LMN_GATEWAY_PART_H
 
-#include "base/budget.h"
-#include "base/httpd.h"
+#include "util/token_bucket.h"
+#include "http/server.h"
 #include "gateway/book.h"
 #include "gateway/gateway.h"
 
--- a/src/gateway/hand.h
+++ b/src/gateway/hand.h
@@ -15,7 +15,7 @@
 #ifndef LMN_HAND_H
 #define LMN_HAND_H
 
-#include "base/settings.h"
+#include "config/settings.h"
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/gateway/home.c
+++ b/src/gateway/home.c
@@ -1,8 +1,8 @@
 /* As the home of jobs: answers the sites that have them, or would. */
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/log.h"
-#include "base/thread.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "util/log.h"
+#include "util/thread.h"
 #include "depot/depot.h"
 #include "gateway/route.h"
 #include "gateway/sync_part.h"
--- a/src/gateway/host.c
+++ b/src/gateway/host.c
@@ -1,9 +1,9 @@
 /* As the host of other sites' jobs: asks each site what it has to say (SYNC), and pulls.
  */
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/log.h"
-#include "base/thread.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "util/log.h"
+#include "util/thread.h"
 #include "depot/depot.h"
 #include "gateway/route.h"
 #include "gateway/sync_part.h"
--- a/src/gateway/keys.c
+++ b/src/gateway/keys.c
@@ -1,5 +1,5 @@
 #include "gateway/keys.h"
-#include "base/proc.h"
+#include "util/process.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/src/gateway/link.c
+++ b/src/gateway/link.c
@@ -1,6 +1,6 @@
 #include "gateway/link.h"
-#include "base/clock.h"
-#include "base/log.h"
+#include "util/clock.h"
+#include "util/log.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/src/gateway/link.h
+++ b/src/gateway/link.h
@@ -3,7 +3,7 @@
 #ifndef LMN_LINK_H
 #define LMN_LINK_H
 
-#include "base/settings.h"
+#include "config/settings.h"
 #include "gateway/keys.h"
 
 #include "gateway_wire.h"
--- a/src/gateway/process.c
+++ b/src/gateway/process.c
@@ -1,7 +1,7 @@
-#include "base/clock.h"
-#include "base/conf.h"
-#include "base/log.h"
-#include "base/thread.h"
+#include "util/clock.h"
+#include "config/config.h"
+#include "util/log.h"
+#include "util/thread.h"
 #include "gateway/gateway_part.h"
 
 #include <curl/curl.h>
--- a/src/gateway/sync.c
+++ b/src/gateway/sync.c
@@ -1,6 +1,6 @@
 #include "gateway/sync_part.h"
-#include "base/clock.h"
-#include "base/log.h"
+#include "util/clock.h"
+#include "util/log.h"
 
 #include <string.h>
 
--- a/src/base/http_client.c
+++ b/src/http/client.c
@@ -1,5 +1,5 @@
-#include "base/http_client.h"
-#include "base/wire.h"
+#include "http/client.h"
+#include "protocol/wire.h"
 
 #include <curl/curl.h>
 #include <string.h>
--- a/src/base/metrics.c
+++ b/src/http/metrics.c
@@ -1,4 +1,4 @@
-#include "base/metrics.h"
+#include "http/metrics.h"
 
 #include <string.h>
 
--- a/src/base/metrics.h
+++ b/src/http/metrics.h
@@ -1,10 +1,10 @@
 /* Metrics as OpenMetrics text. Debian packages a client library for C++ only; the text
  * form is small enough to write with GLib's strings. */
-#ifndef LMN_METRICS_H
-#define LMN_METRICS_H
+#ifndef LMN_HTTP_METRICS_H
+#define LMN_HTTP_METRICS_H
 
-#include "base/httpd.h"
-#include "base/latency.h"
+#include "http/server.h"
+#include "util/latency.h"
 
 /* Appends one metric without labels: name (of a counter: without _total), help, value. */
 void lmn_gauge(GString *out, const char *name, const char *help, double value);
--- a/src/base/httpd.c
+++ b/src/http/server.c
@@ -1,6 +1,6 @@
-#include "base/httpd.h"
-#include "base/clock.h"
-#include "base/settings.h"
+#include "http/server.h"
+#include "util/clock.h"
+#include "config/settings.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/src/base/httpd.h
+++ b/src/http/server.h
@@ -1,10 +1,10 @@
 /* HTTP servers by libmicrohttpd: one polling thread a server; a request that waits for
  * something is held, and answered later from any thread, so that thousands that wait cost
  * no thread each. */
-#ifndef LMN_HTTPD_H
-#define LMN_HTTPD_H
+#ifndef LMN_HTTP_SERVER_H
+#define LMN_HTTP_SERVER_H
 
-#include "base/codec.h"
+#include "protocol/cbor.h"
 
 struct sockaddr;
 
--- a/src/inventory/inventory.c
+++ b/src/inventory/inventory.c
@@ -1,5 +1,5 @@
 #include "inventory/inventory.h"
-#include "base/conf.h"
+#include "config/config.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/inventory/inventory.h
+++ b/src/inventory/inventory.h
@@ -3,7 +3,7 @@
 #ifndef LMN_INVENTORY_H
 #define LMN_INVENTORY_H
 
-#include "base/job.h"
+#include "job/job_spec.h"
 
 enum { LMN_MAX_TYPES = 64, LMN_MAX_POOLS = 256, LMN_MAX_SLOTS = 4096 };
 
--- a/src/base/job.c
+++ b/src/job/job_spec.c
@@ -1,5 +1,5 @@
-#include "base/job.h"
-#include "base/wire.h"
+#include "job/job_spec.h"
+#include "protocol/wire.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/base/job.h
+++ b/src/job/job_spec.h
@@ -1,9 +1,9 @@
 /* Jobs as their users describe them, and sets of finished tasks. */
-#ifndef LMN_JOB_H
-#define LMN_JOB_H
+#ifndef LMN_JOB_JOB_SPEC_H
+#define LMN_JOB_JOB_SPEC_H
 
-#include "base/codec.h"
-#include "base/settings.h"
+#include "protocol/cbor.h"
+#include "config/settings.h"
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/limits/hosts.c
+++ b/src/limits/hosts.c
@@ -1,5 +1,5 @@
 #include "limits/hosts.h"
-#include "base/settings.h"
+#include "config/settings.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
--- a/src/limits/sockets.h
+++ b/src/limits/sockets.h
@@ -6,7 +6,7 @@
 #ifndef LMN_SOCKETS_H
 #define LMN_SOCKETS_H
 
-#include "base/settings.h"
+#include "config/settings.h"
 
 #include <stdbool.h>
 
--- a/src/member/member.h
+++ b/src/member/member.h
@@ -7,8 +7,8 @@
 #ifndef LMN_MEMBER_H
 #define LMN_MEMBER_H
 
-#include "base/clock.h"
-#include "base/settings.h"
+#include "util/clock.h"
+#include "config/settings.h"
 #include "member/accrual.h"
 
 #include <glib.h>
--- a/src/own/answer.c
+++ b/src/own/answer.c
@@ -1,7 +1,7 @@
 /* Answers to reports: the commands in them, who gets one, and who is sent elsewhere. */
 #include "own/worker.h"
-#include "base/log.h"
-#include "base/wire.h"
+#include "util/log.h"
+#include "protocol/wire.h"
 #include "decide/queue.h"
 #include "own/partition.h"
 #include "own/worker_part.h"
--- a/src/own/direct.c
+++ b/src/own/direct.c
@@ -1,8 +1,8 @@
 /* Commands and questions sent straight to workers. */
 #include "own/worker.h"
-#include "base/log.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/log.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "decide/queue.h"
 #include "own/partition.h"
 #include "own/worker_part.h"
--- a/src/own/leave.c
+++ b/src/own/leave.c
@@ -1,5 +1,5 @@
 #include "own/leave.h"
-#include "base/log.h"
+#include "util/log.h"
 #include "own/successor.h"
 #include "standby/stream.h"
 #include "state/core.h"
--- a/src/own/limit_transfer.c
+++ b/src/own/limit_transfer.c
@@ -7,7 +7,7 @@
  * So the parts in use never add up to more than the limit, whatever fails. */
 #include "own/limit_transfer.h"
 #include "decide/reserve.h"
-#include "base/log.h"
+#include "util/log.h"
 
 #include <string.h>
 
--- a/src/own/partition.c
+++ b/src/own/partition.c
@@ -1,8 +1,8 @@
 /* Partitions of the machines: who owns which, under what term. */
 #include "own/partition.h"
-#include "base/log.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/log.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "decide/queue.h"
 #include "own/block.h"
 #include "own/limit_transfer.h"
--- a/src/own/range.c
+++ b/src/own/range.c
@@ -1,7 +1,7 @@
 /* An owner's books: which task of a range is queued, started or done, and what its
  * machines hold. */
 #include "own/range.h"
-#include "base/log.h"
+#include "util/log.h"
 #include "decide/queue.h"
 #include "state/owner_state.h"
 
--- a/src/own/report.c
+++ b/src/own/report.c
@@ -1,7 +1,7 @@
 /* Reports of workers, and what they prove. */
 #include "own/worker.h"
-#include "base/log.h"
-#include "base/wire.h"
+#include "util/log.h"
+#include "protocol/wire.h"
 #include "decide/queue.h"
 #include "own/range.h"
 #include "own/worker_part.h"
--- a/src/own/upkeep.c
+++ b/src/own/upkeep.c
@@ -1,7 +1,7 @@
 /* What an owner does from time to time: lapses, returns, cut zones, an audit of its
  * books. */
 #include "own/upkeep.h"
-#include "base/log.h"
+#include "util/log.h"
 #include "decide/queue.h"
 #include "own/partition.h"
 #include "own/range.h"
--- a/src/own/worker_part.h
+++ b/src/own/worker_part.h
@@ -3,7 +3,7 @@
 #ifndef LMN_WORKER_PART_H
 #define LMN_WORKER_PART_H
 
-#include "base/codec.h"
+#include "protocol/cbor.h"
 #include "state/model.h"
 
 struct lmn_report {
--- a/src/base/codec.c
+++ b/src/protocol/cbor.c
@@ -1,4 +1,4 @@
-#include "base/codec.h"
+#include "protocol/cbor.h"
 
 #include <cbor.h>
 #include <math.h>
--- a/src/base/codec.h
+++ b/src/protocol/cbor.h
@@ -3,8 +3,8 @@
  * The reader runs over libcbor's streaming decoder and never allocates more than a fixed
  * multiple of the message: a hostile length or depth costs nothing. Text points into the
  * message, which must outlive the document. */
-#ifndef LMN_CODEC_H
-#define LMN_CODEC_H
+#ifndef LMN_PROTOCOL_CBOR_H
+#define LMN_PROTOCOL_CBOR_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/base/json.c
+++ b/src/protocol/json.c
@@ -1,4 +1,4 @@
-#include "base/json.h"
+#include "protocol/json.h"
 
 #include <stdio.h>
 
--- a/src/base/json.h
+++ b/src/protocol/json.h
@@ -1,8 +1,8 @@
 /* CBOR and JSON, by jansson. */
-#ifndef LMN_JSON_H
-#define LMN_JSON_H
+#ifndef LMN_PROTOCOL_JSON_H
+#define LMN_PROTOCOL_JSON_H
 
-#include "base/codec.h"
+#include "protocol/cbor.h"
 
 #include <jansson.h>
 
--- a/src/base/wire.h
+++ b/src/protocol/wire.h
@@ -1,6 +1,6 @@
 /* The wire's own names: the only place where they stand. */
-#ifndef LMN_WIRE_H
-#define LMN_WIRE_H
+#ifndef LMN_PROTOCOL_WIRE_H
+#define LMN_PROTOCOL_WIRE_H
 
 /* jobs */
 #define W_ID "Ref"
--- a/src/serve/api.c
+++ b/src/serve/api.c
@@ -1,10 +1,10 @@
 /* Users' requests over HTTP: what is answered is decided in replies.c; here calls are
  * held, confirmations shared, and the state service asked. */
 #include "serve/api.h"
-#include "base/flight.h"
-#include "base/log.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/in_flight.h"
+#include "util/log.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "serve/query_queue.h"
 #include "serve/pending.h"
 #include "serve/replies.h"
--- a/src/serve/api.h
+++ b/src/serve/api.h
@@ -3,7 +3,7 @@
 #ifndef LMN_API_H
 #define LMN_API_H
 
-#include "base/httpd.h"
+#include "http/server.h"
 #include "state/model.h"
 
 void lmn_api_submit(struct lmn_core *c, struct lmn_call *call);
--- a/src/serve/dial.c
+++ b/src/serve/dial.c
@@ -1,5 +1,5 @@
 #include "serve/dial.h"
-#include "base/settings.h"
+#include "config/settings.h"
 #include "peer_wire.h"
 
 #include <arpa/inet.h>
--- a/src/serve/follow.h
+++ b/src/serve/follow.h
@@ -2,7 +2,7 @@
 #ifndef LMN_FOLLOW_H
 #define LMN_FOLLOW_H
 
-#include "base/httpd.h"
+#include "http/server.h"
 #include "own/worker.h"
 #include "peer_wire.h"
 
--- a/src/serve/members.c
+++ b/src/serve/members.c
@@ -1,6 +1,6 @@
 #include "serve/members.h"
-#include "base/json.h"
-#include "base/metrics.h"
+#include "protocol/json.h"
+#include "http/metrics.h"
 #include "serve/standbys.h"
 #include "state/core.h"
 
--- a/src/serve/metrics.c
+++ b/src/serve/metrics.c
@@ -1,6 +1,6 @@
 #include "serve/metrics.h"
-#include "base/httpd.h"
-#include "base/metrics.h"
+#include "http/server.h"
+#include "http/metrics.h"
 #include "decide/floor.h"
 #include "serve/members.h"
 #include "serve/standbys.h"
--- a/src/serve/peer.c
+++ b/src/serve/peer.c
@@ -1,6 +1,6 @@
 #include "serve/peer.h"
-#include "base/log.h"
-#include "base/thread.h"
+#include "util/log.h"
+#include "util/thread.h"
 #include "decide/queue.h"
 #include "decide/quota.h"
 #include "decide/steal.h"
--- a/src/serve/pending.c
+++ b/src/serve/pending.c
@@ -1,6 +1,6 @@
 #include "serve/pending.h"
-#include "base/log.h"
-#include "base/thread.h"
+#include "util/log.h"
+#include "util/thread.h"
 
 #include <math.h>
 
--- a/src/serve/query_queue.c
+++ b/src/serve/query_queue.c
@@ -1,5 +1,5 @@
 #include "serve/query_queue.h"
-#include "base/clock.h"
+#include "util/clock.h"
 
 void lmn_query_queue_init(struct lmn_query_queue *q)
 {
--- a/src/serve/query_queue.h
+++ b/src/serve/query_queue.h
@@ -6,7 +6,7 @@
 #ifndef LMN_QUERY_QUEUE_H
 #define LMN_QUERY_QUEUE_H
 
-#include "base/job.h"
+#include "job/job_spec.h"
 
 #include <glib.h>
 #include <time.h>
--- a/src/serve/replies.c
+++ b/src/serve/replies.c
@@ -1,6 +1,6 @@
 #include "serve/replies.h"
-#include "base/log.h"
-#include "base/wire.h"
+#include "util/log.h"
+#include "protocol/wire.h"
 #include "state/core.h"
 #include "state/records.h"
 
--- a/src/serve/server.c
+++ b/src/serve/server.c
@@ -1,7 +1,7 @@
 /* The paths of a controller. */
 #include "serve/server.h"
-#include "base/metrics.h"
-#include "base/wire.h"
+#include "http/metrics.h"
+#include "protocol/wire.h"
 #include "limits/hosts.h"
 #include "limits/sockets.h"
 #include "own/worker.h"
--- a/src/serve/server.h
+++ b/src/serve/server.h
@@ -2,7 +2,7 @@
 #ifndef LMN_SERVER_H
 #define LMN_SERVER_H
 
-#include "base/httpd.h"
+#include "http/server.h"
 #include "state/model.h"
 
 /* Listens on the settings' client_listen; NULL if it can't. The core is never freed. */
--- a/src/serve/service.h
+++ b/src/serve/service.h
@@ -2,7 +2,7 @@
 #ifndef LMN_SERVICE_H
 #define LMN_SERVICE_H
 
-#include "base/settings.h"
+#include "config/settings.h"
 
 /* Runs until the process is ended; returns only if it could not start. */
 int lmn_service_run(const struct lmn_settings *cfg);
--- a/src/serve/standbys.c
+++ b/src/serve/standbys.c
@@ -1,5 +1,5 @@
 #include "serve/standbys.h"
-#include "base/metrics.h"
+#include "http/metrics.h"
 #include "standby/stream.h"
 
 #include <string.h>
--- a/src/serve/status.c
+++ b/src/serve/status.c
@@ -1,6 +1,6 @@
 /* What a controller tells an operator of itself. */
 #include "serve/status.h"
-#include "base/httpd.h"
+#include "http/server.h"
 #include "decide/floor.h"
 #include "serve/standbys.h"
 #include "state/core.h"
--- a/src/site/config.c
+++ b/src/site/config.c
@@ -1,5 +1,5 @@
-#include "base/conf.h"
-#include "base/proc.h"
+#include "config/config.h"
+#include "util/process.h"
 #include "emulate/run.h"
 #include "inventory/inventory.h"
 
--- a/src/site/site.h
+++ b/src/site/site.h
@@ -3,7 +3,7 @@
 #ifndef LMN_SITE_H
 #define LMN_SITE_H
 
-#include "base/settings.h"
+#include "config/settings.h"
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/site/supervise.c
+++ b/src/site/supervise.c
@@ -3,10 +3,10 @@
  * whether a process runs is never a matter of numbers, and a supervisor that was killed
  * leaves nothing that its successor could start twice. */
 #include "agent/keeper.h"
-#include "base/clock.h"
-#include "base/log.h"
-#include "base/proc.h"
-#include "base/thread.h"
+#include "util/clock.h"
+#include "util/log.h"
+#include "util/process.h"
+#include "util/thread.h"
 #include "fleet/local.h"
 #include "site/site.h"
 
--- a/src/standby/takeover.c
+++ b/src/standby/takeover.c
@@ -1,5 +1,5 @@
 #include "standby/takeover.h"
-#include "base/log.h"
+#include "util/log.h"
 #include "state/owner_state.h"
 #include "state/core.h"
 
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -1,6 +1,6 @@
 #include "state/core.h"
-#include "base/log.h"
-#include "base/thread.h"
+#include "util/log.h"
+#include "util/thread.h"
 #include "state/owner_state.h"
 
 #include <string.h>
--- a/src/state/failures.c
+++ b/src/state/failures.c
@@ -1,5 +1,5 @@
 #include "state/failures.h"
-#include "base/clock.h"
+#include "util/clock.h"
 
 #include <math.h>
 
--- a/src/state/mirror.c
+++ b/src/state/mirror.c
@@ -11,9 +11,9 @@
  *        s              operators' settings
  */
 #include "state/mirror.h"
-#include "base/log.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/log.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "state/retention.h"
 #include "state/records.h"
 
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -7,10 +7,10 @@
 #ifndef LMN_MODEL_H
 #define LMN_MODEL_H
 
-#include "base/clock.h"
-#include "base/job.h"
-#include "base/latency.h"
-#include "base/settings.h"
+#include "util/clock.h"
+#include "job/job_spec.h"
+#include "util/latency.h"
+#include "config/settings.h"
 #include "limits/hosts.h"
 #include "limits/load.h"
 #include "limits/sockets.h"
@@ -18,7 +18,7 @@
 #include "state/failures.h"
 #include "state/state.h"
 #include "state/tombstone.h"
-#include "base/tuning.h"
+#include "config/operator_settings.h"
 
 #include <pthread.h>
 
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -1,5 +1,5 @@
 #include "state/retention.h"
-#include "base/log.h"
+#include "util/log.h"
 #include "state/owner_state.h"
 
 /* Whatever a withdrawn job's tasks do on machines that were not heard for so long, its
--- a/src/state/state.c
+++ b/src/state/state.c
@@ -1,10 +1,10 @@
 #include "state/state.h"
-#include "base/budget.h"
-#include "base/clock.h"
-#include "base/flight.h"
-#include "base/log.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/token_bucket.h"
+#include "util/clock.h"
+#include "util/in_flight.h"
+#include "util/log.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 
 #include <math.h>
 #include <pthread.h>
--- a/src/state/state.h
+++ b/src/state/state.h
@@ -4,10 +4,10 @@
 #ifndef LMN_STATE_H
 #define LMN_STATE_H
 
-#include "base/codec.h"
-#include "base/http_client.h"
-#include "base/latency.h"
-#include "base/settings.h"
+#include "protocol/cbor.h"
+#include "http/client.h"
+#include "util/latency.h"
+#include "config/settings.h"
 
 enum lmn_outcome {
     LMN_OK,
--- a/src/state/tombstone.h
+++ b/src/state/tombstone.h
@@ -10,9 +10,9 @@
 #ifndef LMN_TOMBSTONE_H
 #define LMN_TOMBSTONE_H
 
-#include "base/clock.h"
-#include "base/job.h"
-#include "base/settings.h"
+#include "util/clock.h"
+#include "job/job_spec.h"
+#include "config/settings.h"
 
 #include <stdint.h>
 
--- a/src/store/service.c
+++ b/src/store/service.c
@@ -1,10 +1,10 @@
 #include "store/store.h"
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/log.h"
-#include "base/metrics.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "util/log.h"
+#include "http/metrics.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "store/store_part.h"
 
 #include <errno.h>
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -7,7 +7,7 @@
 #ifndef LMN_STORE_H
 #define LMN_STORE_H
 
-#include "base/settings.h"
+#include "config/settings.h"
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/store/store_part.h
+++ b/src/store/store_part.h
@@ -2,9 +2,9 @@
 #ifndef LMN_STORE_PART_H
 #define LMN_STORE_PART_H
 
-#include "base/budget.h"
-#include "base/httpd.h"
-#include "base/latency.h"
+#include "util/token_bucket.h"
+#include "http/server.h"
+#include "util/latency.h"
 #include "store/db.h"
 #include "store/store.h"
 
--- a/src/store/watch.c
+++ b/src/store/watch.c
@@ -1,8 +1,8 @@
 /* Watches: those who wait cost a record each, and no thread. */
 #include "store/store_part.h"
-#include "base/clock.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/store/writer.c
+++ b/src/store/writer.c
@@ -1,8 +1,8 @@
 /* The writer: all that waits shares one sync. And the leases' keeper. */
 #include "store/store_part.h"
-#include "base/log.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/log.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/base/clock.h
+++ b/src/util/clock.h
@@ -1,6 +1,6 @@
 /* Arithmetic on struct timespec, the type of time throughout. */
-#ifndef LMN_CLOCK_H
-#define LMN_CLOCK_H
+#ifndef LMN_UTIL_CLOCK_H
+#define LMN_UTIL_CLOCK_H
 
 #include <time.h>
 
--- a/src/base/flight.c
+++ b/src/util/in_flight.c
@@ -1,4 +1,4 @@
-#include "base/flight.h"
+#include "util/in_flight.h"
 
 /* Most answers come within 10 ms. Without this each lost answer delayed all that was
  * asked or written after it by a whole time-out. */
--- a/src/base/flight.h
+++ b/src/util/in_flight.h
@@ -1,10 +1,10 @@
 /* Requests to one service that go one at a time, so that what comes meanwhile shares the
  * next one; but one that is slow to be answered no longer holds up what has come since.
  * Not locked. */
-#ifndef LMN_FLIGHT_H
-#define LMN_FLIGHT_H
+#ifndef LMN_UTIL_IN_FLIGHT_H
+#define LMN_UTIL_IN_FLIGHT_H
 
-#include "base/clock.h"
+#include "util/clock.h"
 
 struct lmn_flight {
     unsigned in_flight;   /* requests without an answer yet */
--- a/src/base/latency.c
+++ b/src/util/latency.c
@@ -1,4 +1,4 @@
-#include "base/latency.h"
+#include "util/latency.h"
 
 #include <math.h>
 
--- a/src/base/latency.h
+++ b/src/util/latency.h
@@ -1,6 +1,6 @@
 /* Histograms of how long things took, for the status. */
-#ifndef LMN_LATENCY_H
-#define LMN_LATENCY_H
+#ifndef LMN_UTIL_LATENCY_H
+#define LMN_UTIL_LATENCY_H
 
 #include <gsl/gsl_histogram.h>
 
--- a/src/base/log.c
+++ b/src/util/log.c
@@ -1,4 +1,4 @@
-#include "base/log.h"
+#include "util/log.h"
 
 #include <glib.h>
 #include <jansson.h>
--- a/src/base/log.h
+++ b/src/util/log.h
@@ -1,7 +1,7 @@
 /* Logging: one line an event on standard error, key=value pairs after the event's name.
  */
-#ifndef LMN_LOG_H
-#define LMN_LOG_H
+#ifndef LMN_UTIL_LOG_H
+#define LMN_UTIL_LOG_H
 
 enum lmn_log_level { LMN_LOG_ERROR, LMN_LOG_INFO, LMN_LOG_DEBUG };
 
--- a/src/base/proc.c
+++ b/src/util/process.c
@@ -1,6 +1,6 @@
-#include "base/proc.h"
-#include "base/clock.h"
-#include "base/thread.h"
+#include "util/process.h"
+#include "util/clock.h"
+#include "util/thread.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/src/base/proc.h
+++ b/src/util/process.h
@@ -1,7 +1,7 @@
 /* Processes and files of this machine: locks that say who runs, starting and surely
  * ending processes, files that are whole or not there. No shared state; any thread. */
-#ifndef LMN_PROC_H
-#define LMN_PROC_H
+#ifndef LMN_UTIL_PROCESS_H
+#define LMN_UTIL_PROCESS_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/base/thread.c
+++ b/src/util/thread.c
@@ -1,6 +1,6 @@
-#include "base/thread.h"
-#include "base/clock.h"
-#include "base/log.h"
+#include "util/thread.h"
+#include "util/clock.h"
+#include "util/log.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/base/thread.h
+++ b/src/util/thread.h
@@ -1,6 +1,6 @@
 /* POSIX threads with small stacks, and condition variables on the steady clock. */
-#ifndef LMN_THREAD_H
-#define LMN_THREAD_H
+#ifndef LMN_UTIL_THREAD_H
+#define LMN_UTIL_THREAD_H
 
 #include <pthread.h>
 
--- a/src/base/budget.h
+++ b/src/util/token_bucket.h
@@ -1,8 +1,8 @@
 /* A token bucket: how much of a shared limit this node may still use. */
-#ifndef LMN_BUDGET_H
-#define LMN_BUDGET_H
+#ifndef LMN_UTIL_TOKEN_BUCKET_H
+#define LMN_UTIL_TOKEN_BUCKET_H
 
-#include "base/clock.h"
+#include "util/clock.h"
 
 struct lmn_budget {
     double rate, burst, level;
--- a/tests/queue/fixture.h
+++ b/tests/queue/fixture.h
@@ -2,10 +2,10 @@
 #ifndef LMN_TESTS_QUEUE_FIXTURE_H
 #define LMN_TESTS_QUEUE_FIXTURE_H
 
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/job.h"
-#include "base/settings.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "job/job_spec.h"
+#include "config/settings.h"
 #include "state/core.h"
 #include "state/model.h"
 
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -1,7 +1,7 @@
 /* What owners and machines exchange: reports, direct starts, probes, late copies. */
 #include "takeover.h"
 
-#include "base/wire.h"
+#include "protocol/wire.h"
 #include "state/owner_state.h"
 #include "own/worker.h"
 #include "standby/stream.h"
--- a/tests/takeover/machines.c
+++ b/tests/takeover/machines.c
@@ -1,7 +1,7 @@
 /* Machines: what a worker reports, and how it carries commands out. */
 #include "takeover.h"
 
-#include "base/wire.h"
+#include "protocol/wire.h"
 
 static void put_attempt(const struct attempt *a, GByteArray *body)
 {
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -1,7 +1,7 @@
 /* Summaries of states, by which the explorer knows those that it has seen. */
 #include "takeover.h"
 
-#include "base/wire.h"
+#include "protocol/wire.h"
 #include "member/member.h"
 #include "standby/stream.h"
 #include "state/owner_state.h"
--- a/tests/takeover/takeover.h
+++ b/tests/takeover/takeover.h
@@ -6,9 +6,9 @@
 #ifndef LMN_TESTS_TAKEOVER_H
 #define LMN_TESTS_TAKEOVER_H
 
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/settings.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "config/settings.h"
 #include "digest/messages.h"
 #include "state/core.h"
 #include "state/model.h"
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -2,8 +2,8 @@
  * late, with old tokens, for old sessions; processes and images end whenever they like;
  * answers are lost. */
 #include "agent/agent.h"
-#include "base/clock.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "protocol/wire.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -1,9 +1,9 @@
 /* Records of machines: few writes for many machines, and what stands recorded is what is
  * there, whatever becomes of single writes. */
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/job.h"
-#include "base/settings.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "job/job_spec.h"
+#include "config/settings.h"
 #include "own/flush.h"
 #include "own/owner.h"
 #include "own/upkeep.h"
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -1,5 +1,5 @@
 /* CBOR: round trips of generated documents, and hostile bytes. */
-#include "base/codec.h"
+#include "protocol/cbor.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_failures.c
+++ b/tests/test_failures.c
@@ -1,5 +1,5 @@
 /* Failures: broken jobs are told from faulty machines. */
-#include "base/clock.h"
+#include "util/clock.h"
 #include "state/failures.h"
 
 #include <setjmp.h>
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -4,10 +4,10 @@
  * The static fleet starts "this program worker --config FILE": main() plays that worker,
  * which holds the agent's lock and has a child that carries the machine's mark. */
 #include "agent/keeper.h"
-#include "base/clock.h"
-#include "base/proc.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "util/process.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "depot/image.h"
 #include "depot/work.h"
 #include "emulate/cloud.h"
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -3,8 +3,8 @@
  * and hang on the same leases. */
 #include "golden.h"
 
-#include "base/clock.h"
-#include "base/tuning.h"
+#include "util/clock.h"
+#include "config/operator_settings.h"
 #include "own/block.h"
 #include "own/flush.h"
 #include "own/holder.h"
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -1,8 +1,8 @@
 /* The HTTP client: a request that was sent and brought no answer is never sent again
  * behind its caller's back, since it may have been executed. */
-#include "base/http_client.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "http/client.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -1,8 +1,8 @@
 /* Jobs' descriptions, done sets, and what can never run. */
-#include "base/codec.h"
-#include "base/job.h"
-#include "base/settings.h"
-#include "base/wire.h"
+#include "protocol/cbor.h"
+#include "job/job_spec.h"
+#include "config/settings.h"
+#include "protocol/wire.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_keeper.c
+++ b/tests/test_keeper.c
@@ -1,9 +1,9 @@
 /* The keeper, with real processes: whatever tasks do, nothing of them outlives their end,
  * the lease, the agent, or (by the next start) the keeper itself. */
 #include "agent/keeper.h"
-#include "base/clock.h"
-#include "base/proc.h"
-#include "base/thread.h"
+#include "util/clock.h"
+#include "util/process.h"
+#include "util/thread.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,7 +1,7 @@
 /* What bends at a limit: sockets by purpose over generated sizes, a server that is full
  * of workers and still answers users, what is shed. */
-#include "base/httpd.h"
-#include "base/http_client.h"
+#include "http/server.h"
+#include "http/client.h"
 #include "limits/hosts.h"
 #include "limits/load.h"
 #include "limits/sockets.h"
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -1,6 +1,6 @@
 /* Links between sites: who gets in and who does not, and frames that a hostile peer may
  * send. */
-#include "base/proc.h"
+#include "util/process.h"
 #include "gateway/link.h"
 
 #include <setjmp.h>
--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -2,7 +2,7 @@
  *
  * Each rule's check is itself checked: with the guard that keeps the rule taken away, the
  * same days must break it. */
-#include "base/log.h"
+#include "util/log.h"
 #include "world.h"
 
 /* Crashed controllers and past days are left behind as they are, as a crash does. */
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -1,8 +1,8 @@
 /* Submissions whose transaction's answer is lost: whether it was carried out or not,
  * their users hear of it long before the time for the answer is over. */
-#include "base/httpd.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "http/server.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "own/owner.h"
 #include "serve/pending.h"
 #include "state/mirror.h"
--- a/tests/test_query_queue.c
+++ b/tests/test_query_queue.c
@@ -1,5 +1,5 @@
 /* Questions that wait for their confirmation, over generated storms of them. */
-#include "base/clock.h"
+#include "util/clock.h"
 #include "serve/query_queue.h"
 
 #include <setjmp.h>
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -1,8 +1,8 @@
 /* Parts of a team's limit: whatever fails, the parts in use never add up to more than the
  * limit. */
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/settings.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "config/settings.h"
 #include "decide/queue.h"
 #include "decide/quota.h"
 #include "own/flush.h"
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -1,6 +1,6 @@
 /* Final jobs leave memory, but nothing that is still referred to does, and what was
  * forgotten is read again without starting anything. */
-#include "base/codec.h"
+#include "protocol/cbor.h"
 #include "own/owner.h"
 #include "state/owner_state.h"
 #include "state/core.h"
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -2,12 +2,12 @@
  * the workers: jobs are accepted and done, one is cancelled, controllers are killed on
  * the way and started again; no task is ever on two machines at once, and an accepted job
  * stays known. */
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/http_client.h"
-#include "base/job.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "http/client.h"
+#include "job/job_spec.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,7 +1,7 @@
 /* The platform's settings and the operators' own. */
-#include "base/codec.h"
-#include "base/settings.h"
-#include "base/tuning.h"
+#include "protocol/cbor.h"
+#include "config/settings.h"
+#include "config/operator_settings.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -1,7 +1,7 @@
 /* What a standby has been told, held against what there was to tell: generated histories
  * of batches that are lost, repeated, late and of other streams; and what a takeover
  * makes of a copy. */
-#include "base/log.h"
+#include "util/log.h"
 #include "own/owner.h"
 #include "own/partition.h"
 #include "own/range.h"
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -1,10 +1,10 @@
 /* The writer's order and budget. */
-#include "base/clock.h"
-#include "base/codec.h"
-#include "base/httpd.h"
-#include "base/settings.h"
-#include "base/thread.h"
-#include "base/wire.h"
+#include "util/clock.h"
+#include "protocol/cbor.h"
+#include "http/server.h"
+#include "config/settings.h"
+#include "util/thread.h"
+#include "protocol/wire.h"
 #include "state/state.h"
 
 #include <setjmp.h>
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -1,5 +1,5 @@
 /* Who inherits: generated members and partitions, with some of them gone. */
-#include "base/log.h"
+#include "util/log.h"
 #include "own/successor.h"
 #include "own/leave.h"
 #include "own/owner.h"
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -1,8 +1,8 @@
 /* An owner takes its own partition back: what it keeps when it loses it, when that may be
  * used, and who claims first. And what a machine's silence says after a spell in which
  * the node itself answered nobody. */
-#include "base/log.h"
-#include "base/wire.h"
+#include "util/log.h"
+#include "protocol/wire.h"
 #include "own/owner.h"
 #include "own/partition.h"
 #include "own/upkeep.h"
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -3,7 +3,7 @@
  * states. With each guard taken away the same search must break what it guards. */
 #include "takeover/sequences.h"
 
-#include "base/log.h"
+#include "util/log.h"
 
 /* A start is on its way, the owner suspected, the claim on its way; then carried out, and
  * mirrored by the claimant alone. */
--- a/tests/test_takeover_faults.c
+++ b/tests/test_takeover_faults.c
@@ -3,7 +3,7 @@
  * at each step of whole histories, and searched for from each step of them. */
 #include "takeover/sequences.h"
 
-#include "base/log.h"
+#include "util/log.h"
 
 enum { STATES_A_STEP = 200 };
 
--- a/tests/test_takeover_standby.c
+++ b/tests/test_takeover_standby.c
@@ -3,7 +3,7 @@
  * while it claims. Without each check of a warm takeover a task runs twice. */
 #include "takeover/sequences.h"
 
-#include "base/log.h"
+#include "util/log.h"
 
 static const enum move in_step[] = {IN_STEP};
 static const enum move told_claim[] = {IN_STEP,   START_A, REPLICATE_A, RELEASE_A,
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -1,7 +1,7 @@
 /* Why a queued task does not start, and what becomes of a job that can only be moved as
  * one. */
-#include "base/clock.h"
-#include "base/settings.h"
+#include "util/clock.h"
+#include "config/settings.h"
 #include "decide/queue.h"
 #include "decide/reserve.h"
 #include "decide/steal.h"
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -1,7 +1,7 @@
 /* Users, the mail, and a whole day. */
 #include "world.h"
 
-#include "base/wire.h"
+#include "protocol/wire.h"
 #include "own/partition.h"
 #include "standby/stream.h"
 #include "state/records.h"
--- a/tests/world/machines.c
+++ b/tests/world/machines.c
@@ -1,7 +1,7 @@
 /* Stand-in workers. */
 #include "world.h"
 
-#include "base/wire.h"
+#include "protocol/wire.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -2,7 +2,7 @@
 #include "state/core.h"
 #include "world.h"
 
-#include "base/wire.h"
+#include "protocol/wire.h"
 #include "standby/stream.h"
 #include "twin.h"
 
--- a/tests/world/scenario.c
+++ b/tests/world/scenario.c
@@ -1,6 +1,6 @@
 #include "scenario.h"
 
-#include "base/log.h"
+#include "util/log.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -7,7 +7,7 @@
 #ifndef LMN_TESTS_WORLD_H
 #define LMN_TESTS_WORLD_H
 
-#include "base/codec.h"
+#include "protocol/cbor.h"
 #include "digest/messages.h"
 #include "own/worker.h"
 #include "state/model.h"
