--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -17,7 +17,7 @@
 #include "protocol/wire.h"
 #include "cli/users.h"
 #include "common.h"
-#include "limits/sockets.h"
+#include "admission/connection_budget.h"
 #include "submit.h"
 
 #include <signal.h>
--- a/src/limits/sockets.c
+++ b/src/admission/connection_budget.c
@@ -1,4 +1,4 @@
-#include "limits/sockets.h"
+#include "admission/connection_budget.h"
 
 /* Listening, the log, the state service (following, writing, reading, the lease), the
  * cloud, with some to spare; and for each other member a call and a question each way
--- a/src/limits/sockets.h
+++ b/src/admission/connection_budget.h
@@ -3,8 +3,8 @@
  *
  * Without this, workers' standing connections alone filled a node once there were more of
  * them than sockets: health checks and users then waited at a door that nobody opened. */
-#ifndef LMN_SOCKETS_H
-#define LMN_SOCKETS_H
+#ifndef LMN_ADMISSION_CONNECTION_BUDGET_H
+#define LMN_ADMISSION_CONNECTION_BUDGET_H
 
 #include "config/settings.h"
 
--- a/src/limits/load.c
+++ b/src/admission/load_shedding.c
@@ -1,4 +1,4 @@
-#include "limits/load.h"
+#include "admission/load_shedding.h"
 
 #include <math.h>
 
--- a/src/limits/load.h
+++ b/src/admission/load_shedding.h
@@ -5,8 +5,8 @@
  * who polls comes again by himself, then submissions; a worker's report is always taken,
  * since its lease hangs on it, but starts nothing new when nothing else is left to shed.
  */
-#ifndef LMN_LOAD_H
-#define LMN_LOAD_H
+#ifndef LMN_ADMISSION_LOAD_SHEDDING_H
+#define LMN_ADMISSION_LOAD_SHEDDING_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/limits/hosts.c
+++ b/src/admission/worker_hosts.c
@@ -1,4 +1,4 @@
-#include "limits/hosts.h"
+#include "admission/worker_hosts.h"
 #include "config/settings.h"
 
 #include <arpa/inet.h>
--- a/src/limits/hosts.h
+++ b/src/admission/worker_hosts.h
@@ -1,7 +1,7 @@
 /* The hosts that workers report from, so that a connection's purpose is known as it
  * comes. A lock of its own: the server's thread looks one up for each connection. */
-#ifndef LMN_HOSTS_H
-#define LMN_HOSTS_H
+#ifndef LMN_ADMISSION_WORKER_HOSTS_H
+#define LMN_ADMISSION_WORKER_HOSTS_H
 
 #include <glib.h>
 #include <pthread.h>
--- a/src/decide/fleet.c
+++ b/src/decide/fleet.c
@@ -1,6 +1,6 @@
 #include "decide/fleet.h"
 #include "decide/floor.h"
-#include "limits/sockets.h"
+#include "admission/connection_budget.h"
 #include "state/core.h"
 
 #include <math.h>
--- a/src/serve/service.c
+++ b/src/serve/service.c
@@ -7,7 +7,7 @@
 #include "decide/pack.h"
 #include "decide/preempt.h"
 #include "decide/reserve.h"
-#include "limits/sockets.h"
+#include "admission/connection_budget.h"
 #include "own/cloud.h"
 #include "own/flush.h"
 #include "own/owner.h"
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -2,9 +2,9 @@
  * of workers and still answers users, what is shed. */
 #include "http/server.h"
 #include "http/client.h"
-#include "limits/hosts.h"
-#include "limits/load.h"
-#include "limits/sockets.h"
+#include "admission/worker_hosts.h"
+#include "admission/load_shedding.h"
+#include "admission/connection_budget.h"
 
 #include <arpa/inet.h>
 #include <math.h>
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -1,6 +1,6 @@
 /* What is rented, over generated demands and limits. */
 #include "decide/fleet.h"
-#include "limits/sockets.h"
+#include "admission/connection_budget.h"
 #include "state/core.h"
 #include "state/mirror.h"
 #include "state/records.h"
