--- a/src/member/verdict.c
+++ b/src/membership/failure_detector.c
@@ -1,5 +1,5 @@
 /* From evidence to suspicion, refutation and verdict. */
-#include "member/member.h"
+#include "membership/membership.h"
 
 #include <string.h>
 
--- a/src/member/member.c
+++ b/src/membership/membership.c
@@ -1,5 +1,5 @@
 /* What is observed of members, and of this node itself. */
-#include "member/member.h"
+#include "membership/membership.h"
 
 #include <string.h>
 
--- a/src/member/member.h
+++ b/src/membership/membership.h
@@ -4,12 +4,12 @@
  * structure stands in the shared state, and its lock is held by the caller throughout.
  * Members are named by their rank (lmn_settings_rank). All durations in seconds, steady
  * clock. Why it is done so: docs/design/failover.md. */
-#ifndef LMN_MEMBER_H
-#define LMN_MEMBER_H
+#ifndef LMN_MEMBERSHIP_MEMBERSHIP_H
+#define LMN_MEMBERSHIP_MEMBERSHIP_H
 
 #include "util/clock.h"
 #include "config/settings.h"
-#include "member/accrual.h"
+#include "membership/phi_accrual.h"
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/member/accrual.c
+++ b/src/membership/phi_accrual.c
@@ -1,4 +1,4 @@
-#include "member/accrual.h"
+#include "membership/phi_accrual.h"
 
 #include <gsl/gsl_cdf.h>
 #include <math.h>
--- a/src/member/accrual.h
+++ b/src/membership/phi_accrual.h
@@ -4,8 +4,8 @@
  * taken as normally distributed, phi is minus the decimal logarithm of the probability
  * that an answer takes longer. Mean and variance are weighted to the latest 50 or so
  * answers. All times in seconds; no locks, no errors. */
-#ifndef LMN_ACCRUAL_H
-#define LMN_ACCRUAL_H
+#ifndef LMN_MEMBERSHIP_PHI_ACCRUAL_H
+#define LMN_MEMBERSHIP_PHI_ACCRUAL_H
 
 struct lmn_accrual {
     double mean, var;
--- a/src/member/question.c
+++ b/src/membership/probe_schedule.c
@@ -1,5 +1,5 @@
 /* Whom to ask next, and what to tell along. */
-#include "member/member.h"
+#include "membership/membership.h"
 
 #include <string.h>
 
--- a/src/serve/ask.h
+++ b/src/serve/ask.h
@@ -1,5 +1,5 @@
 /* Members ask each other whether they are there, and tell what they know of third ones
- * (member/question.h): the thread that asks, and the answers. */
+ * (membership/probe_schedule.h): the thread that asks, and the answers. */
 #ifndef LMN_ASK_H
 #define LMN_ASK_H
 
--- a/src/sim/group.c
+++ b/src/sim/group.c
@@ -1,5 +1,5 @@
 #include "sim/group.h"
-#include "member/member.h"
+#include "membership/membership.h"
 
 #include <string.h>
 
--- a/src/sim/group.h
+++ b/src/sim/group.h
@@ -1,5 +1,5 @@
 /* A group of controllers that watch each other, in simulated time: the product's own
- * functions of src/member/, over a network and a state service that lose, delay and
+ * functions of src/membership/, over a network and a state service that lose, delay and
  * stand still. What it tells: how soon a failure is noticed, and how often one is judged
  * that had not failed.
  *
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -14,7 +14,7 @@
 #include "admission/worker_hosts.h"
 #include "admission/load_shedding.h"
 #include "admission/connection_budget.h"
-#include "member/member.h"
+#include "membership/membership.h"
 #include "state/failures.h"
 #include "state/state.h"
 #include "state/tombstone.h"
--- a/tests/takeover/moves.c
+++ b/tests/takeover/moves.c
@@ -1,7 +1,7 @@
 /* The moves that a path is made of, and the rules that are checked after each. */
 #include "takeover.h"
 
-#include "member/member.h"
+#include "membership/membership.h"
 
 enum { MOST_JUMPS = 2 };
 
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -2,7 +2,7 @@
  * that every path begins with. */
 #include "takeover.h"
 
-#include "member/member.h"
+#include "membership/membership.h"
 #include "own/holder.h"
 #include "own/owner.h"
 #include "standby/copy.h"
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -1,7 +1,7 @@
 /* Suspicion, refutation, claims, hand-overs, and what an owner writes. */
 #include "takeover.h"
 
-#include "member/member.h"
+#include "membership/membership.h"
 #include "own/flush.h"
 #include "own/holder.h"
 
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -2,7 +2,7 @@
 #include "takeover.h"
 
 #include "protocol/wire.h"
-#include "member/member.h"
+#include "membership/membership.h"
 #include "standby/stream.h"
 #include "state/owner_state.h"
 
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -1,6 +1,6 @@
 /* Members: what each function concludes from generated observations, and groups of them
  * in simulated time, under noise and failures. */
-#include "member/member.h"
+#include "membership/membership.h"
 #include "sim/group.h"
 
 #include <setjmp.h>
