--- a/bench/retention.c
+++ b/bench/retention.c
@@ -6,7 +6,7 @@
 #include "own/owner.h"
 #include "state/core.h"
 #include "state/retention.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "state/records.h"
 #include "common.h"
 
--- a/src/decide/pack.c
+++ b/src/decide/pack.c
@@ -5,7 +5,7 @@
 #include "decide/pack.h"
 #include "decide/place.h"
 #include "decide/queue.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
 
 #include <string.h>
--- a/src/decide/preempt.c
+++ b/src/decide/preempt.c
@@ -6,7 +6,7 @@
 #include "util/log.h"
 #include "decide/place.h"
 #include "decide/queue.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/decide/queue.c
+++ b/src/decide/queue.c
@@ -5,7 +5,7 @@
 #include "decide/order.h"
 #include "decide/place.h"
 #include "standby/stream.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
 
 #include <math.h>
--- a/src/decide/reserve.c
+++ b/src/decide/reserve.c
@@ -1,7 +1,7 @@
 #include "decide/reserve.h"
 #include "util/log.h"
 #include "decide/queue.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <string.h>
 
--- a/src/decide/steal.c
+++ b/src/decide/steal.c
@@ -7,7 +7,7 @@
 #include "decide/order.h"
 #include "decide/queue.h"
 #include "decide/quota.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
 
 #include <math.h>
--- a/src/decide/wait_reason.c
+++ b/src/decide/wait_reason.c
@@ -4,7 +4,7 @@
 #include "decide/quota.h"
 #include "standby/stream.h"
 #include "state/core.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <math.h>
 
--- a/src/state/state.c
+++ b/src/kv_client/kv_client.c
@@ -1,4 +1,4 @@
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 #include "util/token_bucket.h"
 #include "util/clock.h"
 #include "util/in_flight.h"
--- a/src/state/state.h
+++ b/src/kv_client/kv_client.h
@@ -1,8 +1,8 @@
 /* The state service's client: batching writers, and blocking calls for the other threads.
  * Batches may be carried out in another order than they were submitted in, as any that is
  * late may: each transaction is conditional on what it was derived from. */
-#ifndef LMN_STATE_H
-#define LMN_STATE_H
+#ifndef LMN_KV_CLIENT_KV_CLIENT_H
+#define LMN_KV_CLIENT_KV_CLIENT_H
 
 #include "protocol/cbor.h"
 #include "http/client.h"
--- a/src/own/block.c
+++ b/src/own/block.c
@@ -6,7 +6,7 @@
  * and what comes or goes between two writes of a block shares the next. */
 #include "own/block.h"
 #include "own/range.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <string.h>
 
--- a/src/own/direct.c
+++ b/src/own/direct.c
@@ -7,7 +7,7 @@
 #include "own/partition.h"
 #include "own/worker_part.h"
 #include "standby/stream.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
 
 #include <string.h>
--- a/src/own/owner.c
+++ b/src/own/owner.c
@@ -8,7 +8,7 @@
 #include "own/partition.h"
 #include "own/range.h"
 #include "standby/stream.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
 
 static void range_born(struct lmn_core *c, struct lmn_range *r, struct timespec now)
--- a/src/own/partition.c
+++ b/src/own/partition.c
@@ -10,7 +10,7 @@
 #include "own/range.h"
 #include "standby/stream.h"
 #include "standby/takeover.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <string.h>
 
--- a/src/own/range.c
+++ b/src/own/range.c
@@ -3,7 +3,7 @@
 #include "own/range.h"
 #include "util/log.h"
 #include "decide/queue.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/own/report.c
+++ b/src/own/report.c
@@ -5,7 +5,7 @@
 #include "decide/queue.h"
 #include "own/range.h"
 #include "own/worker_part.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/own/upkeep.c
+++ b/src/own/upkeep.c
@@ -6,7 +6,7 @@
 #include "own/partition.h"
 #include "own/range.h"
 #include "standby/copy.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
 
 #include <math.h>
--- a/src/serve/service.c
+++ b/src/serve/service.c
@@ -20,9 +20,9 @@
 #include "serve/follow.h"
 #include "serve/peer.h"
 #include "serve/server.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "state/model.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 
 #include <curl/curl.h>
 #include <malloc.h>
--- a/src/standby/stream.c
+++ b/src/standby/stream.c
@@ -1,6 +1,6 @@
 #include "standby/stream.h"
 #include "util/log.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <string.h>
 
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -1,7 +1,7 @@
 #include "state/core.h"
 #include "util/log.h"
 #include "util/thread.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <string.h>
 
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -16,7 +16,7 @@
 #include "admission/connection_budget.h"
 #include "membership/membership.h"
 #include "state/failures.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 #include "state/tombstone.h"
 #include "config/operator_settings.h"
 
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -1,6 +1,6 @@
 #include "state/retention.h"
 #include "util/log.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 /* Whatever a withdrawn job's tasks do on machines that were not heard for so long, its
  * team's limit has to count them: a job that was final only just now stays, however many
--- a/src/state/owner_state.c
+++ b/src/state/task_ledger.c
@@ -1,5 +1,5 @@
 /* The books' parts: what they are made of, counted and freed. */
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 #include <string.h>
 
--- a/src/state/owner_state.h
+++ b/src/state/task_ledger.h
@@ -1,7 +1,7 @@
 /* What an owner's books are made of: queues, machines, attempts and their counts. The
  * core's lock is held by the caller throughout. */
-#ifndef LMN_OWNER_STATE_H
-#define LMN_OWNER_STATE_H
+#ifndef LMN_STATE_TASK_LEDGER_H
+#define LMN_STATE_TASK_LEDGER_H
 
 #include "state/model.h"
 
--- a/src/state/mirror.c
+++ b/src/state/watch_cache.c
@@ -10,7 +10,7 @@
  *        u/NODE         a suspicion of it (tied to the lease of who suspects)
  *        s              operators' settings
  */
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "util/log.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
--- a/src/state/mirror.h
+++ b/src/state/watch_cache.h
@@ -2,8 +2,8 @@
  * owners and machine records. It stands below the decisions and tells an owner's books
  * through struct lmn_owner_ops what has changed. The lock is held unless it says
  * otherwise. */
-#ifndef LMN_MIRROR_H
-#define LMN_MIRROR_H
+#ifndef LMN_STATE_WATCH_CACHE_H
+#define LMN_STATE_WATCH_CACHE_H
 
 #include "state/model.h"
 
--- a/tests/digest/messages.h
+++ b/tests/digest/messages.h
@@ -5,7 +5,7 @@
 #include "digest/digest.h"
 #include "standby/batch.h"
 #include "standby/copy.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 
 /* A field: enumerators of the product by fixed names, not by their numbers. */
 void digest_outcome(enum lmn_outcome outcome);
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -4,8 +4,8 @@
 #include "decide/queue.h"
 #include "own/owner.h"
 #include "own/range.h"
-#include "state/owner_state.h"
-#include "state/state.h"
+#include "state/task_ledger.h"
+#include "kv_client/kv_client.h"
 
 #include <string.h>
 
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -2,7 +2,7 @@
 #include "takeover.h"
 
 #include "protocol/wire.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "own/worker.h"
 #include "standby/stream.h"
 
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -6,8 +6,8 @@
 #include "own/holder.h"
 #include "own/owner.h"
 #include "standby/copy.h"
-#include "state/mirror.h"
-#include "state/owner_state.h"
+#include "state/watch_cache.h"
+#include "state/task_ledger.h"
 #include "state/records.h"
 
 #include <string.h>
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -4,7 +4,7 @@
 #include "protocol/wire.h"
 #include "membership/membership.h"
 #include "standby/stream.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 /* A term fills the upper bits of an attempt's number. */
 enum { TERM_SHIFT = 24 };
--- a/tests/takeover/takeover.h
+++ b/tests/takeover/takeover.h
@@ -12,7 +12,7 @@
 #include "digest/messages.h"
 #include "state/core.h"
 #include "state/model.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -7,11 +7,11 @@
 #include "own/flush.h"
 #include "own/owner.h"
 #include "own/upkeep.h"
-#include "state/owner_state.h"
-#include "state/mirror.h"
+#include "state/task_ledger.h"
+#include "state/watch_cache.h"
 #include "state/model.h"
 #include "state/records.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -14,10 +14,10 @@
 #include "serve/replies.h"
 #include "serve/submission.h"
 #include "standby/stream.h"
-#include "state/mirror.h"
-#include "state/owner_state.h"
+#include "state/watch_cache.h"
+#include "state/task_ledger.h"
 #include "state/records.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 
 /* Past cores are left behind as they are. */
 const char *__asan_default_options(void);
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -7,9 +7,9 @@
 #include "own/worker.h"
 #include "own/worker_part.h"
 #include "serve/replies.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "state/records.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 
 /* Past cores are left behind as they are. */
 const char *__asan_default_options(void);
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -5,7 +5,7 @@
 #include "protocol/wire.h"
 #include "own/owner.h"
 #include "serve/pending.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "state/records.h"
 
 #include <setjmp.h>
--- a/tests/test_queue_floor.c
+++ b/tests/test_queue_floor.c
@@ -6,7 +6,7 @@
 #include "decide/queue.h"
 #include "decide/reserve.h"
 #include "own/range.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 /* One task of a job that needs a whole machine, while small ones keep coming and fill
  * every piece of room as it becomes free: it once waited for as long as they came. With
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -3,7 +3,7 @@
 
 #include "decide/order.h"
 #include "own/owner.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "state/records.h"
 
 #include <math.h>
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -5,7 +5,7 @@
 #include "decide/preempt.h"
 #include "decide/queue.h"
 #include "own/range.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 
 /* Puts a running attempt of the range's next task on the machine. */
 static struct lmn_attempt *run(struct lmn_machine *m, struct lmn_range *r, uint32_t index)
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -10,10 +10,10 @@
 #include "own/owner.h"
 #include "own/partition.h"
 #include "own/range.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "state/model.h"
-#include "state/owner_state.h"
-#include "state/state.h"
+#include "state/task_ledger.h"
+#include "kv_client/kv_client.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -2,7 +2,7 @@
 #include "decide/fleet.h"
 #include "admission/connection_budget.h"
 #include "state/core.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "state/records.h"
 
 #include <setjmp.h>
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -2,10 +2,10 @@
  * forgotten is read again without starting anything. */
 #include "protocol/cbor.h"
 #include "own/owner.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
 #include "state/retention.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "state/records.h"
 
 #include <setjmp.h>
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -7,9 +7,9 @@
 #include "own/range.h"
 #include "standby/stream.h"
 #include "standby/takeover.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 #include "state/records.h"
 
 #include <setjmp.h>
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -5,7 +5,7 @@
 #include "config/settings.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -3,9 +3,9 @@
 #include "own/successor.h"
 #include "own/leave.h"
 #include "own/owner.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
-#include "state/mirror.h"
+#include "state/watch_cache.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -9,8 +9,8 @@
 #include "own/worker.h"
 #include "standby/copy.h"
 #include "state/core.h"
-#include "state/mirror.h"
-#include "state/owner_state.h"
+#include "state/watch_cache.h"
+#include "state/task_ledger.h"
 #include "state/records.h"
 
 #include <setjmp.h>
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -10,8 +10,8 @@
 #include "own/range.h"
 #include "state/core.h"
 #include "state/model.h"
-#include "state/owner_state.h"
-#include "state/state.h"
+#include "state/task_ledger.h"
+#include "kv_client/kv_client.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -10,10 +10,10 @@
 #include "own/range.h"
 #include "own/upkeep.h"
 #include "own/worker.h"
-#include "state/owner_state.h"
+#include "state/task_ledger.h"
 #include "state/core.h"
 #include "state/model.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -17,8 +17,8 @@
 #include "own/upkeep.h"
 #include "standby/copy.h"
 #include "state/core.h"
-#include "state/mirror.h"
-#include "state/owner_state.h"
+#include "state/watch_cache.h"
+#include "state/task_ledger.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -11,7 +11,7 @@
 #include "digest/messages.h"
 #include "own/worker.h"
 #include "state/model.h"
-#include "state/state.h"
+#include "kv_client/kv_client.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
