--- a/src/decide/queue.c
+++ b/src/decide/queue.c
@@ -4,7 +4,7 @@
 #include "protocol/wire.h"
 #include "decide/order.h"
 #include "decide/place.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
 
--- a/src/decide/wait_reason.c
+++ b/src/decide/wait_reason.c
@@ -2,7 +2,7 @@
 #include "decide/floor.h"
 #include "decide/place.h"
 #include "decide/quota.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "state/core.h"
 #include "state/task_ledger.h"
 
--- a/src/own/direct.c
+++ b/src/own/direct.c
@@ -6,7 +6,7 @@
 #include "decide/queue.h"
 #include "own/partition.h"
 #include "own/worker_part.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
 
--- a/src/own/holder.c
+++ b/src/own/holder.c
@@ -4,7 +4,7 @@
 #include "protocol/wire.h"
 #include "own/leave.h"
 #include "own/partition.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 
 struct holder {
     struct lmn_core *c;
--- a/src/own/leave.c
+++ b/src/own/leave.c
@@ -1,7 +1,7 @@
 #include "own/leave.h"
 #include "util/log.h"
 #include "own/successor.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "state/core.h"
 
 #include <string.h>
--- a/src/own/owner.c
+++ b/src/own/owner.c
@@ -7,7 +7,7 @@
 #include "own/limit_transfer.h"
 #include "own/partition.h"
 #include "own/range.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
 
--- a/src/own/partition.c
+++ b/src/own/partition.c
@@ -8,8 +8,8 @@
 #include "own/limit_transfer.h"
 #include "own/successor.h"
 #include "own/range.h"
-#include "standby/stream.h"
-#include "standby/takeover.h"
+#include "replication/stream.h"
+#include "replication/failover.h"
 #include "state/task_ledger.h"
 
 #include <string.h>
--- a/src/own/successor.c
+++ b/src/own/successor.c
@@ -1,5 +1,5 @@
 #include "own/successor.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 
 /* What a partition weighs: its machines, and itself. */
 static unsigned weight(const struct lmn_partition *p)
--- a/src/own/upkeep.c
+++ b/src/own/upkeep.c
@@ -5,7 +5,7 @@
 #include "decide/queue.h"
 #include "own/partition.h"
 #include "own/range.h"
-#include "standby/copy.h"
+#include "replication/replica.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
 
--- a/src/standby/batch.c
+++ b/src/replication/batch.c
@@ -1,4 +1,4 @@
-#include "standby/batch.h"
+#include "replication/batch.h"
 
 #include <string.h>
 
--- a/src/standby/batch.h
+++ b/src/replication/batch.h
@@ -1,6 +1,6 @@
 /* What an owner tells a standby: for each machine, all that may be on it. */
-#ifndef LMN_STANDBY_BATCH_H
-#define LMN_STANDBY_BATCH_H
+#ifndef LMN_REPLICATION_BATCH_H
+#define LMN_REPLICATION_BATCH_H
 
 #include "state/model.h"
 
--- a/src/standby/takeover.c
+++ b/src/replication/failover.c
@@ -1,4 +1,4 @@
-#include "standby/takeover.h"
+#include "replication/failover.h"
 #include "util/log.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
--- a/src/standby/takeover.h
+++ b/src/replication/failover.h
@@ -1,9 +1,9 @@
 /* What a new owner checks before its first decision, and what it then knows. The core's
  * lock is held. */
-#ifndef LMN_STANDBY_TAKEOVER_H
-#define LMN_STANDBY_TAKEOVER_H
+#ifndef LMN_REPLICATION_FAILOVER_H
+#define LMN_REPLICATION_FAILOVER_H
 
-#include "standby/copy.h"
+#include "replication/replica.h"
 
 /* The checks, for a partition that the mirror has just shown to be ours: NULL if the copy
  * holds every task that may be on a machine; else which of them failed, and the partition
--- a/src/standby/copy.c
+++ b/src/replication/replica.c
@@ -1,4 +1,4 @@
-#include "standby/copy.h"
+#include "replication/replica.h"
 
 #include <string.h>
 
--- a/src/standby/copy.h
+++ b/src/replication/replica.h
@@ -1,10 +1,10 @@
 /* What a node knows of a partition that it does not own: what its owner has told it, as
  * the standby; or what it knew itself when it was the last owner. The core's lock is held
  * by the caller throughout. */
-#ifndef LMN_STANDBY_COPY_H
-#define LMN_STANDBY_COPY_H
+#ifndef LMN_REPLICATION_REPLICA_H
+#define LMN_REPLICATION_REPLICA_H
 
-#include "standby/batch.h"
+#include "replication/batch.h"
 
 struct lmn_copy {
     uint64_t term, stream;
--- a/src/standby/choose.c
+++ b/src/replication/replica_choice.c
@@ -1,5 +1,5 @@
 /* Who follows whom. */
-#include "standby/stream.h"
+#include "replication/stream.h"
 
 #include <string.h>
 
--- a/src/standby/stream.c
+++ b/src/replication/stream.c
@@ -1,4 +1,4 @@
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "util/log.h"
 #include "state/task_ledger.h"
 
--- a/src/standby/stream.h
+++ b/src/replication/stream.h
@@ -7,11 +7,11 @@
  *
  * Functions of the shared state and a passed-in time; no I/O. The core's lock is held by
  * the caller throughout. */
-#ifndef LMN_STANDBY_STREAM_H
-#define LMN_STANDBY_STREAM_H
+#ifndef LMN_REPLICATION_STREAM_H
+#define LMN_REPLICATION_STREAM_H
 
-#include "standby/batch.h"
-#include "standby/copy.h"
+#include "replication/batch.h"
+#include "replication/replica.h"
 
 /* Who is this far behind would be struck off at once: with eight times the machines,
  * copies were begun and broken off all day, and a tenth fewer tasks started for it.
--- a/src/serve/balance.c
+++ b/src/serve/balance.c
@@ -1,7 +1,7 @@
 #include "serve/balance.h"
 #include "own/successor.h"
 #include "own/leave.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "state/core.h"
 
 static const char *name_or_none(const struct lmn_core *c, int rank)
--- a/src/serve/follow.c
+++ b/src/serve/follow.c
@@ -2,7 +2,7 @@
 #include "util/log.h"
 #include "util/thread.h"
 #include "serve/dial.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 
 #include <rpc/rpc.h>
 #include <string.h>
--- a/src/serve/standbys.c
+++ b/src/serve/standbys.c
@@ -1,6 +1,6 @@
 #include "serve/standbys.h"
 #include "http/metrics.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 
 #include <string.h>
 
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -225,8 +225,8 @@
     struct timespec retry;
 };
 
-/* Where an owner stands with the standby that follows it (standby/stream.h). From CLOSING
- * on starts wait until they are acknowledged. */
+/* Where an owner stands with the standby that follows it (replication/stream.h). From
+ * CLOSING on starts wait until they are acknowledged. */
 enum lmn_stream_phase {
     LMN_STREAM_NONE,
     LMN_STREAM_COPYING, /* it is being told everything */
--- a/tests/digest/messages.h
+++ b/tests/digest/messages.h
@@ -3,8 +3,8 @@
 #define LMN_TESTS_DIGEST_MESSAGES_H
 
 #include "digest/digest.h"
-#include "standby/batch.h"
-#include "standby/copy.h"
+#include "replication/batch.h"
+#include "replication/replica.h"
 #include "kv_client/kv_client.h"
 
 /* A field: enumerators of the product by fixed names, not by their numbers. */
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -4,7 +4,7 @@
 #include "protocol/wire.h"
 #include "state/task_ledger.h"
 #include "own/worker.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 
 #include <string.h>
 
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -5,7 +5,7 @@
 #include "membership/membership.h"
 #include "own/holder.h"
 #include "own/owner.h"
-#include "standby/copy.h"
+#include "replication/replica.h"
 #include "state/watch_cache.h"
 #include "state/task_ledger.h"
 #include "state/records.h"
--- a/tests/takeover/replication.c
+++ b/tests/takeover/replication.c
@@ -1,7 +1,7 @@
 /* How an owner replicates to its standby, one step at a time. */
 #include "takeover.h"
 
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "twin.h"
 
 /* More than an owner tries before it gives a standby up. */
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -3,7 +3,7 @@
 
 #include "protocol/wire.h"
 #include "membership/membership.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "state/task_ledger.h"
 
 /* A term fills the upper bits of an attempt's number. */
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -13,7 +13,7 @@
 #include "own/partition.h"
 #include "serve/replies.h"
 #include "serve/submission.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "state/watch_cache.h"
 #include "state/task_ledger.h"
 #include "state/records.h"
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -7,7 +7,7 @@
 #include "own/partition.h"
 #include "own/upkeep.h"
 #include "own/worker.h"
-#include "standby/copy.h"
+#include "replication/replica.h"
 #include "state/core.h"
 #include "state/watch_cache.h"
 #include "state/task_ledger.h"
--- a/tests/twin.h
+++ b/tests/twin.h
@@ -2,7 +2,7 @@
 #ifndef LMN_TESTS_TWIN_H
 #define LMN_TESTS_TWIN_H
 
-#include "standby/batch.h"
+#include "replication/batch.h"
 
 /* A copy of the batch, but for images; to be freed. */
 static inline struct lmn_batch *batch_twin(const struct lmn_batch *b)
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -3,7 +3,7 @@
 
 #include "protocol/wire.h"
 #include "own/partition.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "state/records.h"
 
 #include <stdlib.h>
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -15,7 +15,7 @@
 #include "own/partition.h"
 #include "own/range.h"
 #include "own/upkeep.h"
-#include "standby/copy.h"
+#include "replication/replica.h"
 #include "state/core.h"
 #include "state/watch_cache.h"
 #include "state/task_ledger.h"
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -3,7 +3,7 @@
 #include "world.h"
 
 #include "protocol/wire.h"
-#include "standby/stream.h"
+#include "replication/stream.h"
 #include "twin.h"
 
 #include <stdlib.h>
