--- a/src/own/answer.c
+++ b/src/own/answer.c
@@ -2,7 +2,7 @@
 #include "own/worker.h"
 #include "util/log.h"
 #include "protocol/wire.h"
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "own/partition.h"
 #include "own/worker_part.h"
 #include "replication/stream.h"
--- a/src/own/cloud.c
+++ b/src/own/cloud.c
@@ -8,7 +8,7 @@
 #include "util/log.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "decide/fleet.h"
+#include "scheduler/autoscaler.h"
 #include "own/partition.h"
 #include "own/upkeep.h"
 #include "own/worker.h"
--- a/src/own/flush.c
+++ b/src/own/flush.c
@@ -1,6 +1,6 @@
 /* What an owner writes: done sets, closes, moves. */
 #include "own/flush.h"
-#include "decide/steal.h"
+#include "scheduler/work_stealing.h"
 #include "own/block.h"
 #include "own/limit_transfer.h"
 #include "state/records.h"
--- a/src/own/limit_transfer.c
+++ b/src/own/limit_transfer.c
@@ -6,7 +6,7 @@
  * mirror shows what became of it; what is received counts only once the mirror shows it.
  * So the parts in use never add up to more than the limit, whatever fails. */
 #include "own/limit_transfer.h"
-#include "decide/reserve.h"
+#include "scheduler/reservation.h"
 #include "util/log.h"
 
 #include <string.h>
--- a/src/own/limit_transfer.h
+++ b/src/own/limit_transfer.h
@@ -3,7 +3,7 @@
 #ifndef LMN_LIMIT_TRANSFER_H
 #define LMN_LIMIT_TRANSFER_H
 
-#include "decide/quota.h"
+#include "scheduler/quota.h"
 
 void lmn_quota_apply(struct lmn_core *c, const char *key, const struct lmn_doc *d,
                      const struct lmn_node *v, uint64_t rev);
--- a/src/own/owner.c
+++ b/src/own/owner.c
@@ -1,8 +1,8 @@
 /* What the mirror's changes mean to an owner's books. */
 
 #include "own/owner.h"
-#include "decide/queue.h"
-#include "decide/steal.h"
+#include "scheduler/queue.h"
+#include "scheduler/work_stealing.h"
 #include "own/block.h"
 #include "own/limit_transfer.h"
 #include "own/partition.h"
--- a/src/own/partition.c
+++ b/src/own/partition.c
@@ -3,7 +3,7 @@
 #include "util/log.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "own/block.h"
 #include "own/limit_transfer.h"
 #include "own/successor.h"
--- a/src/own/range.c
+++ b/src/own/range.c
@@ -2,7 +2,7 @@
  * machines hold. */
 #include "own/range.h"
 #include "util/log.h"
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "state/task_ledger.h"
 
 #include <math.h>
--- a/src/own/upkeep.c
+++ b/src/own/upkeep.c
@@ -2,7 +2,7 @@
  * books. */
 #include "own/upkeep.h"
 #include "util/log.h"
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "own/partition.h"
 #include "own/range.h"
 #include "replication/replica.h"
--- a/src/decide/place.c
+++ b/src/scheduler/affinity.c
@@ -1,5 +1,5 @@
 /* Where tasks of a job may stand next to each other. */
-#include "decide/place.h"
+#include "scheduler/affinity.h"
 
 #include <string.h>
 
--- a/src/decide/place.h
+++ b/src/scheduler/affinity.h
@@ -1,7 +1,7 @@
 /* Tasks of a job that look at each other's places. The core's lock is held by the caller
  * throughout. */
-#ifndef LMN_PLACE_H
-#define LMN_PLACE_H
+#ifndef LMN_SCHEDULER_AFFINITY_H
+#define LMN_SCHEDULER_AFFINITY_H
 
 #include "state/model.h"
 
--- a/src/decide/fleet.c
+++ b/src/scheduler/autoscaler.c
@@ -1,5 +1,5 @@
-#include "decide/fleet.h"
-#include "decide/floor.h"
+#include "scheduler/autoscaler.h"
+#include "scheduler/fair_share.h"
 #include "admission/connection_budget.h"
 #include "state/core.h"
 
--- a/src/decide/fleet.h
+++ b/src/scheduler/autoscaler.h
@@ -1,6 +1,6 @@
 /* What to rent: a decision over the demand, the machines at hand and past refusals. */
-#ifndef LMN_FLEET_H
-#define LMN_FLEET_H
+#ifndef LMN_SCHEDULER_AUTOSCALER_H
+#define LMN_SCHEDULER_AUTOSCALER_H
 
 #include "state/model.h"
 
--- a/src/decide/pack.c
+++ b/src/scheduler/consolidation.c
@@ -2,9 +2,9 @@
  * empty and paid for whole. While nothing waits, the replicas of the emptiest machine are
  * moved onto room that others have, and the machine goes. Work with an end is left to run
  * out. */
-#include "decide/pack.h"
-#include "decide/place.h"
-#include "decide/queue.h"
+#include "scheduler/consolidation.h"
+#include "scheduler/affinity.h"
+#include "scheduler/queue.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
 
--- a/src/decide/pack.h
+++ b/src/scheduler/consolidation.h
@@ -1,6 +1,6 @@
 /* Replicas moved together. The core's lock is held by the caller throughout. */
-#ifndef LMN_PACK_H
-#define LMN_PACK_H
+#ifndef LMN_SCHEDULER_CONSOLIDATION_H
+#define LMN_SCHEDULER_CONSOLIDATION_H
 
 #include "state/model.h"
 
--- a/src/decide/floor.c
+++ b/src/scheduler/fair_share.c
@@ -1,4 +1,4 @@
-#include "decide/floor.h"
+#include "scheduler/fair_share.h"
 
 /* Of an even part. */
 static const double PART = 0.25;
--- a/src/decide/floor.h
+++ b/src/scheduler/fair_share.h
@@ -1,8 +1,8 @@
 /* A floor for each class of jobs and each team: while room is short for long, the order
  * by urgency and by what can still be in time would leave the lesser with nothing. The
  * core's lock is held. */
-#ifndef LMN_FLOOR_H
-#define LMN_FLOOR_H
+#ifndef LMN_SCHEDULER_FAIR_SHARE_H
+#define LMN_SCHEDULER_FAIR_SHARE_H
 
 #include "state/model.h"
 
--- a/src/decide/order.c
+++ b/src/scheduler/job_order.c
@@ -1,6 +1,6 @@
 /* Which job goes first, and which should yield when not all can be in time. */
-#include "decide/order.h"
-#include "decide/floor.h"
+#include "scheduler/job_order.h"
+#include "scheduler/fair_share.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/decide/order.h
+++ b/src/scheduler/job_order.h
@@ -1,7 +1,7 @@
 /* The order of jobs. Pure functions of the books and the time of day (wall, in seconds).
  * The core's lock is held by the caller throughout. */
-#ifndef LMN_ORDER_H
-#define LMN_ORDER_H
+#ifndef LMN_SCHEDULER_JOB_ORDER_H
+#define LMN_SCHEDULER_JOB_ORDER_H
 
 #include "state/model.h"
 
--- a/src/decide/preempt.c
+++ b/src/scheduler/preemption.c
@@ -2,10 +2,10 @@
  * the protocol's "Preemption" allows, and no further. A machine on which room is being
  * made starts nothing less urgent until then; otherwise small tasks would take each piece
  * as it becomes free. */
-#include "decide/preempt.h"
+#include "scheduler/preemption.h"
 #include "util/log.h"
-#include "decide/place.h"
-#include "decide/queue.h"
+#include "scheduler/affinity.h"
+#include "scheduler/queue.h"
 #include "state/task_ledger.h"
 
 #include <math.h>
--- a/src/decide/preempt.h
+++ b/src/scheduler/preemption.h
@@ -1,6 +1,6 @@
 /* Room for production. The core's lock is held by the caller throughout. */
-#ifndef LMN_PREEMPT_H
-#define LMN_PREEMPT_H
+#ifndef LMN_SCHEDULER_PREEMPTION_H
+#define LMN_SCHEDULER_PREEMPTION_H
 
 #include "state/model.h"
 
--- a/src/decide/queue.c
+++ b/src/scheduler/queue.c
@@ -1,9 +1,9 @@
 /* Queues of machines: dealing, order, starting, stealing. */
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "util/log.h"
 #include "protocol/wire.h"
-#include "decide/order.h"
-#include "decide/place.h"
+#include "scheduler/job_order.h"
+#include "scheduler/affinity.h"
 #include "replication/stream.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
--- a/src/decide/queue.h
+++ b/src/scheduler/queue.h
@@ -1,9 +1,9 @@
 /* Dealing, starting and stealing inside a partition. The core's lock is held by the
  * caller throughout. */
-#ifndef LMN_QUEUE_H
-#define LMN_QUEUE_H
+#ifndef LMN_SCHEDULER_QUEUE_H
+#define LMN_SCHEDULER_QUEUE_H
 
-#include "decide/wait_reason.h"
+#include "scheduler/wait_reason.h"
 #include "state/model.h"
 
 /* Cuts the range's queued tasks over the queues of the machines that could hold them. */
--- a/src/decide/quota.c
+++ b/src/scheduler/quota.c
@@ -1,6 +1,6 @@
 /* A team's limit, parted among the partitions. Without a record each has an even part;
  * parts are moved by own/limit_transfer.c. */
-#include "decide/quota.h"
+#include "scheduler/quota.h"
 
 #include <string.h>
 
@@ -112,8 +112,8 @@
     lmn_quota_part(c, p, w->team, cpus, gpus);
     /* What its own queue does not need, or has no room for: a partition whose machines
      * were full kept most of the limit, while another with room had none left. What is
-     * kept for a job that waits for it (decide/reserve.h) stays. And whatever another
-     * could else never start with. */
+     * kept for a job that waits for it (scheduler/reservation.h) stays. And whatever
+     * another could else never start with. */
     own.cpus = own.cpus > 0 ? MIN(own.cpus, free_cpus(p, smallest)) : 0;
     own.cpus = MAX(own.cpus, p->keep[w->team].job ? p->keep[w->team].cpus : 0);
     *cpus -= p->used_cpus[w->team] + own.cpus;
--- a/src/decide/quota.h
+++ b/src/scheduler/quota.h
@@ -1,7 +1,7 @@
 /* Parts of teams' limits, in processors and GPUs: what a partition has, wants and can
  * spare. The core's lock is held by the caller throughout. */
-#ifndef LMN_QUOTA_H
-#define LMN_QUOTA_H
+#ifndef LMN_SCHEDULER_QUOTA_H
+#define LMN_SCHEDULER_QUOTA_H
 
 #include "state/model.h"
 
--- a/src/decide/reserve.c
+++ b/src/scheduler/reservation.c
@@ -1,6 +1,6 @@
-#include "decide/reserve.h"
+#include "scheduler/reservation.h"
 #include "util/log.h"
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "state/task_ledger.h"
 
 #include <string.h>
--- a/src/decide/reserve.h
+++ b/src/scheduler/reservation.h
@@ -3,13 +3,13 @@
  * coming, each piece of room is theirs as it becomes free, and what needs a whole
  * machine, or most of a limit, never begins. The core's lock is held by the caller
  * throughout. */
-#ifndef LMN_RESERVE_H
-#define LMN_RESERVE_H
+#ifndef LMN_SCHEDULER_RESERVATION_H
+#define LMN_SCHEDULER_RESERVATION_H
 
 #include "state/model.h"
 
-/* Looks at the partition's aged jobs (decide/floor.h): keeps what they lack, and gives up
- * what is not needed any more. */
+/* Looks at the partition's aged jobs (scheduler/fair_share.h): keeps what they lack, and
+ * gives up what is not needed any more. */
 void lmn_reserve(struct lmn_core *c, struct lmn_partition *p, struct timespec now);
 /* Another partition lacks that much of the team's limit for one task: it is kept free
  * here until it can be given. */
--- a/src/decide/wait_reason.h
+++ b/src/scheduler/wait_reason.h
@@ -2,8 +2,8 @@
  * every account of why something has not started, use these predicates and no others.
  * Pure functions of the owner's state and the time; the core's lock is held by the caller
  * throughout. */
-#ifndef LMN_WAIT_REASON_H
-#define LMN_WAIT_REASON_H
+#ifndef LMN_SCHEDULER_WAIT_REASON_H
+#define LMN_SCHEDULER_WAIT_REASON_H
 
 #include "state/model.h"
 
--- a/src/decide/steal.c
+++ b/src/scheduler/work_stealing.c
@@ -2,11 +2,11 @@
  * others how many queued tasks would fit there, and pulls from the busiest. The victim
  * moves the end of a range by one conditional write: never a task that was started, under
  * whatever term. */
-#include "decide/steal.h"
+#include "scheduler/work_stealing.h"
 #include "util/log.h"
-#include "decide/order.h"
-#include "decide/queue.h"
-#include "decide/quota.h"
+#include "scheduler/job_order.h"
+#include "scheduler/queue.h"
+#include "scheduler/quota.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
 
--- a/src/decide/steal.h
+++ b/src/scheduler/work_stealing.h
@@ -1,6 +1,6 @@
 /* Steals between partitions. The core's lock is held by the caller throughout. */
-#ifndef LMN_STEAL_H
-#define LMN_STEAL_H
+#ifndef LMN_SCHEDULER_WORK_STEALING_H
+#define LMN_SCHEDULER_WORK_STEALING_H
 
 #include "state/model.h"
 
--- a/src/serve/metrics.c
+++ b/src/serve/metrics.c
@@ -1,7 +1,7 @@
 #include "serve/metrics.h"
 #include "http/server.h"
 #include "http/metrics.h"
-#include "decide/floor.h"
+#include "scheduler/fair_share.h"
 #include "serve/members.h"
 #include "serve/standbys.h"
 #include "state/core.h"
--- a/src/serve/status.c
+++ b/src/serve/status.c
@@ -1,7 +1,7 @@
 /* What a controller tells an operator of itself. */
 #include "serve/status.h"
 #include "http/server.h"
-#include "decide/floor.h"
+#include "scheduler/fair_share.h"
 #include "serve/standbys.h"
 #include "state/core.h"
 
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -35,11 +35,11 @@
     GPtrArray *ranges;
     const char *image; /* interned: looked for on every machine, at every deal */
     const char *cls;   /* its class, interned */
-    bool owed;         /* its class or team has less than its floor (decide/floor.h) */
-    bool aged;         /* it has waited for long, and nothing of it has started here */
-    bool cheap;        /* it fills gaps: on machines as cheap as it may use only */
-    int team;          /* index in the settings, -1 if it has left them */
-    uint64_t closing;  /* revision on which a close of ours is under way */
+    bool owed;  /* its class or team has less than its floor (scheduler/fair_share.h) */
+    bool aged;  /* it has waited for long, and nothing of it has started here */
+    bool cheap; /* it fills gaps: on machines as cheap as it may use only */
+    int team;   /* index in the settings, -1 if it has left them */
+    uint64_t closing; /* revision on which a close of ours is under way */
     /* when its next task has to start, by the time of day, for the next expectation that
      * can still be met; lost: none can */
     double latest;
@@ -55,8 +55,9 @@
     struct timespec
         final_at; /* when the mirror showed it final, or it was last looked at */
     const struct lmn_partition *ranked; /* mark of the triage under way */
-    /* What one look over queues has found out (decide/queue.c): it can't start there, it
-     * can, and what its image would take; each as long as the core's count is the same.
+    /* What one look over queues has found out (scheduler/queue.c): it can't start there,
+     * it can, and what its image would take; each as long as the core's count is the
+     * same.
      */
     uint64_t look_no, look_yes, look_fetch;
     double fetch_s;
@@ -192,7 +193,8 @@
     bool untold;       /* it has changed since the standby was told: it stands in the
                           partition's list of those */
     guint told_images; /* hash of the images that were told */
-    /* It runs empty for a job that waits for whole room, until then (decide/reserve.h).
+    /* It runs empty for a job that waits for whole room, until then
+     * (scheduler/reservation.h).
      */
     const struct lmn_job *kept;
     struct timespec kept_until;
@@ -263,7 +265,7 @@
 struct lmn_copy;
 
 /* A part of a team's limit that only one job may use: its own, or, with none, another
- * partition that it is to be given to (decide/reserve.h). */
+ * partition that it is to be given to (scheduler/reservation.h). */
 struct lmn_keep {
     const struct lmn_job *job;
     double cpus, gpus;
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -1,7 +1,7 @@
 /* A partition with machines and jobs, in simulated time. */
 #include "queue/fixture.h"
 
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "own/owner.h"
 #include "own/range.h"
 #include "state/task_ledger.h"
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -1,7 +1,7 @@
 /* Queues: dealing to machines, and that no task is lost or doubled on the way. */
 #include "queue/fixture.h"
 
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "own/range.h"
 #include "state/task_ledger.h"
 
--- a/tests/test_queue_floor.c
+++ b/tests/test_queue_floor.c
@@ -1,10 +1,10 @@
 /* What lesser, idle, old and large work is kept: floors and reserves. */
 #include "queue/fixture.h"
 
-#include "decide/floor.h"
-#include "decide/order.h"
-#include "decide/queue.h"
-#include "decide/reserve.h"
+#include "scheduler/fair_share.h"
+#include "scheduler/job_order.h"
+#include "scheduler/queue.h"
+#include "scheduler/reservation.h"
 #include "own/range.h"
 #include "state/task_ledger.h"
 
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -1,7 +1,7 @@
 /* The order of jobs: expectations, triage, guarantees. */
 #include "queue/fixture.h"
 
-#include "decide/order.h"
+#include "scheduler/job_order.h"
 #include "own/owner.h"
 #include "state/watch_cache.h"
 #include "state/records.h"
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -1,9 +1,9 @@
 /* Room that is made for production, and replicas that are packed. */
 #include "queue/fixture.h"
 
-#include "decide/pack.h"
-#include "decide/preempt.h"
-#include "decide/queue.h"
+#include "scheduler/consolidation.h"
+#include "scheduler/preemption.h"
+#include "scheduler/queue.h"
 #include "own/range.h"
 #include "state/task_ledger.h"
 
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -1,7 +1,7 @@
 /* Stealing between queues, and the messages of steals between partitions. */
 #include "queue/fixture.h"
 
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "own/range.h"
 #include "state/task_ledger.h"
 #include "peer_wire.h"
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -1,5 +1,5 @@
 /* What is rented, over generated demands and limits. */
-#include "decide/fleet.h"
+#include "scheduler/autoscaler.h"
 #include "admission/connection_budget.h"
 #include "state/core.h"
 #include "state/watch_cache.h"
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -4,7 +4,7 @@
 #include "config/settings.h"
 #include "protocol/wire.h"
 #include "util/log.h"
-#include "decide/queue.h"
+#include "scheduler/queue.h"
 #include "own/flush.h"
 #include "own/owner.h"
 #include "own/range.h"
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -1,12 +1,12 @@
 /* Controllers: the product's own code, and what its threads would do. */
 #include "world.h"
 
-#include "decide/order.h"
-#include "decide/pack.h"
-#include "decide/preempt.h"
-#include "decide/quota.h"
-#include "decide/reserve.h"
-#include "decide/steal.h"
+#include "scheduler/job_order.h"
+#include "scheduler/consolidation.h"
+#include "scheduler/preemption.h"
+#include "scheduler/quota.h"
+#include "scheduler/reservation.h"
+#include "scheduler/work_stealing.h"
 #include "own/flush.h"
 #include "own/limit_transfer.h"
 #include "own/holder.h"
--- a/tests/world/served.c
+++ b/tests/world/served.c
@@ -1,7 +1,7 @@
 /* Whether everything is served: what no rule forbids, and yet fails a day. */
 #include "world.h"
 
-#include "decide/wait_reason.h"
+#include "scheduler/wait_reason.h"
 
 #include <string.h>
 
