--- a/bench/retention.c
+++ b/bench/retention.c
@@ -3,7 +3,7 @@
  *   bench_retention JOBS */
 #include "util/clock.h"
 #include "protocol/cbor.h"
-#include "own/owner.h"
+#include "partition/owner.h"
 #include "state/core.h"
 #include "state/retention.h"
 #include "state/watch_cache.h"
--- a/src/own/report.c
+++ b/src/partition/heartbeat.c
@@ -1,10 +1,10 @@
 /* Reports of workers, and what they prove. */
-#include "own/worker.h"
+#include "partition/worker.h"
 #include "util/log.h"
 #include "protocol/wire.h"
 #include "scheduler/queue.h"
-#include "own/range.h"
-#include "own/worker_part.h"
+#include "partition/range.h"
+#include "partition/worker_internal.h"
 #include "state/task_ledger.h"
 
 #include <stdlib.h>
--- a/src/own/answer.c
+++ b/src/partition/heartbeat_reply.c
@@ -1,10 +1,10 @@
 /* Answers to reports: the commands in them, who gets one, and who is sent elsewhere. */
-#include "own/worker.h"
+#include "partition/worker.h"
 #include "util/log.h"
 #include "protocol/wire.h"
 #include "scheduler/queue.h"
-#include "own/partition.h"
-#include "own/worker_part.h"
+#include "partition/partition.h"
+#include "partition/worker_internal.h"
 #include "replication/stream.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
--- a/src/own/block.c
+++ b/src/partition/machine_block.c
@@ -4,8 +4,8 @@
  * that it has to ask there. One write for each machine takes all the changes that the
  * state service grants when hundreds come up together; so an owner keeps them in blocks,
  * and what comes or goes between two writes of a block shares the next. */
-#include "own/block.h"
-#include "own/range.h"
+#include "partition/machine_block.h"
+#include "partition/range.h"
 #include "state/task_ledger.h"
 
 #include <string.h>
--- a/src/own/block.h
+++ b/src/partition/machine_block.h
@@ -1,6 +1,6 @@
 /* The records of machines. The core's lock is held by the caller throughout. */
-#ifndef LMN_BLOCK_H
-#define LMN_BLOCK_H
+#ifndef LMN_PARTITION_MACHINE_BLOCK_H
+#define LMN_PARTITION_MACHINE_BLOCK_H
 
 #include "state/model.h"
 
--- a/src/own/upkeep.c
+++ b/src/partition/maintenance.c
@@ -1,10 +1,10 @@
 /* What an owner does from time to time: lapses, returns, cut zones, an audit of its
  * books. */
-#include "own/upkeep.h"
+#include "partition/maintenance.h"
 #include "util/log.h"
 #include "scheduler/queue.h"
-#include "own/partition.h"
-#include "own/range.h"
+#include "partition/partition.h"
+#include "partition/range.h"
 #include "replication/replica.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
--- a/src/own/upkeep.h
+++ b/src/partition/maintenance.h
@@ -1,7 +1,7 @@
 /* What an owner does from time to time. The core's lock is held by the caller throughout.
  */
-#ifndef LMN_UPKEEP_H
-#define LMN_UPKEEP_H
+#ifndef LMN_PARTITION_MAINTENANCE_H
+#define LMN_PARTITION_MAINTENANCE_H
 
 #include "state/model.h"
 
--- a/src/own/owner.c
+++ b/src/partition/owner.c
@@ -1,12 +1,12 @@
 /* What the mirror's changes mean to an owner's books. */
 
-#include "own/owner.h"
+#include "partition/owner.h"
 #include "scheduler/queue.h"
 #include "scheduler/work_stealing.h"
-#include "own/block.h"
-#include "own/limit_transfer.h"
-#include "own/partition.h"
-#include "own/range.h"
+#include "partition/machine_block.h"
+#include "partition/quota_transfer.h"
+#include "partition/partition.h"
+#include "partition/range.h"
 #include "replication/stream.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
--- a/src/own/owner.h
+++ b/src/partition/owner.h
@@ -1,6 +1,6 @@
 /* A controller's books over its mirror: what a process, or a test, starts with. */
-#ifndef LMN_OWNER_H
-#define LMN_OWNER_H
+#ifndef LMN_PARTITION_OWNER_H
+#define LMN_PARTITION_OWNER_H
 
 #include "state/model.h"
 
--- a/src/own/holder.c
+++ b/src/partition/ownership.c
@@ -1,9 +1,9 @@
-#include "own/holder.h"
+#include "partition/ownership.h"
 #include "util/log.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "own/leave.h"
-#include "own/partition.h"
+#include "partition/shutdown.h"
+#include "partition/partition.h"
 #include "replication/stream.h"
 
 struct holder {
--- a/src/own/holder.h
+++ b/src/partition/ownership.h
@@ -1,7 +1,7 @@
 /* The thread that holds this node's lease, and with it claims partitions, gives them, and
  * says whom it suspects. */
-#ifndef LMN_HOLDER_H
-#define LMN_HOLDER_H
+#ifndef LMN_PARTITION_OWNERSHIP_H
+#define LMN_PARTITION_OWNERSHIP_H
 
 #include "state/model.h"
 
--- a/src/own/partition.h
+++ b/src/partition/partition.h
@@ -1,6 +1,6 @@
 /* Who owns which partition, under what term. The lock is held. */
-#ifndef LMN_PARTITION_H
-#define LMN_PARTITION_H
+#ifndef LMN_PARTITION_PARTITION_H
+#define LMN_PARTITION_PARTITION_H
 
 #include "state/model.h"
 
--- a/src/own/cloud.c
+++ b/src/partition/provisioner.c
@@ -1,5 +1,5 @@
 /* The cloud's client: machine types, rentals, returns, the list. */
-#include "own/cloud.h"
+#include "partition/provisioner.h"
 #include "util/token_bucket.h"
 #include "util/clock.h"
 #include "protocol/cbor.h"
@@ -9,9 +9,9 @@
 #include "util/thread.h"
 #include "protocol/wire.h"
 #include "scheduler/autoscaler.h"
-#include "own/partition.h"
-#include "own/upkeep.h"
-#include "own/worker.h"
+#include "partition/partition.h"
+#include "partition/maintenance.h"
+#include "partition/worker.h"
 #include "state/core.h"
 #include "state/model.h"
 
--- a/src/own/cloud.h
+++ b/src/partition/provisioner.h
@@ -1,6 +1,6 @@
 /* The cloud's client. */
-#ifndef LMN_CLOUD_H
-#define LMN_CLOUD_H
+#ifndef LMN_PARTITION_PROVISIONER_H
+#define LMN_PARTITION_PROVISIONER_H
 
 /* Reads machine types and lists, rents and returns, for ever (a thread). core: struct
  * lmn_core. */
--- a/src/own/limit_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -5,7 +5,7 @@
  * use. What is being given counts as given from before the write goes out until the
  * mirror shows what became of it; what is received counts only once the mirror shows it.
  * So the parts in use never add up to more than the limit, whatever fails. */
-#include "own/limit_transfer.h"
+#include "partition/quota_transfer.h"
 #include "scheduler/reservation.h"
 #include "util/log.h"
 
--- a/src/own/limit_transfer.h
+++ b/src/partition/quota_transfer.h
@@ -1,7 +1,7 @@
 /* Parts of limits that move, by conditional writes. The core's lock is held by the caller
  * throughout. */
-#ifndef LMN_LIMIT_TRANSFER_H
-#define LMN_LIMIT_TRANSFER_H
+#ifndef LMN_PARTITION_QUOTA_TRANSFER_H
+#define LMN_PARTITION_QUOTA_TRANSFER_H
 
 #include "scheduler/quota.h"
 
--- a/src/own/range.c
+++ b/src/partition/range.c
@@ -1,6 +1,6 @@
 /* An owner's books: which task of a range is queued, started or done, and what its
  * machines hold. */
-#include "own/range.h"
+#include "partition/range.h"
 #include "util/log.h"
 #include "scheduler/queue.h"
 #include "state/task_ledger.h"
--- a/src/own/range.h
+++ b/src/partition/range.h
@@ -1,7 +1,7 @@
 /* An owner's ranges: what becomes of their tasks. The core's lock is held by the caller
  * throughout. */
-#ifndef LMN_RANGE_H
-#define LMN_RANGE_H
+#ifndef LMN_PARTITION_RANGE_H
+#define LMN_PARTITION_RANGE_H
 
 #include "state/model.h"
 
--- a/src/own/flush.c
+++ b/src/partition/range_writer.c
@@ -1,8 +1,8 @@
 /* What an owner writes: done sets, closes, moves. */
-#include "own/flush.h"
+#include "partition/range_writer.h"
 #include "scheduler/work_stealing.h"
-#include "own/block.h"
-#include "own/limit_transfer.h"
+#include "partition/machine_block.h"
+#include "partition/quota_transfer.h"
 #include "state/records.h"
 
 #include <string.h>
--- a/src/own/flush.h
+++ b/src/partition/range_writer.h
@@ -1,7 +1,7 @@
 /* What an owner writes of its ranges. The core's lock is held by the caller throughout.
  */
-#ifndef LMN_FLUSH_H
-#define LMN_FLUSH_H
+#ifndef LMN_PARTITION_RANGE_WRITER_H
+#define LMN_PARTITION_RANGE_WRITER_H
 
 #include "state/model.h"
 
--- a/src/own/leave.c
+++ b/src/partition/shutdown.c
@@ -1,6 +1,6 @@
-#include "own/leave.h"
+#include "partition/shutdown.h"
 #include "util/log.h"
-#include "own/successor.h"
+#include "partition/transfer_target.h"
 #include "replication/stream.h"
 #include "state/core.h"
 
--- a/src/own/leave.h
+++ b/src/partition/shutdown.h
@@ -1,8 +1,8 @@
 /* A controller that is to end: it says so, gives its partitions to who is in step, lets
  * its lease go, sends workers and users on, and ends. Functions of the shared state and a
  * passed-in time; the core's lock is held. */
-#ifndef LMN_LEAVE_H
-#define LMN_LEAVE_H
+#ifndef LMN_PARTITION_SHUTDOWN_H
+#define LMN_PARTITION_SHUTDOWN_H
 
 #include "state/model.h"
 
--- a/src/own/successor.c
+++ b/src/partition/transfer_target.c
@@ -1,4 +1,4 @@
-#include "own/successor.h"
+#include "partition/transfer_target.h"
 #include "replication/stream.h"
 
 /* What a partition weighs: its machines, and itself. */
--- a/src/own/successor.h
+++ b/src/partition/transfer_target.h
@@ -2,8 +2,8 @@
  * all agree without talk; the claim's conditions decide where they do not. The lock is
  * held.
  */
-#ifndef LMN_SUCCESSOR_H
-#define LMN_SUCCESSOR_H
+#ifndef LMN_PARTITION_TRANSFER_TARGET_H
+#define LMN_PARTITION_TRANSFER_TARGET_H
 
 #include "state/model.h"
 
--- a/src/own/worker.h
+++ b/src/partition/worker.h
@@ -1,7 +1,7 @@
 /* Workers' reports, and commands sent straight to them. The lock is held by the caller,
  * but for lmn_worker_report, which takes it. */
-#ifndef LMN_WORKER_H
-#define LMN_WORKER_H
+#ifndef LMN_PARTITION_WORKER_H
+#define LMN_PARTITION_WORKER_H
 
 #include "state/model.h"
 
--- a/src/own/worker_part.h
+++ b/src/partition/worker_internal.h
@@ -1,7 +1,7 @@
 /* What the files that deal with workers share: reports, and commands. The lock is held.
  */
-#ifndef LMN_WORKER_PART_H
-#define LMN_WORKER_PART_H
+#ifndef LMN_PARTITION_WORKER_INTERNAL_H
+#define LMN_PARTITION_WORKER_INTERNAL_H
 
 #include "protocol/cbor.h"
 #include "state/model.h"
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -1,5 +1,5 @@
 /* A team's limit, parted among the partitions. Without a record each has an even part;
- * parts are moved by own/limit_transfer.c. */
+ * parts are moved by partition/quota_transfer.c. */
 #include "scheduler/quota.h"
 
 #include <string.h>
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -111,7 +111,7 @@
     if (!lmn_in_quota(c, p, j)) {
         struct lmn_keep *k = &p->keep[j->team];
         /* What is more than all of the part has to come from others
-         * (own/limit_transfer.c). */
+         * (partition/quota_transfer.c). */
         if (!k->job || !lmn_before(now, k->until))
             keep(k, j, j->spec.cpus, j->spec.gpus, lmn_after(now, KEPT_S));
         return;
--- a/src/serve/balance.c
+++ b/src/serve/balance.c
@@ -1,6 +1,6 @@
 #include "serve/balance.h"
-#include "own/successor.h"
-#include "own/leave.h"
+#include "partition/transfer_target.h"
+#include "partition/shutdown.h"
 #include "replication/stream.h"
 #include "state/core.h"
 
--- a/src/serve/follow.h
+++ b/src/serve/follow.h
@@ -3,7 +3,7 @@
 #define LMN_FOLLOW_H
 
 #include "http/server.h"
-#include "own/worker.h"
+#include "partition/worker.h"
 #include "peer_wire.h"
 
 /* A thread for each partition, which tells its standby while the partition is ours: one
--- a/src/serve/server.c
+++ b/src/serve/server.c
@@ -4,7 +4,7 @@
 #include "protocol/wire.h"
 #include "admission/worker_hosts.h"
 #include "admission/connection_budget.h"
-#include "own/worker.h"
+#include "partition/worker.h"
 #include "serve/api.h"
 #include "serve/follow.h"
 #include "serve/metrics.h"
--- a/src/state/core.h
+++ b/src/state/core.h
@@ -4,8 +4,8 @@
 
 #include "state/model.h"
 
-/* Without an owner's books: lmn_core_new (own/owner.h) is what is wanted. A controller
- * never frees it. */
+/* Without an owner's books: lmn_core_new (partition/owner.h) is what is wanted. A
+ * controller never frees it. */
 struct lmn_core *lmn_core_bare(const struct lmn_settings *cfg, struct lmn_state *state,
                                uint32_t seed);
 /* For simulated controllers, which crash by the thousand: no thread may use it any more.
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -406,7 +406,7 @@
     bool odd_one; /* the mirror stands still, and only here, as far as known */
     /* since when no other controller is heard either; 0: some are */
     struct timespec isolated;
-    bool leaving; /* it gives its partitions away, and ends (own/leave.h) */
+    bool leaving; /* it gives its partitions away, and ends (partition/shutdown.h) */
     bool left;    /* it has none, and no lease any more */
     /* the last try to write this node's record */
     uint64_t announced_lease;
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -2,8 +2,8 @@
 #include "queue/fixture.h"
 
 #include "scheduler/queue.h"
-#include "own/owner.h"
-#include "own/range.h"
+#include "partition/owner.h"
+#include "partition/range.h"
 #include "state/task_ledger.h"
 #include "kv_client/kv_client.h"
 
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -3,7 +3,7 @@
 
 #include "protocol/wire.h"
 #include "state/task_ledger.h"
-#include "own/worker.h"
+#include "partition/worker.h"
 #include "replication/stream.h"
 
 #include <string.h>
--- a/tests/takeover/fair.c
+++ b/tests/takeover/fair.c
@@ -2,9 +2,9 @@
  * they run, and the job is finished in the end. */
 #include "takeover.h"
 
-#include "own/holder.h"
-#include "own/partition.h"
-#include "own/upkeep.h"
+#include "partition/ownership.h"
+#include "partition/partition.h"
+#include "partition/maintenance.h"
 #include "state/records.h"
 
 enum { MOST_ROUNDS = 60, ROUNDS_A_TASK = 4 };
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -3,8 +3,8 @@
 #include "takeover.h"
 
 #include "membership/membership.h"
-#include "own/holder.h"
-#include "own/owner.h"
+#include "partition/ownership.h"
+#include "partition/owner.h"
 #include "replication/replica.h"
 #include "state/watch_cache.h"
 #include "state/task_ledger.h"
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -2,8 +2,8 @@
 #include "takeover.h"
 
 #include "membership/membership.h"
-#include "own/flush.h"
-#include "own/holder.h"
+#include "partition/range_writer.h"
+#include "partition/ownership.h"
 
 enum { MOST_SUSPICIONS = 2 };
 
--- a/tests/test_failures.c
+++ b/tests/test_failures.c
@@ -27,7 +27,7 @@
     guint n;
 };
 
-/* Whether the machine would be left, as own/report.c decides it. */
+/* Whether the machine would be left, as partition/heartbeat.c decides it. */
 static void failed_on(struct day *d, int job, int machine, struct timespec started)
 {
     guint where = (guint)machine * 2654435761u;
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -3,9 +3,9 @@
 
 #include "agent/agent.h"
 #include "agent/keeper.h"
-#include "own/owner.h"
-#include "own/worker.h"
-#include "own/worker_part.h"
+#include "partition/owner.h"
+#include "partition/worker.h"
+#include "partition/worker_internal.h"
 #include "serve/replies.h"
 #include "state/watch_cache.h"
 #include "state/records.h"
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -3,7 +3,7 @@
 #include "http/server.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "own/owner.h"
+#include "partition/owner.h"
 #include "serve/pending.h"
 #include "state/watch_cache.h"
 #include "state/records.h"
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -2,7 +2,7 @@
 #include "queue/fixture.h"
 
 #include "scheduler/queue.h"
-#include "own/range.h"
+#include "partition/range.h"
 #include "state/task_ledger.h"
 
 #include <math.h>
--- a/tests/test_queue_floor.c
+++ b/tests/test_queue_floor.c
@@ -5,7 +5,7 @@
 #include "scheduler/job_order.h"
 #include "scheduler/queue.h"
 #include "scheduler/reservation.h"
-#include "own/range.h"
+#include "partition/range.h"
 #include "state/task_ledger.h"
 
 /* One task of a job that needs a whole machine, while small ones keep coming and fill
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -2,7 +2,7 @@
 #include "queue/fixture.h"
 
 #include "scheduler/job_order.h"
-#include "own/owner.h"
+#include "partition/owner.h"
 #include "state/watch_cache.h"
 #include "state/records.h"
 
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -4,7 +4,7 @@
 #include "scheduler/consolidation.h"
 #include "scheduler/preemption.h"
 #include "scheduler/queue.h"
-#include "own/range.h"
+#include "partition/range.h"
 #include "state/task_ledger.h"
 
 /* Puts a running attempt of the range's next task on the machine. */
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -1,7 +1,7 @@
 /* Final jobs leave memory, but nothing that is still referred to does, and what was
  * forgotten is read again without starting anything. */
 #include "protocol/cbor.h"
-#include "own/owner.h"
+#include "partition/owner.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
 #include "state/retention.h"
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -2,9 +2,9 @@
  * of batches that are lost, repeated, late and of other streams; and what a takeover
  * makes of a copy. */
 #include "util/log.h"
-#include "own/owner.h"
-#include "own/partition.h"
-#include "own/range.h"
+#include "partition/owner.h"
+#include "partition/partition.h"
+#include "partition/range.h"
 #include "replication/stream.h"
 #include "replication/failover.h"
 #include "state/task_ledger.h"
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -1,8 +1,8 @@
 /* Who inherits: generated members and partitions, with some of them gone. */
 #include "util/log.h"
-#include "own/successor.h"
-#include "own/leave.h"
-#include "own/owner.h"
+#include "partition/transfer_target.h"
+#include "partition/shutdown.h"
+#include "partition/owner.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
 #include "state/watch_cache.h"
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -2,7 +2,7 @@
 #include "world.h"
 
 #include "protocol/wire.h"
-#include "own/partition.h"
+#include "partition/partition.h"
 #include "replication/stream.h"
 #include "state/records.h"
 
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -195,7 +195,8 @@
     return true;
 }
 
-/* How the waiting of serve/follow.c ends, and that of the lanes of own/direct.c. */
+/* How the waiting of serve/follow.c ends, and that of the lanes of
+ * partition/worker_client.c. */
 void node_release(struct node *n)
 {
     for (guint i = 0; i < n->waiting->len;) {
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -1,5 +1,5 @@
 /* Troubles that a day's schedule begins, by kind. */
-#include "own/leave.h"
+#include "partition/shutdown.h"
 #include "world.h"
 
 static const char *const names[TROUBLES] = {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -9,7 +9,7 @@
 
 #include "protocol/cbor.h"
 #include "digest/messages.h"
-#include "own/worker.h"
+#include "partition/worker.h"
 #include "state/model.h"
 #include "kv_client/kv_client.h"
 
