--- a/src/cli/controller.c
+++ b/src/cli/controller.c
@@ -1,8 +1,8 @@
 /* lemonspar controller, and lemonspar admin. */
 #include "cli/cli.h"
 #include "config/settings.h"
-#include "serve/admin.h"
-#include "serve/service.h"
+#include "controller/admin_client.h"
+#include "controller/controller.h"
 
 #include <stdio.h>
 
--- a/src/serve/admin.c
+++ b/src/controller/admin_client.c
@@ -1,7 +1,7 @@
 /* The administration client. */
-#include "serve/admin.h"
-#include "serve/dial.h"
-#include "peer_wire.h"
+#include "controller/admin_client.h"
+#include "controller/rpc_client.h"
+#include "controller_rpc.h"
 
 #include <rpc/rpc.h>
 #include <stdbool.h>
--- a/src/serve/service.h
+++ b/src/controller/controller.h
@@ -1,6 +1,6 @@
 /* The whole service: what the program runs. */
-#ifndef LMN_SERVICE_H
-#define LMN_SERVICE_H
+#ifndef LMN_CONTROLLER_CONTROLLER_H
+#define LMN_CONTROLLER_CONTROLLER_H
 
 #include "config/settings.h"
 
--- a/src/serve/server.c
+++ b/src/controller/http_routes.c
@@ -1,13 +1,13 @@
 /* The paths of a controller. */
-#include "serve/server.h"
+#include "controller/http_routes.h"
 #include "http/metrics.h"
 #include "protocol/wire.h"
 #include "admission/worker_hosts.h"
 #include "admission/connection_budget.h"
 #include "partition/worker.h"
-#include "serve/api.h"
-#include "serve/follow.h"
-#include "serve/metrics.h"
+#include "controller/user_api.h"
+#include "controller/replication_thread.h"
+#include "controller/metrics.h"
 
 #include <string.h>
 
--- a/src/serve/server.h
+++ b/src/controller/http_routes.h
@@ -1,6 +1,6 @@
 /* The users' and workers' HTTP interface of a controller. */
-#ifndef LMN_SERVER_H
-#define LMN_SERVER_H
+#ifndef LMN_CONTROLLER_HTTP_ROUTES_H
+#define LMN_CONTROLLER_HTTP_ROUTES_H
 
 #include "http/server.h"
 #include "state/model.h"
--- a/src/serve/members.c
+++ b/src/controller/members_report.c
@@ -1,7 +1,7 @@
-#include "serve/members.h"
+#include "controller/members_report.h"
 #include "protocol/json.h"
 #include "http/metrics.h"
-#include "serve/standbys.h"
+#include "controller/replication_report.h"
 #include "state/core.h"
 
 /* How a member stands. */
--- a/src/serve/members.h
+++ b/src/controller/members_report.h
@@ -1,6 +1,6 @@
 /* What this node thinks of each member, for operators. */
-#ifndef LMN_MEMBERS_H
-#define LMN_MEMBERS_H
+#ifndef LMN_CONTROLLER_MEMBERS_REPORT_H
+#define LMN_CONTROLLER_MEMBERS_REPORT_H
 
 #include "state/model.h"
 
--- a/src/serve/metrics.c
+++ b/src/controller/metrics.c
@@ -1,9 +1,9 @@
-#include "serve/metrics.h"
+#include "controller/metrics.h"
 #include "http/server.h"
 #include "http/metrics.h"
 #include "scheduler/fair_share.h"
-#include "serve/members.h"
-#include "serve/standbys.h"
+#include "controller/members_report.h"
+#include "controller/replication_report.h"
 #include "state/core.h"
 
 struct tasks {
--- a/src/serve/balance.c
+++ b/src/controller/ownership_report.c
@@ -1,4 +1,4 @@
-#include "serve/balance.h"
+#include "controller/ownership_report.h"
 #include "partition/transfer_target.h"
 #include "partition/shutdown.h"
 #include "replication/stream.h"
--- a/src/serve/balance.h
+++ b/src/controller/ownership_report.h
@@ -1,6 +1,6 @@
 /* What is shown of partitions and who holds them. No lock held. */
-#ifndef LMN_BALANCE_H
-#define LMN_BALANCE_H
+#ifndef LMN_CONTROLLER_OWNERSHIP_REPORT_H
+#define LMN_CONTROLLER_OWNERSHIP_REPORT_H
 
 #include "state/model.h"
 
--- a/src/serve/pending.c
+++ b/src/controller/pending_submission.c
@@ -1,4 +1,4 @@
-#include "serve/pending.h"
+#include "controller/pending_submission.h"
 #include "util/log.h"
 #include "util/thread.h"
 
--- a/src/serve/pending.h
+++ b/src/controller/pending_submission.h
@@ -3,10 +3,10 @@
  * confirmed as for any question; if it does not show it, the same transaction is sent
  * once more. It is conditional on the job's absence, so one of the two is carried out at
  * most. */
-#ifndef LMN_PENDING_H
-#define LMN_PENDING_H
+#ifndef LMN_CONTROLLER_PENDING_SUBMISSION_H
+#define LMN_CONTROLLER_PENDING_SUBMISSION_H
 
-#include "serve/replies.h"
+#include "controller/request_decisions.h"
 
 struct lmn_call;
 struct lmn_pending;
--- a/src/serve/ask.c
+++ b/src/controller/probe_client.c
@@ -1,7 +1,7 @@
-#include "serve/ask.h"
+#include "controller/probe_client.h"
 #include "util/log.h"
 #include "util/thread.h"
-#include "serve/dial.h"
+#include "controller/rpc_client.h"
 #include "state/core.h"
 
 #include <rpc/rpc.h>
@@ -28,7 +28,8 @@
     }
     if (odd != c->odd_one)
         lmn_info("odd-one-out odd=%d stale=%.1f alone=%d", odd, stale, !anybody);
-    __atomic_store_n(&c->odd_one, odd, __ATOMIC_RELAXED); /* serve/server.c reads it */
+    __atomic_store_n(&c->odd_one, odd,
+                     __ATOMIC_RELAXED); /* controller/http_routes.c reads it */
     if (!odd || anybody)
         c->isolated = (struct timespec){0, 0};
     else if (!c->isolated.tv_sec)
--- a/src/serve/ask.h
+++ b/src/controller/probe_client.h
@@ -1,10 +1,10 @@
 /* Members ask each other whether they are there, and tell what they know of third ones
  * (membership/probe_schedule.h): the thread that asks, and the answers. */
-#ifndef LMN_ASK_H
-#define LMN_ASK_H
+#ifndef LMN_CONTROLLER_PROBE_CLIENT_H
+#define LMN_CONTROLLER_PROBE_CLIENT_H
 
 #include "state/model.h"
-#include "peer_wire.h"
+#include "controller_rpc.h"
 
 /* What a question or an answer carries, with room for its names. */
 struct lmn_ask_room {
--- a/src/serve/query_queue.c
+++ b/src/controller/read_batch.c
@@ -1,4 +1,4 @@
-#include "serve/query_queue.h"
+#include "controller/read_batch.h"
 #include "util/clock.h"
 
 void lmn_query_queue_init(struct lmn_query_queue *q)
--- a/src/serve/query_queue.h
+++ b/src/controller/read_batch.h
@@ -3,8 +3,8 @@
  * at once, without one. First come, first served, so that no job is passed over. Not
  * locked.
  */
-#ifndef LMN_QUERY_QUEUE_H
-#define LMN_QUERY_QUEUE_H
+#ifndef LMN_CONTROLLER_READ_BATCH_H
+#define LMN_CONTROLLER_READ_BATCH_H
 
 #include "job/job_spec.h"
 
--- a/src/serve/standbys.c
+++ b/src/controller/replication_report.c
@@ -1,4 +1,4 @@
-#include "serve/standbys.h"
+#include "controller/replication_report.h"
 #include "http/metrics.h"
 #include "replication/stream.h"
 
--- a/src/serve/standbys.h
+++ b/src/controller/replication_report.h
@@ -1,7 +1,7 @@
 /* What is shown of standbys: in the status, the members' list and the metrics. The core's
  * lock is held. */
-#ifndef LMN_STANDBYS_H
-#define LMN_STANDBYS_H
+#ifndef LMN_CONTROLLER_REPLICATION_REPORT_H
+#define LMN_CONTROLLER_REPLICATION_REPORT_H
 
 #include "state/model.h"
 
--- a/src/serve/follow.c
+++ b/src/controller/replication_thread.c
@@ -1,7 +1,7 @@
-#include "serve/follow.h"
+#include "controller/replication_thread.h"
 #include "util/log.h"
 #include "util/thread.h"
-#include "serve/dial.h"
+#include "controller/rpc_client.h"
 #include "replication/stream.h"
 
 #include <rpc/rpc.h>
--- a/src/serve/follow.h
+++ b/src/controller/replication_thread.h
@@ -1,10 +1,10 @@
 /* Telling standbys, and being told: the threads, and the answers that wait. */
-#ifndef LMN_FOLLOW_H
-#define LMN_FOLLOW_H
+#ifndef LMN_CONTROLLER_REPLICATION_THREAD_H
+#define LMN_CONTROLLER_REPLICATION_THREAD_H
 
 #include "http/server.h"
 #include "partition/worker.h"
-#include "peer_wire.h"
+#include "controller_rpc.h"
 
 /* A thread for each partition, which tells its standby while the partition is ours: one
  * standby that does not answer holds up no other. */
--- a/src/serve/replies.c
+++ b/src/controller/request_decisions.c
@@ -1,4 +1,4 @@
-#include "serve/replies.h"
+#include "controller/request_decisions.h"
 #include "util/log.h"
 #include "protocol/wire.h"
 #include "state/core.h"
--- a/src/serve/replies.h
+++ b/src/controller/request_decisions.h
@@ -7,10 +7,10 @@
  * of the mirror is taken after the request has arrived, a transaction of conditions alone
  * asks the state service whether its revision is still the latest, and what that does not
  * confirm is read. docs/design/failover.md has the argument for each path. */
-#ifndef LMN_REPLIES_H
-#define LMN_REPLIES_H
+#ifndef LMN_CONTROLLER_REQUEST_DECISIONS_H
+#define LMN_CONTROLLER_REQUEST_DECISIONS_H
 
-#include "serve/submission.h"
+#include "controller/submission.h"
 #include "state/model.h"
 
 /* What is to be done about a request. */
--- a/src/serve/dial.c
+++ b/src/controller/rpc_client.c
@@ -1,6 +1,6 @@
-#include "serve/dial.h"
+#include "controller/rpc_client.h"
 #include "config/settings.h"
-#include "peer_wire.h"
+#include "controller_rpc.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/src/serve/dial.h
+++ b/src/controller/rpc_client.h
@@ -1,6 +1,6 @@
 /* Connections to controllers' internal addresses. */
-#ifndef LMN_DIAL_H
-#define LMN_DIAL_H
+#ifndef LMN_CONTROLLER_RPC_CLIENT_H
+#define LMN_CONTROLLER_RPC_CLIENT_H
 
 #include <rpc/rpc.h>
 
--- a/src/serve/peer.c
+++ b/src/controller/rpc_server.c
@@ -1,4 +1,4 @@
-#include "serve/peer.h"
+#include "controller/rpc_server.h"
 #include "util/log.h"
 #include "util/thread.h"
 #include "scheduler/queue.h"
@@ -7,14 +7,14 @@
 #include "partition/range_writer.h"
 #include "partition/quota_transfer.h"
 #include "partition/partition.h"
-#include "serve/ask.h"
-#include "serve/balance.h"
-#include "serve/dial.h"
-#include "serve/follow.h"
-#include "serve/members.h"
-#include "serve/status.h"
+#include "controller/probe_client.h"
+#include "controller/ownership_report.h"
+#include "controller/rpc_client.h"
+#include "controller/replication_thread.h"
+#include "controller/members_report.h"
+#include "controller/status.h"
 #include "state/core.h"
-#include "peer_wire.h"
+#include "controller_rpc.h"
 
 #include <arpa/inet.h>
 #include <math.h>
--- a/src/serve/peer.h
+++ b/src/controller/rpc_server.h
@@ -1,6 +1,6 @@
 /* Between processes: the administration API and what controllers ask of each other. */
-#ifndef LMN_PEER_H
-#define LMN_PEER_H
+#ifndef LMN_CONTROLLER_RPC_SERVER_H
+#define LMN_CONTROLLER_RPC_SERVER_H
 
 #include "state/model.h"
 
--- a/src/serve/status.c
+++ b/src/controller/status.c
@@ -1,8 +1,8 @@
 /* What a controller tells an operator of itself. */
-#include "serve/status.h"
+#include "controller/status.h"
 #include "http/server.h"
 #include "scheduler/fair_share.h"
-#include "serve/standbys.h"
+#include "controller/replication_report.h"
 #include "state/core.h"
 
 static void show_partition(GString *s, const struct lmn_core *c,
--- a/src/serve/status.h
+++ b/src/controller/status.h
@@ -1,6 +1,6 @@
 /* What a controller tells an operator of itself. */
-#ifndef LMN_STATUS_H
-#define LMN_STATUS_H
+#ifndef LMN_CONTROLLER_STATUS_H
+#define LMN_CONTROLLER_STATUS_H
 
 #include "state/model.h"
 
--- a/src/serve/submission.c
+++ b/src/controller/submission.c
@@ -1,4 +1,4 @@
-#include "serve/submission.h"
+#include "controller/submission.h"
 #include "state/core.h"
 #include "state/records.h"
 
--- a/src/serve/submission.h
+++ b/src/controller/submission.h
@@ -1,7 +1,7 @@
 /* A submission: what its body says, and the transaction that accepts it. No threads and
  * no I/O; lmn_submission_txn is to be called with the core's lock. */
-#ifndef LMN_SUBMISSION_H
-#define LMN_SUBMISSION_H
+#ifndef LMN_CONTROLLER_SUBMISSION_H
+#define LMN_CONTROLLER_SUBMISSION_H
 
 #include "state/model.h"
 
--- a/src/serve/api.c
+++ b/src/controller/user_api.c
@@ -1,13 +1,13 @@
 /* Users' requests over HTTP: what is answered is decided in replies.c; here calls are
  * held, confirmations shared, and the state service asked. */
-#include "serve/api.h"
+#include "controller/user_api.h"
 #include "util/in_flight.h"
 #include "util/log.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "serve/query_queue.h"
-#include "serve/pending.h"
-#include "serve/replies.h"
+#include "controller/read_batch.h"
+#include "controller/pending_submission.h"
+#include "controller/request_decisions.h"
 #include "state/core.h"
 
 #include <string.h>
--- a/src/serve/api.h
+++ b/src/controller/user_api.h
@@ -1,7 +1,7 @@
 /* Users' requests: each function answers the call, or holds it and answers later. None is
  * to be called with the core's lock. */
-#ifndef LMN_API_H
-#define LMN_API_H
+#ifndef LMN_CONTROLLER_USER_API_H
+#define LMN_CONTROLLER_USER_API_H
 
 #include "http/server.h"
 #include "state/model.h"
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 /* How long room is kept for a job before another place is looked for; what is kept for
- * another partition is asked for again within 8 s (serve/peer.c). */
+ * another partition is asked for again within 8 s (controller/rpc_server.c). */
 static const double KEPT_S = 60, ASKED_S = 12;
 /* Of a partition's machines, so many run empty at a time: one in twenty, and one at
  * least.
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -256,7 +256,8 @@
     unsigned struck;         /* how often in a row a stream has come to nothing */
     const char *why;         /* the last one did */
     struct timespec began, told, waits, next, written;
-    GQueue waiting; /* struct lmn_waiter: answers that wait (serve/follow.h) */
+    GQueue waiting; /* struct lmn_waiter: answers that wait
+                       (controller/replication_thread.h) */
     struct lmn_stream_counts {
         uint64_t batches, machines, streams, strikes;
     } count;
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -6,7 +6,7 @@
 #include "partition/owner.h"
 #include "partition/worker.h"
 #include "partition/worker_internal.h"
-#include "serve/replies.h"
+#include "controller/request_decisions.h"
 #include "state/watch_cache.h"
 #include "state/records.h"
 #include "kv_client/kv_client.h"
--- a/tests/test_golden_wire.c
+++ b/tests/test_golden_wire.c
@@ -5,7 +5,7 @@
 #include "gateway/link.h"
 
 #include "gateway_wire.h"
-#include "peer_wire.h"
+#include "controller_rpc.h"
 
 /* --- XDR --- */
 
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -4,7 +4,7 @@
 #include "util/thread.h"
 #include "protocol/wire.h"
 #include "partition/owner.h"
-#include "serve/pending.h"
+#include "controller/pending_submission.h"
 #include "state/watch_cache.h"
 #include "state/records.h"
 
--- a/tests/test_query_queue.c
+++ b/tests/test_query_queue.c
@@ -1,6 +1,6 @@
 /* Questions that wait for their confirmation, over generated storms of them. */
 #include "util/clock.h"
-#include "serve/query_queue.h"
+#include "controller/read_batch.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -4,7 +4,7 @@
 #include "scheduler/queue.h"
 #include "partition/range.h"
 #include "state/task_ledger.h"
-#include "peer_wire.h"
+#include "controller_rpc.h"
 
 #include <math.h>
 #include <string.h>
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -1,6 +1,6 @@
 /* What users are told, decided by a node that has just started, one whose view is old,
  * and one that follows: each request against each of them. */
-#include "serve/replies.h"
+#include "controller/request_decisions.h"
 #include "protocol/wire.h"
 #include "state/core.h"
 #include "state/records.h"
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -404,7 +404,8 @@
     return given;
 }
 
-/* A partition that is short of a team's limit asks the others, as serve/peer.c does. */
+/* A partition that is short of a team's limit asks the others, as controller/rpc_server.c
+ * does. */
 static void seek_limits(struct node *n, int part)
 {
     struct lmn_partition *p = &n->core->parts[part];
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -195,7 +195,7 @@
     return true;
 }
 
-/* How the waiting of serve/follow.c ends, and that of the lanes of
+/* How the waiting of controller/replication_thread.c ends, and that of the lanes of
  * partition/worker_client.c. */
 void node_release(struct node *n)
 {
--- a/tests/world/requests.h
+++ b/tests/world/requests.h
@@ -2,7 +2,7 @@
 #ifndef LMN_TESTS_REQUESTS_H
 #define LMN_TESTS_REQUESTS_H
 
-#include "serve/replies.h"
+#include "controller/request_decisions.h"
 #include "world.h"
 
 enum request_kind { STATUS, SUBMISSION, CANCELLATION };
--- a/tests/world/serving.c
+++ b/tests/world/serving.c
@@ -1,9 +1,9 @@
-/* Controllers and their users' requests: what the product's threads of serve/api.c do,
- * with its decisions and its queue of questions. One thread asks the state service, so a
- * slow answer holds up those behind it, and who asks meanwhile shares the next
- * confirmation. */
+/* Controllers and their users' requests: what the product's threads of
+ * controller/user_api.c do, with its decisions and its queue of questions. One thread
+ * asks the state service, so a slow answer holds up those behind it, and who asks
+ * meanwhile shares the next confirmation. */
 #include "requests.h"
-#include "serve/query_queue.h"
+#include "controller/read_batch.h"
 
 #include <string.h>
 
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -1,7 +1,7 @@
 /* Users: they submit, ask, repeat and cancel at all controllers, within milliseconds, and
  * each answer is held to what the state service's record was when its request was sent.
- * What is answered is decided by the product (serve/replies.h). Users have random numbers
- * of their own: days without them keep their histories. */
+ * What is answered is decided by the product (controller/request_decisions.h). Users have
+ * random numbers of their own: days without them keep their histories. */
 #include "requests.h"
 
 #include <string.h>
