--- a/bench/state.c
+++ b/bench/state.c
@@ -18,7 +18,7 @@
 #include "util/process.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "store/db.h"
+#include "kv_store/db.h"
 
 #include <arpa/inet.h>
 #include <curl/curl.h>
--- a/src/cli/state.c
+++ b/src/cli/state.c
@@ -4,8 +4,8 @@
 #include "protocol/json.h"
 #include "util/log.h"
 #include "util/thread.h"
-#include "store/db.h"
-#include "store/store.h"
+#include "kv_store/db.h"
+#include "kv_store/kv_store.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/fleet/static.c
+++ b/src/fleet/static.c
@@ -4,7 +4,7 @@
 #include "http/metrics.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "store/db.h"
+#include "kv_store/db.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/store/db.h
+++ b/src/kv_store/db.h
@@ -9,8 +9,8 @@
  *
  * Threads: a batch belongs to one thread at a time; readers belong to their thread. No
  * locks here. */
-#ifndef LMN_DB_H
-#define LMN_DB_H
+#ifndef LMN_KV_STORE_DB_H
+#define LMN_KV_STORE_DB_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/store/db_format.h
+++ b/src/kv_store/db_format.h
@@ -8,10 +8,10 @@
  *
  * Numbers in keys are big-endian, so that LMDB's order is theirs; others are the
  * machine's: a backup moves between machines of one byte order, a dump between all. */
-#ifndef LMN_DB_FORMAT_H
-#define LMN_DB_FORMAT_H
+#ifndef LMN_KV_STORE_DB_FORMAT_H
+#define LMN_KV_STORE_DB_FORMAT_H
 
-#include "store/db.h"
+#include "kv_store/db.h"
 
 #include <lmdb.h>
 
--- a/src/store/db_care.c
+++ b/src/kv_store/db_maintenance.c
@@ -1,6 +1,6 @@
 /* Care of a database: check, backup, restore. */
-#include "store/db.h"
-#include "store/db_format.h"
+#include "kv_store/db.h"
+#include "kv_store/db_format.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/src/store/db_read.c
+++ b/src/kv_store/db_read.c
@@ -1,6 +1,6 @@
 /* Views of the database. */
-#include "store/db.h"
-#include "store/db_format.h"
+#include "kv_store/db.h"
+#include "kv_store/db_format.h"
 
 #include <string.h>
 
--- a/src/store/db_write.c
+++ b/src/kv_store/db_write.c
@@ -1,5 +1,5 @@
-#include "store/db.h"
-#include "store/db_format.h"
+#include "kv_store/db.h"
+#include "kv_store/db_format.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/src/store/store.h
+++ b/src/kv_store/kv_store.h
@@ -4,8 +4,8 @@
  * writer takes all that waits, applies it, and shares one sync among it (group commit);
  * the watcher answers those who wait for changes. Nothing is answered before its commit.
  */
-#ifndef LMN_STORE_H
-#define LMN_STORE_H
+#ifndef LMN_KV_STORE_KV_STORE_H
+#define LMN_KV_STORE_KV_STORE_H
 
 #include "config/settings.h"
 
--- a/src/store/store_part.h
+++ b/src/kv_store/kv_store_internal.h
@@ -1,12 +1,12 @@
 /* What the state service's files share. */
-#ifndef LMN_STORE_PART_H
-#define LMN_STORE_PART_H
+#ifndef LMN_KV_STORE_KV_STORE_INTERNAL_H
+#define LMN_KV_STORE_KV_STORE_INTERNAL_H
 
 #include "util/token_bucket.h"
 #include "http/server.h"
 #include "util/latency.h"
-#include "store/db.h"
-#include "store/store.h"
+#include "kv_store/db.h"
+#include "kv_store/kv_store.h"
 
 #include <pthread.h>
 
--- a/src/store/service.c
+++ b/src/kv_store/server.c
@@ -1,11 +1,11 @@
-#include "store/store.h"
+#include "kv_store/kv_store.h"
 #include "util/clock.h"
 #include "protocol/cbor.h"
 #include "util/log.h"
 #include "http/metrics.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "store/store_part.h"
+#include "kv_store/kv_store_internal.h"
 
 #include <errno.h>
 #include <signal.h>
--- a/src/store/watch.c
+++ b/src/kv_store/watch.c
@@ -1,5 +1,5 @@
 /* Watches: those who wait cost a record each, and no thread. */
-#include "store/store_part.h"
+#include "kv_store/kv_store_internal.h"
 #include "util/clock.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
--- a/src/store/writer.c
+++ b/src/kv_store/writer.c
@@ -1,5 +1,5 @@
 /* The writer: all that waits shares one sync. And the leases' keeper. */
-#include "store/store_part.h"
+#include "kv_store/kv_store_internal.h"
 #include "util/log.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -1,7 +1,7 @@
 /* The state service's database: what is committed stays, whatever happens to the process,
  * the disk or the file; what is damaged is found. */
-#include "store/db.h"
-#include "store/db_format.h"
+#include "kv_store/db.h"
+#include "kv_store/db_format.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
