--- a/bench/fuzz/frames.c
+++ b/bench/fuzz/frames.c
@@ -1,7 +1,7 @@
 /* libFuzzer: what a peer, a worker or a user may send. The first byte picks the reader.
  */
 #include "job/job_spec.h"
-#include "depot/work.h"
+#include "image_store/work.h"
 #include "gateway/link.h"
 
 #include <stdint.h>
--- a/bench/submit.h
+++ b/bench/submit.h
@@ -4,8 +4,8 @@
 
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "depot/depot.h"
-#include "depot/work.h"
+#include "image_store/image_store.h"
+#include "image_store/work.h"
 
 /* Puts what its tasks run (argv, with env) into the depot, however long that is down; the
  * body of the submission, the caller's. Tasks of a processor each, team t. */
--- a/src/agent/process.c
+++ b/src/agent/process.c
@@ -9,7 +9,7 @@
 #include "util/process.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "depot/depot.h"
+#include "image_store/image_store.h"
 
 #include <curl/curl.h>
 #include <errno.h>
--- a/src/agent/run_part.h
+++ b/src/agent/run_part.h
@@ -8,7 +8,7 @@
 #include "agent/agent.h"
 #include "agent/run.h"
 #include "http/client.h"
-#include "depot/work.h"
+#include "image_store/work.h"
 
 #include <pthread.h>
 
--- a/src/agent/tasks.c
+++ b/src/agent/tasks.c
@@ -5,8 +5,8 @@
 #include "util/log.h"
 #include "util/process.h"
 #include "util/thread.h"
-#include "depot/depot.h"
-#include "depot/image.h"
+#include "image_store/image_store.h"
+#include "image_store/image.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/src/cli/fleet.c
+++ b/src/cli/fleet.c
@@ -6,7 +6,7 @@
 
 #include "util/log.h"
 #include "util/thread.h"
-#include "depot/depot.h"
+#include "image_store/image_store.h"
 #include "emulate/run.h"
 #include "fleet/slot.h"
 
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -8,7 +8,7 @@
 #include "util/thread.h"
 #include "protocol/wire.h"
 #include "cli/users.h"
-#include "depot/image.h"
+#include "image_store/image.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/cli/users.h
+++ b/src/cli/users.h
@@ -3,8 +3,8 @@
 #define LMN_USERS_H
 
 #include "http/client.h"
-#include "depot/depot.h"
-#include "depot/work.h"
+#include "image_store/image_store.h"
+#include "image_store/work.h"
 #include "site/site.h"
 
 struct lmn_users {
--- a/src/emulate/driver.c
+++ b/src/emulate/driver.c
@@ -5,8 +5,8 @@
 #include "http/metrics.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "depot/depot.h"
-#include "depot/work.h"
+#include "image_store/image_store.h"
+#include "image_store/work.h"
 #include "emulate/run.h"
 #include "emulate/worker.h"
 
--- a/src/gateway/feed.c
+++ b/src/gateway/feed.c
@@ -4,8 +4,8 @@
 #include "util/log.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "depot/depot.h"
-#include "depot/work.h"
+#include "image_store/image_store.h"
+#include "image_store/work.h"
 #include "gateway/gateway_part.h"
 
 #include <stdlib.h>
--- a/src/gateway/front.c
+++ b/src/gateway/front.c
@@ -6,7 +6,7 @@
 #include "http/metrics.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "depot/depot.h"
+#include "image_store/image_store.h"
 #include "gateway/gateway_part.h"
 
 #include <string.h>
--- a/src/gateway/host.c
+++ b/src/gateway/host.c
@@ -4,7 +4,7 @@
 #include "protocol/cbor.h"
 #include "util/log.h"
 #include "util/thread.h"
-#include "depot/depot.h"
+#include "image_store/image_store.h"
 #include "gateway/route.h"
 #include "gateway/sync_part.h"
 
--- a/src/depot/client.c
+++ b/src/image_store/client.c
@@ -1,4 +1,4 @@
-#include "depot/depot.h"
+#include "image_store/image_store.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/depot/image.c
+++ b/src/image_store/image.c
@@ -1,4 +1,4 @@
-#include "depot/image.h"
+#include "image_store/image.h"
 #include "util/clock.h"
 #include "util/process.h"
 #include "util/thread.h"
--- a/src/depot/image.h
+++ b/src/image_store/image.h
@@ -1,8 +1,8 @@
 /* Images: directories, as lists of files whose pieces are blobs. */
-#ifndef LMN_IMAGE_H
-#define LMN_IMAGE_H
+#ifndef LMN_IMAGE_STORE_IMAGE_H
+#define LMN_IMAGE_STORE_IMAGE_H
 
-#include "depot/depot.h"
+#include "image_store/image_store.h"
 
 #include <stdbool.h>
 
--- a/src/depot/depot.h
+++ b/src/image_store/image_store.h
@@ -10,8 +10,8 @@
  *   PUT /logs/JOB/NAME        output of an attempt, replaced as it grows
  *   GET /logs/JOB/NAME, GET /logs/JOB
  */
-#ifndef LMN_DEPOT_H
-#define LMN_DEPOT_H
+#ifndef LMN_IMAGE_STORE_IMAGE_STORE_H
+#define LMN_IMAGE_STORE_IMAGE_STORE_H
 
 #include "http/client.h"
 #include "http/server.h"
--- a/src/depot/work.c
+++ b/src/image_store/work.c
@@ -1,4 +1,4 @@
-#include "depot/work.h"
+#include "image_store/work.h"
 
 #include <string.h>
 
--- a/src/depot/work.h
+++ b/src/image_store/work.h
@@ -1,6 +1,6 @@
 /* What a job's tasks run: uploaded by the submitter, fetched by each worker itself. */
-#ifndef LMN_WORK_H
-#define LMN_WORK_H
+#ifndef LMN_IMAGE_STORE_WORK_H
+#define LMN_IMAGE_STORE_WORK_H
 
 #include "job/job_spec.h"
 
