--- a/src/emulate/run.h
+++ b/src/emulate/run.h
@@ -3,7 +3,7 @@
 #ifndef LMN_EMU_RUN_H
 #define LMN_EMU_RUN_H
 
-#include "agent/run.h"
+#include "worker/worker.h"
 #include "emulate/cloud.h"
 
 struct lmn_conf;
--- a/src/emulate/worker.h
+++ b/src/emulate/worker.h
@@ -4,7 +4,7 @@
 #ifndef LMN_EMU_WORKER_H
 #define LMN_EMU_WORKER_H
 
-#include "agent/agent.h"
+#include "worker/agent.h"
 #include "emulate/knobs.h"
 #include "emulate/ledger.h"
 
--- a/src/fleet/local.c
+++ b/src/fleet/local.c
@@ -1,5 +1,5 @@
 #include "fleet/local.h"
-#include "agent/keeper.h"
+#include "worker/executor.h"
 #include "util/clock.h"
 #include "config/config.h"
 #include "util/log.h"
--- a/src/fleet/local.h
+++ b/src/fleet/local.h
@@ -3,7 +3,7 @@
 #ifndef LMN_LOCAL_H
 #define LMN_LOCAL_H
 
-#include "agent/run.h"
+#include "worker/worker.h"
 
 /* The settings that all agents of a host share. */
 struct lmn_local_options {
--- a/src/site/supervise.c
+++ b/src/site/supervise.c
@@ -2,7 +2,7 @@
  * runs: the supervisor opens and locks it, and the process inherits the open file. So
  * whether a process runs is never a matter of numbers, and a supervisor that was killed
  * leaves nothing that its successor could start twice. */
-#include "agent/keeper.h"
+#include "worker/executor.h"
 #include "util/clock.h"
 #include "util/log.h"
 #include "util/process.h"
--- a/src/agent/agent.c
+++ b/src/worker/agent.c
@@ -1,4 +1,4 @@
-#include "agent/agent.h"
+#include "worker/agent.h"
 #include "util/clock.h"
 #include "util/log.h"
 #include "protocol/wire.h"
--- a/src/agent/agent.h
+++ b/src/worker/agent.h
@@ -1,12 +1,12 @@
 /* One machine's side of the workers' protocol, as a state machine: reports, sessions,
  * tokens, leases, commands. No threads, no I/O: what has to happen to processes and
  * images it asks of its ops, and hears what came of it. The agent of a real machine
- * (agent/run.c) stands on it, and so does each emulated one.
+ * (worker/worker.c) stands on it, and so does each emulated one.
  *
  * Times are of the caller's clock, which must go on while the machine sleeps. The caller
  * serializes all calls; ops are called within them and must only take notes. */
-#ifndef LMN_AGENT_H
-#define LMN_AGENT_H
+#ifndef LMN_WORKER_AGENT_H
+#define LMN_WORKER_AGENT_H
 
 #include "protocol/cbor.h"
 #include "job/job_spec.h"
--- a/src/agent/keeper.c
+++ b/src/worker/executor.c
@@ -1,4 +1,4 @@
-#include "agent/keeper.h"
+#include "worker/executor.h"
 #include "util/clock.h"
 #include "util/log.h"
 #include "util/process.h"
--- a/src/agent/keeper.h
+++ b/src/worker/executor.h
@@ -9,8 +9,8 @@
  * lmn_keeper_start's next call finds them.
  *
  * They talk CBOR over a socket pair, a message a packet. */
-#ifndef LMN_KEEPER_H
-#define LMN_KEEPER_H
+#ifndef LMN_WORKER_EXECUTOR_H
+#define LMN_WORKER_EXECUTOR_H
 
 #include "protocol/cbor.h"
 
--- a/src/agent/keeper_msg.c
+++ b/src/worker/executor_message.c
@@ -1,5 +1,5 @@
 /* The keeper's messages, as the agent writes and reads them. */
-#include "agent/keeper.h"
+#include "worker/executor.h"
 
 #include <string.h>
 
--- a/src/agent/tasks.c
+++ b/src/worker/task_runner.c
@@ -1,6 +1,6 @@
 /* A real machine's tasks: their descriptions, images, results and output. */
-#include "agent/keeper.h"
-#include "agent/run_part.h"
+#include "worker/executor.h"
+#include "worker/worker_internal.h"
 #include "util/clock.h"
 #include "util/log.h"
 #include "util/process.h"
--- a/src/agent/run.h
+++ b/src/worker/worker.h
@@ -1,7 +1,7 @@
-/* The agent of a real machine: the state machine of agent/agent.h over processes, images
+/* The agent of a real machine: the state machine of worker/agent.h over processes, images
  * and the network. */
-#ifndef LMN_RUN_H
-#define LMN_RUN_H
+#ifndef LMN_WORKER_WORKER_H
+#define LMN_WORKER_WORKER_H
 
 #include "job/job_spec.h"
 #include "config/settings.h"
--- a/src/agent/run_part.h
+++ b/src/worker/worker_internal.h
@@ -2,11 +2,11 @@
  * machine and all queues; ops run under it and only queue. lmn_run_unlock ends a use of
  * it: what can be told at once is, then the lock is released, and what goes to the keeper
  * is sent in order. */
-#ifndef LMN_RUN_PART_H
-#define LMN_RUN_PART_H
+#ifndef LMN_WORKER_WORKER_INTERNAL_H
+#define LMN_WORKER_WORKER_INTERNAL_H
 
-#include "agent/agent.h"
-#include "agent/run.h"
+#include "worker/agent.h"
+#include "worker/worker.h"
 #include "http/client.h"
 #include "image_store/work.h"
 
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -1,7 +1,7 @@
 /* The worker's side of the protocol, under generated histories: commands come doubled,
  * late, with old tokens, for old sessions; processes and images end whenever they like;
  * answers are lost. */
-#include "agent/agent.h"
+#include "worker/agent.h"
 #include "util/clock.h"
 #include "protocol/wire.h"
 
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -3,7 +3,7 @@
  *
  * The static fleet starts "this program worker --config FILE": main() plays that worker,
  * which holds the agent's lock and has a child that carries the machine's mark. */
-#include "agent/keeper.h"
+#include "worker/executor.h"
 #include "util/clock.h"
 #include "util/process.h"
 #include "util/thread.h"
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -1,8 +1,8 @@
 /* What workers, users and keepers are told, and what workers say, keeps its bytes. */
 #include "golden.h"
 
-#include "agent/agent.h"
-#include "agent/keeper.h"
+#include "worker/agent.h"
+#include "worker/executor.h"
 #include "partition/owner.h"
 #include "partition/worker.h"
 #include "partition/worker_internal.h"
--- a/tests/test_keeper.c
+++ b/tests/test_keeper.c
@@ -1,6 +1,6 @@
 /* The keeper, with real processes: whatever tasks do, nothing of them outlives their end,
  * the lease, the agent, or (by the next start) the keeper itself. */
-#include "agent/keeper.h"
+#include "worker/executor.h"
 #include "util/clock.h"
 #include "util/process.h"
 #include "util/thread.h"
