--- a/src/cli/fleet.c
+++ b/src/cli/fleet.c
@@ -8,9 +8,9 @@
 #include "util/thread.h"
 #include "image_store/image_store.h"
 #include "emulate/run.h"
-#include "fleet/slot.h"
+#include "machine_provider/slot.h"
 
-#include "fleet/static.h"
+#include "machine_provider/static_provider.h"
 
 #include <curl/curl.h>
 #include <errno.h>
--- a/src/emulate/cloud.h
+++ b/src/emulate/cloud.h
@@ -5,7 +5,7 @@
 #define LMN_EMU_CLOUD_H
 
 #include "emulate/knobs.h"
-#include "fleet/cloud.h"
+#include "machine_provider/cloud_api.h"
 #include "inventory/inventory.h"
 
 struct lmn_emu_machine {
--- a/src/fleet/cloud.h
+++ b/src/machine_provider/cloud_api.h
@@ -1,7 +1,7 @@
 /* The cloud's side of the published protocol, over whatever rents out machines: a static
- * fleet (fleet/static.h) or an emulated one (emulate/cloud.h). */
-#ifndef LMN_FLEET_CLOUD_H
-#define LMN_FLEET_CLOUD_H
+ * fleet (machine_provider/static_provider.h) or an emulated one (emulate/cloud.h). */
+#ifndef LMN_MACHINE_PROVIDER_CLOUD_API_H
+#define LMN_MACHINE_PROVIDER_CLOUD_API_H
 
 #include "http/server.h"
 #include "job/job_spec.h"
--- a/src/fleet/local.c
+++ b/src/machine_provider/local_agents.c
@@ -1,4 +1,4 @@
-#include "fleet/local.h"
+#include "machine_provider/local_agents.h"
 #include "worker/executor.h"
 #include "util/clock.h"
 #include "config/config.h"
--- a/src/fleet/local.h
+++ b/src/machine_provider/local_agents.h
@@ -1,7 +1,7 @@
 /* Machines that are agents on this host: each a process of its own, with a directory of
  * its own. */
-#ifndef LMN_LOCAL_H
-#define LMN_LOCAL_H
+#ifndef LMN_MACHINE_PROVIDER_LOCAL_AGENTS_H
+#define LMN_MACHINE_PROVIDER_LOCAL_AGENTS_H
 
 #include "worker/worker.h"
 
--- a/src/fleet/serve.c
+++ b/src/machine_provider/server.c
@@ -3,7 +3,7 @@
 #include "http/metrics.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "fleet/cloud.h"
+#include "machine_provider/cloud_api.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/fleet/slot.c
+++ b/src/machine_provider/slot.c
@@ -1,4 +1,4 @@
-#include "fleet/slot.h"
+#include "machine_provider/slot.h"
 #include "util/clock.h"
 #include "config/config.h"
 #include "http/client.h"
--- a/src/fleet/slot.h
+++ b/src/machine_provider/slot.h
@@ -1,10 +1,10 @@
 /* A slot: a machine of the inventory that its operator starts. It asks the fleet again
  * and again what it should be, runs an agent under the name that it is given, and ends it
  * when the name is taken back: each rental is a new machine to the controllers. */
-#ifndef LMN_SLOT_H
-#define LMN_SLOT_H
+#ifndef LMN_MACHINE_PROVIDER_SLOT_H
+#define LMN_MACHINE_PROVIDER_SLOT_H
 
-#include "fleet/local.h"
+#include "machine_provider/local_agents.h"
 
 struct lmn_slot_options {
     char name[LMN_NAME], fleet[LMN_ADDR];
--- a/src/fleet/static.c
+++ b/src/machine_provider/static_provider.c
@@ -1,4 +1,4 @@
-#include "fleet/static.h"
+#include "machine_provider/static_provider.h"
 #include "util/clock.h"
 #include "util/log.h"
 #include "http/metrics.h"
--- a/src/fleet/static.h
+++ b/src/machine_provider/static_provider.h
@@ -1,11 +1,11 @@
 /* A static fleet: the inventory's machines, as agents on this host (pools) and as slots
  * that operators start elsewhere. What is rented is kept in a database, so that a
  * reservation means the same after a restart. */
-#ifndef LMN_STATIC_H
-#define LMN_STATIC_H
+#ifndef LMN_MACHINE_PROVIDER_STATIC_PROVIDER_H
+#define LMN_MACHINE_PROVIDER_STATIC_PROVIDER_H
 
-#include "fleet/cloud.h"
-#include "fleet/local.h"
+#include "machine_provider/cloud_api.h"
+#include "machine_provider/local_agents.h"
 #include "inventory/inventory.h"
 
 struct lmn_static;
--- a/src/site/supervise.c
+++ b/src/site/supervise.c
@@ -7,7 +7,7 @@
 #include "util/log.h"
 #include "util/process.h"
 #include "util/thread.h"
-#include "fleet/local.h"
+#include "machine_provider/local_agents.h"
 #include "site/site.h"
 
 #include <errno.h>
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -11,8 +11,8 @@
 #include "image_store/image.h"
 #include "image_store/work.h"
 #include "emulate/cloud.h"
-#include "fleet/slot.h"
-#include "fleet/static.h"
+#include "machine_provider/slot.h"
+#include "machine_provider/static_provider.h"
 #include "site/site.h"
 
 #include <setjmp.h>
