--- a/src/cli/fleet.c
+++ b/src/cli/fleet.c
@@ -7,7 +7,7 @@
 #include "util/log.h"
 #include "util/thread.h"
 #include "image_store/image_store.h"
-#include "emulate/run.h"
+#include "emulator/emulator.h"
 #include "machine_provider/slot.h"
 
 #include "machine_provider/static_provider.h"
--- a/src/emulate/cloud.c
+++ b/src/emulator/cloud.c
@@ -1,4 +1,4 @@
-#include "emulate/cloud.h"
+#include "emulator/cloud.h"
 #include "protocol/wire.h"
 
 #include <math.h>
--- a/src/emulate/cloud.h
+++ b/src/emulator/cloud.h
@@ -1,10 +1,10 @@
 /* An emulated cloud: which machines there are, when they come up, what a list says of
  * them, what is refused, taken, or dies. A model without threads or I/O; times are the
  * caller's steady seconds. */
-#ifndef LMN_EMU_CLOUD_H
-#define LMN_EMU_CLOUD_H
+#ifndef LMN_EMULATOR_CLOUD_H
+#define LMN_EMULATOR_CLOUD_H
 
-#include "emulate/knobs.h"
+#include "emulator/knobs.h"
 #include "machine_provider/cloud_api.h"
 #include "inventory/inventory.h"
 
--- a/src/emulate/driver.c
+++ b/src/emulator/driver.c
@@ -7,8 +7,8 @@
 #include "protocol/wire.h"
 #include "image_store/image_store.h"
 #include "image_store/work.h"
-#include "emulate/run.h"
-#include "emulate/worker.h"
+#include "emulator/emulator.h"
+#include "emulator/worker.h"
 
 #include <arpa/inet.h>
 #include <curl/curl.h>
--- a/src/emulate/run.h
+++ b/src/emulator/emulator.h
@@ -1,10 +1,10 @@
 /* An emulated fleet in one process: the cloud and thousands of workers that really speak
  * to a site's controllers, over sockets of their own. */
-#ifndef LMN_EMU_RUN_H
-#define LMN_EMU_RUN_H
+#ifndef LMN_EMULATOR_EMULATOR_H
+#define LMN_EMULATOR_EMULATOR_H
 
 #include "worker/worker.h"
-#include "emulate/cloud.h"
+#include "emulator/cloud.h"
 
 struct lmn_conf;
 struct lmn_emulation;
--- a/src/emulate/knobs.c
+++ b/src/emulator/knobs.c
@@ -1,4 +1,4 @@
-#include "emulate/knobs.h"
+#include "emulator/knobs.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/emulate/knobs.h
+++ b/src/emulator/knobs.h
@@ -1,7 +1,7 @@
 /* What can be wrong in an emulated fleet: each knob has a name, and is set in a file, by
  * a script of troubles at set times, or while it runs. */
-#ifndef LMN_KNOBS_H
-#define LMN_KNOBS_H
+#ifndef LMN_EMULATOR_KNOBS_H
+#define LMN_EMULATOR_KNOBS_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/emulate/ledger.c
+++ b/src/emulator/ledger.c
@@ -1,4 +1,4 @@
-#include "emulate/ledger.h"
+#include "emulator/ledger.h"
 
 void lmn_emu_ledger_init(struct lmn_emu_ledger *l)
 {
--- a/src/emulate/ledger.h
+++ b/src/emulator/ledger.h
@@ -1,7 +1,7 @@
 /* What runs where in an emulated fleet: the truth that no controller knows, to hold its
  * rules against. The caller serializes. */
-#ifndef LMN_EMU_LEDGER_H
-#define LMN_EMU_LEDGER_H
+#ifndef LMN_EMULATOR_LEDGER_H
+#define LMN_EMULATOR_LEDGER_H
 
 #include <glib.h>
 #include <stdint.h>
--- a/src/emulate/worker.c
+++ b/src/emulator/worker.c
@@ -1,4 +1,4 @@
-#include "emulate/worker.h"
+#include "emulator/worker.h"
 #include "util/clock.h"
 
 #include <gsl/gsl_cdf.h>
--- a/src/emulate/worker.h
+++ b/src/emulator/worker.h
@@ -1,12 +1,12 @@
 /* An emulated machine's worker: the agent's own state machine, with timers for what a
  * real one does with processes and images. No threads, no I/O, any clock; the caller
  * serializes. */
-#ifndef LMN_EMU_WORKER_H
-#define LMN_EMU_WORKER_H
+#ifndef LMN_EMULATOR_WORKER_H
+#define LMN_EMULATOR_WORKER_H
 
 #include "worker/agent.h"
-#include "emulate/knobs.h"
-#include "emulate/ledger.h"
+#include "emulator/knobs.h"
+#include "emulator/ledger.h"
 
 struct lmn_emu_worker {
     struct lmn_agent agent;
--- a/src/machine_provider/cloud_api.h
+++ b/src/machine_provider/cloud_api.h
@@ -1,5 +1,5 @@
 /* The cloud's side of the published protocol, over whatever rents out machines: a static
- * fleet (machine_provider/static_provider.h) or an emulated one (emulate/cloud.h). */
+ * fleet (machine_provider/static_provider.h) or an emulated one (emulator/cloud.h). */
 #ifndef LMN_MACHINE_PROVIDER_CLOUD_API_H
 #define LMN_MACHINE_PROVIDER_CLOUD_API_H
 
--- a/src/site/config.c
+++ b/src/site/config.c
@@ -1,6 +1,6 @@
 #include "config/config.h"
 #include "util/process.h"
-#include "emulate/run.h"
+#include "emulator/emulator.h"
 #include "inventory/inventory.h"
 
 #include "site/site.h"
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -10,7 +10,7 @@
 #include "protocol/wire.h"
 #include "image_store/image.h"
 #include "image_store/work.h"
-#include "emulate/cloud.h"
+#include "emulator/cloud.h"
 #include "machine_provider/slot.h"
 #include "machine_provider/static_provider.h"
 #include "site/site.h"
