--- a/bench/noise.c
+++ b/bench/noise.c
@@ -3,7 +3,7 @@
  * accrual detector alone, at growing thresholds). Simulated time, no site.
  *
  *   bench_noise MEMBERS SECONDS */
-#include "sim/group.h"
+#include "simulation/controller_group.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/sim/group.c
+++ b/src/simulation/controller_group.c
@@ -1,4 +1,4 @@
-#include "sim/group.h"
+#include "simulation/controller_group.h"
 #include "membership/membership.h"
 
 #include <string.h>
--- a/src/sim/group.h
+++ b/src/simulation/controller_group.h
@@ -4,8 +4,8 @@
  * that had not failed.
  *
  * No threads, no I/O; the same options give the same result. */
-#ifndef LMN_SIM_GROUP_H
-#define LMN_SIM_GROUP_H
+#ifndef LMN_SIMULATION_CONTROLLER_GROUP_H
+#define LMN_SIMULATION_CONTROLLER_GROUP_H
 
 #include <stdint.h>
 
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -1,7 +1,7 @@
 /* Members: what each function concludes from generated observations, and groups of them
  * in simulated time, under noise and failures. */
 #include "membership/membership.h"
-#include "sim/group.h"
+#include "simulation/controller_group.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
