--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -10,7 +10,7 @@
 #include "util/process.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
-#include "gateway/book.h"
+#include "gateway/records.h"
 #include "gateway/keys.h"
 
 #include <curl/curl.h>
--- a/bench/fuzz/frames.c
+++ b/bench/fuzz/frames.c
@@ -2,7 +2,7 @@
  */
 #include "job/job_spec.h"
 #include "image_store/work.h"
-#include "gateway/link.h"
+#include "gateway/peer_connection.h"
 
 #include <stdint.h>
 #include <stddef.h>
--- a/src/gateway/feed.c
+++ b/src/gateway/cluster_client.c
@@ -6,7 +6,7 @@
 #include "protocol/wire.h"
 #include "image_store/image_store.h"
 #include "image_store/work.h"
-#include "gateway/gateway_part.h"
+#include "gateway/gateway_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/gateway/host.c
+++ b/src/gateway/execution.c
@@ -6,7 +6,7 @@
 #include "util/thread.h"
 #include "image_store/image_store.h"
 #include "gateway/route.h"
-#include "gateway/sync_part.h"
+#include "gateway/sync_internal.h"
 
 #include <string.h>
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -5,7 +5,7 @@
 #ifndef LMN_GATEWAY_H
 #define LMN_GATEWAY_H
 
-#include "gateway/link.h"
+#include "gateway/peer_connection.h"
 
 enum { LMN_G_CONTROLLERS = LMN_MAX_MEMBERS + 1, LMN_G_GATEWAYS = 4 };
 
--- a/src/gateway/gateway_part.h
+++ b/src/gateway/gateway_internal.h
@@ -1,10 +1,10 @@
 /* What the files of a gateway share. */
-#ifndef LMN_GATEWAY_PART_H
-#define LMN_GATEWAY_PART_H
+#ifndef LMN_GATEWAY_GATEWAY_INTERNAL_H
+#define LMN_GATEWAY_GATEWAY_INTERNAL_H
 
 #include "util/token_bucket.h"
 #include "http/server.h"
-#include "gateway/book.h"
+#include "gateway/records.h"
 #include "gateway/gateway.h"
 
 /* A peer as this site's gateway sees it. */
--- a/src/gateway/process.c
+++ b/src/gateway/gateway_process.c
@@ -2,7 +2,7 @@
 #include "config/config.h"
 #include "util/log.h"
 #include "util/thread.h"
-#include "gateway/gateway_part.h"
+#include "gateway/gateway_internal.h"
 
 #include <curl/curl.h>
 #include <signal.h>
--- a/src/gateway/hand.c
+++ b/src/gateway/handover.c
@@ -1,4 +1,4 @@
-#include "gateway/hand.h"
+#include "gateway/handover.h"
 
 #include <glib.h>
 #include <string.h>
--- a/src/gateway/hand.h
+++ b/src/gateway/handover.h
@@ -12,8 +12,8 @@
  * changes a record says so: it has to be written, conditionally, before anything that
  * follows from it leaves the process. The explorer in tests/test_hand.c plays every order
  * of loss, doubling, crash and restore over them. */
-#ifndef LMN_HAND_H
-#define LMN_HAND_H
+#ifndef LMN_GATEWAY_HANDOVER_H
+#define LMN_GATEWAY_HANDOVER_H
 
 #include "config/settings.h"
 
--- a/src/gateway/front.c
+++ b/src/gateway/http_api.c
@@ -7,7 +7,7 @@
 #include "util/thread.h"
 #include "protocol/wire.h"
 #include "image_store/image_store.h"
-#include "gateway/gateway_part.h"
+#include "gateway/gateway_internal.h"
 
 #include <string.h>
 
--- a/src/gateway/link.c
+++ b/src/gateway/peer_connection.c
@@ -1,4 +1,4 @@
-#include "gateway/link.h"
+#include "gateway/peer_connection.h"
 #include "util/clock.h"
 #include "util/log.h"
 
--- a/src/gateway/link.h
+++ b/src/gateway/peer_connection.h
@@ -1,12 +1,12 @@
 /* A link between two sites: TLS 1.3 with both sides authenticated, and framed messages
  * over it. Blocking; a link belongs to one thread. */
-#ifndef LMN_LINK_H
-#define LMN_LINK_H
+#ifndef LMN_GATEWAY_PEER_CONNECTION_H
+#define LMN_GATEWAY_PEER_CONNECTION_H
 
 #include "config/settings.h"
 #include "gateway/keys.h"
 
-#include "gateway_wire.h"
+#include "gateway_rpc.h"
 
 #include <pthread.h>
 
--- a/src/gateway/book.c
+++ b/src/gateway/records.c
@@ -1,4 +1,4 @@
-#include "gateway/book.h"
+#include "gateway/records.h"
 #include "util/clock.h"
 #include "util/log.h"
 #include "util/thread.h"
--- a/src/gateway/book.h
+++ b/src/gateway/records.h
@@ -9,12 +9,12 @@
  * A record is changed by one thread at a time: taken (busy), a copy changed by a
  * transition of hand.h, written, and only then put in the place of the old. Locking:
  * b->lock guards all below it, and is never held while something is written. */
-#ifndef LMN_BOOK_H
-#define LMN_BOOK_H
+#ifndef LMN_GATEWAY_RECORDS_H
+#define LMN_GATEWAY_RECORDS_H
 
 #include "http/client.h"
 #include "job/job_spec.h"
-#include "gateway/hand.h"
+#include "gateway/handover.h"
 
 #include <pthread.h>
 
--- a/src/gateway/sync.c
+++ b/src/gateway/sync.c
@@ -1,4 +1,4 @@
-#include "gateway/sync_part.h"
+#include "gateway/sync_internal.h"
 #include "util/clock.h"
 #include "util/log.h"
 
--- a/src/gateway/sync_part.h
+++ b/src/gateway/sync_internal.h
@@ -1,9 +1,9 @@
 /* What both ends of a link share: host.c, which asks, and home.c, which answers. */
-#ifndef LMN_SYNC_PART_H
-#define LMN_SYNC_PART_H
+#ifndef LMN_GATEWAY_SYNC_INTERNAL_H
+#define LMN_GATEWAY_SYNC_INTERNAL_H
 
-#include "gateway/gateway_part.h"
-#include "gateway/link.h"
+#include "gateway/gateway_internal.h"
+#include "gateway/peer_connection.h"
 
 /* A message takes no longer, seconds. */
 #define LMN_LINK_S 5.0
--- a/tests/test_golden_wire.c
+++ b/tests/test_golden_wire.c
@@ -2,9 +2,9 @@
  * are checked, and what was read is written again to the same bytes. */
 #include "golden.h"
 
-#include "gateway/link.h"
+#include "gateway/peer_connection.h"
 
-#include "gateway_wire.h"
+#include "gateway_rpc.h"
 #include "controller_rpc.h"
 
 /* --- XDR --- */
--- a/tests/test_hand.c
+++ b/tests/test_hand.c
@@ -7,7 +7,7 @@
  * A crash loses nothing but messages, since both records are written before anything is
  * sent: it is covered by loss. Messages in flight are a set, each of which can be
  * delivered any number of times. */
-#include "gateway/hand.h"
+#include "gateway/handover.h"
 
 #include <glib.h>
 #include <setjmp.h>
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -1,7 +1,7 @@
 /* Links between sites: who gets in and who does not, and frames that a hostile peer may
  * send. */
 #include "util/process.h"
-#include "gateway/link.h"
+#include "gateway/peer_connection.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
