--- a/src/controller/admin_client.c
+++ b/src/controller/admin_client.c
@@ -17,9 +17,9 @@
 
 static int show_reply(CLIENT *cl, rpcproc_t proc, xdrproc_t xargs, void *args)
 {
-    struct lmn_reply r = {0};
+    struct lmn_rpc_reply r = {0};
 
-    if (clnt_call(cl, proc, xargs, args, (xdrproc_t)xdr_lmn_reply, (char *)&r,
+    if (clnt_call(cl, proc, xargs, args, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r,
                   patience) != RPC_SUCCESS) {
         fprintf(stderr, "lemonspar: %s\n", clnt_sperror(cl, "no answer"));
         return 1;
@@ -31,10 +31,10 @@
 
 static int show_tuning(CLIENT *cl)
 {
-    struct lmn_tuning_list l = {{0, NULL}};
+    struct lmn_rpc_settings l = {{0, NULL}};
 
-    if (clnt_call(cl, LMN_TUNING_GET, nothing, NULL, (xdrproc_t)xdr_lmn_tuning_list,
-                  (char *)&l, patience) != RPC_SUCCESS) {
+    if (clnt_call(cl, LMN_RPC_SETTINGS_GET, nothing, NULL,
+                  (xdrproc_t)xdr_lmn_rpc_settings, (char *)&l, patience) != RPC_SUCCESS) {
         fprintf(stderr, "lemonspar: %s\n", clnt_sperror(cl, "no answer"));
         return 1;
     }
@@ -57,9 +57,9 @@
     char last[256] = "";
 
     for (int i = 0; i < 100 && *cl; i++) {
-        struct lmn_reply r = {0};
-        if (clnt_call(*cl, LMN_LEAVE, (xdrproc_t)xdr_u_int, (char *)&yes,
-                      (xdrproc_t)xdr_lmn_reply, (char *)&r, patience) != RPC_SUCCESS)
+        struct lmn_rpc_reply r = {0};
+        if (clnt_call(*cl, LMN_RPC_SHUTDOWN, (xdrproc_t)xdr_u_int, (char *)&yes,
+                      (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r, patience) != RPC_SUCCESS)
             break;
         /* The seconds change all the time. */
         const char *what = strstr(r.text, ": ");
@@ -68,7 +68,7 @@
             printf("%s", r.text);
         snprintf(last, sizeof last, "%.*s", (int)len, what ? what : "");
         fflush(stdout);
-        xdr_free((xdrproc_t)xdr_lmn_reply, (char *)&r);
+        xdr_free((xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         usleep(150000);
     }
     clnt_destroy(*cl);
@@ -107,25 +107,25 @@
         return 1;
     }
     if (!strcmp(argv[0], "status"))
-        rc = show_reply(cl, LMN_STATUS, nothing, NULL);
+        rc = show_reply(cl, LMN_RPC_STATUS, nothing, NULL);
     else if (!strcmp(argv[0], "members")) {
         u_int json = argc > 1;
-        rc = show_reply(cl, LMN_MEMBERS, (xdrproc_t)xdr_u_int, &json);
+        rc = show_reply(cl, LMN_RPC_MEMBERS, (xdrproc_t)xdr_u_int, &json);
     } else if (!strcmp(argv[0], "get"))
         rc = show_tuning(cl);
     else if (!strcmp(argv[0], "balance"))
-        rc = show_reply(cl, LMN_BALANCE, nothing, NULL);
+        rc = show_reply(cl, LMN_RPC_OWNERSHIP, nothing, NULL);
     else if (!strcmp(argv[0], "join")) {
         u_int no = 0;
-        rc = show_reply(cl, LMN_LEAVE, (xdrproc_t)xdr_u_int, &no);
+        rc = show_reply(cl, LMN_RPC_SHUTDOWN, (xdrproc_t)xdr_u_int, &no);
     } else if (!strcmp(argv[0], "leave"))
         rc = leave(addr, &cl);
     else if (!strcmp(argv[0], "set")) {
-        struct lmn_set_request q = {argv[1], value};
-        rc = show_reply(cl, LMN_TUNING_SET, (xdrproc_t)xdr_lmn_set_request, &q);
+        struct lmn_rpc_set_request q = {argv[1], value};
+        rc = show_reply(cl, LMN_RPC_SETTINGS_SET, (xdrproc_t)xdr_lmn_rpc_set_request, &q);
     } else {
-        struct lmn_machine_request q = {argv[1]};
-        rc = show_reply(cl, LMN_DRAIN, (xdrproc_t)xdr_lmn_machine_request, &q);
+        struct lmn_rpc_machine_request q = {argv[1]};
+        rc = show_reply(cl, LMN_RPC_DRAIN, (xdrproc_t)xdr_lmn_rpc_machine_request, &q);
     }
     if (cl)
         clnt_destroy(cl);
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -36,14 +36,14 @@
         c->isolated = now;
 }
 
-static lmn_xword own_word(const struct lmn_core *c, struct timespec now)
+static lmn_rpc_health own_word(const struct lmn_core *c, struct timespec now)
 {
     const struct lmn_word *w = &c->members.word;
 
-    return (lmn_xword){w->behind_s, MIN(lmn_staleness(c, now), 1e6), w->deaf};
+    return (lmn_rpc_health){w->behind_s, MIN(lmn_staleness(c, now), 1e6), w->deaf};
 }
 
-static struct lmn_word word_of(const lmn_xword *x)
+static struct lmn_word word_of(const lmn_rpc_health *x)
 {
     return (struct lmn_word){x->behind, x->stale, x->deaf};
 }
@@ -57,12 +57,12 @@
 
     for (unsigned i = 0; i < n; i++)
         room->said[i] =
-            (lmn_xstatement){(char *)lmn_member_name(&c->members, s[i].of), s[i].inc,
+            (lmn_rpc_gossip){(char *)lmn_member_name(&c->members, s[i].of), s[i].inc,
                              s[i].heard_s, s[i].unanswered_s, s[i].visitors};
     return n;
 }
 
-static void be_told(struct lmn_core *c, int by, u_int n, const lmn_xstatement *said,
+static void be_told(struct lmn_core *c, int by, u_int n, const lmn_rpc_gossip *said,
                     struct timespec now)
 {
     for (u_int i = 0; i < n; i++) {
@@ -73,7 +73,7 @@
     }
 }
 
-void lmn_ask_answer(struct lmn_core *c, const lmn_xask *q, lmn_xanswer *a,
+void lmn_ask_answer(struct lmn_core *c, const lmn_rpc_probe *q, lmn_rpc_probe_reply *a,
                     struct lmn_ask_room *room)
 {
     struct timespec now = lmn_now();
@@ -103,7 +103,7 @@
 };
 
 static bool call(struct lmn_core *c, struct asked *peer, const struct lmn_question *q,
-                 lmn_xask *x, lmn_xanswer *a)
+                 lmn_rpc_probe *x, lmn_rpc_probe_reply *a)
 {
     const char *name = lmn_member_name(&c->members, q->rank), *addr = NULL;
     struct timeval wait = {(time_t)q->patience_s,
@@ -116,15 +116,15 @@
         peer->client = lmn_peer_dial_within(addr, q->patience_s);
     if (!peer->client)
         return false;
-    if (clnt_call(peer->client, LMN_ASK, (xdrproc_t)xdr_lmn_xask, (char *)x,
-                  (xdrproc_t)xdr_lmn_xanswer, (char *)a, wait) == RPC_SUCCESS)
+    if (clnt_call(peer->client, LMN_RPC_PROBE, (xdrproc_t)xdr_lmn_rpc_probe, (char *)x,
+                  (xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)a, wait) == RPC_SUCCESS)
         return true;
     clnt_destroy(peer->client);
     peer->client = NULL;
     return false;
 }
 
-u_int lmn_ask_tombstones(struct lmn_core *c, const lmn_xtombstones *q)
+u_int lmn_ask_tombstones(struct lmn_core *c, const lmn_rpc_tombstones *q)
 {
     u_int n = 0;
 
@@ -143,10 +143,10 @@
 {
     /* It has just answered. Whoever stands still now must not hold up the questions. */
     const struct timeval wait = {0, 250000};
-    char ref[LMN_XDR_TUNINGS][LMN_REF];
-    const char *refs[LMN_XDR_TUNINGS];
-    lmn_xref jobs[LMN_XDR_TUNINGS];
-    lmn_xtombstones x = {{0, jobs}};
+    char ref[LMN_RPC_MAX_ITEMS][LMN_REF];
+    const char *refs[LMN_RPC_MAX_ITEMS];
+    lmn_rpc_job_id jobs[LMN_RPC_MAX_ITEMS];
+    lmn_rpc_tombstones x = {{0, jobs}};
     u_int fresh;
     uint64_t upto;
 
@@ -161,8 +161,8 @@
     if (!x.jobs.jobs_len)
         return;
     enum clnt_stat r =
-        clnt_call(peer->client, LMN_WITHDRAWN, (xdrproc_t)xdr_lmn_xtombstones, (char *)&x,
-                  (xdrproc_t)xdr_u_int, (char *)&fresh, wait);
+        clnt_call(peer->client, LMN_RPC_TOMBSTONES, (xdrproc_t)xdr_lmn_rpc_tombstones,
+                  (char *)&x, (xdrproc_t)xdr_u_int, (char *)&fresh, wait);
     if (r == RPC_SUCCESS ||
         r == RPC_PROCUNAVAIL) { /* an older program has no use for them */
         pthread_mutex_lock(&c->lock);
@@ -178,8 +178,8 @@
 {
     struct lmn_members *ms = &c->members;
     struct lmn_ask_room room;
-    lmn_xask x = {.from = (char *)c->cfg->node, .about = (char *)""};
-    lmn_xanswer a = {0};
+    lmn_rpc_probe x = {.from = (char *)c->cfg->node, .about = (char *)""};
+    lmn_rpc_probe_reply a = {0};
 
     if (q->about >= 0)
         x.about = (char *)lmn_member_name(ms, q->about);
@@ -206,7 +206,7 @@
     pthread_mutex_unlock(&c->lock);
     if (!answered)
         return;
-    xdr_free((xdrproc_t)xdr_lmn_xanswer, (char *)&a);
+    xdr_free((xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)&a);
     tell_tombstones(c, peer, q->rank);
 }
 
--- a/src/controller/probe_client.h
+++ b/src/controller/probe_client.h
@@ -8,16 +8,16 @@
 
 /* What a question or an answer carries, with room for its names. */
 struct lmn_ask_room {
-    lmn_xstatement said[LMN_STATEMENTS];
+    lmn_rpc_gossip said[LMN_STATEMENTS];
 };
 
 /* Takes in a question that another member has sent, and fills the answer, which points
  * into the room. Takes the lock. */
-void lmn_ask_answer(struct lmn_core *c, const lmn_xask *q, lmn_xanswer *a,
+void lmn_ask_answer(struct lmn_core *c, const lmn_rpc_probe *q, lmn_rpc_probe_reply *a,
                     struct lmn_ask_room *room);
 /* Takes in what another has confirmed to users as withdrawn; returns how many of them the
  * mirror does not show. Takes the lock. */
-u_int lmn_ask_tombstones(struct lmn_core *c, const lmn_xtombstones *q);
+u_int lmn_ask_tombstones(struct lmn_core *c, const lmn_rpc_tombstones *q);
 /* Asks (a thread). */
 void *lmn_ask_thread(void *core);
 
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -23,7 +23,7 @@
 
 /* --- being told --- */
 
-u_int lmn_follow_take(struct lmn_core *c, const lmn_xbatch *x)
+u_int lmn_follow_take(struct lmn_core *c, const lmn_rpc_replication_batch *x)
 {
     struct lmn_batch *b = lmn_batch_new();
 
@@ -32,13 +32,13 @@
     b->stream = x->stream;
     b->number = x->number;
     for (u_int i = 0; i < x->machines.machines_len; i++) {
-        const lmn_xmachine *m = &x->machines.machines_val[i];
+        const lmn_rpc_machine *m = &x->machines.machines_val[i];
         struct lmn_told *t = lmn_told_new(m->name);
         t->session = m->session;
         t->gone = m->state & 1;
         t->forget = m->state & 2;
         for (u_int k = 0; k < m->attempts.attempts_len; k++) {
-            const lmn_xattempt *a = &m->attempts.attempts_val[k];
+            const lmn_rpc_attempt *a = &m->attempts.attempts_val[k];
             struct lmn_told_attempt y = {.index = a->index,
                                          .number = a->number,
                                          .ended = a->state & 1,
@@ -49,7 +49,7 @@
         if (m->state & 4)
             t->images = g_array_new(FALSE, FALSE, sizeof(struct lmn_told_image));
         for (u_int k = 0; t->images && k < m->images.images_len; k++) {
-            const lmn_ximage *a = &m->images.images_val[k];
+            const lmn_rpc_image *a = &m->images.images_val[k];
             struct lmn_told_image y = {.gb = a->gb, .there = a->there};
             g_strlcpy(y.name, a->name, sizeof y.name);
             g_array_append_val(t->images, y);
@@ -66,26 +66,26 @@
 /* --- telling --- */
 
 /* Names stay the batch's. */
-static void fill_machine(lmn_xmachine *m, const struct lmn_told *t)
+static void fill_machine(lmn_rpc_machine *m, const struct lmn_told *t)
 {
     m->name = (char *)t->name;
     m->session = t->session;
     m->state = t->gone * 1u | t->forget * 2u | (t->images ? 4u : 0);
-    m->attempts.attempts_len = MIN(t->attempts->len, LMN_XDR_ATTEMPTS);
-    m->attempts.attempts_val = g_new0(lmn_xattempt, t->attempts->len);
+    m->attempts.attempts_len = MIN(t->attempts->len, LMN_RPC_MAX_ATTEMPTS);
+    m->attempts.attempts_val = g_new0(lmn_rpc_attempt, t->attempts->len);
     for (u_int k = 0; k < m->attempts.attempts_len; k++) {
         struct lmn_told_attempt *a =
             &g_array_index(t->attempts, struct lmn_told_attempt, k);
         m->attempts.attempts_val[k] =
-            (lmn_xattempt){a->ref, a->index, a->number, a->ended * 1u | a->done * 2u};
+            (lmn_rpc_attempt){a->ref, a->index, a->number, a->ended * 1u | a->done * 2u};
     }
     if (!t->images)
         return;
-    m->images.images_len = MIN(t->images->len, LMN_XDR_TUNINGS);
-    m->images.images_val = g_new0(lmn_ximage, t->images->len);
+    m->images.images_len = MIN(t->images->len, LMN_RPC_MAX_ITEMS);
+    m->images.images_val = g_new0(lmn_rpc_image, t->images->len);
     for (u_int k = 0; k < m->images.images_len; k++) {
         struct lmn_told_image *a = &g_array_index(t->images, struct lmn_told_image, k);
-        m->images.images_val[k] = (lmn_ximage){a->name, a->gb, a->there};
+        m->images.images_val[k] = (lmn_rpc_image){a->name, a->gb, a->there};
     }
 }
 
@@ -107,7 +107,8 @@
     return NULL;
 }
 
-static bool call(struct teller *f, int to, const lmn_xbatch *x, u_int *answer)
+static bool call(struct teller *f, int to, const lmn_rpc_replication_batch *x,
+                 u_int *answer)
 {
     const struct timeval wait = {0, (suseconds_t)(1e6 * CALL_S)};
 
@@ -120,8 +121,8 @@
         f->client = lmn_peer_dial_within(addr_of(f->c, to), CALL_S);
     if (!f->client)
         return false;
-    if (clnt_call(f->client, LMN_FOLLOW, (xdrproc_t)xdr_lmn_xbatch, (char *)x,
-                  (xdrproc_t)xdr_u_int, (char *)answer, wait) == RPC_SUCCESS)
+    if (clnt_call(f->client, LMN_RPC_REPLICATE, (xdrproc_t)xdr_lmn_rpc_replication_batch,
+                  (char *)x, (xdrproc_t)xdr_u_int, (char *)answer, wait) == RPC_SUCCESS)
         return true;
     clnt_destroy(f->client);
     f->client = NULL;
@@ -131,8 +132,9 @@
 /* The batch is not altered by anyone while it is being sent. */
 static bool send_batch(struct teller *f, int to, const struct lmn_batch *b, u_int *answer)
 {
-    lmn_xmachine machines[LMN_BATCH_MACHINES] = {0};
-    lmn_xbatch x = {b->part, b->term, b->stream, b->number, {b->machines->len, machines}};
+    lmn_rpc_machine machines[LMN_BATCH_MACHINES] = {0};
+    lmn_rpc_replication_batch x = {
+        b->part, b->term, b->stream, b->number, {b->machines->len, machines}};
 
     for (guint i = 0; i < b->machines->len; i++)
         fill_machine(&machines[i], b->machines->pdata[i]);
--- a/src/controller/replication_thread.h
+++ b/src/controller/replication_thread.h
@@ -16,6 +16,6 @@
                      const struct lmn_held *held);
 
 /* A batch from another; returns an lmn_copy_answer. No lock held. */
-u_int lmn_follow_take(struct lmn_core *c, const lmn_xbatch *x);
+u_int lmn_follow_take(struct lmn_core *c, const lmn_rpc_replication_batch *x);
 
 #endif
--- a/src/controller/rpc_client.c
+++ b/src/controller/rpc_client.c
@@ -39,7 +39,7 @@
         }
     }
     fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) & ~O_NONBLOCK);
-    CLIENT *cl = clnt_vc_create(fd, &nb, LMN_PROGRAM, LMN_VERSION_1, 0, 0);
+    CLIENT *cl = clnt_vc_create(fd, &nb, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, 0, 0);
     if (!cl) {
         close(fd);
         return NULL;
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -85,7 +85,7 @@
 }
 
 /* Another controller asks how much would fit there, or for it. */
-static u_int asked(const struct lmn_xthief *q, bool give)
+static u_int asked(const struct lmn_rpc_steal_request *q, bool give)
 {
     struct lmn_thief t;
     u_int n = 0;
@@ -96,7 +96,7 @@
     lmn_thief_init(&t, core->cfg);
     t.part = q->thief;
     for (u_int i = 0; i < q->rooms.rooms_len && i < G_N_ELEMENTS(t.rooms); i++) {
-        const struct lmn_xroom *x = &q->rooms.rooms_val[i];
+        const struct lmn_rpc_capacity *x = &q->rooms.rooms_val[i];
         struct lmn_room *r = &t.rooms[t.nrooms++];
         g_strlcpy(r->type, x->type, sizeof r->type);
         g_strlcpy(r->zone, x->zone, sizeof r->zone);
@@ -127,7 +127,7 @@
     return n;
 }
 
-static u_int asked_quota(const struct lmn_xquota *q)
+static u_int asked_quota(const struct lmn_rpc_quota_request *q)
 {
     const struct lmn_team *team = lmn_settings_team(core->cfg, q->team);
     bool given = false;
@@ -147,144 +147,144 @@
     char err[256] = "done";
 
     switch (rq->rq_proc) {
-    case LMN_PING:
+    case LMN_RPC_PING:
         svc_sendreply(x, nothing, NULL);
         return;
-    case LMN_STATUS: {
-        struct lmn_reply r = {0, lmn_status_text(core)};
-        if (strlen(r.text) >= LMN_XDR_TEXT)
-            r.text[LMN_XDR_TEXT - 1] = '\0';
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_reply, (char *)&r);
+    case LMN_RPC_STATUS: {
+        struct lmn_rpc_reply r = {0, lmn_status_text(core)};
+        if (strlen(r.text) >= LMN_RPC_MAX_TEXT)
+            r.text[LMN_RPC_MAX_TEXT - 1] = '\0';
+        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
     }
-    case LMN_TUNING_GET: {
-        struct lmn_tuning_item items[LMN_XDR_TUNINGS];
-        struct lmn_tuning_list l = {{0, items}};
+    case LMN_RPC_SETTINGS_GET: {
+        struct lmn_rpc_setting items[LMN_RPC_MAX_ITEMS];
+        struct lmn_rpc_settings l = {{0, items}};
         pthread_mutex_lock(&core->lock);
-        for (size_t i = 0; lmn_tuning_name(i) && i < LMN_XDR_TUNINGS; i++) {
+        for (size_t i = 0; lmn_tuning_name(i) && i < LMN_RPC_MAX_ITEMS; i++) {
             items[i].name = (char *)lmn_tuning_name(i);
             items[i].value = lmn_tuning_value(&core->tuning, i);
             l.items.items_len++;
         }
         pthread_mutex_unlock(&core->lock);
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_tuning_list, (char *)&l);
+        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_settings, (char *)&l);
         return;
     }
-    case LMN_TUNING_SET: {
-        struct lmn_set_request q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_set_request, (char *)&q)) {
+    case LMN_RPC_SETTINGS_SET: {
+        struct lmn_rpc_set_request q = {0};
+        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_set_request, (char *)&q)) {
             svcerr_decode(x);
             return;
         }
-        struct lmn_reply r = {tuning_set(q.name, q.value, err, sizeof err), err};
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_reply, (char *)&r);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_set_request, (char *)&q);
+        struct lmn_rpc_reply r = {tuning_set(q.name, q.value, err, sizeof err), err};
+        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
+        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_set_request, (char *)&q);
         return;
     }
-    case LMN_DRAIN: {
-        struct lmn_machine_request q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_machine_request, (char *)&q)) {
+    case LMN_RPC_DRAIN: {
+        struct lmn_rpc_machine_request q = {0};
+        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_machine_request, (char *)&q)) {
             svcerr_decode(x);
             return;
         }
-        struct lmn_reply r = {drain(q.machine, err, sizeof err), err};
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_reply, (char *)&r);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_machine_request, (char *)&q);
+        struct lmn_rpc_reply r = {drain(q.machine, err, sizeof err), err};
+        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
+        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_machine_request, (char *)&q);
         return;
     }
-    case LMN_STALENESS: {
+    case LMN_RPC_STALENESS: {
         pthread_mutex_lock(&core->lock);
         u_int ms = (u_int)(MIN(lmn_staleness(core, lmn_now()), 1e6) * 1000);
         pthread_mutex_unlock(&core->lock);
         svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&ms);
         return;
     }
-    case LMN_LOAD:
-    case LMN_STEAL: {
-        struct lmn_xthief q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_xthief, (char *)&q)) {
+    case LMN_RPC_LOAD:
+    case LMN_RPC_STEAL: {
+        struct lmn_rpc_steal_request q = {0};
+        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_steal_request, (char *)&q)) {
             svcerr_decode(x);
             return;
         }
-        u_int n = asked(&q, rq->rq_proc == LMN_STEAL);
+        u_int n = asked(&q, rq->rq_proc == LMN_RPC_STEAL);
         svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_xthief, (char *)&q);
+        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_steal_request, (char *)&q);
         return;
     }
-    case LMN_QUOTA: {
-        struct lmn_xquota q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_xquota, (char *)&q)) {
+    case LMN_RPC_QUOTA: {
+        struct lmn_rpc_quota_request q = {0};
+        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_quota_request, (char *)&q)) {
             svcerr_decode(x);
             return;
         }
         u_int n = asked_quota(&q);
         svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_xquota, (char *)&q);
+        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_quota_request, (char *)&q);
         return;
     }
-    case LMN_ASK: {
-        struct lmn_xask q = {0};
+    case LMN_RPC_PROBE: {
+        struct lmn_rpc_probe q = {0};
         struct lmn_ask_room room;
-        lmn_xanswer a = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_xask, (char *)&q)) {
+        lmn_rpc_probe_reply a = {0};
+        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_probe, (char *)&q)) {
             svcerr_decode(x);
             return;
         }
         lmn_ask_answer(core, &q, &a, &room);
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_xanswer, (char *)&a);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_xask, (char *)&q);
+        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)&a);
+        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_probe, (char *)&q);
         return;
     }
-    case LMN_MEMBERS: {
+    case LMN_RPC_MEMBERS: {
         u_int json = 0;
         if (!svc_getargs(x, (xdrproc_t)xdr_u_int, (char *)&json)) {
             svcerr_decode(x);
             return;
         }
-        struct lmn_reply r = {0, lmn_members_text(core, json != 0)};
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_reply, (char *)&r);
+        struct lmn_rpc_reply r = {0, lmn_members_text(core, json != 0)};
+        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
     }
-    case LMN_LEAVE: {
+    case LMN_RPC_SHUTDOWN: {
         u_int leave = 0;
         if (!svc_getargs(x, (xdrproc_t)xdr_u_int, (char *)&leave)) {
             svcerr_decode(x);
             return;
         }
-        struct lmn_reply r = {0};
+        struct lmn_rpc_reply r = {0};
         r.code = lmn_balance_leave(core, leave != 0, &r.text);
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_reply, (char *)&r);
+        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
     }
-    case LMN_BALANCE: {
-        struct lmn_reply r = {0, lmn_balance_text(core)};
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_reply, (char *)&r);
+    case LMN_RPC_OWNERSHIP: {
+        struct lmn_rpc_reply r = {0, lmn_balance_text(core)};
+        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
     }
-    case LMN_FOLLOW: {
-        lmn_xbatch q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_xbatch, (char *)&q)) {
+    case LMN_RPC_REPLICATE: {
+        lmn_rpc_replication_batch q = {0};
+        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_replication_batch, (char *)&q)) {
             svcerr_decode(x);
             return;
         }
         u_int n = lmn_follow_take(core, &q);
         svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_xbatch, (char *)&q);
+        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_replication_batch, (char *)&q);
         return;
     }
-    case LMN_WITHDRAWN: {
-        lmn_xtombstones q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_xtombstones, (char *)&q)) {
+    case LMN_RPC_TOMBSTONES: {
+        lmn_rpc_tombstones q = {0};
+        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_tombstones, (char *)&q)) {
             svcerr_decode(x);
             return;
         }
         u_int n = lmn_ask_tombstones(core, &q);
         svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_xtombstones, (char *)&q);
+        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_tombstones, (char *)&q);
         return;
     }
     default:
@@ -321,7 +321,7 @@
     rpc_control(RPC_SVC_CONNMAXREC_SET, &most);
     SVCXPRT *x = svc_vc_create(fd, 0, 0);
     /* No port mapper: the members' addresses are in the settings. */
-    if (!x || !svc_reg(x, LMN_PROGRAM, LMN_VERSION_1, dispatch, NULL))
+    if (!x || !svc_reg(x, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, dispatch, NULL))
         return -1;
     lmn_thread(serve, NULL);
     return 0;
@@ -384,13 +384,16 @@
 }
 
 /* Asks the owner of a partition, which may be this node itself. */
-static u_int ask(struct member *members, rpcproc_t proc, struct lmn_xthief *q)
+static u_int ask(struct member *members, rpcproc_t proc, struct lmn_rpc_steal_request *q)
 {
     u_int n = 0;
 
     if (own(q->victim))
-        return asked(q, proc == LMN_STEAL);
-    return ask_owner(members, q->victim, proc, (xdrproc_t)xdr_lmn_xthief, q, &n) ? n : 0;
+        return asked(q, proc == LMN_RPC_STEAL);
+    return ask_owner(members, q->victim, proc, (xdrproc_t)xdr_lmn_rpc_steal_request, q,
+                     &n)
+               ? n
+               : 0;
 }
 
 /* A partition that is short of a team's quota asks the others, at the interval of failed
@@ -409,13 +412,13 @@
     int first = g_rand_int_range(core->rng, 0, core->nparts);
     pthread_mutex_unlock(&core->lock);
     for (size_t i = 0; i < n; i++) {
-        struct lmn_xquota q = {part,
-                               0,
-                               (char *)core->cfg->teams[want[i].team].name,
-                               want[i].cpus,
-                               want[i].gpus,
-                               want[i].least_cpus,
-                               want[i].least_gpus};
+        struct lmn_rpc_quota_request q = {part,
+                                          0,
+                                          (char *)core->cfg->teams[want[i].team].name,
+                                          want[i].cpus,
+                                          want[i].gpus,
+                                          want[i].least_cpus,
+                                          want[i].least_gpus};
         for (int k = 0; k < core->nparts; k++) {
             u_int one = 0;
             q.victim = (first + k) % core->nparts;
@@ -423,8 +426,8 @@
                 continue;
             if (own(q.victim))
                 one = asked_quota(&q);
-            else if (!ask_owner(members, q.victim, LMN_QUOTA, (xdrproc_t)xdr_lmn_xquota,
-                                &q, &one))
+            else if (!ask_owner(members, q.victim, LMN_RPC_QUOTA,
+                                (xdrproc_t)xdr_lmn_rpc_quota_request, &q, &one))
                 one = 0;
             got += one;
         }
@@ -440,19 +443,20 @@
 
 static void pull(struct member *members, const struct lmn_thief *t)
 {
-    struct lmn_xroom rooms[G_N_ELEMENTS(t->rooms)];
-    struct lmn_xteam *teams = g_new(struct lmn_xteam, core->cfg->nteams);
-    struct lmn_xthief q = {.thief = t->part};
+    struct lmn_rpc_capacity rooms[G_N_ELEMENTS(t->rooms)];
+    struct lmn_rpc_team_quota *teams =
+        g_new(struct lmn_rpc_team_quota, core->cfg->nteams);
+    struct lmn_rpc_steal_request q = {.thief = t->part};
     int others[LMN_MAX_PARTS], n = 0, best = -1;
     u_int most = 0, got = 0;
 
     for (guint i = 0; i < t->nrooms; i++)
-        rooms[i] = (struct lmn_xroom){(char *)t->rooms[i].type, (char *)t->rooms[i].zone,
-                                      t->rooms[i].spot,         t->rooms[i].cpus,
-                                      t->rooms[i].gpus,         t->rooms[i].mem};
+        rooms[i] = (struct lmn_rpc_capacity){
+            (char *)t->rooms[i].type, (char *)t->rooms[i].zone, t->rooms[i].spot,
+            t->rooms[i].cpus,         t->rooms[i].gpus,         t->rooms[i].mem};
     for (size_t i = 0; i < core->cfg->nteams; i++)
-        teams[i] = (struct lmn_xteam){(char *)core->cfg->teams[i].name, t->team_cpus[i],
-                                      t->team_gpus[i]};
+        teams[i] = (struct lmn_rpc_team_quota){(char *)core->cfg->teams[i].name,
+                                               t->team_cpus[i], t->team_gpus[i]};
     q.rooms.rooms_len = t->nrooms;
     q.rooms.rooms_val = rooms;
     q.teams.teams_len = (u_int)core->cfg->nteams;
@@ -471,7 +475,7 @@
     pthread_mutex_unlock(&core->lock);
     for (int i = 0; i < MIN(sample, n); i++) {
         q.victim = others[i];
-        u_int load = ask(members, LMN_LOAD, &q);
+        u_int load = ask(members, LMN_RPC_LOAD, &q);
         if (load > most) {
             most = load;
             best = others[i];
@@ -479,7 +483,7 @@
     }
     if (best >= 0) {
         q.victim = best;
-        got = ask(members, LMN_STEAL, &q);
+        got = ask(members, LMN_RPC_STEAL, &q);
     }
     g_free(teams);
     pthread_mutex_lock(&core->lock);
--- a/tests/test_golden_wire.c
+++ b/tests/test_golden_wire.c
@@ -50,65 +50,65 @@
 static void procedures_of_controllers_keep_their_numbers(void **state)
 {
     (void)state;
-    assert_int_equal(LMN_PROGRAM, 0x2c0a5b41);
-    assert_int_equal(LMN_VERSION_1, 1);
-    assert_int_equal(LMN_PING, 0);
-    assert_int_equal(LMN_STATUS, 1);
-    assert_int_equal(LMN_TUNING_GET, 2);
-    assert_int_equal(LMN_TUNING_SET, 3);
-    assert_int_equal(LMN_DRAIN, 4);
-    assert_int_equal(LMN_LOAD, 5);
-    assert_int_equal(LMN_STEAL, 6);
-    assert_int_equal(LMN_STALENESS, 7);
-    assert_int_equal(LMN_QUOTA, 8);
-    assert_int_equal(LMN_ASK, 9);
-    assert_int_equal(LMN_MEMBERS, 10);
-    assert_int_equal(LMN_FOLLOW, 11);
-    assert_int_equal(LMN_LEAVE, 12);
-    assert_int_equal(LMN_BALANCE, 13);
-    assert_int_equal(LMN_WITHDRAWN, 14);
+    assert_int_equal(LMN_RPC_PROGRAM, 0x2c0a5b41);
+    assert_int_equal(LMN_RPC_VERSION_1, 1);
+    assert_int_equal(LMN_RPC_PING, 0);
+    assert_int_equal(LMN_RPC_STATUS, 1);
+    assert_int_equal(LMN_RPC_SETTINGS_GET, 2);
+    assert_int_equal(LMN_RPC_SETTINGS_SET, 3);
+    assert_int_equal(LMN_RPC_DRAIN, 4);
+    assert_int_equal(LMN_RPC_LOAD, 5);
+    assert_int_equal(LMN_RPC_STEAL, 6);
+    assert_int_equal(LMN_RPC_STALENESS, 7);
+    assert_int_equal(LMN_RPC_QUOTA, 8);
+    assert_int_equal(LMN_RPC_PROBE, 9);
+    assert_int_equal(LMN_RPC_MEMBERS, 10);
+    assert_int_equal(LMN_RPC_REPLICATE, 11);
+    assert_int_equal(LMN_RPC_SHUTDOWN, 12);
+    assert_int_equal(LMN_RPC_OWNERSHIP, 13);
+    assert_int_equal(LMN_RPC_TOMBSTONES, 14);
 }
 
 static void administration_messages_keep_their_bytes(void **state)
 {
-    lmn_tuning_item items[] = {{text("sample"), 12}, {text("share"), 0.25}};
-    lmn_tuning_list list = {{2, items}}, read_list;
-    lmn_reply reply = {-3, text("no such machine")}, read_reply;
-    lmn_set_request set = {text("horizon_s"), 45.5}, read_set;
-    lmn_machine_request drain = {text("host-000001")}, read_drain;
+    lmn_rpc_setting items[] = {{text("sample"), 12}, {text("share"), 0.25}};
+    lmn_rpc_settings list = {{2, items}}, read_list;
+    lmn_rpc_reply reply = {-3, text("no such machine")}, read_reply;
+    lmn_rpc_set_request set = {text("horizon_s"), 45.5}, read_set;
+    lmn_rpc_machine_request drain = {text("host-000001")}, read_drain;
     (void)state;
 
-    KEEPS(lmn_tuning_list, "peer_tuning_list", &list, &read_list);
+    KEEPS(lmn_rpc_settings, "peer_tuning_list", &list, &read_list);
     assert_int_equal(read_list.items.items_len, 2);
     assert_string_equal(read_list.items.items_val[1].name, "share");
     assert_true(read_list.items.items_val[1].value == 0.25);
-    FORGET(lmn_tuning_list, &read_list);
-    KEEPS(lmn_reply, "peer_reply", &reply, &read_reply);
+    FORGET(lmn_rpc_settings, &read_list);
+    KEEPS(lmn_rpc_reply, "peer_reply", &reply, &read_reply);
     assert_int_equal(read_reply.code, -3);
     assert_string_equal(read_reply.text, "no such machine");
-    FORGET(lmn_reply, &read_reply);
-    KEEPS(lmn_set_request, "peer_set_request", &set, &read_set);
+    FORGET(lmn_rpc_reply, &read_reply);
+    KEEPS(lmn_rpc_set_request, "peer_set_request", &set, &read_set);
     assert_string_equal(read_set.name, "horizon_s");
     assert_true(read_set.value == 45.5);
-    FORGET(lmn_set_request, &read_set);
-    KEEPS(lmn_machine_request, "peer_machine_request", &drain, &read_drain);
+    FORGET(lmn_rpc_set_request, &read_set);
+    KEEPS(lmn_rpc_machine_request, "peer_machine_request", &drain, &read_drain);
     assert_string_equal(read_drain.machine, "host-000001");
-    FORGET(lmn_machine_request, &read_drain);
+    FORGET(lmn_rpc_machine_request, &read_drain);
 }
 
 static void steal_request_keeps_its_bytes(void **state)
 {
-    lmn_xroom rooms[] = {{text("x"), text("a"), TRUE, 8, 1, 64.5},
-                         {text("y-large"), text("b"), FALSE, 96, 0, 384}};
-    lmn_xteam teams[] = {{text("ml train"), 12.5, 2}};
-    lmn_xthief thief = {1, 3, {2, rooms}, {1, teams}}, read;
+    lmn_rpc_capacity rooms[] = {{text("x"), text("a"), TRUE, 8, 1, 64.5},
+                                {text("y-large"), text("b"), FALSE, 96, 0, 384}};
+    lmn_rpc_team_quota teams[] = {{text("ml train"), 12.5, 2}};
+    lmn_rpc_steal_request thief = {1, 3, {2, rooms}, {1, teams}}, read;
     (void)state;
 
-    KEEPS(lmn_xthief, "peer_thief", &thief, &read);
+    KEEPS(lmn_rpc_steal_request, "peer_thief", &thief, &read);
     assert_int_equal(read.thief, 1);
     assert_int_equal(read.victim, 3);
     assert_int_equal(read.rooms.rooms_len, 2);
-    const lmn_xroom *r = read.rooms.rooms_val;
+    const lmn_rpc_capacity *r = read.rooms.rooms_val;
     assert_string_equal(r[0].type, "x");
     assert_string_equal(r[0].zone, "a");
     assert_true(r[0].spot && r[0].cpus == 8 && r[0].gpus == 1 && r[0].mem == 64.5);
@@ -117,24 +117,24 @@
     assert_string_equal(read.teams.teams_val[0].name, "ml train");
     assert_true(read.teams.teams_val[0].cpus == 12.5);
     assert_true(read.teams.teams_val[0].gpus == 2);
-    FORGET(lmn_xthief, &read);
+    FORGET(lmn_rpc_steal_request, &read);
 }
 
 static void quota_request_keeps_its_bytes(void **state)
 {
-    lmn_xquota quota = {2, 0, text("ml train"), 20, 4, 1.5, 1}, read;
+    lmn_rpc_quota_request quota = {2, 0, text("ml train"), 20, 4, 1.5, 1}, read;
     (void)state;
 
-    KEEPS(lmn_xquota, "peer_quota", &quota, &read);
+    KEEPS(lmn_rpc_quota_request, "peer_quota", &quota, &read);
     assert_int_equal(read.thief, 2);
     assert_int_equal(read.victim, 0);
     assert_string_equal(read.team, "ml train");
     assert_true(read.cpus == 20 && read.gpus == 4);
     assert_true(read.least_cpus == 1.5 && read.least_gpus == 1);
-    FORGET(lmn_xquota, &read);
+    FORGET(lmn_rpc_quota_request, &read);
 }
 
-static void check_said(const lmn_xstatement *s)
+static void check_said(const lmn_rpc_gossip *s)
 {
     assert_string_equal(s->of, "nc");
     assert_true(s->incarnation == 0x100000002ULL);
@@ -144,49 +144,50 @@
 
 static void question_and_answer_of_members_keep_their_bytes(void **state)
 {
-    lmn_xstatement said[] = {{text("nc"), 0x100000002ULL, 0.75, -1, 4}};
-    lmn_xask ask = {text("na"), text("nc"), {0.125, 0.5, 0.25}, {1, said}}, read;
-    lmn_xanswer answer = {{0.125, 0.5, 0.25}, {1, said}}, read_answer;
+    lmn_rpc_gossip said[] = {{text("nc"), 0x100000002ULL, 0.75, -1, 4}};
+    lmn_rpc_probe ask = {text("na"), text("nc"), {0.125, 0.5, 0.25}, {1, said}}, read;
+    lmn_rpc_probe_reply answer = {{0.125, 0.5, 0.25}, {1, said}}, read_answer;
     (void)state;
 
-    KEEPS(lmn_xask, "peer_ask", &ask, &read);
+    KEEPS(lmn_rpc_probe, "peer_ask", &ask, &read);
     assert_string_equal(read.from, "na");
     assert_string_equal(read.about, "nc");
     assert_true(read.word.behind == 0.125 && read.word.stale == 0.5);
     assert_true(read.word.deaf == 0.25);
     assert_int_equal(read.said.said_len, 1);
     check_said(read.said.said_val);
-    FORGET(lmn_xask, &read);
-    KEEPS(lmn_xanswer, "peer_answer", &answer, &read_answer);
+    FORGET(lmn_rpc_probe, &read);
+    KEEPS(lmn_rpc_probe_reply, "peer_answer", &answer, &read_answer);
     assert_true(read_answer.word.behind == 0.125 && read_answer.word.stale == 0.5);
     assert_true(read_answer.word.deaf == 0.25);
     assert_int_equal(read_answer.said.said_len, 1);
     check_said(read_answer.said.said_val);
-    FORGET(lmn_xanswer, &read_answer);
+    FORGET(lmn_rpc_probe_reply, &read_answer);
 }
 
 static void batch_for_a_standby_keeps_its_bytes(void **state)
 {
-    lmn_xattempt attempts[] = {{text("run-000412"), 7, 0x2a00000001ULL, 0},
-                               {text("run-000412"), 8, 0x2a00000002ULL, 3}};
-    lmn_ximage images[] = {{text("base:1"), 1.25, TRUE}};
-    lmn_xmachine machines[] = {{text("host-000001"), 99, 4, {2, attempts}, {1, images}},
-                               {text("host-000002"), 0, 2, {0, NULL}, {0, NULL}}};
-    lmn_xbatch batch = {1, 42, 0x2a00003ULL, 17, {2, machines}}, read;
+    lmn_rpc_attempt attempts[] = {{text("run-000412"), 7, 0x2a00000001ULL, 0},
+                                  {text("run-000412"), 8, 0x2a00000002ULL, 3}};
+    lmn_rpc_image images[] = {{text("base:1"), 1.25, TRUE}};
+    lmn_rpc_machine machines[] = {
+        {text("host-000001"), 99, 4, {2, attempts}, {1, images}},
+        {text("host-000002"), 0, 2, {0, NULL}, {0, NULL}}};
+    lmn_rpc_replication_batch batch = {1, 42, 0x2a00003ULL, 17, {2, machines}}, read;
     (void)state;
 
-    KEEPS(lmn_xbatch, "peer_batch", &batch, &read);
+    KEEPS(lmn_rpc_replication_batch, "peer_batch", &batch, &read);
     assert_int_equal(read.part, 1);
     assert_int_equal(read.term, 42);
     assert_int_equal(read.stream, 0x2a00003ULL);
     assert_int_equal(read.number, 17);
     assert_int_equal(read.machines.machines_len, 2);
-    const lmn_xmachine *m = read.machines.machines_val;
+    const lmn_rpc_machine *m = read.machines.machines_val;
     assert_string_equal(m[0].name, "host-000001");
     assert_int_equal(m[0].session, 99);
     assert_int_equal(m[0].state, 4);
     assert_int_equal(m[0].attempts.attempts_len, 2);
-    const lmn_xattempt *a = &m[0].attempts.attempts_val[1];
+    const lmn_rpc_attempt *a = &m[0].attempts.attempts_val[1];
     assert_string_equal(a->ref, "run-000412");
     assert_int_equal(a->index, 8);
     assert_true(a->number == 0x2a00000002ULL);
@@ -198,20 +199,20 @@
     assert_string_equal(m[1].name, "host-000002");
     assert_int_equal(m[1].state, 2);
     assert_int_equal(m[1].attempts.attempts_len, 0);
-    FORGET(lmn_xbatch, &read);
+    FORGET(lmn_rpc_replication_batch, &read);
 }
 
 static void tombstones_keep_their_bytes(void **state)
 {
-    lmn_xref refs[] = {{text("run-000412")}, {text("run-7")}};
-    lmn_xtombstones stones = {{2, refs}}, read;
+    lmn_rpc_job_id refs[] = {{text("run-000412")}, {text("run-7")}};
+    lmn_rpc_tombstones stones = {{2, refs}}, read;
     (void)state;
 
-    KEEPS(lmn_xtombstones, "peer_tombstones", &stones, &read);
+    KEEPS(lmn_rpc_tombstones, "peer_tombstones", &stones, &read);
     assert_int_equal(read.jobs.jobs_len, 2);
     assert_string_equal(read.jobs.jobs_val[0].ref, "run-000412");
     assert_string_equal(read.jobs.jobs_val[1].ref, "run-7");
-    FORGET(lmn_xtombstones, &read);
+    FORGET(lmn_rpc_tombstones, &read);
 }
 
 /* --- gateways --- */
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -87,36 +87,36 @@
 
     for (int i = 0; i < 500; i++) {
         char bytes[4096];
-        struct lmn_xroom rooms[5];
-        struct lmn_xteam teams[3];
-        struct lmn_xthief q = {1,
-                               2,
-                               {(u_int)g_rand_int_range(r, 0, 6), rooms},
-                               {3, teams}},
-                          back;
+        struct lmn_rpc_capacity rooms[5];
+        struct lmn_rpc_team_quota teams[3];
+        struct lmn_rpc_steal_request q = {1,
+                                          2,
+                                          {(u_int)g_rand_int_range(r, 0, 6), rooms},
+                                          {3, teams}},
+                                     back;
         XDR x;
         for (int k = 0; k < 5; k++)
-            rooms[k] = (struct lmn_xroom){
+            rooms[k] = (struct lmn_rpc_capacity){
                 (char *)"type", (char *)"zone", k % 2, g_rand_double(r), 0, 1};
         for (int k = 0; k < 3; k++)
-            teams[k] = (struct lmn_xteam){(char *)"team", k, g_rand_double(r)};
+            teams[k] = (struct lmn_rpc_team_quota){(char *)"team", k, g_rand_double(r)};
         xdrmem_create(&x, bytes, sizeof bytes, XDR_ENCODE);
-        assert_true(xdr_lmn_xthief(&x, &q));
+        assert_true(xdr_lmn_rpc_steal_request(&x, &q));
         u_int len = xdr_getpos(&x);
         memset(&back, 0, sizeof back);
         xdrmem_create(&x, bytes, len, XDR_DECODE);
-        assert_true(xdr_lmn_xthief(&x, &back));
+        assert_true(xdr_lmn_rpc_steal_request(&x, &back));
         assert_int_equal(back.rooms.rooms_len, q.rooms.rooms_len);
         for (u_int k = 0; k < q.rooms.rooms_len; k++)
             assert_true(back.rooms.rooms_val[k].cpus == rooms[k].cpus);
-        xdr_free((xdrproc_t)xdr_lmn_xthief, (char *)&back);
+        xdr_free((xdrproc_t)xdr_lmn_rpc_steal_request, (char *)&back);
         bytes[g_rand_int_range(r, 0, (gint32)len)] ^=
             (char)(1 + g_rand_int_range(r, 0, 255));
         memset(&back, 0, sizeof back);
         xdrmem_create(&x, bytes, (u_int)g_rand_int_range(r, 0, (gint32)len + 1),
                       XDR_DECODE);
-        xdr_lmn_xthief(&x, &back);
-        xdr_free((xdrproc_t)xdr_lmn_xthief, (char *)&back);
+        xdr_lmn_rpc_steal_request(&x, &back);
+        xdr_free((xdrproc_t)xdr_lmn_rpc_steal_request, (char *)&back);
     }
     g_rand_free(r);
 }
