--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -43,14 +43,14 @@
 {
     struct lmn_http *h = lmn_http_new(state[i]);
     GByteArray *in = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t v = 0;
 
     while (lmn_http_call(h, "GET", "/incarnation", NULL, 2, in) != 200)
         lmn_sleep(0.05);
-    if (lmn_doc_parse(&d, in->data, in->len) == 0) {
-        lmn_count(lmn_get(&d, lmn_root(&d), "Incarnation"), &v);
-        lmn_doc_free(&d);
+    if (lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), "Incarnation"), &v);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(in);
     lmn_http_free(h);
@@ -110,13 +110,14 @@
 static uint64_t finals(struct lmn_http *h)
 {
     GByteArray *in = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t n = 0;
 
     if (lmn_http_call(h, "GET", "/gateway", NULL, 5, in) == 200 &&
-        lmn_doc_parse(&d, in->data, in->len) == 0) {
-        lmn_count(lmn_get(&d, lmn_get(&d, lmn_root(&d), "Jobs"), "final"), &n);
-        lmn_doc_free(&d);
+        lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        lmn_cbor_get_uint(
+            lmn_cbor_get(&d, lmn_cbor_get(&d, lmn_cbor_root(&d), "Jobs"), "final"), &n);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(in);
     return n;
@@ -134,7 +135,7 @@
     struct timespec begun = lmn_now();
 
     g_snprintf(s.ref, sizeof s.ref, W_JOB_PREFIX "9%09u", n);
-    lmn_put_map(b, lmn_spec_pairs());
+    lmn_cbor_put_map(b, lmn_spec_pairs());
     lmn_spec_put(b, &s);
     int status = lmn_http_call(h, "POST", P_JOBS, b, 10, in);
     g_byte_array_unref(b);
--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -217,7 +217,7 @@
     char err[256], ref[LMN_REF];
     int pid = 0;
 
-    lmn_socket_plan(&s, &p);
+    lmn_connection_budget_init(&s, &p);
     unsigned each = p.accepted - p.floor[LMN_SOCKET_USER] - p.floor[LMN_SOCKET_PASSING];
     unsigned workers = (unsigned)(times * NODES * each);
     describe_site(port, sockets, workers);
--- a/bench/gateway.c
+++ b/bench/gateway.c
@@ -150,13 +150,13 @@
                 const GByteArray *body, char *state)
 {
     GByteArray *in = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     int status = lmn_http_call(h, method, path, body, 10, in);
 
     *state = '\0';
-    if (in->len && lmn_doc_parse(&d, in->data, in->len) == 0) {
-        lmn_text(lmn_get(&d, lmn_root(&d), W_STATE), state, 16);
-        lmn_doc_free(&d);
+    if (in->len && lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_STATE), state, 16);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(in);
     return status;
@@ -197,13 +197,14 @@
 {
     GByteArray *in = g_byte_array_new();
     char path[96], course[16] = "";
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     g_snprintf(path, sizeof path, P_JOBS "/%s", j->ref);
     if (lmn_http_call(h, "GET", path, NULL, 10, in) == 200 &&
-        lmn_doc_parse(&d, in->data, in->len) == 0) {
-        lmn_text(lmn_get(&d, lmn_root(&d), "Course"), course, sizeof course);
-        lmn_doc_free(&d);
+        lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), "Course"), course,
+                          sizeof course);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(in);
     return !strcmp(course, "away");
--- a/bench/retention.c
+++ b/bench/retention.c
@@ -47,11 +47,11 @@
         for (int final = 0; final < 2; final++) {
             GByteArray *b =
                 lmn_job_record(&s, final ? LMN_FINISHED : LMN_ACTIVE, !final, 1);
-            struct lmn_doc d;
-            if (lmn_doc_parse(&d, b->data, b->len) != 0)
+            struct lmn_cbor_document d;
+            if (lmn_cbor_parse(&d, b->data, b->len) != 0)
                 return 1;
-            lmn_mirror_apply(c, key, &d, lmn_root(&d), ++rev, now);
-            lmn_doc_free(&d);
+            lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
+            lmn_cbor_free(&d);
             g_byte_array_unref(b);
         }
         now = lmn_after(now, 0.1); /* ten jobs a second */
--- a/bench/state.c
+++ b/bench/state.c
@@ -80,23 +80,23 @@
                                uint64_t value, const char *own, const char *counter)
 {
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, 2);
-    lmn_put_text(b, W_IF), lmn_put_list(b, cond ? 1 : 0);
+    lmn_cbor_put_map(b, 2);
+    lmn_cbor_put_text(b, W_IF), lmn_cbor_put_array(b, cond ? 1 : 0);
     if (cond) {
-        lmn_put_map(b, 2);
-        lmn_put_text(b, W_KEY), lmn_put_text(b, cond);
-        lmn_put_text(b, W_VERSION), lmn_put_count(b, rev);
+        lmn_cbor_put_map(b, 2);
+        lmn_cbor_put_text(b, W_KEY), lmn_cbor_put_text(b, cond);
+        lmn_cbor_put_text(b, W_VERSION), lmn_cbor_put_uint(b, rev);
     }
-    lmn_put_text(b, W_THEN), lmn_put_list(b, own ? 2 : 1);
-    lmn_put_map(b, 2);
-    lmn_put_text(b, W_PUT), lmn_put_text(b, key);
-    lmn_put_text(b, W_VALUE), lmn_put_count(b, value);
+    lmn_cbor_put_text(b, W_THEN), lmn_cbor_put_array(b, own ? 2 : 1);
+    lmn_cbor_put_map(b, 2);
+    lmn_cbor_put_text(b, W_PUT), lmn_cbor_put_text(b, key);
+    lmn_cbor_put_text(b, W_VALUE), lmn_cbor_put_uint(b, value);
     if (own) {
-        lmn_put_map(b, 2);
-        lmn_put_text(b, W_PUT), lmn_put_text(b, own);
-        lmn_put_text(b, W_VALUE), lmn_put_map(b, 2);
-        lmn_put_text(b, "counter"), lmn_put_text(b, counter);
-        lmn_put_text(b, "value"), lmn_put_count(b, value);
+        lmn_cbor_put_map(b, 2);
+        lmn_cbor_put_text(b, W_PUT), lmn_cbor_put_text(b, own);
+        lmn_cbor_put_text(b, W_VALUE), lmn_cbor_put_map(b, 2);
+        lmn_cbor_put_text(b, "counter"), lmn_cbor_put_text(b, counter);
+        lmn_cbor_put_text(b, "value"), lmn_cbor_put_uint(b, value);
     }
     return b;
 }
@@ -121,18 +121,18 @@
                          uint64_t *rev, uint64_t *value)
 {
     char path[64];
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     *rev = *value = 0;
     g_snprintf(path, sizeof path, P_STORE "/%s", key);
     int status = lmn_http_call(h, "GET", path, NULL, 2, in);
     if (status == 404)
         return true;
-    if (status != 200 || lmn_doc_parse(&d, in->data, in->len) != 0)
+    if (status != 200 || lmn_cbor_parse(&d, in->data, in->len) != 0)
         return false;
-    lmn_count(lmn_get(&d, lmn_root(&d), W_VERSION), rev);
-    lmn_count(lmn_get(&d, lmn_root(&d), W_VALUE), value);
-    lmn_doc_free(&d);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_VERSION), rev);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_VALUE), value);
+    lmn_cbor_free(&d);
     return true;
 }
 
@@ -146,7 +146,7 @@
     for (unsigned n = 0; !w.stop; n++) {
         char counter[16], own[48];
         uint64_t rev, value;
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         g_snprintf(counter, sizeof counter, "counter/%d",
                    g_rand_int_range(r, 0, COUNTERS));
         g_snprintf(own, sizeof own, "own/%d/%u", me, n);
@@ -160,9 +160,9 @@
         a.heard = lmn_now();
         g_byte_array_unref(b);
         g_strlcpy(a.own, own, sizeof a.own);
-        if (status == 200 && lmn_doc_parse(&d, in->data, in->len) == 0) {
-            lmn_count(lmn_get(&d, lmn_root(&d), W_REVISION), &a.rev);
-            lmn_doc_free(&d);
+        if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
+            lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REVISION), &a.rev);
+            lmn_cbor_free(&d);
         }
         pthread_mutex_lock(&w.lock);
         w.tried++;
@@ -195,16 +195,17 @@
 static bool take_own(void *arg, const struct lmn_db_item *i)
 {
     struct applied *a = g_new0(struct applied, 1);
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    if (lmn_doc_parse(&d, i->value, i->len) != 0) {
+    if (lmn_cbor_parse(&d, i->value, i->len) != 0) {
         complain("can't be read", i->key);
         return true;
     }
     a->rev = i->rev;
-    lmn_text(lmn_get(&d, lmn_root(&d), "counter"), a->counter, sizeof a->counter);
-    lmn_count(lmn_get(&d, lmn_root(&d), "value"), &a->value);
-    lmn_doc_free(&d);
+    lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), "counter"), a->counter,
+                      sizeof a->counter);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), "value"), &a->value);
+    lmn_cbor_free(&d);
     g_hash_table_insert(arg, g_strdup(i->key), a);
     return true;
 }
@@ -286,11 +287,11 @@
         struct lmn_db_item item;
         char name[16];
         uint64_t value = 0;
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         g_snprintf(name, sizeof name, "counter/%d", i);
-        if (lmn_db_get(r, name, &item) && lmn_doc_parse(&d, item.value, item.len) == 0) {
-            lmn_count(lmn_root(&d), &value);
-            lmn_doc_free(&d);
+        if (lmn_db_get(r, name, &item) && lmn_cbor_parse(&d, item.value, item.len) == 0) {
+            lmn_cbor_get_uint(lmn_cbor_root(&d), &value);
+            lmn_cbor_free(&d);
         }
         if (value != count[i])
             complain("does not stand at the number of transactions that raised it", name);
--- a/bench/submit.h
+++ b/bench/submit.h
@@ -32,7 +32,7 @@
            lmn_depot_name(depot, LMN_DEPOT_JOB, ref, digest, &e) != 0)
         lmn_sleep(0.1);
     g_byte_array_unref(blob);
-    lmn_put_map(body, lmn_spec_pairs());
+    lmn_cbor_put_map(body, lmn_spec_pairs());
     lmn_spec_put(body, &w.spec);
     return body;
 }
--- a/src/admission/connection_budget.c
+++ b/src/admission/connection_budget.c
@@ -21,7 +21,7 @@
     return fixed(cfg) + LMN_LANES + LEAST_ACCEPTED;
 }
 
-void lmn_socket_plan(const struct lmn_settings *cfg, struct lmn_socket_plan *p)
+void lmn_connection_budget_init(const struct lmn_settings *cfg, struct lmn_socket_plan *p)
 {
     unsigned all = (unsigned)cfg->max_connections;
 
--- a/src/admission/connection_budget.h
+++ b/src/admission/connection_budget.h
@@ -32,7 +32,8 @@
  * are no more than max_connections, as long as that is at least
  * lmn_sockets_least; below, accepted is 16 and something will be
  * refused. */
-void lmn_socket_plan(const struct lmn_settings *cfg, struct lmn_socket_plan *p);
+void lmn_connection_budget_init(const struct lmn_settings *cfg,
+                                struct lmn_socket_plan *p);
 
 /* The fewest max_connections that a node with so many members can serve with. */
 unsigned lmn_sockets_least(const struct lmn_settings *cfg);
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -239,7 +239,7 @@
         return lmn_cli_fail(
             LMN_EXIT_FAILED, "%s%s", e.what,
             e.status == 409 ? ": this job was submitted with another description" : "");
-    lmn_put_map(body, lmn_spec_pairs());
+    lmn_cbor_put_map(body, lmn_spec_pairs());
     lmn_spec_put(body, &w->spec);
     int status = lmn_users_call(u, "POST", P_JOBS, body, 60, &s);
     g_byte_array_unref(blob);
@@ -410,16 +410,17 @@
 {
     GPtrArray *a = g_ptr_array_new_with_free_func(g_free);
     GByteArray *in = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     char name[160];
 
     *status = lmn_http_call(h, "GET", path, NULL, 30, in);
-    if (*status == 200 && lmn_doc_parse(&d, in->data, in->len) == 0) {
-        const struct lmn_node *list = lmn_get(&d, lmn_root(&d), "Names");
-        for (const struct lmn_node *n = lmn_child(&d, list); n; n = lmn_next(&d, n))
-            if (lmn_text(n, name, sizeof name))
+    if (*status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        const struct lmn_cbor_value *list = lmn_cbor_get(&d, lmn_cbor_root(&d), "Names");
+        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
+             n = lmn_cbor_next(&d, n))
+            if (lmn_cbor_get_text(n, name, sizeof name))
                 g_ptr_array_add(a, g_strdup(name));
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(in);
     return a;
--- a/src/cli/kv_store.c
+++ b/src/cli/kv_store.c
@@ -188,11 +188,11 @@
     GByteArray *b = g_byte_array_new();
     (void)arg;
 
-    lmn_put_map(b, 4);
-    lmn_put_text(b, "key"), lmn_put_text(b, i->key);
-    lmn_put_text(b, "revision"), lmn_put_count(b, i->rev);
-    lmn_put_text(b, "lease"), lmn_put_count(b, i->lease);
-    lmn_put_text(b, "value"), g_byte_array_append(b, i->value, (guint)i->len);
+    lmn_cbor_put_map(b, 4);
+    lmn_cbor_put_text(b, "key"), lmn_cbor_put_text(b, i->key);
+    lmn_cbor_put_text(b, "revision"), lmn_cbor_put_uint(b, i->rev);
+    lmn_cbor_put_text(b, "lease"), lmn_cbor_put_uint(b, i->lease);
+    lmn_cbor_put_text(b, "value"), g_byte_array_append(b, i->value, (guint)i->len);
     fwrite(b->data, 1, b->len, stdout);
     g_byte_array_unref(b);
     return true;
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -93,10 +93,10 @@
         double value = g_ascii_strtod(argv[2], &end);
         if (end == argv[2] || *end)
             return lmn_cli_fail(LMN_EXIT_USAGE, "%s: expected a number", argv[2]);
-        lmn_put_map(b, 3);
-        lmn_put_text(b, "Set"), lmn_put_text(b, argv[1]);
-        lmn_put_text(b, "Value"), lmn_put_number(b, value);
-        lmn_put_text(b, "For"), lmn_put_number(b, lasts);
+        lmn_cbor_put_map(b, 3);
+        lmn_cbor_put_text(b, "Set"), lmn_cbor_put_text(b, argv[1]);
+        lmn_cbor_put_text(b, "Value"), lmn_cbor_put_number(b, value);
+        lmn_cbor_put_text(b, "For"), lmn_cbor_put_number(b, lasts);
     }
     int status = lmn_http_call(h, argc == 3 ? "POST" : "GET", "/troubles", b, 5, in);
     json_t *j = in->len ? lmn_json_of_bytes(in->data, in->len) : NULL;
--- a/src/cli/users.c
+++ b/src/cli/users.c
@@ -50,18 +50,18 @@
 
 static void read_state(const GByteArray *in, struct lmn_job_state *s)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     memset(s, 0, sizeof *s);
-    if (!in->len || lmn_doc_parse(&d, in->data, in->len) != 0)
+    if (!in->len || lmn_cbor_parse(&d, in->data, in->len) != 0)
         return;
-    const struct lmn_node *root = lmn_root(&d);
-    lmn_text(lmn_get(&d, root, W_ID), s->ref, sizeof s->ref);
-    if (!lmn_text(lmn_get(&d, root, W_STATE), s->state, sizeof s->state))
-        lmn_text(lmn_get(&d, root, "error"), s->state, sizeof s->state);
-    lmn_count(lmn_get(&d, root, W_DONE), &s->done);
-    lmn_count(lmn_get(&d, root, W_RUNNING), &s->running);
-    lmn_doc_free(&d);
+    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, W_ID), s->ref, sizeof s->ref);
+    if (!lmn_cbor_get_text(lmn_cbor_get(&d, root, W_STATE), s->state, sizeof s->state))
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, "error"), s->state, sizeof s->state);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_DONE), &s->done);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_RUNNING), &s->running);
+    lmn_cbor_free(&d);
 }
 
 static bool retried(int status)
--- a/src/config/operator_settings.c
+++ b/src/config/operator_settings.c
@@ -63,22 +63,22 @@
 GByteArray *lmn_tuning_record(const struct lmn_tuning *t)
 {
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, G_N_ELEMENTS(fields));
+    lmn_cbor_put_map(b, G_N_ELEMENTS(fields));
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
-        lmn_put_text(b, fields[i].name);
-        lmn_put_number(b, lmn_tuning_value(t, i));
+        lmn_cbor_put_text(b, fields[i].name);
+        lmn_cbor_put_number(b, lmn_tuning_value(t, i));
     }
     return b;
 }
 
-void lmn_tuning_read(struct lmn_tuning *t, const struct lmn_doc *doc,
-                     const struct lmn_node *value)
+void lmn_tuning_read(struct lmn_tuning *t, const struct lmn_cbor_document *doc,
+                     const struct lmn_cbor_value *value)
 {
     char err[128];
     double v;
 
     *t = lmn_tuning_default;
     for (size_t i = 0; value && i < G_N_ELEMENTS(fields); i++)
-        if (lmn_number(lmn_get(doc, value, fields[i].name), &v))
+        if (lmn_cbor_get_number(lmn_cbor_get(doc, value, fields[i].name), &v))
             lmn_tuning_set(t, fields[i].name, v, err, sizeof err);
 }
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -25,7 +25,7 @@
                    size_t len);
 double lmn_tuning_value(const struct lmn_tuning *t, size_t i);
 GByteArray *lmn_tuning_record(const struct lmn_tuning *t);
-void lmn_tuning_read(struct lmn_tuning *t, const struct lmn_doc *doc,
-                     const struct lmn_node *value);
+void lmn_tuning_read(struct lmn_tuning *t, const struct lmn_cbor_document *doc,
+                     const struct lmn_cbor_value *value);
 
 #endif
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -57,17 +57,17 @@
         return NULL;
     b = g_byte_array_new();
     if (r->error) {
-        lmn_put_map(b, 1);
-        lmn_put_text(b, "error"), lmn_put_text(b, r->error);
+        lmn_cbor_put_map(b, 1);
+        lmn_cbor_put_text(b, "error"), lmn_cbor_put_text(b, r->error);
         return b;
     }
-    lmn_put_map(b, r->status == 201 ? 2 : 4);
-    lmn_put_text(b, W_ID), lmn_put_text(b, ref);
-    lmn_put_text(b, W_STATE), lmn_put_text(b, state_word(r));
+    lmn_cbor_put_map(b, r->status == 201 ? 2 : 4);
+    lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, ref);
+    lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, state_word(r));
     if (r->status == 201)
         return b;
-    lmn_put_text(b, W_DONE), lmn_put_count(b, r->done);
-    lmn_put_text(b, W_RUNNING), lmn_put_count(b, r->running);
+    lmn_cbor_put_text(b, W_DONE), lmn_cbor_put_uint(b, r->done);
+    lmn_cbor_put_text(b, W_RUNNING), lmn_cbor_put_uint(b, r->running);
     return b;
 }
 
@@ -299,21 +299,21 @@
 void lmn_reading_parse(struct lmn_job_reading *r, int status, const guint8 *body,
                        size_t len)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     memset(r, 0, sizeof *r);
     r->status = status;
     if (status != 200)
         return;
     r->status = LMN_NO_ANSWER;
-    if (lmn_doc_parse(&d, body, len) != 0)
+    if (lmn_cbor_parse(&d, body, len) != 0)
         return;
-    const struct lmn_node *root = lmn_root(&d);
-    if (lmn_count(lmn_get(&d, root, W_VERSION), &r->rev) &&
-        lmn_job_read(&d, lmn_get(&d, root, W_VALUE), &r->spec, &r->phase, &r->open,
+    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_VERSION), &r->rev) &&
+        lmn_job_read(&d, lmn_cbor_get(&d, root, W_VALUE), &r->spec, &r->phase, &r->open,
                      &r->at) == 0)
         r->status = 200;
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
 }
 
 void lmn_reading_clear(struct lmn_job_reading *r)
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -97,7 +97,7 @@
     t.part = q->thief;
     for (u_int i = 0; i < q->rooms.rooms_len && i < G_N_ELEMENTS(t.rooms); i++) {
         const struct lmn_rpc_capacity *x = &q->rooms.rooms_val[i];
-        struct lmn_room *r = &t.rooms[t.nrooms++];
+        struct lmn_free_capacity *r = &t.rooms[t.nrooms++];
         g_strlcpy(r->type, x->type, sizeof r->type);
         g_strlcpy(r->zone, x->zone, sizeof r->zone);
         r->spot = x->spot;
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -123,7 +123,7 @@
 static bool too_large(const struct lmn_settings *cfg, const struct lmn_spec *s)
 {
     size_t most = (size_t)(cfg->value_kb * 1024), types = 0;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     for (char **t = s->types; t && *t; t++)
         types += strlen(*t) + 3;
@@ -131,9 +131,9 @@
     if (types + 2048 < most)
         return false;
     GByteArray *b = lmn_job_record(s, LMN_ACTIVE, UINT32_MAX, 1e10);
-    bool large =
-        lmn_doc_parse(&d, b->data, b->len) == 0 && lmn_json_size(&d, lmn_root(&d)) > most;
-    lmn_doc_free(&d);
+    bool large = lmn_cbor_parse(&d, b->data, b->len) == 0 &&
+                 lmn_cbor_json_size(&d, lmn_cbor_root(&d)) > most;
+    lmn_cbor_free(&d);
     g_byte_array_unref(b);
     return large;
 }
@@ -141,19 +141,19 @@
 void lmn_submission_parse(struct lmn_submission *s, const struct lmn_settings *cfg,
                           const guint8 *body, size_t len)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     memset(s, 0, sizeof *s);
     s->what = "not CBOR";
     s->fault = LMN_SUBMISSION_UNNAMED;
-    if (lmn_doc_parse(&d, body, len) != 0)
+    if (lmn_cbor_parse(&d, body, len) != 0)
         return;
-    if (lmn_spec_parse(&s->spec, &d, lmn_root(&d), &s->what) == 0)
+    if (lmn_spec_parse(&s->spec, &d, lmn_cbor_root(&d), &s->what) == 0)
         s->fault =
             too_large(cfg, &s->spec) ? LMN_SUBMISSION_TOO_LARGE : LMN_SUBMISSION_SOUND;
     else if (lmn_ref_ok(s->spec.ref))
         s->fault = LMN_SUBMISSION_MALFORMED;
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
 }
 
 void lmn_submission_clear(struct lmn_submission *s)
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -276,11 +276,12 @@
 static unsigned turn(const struct lmn_emulation *e, const GByteArray *in, unsigned now)
 {
     char name[LMN_NAME] = "";
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    if (in->len && lmn_doc_parse(&d, in->data, in->len) == 0) {
-        lmn_text(lmn_get(&d, lmn_root(&d), W_REPORT_TO), name, sizeof name);
-        lmn_doc_free(&d);
+    if (in->len && lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REPORT_TO), name,
+                          sizeof name);
+        lmn_cbor_free(&d);
     }
     for (unsigned i = 0; i < e->o.worker.ncontrollers && *name; i++)
         if (i != now && !strcmp(e->o.worker.controllers[i].name, name))
@@ -558,11 +559,11 @@
 
     while (lmn_knob_name(n))
         n++;
-    lmn_put_map(b, n);
+    lmn_cbor_put_map(b, n);
     pthread_mutex_lock(&e->lock);
     for (size_t i = 0; i < n; i++)
-        lmn_put_text(b, lmn_knob_name(i)),
-            lmn_put_number(b, lmn_knob_value(&e->cloud.knobs, i));
+        lmn_cbor_put_text(b, lmn_knob_name(i)),
+            lmn_cbor_put_number(b, lmn_knob_value(&e->cloud.knobs, i));
     pthread_mutex_unlock(&e->lock);
     lmn_call_answer(call, 200, b, 0);
 }
@@ -573,7 +574,7 @@
     const GByteArray *body = lmn_call_body(call);
     struct lmn_emu_trouble t = {0};
     char err[128] = "a map with Set and Value is expected";
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     if (strcmp(lmn_call_path(call), "/troubles"))
         return false;
@@ -581,13 +582,13 @@
         show_knobs(e, call);
         return true;
     }
-    bool ok = lmn_doc_parse(&d, body->data, body->len) == 0;
+    bool ok = lmn_cbor_parse(&d, body->data, body->len) == 0;
     if (ok) {
-        const struct lmn_node *root = lmn_root(&d);
-        ok = lmn_text(lmn_get(&d, root, "Set"), t.name, sizeof t.name) &&
-             lmn_number(lmn_get(&d, root, "Value"), &t.value);
-        lmn_number(lmn_get(&d, root, "For"), &t.lasts);
-        lmn_doc_free(&d);
+        const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+        ok = lmn_cbor_get_text(lmn_cbor_get(&d, root, "Set"), t.name, sizeof t.name) &&
+             lmn_cbor_get_number(lmn_cbor_get(&d, root, "Value"), &t.value);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, "For"), &t.lasts);
+        lmn_cbor_free(&d);
     }
     pthread_mutex_lock(&e->lock);
     double now = seconds(e), old = 0;
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -27,7 +27,7 @@
 static int ask(struct feeder *f, const char *method, const char *path,
                const GByteArray *body, char *word, struct lmn_progress *p)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     int status = LMN_NOT_SENT;
     uint64_t done = 0, running = 0;
 
@@ -35,13 +35,13 @@
         status = lmn_http_call(f->controllers[f->turn++ % f->g->o->ncontrollers], method,
                                path, body, 4, f->in);
     *word = '\0';
-    if (status < 0 || !f->in->len || lmn_doc_parse(&d, f->in->data, f->in->len) != 0)
+    if (status < 0 || !f->in->len || lmn_cbor_parse(&d, f->in->data, f->in->len) != 0)
         return status;
-    const struct lmn_node *root = lmn_root(&d);
-    lmn_text(lmn_get(&d, root, W_STATE), word, 16);
-    lmn_count(lmn_get(&d, root, W_DONE), &done);
-    lmn_count(lmn_get(&d, root, W_RUNNING), &running);
-    lmn_doc_free(&d);
+    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, W_STATE), word, 16);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_DONE), &done);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_RUNNING), &running);
+    lmn_cbor_free(&d);
     /* Controllers know more and less of it; what is done stays done. */
     p->done = MAX(p->done, (uint32_t)done);
     p->running = (uint32_t)running;
@@ -71,7 +71,7 @@
     struct lmn_spec s = *spec;
 
     g_strlcpy(s.ref, local, sizeof s.ref);
-    lmn_put_map(b, lmn_spec_pairs());
+    lmn_cbor_put_map(b, lmn_spec_pairs());
     lmn_spec_put(b, &s);
     return b;
 }
--- a/src/gateway/execution.c
+++ b/src/gateway/execution.c
@@ -110,14 +110,15 @@
     struct lmn_spec spec = {0};
     enum lmn_answer answer = LMN_A_REFUSED;
     const char *what;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     bool old = false, ours = o->incarnation == g->book.incarnation;
 
-    if (!lmn_ref_ok(o->ref) || lmn_doc_parse(&d, o->spec.spec_val, o->spec.spec_len) != 0)
+    if (!lmn_ref_ok(o->ref) ||
+        lmn_cbor_parse(&d, o->spec.spec_val, o->spec.spec_len) != 0)
         return; /* nobody can have such a job: there is nothing to answer for */
-    bool sane =
-        lmn_spec_parse(&spec, &d, lmn_root(&d), &what) == 0 && !strcmp(spec.ref, o->ref);
-    lmn_doc_free(&d);
+    bool sane = lmn_spec_parse(&spec, &d, lmn_cbor_root(&d), &what) == 0 &&
+                !strcmp(spec.ref, o->ref);
+    lmn_cbor_free(&d);
     bool team = false;
     for (unsigned i = 0; sane && i < g->o->nteams; i++)
         team = team || !strcmp(g->o->teams[i], spec.team);
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -40,21 +40,22 @@
     GByteArray *b = g_byte_array_new();
     bool final = j->hand.state == LMN_H_FINAL, away = *j->hand.site && !final;
 
-    lmn_put_map(b, 10);
-    lmn_put_text(b, W_ID), lmn_put_text(b, j->ref);
-    lmn_put_text(b, W_STATE), lmn_put_text(b, word(j));
-    lmn_put_text(b, W_DONE);
-    lmn_put_count(b, final && j->hand.outcome == LMN_O_DONE ? j->spec.tasks
-                                                            : j->progress.done);
-    lmn_put_text(b, W_RUNNING), lmn_put_count(b, final ? 0 : j->progress.running);
+    lmn_cbor_put_map(b, 10);
+    lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, j->ref);
+    lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, word(j));
+    lmn_cbor_put_text(b, W_DONE);
+    lmn_cbor_put_uint(b, final && j->hand.outcome == LMN_O_DONE ? j->spec.tasks
+                                                                : j->progress.done);
+    lmn_cbor_put_text(b, W_RUNNING),
+        lmn_cbor_put_uint(b, final ? 0 : j->progress.running);
     /* Where it is, and how old that knowledge is. */
-    lmn_put_text(b, "Site"), lmn_put_text(b, away ? j->hand.site : g->o->site);
-    lmn_put_text(b, "AgeS"),
-        lmn_put_number(b, final ? 0 : lmn_since(lmn_now(), j->progress.known));
-    lmn_put_text(b, "Course"), lmn_put_text(b, states[j->hand.state]);
-    lmn_put_text(b, "Epoch"), lmn_put_count(b, j->hand.epoch);
-    lmn_put_text(b, "Cancel"), lmn_put_truth(b, j->hand.cancel);
-    lmn_put_text(b, "Recall"), lmn_put_truth(b, j->hand.recall);
+    lmn_cbor_put_text(b, "Site"), lmn_cbor_put_text(b, away ? j->hand.site : g->o->site);
+    lmn_cbor_put_text(b, "AgeS"),
+        lmn_cbor_put_number(b, final ? 0 : lmn_since(lmn_now(), j->progress.known));
+    lmn_cbor_put_text(b, "Course"), lmn_cbor_put_text(b, states[j->hand.state]);
+    lmn_cbor_put_text(b, "Epoch"), lmn_cbor_put_uint(b, j->hand.epoch);
+    lmn_cbor_put_text(b, "Cancel"), lmn_cbor_put_bool(b, j->hand.cancel);
+    lmn_cbor_put_text(b, "Recall"), lmn_cbor_put_bool(b, j->hand.recall);
     return b;
 }
 
@@ -74,25 +75,26 @@
     const GByteArray *body = lmn_call_body(call);
     struct lmn_write w = {0};
     struct lmn_spec s;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     const char *what = "not CBOR";
     char digest[LMN_DIGEST] = "";
     double leash = 0;
     bool team = false;
 
-    if (lmn_doc_parse(&d, body->data, body->len) != 0) {
+    if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
         lmn_call_fail(call, 400, what);
         return;
     }
-    bool sane = lmn_spec_parse(&s, &d, lmn_root(&d), &what) == 0;
+    bool sane = lmn_spec_parse(&s, &d, lmn_cbor_root(&d), &what) == 0;
     /* The record holds it, and little more; what no value can hold would be 503 at each
      * try. */
-    if (sane && (double)lmn_json_size(&d, lmn_root(&d)) + 600 > g->o->value_kb * 1024) {
+    if (sane &&
+        (double)lmn_cbor_json_size(&d, lmn_cbor_root(&d)) + 600 > g->o->value_kb * 1024) {
         sane = false;
         what = "too large";
     }
-    lmn_number(lmn_get(&d, lmn_root(&d), "LeashS"), &leash);
-    lmn_doc_free(&d);
+    lmn_cbor_get_number(lmn_cbor_get(&d, lmn_cbor_root(&d), "LeashS"), &leash);
+    lmn_cbor_free(&d);
     for (unsigned i = 0; sane && i < g->o->nteams; i++)
         team = team || !strcmp(g->o->teams[i], s.team);
     if (sane && team)
@@ -209,8 +211,8 @@
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 1);
-    lmn_put_text(b, "Jobs"), lmn_put_count(b, n);
+    lmn_cbor_put_map(b, 1);
+    lmn_cbor_put_text(b, "Jobs"), lmn_cbor_put_uint(b, n);
     lmn_call_answer(call, 200, b, 0);
 }
 
@@ -342,35 +344,36 @@
         guests += runs;
         untold += !runs;
     }
-    lmn_put_map(b, 8);
-    lmn_put_text(b, "Site"), lmn_put_text(b, g->o->site);
-    lmn_put_text(b, "Gateway"), lmn_put_text(b, g->o->name);
-    lmn_put_text(b, "Jobs"), lmn_put_map(b, COURSES);
+    lmn_cbor_put_map(b, 8);
+    lmn_cbor_put_text(b, "Site"), lmn_cbor_put_text(b, g->o->site);
+    lmn_cbor_put_text(b, "Gateway"), lmn_cbor_put_text(b, g->o->name);
+    lmn_cbor_put_text(b, "Jobs"), lmn_cbor_put_map(b, COURSES);
     for (int i = 0; i < COURSES; i++)
-        lmn_put_text(b, states[i]), lmn_put_count(b, n[i]);
-    lmn_put_text(b, "Guests"), lmn_put_count(b, guests);
-    lmn_put_text(b, "OutcomesUntold"), lmn_put_count(b, untold);
+        lmn_cbor_put_text(b, states[i]), lmn_cbor_put_uint(b, n[i]);
+    lmn_cbor_put_text(b, "Guests"), lmn_cbor_put_uint(b, guests);
+    lmn_cbor_put_text(b, "OutcomesUntold"), lmn_cbor_put_uint(b, untold);
     double cpus, work_s;
     lmn_handed(g, &cpus, &work_s);
-    lmn_put_text(b, "HandedCpus"), lmn_put_number(b, cpus);
-    lmn_put_text(b, "QueuedCpuS"), lmn_put_number(b, lmn_queued_cpu_s(g));
-    lmn_put_text(b, "Peers"), lmn_put_list(b, g->o->npeers);
+    lmn_cbor_put_text(b, "HandedCpus"), lmn_cbor_put_number(b, cpus);
+    lmn_cbor_put_text(b, "QueuedCpuS"), lmn_cbor_put_number(b, lmn_queued_cpu_s(g));
+    lmn_cbor_put_text(b, "Peers"), lmn_cbor_put_array(b, g->o->npeers);
     for (unsigned i = 0; i < g->o->npeers; i++) {
         const struct lmn_gpeer *p = &g->peers[i];
-        lmn_put_map(b, 12);
-        lmn_put_text(b, "Site"), lmn_put_text(b, g->o->peers[i].site);
-        lmn_put_text(b, "Address"), lmn_put_text(b, g->o->addresses[i][0]);
-        lmn_put_text(b, "Up"), lmn_put_truth(b, p->up);
-        lmn_put_text(b, "SilentS"), lmn_put_number(b, lmn_since(lmn_now(), p->heard));
-        lmn_put_text(b, "Evicted");
-        lmn_put_truth(b, lmn_book_is_evicted(&g->book, g->o->peers[i].site));
-        lmn_put_text(b, "Alarm"), lmn_put_truth(b, p->alarmed);
-        lmn_put_text(b, "Why"), lmn_put_text(b, p->up ? "" : p->why);
-        lmn_put_text(b, "OffersOut"), lmn_put_count(b, p->offers_out);
-        lmn_put_text(b, "OffersIn"), lmn_put_count(b, p->offers_in);
-        lmn_put_text(b, "OutcomesOut"), lmn_put_count(b, p->outcomes_out);
-        lmn_put_text(b, "OutcomesIn"), lmn_put_count(b, p->outcomes_in);
-        lmn_put_text(b, "QueuedCpuS"), lmn_put_number(b, p->queued_cpu_s);
+        lmn_cbor_put_map(b, 12);
+        lmn_cbor_put_text(b, "Site"), lmn_cbor_put_text(b, g->o->peers[i].site);
+        lmn_cbor_put_text(b, "Address"), lmn_cbor_put_text(b, g->o->addresses[i][0]);
+        lmn_cbor_put_text(b, "Up"), lmn_cbor_put_bool(b, p->up);
+        lmn_cbor_put_text(b, "SilentS"),
+            lmn_cbor_put_number(b, lmn_since(lmn_now(), p->heard));
+        lmn_cbor_put_text(b, "Evicted");
+        lmn_cbor_put_bool(b, lmn_book_is_evicted(&g->book, g->o->peers[i].site));
+        lmn_cbor_put_text(b, "Alarm"), lmn_cbor_put_bool(b, p->alarmed);
+        lmn_cbor_put_text(b, "Why"), lmn_cbor_put_text(b, p->up ? "" : p->why);
+        lmn_cbor_put_text(b, "OffersOut"), lmn_cbor_put_uint(b, p->offers_out);
+        lmn_cbor_put_text(b, "OffersIn"), lmn_cbor_put_uint(b, p->offers_in);
+        lmn_cbor_put_text(b, "OutcomesOut"), lmn_cbor_put_uint(b, p->outcomes_out);
+        lmn_cbor_put_text(b, "OutcomesIn"), lmn_cbor_put_uint(b, p->outcomes_in);
+        lmn_cbor_put_text(b, "QueuedCpuS"), lmn_cbor_put_number(b, p->queued_cpu_s);
     }
     pthread_mutex_unlock(&g->book.lock);
     lmn_call_answer(call, 200, b, 0);
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -200,7 +200,7 @@
         if (!w->ok || !w->job)
             continue;
         GByteArray *b = g_byte_array_new();
-        lmn_put_map(b, lmn_spec_pairs());
+        lmn_cbor_put_map(b, lmn_spec_pairs());
         lmn_spec_put(b, &w->job->spec);
         o->ref = g_strdup(w->job->ref);
         o->epoch = w->home.epoch;
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -30,9 +30,9 @@
 
 static void put_cond(GByteArray *b, const char *key, uint64_t rev)
 {
-    lmn_put_map(b, 2);
-    lmn_put_text(b, W_KEY), lmn_put_text(b, key);
-    lmn_put_text(b, W_VERSION), lmn_put_count(b, rev);
+    lmn_cbor_put_map(b, 2);
+    lmn_cbor_put_text(b, W_KEY), lmn_cbor_put_text(b, key);
+    lmn_cbor_put_text(b, W_VERSION), lmn_cbor_put_uint(b, rev);
 }
 
 /* --- records --- */
@@ -41,19 +41,20 @@
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 10);
-    lmn_put_text(b, "spec"), lmn_put_map(b, lmn_spec_pairs()), lmn_spec_put(b, &j->spec);
-    lmn_put_text(b, "digest"), lmn_put_text(b, j->digest);
-    lmn_put_text(b, "at"), lmn_put_number(b, j->at);
-    lmn_put_text(b, "leash"), lmn_put_number(b, j->leash_s);
-    lmn_put_text(b, "state"), lmn_put_count(b, h->state);
-    lmn_put_text(b, "epoch"), lmn_put_count(b, h->epoch);
-    lmn_put_text(b, "site"), lmn_put_text(b, h->site);
-    lmn_put_text(b, "incarnation"), lmn_put_count(b, h->incarnation);
-    lmn_put_text(b, "outcome"),
-        lmn_put_count(b, (uint64_t)h->outcome | (uint64_t)h->cancel << 8 |
-                             (uint64_t)h->recall << 9);
-    lmn_put_text(b, "transfers"), lmn_put_count(b, h->transfers);
+    lmn_cbor_put_map(b, 10);
+    lmn_cbor_put_text(b, "spec"), lmn_cbor_put_map(b, lmn_spec_pairs()),
+        lmn_spec_put(b, &j->spec);
+    lmn_cbor_put_text(b, "digest"), lmn_cbor_put_text(b, j->digest);
+    lmn_cbor_put_text(b, "at"), lmn_cbor_put_number(b, j->at);
+    lmn_cbor_put_text(b, "leash"), lmn_cbor_put_number(b, j->leash_s);
+    lmn_cbor_put_text(b, "state"), lmn_cbor_put_uint(b, h->state);
+    lmn_cbor_put_text(b, "epoch"), lmn_cbor_put_uint(b, h->epoch);
+    lmn_cbor_put_text(b, "site"), lmn_cbor_put_text(b, h->site);
+    lmn_cbor_put_text(b, "incarnation"), lmn_cbor_put_uint(b, h->incarnation);
+    lmn_cbor_put_text(b, "outcome"),
+        lmn_cbor_put_uint(b, (uint64_t)h->outcome | (uint64_t)h->cancel << 8 |
+                                 (uint64_t)h->recall << 9);
+    lmn_cbor_put_text(b, "transfers"), lmn_cbor_put_uint(b, h->transfers);
     return b;
 }
 
@@ -61,24 +62,25 @@
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 7);
-    lmn_put_text(b, "spec"), lmn_put_map(b, lmn_spec_pairs()), lmn_spec_put(b, &g->spec);
-    lmn_put_text(b, "digest"), lmn_put_text(b, g->digest);
-    lmn_put_text(b, "leash"), lmn_put_number(b, g->leash_s);
-    lmn_put_text(b, "state"), lmn_put_count(b, f->state);
-    lmn_put_text(b, "epoch"), lmn_put_count(b, f->epoch);
-    lmn_put_text(b, "floor"), lmn_put_count(b, f->floor);
-    lmn_put_text(b, "outcome");
-    lmn_put_count(b, (uint64_t)f->outcome | (uint64_t)f->cancel << 8 |
-                         (uint64_t)f->heard << 9);
+    lmn_cbor_put_map(b, 7);
+    lmn_cbor_put_text(b, "spec"), lmn_cbor_put_map(b, lmn_spec_pairs()),
+        lmn_spec_put(b, &g->spec);
+    lmn_cbor_put_text(b, "digest"), lmn_cbor_put_text(b, g->digest);
+    lmn_cbor_put_text(b, "leash"), lmn_cbor_put_number(b, g->leash_s);
+    lmn_cbor_put_text(b, "state"), lmn_cbor_put_uint(b, f->state);
+    lmn_cbor_put_text(b, "epoch"), lmn_cbor_put_uint(b, f->epoch);
+    lmn_cbor_put_text(b, "floor"), lmn_cbor_put_uint(b, f->floor);
+    lmn_cbor_put_text(b, "outcome");
+    lmn_cbor_put_uint(b, (uint64_t)f->outcome | (uint64_t)f->cancel << 8 |
+                             (uint64_t)f->heard << 9);
     return b;
 }
 
-static uint64_t count_of(const struct lmn_doc *d, const struct lmn_node *m,
-                         const char *key)
+static uint64_t count_of(const struct lmn_cbor_document *d,
+                         const struct lmn_cbor_value *m, const char *key)
 {
     uint64_t v = 0;
-    lmn_count(lmn_get(d, m, key), &v);
+    lmn_cbor_get_uint(lmn_cbor_get(d, m, key), &v);
     return v;
 }
 
@@ -99,25 +101,26 @@
         g_hash_table_remove(b->open_guests, g->key);
 }
 
-static void read_job(struct lmn_book *b, const char *ref, const struct lmn_doc *d,
-                     const struct lmn_node *v, uint64_t rev)
+static void read_job(struct lmn_book *b, const char *ref,
+                     const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                     uint64_t rev)
 {
     struct lmn_gjob *j = g_new0(struct lmn_gjob, 1);
     uint64_t outcome = count_of(d, v, "outcome");
     const char *what;
 
     g_strlcpy(j->ref, ref, sizeof j->ref);
-    if (lmn_spec_parse(&j->spec, d, lmn_get(d, v, "spec"), &what) != 0) {
+    if (lmn_spec_parse(&j->spec, d, lmn_cbor_get(d, v, "spec"), &what) != 0) {
         lmn_error("unreadable-record key=g/j/%s field=%s", ref, what);
         g_free(j);
         return;
     }
-    lmn_text(lmn_get(d, v, "digest"), j->digest, sizeof j->digest);
-    lmn_number(lmn_get(d, v, "at"), &j->at);
-    lmn_number(lmn_get(d, v, "leash"), &j->leash_s);
+    lmn_cbor_get_text(lmn_cbor_get(d, v, "digest"), j->digest, sizeof j->digest);
+    lmn_cbor_get_number(lmn_cbor_get(d, v, "at"), &j->at);
+    lmn_cbor_get_number(lmn_cbor_get(d, v, "leash"), &j->leash_s);
     j->hand.state = (enum lmn_home_state)count_of(d, v, "state");
     j->hand.epoch = count_of(d, v, "epoch");
-    lmn_text(lmn_get(d, v, "site"), j->hand.site, sizeof j->hand.site);
+    lmn_cbor_get_text(lmn_cbor_get(d, v, "site"), j->hand.site, sizeof j->hand.site);
     j->hand.incarnation = count_of(d, v, "incarnation");
     j->hand.outcome = (enum lmn_outcome_word)(outcome & 0xff);
     j->hand.cancel = outcome >> 8 & 1;
@@ -128,15 +131,16 @@
     sort_job(b, j);
 }
 
-static void read_guest(struct lmn_book *b, const char *key, const struct lmn_doc *d,
-                       const struct lmn_node *v, uint64_t rev)
+static void read_guest(struct lmn_book *b, const char *key,
+                       const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                       uint64_t rev)
 {
     struct lmn_guest *g = g_new0(struct lmn_guest, 1);
     uint64_t outcome = count_of(d, v, "outcome");
     const char *what, *slash = strchr(key, '/');
 
     if (!slash || (size_t)(slash - key) >= sizeof g->home ||
-        lmn_spec_parse(&g->spec, d, lmn_get(d, v, "spec"), &what) != 0) {
+        lmn_spec_parse(&g->spec, d, lmn_cbor_get(d, v, "spec"), &what) != 0) {
         lmn_error("unreadable-record key=g/f/%s", key);
         g_free(g);
         return;
@@ -144,8 +148,8 @@
     g->key = g_strdup(key);
     g_strlcpy(g->home, key, (gsize)(slash - key) + 1);
     g_strlcpy(g->ref, slash + 1, sizeof g->ref);
-    lmn_text(lmn_get(d, v, "digest"), g->digest, sizeof g->digest);
-    lmn_number(lmn_get(d, v, "leash"), &g->leash_s);
+    lmn_cbor_get_text(lmn_cbor_get(d, v, "digest"), g->digest, sizeof g->digest);
+    lmn_cbor_get_number(lmn_cbor_get(d, v, "leash"), &g->leash_s);
     g->hand.state = (enum lmn_host_state)count_of(d, v, "state");
     g->hand.epoch = count_of(d, v, "epoch");
     g->hand.floor = count_of(d, v, "floor");
@@ -165,19 +169,21 @@
     bool more = true;
 
     while (more) {
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         g_snprintf(path, sizeof path, P_STORE "?Under=g/%s%s&Limit=500",
                    *after ? "&After=" : "", after);
         if (insist(h, "GET", path, NULL, in) != 200 ||
-            lmn_doc_parse(&d, in->data, in->len) != 0)
+            lmn_cbor_parse(&d, in->data, in->len) != 0)
             continue;
-        const struct lmn_node *root = lmn_root(&d), *items = lmn_get(&d, root, W_ITEMS);
+        const struct lmn_cbor_value *root = lmn_cbor_root(&d),
+                                    *items = lmn_cbor_get(&d, root, W_ITEMS);
         more = false;
-        lmn_truth(lmn_get(&d, root, W_MORE), &more);
-        for (const struct lmn_node *n = lmn_child(&d, items); n; n = lmn_next(&d, n)) {
-            const struct lmn_node *v = lmn_get(&d, n, W_VALUE);
+        lmn_cbor_get_bool(lmn_cbor_get(&d, root, W_MORE), &more);
+        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, items); n;
+             n = lmn_cbor_next(&d, n)) {
+            const struct lmn_cbor_value *v = lmn_cbor_get(&d, n, W_VALUE);
             uint64_t rev = count_of(&d, n, W_VERSION);
-            if (!lmn_text(lmn_get(&d, n, W_KEY), after, sizeof after) || !v)
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_KEY), after, sizeof after) || !v)
                 continue;
             if (g_str_has_prefix(after, "g/j/"))
                 read_job(b, after + 4, &d, v, rev);
@@ -186,7 +192,7 @@
             else if (g_str_has_prefix(after, "g/e/"))
                 g_hash_table_add(b->evicted, g_strdup(after + 4));
         }
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(in);
 }
@@ -215,15 +221,15 @@
 static uint64_t new_lease(struct lmn_http *h, GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t id = 0;
 
-    lmn_put_map(q, 1);
-    lmn_put_text(q, W_TTL_MS), lmn_put_count(q, (uint64_t)(TTL_S * 1000));
+    lmn_cbor_put_map(q, 1);
+    lmn_cbor_put_text(q, W_TTL_MS), lmn_cbor_put_uint(q, (uint64_t)(TTL_S * 1000));
     if (insist(h, "POST", P_LEASES, q, in) == 200 &&
-        lmn_doc_parse(&d, in->data, in->len) == 0) {
-        id = count_of(&d, lmn_root(&d), W_LEASE);
-        lmn_doc_free(&d);
+        lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        id = count_of(&d, lmn_cbor_root(&d), W_LEASE);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(q);
     return id;
@@ -234,19 +240,19 @@
                          GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t rev = 0;
 
-    lmn_put_map(q, 2);
-    lmn_put_text(q, W_IF), lmn_put_list(q, 1), put_cond(q, "g/lead", 0);
-    lmn_put_text(q, W_THEN), lmn_put_list(q, 1), lmn_put_map(q, 3);
-    lmn_put_text(q, W_PUT), lmn_put_text(q, "g/lead");
-    lmn_put_text(q, W_VALUE), lmn_put_text(q, gateway);
-    lmn_put_text(q, W_LEASE), lmn_put_count(q, lease);
+    lmn_cbor_put_map(q, 2);
+    lmn_cbor_put_text(q, W_IF), lmn_cbor_put_array(q, 1), put_cond(q, "g/lead", 0);
+    lmn_cbor_put_text(q, W_THEN), lmn_cbor_put_array(q, 1), lmn_cbor_put_map(q, 3);
+    lmn_cbor_put_text(q, W_PUT), lmn_cbor_put_text(q, "g/lead");
+    lmn_cbor_put_text(q, W_VALUE), lmn_cbor_put_text(q, gateway);
+    lmn_cbor_put_text(q, W_LEASE), lmn_cbor_put_uint(q, lease);
     int status = lmn_http_call(h, "POST", P_TXN, q, PATIENCE_S, in);
-    if (status == 200 && lmn_doc_parse(&d, in->data, in->len) == 0) {
-        rev = count_of(&d, lmn_root(&d), W_REVISION);
-        lmn_doc_free(&d);
+    if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        rev = count_of(&d, lmn_cbor_root(&d), W_REVISION);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(q);
     return rev;
@@ -255,16 +261,16 @@
 static uint64_t read_number(struct lmn_http *h, const char *path, const char *field,
                             uint64_t *rev, GByteArray *in)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t v = 0;
 
     *rev = 0;
     if (insist(h, "GET", path, NULL, in) != 200 ||
-        lmn_doc_parse(&d, in->data, in->len) != 0)
+        lmn_cbor_parse(&d, in->data, in->len) != 0)
         return 0;
-    lmn_count(lmn_get(&d, lmn_root(&d), field), &v);
-    *rev = count_of(&d, lmn_root(&d), W_VERSION);
-    lmn_doc_free(&d);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), field), &v);
+    *rev = count_of(&d, lmn_cbor_root(&d), W_VERSION);
+    lmn_cbor_free(&d);
     return v;
 }
 
@@ -273,12 +279,12 @@
 {
     GByteArray *q = g_byte_array_new();
 
-    lmn_put_map(q, 2);
-    lmn_put_text(q, W_IF), lmn_put_list(q, 2);
+    lmn_cbor_put_map(q, 2);
+    lmn_cbor_put_text(q, W_IF), lmn_cbor_put_array(q, 2);
     put_cond(q, "g/lead", b->lead_rev), put_cond(q, "g/i", rev);
-    lmn_put_text(q, W_THEN), lmn_put_list(q, 1), lmn_put_map(q, 2);
-    lmn_put_text(q, W_PUT), lmn_put_text(q, "g/i");
-    lmn_put_text(q, W_VALUE), lmn_put_count(q, b->incarnation);
+    lmn_cbor_put_text(q, W_THEN), lmn_cbor_put_array(q, 1), lmn_cbor_put_map(q, 2);
+    lmn_cbor_put_text(q, W_PUT), lmn_cbor_put_text(q, "g/i");
+    lmn_cbor_put_text(q, W_VALUE), lmn_cbor_put_uint(q, b->incarnation);
     insist(h, "POST", P_TXN, q, in);
     g_byte_array_unref(q);
 }
@@ -438,30 +444,30 @@
                 unsigned n, uint64_t *rev, GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    lmn_put_map(q, 2);
-    lmn_put_text(q, W_IF), lmn_put_list(q, n + 1);
+    lmn_cbor_put_map(q, 2);
+    lmn_cbor_put_text(q, W_IF), lmn_cbor_put_array(q, n + 1);
     put_cond(q, "g/lead", b->lead_rev);
     for (unsigned i = 0; i < n; i++) {
         char *key = key_of(&w[i]);
         put_cond(q, key, w[i].job ? w[i].job->rev : w[i].guest->rev);
         g_free(key);
     }
-    lmn_put_text(q, W_THEN), lmn_put_list(q, n);
+    lmn_cbor_put_text(q, W_THEN), lmn_cbor_put_array(q, n);
     for (unsigned i = 0; i < n; i++) {
         char *key = key_of(&w[i]);
         GByteArray *v = value_of(&w[i]);
-        lmn_put_map(q, 2);
-        lmn_put_text(q, W_PUT), lmn_put_text(q, key);
-        lmn_put_text(q, W_VALUE), g_byte_array_append(q, v->data, v->len);
+        lmn_cbor_put_map(q, 2);
+        lmn_cbor_put_text(q, W_PUT), lmn_cbor_put_text(q, key);
+        lmn_cbor_put_text(q, W_VALUE), g_byte_array_append(q, v->data, v->len);
         g_byte_array_unref(v);
         g_free(key);
     }
     int status = insist(h, "POST", P_TXN, q, in);
-    if (status == 200 && lmn_doc_parse(&d, in->data, in->len) == 0) {
-        *rev = count_of(&d, lmn_root(&d), W_REVISION);
-        lmn_doc_free(&d);
+    if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        *rev = count_of(&d, lmn_cbor_root(&d), W_REVISION);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(q);
     return status;
@@ -474,17 +480,17 @@
 {
     char *key = key_of(w), *path = g_strdup_printf(P_STORE "/%s", key);
     GByteArray *v = value_of(w), *is = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     bool same = false;
 
     if (insist(h, "GET", path, NULL, in) == 200 &&
-        lmn_doc_parse(&d, in->data, in->len) == 0) {
-        const struct lmn_node *n = lmn_get(&d, lmn_root(&d), W_VALUE);
-        *rev = count_of(&d, lmn_root(&d), W_VERSION);
+        lmn_cbor_parse(&d, in->data, in->len) == 0) {
+        const struct lmn_cbor_value *n = lmn_cbor_get(&d, lmn_cbor_root(&d), W_VALUE);
+        *rev = count_of(&d, lmn_cbor_root(&d), W_VERSION);
         if (n)
-            lmn_put_node(is, &d, n);
+            lmn_cbor_put_value(is, &d, n);
         same = is->len == v->len && !memcmp(is->data, v->data, v->len);
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(v);
     g_byte_array_unref(is);
@@ -574,12 +580,14 @@
     GByteArray *q = g_byte_array_new(), *in = g_byte_array_new();
     char *key = g_strdup_printf("g/e/%s", site);
 
-    lmn_put_map(q, 2);
-    lmn_put_text(q, W_IF), lmn_put_list(q, 1), put_cond(q, "g/lead", b->lead_rev);
-    lmn_put_text(q, W_THEN), lmn_put_list(q, 1), lmn_put_map(q, out ? 2 : 1);
-    lmn_put_text(q, out ? W_PUT : W_DELETE), lmn_put_text(q, key);
+    lmn_cbor_put_map(q, 2);
+    lmn_cbor_put_text(q, W_IF), lmn_cbor_put_array(q, 1),
+        put_cond(q, "g/lead", b->lead_rev);
+    lmn_cbor_put_text(q, W_THEN), lmn_cbor_put_array(q, 1),
+        lmn_cbor_put_map(q, out ? 2 : 1);
+    lmn_cbor_put_text(q, out ? W_PUT : W_DELETE), lmn_cbor_put_text(q, key);
     if (out)
-        lmn_put_text(q, W_VALUE), lmn_put_truth(q, true);
+        lmn_cbor_put_text(q, W_VALUE), lmn_cbor_put_bool(q, true);
     /* Said again, it is the same: an answer that was lost does no harm. */
     if (insist(h, "POST", P_TXN, q, in) == 200) {
         pthread_mutex_lock(&b->lock);
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -218,8 +218,8 @@
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 1);
-    lmn_put_text(b, "error"), lmn_put_text(b, what);
+    lmn_cbor_put_map(b, 1);
+    lmn_cbor_put_text(b, "error"), lmn_cbor_put_text(b, what);
     answer(call, status, CBOR, b, 0);
 }
 
--- a/src/image_store/image.c
+++ b/src/image_store/image.c
@@ -58,16 +58,16 @@
             break;
         g_byte_array_set_size(piece, (guint)got);
         rc = lmn_depot_put(w->http, piece, digest, w->e);
-        lmn_put_text(pieces, digest);
+        lmn_cbor_put_text(pieces, digest);
         w->bytes += (uint64_t)got;
         n++;
     }
     if (fd >= 0)
         close(fd);
-    lmn_put_map(w->files, 3);
-    lmn_put_text(w->files, "Path"), lmn_put_text(w->files, rel);
-    lmn_put_text(w->files, "Mode"), lmn_put_count(w->files, st->st_mode & 0777);
-    lmn_put_text(w->files, "Pieces"), lmn_put_list(w->files, n);
+    lmn_cbor_put_map(w->files, 3);
+    lmn_cbor_put_text(w->files, "Path"), lmn_cbor_put_text(w->files, rel);
+    lmn_cbor_put_text(w->files, "Mode"), lmn_cbor_put_uint(w->files, st->st_mode & 0777);
+    lmn_cbor_put_text(w->files, "Pieces"), lmn_cbor_put_array(w->files, n);
     g_byte_array_append(w->files, pieces->data, pieces->len);
     w->n++;
     g_byte_array_unref(pieces);
@@ -117,7 +117,7 @@
     GByteArray *list = g_byte_array_new();
     char digest[LMN_DIGEST];
 
-    lmn_put_list(list, w.n);
+    lmn_cbor_put_array(list, w.n);
     g_byte_array_append(list, w.files->data, w.files->len);
     if (rc == 0)
         rc = lmn_depot_put(h, list, digest, e);
@@ -152,16 +152,16 @@
     uint64_t bytes;
 };
 
-static int get_file(struct fetch *f, const char *dir, const struct lmn_doc *d,
-                    const struct lmn_node *n)
+static int get_file(struct fetch *f, const char *dir, const struct lmn_cbor_document *d,
+                    const struct lmn_cbor_value *n)
 {
     char path[1024], digest[LMN_DIGEST];
     uint64_t mode = 0;
     GByteArray *piece = g_byte_array_new();
     int rc = 0;
 
-    if (!lmn_text(lmn_get(d, n, "Path"), path, sizeof path) || !path_ok(path) ||
-        !lmn_count(lmn_get(d, n, "Mode"), &mode)) {
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, n, "Path"), path, sizeof path) ||
+        !path_ok(path) || !lmn_cbor_get_uint(lmn_cbor_get(d, n, "Mode"), &mode)) {
         g_byte_array_unref(piece);
         return wrong(f->e, "image", "its list of files can't be read");
     }
@@ -171,12 +171,12 @@
                   (mode_t)(mode & 0777));
     if (fd < 0)
         rc = wrong(f->e, to, strerror(errno));
-    const struct lmn_node *pieces = lmn_get(d, n, "Pieces");
-    for (const struct lmn_node *p = lmn_child(d, pieces); p && rc == 0;
-         p = lmn_next(d, p)) {
+    const struct lmn_cbor_value *pieces = lmn_cbor_get(d, n, "Pieces");
+    for (const struct lmn_cbor_value *p = lmn_cbor_first_child(d, pieces); p && rc == 0;
+         p = lmn_cbor_next(d, p)) {
         if (f->go_on && !f->go_on(f->arg))
             rc = wrong(f->e, path, "given up: no task waits for it");
-        else if (!lmn_text(p, digest, sizeof digest))
+        else if (!lmn_cbor_get_text(p, digest, sizeof digest))
             rc = wrong(f->e, path, "its pieces can't be read");
         else
             rc = lmn_depot_get(f->http, digest, piece, f->e);
@@ -203,22 +203,22 @@
     struct fetch f = {h, e, bytes_per_s, go_on, arg, lmn_now(), 0};
     GByteArray *list = g_byte_array_new();
     char digest[LMN_DIGEST], *part = g_strdup_printf("%s.part", dir);
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     int rc = lmn_image_name_ok(name) ? lmn_depot_look(h, LMN_DEPOT_IMAGE, name, digest, e)
                                      : wrong(e, name, "can't be an image's name");
 
     if (rc == 0)
         rc = lmn_depot_get(h, digest, list, e);
-    if (rc == 0 && lmn_doc_parse(&d, list->data, list->len) != 0)
+    if (rc == 0 && lmn_cbor_parse(&d, list->data, list->len) != 0)
         rc = wrong(e, name, "its list of files can't be read");
     else if (rc == 0) {
         lmn_tree_remove(part);
         if (g_mkdir_with_parents(part, 0755) != 0)
             rc = wrong(e, part, strerror(errno));
-        for (const struct lmn_node *n = lmn_child(&d, lmn_root(&d)); n && rc == 0;
-             n = lmn_next(&d, n))
+        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, lmn_cbor_root(&d));
+             n && rc == 0; n = lmn_cbor_next(&d, n))
             rc = get_file(&f, part, &d, n);
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
         if (rc == 0 && rename(part, dir) != 0)
             rc = wrong(e, dir, strerror(errno));
     }
--- a/src/image_store/server.c
+++ b/src/image_store/server.c
@@ -105,10 +105,10 @@
     if (dir)
         g_dir_close(dir);
     g_ptr_array_sort(names, by_name);
-    lmn_put_map(b, 1);
-    lmn_put_text(b, "Names"), lmn_put_list(b, names->len);
+    lmn_cbor_put_map(b, 1);
+    lmn_cbor_put_text(b, "Names"), lmn_cbor_put_array(b, names->len);
     for (guint i = 0; i < names->len; i++)
-        lmn_put_text(b, names->pdata[i]);
+        lmn_cbor_put_text(b, names->pdata[i]);
     g_ptr_array_free(names, TRUE);
     lmn_call_answer(call, 200, b, 0);
 }
--- a/src/image_store/work.c
+++ b/src/image_store/work.c
@@ -8,31 +8,33 @@
 {
     guint n = v ? g_strv_length(v) : 0;
 
-    lmn_put_text(b, key), lmn_put_list(b, n);
+    lmn_cbor_put_text(b, key), lmn_cbor_put_array(b, n);
     for (guint i = 0; i < n; i++)
-        lmn_put_text(b, v[i]);
+        lmn_cbor_put_text(b, v[i]);
 }
 
 GByteArray *lmn_work_put(const struct lmn_work *w)
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 3);
+    lmn_cbor_put_map(b, 3);
     put_texts(b, "Command", w->argv);
     put_texts(b, "Environment", w->env);
-    lmn_put_text(b, "Job"), lmn_put_map(b, lmn_spec_pairs());
+    lmn_cbor_put_text(b, "Job"), lmn_cbor_put_map(b, lmn_spec_pairs());
     lmn_spec_put(b, &w->spec);
     return b;
 }
 
-static char **read_texts(const struct lmn_doc *d, const struct lmn_node *list)
+static char **read_texts(const struct lmn_cbor_document *d,
+                         const struct lmn_cbor_value *list)
 {
-    if (!list || list->type != LMN_LIST || list->len > MAX_TEXTS)
+    if (!list || list->type != LMN_CBOR_ARRAY || list->len > MAX_TEXTS)
         return NULL;
     char **v = g_new0(char *, list->len + 1);
     guint k = 0;
-    for (const struct lmn_node *n = lmn_child(d, list); n; n = lmn_next(d, n)) {
-        if (n->type != LMN_TEXT || memchr(n->s, '\0', n->len)) {
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, list); n;
+         n = lmn_cbor_next(d, n)) {
+        if (n->type != LMN_CBOR_TEXT || memchr(n->s, '\0', n->len)) {
             g_strfreev(v);
             return NULL;
         }
@@ -43,25 +45,25 @@
 
 int lmn_work_read(struct lmn_work *w, const void *bytes, size_t len, const char **what)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     memset(w, 0, sizeof *w);
     *what = "not CBOR";
-    if (lmn_doc_parse(&d, bytes, len) != 0)
+    if (lmn_cbor_parse(&d, bytes, len) != 0)
         return -1;
-    const struct lmn_node *root = lmn_root(&d);
+    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     int rc = -1;
     *what = "Command";
-    w->argv = read_texts(&d, lmn_get(&d, root, "Command"));
+    w->argv = read_texts(&d, lmn_cbor_get(&d, root, "Command"));
     if (w->argv && w->argv[0]) {
         *what = "Environment";
-        w->env = read_texts(&d, lmn_get(&d, root, "Environment"));
+        w->env = read_texts(&d, lmn_cbor_get(&d, root, "Environment"));
         if (w->env)
-            rc = lmn_spec_parse(&w->spec, &d, lmn_get(&d, root, "Job"), what);
+            rc = lmn_spec_parse(&w->spec, &d, lmn_cbor_get(&d, root, "Job"), what);
     }
     if (rc != 0)
         lmn_work_clear(w);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     return rc;
 }
 
--- a/src/job/job_spec.c
+++ b/src/job/job_spec.c
@@ -15,36 +15,38 @@
     return strspn(ref + head, "0123456789") == len - head;
 }
 
-static bool get_word(const struct lmn_doc *d, const struct lmn_node *m, const char *key,
-                     char **out)
+static bool get_word(const struct lmn_cbor_document *d, const struct lmn_cbor_value *m,
+                     const char *key, char **out)
 {
     char t[LONG_TEXT];
 
-    if (!lmn_text(lmn_get(d, m, key), t, sizeof t) || !*t)
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, key), t, sizeof t) || !*t)
         return false;
     *out = g_strdup(t);
     return true;
 }
 
-static bool get_amount(const struct lmn_doc *d, const struct lmn_node *m, const char *key,
-                       double *out)
+static bool get_amount(const struct lmn_cbor_document *d, const struct lmn_cbor_value *m,
+                       const char *key, double *out)
 {
-    return lmn_number(lmn_get(d, m, key), out) && *out >= 0 && *out <= 1e9;
+    return lmn_cbor_get_number(lmn_cbor_get(d, m, key), out) && *out >= 0 && *out <= 1e9;
 }
 
-static bool get_types(const struct lmn_doc *d, const struct lmn_node *m, char ***out)
+static bool get_types(const struct lmn_cbor_document *d, const struct lmn_cbor_value *m,
+                      char ***out)
 {
-    const struct lmn_node *list = lmn_get(d, m, W_TYPES);
+    const struct lmn_cbor_value *list = lmn_cbor_get(d, m, W_TYPES);
     GPtrArray *a;
     char t[LMN_NAME];
 
     if (!list)
         return true;
-    if (list->type != LMN_LIST || list->len > 256)
+    if (list->type != LMN_CBOR_ARRAY || list->len > 256)
         return false;
     a = g_ptr_array_new_with_free_func(g_free);
-    for (const struct lmn_node *n = lmn_child(d, list); n; n = lmn_next(d, n)) {
-        if (!lmn_text(n, t, sizeof t)) {
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, list); n;
+         n = lmn_cbor_next(d, n)) {
+        if (!lmn_cbor_get_text(n, t, sizeof t)) {
             g_ptr_array_free(a, TRUE);
             return false;
         }
@@ -55,10 +57,10 @@
     return true;
 }
 
-static int get_one_of(const struct lmn_node *n, const char *const *words)
+static int get_one_of(const struct lmn_cbor_value *n, const char *const *words)
 {
     for (int i = 0; words[i]; i++)
-        if (lmn_is(n, words[i]))
+        if (lmn_cbor_text_equals(n, words[i]))
             return i;
     return -1;
 }
@@ -66,8 +68,8 @@
 static const char *const kinds[] = {W_BATCH, W_DAEMON, NULL};
 static const char *const urgencies[] = {"idle", "normal", "high", "prod", NULL};
 
-int lmn_spec_parse(struct lmn_spec *s, const struct lmn_doc *d, const struct lmn_node *m,
-                   const char **what)
+int lmn_spec_parse(struct lmn_spec *s, const struct lmn_cbor_document *d,
+                   const struct lmn_cbor_value *m, const char **what)
 {
     uint64_t tasks = 0;
     int kind, urgency;
@@ -80,18 +82,18 @@
             return -1;                                                                   \
         }                                                                                \
     } while (0)
-    NEED("body", m && m->type == LMN_MAP);
-    NEED(W_ID,
-         lmn_text(lmn_get(d, m, W_ID), s->ref, sizeof s->ref) && lmn_ref_ok(s->ref));
+    NEED("body", m && m->type == LMN_CBOR_MAP);
+    NEED(W_ID, lmn_cbor_get_text(lmn_cbor_get(d, m, W_ID), s->ref, sizeof s->ref) &&
+                   lmn_ref_ok(s->ref));
     NEED(W_CLASS, get_word(d, m, W_CLASS, &s->class_name));
     NEED(W_TEAM, get_word(d, m, W_TEAM, &s->team));
-    kind = get_one_of(lmn_get(d, m, W_KIND), kinds);
+    kind = get_one_of(lmn_cbor_get(d, m, W_KIND), kinds);
     NEED(W_KIND, kind >= 0);
     s->kind = (enum lmn_kind)kind;
-    urgency = get_one_of(lmn_get(d, m, W_URGENCY), urgencies);
+    urgency = get_one_of(lmn_cbor_get(d, m, W_URGENCY), urgencies);
     NEED(W_URGENCY, urgency >= 0);
     s->urgency = (enum lmn_urgency)urgency;
-    NEED(W_TASKS, lmn_count(lmn_get(d, m, W_TASKS), &tasks) && tasks > 0 &&
+    NEED(W_TASKS, lmn_cbor_get_uint(lmn_cbor_get(d, m, W_TASKS), &tasks) && tasks > 0 &&
                       tasks <= LMN_MAX_TASKS);
     s->tasks = (uint32_t)tasks;
     NEED(W_CPUS, get_amount(d, m, W_CPUS, &s->cpus));
@@ -100,16 +102,16 @@
     NEED(W_IMAGE, get_word(d, m, W_IMAGE, &s->image));
     NEED(W_IMAGE_GB, get_amount(d, m, W_IMAGE_GB, &s->image_gb));
     NEED(W_TYPES, get_types(d, m, &s->types));
-    NEED(W_ZONE, !lmn_get(d, m, W_ZONE) || get_word(d, m, W_ZONE, &s->zone));
-    NEED(W_ONE_ZONE, lmn_truth(lmn_get(d, m, W_ONE_ZONE), &s->one_zone));
-    NEED(W_SPREAD, lmn_truth(lmn_get(d, m, W_SPREAD), &s->spread));
-    NEED(W_SPOT, lmn_truth(lmn_get(d, m, W_SPOT), &s->spot));
+    NEED(W_ZONE, !lmn_cbor_get(d, m, W_ZONE) || get_word(d, m, W_ZONE, &s->zone));
+    NEED(W_ONE_ZONE, lmn_cbor_get_bool(lmn_cbor_get(d, m, W_ONE_ZONE), &s->one_zone));
+    NEED(W_SPREAD, lmn_cbor_get_bool(lmn_cbor_get(d, m, W_SPREAD), &s->spread));
+    NEED(W_SPOT, lmn_cbor_get_bool(lmn_cbor_get(d, m, W_SPOT), &s->spot));
     NEED(W_ESTIMATE, get_amount(d, m, W_ESTIMATE, &s->estimate_s));
     NEED(W_CHECKPOINT, get_amount(d, m, W_CHECKPOINT, &s->checkpoint_s));
     NEED(W_SAVE, get_amount(d, m, W_SAVE, &s->save_s));
     s->deadline_s = -1;
     NEED(W_DEADLINE,
-         !lmn_get(d, m, W_DEADLINE) || get_amount(d, m, W_DEADLINE, &s->deadline_s));
+         !lmn_cbor_get(d, m, W_DEADLINE) || get_amount(d, m, W_DEADLINE, &s->deadline_s));
 #undef NEED
     return 0;
 }
@@ -132,44 +134,44 @@
 static void put_or_null(GByteArray *b, const char *s)
 {
     if (s)
-        lmn_put_text(b, s);
+        lmn_cbor_put_text(b, s);
     else
-        lmn_put_null(b);
+        lmn_cbor_put_null(b);
 }
 
 void lmn_spec_put(GByteArray *b, const struct lmn_spec *s)
 {
-    lmn_put_text(b, W_ID), lmn_put_text(b, s->ref);
-    lmn_put_text(b, W_CLASS), lmn_put_text(b, s->class_name);
-    lmn_put_text(b, W_TEAM), lmn_put_text(b, s->team);
-    lmn_put_text(b, W_KIND), lmn_put_text(b, kinds[s->kind]);
-    lmn_put_text(b, W_URGENCY), lmn_put_text(b, urgencies[s->urgency]);
-    lmn_put_text(b, W_TASKS), lmn_put_count(b, s->tasks);
-    lmn_put_text(b, W_CPUS), lmn_put_number(b, s->cpus);
-    lmn_put_text(b, W_GPUS), lmn_put_number(b, s->gpus);
-    lmn_put_text(b, W_MEM), lmn_put_number(b, s->mem);
-    lmn_put_text(b, W_IMAGE), lmn_put_text(b, s->image);
-    lmn_put_text(b, W_IMAGE_GB), lmn_put_number(b, s->image_gb);
-    lmn_put_text(b, W_TYPES);
+    lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, s->ref);
+    lmn_cbor_put_text(b, W_CLASS), lmn_cbor_put_text(b, s->class_name);
+    lmn_cbor_put_text(b, W_TEAM), lmn_cbor_put_text(b, s->team);
+    lmn_cbor_put_text(b, W_KIND), lmn_cbor_put_text(b, kinds[s->kind]);
+    lmn_cbor_put_text(b, W_URGENCY), lmn_cbor_put_text(b, urgencies[s->urgency]);
+    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_uint(b, s->tasks);
+    lmn_cbor_put_text(b, W_CPUS), lmn_cbor_put_number(b, s->cpus);
+    lmn_cbor_put_text(b, W_GPUS), lmn_cbor_put_number(b, s->gpus);
+    lmn_cbor_put_text(b, W_MEM), lmn_cbor_put_number(b, s->mem);
+    lmn_cbor_put_text(b, W_IMAGE), lmn_cbor_put_text(b, s->image);
+    lmn_cbor_put_text(b, W_IMAGE_GB), lmn_cbor_put_number(b, s->image_gb);
+    lmn_cbor_put_text(b, W_TYPES);
     if (s->types) {
-        lmn_put_list(b, g_strv_length(s->types));
+        lmn_cbor_put_array(b, g_strv_length(s->types));
         for (char **t = s->types; *t; t++)
-            lmn_put_text(b, *t);
+            lmn_cbor_put_text(b, *t);
     } else {
-        lmn_put_null(b);
+        lmn_cbor_put_null(b);
     }
-    lmn_put_text(b, W_ZONE), put_or_null(b, s->zone);
-    lmn_put_text(b, W_ONE_ZONE), lmn_put_truth(b, s->one_zone);
-    lmn_put_text(b, W_SPREAD), lmn_put_truth(b, s->spread);
-    lmn_put_text(b, W_SPOT), lmn_put_truth(b, s->spot);
-    lmn_put_text(b, W_ESTIMATE), lmn_put_number(b, s->estimate_s);
-    lmn_put_text(b, W_CHECKPOINT), lmn_put_number(b, s->checkpoint_s);
-    lmn_put_text(b, W_SAVE), lmn_put_number(b, s->save_s);
-    lmn_put_text(b, W_DEADLINE);
+    lmn_cbor_put_text(b, W_ZONE), put_or_null(b, s->zone);
+    lmn_cbor_put_text(b, W_ONE_ZONE), lmn_cbor_put_bool(b, s->one_zone);
+    lmn_cbor_put_text(b, W_SPREAD), lmn_cbor_put_bool(b, s->spread);
+    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, s->spot);
+    lmn_cbor_put_text(b, W_ESTIMATE), lmn_cbor_put_number(b, s->estimate_s);
+    lmn_cbor_put_text(b, W_CHECKPOINT), lmn_cbor_put_number(b, s->checkpoint_s);
+    lmn_cbor_put_text(b, W_SAVE), lmn_cbor_put_number(b, s->save_s);
+    lmn_cbor_put_text(b, W_DEADLINE);
     if (s->deadline_s >= 0)
-        lmn_put_number(b, s->deadline_s);
+        lmn_cbor_put_number(b, s->deadline_s);
     else
-        lmn_put_null(b);
+        lmn_cbor_put_null(b);
 }
 
 bool lmn_spec_allows(const struct lmn_spec *s, const struct lmn_type *t, const char *zone,
@@ -216,16 +218,16 @@
     s = g_string_sized_new(2 * len + 1);
     for (uint32_t i = 0; i < len; i++)
         g_string_append_printf(s, "%02x", bits[i]);
-    lmn_put_text(b, s->str);
+    lmn_cbor_put_text(b, s->str);
     g_string_free(s, TRUE);
 }
 
-int lmn_bits_get(const struct lmn_node *text, uint8_t *bits, uint32_t n)
+int lmn_bits_get(const struct lmn_cbor_value *text, uint8_t *bits, uint32_t n)
 {
     memset(bits, 0, (n + 7) / 8);
     if (!text)
         return 0;
-    if (text->type != LMN_TEXT || text->len % 2 || text->len / 2 > (n + 7) / 8)
+    if (text->type != LMN_CBOR_TEXT || text->len % 2 || text->len / 2 > (n + 7) / 8)
         return -1;
     for (uint32_t i = 0; i < text->len / 2; i++) {
         int hi = g_ascii_xdigit_value(text->s[2 * i]);
--- a/src/job/job_spec.h
+++ b/src/job/job_spec.h
@@ -41,8 +41,8 @@
 bool lmn_ref_ok(const char *ref);
 /* 0, or -1 if a field is missing or invalid; *what then says which. Frees nothing it took
  * on failure but what lmn_spec_clear frees. */
-int lmn_spec_parse(struct lmn_spec *s, const struct lmn_doc *doc,
-                   const struct lmn_node *map, const char **what);
+int lmn_spec_parse(struct lmn_spec *s, const struct lmn_cbor_document *doc,
+                   const struct lmn_cbor_value *map, const char **what);
 void lmn_spec_clear(struct lmn_spec *s);
 /* Appends the fields as pairs of an open map: as many as lmn_spec_pairs says. */
 void lmn_spec_put(GByteArray *b, const struct lmn_spec *s);
@@ -71,7 +71,7 @@
 }
 void lmn_bits_put(GByteArray *b, const uint8_t *bits, uint32_t n);
 /* Reads such a text into bits (of n tasks); -1 if it names a task that there isn't. */
-int lmn_bits_get(const struct lmn_node *text, uint8_t *bits, uint32_t n);
+int lmn_bits_get(const struct lmn_cbor_value *text, uint8_t *bits, uint32_t n);
 uint32_t lmn_bits_count(const uint8_t *bits, uint32_t n);
 
 #endif
--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -312,34 +312,34 @@
         conds += v[i]->conds->len;
         changes += v[i]->changes->len;
     }
-    lmn_put_map(b, changes ? 2 : 1);
-    lmn_put_text(b, W_IF);
-    lmn_put_list(b, conds);
+    lmn_cbor_put_map(b, changes ? 2 : 1);
+    lmn_cbor_put_text(b, W_IF);
+    lmn_cbor_put_array(b, conds);
     for (guint i = 0; i < n; i++)
         for (guint k = 0; k < v[i]->conds->len; k++) {
             const struct cond *c = &g_array_index(v[i]->conds, struct cond, k);
-            lmn_put_map(b, 2);
-            lmn_put_text(b, W_KEY), lmn_put_text(b, c->key);
-            lmn_put_text(b, W_VERSION), lmn_put_count(b, c->version);
+            lmn_cbor_put_map(b, 2);
+            lmn_cbor_put_text(b, W_KEY), lmn_cbor_put_text(b, c->key);
+            lmn_cbor_put_text(b, W_VERSION), lmn_cbor_put_uint(b, c->version);
         }
     if (!changes)
         return b;
-    lmn_put_text(b, W_THEN);
-    lmn_put_list(b, changes);
+    lmn_cbor_put_text(b, W_THEN);
+    lmn_cbor_put_array(b, changes);
     for (guint i = 0; i < n; i++)
         for (guint k = 0; k < v[i]->changes->len; k++) {
             const struct change *c = &g_array_index(v[i]->changes, struct change, k);
             if (!c->value) {
-                lmn_put_map(b, 1);
-                lmn_put_text(b, W_DELETE), lmn_put_text(b, c->key);
+                lmn_cbor_put_map(b, 1);
+                lmn_cbor_put_text(b, W_DELETE), lmn_cbor_put_text(b, c->key);
                 continue;
             }
-            lmn_put_map(b, c->lease ? 3 : 2);
-            lmn_put_text(b, W_PUT), lmn_put_text(b, c->key);
-            lmn_put_text(b, W_VALUE);
+            lmn_cbor_put_map(b, c->lease ? 3 : 2);
+            lmn_cbor_put_text(b, W_PUT), lmn_cbor_put_text(b, c->key);
+            lmn_cbor_put_text(b, W_VALUE);
             g_byte_array_append(b, c->value->data, c->value->len);
             if (c->lease)
-                lmn_put_text(b, W_LEASE), lmn_put_count(b, c->lease);
+                lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, c->lease);
         }
     return b;
 }
@@ -349,24 +349,24 @@
 static enum lmn_outcome judge(int status, const GByteArray *answer, uint64_t *revision,
                               GPtrArray *conflicts)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     if (status == LMN_NOT_SENT || status == 429 || status == 503 || status == 400)
         return LMN_REFUSED;
     if (status != 200 && status != 409)
         return LMN_UNKNOWN;
-    if (lmn_doc_parse(&d, answer->data, answer->len) != 0)
+    if (lmn_cbor_parse(&d, answer->data, answer->len) != 0)
         return LMN_UNKNOWN;
     enum lmn_outcome r = LMN_UNKNOWN;
-    const struct lmn_node *root = lmn_root(&d);
-    if (lmn_count(lmn_get(&d, root, W_REVISION), revision))
+    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_REVISION), revision))
         r = status == 200 ? LMN_OK : LMN_CONFLICT;
-    const struct lmn_node *failed = lmn_get(&d, root, W_CONFLICTS);
-    for (const struct lmn_node *n = lmn_child(&d, failed); n && conflicts;
-         n = lmn_next(&d, n))
-        if (n->type == LMN_TEXT)
+    const struct lmn_cbor_value *failed = lmn_cbor_get(&d, root, W_CONFLICTS);
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, failed);
+         n && conflicts; n = lmn_cbor_next(&d, n))
+        if (n->type == LMN_CBOR_TEXT)
             g_ptr_array_add(conflicts, g_strndup(n->s, n->len));
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     return r;
 }
 
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -46,12 +46,12 @@
 
 void lmn_store_put_item(GByteArray *b, const struct lmn_db_item *item)
 {
-    lmn_put_map(b, item->lease ? 4 : 3);
-    lmn_put_text(b, W_KEY), lmn_put_text(b, item->key);
-    lmn_put_text(b, W_VALUE), g_byte_array_append(b, item->value, (guint)item->len);
-    lmn_put_text(b, W_VERSION), lmn_put_count(b, item->rev);
+    lmn_cbor_put_map(b, item->lease ? 4 : 3);
+    lmn_cbor_put_text(b, W_KEY), lmn_cbor_put_text(b, item->key);
+    lmn_cbor_put_text(b, W_VALUE), g_byte_array_append(b, item->value, (guint)item->len);
+    lmn_cbor_put_text(b, W_VERSION), lmn_cbor_put_uint(b, item->rev);
     if (item->lease)
-        lmn_put_text(b, W_LEASE), lmn_put_count(b, item->lease);
+        lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, item->lease);
 }
 
 static void get(struct lmn_store *s, struct lmn_call *call, const char *key)
@@ -69,8 +69,8 @@
         lmn_store_put_item(b, &item);
     } else {
         status = 404;
-        lmn_put_map(b, 1);
-        lmn_put_text(b, W_REVISION), lmn_put_count(b, meta.revision);
+        lmn_cbor_put_map(b, 1);
+        lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, meta.revision);
     }
     lmn_db_view_end(s->reader);
     lmn_call_answer(call, status, b, 0);
@@ -117,10 +117,10 @@
                 &l);
     lmn_db_view_end(s->reader);
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, 3);
-    lmn_put_text(b, W_MORE), lmn_put_truth(b, l.more);
-    lmn_put_text(b, W_REVISION), lmn_put_count(b, meta.revision);
-    lmn_put_text(b, W_ITEMS), lmn_put_list(b, l.n);
+    lmn_cbor_put_map(b, 3);
+    lmn_cbor_put_text(b, W_MORE), lmn_cbor_put_bool(b, l.more);
+    lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, meta.revision);
+    lmn_cbor_put_text(b, W_ITEMS), lmn_cbor_put_array(b, l.n);
     g_byte_array_append(b, l.items->data, l.items->len);
     g_byte_array_unref(l.items);
     lmn_call_answer(call, 200, b, 0);
@@ -128,49 +128,51 @@
 
 /* --- transactions --- */
 
-static const char *keep(struct lmn_op *op, const struct lmn_node *n)
+static const char *keep(struct lmn_op *op, const struct lmn_cbor_value *n)
 {
     char key[LMN_DB_KEY + 2];
 
-    if (!lmn_text(n, key, sizeof key) || !key_ok(key))
+    if (!lmn_cbor_get_text(n, key, sizeof key) || !key_ok(key))
         return NULL;
     char *copy = g_strdup(key);
     g_ptr_array_add(op->bytes, copy);
     return copy;
 }
 
-static const char *read_cond(struct lmn_op *op, const struct lmn_doc *d,
-                             const struct lmn_node *n)
+static const char *read_cond(struct lmn_op *op, const struct lmn_cbor_document *d,
+                             const struct lmn_cbor_value *n)
 {
     struct lmn_db_cond *c = &op->txn.conds[op->txn.nconds++];
 
-    c->key = keep(op, lmn_get(d, n, W_KEY));
+    c->key = keep(op, lmn_cbor_get(d, n, W_KEY));
     if (!c->key)
         return W_IF ": a key of 1 to 200 bytes without spaces is missing";
-    return lmn_count(lmn_get(d, n, W_VERSION), &c->rev) ? NULL
-                                                        : W_IF ": a version is missing";
+    return lmn_cbor_get_uint(lmn_cbor_get(d, n, W_VERSION), &c->rev) ? NULL
+                                                                     : W_IF
+               ": a version is missing";
 }
 
 static const char *read_change(const struct lmn_store *s, struct lmn_op *op,
-                               const struct lmn_doc *d, const struct lmn_node *n)
+                               const struct lmn_cbor_document *d,
+                               const struct lmn_cbor_value *n)
 {
     struct lmn_db_change *c = &op->txn.changes[op->txn.nchanges++];
-    const struct lmn_node *put = lmn_get(d, n, W_PUT), *v;
+    const struct lmn_cbor_value *put = lmn_cbor_get(d, n, W_PUT), *v;
 
-    c->key = keep(op, put ? put : lmn_get(d, n, W_DELETE));
+    c->key = keep(op, put ? put : lmn_cbor_get(d, n, W_DELETE));
     if (!c->key)
         return W_THEN ": a key of 1 to 200 bytes without spaces is missing";
     if (!put)
         return NULL;
-    v = lmn_get(d, n, W_VALUE);
-    lmn_count(lmn_get(d, n, W_LEASE), &c->lease);
-    if (s->o.value_kb > 0 && v && (double)lmn_json_size(d, v) > s->o.value_kb * 1024)
+    v = lmn_cbor_get(d, n, W_VALUE);
+    lmn_cbor_get_uint(lmn_cbor_get(d, n, W_LEASE), &c->lease);
+    if (s->o.value_kb > 0 && v && (double)lmn_cbor_json_size(d, v) > s->o.value_kb * 1024)
         return W_THEN ": a value is too large";
     GByteArray *b = g_byte_array_new();
     if (v)
-        lmn_put_node(b, d, v);
+        lmn_cbor_put_value(b, d, v);
     else
-        lmn_put_null(b);
+        lmn_cbor_put_null(b);
     c->len = b->len;
     c->value = g_byte_array_free(b, FALSE);
     g_ptr_array_add(op->bytes, (gpointer)c->value);
@@ -179,30 +181,34 @@
 
 /* What is wrong with it; NULL: nothing. */
 static const char *read_txn(const struct lmn_store *s, struct lmn_op *op,
-                            const struct lmn_doc *d)
+                            const struct lmn_cbor_document *d)
 {
-    const struct lmn_node *root = lmn_root(d), *conds = lmn_get(d, root, W_IF);
-    const struct lmn_node *changes = lmn_get(d, root, W_THEN);
+    const struct lmn_cbor_value *root = lmn_cbor_root(d),
+                                *conds = lmn_cbor_get(d, root, W_IF);
+    const struct lmn_cbor_value *changes = lmn_cbor_get(d, root, W_THEN);
     const char *bad = NULL;
 
-    if (root->type != LMN_MAP || (conds && conds->type != LMN_LIST) ||
-        (changes && changes->type != LMN_LIST))
+    if (root->type != LMN_CBOR_MAP || (conds && conds->type != LMN_CBOR_ARRAY) ||
+        (changes && changes->type != LMN_CBOR_ARRAY))
         return "a map with lists " W_IF " and " W_THEN " is expected";
-    if (lmn_json_size(d, root) > MAX_BODY)
+    if (lmn_cbor_json_size(d, root) > MAX_BODY)
         return "more than 64 KiB";
     if (s->o.txn_ops > 0 && ((changes && changes->len > (uint32_t)s->o.txn_ops) ||
                              (conds && conds->len > 4 * (uint32_t)s->o.txn_ops)))
         return "too many changes or conditions";
     op->txn.conds = g_new0(struct lmn_db_cond, conds ? conds->len : 0);
     op->txn.changes = g_new0(struct lmn_db_change, changes ? changes->len : 0);
-    for (const struct lmn_node *n = lmn_child(d, conds); n && !bad; n = lmn_next(d, n))
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, conds); n && !bad;
+         n = lmn_cbor_next(d, n))
         bad = read_cond(op, d, n);
-    for (const struct lmn_node *n = lmn_child(d, changes); n && !bad; n = lmn_next(d, n))
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, changes); n && !bad;
+         n = lmn_cbor_next(d, n))
         bad = read_change(s, op, d, n);
     return bad;
 }
 
-static void transact(struct lmn_store *s, struct lmn_call *call, const struct lmn_doc *d)
+static void transact(struct lmn_store *s, struct lmn_call *call,
+                     const struct lmn_cbor_document *d)
 {
     struct lmn_op *op = g_new0(struct lmn_op, 1);
 
@@ -220,12 +226,13 @@
 
 /* --- leases --- */
 
-static void grant(struct lmn_store *s, struct lmn_call *call, const struct lmn_doc *d)
+static void grant(struct lmn_store *s, struct lmn_call *call,
+                  const struct lmn_cbor_document *d)
 {
     uint64_t ttl = 0;
 
-    if (!lmn_count(lmn_get(d, lmn_root(d), W_TTL_MS), &ttl) || ttl < 100 ||
-        ttl > 600000) {
+    if (!lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_TTL_MS), &ttl) ||
+        ttl < 100 || ttl > 600000) {
         lmn_call_fail(call, 400, W_TTL_MS ": from 100 to 600000");
         return;
     }
@@ -259,7 +266,7 @@
     pthread_mutex_unlock(&s->lock);
     if (!there || renew) {
         GByteArray *b = g_byte_array_new();
-        lmn_put_map(b, 0);
+        lmn_cbor_put_map(b, 0);
         lmn_call_answer(call, there ? 200 : 404, b, 0);
         return;
     }
@@ -279,9 +286,9 @@
 static void post(struct lmn_store *s, struct lmn_call *call, const char *path)
 {
     const GByteArray *body = lmn_call_body(call);
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    if (lmn_doc_parse(&d, body->data, body->len) != 0) {
+    if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
         lmn_call_fail(call, 400, "not CBOR");
         return;
     }
@@ -289,7 +296,7 @@
         transact(s, call, &d);
     else
         grant(s, call, &d);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
 }
 
 /* Beyond the protocol: by it others see that this state was restored from a backup. */
@@ -303,8 +310,8 @@
         return;
     }
     lmn_db_view_end(s->reader);
-    lmn_put_map(b, 1);
-    lmn_put_text(b, "Incarnation"), lmn_put_count(b, meta.incarnation);
+    lmn_cbor_put_map(b, 1);
+    lmn_cbor_put_text(b, "Incarnation"), lmn_cbor_put_uint(b, meta.incarnation);
     lmn_call_answer(call, 200, b, 0);
 }
 
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -31,14 +31,14 @@
     e->key = g_strdup(item->key);
     e->rev = item->rev;
     e->bytes = g_byte_array_new();
-    lmn_put_map(e->bytes, item->value ? 3 : 2);
-    lmn_put_text(e->bytes, item->value ? W_PUT : W_DELETE),
-        lmn_put_text(e->bytes, item->key);
+    lmn_cbor_put_map(e->bytes, item->value ? 3 : 2);
+    lmn_cbor_put_text(e->bytes, item->value ? W_PUT : W_DELETE),
+        lmn_cbor_put_text(e->bytes, item->key);
     if (item->value) {
-        lmn_put_text(e->bytes, W_VALUE);
+        lmn_cbor_put_text(e->bytes, W_VALUE);
         g_byte_array_append(e->bytes, item->value, (guint)item->len);
     }
-    lmn_put_text(e->bytes, W_VERSION), lmn_put_count(e->bytes, item->rev);
+    lmn_cbor_put_text(e->bytes, W_VERSION), lmn_cbor_put_uint(e->bytes, item->rev);
     g_ptr_array_add(arg, e);
     return true;
 }
@@ -63,9 +63,9 @@
         return NULL;
     }
     b = g_byte_array_new();
-    lmn_put_map(b, 2);
-    lmn_put_text(b, W_REVISION), lmn_put_count(b, rev);
-    lmn_put_text(b, W_EVENTS), lmn_put_list(b, n);
+    lmn_cbor_put_map(b, 2);
+    lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, rev);
+    lmn_cbor_put_text(b, W_EVENTS), lmn_cbor_put_array(b, n);
     g_byte_array_append(b, list->data, list->len);
     g_byte_array_unref(list);
     return b;
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -75,17 +75,17 @@
     GByteArray *b = g_byte_array_new();
 
     if (op->status == 400) {
-        lmn_put_map(b, 1);
-        lmn_put_text(b, "error"), lmn_put_text(b, "no such lease");
+        lmn_cbor_put_map(b, 1);
+        lmn_cbor_put_text(b, "error"), lmn_cbor_put_text(b, "no such lease");
         return b;
     }
-    lmn_put_map(b, op->status == 409 ? 2 : 1);
+    lmn_cbor_put_map(b, op->status == 409 ? 2 : 1);
     if (op->status == 409) {
-        lmn_put_text(b, W_CONFLICTS), lmn_put_list(b, op->failed->len);
+        lmn_cbor_put_text(b, W_CONFLICTS), lmn_cbor_put_array(b, op->failed->len);
         for (guint i = 0; i < op->failed->len; i++)
-            lmn_put_text(b, op->failed->pdata[i]);
+            lmn_cbor_put_text(b, op->failed->pdata[i]);
     }
-    lmn_put_text(b, W_REVISION), lmn_put_count(b, op->rev);
+    lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, op->rev);
     return b;
 }
 
@@ -114,9 +114,9 @@
         b = txn_answer(op);
     } else {
         b = g_byte_array_new();
-        lmn_put_map(b, op->kind == LMN_OP_GRANT);
+        lmn_cbor_put_map(b, op->kind == LMN_OP_GRANT);
         if (op->kind == LMN_OP_GRANT)
-            lmn_put_text(b, W_LEASE), lmn_put_count(b, op->lease);
+            lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, op->lease);
     }
     lmn_call_answer(op->call, op->status, b, 0);
 }
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -24,19 +24,19 @@
 {
     GByteArray *b = to;
 
-    lmn_put_map(b, 10);
-    lmn_put_text(b, W_SKU), lmn_put_text(b, t->name);
-    lmn_put_text(b, W_CPUS), lmn_put_number(b, t->cpus);
-    lmn_put_text(b, W_GPUS), lmn_put_number(b, t->gpus);
-    lmn_put_text(b, W_MEM), lmn_put_number(b, t->mem);
-    lmn_put_text(b, W_CACHE_GB), lmn_put_number(b, t->cache_gb);
-    lmn_put_text(b, W_PULL), lmn_put_number(b, t->pull);
-    lmn_put_text(b, W_RATE), lmn_put_number(b, t->rate);
-    lmn_put_text(b, W_SPOT_RATE), lmn_put_number(b, t->spot_rate);
-    lmn_put_text(b, W_READY), lmn_put_number(b, t->ready_s);
-    lmn_put_text(b, W_ZONES), lmn_put_list(b, (size_t)t->nzones);
+    lmn_cbor_put_map(b, 10);
+    lmn_cbor_put_text(b, W_SKU), lmn_cbor_put_text(b, t->name);
+    lmn_cbor_put_text(b, W_CPUS), lmn_cbor_put_number(b, t->cpus);
+    lmn_cbor_put_text(b, W_GPUS), lmn_cbor_put_number(b, t->gpus);
+    lmn_cbor_put_text(b, W_MEM), lmn_cbor_put_number(b, t->mem);
+    lmn_cbor_put_text(b, W_CACHE_GB), lmn_cbor_put_number(b, t->cache_gb);
+    lmn_cbor_put_text(b, W_PULL), lmn_cbor_put_number(b, t->pull);
+    lmn_cbor_put_text(b, W_RATE), lmn_cbor_put_number(b, t->rate);
+    lmn_cbor_put_text(b, W_SPOT_RATE), lmn_cbor_put_number(b, t->spot_rate);
+    lmn_cbor_put_text(b, W_READY), lmn_cbor_put_number(b, t->ready_s);
+    lmn_cbor_put_text(b, W_ZONES), lmn_cbor_put_array(b, (size_t)t->nzones);
     for (int i = 0; i < t->nzones; i++)
-        lmn_put_text(b, t->zones[i]);
+        lmn_cbor_put_text(b, t->zones[i]);
 }
 
 struct counted {
@@ -58,8 +58,8 @@
     GByteArray *b = g_byte_array_new();
 
     f->ops->types(f->arg, count_type, &c);
-    lmn_put_map(b, 1);
-    lmn_put_text(b, W_TYPES), lmn_put_list(b, c.n);
+    lmn_cbor_put_map(b, 1);
+    lmn_cbor_put_text(b, W_TYPES), lmn_cbor_put_array(b, c.n);
     g_byte_array_append(b, c.bytes->data, c.bytes->len);
     g_byte_array_unref(c.bytes);
     lmn_call_answer(call, 200, b, 0);
@@ -75,14 +75,14 @@
         return false;
     }
     c->n++;
-    lmn_put_map(b, 7);
-    lmn_put_text(b, W_ID), lmn_put_text(b, m->name);
-    lmn_put_text(b, W_ADDR), lmn_put_text(b, m->addr);
-    lmn_put_text(b, W_TYPE), lmn_put_text(b, m->type);
-    lmn_put_text(b, W_ZONE), lmn_put_text(b, m->zone);
-    lmn_put_text(b, W_SPOT), lmn_put_truth(b, m->spot);
-    lmn_put_text(b, W_STATE), lmn_put_text(b, m->state);
-    lmn_put_text(b, W_AGE), lmn_put_number(b, m->age_s);
+    lmn_cbor_put_map(b, 7);
+    lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, m->name);
+    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, m->addr);
+    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, m->type);
+    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, m->zone);
+    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, m->spot);
+    lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, m->state);
+    lmn_cbor_put_text(b, W_AGE), lmn_cbor_put_number(b, m->age_s);
     return true;
 }
 
@@ -99,9 +99,9 @@
     c.bytes = g_byte_array_new();
     f->ops->list(f->arg, after ? after : "", put_machine, &c);
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, 2);
-    lmn_put_text(b, W_MORE), lmn_put_truth(b, c.more);
-    lmn_put_text(b, W_MACHINES), lmn_put_list(b, c.n);
+    lmn_cbor_put_map(b, 2);
+    lmn_cbor_put_text(b, W_MORE), lmn_cbor_put_bool(b, c.more);
+    lmn_cbor_put_text(b, W_MACHINES), lmn_cbor_put_array(b, c.n);
     g_byte_array_append(b, c.bytes->data, c.bytes->len);
     g_byte_array_unref(c.bytes);
     lmn_call_answer(call, 200, b, 0);
@@ -109,17 +109,21 @@
 
 /* --- what may wait --- */
 
-static void rent(struct front *f, struct lmn_call *call, const struct lmn_doc *d)
+static void rent(struct front *f, struct lmn_call *call,
+                 const struct lmn_cbor_document *d)
 {
-    const struct lmn_node *root = lmn_root(d);
+    const struct lmn_cbor_value *root = lmn_cbor_root(d);
     struct lmn_rent q = {0};
     uint64_t n = 0;
 
-    if (!lmn_text(lmn_get(d, root, W_REQUEST), q.request, sizeof q.request) ||
-        !*q.request || !lmn_text(lmn_get(d, root, W_TYPE), q.type, sizeof q.type) ||
-        !lmn_text(lmn_get(d, root, W_ZONE), q.zone, sizeof q.zone) ||
-        !lmn_truth(lmn_get(d, root, W_SPOT), &q.spot) ||
-        !lmn_count(lmn_get(d, root, W_COUNT), &n) || n < 1 || n > LMN_RENT_MOST) {
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, root, W_REQUEST), q.request,
+                           sizeof q.request) ||
+        !*q.request ||
+        !lmn_cbor_get_text(lmn_cbor_get(d, root, W_TYPE), q.type, sizeof q.type) ||
+        !lmn_cbor_get_text(lmn_cbor_get(d, root, W_ZONE), q.zone, sizeof q.zone) ||
+        !lmn_cbor_get_bool(lmn_cbor_get(d, root, W_SPOT), &q.spot) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(d, root, W_COUNT), &n) || n < 1 ||
+        n > LMN_RENT_MOST) {
         lmn_call_fail(call, 400, "malformed");
         return;
     }
@@ -128,10 +132,10 @@
     int status = f->ops->rent(f->arg, &q, names);
     if (status == 200) {
         GByteArray *b = g_byte_array_new();
-        lmn_put_map(b, 1);
-        lmn_put_text(b, W_MACHINES), lmn_put_list(b, names->len);
+        lmn_cbor_put_map(b, 1);
+        lmn_cbor_put_text(b, W_MACHINES), lmn_cbor_put_array(b, names->len);
         for (guint i = 0; i < names->len; i++)
-            lmn_put_text(b, names->pdata[i]);
+            lmn_cbor_put_text(b, names->pdata[i]);
         lmn_call_answer(call, 200, b, 0);
     } else {
         lmn_call_fail(call, status, status == 503 ? "no capacity" : "malformed");
@@ -139,16 +143,17 @@
     g_ptr_array_free(names, TRUE);
 }
 
-static void give_back(struct front *f, struct lmn_call *call, const struct lmn_doc *d)
+static void give_back(struct front *f, struct lmn_call *call,
+                      const struct lmn_cbor_document *d)
 {
-    const struct lmn_node *l = lmn_get(d, lmn_root(d), W_MACHINES);
+    const struct lmn_cbor_value *l = lmn_cbor_get(d, lmn_cbor_root(d), W_MACHINES);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     char name[LMN_NAME];
-    int status = l && l->type == LMN_LIST && l->len <= LMN_RETURN_MOST ? 200 : 400;
+    int status = l && l->type == LMN_CBOR_ARRAY && l->len <= LMN_RETURN_MOST ? 200 : 400;
 
-    for (const struct lmn_node *n = lmn_child(d, l); n && status == 200;
-         n = lmn_next(d, n)) {
-        if (lmn_text(n, name, sizeof name))
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, l); n && status == 200;
+         n = lmn_cbor_next(d, n)) {
+        if (lmn_cbor_get_text(n, name, sizeof name))
             g_ptr_array_add(names, g_strdup(name));
         else
             status = 400;
@@ -161,7 +166,7 @@
         return;
     }
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, 0);
+    lmn_cbor_put_map(b, 0);
     lmn_call_answer(call, 200, b, 0);
 }
 
@@ -170,14 +175,14 @@
     struct front *f = arg;
 
     for (;;) {
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         pthread_mutex_lock(&f->lock);
         while (!f->calls.head)
             pthread_cond_wait(&f->more, &f->lock);
         struct lmn_call *call = g_queue_pop_head(&f->calls);
         pthread_mutex_unlock(&f->lock);
         const GByteArray *body = lmn_call_body(call);
-        if (lmn_doc_parse(&d, body->data, body->len) != 0) {
+        if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
             lmn_call_fail(call, 400, "malformed");
             continue;
         }
@@ -185,7 +190,7 @@
             give_back(f, call, &d);
         else
             rent(f, call, &d);
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
     return NULL;
 }
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -53,32 +53,34 @@
 {
     GByteArray *b = g_byte_array_new(), *in = g_byte_array_new();
     static uint64_t seq; /* rises across restarts, too */
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     seq = MAX(seq + 1, (uint64_t)g_get_real_time());
 
     memset(as, 0, sizeof *as);
-    lmn_put_map(b, *holds ? 4 : 2);
-    lmn_put_text(b, "Slot"), lmn_put_text(b, o->name);
-    lmn_put_text(b, "Seq"), lmn_put_count(b, seq);
+    lmn_cbor_put_map(b, *holds ? 4 : 2);
+    lmn_cbor_put_text(b, "Slot"), lmn_cbor_put_text(b, o->name);
+    lmn_cbor_put_text(b, "Seq"), lmn_cbor_put_uint(b, seq);
     if (*holds) {
-        lmn_put_text(b, W_MACHINE), lmn_put_text(b, holds);
-        lmn_put_text(b, W_ADDR), lmn_put_text(b, addr);
+        lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, holds);
+        lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, addr);
     }
     int status = lmn_http_call(h, "POST", "/slots", b, 5, in);
-    bool ok = status == 200 && lmn_doc_parse(&d, in->data, in->len) == 0;
+    bool ok = status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0;
     if (ok) {
-        const struct lmn_node *root = lmn_root(&d);
-        lmn_text(lmn_get(&d, root, W_MACHINE), as->machine, sizeof as->machine);
-        lmn_text(lmn_get(&d, root, W_ZONE), as->zone, sizeof as->zone);
-        lmn_truth(lmn_get(&d, root, W_SPOT), &as->spot);
-        lmn_text(lmn_get(&d, root, W_TYPE), as->type.name, sizeof as->type.name);
-        lmn_number(lmn_get(&d, root, W_CPUS), &as->type.cpus);
-        lmn_number(lmn_get(&d, root, W_GPUS), &as->type.gpus);
-        lmn_number(lmn_get(&d, root, W_MEM), &as->type.mem);
-        lmn_number(lmn_get(&d, root, W_CACHE_GB), &as->type.cache_gb);
-        lmn_number(lmn_get(&d, root, W_PULL), &as->type.pull);
-        lmn_doc_free(&d);
+        const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, W_MACHINE), as->machine,
+                          sizeof as->machine);
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, W_ZONE), as->zone, sizeof as->zone);
+        lmn_cbor_get_bool(lmn_cbor_get(&d, root, W_SPOT), &as->spot);
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, W_TYPE), as->type.name,
+                          sizeof as->type.name);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_CPUS), &as->type.cpus);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_GPUS), &as->type.gpus);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_MEM), &as->type.mem);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_CACHE_GB), &as->type.cache_gb);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_PULL), &as->type.pull);
+        lmn_cbor_free(&d);
     } else if (status == 404) {
         lmn_error("slot-unknown slot=%s mend=\"name it in the fleet's inventory\"",
                   o->name);
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -58,12 +58,12 @@
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 5);
-    lmn_put_text(b, "type"), lmn_put_text(b, s->v->types[m->type].name);
-    lmn_put_text(b, "zone"), lmn_put_text(b, m->zone);
-    lmn_put_text(b, "spot"), lmn_put_truth(b, m->spot);
-    lmn_put_text(b, "slot"), lmn_put_text(b, m->slot);
-    lmn_put_text(b, "at"), lmn_put_number(b, m->at);
+    lmn_cbor_put_map(b, 5);
+    lmn_cbor_put_text(b, "type"), lmn_cbor_put_text(b, s->v->types[m->type].name);
+    lmn_cbor_put_text(b, "zone"), lmn_cbor_put_text(b, m->zone);
+    lmn_cbor_put_text(b, "spot"), lmn_cbor_put_bool(b, m->spot);
+    lmn_cbor_put_text(b, "slot"), lmn_cbor_put_text(b, m->slot);
+    lmn_cbor_put_text(b, "at"), lmn_cbor_put_number(b, m->at);
     return b;
 }
 
@@ -125,17 +125,17 @@
     struct lmn_static *s = arg;
     struct machine *m = g_new0(struct machine, 1);
     char type[LMN_NAME] = "";
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     g_strlcpy(m->name, i->key + strlen("machine/"), sizeof m->name);
-    if (lmn_doc_parse(&d, i->value, i->len) == 0) {
-        const struct lmn_node *root = lmn_root(&d);
-        lmn_text(lmn_get(&d, root, "type"), type, sizeof type);
-        lmn_text(lmn_get(&d, root, "zone"), m->zone, sizeof m->zone);
-        lmn_truth(lmn_get(&d, root, "spot"), &m->spot);
-        lmn_text(lmn_get(&d, root, "slot"), m->slot, sizeof m->slot);
-        lmn_number(lmn_get(&d, root, "at"), &m->at);
-        lmn_doc_free(&d);
+    if (lmn_cbor_parse(&d, i->value, i->len) == 0) {
+        const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, "type"), type, sizeof type);
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, "zone"), m->zone, sizeof m->zone);
+        lmn_cbor_get_bool(lmn_cbor_get(&d, root, "spot"), &m->spot);
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, "slot"), m->slot, sizeof m->slot);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, "at"), &m->at);
+        lmn_cbor_free(&d);
     }
     m->type = lmn_inventory_type(s->v, type);
     if (m->type < 0) {
@@ -155,17 +155,18 @@
     char *key = g_strconcat("request/", escaped, NULL), name[LMN_NAME];
     struct lmn_db_meta meta;
     struct lmn_db_item i;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     bool found = false;
 
     if (lmn_db_view(r, &meta) == 0) {
-        found = lmn_db_get(r, key, &i) && lmn_doc_parse(&d, i.value, i.len) == 0;
+        found = lmn_db_get(r, key, &i) && lmn_cbor_parse(&d, i.value, i.len) == 0;
         if (found) {
-            for (const struct lmn_node *n = lmn_child(&d, lmn_root(&d)); n;
-                 n = lmn_next(&d, n))
-                if (lmn_text(n, name, sizeof name))
+            for (const struct lmn_cbor_value *n =
+                     lmn_cbor_first_child(&d, lmn_cbor_root(&d));
+                 n; n = lmn_cbor_next(&d, n))
+                if (lmn_cbor_get_text(n, name, sizeof name))
                     g_ptr_array_add(names, g_strdup(name));
-            lmn_doc_free(&d);
+            lmn_cbor_free(&d);
         }
         lmn_db_view_end(r);
     }
@@ -265,15 +266,15 @@
     char *escaped = g_uri_escape_string(q->request, NULL, FALSE);
 
     write_begin(&w);
-    lmn_put_list(names, 1 + got->len);
-    lmn_put_number(names, lmn_seconds(lmn_wall()));
+    lmn_cbor_put_array(names, 1 + got->len);
+    lmn_cbor_put_number(names, lmn_seconds(lmn_wall()));
     for (guint i = 0; i < got->len; i++) {
         const struct machine *m = got->pdata[i];
-        lmn_put_text(names, m->name);
+        lmn_cbor_put_text(names, m->name);
         write_add(&w, "machine/", m->name, machine_record(s, m));
     }
     write_add(&w, "request/", escaped, names);
-    lmn_put_count(number, s->number);
+    lmn_cbor_put_uint(number, s->number);
     write_add(&w, "number", "", number);
     g_free(escaped);
     return write_end(s, &w);
@@ -477,20 +478,20 @@
     const GByteArray *body = lmn_call_body(call);
     char name[LMN_NAME] = "";
     struct machine *m = NULL;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     if (lmn_call_method(call) != LMN_POST || strcmp(lmn_call_path(call), "/slots"))
         return false;
-    if (lmn_doc_parse(&d, body->data, body->len) != 0) {
+    if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
         lmn_call_fail(call, 400, "not CBOR");
         return true;
     }
-    const struct lmn_node *root = lmn_root(&d);
-    lmn_text(lmn_get(&d, root, "Slot"), name, sizeof name);
+    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, "Slot"), name, sizeof name);
     const struct lmn_slot *slot = lmn_inventory_slot(s->v, name);
     if (!slot) {
         lmn_call_fail(call, 404, "the inventory names no such machine");
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
         return true;
     }
     pthread_mutex_lock(&s->lock);
@@ -500,11 +501,11 @@
         g_hash_table_insert(s->slots, g_strdup(name), seen);
     }
     uint64_t seq = 0;
-    lmn_count(lmn_get(&d, root, "Seq"), &seq);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, "Seq"), &seq);
     if (seq <= seen->seq) {
         /* It was given up long ago, and comes late: what it says is not so any more. */
         pthread_mutex_unlock(&s->lock);
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
         lmn_call_fail(call, 409, "out of order");
         return true;
     }
@@ -512,8 +513,8 @@
     seen->said++;
     seen->when = lmn_now();
     *seen->holds = *seen->addr = '\0';
-    lmn_text(lmn_get(&d, root, W_MACHINE), seen->holds, sizeof seen->holds);
-    lmn_text(lmn_get(&d, root, W_ADDR), seen->addr, sizeof seen->addr);
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, W_MACHINE), seen->holds, sizeof seen->holds);
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, W_ADDR), seen->addr, sizeof seen->addr);
     g_tree_foreach(s->machines, find_slot, (gpointer[]){&m, name});
     if (m) {
         m->up = !strcmp(seen->holds, m->name) && *seen->addr;
@@ -524,23 +525,23 @@
         g_strlcpy(wanted, m->name, sizeof wanted);
     pthread_cond_broadcast(&s->slot_said);
     pthread_mutex_unlock(&s->lock);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     const struct lmn_type *t = &s->v->types[slot->type];
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, 9);
-    lmn_put_text(b, W_MACHINE);
+    lmn_cbor_put_map(b, 9);
+    lmn_cbor_put_text(b, W_MACHINE);
     if (*wanted)
-        lmn_put_text(b, wanted);
+        lmn_cbor_put_text(b, wanted);
     else
-        lmn_put_null(b);
-    lmn_put_text(b, W_ZONE), lmn_put_text(b, slot->zone);
-    lmn_put_text(b, W_SPOT), lmn_put_truth(b, slot->spot);
-    lmn_put_text(b, W_TYPE), lmn_put_text(b, t->name);
-    lmn_put_text(b, W_CPUS), lmn_put_number(b, t->cpus);
-    lmn_put_text(b, W_GPUS), lmn_put_number(b, t->gpus);
-    lmn_put_text(b, W_MEM), lmn_put_number(b, t->mem);
-    lmn_put_text(b, W_CACHE_GB), lmn_put_number(b, t->cache_gb);
-    lmn_put_text(b, W_PULL), lmn_put_number(b, t->pull);
+        lmn_cbor_put_null(b);
+    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, slot->zone);
+    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, slot->spot);
+    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, t->name);
+    lmn_cbor_put_text(b, W_CPUS), lmn_cbor_put_number(b, t->cpus);
+    lmn_cbor_put_text(b, W_GPUS), lmn_cbor_put_number(b, t->gpus);
+    lmn_cbor_put_text(b, W_MEM), lmn_cbor_put_number(b, t->mem);
+    lmn_cbor_put_text(b, W_CACHE_GB), lmn_cbor_put_number(b, t->cache_gb);
+    lmn_cbor_put_text(b, W_PULL), lmn_cbor_put_number(b, t->pull);
     lmn_call_answer(call, 200, b, 0);
     return true;
 }
@@ -611,13 +612,13 @@
 static bool old_enough(void *arg, const struct lmn_db_item *i)
 {
     GPtrArray *keys = arg;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     double at = 0;
 
-    if (lmn_doc_parse(&d, i->value, i->len) != 0)
+    if (lmn_cbor_parse(&d, i->value, i->len) != 0)
         return true;
-    lmn_number(lmn_child(&d, lmn_root(&d)), &at);
-    lmn_doc_free(&d);
+    lmn_cbor_get_number(lmn_cbor_first_child(&d, lmn_cbor_root(&d)), &at);
+    lmn_cbor_free(&d);
     if (lmn_seconds(lmn_wall()) - at > REQUEST_KEPT_S)
         g_ptr_array_add(keys, g_strdup(i->key));
     return true;
@@ -645,7 +646,7 @@
     struct lmn_db *db = lmn_db_open(&d, err, len);
     struct lmn_db_meta meta;
     struct lmn_db_item i;
-    struct lmn_doc doc;
+    struct lmn_cbor_document doc;
 
     if (!db)
         return NULL;
@@ -661,9 +662,9 @@
     struct lmn_db_reader *r = lmn_db_reader_new(db);
     if (lmn_db_view(r, &meta) == 0) {
         lmn_db_list(r, "machine/", NULL, read_machine, s);
-        if (lmn_db_get(r, "number", &i) && lmn_doc_parse(&doc, i.value, i.len) == 0) {
-            lmn_count(lmn_root(&doc), &s->number);
-            lmn_doc_free(&doc);
+        if (lmn_db_get(r, "number", &i) && lmn_cbor_parse(&doc, i.value, i.len) == 0) {
+            lmn_cbor_get_uint(lmn_cbor_root(&doc), &s->number);
+            lmn_cbor_free(&doc);
         }
         forget_requests(s, r);
         lmn_db_view_end(r);
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -8,7 +8,8 @@
 static const double GAP_S = 1.6;
 enum { WORST = 8 };
 
-void lmn_member_times(const struct lmn_settings *cfg, struct lmn_member_times *t)
+void lmn_membership_timeouts_init(const struct lmn_settings *cfg,
+                                  struct lmn_member_times *t)
 {
     /* Short enough that a successor answers a crashed owner's workers within their lease,
      * long enough for the stalls of a small share of a core. */
@@ -32,7 +33,7 @@
 {
     memset(ms, 0, sizeof *ms);
     ms->cfg = cfg;
-    lmn_member_times(cfg, &ms->t);
+    lmn_membership_timeouts_init(cfg, &ms->t);
     ms->n = (int)cfg->nmembers + 1;
     ms->me = lmn_settings_rank(cfg, cfg->node);
     ms->names[ms->me] = cfg->node;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -26,7 +26,8 @@
     double jump_s;     /* a tick that comes later than this was a stand-still */
     double overdue_s;  /* a worker that is silent for so long was not heard */
 };
-void lmn_member_times(const struct lmn_settings *cfg, struct lmn_member_times *t);
+void lmn_membership_timeouts_init(const struct lmn_settings *cfg,
+                                  struct lmn_member_times *t);
 
 /* What a member is suspected of. */
 enum lmn_cause {
--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -10,25 +10,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-static enum lmn_attempt_state attempt_state(const struct lmn_node *n)
+static enum lmn_attempt_state attempt_state(const struct lmn_cbor_value *n)
 {
-    if (lmn_is(n, W_ENDED))
+    if (lmn_cbor_text_equals(n, W_ENDED))
         return LMN_A_ENDED;
-    if (lmn_is(n, W_FETCHING))
+    if (lmn_cbor_text_equals(n, W_FETCHING))
         return LMN_A_FETCHING;
-    if (lmn_is(n, W_SAVING))
+    if (lmn_cbor_text_equals(n, W_SAVING))
         return LMN_A_SAVING;
     return LMN_A_RUNNING;
 }
 
-bool lmn_report_task(struct lmn_attempt *a, const struct lmn_doc *d,
-                     const struct lmn_node *n)
+bool lmn_report_task(struct lmn_attempt *a, const struct lmn_cbor_document *d,
+                     const struct lmn_cbor_value *n)
 {
     char task[LMN_REF + 16], *slash;
 
     memset(a, 0, sizeof *a);
-    if (!lmn_text(lmn_get(d, n, W_TASK), task, sizeof task) ||
-        !lmn_count(lmn_get(d, n, W_ATTEMPT), &a->number) || !(slash = strrchr(task, '/')))
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), task, sizeof task) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(d, n, W_ATTEMPT), &a->number) ||
+        !(slash = strrchr(task, '/')))
         return false;
     /* Once a number of any size, or none, named some task: "x/" was x's first. */
     size_t digits = strspn(slash + 1, "0123456789");
@@ -38,7 +39,7 @@
     *slash = '\0';
     g_strlcpy(a->ref, task, sizeof a->ref);
     a->index = (uint32_t)strtoul(slash + 1, NULL, 10);
-    a->state = attempt_state(lmn_get(d, n, W_STATE));
+    a->state = attempt_state(lmn_cbor_get(d, n, W_STATE));
     return true;
 }
 
@@ -52,34 +53,36 @@
     return at > s && !*at;
 }
 
-const char *lmn_report_read(struct lmn_report *r, const struct lmn_doc *d)
+const char *lmn_report_read(struct lmn_report *r, const struct lmn_cbor_document *d)
 {
-    const struct lmn_node *m = lmn_root(d);
+    const struct lmn_cbor_value *m = lmn_cbor_root(d);
     struct lmn_attempt a;
     char name[LMN_NAME];
 
     memset(r, 0, sizeof *r);
-    if (!lmn_text(lmn_get(d, m, W_MACHINE), name, sizeof name) || !is_name(name))
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, W_MACHINE), name, sizeof name) ||
+        !is_name(name))
         return W_MACHINE ": expected a name";
     g_strlcpy(r->name, name, sizeof r->name);
-    if (!lmn_text(lmn_get(d, m, W_ADDR), r->addr, sizeof r->addr))
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, W_ADDR), r->addr, sizeof r->addr))
         return W_ADDR ": expected an address";
-    if (!lmn_text(lmn_get(d, m, W_TYPE), r->type, sizeof r->type))
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, W_TYPE), r->type, sizeof r->type))
         return W_TYPE ": expected a name";
-    if (!lmn_text(lmn_get(d, m, W_ZONE), r->zone, sizeof r->zone))
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, W_ZONE), r->zone, sizeof r->zone))
         return W_ZONE ": expected a name";
-    if (!lmn_count(lmn_get(d, m, W_SESSION), &r->session) || !r->session)
+    if (!lmn_cbor_get_uint(lmn_cbor_get(d, m, W_SESSION), &r->session) || !r->session)
         return W_SESSION ": expected a count from 1 on";
-    if (!lmn_count(lmn_get(d, m, W_SEQ), &r->seq))
+    if (!lmn_cbor_get_uint(lmn_cbor_get(d, m, W_SEQ), &r->seq))
         return W_SEQ ": expected a count";
-    lmn_truth(lmn_get(d, m, W_SPOT), &r->spot);
-    lmn_count(lmn_get(d, m, W_TOKEN), &r->token);
-    r->noticed = lmn_number(lmn_get(d, m, W_NOTICE), &r->notice_s);
-    r->tasks = lmn_get(d, m, W_TASKS);
-    if (r->tasks && r->tasks->type != LMN_LIST)
+    lmn_cbor_get_bool(lmn_cbor_get(d, m, W_SPOT), &r->spot);
+    lmn_cbor_get_uint(lmn_cbor_get(d, m, W_TOKEN), &r->token);
+    r->noticed = lmn_cbor_get_number(lmn_cbor_get(d, m, W_NOTICE), &r->notice_s);
+    r->tasks = lmn_cbor_get(d, m, W_TASKS);
+    if (r->tasks && r->tasks->type != LMN_CBOR_ARRAY)
         return W_TASKS ": expected a list";
     /* One entry that can't be read, and the task that it is about would count as gone. */
-    for (const struct lmn_node *n = lmn_child(d, r->tasks); n; n = lmn_next(d, n))
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, r->tasks); n;
+         n = lmn_cbor_next(d, n))
         if (!lmn_report_task(&a, d, n))
             return W_TASKS
                 ": expected a task, as in run-000412/3, and an attempt in each";
@@ -195,15 +198,16 @@
 }
 
 static void ended(struct lmn_core *c, struct lmn_machine *m, struct lmn_attempt *a,
-                  const struct lmn_doc *d, const struct lmn_node *n, struct timespec now)
+                  const struct lmn_cbor_document *d, const struct lmn_cbor_value *n,
+                  struct timespec now)
 {
-    const struct lmn_node *why = lmn_get(d, n, W_WHY);
+    const struct lmn_cbor_value *why = lmn_cbor_get(d, n, W_WHY);
     struct lmn_range *r = a->range;
 
     lmn_attempt_uncount(m, a);
     lmn_untold(m);
     a->state = LMN_A_ENDED;
-    a->done = lmn_is(why, W_DONE);
+    a->done = lmn_cbor_text_equals(why, W_DONE);
     if (a->done) {
         lmn_debug("task-done task=%s/%u attempt=%" G_GUINT64_FORMAT
                   " machine=%s after=%.1f",
@@ -224,11 +228,11 @@
     lmn_debug("task-ended task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s why=%.*s",
               a->ref, a->index, a->number, m->name, why ? (int)why->len : 0,
               why ? why->s : "");
-    a->failed = lmn_is(why, W_FAILED);
+    a->failed = lmn_cbor_text_equals(why, W_FAILED);
     a->range = NULL;
     if (a->failed)
         attribute_failure(c, m, a, now);
-    else if (lmn_is(why, W_NO_SUCH) && a->job)
+    else if (lmn_cbor_text_equals(why, W_NO_SUCH) && a->job)
         lmn_job_failed(&a->job->failures, g_str_hash(m->name), a->since, now);
     if (r)
         lmn_task_requeue(c, r, a->index, now);
@@ -246,19 +250,22 @@
     return true;
 }
 
-void lmn_report_tasks(struct lmn_core *c, struct lmn_machine *m, const struct lmn_doc *d,
-                      const struct lmn_node *tasks, struct timespec now)
+void lmn_report_tasks(struct lmn_core *c, struct lmn_machine *m,
+                      const struct lmn_cbor_document *d,
+                      const struct lmn_cbor_value *tasks, struct timespec now)
 {
     for (guint i = 0; i < m->attempts->len; i++)
         g_array_index(m->attempts, struct lmn_attempt, i).seen = false;
-    for (const struct lmn_node *n = lmn_child(d, tasks); n; n = lmn_next(d, n)) {
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, tasks); n;
+         n = lmn_cbor_next(d, n)) {
         struct lmn_attempt x;
         if (!lmn_report_task(&x, d, n))
             continue;
         struct lmn_attempt *a = find(m, x.ref, x.index, x.number);
         if (!a) {
             a = adopt(c, m, x.ref, x.index, x.number, x.state, now);
-            if (x.state == LMN_A_ENDED && lmn_is(lmn_get(d, n, W_WHY), W_FAILED))
+            if (x.state == LMN_A_ENDED &&
+                lmn_cbor_text_equals(lmn_cbor_get(d, n, W_WHY), W_FAILED))
                 had_failed(c, m, a, now);
         }
         /* It has taken an order of ours: the way there is open. */
@@ -270,7 +277,7 @@
             lmn_note_image(m, a->job, x.state != LMN_A_FETCHING, now);
         if (x.state == LMN_A_ENDED) {
             if (a->state != LMN_A_ENDED ||
-                (!a->done && lmn_is(lmn_get(d, n, W_WHY), W_DONE)))
+                (!a->done && lmn_cbor_text_equals(lmn_cbor_get(d, n, W_WHY), W_DONE)))
                 ended(c, m, a, d, n, now);
         } else {
             if (x.state == LMN_A_RUNNING && a->state != x.state)
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -20,12 +20,12 @@
     char task[LMN_REF + 16];
 
     g_snprintf(task, sizeof task, "%s/%u", a->ref, a->index);
-    lmn_put_map(out, grace >= 0 ? 4 : 3);
-    lmn_put_text(out, W_OP), lmn_put_text(out, op);
-    lmn_put_text(out, W_TASK), lmn_put_text(out, task);
-    lmn_put_text(out, W_ATTEMPT), lmn_put_count(out, a->number);
+    lmn_cbor_put_map(out, grace >= 0 ? 4 : 3);
+    lmn_cbor_put_text(out, W_OP), lmn_cbor_put_text(out, op);
+    lmn_cbor_put_text(out, W_TASK), lmn_cbor_put_text(out, task);
+    lmn_cbor_put_text(out, W_ATTEMPT), lmn_cbor_put_uint(out, a->number);
     if (grace >= 0)
-        lmn_put_text(out, W_GRACE), lmn_put_number(out, grace);
+        lmn_cbor_put_text(out, W_GRACE), lmn_cbor_put_number(out, grace);
 }
 
 /* A failure of an accused job stays in the machine's reports, one on each machine: the
@@ -74,12 +74,13 @@
  * Without them a task of a job that had been withdrawn long before the takeover got
  * another lease, and was there after cancel_s if the machine heard nothing more. */
 static guint kill_unwanted(struct lmn_core *c, struct lmn_machine *m,
-                           const struct lmn_doc *d, const struct lmn_node *tasks,
-                           GByteArray *out)
+                           const struct lmn_cbor_document *d,
+                           const struct lmn_cbor_value *tasks, GByteArray *out)
 {
     guint n = 0;
 
-    for (const struct lmn_node *t = lmn_child(d, tasks); t; t = lmn_next(d, t)) {
+    for (const struct lmn_cbor_value *t = lmn_cbor_first_child(d, tasks); t;
+         t = lmn_cbor_next(d, t)) {
         struct lmn_attempt a;
         if (!lmn_report_task(&a, d, t) || a.state == LMN_A_ENDED ||
             !(a.job = g_hash_table_lookup(c->jobs, a.ref)) || lmn_job_wanted(c, a.job))
@@ -97,8 +98,9 @@
 }
 
 static guint settle_tasks(struct lmn_core *c, struct lmn_machine *m,
-                          const struct lmn_doc *d, const struct lmn_node *tasks,
-                          GByteArray *out, struct timespec now)
+                          const struct lmn_cbor_document *d,
+                          const struct lmn_cbor_value *tasks, GByteArray *out,
+                          struct timespec now)
 {
     guint commands = 0, lost = 0;
 
@@ -158,9 +160,9 @@
 {
     if (rank < 0 || rank == c->members.me)
         return 503;
-    lmn_put_map(out, 1);
-    lmn_put_text(out, W_REPORT_TO);
-    lmn_put_text(out, lmn_member_name(&c->members, rank));
+    lmn_cbor_put_map(out, 1);
+    lmn_cbor_put_text(out, W_REPORT_TO);
+    lmn_cbor_put_text(out, lmn_member_name(&c->members, rank));
     return 421;
 }
 
@@ -202,8 +204,9 @@
         lmn_member_visited(&c->members, owner, r->name, r->session, r->seq, now);
 }
 
-static int handle(struct lmn_core *c, const struct lmn_report *r, const struct lmn_doc *d,
-                  GByteArray *out, struct lmn_held *held, struct timespec now)
+static int handle(struct lmn_core *c, const struct lmn_report *r,
+                  const struct lmn_cbor_document *d, GByteArray *out,
+                  struct lmn_held *held, struct timespec now)
 {
     struct lmn_partition *p = &c->parts[lmn_partition_of(r->name, c->nparts)];
 
@@ -306,9 +309,9 @@
     } else {
         n += kill_unwanted(c, m, d, r->tasks, commands);
     }
-    lmn_put_map(out, 2);
-    lmn_put_text(out, W_TOKEN), lmn_put_count(out, p->my_term);
-    lmn_put_text(out, W_COMMANDS), lmn_put_list(out, n);
+    lmn_cbor_put_map(out, 2);
+    lmn_cbor_put_text(out, W_TOKEN), lmn_cbor_put_uint(out, p->my_term);
+    lmn_cbor_put_text(out, W_COMMANDS), lmn_cbor_put_array(out, n);
     held->commands = out->len;
     g_byte_array_append(out, commands->data, commands->len);
     g_byte_array_unref(commands);
@@ -338,13 +341,13 @@
 int lmn_worker_report(struct lmn_core *c, const void *body, size_t len, GByteArray *out,
                       struct lmn_held *held, struct timespec now)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     struct lmn_report r = {0};
     const char *what = "not CBOR, or too much of it";
     int status = 400;
 
     memset(held, 0, sizeof *held);
-    bool parsed = lmn_doc_parse(&d, body, len) == 0;
+    bool parsed = lmn_cbor_parse(&d, body, len) == 0;
     if (parsed)
         what = lmn_report_read(&r, &d);
     pthread_mutex_lock(&c->lock);
@@ -354,11 +357,11 @@
         status = handle(c, &r, &d, out, held, now);
     pthread_mutex_unlock(&c->lock);
     if (what) {
-        lmn_put_map(out, 1);
-        lmn_put_text(out, "error"), lmn_put_text(out, what);
+        lmn_cbor_put_map(out, 1);
+        lmn_cbor_put_text(out, "error"), lmn_cbor_put_text(out, what);
     }
     if (parsed)
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     return status;
 }
 
@@ -380,9 +383,9 @@
     GByteArray *settled = g_byte_array_sized_new(held->settled_bytes);
     g_byte_array_append(settled, out->data + held->commands, held->settled_bytes);
     g_byte_array_set_size(out, 0);
-    lmn_put_map(out, 2);
-    lmn_put_text(out, W_TOKEN), lmn_put_count(out, held->term);
-    lmn_put_text(out, W_COMMANDS), lmn_put_list(out, held->settled);
+    lmn_cbor_put_map(out, 2);
+    lmn_cbor_put_text(out, W_TOKEN), lmn_cbor_put_uint(out, held->term);
+    lmn_cbor_put_text(out, W_COMMANDS), lmn_cbor_put_array(out, held->settled);
     g_byte_array_append(out, settled->data, settled->len);
     g_byte_array_unref(settled);
 }
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -49,13 +49,14 @@
 }
 
 static void read_machine(struct lmn_partition *p, struct lmn_block *b,
-                         const struct lmn_doc *d, const struct lmn_node *n, uint64_t rev,
+                         const struct lmn_cbor_document *d,
+                         const struct lmn_cbor_value *n, uint64_t rev,
                          struct timespec now)
 {
     char name[LMN_NAME], addr[LMN_ADDR] = "";
 
-    n = lmn_child(d, n);
-    if (!lmn_text(n, name, sizeof name))
+    n = lmn_cbor_first_child(d, n);
+    if (!lmn_cbor_get_text(n, name, sizeof name))
         return;
     struct lmn_machine *m = g_hash_table_lookup(p->machines, name);
     if (!m) {
@@ -64,11 +65,11 @@
     }
     if (!m->rev) {
         lmn_block_leave(m);
-        n = lmn_next(d, n), lmn_text(n, addr, sizeof addr);
+        n = lmn_cbor_next(d, n), lmn_cbor_get_text(n, addr, sizeof addr);
         lmn_machine_at(m, addr);
-        n = lmn_next(d, n), lmn_text(n, m->type_name, sizeof m->type_name);
-        n = lmn_next(d, n), lmn_text(n, m->zone, sizeof m->zone);
-        n = lmn_next(d, n), lmn_truth(n, &m->spot);
+        n = lmn_cbor_next(d, n), lmn_cbor_get_text(n, m->type_name, sizeof m->type_name);
+        n = lmn_cbor_next(d, n), lmn_cbor_get_text(n, m->zone, sizeof m->zone);
+        n = lmn_cbor_next(d, n), lmn_cbor_get_bool(n, &m->spot);
         put_in(b, m);
         m->rev = rev;
     }
@@ -90,8 +91,8 @@
 }
 
 void lmn_block_apply(struct lmn_core *c, struct lmn_partition *p, unsigned long id,
-                     const struct lmn_doc *d, const struct lmn_node *v, uint64_t rev,
-                     struct timespec now)
+                     const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                     uint64_t rev, struct timespec now)
 {
     if (id >= LMN_MAX_BLOCKS)
         return;
@@ -99,7 +100,8 @@
     b->gen = c->gen;
     if (b->rev >= rev)
         return;
-    for (const struct lmn_node *n = v ? lmn_child(d, v) : NULL; n; n = lmn_next(d, n))
+    for (const struct lmn_cbor_value *n = v ? lmn_cbor_first_child(d, v) : NULL; n;
+         n = lmn_cbor_next(d, n))
         read_machine(p, b, d, n, rev, now);
     drop_others(c, b, rev, now);
     b->rev = v ? rev : 0;
@@ -163,17 +165,17 @@
 
     for (guint i = 0; i < b->machines->len; i++)
         n += !((struct lmn_machine *)b->machines->pdata[i])->is_gone;
-    lmn_put_list(v, n);
+    lmn_cbor_put_array(v, n);
     for (guint i = 0; i < b->machines->len; i++) {
         const struct lmn_machine *m = b->machines->pdata[i];
         if (m->is_gone)
             continue;
-        lmn_put_list(v, 5);
-        lmn_put_text(v, m->name);
-        lmn_put_text(v, m->addr);
-        lmn_put_text(v, m->type_name);
-        lmn_put_text(v, m->zone);
-        lmn_put_truth(v, m->spot);
+        lmn_cbor_put_array(v, 5);
+        lmn_cbor_put_text(v, m->name);
+        lmn_cbor_put_text(v, m->addr);
+        lmn_cbor_put_text(v, m->type_name);
+        lmn_cbor_put_text(v, m->zone);
+        lmn_cbor_put_bool(v, m->spot);
     }
     *w = (struct block_ref){c, p->id, b->id};
     struct lmn_txn *t = lmn_txn_new(rank, block_written, w);
--- a/src/partition/machine_block.h
+++ b/src/partition/machine_block.h
@@ -6,8 +6,8 @@
 
 /* A block's record as the mirror shows it; v NULL: removed. */
 void lmn_block_apply(struct lmn_core *c, struct lmn_partition *p, unsigned long id,
-                     const struct lmn_doc *d, const struct lmn_node *v, uint64_t rev,
-                     struct timespec now);
+                     const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                     uint64_t rev, struct timespec now);
 void lmn_block_sweep(struct lmn_core *c, struct lmn_partition *p, struct timespec now);
 /* No write of ours is under way any more. */
 void lmn_block_reset(struct lmn_partition *p);
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -46,14 +46,14 @@
         return;
     }
     GByteArray *body = g_byte_array_new();
-    lmn_put_map(body, 1);
-    lmn_put_text(body, W_TTL_MS), lmn_put_count(body, (uint64_t)(h->ttl * 1000));
+    lmn_cbor_put_map(body, 1);
+    lmn_cbor_put_text(body, W_TTL_MS), lmn_cbor_put_uint(body, (uint64_t)(h->ttl * 1000));
     struct timespec sent = lmn_now();
     status = lmn_http_call(h->http, "POST", P_LEASES, body, 1.5, h->buf);
     g_byte_array_unref(body);
-    struct lmn_doc d;
-    if (status == 200 && lmn_doc_parse(&d, h->buf->data, h->buf->len) == 0) {
-        if (lmn_count(lmn_get(&d, lmn_root(&d), W_LEASE), &h->lease)) {
+    struct lmn_cbor_document d;
+    if (status == 200 && lmn_cbor_parse(&d, h->buf->data, h->buf->len) == 0) {
+        if (lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_LEASE), &h->lease)) {
             h->renewed = sent;
             pthread_mutex_lock(&c->lock);
             c->lease = h->lease;
@@ -61,7 +61,7 @@
             pthread_mutex_unlock(&c->lock);
             lmn_info("lease-new lease=%" G_GUINT64_FORMAT, h->lease);
         }
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
 }
 
@@ -88,11 +88,11 @@
     if (c->synced)
         lmn_txn_if(t, key, c->members.v[c->members.me].inc);
     if (c->leaving) {
-        lmn_put_map(v, 2);
-        lmn_put_text(v, "lease"), lmn_put_count(v, lease);
-        lmn_put_text(v, "leaving"), lmn_put_truth(v, true);
+        lmn_cbor_put_map(v, 2);
+        lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, lease);
+        lmn_cbor_put_text(v, "leaving"), lmn_cbor_put_bool(v, true);
     } else {
-        lmn_put_count(v, lease);
+        lmn_cbor_put_uint(v, lease);
     }
     lmn_txn_write(t, key, v, lease);
     g_free(key);
@@ -148,10 +148,10 @@
     char *key = g_strdup_printf("u/%s", lmn_member_name(ms, rank));
     GByteArray *v = g_byte_array_new();
     lmn_txn_if(t, key, m->doubt_rev);
-    lmn_put_map(v, 3);
-    lmn_put_text(v, "incarnation"), lmn_put_count(v, m->inc);
-    lmn_put_text(v, "by"), lmn_put_text(v, c->cfg->node);
-    lmn_put_text(v, "why"), lmn_put_count(v, e.cause);
+    lmn_cbor_put_map(v, 3);
+    lmn_cbor_put_text(v, "incarnation"), lmn_cbor_put_uint(v, m->inc);
+    lmn_cbor_put_text(v, "by"), lmn_cbor_put_text(v, c->cfg->node);
+    lmn_cbor_put_text(v, "why"), lmn_cbor_put_uint(v, e.cause);
     lmn_txn_write(t, key, v, lease);
     g_free(key);
     ms->count.suspicions++;
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -294,18 +294,18 @@
     GByteArray *b = g_byte_array_new();
     char key[32];
 
-    lmn_put_map(b, 4);
-    lmn_put_text(b, "node"), lmn_put_text(b, to);
-    lmn_put_text(b, "lease"), lmn_put_count(b, lease);
-    lmn_put_text(b, "term"), lmn_put_count(b, term);
-    lmn_put_text(b, "stream"), lmn_put_count(b, stream);
+    lmn_cbor_put_map(b, 4);
+    lmn_cbor_put_text(b, "node"), lmn_cbor_put_text(b, to);
+    lmn_cbor_put_text(b, "lease"), lmn_cbor_put_uint(b, lease);
+    lmn_cbor_put_text(b, "term"), lmn_cbor_put_uint(b, term);
+    lmn_cbor_put_text(b, "stream"), lmn_cbor_put_uint(b, stream);
     g_snprintf(key, sizeof key, "o/%d", p->id);
     lmn_txn_if(t, key, p->owner_rev);
     lmn_txn_write(t, key, b, lease);
     g_snprintf(key, sizeof key, "t/%d", p->id);
     lmn_txn_if(t, key, p->term_rev);
     GByteArray *v = g_byte_array_new();
-    lmn_put_count(v, term);
+    lmn_cbor_put_uint(v, term);
     lmn_txn_write(t, key, v, 0);
     return t;
 }
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -35,40 +35,41 @@
     return lmn_budget_take(&k->budget, 1, lmn_now()) <= 0;
 }
 
-static void read_type(struct lmn_type *t, const struct lmn_doc *d,
-                      const struct lmn_node *n)
+static void read_type(struct lmn_type *t, const struct lmn_cbor_document *d,
+                      const struct lmn_cbor_value *n)
 {
-    const struct lmn_node *zones = lmn_get(d, n, W_ZONES);
+    const struct lmn_cbor_value *zones = lmn_cbor_get(d, n, W_ZONES);
 
-    lmn_number(lmn_get(d, n, W_CPUS), &t->cpus);
-    lmn_number(lmn_get(d, n, W_GPUS), &t->gpus);
-    lmn_number(lmn_get(d, n, W_MEM), &t->mem);
-    lmn_number(lmn_get(d, n, W_CACHE_GB), &t->cache_gb);
-    lmn_number(lmn_get(d, n, W_PULL), &t->pull);
-    lmn_number(lmn_get(d, n, W_RATE), &t->rate);
-    lmn_number(lmn_get(d, n, W_SPOT_RATE), &t->spot_rate);
-    lmn_number(lmn_get(d, n, W_READY), &t->ready_s);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, W_CPUS), &t->cpus);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, W_GPUS), &t->gpus);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, W_MEM), &t->mem);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, W_CACHE_GB), &t->cache_gb);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, W_PULL), &t->pull);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, W_RATE), &t->rate);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, W_SPOT_RATE), &t->spot_rate);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, W_READY), &t->ready_s);
     t->nzones = 0;
-    for (const struct lmn_node *z = lmn_child(d, zones); z && t->nzones < LMN_MAX_ZONES;
-         z = lmn_next(d, z))
-        if (lmn_text(z, t->zones[t->nzones], LMN_NAME))
+    for (const struct lmn_cbor_value *z = lmn_cbor_first_child(d, zones);
+         z && t->nzones < LMN_MAX_ZONES; z = lmn_cbor_next(d, z))
+        if (lmn_cbor_get_text(z, t->zones[t->nzones], LMN_NAME))
             t->nzones++;
 }
 
 static void get_types(struct cloud *k)
 {
     struct lmn_core *c = k->c;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     if (lmn_http_call(k->http, "GET", P_TYPES, NULL, 3.0, k->buf) != 200 ||
-        lmn_doc_parse(&d, k->buf->data, k->buf->len) != 0)
+        lmn_cbor_parse(&d, k->buf->data, k->buf->len) != 0)
         return;
     pthread_mutex_lock(&c->lock);
-    const struct lmn_node *list = lmn_get(&d, lmn_root(&d), W_TYPES);
-    for (const struct lmn_node *n = lmn_child(&d, list); n; n = lmn_next(&d, n)) {
+    const struct lmn_cbor_value *list = lmn_cbor_get(&d, lmn_cbor_root(&d), W_TYPES);
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
+         n = lmn_cbor_next(&d, n)) {
         char name[LMN_NAME];
         size_t i = 0;
-        if (!lmn_text(lmn_get(&d, n, W_SKU), name, sizeof name))
+        if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_SKU), name, sizeof name))
             continue;
         while (i < c->types.n && strcmp(c->types.v[i].name, name))
             i++;
@@ -85,7 +86,7 @@
     c->types_known = c->types.n > 0;
     pthread_mutex_unlock(&c->lock);
     k->typed = lmn_now();
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
 }
 
 /* Returns machines by name; true if they are gone. */
@@ -93,11 +94,11 @@
 {
     GByteArray *body = g_byte_array_new();
 
-    lmn_put_map(body, 1);
-    lmn_put_text(body, W_MACHINES);
-    lmn_put_list(body, names->len);
+    lmn_cbor_put_map(body, 1);
+    lmn_cbor_put_text(body, W_MACHINES);
+    lmn_cbor_put_array(body, names->len);
     for (guint i = 0; i < names->len; i++)
-        lmn_put_text(body, names->pdata[i]);
+        lmn_cbor_put_text(body, names->pdata[i]);
     int status = lmn_http_call(k->http, "POST", P_RETURN, body, 5.0, k->buf);
     g_byte_array_unref(body);
     lmn_info("machines-return count=%u first=%s status=%d", names->len,
@@ -173,7 +174,7 @@
     bool more = true;
 
     while (more) {
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         while (!pace(k))
             lmn_sleep(0.2);
         if (*after)
@@ -182,13 +183,15 @@
         else
             g_snprintf(path, sizeof path, P_MACHINES "?" Q_LIMIT "=500");
         if (lmn_http_call(k->http, "GET", path, NULL, 4.0, k->buf) != 200 ||
-            lmn_doc_parse(&d, k->buf->data, k->buf->len) != 0)
+            lmn_cbor_parse(&d, k->buf->data, k->buf->len) != 0)
             return false;
         struct timespec now = lmn_now();
-        const struct lmn_node *list = lmn_get(&d, lmn_root(&d), W_MACHINES);
-        for (const struct lmn_node *n = lmn_child(&d, list); n; n = lmn_next(&d, n)) {
+        const struct lmn_cbor_value *list =
+            lmn_cbor_get(&d, lmn_cbor_root(&d), W_MACHINES);
+        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
+             n = lmn_cbor_next(&d, n)) {
             double age = 0;
-            if (!lmn_text(lmn_get(&d, n, W_ID), after, sizeof after))
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_ID), after, sizeof after))
                 continue;
             pthread_mutex_lock(&k->c->lock);
             bool gone = g_hash_table_contains(k->c->gone, after);
@@ -196,26 +199,26 @@
             if (gone)
                 continue;
             struct lmn_listed *m = listed(k, after);
-            lmn_text(lmn_get(&d, n, W_TYPE), m->type, sizeof m->type);
-            lmn_text(lmn_get(&d, n, W_ZONE), m->zone, sizeof m->zone);
-            lmn_truth(lmn_get(&d, n, W_SPOT), &m->spot);
-            lmn_number(lmn_get(&d, n, W_AGE), &age);
-            const struct lmn_node *state = lmn_get(&d, n, W_STATE);
+            lmn_cbor_get_text(lmn_cbor_get(&d, n, W_TYPE), m->type, sizeof m->type);
+            lmn_cbor_get_text(lmn_cbor_get(&d, n, W_ZONE), m->zone, sizeof m->zone);
+            lmn_cbor_get_bool(lmn_cbor_get(&d, n, W_SPOT), &m->spot);
+            lmn_cbor_get_number(lmn_cbor_get(&d, n, W_AGE), &age);
+            const struct lmn_cbor_value *state = lmn_cbor_get(&d, n, W_STATE);
             bool was = m->booting;
-            m->booting = lmn_is(state, W_BOOTING);
-            if (was && !m->booting && !lmn_is(state, W_BROKEN))
+            m->booting = lmn_cbor_text_equals(state, W_BOOTING);
+            if (was && !m->booting && !lmn_cbor_text_equals(state, W_BROKEN))
                 lmn_fleet_booted(&k->fleet, m, age);
-            m->broken = lmn_is(state, W_BROKEN);
+            m->broken = lmn_cbor_text_equals(state, W_BROKEN);
             if (!m->listed)
                 m->since = lmn_after(now, -age);
             m->listed = true;
             m->seen = now;
         }
         more = false;
-        lmn_truth(lmn_get(&d, lmn_root(&d), W_MORE), &more);
+        lmn_cbor_get_bool(lmn_cbor_get(&d, lmn_cbor_root(&d), W_MORE), &more);
         if (!list || !list->len)
             more = false;
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
     k->listed = lmn_now();
     return true;
@@ -272,7 +275,7 @@
 {
     struct lmn_core *c = k->c;
     struct lmn_rental *r = &k->pending;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     unsigned got = 0;
 
     if (!*k->request) {
@@ -291,20 +294,22 @@
     if (!pace(k))
         return;
     GByteArray *body = g_byte_array_new();
-    lmn_put_map(body, 5);
-    lmn_put_text(body, W_REQUEST), lmn_put_text(body, k->request);
-    lmn_put_text(body, W_TYPE), lmn_put_text(body, r->type);
-    lmn_put_text(body, W_ZONE), lmn_put_text(body, r->zone);
-    lmn_put_text(body, W_SPOT), lmn_put_truth(body, r->spot);
-    lmn_put_text(body, W_COUNT), lmn_put_count(body, r->count);
+    lmn_cbor_put_map(body, 5);
+    lmn_cbor_put_text(body, W_REQUEST), lmn_cbor_put_text(body, k->request);
+    lmn_cbor_put_text(body, W_TYPE), lmn_cbor_put_text(body, r->type);
+    lmn_cbor_put_text(body, W_ZONE), lmn_cbor_put_text(body, r->zone);
+    lmn_cbor_put_text(body, W_SPOT), lmn_cbor_put_bool(body, r->spot);
+    lmn_cbor_put_text(body, W_COUNT), lmn_cbor_put_uint(body, r->count);
     int status = lmn_http_call(k->http, "POST", P_MACHINES, body, 4.0, k->buf);
     g_byte_array_unref(body);
     struct timespec now = lmn_now();
-    if (status == 200 && lmn_doc_parse(&d, k->buf->data, k->buf->len) == 0) {
-        const struct lmn_node *list = lmn_get(&d, lmn_root(&d), W_MACHINES);
+    if (status == 200 && lmn_cbor_parse(&d, k->buf->data, k->buf->len) == 0) {
+        const struct lmn_cbor_value *list =
+            lmn_cbor_get(&d, lmn_cbor_root(&d), W_MACHINES);
         char name[LMN_NAME];
-        for (const struct lmn_node *n = lmn_child(&d, list); n; n = lmn_next(&d, n)) {
-            if (!lmn_text(n, name, sizeof name))
+        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
+             n = lmn_cbor_next(&d, n)) {
+            if (!lmn_cbor_get_text(n, name, sizeof name))
                 continue;
             struct lmn_listed *m = listed(k, name);
             g_strlcpy(m->type, r->type, sizeof m->type);
@@ -314,12 +319,13 @@
             m->since = m->seen = now;
             got++;
         }
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     } else if (status == 503 || status == 400) {
         bool scarce = false;
-        if (lmn_doc_parse(&d, k->buf->data, k->buf->len) == 0) {
-            scarce = lmn_is(lmn_get(&d, lmn_root(&d), "error"), "no capacity");
-            lmn_doc_free(&d);
+        if (lmn_cbor_parse(&d, k->buf->data, k->buf->len) == 0) {
+            scarce = lmn_cbor_text_equals(lmn_cbor_get(&d, lmn_cbor_root(&d), "error"),
+                                          "no capacity");
+            lmn_cbor_free(&d);
         }
         if (!scarce && status == 503)
             return; /* an outage: the same request again */
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -20,8 +20,9 @@
     return key;
 }
 
-void lmn_quota_apply(struct lmn_core *c, const char *key, const struct lmn_doc *d,
-                     const struct lmn_node *v, uint64_t rev)
+void lmn_quota_apply(struct lmn_core *c, const char *key,
+                     const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                     uint64_t rev)
 {
     int team = -1;
 
@@ -33,15 +34,19 @@
     }
     if (team < 0 || !v || c->quota_rev[team] >= rev)
         return;
-    const struct lmn_node *cpus = lmn_child(d, lmn_get(d, v, "cpus"));
-    const struct lmn_node *gpus = lmn_child(d, lmn_get(d, v, "gpus"));
+    const struct lmn_cbor_value *cpus =
+        lmn_cbor_first_child(d, lmn_cbor_get(d, v, "cpus"));
+    const struct lmn_cbor_value *gpus =
+        lmn_cbor_first_child(d, lmn_cbor_get(d, v, "gpus"));
     for (int i = 0; i < c->nparts; i++) {
         struct lmn_partition *p = &c->parts[i];
         p->quota_cpus[team] = p->quota_gpus[team] = 0;
         if (cpus)
-            lmn_number(cpus, &p->quota_cpus[team]), cpus = lmn_next(d, cpus);
+            lmn_cbor_get_number(cpus, &p->quota_cpus[team]),
+                cpus = lmn_cbor_next(d, cpus);
         if (gpus)
-            lmn_number(gpus, &p->quota_gpus[team]), gpus = lmn_next(d, gpus);
+            lmn_cbor_get_number(gpus, &p->quota_gpus[team]),
+                gpus = lmn_cbor_next(d, gpus);
         /* Either our transfer was applied, or it can't be any more. */
         if (p->transfer.team == team && rev > p->transfer.rev)
             p->transfer.team = -1;
@@ -49,8 +54,8 @@
     c->quota_rev[team] = rev;
     /* Parts of another limit, from settings before these, are no parts of this one. */
     double cpus_max = -1, gpus_max = -1;
-    lmn_number(lmn_get(d, v, "cpus_max"), &cpus_max);
-    lmn_number(lmn_get(d, v, "gpus_max"), &gpus_max);
+    lmn_cbor_get_number(lmn_cbor_get(d, v, "cpus_max"), &cpus_max);
+    lmn_cbor_get_number(lmn_cbor_get(d, v, "gpus_max"), &gpus_max);
     c->quota_known[team] = cpus_max == c->cfg->teams[team].cpus_max &&
                            gpus_max == c->cfg->teams[team].gpus_max;
 }
@@ -97,21 +102,23 @@
     g_snprintf(owner, sizeof owner, "o/%d", p->id);
     lmn_txn_if(t, owner, p->my_rev);
     lmn_txn_if(t, key, p->transfer.rev);
-    lmn_put_map(b, 4);
-    lmn_put_text(b, "cpus_max"), lmn_put_number(b, c->cfg->teams[team].cpus_max);
-    lmn_put_text(b, "gpus_max"), lmn_put_number(b, c->cfg->teams[team].gpus_max);
+    lmn_cbor_put_map(b, 4);
+    lmn_cbor_put_text(b, "cpus_max"),
+        lmn_cbor_put_number(b, c->cfg->teams[team].cpus_max);
+    lmn_cbor_put_text(b, "gpus_max"),
+        lmn_cbor_put_number(b, c->cfg->teams[team].gpus_max);
     for (int gpus = 0; gpus < 2; gpus++) {
-        lmn_put_text(b, gpus ? "gpus" : "cpus");
-        lmn_put_list(b, (size_t)c->nparts);
+        lmn_cbor_put_text(b, gpus ? "gpus" : "cpus");
+        lmn_cbor_put_array(b, (size_t)c->nparts);
         for (int i = 0; i < c->nparts; i++) {
             double x, y;
             lmn_quota_even(c, team, &x, &y);
             if (c->quota_known[team])
                 x = c->parts[i].quota_cpus[team], y = c->parts[i].quota_gpus[team];
             double by = gpus ? p->transfer.gpus : p->transfer.cpus;
-            lmn_put_number(b, (gpus ? y : x) + (i == p->transfer.to ? by
-                                                : i == p->id        ? -by
-                                                                    : 0));
+            lmn_cbor_put_number(b, (gpus ? y : x) + (i == p->transfer.to ? by
+                                                     : i == p->id        ? -by
+                                                                         : 0));
         }
     }
     lmn_txn_write(t, key, b, 0);
--- a/src/partition/quota_transfer.h
+++ b/src/partition/quota_transfer.h
@@ -5,8 +5,9 @@
 
 #include "scheduler/quota.h"
 
-void lmn_quota_apply(struct lmn_core *c, const char *key, const struct lmn_doc *d,
-                     const struct lmn_node *v, uint64_t rev);
+void lmn_quota_apply(struct lmn_core *c, const char *key,
+                     const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                     uint64_t rev);
 /* Sets a transfer to another partition going, of no more than is free; false if there is
  * none. */
 bool lmn_quota_give(struct lmn_core *c, struct lmn_partition *p, int team, int to,
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -104,14 +104,14 @@
 static bool learn_session(struct lmn_machine *m, const GByteArray *answer,
                           struct timespec now)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     struct lmn_report r;
 
-    if (lmn_doc_parse(&d, answer->data, answer->len) != 0)
+    if (lmn_cbor_parse(&d, answer->data, answer->len) != 0)
         return false;
     bool newer =
         !lmn_report_read(&r, &d) && !strcmp(r.name, m->name) && r.session > m->session;
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     if (!newer)
         return false;
     m->session = r.session;
@@ -125,7 +125,7 @@
 {
     struct lmn_partition *p = &c->parts[lmn_partition_of(name, c->nparts)];
     struct lmn_machine *m = g_hash_table_lookup(p->machines, name);
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     struct lmn_report r;
 
     if (!term) {
@@ -149,7 +149,7 @@
     /* Whatever it may hold waits for it: the second question follows at once. */
     if (m->probes == 1 && status != 200)
         m->next_probe = lmn_after(now, 0.2);
-    if (status != 200 || lmn_doc_parse(&d, answer->data, answer->len) != 0)
+    if (status != 200 || lmn_cbor_parse(&d, answer->data, answer->len) != 0)
         return;
     /* Written after the worker had taken our term: whatever a predecessor sends comes too
      * late. Its lease was renewed before now, if by anyone else. */
@@ -178,7 +178,7 @@
         if (p->warm)
             lmn_poke(m);
     }
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
 }
 
 /* Asks a machine of a partition just taken over what it holds: first for its session, if
@@ -187,22 +187,22 @@
 static int probe(struct lmn_http *h, uint64_t term, uint64_t session, GByteArray *body,
                  GByteArray *answer)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     if (!session) {
         int status = lmn_http_call(h, "GET", P_SHOW, NULL, 1.0, answer);
         if (!term)
             return status;
-        if (status != 200 || lmn_doc_parse(&d, answer->data, answer->len) != 0)
+        if (status != 200 || lmn_cbor_parse(&d, answer->data, answer->len) != 0)
             return status == 200 ? LMN_NO_ANSWER : status;
-        lmn_count(lmn_get(&d, lmn_root(&d), W_SESSION), &session);
-        lmn_doc_free(&d);
+        lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SESSION), &session);
+        lmn_cbor_free(&d);
     }
     g_byte_array_set_size(body, 0);
-    lmn_put_map(body, 3);
-    lmn_put_text(body, W_TOKEN), lmn_put_count(body, term);
-    lmn_put_text(body, W_SESSION), lmn_put_count(body, session);
-    lmn_put_text(body, W_COMMANDS), lmn_put_list(body, 0);
+    lmn_cbor_put_map(body, 3);
+    lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, term);
+    lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, session);
+    lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
     return lmn_http_call(h, "POST", P_DIRECT, body, 1.0, answer);
 }
 
@@ -253,10 +253,11 @@
                 g_strlcpy(name, m->name, LMN_NAME);
                 g_strlcpy(addr, m->addr, LMN_ADDR);
                 g_byte_array_set_size(body, 0);
-                lmn_put_map(body, 3);
-                lmn_put_text(body, W_TOKEN), lmn_put_count(body, c->parts[i].my_term);
-                lmn_put_text(body, W_SESSION), lmn_put_count(body, m->session);
-                lmn_put_text(body, W_COMMANDS), lmn_put_list(body, n);
+                lmn_cbor_put_map(body, 3);
+                lmn_cbor_put_text(body, W_TOKEN),
+                    lmn_cbor_put_uint(body, c->parts[i].my_term);
+                lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, m->session);
+                lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, n);
                 g_byte_array_append(body, commands->data, commands->len);
             }
             g_byte_array_unref(commands);
@@ -272,7 +273,7 @@
 {
     struct lmn_partition *p = &c->parts[lmn_partition_of(name, c->nparts)];
     struct lmn_machine *m = g_hash_table_lookup(p->machines, name);
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     struct lmn_report r;
     bool read = false, newer = false, lost = false;
 
@@ -280,14 +281,14 @@
         return; /* the partition was lost meanwhile */
     m->in_call = false;
     if ((status == 200 || status == 409) &&
-        lmn_doc_parse(&d, answer->data, answer->len) == 0) {
+        lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
         read = !lmn_report_read(&r, &d) && r.session == m->session;
         newer = read && r.seq > m->seq;
         if (newer) {
             m->seq = r.seq;
             lmn_report_tasks(c, m, &d, r.tasks, now);
         }
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
     for (guint i = m->attempts->len; i-- > 0;) {
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
--- a/src/partition/worker_internal.h
+++ b/src/partition/worker_internal.h
@@ -11,18 +11,19 @@
     bool spot, noticed;
     uint64_t session, seq, token;
     double notice_s;
-    const struct lmn_node *tasks;
+    const struct lmn_cbor_value *tasks;
 };
 
 /* NULL, or what is wrong with it. */
-const char *lmn_report_read(struct lmn_report *r, const struct lmn_doc *d);
+const char *lmn_report_read(struct lmn_report *r, const struct lmn_cbor_document *d);
 /* Which attempt the entry of a report names, and its state; the rest of *a is 0. False:
  * malformed. */
-bool lmn_report_task(struct lmn_attempt *a, const struct lmn_doc *d,
-                     const struct lmn_node *n);
+bool lmn_report_task(struct lmn_attempt *a, const struct lmn_cbor_document *d,
+                     const struct lmn_cbor_value *n);
 /* What the message says of each task. */
-void lmn_report_tasks(struct lmn_core *c, struct lmn_machine *m, const struct lmn_doc *d,
-                      const struct lmn_node *tasks, struct timespec now);
+void lmn_report_tasks(struct lmn_core *c, struct lmn_machine *m,
+                      const struct lmn_cbor_document *d,
+                      const struct lmn_cbor_value *tasks, struct timespec now);
 /* The attempt at the place i is not there: out of the books, its task queued again. */
 void lmn_attempt_vanish(struct lmn_core *c, struct lmn_machine *m, guint i,
                         struct timespec now);
--- a/src/protocol/cbor.h
+++ b/src/protocol/cbor.h
@@ -10,18 +10,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum lmn_node_type {
-    LMN_NULL,
-    LMN_BOOL,
-    LMN_UINT,
-    LMN_NEGINT,
-    LMN_FLOAT,
-    LMN_TEXT,
-    LMN_LIST,
-    LMN_MAP
+enum lmn_cbor_type {
+    LMN_CBOR_NULL,
+    LMN_CBOR_BOOL,
+    LMN_CBOR_UINT,
+    LMN_CBOR_NEGINT,
+    LMN_CBOR_FLOAT,
+    LMN_CBOR_TEXT,
+    LMN_CBOR_ARRAY,
+    LMN_CBOR_MAP
 };
 
-struct lmn_node {
+struct lmn_cbor_value {
     uint8_t type;
     bool truth;
     uint32_t next;  /* index of the next sibling, 0 if none */
@@ -34,41 +34,46 @@
     };
 };
 
-enum { LMN_DEPTH = 16 };
+enum { LMN_CBOR_MAX_DEPTH = 16 };
 
-struct lmn_doc {
-    struct lmn_node *nodes; /* [0] unused, [1] the root */
+struct lmn_cbor_document {
+    struct lmn_cbor_value *nodes; /* [0] unused, [1] the root */
     uint32_t n, cap;
 };
 
 /* 0 if the bytes are exactly one well-formed item of the kinds that the protocol uses. */
-int lmn_doc_parse(struct lmn_doc *doc, const void *bytes, size_t len);
-void lmn_doc_free(struct lmn_doc *doc);
+int lmn_cbor_parse(struct lmn_cbor_document *doc, const void *bytes, size_t len);
+void lmn_cbor_free(struct lmn_cbor_document *doc);
 
-const struct lmn_node *lmn_root(const struct lmn_doc *doc);
-const struct lmn_node *lmn_child(const struct lmn_doc *doc, const struct lmn_node *of);
-const struct lmn_node *lmn_next(const struct lmn_doc *doc, const struct lmn_node *n);
+const struct lmn_cbor_value *lmn_cbor_root(const struct lmn_cbor_document *doc);
+const struct lmn_cbor_value *lmn_cbor_first_child(const struct lmn_cbor_document *doc,
+                                                  const struct lmn_cbor_value *of);
+const struct lmn_cbor_value *lmn_cbor_next(const struct lmn_cbor_document *doc,
+                                           const struct lmn_cbor_value *n);
 /* The value of a map's key; NULL if absent or null, since the two mean the same. */
-const struct lmn_node *lmn_get(const struct lmn_doc *doc, const struct lmn_node *map,
-                               const char *key);
-bool lmn_is(const struct lmn_node *n, const char *text);
-bool lmn_text(const struct lmn_node *n, char *out, size_t len);
-bool lmn_number(const struct lmn_node *n, double *out);
-bool lmn_count(const struct lmn_node *n, uint64_t *out);
-bool lmn_truth(const struct lmn_node *n, bool *out);
+const struct lmn_cbor_value *lmn_cbor_get(const struct lmn_cbor_document *doc,
+                                          const struct lmn_cbor_value *map,
+                                          const char *key);
+bool lmn_cbor_text_equals(const struct lmn_cbor_value *n, const char *text);
+bool lmn_cbor_get_text(const struct lmn_cbor_value *n, char *out, size_t len);
+bool lmn_cbor_get_number(const struct lmn_cbor_value *n, double *out);
+bool lmn_cbor_get_uint(const struct lmn_cbor_value *n, uint64_t *out);
+bool lmn_cbor_get_bool(const struct lmn_cbor_value *n, bool *out);
 
-void lmn_put_map(GByteArray *b, size_t pairs);
-void lmn_put_list(GByteArray *b, size_t items);
-void lmn_put_text(GByteArray *b, const char *s);
-void lmn_put_count(GByteArray *b, uint64_t v);
-void lmn_put_number(GByteArray *b, double v);
-void lmn_put_truth(GByteArray *b, bool v);
-void lmn_put_null(GByteArray *b);
+void lmn_cbor_put_map(GByteArray *b, size_t pairs);
+void lmn_cbor_put_array(GByteArray *b, size_t items);
+void lmn_cbor_put_text(GByteArray *b, const char *s);
+void lmn_cbor_put_uint(GByteArray *b, uint64_t v);
+void lmn_cbor_put_number(GByteArray *b, double v);
+void lmn_cbor_put_bool(GByteArray *b, bool v);
+void lmn_cbor_put_null(GByteArray *b);
 /* Copies a node as it was read. */
-void lmn_put_node(GByteArray *b, const struct lmn_doc *doc, const struct lmn_node *n);
+void lmn_cbor_put_value(GByteArray *b, const struct lmn_cbor_document *doc,
+                        const struct lmn_cbor_value *n);
 
 /* Bytes that a node takes when written as compact JSON: the form in which limits are
  * counted. */
-size_t lmn_json_size(const struct lmn_doc *doc, const struct lmn_node *n);
+size_t lmn_cbor_json_size(const struct lmn_cbor_document *doc,
+                          const struct lmn_cbor_value *n);
 
 #endif
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -2,35 +2,36 @@
 
 #include <stdio.h>
 
-json_t *lmn_json_of(const struct lmn_doc *doc, const struct lmn_node *n)
+json_t *lmn_json_of(const struct lmn_cbor_document *doc, const struct lmn_cbor_value *n)
 {
     json_t *j;
 
     switch (n->type) {
-    case LMN_BOOL:
+    case LMN_CBOR_BOOL:
         return json_boolean(n->truth);
-    case LMN_UINT:
+    case LMN_CBOR_UINT:
         return n->u <= INT64_MAX ? json_integer((json_int_t)n->u)
                                  : json_real((double)n->u);
-    case LMN_NEGINT:
+    case LMN_CBOR_NEGINT:
         return json_integer(-1 - (json_int_t)n->u);
-    case LMN_FLOAT:
+    case LMN_CBOR_FLOAT:
         return json_real(n->f);
-    case LMN_TEXT:
+    case LMN_CBOR_TEXT:
         return json_stringn(n->s, n->len);
-    case LMN_LIST:
+    case LMN_CBOR_ARRAY:
         j = json_array();
-        for (const struct lmn_node *k = lmn_child(doc, n); k; k = lmn_next(doc, k))
+        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, n); k;
+             k = lmn_cbor_next(doc, k))
             json_array_append_new(j, lmn_json_of(doc, k));
         return j;
-    case LMN_MAP:
+    case LMN_CBOR_MAP:
         j = json_object();
-        for (const struct lmn_node *k = lmn_child(doc, n); k;) {
-            const struct lmn_node *v = lmn_next(doc, k);
+        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, n); k;) {
+            const struct lmn_cbor_value *v = lmn_cbor_next(doc, k);
             char *key = g_strndup(k->s, k->len);
             json_object_set_new(j, key, lmn_json_of(doc, v));
             g_free(key);
-            k = lmn_next(doc, v);
+            k = lmn_cbor_next(doc, v);
         }
         return j;
     default:
@@ -40,12 +41,12 @@
 
 json_t *lmn_json_of_bytes(const void *bytes, size_t len)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    if (lmn_doc_parse(&d, bytes, len) != 0)
+    if (lmn_cbor_parse(&d, bytes, len) != 0)
         return NULL;
-    json_t *j = lmn_json_of(&d, lmn_root(&d));
-    lmn_doc_free(&d);
+    json_t *j = lmn_json_of(&d, lmn_cbor_root(&d));
+    lmn_cbor_free(&d);
     return j;
 }
 
@@ -57,35 +58,35 @@
 
     switch (json_typeof(j)) {
     case JSON_OBJECT:
-        lmn_put_map(b, json_object_size(j));
+        lmn_cbor_put_map(b, json_object_size(j));
         json_object_foreach(j, key, v)
         {
-            lmn_put_text(b, key);
+            lmn_cbor_put_text(b, key);
             lmn_json_put(b, v);
         }
         return;
     case JSON_ARRAY:
-        lmn_put_list(b, json_array_size(j));
+        lmn_cbor_put_array(b, json_array_size(j));
         json_array_foreach(j, i, v) lmn_json_put(b, v);
         return;
     case JSON_STRING:
-        lmn_put_text(b, json_string_value(j));
+        lmn_cbor_put_text(b, json_string_value(j));
         return;
     case JSON_INTEGER:
         if (json_integer_value(j) >= 0)
-            lmn_put_count(b, (uint64_t)json_integer_value(j));
+            lmn_cbor_put_uint(b, (uint64_t)json_integer_value(j));
         else
-            lmn_put_number(b, (double)json_integer_value(j));
+            lmn_cbor_put_number(b, (double)json_integer_value(j));
         return;
     case JSON_REAL:
-        lmn_put_number(b, json_real_value(j));
+        lmn_cbor_put_number(b, json_real_value(j));
         return;
     case JSON_TRUE:
     case JSON_FALSE:
-        lmn_put_truth(b, json_is_true(j));
+        lmn_cbor_put_bool(b, json_is_true(j));
         return;
     default:
-        lmn_put_null(b);
+        lmn_cbor_put_null(b);
     }
 }
 
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -224,12 +224,12 @@
     GByteArray *v = g_byte_array_new();
     char key[32];
 
-    lmn_put_map(v, 4);
-    lmn_put_text(v, "node");
-    lmn_put_text(v, named ? lmn_member_name(&c->members, s->to) : "");
-    lmn_put_text(v, "lease"), lmn_put_count(v, named ? s->to_lease : 0);
-    lmn_put_text(v, "stream"), lmn_put_count(v, named ? s->id : 0);
-    lmn_put_text(v, "term"), lmn_put_count(v, p->my_term);
+    lmn_cbor_put_map(v, 4);
+    lmn_cbor_put_text(v, "node");
+    lmn_cbor_put_text(v, named ? lmn_member_name(&c->members, s->to) : "");
+    lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, named ? s->to_lease : 0);
+    lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, named ? s->id : 0);
+    lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, p->my_term);
     g_snprintf(key, sizeof key, "o/%d", p->id);
     lmn_txn_if(t, key, p->my_rev);
     g_snprintf(key, sizeof key, "b/%d", p->id);
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -298,10 +298,10 @@
     lmn_latency_add(&c->starting, c->wall - a.job->at);
     char task[LMN_REF + 16];
     g_snprintf(task, sizeof task, "%s/%u", a.ref, a.index);
-    lmn_put_map(out, 3);
-    lmn_put_text(out, W_OP), lmn_put_text(out, W_START);
-    lmn_put_text(out, W_TASK), lmn_put_text(out, task);
-    lmn_put_text(out, W_ATTEMPT), lmn_put_count(out, a.number);
+    lmn_cbor_put_map(out, 3);
+    lmn_cbor_put_text(out, W_OP), lmn_cbor_put_text(out, W_START);
+    lmn_cbor_put_text(out, W_TASK), lmn_cbor_put_text(out, task);
+    lmn_cbor_put_text(out, W_ATTEMPT), lmn_cbor_put_uint(out, a.number);
     lmn_debug("task-start task=%s attempt=%" G_GUINT64_FORMAT
               " machine=%s term=%" G_GUINT64_FORMAT,
               task, a.number, m->name, p->my_term);
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -42,7 +42,7 @@
         if (!m->hungry || m->queue.tasks || !m->type || !m->rev || m->retiring ||
             m->noticed || m->lapsed || m->is_gone || m->type->cpus - m->used_cpus < 0.01)
             continue;
-        struct lmn_room *r = &t->rooms[t->nrooms++];
+        struct lmn_free_capacity *r = &t->rooms[t->nrooms++];
         g_strlcpy(r->type, m->type_name, sizeof r->type);
         g_strlcpy(r->zone, m->zone, sizeof r->zone);
         r->spot = m->spot;
@@ -70,7 +70,7 @@
     if (j->team < 0)
         return 0;
     for (guint i = 0; i < t->nrooms; i++) {
-        const struct lmn_room *r = &t->rooms[i];
+        const struct lmn_free_capacity *r = &t->rooms[i];
         const struct lmn_type *type = lmn_type_named(c, r->type);
         double k = 1e6;
         if (!type || !lmn_spec_allows(s, type, r->zone, r->spot))
--- a/src/scheduler/work_stealing.h
+++ b/src/scheduler/work_stealing.h
@@ -4,14 +4,14 @@
 
 #include "state/model.h"
 
-struct lmn_room {
+struct lmn_free_capacity {
     char type[LMN_NAME], zone[LMN_NAME];
     bool spot;
     double cpus, gpus, mem;
 };
 struct lmn_thief {
     int part;
-    struct lmn_room rooms[64];
+    struct lmn_free_capacity rooms[64];
     guint nrooms;
     double *team_cpus, *team_gpus; /* by team: what its quota leaves */
 };
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -45,7 +45,7 @@
     lmn_cond_init(&c->told);
     c->cfg = cfg;
     c->state = state;
-    lmn_socket_plan(cfg, &c->sockets);
+    lmn_connection_budget_init(cfg, &c->sockets);
     lmn_hosts_init(&c->hosts, cfg->listen);
     c->tuning = lmn_tuning_default;
     c->rng = g_rand_new_with_seed(seed);
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -360,11 +360,12 @@
                           struct timespec now);
     void (*partition_lose)(struct lmn_core *c, struct lmn_partition *p, const char *why);
     void (*block_apply)(struct lmn_core *c, struct lmn_partition *p, unsigned long id,
-                        const struct lmn_doc *d, const struct lmn_node *v, uint64_t rev,
-                        struct timespec now);
+                        const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                        uint64_t rev, struct timespec now);
     void (*block_sweep)(struct lmn_core *c, struct lmn_partition *p, struct timespec now);
-    void (*quota_apply)(struct lmn_core *c, const char *key, const struct lmn_doc *d,
-                        const struct lmn_node *v, uint64_t rev);
+    void (*quota_apply)(struct lmn_core *c, const char *key,
+                        const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                        uint64_t rev);
     /* The core is freed: what the partition holds of and for standbys goes. */
     void (*partition_free)(struct lmn_partition *p);
 };
--- a/src/state/records.c
+++ b/src/state/records.c
@@ -7,15 +7,15 @@
                            double at)
 {
     GByteArray *b = g_byte_array_sized_new(512);
-    lmn_put_map(b, lmn_spec_pairs() + 3);
+    lmn_cbor_put_map(b, lmn_spec_pairs() + 3);
     lmn_spec_put(b, s);
-    lmn_put_text(b, "phase"), lmn_put_count(b, phase);
-    lmn_put_text(b, "open"), lmn_put_count(b, open);
-    lmn_put_text(b, "at"), lmn_put_number(b, at);
+    lmn_cbor_put_text(b, "phase"), lmn_cbor_put_uint(b, phase);
+    lmn_cbor_put_text(b, "open"), lmn_cbor_put_uint(b, open);
+    lmn_cbor_put_text(b, "at"), lmn_cbor_put_number(b, at);
     return b;
 }
 
-int lmn_job_read(const struct lmn_doc *doc, const struct lmn_node *value,
+int lmn_job_read(const struct lmn_cbor_document *doc, const struct lmn_cbor_value *value,
                  struct lmn_spec *s, enum lmn_phase *phase, uint32_t *open, double *at)
 {
     const char *what;
@@ -23,9 +23,9 @@
 
     if (lmn_spec_parse(s, doc, value, &what) != 0)
         return -1;
-    if (!lmn_count(lmn_get(doc, value, "phase"), &ph) || ph > LMN_WITHDRAWN ||
-        !lmn_count(lmn_get(doc, value, "open"), &op) ||
-        !lmn_number(lmn_get(doc, value, "at"), at))
+    if (!lmn_cbor_get_uint(lmn_cbor_get(doc, value, "phase"), &ph) ||
+        ph > LMN_WITHDRAWN || !lmn_cbor_get_uint(lmn_cbor_get(doc, value, "open"), &op) ||
+        !lmn_cbor_get_number(lmn_cbor_get(doc, value, "at"), at))
         return -1;
     *phase = (enum lmn_phase)ph;
     *open = (uint32_t)op;
@@ -35,8 +35,8 @@
 GByteArray *lmn_range_record(const struct lmn_range *r, const uint8_t *done)
 {
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, 2);
-    lmn_put_text(b, "hi"), lmn_put_count(b, r->hi);
-    lmn_put_text(b, "done"), lmn_bits_put(b, done, r->hi - r->lo);
+    lmn_cbor_put_map(b, 2);
+    lmn_cbor_put_text(b, "hi"), lmn_cbor_put_uint(b, r->hi);
+    lmn_cbor_put_text(b, "done"), lmn_bits_put(b, done, r->hi - r->lo);
     return b;
 }
--- a/src/state/records.h
+++ b/src/state/records.h
@@ -8,7 +8,7 @@
 GByteArray *lmn_job_record(const struct lmn_spec *s, enum lmn_phase phase, uint32_t open,
                            double at);
 /* Reads a job's record; -1 if it is none. The spec is the caller's to clear. */
-int lmn_job_read(const struct lmn_doc *doc, const struct lmn_node *value,
+int lmn_job_read(const struct lmn_cbor_document *doc, const struct lmn_cbor_value *value,
                  struct lmn_spec *s, enum lmn_phase *phase, uint32_t *open, double *at);
 GByteArray *lmn_range_record(const struct lmn_range *r, const uint8_t *done);
 
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -59,8 +59,9 @@
     return true;
 }
 
-static void apply_job(struct lmn_core *c, const char *ref, const struct lmn_doc *d,
-                      const struct lmn_node *v, uint64_t rev, struct timespec now)
+static void apply_job(struct lmn_core *c, const char *ref,
+                      const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                      uint64_t rev, struct timespec now)
 {
     struct lmn_spec spec;
     enum lmn_phase phase;
@@ -123,8 +124,8 @@
 }
 
 static void apply_range(struct lmn_core *c, const char *key, struct lmn_partition *p,
-                        const char *rest, const struct lmn_doc *d,
-                        const struct lmn_node *v, uint64_t rev, struct timespec now)
+                        const char *rest, const struct lmn_cbor_document *d,
+                        const struct lmn_cbor_value *v, uint64_t rev, struct timespec now)
 {
     struct lmn_range *r = g_hash_table_lookup(p->ranges, key);
     const char *slash = strchr(rest, '/');
@@ -141,7 +142,7 @@
         return;
     }
     if (!slash || (size_t)(slash - rest) >= sizeof ref ||
-        !lmn_count(lmn_get(d, v, "hi"), &hi))
+        !lmn_cbor_get_uint(lmn_cbor_get(d, v, "hi"), &hi))
         return;
     g_strlcpy(ref, rest, (gsize)(slash - rest) + 1);
     uint32_t lo = (uint32_t)strtoul(slash + 1, NULL, 10);
@@ -168,7 +169,7 @@
     }
     if (hi < r->hi)
         c->owner->range_cut(c, r, (uint32_t)hi);
-    if (lmn_bits_get(lmn_get(d, v, "done"), r->done, r->hi - r->lo) != 0)
+    if (lmn_bits_get(lmn_cbor_get(d, v, "done"), r->done, r->hi - r->lo) != 0)
         lmn_error("unreadable-record key=%s", key);
     r->ndone = lmn_bits_count(r->done, r->hi - r->lo);
     r->rev = rev;
@@ -198,8 +199,8 @@
 }
 
 static void apply_owner(struct lmn_core *c, struct lmn_partition *p,
-                        const struct lmn_doc *d, const struct lmn_node *v, uint64_t rev,
-                        struct timespec now)
+                        const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                        uint64_t rev, struct timespec now)
 {
     char owner[LMN_NAME] = "";
     uint64_t lease = 0, term = 0, stream = 0;
@@ -208,10 +209,10 @@
     if (p->owner_rev >= rev)
         return;
     if (v) {
-        lmn_text(lmn_get(d, v, "node"), owner, sizeof owner);
-        lmn_count(lmn_get(d, v, "lease"), &lease);
-        lmn_count(lmn_get(d, v, "term"), &term);
-        lmn_count(lmn_get(d, v, "stream"), &stream);
+        lmn_cbor_get_text(lmn_cbor_get(d, v, "node"), owner, sizeof owner);
+        lmn_cbor_get_uint(lmn_cbor_get(d, v, "lease"), &lease);
+        lmn_cbor_get_uint(lmn_cbor_get(d, v, "term"), &term);
+        lmn_cbor_get_uint(lmn_cbor_get(d, v, "stream"), &stream);
     }
     if (p->mine)
         c->owner->partition_lose(c, p, v ? "taken" : "owner key gone");
@@ -229,7 +230,8 @@
 }
 
 static void apply_standby(struct lmn_core *c, struct lmn_partition *p,
-                          const struct lmn_doc *d, const struct lmn_node *v, uint64_t rev)
+                          const struct lmn_cbor_document *d,
+                          const struct lmn_cbor_value *v, uint64_t rev)
 {
     if (p->standby_rev >= rev)
         return;
@@ -237,17 +239,18 @@
     p->standby_lease = p->standby_stream = p->standby_term = 0;
     p->standby_rev = rev;
     if (v) {
-        lmn_text(lmn_get(d, v, "node"), p->standby, sizeof p->standby);
-        lmn_count(lmn_get(d, v, "lease"), &p->standby_lease);
-        lmn_count(lmn_get(d, v, "stream"), &p->standby_stream);
-        lmn_count(lmn_get(d, v, "term"), &p->standby_term);
+        lmn_cbor_get_text(lmn_cbor_get(d, v, "node"), p->standby, sizeof p->standby);
+        lmn_cbor_get_uint(lmn_cbor_get(d, v, "lease"), &p->standby_lease);
+        lmn_cbor_get_uint(lmn_cbor_get(d, v, "stream"), &p->standby_stream);
+        lmn_cbor_get_uint(lmn_cbor_get(d, v, "term"), &p->standby_term);
     }
     pthread_cond_signal(&p->following);
     pthread_cond_broadcast(&c->changed);
 }
 
-static void apply_node(struct lmn_core *c, const char *name, const struct lmn_doc *d,
-                       const struct lmn_node *v, uint64_t rev, struct timespec now)
+static void apply_node(struct lmn_core *c, const char *name,
+                       const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                       uint64_t rev, struct timespec now)
 {
     int rank = lmn_member_rank(&c->members, name);
     bool leaving = false;
@@ -261,11 +264,11 @@
         return;
     m->rev = rev;
     /* Its lease; or, with that, that it is about to end. */
-    if (v && v->type == LMN_MAP) {
-        lmn_count(lmn_get(d, v, "lease"), &lease);
-        lmn_truth(lmn_get(d, v, "leaving"), &leaving);
+    if (v && v->type == LMN_CBOR_MAP) {
+        lmn_cbor_get_uint(lmn_cbor_get(d, v, "lease"), &lease);
+        lmn_cbor_get_bool(lmn_cbor_get(d, v, "leaving"), &leaving);
     } else if (v) {
-        lmn_count(v, &lease);
+        lmn_cbor_get_uint(v, &lease);
     }
     if (leaving && !m->leaving)
         lmn_info("member-leaving member=%s incarnation=%" G_GUINT64_FORMAT, name, rev);
@@ -285,8 +288,9 @@
     pthread_cond_broadcast(&c->changed);
 }
 
-static void apply_doubt(struct lmn_core *c, const char *name, const struct lmn_doc *d,
-                        const struct lmn_node *v, uint64_t rev, struct timespec now)
+static void apply_doubt(struct lmn_core *c, const char *name,
+                        const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                        uint64_t rev, struct timespec now)
 {
     int rank = lmn_member_rank(&c->members, name);
     char by[LMN_NAME] = "";
@@ -300,9 +304,9 @@
         return;
     m->doubt_seen = rev;
     if (v) {
-        lmn_count(lmn_get(d, v, "incarnation"), &inc);
-        lmn_count(lmn_get(d, v, "why"), &why);
-        lmn_text(lmn_get(d, v, "by"), by, sizeof by);
+        lmn_cbor_get_uint(lmn_cbor_get(d, v, "incarnation"), &inc);
+        lmn_cbor_get_uint(lmn_cbor_get(d, v, "why"), &why);
+        lmn_cbor_get_text(lmn_cbor_get(d, v, "by"), by, sizeof by);
     }
     lmn_member_doubt(&c->members, rank, v ? rev : 0, inc, by,
                      (enum lmn_cause)MIN(why, LMN_CAUSES), now);
@@ -314,8 +318,9 @@
     pthread_cond_broadcast(&c->asking);
 }
 
-void lmn_mirror_apply(struct lmn_core *c, const char *key, const struct lmn_doc *d,
-                      const struct lmn_node *v, uint64_t rev, struct timespec now)
+void lmn_mirror_apply(struct lmn_core *c, const char *key,
+                      const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
+                      uint64_t rev, struct timespec now)
 {
     char *rest;
 
@@ -353,7 +358,7 @@
     } else if (key[0] == 'b' && !*rest) {
         apply_standby(c, p, d, v, rev);
     } else if (key[0] == 't' && !*rest) {
-        if (v && rev > p->term_rev && lmn_count(v, &p->term))
+        if (v && rev > p->term_rev && lmn_cbor_get_uint(v, &p->term))
             p->term_rev = rev;
     } else if (key[0] == 'r' && *rest == '/') {
         apply_range(c, key, p, rest + 1, d, v, rev, now);
@@ -413,7 +418,7 @@
 /* A page of a listing, parsed; -1 if it could not be had. after: the last key, moved on.
  */
 static int read_page(struct lmn_core *c, struct lmn_http *h, GByteArray *buf,
-                     const char *prefix, const char *after, struct lmn_doc *d)
+                     const char *prefix, const char *after, struct lmn_cbor_document *d)
 {
     char path[512];
 
@@ -421,18 +426,19 @@
     g_snprintf(path, sizeof path, P_STORE "?" Q_PREFIX "=%s%s%s&" Q_LIMIT "=500", prefix,
                *after ? "&" Q_AFTER "=" : "", after);
     int status = lmn_http_call(h, "GET", path, NULL, 3.0, buf);
-    if (status == 200 && lmn_doc_parse(d, buf->data, buf->len) == 0)
+    if (status == 200 && lmn_cbor_parse(d, buf->data, buf->len) == 0)
         return 0;
     lmn_debug("list-failed status=%d", status);
     return -1;
 }
 
-static bool more_pages(const struct lmn_doc *d)
+static bool more_pages(const struct lmn_cbor_document *d)
 {
-    const struct lmn_node *root = lmn_root(d), *items = lmn_get(d, root, W_ITEMS);
+    const struct lmn_cbor_value *root = lmn_cbor_root(d),
+                                *items = lmn_cbor_get(d, root, W_ITEMS);
     bool more = false;
 
-    lmn_truth(lmn_get(d, root, W_MORE), &more);
+    lmn_cbor_get_bool(lmn_cbor_get(d, root, W_MORE), &more);
     return more && items && items->len;
 }
 
@@ -443,14 +449,15 @@
     char after[256] = "";
 
     for (bool more = true; more;) {
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         if (read_page(c, h, buf, "r/", after, &d) != 0) {
             g_hash_table_destroy(set);
             return NULL;
         }
-        const struct lmn_node *items = lmn_get(&d, lmn_root(&d), W_ITEMS);
-        for (const struct lmn_node *n = lmn_child(&d, items); n; n = lmn_next(&d, n)) {
-            if (!lmn_text(lmn_get(&d, n, W_KEY), after, sizeof after))
+        const struct lmn_cbor_value *items = lmn_cbor_get(&d, lmn_cbor_root(&d), W_ITEMS);
+        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, items); n;
+             n = lmn_cbor_next(&d, n)) {
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_KEY), after, sizeof after))
                 continue;
             char **part = g_strsplit(after, "/", 4); /* r/P/REF/LO */
             if (g_strv_length(part) == 4)
@@ -458,7 +465,7 @@
             g_strfreev(part);
         }
         more = more_pages(&d);
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
     return set;
 }
@@ -470,29 +477,30 @@
     bool first = true;
 
     for (bool more = true; more;) {
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         uint64_t rev = 0;
         if (read_page(c, h, buf, "", after, &d) != 0)
             return -1;
-        const struct lmn_node *root = lmn_root(&d);
-        lmn_count(lmn_get(&d, root, W_REVISION), &rev);
+        const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+        lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_REVISION), &rev);
         if (first)
             *revision = rev;
         first = false;
         pthread_mutex_lock(&c->lock);
         struct timespec now = lmn_now();
-        const struct lmn_node *items = lmn_get(&d, root, W_ITEMS);
-        for (const struct lmn_node *n = lmn_child(&d, items); n; n = lmn_next(&d, n)) {
+        const struct lmn_cbor_value *items = lmn_cbor_get(&d, root, W_ITEMS);
+        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, items); n;
+             n = lmn_cbor_next(&d, n)) {
             uint64_t version = 0;
-            if (!lmn_text(lmn_get(&d, n, W_KEY), after, sizeof after) ||
-                !lmn_count(lmn_get(&d, n, W_VERSION), &version))
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_KEY), after, sizeof after) ||
+                !lmn_cbor_get_uint(lmn_cbor_get(&d, n, W_VERSION), &version))
                 continue;
-            lmn_mirror_apply(c, after, &d, lmn_get(&d, n, W_VALUE), version, now);
+            lmn_mirror_apply(c, after, &d, lmn_cbor_get(&d, n, W_VALUE), version, now);
         }
         bool crowded = c->crowded;
         pthread_mutex_unlock(&c->lock);
         more = more_pages(&d);
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
         if (crowded)
             return 1;
     }
@@ -530,17 +538,18 @@
     return rc;
 }
 
-static void apply_events(struct lmn_core *c, const struct lmn_doc *d,
-                         const struct lmn_node *events, struct timespec now)
+static void apply_events(struct lmn_core *c, const struct lmn_cbor_document *d,
+                         const struct lmn_cbor_value *events, struct timespec now)
 {
     char key[256];
 
-    for (const struct lmn_node *n = lmn_child(d, events); n; n = lmn_next(d, n)) {
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, events); n;
+         n = lmn_cbor_next(d, n)) {
         uint64_t rev = 0;
-        lmn_count(lmn_get(d, n, W_VERSION), &rev);
-        if (lmn_text(lmn_get(d, n, W_PUT), key, sizeof key))
-            lmn_mirror_apply(c, key, d, lmn_get(d, n, W_VALUE), rev, now);
-        else if (lmn_text(lmn_get(d, n, W_DELETE), key, sizeof key))
+        lmn_cbor_get_uint(lmn_cbor_get(d, n, W_VERSION), &rev);
+        if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_PUT), key, sizeof key))
+            lmn_mirror_apply(c, key, d, lmn_cbor_get(d, n, W_VALUE), rev, now);
+        else if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_DELETE), key, sizeof key))
             lmn_mirror_apply(c, key, d, NULL, rev, now);
     }
 }
@@ -550,7 +559,7 @@
                   uint64_t *revision, bool first)
 {
     char path[256];
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     int wait_ms = first ? 0 : 800;
 
     /* Whoever is suspected has to be able to refute, and a verdict needs a fresh mirror.
@@ -569,14 +578,14 @@
     int status = lmn_http_call(h, "GET", path, NULL, wait_ms / 1000.0 + 2.0, buf);
     if (status != 200)
         return status;
-    if (lmn_doc_parse(&d, buf->data, buf->len) != 0)
+    if (lmn_cbor_parse(&d, buf->data, buf->len) != 0)
         return LMN_NO_ANSWER;
-    const struct lmn_node *root = lmn_root(&d);
+    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     uint64_t upto = *revision;
-    lmn_count(lmn_get(&d, root, W_REVISION), &upto);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_REVISION), &upto);
     pthread_mutex_lock(&c->lock);
     struct timespec now = lmn_now();
-    apply_events(c, &d, lmn_get(&d, root, W_EVENTS), now);
+    apply_events(c, &d, lmn_cbor_get(&d, root, W_EVENTS), now);
     if (upto > *revision)
         *revision = upto;
     /* The answer may have been on its way for long: it proves only the time of asking. */
@@ -590,7 +599,7 @@
     lmn_mirror_settle(c, now);
     lmn_retention_evict(c, now);
     pthread_mutex_unlock(&c->lock);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     return 200;
 }
 
--- a/src/state/watch_cache.h
+++ b/src/state/watch_cache.h
@@ -8,8 +8,10 @@
 #include "state/model.h"
 
 /* One change of the state service; value NULL: removed. The lock is held. */
-void lmn_mirror_apply(struct lmn_core *c, const char *key, const struct lmn_doc *doc,
-                      const struct lmn_node *value, uint64_t rev, struct timespec now);
+void lmn_mirror_apply(struct lmn_core *c, const char *key,
+                      const struct lmn_cbor_document *doc,
+                      const struct lmn_cbor_value *value, uint64_t rev,
+                      struct timespec now);
 /* After a full reading: what it did not name is gone. */
 void lmn_mirror_sweep(struct lmn_core *c, struct timespec now);
 /* After changes were applied: takes over what the mirror shows as this node's. */
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -61,30 +61,31 @@
     bool ended = r->state == LMN_R_ENDED, stopped = ended && r->why == LMN_STOPPED;
 
     g_snprintf(task, sizeof task, "%s/%u", r->ref, r->index);
-    lmn_put_map(b, 3 + ended + stopped);
-    lmn_put_text(b, W_TASK), lmn_put_text(b, task);
-    lmn_put_text(b, W_ATTEMPT), lmn_put_count(b, r->attempt);
-    lmn_put_text(b, W_STATE), lmn_put_text(b, state_word(r));
+    lmn_cbor_put_map(b, 3 + ended + stopped);
+    lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, task);
+    lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, r->attempt);
+    lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, state_word(r));
     if (ended)
-        lmn_put_text(b, W_WHY), lmn_put_text(b, whys[r->why]);
+        lmn_cbor_put_text(b, W_WHY), lmn_cbor_put_text(b, whys[r->why]);
     if (stopped)
-        lmn_put_text(b, W_SAVED), lmn_put_truth(b, r->saved);
+        lmn_cbor_put_text(b, W_SAVED), lmn_cbor_put_bool(b, r->saved);
 }
 
 void lmn_agent_report(struct lmn_agent *a, GByteArray *b, struct timespec now)
 {
-    lmn_put_map(b, a->noticed ? 10 : 9);
-    lmn_put_text(b, W_MACHINE), lmn_put_text(b, a->name);
-    lmn_put_text(b, W_ADDR), lmn_put_text(b, a->addr);
-    lmn_put_text(b, W_TYPE), lmn_put_text(b, a->type.name);
-    lmn_put_text(b, W_ZONE), lmn_put_text(b, a->zone);
-    lmn_put_text(b, W_SPOT), lmn_put_truth(b, a->spot);
-    lmn_put_text(b, W_SESSION), lmn_put_count(b, a->session);
-    lmn_put_text(b, W_SEQ), lmn_put_count(b, ++a->seq);
-    lmn_put_text(b, W_TOKEN), lmn_put_count(b, a->token);
+    lmn_cbor_put_map(b, a->noticed ? 10 : 9);
+    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, a->name);
+    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, a->addr);
+    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, a->type.name);
+    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, a->zone);
+    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, a->spot);
+    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, a->session);
+    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, ++a->seq);
+    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, a->token);
     if (a->noticed)
-        lmn_put_text(b, W_NOTICE), lmn_put_number(b, MAX(lmn_since(a->gone_at, now), 0));
-    lmn_put_text(b, W_TASKS), lmn_put_list(b, a->runs->len);
+        lmn_cbor_put_text(b, W_NOTICE),
+            lmn_cbor_put_number(b, MAX(lmn_since(a->gone_at, now), 0));
+    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, a->runs->len);
     for (guint i = 0; i < a->runs->len; i++)
         put_run(b, a->runs->pdata[i]);
     a->changed = false;
@@ -253,18 +254,18 @@
     a->ops->kill(a->arg, r);
 }
 
-static void obey(struct lmn_agent *a, const struct lmn_doc *d, const struct lmn_node *n,
-                 struct timespec now)
+static void obey(struct lmn_agent *a, const struct lmn_cbor_document *d,
+                 const struct lmn_cbor_value *n, struct timespec now)
 {
-    const struct lmn_node *op = lmn_get(d, n, W_OP);
+    const struct lmn_cbor_value *op = lmn_cbor_get(d, n, W_OP);
     char task[LMN_REF + 16], *slash;
     struct lmn_run *r = NULL;
     uint64_t attempt = 0;
     double grace = 0;
 
-    if (!lmn_text(lmn_get(d, n, W_TASK), task, sizeof task) ||
-        !lmn_count(lmn_get(d, n, W_ATTEMPT), &attempt) || !(slash = strrchr(task, '/')) ||
-        slash - task >= LMN_REF)
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), task, sizeof task) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(d, n, W_ATTEMPT), &attempt) ||
+        !(slash = strrchr(task, '/')) || slash - task >= LMN_REF)
         return;
     *slash = '\0';
     uint32_t index = (uint32_t)g_ascii_strtoull(slash + 1, NULL, 10);
@@ -273,40 +274,42 @@
         if (o->attempt == attempt && o->index == index && !strcmp(o->ref, task))
             r = o;
     }
-    if (lmn_is(op, W_START)) {
+    if (lmn_cbor_text_equals(op, W_START)) {
         if (!r)
             start(a, task, index, attempt, now);
-    } else if (lmn_is(op, W_KILL) && r) {
-        lmn_number(lmn_get(d, n, W_GRACE), &grace);
+    } else if (lmn_cbor_text_equals(op, W_KILL) && r) {
+        lmn_cbor_get_number(lmn_cbor_get(d, n, W_GRACE), &grace);
         stop(a, r, grace);
-    } else if (lmn_is(op, W_CLEAR) && r && r->state == LMN_R_ENDED) {
+    } else if (lmn_cbor_text_equals(op, W_CLEAR) && r && r->state == LMN_R_ENDED) {
         g_ptr_array_remove(a->runs, r);
         a->changed = true;
     }
 }
 
-static void obey_all(struct lmn_agent *a, const struct lmn_doc *d, struct timespec now)
+static void obey_all(struct lmn_agent *a, const struct lmn_cbor_document *d,
+                     struct timespec now)
 {
-    const struct lmn_node *list = lmn_get(d, lmn_root(d), W_COMMANDS);
+    const struct lmn_cbor_value *list = lmn_cbor_get(d, lmn_cbor_root(d), W_COMMANDS);
 
-    if (!list || list->type != LMN_LIST)
+    if (!list || list->type != LMN_CBOR_ARRAY)
         return;
-    for (const struct lmn_node *n = lmn_child(d, list); n; n = lmn_next(d, n))
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, list); n;
+         n = lmn_cbor_next(d, n))
         obey(a, d, n, now);
 }
 
 bool lmn_agent_answered(struct lmn_agent *a, uint64_t session, struct timespec sent,
                         const void *body, size_t len, struct timespec now)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t token = 0;
 
     /* What stood still, the clock aside, may find its lease over only here. */
     lmn_agent_tick(a, now);
-    if (a->ending || session != a->session || lmn_doc_parse(&d, body, len) != 0)
+    if (a->ending || session != a->session || lmn_cbor_parse(&d, body, len) != 0)
         return false;
-    bool good =
-        lmn_count(lmn_get(&d, lmn_root(&d), W_TOKEN), &token) && token >= a->token;
+    bool good = lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token) &&
+                token >= a->token;
     if (good) {
         take_token(a, token, now);
         if (lmn_before(a->lease_from, sent))
@@ -314,25 +317,25 @@
         a->ops->leased(a->arg, lmn_after(a->lease_from, a->lease_s));
         obey_all(a, &d, now);
     }
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     return good;
 }
 
 int lmn_agent_do(struct lmn_agent *a, const void *body, size_t len, GByteArray *out,
                  struct timespec now)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t token, session;
     int status = 200;
 
     lmn_agent_tick(a, now);
     if (a->ending)
         return 503;
-    if (lmn_doc_parse(&d, body, len) != 0)
+    if (lmn_cbor_parse(&d, body, len) != 0)
         return 400;
-    if (!lmn_count(lmn_get(&d, lmn_root(&d), W_TOKEN), &token) ||
-        !lmn_count(lmn_get(&d, lmn_root(&d), W_SESSION), &session)) {
-        lmn_doc_free(&d);
+    if (!lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SESSION), &session)) {
+        lmn_cbor_free(&d);
         return 400;
     }
     if (token < a->token || session != a->session) {
@@ -341,7 +344,7 @@
         take_token(a, token, now);
         obey_all(a, &d, now);
     }
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     /* The answer tells all; but the lease is renewed by reports alone, so one is due all
      * the same. */
     bool changed = a->changed;
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -53,11 +53,11 @@
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 4);
-    lmn_put_text(b, "event"), lmn_put_count(b, event);
-    lmn_put_text(b, "id"), lmn_put_count(b, id);
-    lmn_put_text(b, "status"), lmn_put_count(b, (uint64_t)status);
-    lmn_put_text(b, "what"), lmn_put_text(b, what);
+    lmn_cbor_put_map(b, 4);
+    lmn_cbor_put_text(b, "event"), lmn_cbor_put_uint(b, event);
+    lmn_cbor_put_text(b, "id"), lmn_cbor_put_uint(b, id);
+    lmn_cbor_put_text(b, "status"), lmn_cbor_put_uint(b, (uint64_t)status);
+    lmn_cbor_put_text(b, "what"), lmn_cbor_put_text(b, what);
     if (send(k->sock, b->data, b->len, MSG_NOSIGNAL) < 0)
         lmn_debug("keeper-unheard event=%d", event);
     g_byte_array_unref(b);
@@ -107,13 +107,14 @@
 
 /* --- starting --- */
 
-static char **texts(const struct lmn_doc *d, const struct lmn_node *list,
+static char **texts(const struct lmn_cbor_document *d, const struct lmn_cbor_value *list,
                     const char *also)
 {
     GPtrArray *a = g_ptr_array_new();
 
-    for (const struct lmn_node *n = lmn_child(d, list); n; n = lmn_next(d, n))
-        if (n->type == LMN_TEXT)
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, list); n;
+         n = lmn_cbor_next(d, n))
+        if (n->type == LMN_CBOR_TEXT)
             g_ptr_array_add(a, g_strndup(n->s, n->len));
     if (also)
         g_ptr_array_add(a, g_strdup(also));
@@ -159,19 +160,19 @@
     return fd;
 }
 
-static void start(struct keeper *k, const struct lmn_doc *d, uint64_t id)
+static void start(struct keeper *k, const struct lmn_cbor_document *d, uint64_t id)
 {
     static const char *const logs[] = {"stdout", "stderr"};
-    const struct lmn_node *root = lmn_root(d);
+    const struct lmn_cbor_value *root = lmn_cbor_root(d);
     struct task *t = g_new0(struct task, 1);
     int out[2] = {-1, -1}, fail[2] = {-1, -1}, error = 0;
     char cwd[4096] = "", *mark = k->mark;
     uint64_t room = 0;
 
-    lmn_text(lmn_get(d, root, "cwd"), cwd, sizeof cwd);
-    lmn_count(lmn_get(d, root, "log"), &room);
-    char **argv = texts(d, lmn_get(d, root, "argv"), NULL);
-    char **env = texts(d, lmn_get(d, root, "env"), mark);
+    lmn_cbor_get_text(lmn_cbor_get(d, root, "cwd"), cwd, sizeof cwd);
+    lmn_cbor_get_uint(lmn_cbor_get(d, root, "log"), &room);
+    char **argv = texts(d, lmn_cbor_get(d, root, "argv"), NULL);
+    char **env = texts(d, lmn_cbor_get(d, root, "env"), mark);
     t->id = id;
     for (int i = 0; i < 2; i++) {
         int p[2] = {-1, -1};
@@ -330,31 +331,33 @@
 
 static void obey(struct keeper *k, const void *bytes, size_t len)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t id = 0, s = 0, ns = 0;
     double grace = 0;
 
-    if (lmn_doc_parse(&d, bytes, len) != 0)
+    if (lmn_cbor_parse(&d, bytes, len) != 0)
         return;
-    const struct lmn_node *root = lmn_root(&d), *op = lmn_get(&d, root, "op");
-    lmn_count(lmn_get(&d, root, "id"), &id);
+    const struct lmn_cbor_value *root = lmn_cbor_root(&d),
+                                *op = lmn_cbor_get(&d, root, "op");
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, "id"), &id);
     struct task *t = find(k, id);
-    if (lmn_is(op, "start") && !t) {
+    if (lmn_cbor_text_equals(op, "start") && !t) {
         start(k, &d, id);
-    } else if (lmn_is(op, "save") && t) {
-        lmn_number(lmn_get(&d, root, "grace"), &grace);
+    } else if (lmn_cbor_text_equals(op, "save") && t) {
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, "grace"), &grace);
         t->kill_at = lmn_after(clock_now(), grace);
         kill(-t->pid, SIGTERM);
-    } else if (lmn_is(op, "kill") && t) {
+    } else if (lmn_cbor_text_equals(op, "kill") && t) {
         kill(-t->pid, SIGKILL);
-    } else if (lmn_is(op, "kill_all")) {
+    } else if (lmn_cbor_text_equals(op, "kill_all")) {
         end_all(k, false);
-    } else if (lmn_is(op, "until") && lmn_count(lmn_get(&d, root, "s"), &s) &&
-               lmn_count(lmn_get(&d, root, "ns"), &ns)) {
+    } else if (lmn_cbor_text_equals(op, "until") &&
+               lmn_cbor_get_uint(lmn_cbor_get(&d, root, "s"), &s) &&
+               lmn_cbor_get_uint(lmn_cbor_get(&d, root, "ns"), &ns)) {
         k->until = (struct timespec){(time_t)s, (long)ns};
         k->leased = true;
     }
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
 }
 
 /* Seconds until something is due; -1: nothing. */
--- a/src/worker/executor_message.c
+++ b/src/worker/executor_message.c
@@ -6,8 +6,8 @@
 static GByteArray *message(const char *op, size_t pairs)
 {
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, 1 + pairs);
-    lmn_put_text(b, "op"), lmn_put_text(b, op);
+    lmn_cbor_put_map(b, 1 + pairs);
+    lmn_cbor_put_text(b, "op"), lmn_cbor_put_text(b, op);
     return b;
 }
 
@@ -17,9 +17,9 @@
 
     while (v[n])
         n++;
-    lmn_put_text(b, key), lmn_put_list(b, n);
+    lmn_cbor_put_text(b, key), lmn_cbor_put_array(b, n);
     for (size_t i = 0; i < n; i++)
-        lmn_put_text(b, v[i]);
+        lmn_cbor_put_text(b, v[i]);
 }
 
 GByteArray *lmn_keeper_msg_start(uint64_t id, char *const argv[], char *const env[],
@@ -27,11 +27,11 @@
 {
     GByteArray *b = message("start", 5);
 
-    lmn_put_text(b, "id"), lmn_put_count(b, id);
+    lmn_cbor_put_text(b, "id"), lmn_cbor_put_uint(b, id);
     put_texts(b, "argv", argv);
     put_texts(b, "env", env);
-    lmn_put_text(b, "cwd"), lmn_put_text(b, cwd);
-    lmn_put_text(b, "log"), lmn_put_count(b, log_bytes);
+    lmn_cbor_put_text(b, "cwd"), lmn_cbor_put_text(b, cwd);
+    lmn_cbor_put_text(b, "log"), lmn_cbor_put_uint(b, log_bytes);
     return b;
 }
 
@@ -39,8 +39,8 @@
 {
     GByteArray *b = message("save", 2);
 
-    lmn_put_text(b, "id"), lmn_put_count(b, id);
-    lmn_put_text(b, "grace"), lmn_put_number(b, grace_s);
+    lmn_cbor_put_text(b, "id"), lmn_cbor_put_uint(b, id);
+    lmn_cbor_put_text(b, "grace"), lmn_cbor_put_number(b, grace_s);
     return b;
 }
 
@@ -48,7 +48,7 @@
 {
     GByteArray *b = message("kill", 1);
 
-    lmn_put_text(b, "id"), lmn_put_count(b, id);
+    lmn_cbor_put_text(b, "id"), lmn_cbor_put_uint(b, id);
     return b;
 }
 
@@ -61,26 +61,27 @@
 {
     GByteArray *b = message("until", 2);
 
-    lmn_put_text(b, "s"), lmn_put_count(b, (uint64_t)at.tv_sec);
-    lmn_put_text(b, "ns"), lmn_put_count(b, (uint64_t)at.tv_nsec);
+    lmn_cbor_put_text(b, "s"), lmn_cbor_put_uint(b, (uint64_t)at.tv_sec);
+    lmn_cbor_put_text(b, "ns"), lmn_cbor_put_uint(b, (uint64_t)at.tv_nsec);
     return b;
 }
 
 int lmn_keeper_read(const void *bytes, size_t len, struct lmn_keeper_msg *m)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t event = 0, status = 0;
 
     memset(m, 0, sizeof *m);
-    if (lmn_doc_parse(&d, bytes, len) != 0)
+    if (lmn_cbor_parse(&d, bytes, len) != 0)
         return -1;
-    const struct lmn_node *root = lmn_root(&d);
-    bool ok = lmn_count(lmn_get(&d, root, "event"), &event) && event <= LMN_K_LAPSED;
-    lmn_count(lmn_get(&d, root, "id"), &m->id);
-    lmn_count(lmn_get(&d, root, "status"), &status);
-    lmn_text(lmn_get(&d, root, "what"), m->what, sizeof m->what);
+    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
+    bool ok = lmn_cbor_get_uint(lmn_cbor_get(&d, root, "event"), &event) &&
+              event <= LMN_K_LAPSED;
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, "id"), &m->id);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, "status"), &status);
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, "what"), m->what, sizeof m->what);
     m->event = (enum lmn_keeper_event)event;
     m->status = (int)status;
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     return ok ? 0 : -1;
 }
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -192,11 +192,12 @@
                                  unsigned now)
 {
     char name[LMN_NAME] = "";
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    if (answer->len && lmn_doc_parse(&d, answer->data, answer->len) == 0) {
-        lmn_text(lmn_get(&d, lmn_root(&d), W_REPORT_TO), name, sizeof name);
-        lmn_doc_free(&d);
+    if (answer->len && lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REPORT_TO), name,
+                          sizeof name);
+        lmn_cbor_free(&d);
     }
     for (unsigned i = 0; i < w->o->ncontrollers && *name; i++)
         if (i != now && !strcmp(w->o->controllers[i].name, name))
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -172,10 +172,11 @@
         return false;
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
     int k = machine_index(name);
-    lmn_put_map(body, 3);
-    lmn_put_text(body, W_TOKEN), lmn_put_count(body, term);
-    lmn_put_text(body, W_SESSION), lmn_put_count(body, explored.machines[k].session);
-    lmn_put_text(body, W_COMMANDS), lmn_put_list(body, 0);
+    lmn_cbor_put_map(body, 3);
+    lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, term);
+    lmn_cbor_put_text(body, W_SESSION),
+        lmn_cbor_put_uint(body, explored.machines[k].session);
+    lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
     bool accepted = machine_accept(k, body, true);
     machine_report(k, answer);
     lmn_probe_outcome(c, name, term, accepted ? 200 : 409, answer, explored.now);
--- a/tests/takeover/fair.c
+++ b/tests/takeover/fair.c
@@ -66,16 +66,16 @@
 static bool job_is_finished(void)
 {
     const struct entry *e = &explored.store[store_index("j/run-000001")];
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     struct lmn_spec spec;
     enum lmn_phase phase;
     uint32_t open;
     double when;
 
-    lmn_doc_parse(&d, e->value->data, e->value->len);
-    lmn_job_read(&d, lmn_root(&d), &spec, &phase, &open, &when);
+    lmn_cbor_parse(&d, e->value->data, e->value->len);
+    lmn_job_read(&d, lmn_cbor_root(&d), &spec, &phase, &open, &when);
     lmn_spec_clear(&spec);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     return phase == LMN_FINISHED;
 }
 
--- a/tests/takeover/machines.c
+++ b/tests/takeover/machines.c
@@ -5,28 +5,30 @@
 
 static void put_attempt(const struct attempt *a, GByteArray *body)
 {
-    lmn_put_map(body, a->running ? 3 : 4);
-    lmn_put_text(body, W_TASK), lmn_put_text(body, "run-000001/0");
-    lmn_put_text(body, W_ATTEMPT), lmn_put_count(body, a->number);
-    lmn_put_text(body, W_STATE), lmn_put_text(body, a->running ? W_RUNNING : W_ENDED);
+    lmn_cbor_put_map(body, a->running ? 3 : 4);
+    lmn_cbor_put_text(body, W_TASK), lmn_cbor_put_text(body, "run-000001/0");
+    lmn_cbor_put_text(body, W_ATTEMPT), lmn_cbor_put_uint(body, a->number);
+    lmn_cbor_put_text(body, W_STATE),
+        lmn_cbor_put_text(body, a->running ? W_RUNNING : W_ENDED);
     if (!a->running)
-        lmn_put_text(body, W_WHY), lmn_put_text(body, a->done ? W_DONE : W_STOPPED);
+        lmn_cbor_put_text(body, W_WHY),
+            lmn_cbor_put_text(body, a->done ? W_DONE : W_STOPPED);
 }
 
 void machine_report(int k, GByteArray *body)
 {
     struct machine *m = &explored.machines[k];
 
-    lmn_put_map(body, 9);
-    lmn_put_text(body, W_MACHINE), lmn_put_text(body, m->name);
-    lmn_put_text(body, W_ADDR), lmn_put_text(body, "10.0.0.1:9000");
-    lmn_put_text(body, W_TYPE), lmn_put_text(body, "t");
-    lmn_put_text(body, W_ZONE), lmn_put_text(body, "z");
-    lmn_put_text(body, W_SPOT), lmn_put_truth(body, false);
-    lmn_put_text(body, W_SESSION), lmn_put_count(body, m->session);
-    lmn_put_text(body, W_SEQ), lmn_put_count(body, ++m->seq);
-    lmn_put_text(body, W_TOKEN), lmn_put_count(body, m->token);
-    lmn_put_text(body, W_TASKS), lmn_put_list(body, (size_t)m->nattempts);
+    lmn_cbor_put_map(body, 9);
+    lmn_cbor_put_text(body, W_MACHINE), lmn_cbor_put_text(body, m->name);
+    lmn_cbor_put_text(body, W_ADDR), lmn_cbor_put_text(body, "10.0.0.1:9000");
+    lmn_cbor_put_text(body, W_TYPE), lmn_cbor_put_text(body, "t");
+    lmn_cbor_put_text(body, W_ZONE), lmn_cbor_put_text(body, "z");
+    lmn_cbor_put_text(body, W_SPOT), lmn_cbor_put_bool(body, false);
+    lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, m->session);
+    lmn_cbor_put_text(body, W_SEQ), lmn_cbor_put_uint(body, ++m->seq);
+    lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, m->token);
+    lmn_cbor_put_text(body, W_TASKS), lmn_cbor_put_array(body, (size_t)m->nattempts);
     for (int i = 0; i < m->nattempts; i++)
         put_attempt(&m->attempts[i], body);
 }
@@ -39,17 +41,17 @@
     return -1;
 }
 
-static void carry_out(struct machine *m, const struct lmn_doc *d,
-                      const struct lmn_node *c)
+static void carry_out(struct machine *m, const struct lmn_cbor_document *d,
+                      const struct lmn_cbor_value *c)
 {
     uint64_t number = 0;
 
-    lmn_count(lmn_get(d, c, W_ATTEMPT), &number);
+    lmn_cbor_get_uint(lmn_cbor_get(d, c, W_ATTEMPT), &number);
     int at = find_attempt(m, number);
-    if (lmn_is(lmn_get(d, c, W_OP), W_START)) {
+    if (lmn_cbor_text_equals(lmn_cbor_get(d, c, W_OP), W_START)) {
         if (at < 0 && m->nattempts < TASKS)
             m->attempts[m->nattempts++] = (struct attempt){number, true, false};
-    } else if (at >= 0 && lmn_is(lmn_get(d, c, W_OP), W_KILL)) {
+    } else if (at >= 0 && lmn_cbor_text_equals(lmn_cbor_get(d, c, W_OP), W_KILL)) {
         m->attempts[at].running = false;
     } else if (at >= 0 && !m->attempts[at].running) {
         m->attempts[at] = m->attempts[--m->nattempts];
@@ -59,21 +61,23 @@
 bool machine_accept(int k, const GByteArray *body, bool direct)
 {
     struct machine *m = &explored.machines[k];
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t token = 0, session = 0;
 
-    lmn_doc_parse(&d, body->data, body->len);
-    lmn_count(lmn_get(&d, lmn_root(&d), W_TOKEN), &token);
-    lmn_count(lmn_get(&d, lmn_root(&d), W_SESSION), &session);
+    lmn_cbor_parse(&d, body->data, body->len);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SESSION), &session);
     bool accepted = (token >= m->token || explored.without == GUARD_TOKEN) &&
                     (!direct || session == m->session);
     if (accepted) {
-        const struct lmn_node *list = lmn_get(&d, lmn_root(&d), W_COMMANDS);
+        const struct lmn_cbor_value *list =
+            lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS);
         m->token = MAX(m->token, token);
-        for (const struct lmn_node *c = lmn_child(&d, list); c; c = lmn_next(&d, c))
+        for (const struct lmn_cbor_value *c = lmn_cbor_first_child(&d, list); c;
+             c = lmn_cbor_next(&d, c))
             carry_out(m, &d, c);
     }
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     digest_message(direct ? "command" : "answer", explored.now);
     digest_number((uint64_t)k);
     digest_array(body);
