--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -39,14 +39,14 @@
 
 static void apply_event(struct lmn_core *c, const struct entry *e)
 {
-    struct lmn_doc d = {0};
+    struct lmn_cbor_document d = {0};
 
     if (e->value)
-        lmn_doc_parse(&d, e->value->data, e->value->len);
-    lmn_mirror_apply(c, e->key, &d, e->value ? lmn_root(&d) : NULL, e->revision,
+        lmn_cbor_parse(&d, e->value->data, e->value->len);
+    lmn_mirror_apply(c, e->key, &d, e->value ? lmn_cbor_root(&d) : NULL, e->revision,
                      explored.now);
     if (e->value)
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
 }
 
 /* Makes up what the guards of a warm takeover would have found wrong. */
@@ -88,7 +88,7 @@
     assert_true(lease < LEASES);
     explored.lease_alive[lease] = true;
     explored.revision++;
-    lmn_put_count(value, lease);
+    lmn_cbor_put_uint(value, lease);
     g_snprintf(key, sizeof key, "n/%s", name);
     store_put(NULL, key, value, lease);
     g_byte_array_unref(value);
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -86,12 +86,12 @@
 
 static int token_of(const GByteArray *body)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t token = 0;
 
-    lmn_doc_parse(&d, body->data, body->len);
-    lmn_count(lmn_get(&d, lmn_root(&d), W_TOKEN), &token);
-    lmn_doc_free(&d);
+    lmn_cbor_parse(&d, body->data, body->len);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
+    lmn_cbor_free(&d);
     return (int)token;
 }
 
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -123,10 +123,10 @@
     GByteArray *b = g_byte_array_new();
     int n = some(4);
 
-    lmn_put_map(b, 3);
-    lmn_put_text(b, W_TOKEN), lmn_put_count(b, token);
-    lmn_put_text(b, W_SESSION), lmn_put_count(b, session);
-    lmn_put_text(b, W_COMMANDS), lmn_put_list(b, (size_t)n);
+    lmn_cbor_put_map(b, 3);
+    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, token);
+    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, session);
+    lmn_cbor_put_text(b, W_COMMANDS), lmn_cbor_put_array(b, (size_t)n);
     for (int i = 0; i < n; i++) {
         static const char *const words[] = {W_START, W_START, W_KILL, W_CLEAR, W_CLEAR};
         const char *op = words[some(5)];
@@ -140,11 +140,11 @@
             attempt = (int)r->attempt;
         }
         g_snprintf(task, sizeof task, "run-%06d/%d", ref, index);
-        lmn_put_map(b, 4);
-        lmn_put_text(b, W_OP), lmn_put_text(b, op);
-        lmn_put_text(b, W_TASK), lmn_put_text(b, task);
-        lmn_put_text(b, W_ATTEMPT), lmn_put_count(b, (uint64_t)attempt);
-        lmn_put_text(b, W_GRACE), lmn_put_number(b, some(2) ? 10 : 0);
+        lmn_cbor_put_map(b, 4);
+        lmn_cbor_put_text(b, W_OP), lmn_cbor_put_text(b, op);
+        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, task);
+        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, (uint64_t)attempt);
+        lmn_cbor_put_text(b, W_GRACE), lmn_cbor_put_number(b, some(2) ? 10 : 0);
     }
     return b;
 }
@@ -255,7 +255,7 @@
 static void report(void)
 {
     GByteArray *b = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t seq = w.a.seq, told = 0;
 
     if (w.a.ending) {
@@ -263,10 +263,11 @@
         return;
     }
     lmn_agent_report(&w.a, b, w.now);
-    assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
-    assert_true(lmn_count(lmn_get(&d, lmn_root(&d), W_SEQ), &told) && told == seq + 1);
-    assert_int_equal(lmn_get(&d, lmn_root(&d), W_TASKS)->len, w.a.runs->len);
-    lmn_doc_free(&d);
+    assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
+    assert_true(lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SEQ), &told) &&
+                told == seq + 1);
+    assert_int_equal(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TASKS)->len, w.a.runs->len);
+    lmn_cbor_free(&d);
     if (some(5)) {
         /* It is answered, by whoever holds the highest token. */
         GByteArray *o = orders(w.a.token + (some(30) == 0), w.a.session);
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -79,16 +79,16 @@
 static void apply(void *arg, const char *key, const GByteArray *value, uint64_t lease)
 {
     (void)lease;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     (void)arg;
 
     writes++;
     assert_true(value->len < cfg.value_kb * 1024);
     g_hash_table_insert(store, g_strdup(key), GSIZE_TO_POINTER((size_t)rev));
-    assert_int_equal(lmn_doc_parse(&d, value->data, value->len), 0);
-    lmn_mirror_apply(owner, key, &d, lmn_root(&d), rev, now);
-    lmn_mirror_apply(other, key, &d, lmn_root(&d), rev, now);
-    lmn_doc_free(&d);
+    assert_int_equal(lmn_cbor_parse(&d, value->data, value->len), 0);
+    lmn_mirror_apply(owner, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_mirror_apply(other, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_cbor_free(&d);
 }
 
 static enum lmn_outcome commit(const struct lmn_txn *t)
--- a/tests/test_codec.c
+++ b/tests/test_codec.c
@@ -14,36 +14,36 @@
 
     switch (kind) {
     case 0:
-        lmn_put_null(b);
+        lmn_cbor_put_null(b);
         break;
     case 1:
-        lmn_put_truth(b, g_rand_boolean(r));
+        lmn_cbor_put_bool(b, g_rand_boolean(r));
         break;
     case 2:
-        lmn_put_count(b, (uint64_t)g_rand_int(r) << g_rand_int_range(r, 0, 33));
+        lmn_cbor_put_uint(b, (uint64_t)g_rand_int(r) << g_rand_int_range(r, 0, 33));
         break;
     case 3:
-        lmn_put_number(b, g_rand_double_range(r, -1e6, 1e6));
+        lmn_cbor_put_number(b, g_rand_double_range(r, -1e6, 1e6));
         break;
     case 4:
         n = g_rand_int_range(r, 0, 30);
         for (int i = 0; i < n; i++)
             text[i] = (char)g_rand_int_range(r, 32, 127);
         text[n] = '\0';
-        lmn_put_text(b, text);
+        lmn_cbor_put_text(b, text);
         break;
     case 5:
         n = g_rand_int_range(r, 0, 6);
-        lmn_put_list(b, (size_t)n);
+        lmn_cbor_put_array(b, (size_t)n);
         while (n--)
             generate(r, b, depth + 1);
         break;
     default:
         n = g_rand_int_range(r, 0, 6);
-        lmn_put_map(b, (size_t)n);
+        lmn_cbor_put_map(b, (size_t)n);
         while (n--) {
             g_snprintf(text, sizeof text, "k%d", n);
-            lmn_put_text(b, text);
+            lmn_cbor_put_text(b, text);
             generate(r, b, depth + 1);
         }
     }
@@ -56,13 +56,13 @@
 
     for (int i = 0; i < 3000; i++) {
         GByteArray *b = g_byte_array_new(), *again = g_byte_array_new();
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         generate(r, b, 0);
-        assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
-        lmn_put_node(again, &d, lmn_root(&d));
+        assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
+        lmn_cbor_put_value(again, &d, lmn_cbor_root(&d));
         assert_int_equal(again->len, b->len);
         assert_memory_equal(again->data, b->data, b->len);
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
         g_byte_array_unref(b);
         g_byte_array_unref(again);
     }
@@ -78,19 +78,19 @@
 
     for (int i = 0; i < 5000; i++) {
         GByteArray *b = g_byte_array_new();
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         generate(r, b, 0);
         if (b->len > 1)
-            assert_int_equal(lmn_doc_parse(&d, b->data, b->len - 1), -1);
+            assert_int_equal(lmn_cbor_parse(&d, b->data, b->len - 1), -1);
         guint8 more = 0;
         g_byte_array_append(b, &more, 1);
-        assert_int_equal(lmn_doc_parse(&d, b->data, b->len), -1);
+        assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), -1);
         g_byte_array_set_size(b, b->len - 1);
         for (int k = g_rand_int_range(r, 1, 5); k--;)
             b->data[g_rand_int_range(r, 0, (gint32)b->len)] = (guint8)g_rand_int(r);
-        if (lmn_doc_parse(&d, b->data, b->len) == 0) {
+        if (lmn_cbor_parse(&d, b->data, b->len) == 0) {
             assert_true(d.n <= b->len + 1);
-            lmn_doc_free(&d);
+            lmn_cbor_free(&d);
         }
         g_byte_array_unref(b);
     }
@@ -118,41 +118,41 @@
         {"text that is no UTF-8", 2, "\x61\xff"},
         {"two items", 2, "\x01\x01"},
     };
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     unsigned char deep[64];
     (void)state;
 
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
-        if (lmn_doc_parse(&d, cases[i].bytes, cases[i].len) == 0)
+        if (lmn_cbor_parse(&d, cases[i].bytes, cases[i].len) == 0)
             fail_msg("accepted: %s", cases[i].what);
     memset(deep, 0x81, sizeof deep);
     deep[sizeof deep - 1] = 0;
-    assert_int_equal(lmn_doc_parse(&d, deep, sizeof deep), -1);
+    assert_int_equal(lmn_cbor_parse(&d, deep, sizeof deep), -1);
 }
 
 /* NaN and infinities are numbers of CBOR, but no amounts. */
 static void amounts(void **state)
 {
     GByteArray *b = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     double v;
     uint64_t n;
     (void)state;
 
-    lmn_put_list(b, 4);
-    lmn_put_number(b, __builtin_nan(""));
-    lmn_put_number(b, __builtin_inf());
-    lmn_put_number(b, 2.5);
-    lmn_put_number(b, 3.0);
-    assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
-    const struct lmn_node *x = lmn_child(&d, lmn_root(&d));
-    assert_false(lmn_number(x, &v));
-    assert_false(lmn_number(x = lmn_next(&d, x), &v));
-    assert_true(lmn_number(x = lmn_next(&d, x), &v));
-    assert_false(lmn_count(x, &n));
-    assert_true(lmn_count(lmn_next(&d, x), &n));
+    lmn_cbor_put_array(b, 4);
+    lmn_cbor_put_number(b, __builtin_nan(""));
+    lmn_cbor_put_number(b, __builtin_inf());
+    lmn_cbor_put_number(b, 2.5);
+    lmn_cbor_put_number(b, 3.0);
+    assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
+    const struct lmn_cbor_value *x = lmn_cbor_first_child(&d, lmn_cbor_root(&d));
+    assert_false(lmn_cbor_get_number(x, &v));
+    assert_false(lmn_cbor_get_number(x = lmn_cbor_next(&d, x), &v));
+    assert_true(lmn_cbor_get_number(x = lmn_cbor_next(&d, x), &v));
+    assert_false(lmn_cbor_get_uint(x, &n));
+    assert_true(lmn_cbor_get_uint(lmn_cbor_next(&d, x), &n));
     assert_int_equal(n, 3);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     g_byte_array_unref(b);
 }
 
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -486,11 +486,12 @@
     assert_int_equal(lmn_image_get(h, "../img-1", to, 0, NULL, NULL, &bytes, &e), -1);
     /* A list of files that leaves the image: nothing of it is made. */
     GByteArray *evil = g_byte_array_new();
-    lmn_put_list(evil, 1);
-    lmn_put_map(evil, 3);
-    lmn_put_text(evil, "Path"), lmn_put_text(evil, "sub/../../../outside");
-    lmn_put_text(evil, "Mode"), lmn_put_count(evil, 0644);
-    lmn_put_text(evil, "Pieces"), lmn_put_list(evil, 1), lmn_put_text(evil, digest);
+    lmn_cbor_put_array(evil, 1);
+    lmn_cbor_put_map(evil, 3);
+    lmn_cbor_put_text(evil, "Path"), lmn_cbor_put_text(evil, "sub/../../../outside");
+    lmn_cbor_put_text(evil, "Mode"), lmn_cbor_put_uint(evil, 0644);
+    lmn_cbor_put_text(evil, "Pieces"), lmn_cbor_put_array(evil, 1),
+        lmn_cbor_put_text(evil, digest);
     assert_int_equal(lmn_depot_put(h, evil, back, &e), 0);
     assert_int_equal(lmn_depot_name(h, LMN_DEPOT_IMAGE, "evil", back, &e), 0);
     char *there = g_build_filename(dir, "evil", NULL);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -107,11 +107,11 @@
 static void apply(struct lmn_core *c, const char *key, const char *name, uint64_t rev)
 {
     GByteArray *b = golden_read(name);
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
-    lmn_mirror_apply(c, key, &d, lmn_root(&d), rev, now);
-    lmn_doc_free(&d);
+    assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
+    lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_cbor_free(&d);
     g_byte_array_unref(b);
 }
 
@@ -188,7 +188,7 @@
     enum lmn_phase read_phase;
     struct lmn_spec read;
     uint32_t read_open;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     double read_at;
 
     GByteArray *b = lmn_job_record(&spec, phase, open, at);
@@ -196,9 +196,9 @@
     g_byte_array_unref(b);
 
     GByteArray *kept = golden_read(name);
-    assert_int_equal(lmn_doc_parse(&d, kept->data, kept->len), 0);
+    assert_int_equal(lmn_cbor_parse(&d, kept->data, kept->len), 0);
     assert_int_equal(
-        lmn_job_read(&d, lmn_root(&d), &read, &read_phase, &read_open, &read_at), 0);
+        lmn_job_read(&d, lmn_cbor_root(&d), &read, &read_phase, &read_open, &read_at), 0);
     same_spec(&read, &spec);
     assert_int_equal(read_phase, phase);
     assert_int_equal(read_open, open);
@@ -207,7 +207,7 @@
     golden_same(name, b->data, b->len);
     g_byte_array_unref(b);
     lmn_spec_clear(&read);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     g_byte_array_unref(kept);
 }
 
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -47,7 +47,7 @@
     const struct lmn_agent_ops ops = {.leased = leased};
     struct lmn_agent a = {0};
     struct lmn_report r;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     (void)state;
 
     lmn_agent_init(&a, &ops, NULL, 5, now);
@@ -76,7 +76,7 @@
     same("worker_report", b);
 
     b = golden_read("worker_report");
-    assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
+    assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
     assert_null(lmn_report_read(&r, &d));
     assert_string_equal(r.name, "host-000001");
     assert_string_equal(r.addr, "10.0.0.1:9000");
@@ -87,7 +87,8 @@
     assert_int_equal(r.seq, 17);
     assert_int_equal(r.token, 42);
     uint32_t i = 0;
-    for (const struct lmn_node *n = lmn_child(&d, r.tasks); n; n = lmn_next(&d, n)) {
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, r.tasks); n;
+         n = lmn_cbor_next(&d, n)) {
         struct lmn_attempt read;
         assert_true(lmn_report_task(&read, &d, n));
         assert_string_equal(read.ref, "run-000412");
@@ -97,17 +98,17 @@
         i++;
     }
     assert_int_equal(i, 4 + LMN_NO_SUCH + 1);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     g_byte_array_unref(b);
 }
 
 static void put(struct lmn_core *c, const char *key, GByteArray *value, uint64_t rev)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    assert_int_equal(lmn_doc_parse(&d, value->data, value->len), 0);
-    lmn_mirror_apply(c, key, &d, lmn_root(&d), rev, now);
-    lmn_doc_free(&d);
+    assert_int_equal(lmn_cbor_parse(&d, value->data, value->len), 0);
+    lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_cbor_free(&d);
     g_byte_array_unref(value);
 }
 
@@ -143,21 +144,21 @@
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 9);
-    lmn_put_text(b, "Voiture"), lmn_put_text(b, "host-000001");
-    lmn_put_text(b, "Endpoint"), lmn_put_text(b, "10.0.0.1:9000");
-    lmn_put_text(b, "GabaritMachine"), lmn_put_text(b, "x");
-    lmn_put_text(b, "Secteur"), lmn_put_text(b, "a");
-    lmn_put_text(b, "TaxiLibre"), lmn_put_truth(b, false);
-    lmn_put_text(b, "Service"), lmn_put_count(b, 5);
-    lmn_put_text(b, "Compteur"), lmn_put_count(b, seq);
-    lmn_put_text(b, "Jeton"), lmn_put_count(b, token);
-    lmn_put_text(b, "Courses"), lmn_put_list(b, n);
+    lmn_cbor_put_map(b, 9);
+    lmn_cbor_put_text(b, "Voiture"), lmn_cbor_put_text(b, "host-000001");
+    lmn_cbor_put_text(b, "Endpoint"), lmn_cbor_put_text(b, "10.0.0.1:9000");
+    lmn_cbor_put_text(b, "GabaritMachine"), lmn_cbor_put_text(b, "x");
+    lmn_cbor_put_text(b, "Secteur"), lmn_cbor_put_text(b, "a");
+    lmn_cbor_put_text(b, "TaxiLibre"), lmn_cbor_put_bool(b, false);
+    lmn_cbor_put_text(b, "Service"), lmn_cbor_put_uint(b, 5);
+    lmn_cbor_put_text(b, "Compteur"), lmn_cbor_put_uint(b, seq);
+    lmn_cbor_put_text(b, "Jeton"), lmn_cbor_put_uint(b, token);
+    lmn_cbor_put_text(b, "Courses"), lmn_cbor_put_array(b, n);
     for (size_t i = 0; i < n; i++) {
-        lmn_put_map(b, 3);
-        lmn_put_text(b, "Course"), lmn_put_text(b, tasks[i]);
-        lmn_put_text(b, "Essai"), lmn_put_count(b, 100 + i);
-        lmn_put_text(b, "Etat"), lmn_put_text(b, states[i]);
+        lmn_cbor_put_map(b, 3);
+        lmn_cbor_put_text(b, "Course"), lmn_cbor_put_text(b, tasks[i]);
+        lmn_cbor_put_text(b, "Essai"), lmn_cbor_put_uint(b, 100 + i);
+        lmn_cbor_put_text(b, "Etat"), lmn_cbor_put_text(b, states[i]);
     }
     return b;
 }
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -32,7 +32,7 @@
 static GByteArray *encode(const struct lmn_spec *s)
 {
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, lmn_spec_pairs());
+    lmn_cbor_put_map(b, lmn_spec_pairs());
     lmn_spec_put(b, s);
     return b;
 }
@@ -44,12 +44,12 @@
 
     for (int i = 0; i < 500; i++) {
         struct lmn_spec a, b;
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         const char *what;
         random_spec(r, &a);
         GByteArray *x = encode(&a);
-        assert_int_equal(lmn_doc_parse(&d, x->data, x->len), 0);
-        assert_int_equal(lmn_spec_parse(&b, &d, lmn_root(&d), &what), 0);
+        assert_int_equal(lmn_cbor_parse(&d, x->data, x->len), 0);
+        assert_int_equal(lmn_spec_parse(&b, &d, lmn_cbor_root(&d), &what), 0);
         GByteArray *y = encode(&b);
         assert_int_equal(x->len, y->len);
         assert_memory_equal(x->data, y->data, x->len);
@@ -57,7 +57,7 @@
         g_byte_array_unref(y);
         lmn_spec_clear(&a);
         lmn_spec_clear(&b);
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
     g_rand_free(r);
 }
@@ -67,30 +67,31 @@
                       const GByteArray *instead)
 {
     GByteArray *x = encode(s), *y = g_byte_array_new();
-    struct lmn_doc d, e;
+    struct lmn_cbor_document d, e;
     struct lmn_spec t;
     const char *what;
 
-    assert_int_equal(lmn_doc_parse(&d, x->data, x->len), 0);
-    lmn_put_map(y, lmn_spec_pairs() - (instead ? 0 : 1));
-    for (const struct lmn_node *k = lmn_child(&d, lmn_root(&d)); k;) {
-        const struct lmn_node *v = lmn_next(&d, k);
-        if (!lmn_is(k, field)) {
-            lmn_put_node(y, &d, k);
-            lmn_put_node(y, &d, v);
+    assert_int_equal(lmn_cbor_parse(&d, x->data, x->len), 0);
+    lmn_cbor_put_map(y, lmn_spec_pairs() - (instead ? 0 : 1));
+    for (const struct lmn_cbor_value *k = lmn_cbor_first_child(&d, lmn_cbor_root(&d));
+         k;) {
+        const struct lmn_cbor_value *v = lmn_cbor_next(&d, k);
+        if (!lmn_cbor_text_equals(k, field)) {
+            lmn_cbor_put_value(y, &d, k);
+            lmn_cbor_put_value(y, &d, v);
         } else if (instead) {
-            lmn_put_node(y, &d, k);
+            lmn_cbor_put_value(y, &d, k);
             g_byte_array_append(y, instead->data, instead->len);
         }
-        k = lmn_next(&d, v);
+        k = lmn_cbor_next(&d, v);
     }
-    assert_int_equal(lmn_doc_parse(&e, y->data, y->len), 0);
-    int rc = lmn_spec_parse(&t, &e, lmn_root(&e), &what);
+    assert_int_equal(lmn_cbor_parse(&e, y->data, y->len), 0);
+    int rc = lmn_spec_parse(&t, &e, lmn_cbor_root(&e), &what);
     if (rc)
         assert_string_equal(what, field);
     lmn_spec_clear(&t);
-    lmn_doc_free(&d);
-    lmn_doc_free(&e);
+    lmn_cbor_free(&d);
+    lmn_cbor_free(&e);
     g_byte_array_unref(x);
     g_byte_array_unref(y);
     return rc;
@@ -110,10 +111,10 @@
     (void)state;
 
     random_spec(r, &s);
-    lmn_put_list(list, 0);
-    lmn_put_number(nan, NAN);
-    lmn_put_number(minus, -1);
-    lmn_put_null(null);
+    lmn_cbor_put_array(list, 0);
+    lmn_cbor_put_number(nan, NAN);
+    lmn_cbor_put_number(minus, -1);
+    lmn_cbor_put_null(null);
     for (size_t i = 0; i < G_N_ELEMENTS(required); i++) {
         assert_int_equal(parse_with(&s, required[i], NULL), -1);
         assert_int_equal(parse_with(&s, required[i], list), -1);
@@ -162,7 +163,7 @@
         uint8_t bits[40] = {0}, again[40];
         bool model[300] = {false};
         double p = g_rand_double(r);
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         for (uint32_t k = 0; k < n; k++)
             if ((model[k] = g_rand_double(r) < p)) {
                 lmn_set_bit(bits, k);
@@ -170,15 +171,15 @@
             }
         GByteArray *b = g_byte_array_new();
         lmn_bits_put(b, bits, n);
-        assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
-        assert_int_equal(lmn_bits_get(lmn_root(&d), again, n), 0);
+        assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
+        assert_int_equal(lmn_bits_get(lmn_cbor_root(&d), again, n), 0);
         assert_int_equal(lmn_bits_count(again, n), count);
         for (uint32_t k = 0; k < n; k++)
             assert_int_equal(lmn_bit(again, k), model[k]);
         if (model[n - 1] && n > 1) {
-            assert_int_equal(lmn_bits_get(lmn_root(&d), again, n - 1), -1);
+            assert_int_equal(lmn_bits_get(lmn_cbor_root(&d), again, n - 1), -1);
         }
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
         g_byte_array_unref(b);
     }
     g_rand_free(r);
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -65,7 +65,7 @@
         struct lmn_settings s = settings(sockets, (size_t)g_rand_int_range(rng, 0, 33));
         struct lmn_socket_plan p;
         unsigned floors = 0;
-        lmn_socket_plan(&s, &p);
+        lmn_connection_budget_init(&s, &p);
         for (int k = 0; k < LMN_SOCKET_KINDS; k++)
             floors += p.floor[k];
         assert_true(floors <= p.accepted);
@@ -86,7 +86,7 @@
     struct lmn_socket_plan p;
     (void)state;
 
-    lmn_socket_plan(&s, &p);
+    lmn_connection_budget_init(&s, &p);
     /* Beyond a floor, what the other kind has no use for may be used: */
     unsigned quiet[] = {0, 3, p.accepted / 2};
     assert_true(lmn_socket_stands(&p, quiet, LMN_SOCKET_WORKER, false));
@@ -115,7 +115,7 @@
         struct lmn_settings s = settings((int)exp2(g_rand_double_range(rng, 7, 14.3)), 2);
         struct lmn_socket_plan p;
         unsigned open[LMN_SOCKET_KINDS] = {0};
-        lmn_socket_plan(&s, &p);
+        lmn_connection_budget_init(&s, &p);
         open[LMN_SOCKET_USER] = (unsigned)g_rand_int_range(rng, 0, (int)p.accepted / 2);
         while (lmn_socket_admits(&p, open, LMN_SOCKET_WORKER))
             open[g_rand_boolean(rng) ? LMN_SOCKET_WORKER : LMN_SOCKET_PASSING]++;
@@ -254,7 +254,7 @@
     struct lmn_httpd_load load;
     (void)state;
 
-    lmn_socket_plan(&s, &plan);
+    lmn_connection_budget_init(&s, &plan);
     const struct lmn_httpd_options o = {.listen = "127.0.0.1:0",
                                         .connections = plan.accepted,
                                         .max_body = 1024,
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -100,7 +100,7 @@
     (void)state;
 
     for (s.lease_s = 3; s.lease_s < 120; s.lease_s += 1) {
-        lmn_member_times(&s, &t);
+        lmn_membership_timeouts_init(&s, &t);
         assert_true(t.lease_s >= 2 && t.lease_s <= 8);
         /* A failure is noticed, suspected and judged before the lease would end, where
          * the lease leaves the time for that. */
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -41,8 +41,8 @@
         return;
     }
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, 1);
-    lmn_put_text(b, W_REVISION), lmn_put_count(b, 7);
+    lmn_cbor_put_map(b, 1);
+    lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, 7);
     lmn_call_answer(call, 200, b, 0);
 }
 
@@ -112,21 +112,21 @@
  * mirror does not show may have been confirmed. */
 static void one_that_was_carried_out_is_confirmed(void **state)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     GByteArray *record = lmn_job_record(&spec, LMN_ACTIVE, 1, 1000);
     (void)state;
 
     submit();
     while (!g_atomic_int_get(&transactions))
         lmn_sleep(0.005);
-    assert_int_equal(lmn_doc_parse(&d, record->data, record->len), 0);
+    assert_int_equal(lmn_cbor_parse(&d, record->data, record->len), 0);
     pthread_mutex_lock(&core->lock);
-    lmn_mirror_apply(core, "j/run-000001", &d, lmn_root(&d), 7, lmn_now());
+    lmn_mirror_apply(core, "j/run-000001", &d, lmn_cbor_root(&d), 7, lmn_now());
     pthread_mutex_unlock(&core->lock);
     wait_for_reply(1.5);
     assert_int_equal(step, LMN_STEP_CONFIRM);
     assert_int_equal(g_atomic_int_get(&transactions), 1);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     g_byte_array_unref(record);
 }
 
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -128,15 +128,15 @@
 
     for (int i = 0; i < 3; i++) {
         char key[64];
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         for (int final = 0; final < (i == 1 ? 2 : 1); final++) {
             g_snprintf(spec.ref, sizeof spec.ref, "run-%06d", i);
             g_snprintf(key, sizeof key, "j/%s", spec.ref);
             GByteArray *b =
                 lmn_job_record(&spec, final ? LMN_FINISHED : LMN_ACTIVE, 1, i);
-            assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
-            lmn_mirror_apply(c, key, &d, lmn_root(&d), ++rev, now);
-            lmn_doc_free(&d);
+            assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
+            lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
+            lmn_cbor_free(&d);
             g_byte_array_free(b, TRUE);
         }
         struct lmn_job *j = g_hash_table_lookup(c->jobs, spec.ref);
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -99,12 +99,12 @@
 {
     for (; seen[i] < upto; seen[i]++) {
         const struct event *e = &g_array_index(events, struct event, seen[i]);
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         char key[32];
         record_key(e->team, key);
-        assert_int_equal(lmn_doc_parse(&d, e->value->data, e->value->len), 0);
-        lmn_mirror_apply(core[i], key, &d, lmn_root(&d), e->rev, now);
-        lmn_doc_free(&d);
+        assert_int_equal(lmn_cbor_parse(&d, e->value->data, e->value->len), 0);
+        lmn_mirror_apply(core[i], key, &d, lmn_cbor_root(&d), e->rev, now);
+        lmn_cbor_free(&d);
     }
 }
 
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -162,7 +162,7 @@
         cfg.report_s = g_rand_double_range(r, 0.2, 2);
         for (int i = 0; i < 3; i++)
             cfg.teams[i].cpus_max = 0;
-        lmn_socket_plan(&cfg, &c->sockets);
+        lmn_connection_budget_init(&cfg, &c->sockets);
         most = lmn_socket_hears(&c->sockets, &cfg);
         lmn_fleet_init(&f);
         c->load.behind = 3;
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -95,7 +95,7 @@
     if (what == TOO_LARGE)
         s.types = types;
     g_strlcpy(s.ref, ref, sizeof s.ref);
-    lmn_put_map(b, lmn_spec_pairs());
+    lmn_cbor_put_map(b, lmn_spec_pairs());
     lmn_spec_put(b, &s);
     return b;
 }
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -41,10 +41,10 @@
 
 static void apply(struct lmn_core *c, const char *key, GByteArray *value)
 {
-    struct lmn_doc d;
-    assert_int_equal(lmn_doc_parse(&d, value->data, value->len), 0);
-    lmn_mirror_apply(c, key, &d, lmn_root(&d), ++rev, now);
-    lmn_doc_free(&d);
+    struct lmn_cbor_document d;
+    assert_int_equal(lmn_cbor_parse(&d, value->data, value->len), 0);
+    lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
+    lmn_cbor_free(&d);
     g_byte_array_unref(value);
 }
 
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -96,64 +96,67 @@
     return NULL;
 }
 
-static GByteArray *copy(const struct lmn_doc *d, const struct lmn_node *n)
+static GByteArray *copy(const struct lmn_cbor_document *d, const struct lmn_cbor_value *n)
 {
     GByteArray *b = g_byte_array_new();
     if (n)
-        lmn_put_node(b, d, n);
+        lmn_cbor_put_value(b, d, n);
     else
-        lmn_put_null(b);
+        lmn_cbor_put_null(b);
     return b;
 }
 
-static int state_txn(const struct lmn_doc *d, GByteArray *out)
+static int state_txn(const struct lmn_cbor_document *d, GByteArray *out)
 {
-    const struct lmn_node *root = lmn_root(d), *n;
+    const struct lmn_cbor_value *root = lmn_cbor_root(d), *n;
     GPtrArray *failed = g_ptr_array_new();
     char key[256];
 
-    for (n = lmn_child(d, lmn_get(d, root, W_IF)); n; n = lmn_next(d, n)) {
+    for (n = lmn_cbor_first_child(d, lmn_cbor_get(d, root, W_IF)); n;
+         n = lmn_cbor_next(d, n)) {
         uint64_t version = 0;
-        lmn_text(lmn_get(d, n, W_KEY), key, sizeof key);
-        lmn_count(lmn_get(d, n, W_VERSION), &version);
+        lmn_cbor_get_text(lmn_cbor_get(d, n, W_KEY), key, sizeof key);
+        lmn_cbor_get_uint(lmn_cbor_get(d, n, W_VERSION), &version);
         struct item *it = g_tree_lookup(store, key);
         if ((it && it->value ? it->rev : 0) != version)
             g_ptr_array_add(failed, g_strdup(key));
     }
-    const struct lmn_node *then = lmn_child(d, lmn_get(d, root, W_THEN));
-    for (n = then; n; n = lmn_next(d, n)) {
+    const struct lmn_cbor_value *then =
+        lmn_cbor_first_child(d, lmn_cbor_get(d, root, W_THEN));
+    for (n = then; n; n = lmn_cbor_next(d, n)) {
         uint64_t lease = 0;
-        lmn_count(lmn_get(d, n, W_LEASE), &lease);
+        lmn_cbor_get_uint(lmn_cbor_get(d, n, W_LEASE), &lease);
         if (lease && !find_lease(lease))
             return 400;
     }
     if (!failed->len && then) {
         revision++;
-        for (n = then; n; n = lmn_next(d, n)) {
+        for (n = then; n; n = lmn_cbor_next(d, n)) {
             uint64_t lease = 0;
-            lmn_count(lmn_get(d, n, W_LEASE), &lease);
-            if (lmn_text(lmn_get(d, n, W_PUT), key, sizeof key))
-                put(key, copy(d, lmn_get(d, n, W_VALUE)), lease);
-            else if (lmn_text(lmn_get(d, n, W_DELETE), key, sizeof key))
+            lmn_cbor_get_uint(lmn_cbor_get(d, n, W_LEASE), &lease);
+            if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_PUT), key, sizeof key))
+                put(key, copy(d, lmn_cbor_get(d, n, W_VALUE)), lease);
+            else if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_DELETE), key, sizeof key))
                 put(key, NULL, 0);
         }
     }
-    lmn_put_map(out, failed->len ? 2 : 1);
-    lmn_put_text(out, W_REVISION), lmn_put_count(out, revision);
+    lmn_cbor_put_map(out, failed->len ? 2 : 1);
+    lmn_cbor_put_text(out, W_REVISION), lmn_cbor_put_uint(out, revision);
     if (failed->len) {
-        lmn_put_text(out, W_CONFLICTS), lmn_put_list(out, failed->len);
+        lmn_cbor_put_text(out, W_CONFLICTS), lmn_cbor_put_array(out, failed->len);
         for (guint i = 0; i < failed->len; i++)
-            lmn_put_text(out, failed->pdata[i]);
+            lmn_cbor_put_text(out, failed->pdata[i]);
     }
     return failed->len ? 409 : 200;
 }
 
 static void put_item(GByteArray *out, const char *key, const struct item *it)
 {
-    lmn_put_map(out, 3);
-    lmn_put_text(out, W_KEY), lmn_put_text(out, key);
-    lmn_put_text(out, W_VALUE), g_byte_array_append(out, it->value->data, it->value->len);
-    lmn_put_text(out, W_VERSION), lmn_put_count(out, it->rev);
+    lmn_cbor_put_map(out, 3);
+    lmn_cbor_put_text(out, W_KEY), lmn_cbor_put_text(out, key);
+    lmn_cbor_put_text(out, W_VALUE),
+        g_byte_array_append(out, it->value->data, it->value->len);
+    lmn_cbor_put_text(out, W_VERSION), lmn_cbor_put_uint(out, it->rev);
 }
 
 struct listing {
@@ -189,25 +192,26 @@
     }
     for (guint i = 0; i < events->len; i++)
         n += ((struct event *)events->pdata[i])->rev > after;
-    lmn_put_map(out, 2);
-    lmn_put_text(out, W_REVISION), lmn_put_count(out, revision);
-    lmn_put_text(out, W_EVENTS), lmn_put_list(out, n);
+    lmn_cbor_put_map(out, 2);
+    lmn_cbor_put_text(out, W_REVISION), lmn_cbor_put_uint(out, revision);
+    lmn_cbor_put_text(out, W_EVENTS), lmn_cbor_put_array(out, n);
     for (guint i = 0; i < events->len; i++) {
         const struct event *e = events->pdata[i];
         if (e->rev <= after)
             continue;
-        lmn_put_map(out, e->value ? 3 : 2);
-        lmn_put_text(out, e->value ? W_PUT : W_DELETE), lmn_put_text(out, e->key);
-        lmn_put_text(out, W_VERSION), lmn_put_count(out, e->rev);
+        lmn_cbor_put_map(out, e->value ? 3 : 2);
+        lmn_cbor_put_text(out, e->value ? W_PUT : W_DELETE),
+            lmn_cbor_put_text(out, e->key);
+        lmn_cbor_put_text(out, W_VERSION), lmn_cbor_put_uint(out, e->rev);
         if (e->value)
-            lmn_put_text(out, W_VALUE),
+            lmn_cbor_put_text(out, W_VALUE),
                 g_byte_array_append(out, e->value->data, e->value->len);
     }
     return 200;
 }
 
 static int state_answer(struct MHD_Connection *c, const char *path, const char *method,
-                        const struct lmn_doc *d, GByteArray *out)
+                        const struct lmn_cbor_document *d, GByteArray *out)
 {
     bool post = !strcmp(method, "POST");
     expire();
@@ -219,12 +223,12 @@
         return state_watch(c, out);
     if (post && !strcmp(path, P_LEASES)) {
         uint64_t ttl = 1000;
-        lmn_count(lmn_get(d, lmn_root(d), W_TTL_MS), &ttl);
+        lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_TTL_MS), &ttl);
         struct lease l = {++last_lease, (double)ttl / 1000, {0, 0}};
         l.until = lmn_after(lmn_now(), l.ttl);
         g_array_append_val(leases, l);
-        lmn_put_map(out, 1);
-        lmn_put_text(out, W_LEASE), lmn_put_count(out, l.id);
+        lmn_cbor_put_map(out, 1);
+        lmn_cbor_put_text(out, W_LEASE), lmn_cbor_put_uint(out, l.id);
         return 200;
     }
     if (post && g_str_has_prefix(path, P_LEASES "/")) {
@@ -237,10 +241,10 @@
     if (!strcmp(path, P_STORE)) {
         struct listing l = {g_byte_array_new(), 0};
         g_tree_foreach(store, list_item, &l);
-        lmn_put_map(out, 3);
-        lmn_put_text(out, W_REVISION), lmn_put_count(out, revision);
-        lmn_put_text(out, W_MORE), lmn_put_truth(out, false);
-        lmn_put_text(out, W_ITEMS), lmn_put_list(out, l.n);
+        lmn_cbor_put_map(out, 3);
+        lmn_cbor_put_text(out, W_REVISION), lmn_cbor_put_uint(out, revision);
+        lmn_cbor_put_text(out, W_MORE), lmn_cbor_put_bool(out, false);
+        lmn_cbor_put_text(out, W_ITEMS), lmn_cbor_put_array(out, l.n);
         g_byte_array_append(out, l.items->data, l.items->len);
         return 200;
     }
@@ -282,39 +286,40 @@
     size_t n = 0;
     for (int i = 0; i < MAX_HELD; i++)
         n += m->held[i].state != FREE;
-    lmn_put_map(b, 9);
-    lmn_put_text(b, W_MACHINE), lmn_put_text(b, m->name);
-    lmn_put_text(b, W_ADDR), lmn_put_text(b, m->addr);
-    lmn_put_text(b, W_TYPE), lmn_put_text(b, "small");
-    lmn_put_text(b, W_ZONE), lmn_put_text(b, "a");
-    lmn_put_text(b, W_SPOT), lmn_put_truth(b, false);
-    lmn_put_text(b, W_SESSION), lmn_put_count(b, m->session);
-    lmn_put_text(b, W_SEQ), lmn_put_count(b, ++m->seq);
-    lmn_put_text(b, W_TOKEN), lmn_put_count(b, m->token);
-    lmn_put_text(b, W_TASKS), lmn_put_list(b, n);
+    lmn_cbor_put_map(b, 9);
+    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, m->name);
+    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, m->addr);
+    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "small");
+    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, "a");
+    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, false);
+    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, m->session);
+    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, ++m->seq);
+    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, m->token);
+    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, n);
     for (int i = 0; i < MAX_HELD; i++) {
         const struct held *h = &m->held[i];
         if (h->state == FREE)
             continue;
-        lmn_put_map(b, 4);
-        lmn_put_text(b, W_TASK), lmn_put_text(b, h->task);
-        lmn_put_text(b, W_ATTEMPT), lmn_put_count(b, h->attempt);
-        lmn_put_text(b, W_STATE),
-            lmn_put_text(b, h->state == RUNNING ? W_RUNNING : W_ENDED);
-        lmn_put_text(b, W_WHY), lmn_put_text(b, h->done ? W_DONE : W_STOPPED);
+        lmn_cbor_put_map(b, 4);
+        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, h->task);
+        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, h->attempt);
+        lmn_cbor_put_text(b, W_STATE),
+            lmn_cbor_put_text(b, h->state == RUNNING ? W_RUNNING : W_ENDED);
+        lmn_cbor_put_text(b, W_WHY), lmn_cbor_put_text(b, h->done ? W_DONE : W_STOPPED);
     }
 }
 
-static void obey(struct machine *m, const struct lmn_doc *d,
-                 const struct lmn_node *orders)
+static void obey(struct machine *m, const struct lmn_cbor_document *d,
+                 const struct lmn_cbor_value *orders)
 {
-    for (const struct lmn_node *n = lmn_child(d, orders); n; n = lmn_next(d, n)) {
-        const struct lmn_node *op = lmn_get(d, n, W_OP);
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, orders); n;
+         n = lmn_cbor_next(d, n)) {
+        const struct lmn_cbor_value *op = lmn_cbor_get(d, n, W_OP);
         struct held *same = NULL, *room = NULL;
         char task[64] = "";
         uint64_t attempt = 0;
-        lmn_text(lmn_get(d, n, W_TASK), task, sizeof task);
-        lmn_count(lmn_get(d, n, W_ATTEMPT), &attempt);
+        lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), task, sizeof task);
+        lmn_cbor_get_uint(lmn_cbor_get(d, n, W_ATTEMPT), &attempt);
         for (int i = 0; i < MAX_HELD; i++) {
             struct held *h = &m->held[i];
             if (h->state == FREE)
@@ -322,7 +327,7 @@
             else if (!strcmp(h->task, task) && h->attempt == attempt)
                 same = h;
         }
-        if (lmn_is(op, W_START) && !same && room) {
+        if (lmn_cbor_text_equals(op, W_START) && !same && room) {
             for (int k = 0; k < nmachines; k++)
                 for (int i = 0; i < MAX_HELD; i++)
                     twice += !machines[k].gone && machines[k].held[i].state == RUNNING &&
@@ -334,9 +339,9 @@
             room->until =
                 lmn_after(lmn_now(), g_str_has_prefix(task, "run-00010") ? 1e6 : 0.4);
             started++;
-        } else if (lmn_is(op, W_KILL) && same && same->state == RUNNING) {
+        } else if (lmn_cbor_text_equals(op, W_KILL) && same && same->state == RUNNING) {
             same->state = ENDED;
-        } else if (lmn_is(op, W_CLEAR) && same && same->state == ENDED) {
+        } else if (lmn_cbor_text_equals(op, W_CLEAR) && same && same->state == ENDED) {
             same->state = FREE;
         }
     }
@@ -360,21 +365,21 @@
     }
 }
 
-static int worker_answer(struct machine *m, const char *path, const struct lmn_doc *d,
-                         GByteArray *out)
+static int worker_answer(struct machine *m, const char *path,
+                         const struct lmn_cbor_document *d, GByteArray *out)
 {
     uint64_t token = 0, session = 0;
     int status = 200;
 
     pass(m);
     if (!strcmp(path, P_DIRECT)) {
-        lmn_count(lmn_get(d, lmn_root(d), W_TOKEN), &token);
-        lmn_count(lmn_get(d, lmn_root(d), W_SESSION), &session);
+        lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_TOKEN), &token);
+        lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_SESSION), &session);
         if (token < m->token || session != m->session) {
             status = 409;
         } else {
             m->token = token;
-            obey(m, d, lmn_get(d, lmn_root(d), W_COMMANDS));
+            obey(m, d, lmn_cbor_get(d, lmn_cbor_root(d), W_COMMANDS));
         }
     }
     report(m, out);
@@ -395,7 +400,7 @@
     }
     for (;;) {
         GByteArray *b = g_byte_array_new();
-        struct lmn_doc d;
+        struct lmn_cbor_document d;
         pthread_mutex_lock(&lock);
         pass(m);
         uint64_t session = m->session;
@@ -407,23 +412,24 @@
         struct timespec sent = lmn_now();
         int status = lmn_http_call(h[node], "POST", P_REPORT, b, 4, in);
         g_byte_array_unref(b);
-        if (status == 200 && lmn_doc_parse(&d, in->data, in->len) == 0) {
+        if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
             uint64_t token = 0;
-            lmn_count(lmn_get(&d, lmn_root(&d), W_TOKEN), &token);
+            lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
             pthread_mutex_lock(&lock);
             if (!m->gone && token >= m->token && session == m->session) {
                 m->token = token;
                 m->answered = sent;
-                obey(m, &d, lmn_get(&d, lmn_root(&d), W_COMMANDS));
+                obey(m, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS));
             }
             pthread_mutex_unlock(&lock);
-            lmn_doc_free(&d);
+            lmn_cbor_free(&d);
             lmn_sleep(0.3);
         } else {
             char to[32] = "";
-            if (status == 421 && lmn_doc_parse(&d, in->data, in->len) == 0) {
-                lmn_text(lmn_get(&d, lmn_root(&d), W_REPORT_TO), to, sizeof to);
-                lmn_doc_free(&d);
+            if (status == 421 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
+                lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REPORT_TO), to,
+                                  sizeof to);
+                lmn_cbor_free(&d);
             }
             node = *to ? atoi(to + 1) : (node + 1) % NODES;
             lmn_sleep(*to ? 0.1 : 0.5);
@@ -434,11 +440,13 @@
 /* --- serving the stand-ins --- */
 
 static int serve(int (*answer)(void *, struct MHD_Connection *, const char *,
-                               const char *, const struct lmn_doc *, GByteArray *),
+                               const char *, const struct lmn_cbor_document *,
+                               GByteArray *),
                  void *arg);
 
 static int answer_worker(void *arg, struct MHD_Connection *c, const char *path,
-                         const char *method, const struct lmn_doc *d, GByteArray *out)
+                         const char *method, const struct lmn_cbor_document *d,
+                         GByteArray *out)
 {
     (void)c;
     (void)method;
@@ -446,54 +454,58 @@
 }
 
 static int answer_state(void *arg, struct MHD_Connection *c, const char *path,
-                        const char *method, const struct lmn_doc *d, GByteArray *out)
+                        const char *method, const struct lmn_cbor_document *d,
+                        GByteArray *out)
 {
     (void)arg;
     return state_answer(c, path, method, d, out);
 }
 
 static int answer_cloud(void *arg, struct MHD_Connection *c, const char *path,
-                        const char *method, const struct lmn_doc *d, GByteArray *out)
+                        const char *method, const struct lmn_cbor_document *d,
+                        GByteArray *out)
 {
-    const struct lmn_node *root = lmn_root(d);
+    const struct lmn_cbor_value *root = lmn_cbor_root(d);
     (void)arg;
     (void)c;
     if (!strcmp(path, P_TYPES)) {
-        lmn_put_map(out, 1);
-        lmn_put_text(out, W_TYPES), lmn_put_list(out, 1);
-        lmn_put_map(out, 10);
-        lmn_put_text(out, W_SKU), lmn_put_text(out, "small");
-        lmn_put_text(out, W_CPUS), lmn_put_number(out, 4);
-        lmn_put_text(out, W_GPUS), lmn_put_number(out, 0);
-        lmn_put_text(out, W_MEM), lmn_put_number(out, 16);
-        lmn_put_text(out, W_CACHE_GB), lmn_put_number(out, 10);
-        lmn_put_text(out, W_PULL), lmn_put_number(out, 1);
-        lmn_put_text(out, W_RATE), lmn_put_number(out, 1);
-        lmn_put_text(out, W_SPOT_RATE), lmn_put_number(out, 0.5);
-        lmn_put_text(out, W_READY), lmn_put_number(out, 1);
-        lmn_put_text(out, W_ZONES), lmn_put_list(out, 1), lmn_put_text(out, "a");
+        lmn_cbor_put_map(out, 1);
+        lmn_cbor_put_text(out, W_TYPES), lmn_cbor_put_array(out, 1);
+        lmn_cbor_put_map(out, 10);
+        lmn_cbor_put_text(out, W_SKU), lmn_cbor_put_text(out, "small");
+        lmn_cbor_put_text(out, W_CPUS), lmn_cbor_put_number(out, 4);
+        lmn_cbor_put_text(out, W_GPUS), lmn_cbor_put_number(out, 0);
+        lmn_cbor_put_text(out, W_MEM), lmn_cbor_put_number(out, 16);
+        lmn_cbor_put_text(out, W_CACHE_GB), lmn_cbor_put_number(out, 10);
+        lmn_cbor_put_text(out, W_PULL), lmn_cbor_put_number(out, 1);
+        lmn_cbor_put_text(out, W_RATE), lmn_cbor_put_number(out, 1);
+        lmn_cbor_put_text(out, W_SPOT_RATE), lmn_cbor_put_number(out, 0.5);
+        lmn_cbor_put_text(out, W_READY), lmn_cbor_put_number(out, 1);
+        lmn_cbor_put_text(out, W_ZONES), lmn_cbor_put_array(out, 1),
+            lmn_cbor_put_text(out, "a");
         return 200;
     }
     if (!strcmp(path, P_RETURN)) {
-        const struct lmn_node *list = lmn_get(d, root, W_MACHINES);
-        for (const struct lmn_node *n = lmn_child(d, list); n; n = lmn_next(d, n))
+        const struct lmn_cbor_value *list = lmn_cbor_get(d, root, W_MACHINES);
+        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, list); n;
+             n = lmn_cbor_next(d, n))
             for (int i = 0; i < nmachines; i++)
-                if (lmn_is(n, machines[i].name))
+                if (lmn_cbor_text_equals(n, machines[i].name))
                     machines[i].gone = true;
-        lmn_put_map(out, 0);
+        lmn_cbor_put_map(out, 0);
         return 200;
     }
     if (!strcmp(method, "POST")) {
         uint64_t count = 0;
-        lmn_count(lmn_get(d, root, W_COUNT), &count);
+        lmn_cbor_get_uint(lmn_cbor_get(d, root, W_COUNT), &count);
         count = MIN(count, (uint64_t)MIN(6 - (int)rented, MAX_MACHINES - nmachines));
         if (!count || rented >= 6) {
-            lmn_put_map(out, 1);
-            lmn_put_text(out, "error"), lmn_put_text(out, "no capacity");
+            lmn_cbor_put_map(out, 1);
+            lmn_cbor_put_text(out, "error"), lmn_cbor_put_text(out, "no capacity");
             return 503;
         }
-        lmn_put_map(out, 1);
-        lmn_put_text(out, W_MACHINES), lmn_put_list(out, count);
+        lmn_cbor_put_map(out, 1);
+        lmn_cbor_put_text(out, W_MACHINES), lmn_cbor_put_array(out, count);
         for (uint64_t i = 0; i < count; i++) {
             struct machine *m = &machines[nmachines];
             g_snprintf(m->name, sizeof m->name, "host-%06d", nmachines++);
@@ -502,7 +514,7 @@
             m->session = 1;
             m->answered = lmn_now();
             g_snprintf(m->addr, sizeof m->addr, "127.0.0.1:%d", serve(answer_worker, m));
-            lmn_put_text(out, m->name);
+            lmn_cbor_put_text(out, m->name);
             lmn_thread(worker, m);
             rented++;
         }
@@ -511,26 +523,26 @@
     size_t n = 0;
     for (int i = 0; i < nmachines; i++)
         n += !machines[i].gone;
-    lmn_put_map(out, 2);
-    lmn_put_text(out, W_MORE), lmn_put_truth(out, false);
-    lmn_put_text(out, W_MACHINES), lmn_put_list(out, n);
+    lmn_cbor_put_map(out, 2);
+    lmn_cbor_put_text(out, W_MORE), lmn_cbor_put_bool(out, false);
+    lmn_cbor_put_text(out, W_MACHINES), lmn_cbor_put_array(out, n);
     for (int i = 0; i < nmachines; i++) {
         if (machines[i].gone)
             continue;
-        lmn_put_map(out, 6);
-        lmn_put_text(out, W_ID), lmn_put_text(out, machines[i].name);
-        lmn_put_text(out, W_TYPE), lmn_put_text(out, "small");
-        lmn_put_text(out, W_ZONE), lmn_put_text(out, "a");
-        lmn_put_text(out, W_SPOT), lmn_put_truth(out, false);
-        lmn_put_text(out, W_STATE), lmn_put_text(out, W_RUNNING);
-        lmn_put_text(out, W_AGE), lmn_put_number(out, 10);
+        lmn_cbor_put_map(out, 6);
+        lmn_cbor_put_text(out, W_ID), lmn_cbor_put_text(out, machines[i].name);
+        lmn_cbor_put_text(out, W_TYPE), lmn_cbor_put_text(out, "small");
+        lmn_cbor_put_text(out, W_ZONE), lmn_cbor_put_text(out, "a");
+        lmn_cbor_put_text(out, W_SPOT), lmn_cbor_put_bool(out, false);
+        lmn_cbor_put_text(out, W_STATE), lmn_cbor_put_text(out, W_RUNNING);
+        lmn_cbor_put_text(out, W_AGE), lmn_cbor_put_number(out, 10);
     }
     return 200;
 }
 
 struct stand_in {
     int (*answer)(void *, struct MHD_Connection *, const char *, const char *,
-                  const struct lmn_doc *, GByteArray *);
+                  const struct lmn_cbor_document *, GByteArray *);
     void *arg;
 };
 
@@ -540,7 +552,7 @@
 {
     struct stand_in *s = arg;
     GByteArray *in = *state, *out;
-    struct lmn_doc d = {0};
+    struct lmn_cbor_document d = {0};
     (void)version;
 
     if (!in) {
@@ -554,11 +566,11 @@
     }
     out = g_byte_array_new();
     int status = 400;
-    if (!in->len || lmn_doc_parse(&d, in->data, in->len) == 0) {
+    if (!in->len || lmn_cbor_parse(&d, in->data, in->len) == 0) {
         pthread_mutex_lock(&lock);
         status = s->answer(s->arg, c, url, method, &d, out);
         pthread_mutex_unlock(&lock);
-        lmn_doc_free(&d);
+        lmn_cbor_free(&d);
     }
     struct MHD_Response *r = MHD_create_response_from_buffer(
         out->len, out->len ? out->data : (void *)"", MHD_RESPMEM_MUST_COPY);
@@ -571,7 +583,8 @@
 }
 
 static int serve(int (*answer)(void *, struct MHD_Connection *, const char *,
-                               const char *, const struct lmn_doc *, GByteArray *),
+                               const char *, const struct lmn_cbor_document *,
+                               GByteArray *),
                  void *arg)
 {
     struct stand_in *s = g_new0(struct stand_in, 1);
@@ -644,7 +657,7 @@
 {
     static struct lmn_http *h[NODES];
     GByteArray *out = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
     if (!h[i]) {
         char addr[32];
@@ -653,9 +666,9 @@
     }
     int status = lmn_http_call(h[i], method, path, body, 5, out);
     *word = '\0';
-    if (out->len && lmn_doc_parse(&d, out->data, out->len) == 0) {
-        lmn_text(lmn_get(&d, lmn_root(&d), W_STATE), word, 32);
-        lmn_doc_free(&d);
+    if (out->len && lmn_cbor_parse(&d, out->data, out->len) == 0) {
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_STATE), word, 32);
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(out);
     return status;
@@ -698,7 +711,7 @@
                          .deadline_s = -1};
     GByteArray *b = g_byte_array_new();
     g_strlcpy(s.ref, ref, sizeof s.ref);
-    lmn_put_map(b, lmn_spec_pairs());
+    lmn_cbor_put_map(b, lmn_spec_pairs());
     lmn_spec_put(b, &s);
     return b;
 }
@@ -783,7 +796,7 @@
                              .deadline_s = -1,
                              .ref = "run-000201"};
     b = g_byte_array_new();
-    lmn_put_map(b, lmn_spec_pairs());
+    lmn_cbor_put_map(b, lmn_spec_pairs());
     lmn_spec_put(b, &large);
     assert_int_equal(insist("POST", P_JOBS, b, 400, 422, word), 400);
     g_byte_array_unref(b);
@@ -806,8 +819,8 @@
 
     if (what == NO_FIELD) {
         g_byte_array_set_size(b, 0);
-        lmn_put_map(b, 1);
-        lmn_put_text(b, W_ID), lmn_put_text(b, ref);
+        lmn_cbor_put_map(b, 1);
+        lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, ref);
     }
     return b;
 }
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -151,7 +151,7 @@
 static void operators_settings(void **state)
 {
     struct lmn_tuning t = lmn_tuning_default, u;
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     char err[128];
     (void)state;
 
@@ -164,13 +164,13 @@
                                         err, sizeof err),
                          0);
     GByteArray *b = lmn_tuning_record(&t);
-    assert_int_equal(lmn_doc_parse(&d, b->data, b->len), 0);
-    lmn_tuning_read(&u, &d, lmn_root(&d));
+    assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
+    lmn_tuning_read(&u, &d, lmn_cbor_root(&d));
     assert_memory_equal(&t, &u, sizeof t);
     /* A record that was removed means the defaults. */
     lmn_tuning_read(&u, &d, NULL);
     assert_memory_equal(&u, &lmn_tuning_default, sizeof u);
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     g_byte_array_unref(b);
 }
 
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -141,11 +141,11 @@
 
 static void put(const char *key, GByteArray *v, uint64_t rev)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    assert_int_equal(lmn_doc_parse(&d, v->data, v->len), 0);
-    lmn_mirror_apply(core, key, &d, lmn_root(&d), rev, now);
-    lmn_doc_free(&d);
+    assert_int_equal(lmn_cbor_parse(&d, v->data, v->len), 0);
+    lmn_mirror_apply(core, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_cbor_free(&d);
     g_byte_array_unref(v);
 }
 
@@ -153,11 +153,11 @@
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 4);
-    lmn_put_text(b, "node"), lmn_put_text(b, node);
-    lmn_put_text(b, "lease"), lmn_put_count(b, lease);
-    lmn_put_text(b, "term"), lmn_put_count(b, term);
-    lmn_put_text(b, "stream"), lmn_put_count(b, stream);
+    lmn_cbor_put_map(b, 4);
+    lmn_cbor_put_text(b, "node"), lmn_cbor_put_text(b, node);
+    lmn_cbor_put_text(b, "lease"), lmn_cbor_put_uint(b, lease);
+    lmn_cbor_put_text(b, "term"), lmn_cbor_put_uint(b, term);
+    lmn_cbor_put_text(b, "stream"), lmn_cbor_put_uint(b, stream);
     return b;
 }
 
@@ -176,13 +176,14 @@
     uint8_t done = 8; /* the last is recorded as done */
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_list(b, 4);
+    lmn_cbor_put_array(b, 4);
     for (int i = 0; i < 4; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "host-%d", i);
-        lmn_put_list(b, 5);
-        lmn_put_text(b, name), lmn_put_text(b, "10.0.0.1:9000"), lmn_put_text(b, "t");
-        lmn_put_text(b, "z"), lmn_put_truth(b, false);
+        lmn_cbor_put_array(b, 5);
+        lmn_cbor_put_text(b, name), lmn_cbor_put_text(b, "10.0.0.1:9000"),
+            lmn_cbor_put_text(b, "t");
+        lmn_cbor_put_text(b, "z"), lmn_cbor_put_bool(b, false);
     }
     put("j/run-000001", lmn_job_record(&spec, LMN_ACTIVE, 1, 1000), 10);
     put("r/0/run-000001/0", lmn_range_record(&range, &done), 10);
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -50,7 +50,7 @@
     for (guint i = 0; i < changes; i++) {
         char key[32];
         GByteArray *v = g_byte_array_new();
-        lmn_put_null(v);
+        lmn_cbor_put_null(v);
         g_snprintf(key, sizeof key, "k/%u", n++);
         lmn_txn_write(t, key, v, 0);
     }
@@ -141,8 +141,8 @@
         return;
     }
     GByteArray *b = g_byte_array_new();
-    lmn_put_map(b, 1);
-    lmn_put_text(b, W_REVISION), lmn_put_count(b, 7);
+    lmn_cbor_put_map(b, 1);
+    lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, 7);
     lmn_call_answer(call, 200, b, 0);
 }
 
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -17,11 +17,11 @@
 
 static void put(struct lmn_core *c, const char *key, GByteArray *v, uint64_t rev)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
 
-    assert_int_equal(lmn_doc_parse(&d, v->data, v->len), 0);
-    lmn_mirror_apply(c, key, &d, lmn_root(&d), rev, now);
-    lmn_doc_free(&d);
+    assert_int_equal(lmn_cbor_parse(&d, v->data, v->len), 0);
+    lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_cbor_free(&d);
     g_byte_array_unref(v);
 }
 
@@ -54,9 +54,9 @@
         if (gone[k])
             continue;
         GByteArray *v = g_byte_array_new();
-        lmn_put_map(v, 2);
-        lmn_put_text(v, "lease"), lmn_put_count(v, 100 + (uint64_t)k);
-        lmn_put_text(v, "leaving"), lmn_put_truth(v, leaving[k]);
+        lmn_cbor_put_map(v, 2);
+        lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, 100 + (uint64_t)k);
+        lmn_cbor_put_text(v, "leaving"), lmn_cbor_put_bool(v, leaving[k]);
         g_snprintf(key, sizeof key, "n/n%02d", k);
         put(c, key, v, 10 + (uint64_t)k);
         if (k != me)
@@ -68,11 +68,11 @@
             continue;
         GByteArray *v = g_byte_array_new();
         g_snprintf(name, sizeof name, "n%02d", k);
-        lmn_put_map(v, 4);
-        lmn_put_text(v, "node"), lmn_put_text(v, name);
-        lmn_put_text(v, "lease"), lmn_put_count(v, 100 + (uint64_t)k);
-        lmn_put_text(v, "term"), lmn_put_count(v, 1);
-        lmn_put_text(v, "stream"), lmn_put_count(v, 0);
+        lmn_cbor_put_map(v, 4);
+        lmn_cbor_put_text(v, "node"), lmn_cbor_put_text(v, name);
+        lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, 100 + (uint64_t)k);
+        lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, 1);
+        lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, 0);
         g_snprintf(key, sizeof key, "o/%d", k);
         put(c, key, v, 50 + (uint64_t)k);
     }
@@ -146,15 +146,15 @@
     GByteArray *v = g_byte_array_new(), *t = g_byte_array_new();
     (void)state;
 
-    lmn_put_count(t, 1);
+    lmn_cbor_put_uint(t, 1);
     put(c, "t/1", t, 90);
     lmn_successors(c, now, successor);
     assert_int_equal(successor[1], 2);
-    lmn_put_map(v, 4);
-    lmn_put_text(v, "node"), lmn_put_text(v, "n04");
-    lmn_put_text(v, "lease"), lmn_put_count(v, 104);
-    lmn_put_text(v, "stream"), lmn_put_count(v, 7);
-    lmn_put_text(v, "term"), lmn_put_count(v, 1);
+    lmn_cbor_put_map(v, 4);
+    lmn_cbor_put_text(v, "node"), lmn_cbor_put_text(v, "n04");
+    lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, 104);
+    lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, 7);
+    lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, 1);
     put(c, "b/1", v, 91);
     lmn_successors(c, now, successor);
     assert_int_equal(successor[1], 4);
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -76,14 +76,14 @@
 /* NULL: the key goes. */
 static void put(const char *key, GByteArray *v)
 {
-    struct lmn_doc d = {0};
+    struct lmn_cbor_document d = {0};
 
     if (v)
-        assert_int_equal(lmn_doc_parse(&d, v->data, v->len), 0);
-    lmn_mirror_apply(core, key, &d, v ? lmn_root(&d) : NULL, ++rev, now);
+        assert_int_equal(lmn_cbor_parse(&d, v->data, v->len), 0);
+    lmn_mirror_apply(core, key, &d, v ? lmn_cbor_root(&d) : NULL, ++rev, now);
     if (!v)
         return;
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     g_byte_array_unref(v);
 }
 
@@ -91,13 +91,13 @@
 {
     GByteArray *b = g_byte_array_new(), *t = g_byte_array_new();
 
-    lmn_put_map(b, 4);
-    lmn_put_text(b, "node"), lmn_put_text(b, node);
-    lmn_put_text(b, "lease"), lmn_put_count(b, lease);
-    lmn_put_text(b, "term"), lmn_put_count(b, term);
-    lmn_put_text(b, "stream"), lmn_put_count(b, 0);
+    lmn_cbor_put_map(b, 4);
+    lmn_cbor_put_text(b, "node"), lmn_cbor_put_text(b, node);
+    lmn_cbor_put_text(b, "lease"), lmn_cbor_put_uint(b, lease);
+    lmn_cbor_put_text(b, "term"), lmn_cbor_put_uint(b, term);
+    lmn_cbor_put_text(b, "stream"), lmn_cbor_put_uint(b, 0);
     put("o/0", b);
-    lmn_put_count(t, term);
+    lmn_cbor_put_uint(t, term);
     put("t/0", t);
     lmn_mirror_settle(core, now);
 }
@@ -138,13 +138,14 @@
     uint8_t done = 0;
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_list(b, MACHINES);
+    lmn_cbor_put_array(b, MACHINES);
     for (int i = 0; i < MACHINES; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "host-%d", 3 * i);
-        lmn_put_list(b, 5);
-        lmn_put_text(b, name), lmn_put_text(b, "10.0.0.1:9000"), lmn_put_text(b, "t");
-        lmn_put_text(b, "z"), lmn_put_truth(b, false);
+        lmn_cbor_put_array(b, 5);
+        lmn_cbor_put_text(b, name), lmn_cbor_put_text(b, "10.0.0.1:9000"),
+            lmn_cbor_put_text(b, "t");
+        lmn_cbor_put_text(b, "z"), lmn_cbor_put_bool(b, false);
     }
     put("m/0/0", b);
     put("j/run-000001", lmn_job_record(&spec, LMN_ACTIVE, 1, 1000));
@@ -227,16 +228,16 @@
 {
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 9);
-    lmn_put_text(b, W_MACHINE), lmn_put_text(b, m->name);
-    lmn_put_text(b, W_ADDR), lmn_put_text(b, m->addr);
-    lmn_put_text(b, W_TYPE), lmn_put_text(b, "t");
-    lmn_put_text(b, W_ZONE), lmn_put_text(b, "z");
-    lmn_put_text(b, W_SPOT), lmn_put_truth(b, false);
-    lmn_put_text(b, W_SESSION), lmn_put_count(b, session);
-    lmn_put_text(b, W_SEQ), lmn_put_count(b, 1);
-    lmn_put_text(b, W_TOKEN), lmn_put_count(b, token);
-    lmn_put_text(b, W_TASKS), lmn_put_list(b, 0);
+    lmn_cbor_put_map(b, 9);
+    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, m->name);
+    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, m->addr);
+    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "t");
+    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, "z");
+    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, false);
+    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, session);
+    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, 1);
+    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, token);
+    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, 0);
     return b;
 }
 
@@ -419,9 +420,9 @@
     struct lmn_partition *p = &core->parts[ME];
     GByteArray *b = g_byte_array_new();
 
-    lmn_put_map(b, 2);
-    lmn_put_text(b, "node"), lmn_put_text(b, "nc");
-    lmn_put_text(b, "lease"), lmn_put_count(b, 9);
+    lmn_cbor_put_map(b, 2);
+    lmn_cbor_put_text(b, "node"), lmn_cbor_put_text(b, "nc");
+    lmn_cbor_put_text(b, "lease"), lmn_cbor_put_uint(b, 9);
     put("o/1", b);
     return p;
 }
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -357,34 +357,34 @@
                   uint64_t seq, uint64_t token, bool lists, uint64_t *orders)
 {
     GByteArray *b = g_byte_array_new(), *out = g_byte_array_new();
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     guint n = lists ? of->attempts->len : 0;
 
-    lmn_put_map(b, 9);
-    lmn_put_text(b, W_MACHINE), lmn_put_text(b, name);
-    lmn_put_text(b, W_ADDR), lmn_put_text(b, "10.0.0.9:1");
-    lmn_put_text(b, W_TYPE), lmn_put_text(b, "x");
-    lmn_put_text(b, W_ZONE), lmn_put_text(b, "a");
-    lmn_put_text(b, W_SPOT), lmn_put_truth(b, false);
-    lmn_put_text(b, W_SESSION), lmn_put_count(b, session);
-    lmn_put_text(b, W_SEQ), lmn_put_count(b, seq);
-    lmn_put_text(b, W_TOKEN), lmn_put_count(b, token);
-    lmn_put_text(b, W_TASKS), lmn_put_list(b, n);
+    lmn_cbor_put_map(b, 9);
+    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, name);
+    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, "10.0.0.9:1");
+    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "x");
+    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, "a");
+    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, false);
+    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, session);
+    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, seq);
+    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, token);
+    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, n);
     for (guint i = 0; i < n; i++) {
         const struct lmn_attempt *a = &g_array_index(of->attempts, struct lmn_attempt, i);
         char task[64];
         g_snprintf(task, sizeof task, "%s/%u", a->ref, a->index);
-        lmn_put_map(b, 3);
-        lmn_put_text(b, W_TASK), lmn_put_text(b, task);
-        lmn_put_text(b, W_ATTEMPT), lmn_put_count(b, a->number);
-        lmn_put_text(b, W_STATE), lmn_put_text(b, W_FETCHING);
+        lmn_cbor_put_map(b, 3);
+        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, task);
+        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, a->number);
+        lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, W_FETCHING);
     }
     core->members.fresh = core->members.tick = core->fresh = now;
     int status = lmn_worker_report(core, b->data, b->len, out, &last_held, now);
     *orders = 0;
-    if (status == 200 && lmn_doc_parse(&d, out->data, out->len) == 0) {
-        *orders = lmn_get(&d, lmn_root(&d), W_COMMANDS)->len;
-        lmn_doc_free(&d);
+    if (status == 200 && lmn_cbor_parse(&d, out->data, out->len) == 0) {
+        *orders = lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS)->len;
+        lmn_cbor_free(&d);
     }
     g_byte_array_unref(b);
     if (answered)
@@ -565,14 +565,15 @@
 /* How many commands of the kind the answer has. */
 static unsigned commands(const GByteArray *out, const char *op)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     unsigned n = 0;
 
-    assert_int_equal(lmn_doc_parse(&d, out->data, out->len), 0);
-    const struct lmn_node *list = lmn_get(&d, lmn_root(&d), W_COMMANDS);
-    for (const struct lmn_node *x = lmn_child(&d, list); x; x = lmn_next(&d, x))
-        n += lmn_is(lmn_get(&d, x, W_OP), op);
-    lmn_doc_free(&d);
+    assert_int_equal(lmn_cbor_parse(&d, out->data, out->len), 0);
+    const struct lmn_cbor_value *list = lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS);
+    for (const struct lmn_cbor_value *x = lmn_cbor_first_child(&d, list); x;
+         x = lmn_cbor_next(&d, x))
+        n += lmn_cbor_text_equals(lmn_cbor_get(&d, x, W_OP), op);
+    lmn_cbor_free(&d);
     return n;
 }
 
@@ -777,18 +778,18 @@
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
         GByteArray *b = g_byte_array_new(), *out = g_byte_array_new();
         struct lmn_held held;
-        lmn_put_map(b, 8);
-        lmn_put_text(b, W_MACHINE), lmn_put_text(b, m->name);
-        lmn_put_text(b, W_ADDR), lmn_put_text(b, "10.0.0.9:1");
-        lmn_put_text(b, W_TYPE), lmn_put_text(b, "x");
-        lmn_put_text(b, W_ZONE), lmn_put_text(b, "a");
-        lmn_put_text(b, W_SESSION), lmn_put_count(b, 2);
-        lmn_put_text(b, W_SEQ), lmn_put_count(b, seq + 1);
-        lmn_put_text(b, W_TOKEN), lmn_put_count(b, 1);
-        lmn_put_text(b, W_TASKS), lmn_put_list(b, 1);
-        lmn_put_map(b, 2);
-        lmn_put_text(b, W_TASK), lmn_put_text(b, bad[i]);
-        lmn_put_text(b, W_ATTEMPT), lmn_put_count(b, 1);
+        lmn_cbor_put_map(b, 8);
+        lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, m->name);
+        lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, "10.0.0.9:1");
+        lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "x");
+        lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, "a");
+        lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, 2);
+        lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, seq + 1);
+        lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, 1);
+        lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, 1);
+        lmn_cbor_put_map(b, 2);
+        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, bad[i]);
+        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, 1);
         assert_int_equal(lmn_worker_report(core, b->data, b->len, out, &held, now), 400);
         assert_non_null(memmem(out->data, out->len, W_TASKS, strlen(W_TASKS)));
         g_byte_array_unref(b);
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -39,12 +39,13 @@
 /* Where a worker turns that was not answered: to the node that was named, or the next. */
 static int sent_on(const struct machine *m, int status, const GByteArray *answer)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     char name[LMN_NAME] = "";
 
-    if (status == 421 && lmn_doc_parse(&d, answer->data, answer->len) == 0) {
-        lmn_text(lmn_get(&d, lmn_root(&d), W_REPORT_TO), name, sizeof name);
-        lmn_doc_free(&d);
+    if (status == 421 && lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REPORT_TO), name,
+                          sizeof name);
+        lmn_cbor_free(&d);
     }
     return *name ? atoi(name + 1) : (m->node + 1) % w.layout.nodes;
 }
@@ -138,7 +139,7 @@
 
     if (w.broken == G_REPORTED && p->mine) {
         g_byte_array_set_size(x->body, x->token_at);
-        lmn_put_count(x->body, p->my_term);
+        lmn_cbor_put_uint(x->body, p->my_term);
     }
     int status =
         lmn_worker_report(n->core, x->body->data, x->body->len, out, held, w.clock);
--- a/tests/world/machines.c
+++ b/tests/world/machines.c
@@ -41,30 +41,31 @@
 {
     static const char *const states[] = {W_FETCHING, W_RUNNING, W_ENDED};
 
-    lmn_put_map(b, 10);
-    lmn_put_text(b, W_MACHINE), lmn_put_text(b, m->name);
-    lmn_put_text(b, W_ADDR), lmn_put_text(b, "10.0.0.1:9000");
-    lmn_put_text(b, W_TYPE), lmn_put_text(b, "t");
-    lmn_put_text(b, W_ZONE), lmn_put_text(b, m->zone);
-    lmn_put_text(b, W_SPOT), lmn_put_truth(b, m->spot);
-    lmn_put_text(b, W_SESSION), lmn_put_count(b, m->session);
-    lmn_put_text(b, W_SEQ), lmn_put_count(b, ++m->seq);
-    lmn_put_text(b, W_NOTICE), lmn_put_null(b);
-    lmn_put_text(b, W_TASKS), lmn_put_list(b, (size_t)m->ntasks);
+    lmn_cbor_put_map(b, 10);
+    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, m->name);
+    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, "10.0.0.1:9000");
+    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "t");
+    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, m->zone);
+    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, m->spot);
+    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, m->session);
+    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, ++m->seq);
+    lmn_cbor_put_text(b, W_NOTICE), lmn_cbor_put_null(b);
+    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, (size_t)m->ntasks);
     for (int i = 0; i < m->ntasks; i++) {
         const struct task *t = &m->tasks[i];
         char name[64];
         g_snprintf(name, sizeof name, "%s/%d", w.jobs[t->job].ref, t->index);
-        lmn_put_map(b, t->state == ENDED ? 4 : 3);
-        lmn_put_text(b, W_TASK), lmn_put_text(b, name);
-        lmn_put_text(b, W_ATTEMPT), lmn_put_count(b, t->attempt);
-        lmn_put_text(b, W_STATE), lmn_put_text(b, states[t->state]);
+        lmn_cbor_put_map(b, t->state == ENDED ? 4 : 3);
+        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, name);
+        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, t->attempt);
+        lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, states[t->state]);
         if (t->state == ENDED)
-            lmn_put_text(b, W_WHY), lmn_put_text(b, t->done ? W_DONE : W_STOPPED);
+            lmn_cbor_put_text(b, W_WHY),
+                lmn_cbor_put_text(b, t->done ? W_DONE : W_STOPPED);
     }
-    lmn_put_text(b, W_TOKEN);
+    lmn_cbor_put_text(b, W_TOKEN);
     guint token_at = b->len;
-    lmn_put_count(b, m->token);
+    lmn_cbor_put_uint(b, m->token);
     return token_at;
 }
 
@@ -110,14 +111,15 @@
     m->up_at = 0;
 }
 
-static void obey(struct machine *m, const struct lmn_doc *d,
-                 const struct lmn_node *orders)
+static void obey(struct machine *m, const struct lmn_cbor_document *d,
+                 const struct lmn_cbor_value *orders)
 {
-    for (const struct lmn_node *n = lmn_child(d, orders); n; n = lmn_next(d, n)) {
+    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, orders); n;
+         n = lmn_cbor_next(d, n)) {
         char name[64];
         uint64_t attempt = 0;
-        assert_true(lmn_text(lmn_get(d, n, W_TASK), name, sizeof name));
-        assert_true(lmn_count(lmn_get(d, n, W_ATTEMPT), &attempt));
+        assert_true(lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), name, sizeof name));
+        assert_true(lmn_cbor_get_uint(lmn_cbor_get(d, n, W_ATTEMPT), &attempt));
         char *slash = strrchr(name, '/');
         *slash = '\0';
         int job = world_job(name), index = atoi(slash + 1), at = -1;
@@ -132,7 +134,7 @@
                     same_task = true;
             }
         }
-        if (lmn_is(lmn_get(d, n, W_OP), W_START)) {
+        if (lmn_cbor_text_equals(lmn_cbor_get(d, n, W_OP), W_START)) {
             if (at >= 0 || m->ntasks == 64)
                 continue;
             struct task *t = &m->tasks[m->ntasks++];
@@ -140,7 +142,7 @@
                                FETCHING, false, w.now + g_rand_double_range(w.r, 0, 0.5)};
             if (same_task)
                 t->state = ENDED; /* busy */
-        } else if (lmn_is(lmn_get(d, n, W_OP), W_KILL)) {
+        } else if (lmn_cbor_text_equals(lmn_cbor_get(d, n, W_OP), W_KILL)) {
             bool ours = attempt >> 24 == m->token;
             if (at >= 0 && m->tasks[at].state != ENDED &&
                 (ours || w.broken != G_INHERITED))
@@ -153,7 +155,7 @@
 
 void machine_answer(struct machine *m, const struct message *x)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t token = 0;
 
     digest_message("answer", w.clock);
@@ -166,9 +168,9 @@
         return;
     m->in_flight = false;
     m->next_report = w.now + g_rand_double_range(w.r, 0.75, 1.25);
-    if (lmn_doc_parse(&d, x->body->data, x->body->len) != 0)
+    if (lmn_cbor_parse(&d, x->body->data, x->body->len) != 0)
         return;
-    lmn_count(lmn_get(&d, lmn_root(&d), W_TOKEN), &token);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
     if (token >= m->token && token) {
         bool kills = w.broken != G_KILLS || token == m->token;
         if (token > m->token)
@@ -176,9 +178,9 @@
         m->token = token;
         m->lease_from = m->answer_by - 4; /* when the report was sent */
         if (kills)
-            obey(m, &d, lmn_get(&d, lmn_root(&d), W_COMMANDS));
+            obey(m, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS));
     }
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
 }
 
 /* Whether a direct command is of the newest term, and for this session. */
@@ -196,19 +198,19 @@
 
 int machine_direct(struct machine *m, const GByteArray *body, GByteArray *report)
 {
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     uint64_t token = 0, session = 0;
     int status = 409;
 
-    assert_int_equal(lmn_doc_parse(&d, body->data, body->len), 0);
-    lmn_count(lmn_get(&d, lmn_root(&d), W_TOKEN), &token);
-    lmn_count(lmn_get(&d, lmn_root(&d), W_SESSION), &session);
+    assert_int_equal(lmn_cbor_parse(&d, body->data, body->len), 0);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SESSION), &session);
     if (command_counts(m, token, session)) {
         m->token = MAX(m->token, token);
-        obey(m, &d, lmn_get(&d, lmn_root(&d), W_COMMANDS));
+        obey(m, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS));
         status = 200;
     }
-    lmn_doc_free(&d);
+    lmn_cbor_free(&d);
     if (report)
         put_report(m, report);
     digest_message("command", w.clock);
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -112,12 +112,13 @@
     struct timespec fresh = lmn_after((struct timespec){0, 0}, asked);
     for (; n->seen < upto; n->seen++) {
         const struct event *e = w.log->pdata[n->seen];
-        struct lmn_doc d = {0};
+        struct lmn_cbor_document d = {0};
         if (e->value)
-            assert_int_equal(lmn_doc_parse(&d, e->value->data, e->value->len), 0);
-        lmn_mirror_apply(c, e->key, &d, e->value ? lmn_root(&d) : NULL, e->rev, w.clock);
+            assert_int_equal(lmn_cbor_parse(&d, e->value->data, e->value->len), 0);
+        lmn_mirror_apply(c, e->key, &d, e->value ? lmn_cbor_root(&d) : NULL, e->rev,
+                         w.clock);
         if (e->value)
-            lmn_doc_free(&d);
+            lmn_cbor_free(&d);
     }
     c->fresh = fresh;
     lmn_members_fresh(&c->members, fresh);
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -275,10 +275,10 @@
             lmn_probe_outcome(n->core, name, term, 200, answer, w.clock);
             continue;
         }
-        lmn_put_map(body, 3);
-        lmn_put_text(body, W_TOKEN), lmn_put_count(body, term);
-        lmn_put_text(body, W_SESSION), lmn_put_count(body, m->session);
-        lmn_put_text(body, W_COMMANDS), lmn_put_list(body, 0);
+        lmn_cbor_put_map(body, 3);
+        lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, term);
+        lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, m->session);
+        lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
         int status = held_up(m, body) ? LMN_NO_ANSWER : machine_direct(m, body, answer);
         lmn_probe_outcome(n->core, name, term, status, answer, w.clock);
     }
--- a/tests/world/serving.c
+++ b/tests/world/serving.c
@@ -339,7 +339,7 @@
         s.cpus = 1000;
     if (q->form == LACKS_FIELD)
         s.class_name = (char *)"";
-    lmn_put_map(b, lmn_spec_pairs());
+    lmn_cbor_put_map(b, lmn_spec_pairs());
     lmn_spec_put(b, &s);
     return b;
 }
--- a/tests/world/store.c
+++ b/tests/world/store.c
@@ -257,14 +257,14 @@
                               double *at)
 {
     char key[64];
-    struct lmn_doc d;
+    struct lmn_cbor_document d;
     enum lmn_phase phase;
 
     g_snprintf(key, sizeof key, "j/%s", j->ref);
     const struct item *it = g_hash_table_lookup(w.store, key);
-    assert_int_equal(lmn_doc_parse(&d, it->value->data, it->value->len), 0);
-    assert_int_equal(lmn_job_read(&d, lmn_root(&d), s, &phase, open, at), 0);
-    lmn_doc_free(&d);
+    assert_int_equal(lmn_cbor_parse(&d, it->value->data, it->value->len), 0);
+    assert_int_equal(lmn_job_read(&d, lmn_cbor_root(&d), s, &phase, open, at), 0);
+    lmn_cbor_free(&d);
     return phase;
 }
 
