--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -75,13 +75,13 @@
         unsigned k = 0;
         pthread_mutex_lock(&b.lock);
         for (; k < BATCH && n < jobs; k++, n++) {
-            struct lmn_spec s = {.class_name = (char *)"c",
-                                 .team = (char *)"t",
-                                 .image = (char *)"none",
-                                 .tasks = 20,
-                                 .cpus = 1,
-                                 .estimate_s = 5,
-                                 .deadline_s = -1};
+            struct lmn_job_spec s = {.class_name = (char *)"c",
+                                     .team = (char *)"t",
+                                     .image = (char *)"none",
+                                     .tasks = 20,
+                                     .cpus = 1,
+                                     .estimate_s = 5,
+                                     .deadline_s = -1};
             g_snprintf(s.ref, sizeof s.ref, W_JOB_PREFIX "%09u", n);
             w[k] = (struct lmn_write){0};
             if (side == 0) {
@@ -125,18 +125,18 @@
 
 static double submit(struct lmn_http *h, unsigned n)
 {
-    struct lmn_spec s = {.class_name = (char *)"c",
-                         .team = (char *)"t",
-                         .image = (char *)"none",
-                         .tasks = 1,
-                         .cpus = 1,
-                         .deadline_s = -1};
+    struct lmn_job_spec s = {.class_name = (char *)"c",
+                             .team = (char *)"t",
+                             .image = (char *)"none",
+                             .tasks = 1,
+                             .cpus = 1,
+                             .deadline_s = -1};
     GByteArray *b = g_byte_array_new(), *in = g_byte_array_new();
     struct timespec begun = lmn_now();
 
     g_snprintf(s.ref, sizeof s.ref, W_JOB_PREFIX "9%09u", n);
-    lmn_cbor_put_map(b, lmn_spec_pairs());
-    lmn_spec_put(b, &s);
+    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
+    lmn_job_spec_write(b, &s);
     int status = lmn_http_call(h, "POST", P_JOBS, b, 10, in);
     g_byte_array_unref(b);
     g_byte_array_unref(in);
--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -71,8 +71,8 @@
     char *argv[] = {(char *)"true", NULL}, *env[] = {NULL};
     struct lmn_job_state s;
 
-    g_snprintf(ref, LMN_REF, W_JOB_PREFIX "%09u%06u", g_random_int() % 1000000000u,
-               jobs++);
+    g_snprintf(ref, LMN_JOB_ID_SIZE, W_JOB_PREFIX "%09u%06u",
+               g_random_int() % 1000000000u, jobs++);
     GByteArray *body = bench_describe(users.depot, ref, tasks, estimate, argv, env);
     struct timespec begun = lmn_now();
     int status = lmn_users_call(&users, "POST", P_JOBS, body, 60, &s);
@@ -160,7 +160,7 @@
  * beside it. */
 static struct result work(unsigned workers)
 {
-    char ref[LMN_REF], small[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE], small[LMN_JOB_ID_SIZE];
     struct result r = {0};
     uint32_t tasks = MIN(workers * CPUS * WAVES, 100000u), done = 0;
     struct timespec begun = lmn_now();
@@ -214,7 +214,7 @@
 {
     struct lmn_settings s = {.max_connections = sockets, .nmembers = NODES - 1};
     struct lmn_socket_plan p;
-    char err[256], ref[LMN_REF];
+    char err[256], ref[LMN_JOB_ID_SIZE];
     int pid = 0;
 
     lmn_connection_budget_init(&s, &p);
--- a/bench/failover.c
+++ b/bench/failover.c
@@ -253,10 +253,10 @@
 static bool submit(uint32_t tasks, double estimate_s)
 {
     static unsigned jobs;
-    char *argv[] = {(char *)"true", NULL}, *env[] = {NULL}, ref[LMN_REF];
+    char *argv[] = {(char *)"true", NULL}, *env[] = {NULL}, ref[LMN_JOB_ID_SIZE];
     struct lmn_job_state s;
 
-    g_snprintf(ref, LMN_REF, W_JOB_PREFIX "%09u%06u",
+    g_snprintf(ref, LMN_JOB_ID_SIZE, W_JOB_PREFIX "%09u%06u",
                (unsigned)g_random_int() % 1000000000u, jobs++);
     GByteArray *body = bench_describe(users.depot, ref, tasks, estimate_s, argv, env);
     int status = lmn_users_call(&users, "POST", P_JOBS, body, 60, &s);
--- a/bench/gateway.c
+++ b/bench/gateway.c
@@ -43,7 +43,7 @@
 };
 
 struct job {
-    char ref[LMN_REF], state[16];
+    char ref[LMN_JOB_ID_SIZE], state[16];
     int home;
     uint32_t tasks;
     bool cancel, told;
--- a/bench/rehearsal.c
+++ b/bench/rehearsal.c
@@ -29,7 +29,7 @@
                                          "worker", "keeper", "supervisor"};
 
 struct job {
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     uint32_t tasks;
     bool cancel; /* its user has asked */
     double told; /* when the user was told that it is cancelled; 0: not */
--- a/bench/retention.c
+++ b/bench/retention.c
@@ -35,18 +35,18 @@
 
     struct lmn_core *c = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
     for (unsigned long n = 0; n < jobs; n++) {
-        struct lmn_spec s = {.class_name = (char *)"shift-settlement",
-                             .team = (char *)"t",
-                             .image = (char *)"img-07",
-                             .tasks = 20,
-                             .cpus = 1,
-                             .deadline_s = -1};
+        struct lmn_job_spec s = {.class_name = (char *)"shift-settlement",
+                                 .team = (char *)"t",
+                                 .image = (char *)"img-07",
+                                 .tasks = 20,
+                                 .cpus = 1,
+                                 .deadline_s = -1};
         char key[64];
         g_snprintf(s.ref, sizeof s.ref, "run-%09lu", n);
         g_snprintf(key, sizeof key, "j/%s", s.ref);
         for (int final = 0; final < 2; final++) {
             GByteArray *b =
-                lmn_job_record(&s, final ? LMN_FINISHED : LMN_ACTIVE, !final, 1);
+                lmn_job_record(&s, final ? LMN_JOB_DONE : LMN_JOB_ACTIVE, !final, 1);
             struct lmn_cbor_document d;
             if (lmn_cbor_parse(&d, b->data, b->len) != 0)
                 return 1;
--- a/bench/site.c
+++ b/bench/site.c
@@ -63,14 +63,14 @@
     g_free(text);
 }
 
-/* Submits; seconds that the submission took. ref: LMN_REF. */
+/* Submits; seconds that the submission took. ref: LMN_JOB_ID_SIZE. */
 static double submit(char *ref, uint32_t tasks, double estimate)
 {
     char *argv[] = {(char *)"true", NULL}, *env[] = {NULL};
     struct lmn_job_state s;
 
-    g_snprintf(ref, LMN_REF, W_JOB_PREFIX "%09u%06u", g_random_int() % 1000000000u,
-               jobs++);
+    g_snprintf(ref, LMN_JOB_ID_SIZE, W_JOB_PREFIX "%09u%06u",
+               g_random_int() % 1000000000u, jobs++);
     GByteArray *body = bench_describe(users.depot, ref, tasks, estimate, argv, env);
     struct timespec begun = lmn_now();
     int status = lmn_users_call(&users, "POST", P_JOBS, body, 60, &s);
@@ -104,7 +104,7 @@
 
 static void measure(unsigned workers, double estimate)
 {
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     uint32_t tasks = MIN(workers * CPUS * (estimate > 0 ? 12u : 24u), 30000u);
     struct timespec begun = lmn_now();
 
@@ -120,7 +120,7 @@
 
 int main(int argc, char **argv)
 {
-    char err[256], ref[LMN_REF];
+    char err[256], ref[LMN_JOB_ID_SIZE];
 
     if (argc < 3) {
         fprintf(stderr, "usage: bench_site BASE_PORT WORKERS...\n");
--- a/bench/submit.h
+++ b/bench/submit.h
@@ -17,23 +17,23 @@
     struct lmn_depot_error e;
     char digest[LMN_DIGEST];
 
-    w.spec = (struct lmn_spec){.class_name = (char *)"c",
-                               .team = (char *)"t",
-                               .image = (char *)LMN_NO_IMAGE,
-                               .urgency = LMN_NORMAL,
-                               .tasks = tasks,
-                               .cpus = 1,
-                               .mem = 0.1,
-                               .estimate_s = estimate_s,
-                               .deadline_s = -1};
+    w.spec = (struct lmn_job_spec){.class_name = (char *)"c",
+                                   .team = (char *)"t",
+                                   .image = (char *)LMN_NO_IMAGE,
+                                   .urgency = LMN_PRIORITY_NORMAL,
+                                   .tasks = tasks,
+                                   .cpus = 1,
+                                   .mem = 0.1,
+                                   .estimate_s = estimate_s,
+                                   .deadline_s = -1};
     g_strlcpy(w.spec.ref, ref, sizeof w.spec.ref);
     GByteArray *blob = lmn_work_put(&w), *body = g_byte_array_new();
     while (lmn_depot_put(depot, blob, digest, &e) != 0 ||
            lmn_depot_name(depot, LMN_DEPOT_JOB, ref, digest, &e) != 0)
         lmn_sleep(0.1);
     g_byte_array_unref(blob);
-    lmn_cbor_put_map(body, lmn_spec_pairs());
-    lmn_spec_put(body, &w.spec);
+    lmn_cbor_put_map(body, lmn_job_spec_pair_count());
+    lmn_job_spec_write(body, &w.spec);
     return body;
 }
 
--- a/src/admission/worker_hosts.c
+++ b/src/admission/worker_hosts.c
@@ -8,7 +8,7 @@
 /* 0: no host that counts. */
 static guint32 host_of(const struct lmn_hosts *h, const char *addr)
 {
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     struct in_addr a;
     int port;
 
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -179,7 +179,7 @@
 {
     static const char *const kinds[] = {"batch", "service", NULL};
     static const char *const urgencies[] = {"idle", "normal", "high", "prod", NULL};
-    struct lmn_spec *s = &w->spec;
+    struct lmn_job_spec *s = &w->spec;
     int kind = one_of("--kind", q->kind, kinds);
     int urgency = kind < 0 ? -1 : one_of("--urgency", q->urgency, urgencies);
 
@@ -200,7 +200,7 @@
     else
         g_snprintf(s->ref, sizeof s->ref, W_JOB_PREFIX "%09u%09u",
                    g_random_int() % 1000000000u, g_random_int() % 1000000000u);
-    if (!lmn_ref_ok(s->ref))
+    if (!lmn_job_id_is_valid(s->ref))
         return lmn_cli_fail(
             -1, "--ref: '%s': expected " W_JOB_PREFIX " and up to 19 digits", s->ref);
     s->class_name = g_strdup(q->class_name);
@@ -208,8 +208,8 @@
     s->image = g_strdup(q->image);
     s->zone = g_strdup(q->zone);
     s->types = q->types ? g_strdupv(q->types) : NULL;
-    s->kind = (enum lmn_kind)kind;
-    s->urgency = (enum lmn_urgency)urgency;
+    s->kind = (enum lmn_job_kind)kind;
+    s->urgency = (enum lmn_priority)urgency;
     s->tasks = (uint32_t)q->tasks;
     s->cpus = q->cpus;
     s->gpus = q->gpus;
@@ -239,8 +239,8 @@
         return lmn_cli_fail(
             LMN_EXIT_FAILED, "%s%s", e.what,
             e.status == 409 ? ": this job was submitted with another description" : "");
-    lmn_cbor_put_map(body, lmn_spec_pairs());
-    lmn_spec_put(body, &w->spec);
+    lmn_cbor_put_map(body, lmn_job_spec_pair_count());
+    lmn_job_spec_write(body, &w->spec);
     int status = lmn_users_call(u, "POST", P_JOBS, body, 60, &s);
     g_byte_array_unref(blob);
     g_byte_array_unref(body);
@@ -496,7 +496,7 @@
         return rc;
     char **part = g_strsplit(argv[1], "/", 2);
     char *task = part[1] ? g_strdup_printf("%s.", part[1]) : g_strdup("");
-    if (!lmn_ref_ok(part[0]))
+    if (!lmn_job_id_is_valid(part[0]))
         return lmn_cli_fail(LMN_EXIT_USAGE, "%s: no job's id", part[0]);
     g_snprintf(path, sizeof path, "/logs/%s", part[0]);
     GPtrArray *names = names_at(u.depot, path, &status);
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -20,7 +20,7 @@
 #include <unistd.h>
 
 struct fleet_options {
-    char listen[LMN_ADDR], data[512], inventory[512];
+    char listen[LMN_ADDRESS_SIZE], data[512], inventory[512];
     double rps;
     bool emulated;
     struct lmn_local_options local;
--- a/src/cli/users.c
+++ b/src/cli/users.c
@@ -11,7 +11,7 @@
                    const char *depot, char *err, size_t len)
 {
     static struct lmn_site s;
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     int port;
 
     memset(u, 0, sizeof *u);
--- a/src/cli/users.h
+++ b/src/cli/users.h
@@ -15,7 +15,7 @@
 
 /* What a job's answer says. */
 struct lmn_job_state {
-    char ref[LMN_REF], state[16];
+    char ref[LMN_JOB_ID_SIZE], state[16];
     uint64_t done, running;
 };
 
--- a/src/config/config.c
+++ b/src/config/config.c
@@ -104,24 +104,25 @@
 {
     const char *t = lmn_conf_text(c, path, def);
     size_t n = strlen(t);
-    bool ok = n > 0 && n < LMN_NAME;
+    bool ok = n > 0 && n < LMN_NAME_SIZE;
 
     for (size_t i = 0; i < n; i++)
         ok = ok && (g_ascii_isalnum(t[i]) || strchr("-_.", t[i]));
     if (!ok)
         lmn_conf_fail(c, path,
                       "expected a name of 1 to %d letters, digits, '-', '_' and '.'",
-                      LMN_NAME - 1);
+                      LMN_NAME_SIZE - 1);
     return t;
 }
 
 const char *lmn_conf_addr(struct lmn_conf *c, const char *path, const char *def)
 {
     const char *t = lmn_conf_text(c, path, def);
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     int port;
 
-    if (*t && (strlen(t) >= LMN_ADDR || lmn_addr_split(t, host, sizeof host, &port) != 0))
+    if (*t && (strlen(t) >= LMN_ADDRESS_SIZE ||
+               lmn_addr_split(t, host, sizeof host, &port) != 0))
         lmn_conf_fail(c, path,
                       "expected an IPv4 address and a port, as in 127.0.0.1:8080");
     return t;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -6,8 +6,8 @@
 #include <stddef.h>
 
 enum {
-    LMN_NAME = 64,
-    LMN_ADDR = 64,
+    LMN_NAME_SIZE = 64,
+    LMN_ADDRESS_SIZE = 64,
     LMN_MAX_MEMBERS = 32, /* others than the node itself */
     LMN_MAX_PARTS = LMN_MAX_MEMBERS + 1,
     /* Refuses files that can't be meant. Nothing is set aside for it: what is kept by
@@ -17,12 +17,12 @@
 };
 
 struct lmn_member {
-    char name[LMN_NAME], zone[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
 };
 
 /* An amount of 0 means that there is no such guarantee or no such limit. */
 struct lmn_team {
-    char name[LMN_NAME];
+    char name[LMN_NAME_SIZE];
     double cpus, cpus_max, gpus, gpus_max;
 };
 
@@ -31,13 +31,14 @@
 enum lmn_objective_kind { LMN_WAIT, LMN_FINISH, LMN_DEADLINE, LMN_GUARANTEE };
 struct lmn_objective {
     enum lmn_objective_kind kind;
-    char class_name[LMN_NAME];
+    char class_name[LMN_NAME_SIZE];
     double within_s, times, share;
 };
 
 struct lmn_settings {
-    char node[LMN_NAME], zone[LMN_NAME], listen[LMN_ADDR], peer_listen[LMN_ADDR];
-    char cloud[LMN_ADDR], state[LMN_ADDR];
+    char node[LMN_NAME_SIZE], zone[LMN_NAME_SIZE], listen[LMN_ADDRESS_SIZE],
+        peer_listen[LMN_ADDRESS_SIZE];
+    char cloud[LMN_ADDRESS_SIZE], state[LMN_ADDRESS_SIZE];
     struct lmn_member members[LMN_MAX_MEMBERS];
     size_t nmembers;
     struct lmn_team *teams; /* lmn_settings_free */
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -40,9 +40,9 @@
 
 void addr(const toml::table &t, const std::string &at, const char *key, char *out)
 {
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     int port;
-    text(t, at, key, out, LMN_ADDR);
+    text(t, at, key, out, LMN_ADDRESS_SIZE);
     if (lmn_addr_split(out, host, sizeof host, &port) != 0)
         throw wrong(at + key +
                     ": expected an IPv4 address and a port, as in 10.0.0.1:8080");
@@ -152,7 +152,7 @@
     });
     each(p, "params.", "objectives", [&](const toml::table &m, const std::string &at) {
         static const char *const kinds[] = {"wait", "finished", "deadline", "guarantee"};
-        char kind[LMN_NAME] = "";
+        char kind[LMN_NAME_SIZE] = "";
         lmn_objective d = {};
         text(m, at, "kind", kind, sizeof kind);
         text(m, at, "class", d.class_name, sizeof d.class_name, false);
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -12,7 +12,7 @@
 
 static void count_range(struct tasks *t, const struct lmn_range *r)
 {
-    if (r->job->phase != LMN_ACTIVE || !r->st)
+    if (r->job->phase != LMN_JOB_ACTIVE || !r->st)
         return;
     for (uint32_t i = 0; i < r->hi - r->lo; i++) {
         t->queued += r->st[i] == LMN_T_QUEUED;
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -7,7 +7,7 @@
 struct lmn_pending {
     struct lmn_core *core;
     struct lmn_call *call; /* NULL: it has its reply */
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     struct timespec since;
     struct lmn_txn *twin; /* the transaction once more; NULL: it was sent */
     unsigned in_flight;   /* transactions whose outcome is not known yet */
@@ -57,7 +57,7 @@
     struct lmn_decision d = lmn_decide_submitted(outcome);
     bool known = outcome == LMN_OK || outcome == LMN_CONFLICT;
     double took = lmn_since(lmn_now(), p->since);
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     (void)t;
     (void)rev;
 
@@ -76,7 +76,7 @@
 }
 
 void lmn_pending_submit(struct lmn_core *c, struct lmn_call *call,
-                        const struct lmn_spec *s)
+                        const struct lmn_job_spec *s)
 {
     struct lmn_pending *p = g_new0(struct lmn_pending, 1);
 
@@ -137,7 +137,7 @@
 {
     struct due {
         struct lmn_call *call;
-        char ref[LMN_REF];
+        char ref[LMN_JOB_ID_SIZE];
     };
     GArray *due = g_array_new(FALSE, FALSE, sizeof(struct due));
     const struct lmn_decision confirm = {.step = LMN_STEP_CONFIRM, .absent_status = 503};
--- a/src/controller/pending_submission.h
+++ b/src/controller/pending_submission.h
@@ -19,6 +19,6 @@
 void lmn_pending_start(struct lmn_core *c, lmn_pending_reply *reply);
 /* Takes over the call, which is held, and sends the transaction that accepts the job. */
 void lmn_pending_submit(struct lmn_core *c, struct lmn_call *call,
-                        const struct lmn_spec *s);
+                        const struct lmn_job_spec *s);
 
 #endif
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -143,7 +143,7 @@
 {
     /* It has just answered. Whoever stands still now must not hold up the questions. */
     const struct timeval wait = {0, 250000};
-    char ref[LMN_RPC_MAX_ITEMS][LMN_REF];
+    char ref[LMN_RPC_MAX_ITEMS][LMN_JOB_ID_SIZE];
     const char *refs[LMN_RPC_MAX_ITEMS];
     lmn_rpc_job_id jobs[LMN_RPC_MAX_ITEMS];
     lmn_rpc_tombstones x = {{0, jobs}};
@@ -154,7 +154,7 @@
     x.jobs.jobs_len =
         lmn_tombstones_for(&c->tombstones, rank, refs, G_N_ELEMENTS(refs), &upto);
     for (u_int i = 0; i < x.jobs.jobs_len; i++) {
-        g_strlcpy(ref[i], refs[i], LMN_REF);
+        g_strlcpy(ref[i], refs[i], LMN_JOB_ID_SIZE);
         jobs[i].ref = ref[i];
     }
     pthread_mutex_unlock(&c->lock);
--- a/src/controller/read_batch.h
+++ b/src/controller/read_batch.h
@@ -18,7 +18,7 @@
 struct lmn_query {
     enum lmn_query_kind kind;
     struct lmn_call *call;
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     int absent_status; /* the answer if there is no such job */
     struct timespec since;
     struct lmn_query *next; /* who asks the same */
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -18,7 +18,8 @@
     return (struct lmn_reply){.status = status, .error = error};
 }
 
-static struct lmn_reply job_state(enum lmn_phase phase, uint32_t done, uint32_t running)
+static struct lmn_reply job_state(enum lmn_job_phase phase, uint32_t done,
+                                  uint32_t running)
 {
     return (struct lmn_reply){.status = 200,
                               .shows_job = true,
@@ -42,9 +43,9 @@
 
 static const char *state_word(const struct lmn_reply *r)
 {
-    if (r->phase == LMN_FINISHED)
+    if (r->phase == LMN_JOB_DONE)
         return W_DONE;
-    if (r->phase == LMN_WITHDRAWN)
+    if (r->phase == LMN_JOB_CANCELLED)
         return W_WITHDRAWN;
     return r->running || r->done ? W_RUNNING : W_QUEUED;
 }
@@ -84,9 +85,9 @@
         left += r->hi - r->lo - (r->st ? r->nfinished : r->ndone);
         *running += r->nstarted;
     }
-    *done = j->phase == LMN_FINISHED ? j->spec.tasks
+    *done = j->phase == LMN_JOB_DONE ? j->spec.tasks
                                      : j->spec.tasks - MIN(left, j->spec.tasks);
-    if (j->phase != LMN_ACTIVE)
+    if (j->phase != LMN_JOB_ACTIVE)
         *running = 0;
 }
 
@@ -106,7 +107,7 @@
 
 static bool is_final(const struct lmn_view *v)
 {
-    return v->rev && v->reply.phase != LMN_ACTIVE;
+    return v->rev && v->reply.phase != LMN_JOB_ACTIVE;
 }
 
 static void job_key(char *key, size_t len, const char *ref)
@@ -179,7 +180,7 @@
 {
     struct lmn_view v;
 
-    if (!lmn_ref_ok(ref)) {
+    if (!lmn_job_id_is_valid(ref)) {
         *reply = plain(404, 0);
         return true;
     }
@@ -252,7 +253,7 @@
         return reply_now(plain(503, 2));
     if (is_blind(c, now))
         return reply_now(plain(503, lmn_retry_after(1, c->rng)));
-    if (!lmn_spec_possible(&s->spec, c->cfg, &c->types, &why)) {
+    if (!lmn_job_spec_is_feasible(&s->spec, c->cfg, &c->types, &why)) {
         lmn_debug("job-impossible job=%s why=\"%s\"", s->spec.ref, why);
         return next_step(LMN_STEP_CONFIRM, 422);
     }
@@ -261,7 +262,7 @@
 
 struct lmn_decision lmn_decide_submitted(enum lmn_outcome outcome)
 {
-    struct lmn_reply accepted = job_state(LMN_ACTIVE, 0, 0);
+    struct lmn_reply accepted = job_state(LMN_JOB_ACTIVE, 0, 0);
 
     switch (outcome) {
     case LMN_OK:
@@ -318,13 +319,13 @@
 
 void lmn_reading_clear(struct lmn_job_reading *r)
 {
-    lmn_spec_clear(&r->spec);
+    lmn_job_spec_clear(&r->spec);
 }
 
 /* Of a job's record that has ended. */
 static struct lmn_reply ended(const struct lmn_job_reading *r)
 {
-    return job_state(r->phase, r->phase == LMN_FINISHED ? r->spec.tasks : 0, 0);
+    return job_state(r->phase, r->phase == LMN_JOB_DONE ? r->spec.tasks : 0, 0);
 }
 
 struct lmn_reply lmn_reply_read(const struct lmn_core *c, const char *ref,
@@ -336,13 +337,13 @@
         return absent(absent_status);
     if (r->status != 200)
         return lmn_reply_unavailable();
-    if (r->phase != LMN_ACTIVE)
+    if (r->phase != LMN_JOB_ACTIVE)
         return ended(r);
     /* The mirror's counts will do for an active job; and it may have moved on. */
     lmn_view_take(c, ref, &latest);
     if (latest.rev > r->rev)
         return latest.reply;
-    return job_state(LMN_ACTIVE, latest.reply.done, latest.reply.running);
+    return job_state(LMN_JOB_ACTIVE, latest.reply.done, latest.reply.running);
 }
 
 struct lmn_txn *lmn_cancellation(const char *ref, const struct lmn_job_reading *r,
@@ -355,20 +356,21 @@
         *reply = absent(absent_status);
     else if (r->status != 200)
         *reply = lmn_reply_unavailable();
-    else if (r->phase != LMN_ACTIVE)
+    else if (r->phase != LMN_JOB_ACTIVE)
         *reply = ended(r);
-    if (r->status != 200 || r->phase != LMN_ACTIVE)
+    if (r->status != 200 || r->phase != LMN_JOB_ACTIVE)
         return NULL;
     t = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
     job_key(key, sizeof key, ref);
     lmn_txn_if(t, key, r->rev);
-    lmn_txn_write(t, key, lmn_job_record(&r->spec, LMN_WITHDRAWN, r->open, r->at), 0);
+    lmn_txn_write(t, key, lmn_job_record(&r->spec, LMN_JOB_CANCELLED, r->open, r->at), 0);
     return t;
 }
 
 bool lmn_cancelled(enum lmn_outcome outcome, struct lmn_reply *reply)
 {
     /* With an unknown outcome the user asks again, and then it is read. */
-    *reply = outcome == LMN_OK ? job_state(LMN_WITHDRAWN, 0, 0) : lmn_reply_unavailable();
+    *reply =
+        outcome == LMN_OK ? job_state(LMN_JOB_CANCELLED, 0, 0) : lmn_reply_unavailable();
     return outcome != LMN_CONFLICT;
 }
--- a/src/controller/request_decisions.h
+++ b/src/controller/request_decisions.h
@@ -26,7 +26,7 @@
     int retry_after;   /* seconds; 0: none */
     const char *error; /* what is wrong with the request; NULL: nothing to say */
     bool shows_job;    /* the state that follows is told */
-    enum lmn_phase phase;
+    enum lmn_job_phase phase;
     uint32_t done, running; /* tasks, as far as this node knows */
 };
 
@@ -66,7 +66,7 @@
 
 /* What the mirror shows of a job. */
 struct lmn_view {
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     uint64_t rev; /* of the job's record; 0: there is none */
     struct lmn_reply reply;
 };
@@ -95,8 +95,8 @@
 struct lmn_job_reading {
     int status;   /* 200: the record was read; 404: there is none; else: unknown */
     uint64_t rev; /* all of this with 200 only */
-    struct lmn_spec spec;
-    enum lmn_phase phase;
+    struct lmn_job_spec spec;
+    enum lmn_job_phase phase;
     uint32_t open;
     double at;
 };
--- a/src/controller/rpc_client.c
+++ b/src/controller/rpc_client.c
@@ -19,7 +19,7 @@
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
     struct netbuf nb = {sizeof a, sizeof a, &a};
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     int port, fd, error = 0;
     socklen_t len = sizeof error;
 
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -303,7 +303,7 @@
 int lmn_peer_start(struct lmn_core *c)
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     int port, one = 1, fd = socket(AF_INET, SOCK_STREAM, 0);
 
     core = c;
@@ -362,7 +362,7 @@
 static bool ask_owner(struct member *members, int part, rpcproc_t proc, xdrproc_t xargs,
                       const void *q, u_int *n)
 {
-    char owner[LMN_NAME];
+    char owner[LMN_NAME_SIZE];
 
     pthread_mutex_lock(&core->lock);
     g_strlcpy(owner, core->parts[part].owner, sizeof owner);
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -65,7 +65,7 @@
     g_hash_table_iter_init(&it, c->jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_job *j = v;
-        if (j->phase == LMN_ACTIVE && lmn_job_accused(&j->failures))
+        if (j->phase == LMN_JOB_ACTIVE && lmn_job_accused(&j->failures))
             g_string_append_printf(s,
                                    "accused job=%s machines=%u rounds=%u next_try=%.1f\n",
                                    j->spec.ref, j->failures.places, j->failures.rounds,
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -6,8 +6,8 @@
 #include <string.h>
 
 /* What a partition could give to the job, and what it still has to do, in processors. */
-static void weigh(struct lmn_core *c, int id, const struct lmn_spec *s, double *weight,
-                  double *load)
+static void weigh(struct lmn_core *c, int id, const struct lmn_job_spec *s,
+                  double *weight, double *load)
 {
     GHashTableIter it;
     gpointer v;
@@ -19,7 +19,7 @@
         if (!m->type)
             m->type = lmn_type_named(c, m->type_name);
         if (m->type && m->rev && !m->is_gone &&
-            lmn_spec_allows(s, m->type, m->zone, m->spot))
+            lmn_job_spec_allows(s, m->type, m->zone, m->spot))
             *weight += m->type->cpus + m->type->gpus;
     }
     /* As recorded, for one's own partitions too: else they would look emptier than the
@@ -27,7 +27,7 @@
     g_hash_table_iter_init(&it, c->parts[id].ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_range *r = v;
-        if (r->job->phase == LMN_ACTIVE)
+        if (r->job->phase == LMN_JOB_ACTIVE)
             *load += (r->hi - r->lo - r->ndone) * (r->job->spec.cpus + r->job->spec.gpus);
     }
 }
@@ -39,7 +39,7 @@
 
 /* The job's tasks for each partition: as few parts as its size needs, to those with the
  * least to do for their size. */
-static void shares(struct lmn_core *c, const struct lmn_spec *s, uint32_t *n)
+static void shares(struct lmn_core *c, const struct lmn_job_spec *s, uint32_t *n)
 {
     double weight[LMN_MAX_PARTS] = {0}, load[LMN_MAX_PARTS], sum = 0;
     int parts = c->nparts, order[LMN_MAX_PARTS] = {0}, able = 0;
@@ -85,7 +85,7 @@
     n[order[0]] += s->tasks - given;
 }
 
-struct lmn_txn *lmn_submission_txn(struct lmn_core *c, const struct lmn_spec *s,
+struct lmn_txn *lmn_submission_txn(struct lmn_core *c, const struct lmn_job_spec *s,
                                    double accepted_at, lmn_txn_done *done, void *arg)
 {
     struct lmn_txn *t = lmn_txn_new(LMN_RANK_USER, done, arg);
@@ -114,13 +114,13 @@
         }
     /* The watch shows changes in the order of the transaction: first ranges, then the
      * job, would leave ranges without a job. */
-    lmn_txn_write_first(t, job_key, lmn_job_record(s, LMN_ACTIVE, open, accepted_at));
+    lmn_txn_write_first(t, job_key, lmn_job_record(s, LMN_JOB_ACTIVE, open, accepted_at));
     g_free(job_key);
     return t;
 }
 
 /* Whether the job's record is larger than a value may be, counted as JSON. */
-static bool too_large(const struct lmn_settings *cfg, const struct lmn_spec *s)
+static bool too_large(const struct lmn_settings *cfg, const struct lmn_job_spec *s)
 {
     size_t most = (size_t)(cfg->value_kb * 1024), types = 0;
     struct lmn_cbor_document d;
@@ -130,7 +130,7 @@
     /* All else is bounded; few descriptions need a closer look. */
     if (types + 2048 < most)
         return false;
-    GByteArray *b = lmn_job_record(s, LMN_ACTIVE, UINT32_MAX, 1e10);
+    GByteArray *b = lmn_job_record(s, LMN_JOB_ACTIVE, UINT32_MAX, 1e10);
     bool large = lmn_cbor_parse(&d, b->data, b->len) == 0 &&
                  lmn_cbor_json_size(&d, lmn_cbor_root(&d)) > most;
     lmn_cbor_free(&d);
@@ -148,15 +148,15 @@
     s->fault = LMN_SUBMISSION_UNNAMED;
     if (lmn_cbor_parse(&d, body, len) != 0)
         return;
-    if (lmn_spec_parse(&s->spec, &d, lmn_cbor_root(&d), &s->what) == 0)
+    if (lmn_job_spec_parse(&s->spec, &d, lmn_cbor_root(&d), &s->what) == 0)
         s->fault =
             too_large(cfg, &s->spec) ? LMN_SUBMISSION_TOO_LARGE : LMN_SUBMISSION_SOUND;
-    else if (lmn_ref_ok(s->spec.ref))
+    else if (lmn_job_id_is_valid(s->spec.ref))
         s->fault = LMN_SUBMISSION_MALFORMED;
     lmn_cbor_free(&d);
 }
 
 void lmn_submission_clear(struct lmn_submission *s)
 {
-    lmn_spec_clear(&s->spec);
+    lmn_job_spec_clear(&s->spec);
 }
--- a/src/controller/submission.h
+++ b/src/controller/submission.h
@@ -13,7 +13,7 @@
 };
 
 struct lmn_submission {
-    struct lmn_spec spec; /* MALFORMED: of this the id alone can be relied on */
+    struct lmn_job_spec spec; /* MALFORMED: of this the id alone can be relied on */
     enum lmn_submission_fault fault;
     const char *what; /* the field at fault */
 };
@@ -25,7 +25,7 @@
 
 /* The transaction that accepts the job, conditional on its id being unknown: the job's
  * record, and its tasks parted among the partitions. */
-struct lmn_txn *lmn_submission_txn(struct lmn_core *c, const struct lmn_spec *s,
+struct lmn_txn *lmn_submission_txn(struct lmn_core *c, const struct lmn_job_spec *s,
                                    double accepted_at, lmn_txn_done *done, void *arg);
 
 #endif
--- a/src/emulator/cloud.c
+++ b/src/emulator/cloud.c
@@ -72,7 +72,7 @@
     return all > used ? all - used : 0;
 }
 
-static double boot_time(struct lmn_emu_cloud *c, const struct lmn_type *t)
+static double boot_time(struct lmn_emu_cloud *c, const struct lmn_machine_type *t)
 {
     if (chance(c, c->knobs.boot_never))
         return INFINITY;
@@ -126,7 +126,7 @@
 
     if (!m || m->gone <= now)
         return false;
-    const struct lmn_type *t = &c->v->types[m->type];
+    const struct lmn_machine_type *t = &c->v->types[m->type];
     double until = fmin(now, fmin(m->dead, m->taken));
     c->spent += fmax(until - m->made, 60) / 3600 * (m->spot ? t->spot_rate : t->rate);
     m->gone = now;
@@ -163,11 +163,11 @@
 }
 
 void lmn_emu_cloud_types(struct lmn_emu_cloud *c,
-                         void (*each)(void *to, const struct lmn_type *t), void *to,
-                         double now)
+                         void (*each)(void *to, const struct lmn_machine_type *t),
+                         void *to, double now)
 {
     for (unsigned i = 0; i < c->v->ntypes; i++) {
-        struct lmn_type t = c->v->types[i];
+        struct lmn_machine_type t = c->v->types[i];
         /* Each moves by itself, slowly. */
         t.spot_rate *= 1 + c->knobs.price_wobble * sin(now / SPOT_PRICE_S + 2.1 * i);
         each(to, &t);
--- a/src/emulator/cloud.h
+++ b/src/emulator/cloud.h
@@ -9,7 +9,7 @@
 #include "inventory/inventory.h"
 
 struct lmn_emu_machine {
-    char name[LMN_NAME], addr[LMN_ADDR], zone[LMN_NAME];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], zone[LMN_NAME_SIZE];
     int type;
     bool spot;
     double made, up, gone, dead, taken; /* when; INFINITY: not (yet) */
@@ -43,8 +43,8 @@
                         bool (*each)(void *to, const struct lmn_rented *m), void *to,
                         double now);
 void lmn_emu_cloud_types(struct lmn_emu_cloud *c,
-                         void (*each)(void *to, const struct lmn_type *t), void *to,
-                         double now);
+                         void (*each)(void *to, const struct lmn_machine_type *t),
+                         void *to, double now);
 /* Sets a knob; an event happens at once. -1 with err. */
 int lmn_emu_cloud_set(struct lmn_emu_cloud *c, const char *name, double value, double now,
                       char *err, size_t len);
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -52,7 +52,7 @@
     uint64_t serials;
     GQueue due;        /* units to report */
     GQueue asked;      /* struct question */
-    GHashTable *specs; /* ref -> struct lmn_spec; NULL value: there is no such job */
+    GHashTable *specs; /* ref -> struct lmn_job_spec; NULL value: there is no such job */
     guint next_trouble;
     GArray *ends; /* struct lmn_emu_trouble: what is to be set back */
     struct lmn_httpd *server;
@@ -63,7 +63,7 @@
 
 struct question {
     uint64_t serial, id;
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
 };
 
 static double seconds(const struct lmn_emulation *e)
@@ -77,7 +77,7 @@
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
     socklen_t len = sizeof a;
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
 
     g_strlcpy(host, addr, sizeof host);
@@ -97,7 +97,7 @@
 static void come_up(struct lmn_emulation *e, struct lmn_emu_machine *m)
 {
     struct unit *u = g_new0(struct unit, 1);
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
 
     u->listener = listen_anywhere(e->o.worker.listen, &u->port);
     if (u->listener < 0) {
@@ -110,9 +110,9 @@
     u->m = m;
     m->worker = u;
     g_snprintf(m->addr, sizeof m->addr, "%s:%d", host, u->port);
-    g_strlcpy(u->w.agent.name, m->name, LMN_NAME);
-    g_strlcpy(u->w.agent.addr, m->addr, LMN_ADDR);
-    g_strlcpy(u->w.agent.zone, m->zone, LMN_NAME);
+    g_strlcpy(u->w.agent.name, m->name, LMN_NAME_SIZE);
+    g_strlcpy(u->w.agent.addr, m->addr, LMN_ADDRESS_SIZE);
+    g_strlcpy(u->w.agent.zone, m->zone, LMN_NAME_SIZE);
     u->w.agent.type = e->o.inventory->types[m->type];
     u->w.agent.spot = m->spot;
     u->w.ledger = &e->ledger;
@@ -275,7 +275,7 @@
 
 static unsigned turn(const struct lmn_emulation *e, const GByteArray *in, unsigned now)
 {
-    char name[LMN_NAME] = "";
+    char name[LMN_NAME_SIZE] = "";
     struct lmn_cbor_document d;
 
     if (in->len && lmn_cbor_parse(&d, in->data, in->len) == 0) {
@@ -367,7 +367,7 @@
 static void forget_spec(gpointer p)
 {
     if (p)
-        lmn_spec_clear(p);
+        lmn_job_spec_clear(p);
     g_free(p);
 }
 
@@ -388,12 +388,12 @@
         struct question *q = g_queue_pop_head(&e->asked);
         bool known = g_hash_table_contains(e->specs, q->ref);
         pthread_mutex_unlock(&e->lock);
-        struct lmn_spec *spec = NULL;
+        struct lmn_job_spec *spec = NULL;
         bool sure = known;
         if (!known && lmn_depot_look(h, LMN_DEPOT_JOB, q->ref, digest, &err) == 0 &&
             lmn_depot_get(h, digest, b, &err) == 0 &&
             lmn_work_read(&work, b->data, b->len, &what) == 0) {
-            spec = g_new(struct lmn_spec, 1);
+            spec = g_new(struct lmn_job_spec, 1);
             *spec = work.spec;
             memset(&work.spec, 0, sizeof work.spec);
             lmn_work_clear(&work);
@@ -463,7 +463,8 @@
 
 /* --- the cloud's side --- */
 
-static void types(void *arg, void (*each)(void *to, const struct lmn_type *t), void *to)
+static void types(void *arg, void (*each)(void *to, const struct lmn_machine_type *t),
+                  void *to)
 {
     struct lmn_emulation *e = arg;
     pthread_mutex_lock(&e->lock);
--- a/src/emulator/worker.c
+++ b/src/emulator/worker.c
@@ -77,7 +77,7 @@
 static bool has_result(void *arg, const char *ref, uint32_t index)
 {
     struct lmn_emu_worker *w = arg;
-    char key[LMN_REF + 16];
+    char key[LMN_JOB_ID_SIZE + 16];
     g_snprintf(key, sizeof key, "%s/%u", ref, index);
     return g_hash_table_contains(w->results, key);
 }
@@ -168,13 +168,13 @@
 }
 
 void lmn_emu_worker_described(struct lmn_emu_worker *w, uint64_t id,
-                              const struct lmn_spec *spec, struct timespec now)
+                              const struct lmn_job_spec *spec, struct timespec now)
 {
     now_of_call = now;
     if (spec && !g_hash_table_contains(w->specs, spec->ref)) {
         struct lmn_emu_spec *s = g_new0(struct lmn_emu_spec, 1);
         *s = (struct lmn_emu_spec){spec->estimate_s, spec->image_gb,
-                                   spec->kind == LMN_DAEMON};
+                                   spec->kind == LMN_JOB_SERVICE};
         g_hash_table_insert(w->specs, g_strdup(spec->ref), s);
     }
     lmn_agent_described(&w->agent, id, spec, now);
--- a/src/emulator/worker.h
+++ b/src/emulator/worker.h
@@ -36,7 +36,7 @@
 void lmn_emu_worker_clear(struct lmn_emu_worker *w);
 /* The job of a run that asked; spec NULL: there is none. */
 void lmn_emu_worker_described(struct lmn_emu_worker *w, uint64_t id,
-                              const struct lmn_spec *spec, struct timespec now);
+                              const struct lmn_job_spec *spec, struct timespec now);
 /* Does what is due by now: ends, fetches, the lease. Not while it hangs. */
 void lmn_emu_worker_pass(struct lmn_emu_worker *w, struct timespec now);
 
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -60,19 +60,19 @@
 struct run {
     struct lmn_gjob *job;
     struct lmn_guest *guest;
-    char ref[LMN_REF], home[LMN_NAME], local[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE], home[LMN_NAME_SIZE], local[LMN_JOB_ID_SIZE];
     bool handed, cancel, asked; /* cancel: to be stopped; asked: by its user */
     uint64_t epoch;
 };
 
-static GByteArray *body_of(const struct lmn_spec *spec, const char *local)
+static GByteArray *body_of(const struct lmn_job_spec *spec, const char *local)
 {
     GByteArray *b = g_byte_array_new();
-    struct lmn_spec s = *spec;
+    struct lmn_job_spec s = *spec;
 
     g_strlcpy(s.ref, local, sizeof s.ref);
-    lmn_cbor_put_map(b, lmn_spec_pairs());
-    lmn_spec_put(b, &s);
+    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
+    lmn_job_spec_write(b, &s);
     return b;
 }
 
@@ -131,8 +131,9 @@
     pthread_mutex_unlock(&b->lock);
 }
 
-static void look_at(struct feeder *f, const struct run *r, const struct lmn_spec *spec,
-                    const char *digest, struct lmn_progress *p)
+static void look_at(struct feeder *f, const struct run *r,
+                    const struct lmn_job_spec *spec, const char *digest,
+                    struct lmn_progress *p)
 {
     char path[96], word[16];
     int status;
@@ -269,7 +270,7 @@
 
     for (guint i = 0; i < runs->len; i++) {
         const struct run *r = runs->pdata[i];
-        struct lmn_spec spec;
+        struct lmn_job_spec spec;
         struct lmn_progress p;
         char digest[65];
         double wait = lmn_budget_take(&f->polls, 1, lmn_now());
--- a/src/gateway/execution.c
+++ b/src/gateway/execution.c
@@ -107,16 +107,16 @@
 {
     struct lmn_gateway *g = k->p->g;
     struct lmn_write w = {0};
-    struct lmn_spec spec = {0};
+    struct lmn_job_spec spec = {0};
     enum lmn_answer answer = LMN_A_REFUSED;
     const char *what;
     struct lmn_cbor_document d;
     bool old = false, ours = o->incarnation == g->book.incarnation;
 
-    if (!lmn_ref_ok(o->ref) ||
+    if (!lmn_job_id_is_valid(o->ref) ||
         lmn_cbor_parse(&d, o->spec.spec_val, o->spec.spec_len) != 0)
         return; /* nobody can have such a job: there is nothing to answer for */
-    bool sane = lmn_spec_parse(&spec, &d, lmn_cbor_root(&d), &what) == 0 &&
+    bool sane = lmn_job_spec_parse(&spec, &d, lmn_cbor_root(&d), &what) == 0 &&
                 !strcmp(spec.ref, o->ref);
     lmn_cbor_free(&d);
     bool team = false;
@@ -143,7 +143,7 @@
     pthread_mutex_unlock(&g->book.lock);
     if (w.guest && (change || !w.guest->rev))
         lmn_book_write(&g->book, k->state, &w, 1);
-    lmn_spec_clear(&spec);
+    lmn_job_spec_clear(&spec);
     pthread_mutex_lock(&g->book.lock);
     if (!full && (w.ok || (!change && !old))) {
         if (!sane || answer == LMN_A_REFUSED)
@@ -163,18 +163,18 @@
     bool old = false;
 
     pthread_mutex_lock(&g->book.lock);
-    w.guest = lmn_ref_ok(i->ref)
+    w.guest = lmn_job_id_is_valid(i->ref)
                   ? lmn_book_take_guest(&g->book, lmn_peer_site(k->p), i->ref)
                   : NULL;
     if (!w.guest) {
         /* Never heard of. There is no record to refuse it in: one is made, by a
          * description that says nothing but the name. */
-        struct lmn_spec none = {.class_name = (char *)"none",
-                                .team = (char *)"none",
-                                .image = (char *)"none",
-                                .tasks = 1,
-                                .deadline_s = -1};
-        if (!lmn_ref_ok(i->ref)) {
+        struct lmn_job_spec none = {.class_name = (char *)"none",
+                                    .team = (char *)"none",
+                                    .image = (char *)"none",
+                                    .tasks = 1,
+                                    .deadline_s = -1};
+        if (!lmn_job_id_is_valid(i->ref)) {
             pthread_mutex_unlock(&g->book.lock);
             return;
         }
@@ -184,7 +184,7 @@
             return;
         }
         w.guest->spec = none;
-        g_strlcpy(w.guest->spec.ref, i->ref, LMN_REF);
+        g_strlcpy(w.guest->spec.ref, i->ref, LMN_JOB_ID_SIZE);
         w.guest->spec.class_name = g_strdup("none");
         w.guest->spec.team = g_strdup("none");
         w.guest->spec.image = g_strdup("none");
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -14,16 +14,17 @@
 #define LMN_LATE_S 10.0
 
 struct lmn_gateway_options {
-    char site[LMN_NAME], name[LMN_NAME];
-    char listen[LMN_ADDR];      /* users, and the command line */
-    char link_listen[LMN_ADDR]; /* other sites' gateways */
-    char state[LMN_ADDR], depot[LMN_ADDR], keys[256];
-    char controllers[LMN_G_CONTROLLERS][LMN_ADDR];
+    char site[LMN_NAME_SIZE], name[LMN_NAME_SIZE];
+    char listen[LMN_ADDRESS_SIZE];      /* users, and the command line */
+    char link_listen[LMN_ADDRESS_SIZE]; /* other sites' gateways */
+    char state[LMN_ADDRESS_SIZE], depot[LMN_ADDRESS_SIZE], keys[256];
+    char controllers[LMN_G_CONTROLLERS][LMN_ADDRESS_SIZE];
     unsigned ncontrollers;
     struct lmn_peer_key peers[LMN_MAX_PEERS];
-    char addresses[LMN_MAX_PEERS][LMN_G_GATEWAYS][LMN_ADDR]; /* one of a peer's acts */
+    char addresses[LMN_MAX_PEERS][LMN_G_GATEWAYS]
+                  [LMN_ADDRESS_SIZE]; /* one of a peer's acts */
     unsigned npeers;
-    char (*teams)[LMN_NAME]; /* kept for as long as the process runs */
+    char (*teams)[LMN_NAME_SIZE]; /* kept for as long as the process runs */
     unsigned nteams;
     double cpus; /* what the site's machines have together, about */
     /* Work that the controllers have at a time, in seconds of all processors: what they
--- a/src/gateway/gateway_internal.h
+++ b/src/gateway/gateway_internal.h
@@ -27,7 +27,7 @@
 };
 
 struct lmn_gsay {
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     uint64_t epoch;
 };
 
@@ -48,7 +48,7 @@
 };
 
 /* Processors that the job needs, all its tasks together. */
-double lmn_job_cpus(const struct lmn_spec *s);
+double lmn_job_cpus(const struct lmn_job_spec *s);
 /* What was handed to the own controllers and has not ended, guests too: in processors,
  * and in processor seconds; the lock is held. */
 void lmn_handed(const struct lmn_gateway *g, double *cpus, double *work_s);
--- a/src/gateway/gateway_process.c
+++ b/src/gateway/gateway_process.c
@@ -9,13 +9,13 @@
 #include <string.h>
 #include <unistd.h>
 
-double lmn_job_cpus(const struct lmn_spec *s)
+double lmn_job_cpus(const struct lmn_job_spec *s)
 {
     return s->tasks * MAX(s->cpus, 0.01);
 }
 
-static void add_left(const struct lmn_spec *s, const struct lmn_progress *p, double *cpus,
-                     double *work_s)
+static void add_left(const struct lmn_job_spec *s, const struct lmn_progress *p,
+                     double *cpus, double *work_s)
 {
     double left = (s->tasks - MIN(p->done, s->tasks)) * MAX(s->cpus, 0.01);
 
@@ -244,11 +244,13 @@
             lmn_conf_fail(c, p, "expected at most %d", LMN_G_GATEWAYS);
         for (guint a = 0; a < MIN(gateways, LMN_G_GATEWAYS); a++) {
             g_snprintf(p, sizeof p, "peers[%u].addresses[%u]", i, a);
-            g_strlcpy(o->addresses[o->npeers][a], lmn_conf_addr(c, p, NULL), LMN_ADDR);
+            g_strlcpy(o->addresses[o->npeers][a], lmn_conf_addr(c, p, NULL),
+                      LMN_ADDRESS_SIZE);
         }
         g_snprintf(p, sizeof p, "peers[%u].address", i);
         if (!gateways)
-            g_strlcpy(o->addresses[o->npeers][0], lmn_conf_addr(c, p, NULL), LMN_ADDR);
+            g_strlcpy(o->addresses[o->npeers][0], lmn_conf_addr(c, p, NULL),
+                      LMN_ADDRESS_SIZE);
         g_snprintf(p, sizeof p, "peers[%u].fingerprint", i);
         g_strlcpy(k->fingerprint, lmn_conf_text(c, p, NULL), sizeof k->fingerprint);
         if (strlen(k->fingerprint) != LMN_FINGERPRINT - 1 ||
@@ -276,10 +278,11 @@
     g_strlcpy(o->state, lmn_conf_addr(c, "state", NULL), sizeof o->state);
     g_strlcpy(o->depot, lmn_conf_addr(c, "depot", NULL), sizeof o->depot);
     g_strlcpy(o->keys, lmn_conf_text(c, "keys", NULL), sizeof o->keys);
-    o->ncontrollers =
-        names(c, "controllers", LMN_G_CONTROLLERS, true, o->controllers[0], LMN_ADDR);
-    o->teams = g_malloc0_n(CLAMP(lmn_conf_count(c, "teams"), 1, LMN_MAX_TEAMS), LMN_NAME);
-    o->nteams = names(c, "teams", LMN_MAX_TEAMS, false, o->teams[0], LMN_NAME);
+    o->ncontrollers = names(c, "controllers", LMN_G_CONTROLLERS, true, o->controllers[0],
+                            LMN_ADDRESS_SIZE);
+    o->teams =
+        g_malloc0_n(CLAMP(lmn_conf_count(c, "teams"), 1, LMN_MAX_TEAMS), LMN_NAME_SIZE);
+    o->nteams = names(c, "teams", LMN_MAX_TEAMS, false, o->teams[0], LMN_NAME_SIZE);
     read_peers(c, o);
     o->cpus = lmn_conf_number(c, "cpus", 1, 0.1, 1e7);
     o->feed_s = lmn_conf_number(c, "feed_s", 60, 0.1, 1e6);
--- a/src/gateway/handover.h
+++ b/src/gateway/handover.h
@@ -42,7 +42,7 @@
 struct lmn_home {
     enum lmn_home_state state;
     uint64_t epoch; /* of the last offer, or of the last handing to the own controllers */
-    char site[LMN_NAME];           /* OFFERED, AWAY, FENCED: which */
+    char site[LMN_NAME_SIZE];      /* OFFERED, AWAY, FENCED: which */
     uint64_t incarnation;          /* of that site's state, as it was at the offer */
     enum lmn_outcome_word outcome; /* FINAL: done or withdrawn */
     bool cancel;                   /* its user has asked */
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -74,7 +74,7 @@
 {
     const GByteArray *body = lmn_call_body(call);
     struct lmn_write w = {0};
-    struct lmn_spec s;
+    struct lmn_job_spec s;
     struct lmn_cbor_document d;
     const char *what = "not CBOR";
     char digest[LMN_DIGEST] = "";
@@ -85,7 +85,7 @@
         lmn_call_fail(call, 400, what);
         return;
     }
-    bool sane = lmn_spec_parse(&s, &d, lmn_cbor_root(&d), &what) == 0;
+    bool sane = lmn_job_spec_parse(&s, &d, lmn_cbor_root(&d), &what) == 0;
     /* The record holds it, and little more; what no value can hold would be 503 at each
      * try. */
     if (sane &&
@@ -111,7 +111,7 @@
         w.job->leash_s = CLAMP(leash, 0, 1e7);
     }
     pthread_mutex_unlock(&g->book.lock);
-    lmn_spec_clear(&s);
+    lmn_job_spec_clear(&s);
     if (known) {
         lmn_call_answer(call, 200, known, 0);
         return;
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -42,8 +42,9 @@
     struct lmn_write w = {0};
     bool done = false;
 
-    if (!lmn_ref_ok(i->ref) || i->word < LMN_A_ACCEPTED || i->word > LMN_A_OVER ||
-        i->outcome < 0 || i->outcome > LMN_O_RETURNED || lmn_write_among(writes, i->ref))
+    if (!lmn_job_id_is_valid(i->ref) || i->word < LMN_A_ACCEPTED ||
+        i->word > LMN_A_OVER || i->outcome < 0 || i->outcome > LMN_O_RETURNED ||
+        lmn_write_among(writes, i->ref))
         return;
     pthread_mutex_lock(&b->lock);
     w.job = lmn_book_take_job(b, i->ref);
@@ -80,7 +81,7 @@
 /* How a job that waits looks to routing. */
 static struct lmn_route_job seen(const struct lmn_gjob *j, double wall)
 {
-    const struct lmn_spec *s = &j->spec;
+    const struct lmn_job_spec *s = &j->spec;
     double run = MAX(s->estimate_s, 0.1);
 
     return (struct lmn_route_job){
@@ -200,8 +201,8 @@
         if (!w->ok || !w->job)
             continue;
         GByteArray *b = g_byte_array_new();
-        lmn_cbor_put_map(b, lmn_spec_pairs());
-        lmn_spec_put(b, &w->job->spec);
+        lmn_cbor_put_map(b, lmn_job_spec_pair_count());
+        lmn_job_spec_write(b, &w->job->spec);
         o->ref = g_strdup(w->job->ref);
         o->epoch = w->home.epoch;
         o->incarnation = w->home.incarnation;
@@ -380,7 +381,7 @@
 {
     struct conn *l = g_new0(struct conn, 1);
     struct sockaddr_in a = {.sin_family = AF_INET};
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     int port, one = 1;
 
     l->g = g;
--- a/src/gateway/peer_connection.c
+++ b/src/gateway/peer_connection.c
@@ -18,7 +18,7 @@
 #include <unistd.h>
 
 struct lmn_tls {
-    char dir[256], site[LMN_NAME];
+    char dir[256], site[LMN_NAME_SIZE];
     const struct lmn_peer_key *peers;
     const unsigned *npeers;
     pthread_mutex_t lock; /* of what follows */
@@ -31,7 +31,7 @@
 struct lmn_link {
     SSL *ssl;
     int fd;
-    char site[LMN_NAME];
+    char site[LMN_NAME_SIZE];
     uint64_t bytes;
 };
 
@@ -39,7 +39,7 @@
 
 struct verdict {
     struct lmn_tls *t;
-    char site[LMN_NAME]; /* whom the certificate names, once it is verified */
+    char site[LMN_NAME_SIZE]; /* whom the certificate names, once it is verified */
     char why[128];
 };
 
@@ -78,7 +78,7 @@
     struct verdict *v = SSL_get_ex_data(ssl, tls_slot);
     STACK_OF(X509) *chain = X509_STORE_CTX_get0_untrusted(given);
     X509 *leaf = X509_STORE_CTX_get0_cert(given), *ca = NULL;
-    char print[LMN_FINGERPRINT], name[LMN_NAME] = "";
+    char print[LMN_FINGERPRINT], name[LMN_NAME_SIZE] = "";
     int peer = -1, ok;
     (void)arg;
 
@@ -271,7 +271,7 @@
                                double seconds, char *err, size_t len)
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     int port, fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0),
               error = 0;
     socklen_t n = sizeof error;
--- a/src/gateway/peer_connection.h
+++ b/src/gateway/peer_connection.h
@@ -13,7 +13,7 @@
 enum { LMN_MAX_PEERS = 128, LMN_FRAME_MAX = 5 << 20 };
 
 struct lmn_peer_key {
-    char site[LMN_NAME], fingerprint[LMN_FINGERPRINT]; /* of the site's authority */
+    char site[LMN_NAME_SIZE], fingerprint[LMN_FINGERPRINT]; /* of the site's authority */
 };
 
 struct lmn_tls;
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -42,8 +42,8 @@
     GByteArray *b = g_byte_array_new();
 
     lmn_cbor_put_map(b, 10);
-    lmn_cbor_put_text(b, "spec"), lmn_cbor_put_map(b, lmn_spec_pairs()),
-        lmn_spec_put(b, &j->spec);
+    lmn_cbor_put_text(b, "spec"), lmn_cbor_put_map(b, lmn_job_spec_pair_count()),
+        lmn_job_spec_write(b, &j->spec);
     lmn_cbor_put_text(b, "digest"), lmn_cbor_put_text(b, j->digest);
     lmn_cbor_put_text(b, "at"), lmn_cbor_put_number(b, j->at);
     lmn_cbor_put_text(b, "leash"), lmn_cbor_put_number(b, j->leash_s);
@@ -63,8 +63,8 @@
     GByteArray *b = g_byte_array_new();
 
     lmn_cbor_put_map(b, 7);
-    lmn_cbor_put_text(b, "spec"), lmn_cbor_put_map(b, lmn_spec_pairs()),
-        lmn_spec_put(b, &g->spec);
+    lmn_cbor_put_text(b, "spec"), lmn_cbor_put_map(b, lmn_job_spec_pair_count()),
+        lmn_job_spec_write(b, &g->spec);
     lmn_cbor_put_text(b, "digest"), lmn_cbor_put_text(b, g->digest);
     lmn_cbor_put_text(b, "leash"), lmn_cbor_put_number(b, g->leash_s);
     lmn_cbor_put_text(b, "state"), lmn_cbor_put_uint(b, f->state);
@@ -110,7 +110,7 @@
     const char *what;
 
     g_strlcpy(j->ref, ref, sizeof j->ref);
-    if (lmn_spec_parse(&j->spec, d, lmn_cbor_get(d, v, "spec"), &what) != 0) {
+    if (lmn_job_spec_parse(&j->spec, d, lmn_cbor_get(d, v, "spec"), &what) != 0) {
         lmn_error("unreadable-record key=g/j/%s field=%s", ref, what);
         g_free(j);
         return;
@@ -140,7 +140,7 @@
     const char *what, *slash = strchr(key, '/');
 
     if (!slash || (size_t)(slash - key) >= sizeof g->home ||
-        lmn_spec_parse(&g->spec, d, lmn_cbor_get(d, v, "spec"), &what) != 0) {
+        lmn_job_spec_parse(&g->spec, d, lmn_cbor_get(d, v, "spec"), &what) != 0) {
         lmn_error("unreadable-record key=g/f/%s", key);
         g_free(g);
         return;
@@ -344,7 +344,7 @@
 struct lmn_guest *lmn_book_take_guest(struct lmn_book *b, const char *home,
                                       const char *ref)
 {
-    char key[LMN_NAME + LMN_REF + 2];
+    char key[LMN_NAME_SIZE + LMN_JOB_ID_SIZE + 2];
     struct lmn_guest *g;
 
     g_snprintf(key, sizeof key, "%s/%s", home, ref);
@@ -355,7 +355,7 @@
     return g;
 }
 
-static void copy_spec(struct lmn_spec *to, const struct lmn_spec *from)
+static void copy_spec(struct lmn_job_spec *to, const struct lmn_job_spec *from)
 {
     *to = *from;
     to->class_name = g_strdup(from->class_name);
@@ -365,7 +365,7 @@
     to->types = g_strdupv(from->types);
 }
 
-struct lmn_gjob *lmn_book_new_job(struct lmn_book *b, const struct lmn_spec *spec)
+struct lmn_gjob *lmn_book_new_job(struct lmn_book *b, const struct lmn_job_spec *spec)
 {
     if (g_hash_table_contains(b->jobs, spec->ref))
         return NULL;
@@ -420,7 +420,7 @@
 
     /* 18 digits of the first 60 bits: as many as a job's name has room for. */
     memcpy(half, hex, 15);
-    g_snprintf(local, LMN_REF, W_JOB_PREFIX "%018" G_GUINT64_FORMAT,
+    g_snprintf(local, LMN_JOB_ID_SIZE, W_JOB_PREFIX "%018" G_GUINT64_FORMAT,
                (uint64_t)(g_ascii_strtoull(half, NULL, 16) % 1000000000000000000ull));
     g_free(what);
     g_free(hex);
@@ -524,13 +524,13 @@
     if (w->job && !w->job->rev) {
         g_hash_table_remove(b->jobs, w->job->ref);
         g_hash_table_remove(b->open_jobs, w->job->ref);
-        lmn_spec_clear(&w->job->spec);
+        lmn_job_spec_clear(&w->job->spec);
         g_clear_pointer(&w->job, g_free);
         pthread_cond_broadcast(&b->idle);
     } else if (w->guest && !w->guest->rev) {
         g_hash_table_remove(b->guests, w->guest->key);
         g_hash_table_remove(b->open_guests, w->guest->key);
-        lmn_spec_clear(&w->guest->spec);
+        lmn_job_spec_clear(&w->guest->spec);
         g_free(w->guest->key);
         g_clear_pointer(&w->guest, g_free);
         pthread_cond_broadcast(&b->idle);
--- a/src/gateway/records.h
+++ b/src/gateway/records.h
@@ -25,9 +25,9 @@
 };
 
 struct lmn_gjob {
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     struct lmn_home hand;
-    struct lmn_spec spec;
+    struct lmn_job_spec spec;
     char digest[65]; /* of what its tasks run; empty: none */
     double at;       /* time of day of its acceptance */
     double leash_s;  /* 0: none */
@@ -38,11 +38,11 @@
 };
 
 struct lmn_guest {
-    char home[LMN_NAME], ref[LMN_REF],
-        local[LMN_REF]; /* its name at the own controllers */
-    char *key;          /* HOME/REF */
+    char home[LMN_NAME_SIZE], ref[LMN_JOB_ID_SIZE],
+        local[LMN_JOB_ID_SIZE]; /* its name at the own controllers */
+    char *key;                  /* HOME/REF */
     struct lmn_host hand;
-    struct lmn_spec spec;
+    struct lmn_job_spec spec;
     char digest[65];
     double leash_s;
     uint64_t rev;
@@ -53,7 +53,7 @@
 };
 
 struct lmn_book {
-    char state[LMN_ADDR];
+    char state[LMN_ADDRESS_SIZE];
     int txn_ops;
     uint64_t lead_rev, lease, incarnation;
     pthread_mutex_t lock; /* of what follows */
@@ -80,7 +80,7 @@
                                       const char *ref);
 /* Makes a record that is not written yet, taken. The lock is held. NULL: there is one,
  * or there are too many. */
-struct lmn_gjob *lmn_book_new_job(struct lmn_book *b, const struct lmn_spec *spec);
+struct lmn_gjob *lmn_book_new_job(struct lmn_book *b, const struct lmn_job_spec *spec);
 struct lmn_guest *lmn_book_new_guest(struct lmn_book *b, const char *home,
                                      const char *ref);
 
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -350,7 +350,7 @@
 {
     struct lmn_httpd *h = g_new0(struct lmn_httpd, 1);
     struct sockaddr_in a = {.sin_family = AF_INET};
-    char host[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE];
     int port = 0;
     unsigned flags = MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME;
 
--- a/src/image_store/work.c
+++ b/src/image_store/work.c
@@ -20,8 +20,8 @@
     lmn_cbor_put_map(b, 3);
     put_texts(b, "Command", w->argv);
     put_texts(b, "Environment", w->env);
-    lmn_cbor_put_text(b, "Job"), lmn_cbor_put_map(b, lmn_spec_pairs());
-    lmn_spec_put(b, &w->spec);
+    lmn_cbor_put_text(b, "Job"), lmn_cbor_put_map(b, lmn_job_spec_pair_count());
+    lmn_job_spec_write(b, &w->spec);
     return b;
 }
 
@@ -59,7 +59,7 @@
         *what = "Environment";
         w->env = read_texts(&d, lmn_cbor_get(&d, root, "Environment"));
         if (w->env)
-            rc = lmn_spec_parse(&w->spec, &d, lmn_cbor_get(&d, root, "Job"), what);
+            rc = lmn_job_spec_parse(&w->spec, &d, lmn_cbor_get(&d, root, "Job"), what);
     }
     if (rc != 0)
         lmn_work_clear(w);
@@ -69,7 +69,7 @@
 
 void lmn_work_clear(struct lmn_work *w)
 {
-    lmn_spec_clear(&w->spec);
+    lmn_job_spec_clear(&w->spec);
     g_strfreev(w->argv);
     g_strfreev(w->env);
     memset(w, 0, sizeof *w);
--- a/src/image_store/work.h
+++ b/src/image_store/work.h
@@ -5,7 +5,7 @@
 #include "job/job_spec.h"
 
 struct lmn_work {
-    struct lmn_spec spec;
+    struct lmn_job_spec spec;
     char **argv; /* the command and its arguments */
     char **env;  /* "NAME=value" */
 };
--- a/src/inventory/inventory.c
+++ b/src/inventory/inventory.c
@@ -28,7 +28,7 @@
 
 static void read_type(struct lmn_conf *c, struct lmn_inventory *v, guint i)
 {
-    struct lmn_type *t = &v->types[v->ntypes];
+    struct lmn_machine_type *t = &v->types[v->ntypes];
     char p[160];
 
     g_strlcpy(t->name, lmn_conf_name(c, at(p, "types", i, "name"), NULL), sizeof t->name);
@@ -48,7 +48,7 @@
     for (guint k = 0; k < n && k < LMN_MAX_ZONES; k++) {
         char zone[160];
         g_snprintf(zone, sizeof zone, "types[%u].zones[%u]", i, k);
-        g_strlcpy(t->zones[t->nzones++], lmn_conf_name(c, zone, NULL), LMN_NAME);
+        g_strlcpy(t->zones[t->nzones++], lmn_conf_name(c, zone, NULL), LMN_NAME_SIZE);
     }
     v->ntypes++;
 }
@@ -64,9 +64,9 @@
 
     if (type < 0)
         lmn_conf_fail(c, p, "there is no type '%s' in [[types]]", name);
-    const struct lmn_type *t = type < 0 ? NULL : &v->types[type];
+    const struct lmn_machine_type *t = type < 0 ? NULL : &v->types[type];
     g_strlcpy(zone, lmn_conf_name(c, at(p, table, i, "zone"), t ? t->zones[0] : NULL),
-              LMN_NAME);
+              LMN_NAME_SIZE);
     for (int k = 0; t && k < t->nzones; k++)
         there = there || !strcmp(t->zones[k], zone);
     if (t && !there)
--- a/src/inventory/inventory.h
+++ b/src/inventory/inventory.h
@@ -10,20 +10,20 @@
 /* Machines of a type, zone and kind that can be had: so many at a time. */
 struct lmn_pool {
     int type; /* index */
-    char zone[LMN_NAME];
+    char zone[LMN_NAME_SIZE];
     bool spot;
     unsigned count;
 };
 
 /* A machine of its own, whose agent the operator starts. */
 struct lmn_slot {
-    char name[LMN_NAME], zone[LMN_NAME];
+    char name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     int type;
     bool spot;
 };
 
 struct lmn_inventory {
-    struct lmn_type types[LMN_MAX_TYPES];
+    struct lmn_machine_type types[LMN_MAX_TYPES];
     unsigned ntypes;
     struct lmn_pool pools[LMN_MAX_POOLS];
     unsigned npools;
--- a/src/job/job_spec.c
+++ b/src/job/job_spec.c
@@ -6,11 +6,11 @@
 
 enum { LONG_TEXT = 200 };
 
-bool lmn_ref_ok(const char *ref)
+bool lmn_job_id_is_valid(const char *ref)
 {
     size_t head = strlen(W_JOB_PREFIX), len = strlen(ref);
 
-    if (len <= head || len >= LMN_REF - 8 || strncmp(ref, W_JOB_PREFIX, head))
+    if (len <= head || len >= LMN_JOB_ID_SIZE - 8 || strncmp(ref, W_JOB_PREFIX, head))
         return false;
     return strspn(ref + head, "0123456789") == len - head;
 }
@@ -37,7 +37,7 @@
 {
     const struct lmn_cbor_value *list = lmn_cbor_get(d, m, W_TYPES);
     GPtrArray *a;
-    char t[LMN_NAME];
+    char t[LMN_NAME_SIZE];
 
     if (!list)
         return true;
@@ -68,8 +68,8 @@
 static const char *const kinds[] = {W_BATCH, W_DAEMON, NULL};
 static const char *const urgencies[] = {"idle", "normal", "high", "prod", NULL};
 
-int lmn_spec_parse(struct lmn_spec *s, const struct lmn_cbor_document *d,
-                   const struct lmn_cbor_value *m, const char **what)
+int lmn_job_spec_parse(struct lmn_job_spec *s, const struct lmn_cbor_document *d,
+                       const struct lmn_cbor_value *m, const char **what)
 {
     uint64_t tasks = 0;
     int kind, urgency;
@@ -84,15 +84,15 @@
     } while (0)
     NEED("body", m && m->type == LMN_CBOR_MAP);
     NEED(W_ID, lmn_cbor_get_text(lmn_cbor_get(d, m, W_ID), s->ref, sizeof s->ref) &&
-                   lmn_ref_ok(s->ref));
+                   lmn_job_id_is_valid(s->ref));
     NEED(W_CLASS, get_word(d, m, W_CLASS, &s->class_name));
     NEED(W_TEAM, get_word(d, m, W_TEAM, &s->team));
     kind = get_one_of(lmn_cbor_get(d, m, W_KIND), kinds);
     NEED(W_KIND, kind >= 0);
-    s->kind = (enum lmn_kind)kind;
+    s->kind = (enum lmn_job_kind)kind;
     urgency = get_one_of(lmn_cbor_get(d, m, W_URGENCY), urgencies);
     NEED(W_URGENCY, urgency >= 0);
-    s->urgency = (enum lmn_urgency)urgency;
+    s->urgency = (enum lmn_priority)urgency;
     NEED(W_TASKS, lmn_cbor_get_uint(lmn_cbor_get(d, m, W_TASKS), &tasks) && tasks > 0 &&
                       tasks <= LMN_MAX_TASKS);
     s->tasks = (uint32_t)tasks;
@@ -116,7 +116,7 @@
     return 0;
 }
 
-void lmn_spec_clear(struct lmn_spec *s)
+void lmn_job_spec_clear(struct lmn_job_spec *s)
 {
     g_free(s->class_name);
     g_free(s->team);
@@ -126,7 +126,7 @@
     memset(s, 0, sizeof *s);
 }
 
-size_t lmn_spec_pairs(void)
+size_t lmn_job_spec_pair_count(void)
 {
     return 20;
 }
@@ -139,7 +139,7 @@
         lmn_cbor_put_null(b);
 }
 
-void lmn_spec_put(GByteArray *b, const struct lmn_spec *s)
+void lmn_job_spec_write(GByteArray *b, const struct lmn_job_spec *s)
 {
     lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, s->ref);
     lmn_cbor_put_text(b, W_CLASS), lmn_cbor_put_text(b, s->class_name);
@@ -174,8 +174,8 @@
         lmn_cbor_put_null(b);
 }
 
-bool lmn_spec_allows(const struct lmn_spec *s, const struct lmn_type *t, const char *zone,
-                     bool spot)
+bool lmn_job_spec_allows(const struct lmn_job_spec *s, const struct lmn_machine_type *t,
+                         const char *zone, bool spot)
 {
     if ((spot && !s->spot) || (s->zone && strcmp(s->zone, zone)))
         return false;
@@ -184,11 +184,12 @@
     return !s->types || g_strv_contains((const char *const *)s->types, t->name);
 }
 
-bool lmn_spec_possible(const struct lmn_spec *s, const struct lmn_settings *cfg,
-                       const struct lmn_types *types, const char **why)
+bool lmn_job_spec_is_feasible(const struct lmn_job_spec *s,
+                              const struct lmn_settings *cfg,
+                              const struct lmn_machine_types *types, const char **why)
 {
     const struct lmn_team *team = lmn_settings_team(cfg, s->team);
-    double n = s->kind == LMN_DAEMON ? s->tasks : 1;
+    double n = s->kind == LMN_JOB_SERVICE ? s->tasks : 1;
     bool fits = false;
 
     if (!team) {
@@ -202,13 +203,13 @@
     }
     for (size_t i = 0; i < types->n && !fits; i++)
         for (int z = 0; z < types->v[i].nzones && !fits; z++)
-            fits = lmn_spec_allows(s, &types->v[i], types->v[i].zones[z], false);
+            fits = lmn_job_spec_allows(s, &types->v[i], types->v[i].zones[z], false);
     if (!fits)
         *why = "a task fits no allowed machine type";
     return fits;
 }
 
-void lmn_bits_put(GByteArray *b, const uint8_t *bits, uint32_t n)
+void lmn_bitset_write(GByteArray *b, const uint8_t *bits, uint32_t n)
 {
     uint32_t len = (n + 7) / 8;
     GString *s;
@@ -222,7 +223,7 @@
     g_string_free(s, TRUE);
 }
 
-int lmn_bits_get(const struct lmn_cbor_value *text, uint8_t *bits, uint32_t n)
+int lmn_bitset_read(const struct lmn_cbor_value *text, uint8_t *bits, uint32_t n)
 {
     memset(bits, 0, (n + 7) / 8);
     if (!text)
@@ -241,7 +242,7 @@
     return 0;
 }
 
-uint32_t lmn_bits_count(const uint8_t *bits, uint32_t n)
+uint32_t lmn_bitset_count(const uint8_t *bits, uint32_t n)
 {
     uint32_t c = 0;
     for (uint32_t i = 0; i < (n + 7) / 8; i++)
@@ -249,17 +250,18 @@
     return c;
 }
 
-bool lmn_objective_concerns(const struct lmn_objective *o, const struct lmn_spec *s)
+bool lmn_objective_applies(const struct lmn_objective *o, const struct lmn_job_spec *s)
 {
     return (!*o->class_name || !strcmp(o->class_name, s->class_name)) &&
            (o->kind == LMN_WAIT || o->kind == LMN_FINISH ||
             (o->kind == LMN_DEADLINE && s->deadline_s >= 0));
 }
 
-bool lmn_spec_expected(const struct lmn_settings *cfg, const struct lmn_spec *s)
+bool lmn_job_spec_has_objective(const struct lmn_settings *cfg,
+                                const struct lmn_job_spec *s)
 {
     for (size_t i = 0; i < cfg->nobjectives; i++)
-        if (lmn_objective_concerns(&cfg->objectives[i], s))
+        if (lmn_objective_applies(&cfg->objectives[i], s))
             return true;
     return s->deadline_s >= 0;
 }
--- a/src/job/job_spec.h
+++ b/src/job/job_spec.h
@@ -8,29 +8,34 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum { LMN_REF = 32, LMN_MAX_TASKS = 100000, LMN_MAX_ZONES = 64 };
-enum lmn_kind { LMN_BATCH, LMN_DAEMON };
-enum lmn_urgency { LMN_IDLE, LMN_NORMAL, LMN_HIGH, LMN_PROD };
-enum lmn_phase { LMN_ACTIVE, LMN_FINISHED, LMN_WITHDRAWN };
+enum { LMN_JOB_ID_SIZE = 32, LMN_MAX_TASKS = 100000, LMN_MAX_ZONES = 64 };
+enum lmn_job_kind { LMN_JOB_BATCH, LMN_JOB_SERVICE };
+enum lmn_priority {
+    LMN_PRIORITY_IDLE,
+    LMN_PRIORITY_NORMAL,
+    LMN_PRIORITY_HIGH,
+    LMN_PRIORITY_PRODUCTION
+};
+enum lmn_job_phase { LMN_JOB_ACTIVE, LMN_JOB_DONE, LMN_JOB_CANCELLED };
 
-struct lmn_type {
-    char name[LMN_NAME];
+struct lmn_machine_type {
+    char name[LMN_NAME_SIZE];
     double cpus, gpus, mem, cache_gb, pull, rate, spot_rate, ready_s;
-    char zones[LMN_MAX_ZONES][LMN_NAME];
+    char zones[LMN_MAX_ZONES][LMN_NAME_SIZE];
     int nzones;
 };
 
-struct lmn_types {
-    struct lmn_type *v;
+struct lmn_machine_types {
+    struct lmn_machine_type *v;
     size_t n;
 };
 
-struct lmn_spec {
-    char ref[LMN_REF];
+struct lmn_job_spec {
+    char ref[LMN_JOB_ID_SIZE];
     char *class_name, *team, *image, *zone;
     char **types; /* NULL: any */
-    enum lmn_kind kind;
-    enum lmn_urgency urgency;
+    enum lmn_job_kind kind;
+    enum lmn_priority urgency;
     uint32_t tasks;
     double cpus, gpus, mem, image_gb, estimate_s, checkpoint_s, save_s;
     double deadline_s; /* negative: none */
@@ -38,40 +43,42 @@
 };
 
 /* The form of ids; everything else can never have been accepted. */
-bool lmn_ref_ok(const char *ref);
+bool lmn_job_id_is_valid(const char *ref);
 /* 0, or -1 if a field is missing or invalid; *what then says which. Frees nothing it took
- * on failure but what lmn_spec_clear frees. */
-int lmn_spec_parse(struct lmn_spec *s, const struct lmn_cbor_document *doc,
-                   const struct lmn_cbor_value *map, const char **what);
-void lmn_spec_clear(struct lmn_spec *s);
-/* Appends the fields as pairs of an open map: as many as lmn_spec_pairs says. */
-void lmn_spec_put(GByteArray *b, const struct lmn_spec *s);
-size_t lmn_spec_pairs(void);
+ * on failure but what lmn_job_spec_clear frees. */
+int lmn_job_spec_parse(struct lmn_job_spec *s, const struct lmn_cbor_document *doc,
+                       const struct lmn_cbor_value *map, const char **what);
+void lmn_job_spec_clear(struct lmn_job_spec *s);
+/* Appends the fields as pairs of an open map: as many as lmn_job_spec_pair_count says. */
+void lmn_job_spec_write(GByteArray *b, const struct lmn_job_spec *s);
+size_t lmn_job_spec_pair_count(void);
 
-bool lmn_spec_allows(const struct lmn_spec *s, const struct lmn_type *t, const char *zone,
-                     bool spot);
+bool lmn_job_spec_allows(const struct lmn_job_spec *s, const struct lmn_machine_type *t,
+                         const char *zone, bool spot);
 /* Whether the job could ever run; *why says what is against it. */
-bool lmn_spec_possible(const struct lmn_spec *s, const struct lmn_settings *cfg,
-                       const struct lmn_types *types, const char **why);
+bool lmn_job_spec_is_feasible(const struct lmn_job_spec *s,
+                              const struct lmn_settings *cfg,
+                              const struct lmn_machine_types *types, const char **why);
 
 /* Whether the objective says when such a job should start or end. */
-bool lmn_objective_concerns(const struct lmn_objective *o, const struct lmn_spec *s);
+bool lmn_objective_applies(const struct lmn_objective *o, const struct lmn_job_spec *s);
 /* Whether anything does, its deadline included. */
-bool lmn_spec_expected(const struct lmn_settings *cfg, const struct lmn_spec *s);
+bool lmn_job_spec_has_objective(const struct lmn_settings *cfg,
+                                const struct lmn_job_spec *s);
 
 /* Sets of done tasks: one bit a task, as text of hexadecimal digits without closing
  * zeros. */
-static inline bool lmn_bit(const uint8_t *bits, uint32_t i)
+static inline bool lmn_bitset_get(const uint8_t *bits, uint32_t i)
 {
     return bits[i / 8] >> (i % 8) & 1;
 }
-static inline void lmn_set_bit(uint8_t *bits, uint32_t i)
+static inline void lmn_bitset_set(uint8_t *bits, uint32_t i)
 {
     bits[i / 8] |= (uint8_t)(1u << (i % 8));
 }
-void lmn_bits_put(GByteArray *b, const uint8_t *bits, uint32_t n);
+void lmn_bitset_write(GByteArray *b, const uint8_t *bits, uint32_t n);
 /* Reads such a text into bits (of n tasks); -1 if it names a task that there isn't. */
-int lmn_bits_get(const struct lmn_cbor_value *text, uint8_t *bits, uint32_t n);
-uint32_t lmn_bits_count(const uint8_t *bits, uint32_t n);
+int lmn_bitset_read(const struct lmn_cbor_value *text, uint8_t *bits, uint32_t n);
+uint32_t lmn_bitset_count(const uint8_t *bits, uint32_t n);
 
 #endif
--- a/src/kv_store/kv_store.h
+++ b/src/kv_store/kv_store.h
@@ -13,7 +13,7 @@
 #include <stdbool.h>
 
 struct lmn_store_options {
-    char listen[LMN_ADDR];
+    char listen[LMN_ADDRESS_SIZE];
     const char *dir;
     double map_gb;
     /* 0: no limit */
--- a/src/machine_provider/cloud_api.h
+++ b/src/machine_provider/cloud_api.h
@@ -11,13 +11,14 @@
 enum { LMN_RENT_MOST = 50, LMN_RETURN_MOST = 100, LMN_LIST_MOST = 500 };
 
 struct lmn_rent {
-    char request[200], type[LMN_NAME], zone[LMN_NAME];
+    char request[200], type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool spot;
     unsigned count;
 };
 
 struct lmn_rented {
-    char name[LMN_NAME], addr[LMN_ADDR], type[LMN_NAME], zone[LMN_NAME];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], type[LMN_NAME_SIZE],
+        zone[LMN_NAME_SIZE];
     bool spot;
     const char *state; /* one of the protocol's words */
     double age_s;
@@ -26,7 +27,8 @@
 /* Ops may be called from several threads, and may wait. */
 struct lmn_cloud_ops {
     /* The current types, with current prices. */
-    void (*types)(void *arg, void (*each)(void *to, const struct lmn_type *t), void *to);
+    void (*types)(void *arg, void (*each)(void *to, const struct lmn_machine_type *t),
+                  void *to);
     /* HTTP status: 200 with names (strings of the caller's to free), 400, 503. */
     int (*rent)(void *arg, const struct lmn_rent *q, GPtrArray *names);
     /* 200: they and everything on them are gone; 503. */
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -60,8 +60,8 @@
 }
 
 static GString *settings(const struct lmn_local_options *o, const char *dir,
-                         const char *name, const struct lmn_type *t, const char *zone,
-                         bool spot)
+                         const char *name, const struct lmn_machine_type *t,
+                         const char *zone, bool spot)
 {
     const struct lmn_worker_options *w = &o->worker;
     GString *s = g_string_new("# Written by the fleet at each start of the machine.\n");
@@ -90,8 +90,8 @@
 }
 
 int lmn_local_start(const struct lmn_local_options *o, const char *name,
-                    const struct lmn_type *type, const char *zone, bool spot, char *err,
-                    size_t len)
+                    const struct lmn_machine_type *type, const char *zone, bool spot,
+                    char *err, size_t len)
 {
     char *dir = g_build_filename(o->dir, name, NULL);
     char *file = g_build_filename(dir, "worker.toml", NULL);
@@ -128,7 +128,7 @@
 
     *addr = '\0';
     if (up && g_file_get_contents(file, &text, NULL, NULL))
-        g_strlcpy(addr, g_strstrip(text), LMN_ADDR);
+        g_strlcpy(addr, g_strstrip(text), LMN_ADDRESS_SIZE);
     g_free(text);
     g_free(lock);
     g_free(file);
--- a/src/machine_provider/local_agents.h
+++ b/src/machine_provider/local_agents.h
@@ -19,8 +19,8 @@
 /* Starts the machine's agent if none runs: writes its settings, spawns it. 0, or -1 with
  * err. */
 int lmn_local_start(const struct lmn_local_options *o, const char *name,
-                    const struct lmn_type *type, const char *zone, bool spot, char *err,
-                    size_t len);
+                    const struct lmn_machine_type *type, const char *zone, bool spot,
+                    char *err, size_t len);
 /* Whether its agent runs, and its address ("" if it has not said). */
 bool lmn_local_up(const struct lmn_local_options *o, const char *name, char *addr);
 /* Ends it, and everything on it; its directory goes. False if something lives on after
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -20,7 +20,7 @@
     GQueue calls; /* rentals and returns, which may wait for processes */
 };
 
-static void put_type(void *to, const struct lmn_type *t)
+static void put_type(void *to, const struct lmn_machine_type *t)
 {
     GByteArray *b = to;
 
@@ -45,7 +45,7 @@
     bool more;
 };
 
-static void count_type(void *to, const struct lmn_type *t)
+static void count_type(void *to, const struct lmn_machine_type *t)
 {
     struct counted *c = to;
     put_type(c->bytes, t);
@@ -148,7 +148,7 @@
 {
     const struct lmn_cbor_value *l = lmn_cbor_get(d, lmn_cbor_root(d), W_MACHINES);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-    char name[LMN_NAME];
+    char name[LMN_NAME_SIZE];
     int status = l && l->type == LMN_CBOR_ARRAY && l->len <= LMN_RETURN_MOST ? 200 : 400;
 
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, l); n && status == 200;
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -36,15 +36,15 @@
     *name = '\0';
     while (d && !*name && (entry = g_dir_read_name(d)))
         if (g_str_has_prefix(entry, "host-"))
-            g_strlcpy(name, entry, LMN_NAME);
+            g_strlcpy(name, entry, LMN_NAME_SIZE);
     if (d)
         g_dir_close(d);
 }
 
 struct rented_as {
-    char machine[LMN_NAME], zone[LMN_NAME];
+    char machine[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool spot;
-    struct lmn_type type;
+    struct lmn_machine_type type;
 };
 
 /* What it should be; false: the fleet did not say. */
@@ -93,7 +93,7 @@
 void lmn_slot_run(const struct lmn_slot_options *o)
 {
     struct lmn_backoff backoff = {0};
-    char holds[LMN_NAME], addr[LMN_ADDR], err[256];
+    char holds[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], err[256];
 
     curl_global_init(CURL_GLOBAL_NOTHING);
     struct lmn_http *h = lmn_http_new(o->fleet);
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -19,7 +19,8 @@
 static const double REQUEST_KEPT_S = 86400;
 
 struct machine {
-    char name[LMN_NAME], zone[LMN_NAME], slot[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE], slot[LMN_NAME_SIZE],
+        addr[LMN_ADDRESS_SIZE];
     int type;
     bool spot, up, ending;
     double at; /* the time of day of its rental */
@@ -30,7 +31,7 @@
 struct seen {
     struct timespec when;
     uint64_t seq, said; /* its number, which rises; how often it has said something */
-    char holds[LMN_NAME], addr[LMN_ADDR];
+    char holds[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
 };
 
 struct lmn_static {
@@ -124,7 +125,7 @@
 {
     struct lmn_static *s = arg;
     struct machine *m = g_new0(struct machine, 1);
-    char type[LMN_NAME] = "";
+    char type[LMN_NAME_SIZE] = "";
     struct lmn_cbor_document d;
 
     g_strlcpy(m->name, i->key + strlen("machine/"), sizeof m->name);
@@ -152,7 +153,7 @@
 {
     struct lmn_db_reader *r = lmn_db_reader_new(s->db);
     char *escaped = g_uri_escape_string(request, NULL, FALSE);
-    char *key = g_strconcat("request/", escaped, NULL), name[LMN_NAME];
+    char *key = g_strconcat("request/", escaped, NULL), name[LMN_NAME_SIZE];
     struct lmn_db_meta meta;
     struct lmn_db_item i;
     struct lmn_cbor_document d;
@@ -399,7 +400,8 @@
 
 /* --- looking --- */
 
-static void types(void *arg, void (*each)(void *to, const struct lmn_type *t), void *to)
+static void types(void *arg, void (*each)(void *to, const struct lmn_machine_type *t),
+                  void *to)
 {
     const struct lmn_static *s = arg;
     for (unsigned i = 0; i < s->v->ntypes; i++)
@@ -476,7 +478,7 @@
 {
     struct lmn_static *s = arg;
     const GByteArray *body = lmn_call_body(call);
-    char name[LMN_NAME] = "";
+    char name[LMN_NAME_SIZE] = "";
     struct machine *m = NULL;
     struct lmn_cbor_document d;
 
@@ -520,13 +522,13 @@
         m->up = !strcmp(seen->holds, m->name) && *seen->addr;
         g_strlcpy(m->addr, seen->addr, sizeof m->addr);
     }
-    char wanted[LMN_NAME] = "";
+    char wanted[LMN_NAME_SIZE] = "";
     if (m)
         g_strlcpy(wanted, m->name, sizeof wanted);
     pthread_cond_broadcast(&s->slot_said);
     pthread_mutex_unlock(&s->lock);
     lmn_cbor_free(&d);
-    const struct lmn_type *t = &s->v->types[slot->type];
+    const struct lmn_machine_type *t = &s->v->types[slot->type];
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 9);
     lmn_cbor_put_text(b, W_MACHINE);
@@ -568,7 +570,7 @@
 
 static void watch_one(struct lmn_static *s, const char *name)
 {
-    char addr[LMN_ADDR];
+    char addr[LMN_ADDRESS_SIZE];
     bool up = lmn_local_up(s->o, name, addr), due = false;
 
     /* A machine that is being returned must not be started again: who returns holds the
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -74,7 +74,7 @@
     struct timespec since; /* when present last changed */
     /* a suspicion as recorded; it counts while it is about this incarnation */
     uint64_t doubt_inc, doubt_rev, doubt_seen;
-    char doubt_by[LMN_NAME];
+    char doubt_by[LMN_NAME_SIZE];
     enum lmn_cause doubt_why;
     uint32_t doubt_gen;
     struct timespec doubted; /* since when it has stood, the mirror fresh all the while */
--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -24,7 +24,7 @@
 bool lmn_report_task(struct lmn_attempt *a, const struct lmn_cbor_document *d,
                      const struct lmn_cbor_value *n)
 {
-    char task[LMN_REF + 16], *slash;
+    char task[LMN_JOB_ID_SIZE + 16], *slash;
 
     memset(a, 0, sizeof *a);
     if (!lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), task, sizeof task) ||
@@ -33,7 +33,7 @@
         return false;
     /* Once a number of any size, or none, named some task: "x/" was x's first. */
     size_t digits = strspn(slash + 1, "0123456789");
-    if (slash == task || slash - task >= LMN_REF || !digits || digits > 9 ||
+    if (slash == task || slash - task >= LMN_JOB_ID_SIZE || !digits || digits > 9 ||
         slash[1 + digits])
         return false;
     *slash = '\0';
@@ -57,7 +57,7 @@
 {
     const struct lmn_cbor_value *m = lmn_cbor_root(d);
     struct lmn_attempt a;
-    char name[LMN_NAME];
+    char name[LMN_NAME_SIZE];
 
     memset(r, 0, sizeof *r);
     if (!lmn_cbor_get_text(lmn_cbor_get(d, m, W_MACHINE), name, sizeof name) ||
@@ -151,7 +151,7 @@
     double sum = 0;
 
     c->count.failures++;
-    if (!j || j->phase != LMN_ACTIVE)
+    if (!j || j->phase != LMN_JOB_ACTIVE)
         return;
     bool was = lmn_job_accused(&j->failures);
     lmn_job_failed(&j->failures, where, a->since, now);
@@ -186,7 +186,7 @@
     struct lmn_job *j = a->job;
 
     a->failed = true;
-    if (!j || j->phase != LMN_ACTIVE)
+    if (!j || j->phase != LMN_JOB_ACTIVE)
         return;
     bool was = lmn_job_accused(&j->failures);
     lmn_job_had_failed(&j->failures, g_str_hash(m->name), now);
@@ -242,9 +242,9 @@
 {
     for (guint i = 0; i < m->attempts->len; i++) {
         const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
-        bool live = a->job && a->job->phase == LMN_ACTIVE && a->range;
+        bool live = a->job && a->job->phase == LMN_JOB_ACTIVE && a->range;
         if (a->state != LMN_A_ENDED ||
-            (a->done && live && !lmn_bit(a->range->done, a->index - a->range->lo)))
+            (a->done && live && !lmn_bitset_get(a->range->done, a->index - a->range->lo)))
             return false;
     }
     return true;
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -17,7 +17,7 @@
 void lmn_command(GByteArray *out, const char *op, const struct lmn_attempt *a,
                  double grace)
 {
-    char task[LMN_REF + 16];
+    char task[LMN_JOB_ID_SIZE + 16];
 
     g_snprintf(task, sizeof task, "%s/%u", a->ref, a->index);
     lmn_cbor_put_map(out, grace >= 0 ? 4 : 3);
@@ -33,7 +33,7 @@
  * started the job's tasks all at once again. */
 static bool is_history(const struct lmn_machine *m, const struct lmn_attempt *a)
 {
-    if (!a->failed || !a->job || a->job->phase != LMN_ACTIVE ||
+    if (!a->failed || !a->job || a->job->phase != LMN_JOB_ACTIVE ||
         !lmn_job_accused(&a->job->failures))
         return false;
     for (guint i = 0; i < m->attempts->len; i++) {
@@ -119,7 +119,7 @@
         lmn_machine_unheeding(c, m, now);
     for (guint i = 0; i < m->attempts->len; i++) {
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
-        bool live = a->job && a->job->phase == LMN_ACTIVE;
+        bool live = a->job && a->job->phase == LMN_JOB_ACTIVE;
         bool wanted = a->job && lmn_job_wanted(c, a->job);
         if (a->direct && wanted)
             continue;
@@ -133,7 +133,7 @@
             /* A result may be forgotten only once it is recorded; and an attempt whose
              * start may still arrive must stay known, or that would start it anew. */
             bool recorded = !a->done || !live || !a->range ||
-                            lmn_bit(a->range->done, a->index - a->range->lo);
+                            lmn_bitset_get(a->range->done, a->index - a->range->lo);
             if (recorded && !a->unsure && !a->direct && !is_history(m, a)) {
                 lmn_command(out, W_CLEAR, a, -1);
                 commands++;
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -53,7 +53,7 @@
                          const struct lmn_cbor_value *n, uint64_t rev,
                          struct timespec now)
 {
-    char name[LMN_NAME], addr[LMN_ADDR] = "";
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE] = "";
 
     n = lmn_cbor_first_child(d, n);
     if (!lmn_cbor_get_text(n, name, sizeof name))
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -258,7 +258,7 @@
         uint32_t n = r->hi - r->lo, queued = 0, found = in_queue(&p->unplaced, r);
         GHashTableIter it;
         gpointer v;
-        if (!r->st || r->job->phase != LMN_ACTIVE)
+        if (!r->st || r->job->phase != LMN_JOB_ACTIVE)
             continue;
         for (uint32_t i = 0; i < n; i++)
             queued += r->st[i] == LMN_T_QUEUED;
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -150,7 +150,7 @@
     g_hash_table_iter_init(&it, p->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_range *r = v;
-        if (r->dealt || r->job->phase != LMN_ACTIVE || !lmn_range_free_to_start(r))
+        if (r->dealt || r->job->phase != LMN_JOB_ACTIVE || !lmn_range_free_to_start(r))
             continue;
         r->dealt = true;
         lmn_deal_range(c, r, now);
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -35,7 +35,7 @@
     return lmn_budget_take(&k->budget, 1, lmn_now()) <= 0;
 }
 
-static void read_type(struct lmn_type *t, const struct lmn_cbor_document *d,
+static void read_type(struct lmn_machine_type *t, const struct lmn_cbor_document *d,
                       const struct lmn_cbor_value *n)
 {
     const struct lmn_cbor_value *zones = lmn_cbor_get(d, n, W_ZONES);
@@ -51,7 +51,7 @@
     t->nzones = 0;
     for (const struct lmn_cbor_value *z = lmn_cbor_first_child(d, zones);
          z && t->nzones < LMN_MAX_ZONES; z = lmn_cbor_next(d, z))
-        if (lmn_cbor_get_text(z, t->zones[t->nzones], LMN_NAME))
+        if (lmn_cbor_get_text(z, t->zones[t->nzones], LMN_NAME_SIZE))
             t->nzones++;
 }
 
@@ -67,7 +67,7 @@
     const struct lmn_cbor_value *list = lmn_cbor_get(&d, lmn_cbor_root(&d), W_TYPES);
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
          n = lmn_cbor_next(&d, n)) {
-        char name[LMN_NAME];
+        char name[LMN_NAME_SIZE];
         size_t i = 0;
         if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_SKU), name, sizeof name))
             continue;
@@ -170,7 +170,7 @@
  * answered. */
 static bool read_list(struct cloud *k)
 {
-    char after[LMN_NAME] = "", path[256];
+    char after[LMN_NAME_SIZE] = "", path[256];
     bool more = true;
 
     while (more) {
@@ -237,7 +237,7 @@
     g_hash_table_iter_init(&it, k->fleet.machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_listed *m = v;
-        const struct lmn_type *t = lmn_type_named(c, m->type);
+        const struct lmn_machine_type *t = lmn_type_named(c, m->type);
         double missing = lmn_since(now, m->listed ? m->seen : m->since);
         if (g_hash_table_contains(c->gone, m->name) ||
             (lmn_since(k->listed, now) > -lag && missing > 2 * lag + 4)) {
@@ -306,7 +306,7 @@
     if (status == 200 && lmn_cbor_parse(&d, k->buf->data, k->buf->len) == 0) {
         const struct lmn_cbor_value *list =
             lmn_cbor_get(&d, lmn_cbor_root(&d), W_MACHINES);
-        char name[LMN_NAME];
+        char name[LMN_NAME_SIZE];
         for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
              n = lmn_cbor_next(&d, n)) {
             if (!lmn_cbor_get_text(n, name, sizeof name))
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -23,7 +23,7 @@
     r->move_unsure = false;
     r->dealt = false;
     for (uint32_t i = 0; i < n; i++)
-        if (lmn_bit(r->done, i))
+        if (lmn_bitset_get(r->done, i))
             r->st[i] = LMN_T_DONE;
 }
 
@@ -55,7 +55,7 @@
         return;
     r->st[index - r->lo] = LMN_T_QUEUED;
     r->nstarted--;
-    if (r->dealt && r->job->phase == LMN_ACTIVE)
+    if (r->dealt && r->job->phase == LMN_JOB_ACTIVE)
         lmn_deal(c, r, index, index + 1, now);
 }
 
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -11,7 +11,7 @@
     struct lmn_core *c;
     int part;
     char *key;
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
 };
 
 static void range_written(void *arg, struct lmn_txn *t, enum lmn_outcome outcome,
@@ -86,7 +86,7 @@
         struct lmn_range here = {.lo = r->lo, .hi = r->move_at};
         for (uint32_t i = 0; i < here.hi - here.lo; i++)
             if (r->st[i] == LMN_T_DONE)
-                lmn_set_bit(bits, i);
+                lmn_bitset_set(bits, i);
         lmn_txn_write(t, r->key, lmn_range_record(&here, bits), 0);
         g_snprintf(key, sizeof key, "j/%s", j->spec.ref);
         lmn_txn_if(t, key, j->rev);
@@ -112,7 +112,7 @@
         move_range(c, r);
         return;
     }
-    if (j->phase != LMN_ACTIVE) {
+    if (j->phase != LMN_JOB_ACTIVE) {
         if (r->nstarted == 0)
             g_ptr_array_add(lazy, r);
         return;
@@ -126,7 +126,8 @@
         lmn_txn_if(t, key, j->rev);
         lmn_txn_remove(t, r->key);
         lmn_txn_write(t, key,
-                      lmn_job_record(&j->spec, j->open <= 1 ? LMN_FINISHED : LMN_ACTIVE,
+                      lmn_job_record(&j->spec,
+                                     j->open <= 1 ? LMN_JOB_DONE : LMN_JOB_ACTIVE,
                                      j->open - 1, j->at),
                       0);
         lmn_state_submit(c->state, t);
@@ -141,13 +142,13 @@
     uint32_t n = r->hi - r->lo;
     struct lmn_txn *t = owner_txn(c, r, LMN_RANK_LAZY);
 
-    if (r->job->phase != LMN_ACTIVE) {
+    if (r->job->phase != LMN_JOB_ACTIVE) {
         lmn_txn_remove(t, r->key);
     } else {
         uint8_t *done = g_malloc0((n + 7) / 8);
         for (uint32_t i = 0; i < n; i++)
             if (r->st[i] == LMN_T_DONE)
-                lmn_set_bit(done, i);
+                lmn_bitset_set(done, i);
         lmn_txn_write(t, r->key, lmn_range_record(r, done), 0);
         g_free(done);
     }
--- a/src/partition/worker.h
+++ b/src/partition/worker.h
@@ -8,7 +8,8 @@
 /* Nothing on it that would be lost with it. */
 bool lmn_machine_bare(const struct lmn_machine *m);
 /* Fills a body for /do with starts for a machine of ours that waits for none; returns
- * false if there is nothing to send. name, addr: buffers of LMN_NAME and LMN_ADDR. */
+ * false if there is nothing to send. name, addr: buffers of LMN_NAME_SIZE and
+ * LMN_ADDRESS_SIZE. */
 bool lmn_direct_next(struct lmn_core *c, unsigned lane, unsigned lanes, char *name,
                      char *addr, GByteArray *body, struct timespec now);
 /* What became of it. */
@@ -33,7 +34,7 @@
     uint64_t term;
     uint64_t from, mark; /* its starts are those after from, up to mark; mark 0: it waits
                             for nothing */
-    char machine[LMN_NAME];
+    char machine[LMN_NAME_SIZE];
     guint commands, settled_bytes; /* where the answer's commands begin, and how many
                                       bytes of them are not its new starts, */
     guint settled;                 /* and how many commands */
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -34,8 +34,8 @@
         return false;
     const struct lmn_machine *m =
         list->pdata[g_rand_int_range(c->rng, 0, (gint32)list->len)];
-    g_strlcpy(name, m->name, LMN_NAME);
-    g_strlcpy(addr, m->addr, LMN_ADDR);
+    g_strlcpy(name, m->name, LMN_NAME_SIZE);
+    g_strlcpy(addr, m->addr, LMN_ADDRESS_SIZE);
     *term = 0;
     return *addr != 0;
 }
@@ -93,8 +93,8 @@
         return false;
     best->next_probe =
         lmn_after(now, 2.5 + 0.5 * MIN(best->probes, 6u)); /* two calls of 1 s */
-    g_strlcpy(name, best->name, LMN_NAME);
-    g_strlcpy(addr, best->addr, LMN_ADDR);
+    g_strlcpy(name, best->name, LMN_NAME_SIZE);
+    g_strlcpy(addr, best->addr, LMN_ADDRESS_SIZE);
     *term = best->part->my_term;
     return true;
 }
@@ -250,8 +250,8 @@
                     g_array_index(m->attempts, struct lmn_attempt, k).direct = true;
                 m->in_call = true;
                 m->idle = (struct timespec){0, 0};
-                g_strlcpy(name, m->name, LMN_NAME);
-                g_strlcpy(addr, m->addr, LMN_ADDR);
+                g_strlcpy(name, m->name, LMN_NAME_SIZE);
+                g_strlcpy(addr, m->addr, LMN_ADDRESS_SIZE);
                 g_byte_array_set_size(body, 0);
                 lmn_cbor_put_map(body, 3);
                 lmn_cbor_put_text(body, W_TOKEN),
@@ -369,7 +369,7 @@
     struct lmn_core *c = lane->core;
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
     GHashTable *clients = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
 
     for (;;) {
         uint64_t term = 0, session = 0, mark = 0;
--- a/src/partition/worker_internal.h
+++ b/src/partition/worker_internal.h
@@ -7,7 +7,8 @@
 #include "state/model.h"
 
 struct lmn_report {
-    char name[LMN_NAME], addr[LMN_ADDR], type[LMN_NAME], zone[LMN_NAME];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], type[LMN_NAME_SIZE],
+        zone[LMN_NAME_SIZE];
     bool spot, noticed;
     uint64_t session, seq, token;
     double notice_s;
--- a/src/replication/batch.h
+++ b/src/replication/batch.h
@@ -5,21 +5,21 @@
 #include "state/model.h"
 
 struct lmn_told_attempt {
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     uint32_t index;
     uint64_t number;
     bool ended, done; /* as the worker has said */
 };
 
 struct lmn_told_image {
-    char name[LMN_NAME * 2];
+    char name[LMN_NAME_SIZE * 2];
     double gb;
     bool there; /* else it was being fetched */
 };
 
 /* A machine, whole: it takes the place of what was told of it before. */
 struct lmn_told {
-    char name[LMN_NAME];
+    char name[LMN_NAME_SIZE];
     uint64_t session; /* 0: not known */
     bool gone;        /* the cloud has said so */
     bool forget;      /* no record names it any more */
--- a/src/replication/replica_choice.c
+++ b/src/replication/replica_choice.c
@@ -33,7 +33,7 @@
  * that goes moves only what was its own. */
 static guint weight(const struct lmn_core *c, int rank, const struct lmn_partition *p)
 {
-    char text[LMN_NAME + 16];
+    char text[LMN_NAME_SIZE + 16];
 
     g_snprintf(text, sizeof text, "%s/%d", lmn_member_name(&c->members, rank), p->id);
     return g_str_hash(text) * 2654435761u; /* Knuth's multiplier: near names, far apart */
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -42,7 +42,7 @@
     g_array_append_val(f->boots, new);
 }
 
-double lmn_fleet_patience(const struct lmn_fleet *f, const struct lmn_type *t,
+double lmn_fleet_patience(const struct lmn_fleet *f, const struct lmn_machine_type *t,
                           const char *zone, double lag_s)
 {
     const struct lmn_boots *b = boots(f, t->name, zone);
@@ -52,7 +52,7 @@
 
 /* Machines of one type and zone. */
 struct kind {
-    const struct lmn_type *type;
+    const struct lmn_machine_type *type;
     const char *zone;
     unsigned all, late;
 };
@@ -70,7 +70,7 @@
         g_hash_table_iter_init(&it, f->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_listed *m = v;
-            const struct lmn_type *t = lmn_type_named(c, m->type);
+            const struct lmn_machine_type *t = lmn_type_named(c, m->type);
             struct kind *k = NULL, new = {t, m->zone, 0, 0};
             if (!t || m->broken)
                 continue;
@@ -98,7 +98,7 @@
 }
 
 struct want {
-    const struct lmn_spec *spec;
+    const struct lmn_job_spec *spec;
     int team;
     bool cheap; /* cheap machines only */
     double cpus, gpus, mem;
@@ -135,7 +135,7 @@
 }
 
 /* Whether no ordinary machine is worth renting for it. */
-static bool cheap_only(const struct lmn_core *c, const struct lmn_spec *s)
+static bool cheap_only(const struct lmn_core *c, const struct lmn_job_spec *s)
 {
     for (size_t i = 0; i < c->types.n; i++)
         if (!lmn_cheap_only(c->cfg, s, &c->types.v[i]))
@@ -156,11 +156,11 @@
         g_hash_table_iter_init(&it, c->parts[i].ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_range *r = v;
-            const struct lmn_spec *s = &r->job->spec;
+            const struct lmn_job_spec *s = &r->job->spec;
             double left = r->hi - r->lo - (r->st ? r->nfinished : r->ndone);
-            if (r->job->phase != LMN_ACTIVE || left <= 0 || r->job->team < 0)
+            if (r->job->phase != LMN_JOB_ACTIVE || left <= 0 || r->job->team < 0)
                 continue;
-            if (s->kind == LMN_BATCH)
+            if (s->kind == LMN_JOB_BATCH)
                 left = MIN(left, MAX(left * MAX(s->estimate_s, 1) / horizon, 1));
             if (lmn_job_accused(&r->job->failures))
                 left = MIN(left, 1); /* its only try */
@@ -220,7 +220,7 @@
     for (size_t i = 0; i < c->types.n; i++)
         for (int z = 0; z < c->types.v[i].nzones; z++)
             for (int spot = 0; spot <= (any && c->tuning.spot >= 0.5); spot++) {
-                const struct lmn_type *t = &c->types.v[i];
+                const struct lmn_machine_type *t = &c->types.v[i];
                 const struct lmn_refusal *no = refusal(f, t->name, t->zones[z], spot);
                 double cpus = 0, mem = 0;
                 if (no && no->wait_s > 0 && lmn_before(now, no->until))
@@ -228,7 +228,7 @@
                 for (guint k = 0; k < w->len; k++) {
                     const struct want *x = &g_array_index(w, struct want, k);
                     if ((spot || !x->cheap) &&
-                        lmn_spec_allows(x->spec, t, t->zones[z], spot)) {
+                        lmn_job_spec_allows(x->spec, t, t->zones[z], spot)) {
                         cpus += x->cpus;
                         mem += x->mem;
                     }
@@ -268,7 +268,7 @@
     g_hash_table_iter_init(&it, f->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_listed *m = v;
-        const struct lmn_type *t = lmn_type_named(c, m->type);
+        const struct lmn_machine_type *t = lmn_type_named(c, m->type);
         machines++;
         if (m->broken || !t)
             continue;
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -6,14 +6,14 @@
 
 /* A machine as the cloud lists it, or as a rental of ours that it doesn't list yet. */
 struct lmn_listed {
-    char name[LMN_NAME], type[LMN_NAME], zone[LMN_NAME];
+    char name[LMN_NAME_SIZE], type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool spot, booting, broken, listed;
     struct timespec since; /* of the rental */
     struct timespec seen;  /* last in a list */
 };
 
 struct lmn_refusal {
-    char type[LMN_NAME], zone[LMN_NAME];
+    char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool spot;
     double wait_s;
     struct timespec until;
@@ -21,7 +21,7 @@
 
 /* How long machines of a type take to boot in a zone, as far as seen; s. */
 struct lmn_boots {
-    char type[LMN_NAME], zone[LMN_NAME];
+    char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     double typical;
 };
 
@@ -32,7 +32,7 @@
 };
 
 struct lmn_rental {
-    char type[LMN_NAME], zone[LMN_NAME];
+    char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool spot;
     unsigned count;
 };
@@ -43,7 +43,7 @@
 /* Seconds within which a machine of the type should be up: from what was seen of its
  * kind, and no less than is usual. From then on others are rented in its place, as long
  * as only some are late; after twice that it is returned. */
-double lmn_fleet_patience(const struct lmn_fleet *f, const struct lmn_type *t,
+double lmn_fleet_patience(const struct lmn_fleet *f, const struct lmn_machine_type *t,
                           const char *zone, double lag_s);
 /* Whether to rent, and what. The core's lock is held. */
 bool lmn_fleet_choose(struct lmn_core *c, struct lmn_fleet *f, struct lmn_rental *r,
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -32,8 +32,8 @@
 
 static bool holds_replica(const struct lmn_attempt *a)
 {
-    return a->counted && a->range && a->job && a->job->phase == LMN_ACTIVE &&
-           a->job->spec.kind == LMN_DAEMON;
+    return a->counted && a->range && a->job && a->job->phase == LMN_JOB_ACTIVE &&
+           a->job->spec.kind == LMN_JOB_SERVICE;
 }
 
 /* Whether the machine's replicas may be moved now; how many there are. */
@@ -57,7 +57,7 @@
 static struct target *target_for(GArray *targets, const struct lmn_machine *from,
                                  const struct lmn_job *j)
 {
-    const struct lmn_spec *s = &j->spec;
+    const struct lmn_job_spec *s = &j->spec;
     struct target *best = NULL;
 
     for (guint i = 0; i < targets->len; i++) {
--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -49,7 +49,7 @@
         g_hash_table_iter_init(&it, p->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_range *r = v;
-            if (r->job->phase != LMN_ACTIVE || !r->st)
+            if (r->job->phase != LMN_JOB_ACTIVE || !r->st)
                 continue;
             if (classes)
                 count(find(classes, r->job->cls), r);
@@ -125,21 +125,21 @@
     g_array_free(teams, TRUE);
 }
 
-bool lmn_cheap_only(const struct lmn_settings *cfg, const struct lmn_spec *s,
-                    const struct lmn_type *t)
+bool lmn_cheap_only(const struct lmn_settings *cfg, const struct lmn_job_spec *s,
+                    const struct lmn_machine_type *t)
 {
-    return s->urgency == LMN_IDLE && s->spot && s->kind == LMN_BATCH &&
+    return s->urgency == LMN_PRIORITY_IDLE && s->spot && s->kind == LMN_JOB_BATCH &&
            s->estimate_s > GAP_S && t->rate > LEFT * t->spot_rate &&
-           !lmn_spec_expected(cfg, s);
+           !lmn_job_spec_has_objective(cfg, s);
 }
 
 /* Where no cheap machine could hold it, any will do. */
-static bool cheap_here(const struct lmn_partition *p, const struct lmn_spec *s)
+static bool cheap_here(const struct lmn_partition *p, const struct lmn_job_spec *s)
 {
     for (guint k = 0; k < p->list->len; k++) {
         const struct lmn_machine *m = p->list->pdata[k];
         if (m->spot && m->type && m->accounted && !m->is_gone && !m->lapsed &&
-            lmn_spec_allows(s, m->type, m->zone, true))
+            lmn_job_spec_allows(s, m->type, m->zone, true))
             return true;
     }
     return false;
@@ -157,11 +157,11 @@
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_range *r = v;
             struct lmn_job *j = r->job;
-            if (j->phase != LMN_ACTIVE || !r->st)
+            if (j->phase != LMN_JOB_ACTIVE || !r->st)
                 continue;
             j->aged = wall - j->at > AGED_S && !r->nstarted && !r->nfinished &&
                       !lmn_job_accused(&j->failures);
-            j->cheap = j->spec.urgency == LMN_IDLE && cheap_here(p, &j->spec);
+            j->cheap = j->spec.urgency == LMN_PRIORITY_IDLE && cheap_here(p, &j->spec);
         }
     }
 }
--- a/src/scheduler/fair_share.h
+++ b/src/scheduler/fair_share.h
@@ -33,8 +33,8 @@
  * leaving rather than running on an ordinary machine of the type: work that is left in
  * the end costs twice its worth, and what runs for long keeps the machine from being
  * returned. Pure. */
-bool lmn_cheap_only(const struct lmn_settings *cfg, const struct lmn_spec *s,
-                    const struct lmn_type *t);
+bool lmn_cheap_only(const struct lmn_settings *cfg, const struct lmn_job_spec *s,
+                    const struct lmn_machine_type *t);
 
 /* What of each class this node's partitions have: an array of struct lmn_floor, `of` the
  * class's name; to be freed. */
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -19,7 +19,7 @@
 
 void lmn_job_rank(const struct lmn_settings *cfg, struct lmn_job *j, double wall)
 {
-    const struct lmn_spec *s = &j->spec;
+    const struct lmn_job_spec *s = &j->spec;
     bool any = false;
 
     /* Estimates are often wrong by half: a job is given up as late only when even a run
@@ -28,7 +28,7 @@
     /* A replica that does not run is missed every second anew, however late it is: once
      * counted as lost like work with an end, services waited behind every batch that
      * could still be in time. */
-    if (s->kind == LMN_DAEMON) {
+    if (s->kind == LMN_JOB_SERVICE) {
         j->lost = false;
         j->latest = j->at;
         return;
@@ -37,7 +37,7 @@
     j->latest = 0;
     for (size_t i = 0; i < cfg->nobjectives; i++) {
         const struct lmn_objective *o = &cfg->objectives[i];
-        if (!lmn_objective_concerns(o, s))
+        if (!lmn_objective_applies(o, s))
             continue;
         if (o->kind == LMN_WAIT)
             expect(j, j->at + o->within_s, wall);
@@ -142,8 +142,8 @@
     g_hash_table_iter_init(&it, p->ranges);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
         struct lmn_job *j = ((struct lmn_range *)x)->job;
-        if (j->phase != LMN_ACTIVE || j->lost || j->ranked == p ||
-            j->spec.kind == LMN_DAEMON)
+        if (j->phase != LMN_JOB_ACTIVE || j->lost || j->ranked == p ||
+            j->spec.kind == LMN_JOB_SERVICE)
             continue;
         j->ranked = p;
         j->left = work_left(j, p);
@@ -186,7 +186,10 @@
  * jobs, while the others waited for six minutes. */
 static int group(const struct lmn_job *j)
 {
-    return j->spec.urgency == LMN_PROD && !j->lost ? 0 : j->aged ? 1 : j->owed ? 2 : 3;
+    return j->spec.urgency == LMN_PRIORITY_PRODUCTION && !j->lost ? 0
+           : j->aged                                              ? 1
+           : j->owed                                              ? 2
+                                                                  : 3;
 }
 
 int lmn_job_order(const struct lmn_job *a, const struct lmn_job *b)
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -35,7 +35,7 @@
     for (guint i = 0; i < q->segs->len && out->len < HELPED_AT_ONCE; i++) {
         const struct lmn_seg *s = q->segs->pdata[i];
         const struct lmn_job *j = s->job;
-        if (j->spec.urgency != LMN_PROD || j->phase != LMN_ACTIVE ||
+        if (j->spec.urgency != LMN_PRIORITY_PRODUCTION || j->phase != LMN_JOB_ACTIVE ||
             lmn_before(now, j->failures.hold))
             continue;
         for (uint32_t k = s->lo; k < s->hi && out->len < HELPED_AT_ONCE; k++) {
@@ -49,16 +49,16 @@
 }
 
 /* Whether the attempt may be stopped for a job of that urgency. */
-static bool lesser(const struct lmn_attempt *a, const struct lmn_spec *s)
+static bool lesser(const struct lmn_attempt *a, const struct lmn_job_spec *s)
 {
-    return a->job && a->range && a->job->phase == LMN_ACTIVE && a->counted && !a->stop &&
-           !a->direct && a->listed && a->job->spec.urgency < s->urgency &&
+    return a->job && a->range && a->job->phase == LMN_JOB_ACTIVE && a->counted &&
+           !a->stop && !a->direct && a->listed && a->job->spec.urgency < s->urgency &&
            (a->state == LMN_A_FETCHING || a->state == LMN_A_RUNNING);
 }
 
 /* Seconds for which those who wait can wait for others to save: beyond that, and what it
  * takes to tell and to start, their own expectation of a start would be missed. */
-static double patience(const struct lmn_settings *cfg, const struct lmn_spec *s)
+static double patience(const struct lmn_settings *cfg, const struct lmn_job_spec *s)
 {
     double least = INFINITY;
 
@@ -74,7 +74,7 @@
 /* Processor seconds that would be lost with it; saves: it is given the time. */
 static double loss(const struct lmn_attempt *a, bool saves, struct timespec now)
 {
-    const struct lmn_spec *s = &a->job->spec;
+    const struct lmn_job_spec *s = &a->job->spec;
     double ran = a->state == LMN_A_FETCHING ? 0 : lmn_since(now, a->since);
     double work = s->checkpoint_s <= 0 ? ran
                   : saves              ? MIN(ran, s->save_s)
@@ -84,7 +84,7 @@
 
 /* The cheapest way to make room for one more task on the machine: marks the victims if
  * mark is set. Returns the loss; infinity if there is none. */
-static double make_on(struct lmn_machine *m, const struct lmn_spec *s, double patient,
+static double make_on(struct lmn_machine *m, const struct lmn_job_spec *s, double patient,
                       bool mark, struct timespec now)
 {
     double cpus = m->type->cpus - m->used_cpus, gpus = m->type->gpus - m->used_gpus;
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -288,7 +288,7 @@
     a.job->aged = false; /* it has begun */
     if (lmn_job_accused(&a.job->failures))
         lmn_job_tried(&a.job->failures, now);
-    if (m->promised && a.job->spec.urgency == LMN_PROD) {
+    if (m->promised && a.job->spec.urgency == LMN_PRIORITY_PRODUCTION) {
         m->promised--;
         look_anew(c); /* lesser work may start again */
     }
@@ -296,7 +296,7 @@
     g_array_append_val(m->attempts, a);
     c->count.starts++;
     lmn_latency_add(&c->starting, c->wall - a.job->at);
-    char task[LMN_REF + 16];
+    char task[LMN_JOB_ID_SIZE + 16];
     g_snprintf(task, sizeof task, "%s/%u", a.ref, a.index);
     lmn_cbor_put_map(out, 3);
     lmn_cbor_put_text(out, W_OP), lmn_cbor_put_text(out, W_START);
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -42,7 +42,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_range *r = v;
         double n = r->st ? r->hi - r->lo - r->nfinished - r->nstarted : 0;
-        if (r->job->team != team || r->job->phase != LMN_ACTIVE || n <= 0)
+        if (r->job->team != team || r->job->phase != LMN_JOB_ACTIVE || n <= 0)
             continue;
         if (lmn_job_accused(&r->job->failures))
             n = 1; /* it is tried with a task at a time */
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -141,9 +141,9 @@
         struct lmn_machine *m = p->list->pdata[i];
         /* A job that was waiting here may have moved on, and wait elsewhere: a machine
          * was kept for it that nothing could start on. */
-        if (m->kept &&
-            (!m->kept->aged || !waits_here(p, m->kept) || m->kept->phase != LMN_ACTIVE ||
-             !lmn_before(now, m->kept_until) || !lmn_can_hold(m, m->kept)))
+        if (m->kept && (!m->kept->aged || !waits_here(p, m->kept) ||
+                        m->kept->phase != LMN_JOB_ACTIVE ||
+                        !lmn_before(now, m->kept_until) || !lmn_can_hold(m, m->kept)))
             let_go(m);
         kept -= m->kept && kept;
     }
@@ -151,7 +151,7 @@
         struct lmn_keep *k = &p->keep[t];
         if (k->cpus + k->gpus > 0 &&
             (!lmn_before(now, k->until) ||
-             (k->job && (!k->job->aged || k->job->phase != LMN_ACTIVE))))
+             (k->job && (!k->job->aged || k->job->phase != LMN_JOB_ACTIVE))))
             memset(k, 0, sizeof *k);
     }
     if (!p->open || p->releasing)
@@ -160,7 +160,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_range *r = v;
         if (r->job->aged && c->wall - r->job->at > WAITED_S &&
-            r->job->phase == LMN_ACTIVE && r->st && r->dealt && r->job->team >= 0 &&
+            r->job->phase == LMN_JOB_ACTIVE && r->st && r->dealt && r->job->team >= 0 &&
             !lmn_job_accused(&r->job->failures) && lmn_range_free_to_start(r))
             help(c, p, r, &kept, now);
     }
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -44,10 +44,10 @@
     bool known = m->accounted || (m->part->warm && m->session);
 
     return m->type && known && m->rev && !m->retiring && !m->noticed && !m->lapsed &&
-           !m->is_gone && lmn_spec_allows(&j->spec, m->type, m->zone, m->spot);
+           !m->is_gone && lmn_job_spec_allows(&j->spec, m->type, m->zone, m->spot);
 }
 
-uint32_t lmn_room(const struct lmn_machine *m, const struct lmn_spec *s)
+uint32_t lmn_room(const struct lmn_machine *m, const struct lmn_job_spec *s)
 {
     const double slack = 1e-6;
     double n = 1e6;
@@ -124,7 +124,7 @@
         return LMN_WAIT_NOT_WANTED;
     if (!lmn_room(m, &j->spec))
         return LMN_WAIT_ROOM;
-    if (m->promised && j->spec.urgency != LMN_PROD)
+    if (m->promised && j->spec.urgency != LMN_PRIORITY_PRODUCTION)
         return LMN_WAIT_PROMISED;
     if (m->kept && m->kept != j)
         return LMN_WAIT_KEPT;
--- a/src/scheduler/wait_reason.h
+++ b/src/scheduler/wait_reason.h
@@ -40,7 +40,7 @@
 bool lmn_in_quota(const struct lmn_core *c, const struct lmn_partition *p,
                   const struct lmn_job *j);
 /* How many tasks of the job have room on the machine now, its queue aside. */
-uint32_t lmn_room(const struct lmn_machine *m, const struct lmn_spec *s);
+uint32_t lmn_room(const struct lmn_machine *m, const struct lmn_job_spec *s);
 /* Whether the machine takes work now, and the job allows it. */
 bool lmn_can_hold(const struct lmn_machine *m, const struct lmn_job *j);
 
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -64,16 +64,16 @@
 static uint32_t thief_room(const struct lmn_core *c, const struct lmn_thief *t,
                            const struct lmn_job *j)
 {
-    const struct lmn_spec *s = &j->spec;
+    const struct lmn_job_spec *s = &j->spec;
     double n = 0, quota = 1e6;
 
     if (j->team < 0)
         return 0;
     for (guint i = 0; i < t->nrooms; i++) {
         const struct lmn_free_capacity *r = &t->rooms[i];
-        const struct lmn_type *type = lmn_type_named(c, r->type);
+        const struct lmn_machine_type *type = lmn_type_named(c, r->type);
         double k = 1e6;
-        if (!type || !lmn_spec_allows(s, type, r->zone, r->spot))
+        if (!type || !lmn_job_spec_allows(s, type, r->zone, r->spot))
             continue;
         if (s->cpus > 0)
             k = MIN(k, floor(r->cpus / s->cpus + 1e-6));
@@ -114,7 +114,7 @@
 {
     uint32_t n = r->hi - r->lo, k = n;
 
-    if (!r->st || r->job->phase != LMN_ACTIVE || r->writing || r->move_to >= 0)
+    if (!r->st || r->job->phase != LMN_JOB_ACTIVE || r->writing || r->move_to >= 0)
         return 0;
     /* Those that fail wherever they start are not worth a change. */
     if ((is_whole(r->job) && !is_untouched(r)) || lmn_job_accused(&r->job->failures))
@@ -250,6 +250,6 @@
     for (uint32_t i = at; i < r->hi; i++)
         if (r->st[i - r->lo] == LMN_T_MOVING)
             r->st[i - r->lo] = LMN_T_QUEUED;
-    if (r->part->ready && r->job->phase == LMN_ACTIVE)
+    if (r->part->ready && r->job->phase == LMN_JOB_ACTIVE)
         lmn_deal(c, r, at, r->hi, now);
 }
--- a/src/scheduler/work_stealing.h
+++ b/src/scheduler/work_stealing.h
@@ -5,7 +5,7 @@
 #include "state/model.h"
 
 struct lmn_free_capacity {
-    char type[LMN_NAME], zone[LMN_NAME];
+    char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool spot;
     double cpus, gpus, mem;
 };
--- a/src/simulation/controller_group.c
+++ b/src/simulation/controller_group.c
@@ -331,12 +331,12 @@
 {
     struct node *n = &g->nodes[i];
 
-    g_snprintf(n->cfg.node, LMN_NAME, "n%02d", i);
+    g_snprintf(n->cfg.node, LMN_NAME_SIZE, "n%02d", i);
     n->cfg.lease_s = g->o->lease_s;
     n->cfg.report_s = g->o->report_s;
     for (int k = 0; k < g->o->members; k++)
         if (k != i)
-            g_snprintf(n->cfg.members[n->cfg.nmembers++].name, LMN_NAME, "n%02d", k);
+            g_snprintf(n->cfg.members[n->cfg.nmembers++].name, LMN_NAME_SIZE, "n%02d", k);
     lmn_members_init(&n->ms, &n->cfg, stamp(0));
     n->next_tick = uniform(g, TICK_S);
     n->next_holder = uniform(g, TICK_S);
--- a/src/site/config.c
+++ b/src/site/config.c
@@ -121,17 +121,17 @@
 
 static void place(struct lmn_site *s)
 {
-    char name[LMN_NAME];
+    char name[LMN_NAME_SIZE];
 
-    g_snprintf(s->state, LMN_ADDR, "%s:%d", s->address, s->base_port);
-    g_snprintf(s->cloud, LMN_ADDR, "%s:%d", s->address, s->base_port + 1);
-    g_snprintf(s->depot, LMN_ADDR, "%s:%d", s->address, s->base_port + 2);
+    g_snprintf(s->state, LMN_ADDRESS_SIZE, "%s:%d", s->address, s->base_port);
+    g_snprintf(s->cloud, LMN_ADDRESS_SIZE, "%s:%d", s->address, s->base_port + 1);
+    g_snprintf(s->depot, LMN_ADDRESS_SIZE, "%s:%d", s->address, s->base_port + 2);
     add_process(s, "state", "state", s->state);
     add_process(s, "fleet", "fleet", s->cloud);
     for (unsigned i = 0; i < s->controllers; i++) {
-        g_snprintf(s->users[i], LMN_ADDR, "%s:%d", s->address,
+        g_snprintf(s->users[i], LMN_ADDRESS_SIZE, "%s:%d", s->address,
                    s->base_port + 10 + (int)i);
-        g_snprintf(s->peers[i], LMN_ADDR, "%s:%d", s->address,
+        g_snprintf(s->peers[i], LMN_ADDRESS_SIZE, "%s:%d", s->address,
                    s->base_port + 50 + (int)i);
         g_snprintf(name, sizeof name, "controller-%u", i);
         add_process(s, name, "controller", s->users[i]);
@@ -144,7 +144,7 @@
     static const char *const formats[] = {"text", "json", NULL};
     struct lmn_conf *c = lmn_conf_load(path, err, len);
     static struct lmn_inventory v;
-    char host[LMN_ADDR + 8], ip[LMN_ADDR];
+    char host[LMN_ADDRESS_SIZE + 8], ip[LMN_ADDRESS_SIZE];
     int port;
 
     memset(s, 0, sizeof *s);
@@ -307,7 +307,7 @@
     if (rc == 0)
         rc = put(s, "fleet", fleet_settings(s), err, len);
     for (unsigned i = 0; i < s->controllers && rc == 0; i++) {
-        char name[LMN_NAME];
+        char name[LMN_NAME_SIZE];
         g_snprintf(name, sizeof name, "controller-%u", i);
         rc = put(s, name, controller_settings(s, i), err, len);
     }
--- a/src/site/site.h
+++ b/src/site/site.h
@@ -12,14 +12,14 @@
 
 /* A process of the site, in the order of starting. */
 struct lmn_site_process {
-    char name[LMN_NAME];  /* "state", "fleet", "controller-0" */
-    char *argv[6];        /* without the program */
-    char ready[LMN_ADDR]; /* GET /ready there answers 200 once it serves */
+    char name[LMN_NAME_SIZE];     /* "state", "fleet", "controller-0" */
+    char *argv[6];                /* without the program */
+    char ready[LMN_ADDRESS_SIZE]; /* GET /ready there answers 200 once it serves */
 };
 
 struct lmn_site {
-    char file[512], name[LMN_NAME], data[512], address[LMN_ADDR], inventory[512],
-        zone[LMN_NAME];
+    char file[512], name[LMN_NAME_SIZE], data[512], address[LMN_ADDRESS_SIZE],
+        inventory[512], zone[LMN_NAME_SIZE];
     char log_level[16], log_format[16], backend[16];
     GString *emulate; /* of an emulated fleet, as TOML, passed on */
     int base_port;
@@ -32,8 +32,9 @@
     double report_s, lease_s, cancel_s, log_kb;
     double cores, memory_mb;
     int max_connections;
-    char state[LMN_ADDR], cloud[LMN_ADDR], depot[LMN_ADDR];
-    char users[LMN_MAX_MEMBERS + 1][LMN_ADDR], peers[LMN_MAX_MEMBERS + 1][LMN_ADDR];
+    char state[LMN_ADDRESS_SIZE], cloud[LMN_ADDRESS_SIZE], depot[LMN_ADDRESS_SIZE];
+    char users[LMN_MAX_MEMBERS + 1][LMN_ADDRESS_SIZE],
+        peers[LMN_MAX_MEMBERS + 1][LMN_ADDRESS_SIZE];
     struct lmn_site_process processes[LMN_SITE_PROCESSES];
     unsigned nprocesses;
 };
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -84,7 +84,7 @@
         lmn_queue_init(&p->unplaced);
     }
     /* Fixed room: machines point at their types. */
-    c->types.v = g_new0(struct lmn_type, 256);
+    c->types.v = g_new0(struct lmn_machine_type, 256);
     return c;
 }
 
@@ -155,7 +155,7 @@
     return n;
 }
 
-const struct lmn_type *lmn_type_named(const struct lmn_core *c, const char *name)
+const struct lmn_machine_type *lmn_type_named(const struct lmn_core *c, const char *name)
 {
     for (size_t i = 0; i < c->types.n; i++)
         if (!strcmp(c->types.v[i].name, name))
@@ -178,7 +178,7 @@
     struct lmn_job *j = g_hash_table_lookup(c->jobs, ref);
 
     /* Of a job that the mirror does not show yet, nothing was started here. */
-    if (!j || j->phase != LMN_ACTIVE)
+    if (!j || j->phase != LMN_JOB_ACTIVE)
         return false;
     if (!j->tombstone.tv_sec)
         lmn_debug("job-tombstone job=%s", ref);
@@ -188,6 +188,6 @@
 
 bool lmn_job_wanted(const struct lmn_core *c, const struct lmn_job *j)
 {
-    return j && j->phase == LMN_ACTIVE &&
+    return j && j->phase == LMN_JOB_ACTIVE &&
            !(j->tombstone.tv_sec && lmn_before(c->fresh, j->tombstone));
 }
--- a/src/state/core.h
+++ b/src/state/core.h
@@ -15,7 +15,7 @@
 /* NULL: the cloud has not named it yet. */
 /* How many partitions the member owns, as the mirror shows. */
 unsigned lmn_member_holds(const struct lmn_core *c, int rank);
-const struct lmn_type *lmn_type_named(const struct lmn_core *c, const char *name);
+const struct lmn_machine_type *lmn_type_named(const struct lmn_core *c, const char *name);
 
 /* Seconds by which the mirror may be behind; beyond LMN_BLIND_S a node touches no machine
  * of the cloud's: it may long have lost them to a successor. */
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -26,8 +26,8 @@
 struct lmn_partition;
 
 struct lmn_job {
-    struct lmn_spec spec;
-    enum lmn_phase phase;
+    struct lmn_job_spec spec;
+    enum lmn_job_phase phase;
     uint32_t open; /* ranges not yet closed */
     double at;     /* time of day of its acceptance */
     uint64_t rev;
@@ -117,7 +117,7 @@
 };
 
 struct lmn_attempt {
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     struct lmn_job *job;     /* NULL: unknown here */
     struct lmn_range *range; /* NULL: none of ours, or closed */
     uint32_t index;
@@ -153,8 +153,9 @@
 };
 
 struct lmn_machine {
-    char name[LMN_NAME], addr[LMN_ADDR], type_name[LMN_NAME], zone[LMN_NAME];
-    const struct lmn_type *type; /* NULL: not known yet */
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], type_name[LMN_NAME_SIZE],
+        zone[LMN_NAME_SIZE];
+    const struct lmn_machine_type *type; /* NULL: not known yet */
     bool spot;
     struct lmn_partition *part;
     guint at;                /* in the partition's list */
@@ -282,15 +283,15 @@
 struct lmn_partition {
     int id;
     /* mirrored */
-    char owner[LMN_NAME];
+    char owner[LMN_NAME_SIZE];
     uint64_t owner_lease, owner_rev, owner_term, term, term_rev;
     double *quota_cpus, *quota_gpus; /* by team, if there is a record */
     uint32_t owner_gen;
     uint64_t owner_stream;  /* that its claim, or its being given, was conditional on */
     struct timespec vacant; /* since when nobody owns it */
-    char last_owner[LMN_NAME]; /* who did until then; empty: not known */
+    char last_owner[LMN_NAME_SIZE]; /* who did until then; empty: not known */
     /* who is in step with the owner of that term, by which stream; 0: nobody */
-    char standby[LMN_NAME];
+    char standby[LMN_NAME_SIZE];
     uint64_t standby_lease, standby_stream, standby_term, standby_rev;
     struct lmn_copy *copy; /* what we have been told of it; NULL: nothing */
     GHashTable *ranges, *machines;
@@ -431,7 +432,7 @@
     double *asked_cpus, *asked_gpus; /* by team */
 
     struct lmn_tombstones tombstones;
-    struct lmn_types types;
+    struct lmn_machine_types types;
     bool types_known;
     GHashTable *gone; /* names of machines that were returned */
     struct lmn_counters count;
--- a/src/state/task_ledger.c
+++ b/src/state/task_ledger.c
@@ -262,7 +262,7 @@
 
 void lmn_job_free(struct lmn_job *j)
 {
-    lmn_spec_clear(&j->spec);
+    lmn_job_spec_clear(&j->spec);
     g_ptr_array_free(j->ranges, TRUE);
     if (j->zones)
         g_array_free(j->zones, TRUE);
--- a/src/state/tombstone.c
+++ b/src/state/tombstone.c
@@ -4,7 +4,7 @@
 
 void lmn_tombstone_add(struct lmn_tombstones *t, const char *ref)
 {
-    g_strlcpy(t->ref[t->n++ % LMN_TOMBSTONES], ref, LMN_REF);
+    g_strlcpy(t->ref[t->n++ % LMN_TOMBSTONES], ref, LMN_JOB_ID_SIZE);
 }
 
 unsigned lmn_tombstones_for(const struct lmn_tombstones *t, int rank, const char **refs,
--- a/src/state/tombstone.h
+++ b/src/state/tombstone.h
@@ -21,7 +21,8 @@
 enum { LMN_TOMBSTONES = 256 };
 
 struct lmn_tombstones {
-    char ref[LMN_TOMBSTONES][LMN_REF]; /* the n-th stands at n modulo their number */
+    char ref[LMN_TOMBSTONES]
+            [LMN_JOB_ID_SIZE]; /* the n-th stands at n modulo their number */
     uint64_t n;
     uint64_t taken[LMN_MAX_PARTS]; /* by rank: all before this one */
 };
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -49,9 +49,9 @@
 
 /* While everything is read: final jobs beyond those that are kept are passed over, unless
  * there are ranges of theirs. */
-static bool passed_over(struct lmn_core *c, const char *ref, enum lmn_phase phase)
+static bool passed_over(struct lmn_core *c, const char *ref, enum lmn_job_phase phase)
 {
-    if (!c->reading || phase == LMN_ACTIVE || c->final_jobs.length < c->retained_most)
+    if (!c->reading || phase == LMN_JOB_ACTIVE || c->final_jobs.length < c->retained_most)
         return false;
     if (c->needed)
         return !g_hash_table_contains(c->needed, ref);
@@ -63,8 +63,8 @@
                       const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
                       uint64_t rev, struct timespec now)
 {
-    struct lmn_spec spec;
-    enum lmn_phase phase;
+    struct lmn_job_spec spec;
+    enum lmn_job_phase phase;
     uint32_t open;
     double at;
 
@@ -77,11 +77,11 @@
     }
     if (lmn_job_read(d, v, &spec, &phase, &open, &at) != 0) {
         lmn_error("unreadable-record key=j/%s", ref);
-        lmn_spec_clear(&spec);
+        lmn_job_spec_clear(&spec);
         return;
     }
     if (!j && passed_over(c, ref, phase)) {
-        lmn_spec_clear(&spec);
+        lmn_job_spec_clear(&spec);
         return;
     }
     if (!j) {
@@ -98,18 +98,18 @@
                   ref, j->spec.class_name, j->spec.tasks, j->spec.cpus,
                   j->spec.estimate_s, j->spec.deadline_s, j->spec.image);
     } else {
-        lmn_spec_clear(&spec); /* a job's description never changes */
+        lmn_job_spec_clear(&spec); /* a job's description never changes */
     }
-    if (!j->rev && phase == LMN_ACTIVE) {
+    if (!j->rev && phase == LMN_JOB_ACTIVE) {
         ask_for(c, j, 1);
         j->guaranteed = in_guarantee(c, j);
-    } else if (j->phase == LMN_ACTIVE && phase != LMN_ACTIVE && j->rev) {
+    } else if (j->phase == LMN_JOB_ACTIVE && phase != LMN_JOB_ACTIVE && j->rev) {
         ask_for(c, j, -1);
     }
     if (phase != j->phase)
         lmn_debug("job-final job=%s phase=%d after=%.1f", ref, phase,
                   lmn_seconds(lmn_wall()) - j->at);
-    if (phase != LMN_ACTIVE && (j->phase == LMN_ACTIVE || !j->rev))
+    if (phase != LMN_JOB_ACTIVE && (j->phase == LMN_JOB_ACTIVE || !j->rev))
         lmn_retention_note(c, j, now);
     j->phase = phase;
     j->open = open;
@@ -129,7 +129,7 @@
 {
     struct lmn_range *r = g_hash_table_lookup(p->ranges, key);
     const char *slash = strchr(rest, '/');
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     uint64_t hi;
 
     if (!v) {
@@ -169,9 +169,9 @@
     }
     if (hi < r->hi)
         c->owner->range_cut(c, r, (uint32_t)hi);
-    if (lmn_bits_get(lmn_cbor_get(d, v, "done"), r->done, r->hi - r->lo) != 0)
+    if (lmn_bitset_read(lmn_cbor_get(d, v, "done"), r->done, r->hi - r->lo) != 0)
         lmn_error("unreadable-record key=%s", key);
-    r->ndone = lmn_bits_count(r->done, r->hi - r->lo);
+    r->ndone = lmn_bitset_count(r->done, r->hi - r->lo);
     r->rev = rev;
     r->gen = c->gen;
     if (r->writing && r->written && rev >= r->written)
@@ -202,7 +202,7 @@
                         const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
                         uint64_t rev, struct timespec now)
 {
-    char owner[LMN_NAME] = "";
+    char owner[LMN_NAME_SIZE] = "";
     uint64_t lease = 0, term = 0, stream = 0;
 
     p->owner_gen = c->gen;
@@ -293,7 +293,7 @@
                         uint64_t rev, struct timespec now)
 {
     int rank = lmn_member_rank(&c->members, name);
-    char by[LMN_NAME] = "";
+    char by[LMN_NAME_SIZE] = "";
     uint64_t inc = 0, why = 0;
 
     if (rank < 0)
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -57,7 +57,7 @@
 
 static void put_run(GByteArray *b, const struct lmn_run *r)
 {
-    char task[LMN_REF + 16];
+    char task[LMN_JOB_ID_SIZE + 16];
     bool ended = r->state == LMN_R_ENDED, stopped = ended && r->why == LMN_STOPPED;
 
     g_snprintf(task, sizeof task, "%s/%u", r->ref, r->index);
@@ -146,7 +146,7 @@
     a->ops->start(a->arg, r);
 }
 
-void lmn_agent_described(struct lmn_agent *a, uint64_t id, const struct lmn_spec *s,
+void lmn_agent_described(struct lmn_agent *a, uint64_t id, const struct lmn_job_spec *s,
                          struct timespec now)
 {
     struct lmn_run *r = lmn_agent_run(a, id);
@@ -218,7 +218,7 @@
     a->changed = true;
     if (busy)
         end(a, r, LMN_BUSY);
-    else if (!lmn_ref_ok(ref)) /* names become paths */
+    else if (!lmn_job_id_is_valid(ref)) /* names become paths */
         end(a, r, LMN_NO_SUCH);
     else
         a->ops->describe(a->arg, r);
@@ -258,14 +258,14 @@
                  const struct lmn_cbor_value *n, struct timespec now)
 {
     const struct lmn_cbor_value *op = lmn_cbor_get(d, n, W_OP);
-    char task[LMN_REF + 16], *slash;
+    char task[LMN_JOB_ID_SIZE + 16], *slash;
     struct lmn_run *r = NULL;
     uint64_t attempt = 0;
     double grace = 0;
 
     if (!lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), task, sizeof task) ||
         !lmn_cbor_get_uint(lmn_cbor_get(d, n, W_ATTEMPT), &attempt) ||
-        !(slash = strrchr(task, '/')) || slash - task >= LMN_REF)
+        !(slash = strrchr(task, '/')) || slash - task >= LMN_JOB_ID_SIZE)
         return;
     *slash = '\0';
     uint32_t index = (uint32_t)g_ascii_strtoull(slash + 1, NULL, 10);
--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -30,7 +30,7 @@
 /* An attempt at a task on the machine. */
 struct lmn_run {
     uint64_t id; /* of the agent's own, never used twice in its life */
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     uint32_t index;
     uint64_t attempt;
     enum lmn_run_state state;
@@ -67,8 +67,8 @@
 };
 
 struct lmn_agent {
-    char name[LMN_NAME], addr[LMN_ADDR], zone[LMN_NAME];
-    struct lmn_type type;
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], zone[LMN_NAME_SIZE];
+    struct lmn_machine_type type;
     bool spot;
     double lease_s;
     const struct lmn_agent_ops *ops;
@@ -107,8 +107,8 @@
 
 /* --- what came of it --- */
 /* spec NULL: no such job. */
-void lmn_agent_described(struct lmn_agent *a, uint64_t id, const struct lmn_spec *spec,
-                         struct timespec now);
+void lmn_agent_described(struct lmn_agent *a, uint64_t id,
+                         const struct lmn_job_spec *spec, struct timespec now);
 void lmn_agent_fetched(struct lmn_agent *a, const char *image, bool ok,
                        struct timespec now);
 /* All its processes are gone. done: it has completed, and its result is kept; saved: it
--- a/src/worker/task_runner.c
+++ b/src/worker/task_runner.c
@@ -60,7 +60,7 @@
 static bool has_result(void *arg, const char *ref, uint32_t index)
 {
     struct lmn_worker *w = arg;
-    char key[LMN_REF + 16];
+    char key[LMN_JOB_ID_SIZE + 16];
 
     g_snprintf(key, sizeof key, "%s/%u", ref, index);
     return g_hash_table_contains(w->results, key);
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -11,10 +11,10 @@
 enum { LMN_MAX_CONTROLLERS = LMN_MAX_MEMBERS + 1 };
 
 struct lmn_worker_options {
-    char name[LMN_NAME], zone[LMN_NAME];
-    char listen[LMN_ADDR]; /* "IPv4:port", port 0: one that is free */
-    char depot[LMN_ADDR];
-    struct lmn_type type;
+    char name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
+    char listen[LMN_ADDRESS_SIZE]; /* "IPv4:port", port 0: one that is free */
+    char depot[LMN_ADDRESS_SIZE];
+    struct lmn_machine_type type;
     bool spot;
     char dir[512]; /* the machine's own files */
     char
@@ -22,7 +22,7 @@
     double report_s, lease_s;
     double log_kb; /* kept of each of an attempt's two streams */
     struct {
-        char name[LMN_NAME], addr[LMN_ADDR];
+        char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     } controllers[LMN_MAX_CONTROLLERS];
     unsigned ncontrollers;
 };
--- a/src/worker/worker_internal.h
+++ b/src/worker/worker_internal.h
@@ -22,7 +22,7 @@
 struct lmn_wish {
     bool image;
     uint64_t id; /* of the run whose job is to be described */
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     const char *name; /* of the image, interned */
     double gb;
 };
@@ -30,7 +30,7 @@
 /* An attempt that has ended. */
 struct lmn_ended {
     uint64_t id, attempt;
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     uint32_t index;
     bool done, saved;
     char *dir;
@@ -39,7 +39,7 @@
 
 struct lmn_worker {
     const struct lmn_worker_options *o;
-    char addr[LMN_ADDR], *mark;
+    char addr[LMN_ADDRESS_SIZE], *mark;
     int keeper;
     pthread_mutex_t lock, sending;
     pthread_cond_t report_due, wishes_more, images_more, ended_more, logs_more;
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -191,7 +191,7 @@
 static unsigned controller_named(const struct lmn_worker *w, const GByteArray *answer,
                                  unsigned now)
 {
-    char name[LMN_NAME] = "";
+    char name[LMN_NAME_SIZE] = "";
     struct lmn_cbor_document d;
 
     if (answer->len && lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
@@ -354,7 +354,7 @@
 int lmn_worker_run(const struct lmn_worker_options *o, char *err, size_t len)
 {
     struct lmn_worker *w = g_new0(struct lmn_worker, 1);
-    char *lock = g_build_filename(o->dir, "agent.lock", NULL), host[LMN_ADDR];
+    char *lock = g_build_filename(o->dir, "agent.lock", NULL), host[LMN_ADDRESS_SIZE];
     char *tasks = g_build_filename(o->dir, "tasks", NULL);
     pid_t other = 0;
 
@@ -407,7 +407,7 @@
         " results=%u",
         o->name, o->type.name, o->zone, w->agent.addr, w->session,
         g_hash_table_size(w->results));
-    char *address = g_build_filename(o->dir, "address", NULL), said[LMN_ADDR + 1];
+    char *address = g_build_filename(o->dir, "address", NULL), said[LMN_ADDRESS_SIZE + 1];
     int n = g_snprintf(said, sizeof said, "%s\n", w->agent.addr);
     lmn_run_unlock(w);
     /* For the fleet's list. */
@@ -435,9 +435,9 @@
                       LMN_MAX_CONTROLLERS);
     for (guint i = 0; i < n && i < LMN_MAX_CONTROLLERS; i++) {
         g_snprintf(path, sizeof path, "controllers[%u].name", i);
-        g_strlcpy(o->controllers[i].name, lmn_conf_name(c, path, NULL), LMN_NAME);
+        g_strlcpy(o->controllers[i].name, lmn_conf_name(c, path, NULL), LMN_NAME_SIZE);
         g_snprintf(path, sizeof path, "controllers[%u].address", i);
-        g_strlcpy(o->controllers[i].addr, lmn_conf_addr(c, path, NULL), LMN_ADDR);
+        g_strlcpy(o->controllers[i].addr, lmn_conf_addr(c, path, NULL), LMN_ADDRESS_SIZE);
         o->ncontrollers++;
     }
 }
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -33,7 +33,7 @@
     settings.lease_s = 10;
     settings.teams = &team;
     settings.nteams = 1;
-    g_strlcpy(settings.teams[0].name, "t", LMN_NAME);
+    g_strlcpy(settings.teams[0].name, "t", LMN_NAME_SIZE);
 }
 
 static void add_machine(struct lmn_partition *p, int i)
@@ -59,7 +59,7 @@
     j->spec.class_name = (char *)"c";
     j->spec.zone = i % 4 == 1 ? (char *)"a" : NULL;
     j->spec.spot = i % 2;
-    j->spec.urgency = (enum lmn_urgency)(i % 4);
+    j->spec.urgency = (enum lmn_priority)(i % 4);
     j->spec.tasks = 1 + (uint32_t)g_rand_int_range(r, 0, 40);
     j->spec.cpus = 1 + i % 4;
     j->spec.deadline_s = -1;
@@ -91,7 +91,7 @@
     set_up_settings();
     core = lmn_core_new(&settings, lmn_state_new(&settings), seed);
     core->types.n = 1;
-    core->types.v[0] = (struct lmn_type){.name = "x", .cpus = 8, .mem = 64};
+    core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     struct lmn_partition *p = &core->parts[0];
     p->mine = p->ready = p->open = true;
     p->my_term = 1;
@@ -137,7 +137,7 @@
     g_byte_array_unref(out);
 }
 
-struct lmn_job *lone_job(enum lmn_urgency urgency, double estimate)
+struct lmn_job *lone_job(enum lmn_priority urgency, double estimate)
 {
     struct lmn_job *j = &jobs[0];
 
@@ -145,8 +145,8 @@
     core->types.v[0].rate = 3;
     core->types.v[0].spot_rate = 1;
     for (int i = 1; i < JOBS; i++)
-        jobs[i].phase = LMN_FINISHED;
-    j->spec.kind = LMN_BATCH;
+        jobs[i].phase = LMN_JOB_DONE;
+    j->spec.kind = LMN_JOB_BATCH;
     j->spec.urgency = urgency;
     j->spec.estimate_s = estimate;
     j->spec.spot = true;
--- a/tests/queue/fixture.h
+++ b/tests/queue/fixture.h
@@ -29,6 +29,6 @@
 /* Asks every machine what it starts, until none starts anything. */
 void start_all(void);
 /* Begins anew with one job alone, dealt; it may use cheap machines. */
-struct lmn_job *lone_job(enum lmn_urgency urgency, double estimate);
+struct lmn_job *lone_job(enum lmn_priority urgency, double estimate);
 
 #endif
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -58,7 +58,7 @@
 {
     struct node *node = &explored.nodes[n];
     struct lmn_partition *p = node_partition(n);
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     int id;
 
     if (!free_command() || node->stalled || node->pending)
@@ -83,7 +83,7 @@
     if (!lmn_direct_mark(node->core, name, &id))
         return send_directly(n, name, body);
     node->pending = body;
-    g_strlcpy(node->pending_to, name, LMN_NAME);
+    g_strlcpy(node->pending_to, name, LMN_NAME_SIZE);
     return true;
 }
 
@@ -165,7 +165,7 @@
 bool probe(int n)
 {
     struct lmn_core *c = explored.nodes[n].core;
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     uint64_t term;
 
     if (!lmn_probe_next(c, 0, 1, name, addr, &term, explored.now) || !term)
--- a/tests/takeover/fair.c
+++ b/tests/takeover/fair.c
@@ -67,16 +67,16 @@
 {
     const struct entry *e = &explored.store[store_index("j/run-000001")];
     struct lmn_cbor_document d;
-    struct lmn_spec spec;
-    enum lmn_phase phase;
+    struct lmn_job_spec spec;
+    enum lmn_job_phase phase;
     uint32_t open;
     double when;
 
     lmn_cbor_parse(&d, e->value->data, e->value->len);
     lmn_job_read(&d, lmn_cbor_root(&d), &spec, &phase, &open, &when);
-    lmn_spec_clear(&spec);
+    lmn_job_spec_clear(&spec);
     lmn_cbor_free(&d);
-    return phase == LMN_FINISHED;
+    return phase == LMN_JOB_DONE;
 }
 
 static const char *play_rounds(void)
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -57,7 +57,7 @@
     if (explored.without == GUARD_NAMED && p->owner_stream) {
         p->standby_stream = p->owner_stream;
         p->standby_term = p->owner_term - 1;
-        g_strlcpy(p->standby, c->cfg->node, LMN_NAME);
+        g_strlcpy(p->standby, c->cfg->node, LMN_NAME_SIZE);
     }
     if (explored.without == GUARD_TERM && p->copy && p->owner_stream)
         p->copy->term = p->standby_term = p->owner_term - 1;
@@ -109,13 +109,13 @@
     static const char *const names[] = {"na", "nb", "nc"};
 
     memset(s, 0, sizeof *s);
-    g_strlcpy(s->node, names[n], LMN_NAME);
+    g_strlcpy(s->node, names[n], LMN_NAME_SIZE);
     /* So that the two choose each other for a standby. */
-    g_strlcpy(s->zone, n == A ? "y" : "z", LMN_NAME);
+    g_strlcpy(s->zone, n == A ? "y" : "z", LMN_NAME_SIZE);
     for (int i = 0; i <= C; i++)
         if (i != n) {
-            g_strlcpy(s->members[s->nmembers].zone, i == B ? "z" : "y", LMN_NAME);
-            g_strlcpy(s->members[s->nmembers++].name, names[i], LMN_NAME);
+            g_strlcpy(s->members[s->nmembers].zone, i == B ? "z" : "y", LMN_NAME_SIZE);
+            g_strlcpy(s->members[s->nmembers++].name, names[i], LMN_NAME_SIZE);
         }
     s->partitions = 1;
     s->report_s = 1;
@@ -125,7 +125,7 @@
     s->value_kb = 16;
     s->txn_ops = 12;
     s->teams = &team;
-    g_strlcpy(s->teams[0].name, "x", LMN_NAME);
+    g_strlcpy(s->teams[0].name, "x", LMN_NAME_SIZE);
     s->nteams = 1;
 }
 
@@ -137,7 +137,7 @@
     set_up(&node->settings, n);
     struct lmn_core *c = lmn_core_new(&node->settings, lmn_state_new(&node->settings), 1);
     c->types.n = 1;
-    c->types.v[0] = (struct lmn_type){.name = "t", .cpus = 1, .nzones = 1};
+    c->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 1, .nzones = 1};
     c->types_known = true;
     c->booted = c->synced_at = long_ago;
     c->members.synced = c->members.fresh = long_ago;
@@ -225,19 +225,19 @@
 
 static void put_job(void)
 {
-    struct lmn_spec spec = {.class_name = (char *)"c",
-                            .team = (char *)"x",
-                            .image = (char *)"img",
-                            .urgency = LMN_NORMAL,
-                            .tasks = 1,
-                            .cpus = 1,
-                            .estimate_s = 5,
-                            .deadline_s = -1};
+    struct lmn_job_spec spec = {.class_name = (char *)"c",
+                                .team = (char *)"x",
+                                .image = (char *)"img",
+                                .urgency = LMN_PRIORITY_NORMAL,
+                                .tasks = 1,
+                                .cpus = 1,
+                                .estimate_s = 5,
+                                .deadline_s = -1};
     struct lmn_range range = {.lo = 0, .hi = 1};
     uint8_t none_done = 0;
 
     g_strlcpy(spec.ref, "run-000001", sizeof spec.ref);
-    GByteArray *job = lmn_job_record(&spec, LMN_ACTIVE, 1, 1000);
+    GByteArray *job = lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000);
     GByteArray *tasks = lmn_range_record(&range, &none_done);
     explored.revision++;
     store_put(NULL, "j/run-000001", job, 0);
--- a/tests/takeover/takeover.h
+++ b/tests/takeover/takeover.h
@@ -48,7 +48,7 @@
     bool handover;
     struct lmn_txn *standby_record; /* on its way */
     GByteArray *pending;            /* a start that waits for an acknowledgement */
-    char pending_to[LMN_NAME];
+    char pending_to[LMN_NAME_SIZE];
 };
 
 struct attempt {
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -18,7 +18,7 @@
     GRand *r;
     struct timespec now;
     struct lmn_agent a;
-    struct lmn_spec specs[JOBS];
+    struct lmn_job_spec specs[JOBS];
     /* what was asked of the ops and not answered */
     GArray *asked; /* uint64_t: runs to be described */
     GPtrArray *images;
@@ -289,11 +289,11 @@
     w.results = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     w.begun = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     for (int i = 0; i < JOBS; i++)
-        w.specs[i] = (struct lmn_spec){.tasks = TASKS - (i == 3),
-                                       .cpus = 1 + i,
-                                       .image = (char *)(i % 2 ? "one" : "two"),
-                                       .checkpoint_s = i == 1 ? 5 : 0,
-                                       .save_s = 2};
+        w.specs[i] = (struct lmn_job_spec){.tasks = TASKS - (i == 3),
+                                           .cpus = 1 + i,
+                                           .image = (char *)(i % 2 ? "one" : "two"),
+                                           .checkpoint_s = i == 1 ? 5 : 0,
+                                           .save_s = 2};
     g_strlcpy(w.a.name, "host-000001", sizeof w.a.name);
     w.a.type.cpus = 6;
     w.a.lease_s = 10;
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -45,7 +45,7 @@
     owner = lmn_core_new(&cfg, lmn_state_new(&cfg), seed);
     other = lmn_core_new(&cfg, lmn_state_new(&cfg), seed);
     owner->types.n = 1;
-    owner->types.v[0] = (struct lmn_type){.name = "x", .cpus = 8, .mem = 64};
+    owner->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     owner->parts[0].mine = owner->parts[0].ready = true;
     owner->parts[0].open = true;
     store = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -62,9 +62,9 @@
     if (!m)
         m = lmn_machine_new(&owner->parts[0], name);
     m->type = &owner->types.v[0];
-    g_strlcpy(m->type_name, "x", LMN_NAME);
+    g_strlcpy(m->type_name, "x", LMN_NAME_SIZE);
     g_snprintf(m->addr, sizeof m->addr, "10.0.0.%d:9000", i % 250);
-    g_strlcpy(m->zone, i % 2 ? "a" : "b", LMN_NAME);
+    g_strlcpy(m->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
     m->heard = m->accounted = true;
     return m;
 }
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -258,7 +258,7 @@
 static void await_agent(const char *name, bool up)
 {
     struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
-    char addr[LMN_ADDR];
+    char addr[LMN_ADDRESS_SIZE];
     while (lmn_local_up(&local, name, addr) != up) {
         assert_true(lmn_before(lmn_now(), end));
         lmn_sleep(0.01);
@@ -308,8 +308,8 @@
     assert_int_equal(lmn_inventory_parse(good, "inv.toml", &inventory, err, sizeof err),
                      0);
     g_snprintf(local.dir, sizeof local.dir, "%s/machines", dir);
-    g_strlcpy(local.worker.listen, "127.0.0.1:0", LMN_ADDR);
-    g_strlcpy(local.worker.depot, "127.0.0.1:1", LMN_ADDR);
+    g_strlcpy(local.worker.listen, "127.0.0.1:0", LMN_ADDRESS_SIZE);
+    g_strlcpy(local.worker.depot, "127.0.0.1:1", LMN_ADDRESS_SIZE);
     /* Two, and of five the one that is left. */
     char *said = rent_and_die();
     assert_string_equal(said, "200 200 2 1 host-000000 host-000001");
@@ -383,7 +383,7 @@
     lmn_thread(run_slot, &o);
     for (int round = 0; round < 2; round++) {
         GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-        char addr[LMN_ADDR];
+        char addr[LMN_ADDRESS_SIZE];
         g_snprintf(q.request, sizeof q.request, "s-%d", round);
         while (lmn_static_ops.rent(s, &q, names) != 200) {
             assert_true(lmn_before(lmn_now(), end));
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -34,11 +34,11 @@
 static struct lmn_core *make(void)
 {
     memset(&cfg, 0, sizeof cfg);
-    g_strlcpy(cfg.node, "na", LMN_NAME);
-    g_strlcpy(cfg.zone, "y", LMN_NAME);
+    g_strlcpy(cfg.node, "na", LMN_NAME_SIZE);
+    g_strlcpy(cfg.zone, "y", LMN_NAME_SIZE);
     cfg.nmembers = 1;
-    g_strlcpy(cfg.members[0].name, "nb", LMN_NAME);
-    g_strlcpy(cfg.members[0].zone, "z", LMN_NAME);
+    g_strlcpy(cfg.members[0].name, "nb", LMN_NAME_SIZE);
+    g_strlcpy(cfg.members[0].zone, "z", LMN_NAME_SIZE);
     cfg.partitions = 2;
     cfg.report_s = 1;
     cfg.lease_s = 8;
@@ -50,7 +50,7 @@
     cfg.nteams = G_N_ELEMENTS(teams);
     struct lmn_core *c = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
     c->types.n = 1;
-    c->types.v[0] = (struct lmn_type){.name = "x", .cpus = 8, .mem = 64};
+    c->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     c->types_known = c->synced = true;
     c->lease = 77;
     c->booted = c->synced_at = c->leased = lmn_after(now, -100);
@@ -117,49 +117,49 @@
 
 /* --- jobs --- */
 
-static struct lmn_spec plain(void)
+static struct lmn_job_spec plain(void)
 {
-    return (struct lmn_spec){.ref = "run-000412",
-                             .class_name = (char *)"etl",
-                             .team = (char *)"ml train",
-                             .image = (char *)"base:1",
-                             .kind = LMN_BATCH,
-                             .urgency = LMN_NORMAL,
-                             .tasks = 100,
-                             .cpus = 2,
-                             .mem = 4.5,
-                             .image_gb = 1.25,
-                             .estimate_s = 60,
-                             .deadline_s = -1};
+    return (struct lmn_job_spec){.ref = "run-000412",
+                                 .class_name = (char *)"etl",
+                                 .team = (char *)"ml train",
+                                 .image = (char *)"base:1",
+                                 .kind = LMN_JOB_BATCH,
+                                 .urgency = LMN_PRIORITY_NORMAL,
+                                 .tasks = 100,
+                                 .cpus = 2,
+                                 .mem = 4.5,
+                                 .image_gb = 1.25,
+                                 .estimate_s = 60,
+                                 .deadline_s = -1};
 }
 
-static struct lmn_spec full(void)
+static struct lmn_job_spec full(void)
 {
     static const char *const types[] = {"x", "y-large", NULL};
 
-    return (struct lmn_spec){.ref = "run-7",
-                             .class_name = (char *)"serving",
-                             .team = (char *)"ml train",
-                             .image = (char *)"modèle:2",
-                             .zone = (char *)"a",
-                             .types = (char **)(void *)types,
-                             .kind = LMN_DAEMON,
-                             .urgency = LMN_PROD,
-                             .tasks = 70000,
-                             .cpus = 0.5,
-                             .gpus = 1,
-                             .mem = 16,
-                             .image_gb = 0,
-                             .estimate_s = 3600.25,
-                             .checkpoint_s = 300,
-                             .save_s = 12,
-                             .deadline_s = 86400,
-                             .one_zone = true,
-                             .spread = true,
-                             .spot = true};
+    return (struct lmn_job_spec){.ref = "run-7",
+                                 .class_name = (char *)"serving",
+                                 .team = (char *)"ml train",
+                                 .image = (char *)"modèle:2",
+                                 .zone = (char *)"a",
+                                 .types = (char **)(void *)types,
+                                 .kind = LMN_JOB_SERVICE,
+                                 .urgency = LMN_PRIORITY_PRODUCTION,
+                                 .tasks = 70000,
+                                 .cpus = 0.5,
+                                 .gpus = 1,
+                                 .mem = 16,
+                                 .image_gb = 0,
+                                 .estimate_s = 3600.25,
+                                 .checkpoint_s = 300,
+                                 .save_s = 12,
+                                 .deadline_s = 86400,
+                                 .one_zone = true,
+                                 .spread = true,
+                                 .spot = true};
 }
 
-static void same_spec(const struct lmn_spec *a, const struct lmn_spec *b)
+static void same_spec(const struct lmn_job_spec *a, const struct lmn_job_spec *b)
 {
     assert_string_equal(a->ref, b->ref);
     assert_string_equal(a->class_name, b->class_name);
@@ -182,11 +182,11 @@
     assert_int_equal(a->spot, b->spot);
 }
 
-static void job_keeps(const char *name, struct lmn_spec spec, enum lmn_phase phase,
-                      uint32_t open, double at)
+static void job_keeps(const char *name, struct lmn_job_spec spec,
+                      enum lmn_job_phase phase, uint32_t open, double at)
 {
-    enum lmn_phase read_phase;
-    struct lmn_spec read;
+    enum lmn_job_phase read_phase;
+    struct lmn_job_spec read;
     uint32_t read_open;
     struct lmn_cbor_document d;
     double read_at;
@@ -206,7 +206,7 @@
     b = lmn_job_record(&read, read_phase, read_open, read_at);
     golden_same(name, b->data, b->len);
     g_byte_array_unref(b);
-    lmn_spec_clear(&read);
+    lmn_job_spec_clear(&read);
     lmn_cbor_free(&d);
     g_byte_array_unref(kept);
 }
@@ -214,13 +214,13 @@
 static void job_record_of_an_active_job_keeps_its_bytes(void **state)
 {
     (void)state;
-    job_keeps("job_active", plain(), LMN_ACTIVE, 1, 1700000000.25);
+    job_keeps("job_active", plain(), LMN_JOB_ACTIVE, 1, 1700000000.25);
 }
 
 static void job_record_of_a_cancelled_job_keeps_its_bytes(void **state)
 {
     (void)state;
-    job_keeps("job_withdrawn", plain(), LMN_WITHDRAWN, 1, 1700000000.25);
+    job_keeps("job_withdrawn", plain(), LMN_JOB_CANCELLED, 1, 1700000000.25);
     struct lmn_job_reading r = {
         .status = 200, .rev = 5, .spec = plain(), .open = 1, .at = 1700000000.25};
     struct lmn_reply reply;
@@ -232,20 +232,20 @@
 static void job_record_of_a_finished_job_keeps_its_bytes(void **state)
 {
     (void)state;
-    job_keeps("job_finished", plain(), LMN_FINISHED, 0, 1700000000.25);
+    job_keeps("job_finished", plain(), LMN_JOB_DONE, 0, 1700000000.25);
 }
 
 static void job_record_with_all_optional_fields_keeps_its_bytes(void **state)
 {
     (void)state;
-    job_keeps("job_all_fields", full(), LMN_ACTIVE, 300, 0);
-    job_keeps("job_all_fields_withdrawn", full(), LMN_WITHDRAWN, 70000, 1e10);
+    job_keeps("job_all_fields", full(), LMN_JOB_ACTIVE, 300, 0);
+    job_keeps("job_all_fields_withdrawn", full(), LMN_JOB_CANCELLED, 70000, 1e10);
 }
 
 static void submission_writes_the_records_of_job_and_range(void **state)
 {
     struct lmn_core *c = make();
-    struct lmn_spec s = plain();
+    struct lmn_job_spec s = plain();
     (void)state;
 
     s.one_zone = true; /* in one partition */
@@ -277,7 +277,7 @@
     (void)state;
 
     for (uint32_t i = 0; i < 40; i += i % 3 + 1)
-        lmn_set_bit(done, i);
+        lmn_bitset_set(done, i);
     struct lmn_range range = {.lo = 20, .hi = 80};
     GByteArray *b = lmn_range_record(&range, done);
     golden_same("range_done", b->data, b->len);
@@ -291,7 +291,7 @@
     assert_int_equal(r->lo, 20);
     assert_int_equal(r->hi, 80);
     assert_memory_equal(r->done, done, 8);
-    assert_int_equal(r->ndone, lmn_bits_count(done, 60));
+    assert_int_equal(r->ndone, lmn_bitset_count(done, 60));
     b = lmn_range_record(r, r->done);
     golden_same("range_done", b->data, b->len);
     g_byte_array_unref(b);
@@ -328,11 +328,11 @@
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
         struct lmn_machine *m = lmn_machine_new(p, names[i]);
         m->type = &c->types.v[0];
-        g_strlcpy(m->type_name, "x", LMN_NAME);
-        char addr[LMN_ADDR];
+        g_strlcpy(m->type_name, "x", LMN_NAME_SIZE);
+        char addr[LMN_ADDRESS_SIZE];
         g_snprintf(addr, sizeof addr, "10.0.0.%u:9000", i + 1);
         lmn_machine_at(m, addr);
-        g_strlcpy(m->zone, i % 2 ? "a" : "b", LMN_NAME);
+        g_strlcpy(m->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
         m->spot = i == 2;
         m->heard = m->accounted = true;
         /* One after another: the order of a table is no part of the record. */
@@ -400,7 +400,7 @@
     assert_int_equal(p->owner_stream, 0);
 
     /* To a standby in step. */
-    g_strlcpy(p->standby, "nb", LMN_NAME);
+    g_strlcpy(p->standby, "nb", LMN_NAME_SIZE);
     p->standby_stream = (uint64_t)42 << 20 | 3;
     p->standby_term = 42;
     c->members.v[1].lease = 300;
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -132,7 +132,7 @@
     c->synced = true;
     c->members.tick = c->members.fresh = c->members.synced = now;
     c->types.n = 1;
-    c->types.v[0] = (struct lmn_type){
+    c->types.v[0] = (struct lmn_machine_type){
         .name = "x", .cpus = 8, .gpus = 1, .mem = 64, .zones = {"a"}, .nzones = 1};
     c->types_known = true;
     return c;
@@ -178,15 +178,15 @@
     static const char *const tasks[] = {"run-9/0", "run-9/1"};
     static const char *const states[] = {"running", "ended"};
     struct lmn_core *c = owner();
-    struct lmn_spec spec = {.ref = "run-000412",
-                            .class_name = (char *)"etl",
-                            .team = (char *)"t",
-                            .image = (char *)"base:1",
-                            .urgency = LMN_NORMAL,
-                            .tasks = 1,
-                            .cpus = 2,
-                            .estimate_s = 60,
-                            .deadline_s = -1};
+    struct lmn_job_spec spec = {.ref = "run-000412",
+                                .class_name = (char *)"etl",
+                                .team = (char *)"t",
+                                .image = (char *)"base:1",
+                                .urgency = LMN_PRIORITY_NORMAL,
+                                .tasks = 1,
+                                .cpus = 2,
+                                .estimate_s = 60,
+                                .deadline_s = -1};
     struct lmn_range range = {.lo = 0, .hi = 1};
     uint8_t none = 0;
     (void)state;
@@ -194,7 +194,7 @@
     /* It has not seen the term yet; then nothing has to be done. */
     answers(c, report(1, 41, NULL, NULL, 0), "worker_answer_without_commands");
     answers(c, report(2, 42, tasks, states, 2), "worker_answer_kill_and_clear");
-    put(c, "j/run-000412", lmn_job_record(&spec, LMN_ACTIVE, 1, 1e9), 3);
+    put(c, "j/run-000412", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1e9), 3);
     put(c, "r/0/run-000412/0", lmn_range_record(&range, &none), 3);
     struct lmn_machine *m = c->parts[0].list->pdata[0];
     m->rev = 1; /* recorded */
@@ -237,7 +237,7 @@
 
 static void replies_to_users_keep_their_bytes(void **state)
 {
-    struct lmn_reply r = {.status = 200, .shows_job = true, .phase = LMN_ACTIVE};
+    struct lmn_reply r = {.status = 200, .shows_job = true, .phase = LMN_JOB_ACTIVE};
     (void)state;
 
     reply_keeps("reply_queued", r);
@@ -247,11 +247,11 @@
     r.done = 40;
     r.running = 3;
     reply_keeps("reply_running", r);
-    r.phase = LMN_FINISHED;
+    r.phase = LMN_JOB_DONE;
     r.done = 100;
     r.running = 0;
     reply_keeps("reply_done", r);
-    r.phase = LMN_WITHDRAWN;
+    r.phase = LMN_JOB_CANCELLED;
     reply_keeps("reply_withdrawn", r);
     reply_keeps("reply_error", (struct lmn_reply){.status = 400, .error = "not CBOR"});
 }
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -11,7 +11,7 @@
 #include <math.h>
 #include <string.h>
 
-static void random_spec(GRand *r, struct lmn_spec *s)
+static void random_spec(GRand *r, struct lmn_job_spec *s)
 {
     memset(s, 0, sizeof *s);
     g_snprintf(s->ref, sizeof s->ref, "run-%06d", g_rand_int_range(r, 0, 1000000));
@@ -20,8 +20,8 @@
     s->image = g_strdup_printf("img-%d", g_rand_int_range(r, 0, 9));
     s->zone = g_rand_boolean(r) ? g_strdup("a") : NULL;
     s->types = g_rand_boolean(r) ? g_strsplit("x,y", ",", -1) : NULL;
-    s->kind = g_rand_boolean(r) ? LMN_BATCH : LMN_DAEMON;
-    s->urgency = (enum lmn_urgency)g_rand_int_range(r, 0, 4);
+    s->kind = g_rand_boolean(r) ? LMN_JOB_BATCH : LMN_JOB_SERVICE;
+    s->urgency = (enum lmn_priority)g_rand_int_range(r, 0, 4);
     s->tasks = (uint32_t)g_rand_int_range(r, 1, LMN_MAX_TASKS + 1);
     s->cpus = g_rand_int_range(r, 0, 64) / 2.0;
     s->mem = g_rand_double_range(r, 0, 100);
@@ -29,11 +29,11 @@
     s->spot = g_rand_boolean(r);
 }
 
-static GByteArray *encode(const struct lmn_spec *s)
+static GByteArray *encode(const struct lmn_job_spec *s)
 {
     GByteArray *b = g_byte_array_new();
-    lmn_cbor_put_map(b, lmn_spec_pairs());
-    lmn_spec_put(b, s);
+    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
+    lmn_job_spec_write(b, s);
     return b;
 }
 
@@ -43,36 +43,36 @@
     (void)state;
 
     for (int i = 0; i < 500; i++) {
-        struct lmn_spec a, b;
+        struct lmn_job_spec a, b;
         struct lmn_cbor_document d;
         const char *what;
         random_spec(r, &a);
         GByteArray *x = encode(&a);
         assert_int_equal(lmn_cbor_parse(&d, x->data, x->len), 0);
-        assert_int_equal(lmn_spec_parse(&b, &d, lmn_cbor_root(&d), &what), 0);
+        assert_int_equal(lmn_job_spec_parse(&b, &d, lmn_cbor_root(&d), &what), 0);
         GByteArray *y = encode(&b);
         assert_int_equal(x->len, y->len);
         assert_memory_equal(x->data, y->data, x->len);
         g_byte_array_unref(x);
         g_byte_array_unref(y);
-        lmn_spec_clear(&a);
-        lmn_spec_clear(&b);
+        lmn_job_spec_clear(&a);
+        lmn_job_spec_clear(&b);
         lmn_cbor_free(&d);
     }
     g_rand_free(r);
 }
 
 /* Writes the description once more with one field left out, or replaced. */
-static int parse_with(const struct lmn_spec *s, const char *field,
+static int parse_with(const struct lmn_job_spec *s, const char *field,
                       const GByteArray *instead)
 {
     GByteArray *x = encode(s), *y = g_byte_array_new();
     struct lmn_cbor_document d, e;
-    struct lmn_spec t;
+    struct lmn_job_spec t;
     const char *what;
 
     assert_int_equal(lmn_cbor_parse(&d, x->data, x->len), 0);
-    lmn_cbor_put_map(y, lmn_spec_pairs() - (instead ? 0 : 1));
+    lmn_cbor_put_map(y, lmn_job_spec_pair_count() - (instead ? 0 : 1));
     for (const struct lmn_cbor_value *k = lmn_cbor_first_child(&d, lmn_cbor_root(&d));
          k;) {
         const struct lmn_cbor_value *v = lmn_cbor_next(&d, k);
@@ -86,10 +86,10 @@
         k = lmn_cbor_next(&d, v);
     }
     assert_int_equal(lmn_cbor_parse(&e, y->data, y->len), 0);
-    int rc = lmn_spec_parse(&t, &e, lmn_cbor_root(&e), &what);
+    int rc = lmn_job_spec_parse(&t, &e, lmn_cbor_root(&e), &what);
     if (rc)
         assert_string_equal(what, field);
-    lmn_spec_clear(&t);
+    lmn_job_spec_clear(&t);
     lmn_cbor_free(&d);
     lmn_cbor_free(&e);
     g_byte_array_unref(x);
@@ -105,7 +105,7 @@
         W_SPREAD, W_SPOT,  W_ESTIMATE, W_CHECKPOINT, W_SAVE};
     static const char *const optional[] = {W_TYPES, W_ZONE, W_DEADLINE};
     GRand *r = g_rand_new_with_seed(4);
-    struct lmn_spec s;
+    struct lmn_job_spec s;
     GByteArray *list = g_byte_array_new(), *nan = g_byte_array_new(),
                *minus = g_byte_array_new(), *null = g_byte_array_new();
     (void)state;
@@ -129,14 +129,14 @@
     GByteArray *unknown[] = {list, nan, minus, null};
     for (size_t i = 0; i < G_N_ELEMENTS(unknown); i++)
         g_byte_array_unref(unknown[i]);
-    lmn_spec_clear(&s);
+    lmn_job_spec_clear(&s);
     g_rand_free(r);
 }
 
 static void forms_of_ids(void **state)
 {
     (void)state;
-    assert_true(lmn_ref_ok("run-000412"));
+    assert_true(lmn_job_id_is_valid("run-000412"));
     static const char *const bad[] = {"",
                                       "run-",
                                       "run",
@@ -148,7 +148,7 @@
                                       " run-000412",
                                       "run-000000000000000000000000000000412"};
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
-        assert_false(lmn_ref_ok(bad[i]));
+        assert_false(lmn_job_id_is_valid(bad[i]));
 }
 
 /* Done sets against a naive model: any set comes back as it was, and a text that names a
@@ -166,18 +166,18 @@
         struct lmn_cbor_document d;
         for (uint32_t k = 0; k < n; k++)
             if ((model[k] = g_rand_double(r) < p)) {
-                lmn_set_bit(bits, k);
+                lmn_bitset_set(bits, k);
                 count++;
             }
         GByteArray *b = g_byte_array_new();
-        lmn_bits_put(b, bits, n);
+        lmn_bitset_write(b, bits, n);
         assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-        assert_int_equal(lmn_bits_get(lmn_cbor_root(&d), again, n), 0);
-        assert_int_equal(lmn_bits_count(again, n), count);
+        assert_int_equal(lmn_bitset_read(lmn_cbor_root(&d), again, n), 0);
+        assert_int_equal(lmn_bitset_count(again, n), count);
         for (uint32_t k = 0; k < n; k++)
-            assert_int_equal(lmn_bit(again, k), model[k]);
+            assert_int_equal(lmn_bitset_get(again, k), model[k]);
         if (model[n - 1] && n > 1) {
-            assert_int_equal(lmn_bits_get(lmn_cbor_root(&d), again, n - 1), -1);
+            assert_int_equal(lmn_bitset_read(lmn_cbor_root(&d), again, n - 1), -1);
         }
         lmn_cbor_free(&d);
         g_byte_array_unref(b);
@@ -190,30 +190,31 @@
 {
     struct lmn_team teams[2] = {0};
     struct lmn_settings cfg = {.teams = teams, .nteams = 2};
-    struct lmn_type t = {.name = "x", .cpus = 8, .mem = 16, .zones = {"a"}, .nzones = 1};
-    struct lmn_types types = {&t, 1};
+    struct lmn_machine_type t = {
+        .name = "x", .cpus = 8, .mem = 16, .zones = {"a"}, .nzones = 1};
+    struct lmn_machine_types types = {&t, 1};
     const char *why;
-    struct lmn_spec s = {.team = (char *)"free", .tasks = 10, .cpus = 4, .mem = 4};
+    struct lmn_job_spec s = {.team = (char *)"free", .tasks = 10, .cpus = 4, .mem = 4};
     (void)state;
 
-    g_strlcpy(cfg.teams[0].name, "free", LMN_NAME);
-    g_strlcpy(cfg.teams[1].name, "held", LMN_NAME);
+    g_strlcpy(cfg.teams[0].name, "free", LMN_NAME_SIZE);
+    g_strlcpy(cfg.teams[1].name, "held", LMN_NAME_SIZE);
     cfg.teams[1].cpus_max = 20;
-    assert_true(lmn_spec_possible(&s, &cfg, &types, &why));
+    assert_true(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
     s.team = (char *)"held";
-    assert_true(lmn_spec_possible(&s, &cfg, &types, &why));
-    s.kind = LMN_DAEMON; /* all replicas count */
-    assert_false(lmn_spec_possible(&s, &cfg, &types, &why));
+    assert_true(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
+    s.kind = LMN_JOB_SERVICE; /* all replicas count */
+    assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
     s.tasks = 5;
-    assert_true(lmn_spec_possible(&s, &cfg, &types, &why));
+    assert_true(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
     s.mem = 17;
-    assert_false(lmn_spec_possible(&s, &cfg, &types, &why));
+    assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
     s.mem = 4;
     s.zone = (char *)"b";
-    assert_false(lmn_spec_possible(&s, &cfg, &types, &why));
+    assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
     s.zone = NULL;
     s.team = (char *)"nobody";
-    assert_false(lmn_spec_possible(&s, &cfg, &types, &why));
+    assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
 }
 
 int main(void)
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -44,7 +44,7 @@
         lmn_keys_show(dir_of(site), &i, err, sizeof err) != 0)
         fail_msg("%s", err);
     assert_string_equal(i.site, site);
-    g_strlcpy(peers[npeers].site, site, LMN_NAME);
+    g_strlcpy(peers[npeers].site, site, LMN_NAME_SIZE);
     g_strlcpy(peers[npeers++].fingerprint, i.fingerprint, LMN_FINGERPRINT);
 }
 
@@ -76,7 +76,7 @@
 struct server {
     struct lmn_tls *tls;
     int fd;
-    char err[256], seen[LMN_NAME];
+    char err[256], seen[LMN_NAME_SIZE];
     bool in;
 };
 
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -27,9 +27,9 @@
     memset(&cfg, 0, sizeof cfg);
     cfg.lease_s = 31;
     cfg.report_s = 6;
-    g_strlcpy(cfg.node, "n00", LMN_NAME);
+    g_strlcpy(cfg.node, "n00", LMN_NAME_SIZE);
     for (int i = 1; i < n; i++)
-        g_snprintf(cfg.members[cfg.nmembers++].name, LMN_NAME, "n%02d", i);
+        g_snprintf(cfg.members[cfg.nmembers++].name, LMN_NAME_SIZE, "n%02d", i);
     now = 0;
     lmn_members_init(&ms, &cfg, at(0));
     for (int i = 0; i < n; i++)
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -24,14 +24,14 @@
 static struct lmn_core *core;
 static gint transactions;          /* that the state service has got */
 static gint replied, step, status; /* of the submission's reply */
-static const struct lmn_spec spec = {.ref = "run-000001",
-                                     .class_name = (char *)"c",
-                                     .team = (char *)"x",
-                                     .image = (char *)"img",
-                                     .tasks = 3,
-                                     .cpus = 1,
-                                     .mem = 1,
-                                     .deadline_s = -1};
+static const struct lmn_job_spec spec = {.ref = "run-000001",
+                                         .class_name = (char *)"c",
+                                         .team = (char *)"x",
+                                         .image = (char *)"img",
+                                         .tasks = 3,
+                                         .cpus = 1,
+                                         .mem = 1,
+                                         .deadline_s = -1};
 
 static void lose_the_first(void *arg, struct lmn_call *call)
 {
@@ -113,7 +113,7 @@
 static void one_that_was_carried_out_is_confirmed(void **state)
 {
     struct lmn_cbor_document d;
-    GByteArray *record = lmn_job_record(&spec, LMN_ACTIVE, 1, 1000);
+    GByteArray *record = lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000);
     (void)state;
 
     submit();
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -43,7 +43,7 @@
                 &g_array_index(m->attempts, struct lmn_attempt, i);
             seen[a->job - jobs][a->index]++;
             cpus += a->job->spec.cpus;
-            assert_true(lmn_spec_allows(&a->job->spec, m->type, m->zone, m->spot));
+            assert_true(lmn_job_spec_allows(&a->job->spec, m->type, m->zone, m->spot));
         }
         assert_true(fabs(cpus - m->used_cpus) < 1e-6);
         assert_true(cpus <= m->type->cpus + 1e-6);
@@ -134,7 +134,7 @@
     core->types.v[0].pull = 0.1;
     core->types.v[0].cache_gb = 10;
     for (int i = 0; i < 2; i++) {
-        jobs[i].spec.urgency = LMN_NORMAL;
+        jobs[i].spec.urgency = LMN_PRIORITY_NORMAL;
         jobs[i].spec.zone = NULL;
         jobs[i].spec.spot = true;
         jobs[i].spec.image_gb = 2;
@@ -184,7 +184,7 @@
  * and is tried with one task at a time; one success brings all of it back. */
 static void the_accused_are_set_aside(void **state)
 {
-    struct lmn_job *j = lone_job(LMN_HIGH, 10);
+    struct lmn_job *j = lone_job(LMN_PRIORITY_HIGH, 10);
     struct lmn_range *r = j->ranges->pdata[0];
     (void)state;
 
--- a/tests/test_queue_floor.c
+++ b/tests/test_queue_floor.c
@@ -24,12 +24,12 @@
     p = &core->parts[0];
     settings.teams[0].cpus_max = limit ? 24 : 0;
     for (int i = 0; i < JOBS; i++)
-        jobs[i].phase = i < 2 ? LMN_ACTIVE : LMN_FINISHED;
+        jobs[i].phase = i < 2 ? LMN_JOB_ACTIVE : LMN_JOB_DONE;
     for (int i = 0; i < 2; i++) {
         struct lmn_range *r = jobs[i].ranges->pdata[0];
         jobs[i].spec.zone = NULL;
         jobs[i].spec.spot = true;
-        jobs[i].spec.urgency = i ? LMN_HIGH : LMN_NORMAL;
+        jobs[i].spec.urgency = i ? LMN_PRIORITY_HIGH : LMN_PRIORITY_NORMAL;
         jobs[i].spec.cpus = i ? 1 : 8;
         jobs[i].spec.tasks = r->hi = i ? 3000 : 1;
         jobs[i].lost = false;
@@ -89,14 +89,14 @@
  * each that ends: without the floor the lesser would never start. */
 static void the_lesser_class_gets_its_floor(void **state)
 {
-    struct lmn_job high = {.spec = {.urgency = LMN_HIGH}, .latest = 10},
-                   low = {.spec = {.urgency = LMN_NORMAL}, .lost = true};
-    struct lmn_job prod = {.spec = {.urgency = LMN_PROD}, .latest = 99};
+    struct lmn_job high = {.spec = {.urgency = LMN_PRIORITY_HIGH}, .latest = 10},
+                   low = {.spec = {.urgency = LMN_PRIORITY_NORMAL}, .lost = true};
+    struct lmn_job prod = {.spec = {.urgency = LMN_PRIORITY_PRODUCTION}, .latest = 99};
     (void)state;
 
-    g_strlcpy(high.spec.ref, "run-000001", LMN_REF);
-    g_strlcpy(low.spec.ref, "run-000002", LMN_REF);
-    g_strlcpy(prod.spec.ref, "run-000003", LMN_REF);
+    g_strlcpy(high.spec.ref, "run-000001", LMN_JOB_ID_SIZE);
+    g_strlcpy(low.spec.ref, "run-000002", LMN_JOB_ID_SIZE);
+    g_strlcpy(prod.spec.ref, "run-000003", LMN_JOB_ID_SIZE);
     assert_true(lmn_job_order(&high, &low) < 0);
     low.owed = true;
     assert_true(lmn_job_order(&low, &high) < 0);
@@ -112,7 +112,8 @@
 {
     (void)state;
     for (int k = 0; k < 5; k++) {
-        struct lmn_job *j = lone_job(k == 1 ? LMN_NORMAL : LMN_IDLE, k == 2 ? 10 : 300);
+        struct lmn_job *j =
+            lone_job(k == 1 ? LMN_PRIORITY_NORMAL : LMN_PRIORITY_IDLE, k == 2 ? 10 : 300);
         GHashTableIter it;
         gpointer v;
         jobs[0].spec.tasks = 40;
@@ -140,7 +141,7 @@
 
     fixture_begin(5);
     for (int i = 0; i < JOBS; i++)
-        jobs[i].phase = i < 2 ? LMN_ACTIVE : LMN_FINISHED;
+        jobs[i].phase = i < 2 ? LMN_JOB_ACTIVE : LMN_JOB_DONE;
     old = &jobs[0];
     urgent = &jobs[1];
     for (int i = 0; i < 2; i++) {
@@ -152,8 +153,8 @@
         lmn_range_open(core, r);
         r->dealt = true;
     }
-    old->spec.urgency = LMN_NORMAL;
-    urgent->spec.urgency = LMN_HIGH;
+    old->spec.urgency = LMN_PRIORITY_NORMAL;
+    urgent->spec.urgency = LMN_PRIORITY_HIGH;
     old->lost = urgent->lost = false;
     lmn_deal_range(core, urgent->ranges->pdata[0], now);
     lmn_deal_range(core, old->ranges->pdata[0], now);
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -114,15 +114,15 @@
                               .txn_ops = 12,
                               .teams = &team,
                               .nteams = 1};
-    g_strlcpy(s.teams[0].name, "t", LMN_NAME);
+    g_strlcpy(s.teams[0].name, "t", LMN_NAME_SIZE);
     s.teams[0].cpus = 10;
     struct lmn_core *c = lmn_core_new(&s, lmn_state_new(&s), 1);
-    struct lmn_spec spec = {.class_name = (char *)"c",
-                            .team = (char *)"t",
-                            .image = (char *)"i",
-                            .tasks = 3,
-                            .cpus = 2,
-                            .deadline_s = -1};
+    struct lmn_job_spec spec = {.class_name = (char *)"c",
+                                .team = (char *)"t",
+                                .image = (char *)"i",
+                                .tasks = 3,
+                                .cpus = 2,
+                                .deadline_s = -1};
     uint64_t rev = 1;
     bool expected[] = {true, false, true};
 
@@ -133,7 +133,7 @@
             g_snprintf(spec.ref, sizeof spec.ref, "run-%06d", i);
             g_snprintf(key, sizeof key, "j/%s", spec.ref);
             GByteArray *b =
-                lmn_job_record(&spec, final ? LMN_FINISHED : LMN_ACTIVE, 1, i);
+                lmn_job_record(&spec, final ? LMN_JOB_DONE : LMN_JOB_ACTIVE, 1, i);
             assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
             lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
             lmn_cbor_free(&d);
@@ -147,7 +147,7 @@
     struct lmn_job *a = g_hash_table_lookup(c->jobs, "run-000002");
     struct lmn_job b = *a;
     b.guaranteed = false;
-    b.spec.urgency = LMN_PROD;
+    b.spec.urgency = LMN_PRIORITY_PRODUCTION;
     assert_true(lmn_job_order(a, &b) < 0);
 }
 
@@ -163,14 +163,14 @@
         (struct lmn_objective){.kind = LMN_WAIT, .class_name = "s", .within_s = 5};
     s.objectives[1] =
         (struct lmn_objective){.kind = LMN_FINISH, .class_name = "b", .within_s = 180};
-    service.spec = (struct lmn_spec){.kind = LMN_DAEMON,
-                                     .class_name = (char *)"s",
-                                     .urgency = LMN_PROD,
-                                     .deadline_s = -1};
-    batch.spec = (struct lmn_spec){.kind = LMN_BATCH,
-                                   .class_name = (char *)"b",
-                                   .urgency = LMN_NORMAL,
-                                   .deadline_s = -1};
+    service.spec = (struct lmn_job_spec){.kind = LMN_JOB_SERVICE,
+                                         .class_name = (char *)"s",
+                                         .urgency = LMN_PRIORITY_PRODUCTION,
+                                         .deadline_s = -1};
+    batch.spec = (struct lmn_job_spec){.kind = LMN_JOB_BATCH,
+                                       .class_name = (char *)"b",
+                                       .urgency = LMN_PRIORITY_NORMAL,
+                                       .deadline_s = -1};
     for (double wall = 500; wall < 5000; wall += 50) {
         lmn_job_rank(&s, &service, wall);
         lmn_job_rank(&s, &batch, wall);
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -42,7 +42,7 @@
         struct lmn_range *peer = jobs[7].ranges->pdata[0];
         uint32_t at = 0, k = 0;
         core->fresh = now;
-        jobs[4].spec.urgency = LMN_NORMAL;
+        jobs[4].spec.urgency = LMN_PRIORITY_NORMAL;
         jobs[4].spec.cpus = jobs[7].spec.cpus = 2;
         jobs[3].spec.cpus = 4;
         jobs[3].spec.spot = true;
@@ -131,7 +131,7 @@
         }
         jobs[3].spec.cpus = jobs[4].spec.cpus = 8;
         jobs[3].spec.spot = true;
-        jobs[4].spec.urgency = LMN_NORMAL;
+        jobs[4].spec.urgency = LMN_PRIORITY_NORMAL;
         jobs[4].spec.checkpoint_s = 15;
         jobs[4].spec.save_s = 3;
         jobs[4].spec.tasks = low->hi = MACHINES;
@@ -171,7 +171,7 @@
         gpointer v;
         uint32_t at = 0;
         core->synced = true;
-        jobs[3].spec.kind = LMN_DAEMON;
+        jobs[3].spec.kind = LMN_JOB_SERVICE;
         jobs[3].spec.cpus = 2;
         jobs[3].spec.tasks = r->hi = 40;
         r->done = g_malloc0(8);
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -52,7 +52,7 @@
 
     core->tuning.sample = MACHINES;
     for (int i = 0; i < 2; i++) {
-        jobs[i].spec.urgency = LMN_NORMAL;
+        jobs[i].spec.urgency = LMN_PRIORITY_NORMAL;
         jobs[i].spec.zone = NULL;
         jobs[i].spec.spot = true;
         jobs[i].spec.cpus = 8;
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -74,7 +74,7 @@
     cfg.teams = teams;
     cfg.nteams = (size_t)count;
     for (int t = 0; t < count; t++) {
-        g_snprintf(teams[t].name, LMN_NAME, "team %d", t);
+        g_snprintf(teams[t].name, LMN_NAME_SIZE, "team %d", t);
         teams[t].cpus_max = LIMIT;
     }
     now = (struct timespec){1000, 0};
@@ -380,7 +380,7 @@
     struct lmn_partition *p = &c->parts[1];
     struct lmn_job *job = g_new0(struct lmn_job, 1);
     struct lmn_range *range = g_new0(struct lmn_range, 1);
-    struct lmn_type type = {.name = "t", .cpus = 8};
+    struct lmn_machine_type type = {.name = "t", .cpus = 8};
     struct lmn_machine *m = lmn_machine_new(p, "host-000001");
     struct lmn_quota_want want = {0, 2, 0, 0, 0}, own;
     double cpus, gpus;
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -20,7 +20,7 @@
 
 static struct lmn_team teams[3];
 static struct lmn_settings cfg;
-static struct lmn_type types[] = {
+static struct lmn_machine_type types[] = {
     {.name = "small",
      .zones = {"a"},
      .nzones = 1,
@@ -53,7 +53,7 @@
     cfg.max_connections = 20000;
     cfg.report_s = 5;
     for (int i = 0; i < 3; i++) {
-        g_snprintf(cfg.teams[i].name, LMN_NAME, "team%d", i);
+        g_snprintf(cfg.teams[i].name, LMN_NAME_SIZE, "team%d", i);
         /* One of the teams has no limit now and then. */
         cfg.teams[i].cpus_max =
             g_rand_int_range(r, 0, 4) ? 100.0 * g_rand_int_range(r, 1, 30) : 0;
@@ -66,8 +66,8 @@
         struct lmn_job *j = &jobs[i];
         memset(j, 0, sizeof *j);
         j->team = g_rand_int_range(r, 0, 3);
-        j->phase = LMN_ACTIVE;
-        j->spec.kind = LMN_BATCH;
+        j->phase = LMN_JOB_ACTIVE;
+        j->spec.kind = LMN_JOB_BATCH;
         j->spec.cpus = 1 << g_rand_int_range(r, 0, 4);
         j->spec.mem = 2 * j->spec.cpus;
         j->spec.estimate_s = g_rand_int_range(r, 1, 200);
@@ -89,7 +89,7 @@
     for (int t = 0; t < 3; t++) {
         double all = 0, bound = 0;
         for (int i = 0; i < njobs; i++) {
-            const struct lmn_spec *s = &jobs[i].spec;
+            const struct lmn_job_spec *s = &jobs[i].spec;
             double n = MIN(s->tasks, MAX(s->tasks * MAX(s->estimate_s, 1) / horizon, 1));
             if (jobs[i].team != t)
                 continue;
@@ -123,11 +123,11 @@
         lmn_fleet_init(&f);
         while (lmn_fleet_choose(c, &f, &rental, now)) {
             assert_true(++calls < 10000);
-            const struct lmn_type *t = lmn_type_named(c, rental.type);
+            const struct lmn_machine_type *t = lmn_type_named(c, rental.type);
             for (unsigned i = 0; i < rental.count; i++) {
                 struct lmn_listed *m = g_new0(struct lmn_listed, 1);
-                g_snprintf(m->name, LMN_NAME, "m-%d-%u", calls, i);
-                g_strlcpy(m->type, rental.type, LMN_NAME);
+                g_snprintf(m->name, LMN_NAME_SIZE, "m-%d-%u", calls, i);
+                g_strlcpy(m->type, rental.type, LMN_NAME_SIZE);
                 m->spot = rental.spot;
                 g_hash_table_insert(f.machines, m->name, m);
                 have += t->cpus;
@@ -171,8 +171,8 @@
         for (int calls = 0; lmn_fleet_choose(c, &f, &rental, now); calls++)
             for (unsigned i = 0; i < rental.count; i++) {
                 struct lmn_listed *m = g_new0(struct lmn_listed, 1);
-                g_snprintf(m->name, LMN_NAME, "m-%d-%u", calls, i);
-                g_strlcpy(m->type, rental.type, LMN_NAME);
+                g_snprintf(m->name, LMN_NAME_SIZE, "m-%d-%u", calls, i);
+                g_strlcpy(m->type, rental.type, LMN_NAME_SIZE);
                 g_hash_table_insert(f.machines, m->name, m);
             }
         assert_true(g_hash_table_size(f.machines) <= most);
@@ -202,7 +202,8 @@
             jobs[i].spec.spot = true;
             jobs[i].spec.deadline_s = -1;
             jobs[i].spec.tasks = ranges[i].hi = 40;
-            jobs[i].spec.urgency = i == 1 && k == 1 ? LMN_HIGH : LMN_IDLE;
+            jobs[i].spec.urgency =
+                i == 1 && k == 1 ? LMN_PRIORITY_HIGH : LMN_PRIORITY_IDLE;
         }
         lmn_fleet_init(&f);
         /* Five cheap machines, if any, are all there are. */
@@ -216,8 +217,8 @@
             lmn_fleet_outcome(&f, &rental, got, now);
             for (unsigned i = 0; i < got; i++) {
                 struct lmn_listed *m = g_new0(struct lmn_listed, 1);
-                g_snprintf(m->name, LMN_NAME, "m-%d-%u", calls, i);
-                g_strlcpy(m->type, rental.type, LMN_NAME);
+                g_snprintf(m->name, LMN_NAME_SIZE, "m-%d-%u", calls, i);
+                g_strlcpy(m->type, rental.type, LMN_NAME_SIZE);
                 m->spot = rental.spot;
                 g_hash_table_insert(f.machines, m->name, m);
             }
@@ -257,14 +258,14 @@
         jobs[0].spec.spot = false;
         jobs[0].spec.estimate_s = 300;
         jobs[0].spec.tasks = ranges[0].hi = 30;
-        g_strlcpy(c->types.v[0].zones[0], "a", LMN_NAME);
+        g_strlcpy(c->types.v[0].zones[0], "a", LMN_NAME_SIZE);
         c->types.n = 1;
         lmn_fleet_init(&f);
         for (int i = 0; i < 30; i++) {
             struct lmn_listed *m = g_new0(struct lmn_listed, 1);
-            g_snprintf(m->name, LMN_NAME, "m-%d", i);
-            g_strlcpy(m->type, "small", LMN_NAME);
-            g_strlcpy(m->zone, "a", LMN_NAME);
+            g_snprintf(m->name, LMN_NAME_SIZE, "m-%d", i);
+            g_strlcpy(m->type, "small", LMN_NAME_SIZE);
+            g_strlcpy(m->zone, "a", LMN_NAME_SIZE);
             m->since = now;
             m->booting = i < late;
             g_hash_table_insert(f.machines, m->name, m);
@@ -277,9 +278,9 @@
         while (lmn_fleet_choose(c, &f, &rental, now) && ++n < 100)
             for (unsigned i = 0; i < rental.count; i++, more++) {
                 struct lmn_listed *m = g_new0(struct lmn_listed, 1);
-                g_snprintf(m->name, LMN_NAME, "n-%u", more);
-                g_strlcpy(m->type, "small", LMN_NAME);
-                g_strlcpy(m->zone, "a", LMN_NAME);
+                g_snprintf(m->name, LMN_NAME_SIZE, "n-%u", more);
+                g_strlcpy(m->type, "small", LMN_NAME_SIZE);
+                g_strlcpy(m->zone, "a", LMN_NAME_SIZE);
                 m->since = now;
                 m->booting = true;
                 g_hash_table_insert(f.machines, m->name, m);
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -31,17 +31,17 @@
                                .teams = team,
                                .nteams = 1};
 
-    g_strlcpy(cfg.node, "n0", LMN_NAME);
-    g_strlcpy(cfg.teams[0].name, "t", LMN_NAME);
+    g_strlcpy(cfg.node, "n0", LMN_NAME_SIZE);
+    g_strlcpy(cfg.teams[0].name, "t", LMN_NAME_SIZE);
     cfg.teams[0].cpus_max = 8;
     return cfg;
 }
 
-static void know(struct lmn_core *c, enum job kind, enum lmn_phase phase)
+static void know(struct lmn_core *c, enum job kind, enum lmn_job_phase phase)
 {
     struct lmn_job *j = g_new0(struct lmn_job, 1);
 
-    g_strlcpy(j->spec.ref, refs[kind], LMN_REF);
+    g_strlcpy(j->spec.ref, refs[kind], LMN_JOB_ID_SIZE);
     j->spec.tasks = 3;
     j->phase = phase;
     j->rev = 10 + (uint64_t)kind;
@@ -58,11 +58,11 @@
     c->synced = c->types_known = true;
     c->fresh = view == OLD_VIEW ? lmn_after(now, -LMN_STALE_S - 1) : now;
     c->types.n = 1;
-    c->types.v[0] = (struct lmn_type){
+    c->types.v[0] = (struct lmn_machine_type){
         .name = "small", .cpus = 4, .mem = 16, .nzones = 1, .zones = {"a"}};
-    know(c, ACTIVE, LMN_ACTIVE);
-    know(c, DONE, LMN_FINISHED);
-    know(c, CANCELLED, LMN_WITHDRAWN);
+    know(c, ACTIVE, LMN_JOB_ACTIVE);
+    know(c, DONE, LMN_JOB_DONE);
+    know(c, CANCELLED, LMN_JOB_CANCELLED);
     return c;
 }
 
@@ -77,15 +77,15 @@
 static GByteArray *submission(const char *ref, enum request what)
 {
     GByteArray *b = g_byte_array_new();
-    struct lmn_spec s = {.class_name = (char *)(what == NO_FIELD ? "" : "c"),
-                         .team = (char *)"t",
-                         .image = (char *)"i",
-                         .urgency = LMN_NORMAL,
-                         .tasks = 3,
-                         .cpus = what == NO_ROOM ? 5 : 1,
-                         .mem = 1,
-                         .estimate_s = 2,
-                         .deadline_s = -1};
+    struct lmn_job_spec s = {.class_name = (char *)(what == NO_FIELD ? "" : "c"),
+                             .team = (char *)"t",
+                             .image = (char *)"i",
+                             .urgency = LMN_PRIORITY_NORMAL,
+                             .tasks = 3,
+                             .cpus = what == NO_ROOM ? 5 : 1,
+                             .mem = 1,
+                             .estimate_s = 2,
+                             .deadline_s = -1};
     char long_type[64], *types[251] = {NULL};
 
     memset(long_type, 't', 63);
@@ -95,8 +95,8 @@
     if (what == TOO_LARGE)
         s.types = types;
     g_strlcpy(s.ref, ref, sizeof s.ref);
-    lmn_cbor_put_map(b, lmn_spec_pairs());
-    lmn_spec_put(b, &s);
+    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
+    lmn_job_spec_write(b, &s);
     return b;
 }
 
@@ -177,7 +177,7 @@
                 assert_int_equal(d.reply.shows_job, e.status == 200);
                 if (e.status == 200)
                     assert_int_equal(d.reply.phase,
-                                     kind == DONE ? LMN_FINISHED : LMN_WITHDRAWN);
+                                     kind == DONE ? LMN_JOB_DONE : LMN_JOB_CANCELLED);
                 core_end(c);
             }
 }
@@ -232,16 +232,17 @@
     }
     /* What the mirror has learnt since is told, by its revision. */
     struct lmn_job *j = g_hash_table_lookup(c->jobs, refs[ACTIVE]);
-    assert_int_equal(lmn_reply_confirmed(c, &v, 404).phase, LMN_ACTIVE);
-    j->phase = LMN_FINISHED;
+    assert_int_equal(lmn_reply_confirmed(c, &v, 404).phase, LMN_JOB_ACTIVE);
+    j->phase = LMN_JOB_DONE;
     j->rev++;
-    assert_int_equal(lmn_reply_confirmed(c, &v, 404).phase, LMN_FINISHED);
+    assert_int_equal(lmn_reply_confirmed(c, &v, 404).phase, LMN_JOB_DONE);
     struct lmn_job_reading reading = {
-        .status = 200, .rev = v.rev, .phase = LMN_ACTIVE, .spec.tasks = 3};
-    assert_int_equal(lmn_reply_read(c, refs[ACTIVE], &reading, 404).phase, LMN_FINISHED);
+        .status = 200, .rev = v.rev, .phase = LMN_JOB_ACTIVE, .spec.tasks = 3};
+    assert_int_equal(lmn_reply_read(c, refs[ACTIVE], &reading, 404).phase, LMN_JOB_DONE);
     reading.rev = j->rev + 1;
-    assert_int_equal(lmn_reply_read(c, refs[ACTIVE], &reading, 404).phase, LMN_ACTIVE);
-    know(c, UNKNOWN, LMN_ACTIVE);
+    assert_int_equal(lmn_reply_read(c, refs[ACTIVE], &reading, 404).phase,
+                     LMN_JOB_ACTIVE);
+    know(c, UNKNOWN, LMN_JOB_ACTIVE);
     assert_int_equal(lmn_reply_confirmed(c, &absent, 422).status, 200);
     g_ptr_array_free(failed, TRUE);
     core_end(c);
@@ -250,11 +251,11 @@
 static void cancellations(void **state)
 {
     struct lmn_reply r;
-    struct lmn_job_reading reading = {.status = 200, .phase = LMN_FINISHED};
+    struct lmn_job_reading reading = {.status = 200, .phase = LMN_JOB_DONE};
     (void)state;
 
     assert_null(lmn_cancellation("run-000001", &reading, 404, &r));
-    assert_int_equal(r.phase, LMN_FINISHED);
+    assert_int_equal(r.phase, LMN_JOB_DONE);
     reading.status = 404;
     assert_null(lmn_cancellation("run-000001", &reading, 404, &r));
     assert_int_equal(r.status, 404);
@@ -262,7 +263,7 @@
     assert_null(lmn_cancellation("run-000001", &reading, 404, &r));
     assert_int_equal(r.status, 503);
     assert_true(lmn_cancelled(LMN_OK, &r));
-    assert_int_equal(r.phase, LMN_WITHDRAWN);
+    assert_int_equal(r.phase, LMN_JOB_CANCELLED);
     assert_true(lmn_cancelled(LMN_UNKNOWN, &r));
     assert_int_equal(r.status, 503);
     assert_false(lmn_cancelled(LMN_CONFLICT, &r)); /* it is read again */
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -48,19 +48,19 @@
     g_byte_array_unref(value);
 }
 
-static void job(struct lmn_core *c, int n, enum lmn_phase phase)
+static void job(struct lmn_core *c, int n, enum lmn_job_phase phase)
 {
-    struct lmn_spec s = {.class_name = (char *)"c",
-                         .team = (char *)"t",
-                         .image = (char *)"i",
-                         .tasks = 2,
-                         .cpus = 1,
-                         .deadline_s = -1};
+    struct lmn_job_spec s = {.class_name = (char *)"c",
+                             .team = (char *)"t",
+                             .image = (char *)"i",
+                             .tasks = 2,
+                             .cpus = 1,
+                             .deadline_s = -1};
     char key[64];
 
     g_snprintf(s.ref, sizeof s.ref, "run-%06d", n);
     g_snprintf(key, sizeof key, "j/%s", s.ref);
-    apply(c, key, lmn_job_record(&s, phase, phase == LMN_ACTIVE, 1));
+    apply(c, key, lmn_job_record(&s, phase, phase == LMN_JOB_ACTIVE, 1));
 }
 
 static void range(struct lmn_core *c, int n)
@@ -75,7 +75,7 @@
 
 static bool known(const struct lmn_core *c, int n)
 {
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     g_snprintf(ref, sizeof ref, "run-%06d", n);
     return g_hash_table_contains(c->jobs, ref);
 }
@@ -94,11 +94,11 @@
     (void)state;
 
     for (int n = 0; n < JOBS; n++) {
-        job(c, n, LMN_ACTIVE);
+        job(c, n, LMN_JOB_ACTIVE);
         if (n % 100 == 7)
             range(c, n); /* withdrawn with a range that its owner has yet to remove */
         if (n % 100 != 3)
-            job(c, n, n % 2 ? LMN_WITHDRAWN : LMN_FINISHED);
+            job(c, n, n % 2 ? LMN_JOB_CANCELLED : LMN_JOB_DONE);
     }
     struct lmn_machine *m = lmn_machine_new(&c->parts[0], "host-000000");
     struct lmn_attempt a = {.job = g_hash_table_lookup(c->jobs, "run-000001")};
@@ -115,10 +115,10 @@
     assert_true(known(c, 107)); /* it has a range */
     assert_true(known(c, JOBS - 1));
     /* What goes on in the mirror goes on. */
-    job(c, 3, LMN_FINISHED);
+    job(c, 3, LMN_JOB_DONE);
     assert_int_equal(
         ((struct lmn_job *)g_hash_table_lookup(c->jobs, "run-000003"))->phase,
-        LMN_FINISHED);
+        LMN_JOB_DONE);
 }
 
 static void while_all_is_read_only_the_needed_are_taken(void **state)
@@ -128,14 +128,14 @@
 
     c->reading = true;
     for (int n = 0; n < JOBS && !c->crowded; n++)
-        job(c, n, LMN_WITHDRAWN);
+        job(c, n, LMN_JOB_CANCELLED);
     assert_true(c->crowded); /* the ranges are listed first, and it begins anew */
     assert_int_equal(c->final_jobs.length, KEPT);
     c->crowded = false;
     c->needed = g_hash_table_new(g_str_hash, g_str_equal);
     g_hash_table_add(c->needed, (gpointer) "run-005000");
     for (int n = 0; n < JOBS; n++)
-        job(c, n, n == 5500 ? LMN_ACTIVE : LMN_WITHDRAWN);
+        job(c, n, n == 5500 ? LMN_JOB_ACTIVE : LMN_JOB_CANCELLED);
     assert_true(known(c, 5000));
     assert_true(known(c, 5500));
     assert_false(known(c, 5501));
--- a/tests/test_scenarios_limits.c
+++ b/tests/test_scenarios_limits.c
@@ -280,12 +280,12 @@
 
 static void one_task(struct job *j, int number)
 {
-    j->spec.kind = LMN_BATCH;
+    j->spec.kind = LMN_JOB_BATCH;
     j->spec.tasks = 1;
     j->spec.cpus = 1;
     j->spec.spread = false;
     j->spec.spot = number % 4 != 1;
-    j->spec.urgency = LMN_NORMAL;
+    j->spec.urgency = LMN_PRIORITY_NORMAL;
     j->spec.estimate_s = 2;
 }
 
@@ -350,7 +350,7 @@
     j->spec.spot = true;
     j->spec.cpus = 1 + number % 3;
     if (number % 8 != 3)
-        j->spec.kind = LMN_BATCH;
+        j->spec.kind = LMN_JOB_BATCH;
 }
 
 static void bound_draw(struct plan *p, GRand *r)
@@ -388,9 +388,10 @@
 static void load(struct job *j, int number)
 {
     static const char *const classes[CLASSES] = {"urgent", "usual", "idle"};
-    static const enum lmn_urgency urgency[CLASSES] = {LMN_HIGH, LMN_NORMAL, LMN_IDLE};
+    static const enum lmn_priority urgency[CLASSES] = {
+        LMN_PRIORITY_HIGH, LMN_PRIORITY_NORMAL, LMN_PRIORITY_IDLE};
 
-    j->spec.kind = LMN_BATCH;
+    j->spec.kind = LMN_JOB_BATCH;
     j->spec.class_name = (char *)classes[number % CLASSES];
     j->spec.urgency = urgency[number % CLASSES];
     j->spec.team = (char *)world_team(number / CLASSES % w.teams);
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -697,22 +697,22 @@
     return status;
 }
 
-static GByteArray *job(const char *ref, uint32_t tasks, enum lmn_kind kind)
-{
-    struct lmn_spec s = {.class_name = (char *)"c",
-                         .team = (char *)"t",
-                         .image = (char *)"i",
-                         .kind = kind,
-                         .urgency = LMN_NORMAL,
-                         .tasks = tasks,
-                         .cpus = 1,
-                         .mem = 1,
-                         .estimate_s = kind == LMN_BATCH ? 2 : 0,
-                         .deadline_s = -1};
+static GByteArray *job(const char *ref, uint32_t tasks, enum lmn_job_kind kind)
+{
+    struct lmn_job_spec s = {.class_name = (char *)"c",
+                             .team = (char *)"t",
+                             .image = (char *)"i",
+                             .kind = kind,
+                             .urgency = LMN_PRIORITY_NORMAL,
+                             .tasks = tasks,
+                             .cpus = 1,
+                             .mem = 1,
+                             .estimate_s = kind == LMN_JOB_BATCH ? 2 : 0,
+                             .deadline_s = -1};
     GByteArray *b = g_byte_array_new();
     g_strlcpy(s.ref, ref, sizeof s.ref);
-    lmn_cbor_put_map(b, lmn_spec_pairs());
-    lmn_spec_put(b, &s);
+    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
+    lmn_job_spec_write(b, &s);
     return b;
 }
 
@@ -724,11 +724,11 @@
 
     for (int k = 0; k < 6; k++) {
         g_snprintf(path, sizeof path, "run-%06d", k);
-        b = job(path, 20, LMN_BATCH);
+        b = job(path, 20, LMN_JOB_BATCH);
         insist("POST", P_JOBS, b, 201, 200, word);
         g_byte_array_unref(b);
     }
-    b = job("run-000100", 3, LMN_DAEMON);
+    b = job("run-000100", 3, LMN_JOB_SERVICE);
     insist("POST", P_JOBS, b, 201, 200, word);
     g_byte_array_unref(b);
 
@@ -759,7 +759,7 @@
     for (int i = 0; i < 2 * NODES; i++) {
         insist("GET", P_JOBS "/run-000100", NULL, 200, 404, word);
         assert_string_equal(word, W_WITHDRAWN);
-        b = job("run-000000", 20, LMN_BATCH);
+        b = job("run-000000", 20, LMN_JOB_BATCH);
         assert_int_equal(insist("POST", P_JOBS, b, 200, 422, word), 200);
         assert_string_equal(word, W_DONE);
         g_byte_array_unref(b);
@@ -786,23 +786,24 @@
     char *types[251] = {NULL};
     for (int i = 0; i < 250; i++)
         types[i] = g_strnfill(63, 't');
-    struct lmn_spec large = {.class_name = (char *)"c",
-                             .team = (char *)"t",
-                             .image = (char *)"i",
-                             .types = types,
-                             .urgency = LMN_NORMAL,
-                             .tasks = 1,
-                             .cpus = 1,
-                             .deadline_s = -1,
-                             .ref = "run-000201"};
+    struct lmn_job_spec large = {.class_name = (char *)"c",
+                                 .team = (char *)"t",
+                                 .image = (char *)"i",
+                                 .types = types,
+                                 .urgency = LMN_PRIORITY_NORMAL,
+                                 .tasks = 1,
+                                 .cpus = 1,
+                                 .deadline_s = -1,
+                                 .ref = "run-000201"};
     b = g_byte_array_new();
-    lmn_cbor_put_map(b, lmn_spec_pairs());
-    lmn_spec_put(b, &large);
+    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
+    lmn_job_spec_write(b, &large);
     assert_int_equal(insist("POST", P_JOBS, b, 400, 422, word), 400);
     g_byte_array_unref(b);
     for (int i = 0; i < 250; i++)
         g_free(types[i]);
-    b = job("run-000200", 61, LMN_DAEMON); /* all replicas: more than the team's limit */
+    b = job("run-000200", 61,
+            LMN_JOB_SERVICE); /* all replicas: more than the team's limit */
     assert_int_equal(insist("POST", P_JOBS, b, 422, 201, word), 422);
     g_byte_array_unref(b);
     insist("GET", P_JOBS "/run-000200", NULL, 404, 404, word);
@@ -815,7 +816,7 @@
 
 static GByteArray *odd_body(enum odd what, const char *ref)
 {
-    GByteArray *b = job(ref, what == NO_ROOM ? 61 : 1, LMN_DAEMON);
+    GByteArray *b = job(ref, what == NO_ROOM ? 61 : 1, LMN_JOB_SERVICE);
 
     if (what == NO_FIELD) {
         g_byte_array_set_size(b, 0);
@@ -885,7 +886,7 @@
     static const int known[ODD] = {200, 200, 200, 200, 200};
     static const int cant_tell[ODD] = {503, 503, 503, 503, 503};
     char word[32];
-    GByteArray *b = job("run-000101", 1, LMN_DAEMON);
+    GByteArray *b = job("run-000101", 1, LMN_JOB_SERVICE);
     (void)state;
 
     insist("POST", P_JOBS, b, 201, 200, word);
