--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -27,8 +27,8 @@
 {
     (void)state;
     memset(&cfg, 0, sizeof cfg);
-    g_strlcpy(cfg.node, "na", LMN_NAME);
-    g_strlcpy(cfg.members[0].name, "nb", LMN_NAME);
+    g_strlcpy(cfg.node, "na", LMN_NAME_SIZE);
+    g_strlcpy(cfg.members[0].name, "nb", LMN_NAME_SIZE);
     cfg.nmembers = 1;
     cfg.partitions = 1;
     cfg.report_s = 1;
@@ -38,12 +38,12 @@
     cfg.value_kb = 16;
     cfg.txn_ops = 12;
     cfg.teams = team;
-    g_strlcpy(cfg.teams[0].name, "x", LMN_NAME);
+    g_strlcpy(cfg.teams[0].name, "x", LMN_NAME_SIZE);
     cfg.teams[0].cpus_max = 4;
     cfg.nteams = 1;
     core = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
     core->types.n = 1;
-    core->types.v[0] = (struct lmn_type){.name = "t", .cpus = 8, .nzones = 1};
+    core->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 8, .nzones = 1};
     core->types_known = true;
     return 0;
 }
@@ -165,13 +165,13 @@
  * mirror then shows that the partition is ours, by a claim on the stream. */
 static void begin(uint64_t copied, uint64_t claimed)
 {
-    struct lmn_spec spec = {.ref = "run-000001",
-                            .class_name = (char *)"c",
-                            .team = (char *)"x",
-                            .image = (char *)"img",
-                            .tasks = 4,
-                            .cpus = 2,
-                            .deadline_s = -1};
+    struct lmn_job_spec spec = {.ref = "run-000001",
+                                .class_name = (char *)"c",
+                                .team = (char *)"x",
+                                .image = (char *)"img",
+                                .tasks = 4,
+                                .cpus = 2,
+                                .deadline_s = -1};
     struct lmn_range range = {.lo = 0, .hi = 4};
     uint8_t done = 8; /* the last is recorded as done */
     GByteArray *b = g_byte_array_new();
@@ -185,7 +185,7 @@
             lmn_cbor_put_text(b, "t");
         lmn_cbor_put_text(b, "z"), lmn_cbor_put_bool(b, false);
     }
-    put("j/run-000001", lmn_job_record(&spec, LMN_ACTIVE, 1, 1000), 10);
+    put("j/run-000001", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000), 10);
     put("r/0/run-000001/0", lmn_range_record(&range, &done), 10);
     put("m/0/0", b, 11);
     put("o/0", owner("nb", 2, 1, 0), 12);
@@ -242,16 +242,16 @@
     p->owner_stream = p->standby_stream = 7;
     p->standby_term = 1;
     p->owner_term = 2;
-    g_strlcpy(p->standby, "na", LMN_NAME);
+    g_strlcpy(p->standby, "na", LMN_NAME_SIZE);
     assert_null(lmn_takeover_cold(core, p));
     p->owner_stream = 0;
     assert_string_equal(lmn_takeover_cold(core, p), "nobody was in step");
     p->owner_stream = 6;
     assert_string_equal(lmn_takeover_cold(core, p), "another was in step");
     p->owner_stream = 7;
-    g_strlcpy(p->standby, "nb", LMN_NAME);
+    g_strlcpy(p->standby, "nb", LMN_NAME_SIZE);
     assert_string_equal(lmn_takeover_cold(core, p), "another was in step");
-    g_strlcpy(p->standby, "na", LMN_NAME);
+    g_strlcpy(p->standby, "na", LMN_NAME_SIZE);
     p->owner_term = 3;
     assert_string_equal(lmn_takeover_cold(core, p), "the copy is of another term");
     p->owner_term = 2;
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -32,10 +32,10 @@
     char key[32];
 
     memset(cfg, 0, sizeof *cfg);
-    g_snprintf(cfg->node, LMN_NAME, "n%02d", me);
+    g_snprintf(cfg->node, LMN_NAME_SIZE, "n%02d", me);
     for (int k = 0; k < n; k++)
         if (k != me)
-            g_snprintf(cfg->members[cfg->nmembers++].name, LMN_NAME, "n%02d", k);
+            g_snprintf(cfg->members[cfg->nmembers++].name, LMN_NAME_SIZE, "n%02d", k);
     cfg->partitions = n;
     cfg->report_s = 1;
     cfg->lease_s = 8;
@@ -63,7 +63,7 @@
             lmn_member_answered(&c->members, k, &well, now, now);
     }
     for (int k = 0; k < n; k++) {
-        char name[LMN_NAME];
+        char name[LMN_NAME_SIZE];
         if (gone[k])
             continue;
         GByteArray *v = g_byte_array_new();
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -33,9 +33,9 @@
 {
     (void)state;
     memset(&cfg, 0, sizeof cfg);
-    g_strlcpy(cfg.node, "nb", LMN_NAME);
-    g_strlcpy(cfg.members[0].name, "na", LMN_NAME);
-    g_strlcpy(cfg.members[1].name, "nc", LMN_NAME);
+    g_strlcpy(cfg.node, "nb", LMN_NAME_SIZE);
+    g_strlcpy(cfg.members[0].name, "na", LMN_NAME_SIZE);
+    g_strlcpy(cfg.members[1].name, "nc", LMN_NAME_SIZE);
     cfg.nmembers = 2;
     cfg.partitions = 3;
     cfg.report_s = 1;
@@ -45,14 +45,14 @@
     cfg.value_kb = 16;
     cfg.txn_ops = 12;
     cfg.teams = &team;
-    g_strlcpy(cfg.teams[0].name, "x", LMN_NAME);
+    g_strlcpy(cfg.teams[0].name, "x", LMN_NAME_SIZE);
     cfg.teams[0].cpus_max = 100;
     cfg.nteams = 1;
     now = (struct timespec){1000, 0};
     rev = 0;
     core = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
     core->types.n = 1;
-    core->types.v[0] = (struct lmn_type){.name = "t", .cpus = 8, .nzones = 1};
+    core->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 8, .nzones = 1};
     core->types_known = true;
     core->synced = true;
     core->fresh = now;
@@ -127,13 +127,13 @@
 /* The partition is ours, cold, by the term; its machines are recorded. */
 static void own_cold(uint64_t term)
 {
-    struct lmn_spec spec = {.ref = "run-000001",
-                            .class_name = (char *)"c",
-                            .team = (char *)"x",
-                            .image = (char *)"img",
-                            .tasks = TASKS,
-                            .cpus = 2,
-                            .deadline_s = -1};
+    struct lmn_job_spec spec = {.ref = "run-000001",
+                                .class_name = (char *)"c",
+                                .team = (char *)"x",
+                                .image = (char *)"img",
+                                .tasks = TASKS,
+                                .cpus = 2,
+                                .deadline_s = -1};
     struct lmn_range r = {.lo = 0, .hi = TASKS};
     uint8_t done = 0;
     GByteArray *b = g_byte_array_new();
@@ -148,7 +148,7 @@
         lmn_cbor_put_text(b, "z"), lmn_cbor_put_bool(b, false);
     }
     put("m/0/0", b);
-    put("j/run-000001", lmn_job_record(&spec, LMN_ACTIVE, 1, 1000));
+    put("j/run-000001", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000));
     put("r/0/run-000001/0", lmn_range_record(&r, &done));
     claimed("nb", 1, term);
     assert_true(part->mine && !part->warm);
@@ -268,7 +268,7 @@
  * new one, which is asked at once. It proves nothing yet. */
 static void a_session_that_ended_is_asked_again_at_once(void **state)
 {
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     uint64_t term;
     (void)state;
 
@@ -300,7 +300,7 @@
 static void idle_lanes_help_those_held_up(void **state)
 {
     enum { LANES = 2 };
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     uint64_t term;
     unsigned own = 0;
     (void)state;
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -47,13 +47,13 @@
     cfg.lease_s = 10;
     cfg.teams = &team;
     cfg.nteams = 1;
-    g_strlcpy(cfg.teams[0].name, "t", LMN_NAME);
+    g_strlcpy(cfg.teams[0].name, "t", LMN_NAME_SIZE);
     cfg.teams[0].cpus_max = 100;
     now = (struct timespec){1000, 0};
     lmn_test_clock = &now;
     core = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
     core->types.n = 1;
-    core->types.v[0] = (struct lmn_type){.name = "x", .cpus = 8, .mem = 64};
+    core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     struct lmn_partition *p = &core->parts[0];
     p->mine = p->ready = p->open = true;
     p->my_term = 1;
@@ -70,7 +70,7 @@
     job.spec.tasks = TASKS;
     job.spec.cpus = 2;
     job.spec.one_zone = true;
-    job.spec.urgency = LMN_NORMAL;
+    job.spec.urgency = LMN_PRIORITY_NORMAL;
     job.ranges = g_ptr_array_new();
     range = g_new0(struct lmn_range, 1);
     *range = (struct lmn_range){.job = &job, .part = p, .hi = TASKS, .move_to = -1};
@@ -113,7 +113,7 @@
 }
 static void job_is_over(void)
 {
-    job.phase = LMN_WITHDRAWN;
+    job.phase = LMN_JOB_CANCELLED;
 }
 static void is_full(void)
 {
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -48,7 +48,7 @@
 static void make(int machines)
 {
     memset(&cfg, 0, sizeof cfg);
-    g_strlcpy(team[0].name, "t", LMN_NAME);
+    g_strlcpy(team[0].name, "t", LMN_NAME_SIZE);
     cfg.teams = team;
     cfg.nteams = 1;
     cfg.partitions = 1;
@@ -73,7 +73,7 @@
 {
     GHashTableIter it;
     gpointer v;
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     uint64_t term;
 
     for (double t = 0; t < seconds; t += 0.25) {
@@ -159,7 +159,7 @@
         g_strlcpy(((struct lmn_machine *)g_hash_table_lookup(
                        core->parts[0].machines, g_strdup_printf("host-%06d", i)))
                       ->zone,
-                  "a", LMN_NAME);
+                  "a", LMN_NAME_SIZE);
     one->probes = 2;
     now = lmn_after(now, cfg.lease_s - 5);
     core->fresh = now;
@@ -201,7 +201,7 @@
         gpointer v;
         g_hash_table_iter_init(&it, core->parts[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            g_strlcpy(((struct lmn_machine *)v)->zone, "a", LMN_NAME);
+            g_strlcpy(((struct lmn_machine *)v)->zone, "a", LMN_NAME_SIZE);
         core->parts[0].ready = false;
         struct lmn_machine *far[8];
         for (int i = 0; i < 8; i++) {
@@ -223,7 +223,7 @@
  * again. */
 static void unanswered_come_last(void **state)
 {
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     uint64_t term;
     (void)state;
     make(0);
@@ -248,7 +248,7 @@
  * overdue. */
 static void any_lane_asks(void **state)
 {
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     uint64_t term;
     struct lmn_machine *lost[12];
     (void)state;
@@ -319,7 +319,7 @@
 {
     memset(&job, 0, sizeof job);
     memset(&range, 0, sizeof range);
-    g_strlcpy(job.spec.ref, "run-000001", LMN_REF);
+    g_strlcpy(job.spec.ref, "run-000001", LMN_JOB_ID_SIZE);
     job.spec.tasks = n;
     job.spec.cpus = 1;
     job.spec.image = (char *)"i";
@@ -344,7 +344,7 @@
 static void with_type(void)
 {
     core->types.n = 1;
-    core->types.v[0] = (struct lmn_type){.name = "x", .cpus = 8, .mem = 64};
+    core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     core->members.fresh = core->members.tick = core->fresh = now;
 }
 
@@ -606,7 +606,7 @@
                            *names = lmn_machine_new(&core->parts[0], "x");
         g_array_append_vals(names->attempts, m->attempts->data, m->attempts->len);
         if (withdrawn)
-            job.phase = LMN_WITHDRAWN;
+            job.phase = LMN_JOB_CANCELLED;
         m->seq = seq + 9; /* a call's answer was newer */
         assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
         assert_int_equal(commands(answered, W_KILL), withdrawn ? 4 + 4 : 0);
@@ -633,7 +633,7 @@
     struct lmn_job other = job;
     for (guint i = 0; i < m->attempts->len; i++)
         g_array_index(m->attempts, struct lmn_attempt, i).job = &other;
-    other.phase = LMN_WITHDRAWN;
+    other.phase = LMN_JOB_CANCELLED;
     for (int i = 0; i < 4; i++)
         range.st[i] = LMN_T_QUEUED;
     range.nstarted = 0;
@@ -654,7 +654,7 @@
 /* Who answers no worker any more starts nothing by the other way either. */
 static void nothing_starts_behind_the_fence(void **state)
 {
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     GByteArray *body = g_byte_array_new();
     (void)state;
 
@@ -677,7 +677,7 @@
  * outcome was known, and the answer renewed the lease. */
 static void starts_under_way_are_ended(void **state)
 {
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     GByteArray *body = g_byte_array_new();
     uint64_t orders, seq = 0;
     (void)state;
@@ -695,7 +695,7 @@
     now = lmn_after(now, 1);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
     assert_int_equal(orders, 0);
-    job.phase = LMN_WITHDRAWN;
+    job.phase = LMN_JOB_CANCELLED;
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
     assert_int_equal(commands(answered, W_START), 4);
     assert_int_equal(commands(answered, W_KILL), 4);
@@ -725,7 +725,7 @@
         /* The mirror stands still; a late twin of the tombstone changes nothing. */
         core->fresh = lmn_after(heard, -1);
         assert_false(lmn_job_wanted(core, &job));
-        assert_int_equal(job.phase, LMN_ACTIVE);
+        assert_int_equal(job.phase, LMN_JOB_ACTIVE);
         lmn_ranges_flush(core, now);
         assert_null(lmn_state_take(core->state));
         assert_true(lmn_tombstone_heard(core, "run-000001", heard));
@@ -743,7 +743,7 @@
     now = lmn_after(now, 30); /* it was wrong */
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
     assert_true(orders > 0);
-    job.phase = LMN_WITHDRAWN;
+    job.phase = LMN_JOB_CANCELLED;
     assert_false(lmn_tombstone_heard(core, "run-000001", now));
 
     /* Told until taken, the oldest first, in bounded room. */
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -40,7 +40,7 @@
 static int sent_on(const struct machine *m, int status, const GByteArray *answer)
 {
     struct lmn_cbor_document d;
-    char name[LMN_NAME] = "";
+    char name[LMN_NAME_SIZE] = "";
 
     if (status == 421 && lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
         lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REPORT_TO), name,
@@ -239,7 +239,7 @@
         j->spec.spread || j->spec.one_zone ? (int)(j->spec.tasks % w.layout.nodes) : -1;
     for (int i = 0; i < w.layout.nodes; i++)
         open += part_end(j, whole, i) > part_end(j, whole, i - 1);
-    b = lmn_job_record(&j->spec, LMN_ACTIVE, open, w.now);
+    b = lmn_job_record(&j->spec, LMN_JOB_ACTIVE, open, w.now);
     g_snprintf(key, sizeof key, "j/%s", j->ref);
     world_put(key, b, 0);
     g_byte_array_unref(b);
@@ -272,14 +272,14 @@
 static bool cancel_through(struct job *j, struct node *n)
 {
     char key[64];
-    struct lmn_spec s;
+    struct lmn_job_spec s;
     uint32_t open;
     double at;
 
     g_snprintf(key, sizeof key, "j/%s", j->ref);
-    enum lmn_phase phase = world_read_job(j, &s, &open, &at);
-    if (phase == LMN_ACTIVE || w.broken == G_FINAL) {
-        GByteArray *b = lmn_job_record(&s, LMN_WITHDRAWN, open, at);
+    enum lmn_job_phase phase = world_read_job(j, &s, &open, &at);
+    if (phase == LMN_JOB_ACTIVE || w.broken == G_FINAL) {
+        GByteArray *b = lmn_job_record(&s, LMN_JOB_CANCELLED, open, at);
         w.rev++;
         world_put(key, b, 0);
         g_byte_array_unref(b);
@@ -287,7 +287,7 @@
         w.cancelled++;
         lmn_tombstone_add(&n->core->tombstones, j->ref);
     }
-    lmn_spec_clear(&s);
+    lmn_job_spec_clear(&s);
     return j->cancelled_at == w.now;
 }
 
@@ -385,7 +385,7 @@
         j->spec.team = (char *)world_team(i % w.teams);
         j->spec.image = (char *)"img";
         j->spec.zone = i % 5 == 4 ? (char *)"a" : NULL;
-        j->spec.urgency = i % 2 ? LMN_HIGH : LMN_NORMAL;
+        j->spec.urgency = i % 2 ? LMN_PRIORITY_HIGH : LMN_PRIORITY_NORMAL;
         j->spec.tasks = 1 + (uint32_t)g_rand_int_range(w.r, 0, TASKS);
         j->spec.cpus = 1 + i % 3;
         j->spec.mem = 1;
@@ -393,11 +393,11 @@
         j->spec.estimate_s = 3;
         j->spec.deadline_s = -1;
         if (i % 4 == 3) { /* a service of few replicas, some spread over the zones */
-            j->spec.kind = LMN_DAEMON;
+            j->spec.kind = LMN_JOB_SERVICE;
             j->spec.tasks = 1 + (uint32_t)g_rand_int_range(w.r, 0, 4);
             j->spec.spread = i % 8 == 3;
             j->spec.estimate_s = 0;
-            j->spec.urgency = LMN_PROD;
+            j->spec.urgency = LMN_PRIORITY_PRODUCTION;
         }
         j->cancelled_at = j->accepted_at = j->began_at = j->answered_at = -1;
         if (plan && plan->describe)
--- a/tests/world/machines.c
+++ b/tests/world/machines.c
@@ -238,7 +238,7 @@
         if (t->state == FETCHING) {
             t->state = RUNNING;
             /* A replica runs until its job is withdrawn. */
-            t->until = w.now + (w.jobs[t->job].spec.kind == LMN_DAEMON
+            t->until = w.now + (w.jobs[t->job].spec.kind == LMN_JOB_SERVICE
                                     ? 1e9
                                     : g_rand_double_range(w.r, 1, w.run_s));
             world_started(m, t);
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -40,7 +40,7 @@
     g_snprintf(n->cfg.node, sizeof n->cfg.node, "n%02d", i);
     for (int k = 0; k < w.layout.nodes; k++)
         if (k != i)
-            g_snprintf(n->cfg.members[n->cfg.nmembers++].name, LMN_NAME, "n%02d", k);
+            g_snprintf(n->cfg.members[n->cfg.nmembers++].name, LMN_NAME_SIZE, "n%02d", k);
     n->cfg.partitions = w.layout.nodes;
     n->cfg.report_s = 1;
     n->cfg.lease_s = w.broken == G_LEASE ? 0.3 * w.lease_s : w.lease_s;
@@ -53,14 +53,14 @@
     n->cfg.teams = n->teams;
     n->cfg.nteams = (size_t)w.teams;
     for (int k = 0; k < w.teams; k++) {
-        g_strlcpy(n->cfg.teams[k].name, world_team(k), LMN_NAME);
+        g_strlcpy(n->cfg.teams[k].name, world_team(k), LMN_NAME_SIZE);
         n->cfg.teams[k].cpus_max =
             w.broken == G_QUOTA ? 4 * w.layout.limit : w.layout.limit;
     }
     n->state = lmn_state_new(&n->cfg);
     n->core = lmn_core_new(&n->cfg, n->state, g_rand_int(w.r));
     n->core->types.n = 1;
-    n->core->types.v[0] = (struct lmn_type){
+    n->core->types.v[0] = (struct lmn_machine_type){
         .name = "t", .cpus = 6, .mem = 100, .nzones = 2, .zones = {"a", "b"}};
     n->core->types_known = true;
     n->core->tuning.standby = w.standbys;
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -254,7 +254,7 @@
 void node_direct(struct node *n)
 {
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
-    char name[LMN_NAME], addr[LMN_ADDR];
+    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     uint64_t term;
     int me = (int)(n - w.nodes);
 
@@ -296,7 +296,7 @@
             GByteArray *own = g_byte_array_new();
             g_byte_array_append(own, body->data, body->len);
             held.term = n->core->parts[held.part].my_term;
-            g_strlcpy(held.machine, name, LMN_NAME);
+            g_strlcpy(held.machine, name, LMN_NAME_SIZE);
             node_hold_back(n, &held, NULL, m, own);
             g_byte_array_unref(own);
             continue;
--- a/tests/world/requests.h
+++ b/tests/world/requests.h
@@ -13,7 +13,7 @@
 struct request {
     enum request_kind kind;
     enum form form;
-    char ref[LMN_REF];
+    char ref[LMN_JOB_ID_SIZE];
     struct job *job; /* NULL: an id that nobody submits */
     int node;
     double sent;
@@ -23,7 +23,7 @@
     struct lmn_submission submission;
     /* when it was sent: the record, and what its user had been told */
     bool recorded, accepted;
-    enum lmn_phase phase, told;
+    enum lmn_job_phase phase, told;
 };
 
 /* The job's record; NULL: there is none. */
--- a/tests/world/rules.c
+++ b/tests/world/rules.c
@@ -74,16 +74,16 @@
         }
     for (int i = 0; i < w.njobs; i++) {
         struct job *j = &w.jobs[i];
-        struct lmn_spec s;
+        struct lmn_job_spec s;
         uint32_t open;
         double at;
         /* What a record says is judged when it changes. */
         if (!j->submitted || world_job_revision(j) == j->read_rev)
             continue;
         j->read_rev = world_job_revision(j);
-        enum lmn_phase phase = world_read_job(j, &s, &open, &at);
-        lmn_spec_clear(&s);
-        if (phase == LMN_FINISHED && !j->told_done) {
+        enum lmn_job_phase phase = world_read_job(j, &s, &open, &at);
+        lmn_job_spec_clear(&s);
+        if (phase == LMN_JOB_DONE && !j->told_done) {
             j->told_done = true;
             j->answered_at = w.now;
             w.finished++;
@@ -93,8 +93,8 @@
                     break;
                 }
         }
-        if ((j->told_done && phase != LMN_FINISHED) ||
-            (j->cancelled_at >= 0 && phase != LMN_WITHDRAWN))
+        if ((j->told_done && phase != LMN_JOB_DONE) ||
+            (j->cancelled_at >= 0 && phase != LMN_JOB_CANCELLED))
             w.broke[R_WENT_BACK]++;
     }
 }
--- a/tests/world/scenario.c
+++ b/tests/world/scenario.c
@@ -95,7 +95,8 @@
         struct job *j = &w.jobs[i];
         if (!j->submitted && !j->offered)
             j->spec.tasks = MIN(j->spec.tasks, 6);
-        else if (scenario_is_over() && j->spec.kind == LMN_DAEMON && j->cancelled_at < 0)
+        else if (scenario_is_over() && j->spec.kind == LMN_JOB_SERVICE &&
+                 j->cancelled_at < 0)
             world_cancel(j);
     }
     if (scenario_is_over()) {
--- a/tests/world/serving.c
+++ b/tests/world/serving.c
@@ -141,7 +141,7 @@
         /* Written whatever the record has become. */
         lmn_reading_clear(&k->reading);
         world_read_record(ref, &k->reading);
-        k->reading.phase = LMN_ACTIVE;
+        k->reading.phase = LMN_JOB_ACTIVE;
     }
     struct lmn_txn *t = lmn_cancellation(ref, &k->reading, k->cancel->absent_status, &r);
     if (!t) {
@@ -332,15 +332,15 @@
 static GByteArray *body_of(const struct request *q)
 {
     GByteArray *b = g_byte_array_new();
-    struct lmn_spec s = q->job ? q->job->spec : w.jobs[0].spec;
+    struct lmn_job_spec s = q->job ? q->job->spec : w.jobs[0].spec;
 
     g_strlcpy(s.ref, q->ref, sizeof s.ref);
     if (q->form == FITS_NOWHERE)
         s.cpus = 1000;
     if (q->form == LACKS_FIELD)
         s.class_name = (char *)"";
-    lmn_cbor_put_map(b, lmn_spec_pairs());
-    lmn_spec_put(b, &s);
+    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
+    lmn_job_spec_write(b, &s);
     return b;
 }
 
--- a/tests/world/store.c
+++ b/tests/world/store.c
@@ -253,12 +253,12 @@
     }
 }
 
-enum lmn_phase world_read_job(const struct job *j, struct lmn_spec *s, uint32_t *open,
-                              double *at)
+enum lmn_job_phase world_read_job(const struct job *j, struct lmn_job_spec *s,
+                                  uint32_t *open, double *at)
 {
     char key[64];
     struct lmn_cbor_document d;
-    enum lmn_phase phase;
+    enum lmn_job_phase phase;
 
     g_snprintf(key, sizeof key, "j/%s", j->ref);
     const struct item *it = g_hash_table_lookup(w.store, key);
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -75,21 +75,21 @@
         wrong(q, R_INVENTED, r);
         return;
     }
-    if ((q->phase != LMN_ACTIVE && r->phase != q->phase) ||
-        (q->told != LMN_ACTIVE && r->phase != q->told) ||
-        (r->phase == LMN_WITHDRAWN && !j->cancel_asked) ||
-        (q->kind == CANCELLATION && r->phase == LMN_ACTIVE))
+    if ((q->phase != LMN_JOB_ACTIVE && r->phase != q->phase) ||
+        (q->told != LMN_JOB_ACTIVE && r->phase != q->told) ||
+        (r->phase == LMN_JOB_CANCELLED && !j->cancel_asked) ||
+        (q->kind == CANCELLATION && r->phase == LMN_JOB_ACTIVE))
         wrong(q, R_WENT_BACK, r);
-    for (uint32_t k = 0; r->phase == LMN_FINISHED && k < j->spec.tasks; k++)
+    for (uint32_t k = 0; r->phase == LMN_JOB_DONE && k < j->spec.tasks; k++)
         if (!j->done[k]) {
             wrong(q, R_NOT_DONE, r);
             break;
         }
     j->accepted = true;
-    w.answers_overtaken += j->told != LMN_ACTIVE && r->phase == LMN_ACTIVE;
-    if (r->phase != LMN_ACTIVE)
+    w.answers_overtaken += j->told != LMN_JOB_ACTIVE && r->phase == LMN_JOB_ACTIVE;
+    if (r->phase != LMN_JOB_ACTIVE)
         j->told = r->phase;
-    if (r->phase == LMN_WITHDRAWN && j->cancelled_at < 0) {
+    if (r->phase == LMN_JOB_CANCELLED && j->cancelled_at < 0) {
         j->cancelled_at = w.now;
         w.cancelled++;
     }
@@ -245,7 +245,7 @@
 static void notice(struct job *j, int i)
 {
     const struct item *it = world_record(j->ref);
-    bool all = j->submitted && j->spec.kind == LMN_BATCH;
+    bool all = j->submitted && j->spec.kind == LMN_JOB_BATCH;
 
     if (it && it->rev != users.seen[i]) {
         users.seen[i] = it->rev;
@@ -291,7 +291,7 @@
         send(CANCELLATION, SOUND, j->ref, node);
     send(STATUS, SOUND, nobodys, node);
     send(CANCELLATION, SOUND, nobodys, node);
-    if (lmn_ref_ok(nobodys))
+    if (lmn_job_id_is_valid(nobodys))
         send(SUBMISSION, chance(0.5) ? LACKS_FIELD : FITS_NOWHERE, nobodys, node);
 }
 
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -155,8 +155,8 @@
 };
 
 struct job {
-    struct lmn_spec spec;
-    char ref[LMN_REF];
+    struct lmn_job_spec spec;
+    char ref[LMN_JOB_ID_SIZE];
     bool submitted, told_done;
     double cancelled_at;                       /* negative: not */
     double accepted_at, began_at, answered_at; /* negative: not yet */
@@ -166,7 +166,7 @@
     bool offered;                     /* its submission has begun */
     bool cancel_wanted, cancel_asked; /* it is to be cancelled; some node was asked to */
     bool accepted;                    /* it was told so */
-    enum lmn_phase told;              /* the end that was told; LMN_ACTIVE: none */
+    enum lmn_job_phase told;          /* the end that was told; LMN_JOB_ACTIVE: none */
     /* since when one of its tasks has waited while that machine had room; 0: not */
     double beside[MOST_MACHINES];
 };
@@ -287,8 +287,8 @@
 /* One change, at the revision that the caller has raised. */
 void world_put(const char *key, const GByteArray *value, uint64_t lease);
 /* The job's record as it stands; the description is to be cleared. */
-enum lmn_phase world_read_job(const struct job *j, struct lmn_spec *s, uint32_t *open,
-                              double *at);
+enum lmn_job_phase world_read_job(const struct job *j, struct lmn_job_spec *s,
+                                  uint32_t *open, double *at);
 uint64_t world_job_revision(const struct job *j);
 enum lmn_outcome world_commit(const struct lmn_txn *t, uint64_t *rev);
 /* One of conditions alone; the keys whose condition did not hold are added to failed. */
