--- a/src/admission/connection_budget.c
+++ b/src/admission/connection_budget.c
@@ -26,7 +26,7 @@
     unsigned all = (unsigned)cfg->max_connections;
 
     /* Each lane has one call under way at most, whatever it keeps open besides. */
-    p->direct = most(lmn_direct_connections(cfg), LMN_LANES);
+    p->direct = most(lmn_settings_worker_connections(cfg), LMN_LANES);
     p->own = fixed(cfg) + p->direct;
     p->accepted = all > p->own + LEAST_ACCEPTED ? all - p->own : LEAST_ACCEPTED;
     /* An eighth is left to pass through, however many stand: a report needs a connection
--- a/src/admission/worker_hosts.c
+++ b/src/admission/worker_hosts.c
@@ -12,7 +12,7 @@
     struct in_addr a;
     int port;
 
-    if (lmn_addr_split(addr, host, sizeof host, &port) != 0 ||
+    if (lmn_address_split(addr, host, sizeof host, &port) != 0 ||
         inet_pton(AF_INET, host, &a) != 1)
         return 0;
     guint32 n = ntohl(a.s_addr);
--- a/src/cli/kv_store.c
+++ b/src/cli/kv_store.c
@@ -14,20 +14,20 @@
 static int read_config(const char *path, struct lmn_store_options *o, char *err,
                        size_t len)
 {
-    struct lmn_conf *c = lmn_conf_load(path, err, len);
+    struct lmn_config *c = lmn_config_load(path, err, len);
 
     if (!c)
         return -1;
-    g_strlcpy(o->listen, lmn_conf_addr(c, "listen", o->listen), sizeof o->listen);
-    if (lmn_conf_has(c, "data") || !o->dir)
-        o->dir = g_strdup(lmn_conf_text(c, "data", NULL));
-    o->map_gb = lmn_conf_number(c, "map_gb", o->map_gb, 0.001, 16384);
-    o->rps = lmn_conf_number(c, "rps", o->rps, 0, 1e9);
-    o->write_rps = lmn_conf_number(c, "write_rps", o->write_rps, 0, 1e9);
-    o->value_kb = lmn_conf_number(c, "value_kb", o->value_kb, 0, 1e6);
-    o->txn_ops = (int)lmn_conf_number(c, "txn_ops", o->txn_ops, 0, 1e6);
-    int rc = lmn_conf_end(c, err, len);
-    lmn_conf_free(c);
+    g_strlcpy(o->listen, lmn_config_address(c, "listen", o->listen), sizeof o->listen);
+    if (lmn_config_has(c, "data") || !o->dir)
+        o->dir = g_strdup(lmn_config_text(c, "data", NULL));
+    o->map_gb = lmn_config_number(c, "map_gb", o->map_gb, 0.001, 16384);
+    o->rps = lmn_config_number(c, "rps", o->rps, 0, 1e9);
+    o->write_rps = lmn_config_number(c, "write_rps", o->write_rps, 0, 1e9);
+    o->value_kb = lmn_config_number(c, "value_kb", o->value_kb, 0, 1e6);
+    o->txn_ops = (int)lmn_config_number(c, "txn_ops", o->txn_ops, 0, 1e6);
+    int rc = lmn_config_finish(c, err, len);
+    lmn_config_free(c);
     return rc;
 }
 
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -29,24 +29,25 @@
 
 static int load(const char *path, struct fleet_options *o, char *err, size_t len)
 {
-    struct lmn_conf *c = lmn_conf_load(path, err, len);
+    struct lmn_config *c = lmn_config_load(path, err, len);
 
     if (!c)
         return -1;
-    g_strlcpy(o->listen, lmn_conf_addr(c, "listen", "127.0.0.1:8443"), sizeof o->listen);
-    g_strlcpy(o->data, lmn_conf_text(c, "data", NULL), sizeof o->data);
-    g_strlcpy(o->inventory, lmn_conf_text(c, "inventory", NULL), sizeof o->inventory);
-    o->rps = lmn_conf_number(c, "rps", 0, 0, 1e6);
-    const char *backend = lmn_conf_text(c, "backend", "static");
+    g_strlcpy(o->listen, lmn_config_address(c, "listen", "127.0.0.1:8443"),
+              sizeof o->listen);
+    g_strlcpy(o->data, lmn_config_text(c, "data", NULL), sizeof o->data);
+    g_strlcpy(o->inventory, lmn_config_text(c, "inventory", NULL), sizeof o->inventory);
+    o->rps = lmn_config_number(c, "rps", 0, 0, 1e6);
+    const char *backend = lmn_config_text(c, "backend", "static");
     o->emulated = !strcmp(backend, "emulated");
     if (!o->emulated && strcmp(backend, "static"))
-        lmn_conf_fail(c, "backend", "expected 'static' or 'emulated'");
+        lmn_config_fail(c, "backend", "expected 'static' or 'emulated'");
     if (o->emulated)
         lmn_emulation_read(c, &o->emulation);
     lmn_local_read(c, &o->local);
     g_snprintf(o->local.dir, sizeof o->local.dir, "%s/machines", o->data);
-    int rc = lmn_conf_end(c, err, len);
-    lmn_conf_free(c);
+    int rc = lmn_config_finish(c, err, len);
+    lmn_config_free(c);
     return rc;
 }
 
--- a/src/cli/users.c
+++ b/src/cli/users.c
@@ -27,7 +27,7 @@
     }
     char **a = g_strsplit(controllers, ",", -1);
     for (char **p = a; *p && u->n <= LMN_MAX_MEMBERS; p++) {
-        if (lmn_addr_split(*p, host, sizeof host, &port) != 0) {
+        if (lmn_address_split(*p, host, sizeof host, &port) != 0) {
             g_snprintf(err, len, "--controllers: %s: expected IPv4:port", *p);
             g_strfreev(a);
             return -1;
--- a/src/config/config.c
+++ b/src/config/config.c
@@ -6,14 +6,14 @@
 #include <string.h>
 
 struct item {
-    enum lmn_conf_kind kind;
+    enum lmn_config_kind kind;
     char *text;
     double number; /* of an array: its length */
     unsigned line;
     bool used;
 };
 
-struct lmn_conf {
+struct lmn_config {
     char *name;
     GHashTable *items; /* path -> struct item */
     GPtrArray *order;  /* paths, as they stand in the file */
@@ -27,16 +27,16 @@
     g_free(i);
 }
 
-struct lmn_conf *lmn_conf_new(const char *name)
+struct lmn_config *lmn_config_new(const char *name)
 {
-    struct lmn_conf *c = g_new0(struct lmn_conf, 1);
+    struct lmn_config *c = g_new0(struct lmn_config, 1);
     c->name = g_strdup(name);
     c->items = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_item);
     c->order = g_ptr_array_new();
     return c;
 }
 
-void lmn_conf_free(struct lmn_conf *c)
+void lmn_config_free(struct lmn_config *c)
 {
     g_hash_table_destroy(c->items);
     g_ptr_array_free(c->order, TRUE);
@@ -45,8 +45,8 @@
     g_free(c);
 }
 
-void lmn_conf_add(struct lmn_conf *c, const char *path, enum lmn_conf_kind kind,
-                  const char *text, double number, unsigned line)
+void lmn_config_add(struct lmn_config *c, const char *path, enum lmn_config_kind kind,
+                    const char *text, double number, unsigned line)
 {
     struct item *i = g_new0(struct item, 1);
     char *key = g_strdup(path);
@@ -56,7 +56,7 @@
     g_ptr_array_add(c->order, key);
 }
 
-void lmn_conf_fail(struct lmn_conf *c, const char *path, const char *fmt, ...)
+void lmn_config_fail(struct lmn_config *c, const char *path, const char *fmt, ...)
 {
     const struct item *i = g_hash_table_lookup(c->items, path);
     va_list ap;
@@ -72,8 +72,8 @@
 }
 
 /* The field, if it is there and of the kind. */
-static struct item *find(struct lmn_conf *c, const char *path, enum lmn_conf_kind kind,
-                         bool required)
+static struct item *find(struct lmn_config *c, const char *path,
+                         enum lmn_config_kind kind, bool required)
 {
     static const char *const words[] = {"a text in quotes", "a number", "true or false",
                                         "an array", "a table"};
@@ -81,91 +81,91 @@
 
     if (!i) {
         if (required)
-            lmn_conf_fail(c, path, "missing; expected %s", words[kind]);
+            lmn_config_fail(c, path, "missing; expected %s", words[kind]);
         return NULL;
     }
     i->used = true;
     if (i->kind == kind)
         return i;
-    lmn_conf_fail(c, path, "expected %s", words[kind]);
+    lmn_config_fail(c, path, "expected %s", words[kind]);
     return NULL;
 }
 
-const char *lmn_conf_text(struct lmn_conf *c, const char *path, const char *def)
+const char *lmn_config_text(struct lmn_config *c, const char *path, const char *def)
 {
-    const struct item *i = find(c, path, LMN_CONF_TEXT, !def);
+    const struct item *i = find(c, path, LMN_CONFIG_TEXT, !def);
 
     if (i && !*i->text)
-        lmn_conf_fail(c, path, "expected a text that is not empty");
+        lmn_config_fail(c, path, "expected a text that is not empty");
     return i ? i->text : def ? def : "";
 }
 
-const char *lmn_conf_name(struct lmn_conf *c, const char *path, const char *def)
+const char *lmn_config_name(struct lmn_config *c, const char *path, const char *def)
 {
-    const char *t = lmn_conf_text(c, path, def);
+    const char *t = lmn_config_text(c, path, def);
     size_t n = strlen(t);
     bool ok = n > 0 && n < LMN_NAME_SIZE;
 
     for (size_t i = 0; i < n; i++)
         ok = ok && (g_ascii_isalnum(t[i]) || strchr("-_.", t[i]));
     if (!ok)
-        lmn_conf_fail(c, path,
-                      "expected a name of 1 to %d letters, digits, '-', '_' and '.'",
-                      LMN_NAME_SIZE - 1);
+        lmn_config_fail(c, path,
+                        "expected a name of 1 to %d letters, digits, '-', '_' and '.'",
+                        LMN_NAME_SIZE - 1);
     return t;
 }
 
-const char *lmn_conf_addr(struct lmn_conf *c, const char *path, const char *def)
+const char *lmn_config_address(struct lmn_config *c, const char *path, const char *def)
 {
-    const char *t = lmn_conf_text(c, path, def);
+    const char *t = lmn_config_text(c, path, def);
     char host[LMN_ADDRESS_SIZE];
     int port;
 
     if (*t && (strlen(t) >= LMN_ADDRESS_SIZE ||
-               lmn_addr_split(t, host, sizeof host, &port) != 0))
-        lmn_conf_fail(c, path,
-                      "expected an IPv4 address and a port, as in 127.0.0.1:8080");
+               lmn_address_split(t, host, sizeof host, &port) != 0))
+        lmn_config_fail(c, path,
+                        "expected an IPv4 address and a port, as in 127.0.0.1:8080");
     return t;
 }
 
-double lmn_conf_number(struct lmn_conf *c, const char *path, double def, double lo,
-                       double hi)
+double lmn_config_number(struct lmn_config *c, const char *path, double def, double lo,
+                         double hi)
 {
-    const struct item *i = find(c, path, LMN_CONF_NUMBER, false);
+    const struct item *i = find(c, path, LMN_CONFIG_NUMBER, false);
 
     if (!i)
         return def;
     if (!(i->number >= lo && i->number <= hi)) {
-        lmn_conf_fail(c, path, "expected a number from %g to %g", lo, hi);
+        lmn_config_fail(c, path, "expected a number from %g to %g", lo, hi);
         return def;
     }
     return i->number;
 }
 
-bool lmn_conf_truth(struct lmn_conf *c, const char *path, bool def)
+bool lmn_config_bool(struct lmn_config *c, const char *path, bool def)
 {
-    const struct item *i = find(c, path, LMN_CONF_TRUTH, false);
+    const struct item *i = find(c, path, LMN_CONFIG_BOOL, false);
     return i ? i->number != 0 : def;
 }
 
-guint lmn_conf_count(struct lmn_conf *c, const char *path)
+guint lmn_config_count(struct lmn_config *c, const char *path)
 {
-    const struct item *i = find(c, path, LMN_CONF_ARRAY, false);
+    const struct item *i = find(c, path, LMN_CONFIG_ARRAY, false);
     return i ? (guint)i->number : 0;
 }
 
-bool lmn_conf_has(struct lmn_conf *c, const char *path)
+bool lmn_config_has(struct lmn_config *c, const char *path)
 {
     return g_hash_table_contains(c->items, path);
 }
 
-int lmn_conf_end(struct lmn_conf *c, char *err, size_t len)
+int lmn_config_finish(struct lmn_config *c, char *err, size_t len)
 {
     for (guint k = 0; k < c->order->len && !c->wrong; k++) {
         const struct item *i = g_hash_table_lookup(c->items, c->order->pdata[k]);
-        if (!i->used && i->kind != LMN_CONF_TABLE)
-            lmn_conf_fail(c, c->order->pdata[k],
-                          "no such field; take it out, or mend its name");
+        if (!i->used && i->kind != LMN_CONFIG_TABLE)
+            lmn_config_fail(c, c->order->pdata[k],
+                            "no such field; take it out, or mend its name");
     }
     if (!c->wrong)
         return 0;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -3,61 +3,61 @@
  * by config/settings.h.
  *
  * The first thing that is wrong is kept; the getters then go on with defaults, and
- * lmn_conf_end says it. Paths are dotted, with numbers for arrays: "machines[2].zone".
- * One thread. */
+ * lmn_config_finish says it. Paths are dotted, with numbers for arrays:
+ * "machines[2].zone". One thread. */
 #ifndef LMN_CONFIG_CONFIG_H
 #define LMN_CONFIG_CONFIG_H
 
 #include <glib.h>
 #include <stdbool.h>
 
-struct lmn_conf;
+struct lmn_config;
 
 #ifdef __cplusplus
 extern "C" {
 #endif
 /* NULL with "file: line N: what" in err. */
-struct lmn_conf *lmn_conf_load(const char *path, char *err, size_t len);
-struct lmn_conf *lmn_conf_parse(const char *text, const char *name, char *err,
-                                size_t len);
+struct lmn_config *lmn_config_load(const char *path, char *err, size_t len);
+struct lmn_config *lmn_config_parse(const char *text, const char *name, char *err,
+                                    size_t len);
 #ifdef __cplusplus
 }
 #endif
 
 /* A text; def (may be NULL: required) if it is absent. Belongs to the conf. */
-const char *lmn_conf_text(struct lmn_conf *c, const char *path, const char *def);
+const char *lmn_config_text(struct lmn_config *c, const char *path, const char *def);
 /* A text that must be a name: 1 to 63 letters, digits, '-', '_', '.'. */
-const char *lmn_conf_name(struct lmn_conf *c, const char *path, const char *def);
-double lmn_conf_number(struct lmn_conf *c, const char *path, double def, double lo,
-                       double hi);
-bool lmn_conf_truth(struct lmn_conf *c, const char *path, bool def);
+const char *lmn_config_name(struct lmn_config *c, const char *path, const char *def);
+double lmn_config_number(struct lmn_config *c, const char *path, double def, double lo,
+                         double hi);
+bool lmn_config_bool(struct lmn_config *c, const char *path, bool def);
 /* "IPv4:port". */
-const char *lmn_conf_addr(struct lmn_conf *c, const char *path, const char *def);
+const char *lmn_config_address(struct lmn_config *c, const char *path, const char *def);
 /* How many elements an array has; 0 if it is absent. */
-guint lmn_conf_count(struct lmn_conf *c, const char *path);
-bool lmn_conf_has(struct lmn_conf *c, const char *path);
+guint lmn_config_count(struct lmn_config *c, const char *path);
+bool lmn_config_has(struct lmn_config *c, const char *path);
 /* Something is wrong with the field: printf-like, as "expected ...". */
-void lmn_conf_fail(struct lmn_conf *c, const char *path, const char *fmt, ...)
+void lmn_config_fail(struct lmn_config *c, const char *path, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 /* 0, or -1 with what was wrong first, or with a field that nobody asked for. Frees
  * nothing. */
-int lmn_conf_end(struct lmn_conf *c, char *err, size_t len);
-void lmn_conf_free(struct lmn_conf *c);
+int lmn_config_finish(struct lmn_config *c, char *err, size_t len);
+void lmn_config_free(struct lmn_config *c);
 
 /* --- for the reader of TOML (toml.cpp) --- */
-enum lmn_conf_kind {
-    LMN_CONF_TEXT,
-    LMN_CONF_NUMBER,
-    LMN_CONF_TRUTH,
-    LMN_CONF_ARRAY,
-    LMN_CONF_TABLE
+enum lmn_config_kind {
+    LMN_CONFIG_TEXT,
+    LMN_CONFIG_NUMBER,
+    LMN_CONFIG_BOOL,
+    LMN_CONFIG_ARRAY,
+    LMN_CONFIG_TABLE
 };
 #ifdef __cplusplus
 extern "C" {
 #endif
-struct lmn_conf *lmn_conf_new(const char *name);
-void lmn_conf_add(struct lmn_conf *c, const char *path, enum lmn_conf_kind kind,
-                  const char *text, double number, unsigned line);
+struct lmn_config *lmn_config_new(const char *name);
+void lmn_config_add(struct lmn_config *c, const char *path, enum lmn_config_kind kind,
+                    const char *text, double number, unsigned line);
 #ifdef __cplusplus
 }
 #endif
--- a/src/config/operator_settings.c
+++ b/src/config/operator_settings.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-const struct lmn_tuning lmn_tuning_default = {
+const struct lmn_operator_settings lmn_operator_settings_default = {
     .sample = 0,
     .share = 0.5,
     .poll_floor_s = 0.001,
@@ -21,29 +21,29 @@
     size_t at;
     double lo, hi;
 } fields[] = {
-    {"sample", offsetof(struct lmn_tuning, sample), 0, 10000},
-    {"share", offsetof(struct lmn_tuning, share), 0.01, 1},
-    {"poll_floor_s", offsetof(struct lmn_tuning, poll_floor_s), 0.0001, 60},
-    {"poll_cap_s", offsetof(struct lmn_tuning, poll_cap_s), 0.001, 600},
-    {"idle_return_s", offsetof(struct lmn_tuning, idle_return_s), 1, 86400},
-    {"spare_cpus", offsetof(struct lmn_tuning, spare_cpus), 0, 1e6},
-    {"horizon_s", offsetof(struct lmn_tuning, horizon_s), 1, 86400},
-    {"spot", offsetof(struct lmn_tuning, spot), 0, 1},
-    {"standby", offsetof(struct lmn_tuning, standby), 0, 1},
+    {"sample", offsetof(struct lmn_operator_settings, sample), 0, 10000},
+    {"share", offsetof(struct lmn_operator_settings, share), 0.01, 1},
+    {"poll_floor_s", offsetof(struct lmn_operator_settings, poll_floor_s), 0.0001, 60},
+    {"poll_cap_s", offsetof(struct lmn_operator_settings, poll_cap_s), 0.001, 600},
+    {"idle_return_s", offsetof(struct lmn_operator_settings, idle_return_s), 1, 86400},
+    {"spare_cpus", offsetof(struct lmn_operator_settings, spare_cpus), 0, 1e6},
+    {"horizon_s", offsetof(struct lmn_operator_settings, horizon_s), 1, 86400},
+    {"spot", offsetof(struct lmn_operator_settings, spot), 0, 1},
+    {"standby", offsetof(struct lmn_operator_settings, standby), 0, 1},
 };
 
-const char *lmn_tuning_name(size_t i)
+const char *lmn_operator_settings_name(size_t i)
 {
     return i < G_N_ELEMENTS(fields) ? fields[i].name : NULL;
 }
 
-double lmn_tuning_value(const struct lmn_tuning *t, size_t i)
+double lmn_operator_settings_value(const struct lmn_operator_settings *t, size_t i)
 {
     return *(const double *)((const char *)t + fields[i].at);
 }
 
-int lmn_tuning_set(struct lmn_tuning *t, const char *name, double value, char *err,
-                   size_t len)
+int lmn_operator_settings_set(struct lmn_operator_settings *t, const char *name,
+                              double value, char *err, size_t len)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
         if (strcmp(fields[i].name, name))
@@ -60,25 +60,26 @@
     return -1;
 }
 
-GByteArray *lmn_tuning_record(const struct lmn_tuning *t)
+GByteArray *lmn_operator_settings_record(const struct lmn_operator_settings *t)
 {
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, G_N_ELEMENTS(fields));
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
         lmn_cbor_put_text(b, fields[i].name);
-        lmn_cbor_put_number(b, lmn_tuning_value(t, i));
+        lmn_cbor_put_number(b, lmn_operator_settings_value(t, i));
     }
     return b;
 }
 
-void lmn_tuning_read(struct lmn_tuning *t, const struct lmn_cbor_document *doc,
-                     const struct lmn_cbor_value *value)
+void lmn_operator_settings_read(struct lmn_operator_settings *t,
+                                const struct lmn_cbor_document *doc,
+                                const struct lmn_cbor_value *value)
 {
     char err[128];
     double v;
 
-    *t = lmn_tuning_default;
+    *t = lmn_operator_settings_default;
     for (size_t i = 0; value && i < G_N_ELEMENTS(fields); i++)
         if (lmn_cbor_get_number(lmn_cbor_get(doc, value, fields[i].name), &v))
-            lmn_tuning_set(t, fields[i].name, v, err, sizeof err);
+            lmn_operator_settings_set(t, fields[i].name, v, err, sizeof err);
 }
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -5,7 +5,7 @@
 
 #include "protocol/cbor.h"
 
-struct lmn_tuning {
+struct lmn_operator_settings {
     double sample;       /* queues asked in a steal; 0: the square root of their number */
     double share;        /* part of the busiest queue that a steal takes */
     double poll_floor_s; /* first interval after a failed steal */
@@ -17,15 +17,16 @@
     double standby;       /* 1: each partition has a standby that follows its owner */
 };
 
-extern const struct lmn_tuning lmn_tuning_default;
+extern const struct lmn_operator_settings lmn_operator_settings_default;
 /* Names one setting; NULL past the last. */
-const char *lmn_tuning_name(size_t i);
+const char *lmn_operator_settings_name(size_t i);
 /* 0, or -1 with what is wrong in err. */
-int lmn_tuning_set(struct lmn_tuning *t, const char *name, double value, char *err,
-                   size_t len);
-double lmn_tuning_value(const struct lmn_tuning *t, size_t i);
-GByteArray *lmn_tuning_record(const struct lmn_tuning *t);
-void lmn_tuning_read(struct lmn_tuning *t, const struct lmn_cbor_document *doc,
-                     const struct lmn_cbor_value *value);
+int lmn_operator_settings_set(struct lmn_operator_settings *t, const char *name,
+                              double value, char *err, size_t len);
+double lmn_operator_settings_value(const struct lmn_operator_settings *t, size_t i);
+GByteArray *lmn_operator_settings_record(const struct lmn_operator_settings *t);
+void lmn_operator_settings_read(struct lmn_operator_settings *t,
+                                const struct lmn_cbor_document *doc,
+                                const struct lmn_cbor_value *value);
 
 #endif
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -21,7 +21,7 @@
     return NULL;
 }
 
-int lmn_settings_rank(const struct lmn_settings *s, const char *node)
+int lmn_settings_member_index(const struct lmn_settings *s, const char *node)
 {
     int rank = strcmp(s->node, node) < 0;
 
@@ -37,7 +37,7 @@
     return share > 1 ? share : 1;
 }
 
-double lmn_settings_stale_limit(const struct lmn_settings *s)
+double lmn_settings_max_cache_age_s(const struct lmn_settings *s)
 {
     return s->cancel_s - s->lease_s - stale_margin(s);
 }
@@ -48,7 +48,7 @@
 
 bool lmn_settings_warning(const struct lmn_settings *s, char *text, size_t len)
 {
-    double limit = lmn_settings_stale_limit(s);
+    double limit = lmn_settings_max_cache_age_s(s);
 
     if (limit > TIGHT_S)
         return false;
@@ -64,7 +64,7 @@
     return true;
 }
 
-int lmn_addr_split(const char *addr, char *host, size_t len, int *port)
+int lmn_address_split(const char *addr, char *host, size_t len, int *port)
 {
     const char *colon = strrchr(addr, ':');
     struct in_addr ip;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -9,7 +9,7 @@
     LMN_NAME_SIZE = 64,
     LMN_ADDRESS_SIZE = 64,
     LMN_MAX_MEMBERS = 32, /* others than the node itself */
-    LMN_MAX_PARTS = LMN_MAX_MEMBERS + 1,
+    LMN_MAX_PARTITIONS = LMN_MAX_MEMBERS + 1,
     /* Refuses files that can't be meant. Nothing is set aside for it: what is kept by
      * team is allocated by the number of teams there are. */
     LMN_MAX_TEAMS = 4096,
@@ -28,7 +28,12 @@
 
 /* What is expected of a class of jobs: tasks started (wait) or the job done (finished)
  * within a time, or the job done within so many times its deadline. */
-enum lmn_objective_kind { LMN_WAIT, LMN_FINISH, LMN_DEADLINE, LMN_GUARANTEE };
+enum lmn_objective_kind {
+    LMN_OBJECTIVE_START,
+    LMN_OBJECTIVE_FINISH,
+    LMN_OBJECTIVE_DEADLINE,
+    LMN_OBJECTIVE_GUARANTEE
+};
 struct lmn_objective {
     enum lmn_objective_kind kind;
     char class_name[LMN_NAME_SIZE];
@@ -67,22 +72,22 @@
 /* How old a node's view may be, in seconds, for it to answer workers: what cancel_s
  * leaves beside a lease and a margin for the clocks' drift and the last kill. Not above
  * 0: no view ever is young enough. */
-double lmn_settings_stale_limit(const struct lmn_settings *s);
+double lmn_settings_max_cache_age_s(const struct lmn_settings *s);
 /* Puts into text what follows from settings that can be kept, but not well; false: there
  * is nothing to say. */
 bool lmn_settings_warning(const struct lmn_settings *s, char *text, size_t len);
 
 /* How many connections to workers a node keeps open for its own calls. */
-static inline unsigned lmn_direct_connections(const struct lmn_settings *s)
+static inline unsigned lmn_settings_worker_connections(const struct lmn_settings *s)
 {
     return (unsigned)s->max_connections / 5;
 }
 
 const struct lmn_team *lmn_settings_team(const struct lmn_settings *s, const char *name);
 /* The node's place among all members by name: who prefers which partition. */
-int lmn_settings_rank(const struct lmn_settings *s, const char *node);
+int lmn_settings_member_index(const struct lmn_settings *s, const char *node);
 /* Splits "10.0.0.1:8080"; 0 if it is an IPv4 address with a port. */
-int lmn_addr_split(const char *addr, char *host, size_t len, int *port);
+int lmn_address_split(const char *addr, char *host, size_t len, int *port);
 
 #ifdef __cplusplus
 }
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -43,7 +43,7 @@
     char host[LMN_ADDRESS_SIZE];
     int port;
     text(t, at, key, out, LMN_ADDRESS_SIZE);
-    if (lmn_addr_split(out, host, sizeof host, &port) != 0)
+    if (lmn_address_split(out, host, sizeof host, &port) != 0)
         throw wrong(at + key +
                     ": expected an IPv4 address and a port, as in 10.0.0.1:8080");
 }
@@ -134,7 +134,7 @@
     addr(out, "outside.", "state", s.state);
     auto p = sub(t, "params");
     s.partitions = whole(p, "params.", "initial_size", static_cast<int>(s.nmembers) + 1,
-                         1, LMN_MAX_PARTS);
+                         1, LMN_MAX_PARTITIONS);
     each(p, "params.", "teams", [&](const toml::table &m, const std::string &at) {
         lmn_team &d = add_team(s);
         text(m, at, "name", d.name, sizeof d.name);
@@ -232,40 +232,40 @@
 namespace
 {
 
-void flatten(lmn_conf *c, const std::string &path, const toml::node &n)
+void flatten(lmn_config *c, const std::string &path, const toml::node &n)
 {
     unsigned line = static_cast<unsigned>(n.source().begin.line);
     if (auto *t = n.as_table()) {
         if (!path.empty())
-            lmn_conf_add(c, path.c_str(), LMN_CONF_TABLE, "", 0, line);
+            lmn_config_add(c, path.c_str(), LMN_CONFIG_TABLE, "", 0, line);
         for (auto &&[key, value] : *t)
             flatten(c, (path.empty() ? "" : path + ".") + std::string(key.str()), value);
     } else if (auto *a = n.as_array()) {
         size_t i = 0;
-        lmn_conf_add(c, path.c_str(), LMN_CONF_ARRAY, "", static_cast<double>(a->size()),
-                     line);
+        lmn_config_add(c, path.c_str(), LMN_CONFIG_ARRAY, "",
+                       static_cast<double>(a->size()), line);
         for (auto &e : *a)
             flatten(c, path + "[" + std::to_string(i++) + "]", e);
     } else if (auto *b = n.as_boolean()) {
-        lmn_conf_add(c, path.c_str(), LMN_CONF_TRUTH, "", **b, line);
+        lmn_config_add(c, path.c_str(), LMN_CONFIG_BOOL, "", **b, line);
     } else if (auto v = n.value<double>(); v && n.is_number()) {
-        lmn_conf_add(c, path.c_str(), LMN_CONF_NUMBER, "", *v, line);
+        lmn_config_add(c, path.c_str(), LMN_CONFIG_NUMBER, "", *v, line);
     } else if (auto s = n.value<std::string>()) {
-        lmn_conf_add(c, path.c_str(), LMN_CONF_TEXT, s->c_str(), 0, line);
+        lmn_config_add(c, path.c_str(), LMN_CONFIG_TEXT, s->c_str(), 0, line);
     } else {
-        lmn_conf_add(c, path.c_str(), LMN_CONF_TABLE, "", 0,
-                     line); // dates: of no field here
+        lmn_config_add(c, path.c_str(), LMN_CONFIG_TABLE, "", 0,
+                       line); // dates: of no field here
     }
 }
 
 } // namespace
 
-extern "C" lmn_conf *lmn_conf_parse(const char *text, const char *name, char *err,
-                                    size_t len)
+extern "C" lmn_config *lmn_config_parse(const char *text, const char *name, char *err,
+                                        size_t len)
 {
     try {
         auto doc = toml::parse(std::string(text));
-        lmn_conf *c = lmn_conf_new(name);
+        lmn_config *c = lmn_config_new(name);
         flatten(c, "", doc);
         return c;
     } catch (const toml::parse_error &e) {
@@ -278,7 +278,7 @@
     return nullptr;
 }
 
-extern "C" lmn_conf *lmn_conf_load(const char *path, char *err, size_t len)
+extern "C" lmn_config *lmn_config_load(const char *path, char *err, size_t len)
 {
     std::ifstream in(path);
     std::stringstream doc;
@@ -287,5 +287,5 @@
         return nullptr;
     }
     doc << in.rdbuf();
-    return lmn_conf_parse(doc.str().c_str(), path, err, len);
+    return lmn_config_parse(doc.str().c_str(), path, err, len);
 }
--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -38,7 +38,7 @@
 {
     GString *s = g_string_new(NULL);
     struct timespec now = lmn_now();
-    int successor[LMN_MAX_PARTS];
+    int successor[LMN_MAX_PARTITIONS];
 
     pthread_mutex_lock(&c->lock);
     lmn_successors(c, now, successor);
--- a/src/controller/rpc_client.c
+++ b/src/controller/rpc_client.c
@@ -23,7 +23,7 @@
     int port, fd, error = 0;
     socklen_t len = sizeof error;
 
-    if (lmn_addr_split(addr, host, sizeof host, &port) != 0)
+    if (lmn_address_split(addr, host, sizeof host, &port) != 0)
         return NULL;
     a.sin_port = htons((uint16_t)port);
     inet_pton(AF_INET, host, &a.sin_addr);
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -39,16 +39,16 @@
     for (int tries = 0; tries < 5 && r == LMN_CONFLICT; tries++) {
         uint64_t rev = 0;
         pthread_mutex_lock(&core->lock);
-        struct lmn_tuning t = core->tuning;
+        struct lmn_operator_settings t = core->tuning;
         uint64_t seen = core->tuning_rev;
         pthread_mutex_unlock(&core->lock);
-        if (lmn_tuning_set(&t, name, value, err, len) != 0) {
+        if (lmn_operator_settings_set(&t, name, value, err, len) != 0) {
             lmn_http_free(h);
             return -1;
         }
         struct lmn_txn *txn = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
         lmn_txn_if(txn, "s", seen);
-        lmn_txn_write(txn, "s", lmn_tuning_record(&t), 0);
+        lmn_txn_write(txn, "s", lmn_operator_settings_record(&t), 0);
         r = lmn_state_send(core->state, h, txn, &rev, NULL);
         lmn_txn_free(txn);
         if (r == LMN_CONFLICT)
@@ -162,9 +162,9 @@
         struct lmn_rpc_setting items[LMN_RPC_MAX_ITEMS];
         struct lmn_rpc_settings l = {{0, items}};
         pthread_mutex_lock(&core->lock);
-        for (size_t i = 0; lmn_tuning_name(i) && i < LMN_RPC_MAX_ITEMS; i++) {
-            items[i].name = (char *)lmn_tuning_name(i);
-            items[i].value = lmn_tuning_value(&core->tuning, i);
+        for (size_t i = 0; lmn_operator_settings_name(i) && i < LMN_RPC_MAX_ITEMS; i++) {
+            items[i].name = (char *)lmn_operator_settings_name(i);
+            items[i].value = lmn_operator_settings_value(&core->tuning, i);
             l.items.items_len++;
         }
         pthread_mutex_unlock(&core->lock);
@@ -307,7 +307,7 @@
     int port, one = 1, fd = socket(AF_INET, SOCK_STREAM, 0);
 
     core = c;
-    if (fd < 0 || lmn_addr_split(c->cfg->peer_listen, host, sizeof host, &port) != 0)
+    if (fd < 0 || lmn_address_split(c->cfg->peer_listen, host, sizeof host, &port) != 0)
         return -1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     a.sin_port = htons((uint16_t)port);
@@ -447,7 +447,7 @@
     struct lmn_rpc_team_quota *teams =
         g_new(struct lmn_rpc_team_quota, core->cfg->nteams);
     struct lmn_rpc_steal_request q = {.thief = t->part};
-    int others[LMN_MAX_PARTS], n = 0, best = -1;
+    int others[LMN_MAX_PARTITIONS], n = 0, best = -1;
     u_int most = 0, got = 0;
 
     for (guint i = 0; i < t->nrooms; i++)
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -41,8 +41,8 @@
  * least to do for their size. */
 static void shares(struct lmn_core *c, const struct lmn_job_spec *s, uint32_t *n)
 {
-    double weight[LMN_MAX_PARTS] = {0}, load[LMN_MAX_PARTS], sum = 0;
-    int parts = c->nparts, order[LMN_MAX_PARTS] = {0}, able = 0;
+    double weight[LMN_MAX_PARTITIONS] = {0}, load[LMN_MAX_PARTITIONS], sum = 0;
+    int parts = c->nparts, order[LMN_MAX_PARTITIONS] = {0}, able = 0;
     int first = (int)(g_str_hash(s->ref) % (guint)parts);
     uint32_t given = 0;
 
@@ -89,7 +89,7 @@
                                    double accepted_at, lmn_txn_done *done, void *arg)
 {
     struct lmn_txn *t = lmn_txn_new(LMN_RANK_USER, done, arg);
-    uint32_t n[LMN_MAX_PARTS], open = 0, at = 0;
+    uint32_t n[LMN_MAX_PARTITIONS], open = 0, at = 0;
     struct lmn_range r = {0};
     char key[96];
     /* One bit a task as hexadecimal text: so many that no value passes the limit. */
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -626,35 +626,35 @@
     return x->at < y->at ? -1 : x->at > y->at;
 }
 
-void lmn_emulation_read(struct lmn_conf *c, struct lmn_emulation_options *o)
+void lmn_emulation_read(struct lmn_config *c, struct lmn_emulation_options *o)
 {
     char path[96], err[128];
 
     o->knobs = lmn_knobs_default;
     o->script = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_trouble));
-    o->seed = (uint32_t)lmn_conf_number(c, "emulate.seed", 1, 0, 4294967295.0);
+    o->seed = (uint32_t)lmn_config_number(c, "emulate.seed", 1, 0, 4294967295.0);
     for (size_t i = 0; lmn_knob_name(i); i++) {
         g_snprintf(path, sizeof path, "emulate.%s", lmn_knob_name(i));
-        if (!lmn_conf_has(c, path))
+        if (!lmn_config_has(c, path))
             continue;
-        double v = lmn_conf_number(c, path, 0, -1e9, 1e9);
+        double v = lmn_config_number(c, path, 0, -1e9, 1e9);
         if (lmn_knob_set(&o->knobs, lmn_knob_name(i), v, err, sizeof err) != 0)
-            lmn_conf_fail(c, path, "%s", err);
+            lmn_config_fail(c, path, "%s", err);
     }
-    guint n = lmn_conf_count(c, "troubles");
+    guint n = lmn_config_count(c, "troubles");
     for (guint i = 0; i < n; i++) {
         struct lmn_emu_trouble t = {0};
         struct lmn_knobs try = o->knobs;
         g_snprintf(path, sizeof path, "troubles[%u].at", i);
-        t.at = lmn_conf_number(c, path, 0, 0, 1e9);
+        t.at = lmn_config_number(c, path, 0, 0, 1e9);
         g_snprintf(path, sizeof path, "troubles[%u].value", i);
-        t.value = lmn_conf_number(c, path, 1, 0, 1e9);
+        t.value = lmn_config_number(c, path, 1, 0, 1e9);
         g_snprintf(path, sizeof path, "troubles[%u].for", i);
-        t.lasts = lmn_conf_number(c, path, 0, 0, 1e9);
+        t.lasts = lmn_config_number(c, path, 0, 0, 1e9);
         g_snprintf(path, sizeof path, "troubles[%u].set", i);
-        g_strlcpy(t.name, lmn_conf_name(c, path, NULL), sizeof t.name);
+        g_strlcpy(t.name, lmn_config_name(c, path, NULL), sizeof t.name);
         if (lmn_knob_set(&try, t.name, t.value, err, sizeof err) != 0)
-            lmn_conf_fail(c, path, "%s", err);
+            lmn_config_fail(c, path, "%s", err);
         g_array_append_val(o->script, t);
     }
     g_array_sort(o->script, by_time);
--- a/src/emulator/emulator.h
+++ b/src/emulator/emulator.h
@@ -6,7 +6,7 @@
 #include "worker/worker.h"
 #include "emulator/cloud.h"
 
-struct lmn_conf;
+struct lmn_config;
 struct lmn_emulation;
 
 struct lmn_emulation_options {
@@ -25,7 +25,7 @@
 };
 
 /* Reads [emulate] (knobs by name, seed) and [[troubles]] (at, set, value, for). */
-void lmn_emulation_read(struct lmn_conf *c, struct lmn_emulation_options *o);
+void lmn_emulation_read(struct lmn_config *c, struct lmn_emulation_options *o);
 /* Starts it (threads); never freed. NULL with err. */
 struct lmn_emulation *lmn_emulation_start(const struct lmn_emulation_options *o,
                                           char *err, size_t len);
--- a/src/gateway/gateway_process.c
+++ b/src/gateway/gateway_process.c
@@ -206,58 +206,60 @@
 
 /* --- settings --- */
 
-static unsigned names(struct lmn_conf *c, const char *path, unsigned most, bool addr,
+static unsigned names(struct lmn_config *c, const char *path, unsigned most, bool addr,
                       char *out, size_t each)
 {
-    guint n = lmn_conf_count(c, path);
+    guint n = lmn_config_count(c, path);
     char p[96];
 
     if (n < 1 || n > most)
-        lmn_conf_fail(c, path, "expected 1 to %u of them", most);
+        lmn_config_fail(c, path, "expected 1 to %u of them", most);
     for (guint i = 0; i < MIN(n, most); i++) {
         g_snprintf(p, sizeof p, "%s[%u]", path, i);
         g_strlcpy(out + i * each,
-                  addr ? lmn_conf_addr(c, p, NULL) : lmn_conf_name(c, p, NULL), each);
+                  addr ? lmn_config_address(c, p, NULL) : lmn_config_name(c, p, NULL),
+                  each);
     }
     return MIN(n, most);
 }
 
-static void read_peers(struct lmn_conf *c, struct lmn_gateway_options *o)
+static void read_peers(struct lmn_config *c, struct lmn_gateway_options *o)
 {
-    guint n = lmn_conf_count(c, "peers");
+    guint n = lmn_config_count(c, "peers");
     char p[96];
 
     if (n > LMN_MAX_PEERS)
-        lmn_conf_fail(c, "peers", "expected at most %d", LMN_MAX_PEERS);
+        lmn_config_fail(c, "peers", "expected at most %d", LMN_MAX_PEERS);
     for (guint i = 0; i < MIN(n, LMN_MAX_PEERS); i++) {
         struct lmn_peer_key *k = &o->peers[o->npeers];
         g_snprintf(p, sizeof p, "peers[%u].site", i);
-        g_strlcpy(k->site, lmn_conf_name(c, p, NULL), sizeof k->site);
+        g_strlcpy(k->site, lmn_config_name(c, p, NULL), sizeof k->site);
         for (unsigned x = 0; x < o->npeers; x++)
             if (!strcmp(o->peers[x].site, k->site))
-                lmn_conf_fail(c, p, "named twice");
+                lmn_config_fail(c, p, "named twice");
         if (!strcmp(k->site, o->site))
-            lmn_conf_fail(c, p, "names this site itself");
+            lmn_config_fail(c, p, "names this site itself");
         g_snprintf(p, sizeof p, "peers[%u].addresses", i);
-        guint gateways = lmn_conf_count(c, p);
+        guint gateways = lmn_config_count(c, p);
         if (gateways > LMN_G_GATEWAYS)
-            lmn_conf_fail(c, p, "expected at most %d", LMN_G_GATEWAYS);
+            lmn_config_fail(c, p, "expected at most %d", LMN_G_GATEWAYS);
         for (guint a = 0; a < MIN(gateways, LMN_G_GATEWAYS); a++) {
             g_snprintf(p, sizeof p, "peers[%u].addresses[%u]", i, a);
-            g_strlcpy(o->addresses[o->npeers][a], lmn_conf_addr(c, p, NULL),
+            g_strlcpy(o->addresses[o->npeers][a], lmn_config_address(c, p, NULL),
                       LMN_ADDRESS_SIZE);
         }
         g_snprintf(p, sizeof p, "peers[%u].address", i);
         if (!gateways)
-            g_strlcpy(o->addresses[o->npeers][0], lmn_conf_addr(c, p, NULL),
+            g_strlcpy(o->addresses[o->npeers][0], lmn_config_address(c, p, NULL),
                       LMN_ADDRESS_SIZE);
         g_snprintf(p, sizeof p, "peers[%u].fingerprint", i);
-        g_strlcpy(k->fingerprint, lmn_conf_text(c, p, NULL), sizeof k->fingerprint);
+        g_strlcpy(k->fingerprint, lmn_config_text(c, p, NULL), sizeof k->fingerprint);
         if (strlen(k->fingerprint) != LMN_FINGERPRINT - 1 ||
             strspn(k->fingerprint, "0123456789abcdefABCDEF") != LMN_FINGERPRINT - 1)
-            lmn_conf_fail(c, p,
-                          "expected 64 digits of hexadecimal: 'lemonspar key show' there "
-                          "says them");
+            lmn_config_fail(
+                c, p,
+                "expected 64 digits of hexadecimal: 'lemonspar key show' there "
+                "says them");
         o->npeers++;
     }
 }
@@ -265,37 +267,37 @@
 int lmn_gateway_load(const char *path, struct lmn_gateway_options *o, char *err,
                      size_t len)
 {
-    struct lmn_conf *c = lmn_conf_load(path, err, len);
+    struct lmn_config *c = lmn_config_load(path, err, len);
 
     memset(o, 0, sizeof *o);
     if (!c)
         return -1;
-    g_strlcpy(o->site, lmn_conf_name(c, "site", NULL), sizeof o->site);
-    g_strlcpy(o->name, lmn_conf_name(c, "name", "gateway-0"), sizeof o->name);
-    g_strlcpy(o->listen, lmn_conf_addr(c, "listen", NULL), sizeof o->listen);
-    g_strlcpy(o->link_listen, lmn_conf_addr(c, "link_listen", NULL),
+    g_strlcpy(o->site, lmn_config_name(c, "site", NULL), sizeof o->site);
+    g_strlcpy(o->name, lmn_config_name(c, "name", "gateway-0"), sizeof o->name);
+    g_strlcpy(o->listen, lmn_config_address(c, "listen", NULL), sizeof o->listen);
+    g_strlcpy(o->link_listen, lmn_config_address(c, "link_listen", NULL),
               sizeof o->link_listen);
-    g_strlcpy(o->state, lmn_conf_addr(c, "state", NULL), sizeof o->state);
-    g_strlcpy(o->depot, lmn_conf_addr(c, "depot", NULL), sizeof o->depot);
-    g_strlcpy(o->keys, lmn_conf_text(c, "keys", NULL), sizeof o->keys);
+    g_strlcpy(o->state, lmn_config_address(c, "state", NULL), sizeof o->state);
+    g_strlcpy(o->depot, lmn_config_address(c, "depot", NULL), sizeof o->depot);
+    g_strlcpy(o->keys, lmn_config_text(c, "keys", NULL), sizeof o->keys);
     o->ncontrollers = names(c, "controllers", LMN_G_CONTROLLERS, true, o->controllers[0],
                             LMN_ADDRESS_SIZE);
     o->teams =
-        g_malloc0_n(CLAMP(lmn_conf_count(c, "teams"), 1, LMN_MAX_TEAMS), LMN_NAME_SIZE);
+        g_malloc0_n(CLAMP(lmn_config_count(c, "teams"), 1, LMN_MAX_TEAMS), LMN_NAME_SIZE);
     o->nteams = names(c, "teams", LMN_MAX_TEAMS, false, o->teams[0], LMN_NAME_SIZE);
     read_peers(c, o);
-    o->cpus = lmn_conf_number(c, "cpus", 1, 0.1, 1e7);
-    o->feed_s = lmn_conf_number(c, "feed_s", 60, 0.1, 1e6);
-    o->pull_at = lmn_conf_number(c, "pull_at", 0.7, 0, 100);
-    o->share = lmn_conf_number(c, "share", 0.5, 0.01, 1);
-    o->most_transfers = (unsigned)lmn_conf_number(c, "most_transfers", 4, 0, 1000);
-    o->most_transit = (unsigned)lmn_conf_number(c, "most_transit", 64, 1, 10000);
-    o->sync_s = lmn_conf_number(c, "sync_s", 1, 0.05, 60);
-    o->poll_rps = lmn_conf_number(c, "poll_rps", 50, 1, 1e5);
-    o->silent_s = lmn_conf_number(c, "silent_s", 60, 1, 1e6);
-    o->value_kb = lmn_conf_number(c, "value_kb", 16, 1, 1e6);
-    o->txn_ops = (int)lmn_conf_number(c, "txn_ops", 24, 2, 1000);
-    int rc = lmn_conf_end(c, err, len);
-    lmn_conf_free(c);
+    o->cpus = lmn_config_number(c, "cpus", 1, 0.1, 1e7);
+    o->feed_s = lmn_config_number(c, "feed_s", 60, 0.1, 1e6);
+    o->pull_at = lmn_config_number(c, "pull_at", 0.7, 0, 100);
+    o->share = lmn_config_number(c, "share", 0.5, 0.01, 1);
+    o->most_transfers = (unsigned)lmn_config_number(c, "most_transfers", 4, 0, 1000);
+    o->most_transit = (unsigned)lmn_config_number(c, "most_transit", 64, 1, 10000);
+    o->sync_s = lmn_config_number(c, "sync_s", 1, 0.05, 60);
+    o->poll_rps = lmn_config_number(c, "poll_rps", 50, 1, 1e5);
+    o->silent_s = lmn_config_number(c, "silent_s", 60, 1, 1e6);
+    o->value_kb = lmn_config_number(c, "value_kb", 16, 1, 1e6);
+    o->txn_ops = (int)lmn_config_number(c, "txn_ops", 24, 2, 1000);
+    int rc = lmn_config_finish(c, err, len);
+    lmn_config_free(c);
     return rc;
 }
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -386,7 +386,7 @@
 
     l->g = g;
     l->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    lmn_addr_split(g->o->link_listen, host, sizeof host, &port);
+    lmn_address_split(g->o->link_listen, host, sizeof host, &port);
     a.sin_port = htons((uint16_t)port);
     inet_pton(AF_INET, host, &a.sin_addr);
     setsockopt(l->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
--- a/src/gateway/peer_connection.c
+++ b/src/gateway/peer_connection.c
@@ -276,7 +276,7 @@
               error = 0;
     socklen_t n = sizeof error;
 
-    if (fd < 0 || lmn_addr_split(addr, host, sizeof host, &port) != 0) {
+    if (fd < 0 || lmn_address_split(addr, host, sizeof host, &port) != 0) {
         g_snprintf(err, len, "%s: no address, or no socket", addr);
         if (fd >= 0)
             close(fd);
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -369,7 +369,7 @@
         if (g_str_has_suffix(o->listen, ":0") && strlen(o->listen) < sizeof host) {
             g_strlcpy(host, o->listen, sizeof host);
             *strrchr(host, ':') = '\0';
-        } else if (lmn_addr_split(o->listen, host, sizeof host, &port) != 0) {
+        } else if (lmn_address_split(o->listen, host, sizeof host, &port) != 0) {
             errno = EINVAL;
             g_free(h);
             return NULL;
--- a/src/job/job_spec.c
+++ b/src/job/job_spec.c
@@ -253,8 +253,8 @@
 bool lmn_objective_applies(const struct lmn_objective *o, const struct lmn_job_spec *s)
 {
     return (!*o->class_name || !strcmp(o->class_name, s->class_name)) &&
-           (o->kind == LMN_WAIT || o->kind == LMN_FINISH ||
-            (o->kind == LMN_DEADLINE && s->deadline_s >= 0));
+           (o->kind == LMN_OBJECTIVE_START || o->kind == LMN_OBJECTIVE_FINISH ||
+            (o->kind == LMN_OBJECTIVE_DEADLINE && s->deadline_s >= 0));
 }
 
 bool lmn_job_spec_has_objective(const struct lmn_settings *cfg,
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -29,20 +29,21 @@
     return !lmn_before(now, b->next);
 }
 
-void lmn_local_read(struct lmn_conf *c, struct lmn_local_options *o)
+void lmn_local_read(struct lmn_config *c, struct lmn_local_options *o)
 {
     struct lmn_worker_options *w = &o->worker;
 
     g_snprintf(w->listen, sizeof w->listen, "%s:0",
-               lmn_conf_text(c, "address", "127.0.0.1"));
-    g_strlcpy(w->depot, lmn_conf_addr(c, "depot", NULL), sizeof w->depot);
-    g_strlcpy(w->checkpoints, lmn_conf_text(c, "checkpoints", ""), sizeof w->checkpoints);
-    w->report_s = lmn_conf_number(c, "report_s", 1.5, 0.05, 600);
-    w->lease_s = lmn_conf_number(c, "lease_s", 10, 0.1, 3600);
-    w->log_kb = lmn_conf_number(c, "log_kb", 256, 1, 7 * 1024);
+               lmn_config_text(c, "address", "127.0.0.1"));
+    g_strlcpy(w->depot, lmn_config_address(c, "depot", NULL), sizeof w->depot);
+    g_strlcpy(w->checkpoints, lmn_config_text(c, "checkpoints", ""),
+              sizeof w->checkpoints);
+    w->report_s = lmn_config_number(c, "report_s", 1.5, 0.05, 600);
+    w->lease_s = lmn_config_number(c, "lease_s", 10, 0.1, 3600);
+    w->log_kb = lmn_config_number(c, "log_kb", 256, 1, 7 * 1024);
     lmn_worker_controllers(c, w);
     if (w->lease_s <= w->report_s)
-        lmn_conf_fail(c, "lease_s", "must be longer than report_s");
+        lmn_config_fail(c, "lease_s", "must be longer than report_s");
 }
 
 static char *quoted(const char *s)
--- a/src/machine_provider/local_agents.h
+++ b/src/machine_provider/local_agents.h
@@ -14,7 +14,7 @@
 
 /* Reads what a fleet's or a slot's settings file says of its agents: depot, checkpoints,
  * report_s, lease_s, log_kb, address, controllers. */
-void lmn_local_read(struct lmn_conf *c, struct lmn_local_options *o);
+void lmn_local_read(struct lmn_config *c, struct lmn_local_options *o);
 
 /* Starts the machine's agent if none runs: writes its settings, spawns it. 0, or -1 with
  * err. */
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -13,17 +13,17 @@
 
 int lmn_slot_load(const char *path, struct lmn_slot_options *o, char *err, size_t len)
 {
-    struct lmn_conf *c = lmn_conf_load(path, err, len);
+    struct lmn_config *c = lmn_config_load(path, err, len);
 
     memset(o, 0, sizeof *o);
     if (!c)
         return -1;
-    g_strlcpy(o->name, lmn_conf_name(c, "slot", NULL), sizeof o->name);
-    g_strlcpy(o->fleet, lmn_conf_addr(c, "fleet", NULL), sizeof o->fleet);
-    g_strlcpy(o->local.dir, lmn_conf_text(c, "data", NULL), sizeof o->local.dir);
+    g_strlcpy(o->name, lmn_config_name(c, "slot", NULL), sizeof o->name);
+    g_strlcpy(o->fleet, lmn_config_address(c, "fleet", NULL), sizeof o->fleet);
+    g_strlcpy(o->local.dir, lmn_config_text(c, "data", NULL), sizeof o->local.dir);
     lmn_local_read(c, &o->local);
-    int rc = lmn_conf_end(c, err, len);
-    lmn_conf_free(c);
+    int rc = lmn_config_finish(c, err, len);
+    lmn_config_free(c);
     return rc;
 }
 
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -35,10 +35,11 @@
     ms->cfg = cfg;
     lmn_membership_timeouts_init(cfg, &ms->t);
     ms->n = (int)cfg->nmembers + 1;
-    ms->me = lmn_settings_rank(cfg, cfg->node);
+    ms->me = lmn_settings_member_index(cfg, cfg->node);
     ms->names[ms->me] = cfg->node;
     for (size_t i = 0; i < cfg->nmembers; i++)
-        ms->names[lmn_settings_rank(cfg, cfg->members[i].name)] = cfg->members[i].name;
+        ms->names[lmn_settings_member_index(cfg, cfg->members[i].name)] =
+            cfg->members[i].name;
     for (int i = 0; i < ms->n; i++) {
         ms->order[i] = i;
         ms->v[i].since = now;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -2,8 +2,8 @@
  *
  * Pure functions of what was observed, the settings and a passed-in time; no I/O. The
  * structure stands in the shared state, and its lock is held by the caller throughout.
- * Members are named by their rank (lmn_settings_rank). All durations in seconds, steady
- * clock. Why it is done so: docs/design/failover.md. */
+ * Members are named by their rank (lmn_settings_member_index). All durations in seconds,
+ * steady clock. Why it is done so: docs/design/failover.md. */
 #ifndef LMN_MEMBERSHIP_MEMBERSHIP_H
 #define LMN_MEMBERSHIP_MEMBERSHIP_H
 
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -194,10 +194,10 @@
 {
     int n = (int)c->cfg->nmembers + 1, holder = p->id % n;
 
-    if (lmn_settings_rank(c->cfg, c->cfg->node) == holder)
+    if (lmn_settings_member_index(c->cfg, c->cfg->node) == holder)
         return !strcmp(c->cfg->zone, zone);
     for (size_t i = 0; i < c->cfg->nmembers; i++)
-        if (lmn_settings_rank(c->cfg, c->cfg->members[i].name) == holder)
+        if (lmn_settings_member_index(c->cfg, c->cfg->members[i].name) == holder)
             return !strcmp(c->cfg->members[i].zone, zone);
     return false;
 }
@@ -245,7 +245,7 @@
 {
     const struct lmn_members *ms = &c->members;
     struct timespec since = p->vacant;
-    int successor[LMN_MAX_PARTS], ahead = 1;
+    int successor[LMN_MAX_PARTITIONS], ahead = 1;
 
     if (ms->shut || c->leaving || !lmn_self_awake(ms, now))
         return false; /* it could not serve it */
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -39,9 +39,9 @@
         const struct lmn_objective *o = &cfg->objectives[i];
         if (!lmn_objective_applies(o, s))
             continue;
-        if (o->kind == LMN_WAIT)
+        if (o->kind == LMN_OBJECTIVE_START)
             expect(j, j->at + o->within_s, wall);
-        else if (o->kind == LMN_FINISH)
+        else if (o->kind == LMN_OBJECTIVE_FINISH)
             expect(j, j->at + o->within_s - run, wall);
         else
             expect(j, j->at + s->deadline_s * o->times - run, wall);
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -64,7 +64,7 @@
 
     for (size_t i = 0; i < cfg->nobjectives; i++) {
         const struct lmn_objective *o = &cfg->objectives[i];
-        if (o->kind == LMN_WAIT &&
+        if (o->kind == LMN_OBJECTIVE_START &&
             (!*o->class_name || !strcmp(o->class_name, s->class_name)))
             least = MIN(least, o->within_s);
     }
--- a/src/site/config.c
+++ b/src/site/config.c
@@ -14,50 +14,50 @@
     return g_strdup_printf("%s/run/%s%s", s->data, name, suffix);
 }
 
-static void word(struct lmn_conf *c, const char *path, const char *const *words,
+static void word(struct lmn_config *c, const char *path, const char *const *words,
                  char *out, size_t len)
 {
-    g_strlcpy(out, lmn_conf_text(c, path, words[0]), len);
+    g_strlcpy(out, lmn_config_text(c, path, words[0]), len);
     for (guint i = 0; words[i]; i++)
         if (!strcmp(words[i], out))
             return;
     char *all = g_strjoinv("', '", (char **)words);
-    lmn_conf_fail(c, path, "expected one of '%s'", all);
+    lmn_config_fail(c, path, "expected one of '%s'", all);
     g_free(all);
 }
 
-static void read_teams(struct lmn_conf *c, struct lmn_site *s)
+static void read_teams(struct lmn_config *c, struct lmn_site *s)
 {
-    guint n = lmn_conf_count(c, "teams");
+    guint n = lmn_config_count(c, "teams");
     char p[64];
 
     if (n < 1 || n > LMN_MAX_TEAMS)
-        lmn_conf_fail(c, "teams", "expected 1 to %d tables [[teams]]", LMN_MAX_TEAMS);
+        lmn_config_fail(c, "teams", "expected 1 to %d tables [[teams]]", LMN_MAX_TEAMS);
     s->teams = g_new0(struct lmn_team, MIN(n, LMN_MAX_TEAMS));
     for (guint i = 0; i < MIN(n, LMN_MAX_TEAMS); i++) {
         struct lmn_team *t = &s->teams[s->nteams++];
 #define FIELD(f) (g_snprintf(p, sizeof p, "teams[%u]." f, i), p)
-        g_strlcpy(t->name, lmn_conf_name(c, FIELD("name"), NULL), sizeof t->name);
+        g_strlcpy(t->name, lmn_config_name(c, FIELD("name"), NULL), sizeof t->name);
         for (size_t k = 0; k + 1 < s->nteams; k++)
             if (!strcmp(s->teams[k].name, t->name))
-                lmn_conf_fail(c, p, "named twice");
-        t->cpus_max = lmn_conf_number(c, FIELD("cpus_max"), 0, 0, 1e9);
-        t->gpus_max = lmn_conf_number(c, FIELD("gpus_max"), 0, 0, 1e9);
-        t->gpus = lmn_conf_number(c, FIELD("gpus"), 0, 0, 1e9);
+                lmn_config_fail(c, p, "named twice");
+        t->cpus_max = lmn_config_number(c, FIELD("cpus_max"), 0, 0, 1e9);
+        t->gpus_max = lmn_config_number(c, FIELD("gpus_max"), 0, 0, 1e9);
+        t->gpus = lmn_config_number(c, FIELD("gpus"), 0, 0, 1e9);
         if (t->gpus_max > 0 && t->gpus > t->gpus_max)
-            lmn_conf_fail(c, p, "more than gpus_max");
-        t->cpus = lmn_conf_number(c, FIELD("cpus"), 0, 0, 1e9);
+            lmn_config_fail(c, p, "more than gpus_max");
+        t->cpus = lmn_config_number(c, FIELD("cpus"), 0, 0, 1e9);
         if (t->cpus_max > 0 && t->cpus > t->cpus_max)
-            lmn_conf_fail(c, p, "more than cpus_max");
+            lmn_config_fail(c, p, "more than cpus_max");
 #undef FIELD
     }
 }
 
-static void read_objectives(struct lmn_conf *c, struct lmn_site *s)
+static void read_objectives(struct lmn_config *c, struct lmn_site *s)
 {
     static const char *const kinds[] = {"wait", "finished", "deadline", "guarantee",
                                         NULL};
-    guint n = lmn_conf_count(c, "objectives");
+    guint n = lmn_config_count(c, "objectives");
     char p[64], kind[16];
 
     s->objectives = g_string_new(NULL);
@@ -66,22 +66,22 @@
         word(c, FIELD("kind"), kinds, kind, sizeof kind);
         g_string_append_printf(s->objectives, "[[params.objectives]]\nkind = \"%s\"\n",
                                kind);
-        if (lmn_conf_has(c, FIELD("class")))
+        if (lmn_config_has(c, FIELD("class")))
             g_string_append_printf(s->objectives, "class = \"%s\"\n",
-                                   lmn_conf_name(c, p, NULL));
+                                   lmn_config_name(c, p, NULL));
         g_string_append_printf(s->objectives, "within_s = %g\n",
-                               lmn_conf_number(c, FIELD("within_s"), 0, 0, 1e9));
+                               lmn_config_number(c, FIELD("within_s"), 0, 0, 1e9));
         g_string_append_printf(s->objectives, "times = %g\n",
-                               lmn_conf_number(c, FIELD("times"), 1, 0, 1e6));
+                               lmn_config_number(c, FIELD("times"), 1, 0, 1e6));
         g_string_append_printf(s->objectives, "share = %g\n",
-                               lmn_conf_number(c, FIELD("share"), 1, 0, 1));
+                               lmn_config_number(c, FIELD("share"), 1, 0, 1));
 #undef FIELD
     }
 }
 
 /* Its troubles are checked here, where the operator reads what is wrong, and handed on as
  * read. */
-static void read_backend(struct lmn_conf *c, struct lmn_site *s)
+static void read_backend(struct lmn_config *c, struct lmn_site *s)
 {
     static const char *const backends[] = {"static", "emulated", NULL};
     struct lmn_emulation_options o = {0};
@@ -142,7 +142,7 @@
 {
     static const char *const levels[] = {"info", "error", "debug", NULL};
     static const char *const formats[] = {"text", "json", NULL};
-    struct lmn_conf *c = lmn_conf_load(path, err, len);
+    struct lmn_config *c = lmn_config_load(path, err, len);
     static struct lmn_inventory v;
     char host[LMN_ADDRESS_SIZE + 8], ip[LMN_ADDRESS_SIZE];
     int port;
@@ -151,48 +151,48 @@
     if (!c)
         return -1;
     g_strlcpy(s->file, path, sizeof s->file);
-    g_strlcpy(s->name, lmn_conf_name(c, "name", NULL), sizeof s->name);
-    g_strlcpy(s->address, lmn_conf_text(c, "address", "127.0.0.1"), 32);
+    g_strlcpy(s->name, lmn_config_name(c, "name", NULL), sizeof s->name);
+    g_strlcpy(s->address, lmn_config_text(c, "address", "127.0.0.1"), 32);
     g_snprintf(host, sizeof host, "%s:1", s->address);
-    if (lmn_addr_split(host, ip, sizeof ip, &port) != 0)
-        lmn_conf_fail(c, "address", "expected an IPv4 address");
-    const char *data = lmn_conf_text(c, "data", NULL);
+    if (lmn_address_split(host, ip, sizeof ip, &port) != 0)
+        lmn_config_fail(c, "address", "expected an IPv4 address");
+    const char *data = lmn_config_text(c, "data", NULL);
     char *whole = g_canonicalize_filename(data, NULL);
     if (strlen(whole) > 300)
-        lmn_conf_fail(c, "data", "the path is too long");
+        lmn_config_fail(c, "data", "the path is too long");
     g_strlcpy(s->data, whole, sizeof s->data);
     g_free(whole);
-    whole = g_canonicalize_filename(lmn_conf_text(c, "inventory", NULL), NULL);
+    whole = g_canonicalize_filename(lmn_config_text(c, "inventory", NULL), NULL);
     g_strlcpy(s->inventory, whole, sizeof s->inventory);
     g_free(whole);
-    g_strlcpy(s->zone, lmn_conf_name(c, "zone", "a"), sizeof s->zone);
+    g_strlcpy(s->zone, lmn_config_name(c, "zone", "a"), sizeof s->zone);
     word(c, "log_level", levels, s->log_level, sizeof s->log_level);
     word(c, "log_format", formats, s->log_format, sizeof s->log_format);
-    s->base_port = (int)lmn_conf_number(c, "base_port", 7600, 1024, 65000);
+    s->base_port = (int)lmn_config_number(c, "base_port", 7600, 1024, 65000);
     read_backend(c, s);
-    s->controllers = (unsigned)lmn_conf_number(c, "controllers", 3, 1, LMN_MAX_MEMBERS);
+    s->controllers = (unsigned)lmn_config_number(c, "controllers", 3, 1, LMN_MAX_MEMBERS);
     read_teams(c, s);
     read_objectives(c, s);
-    s->state_rps = lmn_conf_number(c, "state.rps", 600, 1, 1e9);
-    s->state_write_rps = lmn_conf_number(c, "state.write_rps", 300, 1, 1e9);
-    s->value_kb = lmn_conf_number(c, "state.value_kb", 16, 1, 60);
-    s->txn_ops = (int)lmn_conf_number(c, "state.txn_ops", 48, 4, 1e6);
-    s->cloud_rps = lmn_conf_number(c, "cloud.rps", 20, 0.01, 1e6);
-    s->list_lag_s = lmn_conf_number(c, "cloud.list_lag_s", 1, 0, 3600);
-    s->report_s = lmn_conf_number(c, "workers.report_s", 1, 0.05, 600);
-    s->lease_s = lmn_conf_number(c, "workers.lease_s", 10, 0.1, 3600);
-    s->cancel_s = lmn_conf_number(c, "workers.cancel_s", 30, 0.1, 3600);
-    s->log_kb = lmn_conf_number(c, "workers.log_kb", 256, 1, 7 * 1024);
+    s->state_rps = lmn_config_number(c, "state.rps", 600, 1, 1e9);
+    s->state_write_rps = lmn_config_number(c, "state.write_rps", 300, 1, 1e9);
+    s->value_kb = lmn_config_number(c, "state.value_kb", 16, 1, 60);
+    s->txn_ops = (int)lmn_config_number(c, "state.txn_ops", 48, 4, 1e6);
+    s->cloud_rps = lmn_config_number(c, "cloud.rps", 20, 0.01, 1e6);
+    s->list_lag_s = lmn_config_number(c, "cloud.list_lag_s", 1, 0, 3600);
+    s->report_s = lmn_config_number(c, "workers.report_s", 1, 0.05, 600);
+    s->lease_s = lmn_config_number(c, "workers.lease_s", 10, 0.1, 3600);
+    s->cancel_s = lmn_config_number(c, "workers.cancel_s", 30, 0.1, 3600);
+    s->log_kb = lmn_config_number(c, "workers.log_kb", 256, 1, 7 * 1024);
     if (s->lease_s <= s->report_s)
-        lmn_conf_fail(c, "workers.lease_s", "must be longer than report_s");
+        lmn_config_fail(c, "workers.lease_s", "must be longer than report_s");
     if (s->cancel_s <= s->lease_s)
-        lmn_conf_fail(c, "workers.cancel_s", "must be longer than lease_s");
-    s->cores = lmn_conf_number(c, "resources.cores", 1, 0.001, 1e6);
-    s->memory_mb = lmn_conf_number(c, "resources.memory_mb", 512, 16, 1e9);
+        lmn_config_fail(c, "workers.cancel_s", "must be longer than lease_s");
+    s->cores = lmn_config_number(c, "resources.cores", 1, 0.001, 1e6);
+    s->memory_mb = lmn_config_number(c, "resources.memory_mb", 512, 16, 1e9);
     s->max_connections =
-        (int)lmn_conf_number(c, "resources.max_connections", 2048, 64, 1e7);
-    int rc = lmn_conf_end(c, err, len);
-    lmn_conf_free(c);
+        (int)lmn_config_number(c, "resources.max_connections", 2048, 64, 1e7);
+    int rc = lmn_config_finish(c, err, len);
+    lmn_config_free(c);
     if (rc == 0)
         rc = lmn_inventory_load(s->inventory, &v, err, len);
     if (rc == 0) {
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -47,7 +47,7 @@
     c->state = state;
     lmn_connection_budget_init(cfg, &c->sockets);
     lmn_hosts_init(&c->hosts, cfg->listen);
-    c->tuning = lmn_tuning_default;
+    c->tuning = lmn_operator_settings_default;
     c->rng = g_rand_new_with_seed(seed);
     c->jobs = g_hash_table_new(g_str_hash, g_str_equal);
     c->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -170,7 +170,7 @@
 
 bool lmn_too_stale(const struct lmn_core *c, struct timespec now)
 {
-    return lmn_staleness(c, now) > lmn_settings_stale_limit(c->cfg);
+    return lmn_staleness(c, now) > lmn_settings_max_cache_age_s(c->cfg);
 }
 
 bool lmn_tombstone_heard(struct lmn_core *c, const char *ref, struct timespec now)
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -384,7 +384,7 @@
     struct lmn_load load;
     struct lmn_httpd *server; /* the users' and workers'; NULL: none */
     struct lmn_hosts hosts;   /* of all machines known, with a lock of its own */
-    struct lmn_tuning tuning;
+    struct lmn_operator_settings tuning;
     uint64_t tuning_rev;
     GRand *rng;
     uint64_t look, turn;     /* counts of looks over queues, and of starts within them */
--- a/src/state/tombstone.h
+++ b/src/state/tombstone.h
@@ -24,7 +24,7 @@
     char ref[LMN_TOMBSTONES]
             [LMN_JOB_ID_SIZE]; /* the n-th stands at n modulo their number */
     uint64_t n;
-    uint64_t taken[LMN_MAX_PARTS]; /* by rank: all before this one */
+    uint64_t taken[LMN_MAX_PARTITIONS]; /* by rank: all before this one */
 };
 
 void lmn_tombstone_add(struct lmn_tombstones *t, const char *ref);
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -326,7 +326,7 @@
 
     if (key[0] == 's' && key[1] == '\0') {
         if (rev > c->tuning_rev) {
-            lmn_tuning_read(&c->tuning, d, v);
+            lmn_operator_settings_read(&c->tuning, d, v);
             c->tuning_rev = rev;
         }
         return;
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -27,9 +27,9 @@
     unsigned ncontrollers;
 };
 
-struct lmn_conf;
+struct lmn_config;
 /* Reads [[controllers]]: name and address, 1 to LMN_MAX_CONTROLLERS of them. */
-void lmn_worker_controllers(struct lmn_conf *c, struct lmn_worker_options *o);
+void lmn_worker_controllers(struct lmn_config *c, struct lmn_worker_options *o);
 /* Reads a worker's settings file; -1 with err. */
 int lmn_worker_load(const char *path, struct lmn_worker_options *o, char *err,
                     size_t len);
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -425,55 +425,56 @@
 
 /* --- settings --- */
 
-void lmn_worker_controllers(struct lmn_conf *c, struct lmn_worker_options *o)
+void lmn_worker_controllers(struct lmn_config *c, struct lmn_worker_options *o)
 {
-    guint n = lmn_conf_count(c, "controllers");
+    guint n = lmn_config_count(c, "controllers");
     char path[64];
 
     if (n < 1 || n > LMN_MAX_CONTROLLERS)
-        lmn_conf_fail(c, "controllers", "expected 1 to %d tables with name and address",
-                      LMN_MAX_CONTROLLERS);
+        lmn_config_fail(c, "controllers", "expected 1 to %d tables with name and address",
+                        LMN_MAX_CONTROLLERS);
     for (guint i = 0; i < n && i < LMN_MAX_CONTROLLERS; i++) {
         g_snprintf(path, sizeof path, "controllers[%u].name", i);
-        g_strlcpy(o->controllers[i].name, lmn_conf_name(c, path, NULL), LMN_NAME_SIZE);
+        g_strlcpy(o->controllers[i].name, lmn_config_name(c, path, NULL), LMN_NAME_SIZE);
         g_snprintf(path, sizeof path, "controllers[%u].address", i);
-        g_strlcpy(o->controllers[i].addr, lmn_conf_addr(c, path, NULL), LMN_ADDRESS_SIZE);
+        g_strlcpy(o->controllers[i].addr, lmn_config_address(c, path, NULL),
+                  LMN_ADDRESS_SIZE);
         o->ncontrollers++;
     }
 }
 
 int lmn_worker_load(const char *path, struct lmn_worker_options *o, char *err, size_t len)
 {
-    struct lmn_conf *c = lmn_conf_load(path, err, len);
+    struct lmn_config *c = lmn_config_load(path, err, len);
 
     memset(o, 0, sizeof *o);
     if (!c)
         return -1;
-    g_strlcpy(o->name, lmn_conf_name(c, "name", NULL), sizeof o->name);
-    g_strlcpy(o->zone, lmn_conf_name(c, "zone", NULL), sizeof o->zone);
-    g_strlcpy(o->listen, lmn_conf_text(c, "listen", "127.0.0.1:0"), sizeof o->listen);
+    g_strlcpy(o->name, lmn_config_name(c, "name", NULL), sizeof o->name);
+    g_strlcpy(o->zone, lmn_config_name(c, "zone", NULL), sizeof o->zone);
+    g_strlcpy(o->listen, lmn_config_text(c, "listen", "127.0.0.1:0"), sizeof o->listen);
     if (!strchr(o->listen, ':'))
-        lmn_conf_fail(c, "listen",
-                      "expected an IPv4 address and a port (0: one that is free)");
-    g_strlcpy(o->depot, lmn_conf_addr(c, "depot", NULL), sizeof o->depot);
-    g_strlcpy(o->dir, lmn_conf_text(c, "data", NULL), sizeof o->dir);
-    if (lmn_conf_has(c, "checkpoints"))
-        g_strlcpy(o->checkpoints, lmn_conf_text(c, "checkpoints", NULL),
+        lmn_config_fail(c, "listen",
+                        "expected an IPv4 address and a port (0: one that is free)");
+    g_strlcpy(o->depot, lmn_config_address(c, "depot", NULL), sizeof o->depot);
+    g_strlcpy(o->dir, lmn_config_text(c, "data", NULL), sizeof o->dir);
+    if (lmn_config_has(c, "checkpoints"))
+        g_strlcpy(o->checkpoints, lmn_config_text(c, "checkpoints", NULL),
                   sizeof o->checkpoints);
-    o->spot = lmn_conf_truth(c, "spot", false);
-    o->report_s = lmn_conf_number(c, "report_s", 1.5, 0.05, 600);
-    o->lease_s = lmn_conf_number(c, "lease_s", 10, 0.1, 3600);
-    o->log_kb = lmn_conf_number(c, "log_kb", 256, 1, 7 * 1024);
-    g_strlcpy(o->type.name, lmn_conf_name(c, "type.name", NULL), sizeof o->type.name);
-    o->type.cpus = lmn_conf_number(c, "type.cpus", 1, 0, 1e6);
-    o->type.gpus = lmn_conf_number(c, "type.gpus", 0, 0, 1e6);
-    o->type.mem = lmn_conf_number(c, "type.mem_gb", 1, 0, 1e9);
-    o->type.cache_gb = lmn_conf_number(c, "type.cache_gb", 10, 0, 1e9);
-    o->type.pull = lmn_conf_number(c, "type.pull_gb_per_s", 1, 0, 1e6);
+    o->spot = lmn_config_bool(c, "spot", false);
+    o->report_s = lmn_config_number(c, "report_s", 1.5, 0.05, 600);
+    o->lease_s = lmn_config_number(c, "lease_s", 10, 0.1, 3600);
+    o->log_kb = lmn_config_number(c, "log_kb", 256, 1, 7 * 1024);
+    g_strlcpy(o->type.name, lmn_config_name(c, "type.name", NULL), sizeof o->type.name);
+    o->type.cpus = lmn_config_number(c, "type.cpus", 1, 0, 1e6);
+    o->type.gpus = lmn_config_number(c, "type.gpus", 0, 0, 1e6);
+    o->type.mem = lmn_config_number(c, "type.mem_gb", 1, 0, 1e9);
+    o->type.cache_gb = lmn_config_number(c, "type.cache_gb", 10, 0, 1e9);
+    o->type.pull = lmn_config_number(c, "type.pull_gb_per_s", 1, 0, 1e6);
     lmn_worker_controllers(c, o);
     if (o->lease_s <= o->report_s)
-        lmn_conf_fail(c, "lease_s", "must be longer than report_s");
-    int rc = lmn_conf_end(c, err, len);
-    lmn_conf_free(c);
+        lmn_config_fail(c, "lease_s", "must be longer than report_s");
+    int rc = lmn_config_finish(c, err, len);
+    lmn_config_free(c);
     return rc;
 }
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -512,22 +512,22 @@
 static void record_of_operators_settings_keeps_its_bytes(void **state)
 {
     struct lmn_core *c = make();
-    struct lmn_tuning t = lmn_tuning_default;
+    struct lmn_operator_settings t = lmn_operator_settings_default;
     (void)state;
 
-    GByteArray *b = lmn_tuning_record(&t);
+    GByteArray *b = lmn_operator_settings_record(&t);
     golden_same("settings_default", b->data, b->len);
     g_byte_array_unref(b);
-    t = (struct lmn_tuning){.sample = 12,
-                            .share = 0.25,
-                            .poll_floor_s = 0.002,
-                            .poll_cap_s = 2.5,
-                            .idle_return_s = 60,
-                            .spare_cpus = 128,
-                            .horizon_s = 45,
-                            .spot = 0,
-                            .standby = 0};
-    b = lmn_tuning_record(&t);
+    t = (struct lmn_operator_settings){.sample = 12,
+                                       .share = 0.25,
+                                       .poll_floor_s = 0.002,
+                                       .poll_cap_s = 2.5,
+                                       .idle_return_s = 60,
+                                       .spare_cpus = 128,
+                                       .horizon_s = 45,
+                                       .spot = 0,
+                                       .standby = 0};
+    b = lmn_operator_settings_record(&t);
     golden_same("settings_all_set", b->data, b->len);
     g_byte_array_unref(b);
     apply(c, "s", "settings_all_set", 4);
@@ -536,7 +536,7 @@
     assert_true(c->tuning.idle_return_s == 60 && c->tuning.spare_cpus == 128);
     assert_true(c->tuning.horizon_s == 45);
     assert_true(c->tuning.spot == 0 && c->tuning.standby == 0);
-    b = lmn_tuning_record(&c->tuning);
+    b = lmn_operator_settings_record(&c->tuning);
     golden_same("settings_all_set", b->data, b->len);
     g_byte_array_unref(b);
 }
--- a/tests/test_queue_floor.c
+++ b/tests/test_queue_floor.c
@@ -123,7 +123,8 @@
         /* An archive that was expected within minutes missed it. */
         if (k == 4) {
             settings.nobjectives = 1;
-            settings.objectives[0] = (struct lmn_objective){LMN_FINISH, "c", 180, 1, 1};
+            settings.objectives[0] =
+                (struct lmn_objective){LMN_OBJECTIVE_FINISH, "c", 180, 1, 1};
         }
         lmn_ages(core, j->at);
         start_all();
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -58,9 +58,9 @@
         .at = 100};
     (void)state;
 
-    s.objectives[0] = (struct lmn_objective){LMN_WAIT, "c", 20, 1, 1};
-    s.objectives[1] = (struct lmn_objective){LMN_FINISH, "c", 60, 1, 1};
-    s.objectives[2] = (struct lmn_objective){LMN_WAIT, "other", 1, 1, 1};
+    s.objectives[0] = (struct lmn_objective){LMN_OBJECTIVE_START, "c", 20, 1, 1};
+    s.objectives[1] = (struct lmn_objective){LMN_OBJECTIVE_FINISH, "c", 60, 1, 1};
+    s.objectives[2] = (struct lmn_objective){LMN_OBJECTIVE_START, "other", 1, 1, 1};
     lmn_job_rank(&s, &j, 110);
     assert_true(!j.lost && j.latest == 120);
     lmn_job_rank(&s, &j, 121);
@@ -159,10 +159,10 @@
     struct lmn_job service = {.at = 100}, batch = {.at = 500};
     (void)state;
 
-    s.objectives[0] =
-        (struct lmn_objective){.kind = LMN_WAIT, .class_name = "s", .within_s = 5};
-    s.objectives[1] =
-        (struct lmn_objective){.kind = LMN_FINISH, .class_name = "b", .within_s = 180};
+    s.objectives[0] = (struct lmn_objective){
+        .kind = LMN_OBJECTIVE_START, .class_name = "s", .within_s = 5};
+    s.objectives[1] = (struct lmn_objective){
+        .kind = LMN_OBJECTIVE_FINISH, .class_name = "b", .within_s = 180};
     service.spec = (struct lmn_job_spec){.kind = LMN_JOB_SERVICE,
                                          .class_name = (char *)"s",
                                          .urgency = LMN_PRIORITY_PRODUCTION,
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -126,7 +126,7 @@
         core->synced = true;
         if (hurry) {
             settings.objectives[0] = (struct lmn_objective){
-                .kind = LMN_WAIT, .class_name = "c", .within_s = 5};
+                .kind = LMN_OBJECTIVE_START, .class_name = "c", .within_s = 5};
             settings.nobjectives = 1;
         }
         jobs[3].spec.cpus = jobs[4].spec.cpus = 8;
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -34,18 +34,18 @@
     assert_int_equal(s.nteams, 1);
     assert_int_equal(s.nobjectives, 1); /* a kind that it does not know is passed over */
     assert_true(s.teams[0].cpus_max == 0);
-    assert_int_equal(lmn_settings_rank(&s, "n0"), 0);
-    assert_int_equal(lmn_settings_rank(&s, "n1"), 1);
-    assert_int_equal(lmn_settings_rank(&s, "n2"), 2);
+    assert_int_equal(lmn_settings_member_index(&s, "n0"), 0);
+    assert_int_equal(lmn_settings_member_index(&s, "n1"), 1);
+    assert_int_equal(lmn_settings_member_index(&s, "n2"), 2);
     assert_int_equal(s.partitions, 3);
     /* As many partitions as there can be controllers. */
     char *most = g_strdup(strstr(good, "initial_size")), *text;
     text = g_strdup_printf("%.*sinitial_size = %d%s",
                            (int)(strstr(good, "initial_size") - good), good,
-                           LMN_MAX_PARTS, strchr(most, '\n'));
+                           LMN_MAX_PARTITIONS, strchr(most, '\n'));
     struct lmn_settings large;
     assert_int_equal(lmn_settings_parse(text, "f", &large, err, sizeof err), 0);
-    assert_int_equal(large.partitions, LMN_MAX_PARTS);
+    assert_int_equal(large.partitions, LMN_MAX_PARTITIONS);
     lmn_settings_free(&large);
     g_free(most);
     g_free(text);
@@ -150,26 +150,28 @@
 
 static void operators_settings(void **state)
 {
-    struct lmn_tuning t = lmn_tuning_default, u;
+    struct lmn_operator_settings t = lmn_operator_settings_default, u;
     struct lmn_cbor_document d;
     char err[128];
     (void)state;
 
-    assert_int_equal(lmn_tuning_set(&t, "share", 0.25, err, sizeof err), 0);
-    assert_int_equal(lmn_tuning_set(&t, "share", 0, err, sizeof err), -1);
-    assert_int_equal(lmn_tuning_set(&t, "share", __builtin_nan(""), err, sizeof err), -1);
-    assert_int_equal(lmn_tuning_set(&t, "nothing", 1, err, sizeof err), -1);
-    for (size_t i = 0; lmn_tuning_name(i); i++)
-        assert_int_equal(lmn_tuning_set(&t, lmn_tuning_name(i), lmn_tuning_value(&t, i),
-                                        err, sizeof err),
+    assert_int_equal(lmn_operator_settings_set(&t, "share", 0.25, err, sizeof err), 0);
+    assert_int_equal(lmn_operator_settings_set(&t, "share", 0, err, sizeof err), -1);
+    assert_int_equal(
+        lmn_operator_settings_set(&t, "share", __builtin_nan(""), err, sizeof err), -1);
+    assert_int_equal(lmn_operator_settings_set(&t, "nothing", 1, err, sizeof err), -1);
+    for (size_t i = 0; lmn_operator_settings_name(i); i++)
+        assert_int_equal(lmn_operator_settings_set(&t, lmn_operator_settings_name(i),
+                                                   lmn_operator_settings_value(&t, i),
+                                                   err, sizeof err),
                          0);
-    GByteArray *b = lmn_tuning_record(&t);
+    GByteArray *b = lmn_operator_settings_record(&t);
     assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-    lmn_tuning_read(&u, &d, lmn_cbor_root(&d));
+    lmn_operator_settings_read(&u, &d, lmn_cbor_root(&d));
     assert_memory_equal(&t, &u, sizeof t);
     /* A record that was removed means the defaults. */
-    lmn_tuning_read(&u, &d, NULL);
-    assert_memory_equal(&u, &lmn_tuning_default, sizeof u);
+    lmn_operator_settings_read(&u, &d, NULL);
+    assert_memory_equal(&u, &lmn_operator_settings_default, sizeof u);
     lmn_cbor_free(&d);
     g_byte_array_unref(b);
 }
@@ -183,7 +185,7 @@
     (void)state;
 
     assert_false(lmn_settings_warning(&s, text, sizeof text));
-    assert_true(lmn_settings_stale_limit(&s) > 23);
+    assert_true(lmn_settings_max_cache_age_s(&s) > 23);
     s.cancel_s = 12;
     assert_true(lmn_settings_warning(&s, text, sizeof text));
     assert_non_null(strstr(text, "cancel_s = 12, lease_s = 10"));
@@ -191,7 +193,7 @@
     s.cancel_s = 10.5;
     assert_true(lmn_settings_warning(&s, text, sizeof text));
     assert_non_null(strstr(text, "no worker is ever answered"));
-    assert_true(lmn_settings_stale_limit(&s) < 0);
+    assert_true(lmn_settings_max_cache_age_s(&s) < 0);
     /* What it advises is enough. */
     s.cancel_s = strtod(strstr(text, "cancel_s to ") + 12, NULL) + 0.01;
     assert_false(lmn_settings_warning(&s, text, sizeof text));
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -97,9 +97,9 @@
 
     for (guint s = 0; s < G_N_ELEMENTS(sizes); s++)
         for (int day = 0; day < 12; day++) {
-            int n = sizes[s][0], dead = sizes[s][1], successor[2][LMN_MAX_PARTS];
-            bool gone[LMN_MAX_PARTS] = {0}, leaving[LMN_MAX_PARTS] = {0};
-            int got[LMN_MAX_PARTS] = {0}, up[LMN_MAX_PARTS] = {0}, ups = 0,
+            int n = sizes[s][0], dead = sizes[s][1], successor[2][LMN_MAX_PARTITIONS];
+            bool gone[LMN_MAX_PARTITIONS] = {0}, leaving[LMN_MAX_PARTITIONS] = {0};
+            int got[LMN_MAX_PARTITIONS] = {0}, up[LMN_MAX_PARTITIONS] = {0}, ups = 0,
                 stay = n - dead;
             static struct lmn_settings cfg[2];
             for (int left = dead; left > 0;) {
@@ -140,7 +140,7 @@
 static void who_is_in_step_inherits(void **state)
 {
     bool gone[5] = {false, true}, leaving[5] = {0};
-    int successor[LMN_MAX_PARTS];
+    int successor[LMN_MAX_PARTITIONS];
     static struct lmn_settings cfg;
     struct lmn_core *c = view(&cfg, 5, 0, gone, leaving);
     GByteArray *v = g_byte_array_new(), *t = g_byte_array_new();
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -664,7 +664,7 @@
         struct lmn_machine *m = add(1);
         m->type = &core->types.v[0];
         queue_tasks(4);
-        now = lmn_after(now, lmn_settings_stale_limit(&cfg) + (stale ? 0.01 : -0.01));
+        now = lmn_after(now, lmn_settings_max_cache_age_s(&cfg) + (stale ? 0.01 : -0.01));
         m->last = now;
         lmn_poke(m);
         assert_int_equal(lmn_direct_next(core, 0, 1, name, addr, body, now), !stale);
