--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -140,7 +140,7 @@
     int status = lmn_http_call(h, "POST", P_JOBS, b, 10, in);
     g_byte_array_unref(b);
     g_byte_array_unref(in);
-    return status == 201 ? lmn_since(lmn_now(), begun) : 10;
+    return status == 201 ? lmn_time_diff_s(lmn_now(), begun) : 10;
 }
 
 int main(int argc, char **argv)
@@ -208,12 +208,12 @@
     struct lmn_http *h = lmn_http_new(users[0]);
     struct timespec begun = lmn_now();
     lmn_latency_init(&l);
-    while (finals(h) < jobs && lmn_since(lmn_now(), begun) < 600) {
+    while (finals(h) < jobs && lmn_time_diff_s(lmn_now(), begun) < 600) {
         for (int i = 0; i < 5; i++)
             lmn_latency_add(&l, submit(h, n++));
         lmn_sleep(0.02);
     }
-    double took = lmn_since(lmn_now(), begun);
+    double took = lmn_time_diff_s(lmn_now(), begun);
     uint64_t known = finals(h);
     printf("%s outcomes=%u known=%" G_GUINT64_FORMAT
            " after=%.2f s (%.0f a second), meanwhile "
--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -77,7 +77,7 @@
     struct timespec begun = lmn_now();
     int status = lmn_users_call(&users, "POST", P_JOBS, body, 60, &s);
     g_byte_array_unref(body);
-    return status == 201 || status == 200 ? lmn_since(lmn_now(), begun) : -1;
+    return status == 201 || status == 200 ? lmn_time_diff_s(lmn_now(), begun) : -1;
 }
 
 static uint32_t done_of(const char *ref)
@@ -141,7 +141,7 @@
 {
     struct timespec begun = lmn_now();
 
-    while (lmn_since(lmn_now(), begun) < patience_s) {
+    while (lmn_time_diff_s(lmn_now(), begun) < patience_s) {
         if (sum("\nlemonspar_machines ") >= n &&
             sum("\nlemonspar_machines_unaccounted ") == 0)
             return true;
@@ -167,7 +167,7 @@
 
     lmn_latency_init(&r.accepting);
     r.lost += submit(ref, tasks, RUN_S) < 0;
-    for (unsigned i = 0; done < tasks && lmn_since(lmn_now(), begun) < 120; i++) {
+    for (unsigned i = 0; done < tasks && lmn_time_diff_s(lmn_now(), begun) < 120; i++) {
         double took = submit(small, 1, 0.1);
         r.submitted++;
         r.lost += took < 0;
@@ -177,7 +177,7 @@
             done = done_of(ref);
         lmn_sleep(0.05);
     }
-    r.rate = done / lmn_since(lmn_now(), begun);
+    r.rate = done / lmn_time_diff_s(lmn_now(), begun);
     return r;
 }
 
@@ -236,7 +236,8 @@
                sum("\nlemonspar_machines "));
     /* A job that warms them up. */
     struct timespec begun = lmn_now();
-    while (ok && done_of(ref) < workers * CPUS * 2 && lmn_since(lmn_now(), begun) < 60)
+    while (ok && done_of(ref) < workers * CPUS * 2 &&
+           lmn_time_diff_s(lmn_now(), begun) < 60)
         lmn_sleep(0.2);
     checks.stop = false;
     checks.spared = -1;
--- a/bench/failover.c
+++ b/bench/failover.c
@@ -103,7 +103,7 @@
     while (f && fgets(line, sizeof line, f)) {
         line[strcspn(line, "\n")] = '\0';
         if (log)
-            fprintf(log, "%.3f %s\n", lmn_seconds(lmn_now()), line);
+            fprintf(log, "%.3f %s\n", lmn_time_seconds(lmn_now()), line);
         if (p->node >= 0)
             note(p->node, line);
     }
@@ -227,7 +227,7 @@
     GByteArray *in = g_byte_array_new();
     bool ok = false;
 
-    while (!ok && lmn_since(lmn_now(), begun) < patience_s) {
+    while (!ok && lmn_time_diff_s(lmn_now(), begun) < patience_s) {
         struct lmn_http *h = lmn_http_new(addr);
         ok = lmn_http_call(h, "GET", P_READY, NULL, 1, in) == 200;
         lmn_http_free(h);
@@ -294,12 +294,12 @@
                                     i ? "horizon_s" : "idle_return_s",
                                     i ? "1" : "3600",
                                     NULL};
-        while (bench_run(args) != 0 && lmn_since(lmn_now(), begun) < 20)
+        while (bench_run(args) != 0 && lmn_time_diff_s(lmn_now(), begun) < 20)
             lmn_sleep(0.3);
     }
     submit(MIN(workers * CPUS * 2, 100000), 4);
     while (bench_metric(site.cloud, "\nlemonspar_emulated_up ") < workers) {
-        if (lmn_since(lmn_now(), begun) > 120)
+        if (lmn_time_diff_s(lmn_now(), begun) > 120)
             return false;
         lmn_sleep(0.5);
     }
@@ -360,9 +360,9 @@
     pthread_mutex_lock(&seen.lock);
     for (guint i = 0; i < seen.v->len && s < 0; i++) {
         const struct event *e = &g_array_index(seen.v, struct event, i);
-        if (!lmn_before(e->at, then) && !strcmp(e->what, what) && e->node != not_by &&
-            (partition < 0 || e->partition == partition))
-            s = lmn_since(e->at, then);
+        if (!lmn_time_before(e->at, then) && !strcmp(e->what, what) &&
+            e->node != not_by && (partition < 0 || e->partition == partition))
+            s = lmn_time_diff_s(e->at, then);
     }
     pthread_mutex_unlock(&seen.lock);
     return s;
@@ -380,7 +380,7 @@
 {
     struct timespec begun = lmn_now();
 
-    while (lmn_since(lmn_now(), begun) < patience_s) {
+    while (lmn_time_diff_s(lmn_now(), begun) < patience_s) {
         int n = 0;
         for (int i = 0; i < nodes; i++)
             n += owner(i) >= 0;
@@ -417,7 +417,7 @@
     begin(t, node);
     /* Until its work goes on elsewhere; where it should stay, for as long as a lease. */
     double patience = moves ? PATIENCE_S : 10;
-    while (lmn_since(lmn_now(), then) < patience &&
+    while (lmn_time_diff_s(lmn_now(), then) < patience &&
            (!moves || first(then, "partition-start", partition, node) < 0 ||
             first(then, "partition-ready", partition, node) < 0))
         lmn_sleep(0.02);
@@ -477,7 +477,7 @@
 {
     struct timespec begun = lmn_now();
 
-    while (lmn_since(lmn_now(), begun) < 90) {
+    while (lmn_time_diff_s(lmn_now(), begun) < 90) {
         double in_step = 0;
         for (int i = 0; i < nodes; i++)
             in_step +=
@@ -502,7 +502,7 @@
         return false;
     struct timespec then = lmn_now();
     finish(controller(node), SIGKILL);
-    while (lmn_since(lmn_now(), then) < PATIENCE_S &&
+    while (lmn_time_diff_s(lmn_now(), then) < PATIENCE_S &&
            (first(then, "partition-start", partition, node) < 0 ||
             first(then, "partition-ready", partition, node) < 0))
         lmn_sleep(0.01);
@@ -540,9 +540,9 @@
     struct timespec then = lmn_now();
     kill(controller(node)->pid, SIGTERM);
     while (waitpid(controller(node)->pid, &status, WNOHANG) == 0 &&
-           lmn_since(lmn_now(), then) < 15)
+           lmn_time_diff_s(lmn_now(), then) < 15)
         lmn_sleep(0.02);
-    double end_s = lmn_since(lmn_now(), then);
+    double end_s = lmn_time_diff_s(lmn_now(), then);
     controller(node)->pid = 0;
     lmn_latency_add(&ended, end_s);
     for (int i = 0; i < nodes; i++) {
@@ -581,7 +581,7 @@
             lmn_users_call(&users, "GET", path, NULL, 10, &s);
             if (strcmp(s.state, W_DONE))
                 lmn_sleep(0.2);
-        } while (strcmp(s.state, W_DONE) && lmn_since(lmn_now(), begun) < 120);
+        } while (strcmp(s.state, W_DONE) && lmn_time_diff_s(lmn_now(), begun) < 120);
         if (strcmp(s.state, W_DONE)) {
             printf("FAILED: job %s is %s\n", s.ref, s.state);
             return false;
--- a/bench/gateway.c
+++ b/bench/gateway.c
@@ -186,7 +186,7 @@
     } while (status != 200 && status != 201 && status != 400 && status != 422);
     if (status >= 400)
         complain("refused", j->ref);
-    lmn_latency_add(&submitting, lmn_since(lmn_now(), begun));
+    lmn_latency_add(&submitting, lmn_time_diff_s(lmn_now(), begun));
     g_byte_array_unref(body);
     for (int i = 0; i < 3; i++)
         g_free(env[i]);
@@ -360,7 +360,7 @@
 /* Every job has one outcome at its home, and is told alike when asked again. */
 static void await_all(void)
 {
-    struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+    struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
     struct lmn_http *h[SITES];
     char path[96], state[16];
 
@@ -374,7 +374,7 @@
             if (status == 404)
                 complain("was accepted, and is not known", j->ref);
             if (!strcmp(state, W_DONE) || !strcmp(state, W_WITHDRAWN) || status == 404 ||
-                lmn_before(end, lmn_now()))
+                lmn_time_before(end, lmn_now()))
                 break;
             lmn_sleep(0.1);
         }
@@ -461,8 +461,8 @@
             relays[i][k].mode = RELAY_OPEN;
     struct timespec healed = lmn_now();
     await_all();
-    double after = lmn_since(lmn_now(), healed);
-    double all = lmn_since(lmn_now(), begun);
+    double after = lmn_time_diff_s(lmn_now(), healed);
+    double all = lmn_time_diff_s(lmn_now(), begun);
     end_all();
     char *twice = g_build_filename(stamps, "TWICE", NULL);
     if (g_file_get_contents(twice, &text, NULL, NULL))
--- a/bench/rehearsal.c
+++ b/bench/rehearsal.c
@@ -51,7 +51,7 @@
 
 static double wall(void)
 {
-    return lmn_seconds(lmn_wall());
+    return lmn_time_seconds(lmn_wall_clock_now());
 }
 
 static void complain(const char *what, const char *of)
@@ -106,7 +106,7 @@
         status = lmn_users_call(u, "POST", P_JOBS, body, 60, &s);
     while (status != 200 && status != 201 && status != 422 && status != 400);
     pthread_mutex_lock(&lock);
-    lmn_latency_add(&submitting, lmn_since(lmn_now(), begun));
+    lmn_latency_add(&submitting, lmn_time_diff_s(lmn_now(), begun));
     pthread_mutex_unlock(&lock);
     if (status == 422 || status == 400)
         complain("refused", j->ref);
@@ -215,7 +215,7 @@
     if (was && kind == 5 && bench_site("up", file) != 0)
         complain("the site does not come up again", "supervisor");
     pid_t pid;
-    while (was && lmn_since(lmn_now(), begun) < 60) {
+    while (was && lmn_time_diff_s(lmn_now(), begun) < 60) {
         if (ready ? lmn_http_serves(ready) : lmn_lock_held(path, &pid))
             break;
         /* A machine may have been returned meanwhile. */
@@ -226,15 +226,15 @@
         lmn_sleep(0.01);
     }
     g_free(path);
-    return was ? lmn_since(lmn_now(), begun) : -1;
+    return was ? lmn_time_diff_s(lmn_now(), begun) : -1;
 }
 
 static void kill_for(double seconds)
 {
-    struct timespec end = lmn_after(lmn_now(), seconds);
+    struct timespec end = lmn_time_add(lmn_now(), seconds);
     unsigned done = 0;
 
-    while (lmn_before(lmn_now(), end)) {
+    while (lmn_time_before(lmn_now(), end)) {
         lmn_sleep(0.3 + 2.2 * g_rand_double(rng));
         int kind = g_rand_int_range(rng, 0, KINDS);
         double took = kill_one(kind);
@@ -252,7 +252,7 @@
 
 static void await_all(void)
 {
-    struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+    struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
     struct lmn_users u;
     char err[256], path[96];
 
@@ -265,7 +265,7 @@
             if (status == 404)
                 complain("was accepted, and is not known", jobs[i].ref);
             if (!strcmp(s.state, W_DONE) || !strcmp(s.state, W_WITHDRAWN) ||
-                status == 404 || lmn_before(end, lmn_now()))
+                status == 404 || lmn_time_before(end, lmn_now()))
                 break;
             lmn_sleep(0.1);
         }
--- a/bench/retention.c
+++ b/bench/retention.c
@@ -54,7 +54,7 @@
             lmn_cbor_free(&d);
             g_byte_array_unref(b);
         }
-        now = lmn_after(now, 0.1); /* ten jobs a second */
+        now = lmn_time_add(now, 0.1); /* ten jobs a second */
         lmn_retention_evict(c, now);
         if ((n + 1) % (jobs / 10) == 0) {
             last = bench_resident_mb(0);
--- a/bench/site.c
+++ b/bench/site.c
@@ -77,7 +77,7 @@
     if (status != 201)
         fprintf(stderr, "%s: %d\n", ref, status);
     g_byte_array_unref(body);
-    return lmn_since(lmn_now(), begun);
+    return lmn_time_diff_s(lmn_now(), begun);
 }
 
 static void await_done(const char *ref)
@@ -110,7 +110,7 @@
 
     submit(ref, tasks, estimate);
     await_done(ref);
-    double took = lmn_since(lmn_now(), begun);
+    double took = lmn_time_diff_s(lmn_now(), begun);
     double bound = estimate > 0 ? workers * CPUS / estimate : 0;
     printf("workers=%-4u tasks of %.0f s: %u tasks in %.2f s = %.0f a second%s", workers,
            estimate, tasks, took, tasks / took, estimate > 0 ? "" : "\n");
--- a/bench/state.c
+++ b/bench/state.c
@@ -70,10 +70,10 @@
 {
     struct timespec begun = lmn_now();
     struct lmn_http *h = lmn_http_new(addr);
-    while (!serves(h) && lmn_since(lmn_now(), begun) < 300)
+    while (!serves(h) && lmn_time_diff_s(lmn_now(), begun) < 300)
         lmn_sleep(0.001);
     lmn_http_free(h);
-    return lmn_since(lmn_now(), begun);
+    return lmn_time_diff_s(lmn_now(), begun);
 }
 
 static GByteArray *transaction(const char *cond, uint64_t rev, const char *key,
@@ -213,13 +213,13 @@
 static gint by_sent(gconstpointer a, gconstpointer b)
 {
     const struct acked *x = a, *y = b;
-    return lmn_before(x->sent, y->sent) ? -1 : lmn_before(y->sent, x->sent);
+    return lmn_time_before(x->sent, y->sent) ? -1 : lmn_time_before(y->sent, x->sent);
 }
 
 static gint by_heard(gconstpointer a, gconstpointer b)
 {
     const struct acked *x = a, *y = b;
-    return lmn_before(x->heard, y->heard) ? -1 : lmn_before(y->heard, x->heard);
+    return lmn_time_before(x->heard, y->heard) ? -1 : lmn_time_before(y->heard, x->heard);
 }
 
 /* Whoever was sent after another was acknowledged has the higher revision. */
@@ -235,7 +235,7 @@
         const struct acked *a = &g_array_index(acked, struct acked, i);
         for (; k < heard->len; k++) {
             const struct acked *h = &g_array_index(heard, struct acked, k);
-            if (!lmn_before(h->heard, a->sent))
+            if (!lmn_time_before(h->heard, a->sent))
                 break;
             highest = MAX(highest, h->rev);
         }
@@ -383,7 +383,7 @@
         g_byte_array_unref(b);
         pthread_mutex_lock(&w.lock);
         w.tried += status == 200;
-        lmn_latency_add(&latency, lmn_since(lmn_now(), sent));
+        lmn_latency_add(&latency, lmn_time_diff_s(lmn_now(), sent));
         pthread_mutex_unlock(&w.lock);
     }
     lmn_http_free(h);
@@ -402,7 +402,7 @@
 
     if (fd < 0)
         return 0;
-    while (lmn_since(lmn_now(), begun) < seconds) {
+    while (lmn_time_diff_s(lmn_now(), begun) < seconds) {
         for (int i = 0; i < 4; i++)
             if (pwrite(fd, page, sizeof page,
                        (off_t)(4096 * (1 + (n * 4 + (unsigned)i) % 256))) < 0)
@@ -513,7 +513,7 @@
     int status = lmn_http_call(h, "POST", P_TXN, b, 10, in);
     for (int i = 0; i < n; i++)
         heard += read(fds[i], buf, sizeof buf) > 0 && strstr(buf, "200 OK");
-    double took = lmn_since(lmn_now(), begun);
+    double took = lmn_time_diff_s(lmn_now(), begun);
     printf("%s watches=%d heard=%d after=%.3f s threads_more=%.0f memory_more=%.1f KB "
            "each\n",
            heard == n && status == 200 ? "GOOD" : "BROKEN", n, heard, took, threads,
@@ -574,7 +574,7 @@
                "of %.0f) "
                "check=%.2f s wrong=%u\n",
                want, (double)st.st_size / 1e6, (double)st.st_size / (double)want, took,
-               took / first, first_keys, lmn_since(lmn_now(), begun), bad);
+               took / first, first_keys, lmn_time_diff_s(lmn_now(), begun), bad);
         g_free(file);
     }
     return wrong ? 1 : 0;
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -121,7 +121,7 @@
 
 static int watch_job(struct lmn_users *u, const char *ref, double seconds)
 {
-    struct timespec end = lmn_after(lmn_now(), seconds > 0 ? seconds : 1e9);
+    struct timespec end = lmn_time_add(lmn_now(), seconds > 0 ? seconds : 1e9);
     struct lmn_job_state s, last = {0};
     uint64_t tasks = tasks_of(u, ref);
     bool terminal = isatty(STDOUT_FILENO) && !json;
@@ -140,7 +140,7 @@
         else if (!json && (news || terminal))
             draw(&s, tasks, terminal);
         last = s;
-        if (final || lmn_before(end, lmn_now()))
+        if (final || lmn_time_before(end, lmn_now()))
             break;
         lmn_sleep(0.3);
     }
--- a/src/cli/site.c
+++ b/src/cli/site.c
@@ -98,11 +98,11 @@
     g_free(lock);
     if (rc)
         return rc;
-    struct timespec end = lmn_after(lmn_now(), patience);
+    struct timespec end = lmn_time_add(lmn_now(), patience);
     for (unsigned i = 0; i < site.nprocesses;) {
         if (lmn_http_serves(site.processes[i].ready)) {
             i++;
-        } else if (lmn_before(end, lmn_now())) {
+        } else if (lmn_time_before(end, lmn_now())) {
             return lmn_cli_fail(LMN_EXIT_FAILED,
                                 "%s does not serve at %s yet; look at %s/run/%s.log",
                                 site.processes[i].name, site.processes[i].ready,
--- a/src/cli/users.c
+++ b/src/cli/users.c
@@ -72,7 +72,7 @@
 int lmn_users_call(struct lmn_users *u, const char *method, const char *path,
                    const GByteArray *body, double seconds, struct lmn_job_state *s)
 {
-    struct timespec end = lmn_after(lmn_now(), seconds);
+    struct timespec end = lmn_time_add(lmn_now(), seconds);
     GByteArray *in = g_byte_array_new();
     unsigned failed = 0;
     int status;
@@ -86,7 +86,7 @@
         double wait = status == LMN_NOT_SENT ? 0.05 : MAX(1, lmn_http_retry_after(h));
         if (++failed % u->n == 0)
             wait = MAX(wait, 0.5 + 0.5 * g_random_double());
-        if (lmn_before(end, lmn_after(lmn_now(), wait)))
+        if (lmn_time_before(end, lmn_time_add(lmn_now(), wait)))
             break;
         lmn_sleep(MIN(wait, 30));
     }
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -97,17 +97,17 @@
         if (asked_to_end)
             lmn_leave(core, now);
         if (asked_to_end > 1 || lmn_leave_over(core, now)) {
-            lmn_info("leave-end after=%.2f given=%d", lmn_since(now, core->leave_at),
-                     core->left);
+            lmn_info("leave-end after=%.2f given=%d",
+                     lmn_time_diff_s(now, core->leave_at), core->left);
             /* Nothing is to be cleared away, and the other threads go on until then. */
             _exit(core->left ? 0 : 1);
         }
-        double since = lmn_since(now, last);
+        double since = lmn_time_diff_s(now, last);
         lmn_load_note(&core->load, since - TICK_S, since);
         lmn_members_tick(&core->members, since - TICK_S, now);
         core->members.word.behind_s = core->load.behind;
         last = now;
-        lmn_rank_all(core, lmn_seconds(lmn_wall()));
+        lmn_rank_all(core, lmn_time_seconds(lmn_wall_clock_now()));
         for (int i = 0; i < core->nparts && core->triaged == core->wall; i++)
             lmn_reserve(core, &core->parts[i], now);
         lmn_upkeep(core, now);
--- a/src/controller/members_report.c
+++ b/src/controller/members_report.c
@@ -37,8 +37,8 @@
     json_object_set_new(j, "incarnation", json_integer((json_int_t)m->inc));
     json_object_set_new(j, "partitions", json_integer(lmn_member_holds(c, rank)));
     json_object_set_new(j, "stands_by", lmn_standbys_of(c, rank));
-    json_object_set_new(j, "heard_s",
-                        m->ever ? json_real(lmn_since(now, m->heard)) : json_null());
+    json_object_set_new(
+        j, "heard_s", m->ever ? json_real(lmn_time_diff_s(now, m->heard)) : json_null());
     json_object_set_new(j, "answers_s", json_real(m->answers.mean));
     json_object_set_new(j, "behind_s", json_real(w->behind_s));
     json_object_set_new(
@@ -48,7 +48,8 @@
     if (lmn_member_doubted(ms, rank)) {
         json_object_set_new(j, "suspected_by", json_string(m->doubt_by));
         json_object_set_new(j, "suspected_of", json_string(lmn_cause_name(m->doubt_why)));
-        json_object_set_new(j, "suspected_s", json_real(lmn_since(now, m->doubted)));
+        json_object_set_new(j, "suspected_s",
+                            json_real(lmn_time_diff_s(now, m->doubted)));
     }
     json_object_set_new(j, "asked_phi", json_real(e.asked));
     json_object_set_new(j, "others_phi", json_real(e.others));
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -56,7 +56,7 @@
     struct lmn_pending *p = arg;
     struct lmn_decision d = lmn_decide_submitted(outcome);
     bool known = outcome == LMN_OK || outcome == LMN_CONFLICT;
-    double took = lmn_since(lmn_now(), p->since);
+    double took = lmn_time_diff_s(lmn_now(), p->since);
     char ref[LMN_JOB_ID_SIZE];
     (void)t;
     (void)rev;
@@ -86,7 +86,8 @@
     p->in_flight = 1;
     g_strlcpy(p->ref, s->ref, sizeof p->ref);
     pthread_mutex_lock(&c->lock);
-    struct lmn_txn *t = lmn_submission_txn(c, s, lmn_seconds(lmn_wall()), committed, p);
+    struct lmn_txn *t =
+        lmn_submission_txn(c, s, lmn_time_seconds(lmn_wall_clock_now()), committed, p);
     pthread_mutex_unlock(&c->lock);
     p->twin = lmn_txn_twin(t);
     pthread_mutex_lock(&pendings.lock);
@@ -127,7 +128,7 @@
     for (GList *l = pendings.list.head; l; l = l->next) {
         const struct lmn_pending *p = l->data;
         if (p->call)
-            return MAX(LMN_PENDING_LOOK_S - lmn_since(now, p->since), LOOK_EVERY_S);
+            return MAX(LMN_PENDING_LOOK_S - lmn_time_diff_s(now, p->since), LOOK_EVERY_S);
     }
     return INFINITY;
 }
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -16,7 +16,8 @@
 
     for (int i = 0; i < c->members.n && odd; i++) {
         const struct lmn_peer_view *m = &c->members.v[i];
-        if (i == c->members.me || !m->word_at.tv_sec || lmn_since(now, m->word_at) > 2)
+        if (i == c->members.me || !m->word_at.tv_sec ||
+            lmn_time_diff_s(now, m->word_at) > 2)
             continue;
         if (!anybody)
             odd = false;
@@ -199,7 +200,7 @@
     } else {
         lmn_member_unanswered(ms, q->rank, sent, now);
         lmn_debug("member-unanswered member=%s after=%.2f times=%u",
-                  lmn_member_name(ms, q->rank), lmn_since(now, sent),
+                  lmn_member_name(ms, q->rank), lmn_time_diff_s(now, sent),
                   ms->v[q->rank].failures);
         pthread_cond_broadcast(&c->changed);
     }
--- a/src/controller/read_batch.c
+++ b/src/controller/read_batch.c
@@ -46,7 +46,7 @@
 
     for (; a; a = next) {
         struct lmn_query **to =
-            lmn_since(now, a->since) > LMN_QUERY_PATIENCE_S ? late : &still;
+            lmn_time_diff_s(now, a->since) > LMN_QUERY_PATIENCE_S ? late : &still;
         next = a->next;
         a->next = *to;
         *to = a;
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -20,7 +20,7 @@
             lmn_stream_phase_name(f->phase), machines, starts, seconds);
         if (f->phase == LMN_STREAM_NONE && f->why)
             g_string_append_printf(s, " last=\"%s\" again_in=%.1f", f->why,
-                                   MAX(lmn_since(f->next, now), 0));
+                                   MAX(lmn_time_diff_s(f->next, now), 0));
         g_string_append_printf(s,
                                " batches=%" G_GUINT64_FORMAT
                                " machines=%" G_GUINT64_FORMAT
@@ -33,7 +33,7 @@
         g_string_append_printf(
             s, "  copy term=%" G_GUINT64_FORMAT " machines=%u last=%.2f in_step=%d\n",
             p->copy->term, g_hash_table_size(p->copy->machines),
-            lmn_since(now, p->copy->last),
+            lmn_time_diff_s(now, p->copy->last),
             p->copy->stream == p->standby_stream && p->copy->term == p->term &&
                 !strcmp(p->standby, c->cfg->node));
     }
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -163,7 +163,7 @@
             g_byte_array_set_size(w->out, 0);
         } else if (lmn_stream_covers(p, w->held.mark)) {
             w->status = 200;
-        } else if (lmn_since(now, w->since) > LMN_STREAM_HOLD_S) {
+        } else if (lmn_time_diff_s(now, w->since) > LMN_STREAM_HOLD_S) {
             w->status = 200;
             lmn_worker_withhold(c, &w->held, w->out, now);
         } else {
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -284,7 +284,7 @@
                                          struct timespec since, bool resent,
                                          struct timespec now)
 {
-    double waited = lmn_since(now, since);
+    double waited = lmn_time_diff_s(now, since);
 
     if (waited < LMN_PENDING_LOOK_S)
         return LMN_PENDING_WAIT;
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -342,10 +342,10 @@
     struct timespec now = lmn_now();
 
     if (!m->client) {
-        if (lmn_before(now, m->retry))
+        if (lmn_time_before(now, m->retry))
             return false;
         m->client = lmn_peer_dial(m->cfg->addr);
-        m->retry = lmn_after(now, 3.0);
+        m->retry = lmn_time_add(now, 3.0);
     }
     if (!m->client)
         return false;
@@ -354,7 +354,7 @@
         return true;
     clnt_destroy(m->client);
     m->client = NULL;
-    m->retry = lmn_after(now, 3.0);
+    m->retry = lmn_time_add(now, 3.0);
     return false;
 }
 
@@ -407,7 +407,7 @@
     u_int got = 0;
 
     pthread_mutex_lock(&core->lock);
-    for (size_t i = 0; i < core->cfg->nteams && !lmn_before(now, p->next_quota); i++)
+    for (size_t i = 0; i < core->cfg->nteams && !lmn_time_before(now, p->next_quota); i++)
         n += lmn_quota_wanted(core, p, (int)i, &want[n]);
     int first = g_rand_int_range(core->rng, 0, core->nparts);
     pthread_mutex_unlock(&core->lock);
@@ -437,7 +437,7 @@
         return;
     pthread_mutex_lock(&core->lock);
     p->quota_poll_s = got ? 0.5 : CLAMP(p->quota_poll_s * 2, 0.5, 8);
-    p->next_quota = lmn_after(now, p->quota_poll_s);
+    p->next_quota = lmn_time_add(now, p->quota_poll_s);
     pthread_mutex_unlock(&core->lock);
 }
 
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -69,7 +69,7 @@
             g_string_append_printf(s,
                                    "accused job=%s machines=%u rounds=%u next_try=%.1f\n",
                                    j->spec.ref, j->failures.places, j->failures.rounds,
-                                   MAX(lmn_since(j->failures.hold, lmn_now()), 0));
+                                   MAX(lmn_time_diff_s(j->failures.hold, lmn_now()), 0));
     }
 }
 
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -15,7 +15,7 @@
 static pthread_mutex_t queries_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t queries_more;
 static struct lmn_query_queue queries;
-static struct lmn_flight flight; /* of confirmations and cancellations */
+static struct lmn_in_flight flight; /* of confirmations and cancellations */
 /* Threads that ask the state service; one alone queries at a time unless it is slow. */
 enum { QUERY_THREADS = 3 };
 
@@ -249,7 +249,7 @@
 {
     pthread_mutex_lock(&queries_lock);
     for (;;) {
-        double wait = lmn_flight_wait(&flight, lmn_now());
+        double wait = lmn_in_flight_wait(&flight, lmn_now());
         if (!queries.order.length)
             pthread_cond_wait(&queries_more, &queries_lock);
         else if (wait > 0)
@@ -258,7 +258,7 @@
             break;
     }
     guint n = lmn_query_queue_take(&queries, v, most, cancel, late, lmn_now());
-    lmn_flight_begin(&flight, lmn_now());
+    lmn_in_flight_begin(&flight, lmn_now());
     pthread_mutex_unlock(&queries_lock);
     return n;
 }
@@ -281,7 +281,7 @@
             g_free(cancel);
         }
         pthread_mutex_lock(&queries_lock);
-        lmn_flight_end(&flight);
+        lmn_in_flight_end(&flight);
         pthread_mutex_unlock(&queries_lock);
     }
     return NULL;
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -68,7 +68,7 @@
 
 static double seconds(const struct lmn_emulation *e)
 {
-    return lmn_since(lmn_now(), e->begun);
+    return lmn_time_diff_s(lmn_now(), e->begun);
 }
 
 /* --- machines that come and go --- */
@@ -203,13 +203,13 @@
         answer(u, call);
     if (isfinite(m->taken) && !m->told) {
         m->told = true;
-        lmn_agent_notice(&u->w.agent, lmn_after(lmn_now(), m->taken - now));
+        lmn_agent_notice(&u->w.agent, lmn_time_add(lmn_now(), m->taken - now));
     }
     lmn_emu_worker_pass(&u->w, lmn_now());
     ask_jobs(e, u);
-    bool soon = u->w.agent.changed && lmn_since(lmn_now(), u->last) > 0.5;
+    bool soon = u->w.agent.changed && lmn_time_diff_s(lmn_now(), u->last) > 0.5;
     if (!u->busy && !u->w.agent.ending && !m->cut &&
-        (soon || !lmn_before(lmn_now(), u->next))) {
+        (soon || !lmn_time_before(lmn_now(), u->next))) {
         u->busy = true;
         g_queue_push_tail(&e->due, u);
         pthread_cond_signal(&e->due_more);
@@ -330,13 +330,13 @@
         u->controller = next != to ? next : (to + 1) % e->o.worker.ncontrollers;
         e->failed_reports++;
         if (!wait)
-            u->last = lmn_after(lmn_now(), -1);
+            u->last = lmn_time_add(lmn_now(), -1);
     } else if (u->m && !unheard(u, seconds(e))) {
         lmn_agent_answered(&u->w.agent, session, sent, in->data, in->len, lmn_now());
         lmn_emu_worker_pass(&u->w, lmn_now());
         ask_jobs(e, u);
     }
-    u->next = lmn_after(lmn_now(), wait);
+    u->next = lmn_time_add(lmn_now(), wait);
 }
 
 static void *sender(void *arg)
@@ -673,7 +673,8 @@
     lmn_emu_cloud_init(&e->cloud, o->inventory, o->seed);
     e->cloud.knobs = o->knobs;
     /* A name is never used twice, also not by the next process: ten a second are. */
-    e->cloud.number = 100000000 + (uint64_t)(lmn_seconds(lmn_wall()) * 10) % 900000000;
+    e->cloud.number =
+        100000000 + (uint64_t)(lmn_time_seconds(lmn_wall_clock_now()) * 10) % 900000000;
     pthread_mutex_init(&e->lock, NULL);
     lmn_cond_init(&e->due_more);
     lmn_cond_init(&e->asked_more);
--- a/src/emulator/worker.c
+++ b/src/emulator/worker.c
@@ -61,7 +61,7 @@
     double rate = w->agent.type.pull > 0 ? w->agent.type.pull : 1;
     double took = s->image_gb / rate * (0.75 + 0.6 * g_rand_double(w->rng));
     w->image_fetches += s->image_gb > 0;
-    add(w, T_FETCH, lmn_after(now_of_call, took), 0, r->image);
+    add(w, T_FETCH, lmn_time_add(now_of_call, took), 0, r->image);
 }
 
 static void give_up(void *arg, const char *image)
@@ -102,18 +102,18 @@
     double run = s->estimate_s * factor / MAX(w->knobs->speed, 1e-6) / w->speed;
     if (w->faulty)
         run = MIN(run, 0.5);
-    add(w, T_END, lmn_after(now_of_call, run), r->id, NULL);
+    add(w, T_END, lmn_time_add(now_of_call, run), r->id, NULL);
 }
 
 static void save(void *arg, struct lmn_run *r, double grace_s)
 {
     struct lmn_emu_worker *w = arg;
-    add(w, T_SAVED, lmn_after(now_of_call, MIN(r->save_s, grace_s)), r->id, NULL);
+    add(w, T_SAVED, lmn_time_add(now_of_call, MIN(r->save_s, grace_s)), r->id, NULL);
 }
 
 static void kill_run(void *arg, struct lmn_run *r)
 {
-    add(arg, T_KILLED, lmn_after(now_of_call, KILL_S), r->id, NULL);
+    add(arg, T_KILLED, lmn_time_add(now_of_call, KILL_S), r->id, NULL);
 }
 
 static void kill_all(void *arg)
@@ -123,7 +123,7 @@
         w->ledger->lapsed += lmn_emu_ledger_empty(w->ledger, w);
     g_array_set_size(w->timers, 0);
     g_array_set_size(w->asking, 0);
-    add(w, T_EMPTY, lmn_after(now_of_call, KILL_S), 0, NULL);
+    add(w, T_EMPTY, lmn_time_add(now_of_call, KILL_S), 0, NULL);
 }
 
 static void leased(void *arg, struct timespec until)
@@ -235,9 +235,10 @@
         int first = -1;
         for (guint i = 0; i < w->timers->len; i++) {
             const struct timer *t = &g_array_index(w->timers, struct timer, i);
-            if (!lmn_before(now, t->at) &&
+            if (!lmn_time_before(now, t->at) &&
                 (first < 0 ||
-                 lmn_before(t->at, g_array_index(w->timers, struct timer, first).at)))
+                 lmn_time_before(t->at,
+                                 g_array_index(w->timers, struct timer, first).at)))
                 first = (int)i;
         }
         if (first < 0)
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -19,7 +19,7 @@
     struct lmn_gateway *g;
     struct lmn_http *controllers[LMN_G_CONTROLLERS], *depot, *state;
     unsigned turn;
-    struct lmn_budget polls;
+    struct lmn_token_bucket polls;
     GByteArray *in;
 };
 
@@ -203,7 +203,7 @@
     if (x->leash_s <= 0 || x->leashed)
         return;
     const struct lmn_gpeer *p = lmn_peer_named(f->g, x->home);
-    if (!p || lmn_since(now, p->synced) <= x->leash_s)
+    if (!p || lmn_time_diff_s(now, p->synced) <= x->leash_s)
         return;
     lmn_info("leash-over home=%s job=%s", x->home, x->ref);
     x->leashed = true; /* in memory: after a restart it is counted anew, which is later */
@@ -220,7 +220,7 @@
     g_hash_table_iter_init(&it, f->g->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         struct lmn_gjob *j = p;
-        if (j->hand.state != LMN_H_LOCAL || lmn_since(now, j->polled) < POLL_S)
+        if (j->hand.state != LMN_H_LOCAL || lmn_time_diff_s(now, j->polled) < POLL_S)
             continue;
         j->polled = now;
         add_run(v, j, NULL);
@@ -228,7 +228,7 @@
     g_hash_table_iter_init(&it, f->g->book.open_guests);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         struct lmn_guest *x = p;
-        if (x->hand.state != LMN_HO_RUNS || lmn_since(now, x->polled) < POLL_S)
+        if (x->hand.state != LMN_HO_RUNS || lmn_time_diff_s(now, x->polled) < POLL_S)
             continue;
         check_leash(f, x, now);
         x->polled = now;
@@ -273,7 +273,7 @@
         struct lmn_job_spec spec;
         struct lmn_progress p;
         char digest[65];
-        double wait = lmn_budget_take(&f->polls, 1, lmn_now());
+        double wait = lmn_token_bucket_take(&f->polls, 1, lmn_now());
         if (wait > 0)
             lmn_sleep(wait);
         /* Records are never freed once they are written, and descriptions never change.
@@ -303,7 +303,7 @@
         f.controllers[i] = lmn_http_new(g->o->controllers[i]);
     f.depot = lmn_http_new(g->o->depot);
     f.state = lmn_http_new(g->o->state);
-    lmn_budget_init(&f.polls, g->o->poll_rps, MAX(g->o->poll_rps, 1), lmn_now());
+    lmn_token_bucket_init(&f.polls, g->o->poll_rps, MAX(g->o->poll_rps, 1), lmn_now());
     for (;;) {
         feed(&f);
         pass(&f);
--- a/src/gateway/execution.c
+++ b/src/gateway/execution.c
@@ -272,7 +272,7 @@
         return false;
     }
     const struct lmn_g_reply *y = &r.lmn_g_response_u.reply;
-    bool late = lmn_since(lmn_now(), sent) > LMN_LATE_S;
+    bool late = lmn_time_diff_s(lmn_now(), sent) > LMN_LATE_S;
     GArray *writes = g_array_new(FALSE, TRUE, sizeof(struct lmn_write));
     for (u_int i = 0; i < y->heard.heard_len; i++)
         take_word(k, &y->heard.heard_val[i], false, writes);
@@ -297,7 +297,7 @@
         g->pulls++;
         g->empty_pulls += !y->offers.offers_len;
         g->poll_s = lmn_route_interval(g->poll_s, y->offers.offers_len > 0);
-        g->next_pull = lmn_after(lmn_now(), g->poll_s);
+        g->next_pull = lmn_time_add(lmn_now(), g->poll_s);
     }
     pthread_mutex_unlock(&g->book.lock);
     xdr_free((xdrproc_t)xdr_lmn_g_response, (char *)&r);
@@ -402,7 +402,8 @@
         lmn_sleep(0.05);
         pthread_mutex_lock(&g->book.lock);
         struct timespec now = lmn_now();
-        if (g->fenced || !g->o->npeers || lmn_before(now, g->next_pull) || !is_idle(g)) {
+        if (g->fenced || !g->o->npeers || lmn_time_before(now, g->next_pull) ||
+            !is_idle(g)) {
             pthread_mutex_unlock(&g->book.lock);
             continue;
         }
@@ -416,10 +417,10 @@
         if (busiest >= 0) {
             g->peers[busiest].pull = LMN_G_OFFERS;
             pthread_cond_signal(&g->peers[busiest].due);
-            g->next_pull = lmn_after(now, 1); /* until its answer says otherwise */
+            g->next_pull = lmn_time_add(now, 1); /* until its answer says otherwise */
         } else {
             g->poll_s = lmn_route_interval(g->poll_s, false);
-            g->next_pull = lmn_after(now, g->poll_s);
+            g->next_pull = lmn_time_add(now, g->poll_s);
         }
         pthread_mutex_unlock(&g->book.lock);
     }
--- a/src/gateway/gateway_process.c
+++ b/src/gateway/gateway_process.c
@@ -148,7 +148,7 @@
     pthread_mutex_lock(&g->book.lock);
     for (unsigned i = 0; i < g->o->npeers; i++) {
         struct lmn_gpeer *p = &g->peers[i];
-        double silent = lmn_since(lmn_now(), p->heard);
+        double silent = lmn_time_diff_s(lmn_now(), p->heard);
         if (!p->alarmed && silent > g->o->silent_s)
             lmn_error("peer-silent site=%s seconds=%.0f why=\"%s\"", g->o->peers[i].site,
                       silent, p->why);
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -51,7 +51,7 @@
     /* Where it is, and how old that knowledge is. */
     lmn_cbor_put_text(b, "Site"), lmn_cbor_put_text(b, away ? j->hand.site : g->o->site);
     lmn_cbor_put_text(b, "AgeS"),
-        lmn_cbor_put_number(b, final ? 0 : lmn_since(lmn_now(), j->progress.known));
+        lmn_cbor_put_number(b, final ? 0 : lmn_time_diff_s(lmn_now(), j->progress.known));
     lmn_cbor_put_text(b, "Course"), lmn_cbor_put_text(b, states[j->hand.state]);
     lmn_cbor_put_text(b, "Epoch"), lmn_cbor_put_uint(b, j->hand.epoch);
     lmn_cbor_put_text(b, "Cancel"), lmn_cbor_put_bool(b, j->hand.cancel);
@@ -364,7 +364,7 @@
         lmn_cbor_put_text(b, "Address"), lmn_cbor_put_text(b, g->o->addresses[i][0]);
         lmn_cbor_put_text(b, "Up"), lmn_cbor_put_bool(b, p->up);
         lmn_cbor_put_text(b, "SilentS"),
-            lmn_cbor_put_number(b, lmn_since(lmn_now(), p->heard));
+            lmn_cbor_put_number(b, lmn_time_diff_s(lmn_now(), p->heard));
         lmn_cbor_put_text(b, "Evicted");
         lmn_cbor_put_bool(b, lmn_book_is_evicted(&g->book, g->o->peers[i].site));
         lmn_cbor_put_text(b, "Alarm"), lmn_cbor_put_bool(b, p->alarmed);
@@ -395,7 +395,8 @@
                     "Since a peer spoke");
     for (unsigned i = 0; i < g->o->npeers; i++)
         lmn_metric_sample(out, "lemonspar_gateway_peer_silent_seconds", "site",
-                          g->o->peers[i].site, lmn_since(lmn_now(), g->peers[i].heard));
+                          g->o->peers[i].site,
+                          lmn_time_diff_s(lmn_now(), g->peers[i].heard));
     lmn_counter(out, "lemonspar_gateway_submitted", "Jobs accepted", g->submitted);
     lmn_counter(out, "lemonspar_gateway_cancelled", "Cancellations", g->cancelled);
     lmn_counter(out, "lemonspar_gateway_pulls", "Pulls answered", g->pulls);
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -113,7 +113,7 @@
     }
     GPtrArray *v = lmn_waiting(g);
     struct lmn_route_job *jobs = g_new(struct lmn_route_job, v->len + 1);
-    double wall = lmn_seconds(lmn_wall());
+    double wall = lmn_time_seconds(lmn_wall_clock_now());
     for (guint i = 0; i < v->len; i++)
         jobs[i] = seen(v->pdata[i], wall);
     double cpus, work_s;
@@ -152,9 +152,10 @@
         bool offered = j->hand.state == LMN_H_OFFERED, away = !offered;
         if (!lmn_home_is_at(&j->hand, a->site))
             continue;
-        GArray *to = offered && lmn_since(lmn_now(), j->offered) > RESOLVE_S ? resolve
-                     : away && (j->hand.cancel || j->hand.recall)            ? cancel
-                                                                             : NULL;
+        GArray *to = offered && lmn_time_diff_s(lmn_now(), j->offered) > RESOLVE_S
+                         ? resolve
+                     : away && (j->hand.cancel || j->hand.recall) ? cancel
+                                                                  : NULL;
         if (!to || to->len >= LMN_G_ITEMS)
             continue;
         struct lmn_g_item *i = lmn_item_add(to);
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -309,7 +309,8 @@
     while (!b->lead_rev) {
         b->lease = new_lease(h, in);
         struct timespec begun = lmn_now();
-        while (b->lease && !b->lead_rev && lmn_since(lmn_now(), begun) < TTL_S / 2) {
+        while (b->lease && !b->lead_rev &&
+               lmn_time_diff_s(lmn_now(), begun) < TTL_S / 2) {
             b->lead_rev = try_lead(h, gateway, b->lease, in);
             if (!b->lead_rev)
                 lmn_sleep(0.3);
@@ -373,7 +374,7 @@
     g_strlcpy(j->ref, spec->ref, sizeof j->ref);
     copy_spec(&j->spec, spec);
     j->busy = true;
-    j->at = lmn_seconds(lmn_wall());
+    j->at = lmn_time_seconds(lmn_wall_clock_now());
     j->progress.known = lmn_now();
     g_hash_table_insert(b->jobs, j->ref, j);
     sort_job(b, j);
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -245,7 +245,7 @@
     pthread_mutex_lock(&h->lock);
     while (h->waiting.head) {
         struct lmn_call *call = h->waiting.head->data;
-        if (lmn_since(now, call->since) < h->patience_s)
+        if (lmn_time_diff_s(now, call->since) < h->patience_s)
             break;
         set_answer(call, 503, CBOR, NULL, 1);
     }
--- a/src/image_store/image.c
+++ b/src/image_store/image.c
@@ -183,8 +183,9 @@
         if (rc == 0 && write(fd, piece->data, piece->len) != (ssize_t)piece->len)
             rc = wrong(f->e, to, strerror(errno));
         f->bytes += piece->len;
-        double ahead =
-            f->rate > 0 ? (double)f->bytes / f->rate - lmn_since(lmn_now(), f->begun) : 0;
+        double ahead = f->rate > 0 ? (double)f->bytes / f->rate -
+                                         lmn_time_diff_s(lmn_now(), f->begun)
+                                   : 0;
         if (rc == 0 && ahead > 0)
             lmn_sleep(ahead);
     }
--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -44,11 +44,11 @@
     pthread_cond_t more;
     GQueue queue[LMN_RANKS];
     double queued_changes[LMN_RANKS];
-    struct lmn_budget requests, writes;
-    struct lmn_budget lazy;     /* the part of writes that what can wait may use */
-    struct lmn_latency writing; /* from a transaction's sending to its answer */
-    struct lmn_flight flight;   /* of batches */
-    struct timespec hold;       /* after a 429: nothing goes out before */
+    struct lmn_token_bucket requests, writes;
+    struct lmn_token_bucket lazy; /* the part of writes that what can wait may use */
+    struct lmn_latency writing;   /* from a transaction's sending to its answer */
+    struct lmn_in_flight flight;  /* of batches */
+    struct timespec hold;         /* after a 429: nothing goes out before */
 };
 
 struct lmn_txn *lmn_txn_new(enum lmn_rank rank, lmn_txn_done *done, void *arg)
@@ -172,11 +172,11 @@
     for (int i = 0; i < LMN_RANKS; i++)
         g_queue_init(&s->queue[i]);
     /* Each member keeps to its part, a little less for the service's own clock. */
-    lmn_budget_init(&s->requests, cfg->state_rps * share * 0.95,
-                    MAX(cfg->state_rps * share * 0.5, 2), now);
-    lmn_budget_init(&s->writes, cfg->state_write_rps * share * 0.95,
-                    MAX(cfg->state_write_rps * share * 0.9, 4), now);
-    lmn_budget_init(&s->lazy, 0.5 * s->writes.rate, s->writes.burst, now);
+    lmn_token_bucket_init(&s->requests, cfg->state_rps * share * 0.95,
+                          MAX(cfg->state_rps * share * 0.5, 2), now);
+    lmn_token_bucket_init(&s->writes, cfg->state_write_rps * share * 0.95,
+                          MAX(cfg->state_write_rps * share * 0.9, 4), now);
+    lmn_token_bucket_init(&s->lazy, 0.5 * s->writes.rate, s->writes.burst, now);
     lmn_latency_init(&s->writing);
     s->hold = now;
     return s;
@@ -197,7 +197,7 @@
 {
     for (;;) {
         pthread_mutex_lock(&s->lock);
-        double wait = lmn_budget_take(&s->requests, 1, lmn_now());
+        double wait = lmn_token_bucket_take(&s->requests, 1, lmn_now());
         pthread_mutex_unlock(&s->lock);
         if (wait <= 0)
             return;
@@ -253,7 +253,7 @@
     pthread_mutex_lock(&s->lock);
     for (int i = 0; i <= (int)rank; i++)
         ahead += s->queued_changes[i];
-    lmn_budget_refill(&s->writes, lmn_now());
+    lmn_token_bucket_refill(&s->writes, lmn_now());
     wait = (ahead + reserve(s, rank) - s->writes.level) / s->writes.rate;
     pthread_mutex_unlock(&s->lock);
     return MAX(wait, 0);
@@ -264,11 +264,11 @@
     double spare;
 
     pthread_mutex_lock(&s->lock);
-    lmn_budget_refill(&s->writes, lmn_now());
+    lmn_token_bucket_refill(&s->writes, lmn_now());
     spare = s->writes.level - reserve(s, LMN_RANK_LAZY);
     for (int i = 0; i < LMN_RANKS; i++)
         spare -= s->queued_changes[i];
-    lmn_budget_refill(&s->lazy, lmn_now());
+    lmn_token_bucket_refill(&s->lazy, lmn_now());
     spare = MIN(spare, s->lazy.level);
     pthread_mutex_unlock(&s->lock);
     return MAX(spare, 0);
@@ -286,7 +286,7 @@
 {
     double wait = INFINITY;
 
-    lmn_budget_refill(&s->writes, now);
+    lmn_token_bucket_refill(&s->writes, now);
     for (int r = 0; r < LMN_RANKS; r++) {
         const struct lmn_txn *t = g_queue_peek_head(&s->queue[r]);
         if (!t)
@@ -299,8 +299,8 @@
                            s->writes.level) /
                               s->writes.rate);
     }
-    wait = MAX(wait, lmn_flight_wait(&s->flight, now));
-    return MAX(wait, lmn_since(s->hold, now));
+    wait = MAX(wait, lmn_in_flight_wait(&s->flight, now));
+    return MAX(wait, lmn_time_diff_s(s->hold, now));
 }
 
 static GByteArray *encode(struct lmn_txn **v, guint n)
@@ -379,7 +379,7 @@
     struct timespec sent = lmn_now();
     *status = lmn_http_call(h, "POST", P_TXN, body, timeout_s, answer);
     lmn_debug("state-write transactions=%u status=%d took=%.3f", n, *status,
-              lmn_since(lmn_now(), sent));
+              lmn_time_diff_s(lmn_now(), sent));
     enum lmn_outcome r = judge(*status, answer, revision, conflicts);
     g_byte_array_unref(body);
     g_byte_array_unref(answer);
@@ -458,7 +458,7 @@
     struct lmn_txn *t = NULL;
 
     pthread_mutex_lock(&s->lock);
-    lmn_budget_refill(&s->writes, lmn_now());
+    lmn_token_bucket_refill(&s->writes, lmn_now());
     gather(s, &t, 1);
     pthread_mutex_unlock(&s->lock);
     return t;
@@ -479,7 +479,7 @@
             lmn_cond_wait_for(&s->more, &s->lock, wait + 1e-3);
     }
     guint n = gather(s, v, max);
-    lmn_flight_begin(&s->flight, lmn_now());
+    lmn_in_flight_begin(&s->flight, lmn_now());
     pthread_mutex_unlock(&s->lock);
     return n;
 }
@@ -487,10 +487,10 @@
 static void batch_answered(struct lmn_state *s, struct timespec sent, int status)
 {
     pthread_mutex_lock(&s->lock);
-    lmn_flight_end(&s->flight);
-    lmn_latency_add(&s->writing, lmn_since(lmn_now(), sent));
+    lmn_in_flight_end(&s->flight);
+    lmn_latency_add(&s->writing, lmn_time_diff_s(lmn_now(), sent));
     if (status == 429)
-        s->hold = lmn_after(lmn_now(), 0.1 + g_random_double() * 0.2);
+        s->hold = lmn_time_add(lmn_now(), 0.1 + g_random_double() * 0.2);
     pthread_mutex_unlock(&s->lock);
 }
 
@@ -525,7 +525,7 @@
                 lmn_state_submit(s, v[i]);
             } else if (r == LMN_REFUSED && status == 400 && n > 1) {
                 send_alone(s, h, v[i]);
-            } else if (status == 429 && lmn_since(lmn_now(), v[i]->since) < 1.5) {
+            } else if (status == 429 && lmn_time_diff_s(lmn_now(), v[i]->since) < 1.5) {
                 lmn_state_submit(s, v[i]);
             } else {
                 lmn_txn_finish(v[i], r, revision);
--- a/src/kv_store/kv_store_internal.h
+++ b/src/kv_store/kv_store_internal.h
@@ -46,7 +46,7 @@
     struct lmn_db *db;
     struct lmn_db_reader *reader; /* the server thread's */
     struct lmn_httpd *server;
-    struct lmn_budget requests, writes; /* the server thread's */
+    struct lmn_token_bucket requests, writes; /* the server thread's */
 
     pthread_mutex_t lock; /* of what follows */
     pthread_cond_t more;
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -27,13 +27,13 @@
     return n >= 1 && n <= LMN_DB_KEY && !strchr(key, ' ');
 }
 
-static bool take(struct lmn_budget *b, double n)
+static bool take(struct lmn_token_bucket *b, double n)
 {
-    return b->rate <= 0 || lmn_budget_take(b, n, lmn_now()) <= 0;
+    return b->rate <= 0 || lmn_token_bucket_take(b, n, lmn_now()) <= 0;
 }
 
-static bool limited(struct lmn_store *s, struct lmn_call *call, struct lmn_budget *b,
-                    double n)
+static bool limited(struct lmn_store *s, struct lmn_call *call,
+                    struct lmn_token_bucket *b, double n)
 {
     if (take(b, n))
         return false;
@@ -259,7 +259,7 @@
     if (l && !l->ending) {
         there = true;
         if (renew)
-            l->until = lmn_after(lmn_now(), l->ttl_ms / 1000.0);
+            l->until = lmn_time_add(lmn_now(), l->ttl_ms / 1000.0);
         else
             l->ending = true;
     }
@@ -390,7 +390,7 @@
 
     l->id = id;
     l->ttl_ms = ttl_ms;
-    l->until = lmn_after(lmn_now(), ttl_ms / 1000.0);
+    l->until = lmn_time_add(lmn_now(), ttl_ms / 1000.0);
     g_hash_table_insert(s->leases, &l->id, l);
 }
 
@@ -416,8 +416,8 @@
     lmn_cond_init(&s->watch_more);
     s->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     lmn_latency_init(&s->committing);
-    lmn_budget_init(&s->requests, o->rps, MAX(o->rps, 1), now);
-    lmn_budget_init(&s->writes, o->write_rps, MAX(o->write_rps, 1), now);
+    lmn_token_bucket_init(&s->requests, o->rps, MAX(o->rps, 1), now);
+    lmn_token_bucket_init(&s->writes, o->write_rps, MAX(o->write_rps, 1), now);
     if (lmn_db_view(s->reader, &meta) != 0) {
         snprintf(err, len, "%s: can't be read", o->dir);
         return NULL;
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -114,7 +114,7 @@
     x->call = call;
     x->prefix = g_strdup(prefix ? prefix : "");
     x->scanned = meta.revision;
-    x->until = lmn_after(lmn_now(), (double)wait_ms / 1000);
+    x->until = lmn_time_add(lmn_now(), (double)wait_ms / 1000);
     lmn_call_hold(call);
     pthread_mutex_lock(&s->watch_lock);
     g_queue_push_tail(&s->waiters, x);
@@ -150,7 +150,7 @@
                                              (GDestroyNotify)g_byte_array_unref);
     for (GList *l = waiters->head, *next; l; l = next) {
         struct lmn_waiter *x = l->data;
-        bool over = !lmn_before(now, x->until);
+        bool over = !lmn_time_before(now, x->until);
         next = l->next;
         if (too_old(&meta, x->scanned)) {
             finish(x, 410, NULL);
@@ -192,7 +192,8 @@
             struct timespec now = lmn_now();
             wait = 5;
             for (GList *l = s->waiters.head; l; l = l->next)
-                wait = MIN(wait, lmn_since(((struct lmn_waiter *)l->data)->until, now));
+                wait = MIN(wait,
+                           lmn_time_diff_s(((struct lmn_waiter *)l->data)->until, now));
             if (wait <= 0 || (s->waiters.head && (s->behind || s->revision > served)))
                 break;
             lmn_cond_wait_for(&s->watch_more, &s->watch_lock, wait);
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -97,7 +97,7 @@
         struct lmn_store_lease *l = g_new0(struct lmn_store_lease, 1);
         l->id = op->lease;
         l->ttl_ms = op->ttl_ms;
-        l->until = lmn_after(now, op->ttl_ms / 1000.0);
+        l->until = lmn_time_add(now, op->ttl_ms / 1000.0);
         g_hash_table_insert(s->leases, &l->id, l);
     } else if (op->kind != LMN_OP_TXN) {
         g_hash_table_remove(s->leases, &op->lease);
@@ -185,10 +185,10 @@
     s->conflicts += conflicts;
     s->syncs++;
     s->largest = MAX(s->largest, ops->length);
-    lmn_latency_add(&s->committing, lmn_since(now, begun));
+    lmn_latency_add(&s->committing, lmn_time_diff_s(now, begun));
     pthread_mutex_unlock(&s->lock);
     lmn_debug("commit operations=%u revision=%" G_GUINT64_FORMAT " took=%.4f",
-              ops->length, rev, lmn_since(now, begun));
+              ops->length, rev, lmn_time_diff_s(now, begun));
     while ((op = g_queue_pop_head(ops))) {
         tell(op);
         lmn_op_free(op);
@@ -234,8 +234,8 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_store_lease *l = v;
         if (stalled && !l->ending)
-            l->until = lmn_after(now, l->ttl_ms / 1000.0);
-        if (l->ending || lmn_before(now, l->until))
+            l->until = lmn_time_add(now, l->ttl_ms / 1000.0);
+        if (l->ending || lmn_time_before(now, l->until))
             continue;
         struct lmn_op *op = g_new0(struct lmn_op, 1);
         op->kind = LMN_OP_EXPIRE;
@@ -257,9 +257,9 @@
     for (;;) {
         lmn_sleep(KEEPER_S);
         struct timespec now = lmn_now();
-        bool stalled = lmn_since(now, last) > STALL_S;
+        bool stalled = lmn_time_diff_s(now, last) > STALL_S;
         if (stalled)
-            lmn_info("stalled seconds=%.1f leases=renewed", lmn_since(now, last));
+            lmn_info("stalled seconds=%.1f leases=renewed", lmn_time_diff_s(now, last));
         last = now;
         expire(arg, now, stalled);
     }
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -20,13 +20,13 @@
 bool lmn_backoff_due(struct lmn_backoff *b, struct timespec now)
 {
     if (!b->next.tv_sec) {
-        bool good = b->started.tv_sec && lmn_since(now, b->started) > GOOD_S;
+        bool good = b->started.tv_sec && lmn_time_diff_s(now, b->started) > GOOD_S;
         b->deaths = good ? 1 : b->deaths + 1;
         b->wait_s =
             good || b->wait_s <= 0 ? FIRST_WAIT_S : MIN(2 * b->wait_s, LONGEST_WAIT_S);
-        b->next = lmn_after(now, b->wait_s);
+        b->next = lmn_time_add(now, b->wait_s);
     }
-    return !lmn_before(now, b->next);
+    return !lmn_time_before(now, b->next);
 }
 
 void lmn_local_read(struct lmn_config *c, struct lmn_local_options *o)
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -13,7 +13,7 @@
 struct front {
     const struct lmn_cloud_ops *ops;
     void *arg;
-    struct lmn_budget budget; /* the server thread's */
+    struct lmn_token_bucket budget; /* the server thread's */
     uint64_t requests, limited;
     pthread_mutex_t lock; /* of calls */
     pthread_cond_t more;
@@ -226,7 +226,7 @@
         return;
     }
     f->requests++;
-    if (f->budget.rate > 0 && lmn_budget_take(&f->budget, 1, lmn_now()) > 0) {
+    if (f->budget.rate > 0 && lmn_token_bucket_take(&f->budget, 1, lmn_now()) > 0) {
         f->limited++;
         lmn_call_answer(call, 429, NULL, 1);
     } else if (waits) {
@@ -254,7 +254,7 @@
 
     f->ops = ops;
     f->arg = arg;
-    lmn_budget_init(&f->budget, rps, MAX(2 * rps, 1), lmn_now());
+    lmn_token_bucket_init(&f->budget, rps, MAX(2 * rps, 1), lmn_now());
     pthread_mutex_init(&f->lock, NULL);
     lmn_cond_init(&f->more);
     for (int i = 0; i < HANDS; i++)
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -110,7 +110,8 @@
             memset(&backoff, 0, sizeof backoff);
             continue; /* says so with the next question */
         }
-        bool young = backoff.started.tv_sec && lmn_since(lmn_now(), backoff.started) < 2;
+        bool young =
+            backoff.started.tv_sec && lmn_time_diff_s(lmn_now(), backoff.started) < 2;
         if (*as.machine && !up && !young &&
             (!*holds || lmn_backoff_due(&backoff, lmn_now()))) {
             lmn_backoff_started(&backoff, lmn_now());
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -212,7 +212,7 @@
     const struct seen *seen = g_hash_table_lookup(s->slots, slot->name);
     const char *search[2] = {slot->name, NULL};
 
-    if (!seen || *seen->holds || lmn_since(now, seen->when) > SLOT_SEEN_S)
+    if (!seen || *seen->holds || lmn_time_diff_s(now, seen->when) > SLOT_SEEN_S)
         return false;
     g_tree_foreach(s->machines, holds_slot, search);
     return !search[1];
@@ -228,7 +228,7 @@
     g_strlcpy(m->slot, slot, sizeof m->slot);
     m->type = type;
     m->spot = q->spot;
-    m->at = lmn_seconds(lmn_wall());
+    m->at = lmn_time_seconds(lmn_wall_clock_now());
     return m;
 }
 
@@ -268,7 +268,7 @@
 
     write_begin(&w);
     lmn_cbor_put_array(names, 1 + got->len);
-    lmn_cbor_put_number(names, lmn_seconds(lmn_wall()));
+    lmn_cbor_put_number(names, lmn_time_seconds(lmn_wall_clock_now()));
     for (guint i = 0; i < got->len; i++) {
         const struct machine *m = got->pdata[i];
         lmn_cbor_put_text(names, m->name);
@@ -331,7 +331,7 @@
  * answer that told it to be the machine. */
 static bool slot_gone(struct lmn_static *s, const char *slot, const char *machine)
 {
-    struct timespec end = lmn_after(lmn_now(), END_S);
+    struct timespec end = lmn_time_add(lmn_now(), END_S);
     bool gone = false;
 
     pthread_mutex_lock(&s->lock);
@@ -340,7 +340,7 @@
     for (;;) {
         const struct seen *seen = g_hash_table_lookup(s->slots, slot);
         gone = seen && seen->said > said && strcmp(seen->holds, machine);
-        if (gone || lmn_before(end, lmn_now()))
+        if (gone || lmn_time_before(end, lmn_now()))
             break;
         lmn_cond_wait_for(&s->slot_said, &s->lock, 0.5);
     }
@@ -438,7 +438,7 @@
                  bool (*each)(void *to, const struct lmn_rented *m), void *to)
 {
     struct lmn_static *s = arg;
-    struct look l = {s, after, each, to, lmn_seconds(lmn_wall())};
+    struct look l = {s, after, each, to, lmn_time_seconds(lmn_wall_clock_now())};
 
     pthread_mutex_lock(&s->lock);
     g_tree_foreach(s->machines, look_at, &l);
@@ -584,8 +584,8 @@
         m->up = up;
         g_strlcpy(m->addr, addr, sizeof m->addr);
         /* Just started, it needs a moment to take its lock. */
-        bool young =
-            m->backoff.started.tv_sec && lmn_since(lmn_now(), m->backoff.started) < 2;
+        bool young = m->backoff.started.tv_sec &&
+                     lmn_time_diff_s(lmn_now(), m->backoff.started) < 2;
         due = !up && !young && lmn_backoff_due(&m->backoff, lmn_now());
     }
     pthread_mutex_unlock(&s->lock);
@@ -621,7 +621,7 @@
         return true;
     lmn_cbor_get_number(lmn_cbor_first_child(&d, lmn_cbor_root(&d)), &at);
     lmn_cbor_free(&d);
-    if (lmn_seconds(lmn_wall()) - at > REQUEST_KEPT_S)
+    if (lmn_time_seconds(lmn_wall_clock_now()) - at > REQUEST_KEPT_S)
         g_ptr_array_add(keys, g_strdup(i->key));
     return true;
 }
--- a/src/membership/failure_detector.c
+++ b/src/membership/failure_detector.c
@@ -37,7 +37,7 @@
                          const struct lmn_witness *w, struct timespec now,
                          struct lmn_evidence *e)
 {
-    double age = lmn_since(now, w->at);
+    double age = lmn_time_diff_s(now, w->at);
 
     if (!w->at.tv_sec || age > TELLING_S)
         return;
@@ -47,7 +47,7 @@
          * asks about it. */
         double heard = w->s.heard_s + age;
         e->alive = e->alive || (w->s.heard_s >= 0 && m->unanswered.tv_sec &&
-                                heard < lmn_since(now, m->unanswered) &&
+                                heard < lmn_time_diff_s(now, m->unanswered) &&
                                 heard < ms->t.patience_s + 2 * ms->t.every_s);
         return;
     }
@@ -64,13 +64,13 @@
 
     memset(e, 0, sizeof *e);
     if (m->unanswered.tv_sec && m->ever)
-        e->asked = lmn_accrual_phi(&m->answers,
-                                   lmn_since(now, m->unanswered) / (1 + ms->health));
+        e->asked = lmn_accrual_phi(&m->answers, lmn_time_diff_s(now, m->unanswered) /
+                                                    (1 + ms->health));
     e->visitors = lmn_member_visitors(ms, rank, now);
     for (int k = 0; k < ms->n; k++)
         if (k != rank && k != ms->me)
             hear_witness(ms, m, &m->witness[k], now, e);
-    double age = lmn_since(now, m->word_at);
+    double age = lmn_time_diff_s(now, m->word_at);
     if (m->word_at.tv_sec && age < TELLING_S) {
         e->stale_s = m->word.stale_s;
         e->deaf = m->word.deaf;
@@ -78,9 +78,9 @@
     bool asked = e->asked >= AGAINST_PHI && !e->alive;
     /* Its mirror has stood still while ours moved all the time: when an outage ends, some
      * hear of it a moment before others. */
-    if (!asked && e->stale_s > BLIND_S && lmn_since(now, m->inc_at) > BLIND_S &&
-        lmn_since(now, ms->steady) > e->stale_s + age &&
-        lmn_since(now, ms->fresh) < SEEING_S) {
+    if (!asked && e->stale_s > BLIND_S && lmn_time_diff_s(now, m->inc_at) > BLIND_S &&
+        lmn_time_diff_s(now, ms->steady) > e->stale_s + age &&
+        lmn_time_diff_s(now, ms->fresh) < SEEING_S) {
         e->cause = LMN_BLIND;
         e->sides = 2; /* its own word, and our mirror */
     } else if (!asked && deaf(e, m)) {
@@ -104,7 +104,7 @@
 static bool refuted_lately(const struct lmn_members *ms, const struct lmn_peer_view *m,
                            struct timespec now)
 {
-    double since = lmn_since(now, m->refuted);
+    double since = lmn_time_diff_s(now, m->refuted);
     unsigned n = m->refutes - MIN(m->refutes, (unsigned)(since / FORGIVE_S));
 
     return m->refuted.tv_sec && n &&
@@ -133,8 +133,8 @@
     /* Another has had the time to say that it hears it, if there is one to ask. */
     return e->sides >= 1 &&
            (!others_to_ask(ms, rank) || e->by ||
-            lmn_before(m->unanswered, m->helped_at) ||
-            lmn_since(now, m->unanswered) > ms->t.patience_s + 2 * ms->t.every_s);
+            lmn_time_before(m->unanswered, m->helped_at) ||
+            lmn_time_diff_s(now, m->unanswered) > ms->t.patience_s + 2 * ms->t.every_s);
 }
 
 /* So many verdicts at a time as leave a majority of those that were up: if most seem
@@ -148,7 +148,7 @@
     for (int i = 0; i < ms->n; i++) {
         const struct lmn_peer_view *o = &ms->v[i];
         if (i == ms->me || !o->ever ||
-            (!o->present && lmn_since(now, o->since) > LATELY_S))
+            (!o->present && lmn_time_diff_s(now, o->since) > LATELY_S))
             continue;
         up++;
         /* Itself is counted below: once a first partition of it was taken it counted
@@ -170,7 +170,7 @@
     double stands = ms->t.doubt_s * (1 + ms->health) * (ms->n <= 2 ? 2 : 1) +
                     MIN(2 * m->word.behind_s, ms->t.lease_s);
     return e.sides >= (ms->n <= 2 ? 1u : 2u) &&
-           lmn_since(ms->fresh, m->doubted) >= stands && in_bounds(ms, m, &e, now);
+           lmn_time_diff_s(ms->fresh, m->doubted) >= stands && in_bounds(ms, m, &e, now);
 }
 
 bool lmn_member_trusted(const struct lmn_members *ms, int rank, struct timespec now)
@@ -191,14 +191,15 @@
 double lmn_member_back_s(const struct lmn_members *ms, int rank, struct timespec now)
 {
     const struct lmn_peer_view *m = &ms->v[rank];
-    unsigned forgiven =
-        m->struck.tv_sec ? (unsigned)(lmn_since(now, m->struck) / FORGIVE_S) : m->strikes;
+    unsigned forgiven = m->struck.tv_sec
+                            ? (unsigned)(lmn_time_diff_s(now, m->struck) / FORGIVE_S)
+                            : m->strikes;
     unsigned n = m->strikes - MIN(m->strikes, forgiven);
     double least = BACK_S * (double)(1u << (n ? n - 1 : 0));
-    double up = lmn_since(now, m->since);
+    double up = lmn_time_diff_s(now, m->since);
 
     if (m->struck.tv_sec)
-        up = MIN(up, lmn_since(now, m->struck));
+        up = MIN(up, lmn_time_diff_s(now, m->struck));
     return MAX(least - up, 0);
 }
 
@@ -206,8 +207,9 @@
 
 bool lmn_self_fit(const struct lmn_members *ms, struct timespec now)
 {
-    return ms->synced.tv_sec && lmn_since(now, ms->synced) >= SETTLE_S &&
-           lmn_self_awake(ms, now) && !ms->shut && lmn_since(now, ms->fresh) < BLIND_S;
+    return ms->synced.tv_sec && lmn_time_diff_s(now, ms->synced) >= SETTLE_S &&
+           lmn_self_awake(ms, now) && !ms->shut &&
+           lmn_time_diff_s(now, ms->fresh) < BLIND_S;
 }
 
 bool lmn_self_refutes(const struct lmn_members *ms, struct timespec now)
@@ -228,7 +230,7 @@
         return -1;
     for (int k = 0; k < ms->n; k++) {
         const struct lmn_witness *w = &m->witness[k];
-        if (k == ms->me || !w->at.tv_sec || lmn_since(now, w->at) > TELLING_S ||
+        if (k == ms->me || !w->at.tv_sec || lmn_time_diff_s(now, w->at) > TELLING_S ||
             w->s.visitors < enough(m) || !lmn_member_trusted(ms, k, now))
             continue;
         if (w->s.visitors > most) {
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -65,7 +65,7 @@
 
 static bool jumped(const struct lmn_members *ms, struct timespec now)
 {
-    double gap = ms->tick.tv_sec ? lmn_since(now, ms->tick) : 0;
+    double gap = ms->tick.tv_sec ? lmn_time_diff_s(now, ms->tick) : 0;
 
     /* A node that is always late has not stood still. */
     return gap > ms->t.jump_s && gap > 4 * ms->late_s;
@@ -85,7 +85,7 @@
 {
     if (!ms->synced.tv_sec)
         ms->synced = asked;
-    if (lmn_since(asked, ms->fresh) > GAP_S) {
+    if (lmn_time_diff_s(asked, ms->fresh) > GAP_S) {
         ms->steady = asked;
         for (int i = 0; i < ms->n; i++)
             ms->v[i].doubted = asked;
@@ -95,7 +95,7 @@
 
 bool lmn_self_awake(const struct lmn_members *ms, struct timespec now)
 {
-    return !jumped(ms, now) && !(ms->woke.tv_sec && lmn_before(ms->fresh, ms->woke));
+    return !jumped(ms, now) && !(ms->woke.tv_sec && lmn_time_before(ms->fresh, ms->woke));
 }
 
 void lmn_members_reached(struct lmn_members *ms, struct timespec now)
@@ -161,7 +161,7 @@
      * such a member never got its partition back. */
     m->judged = m->judged || lmn_member_doubted(ms, rank);
     /* All its partitions at once are one failure. */
-    if (m->struck.tv_sec && lmn_since(now, m->struck) < ms->t.lease_s)
+    if (m->struck.tv_sec && lmn_time_diff_s(now, m->struck) < ms->t.lease_s)
         return;
     m->strikes = MIN(m->strikes + 1, 6u);
     m->struck = now;
@@ -175,10 +175,10 @@
     struct lmn_peer_view *m = &ms->v[rank];
 
     m->ever = true;
-    if (lmn_before(m->heard, lived))
+    if (lmn_time_before(m->heard, lived))
         m->heard = lived;
     /* What was asked later is still open. */
-    if (!lmn_before(lived, m->unanswered)) {
+    if (!lmn_time_before(lived, m->unanswered)) {
         m->unanswered = (struct timespec){0, 0};
         m->failures = 0;
         m->excused = false;
@@ -196,7 +196,7 @@
 void lmn_member_answered(struct lmn_members *ms, int rank, const struct lmn_word *w,
                          struct timespec sent, struct timespec now)
 {
-    lmn_accrual_add(&ms->v[rank].answers, lmn_since(now, sent));
+    lmn_accrual_add(&ms->v[rank].answers, lmn_time_diff_s(now, sent));
     hear(ms, rank, w, sent, now);
     ms->v[rank].soon = false;
     if (ms->health)
@@ -209,7 +209,7 @@
     struct lmn_peer_view *m = &ms->v[rank];
 
     ms->count.unanswered++;
-    if (lmn_before(sent, m->heard))
+    if (lmn_time_before(sent, m->heard))
         return; /* it was heard by other ways meanwhile */
     if (!m->unanswered.tv_sec) {
         m->unanswered = sent;
@@ -219,7 +219,7 @@
     m->failures++;
     /* Again at once, but a member that is gone for long must not take all the time. */
     m->soon = true;
-    m->next = lmn_after(now, ms->t.every_s * MIN(m->failures, 8u) / 2);
+    m->next = lmn_time_add(now, ms->t.every_s * MIN(m->failures, 8u) / 2);
 }
 
 void lmn_member_told(struct lmn_members *ms, int by, const struct lmn_statement *s,
@@ -235,7 +235,7 @@
     m->helped_at = now;
     /* The other hears it, this node does not: its own ears may be at fault. */
     if (m->unanswered.tv_sec && s->heard_s >= 0 && s->unanswered_s <= 0 &&
-        s->heard_s < lmn_since(now, m->unanswered) && !m->excused) {
+        s->heard_s < lmn_time_diff_s(now, m->unanswered) && !m->excused) {
         m->excused = true;
         ms->health = MIN(ms->health + 1, (unsigned)WORST);
     }
@@ -248,7 +248,7 @@
     struct lmn_peer_view *m = &ms->v[rank];
 
     if (rank == ms->me || m->unanswered.tv_sec || m->soon ||
-        (m->ever && lmn_since(now, m->heard) < ms->t.every_s / 2))
+        (m->ever && lmn_time_diff_s(now, m->heard) < ms->t.every_s / 2))
         return;
     m->soon = true;
     m->next = now;
@@ -269,7 +269,7 @@
             at = i;
             break;
         }
-        if (lmn_before(m->visitors[i].at, m->visitors[at].at))
+        if (lmn_time_before(m->visitors[i].at, m->visitors[at].at))
             at = i;
     }
     m->visitors[at].who = who;
--- a/src/membership/probe_schedule.c
+++ b/src/membership/probe_schedule.c
@@ -33,7 +33,7 @@
     const struct lmn_peer_view *m = &ms->v[rank];
 
     return rank != ms->me && m->present && m->unanswered.tv_sec && !m->judged &&
-           !lmn_before(now, m->help);
+           !lmn_time_before(now, m->help);
 }
 
 static int helper(const struct lmn_members *ms, int about, GRand *rng)
@@ -55,7 +55,7 @@
     for (int k = 0; k < ms->n; k++) {
         int i = (ms->turn + k) % ms->n;
         struct lmn_peer_view *m = &ms->v[i];
-        if (i == ms->me || !m->soon || !m->present || lmn_before(now, m->next))
+        if (i == ms->me || !m->soon || !m->present || lmn_time_before(now, m->next))
             continue;
         m->soon = false;
         return ask(ms, i, -1, q);
@@ -75,7 +75,7 @@
         int h = helper(ms, i, rng);
         if (++m->helped >= MIN(HELPERS, (unsigned)MAX(ms->n - 2, 0)) || h < 0) {
             m->helped = 0;
-            m->help = lmn_after(now, ms->t.every_s / 2);
+            m->help = lmn_time_add(now, ms->t.every_s / 2);
         }
         if (h >= 0)
             return ask(ms, h, i, q);
@@ -116,19 +116,19 @@
 bool lmn_member_question(struct lmn_members *ms, GRand *rng, struct timespec now,
                          struct lmn_question *q, double *wait)
 {
-    if (!lmn_before(now, ms->beyond)) {
+    if (!lmn_time_before(now, ms->beyond)) {
         /* Four to an interval at most, whatever is the matter. */
         if (beyond_the_round(ms, rng, now, q)) {
-            ms->beyond = lmn_after(now, ms->t.every_s / 4);
+            ms->beyond = lmn_time_add(now, ms->t.every_s / 4);
             return true;
         }
     }
-    if (!lmn_before(now, ms->next)) {
-        ms->next = lmn_after(now, ms->t.every_s);
+    if (!lmn_time_before(now, ms->next)) {
+        ms->next = lmn_time_add(now, ms->t.every_s);
         if (of_the_round(ms, rng, q))
             return true;
     }
-    *wait = CLAMP(lmn_since(ms->next, now), 0.01, ms->t.every_s / 4);
+    *wait = CLAMP(lmn_time_diff_s(ms->next, now), 0.01, ms->t.every_s / 4);
     return false;
 }
 
@@ -140,7 +140,7 @@
     /* A worker comes back at its next report at the latest. */
     for (guint i = 0; i < LMN_VISITORS; i++)
         n += m->visitors[i].at.tv_sec &&
-             lmn_since(now, m->visitors[i].at) < ms->t.overdue_s + 5;
+             lmn_time_diff_s(now, m->visitors[i].at) < ms->t.overdue_s + 5;
     return n;
 }
 
@@ -152,8 +152,8 @@
     *s = (struct lmn_statement){
         .of = of,
         .inc = m->inc,
-        .heard_s = m->ever ? lmn_since(now, m->heard) : -1,
-        .unanswered_s = m->unanswered.tv_sec ? lmn_since(now, m->unanswered) : 0,
+        .heard_s = m->ever ? lmn_time_diff_s(now, m->heard) : -1,
+        .unanswered_s = m->unanswered.tv_sec ? lmn_time_diff_s(now, m->unanswered) : 0,
         .visitors = lmn_member_visitors(ms, of, now),
     };
 }
--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -170,7 +170,7 @@
     }
     /* One whose tasks fail at once has room at once: it would empty healthy queues into
      * failures. */
-    m->hold = lmn_after(now, lmn_machine_pause(sum));
+    m->hold = lmn_time_add(now, lmn_machine_pause(sum));
     if (lmn_machine_faulty(sum) && !m->retiring) {
         c->count.faulty++;
         lmn_info("machine-accused machine=%s jobs=%u weight=%.2f", m->name,
@@ -211,7 +211,7 @@
     if (a->done) {
         lmn_debug("task-done task=%s/%u attempt=%" G_GUINT64_FORMAT
                   " machine=%s after=%.1f",
-                  a->ref, a->index, a->number, m->name, lmn_since(now, a->since));
+                  a->ref, a->index, a->number, m->name, lmn_time_diff_s(now, a->since));
         g_array_set_size(m->accusers, 0);
         if (a->job) {
             bool was = lmn_job_accused(&a->job->failures);
@@ -283,7 +283,8 @@
             if (x.state == LMN_A_RUNNING && a->state != x.state)
                 lmn_debug("task-run task=%s/%u attempt=%" G_GUINT64_FORMAT
                           " machine=%s after=%.1f",
-                          a->ref, a->index, a->number, m->name, lmn_since(now, a->since));
+                          a->ref, a->index, a->number, m->name,
+                          lmn_time_diff_s(now, a->since));
             a->state = x.state;
         }
     }
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -54,7 +54,7 @@
 void lmn_machine_unheeding(struct lmn_core *c, struct lmn_machine *m, struct timespec now)
 {
     m->unheeded++;
-    m->hold = lmn_after(now, (double)(1u << MIN(m->unheeded, 4u)));
+    m->hold = lmn_time_add(now, (double)(1u << MIN(m->unheeded, 4u)));
     if (m->unheeded > 1)
         return;
     lmn_info("machine-unheeding machine=%s partition=%d", m->name, m->part->id);
@@ -145,7 +145,7 @@
             commands++;
         } else if (m->noticed && a->state == LMN_A_RUNNING &&
                    a->job->spec.checkpoint_s > 0 && !a->killed) {
-            double left = m->notice_s - lmn_since(now, m->noticed_at);
+            double left = m->notice_s - lmn_time_diff_s(now, m->noticed_at);
             if (left < a->job->spec.save_s + 2 * c->cfg->report_s + 1) {
                 lmn_command(out, W_KILL, a, a->job->spec.save_s + 1);
                 commands++;
@@ -186,7 +186,7 @@
     /* If all others hang, it is back after so long, and must not have lost its lease. */
     double round = (WORKER_WAITS_S + 1) * (c->members.n - 1) + 2 * c->cfg->report_s;
 
-    if (!c->isolated.tv_sec || !lmn_before(m->sent_on, c->isolated) ||
+    if (!c->isolated.tv_sec || !lmn_time_before(m->sent_on, c->isolated) ||
         round > 0.8 * c->cfg->lease_s)
         return false;
     m->sent_on = now;
@@ -331,7 +331,7 @@
                      struct timespec now)
 {
     c->count.malformed++;
-    if (c->complained.tv_sec && lmn_since(now, c->complained) < 10)
+    if (c->complained.tv_sec && lmn_time_diff_s(now, c->complained) < 10)
         return;
     c->complained = now;
     lmn_error("report-malformed machine=%.32s what=\"%s\" so-far=%" G_GUINT64_FORMAT,
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -149,7 +149,7 @@
     /* After a success it is the mirror that ends the write. */
     if (outcome != LMN_OK) {
         b->writing = false;
-        b->retry = lmn_after(lmn_now(), 0.3);
+        b->retry = lmn_time_add(lmn_now(), 0.3);
     }
     pthread_mutex_unlock(&w->c->lock);
     g_free(w);
@@ -203,14 +203,14 @@
     for (guint i = 0; i < p->blocks->len; i++) {
         struct lmn_block *b = p->blocks->pdata[i];
         guint add = 0, drop = 0;
-        if (!b || b->writing || lmn_before(now, b->retry))
+        if (!b || b->writing || lmn_time_before(now, b->retry))
             continue;
         for (guint k = 0; k < b->machines->len; k++) {
             const struct lmn_machine *m = b->machines->pdata[k];
             add += !m->rev && !m->is_gone;
             drop += m->rev && m->is_gone;
         }
-        double since = lmn_since(now, b->written);
+        double since = lmn_time_diff_s(now, b->written);
         if (!(add && since >= ADD_S) && !(drop && lazy && since >= DROP_S))
             continue;
         b->written = now;
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -44,14 +44,15 @@
 {
     struct timespec woke = c->members.woke;
 
-    return lmn_before(c->refused_until, woke) ? woke : c->refused_until;
+    return lmn_time_before(c->refused_until, woke) ? woke : c->refused_until;
 }
 
 /* Whether this node has answered reports for so long that each worker which reaches it
  * has had the time to report here again. */
 static bool has_listened(const struct lmn_core *c, struct timespec now)
 {
-    return lmn_since(now, listening_since(c)) > c->members.t.overdue_s + LATE_BACK_S;
+    return lmn_time_diff_s(now, listening_since(c)) >
+           c->members.t.overdue_s + LATE_BACK_S;
 }
 
 /* Its link is in doubt: neither a report came nor, where it may just not have come back
@@ -131,7 +132,7 @@
                       struct timespec now)
 {
     /* Right after a takeover nobody has been heard yet. */
-    if (lmn_since(now, p->since) < HEARD_S)
+    if (lmn_time_diff_s(now, p->since) < HEARD_S)
         return;
     for (guint i = 1; i < a->len; i++) {
         const struct silence *s = &g_array_index(a, struct silence, i);
@@ -146,10 +147,10 @@
             g_array_append_val(p->cuts, new);
             cut = &g_array_index(p->cuts, struct lmn_cut, p->cuts->len - 1);
         }
-        if (lmn_before(cut->until, now))
+        if (lmn_time_before(cut->until, now))
             lmn_info("zone-silent partition=%d zone=%s silent=%u of=%u", p->id, s->zone,
                      s->silent, s->all);
-        cut->until = lmn_after(now, c->cfg->report_s + 10);
+        cut->until = lmn_time_add(now, c->cfg->report_s + 10);
     }
 }
 
@@ -158,7 +159,7 @@
     for (guint i = 0; i < p->cuts->len; i++) {
         const struct lmn_cut *cut = &g_array_index(p->cuts, struct lmn_cut, i);
         if (!strcmp(cut->zone, zone))
-            return lmn_before(now, cut->until);
+            return lmn_time_before(now, cut->until);
     }
     return false;
 }
@@ -171,7 +172,8 @@
 {
     const struct lmn_settings *cfg = c->cfg;
     struct lmn_partition *p = m->part;
-    double silent = m->heard ? lmn_since(now, m->last) : lmn_since(now, p->since);
+    double silent =
+        m->heard ? lmn_time_diff_s(now, m->last) : lmn_time_diff_s(now, p->since);
 
     if (m->is_gone)
         return;
@@ -184,7 +186,7 @@
      * started their tasks once more on those of its own zone. */
     double lapse = cfg->lease_s * 1.002 + 1.5;
     if (m->accounted && !m->lapsed && silent > lapse &&
-        lmn_since(c->fresh, m->last) > lapse) {
+        lmn_time_diff_s(c->fresh, m->last) > lapse) {
         m->lapsed = true;
         lmn_info("machine-lapsed machine=%s partition=%d tasks=%u", m->name, p->id,
                  busy(m));
@@ -201,9 +203,9 @@
         lmn_machine_retire(c, m, true, "silent and unreachable", now);
     if (m->lapsed &&
         silent > cfg->lease_s + LAPSED_BACK_S + (few && cut ? cfg->cancel_s : 0) &&
-        lmn_since(now, listening_since(c)) > LAPSED_BACK_S)
+        lmn_time_diff_s(now, listening_since(c)) > LAPSED_BACK_S)
         lmn_machine_retire(c, m, true, "silent", now);
-    if (m->noticed && lmn_since(now, m->noticed_at) > m->notice_s + 0.5)
+    if (m->noticed && lmn_time_diff_s(now, m->noticed_at) > m->notice_s + 0.5)
         lmn_machine_retire(c, m, true, "taken by the cloud", now);
     /* Neither its worker's reports nor our own questions got through. If that goes for
      * most of them, the fault is more likely on this side: then the leases have to run
@@ -217,7 +219,7 @@
      * machine that does not hear us. Once each of them put the return off, and the
      * partition's inherited work waited for as long as they came. One that was heard has
      * had an answer, and the time for another report. */
-    double waited = lmn_since(now, m->inherited ? p->since : m->first);
+    double waited = lmn_time_diff_s(now, m->inherited ? p->since : m->first);
     if (m->heard)
         patience = MAX(patience, 1.25 * cfg->report_s + 4);
     if (m->inherited && !m->accounted && waited > patience &&
@@ -231,8 +233,8 @@
     /* While a partition's inherited work has to wait, its machines are idle for that
      * alone. */
     if (m->accounted && !m->retiring && m->idle.tv_sec && p->ready &&
-        lmn_since(now, m->idle) > c->tuning.idle_return_s &&
-        lmn_since(now, p->ready_at) > c->tuning.idle_return_s && !m->queue.tasks)
+        lmn_time_diff_s(now, m->idle) > c->tuning.idle_return_s &&
+        lmn_time_diff_s(now, p->ready_at) > c->tuning.idle_return_s && !m->queue.tasks)
         lmn_machine_retire(c, m, false, "idle", now);
 }
 
@@ -291,8 +293,8 @@
                 continue;
             all++;
             /* Nor is one in command of whoever does not hear it. */
-            overdue += m->unheeded > 1 ||
-                       (listened && lmn_since(now, m->last) > c->members.t.overdue_s);
+            overdue += m->unheeded > 1 || (listened && lmn_time_diff_s(now, m->last) >
+                                                           c->members.t.overdue_s);
         }
     }
     c->members.word.deaf = c->members.shut ? 1 : all > 2 ? overdue / (double)all : 0;
@@ -317,14 +319,15 @@
 
 void lmn_upkeep(struct lmn_core *c, struct timespec now)
 {
-    bool due = lmn_since(now, c->audited) > 5.0;
+    bool due = lmn_time_diff_s(now, c->audited) > 5.0;
     guint machines = 0;
 
     for (int i = 0; i < c->nparts; i++)
         machines += c->parts[i].mine ? c->parts[i].list->len : 0;
     /* A look at each takes as long as there are machines; what it finds has waited for
      * seconds already. */
-    if (machines > FEW && lmn_since(now, c->kept_up) < MIN(machines * EACH_S, LONGEST_S))
+    if (machines > FEW &&
+        lmn_time_diff_s(now, c->kept_up) < MIN(machines * EACH_S, LONGEST_S))
         return;
     c->kept_up = now;
     if (lmn_too_stale(c, now) || !lmn_self_awake(&c->members, now))
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -114,7 +114,7 @@
 {
     if (!lease || lmn_holder_known(c, lease) ||
         (c->announced_lease == lease && c->announced_leaving == c->leaving &&
-         lmn_since(now, c->announced) < AGAIN_S))
+         lmn_time_diff_s(now, c->announced) < AGAIN_S))
         return NULL;
     c->announced_lease = lease;
     c->announced_leaving = c->leaving;
@@ -183,7 +183,7 @@
                      lmn_member_name(ms, named));
             return lmn_partition_handover(c, p, named);
         }
-        if (named >= 0 && named != ms->me && lmn_since(now, c->synced_at) < HEAR_S)
+        if (named >= 0 && named != ms->me && lmn_time_diff_s(now, c->synced_at) < HEAR_S)
             return NULL;
     }
     int judged = p->owner_rev ? lmn_member_rank(ms, p->owner) : -1;
@@ -195,7 +195,7 @@
                  "workers=%u suspected=%.2f",
                  p->owner, ms->v[judged].inc, id, lmn_cause_name(e.cause), e.sides,
                  e.asked, e.others, e.by, e.visitors,
-                 lmn_since(now, ms->v[judged].doubted));
+                 lmn_time_diff_s(now, ms->v[judged].doubted));
     }
     return lmn_partition_claim(c, p, lease);
 }
@@ -223,12 +223,12 @@
     }
     if (!p->ready || held < 2 || theirs || holder == ms->me ||
         !lmn_member_trusted(ms, holder, now) || lmn_member_back_s(ms, holder, now) > 0 ||
-        lmn_since(now, p->since) < 15.0)
+        lmn_time_diff_s(now, p->since) < 15.0)
         return -1;
     /* It is told everything first, so that nothing stands still; if that does not come
      * about, it gets its work all the same. */
     if (c->tuning.standby > 0 && lmn_standby_named(c, p, now) != holder &&
-        lmn_since(now, p->since) < LATEST_BACK_S)
+        lmn_time_diff_s(now, p->since) < LATEST_BACK_S)
         return -1;
     return holder;
 }
@@ -240,7 +240,7 @@
     struct lmn_members *ms = &c->members;
 
     /* One whose outcome was not known, and that the mirror has not shown since. */
-    if (p->mine && p->releasing && lmn_before(p->released, c->fresh))
+    if (p->mine && p->releasing && lmn_time_before(p->released, c->fresh))
         p->releasing = false;
     *successor = p->releasing ? -1 : gives(c, p, now);
     if (*successor < 0)
@@ -307,7 +307,7 @@
     pthread_mutex_lock(&c->lock);
     c->lease = 0;
     c->left = true;
-    lmn_info("leave-given after=%.2f", lmn_since(lmn_now(), c->leave_at));
+    lmn_info("leave-given after=%.2f", lmn_time_diff_s(lmn_now(), c->leave_at));
     pthread_mutex_unlock(&c->lock);
 }
 
@@ -379,7 +379,7 @@
             lmn_sleep(0.5);
             continue;
         }
-        if (!h.lease || lmn_since(now, h.renewed) > h.ttl / 4)
+        if (!h.lease || lmn_time_diff_s(now, h.renewed) > h.ttl / 4)
             keep_lease(&h);
         if (h.lease)
             announce(&h);
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -183,7 +183,7 @@
     if (p->ready) {
         p->ready_at = now;
         lmn_info("partition-ready partition=%d term=%" G_GUINT64_FORMAT " after=%.2f",
-                 p->id, p->my_term, lmn_since(now, p->since));
+                 p->id, p->my_term, lmn_time_diff_s(now, p->since));
     }
     p->open = p->ready || p->warm;
     deal_ranges(c, p, now);
@@ -230,7 +230,7 @@
     const struct lmn_members *ms = &c->members;
     int last = lmn_member_rank(ms, p->last_owner);
 
-    if (last < 0 || last == ms->me || lmn_since(now, p->vacant) >= TAKE_BACK_S)
+    if (last < 0 || last == ms->me || lmn_time_diff_s(now, p->vacant) >= TAKE_BACK_S)
         return false;
     const struct lmn_peer_view *m = &ms->v[last];
     return m->ever && !m->unanswered.tv_sec && !m->judged && !m->leaving &&
@@ -256,7 +256,7 @@
             return p->owner_lease != c->lease;
         if (!lmn_orphaned(c, p, now))
             return false;
-        since = lmn_after(ms->v[owner].doubted, ms->t.doubt_s);
+        since = lmn_time_add(ms->v[owner].doubted, ms->t.doubt_s);
     } else if (lmn_copy_own_is_last(p)) {
         return true;
     } else if (left_to_last_owner(c, p, now)) {
@@ -268,7 +268,8 @@
     }
     /* Whoever is just back may be the first of many: after a cut of all controllers' zone
      * one took every partition, cold, 0.3 s before the others had their leases. */
-    if (lmn_since(now, c->synced_at) < FIRST_S || lmn_since(now, c->leased) < FIRST_S)
+    if (lmn_time_diff_s(now, c->synced_at) < FIRST_S ||
+        lmn_time_diff_s(now, c->leased) < FIRST_S)
         return false;
     lmn_successors(c, now, successor);
     if (successor[p->id] == ms->me)
@@ -280,7 +281,7 @@
             break;
         ahead += rank != successor[p->id] && lmn_member_trusted(ms, rank, now);
     }
-    return lmn_since(now, since) >= 1.5 * ahead;
+    return lmn_time_diff_s(now, since) >= 1.5 * ahead;
 }
 
 /* The owner's key and a higher term, both conditional on what the mirror shows. The key
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -21,7 +21,7 @@
     struct lmn_core *c;
     struct lmn_http *http;
     GByteArray *buf;
-    struct lmn_budget budget;
+    struct lmn_token_bucket budget;
     struct lmn_fleet fleet;
     bool had_role;
     struct timespec role_since, typed, listed, returned;
@@ -32,7 +32,7 @@
 
 static bool pace(struct cloud *k)
 {
-    return lmn_budget_take(&k->budget, 1, lmn_now()) <= 0;
+    return lmn_token_bucket_take(&k->budget, 1, lmn_now()) <= 0;
 }
 
 static void read_type(struct lmn_machine_type *t, const struct lmn_cbor_document *d,
@@ -111,7 +111,7 @@
 static void return_machines(struct cloud *k)
 {
     struct lmn_core *c = k->c;
-    if (k->had_role && lmn_since(lmn_now(), k->returned) < 2 / k->budget.rate)
+    if (k->had_role && lmn_time_diff_s(lmn_now(), k->returned) < 2 / k->budget.rate)
         return;
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter it;
@@ -210,7 +210,7 @@
                 lmn_fleet_booted(&k->fleet, m, age);
             m->broken = lmn_cbor_text_equals(state, W_BROKEN);
             if (!m->listed)
-                m->since = lmn_after(now, -age);
+                m->since = lmn_time_add(now, -age);
             m->listed = true;
             m->seen = now;
         }
@@ -238,16 +238,16 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_listed *m = v;
         const struct lmn_machine_type *t = lmn_type_named(c, m->type);
-        double missing = lmn_since(now, m->listed ? m->seen : m->since);
+        double missing = lmn_time_diff_s(now, m->listed ? m->seen : m->since);
         if (g_hash_table_contains(c->gone, m->name) ||
-            (lmn_since(k->listed, now) > -lag && missing > 2 * lag + 4)) {
+            (lmn_time_diff_s(k->listed, now) > -lag && missing > 2 * lag + 4)) {
             g_hash_table_iter_remove(&it);
             continue;
         }
         /* Late ones are used when they do come; a few never do. */
         double patience =
             t ? 2 * lmn_fleet_patience(&k->fleet, t, m->zone, lag) + 10 : 120;
-        if (m->broken || (m->booting && lmn_since(now, m->since) > patience))
+        if (m->broken || (m->booting && lmn_time_diff_s(now, m->since) > patience))
             g_ptr_array_add(bad, g_strdup(m->name));
     }
     pthread_mutex_unlock(&c->lock);
@@ -353,15 +353,15 @@
     k.http = lmn_http_new(c->cfg->cloud);
     k.buf = g_byte_array_new();
     lmn_fleet_init(&k.fleet);
-    lmn_budget_init(&k.budget, c->cfg->cloud_rps * share, MAX(c->cfg->cloud_rps, 1),
-                    lmn_now());
+    lmn_token_bucket_init(&k.budget, c->cfg->cloud_rps * share, MAX(c->cfg->cloud_rps, 1),
+                          lmn_now());
     for (;;) {
         struct timespec now = lmn_now();
         pthread_mutex_lock(&c->lock);
         bool known = c->types_known;
         bool role = c->parts[0].mine, first_term = c->parts[0].my_term <= 1;
         pthread_mutex_unlock(&c->lock);
-        if ((!known || lmn_since(now, k.typed) > 120) && pace(&k))
+        if ((!known || lmn_time_diff_s(now, k.typed) > 120) && pace(&k))
             get_types(&k);
         pthread_mutex_lock(&c->lock);
         bool blind = lmn_staleness(c, now) > LMN_BLIND_S;
@@ -382,12 +382,13 @@
         }
         k.had_role = role;
         if (role && known && !blind) {
-            if (lmn_since(now, k.listed) > MAX(c->cfg->list_lag_s, 3.0) && read_list(&k))
+            if (lmn_time_diff_s(now, k.listed) > MAX(c->cfg->list_lag_s, 3.0) &&
+                read_list(&k))
                 prune(&k);
             /* A predecessor's last rentals show in the list only after its lag; that some
              * show later costs less than machines that are missed meanwhile. */
             if (k.listed.tv_sec &&
-                (first_term || lmn_since(now, k.role_since) > c->cfg->list_lag_s))
+                (first_term || lmn_time_diff_s(now, k.role_since) > c->cfg->list_lag_s))
                 rent(&k);
         }
         lmn_sleep(0.25);
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -83,7 +83,7 @@
         } else if (outcome == LMN_REFUSED || outcome == LMN_UNKNOWN) {
             /* Only the mirror can tell; the same write again makes it tell. */
             p->transfer.unsure = true;
-            p->transfer.retry = lmn_after(lmn_now(), 0.5);
+            p->transfer.retry = lmn_time_add(lmn_now(), 0.5);
         }
     }
     pthread_mutex_unlock(&c->lock);
@@ -156,7 +156,7 @@
 void lmn_quota_flush(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
 {
     if (p->transfer.team >= 0 && p->transfer.retry.tv_sec &&
-        !lmn_before(now, p->transfer.retry) &&
+        !lmn_time_before(now, p->transfer.retry) &&
         c->quota_rev[p->transfer.team] == p->transfer.rev)
         submit(c, p);
 }
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -35,7 +35,7 @@
             /* Nothing is lost by another try: each is conditional on what the mirror
              * shows. */
             r->writing = false;
-            r->retry = lmn_after(lmn_now(), outcome == LMN_CONFLICT ? 0.1 : 0.4);
+            r->retry = lmn_time_add(lmn_now(), outcome == LMN_CONFLICT ? 0.1 : 0.4);
             /* A move is off only if it surely was not, and never will be, applied. */
             if (outcome == LMN_UNKNOWN)
                 r->move_unsure = true;
@@ -106,7 +106,7 @@
     struct lmn_txn *t;
     char key[64];
 
-    if (r->writing || lmn_before(now, r->retry))
+    if (r->writing || lmn_time_before(now, r->retry))
         return;
     if (r->move_to >= 0) {
         move_range(c, r);
@@ -133,7 +133,7 @@
         lmn_state_submit(c->state, t);
         return;
     }
-    if (r->nfinished > r->ndone && lmn_since(now, r->dirty) > 2.0)
+    if (r->nfinished > r->ndone && lmn_time_diff_s(now, r->dirty) > 2.0)
         g_ptr_array_add(lazy, r);
 }
 
@@ -160,7 +160,7 @@
 {
     const struct lmn_range *x = *(struct lmn_range *const *)a;
     const struct lmn_range *y = *(struct lmn_range *const *)b;
-    return lmn_before(x->dirty, y->dirty) ? -1 : lmn_before(y->dirty, x->dirty);
+    return lmn_time_before(x->dirty, y->dirty) ? -1 : lmn_time_before(y->dirty, x->dirty);
 }
 
 void lmn_ranges_flush(struct lmn_core *c, struct timespec now)
--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -46,7 +46,7 @@
         return named;
     /* One that is being taken over cold can't be given warm; somebody else would begin
      * anew. */
-    if (lmn_since(now, c->leave_at) < COPY_S && c->tuning.standby > 0)
+    if (lmn_time_diff_s(now, c->leave_at) < COPY_S && c->tuning.standby > 0)
         return -1;
     return lmn_successor_of(c, p, now);
 }
@@ -64,12 +64,12 @@
 
 double lmn_leave_left_s(const struct lmn_core *c, struct timespec now)
 {
-    double least = MAX(USERS_S - lmn_since(now, c->leave_at), 0);
+    double least = MAX(USERS_S - lmn_time_diff_s(now, c->leave_at), 0);
 
     /* Alone there is nobody to send users to. */
     if (c->left)
         return c->members.n == 1 ? 0 : least;
-    return MAX(MOST_S - lmn_since(now, c->leave_at), 0);
+    return MAX(MOST_S - lmn_time_diff_s(now, c->leave_at), 0);
 }
 
 bool lmn_leave_over(const struct lmn_core *c, struct timespec now)
@@ -86,7 +86,7 @@
     g_string_append_printf(s,
                            "leaving for %.1f s: %u partitions left to give, lease %s, "
                            "ends within %.1f s\n",
-                           lmn_since(now, c->leave_at),
+                           lmn_time_diff_s(now, c->leave_at),
                            lmn_member_holds(c, c->members.me), c->left ? "gone" : "held",
                            lmn_leave_left_s(c, now));
 }
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -17,7 +17,7 @@
 static bool worth_asking(const struct lmn_core *c, const struct lmn_machine *m,
                          struct timespec now)
 {
-    return !m->is_gone && !lmn_before(now, m->next_probe) &&
+    return !m->is_gone && !lmn_time_before(now, m->next_probe) &&
            ((m->inherited && !m->accounted) || lmn_machine_silent(c, m, now));
 }
 
@@ -26,9 +26,9 @@
 static bool reach_next(struct lmn_core *c, char *name, char *addr, uint64_t *term,
                        struct timespec now)
 {
-    if (!c->members.shut || lmn_before(now, c->next_reach))
+    if (!c->members.shut || lmn_time_before(now, c->next_reach))
         return false;
-    c->next_reach = lmn_after(now, 2);
+    c->next_reach = lmn_time_add(now, 2);
     const GPtrArray *list = c->parts[g_rand_int_range(c->rng, 0, c->nparts)].list;
     if (!list->len)
         return false;
@@ -83,7 +83,8 @@
         g_hash_table_iter_init(&it, c->parts[i].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *m = v;
-            bool any = m->probes > 0 || lmn_since(now, c->parts[i].since) > OWN_LANE_S;
+            bool any =
+                m->probes > 0 || lmn_time_diff_s(now, c->parts[i].since) > OWN_LANE_S;
             if (worth_asking(c, m, now) && (any || g_str_hash(m->name) % lanes == lane) &&
                 (!best || asked_before(m, best, lane, lanes)))
                 best = m;
@@ -92,7 +93,7 @@
     if (!best)
         return false;
     best->next_probe =
-        lmn_after(now, 2.5 + 0.5 * MIN(best->probes, 6u)); /* two calls of 1 s */
+        lmn_time_add(now, 2.5 + 0.5 * MIN(best->probes, 6u)); /* two calls of 1 s */
     g_strlcpy(name, best->name, LMN_NAME_SIZE);
     g_strlcpy(addr, best->addr, LMN_ADDRESS_SIZE);
     *term = best->part->my_term;
@@ -148,7 +149,7 @@
     }
     /* Whatever it may hold waits for it: the second question follows at once. */
     if (m->probes == 1 && status != 200)
-        m->next_probe = lmn_after(now, 0.2);
+        m->next_probe = lmn_time_add(now, 0.2);
     if (status != 200 || lmn_cbor_parse(&d, answer->data, answer->len) != 0)
         return;
     /* Written after the worker had taken our term: whatever a predecessor sends comes too
@@ -237,7 +238,7 @@
                 continue;
             lmn_unpoke(m);
             if (!m->accounted || m->lapsed || m->unheeded ||
-                lmn_since(now, m->last) > 0.6 * c->cfg->lease_s)
+                lmn_time_diff_s(now, m->last) > 0.6 * c->cfg->lease_s)
                 continue;
             GByteArray *commands = g_byte_array_new();
             guint n = stop_some(c, m, commands);
@@ -330,11 +331,11 @@
 static bool told(struct lmn_core *c, int part, uint64_t term, uint64_t mark)
 {
     struct lmn_partition *p = &c->parts[part];
-    struct timespec until = lmn_after(lmn_now(), LMN_STREAM_HOLD_S);
+    struct timespec until = lmn_time_add(lmn_now(), LMN_STREAM_HOLD_S);
     double left;
 
     while (p->mine && p->my_term == term && !lmn_stream_covers(p, mark) &&
-           (left = lmn_since(until, lmn_now())) > 0)
+           (left = lmn_time_diff_s(until, lmn_now())) > 0)
         lmn_cond_wait_for(&c->told, &c->lock, left);
     bool ok = p->mine && p->my_term == term && lmn_stream_covers(p, mark);
     if (!ok)
--- a/src/replication/failover.c
+++ b/src/replication/failover.c
@@ -92,8 +92,8 @@
             &g_array_index(t->images, struct lmn_told_image, i);
         struct lmn_image y = {g_intern_string(x->name), x->gb, {0, 0}};
         if (!x->there)
-            y.ready =
-                lmn_after(now, m->type && m->type->pull > 0 ? x->gb / m->type->pull : 0);
+            y.ready = lmn_time_add(
+                now, m->type && m->type->pull > 0 ? x->gb / m->type->pull : 0);
         g_array_append_val(m->images, y);
     }
 }
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -45,7 +45,7 @@
     const struct lmn_stream *s = &p->stream;
 
     return lmn_stream_gates(p) && s->acked < s->mark &&
-           lmn_since(now, s->waits) > LMN_STREAM_HOLD_S;
+           lmn_time_diff_s(now, s->waits) > LMN_STREAM_HOLD_S;
 }
 
 void lmn_stream_lag(const struct lmn_partition *p, struct timespec now, guint *machines,
@@ -55,7 +55,7 @@
 
     *machines = p->untold->len;
     *starts = lmn_stream_gates(p) ? s->mark - s->acked : 0;
-    *seconds = *starts ? lmn_since(now, s->waits) : 0;
+    *seconds = *starts ? lmn_time_diff_s(now, s->waits) : 0;
 }
 
 /* --- the batches --- */
@@ -126,9 +126,9 @@
     s->batch = NULL;
     s->sending = false;
     if (s->phase != LMN_STREAM_NONE && why) {
-        s->struck = lmn_since(now, s->began) > HELD_S ? 1 : MIN(s->struck + 1, 10);
+        s->struck = lmn_time_diff_s(now, s->began) > HELD_S ? 1 : MIN(s->struck + 1, 10);
         s->next =
-            lmn_after(now, MIN(AGAIN_S * (double)(1u << (s->struck - 1)), LONGEST_S));
+            lmn_time_add(now, MIN(AGAIN_S * (double)(1u << (s->struck - 1)), LONGEST_S));
         s->why = why;
         if (why == BACK) {
             s->struck = 0;
@@ -251,7 +251,7 @@
     if (s->phase == LMN_STREAM_NONE) {
         int to = -1;
         if ((p->ready || p->warm) && c->tuning.standby > 0 && !p->releasing &&
-            c->load.behind < LMN_STANDBY_CALM_S && !lmn_before(now, s->next))
+            c->load.behind < LMN_STANDBY_CALM_S && !lmn_time_before(now, s->next))
             to = lmn_standby_choose(c, p, now);
         if (to >= 0)
             begin(c, p, to, now);
@@ -266,7 +266,7 @@
     bool waits = s->phase >= LMN_STREAM_CLOSING && s->acked < s->mark;
     if (!fit(c, p)) {
         fail(c, p, "suspected, or another life", now);
-    } else if (waits && lmn_since(now, s->waits) > LMN_STREAM_PATIENCE_S) {
+    } else if (waits && lmn_time_diff_s(now, s->waits) > LMN_STREAM_PATIENCE_S) {
         fail(c, p, "no acknowledgement", now);
     } else if (s->failures >= TRIES) {
         fail(c, p, "no answer", now);
@@ -285,7 +285,7 @@
         s->phase = LMN_STREAM_IN_STEP;
         lmn_info("standby-in-step partition=%d member=%s machines=%u after=%.2f", p->id,
                  lmn_member_name(&c->members, s->to), p->list->len,
-                 lmn_since(now, s->began));
+                 lmn_time_diff_s(now, s->began));
     } else {
         return;
     }
@@ -295,7 +295,7 @@
 static bool writes(const struct lmn_stream *s, struct timespec now)
 {
     return (s->phase == LMN_STREAM_NAMING || s->phase == LMN_STREAM_STRIKING) &&
-           (!s->written.tv_sec || lmn_since(now, s->written) > WRITE_S);
+           (!s->written.tv_sec || lmn_time_diff_s(now, s->written) > WRITE_S);
 }
 
 /* Whether something is to be told now. */
@@ -310,8 +310,9 @@
     if (s->phase == LMN_STREAM_COPYING)
         return true;
     if (s->acked < s->mark)
-        return lmn_since(now, s->waits) >= GATHER_S;
-    return (p->untold->len || p->forgotten->len) && lmn_since(now, s->told) > LAZY_S;
+        return lmn_time_diff_s(now, s->waits) >= GATHER_S;
+    return (p->untold->len || p->forgotten->len) &&
+           lmn_time_diff_s(now, s->told) > LAZY_S;
 }
 
 enum lmn_stream_step lmn_stream_next(struct lmn_core *c, struct lmn_partition *p,
@@ -337,7 +338,7 @@
         return LMN_STREAM_SEND;
     }
     if (s->phase != LMN_STREAM_NONE && s->acked < s->mark)
-        *wait = s->batch ? 0.05 : MAX(GATHER_S - lmn_since(now, s->waits), 0.0005);
+        *wait = s->batch ? 0.05 : MAX(GATHER_S - lmn_time_diff_s(now, s->waits), 0.0005);
     return LMN_STREAM_WAIT;
 }
 
@@ -372,7 +373,7 @@
     if (b->mark > s->acked) {
         /* While it is copied, no start waits. */
         if (s->phase >= LMN_STREAM_CLOSING)
-            lmn_latency_add(&c->telling, lmn_since(now, s->waits));
+            lmn_latency_add(&c->telling, lmn_time_diff_s(now, s->waits));
         s->acked = b->mark;
         s->waits = now;
     }
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -83,7 +83,7 @@
                 k = &g_array_index(kinds, struct kind, kinds->len - 1);
             }
             bool is_late =
-                m->booting && lmn_since(now, m->since) >
+                m->booting && lmn_time_diff_s(now, m->since) >
                                   lmn_fleet_patience(f, t, m->zone, c->cfg->list_lag_s);
             if (!pass) {
                 k->all++;
@@ -206,7 +206,7 @@
         old = &g_array_index(f->refusals, struct lmn_refusal, f->refusals->len - 1);
     }
     old->wait_s = got ? 8 : CLAMP(old->wait_s * 2, 8, 32);
-    old->until = lmn_after(now, old->wait_s);
+    old->until = lmn_time_add(now, old->wait_s);
 }
 
 /* The cheapest that serves the deficit, of which ordinary machines may serve no more than
@@ -223,7 +223,7 @@
                 const struct lmn_machine_type *t = &c->types.v[i];
                 const struct lmn_refusal *no = refusal(f, t->name, t->zones[z], spot);
                 double cpus = 0, mem = 0;
-                if (no && no->wait_s > 0 && lmn_before(now, no->until))
+                if (no && no->wait_s > 0 && lmn_time_before(now, no->until))
                     continue;
                 for (guint k = 0; k < w->len; k++) {
                     const struct want *x = &g_array_index(w, struct want, k);
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -46,7 +46,7 @@
         if (!holds_replica(a))
             continue;
         if (a->state != LMN_A_RUNNING || !a->listed || a->stop || a->direct ||
-            lmn_since(now, a->since) < SETTLED_S)
+            lmn_time_diff_s(now, a->since) < SETTLED_S)
             return 0;
         n++;
     }
@@ -112,10 +112,10 @@
     double free_cpus = 0, all = 0;
     bool waits = p->unplaced.tasks > 0;
 
-    if (!p->mine || !p->ready || p->releasing || lmn_before(now, p->next_pack) ||
+    if (!p->mine || !p->ready || p->releasing || lmn_time_before(now, p->next_pack) ||
         lmn_staleness(c, now) > LMN_BLIND_S)
         return;
-    p->next_pack = lmn_after(now, EVERY_S);
+    p->next_pack = lmn_time_add(now, EVERY_S);
     GArray *targets = g_array_new(FALSE, FALSE, sizeof(struct target));
     g_hash_table_iter_init(&it, p->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -36,7 +36,7 @@
         const struct lmn_seg *s = q->segs->pdata[i];
         const struct lmn_job *j = s->job;
         if (j->spec.urgency != LMN_PRIORITY_PRODUCTION || j->phase != LMN_JOB_ACTIVE ||
-            lmn_before(now, j->failures.hold))
+            lmn_time_before(now, j->failures.hold))
             continue;
         for (uint32_t k = s->lo; k < s->hi && out->len < HELPED_AT_ONCE; k++) {
             struct waiting w = {q, on, s->range, k};
@@ -75,7 +75,7 @@
 static double loss(const struct lmn_attempt *a, bool saves, struct timespec now)
 {
     const struct lmn_job_spec *s = &a->job->spec;
-    double ran = a->state == LMN_A_FETCHING ? 0 : lmn_since(now, a->since);
+    double ran = a->state == LMN_A_FETCHING ? 0 : lmn_time_diff_s(now, a->since);
     double work = s->checkpoint_s <= 0 ? ran
                   : saves              ? MIN(ran, s->save_s)
                                        : MIN(ran, s->checkpoint_s / 2);
@@ -188,7 +188,7 @@
     g_hash_table_iter_init(&it, p->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *m = v;
-        if (m->promised && lmn_before(m->promise_until, now))
+        if (m->promised && lmn_time_before(m->promise_until, now))
             m->promised = 0;
         collect(&m->queue, m, wait, now);
     }
@@ -202,7 +202,7 @@
         c->count.preempted +=
             make_on(m, &j->spec, patience(c->cfg, &j->spec), true, now) > 0;
         m->promised++;
-        m->promise_until = lmn_after(now, KEEP_S);
+        m->promise_until = lmn_time_add(now, KEEP_S);
         if (m != w->on) {
             lmn_queue_take(w->queue, w->range, w->index);
             lmn_queue_add(&m->queue, w->range, w->index, w->index + 1);
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -40,7 +40,7 @@
     if (at < 0)
         return whole_fetch_s(m, j);
     const struct lmn_image *x = &g_array_index(m->images, struct lmn_image, (guint)at);
-    return x->ready.tv_sec ? MAX(lmn_since(x->ready, now), 0) : 0;
+    return x->ready.tv_sec ? MAX(lmn_time_diff_s(x->ready, now), 0) : 0;
 }
 
 /* Fetches under way may share the machine's rate. */
@@ -50,7 +50,7 @@
 
     for (guint i = 0; i < m->images->len; i++) {
         const struct lmn_image *x = &g_array_index(m->images, struct lmn_image, i);
-        n += x->ready.tv_sec && lmn_before(now, x->ready);
+        n += x->ready.tv_sec && lmn_time_before(now, x->ready);
     }
     return n;
 }
@@ -66,7 +66,7 @@
         new.ready = g_array_index(m->images, struct lmn_image, (guint)at).ready;
         g_array_remove_index(m->images, (guint)at);
     } else if (!there) {
-        new.ready = lmn_after(now, whole_fetch_s(m, j) * (1 + fetches(m, now)));
+        new.ready = lmn_time_add(now, whole_fetch_s(m, j) * (1 + fetches(m, now)));
     }
     if (there)
         new.ready = (struct timespec){0, 0};
@@ -282,7 +282,7 @@
     lmn_attempt_count(m, &a);
     if (!p->started)
         lmn_info("partition-start partition=%d term=%" G_GUINT64_FORMAT " after=%.2f",
-                 p->id, p->my_term, lmn_since(now, p->since));
+                 p->id, p->my_term, lmn_time_diff_s(now, p->since));
     p->started = true;
     c->turn++;
     a.job->aged = false; /* it has begun */
@@ -504,7 +504,7 @@
     struct lmn_queue *best = NULL;
     uint32_t most = 0;
 
-    if (lmn_before(now, m->next_steal))
+    if (lmn_time_before(now, m->next_steal))
         return false;
     look_anew(c);
     GPtrArray *queues = sample_queues(c, m);
@@ -525,7 +525,7 @@
     if (!got) {
         m->poll_s = m->poll_s > 0 ? MIN(m->poll_s * 2, c->tuning.poll_cap_s)
                                   : c->tuning.poll_floor_s;
-        m->next_steal = lmn_after(now, m->poll_s);
+        m->next_steal = lmn_time_add(now, m->poll_s);
         return false;
     }
     c->count.steals++;
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -35,8 +35,8 @@
     struct lmn_keep *k = &p->keep[team];
 
     /* Our own that waits comes first. */
-    if (!k->job || !lmn_before(now, k->until))
-        keep(k, NULL, cpus, gpus, lmn_after(now, ASKED_S));
+    if (!k->job || !lmn_time_before(now, k->until))
+        keep(k, NULL, cpus, gpus, lmn_time_add(now, ASKED_S));
 }
 
 /* The machine that could hold the job's task and has most of the room free already. */
@@ -112,8 +112,8 @@
         struct lmn_keep *k = &p->keep[j->team];
         /* What is more than all of the part has to come from others
          * (partition/quota_transfer.c). */
-        if (!k->job || !lmn_before(now, k->until))
-            keep(k, j, j->spec.cpus, j->spec.gpus, lmn_after(now, KEPT_S));
+        if (!k->job || !lmn_time_before(now, k->until))
+            keep(k, j, j->spec.cpus, j->spec.gpus, lmn_time_add(now, KEPT_S));
         return;
     }
     if (*kept == 0 || served(p, j))
@@ -123,7 +123,7 @@
         return;
     --*kept;
     m->kept = j;
-    m->kept_until = lmn_after(now, KEPT_S);
+    m->kept_until = lmn_time_add(now, KEPT_S);
     lmn_info("machine-kept machine=%s job=%s free=%.1f", m->name, j->spec.ref,
              m->type->cpus - m->used_cpus);
     bring(p, r, m);
@@ -141,16 +141,17 @@
         struct lmn_machine *m = p->list->pdata[i];
         /* A job that was waiting here may have moved on, and wait elsewhere: a machine
          * was kept for it that nothing could start on. */
-        if (m->kept && (!m->kept->aged || !waits_here(p, m->kept) ||
-                        m->kept->phase != LMN_JOB_ACTIVE ||
-                        !lmn_before(now, m->kept_until) || !lmn_can_hold(m, m->kept)))
+        if (m->kept &&
+            (!m->kept->aged || !waits_here(p, m->kept) ||
+             m->kept->phase != LMN_JOB_ACTIVE || !lmn_time_before(now, m->kept_until) ||
+             !lmn_can_hold(m, m->kept)))
             let_go(m);
         kept -= m->kept && kept;
     }
     for (size_t t = 0; t < c->cfg->nteams; t++) {
         struct lmn_keep *k = &p->keep[t];
         if (k->cpus + k->gpus > 0 &&
-            (!lmn_before(now, k->until) ||
+            (!lmn_time_before(now, k->until) ||
              (k->job && (!k->job->aged || k->job->phase != LMN_JOB_ACTIVE))))
             memset(k, 0, sizeof *k);
     }
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -114,7 +114,7 @@
     /* Nobody acknowledges starts now: they would only be taken back. */
     if (lmn_stream_stuck(m->part, now))
         return LMN_WAIT_STANDBY;
-    return lmn_before(now, m->hold) ? LMN_WAIT_FAULTY : LMN_WAIT_NONE;
+    return lmn_time_before(now, m->hold) ? LMN_WAIT_FAULTY : LMN_WAIT_NONE;
 }
 
 enum lmn_wait_reason lmn_job_wait(const struct lmn_core *c, const struct lmn_machine *m,
@@ -130,7 +130,7 @@
         return LMN_WAIT_KEPT;
     if (too_dear(c, m, j))
         return LMN_WAIT_DEAR;
-    if (lmn_before(now, j->failures.hold))
+    if (lmn_time_before(now, j->failures.hold))
         return LMN_WAIT_FAILING;
     if (!lmn_can_hold(m, j))
         return LMN_WAIT_NOT_ALLOWED;
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -34,7 +34,7 @@
 
     t->part = p->id;
     t->nrooms = 0;
-    if (!p->mine || !p->ready || p->releasing || lmn_before(now, p->next_steal))
+    if (!p->mine || !p->ready || p->releasing || lmn_time_before(now, p->next_steal))
         return false;
     g_hash_table_iter_init(&it, p->machines);
     while (g_hash_table_iter_next(&it, NULL, &v) && t->nrooms < G_N_ELEMENTS(t->rooms)) {
@@ -216,12 +216,12 @@
     if (got) {
         p->poll_s = 0;
         /* What was won has to arrive before the next look makes sense. */
-        p->next_steal = lmn_after(now, 0.25);
+        p->next_steal = lmn_time_add(now, 0.25);
         return;
     }
     p->poll_s = p->poll_s > 0 ? MIN(p->poll_s * 2, c->tuning.poll_cap_s)
                               : MAX(c->tuning.poll_floor_s, 0.1);
-    p->next_steal = lmn_after(now, p->poll_s);
+    p->next_steal = lmn_time_add(now, p->poll_s);
 }
 
 void lmn_range_cut(struct lmn_core *c, struct lmn_range *r, uint32_t hi)
--- a/src/simulation/controller_group.c
+++ b/src/simulation/controller_group.c
@@ -60,7 +60,7 @@
 
 static struct timespec stamp(double s)
 {
-    return lmn_after((struct timespec){1000, 0}, s);
+    return lmn_time_add((struct timespec){1000, 0}, s);
 }
 
 static double uniform(struct group *g, double most)
@@ -253,7 +253,7 @@
 
     if (!m->ever || !m->unanswered.tv_sec)
         return false;
-    double s = lmn_since(stamp(g->now), m->unanswered);
+    double s = lmn_time_diff_s(stamp(g->now), m->unanswered);
     return g->o->rule == LMN_SIM_FIXED
                ? s >= g->o->threshold
                : lmn_accrual_phi(&m->answers, s) >= g->o->threshold;
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -165,7 +165,7 @@
 
 double lmn_staleness(const struct lmn_core *c, struct timespec now)
 {
-    return c->synced ? lmn_since(now, c->fresh) : 1e9;
+    return c->synced ? lmn_time_diff_s(now, c->fresh) : 1e9;
 }
 
 bool lmn_too_stale(const struct lmn_core *c, struct timespec now)
@@ -189,5 +189,5 @@
 bool lmn_job_wanted(const struct lmn_core *c, const struct lmn_job *j)
 {
     return j && j->phase == LMN_JOB_ACTIVE &&
-           !(j->tombstone.tv_sec && lmn_before(c->fresh, j->tombstone));
+           !(j->tombstone.tv_sec && lmn_time_before(c->fresh, j->tombstone));
 }
--- a/src/state/failures.c
+++ b/src/state/failures.c
@@ -30,7 +30,7 @@
 
 static void note(struct lmn_job_failures *b, guint machine, struct timespec now)
 {
-    if (b->places && lmn_since(now, b->failed) > FORGET_S)
+    if (b->places && lmn_time_diff_s(now, b->failed) > FORGET_S)
         forget(b);
     b->failed = now;
     if (!known(b, machine) && b->places < LMN_FAILURE_MACHINES)
@@ -56,12 +56,12 @@
     note(b, machine, now);
     /* The tasks of a large job fail by the dozen: once each of them doubled the pause,
      * and a job whose first machine was faulty waited for a minute. */
-    if (!b->round.tv_sec || lmn_before(b->round, started)) {
+    if (!b->round.tv_sec || lmn_time_before(b->round, started)) {
         b->rounds++;
         b->round = now;
     }
-    struct timespec hold = lmn_after(now, pause_s(b));
-    if (lmn_before(b->hold, hold))
+    struct timespec hold = lmn_time_add(now, pause_s(b));
+    if (lmn_time_before(b->hold, hold))
         b->hold = hold;
 }
 
@@ -71,7 +71,7 @@
     if (lmn_job_accused(b) && !b->rounds) {
         b->rounds = 1;
         b->round = now;
-        b->hold = lmn_after(now, pause_s(b));
+        b->hold = lmn_time_add(now, pause_s(b));
     }
 }
 
@@ -83,14 +83,14 @@
 
 void lmn_job_tried(struct lmn_job_failures *b, struct timespec now)
 {
-    b->hold = lmn_after(now, pause_s(b));
+    b->hold = lmn_time_add(now, pause_s(b));
 }
 
 double lmn_failure_weight(const struct lmn_job_failures *b, guint machine, unsigned times,
                           struct timespec last, struct timespec now)
 {
     unsigned others = b->places - known(b, machine);
-    double fades = exp2(-lmn_since(now, last) / HALF_S);
+    double fades = exp2(-lmn_time_diff_s(now, last) / HALF_S);
 
     /* Whoever fails elsewhere, too, accuses itself. */
     if (!times || others >= 2 || lmn_job_accused(b))
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -49,13 +49,13 @@
     guint gone = 0;
 
     if (c->final_jobs.length < c->retained_most + TOGETHER || !oldest ||
-        lmn_since(now, oldest->final_at) < OLD_S)
+        lmn_time_diff_s(now, oldest->final_at) < OLD_S)
         return 0;
     GHashTable *set = referred(c);
     guint most = c->final_jobs.length - c->retained_most;
     for (guint i = 0; i < most; i++) {
         struct lmn_job *j = g_queue_peek_head(&c->final_jobs);
-        if (lmn_since(now, j->final_at) < OLD_S)
+        if (lmn_time_diff_s(now, j->final_at) < OLD_S)
             break;
         g_queue_pop_head(&c->final_jobs);
         if (j->ranges->len || g_hash_table_contains(set, j)) {
--- a/src/state/task_ledger.c
+++ b/src/state/task_ledger.c
@@ -285,6 +285,6 @@
                         struct timespec now)
 {
     return m->accounted && !m->lapsed && !m->retiring && !m->is_gone &&
-           lmn_since(now, m->last) >
+           lmn_time_diff_s(now, m->last) >
                MIN(0.6 * c->cfg->lease_s, 1.25 * c->cfg->report_s + 2);
 }
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -108,7 +108,7 @@
     }
     if (phase != j->phase)
         lmn_debug("job-final job=%s phase=%d after=%.1f", ref, phase,
-                  lmn_seconds(lmn_wall()) - j->at);
+                  lmn_time_seconds(lmn_wall_clock_now()) - j->at);
     if (phase != LMN_JOB_ACTIVE && (j->phase == LMN_JOB_ACTIVE || !j->rev))
         lmn_retention_note(c, j, now);
     j->phase = phase;
@@ -637,7 +637,7 @@
             continue;
         }
         /* Changes come in flocks: a short pause bounds what watching costs. */
-        double spent = lmn_since(lmn_now(), begun);
+        double spent = lmn_time_diff_s(lmn_now(), begun);
         if (spent < 0.06)
             lmn_sleep(0.06 - spent);
     }
--- a/src/util/clock.h
+++ b/src/util/clock.h
@@ -18,25 +18,25 @@
 
 /* The time of day: good for comparing with other nodes within the settings' bound only.
  */
-static inline struct timespec lmn_wall(void)
+static inline struct timespec lmn_wall_clock_now(void)
 {
     struct timespec t;
     clock_gettime(CLOCK_REALTIME, &t);
     return t;
 }
 
-static inline double lmn_seconds(struct timespec t)
+static inline double lmn_time_seconds(struct timespec t)
 {
     return (double)t.tv_sec + (double)t.tv_nsec * 1e-9;
 }
 
 /* a - b in seconds. */
-static inline double lmn_since(struct timespec a, struct timespec b)
+static inline double lmn_time_diff_s(struct timespec a, struct timespec b)
 {
     return (double)(a.tv_sec - b.tv_sec) + (double)(a.tv_nsec - b.tv_nsec) * 1e-9;
 }
 
-static inline struct timespec lmn_after(struct timespec t, double seconds)
+static inline struct timespec lmn_time_add(struct timespec t, double seconds)
 {
     time_t whole = (time_t)seconds;
     t.tv_sec += whole;
@@ -51,7 +51,7 @@
     return t;
 }
 
-static inline int lmn_before(struct timespec a, struct timespec b)
+static inline int lmn_time_before(struct timespec a, struct timespec b)
 {
     return a.tv_sec < b.tv_sec || (a.tv_sec == b.tv_sec && a.tv_nsec < b.tv_nsec);
 }
--- a/src/util/in_flight.h
+++ b/src/util/in_flight.h
@@ -6,14 +6,14 @@
 
 #include "util/clock.h"
 
-struct lmn_flight {
+struct lmn_in_flight {
     unsigned in_flight;   /* requests without an answer yet */
     struct timespec sent; /* when the last of them went out */
 };
 
 /* Seconds until a further request may go out beside those in flight; 0 or less: now. */
-double lmn_flight_wait(const struct lmn_flight *f, struct timespec now);
-void lmn_flight_begin(struct lmn_flight *f, struct timespec now);
-void lmn_flight_end(struct lmn_flight *f);
+double lmn_in_flight_wait(const struct lmn_in_flight *f, struct timespec now);
+void lmn_in_flight_begin(struct lmn_in_flight *f, struct timespec now);
+void lmn_in_flight_end(struct lmn_in_flight *f);
 
 #endif
--- a/src/util/process.c
+++ b/src/util/process.c
@@ -63,11 +63,11 @@
 
 bool lmn_lock_wait(const char *path, double seconds)
 {
-    struct timespec end = lmn_after(lmn_now(), seconds);
+    struct timespec end = lmn_time_add(lmn_now(), seconds);
     pid_t pid;
 
     while (lmn_lock_held(path, &pid)) {
-        if (lmn_before(end, lmn_now()))
+        if (lmn_time_before(end, lmn_now()))
             return false;
         lmn_sleep(0.01);
     }
@@ -200,13 +200,13 @@
 
 bool lmn_kill_marked_all(const char *mark, double seconds)
 {
-    struct timespec end = lmn_after(lmn_now(), seconds);
+    struct timespec end = lmn_time_add(lmn_now(), seconds);
 
     /* One that forks while it is looked for may be missed once: not by a second look that
      * finds nobody, since each that was found is dying and forks no more. */
     for (int clean = 0; clean < 2;) {
         clean = lmn_kill_marked(mark) ? 0 : clean + 1;
-        if (!clean && lmn_before(end, lmn_now()))
+        if (!clean && lmn_time_before(end, lmn_now()))
             return false;
         if (!clean)
             lmn_sleep(0.01);
--- a/src/util/thread.c
+++ b/src/util/thread.c
@@ -34,12 +34,12 @@
 
 void lmn_sleep(double seconds)
 {
-    struct timespec t = lmn_after((struct timespec){0, 0}, seconds);
+    struct timespec t = lmn_time_add((struct timespec){0, 0}, seconds);
     nanosleep(&t, NULL);
 }
 
 void lmn_cond_wait_for(pthread_cond_t *c, pthread_mutex_t *m, double seconds)
 {
-    struct timespec t = lmn_after(lmn_now(), seconds);
+    struct timespec t = lmn_time_add(lmn_now(), seconds);
     pthread_cond_timedwait(c, m, &t);
 }
--- a/src/util/token_bucket.h
+++ b/src/util/token_bucket.h
@@ -4,20 +4,22 @@
 
 #include "util/clock.h"
 
-struct lmn_budget {
+struct lmn_token_bucket {
     double rate, burst, level;
     struct timespec at;
 };
 
-static inline void lmn_budget_init(struct lmn_budget *b, double rate, double burst,
-                                   struct timespec now)
+static inline void lmn_token_bucket_init(struct lmn_token_bucket *b, double rate,
+                                         double burst, struct timespec now)
 {
-    *b = (struct lmn_budget){.rate = rate, .burst = burst, .level = burst, .at = now};
+    *b = (struct lmn_token_bucket){
+        .rate = rate, .burst = burst, .level = burst, .at = now};
 }
 
-static inline void lmn_budget_refill(struct lmn_budget *b, struct timespec now)
+static inline void lmn_token_bucket_refill(struct lmn_token_bucket *b,
+                                           struct timespec now)
 {
-    double dt = lmn_since(now, b->at);
+    double dt = lmn_time_diff_s(now, b->at);
     if (dt <= 0)
         return;
     b->level += dt * b->rate;
@@ -28,11 +30,12 @@
 
 /* Seconds until n may be taken; 0 takes it. More than a burst is taken from a full
  * bucket. */
-static inline double lmn_budget_take(struct lmn_budget *b, double n, struct timespec now)
+static inline double lmn_token_bucket_take(struct lmn_token_bucket *b, double n,
+                                           struct timespec now)
 {
     double need = n < b->burst ? n : b->burst;
 
-    lmn_budget_refill(b, now);
+    lmn_token_bucket_refill(b, now);
     if (b->level >= need) {
         b->level -= n;
         return 0;
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -21,7 +21,7 @@
     a->lease_from = now;
     a->token_told = (struct timespec){0, 0};
     a->runs = g_ptr_array_new_with_free_func(g_free);
-    ops->leased(arg, lmn_after(now, a->lease_s));
+    ops->leased(arg, lmn_time_add(now, a->lease_s));
 }
 
 void lmn_agent_clear(struct lmn_agent *a)
@@ -84,7 +84,7 @@
     lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, a->token);
     if (a->noticed)
         lmn_cbor_put_text(b, W_NOTICE),
-            lmn_cbor_put_number(b, MAX(lmn_since(a->gone_at, now), 0));
+            lmn_cbor_put_number(b, MAX(lmn_time_diff_s(a->gone_at, now), 0));
     lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, a->runs->len);
     for (guint i = 0; i < a->runs->len; i++)
         put_run(b, a->runs->pdata[i]);
@@ -97,7 +97,7 @@
  * the claimants. */
 static void take_token(struct lmn_agent *a, uint64_t token, struct timespec now)
 {
-    if (token > a->token && lmn_since(now, a->token_told) > a->lease_s / 2) {
+    if (token > a->token && lmn_time_diff_s(now, a->token_told) > a->lease_s / 2) {
         a->changed = true;
         a->token_told = now;
     }
@@ -312,9 +312,9 @@
                 token >= a->token;
     if (good) {
         take_token(a, token, now);
-        if (lmn_before(a->lease_from, sent))
+        if (lmn_time_before(a->lease_from, sent))
             a->lease_from = sent;
-        a->ops->leased(a->arg, lmn_after(a->lease_from, a->lease_s));
+        a->ops->leased(a->arg, lmn_time_add(a->lease_from, a->lease_s));
         obey_all(a, &d, now);
     }
     lmn_cbor_free(&d);
@@ -393,7 +393,7 @@
 
 void lmn_agent_tick(struct lmn_agent *a, struct timespec now)
 {
-    if (!a->ending && lmn_since(now, a->lease_from) > a->lease_s)
+    if (!a->ending && lmn_time_diff_s(now, a->lease_from) > a->lease_s)
         lmn_agent_lapse(a, "the lease is over");
 }
 
@@ -405,7 +405,7 @@
     a->session = session;
     a->lease_from = now;
     a->changed = true;
-    a->ops->leased(a->arg, lmn_after(now, a->lease_s));
+    a->ops->leased(a->arg, lmn_time_add(now, a->lease_s));
 }
 
 void lmn_agent_notice(struct lmn_agent *a, struct timespec gone_at)
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -345,7 +345,7 @@
         start(k, &d, id);
     } else if (lmn_cbor_text_equals(op, "save") && t) {
         lmn_cbor_get_number(lmn_cbor_get(&d, root, "grace"), &grace);
-        t->kill_at = lmn_after(clock_now(), grace);
+        t->kill_at = lmn_time_add(clock_now(), grace);
         kill(-t->pid, SIGTERM);
     } else if (lmn_cbor_text_equals(op, "kill") && t) {
         kill(-t->pid, SIGKILL);
@@ -369,21 +369,21 @@
     if (k->ending)
         wait = 0.005;
     if (k->leased && !k->ending) {
-        if (lmn_before(k->until, now)) {
+        if (lmn_time_before(k->until, now)) {
             lmn_info("keeper-lapse tasks=%u", k->tasks->len);
             end_all(k, true);
             return 0.005;
         }
-        wait = lmn_since(k->until, now);
+        wait = lmn_time_diff_s(k->until, now);
     }
     for (guint i = 0; i < k->tasks->len; i++) {
         struct task *t = k->tasks->pdata[i];
         if (t->reaped) {
             wait = 0.005;
         } else if (t->kill_at.tv_sec) {
-            if (lmn_before(t->kill_at, now))
+            if (lmn_time_before(t->kill_at, now))
                 kill(-t->pid, SIGKILL);
-            double left = MAX(lmn_since(t->kill_at, now), 0.02);
+            double left = MAX(lmn_time_diff_s(t->kill_at, now), 0.02);
             wait = wait < 0 ? left : MIN(wait, left);
         }
     }
--- a/src/worker/task_runner.c
+++ b/src/worker/task_runner.c
@@ -358,7 +358,7 @@
     }
     if (rc == 0)
         lmn_info("image-fetched image=%s bytes=%" G_GUINT64_FORMAT " took=%.2f", name,
-                 *bytes, lmn_since(lmn_now(), begun));
+                 *bytes, lmn_time_diff_s(lmn_now(), begun));
     else
         lmn_error("image-failed image=%s why=\"%s\"", name, e.what);
     g_free(dir);
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -213,7 +213,7 @@
 
     pthread_mutex_lock(&w->lock);
     for (;;) {
-        double since = lmn_since(lmn_now(), last);
+        double since = lmn_time_diff_s(lmn_now(), last);
         double wait = w->agent.changed ? MIN(0.5, interval) - since : interval - since;
         if (wait <= 0 && !w->agent.ending)
             break;
@@ -263,7 +263,7 @@
         w->redirects++;
         pthread_mutex_unlock(&w->lock);
         if (next != to) {
-            last = lmn_after(lmn_now(), -1);
+            last = lmn_time_add(lmn_now(), -1);
         } else {
             next = (to + 1) % w->o->ncontrollers;
             lmn_sleep(1);
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -31,7 +31,7 @@
 
 void advance(double seconds)
 {
-    explored.now = lmn_after(explored.now, seconds);
+    explored.now = lmn_time_add(explored.now, seconds);
     for (int n = 0; n < NODES; n++)
         if (!explored.nodes[n].stalled)
             lmn_members_tick(&explored.nodes[n].core->members, 0, explored.now);
@@ -132,7 +132,7 @@
 void node_boot(int n)
 {
     struct node *node = &explored.nodes[n];
-    struct timespec long_ago = lmn_after(explored.now, -100);
+    struct timespec long_ago = lmn_time_add(explored.now, -100);
 
     set_up(&node->settings, n);
     struct lmn_core *c = lmn_core_new(&node->settings, lmn_state_new(&node->settings), 1);
@@ -215,7 +215,7 @@
         return;
     report(A, 1);
     report(A, 1);
-    explored.now = lmn_after(explored.now, 1); /* records are written once a second */
+    explored.now = lmn_time_add(explored.now, 1); /* records are written once a second */
     if (explored.unrecorded)
         return;
     flush(A, true);
@@ -251,7 +251,7 @@
 {
     struct lmn_members *members = &explored.nodes[n].core->members;
     struct lmn_word well = {0, 0.5, 0};
-    struct timespec then = lmn_after(explored.now, -20);
+    struct timespec then = lmn_time_add(explored.now, -20);
 
     lmn_members_tick(members, 0, explored.now);
     for (int i = 0; i <= C; i++)
@@ -262,7 +262,7 @@
 void explored_begin(void)
 {
     explored_forget();
-    explored.now = lmn_after((struct timespec){0, 0}, 1000);
+    explored.now = lmn_time_add((struct timespec){0, 0}, 1000);
     lmn_test_clock = &explored.now;
     for (int n = 0; n < NODES; n++) {
         node_boot(n);
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -12,7 +12,7 @@
     struct lmn_members *members = &explored.nodes[B].core->members;
     struct lmn_statement says = {A, members->v[A].inc, 20, 10, 0};
 
-    lmn_member_unanswered(members, A, lmn_after(explored.now, -10), explored.now);
+    lmn_member_unanswered(members, A, lmn_time_add(explored.now, -10), explored.now);
     lmn_member_told(members, C, &says, explored.now);
 }
 
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -174,7 +174,7 @@
     if (w.emptying)
         assert_int_equal(w.a.runs->len, 0);
     else
-        assert_true(lmn_since(w.now, w.a.lease_from) <= w.a.lease_s + 0.5);
+        assert_true(lmn_time_diff_s(w.now, w.a.lease_from) <= w.a.lease_s + 0.5);
 }
 
 static void command(void)
@@ -199,7 +199,7 @@
             assert_int_equal(status, drop ? 409 : 200);
         assert_true(status == 503 || w.a.seq == seq + 1);
     } else {
-        struct timespec sent = lmn_after(w.now, -0.1 * some(10));
+        struct timespec sent = lmn_time_add(w.now, -0.1 * some(10));
         bool took = lmn_agent_answered(&w.a, session, sent, b->data, b->len, w.now);
         assert_true(!took || !drop);
     }
@@ -272,7 +272,7 @@
         /* It is answered, by whoever holds the highest token. */
         GByteArray *o = orders(w.a.token + (some(30) == 0), w.a.session);
         bool took = lmn_agent_answered(&w.a, w.a.session, w.now, o->data, o->len, w.now);
-        assert_true(!took || lmn_since(w.leased, w.now) > w.a.lease_s - 0.01);
+        assert_true(!took || lmn_time_diff_s(w.leased, w.now) > w.a.lease_s - 0.01);
         g_byte_array_unref(o);
     }
     g_byte_array_unref(b);
@@ -299,7 +299,7 @@
     w.a.lease_s = 10;
     lmn_agent_init(&w.a, &ops, NULL, 1, w.now);
     for (int step = 0; step < STEPS; step++) {
-        w.now = lmn_after(w.now, some(200) ? 0.05 * some(5) : 0.1 * some(150));
+        w.now = lmn_time_add(w.now, some(200) ? 0.05 * some(5) : 0.1 * some(150));
         if (some(4) == 0)
             command();
         else if (some(3) == 0)
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -142,7 +142,7 @@
 {
     struct lmn_txn *t;
 
-    now = lmn_after(now, 4);
+    now = lmn_time_add(now, 4);
     if (!r || g_rand_double(r) < 0.3)
         arrive();
     lmn_ranges_flush(owner, now);
--- a/tests/test_failures.c
+++ b/tests/test_failures.c
@@ -41,7 +41,7 @@
         if (d->times[machine][j])
             sum += lmn_failure_weight(&d->jobs[j], where, d->times[machine][j],
                                       d->last[machine][j], d->now);
-    d->pause[machine] = lmn_after(d->now, lmn_machine_pause(sum));
+    d->pause[machine] = lmn_time_add(d->now, lmn_machine_pause(sum));
     d->left[machine] = d->left[machine] || lmn_machine_faulty(sum);
 }
 
@@ -59,7 +59,7 @@
     for (int i = 0; i < broken; i++)
         d->broken[g_rand_int_range(d->rng, 0, JOBS)] = true;
     for (int tick = 0; tick < 2400; tick++) {
-        d->now = lmn_after(d->now, 0.25);
+        d->now = lmn_time_add(d->now, 0.25);
         if (takeover && tick == 1200) {
             struct lmn_job_failures old[JOBS];
             memcpy(old, d->jobs, sizeof old);
@@ -72,7 +72,7 @@
         }
         for (guint i = d->n; i-- > 0;) {
             struct running r = d->v[i];
-            if (lmn_before(d->now, r.ends))
+            if (lmn_time_before(d->now, r.ends))
                 continue;
             d->v[i] = d->v[--d->n];
             if (d->broken[r.job] || d->faulty[r.machine]) {
@@ -88,14 +88,14 @@
             guint here = 0;
             for (guint i = 0; i < d->n; i++)
                 here += d->v[i].machine == m;
-            if (d->left[m] || here >= 8 || lmn_before(d->now, d->pause[m]) ||
-                lmn_before(d->now, d->jobs[j].hold))
+            if (d->left[m] || here >= 8 || lmn_time_before(d->now, d->pause[m]) ||
+                lmn_time_before(d->now, d->jobs[j].hold))
                 continue;
             if (lmn_job_accused(&d->jobs[j]))
                 lmn_job_tried(&d->jobs[j], d->now);
             bool bad = d->broken[j] || d->faulty[m];
             double run = bad ? 0.5 : g_rand_double_range(d->rng, 5, 30);
-            d->v[d->n++] = (struct running){j, m, d->now, lmn_after(d->now, run)};
+            d->v[d->n++] = (struct running){j, m, d->now, lmn_time_add(d->now, run)};
         }
     }
     g_free(d->v);
@@ -140,21 +140,21 @@
     (void)state;
 
     for (int i = 0; i < 50; i++)
-        lmn_job_failed(&b, 1, t, lmn_after(t, 1 + i * 0.01));
+        lmn_job_failed(&b, 1, t, lmn_time_add(t, 1 + i * 0.01));
     assert_int_equal(b.rounds, 1);
     assert_false(lmn_job_accused(&b));
-    assert_true(lmn_since(b.hold, t) < 3);
+    assert_true(lmn_time_diff_s(b.hold, t) < 3);
     /* The only machine of its type: tried again, more and more seldom, and never blamed
      * by this job alone. */
     for (int i = 0; i < 50; i++) {
         t = b.hold;
-        lmn_job_failed(&b, 1, lmn_after(t, 0.1), lmn_after(t, 0.2));
+        lmn_job_failed(&b, 1, lmn_time_add(t, 0.1), lmn_time_add(t, 0.2));
         assert_false(lmn_job_accused(&b));
-        assert_in_range((int)lmn_since(b.hold, t), 0, 5);
+        assert_in_range((int)lmn_time_diff_s(b.hold, t), 0, 5);
     }
     assert_false(lmn_machine_faulty(lmn_failure_weight(&b, 1, 50, t, t)));
     lmn_job_succeeded(&b); /* elsewhere */
-    lmn_job_failed(&b, 1, t, lmn_after(t, 1));
+    lmn_job_failed(&b, 1, t, lmn_time_add(t, 1));
     assert_true(lmn_machine_faulty(lmn_failure_weight(&b, 1, 51, t, t)));
 }
 
@@ -163,24 +163,24 @@
 static void the_trickle(void **state)
 {
     struct lmn_job_failures b = {0};
-    struct timespec t = {1000, 0}, end = lmn_after(t, 3600);
+    struct timespec t = {1000, 0}, end = lmn_time_add(t, 3600);
     unsigned tries = 0;
     (void)state;
 
     for (guint m = 1; m <= 3; m++)
         lmn_job_failed(&b, m, t, t);
     assert_true(lmn_job_accused(&b));
-    while (lmn_before(t, end)) {
-        t = lmn_after(b.hold, 0.01);
+    while (lmn_time_before(t, end)) {
+        t = lmn_time_add(b.hold, 0.01);
         lmn_job_tried(&b, t);
-        assert_true(lmn_since(b.hold, t) > 3.9 && lmn_since(b.hold, t) < 61);
-        lmn_job_failed(&b, 1 + tries % 20, t, lmn_after(t, 1));
+        assert_true(lmn_time_diff_s(b.hold, t) > 3.9 && lmn_time_diff_s(b.hold, t) < 61);
+        lmn_job_failed(&b, 1 + tries % 20, t, lmn_time_add(t, 1));
         tries++;
     }
     assert_in_range(tries, 55, 70);
     lmn_job_succeeded(&b);
     assert_false(lmn_job_accused(&b));
-    assert_true(lmn_before(b.hold, t));
+    assert_true(lmn_time_before(b.hold, t));
 }
 
 int main(void)
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -257,10 +257,10 @@
 
 static void await_agent(const char *name, bool up)
 {
-    struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+    struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
     char addr[LMN_ADDRESS_SIZE];
     while (lmn_local_up(&local, name, addr) != up) {
-        assert_true(lmn_before(lmn_now(), end));
+        assert_true(lmn_time_before(lmn_now(), end));
         lmn_sleep(0.01);
     }
 }
@@ -330,9 +330,9 @@
     pid_t first;
     assert_true(lmn_lock_held(lock, &first));
     assert_true(lmn_lock_signal(lock, SIGKILL));
-    struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+    struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
     while (!lmn_lock_held(lock, &pid) || pid == first) {
-        assert_true(lmn_before(lmn_now(), end));
+        assert_true(lmn_time_before(lmn_now(), end));
         lmn_sleep(0.01);
     }
     char *back[] = {(char *)"host-000000", (char *)"host-000001", (char *)"host-000002",
@@ -365,7 +365,7 @@
 static void a_slot_becomes_what_it_is_told(void **state)
 {
     static struct lmn_slot_options o;
-    struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+    struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
     struct lmn_rent q = {.type = "small", .zone = "b", .count = 4};
     char *db = g_build_filename(dir, "fleet2", NULL);
     (void)state;
@@ -386,18 +386,18 @@
         char addr[LMN_ADDRESS_SIZE];
         g_snprintf(q.request, sizeof q.request, "s-%d", round);
         while (lmn_static_ops.rent(s, &q, names) != 200) {
-            assert_true(lmn_before(lmn_now(), end));
+            assert_true(lmn_time_before(lmn_now(), end));
             lmn_sleep(0.02);
         }
         assert_int_equal(names->len, 1);
         assert_string_equal(names->pdata[0], round ? "host-000001" : "host-000000");
         while (!lmn_local_up(&o.local, names->pdata[0], addr)) {
-            assert_true(lmn_before(lmn_now(), end));
+            assert_true(lmn_time_before(lmn_now(), end));
             lmn_sleep(0.02);
         }
         /* On a busy machine the slot may be slower than the call is patient. */
         while (lmn_static_ops.give_back(s, (char **)names->pdata, 1) != 200)
-            assert_true(lmn_before(lmn_now(), end));
+            assert_true(lmn_time_before(lmn_now(), end));
         assert_false(lmn_local_up(&o.local, names->pdata[0], addr));
         g_ptr_array_free(names, TRUE);
     }
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -53,8 +53,8 @@
     c->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     c->types_known = c->synced = true;
     c->lease = 77;
-    c->booted = c->synced_at = c->leased = lmn_after(now, -100);
-    c->members.synced = c->members.fresh = c->members.steady = lmn_after(now, -100);
+    c->booted = c->synced_at = c->leased = lmn_time_add(now, -100);
+    c->members.synced = c->members.fresh = c->members.steady = lmn_time_add(now, -100);
     c->fresh = now;
     return c;
 }
@@ -299,14 +299,14 @@
     /* As its owner writes it, with one task more. */
     r->st[59] = LMN_T_DONE;
     r->nfinished++;
-    r->dirty = lmn_after(now, -10);
+    r->dirty = lmn_time_add(now, -10);
     lmn_ranges_flush(c, now);
     take_record(c, key, 0, "range_done_last");
 
     /* Its job ends with it. */
     memset(r->st, LMN_T_DONE, 60);
     r->nfinished = 60;
-    lmn_ranges_flush(c, lmn_after(now, 5));
+    lmn_ranges_flush(c, lmn_time_add(now, 5));
     struct lmn_txn *t = lmn_state_take(c->state);
     struct sought removal = {.key = key};
     writes_record(t, "j/run-000412", 0, "job_finished");
@@ -336,7 +336,7 @@
         m->spot = i == 2;
         m->heard = m->accounted = true;
         /* One after another: the order of a table is no part of the record. */
-        lmn_blocks_flush(c, p, false, lmn_after(now, 10 * i));
+        lmn_blocks_flush(c, p, false, lmn_time_add(now, 10 * i));
         struct lmn_txn *t;
         while ((t = lmn_state_take(c->state))) {
             if (i == 2)
@@ -491,12 +491,12 @@
 
     apply(c, "n/nb", "controller_up", 5);
     m->ever = true;
-    m->heard = lmn_after(now, -60);
-    m->unanswered = lmn_after(now, -50);
+    m->heard = lmn_time_add(now, -60);
+    m->unanswered = lmn_time_add(now, -50);
     m->failures = 9;
     for (double s = -5; s <= 0; s += 0.1)
-        lmn_members_tick(&c->members, 0, lmn_after(now, s));
-    c->members.steady = lmn_after(now, -100);
+        lmn_members_tick(&c->members, 0, lmn_time_add(now, s));
+    c->members.steady = lmn_time_add(now, -100);
     lmn_members_fresh(&c->members, now);
     struct lmn_txn *t = lmn_holder_suspicion(c, 1, 77, now);
     writes_record(t, "u/nb", 77, "suspicion");
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -57,7 +57,7 @@
     g_strlcpy(a.type.name, "x", sizeof a.type.name);
     a.session = 5;
     a.spot = a.noticed = true;
-    a.gone_at = lmn_after(now, 30.5);
+    a.gone_at = lmn_time_add(now, 30.5);
     a.token = 42;
     a.seq = 16;
     for (uint32_t i = 0; i < 4 + LMN_NO_SUCH + 1; i++) {
--- a/tests/test_keeper.c
+++ b/tests/test_keeper.c
@@ -89,10 +89,10 @@
 
 static void wait_for_file(const char *name)
 {
-    struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+    struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
     char *path = g_build_filename(dir, name, NULL);
     while (access(path, F_OK) != 0) {
-        assert_true(lmn_before(lmn_now(), end));
+        assert_true(lmn_time_before(lmn_now(), end));
         lmn_sleep(0.01);
     }
     g_free(path);
@@ -110,7 +110,7 @@
 
 static void nothing_marked_is_left(void)
 {
-    struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+    struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
     while (lmn_kill_marked("none=such") || true) {
         /* Looked for without being ended: a mark that only this test's tasks carry. */
         bool any = false;
@@ -129,7 +129,7 @@
         g_dir_close(d);
         if (!any)
             return;
-        assert_true(lmn_before(lmn_now(), end));
+        assert_true(lmn_time_before(lmn_now(), end));
         lmn_sleep(0.01);
     }
 }
@@ -222,7 +222,7 @@
     wait_for_file("up");
     clock_gettime(CLOCK_BOOTTIME, &now);
     /* This process says no more, as if it were stopped: the keeper ends it alone. */
-    say(sock, lmn_keeper_msg_until(lmn_after(now, 0.2)));
+    say(sock, lmn_keeper_msg_until(lmn_time_add(now, 0.2)));
     struct lmn_keeper_msg m = hear(sock);
     while (m.event != LMN_K_LAPSED)
         m = hear(sock);
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -18,7 +18,7 @@
 
 static struct timespec at(double s)
 {
-    return lmn_after((struct timespec){1000, 0}, s);
+    return lmn_time_add((struct timespec){1000, 0}, s);
 }
 
 /* n members of which this is the first, all up, seen for ten seconds and well. */
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -90,7 +90,7 @@
 {
     struct timespec begun = lmn_now();
 
-    while (!g_atomic_int_get(&replied) && lmn_since(lmn_now(), begun) < longest_s)
+    while (!g_atomic_int_get(&replied) && lmn_time_diff_s(lmn_now(), begun) < longest_s)
         lmn_sleep(0.005);
     assert_int_equal(g_atomic_int_get(&replied), 1);
 }
--- a/tests/test_query_queue.c
+++ b/tests/test_query_queue.c
@@ -50,12 +50,13 @@
             guint asked = slow ? 60 : (guint)g_rand_int_range(r, 0, 30);
             for (guint i = 0; i < asked; i++, in++)
                 put(&q, g_rand_int_range(r, 0, 50) ? LMN_QUERY_STATUS : LMN_QUERY_CANCEL,
-                    g_rand_int_range(r, 0, 100), lmn_after(now, g_rand_double(r) * took));
-            now = lmn_after(now, took);
+                    g_rand_int_range(r, 0, 100),
+                    lmn_time_add(now, g_rand_double(r) * took));
+            now = lmn_time_add(now, took);
             guint n = lmn_query_queue_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
             assert_true(n <= G_N_ELEMENTS(v));
             for (struct lmn_query *a = late; a; a = a->next)
-                assert_true(lmn_since(now, a->since) > LMN_QUERY_PATIENCE_S);
+                assert_true(lmn_time_diff_s(now, a->since) > LMN_QUERY_PATIENCE_S);
             /* What the state service holds up is over with it. */
             assert_true(tick % 400 > 350 || tick % 400 < 20 || !late);
             told += done(late);
@@ -64,7 +65,7 @@
                 for (guint k = 0; k < i; k++)
                     assert_string_not_equal(v[i]->ref, v[k]->ref);
                 for (struct lmn_query *a = v[i]; a; a = a->next, who++) {
-                    assert_true(lmn_since(now, a->since) <= LMN_QUERY_PATIENCE_S);
+                    assert_true(lmn_time_diff_s(now, a->since) <= LMN_QUERY_PATIENCE_S);
                     assert_string_equal(a->ref, v[i]->ref);
                 }
                 shared += who > 1;
@@ -75,7 +76,7 @@
             assert_int_equal(q.waiting, in - out - told);
         }
         while (q.waiting) {
-            now = lmn_after(now, 0.02);
+            now = lmn_time_add(now, 0.02);
             guint n = lmn_query_queue_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
             for (guint i = 0; i < n; i++)
                 out += done(v[i]);
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -73,7 +73,7 @@
         for (int step = 0; step < 120; step++) {
             struct lmn_machine *m = some_machine(r);
             GByteArray *out = g_byte_array_new();
-            now = lmn_after(now, 0.3);
+            now = lmn_time_add(now, 0.3);
             switch (g_rand_int_range(r, 0, 6)) {
             case 0:
                 lmn_steal(core, m, now);
@@ -164,12 +164,12 @@
     struct lmn_machine *o = g_hash_table_lookup(core->parts[0].machines, "m-1");
     lmn_note_image(o, &jobs[0], false, now);
     assert_true(lmn_has_image(o, &jobs[0]));
-    assert_true(fabs(lmn_fetch_s(o, &jobs[0], lmn_after(now, 5)) - 15) < 1e-6);
+    assert_true(fabs(lmn_fetch_s(o, &jobs[0], lmn_time_add(now, 5)) - 15) < 1e-6);
     lmn_note_image(o, &jobs[1], false, now); /* a second one shares the rate */
     assert_true(fabs(lmn_fetch_s(o, &jobs[1], now) - 40) < 1e-6);
-    lmn_note_image(o, &jobs[0], true, lmn_after(now, 6)); /* a task of it runs */
-    assert_true(lmn_fetch_s(o, &jobs[0], lmn_after(now, 6)) == 0);
-    assert_true(lmn_fetch_s(o, &jobs[1], lmn_after(now, 50)) == 0);
+    lmn_note_image(o, &jobs[0], true, lmn_time_add(now, 6)); /* a task of it runs */
+    assert_true(lmn_fetch_s(o, &jobs[0], lmn_time_add(now, 6)) == 0);
+    assert_true(lmn_fetch_s(o, &jobs[1], lmn_time_add(now, 50)) == 0);
     /* The cache holds ten: the least recently used go. */
     for (int i = 2; i < 7; i++) {
         jobs[i].spec.image_gb = 2;
@@ -195,7 +195,7 @@
     assert_int_equal(core->parts[0].unplaced.tasks, r->hi);
     start_all();
     assert_int_equal(r->nstarted, 0);
-    now = lmn_after(j->failures.hold, 0.1);
+    now = lmn_time_add(j->failures.hold, 0.1);
     start_all();
     assert_int_equal(r->nstarted, 1);
     lmn_job_succeeded(&j->failures);
--- a/tests/test_queue_floor.c
+++ b/tests/test_queue_floor.c
@@ -42,7 +42,7 @@
     lmn_deal_range(core, small->ranges->pdata[0], now);
     lmn_deal_range(core, large->ranges->pdata[0], now);
     for (; t < 600 && !count_started(large, true) && !count_started(large, false); t++) {
-        now = lmn_after(now, 1);
+        now = lmn_time_add(now, 1);
         core->wall = t;
         lmn_ages(core, t);
         lmn_reserve(core, p, now);
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -85,7 +85,7 @@
         assert_int_equal(where->promised, 1);
         assert_int_equal(p->unplaced.tasks, 0);
         /* Again: it is helped already. */
-        lmn_make_room(core, p, lmn_after(now, 1));
+        lmn_make_room(core, p, lmn_time_add(now, 1));
         assert_int_equal(core->count.preempted, 1);
         /* One victim has ended: its piece stays free until the other has too. */
         lmn_queue_add(&where->queue, low, 199, 200);
@@ -188,7 +188,7 @@
         }
         uint32_t all = at;
         for (int step = 0; step < 40; step++) {
-            then = lmn_after(then, 5);
+            then = lmn_time_add(then, 5);
             core->fresh = then;
             bool young = step < 6;
             guint before = 0, after = 0, stopped = 0;
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -18,7 +18,7 @@
     double last = 0;
 
     for (int i = 0; i < 20; i++) {
-        now = m->next_steal.tv_sec ? lmn_after(m->next_steal, 0.01) : now;
+        now = m->next_steal.tv_sec ? lmn_time_add(m->next_steal, 0.01) : now;
         assert_false(lmn_steal(core, m, now));
         assert_true(last == 0 || m->poll_s == fmin(last * 2, core->tuning.poll_cap_s));
         last = m->poll_s;
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -219,7 +219,7 @@
 static void settle(void)
 {
     for (int k = 0; k < 20; k++) {
-        now = lmn_after(now, 1);
+        now = lmn_time_add(now, 1);
         for (int i = 0; i < nparts; i++) {
             write_out(NULL, i);
             follow(i, events->len);
@@ -236,7 +236,7 @@
     for (int step = 0; step < steps; step++) {
         int i = g_rand_int_range(r, 0, nparts);
         int team = g_rand_int_range(r, 0, (gint32)cfg.nteams);
-        now = lmn_after(now, 0.2);
+        now = lmn_time_add(now, 0.2);
         if (g_rand_double(r) < 0.4)
             lmn_quota_give(core[i], &core[i]->parts[i], team,
                            g_rand_int_range(r, 0, nparts),
@@ -349,7 +349,7 @@
     for (int i = 1; i < nparts; i++)
         core[i]->parts[i].used_cpus[0] = 8;
     for (int turn = 0; turn < 200 && !moved; turn++) {
-        now = lmn_after(now, 1);
+        now = lmn_time_add(now, 1);
         for (int i = 1; i < nparts; i++) {
             struct lmn_partition *o = &core[i]->parts[i];
             /* One ends now and then, and another starts at once, if it may. */
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -208,7 +208,7 @@
         lmn_fleet_init(&f);
         /* Five cheap machines, if any, are all there are. */
         for (int calls = 0; calls < 400; calls++) {
-            now = lmn_after(now, 1);
+            now = lmn_time_add(now, 1);
             if (!lmn_fleet_choose(c, &f, &rental, now))
                 continue;
             unsigned got = !rental.spot          ? rental.count
@@ -272,9 +272,9 @@
         }
         for (int i = 0; k == 2 && i < 20; i++) /* they take long here */
             lmn_fleet_booted(&f, g_hash_table_lookup(f.machines, "m-25"), 200);
-        now = lmn_after(now, 30);
+        now = lmn_time_add(now, 30);
         assert_false(lmn_fleet_choose(c, &f, &rental, now));
-        now = lmn_after(now, 20);
+        now = lmn_time_add(now, 20);
         while (lmn_fleet_choose(c, &f, &rental, now) && ++n < 100)
             for (unsigned i = 0; i < rental.count; i++, more++) {
                 struct lmn_listed *m = g_new0(struct lmn_listed, 1);
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -56,7 +56,7 @@
     if (view == JUST_STARTED)
         return c;
     c->synced = c->types_known = true;
-    c->fresh = view == OLD_VIEW ? lmn_after(now, -LMN_STALE_S - 1) : now;
+    c->fresh = view == OLD_VIEW ? lmn_time_add(now, -LMN_STALE_S - 1) : now;
     c->types.n = 1;
     c->types.v[0] = (struct lmn_machine_type){
         .name = "small", .cpus = 4, .mem = 16, .nzones = 1, .zones = {"a"}};
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -80,7 +80,7 @@
     struct timespec now = lmn_now();
     for (guint i = leases->len; i-- > 0;) {
         struct lease l = g_array_index(leases, struct lease, i);
-        if (!lmn_before(l.until, now))
+        if (!lmn_time_before(l.until, now))
             continue;
         g_array_remove_index(leases, i);
         revision++;
@@ -183,10 +183,10 @@
 static int state_watch(struct MHD_Connection *c, GByteArray *out)
 {
     uint64_t after = g_ascii_strtoull(query(c, Q_AFTER), NULL, 10);
-    struct timespec end = lmn_after(lmn_now(), atof(query(c, Q_WAIT_MS)) / 1000);
+    struct timespec end = lmn_time_add(lmn_now(), atof(query(c, Q_WAIT_MS)) / 1000);
     size_t n = 0;
 
-    while (revision <= after && lmn_before(lmn_now(), end)) {
+    while (revision <= after && lmn_time_before(lmn_now(), end)) {
         lmn_cond_wait_for(&changed, &lock, 0.05);
         expire();
     }
@@ -225,7 +225,7 @@
         uint64_t ttl = 1000;
         lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_TTL_MS), &ttl);
         struct lease l = {++last_lease, (double)ttl / 1000, {0, 0}};
-        l.until = lmn_after(lmn_now(), l.ttl);
+        l.until = lmn_time_add(lmn_now(), l.ttl);
         g_array_append_val(leases, l);
         lmn_cbor_put_map(out, 1);
         lmn_cbor_put_text(out, W_LEASE), lmn_cbor_put_uint(out, l.id);
@@ -235,7 +235,7 @@
         struct lease *l =
             find_lease(g_ascii_strtoull(path + strlen(P_LEASES "/"), NULL, 10));
         if (l)
-            l->until = lmn_after(lmn_now(), l->ttl);
+            l->until = lmn_time_add(lmn_now(), l->ttl);
         return l ? 200 : 404;
     }
     if (!strcmp(path, P_STORE)) {
@@ -337,7 +337,7 @@
             room->attempt = attempt;
             /* The service's replicas run until they are killed. */
             room->until =
-                lmn_after(lmn_now(), g_str_has_prefix(task, "run-00010") ? 1e6 : 0.4);
+                lmn_time_add(lmn_now(), g_str_has_prefix(task, "run-00010") ? 1e6 : 0.4);
             started++;
         } else if (lmn_cbor_text_equals(op, W_KILL) && same && same->state == RUNNING) {
             same->state = ENDED;
@@ -352,14 +352,14 @@
     struct timespec now = lmn_now();
     for (int i = 0; i < MAX_HELD; i++) {
         struct held *h = &m->held[i];
-        if (h->state == RUNNING && lmn_before(h->until, now)) {
+        if (h->state == RUNNING && lmn_time_before(h->until, now)) {
             h->state = ENDED;
             h->done = true;
         }
-        if (lmn_since(now, m->answered) > 6)
+        if (lmn_time_diff_s(now, m->answered) > 6)
             h->state = FREE;
     }
-    if (lmn_since(now, m->answered) > 6) {
+    if (lmn_time_diff_s(now, m->answered) > 6) {
         m->session++;
         m->answered = now;
     }
@@ -685,9 +685,9 @@
 static int insist(const char *method, const char *path, const GByteArray *body, int a,
                   int b, char *word)
 {
-    struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+    struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
     int status = 0;
-    while (lmn_before(lmn_now(), end)) {
+    while (lmn_time_before(lmn_now(), end)) {
         status = call(method, path, body, word);
         if (status == a || status == b)
             return status;
@@ -746,13 +746,13 @@
     insist("POST", P_JOBS "/run-000100" P_CANCEL, NULL, 200, 200, word);
     assert_string_equal(word, W_WITHDRAWN);
     for (int k = 0; k < 6; k++) {
-        struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+        struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
         g_snprintf(path, sizeof path, P_JOBS "/run-%06d", k);
         do {
             int status = call("GET", path, NULL, word);
             assert_int_not_equal(status, 404);
             lmn_sleep(0.2);
-        } while (strcmp(word, W_DONE) && lmn_before(lmn_now(), end));
+        } while (strcmp(word, W_DONE) && lmn_time_before(lmn_now(), end));
         assert_string_equal(word, W_DONE);
     }
     /* Every controller gives the final answers, again and again. */
@@ -847,9 +847,9 @@
     char told[32];
 
     for (enum odd what = 0; what < ODD; what++) {
-        struct timespec end = lmn_after(lmn_now(), PATIENCE_S);
+        struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
         int got = odd_call(node, what, ref, told);
-        while (got == 503 && status[what] != 503 && lmn_before(lmn_now(), end)) {
+        while (got == 503 && status[what] != 503 && lmn_time_before(lmn_now(), end)) {
             lmn_sleep(0.2);
             got = odd_call(node, what, ref, told);
         }
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -330,7 +330,7 @@
     uint64_t mark = lmn_untold_start(p->list->pdata[0], now);
     assert_true(mark && !lmn_stream_covers(p, mark) && !lmn_stream_stuck(p, now));
     for (int k = 0; k < 3; k++) {
-        now = lmn_after(now, 0.15);
+        now = lmn_time_add(now, 0.15);
         if (lmn_stream_next(core, p, now, &b, &t, &wait) == LMN_STREAM_SEND)
             lmn_stream_sent(core, p, b, false, LMN_COPY_TAKEN, now);
     }
@@ -340,7 +340,7 @@
     assert_int_equal(s->phase, LMN_STREAM_STRIKING);
     lmn_txn_free(t);
     /* However long that takes. */
-    now = lmn_after(now, 100);
+    now = lmn_time_add(now, 100);
     assert_false(lmn_stream_covers(p, mark));
     lmn_stream_next(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_STRIKING);
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -117,11 +117,11 @@
                        (guint)g_rand_int_range(r, 1, rank == LMN_RANK_USER ? 48 : 4));
                 submitted[rank]++;
             }
-            now = lmn_after(now, 0.2);
+            now = lmn_time_add(now, 0.2);
             sent += drain(s);
             /* A transaction larger than the bucket is taken from a full one, users may
              * overdraw, and both are paid off. */
-            most = lmn_since(now, begun) * 25 + 2 * 25 + 48;
+            most = lmn_time_diff_s(now, begun) * 25 + 2 * 25 + 48;
             assert_true(sent <= most);
         }
         for (int i = 0; i < LMN_RANKS; i++)
@@ -178,7 +178,7 @@
     lmn_txn_remove(t, "k/late");
     struct timespec begun = lmn_now();
     lmn_state_submit(s, t);
-    while (!g_atomic_int_get(&done) && lmn_since(lmn_now(), begun) < 1.5)
+    while (!g_atomic_int_get(&done) && lmn_time_diff_s(lmn_now(), begun) < 1.5)
         lmn_sleep(0.005);
     assert_true(g_atomic_int_get(&done));
 }
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -46,7 +46,7 @@
     struct lmn_core *c = lmn_core_new(cfg, lmn_state_new(cfg), 1);
     lmn_members_fresh(&c->members, now);
     lmn_members_tick(&c->members, 0, now);
-    c->members.synced = lmn_after(now, -100);
+    c->members.synced = lmn_time_add(now, -100);
     c->synced = true;
     c->fresh = now;
     for (int k = 0; k < n; k++) {
@@ -182,7 +182,7 @@
     assert_false(lmn_leave_bare(c) || lmn_leave_over(c, now));
     /* Nobody is in step: for 2 s it waits for somebody. */
     assert_int_equal(lmn_leave_successor(c, p, now), -1);
-    assert_int_equal(lmn_leave_successor(c, p, lmn_after(now, 2.1)), 1);
+    assert_int_equal(lmn_leave_successor(c, p, lmn_time_add(now, 2.1)), 1);
     assert_true(lmn_leave_undo(c));
     assert_false(c->leaving);
     lmn_leave(c, now);
@@ -192,11 +192,11 @@
     assert_true(lmn_leave_bare(c));
     c->left = true;
     assert_false(lmn_leave_undo(c));
-    assert_false(lmn_leave_over(c, lmn_after(now, 5.9)));
-    assert_true(lmn_leave_over(c, lmn_after(now, 6.1)));
+    assert_false(lmn_leave_over(c, lmn_time_add(now, 5.9)));
+    assert_true(lmn_leave_over(c, lmn_time_add(now, 6.1)));
     c->left = false;
-    assert_false(lmn_leave_over(c, lmn_after(now, 9.9)));
-    assert_true(lmn_leave_over(c, lmn_after(now, 10.1)));
+    assert_false(lmn_leave_over(c, lmn_time_add(now, 9.9)));
+    assert_true(lmn_leave_over(c, lmn_time_add(now, 10.1)));
     drop(c);
 }
 
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -288,7 +288,7 @@
     /* Refused in that session too: not at once, but by asking for it. */
     lmn_probe_outcome(core, m->name, 5, 409, refusal, now);
     assert_int_equal(m->session, 0);
-    assert_true(lmn_before(now, m->next_probe));
+    assert_true(lmn_time_before(now, m->next_probe));
     lmn_probe_outcome(core, m->name, 5, 200, answer, now);
     assert_true(m->accounted);
     assert_int_equal(m->attempts->len, 0);
@@ -311,7 +311,7 @@
         own++;
     }
     assert_true(own > 0 && own < MACHINES);
-    now = lmn_after(now, 0.6);
+    now = lmn_time_add(now, 0.6);
     for (unsigned i = own; i < MACHINES; i++) {
         assert_true(lmn_probe_next(core, 0, LANES, name, addr, &term, now));
         assert_int_equal(g_str_hash(name) % LANES, 1);
@@ -435,8 +435,8 @@
     member_is_up(lmn_member_rank(&core->members, "nc"));
     put("o/1", NULL);
     assert_false(lmn_partition_wanted(core, p, now));
-    assert_false(lmn_partition_wanted(core, p, lmn_after(now, 1.4)));
-    assert_true(lmn_partition_wanted(core, p, lmn_after(now, 1.6)));
+    assert_false(lmn_partition_wanted(core, p, lmn_time_add(now, 1.4)));
+    assert_true(lmn_partition_wanted(core, p, lmn_time_add(now, 1.6)));
 }
 
 /* A crash costs nothing more: its questions are unanswered, or it was never heard. */
@@ -450,9 +450,9 @@
     assert_true(lmn_partition_wanted(core, p, now));
     member_is_up(nc);
     assert_false(lmn_partition_wanted(core, p, now));
-    struct timespec later = lmn_after(now, 0.5);
-    lmn_member_unanswered(&core->members, nc, later, lmn_after(later, 0.4));
-    assert_true(lmn_partition_wanted(core, p, lmn_after(later, 0.4)));
+    struct timespec later = lmn_time_add(now, 0.5);
+    lmn_member_unanswered(&core->members, nc, later, lmn_time_add(later, 0.4));
+    assert_true(lmn_partition_wanted(core, p, lmn_time_add(later, 0.4)));
 }
 
 /* --- silence of our own making --- */
@@ -461,7 +461,7 @@
 static void pass(double seconds, bool outage, bool reports)
 {
     for (double t = 0; t < seconds; t += 0.25) {
-        now = lmn_after(now, 0.25);
+        now = lmn_time_add(now, 0.25);
         lmn_members_tick(&core->members, 0, now);
         if (!outage) {
             core->fresh = now;
@@ -500,7 +500,7 @@
     own_cold(4);
     account();
     pass(4, false, true);
-    now = lmn_after(now, 6);
+    now = lmn_time_add(now, 6);
     pass(1, true, false);
     pass(0.5, false, false);
     assert_true(core->members.word.deaf < 0.1);
@@ -516,7 +516,7 @@
     own_cold(4);
     account();
     pass(4, false, true);
-    now = lmn_after(now, 4);
+    now = lmn_time_add(now, 4);
     pass(0.5, true, false);
     for (int i = 0; i < MACHINES; i++)
         machine(i)->probes = 1;
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -109,7 +109,7 @@
 }
 static void failed(void)
 {
-    machine->hold = lmn_after(now, 5);
+    machine->hold = lmn_time_add(now, 5);
 }
 static void job_is_over(void)
 {
@@ -129,7 +129,7 @@
 }
 static void job_fails(void)
 {
-    job.failures.hold = lmn_after(now, 5);
+    job.failures.hold = lmn_time_add(now, 5);
 }
 static void forbids_zone(void)
 {
@@ -251,7 +251,7 @@
     job.aged = other.aged = true;
     other.ranges = g_ptr_array_new();
     machine->kept = &job;
-    machine->kept_until = lmn_after(now, 60);
+    machine->kept_until = lmn_time_add(now, 60);
     lmn_reserve(core, machine->part, now);
     assert_ptr_equal(machine->kept, &job);
     machine->kept = &other;
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -77,7 +77,7 @@
     uint64_t term;
 
     for (double t = 0; t < seconds; t += 0.25) {
-        now = lmn_after(now, 0.25);
+        now = lmn_time_add(now, 0.25);
         core->fresh = now;
         g_hash_table_iter_init(&it, core->parts[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
@@ -130,9 +130,9 @@
     (void)state;
     make(0);
     struct lmn_machine *m = add(1);
-    core->fresh =
-        lmn_after(now, cfg.lease_s - 1); /* the last that it heard of the state service */
-    now = lmn_after(now, 2 * cfg.lease_s);
+    core->fresh = lmn_time_add(
+        now, cfg.lease_s - 1); /* the last that it heard of the state service */
+    now = lmn_time_add(now, 2 * cfg.lease_s);
     lmn_upkeep(core, now);
     assert_false(m->lapsed);
     core->fresh = now; /* heard again, and still the owner */
@@ -161,7 +161,7 @@
                       ->zone,
                   "a", LMN_NAME_SIZE);
     one->probes = 2;
-    now = lmn_after(now, cfg.lease_s - 5);
+    now = lmn_time_add(now, cfg.lease_s - 5);
     core->fresh = now;
     GHashTableIter it;
     gpointer v;
@@ -176,7 +176,7 @@
     /* The cut is over and most are heard again: the others once were returned at that
      * moment. */
     for (int k = 0; k < 2; k++) {
-        core->fresh = now = lmn_after(now, k ? cfg.report_s + 11 : 1);
+        core->fresh = now = lmn_time_add(now, k ? cfg.report_s + 11 : 1);
         g_hash_table_iter_init(&it, core->parts[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
             if (v != far[0] && v != far[1])
@@ -211,7 +211,7 @@
             far[i]->heard = far[i]->accounted = false;
             far[i]->probes = 2;
         }
-        now = lmn_after(now, 6);
+        now = lmn_time_add(now, 6);
         core->fresh = now;
         lmn_upkeep(core, now);
         for (int i = 0; i < 8; i++)
@@ -260,17 +260,17 @@
         lost[i]->inherited = true;
         lost[i]->heard = lost[i]->accounted = false;
     }
-    now = lmn_after(now, 3);
+    now = lmn_time_add(now, 3);
     for (unsigned lane = 0; lane < 12; lane++)
         assert_true(lmn_probe_next(core, lane, 12, name, addr, &term, now));
     assert_false(lmn_probe_next(core, 0, 12, name, addr, &term, now));
     for (int i = 0; i < 12; i++)
         lmn_probe_outcome(core, lost[i]->name, 1, LMN_NO_ANSWER, NULL, now);
-    core->fresh = now = lmn_after(now, 2);
+    core->fresh = now = lmn_time_add(now, 2);
     lmn_upkeep(core, now);
     for (int i = 0; i < 12; i++)
         assert_false(lost[i]->retiring);
-    core->fresh = now = lmn_after(now, 1.25 * cfg.report_s);
+    core->fresh = now = lmn_time_add(now, 1.25 * cfg.report_s);
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, core->parts[0].machines);
@@ -295,7 +295,7 @@
     lost->inherited = true;
     lost->heard = lost->accounted = false;
     for (int i = 0; i < 30; i++) {
-        core->fresh = m->last = now = lmn_after(now, 1);
+        core->fresh = m->last = now = lmn_time_add(now, 1);
         lmn_upkeep(core, now);
         assert_false(m->retiring);
         if (i == 20)
@@ -303,7 +303,7 @@
     }
     assert_true(core->parts[0].ready);
     for (int i = 0; i < 10; i++) {
-        core->fresh = m->last = now = lmn_after(now, 1);
+        core->fresh = m->last = now = lmn_time_add(now, 1);
         lmn_upkeep(core, now);
     }
     assert_true(m->retiring);
@@ -411,7 +411,7 @@
     assert_int_equal(report(m, m->name, 1, ++seq, 1, true, &orders), 200);
     assert_int_equal(orders, 8);
     for (int i = 0; i < 15; i++) { /* a minute */
-        now = lmn_after(now, 4);
+        now = lmn_time_add(now, 4);
         assert_int_equal(report(m, m->name, 1, ++seq, 1, false, &orders), 200);
         assert_true(orders <= 1);
         assert_int_equal(m->queue.tasks, 0);
@@ -420,13 +420,13 @@
     }
     assert_in_range(given, 2, tries / 2);
     assert_int_equal(range.nstarted, orders);
-    now = lmn_after(now, 20);
+    now = lmn_time_add(now, 20);
     report(m, m->name, 1, ++seq, 1, false, &orders);
     assert_int_equal(orders, 1);
-    now = lmn_after(now, 4);
+    now = lmn_time_add(now, 4);
     report(m, m->name, 1, ++seq, 1, true, &orders); /* it was heard */
     assert_int_equal(m->unheeded, 0);
-    now = lmn_after(now, 20);
+    now = lmn_time_add(now, 20);
     m->next_steal = now;
     report(m, m->name, 1, ++seq, 1, true, &orders);
     assert_int_equal(range.nstarted, 8);
@@ -452,7 +452,7 @@
         p->ready = false;
         double waited = 0;
         for (; !m->retiring && waited < 60; waited += 2) {
-            now = lmn_after(now, 2);
+            now = lmn_time_add(now, 2);
             for (guint i = 0; i < p->list->len; i++)
                 if (p->list->pdata[i] != m)
                     ((struct lmn_machine *)p->list->pdata[i])->last = now;
@@ -508,10 +508,10 @@
     queue_tasks(4);
     report(m, m->name, 2, 10, 1, true, &orders);
     assert_int_equal(orders, 4);
-    now = lmn_after(now, 2);
+    now = lmn_time_add(now, 2);
     report(m, m->name, 2, 12, 1, true, &orders);
     struct timespec last = m->last;
-    now = lmn_after(now, 2);
+    now = lmn_time_add(now, 2);
     core->members.shut = true;
     for (uint64_t seq = 9; seq <= 12; seq++) {
         assert_int_equal(report(m, m->name, 2, seq, 1, false, &orders), 503);
@@ -521,7 +521,7 @@
            &orders); /* of one that nothing is known of */
     assert_true(core->members.shut);
     assert_int_equal(range.nstarted, 4);
-    assert_int_equal(lmn_since(m->last, last), 0);
+    assert_int_equal(lmn_time_diff_s(m->last, last), 0);
     m->seq = 20; /* a call's answer: a report from before it may have been on its way for
                     minutes */
     assert_int_equal(report(m, m->name, 2, 13, 1, true, &orders), 200);
@@ -551,7 +551,7 @@
             core->members.v[i].present = true;
         assert_int_equal(report(m, m->name, 1, ++seq, 1, false, &orders), 200);
         core->isolated = now;
-        now = lmn_after(now, 1);
+        now = lmn_time_add(now, 1);
         int first = report(m, m->name, 1, ++seq, 1, false, &orders);
         assert_int_equal(first == 200, lease == 10);
         assert_int_equal(report(m, m->name, 1, ++seq, 1, false, &orders), 200);
@@ -589,7 +589,7 @@
     queue_tasks(4);
     assert_int_equal(report(m, m->name, 2, ++*seq, 1, true, &orders), 200);
     assert_int_equal(orders, 4);
-    now = lmn_after(now, 4);
+    now = lmn_time_add(now, 4);
     assert_int_equal(report(m, m->name, 2, ++*seq, 1, true, &orders), 200);
     return m;
 }
@@ -640,7 +640,7 @@
     lmn_deal_range(core, &range, now);
     core->parts[0].stream.phase = LMN_STREAM_IN_STEP;
     core->parts[0].stream.acked = core->parts[0].stream.mark;
-    now = lmn_after(now, 4);
+    now = lmn_time_add(now, 4);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
     assert_true(last_held.mark > 0);
     assert_int_equal(commands(answered, W_KILL), 4);
@@ -664,7 +664,8 @@
         struct lmn_machine *m = add(1);
         m->type = &core->types.v[0];
         queue_tasks(4);
-        now = lmn_after(now, lmn_settings_max_cache_age_s(&cfg) + (stale ? 0.01 : -0.01));
+        now = lmn_time_add(now,
+                           lmn_settings_max_cache_age_s(&cfg) + (stale ? 0.01 : -0.01));
         m->last = now;
         lmn_poke(m);
         assert_int_equal(lmn_direct_next(core, 0, 1, name, addr, body, now), !stale);
@@ -692,7 +693,7 @@
     lmn_poke(m);
     assert_true(lmn_direct_next(core, 0, 1, name, addr, body, now));
     assert_int_equal(m->attempts->len, 4);
-    now = lmn_after(now, 1);
+    now = lmn_time_add(now, 1);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
     assert_int_equal(orders, 0);
     job.phase = LMN_JOB_CANCELLED;
@@ -718,12 +719,12 @@
 
     struct lmn_machine *m = with_tasks(&seq);
     assert_false(lmn_tombstone_heard(core, "run-999999", now));
-    now = lmn_after(now, 1);
+    now = lmn_time_add(now, 1);
     assert_true(lmn_tombstone_heard(core, "run-000001", now));
     struct timespec heard = now;
     for (int late = 0; late < 2; late++) {
         /* The mirror stands still; a late twin of the tombstone changes nothing. */
-        core->fresh = lmn_after(heard, -1);
+        core->fresh = lmn_time_add(heard, -1);
         assert_false(lmn_job_wanted(core, &job));
         assert_int_equal(job.phase, LMN_JOB_ACTIVE);
         lmn_ranges_flush(core, now);
@@ -731,16 +732,16 @@
         assert_true(lmn_tombstone_heard(core, "run-000001", heard));
     }
     /* report() has the mirror proven as of now: a tombstone of later than that. */
-    assert_true(lmn_tombstone_heard(core, "run-000001", lmn_after(now, 30)));
-    now = lmn_after(now, 4);
+    assert_true(lmn_tombstone_heard(core, "run-000001", lmn_time_add(now, 30)));
+    now = lmn_time_add(now, 4);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
     assert_int_equal(commands(answered, W_KILL), 4);
     assert_int_equal(orders, 4);
-    now = lmn_after(now, 4); /* they are gone: queued again, and not started */
+    now = lmn_time_add(now, 4); /* they are gone: queued again, and not started */
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
     assert_int_equal(orders, 0);
     assert_int_equal(range.nstarted, 0);
-    now = lmn_after(now, 30); /* it was wrong */
+    now = lmn_time_add(now, 30); /* it was wrong */
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
     assert_true(orders > 0);
     job.phase = LMN_JOB_CANCELLED;
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -364,7 +364,7 @@
     w.mail = g_ptr_array_new();
     w.kept = g_ptr_array_new();
     w.now = 1000;
-    w.clock = lmn_after((struct timespec){0, 0}, w.now);
+    w.clock = lmn_time_add((struct timespec){0, 0}, w.now);
     lmn_test_clock = &w.clock;
     for (int i = 0; i < w.layout.machines; i++) {
         struct machine *m = &w.machines[i];
@@ -411,7 +411,7 @@
          step++) {
         w.calm = plan || step >= w.layout.steps;
         w.now += STEP_S;
-        w.clock = lmn_after((struct timespec){0, 0}, w.now);
+        w.clock = lmn_time_add((struct timespec){0, 0}, w.now);
         world_expire();
         if (plan)
             plan->step();
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -109,7 +109,7 @@
 
     if (!answered(n, &upto, &asked))
         return;
-    struct timespec fresh = lmn_after((struct timespec){0, 0}, asked);
+    struct timespec fresh = lmn_time_add((struct timespec){0, 0}, asked);
     for (; n->seen < upto; n->seen++) {
         const struct event *e = w.log->pdata[n->seen];
         struct lmn_cbor_document d = {0};
@@ -133,7 +133,7 @@
 struct lmn_word node_word(const struct node *n)
 {
     struct lmn_word word = n->core->members.word;
-    word.stale_s = n->core->synced ? lmn_since(w.clock, n->core->fresh) : 1e6;
+    word.stale_s = n->core->synced ? lmn_time_diff_s(w.clock, n->core->fresh) : 1e6;
     return word;
 }
 
@@ -412,7 +412,8 @@
     struct lmn_partition *p = &n->core->parts[part];
     bool any = false, got = false;
 
-    for (int team = 0; team < w.teams && !lmn_before(w.clock, p->next_quota); team++) {
+    for (int team = 0; team < w.teams && !lmn_time_before(w.clock, p->next_quota);
+         team++) {
         struct lmn_quota_want want;
         if (!lmn_quota_wanted(n->core, p, team, &want))
             continue;
@@ -428,7 +429,7 @@
     if (!any)
         return;
     p->quota_poll_s = got ? 0.5 : CLAMP(p->quota_poll_s * 2, 0.5, 8);
-    p->next_quota = lmn_after(w.clock, p->quota_poll_s);
+    p->next_quota = lmn_time_add(w.clock, p->quota_poll_s);
 }
 
 /* Parts of the team's limit go to and fro, whatever is under way; on days of several
