--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -41,19 +41,19 @@
 
 static uint64_t incarnation_of(int i)
 {
-    struct lmn_http *h = lmn_http_new(state[i]);
+    struct lmn_http_client *h = lmn_http_client_new(state[i]);
     GByteArray *in = g_byte_array_new();
     struct lmn_cbor_document d;
     uint64_t v = 0;
 
-    while (lmn_http_call(h, "GET", "/incarnation", NULL, 2, in) != 200)
+    while (lmn_http_client_call(h, "GET", "/incarnation", NULL, 2, in) != 200)
         lmn_sleep(0.05);
     if (lmn_cbor_parse(&d, in->data, in->len) == 0) {
         lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), "Incarnation"), &v);
         lmn_cbor_free(&d);
     }
     g_byte_array_unref(in);
-    lmn_http_free(h);
+    lmn_http_client_free(h);
     return v;
 }
 
@@ -69,7 +69,7 @@
         return;
     }
     lmn_book_open(&b, state[side], "loader", 48, &restored);
-    struct lmn_http *h = lmn_http_new(state[side]);
+    struct lmn_http_client *h = lmn_http_client_new(state[side]);
     for (unsigned n = 0; n < jobs;) {
         static struct lmn_write w[BATCH];
         unsigned k = 0;
@@ -107,13 +107,13 @@
     _exit(0);
 }
 
-static uint64_t finals(struct lmn_http *h)
+static uint64_t finals(struct lmn_http_client *h)
 {
     GByteArray *in = g_byte_array_new();
     struct lmn_cbor_document d;
     uint64_t n = 0;
 
-    if (lmn_http_call(h, "GET", "/gateway", NULL, 5, in) == 200 &&
+    if (lmn_http_client_call(h, "GET", "/gateway", NULL, 5, in) == 200 &&
         lmn_cbor_parse(&d, in->data, in->len) == 0) {
         lmn_cbor_get_uint(
             lmn_cbor_get(&d, lmn_cbor_get(&d, lmn_cbor_root(&d), "Jobs"), "final"), &n);
@@ -123,7 +123,7 @@
     return n;
 }
 
-static double submit(struct lmn_http *h, unsigned n)
+static double submit(struct lmn_http_client *h, unsigned n)
 {
     struct lmn_job_spec s = {.class_name = (char *)"c",
                              .team = (char *)"t",
@@ -137,7 +137,7 @@
     g_snprintf(s.ref, sizeof s.ref, W_JOB_PREFIX "9%09u", n);
     lmn_cbor_put_map(b, lmn_job_spec_pair_count());
     lmn_job_spec_write(b, &s);
-    int status = lmn_http_call(h, "POST", P_JOBS, b, 10, in);
+    int status = lmn_http_client_call(h, "POST", P_JOBS, b, 10, in);
     g_byte_array_unref(b);
     g_byte_array_unref(in);
     return status == 201 ? lmn_time_diff_s(lmn_now(), begun) : 10;
@@ -197,15 +197,15 @@
                                     "--config",  file[i],   NULL};
         /* The home first: the link returns when the host has begun. */
         pids[2 + i] = start(args, log);
-        struct lmn_http *h = lmn_http_new(users[i]);
+        struct lmn_http_client *h = lmn_http_client_new(users[i]);
         GByteArray *in = g_byte_array_new();
-        while (lmn_http_call(h, "GET", P_READY, NULL, 2, in) != 200)
+        while (lmn_http_client_call(h, "GET", P_READY, NULL, 2, in) != 200)
             lmn_sleep(0.02);
-        lmn_http_free(h);
+        lmn_http_client_free(h);
         g_byte_array_unref(in);
         g_free(text);
     }
-    struct lmn_http *h = lmn_http_new(users[0]);
+    struct lmn_http_client *h = lmn_http_client_new(users[0]);
     struct timespec begun = lmn_now();
     lmn_latency_init(&l);
     while (finals(h) < jobs && lmn_time_diff_s(lmn_now(), begun) < 600) {
--- a/bench/failover.c
+++ b/bench/failover.c
@@ -228,9 +228,9 @@
     bool ok = false;
 
     while (!ok && lmn_time_diff_s(lmn_now(), begun) < patience_s) {
-        struct lmn_http *h = lmn_http_new(addr);
-        ok = lmn_http_call(h, "GET", P_READY, NULL, 1, in) == 200;
-        lmn_http_free(h);
+        struct lmn_http_client *h = lmn_http_client_new(addr);
+        ok = lmn_http_client_call(h, "GET", P_READY, NULL, 1, in) == 200;
+        lmn_http_client_free(h);
         if (!ok)
             lmn_sleep(0.1);
     }
--- a/bench/gateway.c
+++ b/bench/gateway.c
@@ -146,12 +146,12 @@
 
 /* --- users --- */
 
-static int call(struct lmn_http *h, const char *method, const char *path,
+static int call(struct lmn_http_client *h, const char *method, const char *path,
                 const GByteArray *body, char *state)
 {
     GByteArray *in = g_byte_array_new();
     struct lmn_cbor_document d;
-    int status = lmn_http_call(h, method, path, body, 10, in);
+    int status = lmn_http_client_call(h, method, path, body, 10, in);
 
     *state = '\0';
     if (in->len && lmn_cbor_parse(&d, in->data, in->len) == 0) {
@@ -162,8 +162,8 @@
     return status;
 }
 
-static void submit(struct job *j, struct lmn_http **gateways, struct lmn_http **depots,
-                   double seconds)
+static void submit(struct job *j, struct lmn_http_client **gateways,
+                   struct lmn_http_client **depots, double seconds)
 {
     static const char script[] =
         "exec 9>>\"$STAMPS/$HOME_REF.$LEMONSPAR_TASK\"\n"
@@ -193,14 +193,14 @@
 }
 
 /* Whether another site has the job, as its home says. */
-static bool is_away(struct lmn_http *h, const struct job *j)
+static bool is_away(struct lmn_http_client *h, const struct job *j)
 {
     GByteArray *in = g_byte_array_new();
     char path[96], course[16] = "";
     struct lmn_cbor_document d;
 
     g_snprintf(path, sizeof path, P_JOBS "/%s", j->ref);
-    if (lmn_http_call(h, "GET", path, NULL, 10, in) == 200 &&
+    if (lmn_http_client_call(h, "GET", path, NULL, 10, in) == 200 &&
         lmn_cbor_parse(&d, in->data, in->len) == 0) {
         lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), "Course"), course,
                           sizeof course);
@@ -215,11 +215,11 @@
 static void call_back_one(void)
 {
     unsigned from = (unsigned)g_rand_int_range(rng, 0, (int)njobs + 1);
-    struct lmn_http *h[SITES];
+    struct lmn_http_client *h[SITES];
     char path[96], state[16];
 
     for (int i = 0; i < SITES; i++)
-        h[i] = lmn_http_new(sites[i].users);
+        h[i] = lmn_http_client_new(sites[i].users);
     for (unsigned i = 0; i < njobs; i++) {
         struct job *j = &jobs[(from + i) % njobs];
         if (j->recall || !is_away(h[j->home], j))
@@ -230,7 +230,7 @@
         break;
     }
     for (int i = 0; i < SITES; i++)
-        lmn_http_free(h[i]);
+        lmn_http_client_free(h[i]);
 }
 
 struct night {
@@ -241,13 +241,13 @@
 static void *users(void *arg)
 {
     struct night *n = arg;
-    struct lmn_http *gateways[SITES], *depots[SITES];
+    struct lmn_http_client *gateways[SITES], *depots[SITES];
     unsigned tasks = 0;
     char path[96], state[16];
 
     for (int i = 0; i < SITES; i++) {
-        gateways[i] = lmn_http_new(sites[i].users);
-        depots[i] = lmn_http_new(sites[i].s.depot);
+        gateways[i] = lmn_http_client_new(sites[i].users);
+        depots[i] = lmn_http_client_new(sites[i].s.depot);
     }
     while (tasks < n->tasks && njobs < MOST_JOBS) {
         struct job *j = &jobs[njobs];
@@ -310,7 +310,7 @@
  * stood there by then is called back. */
 static void evict_one(void)
 {
-    struct lmn_http *h = lmn_http_new(sites[0].users);
+    struct lmn_http_client *h = lmn_http_client_new(sites[0].users);
     char path[96], state[16];
 
     for (int out = 1; out >= 0; out--) {
@@ -324,7 +324,7 @@
             cut_one();
     }
     evictions++;
-    lmn_http_free(h);
+    lmn_http_client_free(h);
 }
 
 /* --- the check --- */
@@ -361,11 +361,11 @@
 static void await_all(void)
 {
     struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
-    struct lmn_http *h[SITES];
+    struct lmn_http_client *h[SITES];
     char path[96], state[16];
 
     for (int i = 0; i < SITES; i++)
-        h[i] = lmn_http_new(sites[i].users);
+        h[i] = lmn_http_client_new(sites[i].users);
     for (unsigned i = 0; i < njobs; i++) {
         struct job *j = &jobs[i];
         g_snprintf(path, sizeof path, P_JOBS "/%s", j->ref);
--- a/bench/rehearsal.c
+++ b/bench/rehearsal.c
@@ -216,7 +216,7 @@
         complain("the site does not come up again", "supervisor");
     pid_t pid;
     while (was && lmn_time_diff_s(lmn_now(), begun) < 60) {
-        if (ready ? lmn_http_serves(ready) : lmn_lock_held(path, &pid))
+        if (ready ? lmn_http_is_ready(ready) : lmn_lock_held(path, &pid))
             break;
         /* A machine may have been returned meanwhile. */
         if ((kind == 3 || kind == 4) && access(path, F_OK) != 0) {
--- a/bench/state.c
+++ b/bench/state.c
@@ -57,10 +57,10 @@
     waitpid(service, NULL, 0);
 }
 
-static bool serves(struct lmn_http *h)
+static bool serves(struct lmn_http_client *h)
 {
     GByteArray *in = g_byte_array_new();
-    int status = lmn_http_call(h, "GET", P_READY, NULL, 1, in);
+    int status = lmn_http_client_call(h, "GET", P_READY, NULL, 1, in);
     g_byte_array_unref(in);
     return status == 200;
 }
@@ -69,10 +69,10 @@
 static double wait_service(void)
 {
     struct timespec begun = lmn_now();
-    struct lmn_http *h = lmn_http_new(addr);
+    struct lmn_http_client *h = lmn_http_client_new(addr);
     while (!serves(h) && lmn_time_diff_s(lmn_now(), begun) < 300)
         lmn_sleep(0.001);
-    lmn_http_free(h);
+    lmn_http_client_free(h);
     return lmn_time_diff_s(lmn_now(), begun);
 }
 
@@ -117,7 +117,7 @@
     pthread_t threads[MOST_WRITERS];
 } w = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
-static bool read_counter(struct lmn_http *h, GByteArray *in, const char *key,
+static bool read_counter(struct lmn_http_client *h, GByteArray *in, const char *key,
                          uint64_t *rev, uint64_t *value)
 {
     char path[64];
@@ -125,7 +125,7 @@
 
     *rev = *value = 0;
     g_snprintf(path, sizeof path, P_STORE "/%s", key);
-    int status = lmn_http_call(h, "GET", path, NULL, 2, in);
+    int status = lmn_http_client_call(h, "GET", path, NULL, 2, in);
     if (status == 404)
         return true;
     if (status != 200 || lmn_cbor_parse(&d, in->data, in->len) != 0)
@@ -139,7 +139,7 @@
 static void *writer(void *arg)
 {
     int me = (int)(intptr_t)arg;
-    struct lmn_http *h = lmn_http_new(addr);
+    struct lmn_http_client *h = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new();
     GRand *r = g_rand_new_with_seed((guint32)me + 1);
 
@@ -156,7 +156,7 @@
         }
         GByteArray *b = transaction(counter, rev, counter, value + 1, own, counter);
         struct acked a = {.sent = lmn_now()};
-        int status = lmn_http_call(h, "POST", P_TXN, b, 2, in);
+        int status = lmn_http_client_call(h, "POST", P_TXN, b, 2, in);
         a.heard = lmn_now();
         g_byte_array_unref(b);
         g_strlcpy(a.own, own, sizeof a.own);
@@ -167,13 +167,13 @@
         pthread_mutex_lock(&w.lock);
         w.tried++;
         w.conflicts += status == 409;
-        w.refused += status == 503 || status == LMN_NOT_SENT;
-        w.unknown += status == LMN_NO_ANSWER;
+        w.refused += status == 503 || status == LMN_HTTP_NOT_SENT;
+        w.unknown += status == LMN_HTTP_NO_RESPONSE;
         if (status == 200)
             g_array_append_val(w.acked, a);
         pthread_mutex_unlock(&w.lock);
     }
-    lmn_http_free(h);
+    lmn_http_client_free(h);
     g_byte_array_unref(in);
     g_rand_free(r);
     return NULL;
@@ -371,7 +371,7 @@
 static void *plain_writer(void *arg)
 {
     int me = (int)(intptr_t)arg;
-    struct lmn_http *h = lmn_http_new(addr);
+    struct lmn_http_client *h = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new();
 
     for (unsigned n = 0; !w.stop; n++) {
@@ -379,14 +379,14 @@
         g_snprintf(key, sizeof key, "speed/%d/%u", me, n % 1000);
         GByteArray *b = transaction(NULL, 0, key, n, NULL, NULL);
         struct timespec sent = lmn_now();
-        int status = lmn_http_call(h, "POST", P_TXN, b, 10, in);
+        int status = lmn_http_client_call(h, "POST", P_TXN, b, 10, in);
         g_byte_array_unref(b);
         pthread_mutex_lock(&w.lock);
         w.tried += status == 200;
         lmn_latency_add(&latency, lmn_time_diff_s(lmn_now(), sent));
         pthread_mutex_unlock(&w.lock);
     }
-    lmn_http_free(h);
+    lmn_http_client_free(h);
     g_byte_array_unref(in);
     return NULL;
 }
@@ -419,18 +419,18 @@
 
 static double metric(const char *name)
 {
-    struct lmn_http *h = lmn_http_new(addr);
+    struct lmn_http_client *h = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new();
     double v = 0;
 
-    lmn_http_call(h, "GET", "/metrics", NULL, 5, in);
+    lmn_http_client_call(h, "GET", "/metrics", NULL, 5, in);
     g_byte_array_append(in, (const guint8 *)"", 1);
     char *line = g_strdup_printf("\n%s ", name), *at = strstr((char *)in->data, line);
     if (at)
         v = g_ascii_strtod(at + strlen(line), NULL);
     g_free(line);
     g_byte_array_unref(in);
-    lmn_http_free(h);
+    lmn_http_client_free(h);
     return v;
 }
 
@@ -507,10 +507,10 @@
         lmn_sleep(0.05);
     threads = status_field("Threads:") - threads;
     kb = status_field("VmRSS:") - kb;
-    struct lmn_http *h = lmn_http_new(addr);
+    struct lmn_http_client *h = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new(), *b = transaction(NULL, 0, "w/1", 1, NULL, NULL);
     struct timespec begun = lmn_now();
-    int status = lmn_http_call(h, "POST", P_TXN, b, 10, in);
+    int status = lmn_http_client_call(h, "POST", P_TXN, b, 10, in);
     for (int i = 0; i < n; i++)
         heard += read(fds[i], buf, sizeof buf) > 0 && strstr(buf, "200 OK");
     double took = lmn_time_diff_s(lmn_now(), begun);
--- a/bench/submit.h
+++ b/bench/submit.h
@@ -9,7 +9,7 @@
 
 /* Puts what its tasks run (argv, with env) into the depot, however long that is down; the
  * body of the submission, the caller's. Tasks of a processor each, team t. */
-static inline GByteArray *bench_describe(struct lmn_http *depot, const char *ref,
+static inline GByteArray *bench_describe(struct lmn_http_client *depot, const char *ref,
                                          uint32_t tasks, double estimate_s, char **argv,
                                          char **env)
 {
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -51,7 +51,7 @@
 
 static int no_answer(const char *what, int status)
 {
-    if (status == LMN_NOT_SENT)
+    if (status == LMN_HTTP_NOT_SENT)
         return lmn_cli_fail(LMN_EXIT_FAILED,
                             "%s: no controller can be reached; is the site up?", what);
     if (status < 0)
@@ -406,14 +406,14 @@
     return LMN_EXIT_OK;
 }
 
-static GPtrArray *names_at(struct lmn_http *h, const char *path, int *status)
+static GPtrArray *names_at(struct lmn_http_client *h, const char *path, int *status)
 {
     GPtrArray *a = g_ptr_array_new_with_free_func(g_free);
     GByteArray *in = g_byte_array_new();
     struct lmn_cbor_document d;
     char name[160];
 
-    *status = lmn_http_call(h, "GET", path, NULL, 30, in);
+    *status = lmn_http_client_call(h, "GET", path, NULL, 30, in);
     if (*status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
         const struct lmn_cbor_value *list = lmn_cbor_get(&d, lmn_cbor_root(&d), "Names");
         for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
@@ -507,7 +507,7 @@
             !g_str_has_suffix(name, errors ? "stderr" : "stdout"))
             continue;
         g_snprintf(path, sizeof path, "/logs/%s/%s", part[0], name);
-        if (lmn_http_call(u.depot, "GET", path, NULL, 30, in) == 200) {
+        if (lmn_http_client_call(u.depot, "GET", path, NULL, 30, in) == 200) {
             if (names->len > 1 && !part[1])
                 printf("==> %s/%s <==\n", part[0], name);
             fwrite(in->data, 1, in->len, stdout);
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -87,7 +87,7 @@
         return lmn_cli_fail(LMN_EXIT_USAGE,
                             "expected: fleet trouble --fleet ADDR [NAME VALUE]");
     curl_global_init(CURL_GLOBAL_NOTHING);
-    struct lmn_http *h = lmn_http_new(addr);
+    struct lmn_http_client *h = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new(), *b = g_byte_array_new();
     if (argc == 3) {
         char *end;
@@ -99,7 +99,8 @@
         lmn_cbor_put_text(b, "Value"), lmn_cbor_put_number(b, value);
         lmn_cbor_put_text(b, "For"), lmn_cbor_put_number(b, lasts);
     }
-    int status = lmn_http_call(h, argc == 3 ? "POST" : "GET", "/troubles", b, 5, in);
+    int status =
+        lmn_http_client_call(h, argc == 3 ? "POST" : "GET", "/troubles", b, 5, in);
     json_t *j = in->len ? lmn_json_of_bytes(in->data, in->len) : NULL;
     if (status != 200)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s: %s", addr,
--- a/src/cli/site.c
+++ b/src/cli/site.c
@@ -100,7 +100,7 @@
         return rc;
     struct timespec end = lmn_time_add(lmn_now(), patience);
     for (unsigned i = 0; i < site.nprocesses;) {
-        if (lmn_http_serves(site.processes[i].ready)) {
+        if (lmn_http_is_ready(site.processes[i].ready)) {
             i++;
         } else if (lmn_time_before(end, lmn_now())) {
             return lmn_cli_fail(LMN_EXIT_FAILED,
@@ -173,9 +173,9 @@
         unsigned starts;
         int at;
         bool is_up = lmn_site_up(&site, p->name, &at);
-        const char *word = !is_up                      ? "down"
-                           : lmn_http_serves(p->ready) ? "serving"
-                                                       : "starting";
+        const char *word = !is_up                        ? "down"
+                           : lmn_http_is_ready(p->ready) ? "serving"
+                                                         : "starting";
         history(text ? text : "", p->name, &starts, why, sizeof why);
         all = all && !strcmp(word, "serving");
         if (json)
--- a/src/cli/users.c
+++ b/src/cli/users.c
@@ -21,8 +21,8 @@
         if (lmn_site_load(file ? file : "deploy/site.toml", &s, err, len) != 0)
             return -1;
         for (unsigned i = 0; i < s.controllers; i++)
-            u->controllers[u->n++] = lmn_http_new(s.users[i]);
-        u->depot = lmn_http_new(depot ? depot : s.depot);
+            u->controllers[u->n++] = lmn_http_client_new(s.users[i]);
+        u->depot = lmn_http_client_new(depot ? depot : s.depot);
         return 0;
     }
     char **a = g_strsplit(controllers, ",", -1);
@@ -32,20 +32,20 @@
             g_strfreev(a);
             return -1;
         }
-        u->controllers[u->n++] = lmn_http_new(*p);
+        u->controllers[u->n++] = lmn_http_client_new(*p);
     }
     g_strfreev(a);
     if (depot)
-        u->depot = lmn_http_new(depot);
+        u->depot = lmn_http_client_new(depot);
     return 0;
 }
 
 void lmn_users_close(struct lmn_users *u)
 {
     for (unsigned i = 0; i < u->n; i++)
-        lmn_http_free(u->controllers[i]);
+        lmn_http_client_free(u->controllers[i]);
     if (u->depot)
-        lmn_http_free(u->depot);
+        lmn_http_client_free(u->depot);
 }
 
 static void read_state(const GByteArray *in, struct lmn_job_state *s)
@@ -78,12 +78,13 @@
     int status;
 
     for (;;) {
-        struct lmn_http *h = u->controllers[u->turn++ % u->n];
-        status = lmn_http_call(h, method, path, body, 5, in);
+        struct lmn_http_client *h = u->controllers[u->turn++ % u->n];
+        status = lmn_http_client_call(h, method, path, body, 5, in);
         if (!retried(status))
             break;
         /* Nobody is there: the next one may be. All were asked: a pause. */
-        double wait = status == LMN_NOT_SENT ? 0.05 : MAX(1, lmn_http_retry_after(h));
+        double wait =
+            status == LMN_HTTP_NOT_SENT ? 0.05 : MAX(1, lmn_http_client_retry_after(h));
         if (++failed % u->n == 0)
             wait = MAX(wait, 0.5 + 0.5 * g_random_double());
         if (lmn_time_before(end, lmn_time_add(lmn_now(), wait)))
--- a/src/cli/users.h
+++ b/src/cli/users.h
@@ -9,8 +9,8 @@
 
 struct lmn_users {
     unsigned n, turn;
-    struct lmn_http *controllers[LMN_MAX_MEMBERS + 1];
-    struct lmn_http *depot;
+    struct lmn_http_client *controllers[LMN_MAX_MEMBERS + 1];
+    struct lmn_http_client *depot;
 };
 
 /* What a job's answer says. */
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -60,7 +60,7 @@
 
     struct lmn_state *state = lmn_state_new(cfg);
     struct lmn_core *core = lmn_core_new(cfg, state, g_random_int());
-    struct lmn_httpd *server = lmn_server_start(core);
+    struct lmn_http_server *server = lmn_server_start(core);
     if (!server) {
         lmn_error("listen-failed address=%s", cfg->listen);
         return 1;
@@ -90,7 +90,7 @@
     struct timespec last = lmn_now();
     for (;;) {
         lmn_sleep(TICK_S);
-        lmn_httpd_sweep(server);
+        lmn_http_server_expire_deferred(server);
         pthread_mutex_lock(&core->lock);
         /* With the lock, so that waiting for it counts as being late. */
         struct timespec now = lmn_now();
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -16,31 +16,32 @@
  */
 static const double PATIENCE_S = 2.5;
 
-static void route_job(struct lmn_core *c, struct lmn_call *call, const char *rest)
+static void route_job(struct lmn_core *c, struct lmn_http_request *call, const char *rest)
 {
     char *ref = g_strdup(rest);
     size_t len = strlen(ref), end = strlen(P_CANCEL);
 
-    if (lmn_call_method(call) == LMN_GET) {
+    if (lmn_http_request_method(call) == LMN_HTTP_GET) {
         lmn_api_poll(c, call, ref);
     } else if (len > end && !strcmp(ref + len - end, P_CANCEL)) {
         ref[len - end] = '\0';
         lmn_api_cancel(c, call, ref);
     } else {
-        lmn_call_answer(call, 404, NULL, 0);
+        lmn_http_request_respond(call, 404, NULL, 0);
     }
     g_free(ref);
 }
 
 /* What the connection asks for tells whose it is. */
-static void tell_kind(struct lmn_call *call, bool post, const char *path)
+static void tell_kind(struct lmn_http_request *call, bool post, const char *path)
 {
     bool report = post && !strcmp(path, P_REPORT);
 
-    lmn_call_kind(call, report ? LMN_SOCKET_WORKER : LMN_SOCKET_USER);
+    lmn_http_request_set_kind(call, report ? LMN_SOCKET_WORKER : LMN_SOCKET_USER);
 }
 
-static bool stands(void *arg, const unsigned open[LMN_HTTPD_KINDS], unsigned kind)
+static bool stands(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
+                   unsigned kind)
 {
     const struct lmn_core *c = arg;
 
@@ -59,47 +60,48 @@
     return lmn_hosts_know(&c->hosts, peer) ? LMN_SOCKET_WORKER : LMN_SOCKET_PASSING;
 }
 
-static bool admits(void *arg, const unsigned open[LMN_HTTPD_KINDS], unsigned kind)
+static bool admits(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
+                   unsigned kind)
 {
     const struct lmn_core *c = arg;
 
     return lmn_socket_admits(&c->sockets, open, (enum lmn_socket_kind)kind);
 }
 
-static void route(void *arg, struct lmn_call *call)
+static void route(void *arg, struct lmn_http_request *call)
 {
     struct lmn_core *c = arg;
-    const char *path = lmn_call_path(call);
-    bool post = lmn_call_method(call) == LMN_POST;
+    const char *path = lmn_http_request_path(call);
+    bool post = lmn_http_request_method(call) == LMN_HTTP_POST;
 
     tell_kind(call, post, path);
-    if (!post && lmn_call_method(call) != LMN_GET) {
-        lmn_call_answer(call, 405, NULL, 0);
+    if (!post && lmn_http_request_method(call) != LMN_HTTP_GET) {
+        lmn_http_request_respond(call, 405, NULL, 0);
     } else if (post && !strcmp(path, P_REPORT)) {
         GByteArray *out = g_byte_array_new();
-        const GByteArray *body = lmn_call_body(call);
+        const GByteArray *body = lmn_http_request_body(call);
         struct lmn_held held;
         int status = lmn_worker_report(c, body->data, body->len, out, &held, lmn_now());
         if (held.mark)
             lmn_follow_hold(c, call, out, &held);
         else
-            lmn_call_answer(call, status, out, 0);
+            lmn_http_request_respond(call, status, out, 0);
     } else if (!post && !strcmp(path, "/metrics")) {
         lmn_metrics_answer(call, lmn_controller_metrics, c);
     } else if (!post && !strcmp(path, P_READY)) {
-        lmn_call_answer(call, lmn_api_ready(c) ? 200 : 503, NULL, 0);
+        lmn_http_request_respond(call, lmn_api_ready(c) ? 200 : 503, NULL, 0);
     } else if (post && !strcmp(path, P_JOBS)) {
         lmn_api_submit(c, call);
     } else if (g_str_has_prefix(path, P_JOBS "/")) {
         route_job(c, call, path + strlen(P_JOBS "/"));
     } else {
-        lmn_call_answer(call, 404, NULL, 0);
+        lmn_http_request_respond(call, 404, NULL, 0);
     }
 }
 
-struct lmn_httpd *lmn_server_start(struct lmn_core *c)
+struct lmn_http_server *lmn_server_start(struct lmn_core *c)
 {
-    const struct lmn_httpd_options o = {
+    const struct lmn_http_server_options o = {
         .listen = c->cfg->listen,
         .connections = c->sockets.accepted,
         .max_body = MAX_BODY,
@@ -114,5 +116,5 @@
         .arg = c,
     };
 
-    return lmn_httpd_start(&o);
+    return lmn_http_server_start(&o);
 }
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -84,12 +84,12 @@
 }
 
 static void sockets(GString *out, const struct lmn_core *c,
-                    const struct lmn_httpd *server)
+                    const struct lmn_http_server *server)
 {
     static const char *const kinds[] = {"passing", "users", "workers"};
-    struct lmn_httpd_load load;
+    struct lmn_http_server_load load;
 
-    lmn_httpd_load(server, &load);
+    lmn_http_server_load(server, &load);
     lmn_metric_head(out, "lemonspar_connections", "gauge",
                     "Connections open, by purpose");
     for (int i = 0; i < LMN_SOCKET_KINDS; i++)
@@ -119,7 +119,7 @@
             count_partition(c, &s, &c->parts[i]);
     struct lmn_counters n = c->count;
     struct lmn_load load = c->load;
-    const struct lmn_httpd *server = c->server;
+    const struct lmn_http_server *server = c->server;
     double stale = lmn_staleness(c, lmn_now());
     guint jobs = g_hash_table_size(c->jobs), final_jobs = c->final_jobs.length;
     lmn_quantiles(out, "lemonspar_accepting_seconds", "From a submission to its commit",
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -6,7 +6,7 @@
 
 struct lmn_pending {
     struct lmn_core *core;
-    struct lmn_call *call; /* NULL: it has its reply */
+    struct lmn_http_request *call; /* NULL: it has its reply */
     char ref[LMN_JOB_ID_SIZE];
     struct timespec since;
     struct lmn_txn *twin; /* the transaction once more; NULL: it was sent */
@@ -24,9 +24,9 @@
 static const double LOOK_EVERY_S = 0.02;
 
 /* The lock is held. Returns the call if it has no reply yet: the caller replies. */
-static struct lmn_call *take_call(struct lmn_pending *p)
+static struct lmn_http_request *take_call(struct lmn_pending *p)
 {
-    struct lmn_call *call = p->call;
+    struct lmn_http_request *call = p->call;
 
     p->call = NULL;
     return call;
@@ -68,14 +68,14 @@
     g_strlcpy(ref, p->ref, sizeof ref);
     p->in_flight--;
     /* Of two, the other may still tell. */
-    struct lmn_call *call = known || !p->in_flight ? take_call(p) : NULL;
+    struct lmn_http_request *call = known || !p->in_flight ? take_call(p) : NULL;
     free_if_over(p);
     pthread_mutex_unlock(&pendings.lock);
     if (call)
         pendings.reply(call, ref, &d);
 }
 
-void lmn_pending_submit(struct lmn_core *c, struct lmn_call *call,
+void lmn_pending_submit(struct lmn_core *c, struct lmn_http_request *call,
                         const struct lmn_job_spec *s)
 {
     struct lmn_pending *p = g_new0(struct lmn_pending, 1);
@@ -99,8 +99,8 @@
 
 /* Does what is due for the submission; the lock is held. Returns the call if its job's
  * state is to be confirmed. */
-static struct lmn_call *look(struct lmn_core *c, struct lmn_pending *p,
-                             struct timespec now)
+static struct lmn_http_request *look(struct lmn_core *c, struct lmn_pending *p,
+                                     struct timespec now)
 {
     struct lmn_txn *twin;
 
@@ -137,7 +137,7 @@
 static void look_at_all(struct lmn_core *c)
 {
     struct due {
-        struct lmn_call *call;
+        struct lmn_http_request *call;
         char ref[LMN_JOB_ID_SIZE];
     };
     GArray *due = g_array_new(FALSE, FALSE, sizeof(struct due));
--- a/src/controller/pending_submission.h
+++ b/src/controller/pending_submission.h
@@ -8,17 +8,17 @@
 
 #include "controller/request_decisions.h"
 
-struct lmn_call;
+struct lmn_http_request;
 struct lmn_pending;
 
 /* Carries out a decision for a call that is held. */
-typedef void lmn_pending_reply(struct lmn_call *call, const char *ref,
+typedef void lmn_pending_reply(struct lmn_http_request *call, const char *ref,
                                const struct lmn_decision *d);
 
 /* Starts the thread that looks after them. */
 void lmn_pending_start(struct lmn_core *c, lmn_pending_reply *reply);
 /* Takes over the call, which is held, and sends the transaction that accepts the job. */
-void lmn_pending_submit(struct lmn_core *c, struct lmn_call *call,
+void lmn_pending_submit(struct lmn_core *c, struct lmn_http_request *call,
                         const struct lmn_job_spec *s);
 
 #endif
--- a/src/controller/read_batch.h
+++ b/src/controller/read_batch.h
@@ -13,11 +13,11 @@
 
 enum lmn_query_kind { LMN_QUERY_STATUS, LMN_QUERY_CANCEL };
 
-struct lmn_call;
+struct lmn_http_request;
 
 struct lmn_query {
     enum lmn_query_kind kind;
-    struct lmn_call *call;
+    struct lmn_http_request *call;
     char ref[LMN_JOB_ID_SIZE];
     int absent_status; /* the answer if there is no such job */
     struct timespec since;
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -9,7 +9,7 @@
 
 /* An answer to a report that waits for the standby. */
 struct lmn_waiter {
-    struct lmn_call *call;
+    struct lmn_http_request *call;
     GByteArray *out;
     struct lmn_held held;
     struct timespec since;
@@ -92,8 +92,8 @@
 struct teller {
     struct lmn_core *c;
     struct lmn_partition *p;
-    struct lmn_http *http; /* to the state service */
-    CLIENT *client;        /* to whom: */
+    struct lmn_http_client *http; /* to the state service */
+    CLIENT *client;               /* to whom: */
     int to;
 };
 
@@ -180,12 +180,12 @@
     struct lmn_waiter *w;
 
     while ((w = g_queue_pop_head(out))) {
-        lmn_call_answer(w->call, w->status, w->out, 0);
+        lmn_http_request_respond(w->call, w->status, w->out, 0);
         g_free(w);
     }
 }
 
-void lmn_follow_hold(struct lmn_core *c, struct lmn_call *call, GByteArray *out,
+void lmn_follow_hold(struct lmn_core *c, struct lmn_http_request *call, GByteArray *out,
                      const struct lmn_held *held)
 {
     struct lmn_partition *p = &c->parts[held->part];
@@ -199,14 +199,14 @@
     if (!status) {
         struct lmn_waiter *w = g_new0(struct lmn_waiter, 1);
         *w = (struct lmn_waiter){call, out, *held, lmn_now(), 0};
-        lmn_call_hold(call);
+        lmn_http_request_defer(call);
         g_queue_push_tail(&p->stream.waiting, w);
     }
     pthread_mutex_unlock(&c->lock);
     if (status == 503)
         g_byte_array_set_size(out, 0);
     if (status)
-        lmn_call_answer(call, status, out, 0);
+        lmn_http_request_respond(call, status, out, 0);
 }
 
 /* --- the threads --- */
@@ -218,7 +218,7 @@
     struct lmn_partition *p = f->p;
     GQueue done = G_QUEUE_INIT;
 
-    f->http = lmn_http_new(c->cfg->state);
+    f->http = lmn_http_client_new(c->cfg->state);
     pthread_mutex_lock(&c->lock);
     for (;;) {
         struct lmn_batch *batch = NULL;
--- a/src/controller/replication_thread.h
+++ b/src/controller/replication_thread.h
@@ -12,7 +12,7 @@
 
 /* Answers a report with out, which it takes over, once the standby has acknowledged its
  * starts; without them if that takes too long. On the server's thread, no lock held. */
-void lmn_follow_hold(struct lmn_core *c, struct lmn_call *call, GByteArray *out,
+void lmn_follow_hold(struct lmn_core *c, struct lmn_http_request *call, GByteArray *out,
                      const struct lmn_held *held);
 
 /* A batch from another; returns an lmn_copy_answer. No lock held. */
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -306,7 +306,7 @@
     r->status = status;
     if (status != 200)
         return;
-    r->status = LMN_NO_ANSWER;
+    r->status = LMN_HTTP_NO_RESPONSE;
     if (lmn_cbor_parse(&d, body, len) != 0)
         return;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -33,7 +33,7 @@
 /* Settings are changed by compare-and-set on their one record. */
 static int tuning_set(const char *name, double value, char *err, size_t len)
 {
-    struct lmn_http *h = lmn_http_new(core->cfg->state);
+    struct lmn_http_client *h = lmn_http_client_new(core->cfg->state);
     enum lmn_outcome r = LMN_CONFLICT;
 
     for (int tries = 0; tries < 5 && r == LMN_CONFLICT; tries++) {
@@ -43,7 +43,7 @@
         uint64_t seen = core->tuning_rev;
         pthread_mutex_unlock(&core->lock);
         if (lmn_operator_settings_set(&t, name, value, err, len) != 0) {
-            lmn_http_free(h);
+            lmn_http_client_free(h);
             return -1;
         }
         struct lmn_txn *txn = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
@@ -54,7 +54,7 @@
         if (r == LMN_CONFLICT)
             lmn_sleep(0.2);
     }
-    lmn_http_free(h);
+    lmn_http_client_free(h);
     if (r == LMN_OK)
         return 0;
     snprintf(err, len, "the state service did not take it (%s); look, and try again",
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -82,11 +82,11 @@
 
 static void show_sockets(GString *s, const struct lmn_core *c)
 {
-    struct lmn_httpd_load l;
+    struct lmn_http_server_load l;
 
     if (!c->server)
         return;
-    lmn_httpd_load(c->server, &l);
+    lmn_http_server_load(c->server, &l);
     g_string_append_printf(
         s,
         "sockets most=%u passing=%u users=%u workers=%u closed_users=%" G_GUINT64_FORMAT
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -19,14 +19,15 @@
 /* Threads that ask the state service; one alone queries at a time unless it is slow. */
 enum { QUERY_THREADS = 3 };
 
-static void answer(struct lmn_call *call, const char *ref, const struct lmn_reply *r)
+static void answer(struct lmn_http_request *call, const char *ref,
+                   const struct lmn_reply *r)
 {
-    lmn_call_answer(call, r->status, lmn_reply_body(r, ref), r->retry_after);
+    lmn_http_request_respond(call, r->status, lmn_reply_body(r, ref), r->retry_after);
 }
 
 /* The call is held already. */
-static void enqueue(enum lmn_query_kind kind, struct lmn_call *call, const char *ref,
-                    int absent_status)
+static void enqueue(enum lmn_query_kind kind, struct lmn_http_request *call,
+                    const char *ref, int absent_status)
 {
     struct lmn_query *a = g_new0(struct lmn_query, 1);
 
@@ -42,7 +43,7 @@
 }
 
 /* All steps but the commit of a submission, for a call that is held. */
-static void carry_out_held(struct lmn_call *call, const char *ref,
+static void carry_out_held(struct lmn_http_request *call, const char *ref,
                            const struct lmn_decision *d)
 {
     if (d->step == LMN_STEP_REPLY)
@@ -52,15 +53,15 @@
                 ref, d->absent_status);
 }
 
-static void carry_out(const struct lmn_decision *d, struct lmn_call *call,
+static void carry_out(const struct lmn_decision *d, struct lmn_http_request *call,
                       const char *ref)
 {
     if (d->step != LMN_STEP_REPLY)
-        lmn_call_hold(call);
+        lmn_http_request_defer(call);
     carry_out_held(call, ref, d);
 }
 
-void lmn_api_poll(struct lmn_core *c, struct lmn_call *call, const char *ref)
+void lmn_api_poll(struct lmn_core *c, struct lmn_http_request *call, const char *ref)
 {
     pthread_mutex_lock(&c->lock);
     struct lmn_decision d = lmn_decide_status(c, ref, lmn_now());
@@ -68,7 +69,7 @@
     carry_out(&d, call, ref);
 }
 
-void lmn_api_cancel(struct lmn_core *c, struct lmn_call *call, const char *ref)
+void lmn_api_cancel(struct lmn_core *c, struct lmn_http_request *call, const char *ref)
 {
     pthread_mutex_lock(&c->lock);
     struct lmn_decision d = lmn_decide_cancel(c, ref);
@@ -86,9 +87,9 @@
     return ready;
 }
 
-void lmn_api_submit(struct lmn_core *c, struct lmn_call *call)
+void lmn_api_submit(struct lmn_core *c, struct lmn_http_request *call)
 {
-    const GByteArray *body = lmn_call_body(call);
+    const GByteArray *body = lmn_http_request_body(call);
     struct lmn_submission s;
 
     lmn_submission_parse(&s, c->cfg, body->data, body->len);
@@ -96,7 +97,7 @@
     struct lmn_decision d = lmn_decide_submission(c, &s, lmn_now());
     pthread_mutex_unlock(&c->lock);
     if (d.step == LMN_STEP_COMMIT) {
-        lmn_call_hold(call);
+        lmn_http_request_defer(call);
         lmn_pending_submit(c, call, &s.spec);
     } else {
         carry_out(&d, call, s.spec.ref);
@@ -107,14 +108,14 @@
 /* --- the threads that ask the state service --- */
 
 /* Reads one job; to be cleared. */
-static void read_job(struct lmn_core *c, struct lmn_http *h, GByteArray *buf,
+static void read_job(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
                      const char *ref, struct lmn_job_reading *r)
 {
     char path[96];
 
     g_snprintf(path, sizeof path, P_STORE "/j/%s", ref);
     lmn_state_pace(c->state);
-    int status = lmn_http_call(h, "GET", path, NULL, 1.5, buf);
+    int status = lmn_http_client_call(h, "GET", path, NULL, 1.5, buf);
     lmn_reading_parse(r, status, buf->data, buf->len);
 }
 
@@ -156,7 +157,7 @@
 }
 
 /* The mirror is behind: the job itself is read. */
-static void answer_read(struct lmn_core *c, struct lmn_http *h, GByteArray *buf,
+static void answer_read(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
                         struct lmn_query *list)
 {
     struct lmn_job_reading reading;
@@ -183,7 +184,7 @@
     pthread_mutex_unlock(&c->lock);
 }
 
-static void cancel_one(struct lmn_core *c, struct lmn_http *h, GByteArray *buf,
+static void cancel_one(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
                        const struct lmn_query *a)
 {
     struct lmn_reply reply = lmn_reply_unavailable();
@@ -209,7 +210,7 @@
 
 /* Many jobs, one request: a transaction of conditions alone says which of the mirror's
  * versions are the latest. */
-static void confirm_batch(struct lmn_core *c, struct lmn_http *h, GByteArray *buf,
+static void confirm_batch(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
                           struct lmn_query **v, guint n)
 {
     struct lmn_view *views = g_new0(struct lmn_view, n);
@@ -266,7 +267,7 @@
 static void *query_thread(void *arg)
 {
     struct lmn_core *c = arg;
-    struct lmn_http *h = lmn_http_new(c->cfg->state);
+    struct lmn_http_client *h = lmn_http_client_new(c->cfg->state);
     GByteArray *buf = g_byte_array_new();
     guint max = (guint)MIN(4 * c->cfg->txn_ops, 100);
     struct lmn_query **v = g_new0(struct lmn_query *, max), *cancel, *late;
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -36,7 +36,7 @@
     unsigned controller;
     bool busy; /* a report is under way, or waits for a sender */
     struct timespec next, last;
-    struct lmn_http *http; /* its own connection, to http_to; NULL: none */
+    struct lmn_http_client *http; /* its own connection, to http_to; NULL: none */
     unsigned http_to;
     GQueue held; /* calls that came while it hung, or was cut off */
 };
@@ -55,7 +55,7 @@
     GHashTable *specs; /* ref -> struct lmn_job_spec; NULL value: there is no such job */
     guint next_trouble;
     GArray *ends; /* struct lmn_emu_trouble: what is to be set back */
-    struct lmn_httpd *server;
+    struct lmn_http_server *server;
     int epoll;
     uint64_t reports, failed_reports;
     struct lmn_emu_ledger ledger;
@@ -129,14 +129,14 @@
 static void free_unit(struct unit *u)
 {
     if (u->http)
-        lmn_http_free(u->http);
+        lmn_http_client_free(u->http);
     g_free(u);
 }
 
 /* It lives no more. */
 static void go_down(struct lmn_emulation *e, struct unit *u)
 {
-    struct lmn_call *call;
+    struct lmn_http_request *call;
 
     u->m->worker = NULL;
     u->m = NULL;
@@ -144,7 +144,7 @@
     g_hash_table_remove(e->ports, &u->port);
     g_hash_table_steal(e->units, &u->serial);
     while ((call = g_queue_pop_head(&u->held)))
-        lmn_call_answer(call, 503, NULL, 0);
+        lmn_http_request_respond(call, 503, NULL, 0);
     if (u->busy)
         return; /* its sender frees it */
     lmn_emu_worker_clear(&u->w);
@@ -156,17 +156,19 @@
     return u->m->cut || u->m->hang_until > now;
 }
 
-static void answer(struct unit *u, struct lmn_call *call)
+static void answer(struct unit *u, struct lmn_http_request *call)
 {
-    const GByteArray *body = lmn_call_body(call);
+    const GByteArray *body = lmn_http_request_body(call);
     GByteArray *out = g_byte_array_new();
     int status = 404;
 
-    if (lmn_call_method(call) == LMN_POST && !strcmp(lmn_call_path(call), P_DIRECT))
+    if (lmn_http_request_method(call) == LMN_HTTP_POST &&
+        !strcmp(lmn_http_request_path(call), P_DIRECT))
         status = lmn_agent_do(&u->w.agent, body->data, body->len, out, lmn_now());
-    else if (lmn_call_method(call) == LMN_GET && !strcmp(lmn_call_path(call), P_SHOW))
+    else if (lmn_http_request_method(call) == LMN_HTTP_GET &&
+             !strcmp(lmn_http_request_path(call), P_SHOW))
         status = lmn_agent_show(&u->w.agent, out, lmn_now());
-    lmn_call_answer(call, status, out, 0);
+    lmn_http_request_respond(call, status, out, 0);
 }
 
 static void ask_jobs(struct lmn_emulation *e, struct unit *u)
@@ -193,7 +195,7 @@
 
 static void pass_unit(struct lmn_emulation *e, struct unit *u, double now)
 {
-    struct lmn_call *call;
+    struct lmn_http_request *call;
     struct lmn_emu_machine *m = u->m;
 
     if (m->hang_until > now)
@@ -290,22 +292,22 @@
 }
 
 /* The connection that the unit reports over: its own, or its sender's. */
-static struct lmn_http *line(const struct lmn_emulation *e, struct unit *u,
-                             struct lmn_http **h, unsigned to)
+static struct lmn_http_client *line(const struct lmn_emulation *e, struct unit *u,
+                                    struct lmn_http_client **h, unsigned to)
 {
     if (u->w.knobs->own_connections < 0.5)
         return h[to];
     if (u->http && u->http_to != to)
-        g_clear_pointer(&u->http, lmn_http_free);
+        g_clear_pointer(&u->http, lmn_http_client_free);
     if (!u->http)
-        u->http = lmn_http_new(e->o.worker.controllers[to].addr);
+        u->http = lmn_http_client_new(e->o.worker.controllers[to].addr);
     u->http_to = to;
     return u->http;
 }
 
 /* One report of the unit, and its answer. The lock is held, and let go while it is under
  * way. */
-static void report(struct lmn_emulation *e, struct unit *u, struct lmn_http **h,
+static void report(struct lmn_emulation *e, struct unit *u, struct lmn_http_client **h,
                    GByteArray *in)
 {
     GByteArray *out = g_byte_array_new();
@@ -316,9 +318,9 @@
     lmn_agent_report(&u->w.agent, out, sent);
     u->last = sent;
     e->reports++;
-    struct lmn_http *http = line(e, u, h, to);
+    struct lmn_http_client *http = line(e, u, h, to);
     pthread_mutex_unlock(&e->lock);
-    int status = lmn_http_call(http, "POST", P_REPORT, out, ANSWER_S, in);
+    int status = lmn_http_client_call(http, "POST", P_REPORT, out, ANSWER_S, in);
     g_byte_array_unref(out);
     pthread_mutex_lock(&e->lock);
     u->busy = false;
@@ -342,11 +344,11 @@
 static void *sender(void *arg)
 {
     struct lmn_emulation *e = arg;
-    struct lmn_http *h[LMN_MAX_CONTROLLERS];
+    struct lmn_http_client *h[LMN_MAX_CONTROLLERS];
     GByteArray *in = g_byte_array_new();
 
     for (unsigned i = 0; i < e->o.worker.ncontrollers; i++)
-        h[i] = lmn_http_new(e->o.worker.controllers[i].addr);
+        h[i] = lmn_http_client_new(e->o.worker.controllers[i].addr);
     pthread_mutex_lock(&e->lock);
     for (;;) {
         while (!e->due.head)
@@ -374,7 +376,7 @@
 static void *asker(void *arg)
 {
     struct lmn_emulation *e = arg;
-    struct lmn_http *h = lmn_http_new(e->o.worker.depot);
+    struct lmn_http_client *h = lmn_http_client_new(e->o.worker.depot);
 
     for (;;) {
         struct lmn_depot_error err = {0};
@@ -425,17 +427,17 @@
 
 /* --- commands --- */
 
-static void route(void *arg, struct lmn_call *call)
+static void route(void *arg, struct lmn_http_request *call)
 {
     struct lmn_emulation *e = arg;
-    int port = lmn_call_port(call);
+    int port = lmn_http_request_port(call);
 
     pthread_mutex_lock(&e->lock);
     struct unit *u = g_hash_table_lookup(e->ports, &port);
     if (!u) {
-        lmn_call_answer(call, 503, NULL, 0);
+        lmn_http_request_respond(call, 503, NULL, 0);
     } else if (unheard(u, seconds(e))) {
-        lmn_call_hold(call);
+        lmn_http_request_defer(call);
         g_queue_push_tail(&u->held, call);
     } else {
         answer(u, call);
@@ -455,7 +457,7 @@
         for (int i = 0; i < n; i++) {
             int fd = accept4(ev[i].data.fd, NULL, NULL, SOCK_CLOEXEC | SOCK_NONBLOCK);
             if (fd >= 0)
-                lmn_httpd_adopt(e->server, fd);
+                lmn_http_server_adopt(e->server, fd);
         }
     }
     return NULL;
@@ -553,7 +555,7 @@
     pthread_mutex_unlock(&e->lock);
 }
 
-static void show_knobs(struct lmn_emulation *e, struct lmn_call *call)
+static void show_knobs(struct lmn_emulation *e, struct lmn_http_request *call)
 {
     GByteArray *b = g_byte_array_new();
     size_t n = 0;
@@ -566,20 +568,20 @@
         lmn_cbor_put_text(b, lmn_knob_name(i)),
             lmn_cbor_put_number(b, lmn_knob_value(&e->cloud.knobs, i));
     pthread_mutex_unlock(&e->lock);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
-static bool troubles(void *arg, struct lmn_call *call)
+static bool troubles(void *arg, struct lmn_http_request *call)
 {
     struct lmn_emulation *e = arg;
-    const GByteArray *body = lmn_call_body(call);
+    const GByteArray *body = lmn_http_request_body(call);
     struct lmn_emu_trouble t = {0};
     char err[128] = "a map with Set and Value is expected";
     struct lmn_cbor_document d;
 
-    if (strcmp(lmn_call_path(call), "/troubles"))
+    if (strcmp(lmn_http_request_path(call), "/troubles"))
         return false;
-    if (lmn_call_method(call) == LMN_GET) {
+    if (lmn_http_request_method(call) == LMN_HTTP_GET) {
         show_knobs(e, call);
         return true;
     }
@@ -605,9 +607,9 @@
     }
     pthread_mutex_unlock(&e->lock);
     if (ok)
-        lmn_call_answer(call, 200, NULL, 0);
+        lmn_http_request_respond(call, 200, NULL, 0);
     else
-        lmn_call_fail(call, 400, err);
+        lmn_http_request_fail(call, 400, err);
     return true;
 }
 
@@ -664,7 +666,7 @@
                                           char *err, size_t len)
 {
     struct lmn_emulation *e = g_new0(struct lmn_emulation, 1);
-    const struct lmn_httpd_options h = {
+    const struct lmn_http_server_options h = {
         .connections = 32768, .max_body = MAX_BODY, .route = route, .arg = e};
 
     e->o = *o;
@@ -684,7 +686,7 @@
     e->specs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, forget_spec);
     e->ends = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_trouble));
     e->epoll = epoll_create1(EPOLL_CLOEXEC);
-    e->server = lmn_httpd_start(&h);
+    e->server = lmn_http_server_start(&h);
     if (e->epoll < 0 || !e->server) {
         g_snprintf(err, len, "the emulated machines can't be served: %s",
                    strerror(errno));
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -17,7 +17,7 @@
 
 struct feeder {
     struct lmn_gateway *g;
-    struct lmn_http *controllers[LMN_G_CONTROLLERS], *depot, *state;
+    struct lmn_http_client *controllers[LMN_G_CONTROLLERS], *depot, *state;
     unsigned turn;
     struct lmn_token_bucket polls;
     GByteArray *in;
@@ -28,12 +28,12 @@
                const GByteArray *body, char *word, struct lmn_progress *p)
 {
     struct lmn_cbor_document d;
-    int status = LMN_NOT_SENT;
+    int status = LMN_HTTP_NOT_SENT;
     uint64_t done = 0, running = 0;
 
-    for (unsigned i = 0; i < f->g->o->ncontrollers && status == LMN_NOT_SENT; i++)
-        status = lmn_http_call(f->controllers[f->turn++ % f->g->o->ncontrollers], method,
-                               path, body, 4, f->in);
+    for (unsigned i = 0; i < f->g->o->ncontrollers && status == LMN_HTTP_NOT_SENT; i++)
+        status = lmn_http_client_call(f->controllers[f->turn++ % f->g->o->ncontrollers],
+                                      method, path, body, 4, f->in);
     *word = '\0';
     if (status < 0 || !f->in->len || lmn_cbor_parse(&d, f->in->data, f->in->len) != 0)
         return status;
@@ -300,9 +300,9 @@
     struct feeder f = {.g = g, .in = g_byte_array_new()};
 
     for (unsigned i = 0; i < g->o->ncontrollers; i++)
-        f.controllers[i] = lmn_http_new(g->o->controllers[i]);
-    f.depot = lmn_http_new(g->o->depot);
-    f.state = lmn_http_new(g->o->state);
+        f.controllers[i] = lmn_http_client_new(g->o->controllers[i]);
+    f.depot = lmn_http_client_new(g->o->depot);
+    f.state = lmn_http_client_new(g->o->state);
     lmn_token_bucket_init(&f.polls, g->o->poll_rps, MAX(g->o->poll_rps, 1), lmn_now());
     for (;;) {
         feed(&f);
--- a/src/gateway/execution.c
+++ b/src/gateway/execution.c
@@ -15,7 +15,7 @@
 struct host {
     struct lmn_gpeer *p;
     struct lmn_link *link;
-    struct lmn_http *state, *depot;
+    struct lmn_http_client *state, *depot;
     double wait_s; /* until the next dialling, after failures */
 };
 
@@ -342,8 +342,9 @@
 {
     struct lmn_gpeer *p = arg;
     struct lmn_gateway *g = p->g;
-    struct host k = {
-        .p = p, .state = lmn_http_new(g->o->state), .depot = lmn_http_new(g->o->depot)};
+    struct host k = {.p = p,
+                     .state = lmn_http_client_new(g->o->state),
+                     .depot = lmn_http_client_new(g->o->depot)};
     char err[256];
     unsigned turn = 0;
 
--- a/src/gateway/gateway_internal.h
+++ b/src/gateway/gateway_internal.h
@@ -43,7 +43,7 @@
     struct timespec next_pull;
     GQueue calls; /* users' calls that write, for the hands */
     pthread_cond_t calls_more;
-    struct lmn_httpd *server;
+    struct lmn_http_server *server;
     uint64_t submitted, cancelled, pulls, empty_pulls;
 };
 
--- a/src/gateway/gateway_process.c
+++ b/src/gateway/gateway_process.c
@@ -107,7 +107,7 @@
 /* Everything whose fate may lie in what was lost: fenced here, stopped there. */
 static void fence(struct lmn_gateway *g)
 {
-    struct lmn_http *h = lmn_http_new(g->o->state);
+    struct lmn_http_client *h = lmn_http_client_new(g->o->state);
     GArray *all = g_array_new(FALSE, TRUE, sizeof(struct lmn_write));
     GHashTableIter it;
     gpointer v;
@@ -138,7 +138,7 @@
               all->len);
     lmn_book_write(&g->book, h, (struct lmn_write *)(void *)all->data, all->len);
     g_array_free(all, TRUE);
-    lmn_http_free(h);
+    lmn_http_client_free(h);
 }
 
 /* A peer that is silent for too long is said once, and once more when it is heard again.
@@ -198,7 +198,7 @@
         lmn_sleep(0.1);
         /* While the state service does not answer, users are told so, and when to come
          * back. */
-        lmn_httpd_sweep(g->server);
+        lmn_http_server_expire_deferred(g->server);
         if (turn % 10 == 0)
             watch_peers(g);
     }
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -61,7 +61,7 @@
 
 /* --- what writes --- */
 
-static void find_digest(struct lmn_http *depot, const char *ref, char *digest)
+static void find_digest(struct lmn_http_client *depot, const char *ref, char *digest)
 {
     struct lmn_depot_error e;
 
@@ -69,10 +69,10 @@
         *digest = '\0';
 }
 
-static void submit(struct lmn_gateway *g, struct lmn_http *state, struct lmn_http *depot,
-                   struct lmn_call *call)
+static void submit(struct lmn_gateway *g, struct lmn_http_client *state,
+                   struct lmn_http_client *depot, struct lmn_http_request *call)
 {
-    const GByteArray *body = lmn_call_body(call);
+    const GByteArray *body = lmn_http_request_body(call);
     struct lmn_write w = {0};
     struct lmn_job_spec s;
     struct lmn_cbor_document d;
@@ -82,7 +82,7 @@
     bool team = false;
 
     if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
-        lmn_call_fail(call, 400, what);
+        lmn_http_request_fail(call, 400, what);
         return;
     }
     bool sane = lmn_job_spec_parse(&s, &d, lmn_cbor_root(&d), &what) == 0;
@@ -113,30 +113,30 @@
     pthread_mutex_unlock(&g->book.lock);
     lmn_job_spec_clear(&s);
     if (known) {
-        lmn_call_answer(call, 200, known, 0);
+        lmn_http_request_respond(call, 200, known, 0);
         return;
     }
     if (!w.job) {
-        lmn_call_fail(call, sane ? 422 : 400, sane ? "unknown team" : what);
+        lmn_http_request_fail(call, sane ? 422 : 400, sane ? "unknown team" : what);
         return;
     }
     lmn_book_write(&g->book, state, &w, 1);
     if (!w.ok) {
-        lmn_call_answer(call, 503, NULL, 1);
+        lmn_http_request_respond(call, 503, NULL, 1);
         return;
     }
     pthread_mutex_lock(&g->book.lock);
     g->submitted++;
     GByteArray *b = job_answer(g, w.job);
     pthread_mutex_unlock(&g->book.lock);
-    lmn_call_answer(call, 201, b, 0);
+    lmn_http_request_respond(call, 201, b, 0);
 }
 
 enum changed { UNKNOWN, AS_IT_WAS, CHANGED };
 
 /* Takes the job through the transition, on the disk before it returns. site: only if it
  * is there; NULL: wherever it is. */
-static enum changed change_job(struct lmn_gateway *g, struct lmn_http *state,
+static enum changed change_job(struct lmn_gateway *g, struct lmn_http_client *state,
                                const char *ref, const char *site,
                                bool (*transition)(struct lmn_home *))
 {
@@ -161,13 +161,13 @@
 
 /* What waits at home is withdrawn at once; what runs, when that is true: until then the
  * answer is honest, and says when to ask again. */
-static void cancel(struct lmn_gateway *g, struct lmn_http *state, struct lmn_call *call,
-                   const char *ref)
+static void cancel(struct lmn_gateway *g, struct lmn_http_client *state,
+                   struct lmn_http_request *call, const char *ref)
 {
     enum changed change = change_job(g, state, ref, NULL, lmn_home_cancel);
 
     if (change == UNKNOWN) {
-        lmn_call_answer(call, 404, NULL, 0);
+        lmn_http_request_respond(call, 404, NULL, 0);
         return;
     }
     pthread_mutex_lock(&g->book.lock);
@@ -178,12 +178,12 @@
     bool reached = !p || p->up;
     g->cancelled += change == CHANGED;
     pthread_mutex_unlock(&g->book.lock);
-    lmn_call_answer(call, final ? 200 : 503, b, final ? 0 : reached ? 1 : 10);
+    lmn_http_request_respond(call, final ? 200 : 503, b, final ? 0 : reached ? 1 : 10);
 }
 
 /* Takes every job without an outcome through the transition; how many were changed. One
  * that somebody holds is waited for. site: see change_job. */
-static uint64_t change_all(struct lmn_gateway *g, struct lmn_http *state,
+static uint64_t change_all(struct lmn_gateway *g, struct lmn_http_client *state,
                            const char *site, bool (*transition)(struct lmn_home *))
 {
     GPtrArray *refs = g_ptr_array_new_with_free_func(g_free);
@@ -207,18 +207,19 @@
     return n;
 }
 
-static void answer_jobs(struct lmn_call *call, uint64_t n)
+static void answer_jobs(struct lmn_http_request *call, uint64_t n)
 {
     GByteArray *b = g_byte_array_new();
 
     lmn_cbor_put_map(b, 1);
     lmn_cbor_put_text(b, "Jobs"), lmn_cbor_put_uint(b, n);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
 /* An operator has found out that nothing of the fenced jobs runs: they wait at home
  * again. */
-static void unfence(struct lmn_gateway *g, struct lmn_http *state, struct lmn_call *call)
+static void unfence(struct lmn_gateway *g, struct lmn_http_client *state,
+                    struct lmn_http_request *call)
 {
     uint64_t n = change_all(g, state, NULL, lmn_home_unfence);
 
@@ -228,11 +229,11 @@
 
 /* An operator wants a job at home. It is answered with where it is now: it comes when
  * the other site has stopped it and says so. */
-static void recall(struct lmn_gateway *g, struct lmn_http *state, struct lmn_call *call,
-                   const char *ref)
+static void recall(struct lmn_gateway *g, struct lmn_http_client *state,
+                   struct lmn_http_request *call, const char *ref)
 {
     if (change_job(g, state, ref, NULL, lmn_home_recall) == UNKNOWN) {
-        lmn_call_answer(call, 404, NULL, 0);
+        lmn_http_request_respond(call, 404, NULL, 0);
         return;
     }
     pthread_mutex_lock(&g->book.lock);
@@ -242,18 +243,18 @@
     GByteArray *b = ok && !fenced ? job_answer(g, j) : NULL;
     pthread_mutex_unlock(&g->book.lock);
     if (fenced)
-        lmn_call_fail(call, 409, "fenced: see unfence");
+        lmn_http_request_fail(call, 409, "fenced: see unfence");
     else
-        lmn_call_answer(call, ok ? 200 : 503, b, ok ? 0 : 1);
+        lmn_http_request_respond(call, ok ? 200 : 503, b, ok ? 0 : 1);
 }
 
 /* Nothing goes to the site or comes from it any more; what is there is called back. What
  * runs here for it ends here, and is told to it: its home waits for that. */
-static void evict(struct lmn_gateway *g, struct lmn_http *state, struct lmn_call *call,
-                  const char *site, bool out)
+static void evict(struct lmn_gateway *g, struct lmn_http_client *state,
+                  struct lmn_http_request *call, const char *site, bool out)
 {
     if (!lmn_peer_named(g, site)) {
-        lmn_call_answer(call, 404, NULL, 0);
+        lmn_http_request_respond(call, 404, NULL, 0);
         return;
     }
     lmn_book_evict(&g->book, state, site, out);
@@ -261,7 +262,7 @@
     bool ok = lmn_book_is_evicted(&g->book, site) == out;
     pthread_mutex_unlock(&g->book.lock);
     if (!ok) {
-        lmn_call_answer(call, 503, NULL, 1);
+        lmn_http_request_respond(call, 503, NULL, 1);
         return;
     }
     uint64_t n = out ? change_all(g, state, site, lmn_home_recall) : 0;
@@ -273,16 +274,16 @@
 static void *hand(void *arg)
 {
     struct lmn_gateway *g = arg;
-    struct lmn_http *state = lmn_http_new(g->o->state),
-                    *depot = lmn_http_new(g->o->depot);
+    struct lmn_http_client *state = lmn_http_client_new(g->o->state),
+                           *depot = lmn_http_client_new(g->o->depot);
 
     for (;;) {
         pthread_mutex_lock(&g->book.lock);
         while (!g->calls.head)
             pthread_cond_wait(&g->calls_more, &g->book.lock);
-        struct lmn_call *call = g_queue_pop_head(&g->calls);
+        struct lmn_http_request *call = g_queue_pop_head(&g->calls);
         pthread_mutex_unlock(&g->book.lock);
-        const char *path = lmn_call_path(call);
+        const char *path = lmn_http_request_path(call);
         if (!strcmp(path, P_JOBS)) {
             submit(g, state, depot, call);
         } else if (!strcmp(path, "/gateway/unfence")) {
@@ -305,14 +306,15 @@
 
 /* --- what only reads --- */
 
-static void poll_job(struct lmn_gateway *g, struct lmn_call *call, const char *ref)
+static void poll_job(struct lmn_gateway *g, struct lmn_http_request *call,
+                     const char *ref)
 {
     pthread_mutex_lock(&g->book.lock);
     const struct lmn_gjob *j = g_hash_table_lookup(g->book.jobs, ref);
     /* One that is being written for the first time was never told to anybody. */
     GByteArray *b = j && j->rev ? job_answer(g, j) : NULL;
     pthread_mutex_unlock(&g->book.lock);
-    lmn_call_answer(call, b ? 200 : 404, b, 0);
+    lmn_http_request_respond(call, b ? 200 : 404, b, 0);
 }
 
 /* Jobs by their course; the lock is held. */
@@ -329,7 +331,7 @@
     n[LMN_H_FINAL] = g_hash_table_size(b->jobs) - g_hash_table_size(b->open_jobs);
 }
 
-static void status(struct lmn_gateway *g, struct lmn_call *call)
+static void status(struct lmn_gateway *g, struct lmn_http_request *call)
 {
     GByteArray *b = g_byte_array_new();
     uint64_t n[COURSES], guests = 0, untold = 0;
@@ -376,7 +378,7 @@
         lmn_cbor_put_text(b, "QueuedCpuS"), lmn_cbor_put_number(b, p->queued_cpu_s);
     }
     pthread_mutex_unlock(&g->book.lock);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
 static void metrics(void *arg, GString *out)
@@ -408,29 +410,30 @@
     pthread_mutex_unlock(&g->book.lock);
 }
 
-static void queue_call(struct lmn_gateway *g, struct lmn_call *call)
+static void queue_call(struct lmn_gateway *g, struct lmn_http_request *call)
 {
     pthread_mutex_lock(&g->book.lock);
     bool full = g->calls.length >= MOST_CALLS;
     if (!full) {
-        lmn_call_hold(call);
+        lmn_http_request_defer(call);
         g_queue_push_tail(&g->calls, call);
         pthread_cond_signal(&g->calls_more);
     }
     pthread_mutex_unlock(&g->book.lock);
     if (full)
-        lmn_call_answer(call, 503, NULL, 2);
+        lmn_http_request_respond(call, 503, NULL, 2);
 }
 
-static void route(void *arg, struct lmn_call *call)
+static void route(void *arg, struct lmn_http_request *call)
 {
     struct lmn_gateway *g = arg;
-    const char *path = lmn_call_path(call);
-    bool get = lmn_call_method(call) == LMN_GET, post = lmn_call_method(call) == LMN_POST;
+    const char *path = lmn_http_request_path(call);
+    bool get = lmn_http_request_method(call) == LMN_HTTP_GET,
+         post = lmn_http_request_method(call) == LMN_HTTP_POST;
     bool aborts = g_str_has_prefix(path, P_JOBS "/") && g_str_has_suffix(path, P_CANCEL);
 
     if (get && !strcmp(path, P_READY))
-        lmn_call_answer(call, 200, NULL, 0);
+        lmn_http_request_respond(call, 200, NULL, 0);
     else if (get && !strcmp(path, "/metrics"))
         lmn_metrics_answer(call, metrics, g);
     else if (get && !strcmp(path, "/gateway"))
@@ -443,20 +446,20 @@
               g_str_has_prefix(path, ADMIT)))
         queue_call(g, call);
     else
-        lmn_call_answer(call, 404, NULL, 0);
+        lmn_http_request_respond(call, 404, NULL, 0);
 }
 
 int lmn_front_start(struct lmn_gateway *g)
 {
-    const struct lmn_httpd_options o = {.listen = g->o->listen,
-                                        .connections = 4096,
-                                        .max_body = MAX_BODY,
-                                        .patience_s = PATIENCE_S,
-                                        .route = route,
-                                        .arg = g};
+    const struct lmn_http_server_options o = {.listen = g->o->listen,
+                                              .connections = 4096,
+                                              .max_body = MAX_BODY,
+                                              .patience_s = PATIENCE_S,
+                                              .route = route,
+                                              .arg = g};
 
     for (int i = 0; i < HANDS; i++)
         lmn_thread(hand, g);
-    g->server = lmn_httpd_start(&o);
+    g->server = lmn_http_server_start(&o);
     return g->server ? 0 : -1;
 }
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -29,7 +29,7 @@
 struct answering {
     struct lmn_gateway *g;
     struct lmn_link *link;
-    struct lmn_http *state, *depot;
+    struct lmn_http_client *state, *depot;
     const char *site;
 };
 
@@ -338,8 +338,8 @@
         lmn_info("link-refused why=\"%s\"", err);
     } else {
         a.site = lmn_link_site(a.link);
-        a.state = lmn_http_new(c->g->o->state);
-        a.depot = lmn_http_new(c->g->o->depot);
+        a.state = lmn_http_client_new(c->g->o->state);
+        a.depot = lmn_http_client_new(c->g->o->depot);
         while (lmn_link_read_request(a.link, &q) == 0) {
             int rc = answer_one(&a, &q, &greeted);
             xdr_free((xdrproc_t)xdr_lmn_g_request, (char *)&q);
@@ -347,8 +347,8 @@
                 break;
         }
         lmn_link_close(a.link);
-        lmn_http_free(a.state);
-        lmn_http_free(a.depot);
+        lmn_http_client_free(a.state);
+        lmn_http_client_free(a.depot);
     }
     g_atomic_int_add(&links, -1);
     g_free(c);
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -15,11 +15,11 @@
 /* --- the state service --- */
 
 /* A call that is repeated until it is answered for certain; the status. */
-static int insist(struct lmn_http *h, const char *method, const char *path,
+static int insist(struct lmn_http_client *h, const char *method, const char *path,
                   const GByteArray *body, GByteArray *in)
 {
     for (;;) {
-        int status = lmn_http_call(h, method, path, body, PATIENCE_S, in);
+        int status = lmn_http_client_call(h, method, path, body, PATIENCE_S, in);
         if (status == 200 || status == 404 || status == 409 || status == 400 ||
             status == 410)
             return status;
@@ -162,7 +162,7 @@
     sort_guest(b, g);
 }
 
-static void read_all(struct lmn_book *b, struct lmn_http *h)
+static void read_all(struct lmn_book *b, struct lmn_http_client *h)
 {
     GByteArray *in = g_byte_array_new();
     char after[256] = "", path[512];
@@ -202,13 +202,13 @@
 static void *keep_lease(void *arg)
 {
     struct lmn_book *b = arg;
-    struct lmn_http *h = lmn_http_new(b->state);
+    struct lmn_http_client *h = lmn_http_client_new(b->state);
     GByteArray *in = g_byte_array_new();
     char path[64];
 
     g_snprintf(path, sizeof path, P_LEASES "/%" G_GUINT64_FORMAT P_RENEW, b->lease);
     for (;;) {
-        if (lmn_http_call(h, "POST", path, NULL, 2, in) == 404) {
+        if (lmn_http_client_call(h, "POST", path, NULL, 2, in) == 404) {
             /* Another may lead by now. Nothing that this one writes is taken any more. */
             lmn_error("lead-lost");
             _exit(1);
@@ -218,7 +218,7 @@
     return NULL;
 }
 
-static uint64_t new_lease(struct lmn_http *h, GByteArray *in)
+static uint64_t new_lease(struct lmn_http_client *h, GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
     struct lmn_cbor_document d;
@@ -236,7 +236,7 @@
 }
 
 /* Puts the name at g/lead if nobody's stands there; the revision, 0: somebody leads. */
-static uint64_t try_lead(struct lmn_http *h, const char *gateway, uint64_t lease,
+static uint64_t try_lead(struct lmn_http_client *h, const char *gateway, uint64_t lease,
                          GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
@@ -249,7 +249,7 @@
     lmn_cbor_put_text(q, W_PUT), lmn_cbor_put_text(q, "g/lead");
     lmn_cbor_put_text(q, W_VALUE), lmn_cbor_put_text(q, gateway);
     lmn_cbor_put_text(q, W_LEASE), lmn_cbor_put_uint(q, lease);
-    int status = lmn_http_call(h, "POST", P_TXN, q, PATIENCE_S, in);
+    int status = lmn_http_client_call(h, "POST", P_TXN, q, PATIENCE_S, in);
     if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
         rev = count_of(&d, lmn_cbor_root(&d), W_REVISION);
         lmn_cbor_free(&d);
@@ -258,8 +258,8 @@
     return rev;
 }
 
-static uint64_t read_number(struct lmn_http *h, const char *path, const char *field,
-                            uint64_t *rev, GByteArray *in)
+static uint64_t read_number(struct lmn_http_client *h, const char *path,
+                            const char *field, uint64_t *rev, GByteArray *in)
 {
     struct lmn_cbor_document d;
     uint64_t v = 0;
@@ -274,7 +274,7 @@
     return v;
 }
 
-static void note_incarnation(struct lmn_book *b, struct lmn_http *h, uint64_t rev,
+static void note_incarnation(struct lmn_book *b, struct lmn_http_client *h, uint64_t rev,
                              GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
@@ -292,7 +292,7 @@
 void lmn_book_open(struct lmn_book *b, const char *state, const char *gateway,
                    int txn_ops, bool *restored)
 {
-    struct lmn_http *h = lmn_http_new(state);
+    struct lmn_http_client *h = lmn_http_client_new(state);
     GByteArray *in = g_byte_array_new();
     uint64_t rev, was;
 
@@ -325,7 +325,7 @@
         note_incarnation(b, h, rev, in);
     lmn_info("lead gateway=%s jobs=%u guests=%u restored=%d", gateway,
              g_hash_table_size(b->jobs), g_hash_table_size(b->guests), *restored);
-    lmn_http_free(h);
+    lmn_http_client_free(h);
     g_byte_array_unref(in);
 }
 
@@ -441,7 +441,7 @@
 }
 
 /* One transaction of them; the status. */
-static int send(struct lmn_book *b, struct lmn_http *h, const struct lmn_write *w,
+static int send(struct lmn_book *b, struct lmn_http_client *h, const struct lmn_write *w,
                 unsigned n, uint64_t *rev, GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
@@ -476,8 +476,8 @@
 
 /* A conflict where only this gateway writes: an earlier try of the same, without an
  * answer, was applied. Whether it was shows the record. */
-static bool was_written(struct lmn_http *h, const struct lmn_write *w, uint64_t *rev,
-                        GByteArray *in)
+static bool was_written(struct lmn_http_client *h, const struct lmn_write *w,
+                        uint64_t *rev, GByteArray *in)
 {
     char *key = key_of(w), *path = g_strdup_printf(P_STORE "/%s", key);
     GByteArray *v = value_of(w), *is = g_byte_array_new();
@@ -542,7 +542,7 @@
     }
 }
 
-void lmn_book_write(struct lmn_book *b, struct lmn_http *h, struct lmn_write *w,
+void lmn_book_write(struct lmn_book *b, struct lmn_http_client *h, struct lmn_write *w,
                     unsigned n)
 {
     GByteArray *in = g_byte_array_new();
@@ -576,7 +576,8 @@
 
 /* --- peers that are evicted --- */
 
-void lmn_book_evict(struct lmn_book *b, struct lmn_http *h, const char *site, bool out)
+void lmn_book_evict(struct lmn_book *b, struct lmn_http_client *h, const char *site,
+                    bool out)
 {
     GByteArray *q = g_byte_array_new(), *in = g_byte_array_new();
     char *key = g_strdup_printf("g/e/%s", site);
--- a/src/gateway/records.h
+++ b/src/gateway/records.h
@@ -95,11 +95,12 @@
 };
 /* Writes them, the lock not held; those that are written are changed in memory, all are
  * put back. A new record that could not be written is forgotten. */
-void lmn_book_write(struct lmn_book *b, struct lmn_http *h, struct lmn_write *w,
+void lmn_book_write(struct lmn_book *b, struct lmn_http_client *h, struct lmn_write *w,
                     unsigned n);
 /* Records that an operator has evicted the site, or that it is a peer again; in memory
  * only once it is on the disk. The lock is not held. */
-void lmn_book_evict(struct lmn_book *b, struct lmn_http *h, const char *site, bool out);
+void lmn_book_evict(struct lmn_book *b, struct lmn_http_client *h, const char *site,
+                    bool out);
 /* Whether it is evicted; the lock is held. */
 bool lmn_book_is_evicted(const struct lmn_book *b, const char *site);
 /* Puts back without a change. The lock is held. */
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -4,7 +4,7 @@
 #include <curl/curl.h>
 #include <string.h>
 
-struct lmn_http {
+struct lmn_http_client {
     CURL *curl;
     struct curl_slist *headers;
     char base[96];
@@ -29,7 +29,7 @@
  * do so with a body that it can't rewind: no seek function is set. */
 static size_t next_part(char *to, size_t size, size_t n, void *arg)
 {
-    struct lmn_http *h = arg;
+    struct lmn_http_client *h = arg;
     size_t part = MIN(size * n, h->body->len - h->sent);
 
     memcpy(to, h->body->data + h->sent, part);
@@ -37,9 +37,9 @@
     return part;
 }
 
-struct lmn_http *lmn_http_new(const char *addr)
+struct lmn_http_client *lmn_http_client_new(const char *addr)
 {
-    struct lmn_http *h = g_new0(struct lmn_http, 1);
+    struct lmn_http_client *h = g_new0(struct lmn_http_client, 1);
 
     g_snprintf(h->base, sizeof h->base, "http://%s", addr);
     h->curl = curl_easy_init();
@@ -59,15 +59,15 @@
     return h;
 }
 
-void lmn_http_free(struct lmn_http *h)
+void lmn_http_client_free(struct lmn_http_client *h)
 {
     curl_easy_cleanup(h->curl);
     curl_slist_free_all(h->headers);
     g_free(h);
 }
 
-int lmn_http_call(struct lmn_http *h, const char *method, const char *path,
-                  const GByteArray *body, double timeout_s, GByteArray *out)
+int lmn_http_client_call(struct lmn_http_client *h, const char *method, const char *path,
+                         const GByteArray *body, double timeout_s, GByteArray *out)
 {
     char url[512];
     long status = 0;
@@ -99,11 +99,11 @@
         return (int)status;
     }
     if (rc == CURLE_COULDNT_CONNECT)
-        return LMN_NOT_SENT;
-    return LMN_NO_ANSWER;
+        return LMN_HTTP_NOT_SENT;
+    return LMN_HTTP_NO_RESPONSE;
 }
 
-double lmn_http_retry_after(struct lmn_http *h)
+double lmn_http_client_retry_after(struct lmn_http_client *h)
 {
     curl_off_t s = 0;
 
@@ -111,13 +111,13 @@
     return (double)s;
 }
 
-bool lmn_http_serves(const char *addr)
+bool lmn_http_is_ready(const char *addr)
 {
-    struct lmn_http *h = lmn_http_new(addr);
+    struct lmn_http_client *h = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new();
-    int status = lmn_http_call(h, "GET", P_READY, NULL, 1, in);
+    int status = lmn_http_client_call(h, "GET", P_READY, NULL, 1, in);
 
     g_byte_array_unref(in);
-    lmn_http_free(h);
+    lmn_http_client_free(h);
     return status == 200;
 }
--- a/src/http/metrics.c
+++ b/src/http/metrics.c
@@ -50,8 +50,8 @@
     g_string_append_printf(out, "%s_count %.0f\n", name, gsl_histogram_sum(l->h));
 }
 
-void lmn_metrics_answer(struct lmn_call *call, void (*fill)(void *arg, GString *out),
-                        void *arg)
+void lmn_metrics_answer(struct lmn_http_request *call,
+                        void (*fill)(void *arg, GString *out), void *arg)
 {
     GString *s = g_string_new(NULL);
 
@@ -59,6 +59,6 @@
     g_string_append(s, "# EOF\n");
     gsize len = s->len;
     GByteArray *b = g_byte_array_new_take((guint8 *)g_string_free(s, FALSE), len);
-    lmn_call_answer_as(call, 200,
-                       "application/openmetrics-text; version=1.0.0; charset=utf-8", b);
+    lmn_http_request_respond_as(
+        call, 200, "application/openmetrics-text; version=1.0.0; charset=utf-8", b);
 }
--- a/src/http/metrics.h
+++ b/src/http/metrics.h
@@ -18,7 +18,7 @@
 void lmn_metric_sample(GString *out, const char *name, const char *label,
                        const char *value, double sample);
 /* Answers GET /metrics with what fill appends. */
-void lmn_metrics_answer(struct lmn_call *call, void (*fill)(void *arg, GString *out),
-                        void *arg);
+void lmn_metrics_answer(struct lmn_http_request *call,
+                        void (*fill)(void *arg, GString *out), void *arg);
 
 #endif
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -8,18 +8,18 @@
 #include <pthread.h>
 #include <string.h>
 
-struct lmn_httpd {
+struct lmn_http_server {
     struct MHD_Daemon *daemon;
-    lmn_route *route;
-    lmn_stands *stands;
-    lmn_kind_of *kind_of;
-    lmn_admits *admits;
+    lmn_http_handler *route;
+    lmn_http_keep_open *stands;
+    lmn_http_connection_kind *kind_of;
+    lmn_http_admit *admits;
     void *arg;
     size_t max_body;
     double patience_s;
     /* By kind; read by any thread (atomic). */
-    gint open[LMN_HTTPD_KINDS];
-    guint64 closed[LMN_HTTPD_KINDS], turned_away[LMN_HTTPD_KINDS];
+    gint open[LMN_HTTP_CONNECTION_KINDS];
+    guint64 closed[LMN_HTTP_CONNECTION_KINDS], turned_away[LMN_HTTP_CONNECTION_KINDS];
     pthread_mutex_t lock; /* of the calls' phases and of waiting */
     GQueue waiting;
 };
@@ -29,14 +29,14 @@
     unsigned kind;
 };
 
-struct lmn_call {
-    struct lmn_httpd *server;
+struct lmn_http_request {
+    struct lmn_http_server *server;
     struct MHD_Connection *conn;
     char *path;
     GByteArray *body, *answer;
     const char *type;
     enum { CALL_READING, CALL_WAITING, CALL_ANSWERED } phase;
-    enum lmn_method method;
+    enum lmn_http_method method;
     int status, retry_after, holds;
     bool too_big;
     struct timespec since;
@@ -45,22 +45,22 @@
 
 static const char CBOR[] = "application/cbor";
 
-const char *lmn_call_path(const struct lmn_call *call)
+const char *lmn_http_request_path(const struct lmn_http_request *call)
 {
     return call->path;
 }
 
-const GByteArray *lmn_call_body(const struct lmn_call *call)
+const GByteArray *lmn_http_request_body(const struct lmn_http_request *call)
 {
     return call->body;
 }
 
-enum lmn_method lmn_call_method(const struct lmn_call *call)
+enum lmn_http_method lmn_http_request_method(const struct lmn_http_request *call)
 {
     return call->method;
 }
 
-const char *lmn_call_query(const struct lmn_call *call, const char *name)
+const char *lmn_http_request_query(const struct lmn_http_request *call, const char *name)
 {
     return MHD_lookup_connection_value(call->conn, MHD_GET_ARGUMENT_KIND, name);
 }
@@ -73,11 +73,11 @@
     return i ? i->socket_context : NULL;
 }
 
-void lmn_call_kind(struct lmn_call *call, unsigned kind)
+void lmn_http_request_set_kind(struct lmn_http_request *call, unsigned kind)
 {
     struct peer *p = peer_of(call->conn);
 
-    if (!p || p->kind == kind || kind >= LMN_HTTPD_KINDS)
+    if (!p || p->kind == kind || kind >= LMN_HTTP_CONNECTION_KINDS)
         return;
     g_atomic_int_add(&call->server->open[p->kind], -1);
     g_atomic_int_inc(&call->server->open[kind]);
@@ -87,7 +87,7 @@
 static void counted(void *arg, struct MHD_Connection *conn, void **context,
                     enum MHD_ConnectionNotificationCode what)
 {
-    struct lmn_httpd *h = arg;
+    struct lmn_http_server *h = arg;
 
     if (what == MHD_CONNECTION_NOTIFY_STARTED) {
         const union MHD_ConnectionInfo *i =
@@ -103,9 +103,10 @@
     }
 }
 
-void lmn_httpd_load(const struct lmn_httpd *h, struct lmn_httpd_load *load)
+void lmn_http_server_load(const struct lmn_http_server *h,
+                          struct lmn_http_server_load *load)
 {
-    for (int k = 0; k < LMN_HTTPD_KINDS; k++) {
+    for (int k = 0; k < LMN_HTTP_CONNECTION_KINDS; k++) {
         load->open[k] = (unsigned)MAX(g_atomic_int_get(&h->open[k]), 0);
         load->closed[k] = __atomic_load_n(&h->closed[k], __ATOMIC_RELAXED);
         load->turned_away[k] = __atomic_load_n(&h->turned_away[k], __ATOMIC_RELAXED);
@@ -114,14 +115,14 @@
 
 static enum MHD_Result let_in(void *arg, const struct sockaddr *addr, socklen_t len)
 {
-    struct lmn_httpd *h = arg;
-    struct lmn_httpd_load load;
+    struct lmn_http_server *h = arg;
+    struct lmn_http_server_load load;
     (void)len;
 
     if (!h->admits || !h->kind_of)
         return MHD_YES;
     unsigned kind = h->kind_of(h->arg, addr);
-    lmn_httpd_load(h, &load);
+    lmn_http_server_load(h, &load);
     if (h->admits(h->arg, load.open, kind))
         return MHD_YES;
     __atomic_fetch_add(&h->turned_away[kind], 1, __ATOMIC_RELAXED);
@@ -129,22 +130,22 @@
 }
 
 /* Whether the call's connection is to end with its answer. */
-static bool ends(struct lmn_call *call)
+static bool ends(struct lmn_http_request *call)
 {
-    struct lmn_httpd *h = call->server;
+    struct lmn_http_server *h = call->server;
     struct peer *p = peer_of(call->conn);
-    struct lmn_httpd_load load;
+    struct lmn_http_server_load load;
 
     if (!h->stands || !p)
         return false;
-    lmn_httpd_load(h, &load);
+    lmn_http_server_load(h, &load);
     if (h->stands(h->arg, load.open, p->kind))
         return false;
     __atomic_fetch_add(&h->closed[p->kind], 1, __ATOMIC_RELAXED);
     return true;
 }
 
-int lmn_call_port(const struct lmn_call *call)
+int lmn_http_request_port(const struct lmn_http_request *call)
 {
     const union MHD_ConnectionInfo *i =
         MHD_get_connection_info(call->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -156,7 +157,7 @@
     return ntohs(a.sin_port);
 }
 
-static void drop(struct lmn_call *call)
+static void drop(struct lmn_http_request *call)
 {
     if (--call->holds > 0)
         return;
@@ -168,7 +169,7 @@
 }
 
 /* The server's lock is held. */
-static void set_answer(struct lmn_call *call, int status, const char *type,
+static void set_answer(struct lmn_http_request *call, int status, const char *type,
                        GByteArray *body, int retry_after)
 {
     bool resume = call->phase == CALL_WAITING;
@@ -185,10 +186,10 @@
     }
 }
 
-static void answer(struct lmn_call *call, int status, const char *type, GByteArray *body,
-                   int retry_after)
+static void answer(struct lmn_http_request *call, int status, const char *type,
+                   GByteArray *body, int retry_after)
 {
-    struct lmn_httpd *h = call->server;
+    struct lmn_http_server *h = call->server;
 
     pthread_mutex_lock(&h->lock);
     bool was_held = call->phase != CALL_READING;
@@ -203,18 +204,19 @@
     pthread_mutex_unlock(&h->lock);
 }
 
-void lmn_call_answer(struct lmn_call *call, int status, GByteArray *body, int retry_after)
+void lmn_http_request_respond(struct lmn_http_request *call, int status, GByteArray *body,
+                              int retry_after)
 {
     answer(call, status, CBOR, body, retry_after);
 }
 
-void lmn_call_answer_as(struct lmn_call *call, int status, const char *type,
-                        GByteArray *body)
+void lmn_http_request_respond_as(struct lmn_http_request *call, int status,
+                                 const char *type, GByteArray *body)
 {
     answer(call, status, type, body, 0);
 }
 
-void lmn_call_fail(struct lmn_call *call, int status, const char *what)
+void lmn_http_request_fail(struct lmn_http_request *call, int status, const char *what)
 {
     GByteArray *b = g_byte_array_new();
 
@@ -223,9 +225,9 @@
     answer(call, status, CBOR, b, 0);
 }
 
-void lmn_call_hold(struct lmn_call *call)
+void lmn_http_request_defer(struct lmn_http_request *call)
 {
-    struct lmn_httpd *h = call->server;
+    struct lmn_http_server *h = call->server;
 
     pthread_mutex_lock(&h->lock);
     call->holds++;
@@ -236,7 +238,7 @@
     pthread_mutex_unlock(&h->lock);
 }
 
-void lmn_httpd_sweep(struct lmn_httpd *h)
+void lmn_http_server_expire_deferred(struct lmn_http_server *h)
 {
     struct timespec now = lmn_now();
 
@@ -244,7 +246,7 @@
         return;
     pthread_mutex_lock(&h->lock);
     while (h->waiting.head) {
-        struct lmn_call *call = h->waiting.head->data;
+        struct lmn_http_request *call = h->waiting.head->data;
         if (lmn_time_diff_s(now, call->since) < h->patience_s)
             break;
         set_answer(call, 503, CBOR, NULL, 1);
@@ -252,7 +254,7 @@
     pthread_mutex_unlock(&h->lock);
 }
 
-static enum MHD_Result reply(struct lmn_call *call)
+static enum MHD_Result reply(struct lmn_http_request *call)
 {
     GByteArray *a = call->answer;
     struct MHD_Response *r = MHD_create_response_from_buffer(
@@ -273,26 +275,26 @@
     return ok;
 }
 
-static enum lmn_method method_of(const char *word)
+static enum lmn_http_method method_of(const char *word)
 {
     static const char *const words[] = {"GET", "POST", "PUT", "DELETE"};
 
     for (guint i = 0; i < G_N_ELEMENTS(words); i++)
         if (!strcmp(word, words[i]))
-            return (enum lmn_method)i;
-    return LMN_OTHER_METHOD;
+            return (enum lmn_http_method)i;
+    return LMN_HTTP_OTHER;
 }
 
 static enum MHD_Result handler(void *arg, struct MHD_Connection *conn, const char *url,
                                const char *method, const char *version, const char *data,
                                size_t *size, void **state)
 {
-    struct lmn_call *call = *state;
-    struct lmn_httpd *h = arg;
+    struct lmn_http_request *call = *state;
+    struct lmn_http_server *h = arg;
     (void)version;
 
     if (!call) {
-        call = g_new0(struct lmn_call, 1);
+        call = g_new0(struct lmn_http_request, 1);
         call->server = h;
         call->conn = conn;
         call->path = g_strdup(url);
@@ -312,10 +314,10 @@
         return MHD_YES;
     }
     if (call->phase == CALL_READING) {
-        if (call->method == LMN_OTHER_METHOD)
-            lmn_call_answer(call, 405, NULL, 0);
+        if (call->method == LMN_HTTP_OTHER)
+            lmn_http_request_respond(call, 405, NULL, 0);
         else if (call->too_big)
-            lmn_call_answer(call, 400, NULL, 0);
+            lmn_http_request_respond(call, 400, NULL, 0);
         else
             h->route(h->arg, call);
     }
@@ -328,8 +330,8 @@
 static void completed(void *arg, struct MHD_Connection *conn, void **state,
                       enum MHD_RequestTerminationCode why)
 {
-    struct lmn_call *call = *state;
-    struct lmn_httpd *h = arg;
+    struct lmn_http_request *call = *state;
+    struct lmn_http_server *h = arg;
     (void)conn;
     (void)why;
 
@@ -346,9 +348,9 @@
     *state = NULL;
 }
 
-struct lmn_httpd *lmn_httpd_start(const struct lmn_httpd_options *o)
+struct lmn_http_server *lmn_http_server_start(const struct lmn_http_server_options *o)
 {
-    struct lmn_httpd *h = g_new0(struct lmn_httpd, 1);
+    struct lmn_http_server *h = g_new0(struct lmn_http_server, 1);
     struct sockaddr_in a = {.sin_family = AF_INET};
     char host[LMN_ADDRESS_SIZE];
     int port = 0;
@@ -390,7 +392,7 @@
     return h;
 }
 
-int lmn_httpd_adopt(struct lmn_httpd *h, int fd)
+int lmn_http_server_adopt(struct lmn_http_server *h, int fd)
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
     socklen_t len = sizeof a;
@@ -400,7 +402,7 @@
                                                                                     : -1;
 }
 
-int lmn_httpd_port(const struct lmn_httpd *h)
+int lmn_http_server_port(const struct lmn_http_server *h)
 {
     return MHD_get_daemon_info(h->daemon, MHD_DAEMON_INFO_BIND_PORT)->port;
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -8,84 +8,94 @@
 
 struct sockaddr;
 
-struct lmn_httpd;
+struct lmn_http_server;
 /* One request whose answer may come later, from another thread. */
-struct lmn_call;
+struct lmn_http_request;
 
-enum lmn_method { LMN_GET, LMN_POST, LMN_PUT, LMN_DELETE, LMN_OTHER_METHOD };
+enum lmn_http_method {
+    LMN_HTTP_GET,
+    LMN_HTTP_POST,
+    LMN_HTTP_PUT,
+    LMN_HTTP_DELETE,
+    LMN_HTTP_OTHER
+};
 
 /* Answers the call, or holds it. On the server's thread: it must not wait for anything.
  */
-typedef void lmn_route(void *arg, struct lmn_call *call);
+typedef void lmn_http_handler(void *arg, struct lmn_http_request *call);
 
 /* Connections are counted by kind: numbers that the caller gives a meaning to. A new one
  * is of kind 0. */
-enum { LMN_HTTPD_KINDS = 4 };
+enum { LMN_HTTP_CONNECTION_KINDS = 4 };
 
 /* Whether a connection of the kind may stay open after its answer, with so many open of
  * each. On the server's thread. */
-typedef bool lmn_stands(void *arg, const unsigned open[LMN_HTTPD_KINDS], unsigned kind);
+typedef bool lmn_http_keep_open(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
+                                unsigned kind);
 
 /* The kind of a connection by its peer's address, and whether it is let in: both on the
  * server's thread, as it comes. */
-typedef unsigned lmn_kind_of(void *arg, const struct sockaddr *peer);
-typedef bool lmn_admits(void *arg, const unsigned open[LMN_HTTPD_KINDS], unsigned kind);
+typedef unsigned lmn_http_connection_kind(void *arg, const struct sockaddr *peer);
+typedef bool lmn_http_admit(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
+                            unsigned kind);
 
-struct lmn_httpd_options {
-    const char *listen; /* "IPv4:port"; NULL: connections come by lmn_httpd_adopt alone */
+struct lmn_http_server_options {
+    const char
+        *listen; /* "IPv4:port"; NULL: connections come by lmn_http_server_adopt alone */
     unsigned connections; /* at most so many; further ones are refused */
     size_t max_body;    /* bytes; a longer one is read, kept nowhere, and answered 400 */
     size_t call_memory; /* bytes that libmicrohttpd sets aside for a connection; 0: its
                            default */
-    double patience_s;  /* what is held for longer is answered 503 by lmn_httpd_sweep; 0:
-                           never */
+    double patience_s;  /* what is held for longer is answered 503 by
+                           lmn_http_server_expire_deferred; 0:  never */
     unsigned idle_s;    /* a connection without a word for this long is closed; 0: 90 s */
-    lmn_route *route;
-    lmn_stands *stands;   /* NULL: all stay open */
-    lmn_kind_of *kind_of; /* NULL: all are of kind 0 */
-    lmn_admits *admits;   /* NULL: all are let in; who is not is closed at once */
+    lmn_http_handler *route;
+    lmn_http_keep_open *stands;        /* NULL: all stay open */
+    lmn_http_connection_kind *kind_of; /* NULL: all are of kind 0 */
+    lmn_http_admit *admits; /* NULL: all are let in; who is not is closed at once */
     void *arg;
 };
 
 /* NULL if it can't listen (errno tells). Serves until the process ends. */
-struct lmn_httpd *lmn_httpd_start(const struct lmn_httpd_options *o);
+struct lmn_http_server *lmn_http_server_start(const struct lmn_http_server_options *o);
 /* The port that it listens on: for an address with port 0. */
-int lmn_httpd_port(const struct lmn_httpd *h);
+int lmn_http_server_port(const struct lmn_http_server *h);
 /* Serves a connection that the caller has accepted; takes fd over. -1 if it can't. */
-int lmn_httpd_adopt(struct lmn_httpd *h, int fd);
+int lmn_http_server_adopt(struct lmn_http_server *h, int fd);
 /* Calls that have waited too long are answered 503 now. */
-void lmn_httpd_sweep(struct lmn_httpd *h);
+void lmn_http_server_expire_deferred(struct lmn_http_server *h);
 
 /* Connections now, by kind, and how many answers closed theirs for want of sockets. From
  * any thread. */
-struct lmn_httpd_load {
-    unsigned open[LMN_HTTPD_KINDS];
-    uint64_t closed[LMN_HTTPD_KINDS];
-    uint64_t turned_away[LMN_HTTPD_KINDS]; /* not let in */
+struct lmn_http_server_load {
+    unsigned open[LMN_HTTP_CONNECTION_KINDS];
+    uint64_t closed[LMN_HTTP_CONNECTION_KINDS];
+    uint64_t turned_away[LMN_HTTP_CONNECTION_KINDS]; /* not let in */
 };
-void lmn_httpd_load(const struct lmn_httpd *h, struct lmn_httpd_load *load);
+void lmn_http_server_load(const struct lmn_http_server *h,
+                          struct lmn_http_server_load *load);
 
-enum lmn_method lmn_call_method(const struct lmn_call *call);
-const char *lmn_call_path(const struct lmn_call *call);
-const GByteArray *lmn_call_body(const struct lmn_call *call);
+enum lmn_http_method lmn_http_request_method(const struct lmn_http_request *call);
+const char *lmn_http_request_path(const struct lmn_http_request *call);
+const GByteArray *lmn_http_request_body(const struct lmn_http_request *call);
 /* A query's value; NULL if there is none. Valid until the call is answered; only on the
  * server's thread. */
-const char *lmn_call_query(const struct lmn_call *call, const char *name);
+const char *lmn_http_request_query(const struct lmn_http_request *call, const char *name);
 /* Counts the call's connection among those of the kind from now on. Only on the server's
  * thread, before the call is answered or held. */
-void lmn_call_kind(struct lmn_call *call, unsigned kind);
+void lmn_http_request_set_kind(struct lmn_http_request *call, unsigned kind);
 /* The connection's local port, for servers of many addresses. */
-int lmn_call_port(const struct lmn_call *call);
+int lmn_http_request_port(const struct lmn_http_request *call);
 /* Answers it with CBOR; whoever comes first counts. retry_after in seconds, 0: none.
  * Takes over the body (NULL: none). Gives up the caller's hold. */
-void lmn_call_answer(struct lmn_call *call, int status, GByteArray *body,
-                     int retry_after);
+void lmn_http_request_respond(struct lmn_http_request *call, int status, GByteArray *body,
+                              int retry_after);
 /* The same with a body of another type, as in "text/plain". */
-void lmn_call_answer_as(struct lmn_call *call, int status, const char *type,
-                        GByteArray *body);
+void lmn_http_request_respond_as(struct lmn_http_request *call, int status,
+                                 const char *type, GByteArray *body);
 /* {"error": what} */
-void lmn_call_fail(struct lmn_call *call, int status, const char *what);
+void lmn_http_request_fail(struct lmn_http_request *call, int status, const char *what);
 /* The answer will come from another thread, which now holds the call. */
-void lmn_call_hold(struct lmn_call *call);
+void lmn_http_request_defer(struct lmn_http_request *call);
 
 #endif
--- a/src/image_store/client.c
+++ b/src/image_store/client.c
@@ -15,7 +15,7 @@
 static int failed(struct lmn_depot_error *e, int status, const char *what)
 {
     e->status = MAX(status, 0);
-    if (status == LMN_NOT_SENT)
+    if (status == LMN_HTTP_NOT_SENT)
         g_snprintf(e->what, sizeof e->what, "%s: the depot can't be reached", what);
     else if (status < 0)
         g_snprintf(e->what, sizeof e->what, "%s: the depot did not answer", what);
@@ -24,7 +24,7 @@
     return -1;
 }
 
-int lmn_depot_put(struct lmn_http *h, const GByteArray *blob, char *digest,
+int lmn_depot_put(struct lmn_http_client *h, const GByteArray *blob, char *digest,
                   struct lmn_depot_error *e)
 {
     GByteArray *out = g_byte_array_new();
@@ -33,20 +33,20 @@
     lmn_digest(blob->data, blob->len, digest);
     g_snprintf(path, sizeof path, "/blobs/%s", digest);
     g_snprintf(stat, sizeof stat, "%s?Stat=1", path);
-    int status = lmn_http_call(h, "GET", stat, NULL, PATIENCE_S, out);
+    int status = lmn_http_client_call(h, "GET", stat, NULL, PATIENCE_S, out);
     if (status == 404)
-        status = lmn_http_call(h, "PUT", path, blob, PATIENCE_S, out);
+        status = lmn_http_client_call(h, "PUT", path, blob, PATIENCE_S, out);
     g_byte_array_unref(out);
     return status == 200 || status == 201 ? 0 : failed(e, status, path);
 }
 
-int lmn_depot_get(struct lmn_http *h, const char *digest, GByteArray *blob,
+int lmn_depot_get(struct lmn_http_client *h, const char *digest, GByteArray *blob,
                   struct lmn_depot_error *e)
 {
     char path[128], is[LMN_DIGEST];
 
     g_snprintf(path, sizeof path, "/blobs/%s", digest);
-    int status = lmn_http_call(h, "GET", path, NULL, PATIENCE_S, blob);
+    int status = lmn_http_client_call(h, "GET", path, NULL, PATIENCE_S, blob);
     if (status != 200)
         return failed(e, status, path);
     lmn_digest(blob->data, blob->len, is);
@@ -57,7 +57,7 @@
     return -1;
 }
 
-int lmn_depot_name(struct lmn_http *h, const char *kind, const char *name,
+int lmn_depot_name(struct lmn_http_client *h, const char *kind, const char *name,
                    const char *digest, struct lmn_depot_error *e)
 {
     GByteArray *in = g_byte_array_new(), *out = g_byte_array_new();
@@ -65,20 +65,20 @@
 
     g_snprintf(path, sizeof path, "/names/%s/%s", kind, name);
     g_byte_array_append(in, (const guint8 *)digest, (guint)strlen(digest));
-    int status = lmn_http_call(h, "PUT", path, in, PATIENCE_S, out);
+    int status = lmn_http_client_call(h, "PUT", path, in, PATIENCE_S, out);
     g_byte_array_unref(in);
     g_byte_array_unref(out);
     return status == 200 || status == 201 ? 0 : failed(e, status, path);
 }
 
-int lmn_depot_look(struct lmn_http *h, const char *kind, const char *name, char *digest,
-                   struct lmn_depot_error *e)
+int lmn_depot_look(struct lmn_http_client *h, const char *kind, const char *name,
+                   char *digest, struct lmn_depot_error *e)
 {
     GByteArray *out = g_byte_array_new();
     char path[256];
 
     g_snprintf(path, sizeof path, "/names/%s/%s", kind, name);
-    int status = lmn_http_call(h, "GET", path, NULL, PATIENCE_S, out);
+    int status = lmn_http_client_call(h, "GET", path, NULL, PATIENCE_S, out);
     bool ok = status == 200 && out->len == LMN_DIGEST - 1;
     if (ok) {
         memcpy(digest, out->data, LMN_DIGEST - 1);
--- a/src/image_store/image.c
+++ b/src/image_store/image.c
@@ -25,7 +25,7 @@
 }
 
 struct walk {
-    struct lmn_http *http;
+    struct lmn_http_client *http;
     struct lmn_depot_error *e;
     GByteArray *files;
     uint64_t bytes;
@@ -109,8 +109,8 @@
     return rc;
 }
 
-int lmn_image_put(struct lmn_http *h, const char *name, const char *dir, uint64_t *bytes,
-                  struct lmn_depot_error *e)
+int lmn_image_put(struct lmn_http_client *h, const char *name, const char *dir,
+                  uint64_t *bytes, struct lmn_depot_error *e)
 {
     struct walk w = {.http = h, .e = e, .files = g_byte_array_new()};
     int rc = put_dir(&w, dir, "");
@@ -143,7 +143,7 @@
 }
 
 struct fetch {
-    struct lmn_http *http;
+    struct lmn_http_client *http;
     struct lmn_depot_error *e;
     double rate;
     bool (*go_on)(void *arg);
@@ -197,7 +197,7 @@
     return rc;
 }
 
-int lmn_image_get(struct lmn_http *h, const char *name, const char *dir,
+int lmn_image_get(struct lmn_http_client *h, const char *name, const char *dir,
                   double bytes_per_s, bool (*go_on)(void *arg), void *arg,
                   uint64_t *bytes, struct lmn_depot_error *e)
 {
--- a/src/image_store/image_store.h
+++ b/src/image_store/image_store.h
@@ -24,8 +24,8 @@
 #define LMN_NO_IMAGE "none"
 
 /* Serves dir at the address; NULL with err. Serves until the process ends. */
-struct lmn_httpd *lmn_depot_start(const char *dir, const char *listen, char *err,
-                                  size_t len);
+struct lmn_http_server *lmn_depot_start(const char *dir, const char *listen, char *err,
+                                        size_t len);
 
 /* --- its client: each returns 0, or -1 with err ("what: why") and, where the other side
  * answered, its status in *status (else 0) --- */
@@ -35,14 +35,14 @@
 };
 /* The hex SHA-256 of the bytes; digest: LMN_DIGEST bytes. */
 void lmn_digest(const void *bytes, size_t len, char *digest);
-int lmn_depot_put(struct lmn_http *h, const GByteArray *blob, char *digest,
+int lmn_depot_put(struct lmn_http_client *h, const GByteArray *blob, char *digest,
                   struct lmn_depot_error *e);
 /* Checks what it got against the digest. */
-int lmn_depot_get(struct lmn_http *h, const char *digest, GByteArray *blob,
+int lmn_depot_get(struct lmn_http_client *h, const char *digest, GByteArray *blob,
                   struct lmn_depot_error *e);
-int lmn_depot_name(struct lmn_http *h, const char *kind, const char *name,
+int lmn_depot_name(struct lmn_http_client *h, const char *kind, const char *name,
                    const char *digest, struct lmn_depot_error *e);
-int lmn_depot_look(struct lmn_http *h, const char *kind, const char *name, char *digest,
-                   struct lmn_depot_error *e);
+int lmn_depot_look(struct lmn_http_client *h, const char *kind, const char *name,
+                   char *digest, struct lmn_depot_error *e);
 
 #endif
--- a/src/image_store/server.c
+++ b/src/image_store/server.c
@@ -32,17 +32,17 @@
     return rc == 0 ? lmn_file_put(path, bytes, len) : -1;
 }
 
-static void answer_stored(struct lmn_call *call, int rc, int status)
+static void answer_stored(struct lmn_http_request *call, int rc, int status)
 {
     if (rc == 0) {
-        lmn_call_answer(call, status, NULL, 0);
+        lmn_http_request_respond(call, status, NULL, 0);
         return;
     }
     lmn_error("depot-write-failed error=\"%s\"", strerror(errno));
-    lmn_call_answer(call, 503, NULL, 2);
+    lmn_http_request_respond(call, 503, NULL, 2);
 }
 
-static void answer_file(struct depot *d, struct lmn_call *call, const char *path)
+static void answer_file(struct depot *d, struct lmn_http_request *call, const char *path)
 {
     char *bytes = NULL;
     gsize n = 0;
@@ -50,39 +50,40 @@
     d->gets++;
     if (!g_file_get_contents(path, &bytes, &n, NULL)) {
         d->missing++;
-        lmn_call_answer(call, 404, NULL, 0);
+        lmn_http_request_respond(call, 404, NULL, 0);
         return;
     }
-    lmn_call_answer_as(call, 200, "application/octet-stream",
-                       g_byte_array_new_take((guint8 *)bytes, n));
+    lmn_http_request_respond_as(call, 200, "application/octet-stream",
+                                g_byte_array_new_take((guint8 *)bytes, n));
 }
 
-static void blob(struct depot *d, struct lmn_call *call, const char *digest)
+static void blob(struct depot *d, struct lmn_http_request *call, const char *digest)
 {
-    const GByteArray *body = lmn_call_body(call);
+    const GByteArray *body = lmn_http_request_body(call);
     char is[LMN_DIGEST];
 
     if (!digest_ok(digest)) {
-        lmn_call_fail(call, 400, "a digest is 64 digits of hexadecimal");
+        lmn_http_request_fail(call, 400, "a digest is 64 digits of hexadecimal");
         return;
     }
     char *path = blob_path(d, digest);
     bool there = g_file_test(path, G_FILE_TEST_IS_REGULAR);
-    if (lmn_call_method(call) == LMN_GET && lmn_call_query(call, "Stat")) {
-        lmn_call_answer(call, there ? 200 : 404, NULL, 0);
-    } else if (lmn_call_method(call) == LMN_GET) {
+    if (lmn_http_request_method(call) == LMN_HTTP_GET &&
+        lmn_http_request_query(call, "Stat")) {
+        lmn_http_request_respond(call, there ? 200 : 404, NULL, 0);
+    } else if (lmn_http_request_method(call) == LMN_HTTP_GET) {
         answer_file(d, call, path);
-    } else if (lmn_call_method(call) == LMN_PUT) {
+    } else if (lmn_http_request_method(call) == LMN_HTTP_PUT) {
         lmn_digest(body->data, body->len, is);
         d->puts++;
         if (strcmp(is, digest))
-            lmn_call_fail(call, 400, "the bytes have another digest");
+            lmn_http_request_fail(call, 400, "the bytes have another digest");
         else if (there)
-            lmn_call_answer(call, 200, NULL, 0);
+            lmn_http_request_respond(call, 200, NULL, 0);
         else
             answer_stored(call, store(path, body->data, body->len), 201);
     } else {
-        lmn_call_answer(call, 405, NULL, 0);
+        lmn_http_request_respond(call, 405, NULL, 0);
     }
     g_free(path);
 }
@@ -92,7 +93,7 @@
     return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-static void listing(struct lmn_call *call, const char *path)
+static void listing(struct lmn_http_request *call, const char *path)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     GDir *dir = g_dir_open(path, 0, NULL);
@@ -110,7 +111,7 @@
     for (guint i = 0; i < names->len; i++)
         lmn_cbor_put_text(b, names->pdata[i]);
     g_ptr_array_free(names, TRUE);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
 /* A file's whole text is the bytes. */
@@ -124,44 +125,45 @@
     return same;
 }
 
-static void put_name(struct depot *d, struct lmn_call *call, const char *kind,
+static void put_name(struct depot *d, struct lmn_http_request *call, const char *kind,
                      const char *path)
 {
-    const GByteArray *body = lmn_call_body(call);
+    const GByteArray *body = lmn_http_request_body(call);
     char digest[LMN_DIGEST] = "";
     bool there = g_file_test(path, G_FILE_TEST_IS_REGULAR);
 
     if (body->len == LMN_DIGEST - 1)
         memcpy(digest, body->data, LMN_DIGEST - 1);
     if (!digest_ok(digest)) {
-        lmn_call_fail(call, 400, "a name points at a digest");
+        lmn_http_request_fail(call, 400, "a name points at a digest");
         return;
     }
     char *to = blob_path(d, digest);
     bool known = g_file_test(to, G_FILE_TEST_IS_REGULAR);
     g_free(to);
     if (!known)
-        lmn_call_fail(call, 400, "there is no such blob yet");
+        lmn_http_request_fail(call, 400, "there is no such blob yet");
     else if (there && holds(path, body))
-        lmn_call_answer(call, 200, NULL, 0);
+        lmn_http_request_respond(call, 200, NULL, 0);
     else if (there && !strcmp(kind, LMN_DEPOT_JOB))
-        lmn_call_fail(call, 409, "the job has another description");
+        lmn_http_request_fail(call, 409, "the job has another description");
     else
         answer_stored(call, store(path, body->data, body->len), 201);
 }
 
-static void route(void *arg, struct lmn_call *call)
+static void route(void *arg, struct lmn_http_request *call)
 {
     struct depot *d = arg;
-    char **p = g_strsplit(lmn_call_path(call) + 1, "/", 4);
+    char **p = g_strsplit(lmn_http_request_path(call) + 1, "/", 4);
     guint n = g_strv_length(p);
     bool names = n >= 2 && !strcmp(p[0], "names"), logs = n >= 2 && !strcmp(p[0], "logs");
-    bool get = lmn_call_method(call) == LMN_GET, put = lmn_call_method(call) == LMN_PUT;
+    bool get = lmn_http_request_method(call) == LMN_HTTP_GET,
+         put = lmn_http_request_method(call) == LMN_HTTP_PUT;
 
     if (n == 2 && !strcmp(p[0], "blobs")) {
         blob(d, call, p[1]);
     } else if (n == 1 && !strcmp(p[0], "ready")) {
-        lmn_call_answer(call, 200, NULL, 0);
+        lmn_http_request_respond(call, 200, NULL, 0);
     } else if ((names || logs) && lmn_image_name_ok(p[1]) &&
                (n == 2 || (n == 3 && lmn_image_name_ok(p[2])))) {
         char *path = g_strjoin("/", d->dir, p[0], p[1], p[2], NULL);
@@ -172,35 +174,36 @@
         else if (n == 3 && put && names)
             put_name(d, call, p[1], path);
         else if (n == 3 && put)
-            answer_stored(
-                call, store(path, lmn_call_body(call)->data, lmn_call_body(call)->len),
-                200);
+            answer_stored(call,
+                          store(path, lmn_http_request_body(call)->data,
+                                lmn_http_request_body(call)->len),
+                          200);
         else
-            lmn_call_answer(call, 405, NULL, 0);
+            lmn_http_request_respond(call, 405, NULL, 0);
         g_free(path);
     } else {
-        lmn_call_fail(call, names || logs ? 400 : 404,
-                      "no such path, or a name that can't be one");
+        lmn_http_request_fail(call, names || logs ? 400 : 404,
+                              "no such path, or a name that can't be one");
     }
     g_strfreev(p);
 }
 
-struct lmn_httpd *lmn_depot_start(const char *dir, const char *listen, char *err,
-                                  size_t len)
+struct lmn_http_server *lmn_depot_start(const char *dir, const char *listen, char *err,
+                                        size_t len)
 {
     struct depot *d = g_new0(struct depot, 1);
-    const struct lmn_httpd_options o = {.listen = listen,
-                                        .connections = 4096,
-                                        .max_body = LMN_BLOB_MAX,
-                                        .route = route,
-                                        .arg = d};
+    const struct lmn_http_server_options o = {.listen = listen,
+                                              .connections = 4096,
+                                              .max_body = LMN_BLOB_MAX,
+                                              .route = route,
+                                              .arg = d};
 
     d->dir = g_strdup(dir);
     if (g_mkdir_with_parents(dir, 0755) != 0) {
         g_snprintf(err, len, "%s: %s", dir, strerror(errno));
         return NULL;
     }
-    struct lmn_httpd *h = lmn_httpd_start(&o);
+    struct lmn_http_server *h = lmn_http_server_start(&o);
     if (!h)
         g_snprintf(err, len, "%s: can't listen: %s", listen, strerror(errno));
     return h;
--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -351,7 +351,7 @@
 {
     struct lmn_cbor_document d;
 
-    if (status == LMN_NOT_SENT || status == 429 || status == 503 || status == 400)
+    if (status == LMN_HTTP_NOT_SENT || status == 429 || status == 503 || status == 400)
         return LMN_REFUSED;
     if (status != 200 && status != 409)
         return LMN_UNKNOWN;
@@ -370,14 +370,14 @@
     return r;
 }
 
-static enum lmn_outcome send_batch(struct lmn_http *h, struct lmn_txn **v, guint n,
+static enum lmn_outcome send_batch(struct lmn_http_client *h, struct lmn_txn **v, guint n,
                                    double timeout_s, uint64_t *revision,
                                    GPtrArray *conflicts, int *status)
 {
     GByteArray *body = encode(v, n), *answer = g_byte_array_new();
 
     struct timespec sent = lmn_now();
-    *status = lmn_http_call(h, "POST", P_TXN, body, timeout_s, answer);
+    *status = lmn_http_client_call(h, "POST", P_TXN, body, timeout_s, answer);
     lmn_debug("state-write transactions=%u status=%d took=%.3f", n, *status,
               lmn_time_diff_s(lmn_now(), sent));
     enum lmn_outcome r = judge(*status, answer, revision, conflicts);
@@ -386,7 +386,7 @@
     return r;
 }
 
-enum lmn_outcome lmn_state_send(struct lmn_state *s, struct lmn_http *h,
+enum lmn_outcome lmn_state_send(struct lmn_state *s, struct lmn_http_client *h,
                                 struct lmn_txn *t, uint64_t *revision,
                                 GPtrArray *conflicts)
 {
@@ -495,7 +495,7 @@
 }
 
 /* One of a batch that the service found unfit (an ended lease, say) goes out alone. */
-static void send_alone(struct lmn_state *s, struct lmn_http *h, struct lmn_txn *t)
+static void send_alone(struct lmn_state *s, struct lmn_http_client *h, struct lmn_txn *t)
 {
     uint64_t revision = 0;
     enum lmn_outcome r = lmn_state_send(s, h, t, &revision, NULL);
@@ -506,7 +506,7 @@
 static void *writer(void *arg)
 {
     struct lmn_state *s = arg;
-    struct lmn_http *h = lmn_http_new(s->cfg->state);
+    struct lmn_http_client *h = lmn_http_client_new(s->cfg->state);
     struct lmn_txn *v[64];
 
     for (;;) {
--- a/src/kv_client/kv_client.h
+++ b/src/kv_client/kv_client.h
@@ -70,7 +70,7 @@
 /* Waits for leave to send one more request. */
 void lmn_state_pace(struct lmn_state *s);
 /* Sends a transaction now, on the calling thread, outside the batches. */
-enum lmn_outcome lmn_state_send(struct lmn_state *s, struct lmn_http *h,
+enum lmn_outcome lmn_state_send(struct lmn_state *s, struct lmn_http_client *h,
                                 struct lmn_txn *t, uint64_t *revision,
                                 GPtrArray *conflicts);
 
--- a/src/kv_store/kv_store_internal.h
+++ b/src/kv_store/kv_store_internal.h
@@ -15,7 +15,7 @@
 /* What waits for the writer. */
 struct lmn_op {
     enum lmn_op_kind kind;
-    struct lmn_call *call; /* NULL: the service's own */
+    struct lmn_http_request *call; /* NULL: the service's own */
     struct lmn_db_txn txn;
     GPtrArray *bytes; /* keys and values that txn points at */
     uint64_t lease;
@@ -35,7 +35,7 @@
 
 /* Somebody who waits for changes. */
 struct lmn_waiter {
-    struct lmn_call *call;
+    struct lmn_http_request *call;
     char *prefix;
     uint64_t scanned; /* no change up to here concerns it */
     struct timespec until;
@@ -45,7 +45,7 @@
     struct lmn_store_options o;
     struct lmn_db *db;
     struct lmn_db_reader *reader; /* the server thread's */
-    struct lmn_httpd *server;
+    struct lmn_http_server *server;
     struct lmn_token_bucket requests, writes; /* the server thread's */
 
     pthread_mutex_t lock; /* of what follows */
@@ -73,7 +73,7 @@
 /* Answers those who wait for changes, for ever (a thread). */
 void *lmn_store_watcher(void *store);
 /* GET /changes, on the server's thread. */
-void lmn_store_watch(struct lmn_store *s, struct lmn_call *call);
+void lmn_store_watch(struct lmn_store *s, struct lmn_http_request *call);
 void lmn_store_put_item(GByteArray *b, const struct lmn_db_item *item);
 
 #endif
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -32,7 +32,7 @@
     return b->rate <= 0 || lmn_token_bucket_take(b, n, lmn_now()) <= 0;
 }
 
-static bool limited(struct lmn_store *s, struct lmn_call *call,
+static bool limited(struct lmn_store *s, struct lmn_http_request *call,
                     struct lmn_token_bucket *b, double n)
 {
     if (take(b, n))
@@ -40,7 +40,7 @@
     pthread_mutex_lock(&s->lock);
     s->limited++;
     pthread_mutex_unlock(&s->lock);
-    lmn_call_answer(call, 429, NULL, 1);
+    lmn_http_request_respond(call, 429, NULL, 1);
     return true;
 }
 
@@ -54,7 +54,7 @@
         lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, item->lease);
 }
 
-static void get(struct lmn_store *s, struct lmn_call *call, const char *key)
+static void get(struct lmn_store *s, struct lmn_http_request *call, const char *key)
 {
     struct lmn_db_meta meta;
     struct lmn_db_item item;
@@ -62,7 +62,7 @@
     int status = 200;
 
     if (!key_ok(key) || lmn_db_view(s->reader, &meta) != 0) {
-        lmn_call_answer(call, key_ok(key) ? 503 : 400, b, 0);
+        lmn_http_request_respond(call, key_ok(key) ? 503 : 400, b, 0);
         return;
     }
     if (lmn_db_get(s->reader, key, &item)) {
@@ -73,7 +73,7 @@
         lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, meta.revision);
     }
     lmn_db_view_end(s->reader);
-    lmn_call_answer(call, status, b, 0);
+    lmn_http_request_respond(call, status, b, 0);
 }
 
 struct listing {
@@ -95,21 +95,21 @@
     return true;
 }
 
-static void list(struct lmn_store *s, struct lmn_call *call)
+static void list(struct lmn_store *s, struct lmn_http_request *call)
 {
-    const char *prefix = lmn_call_query(call, Q_PREFIX),
-               *after = lmn_call_query(call, Q_AFTER);
-    const char *limit = lmn_call_query(call, Q_LIMIT);
+    const char *prefix = lmn_http_request_query(call, Q_PREFIX),
+               *after = lmn_http_request_query(call, Q_AFTER);
+    const char *limit = lmn_http_request_query(call, Q_LIMIT);
     struct listing l = {.most = limit ? (size_t)g_ascii_strtoull(limit, NULL, 10)
                                       : MAX_ITEMS};
     struct lmn_db_meta meta;
 
     if (l.most < 1 || l.most > MAX_ITEMS) {
-        lmn_call_fail(call, 400, Q_LIMIT ": from 1 to 1000");
+        lmn_http_request_fail(call, 400, Q_LIMIT ": from 1 to 1000");
         return;
     }
     if (lmn_db_view(s->reader, &meta) != 0) {
-        lmn_call_answer(call, 503, NULL, 1);
+        lmn_http_request_respond(call, 503, NULL, 1);
         return;
     }
     l.items = g_byte_array_new();
@@ -123,7 +123,7 @@
     lmn_cbor_put_text(b, W_ITEMS), lmn_cbor_put_array(b, l.n);
     g_byte_array_append(b, l.items->data, l.items->len);
     g_byte_array_unref(l.items);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
 /* --- transactions --- */
@@ -207,7 +207,7 @@
     return bad;
 }
 
-static void transact(struct lmn_store *s, struct lmn_call *call,
+static void transact(struct lmn_store *s, struct lmn_http_request *call,
                      const struct lmn_cbor_document *d)
 {
     struct lmn_op *op = g_new0(struct lmn_op, 1);
@@ -217,7 +217,7 @@
     op->bytes = g_ptr_array_new_with_free_func(g_free);
     const char *bad = read_txn(s, op, d);
     if (bad)
-        lmn_call_fail(call, 400, bad);
+        lmn_http_request_fail(call, 400, bad);
     if (bad || limited(s, call, &s->writes, (double)op->txn.nchanges))
         lmn_op_free(op);
     else
@@ -226,14 +226,14 @@
 
 /* --- leases --- */
 
-static void grant(struct lmn_store *s, struct lmn_call *call,
+static void grant(struct lmn_store *s, struct lmn_http_request *call,
                   const struct lmn_cbor_document *d)
 {
     uint64_t ttl = 0;
 
     if (!lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_TTL_MS), &ttl) ||
         ttl < 100 || ttl > 600000) {
-        lmn_call_fail(call, 400, W_TTL_MS ": from 100 to 600000");
+        lmn_http_request_fail(call, 400, W_TTL_MS ": from 100 to 600000");
         return;
     }
     struct lmn_op *op = g_new0(struct lmn_op, 1);
@@ -243,15 +243,16 @@
     lmn_store_submit(s, op);
 }
 
-static void lease_call(struct lmn_store *s, struct lmn_call *call, const char *rest)
+static void lease_call(struct lmn_store *s, struct lmn_http_request *call,
+                       const char *rest)
 {
     char *end;
     uint64_t id = g_ascii_strtoull(rest, &end, 10);
-    bool renew = lmn_call_method(call) == LMN_POST && !strcmp(end, P_RENEW);
+    bool renew = lmn_http_request_method(call) == LMN_HTTP_POST && !strcmp(end, P_RENEW);
     bool there = false;
 
-    if (!renew && !(lmn_call_method(call) == LMN_DELETE && !*end)) {
-        lmn_call_answer(call, 404, NULL, 0);
+    if (!renew && !(lmn_http_request_method(call) == LMN_HTTP_DELETE && !*end)) {
+        lmn_http_request_respond(call, 404, NULL, 0);
         return;
     }
     pthread_mutex_lock(&s->lock);
@@ -267,7 +268,7 @@
     if (!there || renew) {
         GByteArray *b = g_byte_array_new();
         lmn_cbor_put_map(b, 0);
-        lmn_call_answer(call, there ? 200 : 404, b, 0);
+        lmn_http_request_respond(call, there ? 200 : 404, b, 0);
         return;
     }
     struct lmn_op *op = g_new0(struct lmn_op, 1);
@@ -283,13 +284,13 @@
     }
 }
 
-static void post(struct lmn_store *s, struct lmn_call *call, const char *path)
+static void post(struct lmn_store *s, struct lmn_http_request *call, const char *path)
 {
-    const GByteArray *body = lmn_call_body(call);
+    const GByteArray *body = lmn_http_request_body(call);
     struct lmn_cbor_document d;
 
     if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
-        lmn_call_fail(call, 400, "not CBOR");
+        lmn_http_request_fail(call, 400, "not CBOR");
         return;
     }
     if (!strcmp(path, P_TXN))
@@ -300,53 +301,53 @@
 }
 
 /* Beyond the protocol: by it others see that this state was restored from a backup. */
-static void incarnation(struct lmn_store *s, struct lmn_call *call)
+static void incarnation(struct lmn_store *s, struct lmn_http_request *call)
 {
     struct lmn_db_meta meta;
     GByteArray *b = g_byte_array_new();
 
     if (lmn_db_view(s->reader, &meta) != 0) {
-        lmn_call_answer(call, 503, b, 1);
+        lmn_http_request_respond(call, 503, b, 1);
         return;
     }
     lmn_db_view_end(s->reader);
     lmn_cbor_put_map(b, 1);
     lmn_cbor_put_text(b, "Incarnation"), lmn_cbor_put_uint(b, meta.incarnation);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
-static void route(void *arg, struct lmn_call *call)
+static void route(void *arg, struct lmn_http_request *call)
 {
     struct lmn_store *s = arg;
-    const char *path = lmn_call_path(call);
-    enum lmn_method method = lmn_call_method(call);
+    const char *path = lmn_http_request_path(call);
+    enum lmn_http_method method = lmn_http_request_method(call);
 
-    if (method == LMN_GET && !strcmp(path, "/metrics")) {
+    if (method == LMN_HTTP_GET && !strcmp(path, "/metrics")) {
         lmn_metrics_answer(call, (void (*)(void *, GString *))lmn_store_metrics, s);
         return;
     }
-    if (method == LMN_GET && !strcmp(path, P_READY)) {
-        lmn_call_answer(call, 200, NULL, 0);
+    if (method == LMN_HTTP_GET && !strcmp(path, P_READY)) {
+        lmn_http_request_respond(call, 200, NULL, 0);
         return;
     }
     if (limited(s, call, &s->requests, 1))
         return;
-    if (method == LMN_GET && !strcmp(path, "/incarnation")) {
+    if (method == LMN_HTTP_GET && !strcmp(path, "/incarnation")) {
         incarnation(s, call);
         return;
     }
-    if (method == LMN_POST && (!strcmp(path, P_TXN) || !strcmp(path, P_LEASES)))
+    if (method == LMN_HTTP_POST && (!strcmp(path, P_TXN) || !strcmp(path, P_LEASES)))
         post(s, call, path);
     else if (g_str_has_prefix(path, P_LEASES "/"))
         lease_call(s, call, path + strlen(P_LEASES "/"));
-    else if (method == LMN_GET && !strcmp(path, P_WATCH))
+    else if (method == LMN_HTTP_GET && !strcmp(path, P_WATCH))
         lmn_store_watch(s, call);
-    else if (method == LMN_GET && !strcmp(path, P_STORE))
+    else if (method == LMN_HTTP_GET && !strcmp(path, P_STORE))
         list(s, call);
-    else if (method == LMN_GET && g_str_has_prefix(path, P_STORE "/"))
+    else if (method == LMN_HTTP_GET && g_str_has_prefix(path, P_STORE "/"))
         get(s, call, path + strlen(P_STORE "/"));
     else
-        lmn_call_answer(call, 404, NULL, 0);
+        lmn_http_request_respond(call, 404, NULL, 0);
 }
 
 void lmn_store_metrics(struct lmn_store *s, GString *out)
@@ -425,15 +426,15 @@
     lmn_db_leases(s->reader, take_lease, s);
     lmn_db_view_end(s->reader);
     s->revision = meta.revision;
-    const struct lmn_httpd_options h = {.listen = s->o.listen,
-                                        .connections = 16384,
-                                        .max_body = MAX_BODY,
-                                        .route = route,
-                                        .arg = s};
+    const struct lmn_http_server_options h = {.listen = s->o.listen,
+                                              .connections = 16384,
+                                              .max_body = MAX_BODY,
+                                              .route = route,
+                                              .arg = s};
     lmn_thread(lmn_store_writer, s);
     lmn_thread(lmn_store_watcher, s);
     lmn_thread(lmn_store_keeper, s);
-    s->server = lmn_httpd_start(&h);
+    s->server = lmn_http_server_start(&h);
     if (!s->server) {
         snprintf(err, len, "%s: can't listen: %s", o->listen, strerror(errno));
         return NULL;
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -78,26 +78,26 @@
     return after < meta->floor || after > meta->revision;
 }
 
-void lmn_store_watch(struct lmn_store *s, struct lmn_call *call)
+void lmn_store_watch(struct lmn_store *s, struct lmn_http_request *call)
 {
-    const char *prefix = lmn_call_query(call, Q_PREFIX),
-               *a = lmn_call_query(call, Q_AFTER);
-    const char *w = lmn_call_query(call, Q_WAIT_MS);
+    const char *prefix = lmn_http_request_query(call, Q_PREFIX),
+               *a = lmn_http_request_query(call, Q_AFTER);
+    const char *w = lmn_http_request_query(call, Q_WAIT_MS);
     uint64_t after = a ? g_ascii_strtoull(a, NULL, 10) : 0;
     uint64_t wait_ms = w ? g_ascii_strtoull(w, NULL, 10) : 0;
     struct lmn_db_meta meta;
 
     if (wait_ms > MAX_WAIT_MS) {
-        lmn_call_fail(call, 400, Q_WAIT_MS ": at most 60000");
+        lmn_http_request_fail(call, 400, Q_WAIT_MS ": at most 60000");
         return;
     }
     if (lmn_db_view(s->reader, &meta) != 0) {
-        lmn_call_answer(call, 503, NULL, 1);
+        lmn_http_request_respond(call, 503, NULL, 1);
         return;
     }
     if (too_old(&meta, after)) {
         lmn_db_view_end(s->reader);
-        lmn_call_answer(call, 410, NULL, 0);
+        lmn_http_request_respond(call, 410, NULL, 0);
         return;
     }
     GPtrArray *events = g_ptr_array_new_with_free_func(free_event);
@@ -107,7 +107,7 @@
         answer(events, prefix ? prefix : "", after, meta.revision, wait_ms == 0);
     g_ptr_array_free(events, TRUE);
     if (b) {
-        lmn_call_answer(call, 200, b, 0);
+        lmn_http_request_respond(call, 200, b, 0);
         return;
     }
     struct lmn_waiter *x = g_new0(struct lmn_waiter, 1);
@@ -115,7 +115,7 @@
     x->prefix = g_strdup(prefix ? prefix : "");
     x->scanned = meta.revision;
     x->until = lmn_time_add(lmn_now(), (double)wait_ms / 1000);
-    lmn_call_hold(call);
+    lmn_http_request_defer(call);
     pthread_mutex_lock(&s->watch_lock);
     g_queue_push_tail(&s->waiters, x);
     s->behind = s->behind || x->scanned < s->revision;
@@ -125,7 +125,7 @@
 
 static void finish(struct lmn_waiter *x, int status, GByteArray *b)
 {
-    lmn_call_answer(x->call, status, b, 0);
+    lmn_http_request_respond(x->call, status, b, 0);
     g_free(x->prefix);
     g_free(x);
 }
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -28,14 +28,14 @@
     s->refused += full;
     if (!full) {
         if (op->call)
-            lmn_call_hold(op->call);
+            lmn_http_request_defer(op->call);
         g_queue_push_tail(&s->ops, op);
         pthread_cond_signal(&s->more);
     }
     pthread_mutex_unlock(&s->lock);
     if (full) {
         if (op->call)
-            lmn_call_answer(op->call, 503, NULL, 1);
+            lmn_http_request_respond(op->call, 503, NULL, 1);
         lmn_op_free(op);
     }
     return !full;
@@ -118,7 +118,7 @@
         if (op->kind == LMN_OP_GRANT)
             lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, op->lease);
     }
-    lmn_call_answer(op->call, op->status, b, 0);
+    lmn_http_request_respond(op->call, op->status, b, 0);
 }
 
 /* The batch was not applied: its calls are told so, and its leases live on. */
@@ -140,7 +140,7 @@
     pthread_mutex_unlock(&s->lock);
     while ((op = g_queue_pop_head(ops))) {
         if (op->call)
-            lmn_call_answer(op->call, 503, NULL, 1);
+            lmn_http_request_respond(op->call, 503, NULL, 1);
         lmn_op_free(op);
     }
 }
--- a/src/machine_provider/cloud_api.h
+++ b/src/machine_provider/cloud_api.h
@@ -38,12 +38,12 @@
                  bool (*each)(void *to, const struct lmn_rented *m), void *to);
     void (*metrics)(void *arg, GString *out);
     /* Any other path; false: not known. May be NULL. */
-    bool (*other)(void *arg, struct lmn_call *call);
+    bool (*other)(void *arg, struct lmn_http_request *call);
 };
 
 /* Serves it: more than rps requests a second (bursts of two seconds' worth) are answered
  * 429; 0: no limit. NULL if it can't listen. Serves until the process ends. */
-struct lmn_httpd *lmn_cloud_serve(const char *listen, double rps,
-                                  const struct lmn_cloud_ops *ops, void *arg);
+struct lmn_http_server *lmn_cloud_serve(const char *listen, double rps,
+                                        const struct lmn_cloud_ops *ops, void *arg);
 
 #endif
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -52,7 +52,7 @@
     c->n++;
 }
 
-static void types(struct front *f, struct lmn_call *call)
+static void types(struct front *f, struct lmn_http_request *call)
 {
     struct counted c = {.bytes = g_byte_array_new()};
     GByteArray *b = g_byte_array_new();
@@ -62,7 +62,7 @@
     lmn_cbor_put_text(b, W_TYPES), lmn_cbor_put_array(b, c.n);
     g_byte_array_append(b, c.bytes->data, c.bytes->len);
     g_byte_array_unref(c.bytes);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
 static bool put_machine(void *to, const struct lmn_rented *m)
@@ -86,14 +86,14 @@
     return true;
 }
 
-static void list(struct front *f, struct lmn_call *call)
+static void list(struct front *f, struct lmn_http_request *call)
 {
-    const char *after = lmn_call_query(call, Q_AFTER),
-               *limit = lmn_call_query(call, Q_LIMIT);
+    const char *after = lmn_http_request_query(call, Q_AFTER),
+               *limit = lmn_http_request_query(call, Q_LIMIT);
     struct counted c = {.most = limit ? (size_t)strtoul(limit, NULL, 10) : LMN_LIST_MOST};
 
     if (c.most < 1 || c.most > LMN_LIST_MOST) {
-        lmn_call_fail(call, 400, Q_LIMIT ": from 1 to 500");
+        lmn_http_request_fail(call, 400, Q_LIMIT ": from 1 to 500");
         return;
     }
     c.bytes = g_byte_array_new();
@@ -104,12 +104,12 @@
     lmn_cbor_put_text(b, W_MACHINES), lmn_cbor_put_array(b, c.n);
     g_byte_array_append(b, c.bytes->data, c.bytes->len);
     g_byte_array_unref(c.bytes);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
 /* --- what may wait --- */
 
-static void rent(struct front *f, struct lmn_call *call,
+static void rent(struct front *f, struct lmn_http_request *call,
                  const struct lmn_cbor_document *d)
 {
     const struct lmn_cbor_value *root = lmn_cbor_root(d);
@@ -124,7 +124,7 @@
         !lmn_cbor_get_bool(lmn_cbor_get(d, root, W_SPOT), &q.spot) ||
         !lmn_cbor_get_uint(lmn_cbor_get(d, root, W_COUNT), &n) || n < 1 ||
         n > LMN_RENT_MOST) {
-        lmn_call_fail(call, 400, "malformed");
+        lmn_http_request_fail(call, 400, "malformed");
         return;
     }
     q.count = (unsigned)n;
@@ -136,14 +136,14 @@
         lmn_cbor_put_text(b, W_MACHINES), lmn_cbor_put_array(b, names->len);
         for (guint i = 0; i < names->len; i++)
             lmn_cbor_put_text(b, names->pdata[i]);
-        lmn_call_answer(call, 200, b, 0);
+        lmn_http_request_respond(call, 200, b, 0);
     } else {
-        lmn_call_fail(call, status, status == 503 ? "no capacity" : "malformed");
+        lmn_http_request_fail(call, status, status == 503 ? "no capacity" : "malformed");
     }
     g_ptr_array_free(names, TRUE);
 }
 
-static void give_back(struct front *f, struct lmn_call *call,
+static void give_back(struct front *f, struct lmn_http_request *call,
                       const struct lmn_cbor_document *d)
 {
     const struct lmn_cbor_value *l = lmn_cbor_get(d, lmn_cbor_root(d), W_MACHINES);
@@ -162,12 +162,12 @@
         status = f->ops->give_back(f->arg, (char *const *)names->pdata, names->len);
     g_ptr_array_free(names, TRUE);
     if (status != 200) {
-        lmn_call_fail(call, status, status == 503 ? "trouble" : "malformed");
+        lmn_http_request_fail(call, status, status == 503 ? "trouble" : "malformed");
         return;
     }
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 0);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
 static void *hand(void *arg)
@@ -179,14 +179,14 @@
         pthread_mutex_lock(&f->lock);
         while (!f->calls.head)
             pthread_cond_wait(&f->more, &f->lock);
-        struct lmn_call *call = g_queue_pop_head(&f->calls);
+        struct lmn_http_request *call = g_queue_pop_head(&f->calls);
         pthread_mutex_unlock(&f->lock);
-        const GByteArray *body = lmn_call_body(call);
+        const GByteArray *body = lmn_http_request_body(call);
         if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
-            lmn_call_fail(call, 400, "malformed");
+            lmn_http_request_fail(call, 400, "malformed");
             continue;
         }
-        if (!strcmp(lmn_call_path(call), P_RETURN))
+        if (!strcmp(lmn_http_request_path(call), P_RETURN))
             give_back(f, call, &d);
         else
             rent(f, call, &d);
@@ -204,11 +204,12 @@
     f->ops->metrics(f->arg, out);
 }
 
-static void route(void *arg, struct lmn_call *call)
+static void route(void *arg, struct lmn_http_request *call)
 {
     struct front *f = arg;
-    const char *path = lmn_call_path(call);
-    bool get = lmn_call_method(call) == LMN_GET, post = lmn_call_method(call) == LMN_POST;
+    const char *path = lmn_http_request_path(call);
+    bool get = lmn_http_request_method(call) == LMN_HTTP_GET,
+         post = lmn_http_request_method(call) == LMN_HTTP_POST;
     bool waits = post && (!strcmp(path, P_MACHINES) || !strcmp(path, P_RETURN));
     bool reads = get && (!strcmp(path, P_TYPES) || !strcmp(path, P_MACHINES));
 
@@ -217,20 +218,20 @@
         return;
     }
     if (get && !strcmp(path, P_READY)) {
-        lmn_call_answer(call, 200, NULL, 0);
+        lmn_http_request_respond(call, 200, NULL, 0);
         return;
     }
     if (!waits && !reads) {
         if (!f->ops->other || !f->ops->other(f->arg, call))
-            lmn_call_answer(call, 404, NULL, 0);
+            lmn_http_request_respond(call, 404, NULL, 0);
         return;
     }
     f->requests++;
     if (f->budget.rate > 0 && lmn_token_bucket_take(&f->budget, 1, lmn_now()) > 0) {
         f->limited++;
-        lmn_call_answer(call, 429, NULL, 1);
+        lmn_http_request_respond(call, 429, NULL, 1);
     } else if (waits) {
-        lmn_call_hold(call);
+        lmn_http_request_defer(call);
         pthread_mutex_lock(&f->lock);
         g_queue_push_tail(&f->calls, call);
         pthread_cond_signal(&f->more);
@@ -242,15 +243,15 @@
     }
 }
 
-struct lmn_httpd *lmn_cloud_serve(const char *listen, double rps,
-                                  const struct lmn_cloud_ops *ops, void *arg)
+struct lmn_http_server *lmn_cloud_serve(const char *listen, double rps,
+                                        const struct lmn_cloud_ops *ops, void *arg)
 {
     struct front *f = g_new0(struct front, 1);
-    const struct lmn_httpd_options o = {.listen = listen,
-                                        .connections = 1024,
-                                        .max_body = MAX_BODY,
-                                        .route = route,
-                                        .arg = f};
+    const struct lmn_http_server_options o = {.listen = listen,
+                                              .connections = 1024,
+                                              .max_body = MAX_BODY,
+                                              .route = route,
+                                              .arg = f};
 
     f->ops = ops;
     f->arg = arg;
@@ -259,5 +260,5 @@
     lmn_cond_init(&f->more);
     for (int i = 0; i < HANDS; i++)
         lmn_thread(hand, f);
-    return lmn_httpd_start(&o);
+    return lmn_http_server_start(&o);
 }
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -48,8 +48,8 @@
 };
 
 /* What it should be; false: the fleet did not say. */
-static bool ask(struct lmn_http *h, const struct lmn_slot_options *o, const char *holds,
-                const char *addr, struct rented_as *as)
+static bool ask(struct lmn_http_client *h, const struct lmn_slot_options *o,
+                const char *holds, const char *addr, struct rented_as *as)
 {
     GByteArray *b = g_byte_array_new(), *in = g_byte_array_new();
     static uint64_t seq; /* rises across restarts, too */
@@ -65,7 +65,7 @@
         lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, holds);
         lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, addr);
     }
-    int status = lmn_http_call(h, "POST", "/slots", b, 5, in);
+    int status = lmn_http_client_call(h, "POST", "/slots", b, 5, in);
     bool ok = status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0;
     if (ok) {
         const struct lmn_cbor_value *root = lmn_cbor_root(&d);
@@ -96,7 +96,7 @@
     char holds[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], err[256];
 
     curl_global_init(CURL_GLOBAL_NOTHING);
-    struct lmn_http *h = lmn_http_new(o->fleet);
+    struct lmn_http_client *h = lmn_http_client_new(o->fleet);
     lmn_info("slot-start slot=%s fleet=%s", o->name, o->fleet);
     for (;; lmn_sleep(ASK_S)) {
         struct rented_as as;
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -474,25 +474,26 @@
     return TRUE;
 }
 
-static bool slots(void *arg, struct lmn_call *call)
+static bool slots(void *arg, struct lmn_http_request *call)
 {
     struct lmn_static *s = arg;
-    const GByteArray *body = lmn_call_body(call);
+    const GByteArray *body = lmn_http_request_body(call);
     char name[LMN_NAME_SIZE] = "";
     struct machine *m = NULL;
     struct lmn_cbor_document d;
 
-    if (lmn_call_method(call) != LMN_POST || strcmp(lmn_call_path(call), "/slots"))
+    if (lmn_http_request_method(call) != LMN_HTTP_POST ||
+        strcmp(lmn_http_request_path(call), "/slots"))
         return false;
     if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
-        lmn_call_fail(call, 400, "not CBOR");
+        lmn_http_request_fail(call, 400, "not CBOR");
         return true;
     }
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     lmn_cbor_get_text(lmn_cbor_get(&d, root, "Slot"), name, sizeof name);
     const struct lmn_slot *slot = lmn_inventory_slot(s->v, name);
     if (!slot) {
-        lmn_call_fail(call, 404, "the inventory names no such machine");
+        lmn_http_request_fail(call, 404, "the inventory names no such machine");
         lmn_cbor_free(&d);
         return true;
     }
@@ -508,7 +509,7 @@
         /* It was given up long ago, and comes late: what it says is not so any more. */
         pthread_mutex_unlock(&s->lock);
         lmn_cbor_free(&d);
-        lmn_call_fail(call, 409, "out of order");
+        lmn_http_request_fail(call, 409, "out of order");
         return true;
     }
     seen->seq = seq;
@@ -544,7 +545,7 @@
     lmn_cbor_put_text(b, W_MEM), lmn_cbor_put_number(b, t->mem);
     lmn_cbor_put_text(b, W_CACHE_GB), lmn_cbor_put_number(b, t->cache_gb);
     lmn_cbor_put_text(b, W_PULL), lmn_cbor_put_number(b, t->pull);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
     return true;
 }
 
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -8,7 +8,7 @@
 
 struct holder {
     struct lmn_core *c;
-    struct lmn_http *http;
+    struct lmn_http_client *http;
     GByteArray *buf;
     double ttl;
     uint64_t lease;
@@ -38,7 +38,7 @@
     if (h->lease) {
         g_snprintf(path, sizeof path, P_LEASES "/%" G_GUINT64_FORMAT P_RENEW, h->lease);
         struct timespec sent = lmn_now();
-        status = lmn_http_call(h->http, "POST", path, NULL, 1.0, h->buf);
+        status = lmn_http_client_call(h->http, "POST", path, NULL, 1.0, h->buf);
         if (status == 200)
             h->renewed = sent;
         else if (status == 404)
@@ -49,7 +49,7 @@
     lmn_cbor_put_map(body, 1);
     lmn_cbor_put_text(body, W_TTL_MS), lmn_cbor_put_uint(body, (uint64_t)(h->ttl * 1000));
     struct timespec sent = lmn_now();
-    status = lmn_http_call(h->http, "POST", P_LEASES, body, 1.5, h->buf);
+    status = lmn_http_client_call(h->http, "POST", P_LEASES, body, 1.5, h->buf);
     g_byte_array_unref(body);
     struct lmn_cbor_document d;
     if (status == 200 && lmn_cbor_parse(&d, h->buf->data, h->buf->len) == 0) {
@@ -298,7 +298,7 @@
         return;
     if (h->lease) {
         g_snprintf(path, sizeof path, P_LEASES "/%" G_GUINT64_FORMAT, h->lease);
-        int status = lmn_http_call(h->http, "DELETE", path, NULL, 1.0, h->buf);
+        int status = lmn_http_client_call(h->http, "DELETE", path, NULL, 1.0, h->buf);
         if (status != 200 && status != 404)
             return;
         h->lease = 0;
@@ -371,7 +371,7 @@
     struct lmn_core *c = arg;
     struct holder h = {.c = c, .ttl = c->members.t.lease_s};
 
-    h.http = lmn_http_new(c->cfg->state);
+    h.http = lmn_http_client_new(c->cfg->state);
     h.buf = g_byte_array_new();
     for (;;) {
         struct timespec now = lmn_now();
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -19,7 +19,7 @@
 
 struct cloud {
     struct lmn_core *c;
-    struct lmn_http *http;
+    struct lmn_http_client *http;
     GByteArray *buf;
     struct lmn_token_bucket budget;
     struct lmn_fleet fleet;
@@ -60,7 +60,7 @@
     struct lmn_core *c = k->c;
     struct lmn_cbor_document d;
 
-    if (lmn_http_call(k->http, "GET", P_TYPES, NULL, 3.0, k->buf) != 200 ||
+    if (lmn_http_client_call(k->http, "GET", P_TYPES, NULL, 3.0, k->buf) != 200 ||
         lmn_cbor_parse(&d, k->buf->data, k->buf->len) != 0)
         return;
     pthread_mutex_lock(&c->lock);
@@ -99,7 +99,7 @@
     lmn_cbor_put_array(body, names->len);
     for (guint i = 0; i < names->len; i++)
         lmn_cbor_put_text(body, names->pdata[i]);
-    int status = lmn_http_call(k->http, "POST", P_RETURN, body, 5.0, k->buf);
+    int status = lmn_http_client_call(k->http, "POST", P_RETURN, body, 5.0, k->buf);
     g_byte_array_unref(body);
     lmn_info("machines-return count=%u first=%s status=%d", names->len,
              (const char *)names->pdata[0], status);
@@ -182,7 +182,7 @@
                        after);
         else
             g_snprintf(path, sizeof path, P_MACHINES "?" Q_LIMIT "=500");
-        if (lmn_http_call(k->http, "GET", path, NULL, 4.0, k->buf) != 200 ||
+        if (lmn_http_client_call(k->http, "GET", path, NULL, 4.0, k->buf) != 200 ||
             lmn_cbor_parse(&d, k->buf->data, k->buf->len) != 0)
             return false;
         struct timespec now = lmn_now();
@@ -300,7 +300,7 @@
     lmn_cbor_put_text(body, W_ZONE), lmn_cbor_put_text(body, r->zone);
     lmn_cbor_put_text(body, W_SPOT), lmn_cbor_put_bool(body, r->spot);
     lmn_cbor_put_text(body, W_COUNT), lmn_cbor_put_uint(body, r->count);
-    int status = lmn_http_call(k->http, "POST", P_MACHINES, body, 4.0, k->buf);
+    int status = lmn_http_client_call(k->http, "POST", P_MACHINES, body, 4.0, k->buf);
     g_byte_array_unref(body);
     struct timespec now = lmn_now();
     if (status == 200 && lmn_cbor_parse(&d, k->buf->data, k->buf->len) == 0) {
@@ -350,7 +350,7 @@
     struct lmn_core *c = arg;
     double share = OTHERS_SHARE / (double)MAX(c->cfg->nmembers, 1);
 
-    k.http = lmn_http_new(c->cfg->cloud);
+    k.http = lmn_http_client_new(c->cfg->cloud);
     k.buf = g_byte_array_new();
     lmn_fleet_init(&k.fleet);
     lmn_token_bucket_init(&k.budget, c->cfg->cloud_rps * share, MAX(c->cfg->cloud_rps, 1),
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -185,17 +185,17 @@
 /* Asks a machine of a partition just taken over what it holds: first for its session, if
  * that is not known (0), then, by a direct message without commands, for a report under
  * the new term. */
-static int probe(struct lmn_http *h, uint64_t term, uint64_t session, GByteArray *body,
-                 GByteArray *answer)
+static int probe(struct lmn_http_client *h, uint64_t term, uint64_t session,
+                 GByteArray *body, GByteArray *answer)
 {
     struct lmn_cbor_document d;
 
     if (!session) {
-        int status = lmn_http_call(h, "GET", P_SHOW, NULL, 1.0, answer);
+        int status = lmn_http_client_call(h, "GET", P_SHOW, NULL, 1.0, answer);
         if (!term)
             return status;
         if (status != 200 || lmn_cbor_parse(&d, answer->data, answer->len) != 0)
-            return status == 200 ? LMN_NO_ANSWER : status;
+            return status == 200 ? LMN_HTTP_NO_RESPONSE : status;
         lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SESSION), &session);
         lmn_cbor_free(&d);
     }
@@ -204,7 +204,7 @@
     lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, term);
     lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, session);
     lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
-    return lmn_http_call(h, "POST", P_DIRECT, body, 1.0, answer);
+    return lmn_http_client_call(h, "POST", P_DIRECT, body, 1.0, answer);
 }
 
 /* Tells tasks that have to make room to stop; if that gets lost, the next report's answer
@@ -298,7 +298,7 @@
         a->direct = false;
         /* Only the call's own commands are judged by its answer: what a report's answer
          * started may be on its way still. */
-        if (status == LMN_NOT_SENT || (status == 409 && newer && !a->seen))
+        if (status == LMN_HTTP_NOT_SENT || (status == 409 && newer && !a->seen))
             lmn_attempt_vanish(c, m, i, now);
         else if (!read || (status == 200 && newer && !a->seen))
             a->unsure = lost = true;
@@ -360,7 +360,7 @@
     g_hash_table_iter_init(&it, clients);
     if (g_hash_table_iter_next(&it, NULL, &h)) {
         g_hash_table_iter_remove(&it);
-        lmn_http_free(h);
+        lmn_http_client_free(h);
     }
 }
 
@@ -392,21 +392,22 @@
         else
             mark = lmn_direct_mark(c, name, &part);
         if (mark && !told(c, part, c->parts[part].my_term, mark)) {
-            lmn_direct_outcome(c, name, LMN_NOT_SENT, NULL, lmn_now());
+            lmn_direct_outcome(c, name, LMN_HTTP_NOT_SENT, NULL, lmn_now());
             pthread_mutex_unlock(&c->lock);
             continue;
         }
         pthread_mutex_unlock(&c->lock);
-        struct lmn_http *h = g_hash_table_lookup(clients, addr);
+        struct lmn_http_client *h = g_hash_table_lookup(clients, addr);
         if (!h) {
             /* Connections are kept, but the sockets are the workers' and users' first. */
             if (g_hash_table_size(clients) >= c->sockets.direct / lane->lanes)
                 drop_any(clients);
-            h = lmn_http_new(addr);
+            h = lmn_http_client_new(addr);
             g_hash_table_insert(clients, g_strdup(addr), h);
         }
-        int status = probing ? probe(h, term, session, body, answer)
-                             : lmn_http_call(h, "POST", P_DIRECT, body, 1.5, answer);
+        int status = probing
+                         ? probe(h, term, session, body, answer)
+                         : lmn_http_client_call(h, "POST", P_DIRECT, body, 1.5, answer);
         lmn_debug("direct machine=%s probe=%d status=%d", name, probing, status);
         pthread_mutex_lock(&c->lock);
         if (probing)
@@ -416,7 +417,7 @@
         pthread_mutex_unlock(&c->lock);
         if (status < 0) {
             g_hash_table_remove(clients, addr);
-            lmn_http_free(h);
+            lmn_http_client_free(h);
         }
     }
     return NULL;
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -344,7 +344,7 @@
 };
 
 struct lmn_core;
-struct lmn_httpd;
+struct lmn_http_server;
 
 /* What the mirror tells an owner's books: they stand above it. Set once, before any
  * change is applied; the lock is held in every call. */
@@ -382,8 +382,8 @@
     const struct lmn_owner_ops *owner;
     struct lmn_socket_plan sockets;
     struct lmn_load load;
-    struct lmn_httpd *server; /* the users' and workers'; NULL: none */
-    struct lmn_hosts hosts;   /* of all machines known, with a lock of its own */
+    struct lmn_http_server *server; /* the users' and workers'; NULL: none */
+    struct lmn_hosts hosts;         /* of all machines known, with a lock of its own */
     struct lmn_operator_settings tuning;
     uint64_t tuning_rev;
     GRand *rng;
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -417,7 +417,7 @@
 
 /* A page of a listing, parsed; -1 if it could not be had. after: the last key, moved on.
  */
-static int read_page(struct lmn_core *c, struct lmn_http *h, GByteArray *buf,
+static int read_page(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
                      const char *prefix, const char *after, struct lmn_cbor_document *d)
 {
     char path[512];
@@ -425,7 +425,7 @@
     lmn_state_pace(c->state);
     g_snprintf(path, sizeof path, P_STORE "?" Q_PREFIX "=%s%s%s&" Q_LIMIT "=500", prefix,
                *after ? "&" Q_AFTER "=" : "", after);
-    int status = lmn_http_call(h, "GET", path, NULL, 3.0, buf);
+    int status = lmn_http_client_call(h, "GET", path, NULL, 3.0, buf);
     if (status == 200 && lmn_cbor_parse(d, buf->data, buf->len) == 0)
         return 0;
     lmn_debug("list-failed status=%d", status);
@@ -443,7 +443,8 @@
 }
 
 /* Which jobs have ranges: of those that are final, only they are needed. */
-static GHashTable *read_needed(struct lmn_core *c, struct lmn_http *h, GByteArray *buf)
+static GHashTable *read_needed(struct lmn_core *c, struct lmn_http_client *h,
+                               GByteArray *buf)
 {
     GHashTable *set = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     char after[256] = "";
@@ -470,7 +471,7 @@
     return set;
 }
 
-static int read_keys(struct lmn_core *c, struct lmn_http *h, GByteArray *buf,
+static int read_keys(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
                      uint64_t *revision)
 {
     char after[256] = "";
@@ -508,7 +509,7 @@
 }
 
 /* Reads every key; 0 if the mirror then is whole as of *revision. */
-static int read_all(struct lmn_core *c, struct lmn_http *h, GByteArray *buf,
+static int read_all(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
                     uint64_t *revision)
 {
     pthread_mutex_lock(&c->lock);
@@ -555,7 +556,7 @@
 }
 
 /* One wait for changes. Returns the status, or a negative one. */
-static int follow(struct lmn_core *c, struct lmn_http *h, GByteArray *buf,
+static int follow(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
                   uint64_t *revision, bool first)
 {
     char path[256];
@@ -575,11 +576,11 @@
                P_WATCH "?" Q_PREFIX "=&" Q_AFTER "=%" G_GUINT64_FORMAT "&" Q_WAIT_MS
                        "=%d",
                *revision, wait_ms);
-    int status = lmn_http_call(h, "GET", path, NULL, wait_ms / 1000.0 + 2.0, buf);
+    int status = lmn_http_client_call(h, "GET", path, NULL, wait_ms / 1000.0 + 2.0, buf);
     if (status != 200)
         return status;
     if (lmn_cbor_parse(&d, buf->data, buf->len) != 0)
-        return LMN_NO_ANSWER;
+        return LMN_HTTP_NO_RESPONSE;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     uint64_t upto = *revision;
     lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_REVISION), &upto);
@@ -606,7 +607,7 @@
 void *lmn_mirror_thread(void *arg)
 {
     struct lmn_core *c = arg;
-    struct lmn_http *h = lmn_http_new(c->cfg->state);
+    struct lmn_http_client *h = lmn_http_client_new(c->cfg->state);
     GByteArray *buf = g_byte_array_new();
     uint64_t revision = 0;
     bool whole = false, first = true, trouble = false;
@@ -617,7 +618,7 @@
         if (!whole) {
             whole = read_all(c, h, buf, &revision) == 0;
             first = true;
-            status = whole ? 200 : LMN_NO_ANSWER;
+            status = whole ? 200 : LMN_HTTP_NO_RESPONSE;
         }
         if (whole) {
             status = follow(c, h, buf, &revision, first);
--- a/src/worker/task_runner.c
+++ b/src/worker/task_runner.c
@@ -181,7 +181,7 @@
 }
 
 /* 1: there, 0: there is no such job, -1: the depot has to be asked again. */
-static int get_work(struct lmn_http *h, const char *ref, struct lmn_work *work)
+static int get_work(struct lmn_http_client *h, const char *ref, struct lmn_work *work)
 {
     GByteArray *b = g_byte_array_new();
     char digest[LMN_DIGEST];
@@ -208,7 +208,7 @@
 void *lmn_describe_thread(void *arg)
 {
     struct lmn_worker *w = arg;
-    struct lmn_http *h = lmn_http_new(w->o->depot);
+    struct lmn_http_client *h = lmn_http_client_new(w->o->depot);
 
     for (;;) {
         lmn_run_lock(w);
@@ -340,7 +340,7 @@
     return on;
 }
 
-static bool get_image(struct lmn_worker *w, struct lmn_http *h, const char *name,
+static bool get_image(struct lmn_worker *w, struct lmn_http_client *h, const char *name,
                       uint64_t *bytes)
 {
     char *dir = image_dir(w, name), *sizes = g_strdup_printf("%s/sizes", w->o->dir);
@@ -370,7 +370,7 @@
 void *lmn_image_thread(void *arg)
 {
     struct lmn_worker *w = arg;
-    struct lmn_http *h = lmn_http_new(w->o->depot);
+    struct lmn_http_client *h = lmn_http_client_new(w->o->depot);
     GPtrArray *drop = g_ptr_array_new();
 
     for (;;) {
@@ -471,7 +471,8 @@
 
 /* --- output --- */
 
-static bool upload(struct lmn_http *h, const struct lmn_ended *e, const char *stream)
+static bool upload(struct lmn_http_client *h, const struct lmn_ended *e,
+                   const char *stream)
 {
     char *path = g_build_filename(e->dir, stream, NULL), *text = NULL, to[160];
     GByteArray *out = g_byte_array_new();
@@ -482,7 +483,7 @@
         GByteArray *b = g_byte_array_new_take((guint8 *)text, n);
         g_snprintf(to, sizeof to, "/logs/%s/%u.%" G_GUINT64_FORMAT ".%s", e->ref,
                    e->index, e->attempt, stream);
-        ok = lmn_http_call(h, "PUT", to, b, 30, out) == 200;
+        ok = lmn_http_client_call(h, "PUT", to, b, 30, out) == 200;
         g_byte_array_unref(b);
     } else {
         g_free(text);
@@ -495,7 +496,7 @@
 void *lmn_logs_thread(void *arg)
 {
     struct lmn_worker *w = arg;
-    struct lmn_http *h = lmn_http_new(w->o->depot);
+    struct lmn_http_client *h = lmn_http_client_new(w->o->depot);
 
     for (;;) {
         pthread_mutex_lock(&w->lock);
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -225,13 +225,13 @@
 static void *reporter(void *arg)
 {
     struct lmn_worker *w = arg;
-    struct lmn_http *h[LMN_MAX_CONTROLLERS] = {NULL};
+    struct lmn_http_client *h[LMN_MAX_CONTROLLERS] = {NULL};
     GByteArray *in = g_byte_array_new();
     unsigned to = g_str_hash(w->o->name) % w->o->ncontrollers;
     struct timespec last = {0, 0};
 
     for (unsigned i = 0; i < w->o->ncontrollers; i++)
-        h[i] = lmn_http_new(w->o->controllers[i].addr);
+        h[i] = lmn_http_client_new(w->o->controllers[i].addr);
     for (;;) {
         GByteArray *out = g_byte_array_new();
         wait_for_report(w, last);
@@ -247,7 +247,7 @@
         w->reports++;
         lmn_run_unlock(w);
         last = lmn_now();
-        int status = lmn_http_call(h[to], "POST", P_REPORT, out, ANSWER_S, in);
+        int status = lmn_http_client_call(h[to], "POST", P_REPORT, out, ANSWER_S, in);
         g_byte_array_unref(out);
         if (status == 200) {
             lmn_run_lock(w);
@@ -310,26 +310,26 @@
     pthread_mutex_unlock(&w->lock);
 }
 
-static void route(void *arg, struct lmn_call *call)
+static void route(void *arg, struct lmn_http_request *call)
 {
     struct lmn_worker *w = arg;
-    const char *path = lmn_call_path(call);
-    const GByteArray *body = lmn_call_body(call);
+    const char *path = lmn_http_request_path(call);
+    const GByteArray *body = lmn_http_request_body(call);
     GByteArray *out = g_byte_array_new();
     int status = 404;
 
-    if (lmn_call_method(call) == LMN_GET && !strcmp(path, "/metrics")) {
+    if (lmn_http_request_method(call) == LMN_HTTP_GET && !strcmp(path, "/metrics")) {
         g_byte_array_unref(out);
         lmn_metrics_answer(call, metrics, w);
         return;
     }
     lmn_run_lock(w);
-    if (lmn_call_method(call) == LMN_POST && !strcmp(path, P_DIRECT))
+    if (lmn_http_request_method(call) == LMN_HTTP_POST && !strcmp(path, P_DIRECT))
         status = lmn_agent_do(&w->agent, body->data, body->len, out, lmn_run_now());
-    else if (lmn_call_method(call) == LMN_GET && !strcmp(path, P_SHOW))
+    else if (lmn_http_request_method(call) == LMN_HTTP_GET && !strcmp(path, P_SHOW))
         status = lmn_agent_show(&w->agent, out, lmn_run_now());
     lmn_run_unlock(w);
-    lmn_call_answer(call, status, out, 0);
+    lmn_http_request_respond(call, status, out, 0);
 }
 
 static void free_work(gpointer p)
@@ -381,18 +381,18 @@
         return -1;
     }
     curl_global_init(CURL_GLOBAL_NOTHING);
-    const struct lmn_httpd_options h = {.listen = o->listen,
-                                        .connections = 256,
-                                        .max_body = MAX_BODY,
-                                        .route = route,
-                                        .arg = w};
+    const struct lmn_http_server_options h = {.listen = o->listen,
+                                              .connections = 256,
+                                              .max_body = MAX_BODY,
+                                              .route = route,
+                                              .arg = w};
     g_strlcpy(w->agent.name, o->name, sizeof w->agent.name);
     g_strlcpy(w->agent.zone, o->zone, sizeof w->agent.zone);
     w->agent.type = o->type;
     w->agent.spot = o->spot;
     w->agent.lease_s = o->lease_s;
     lmn_agent_init(&w->agent, &lmn_run_ops, w, next_session(w), lmn_run_now());
-    struct lmn_httpd *server = lmn_httpd_start(&h);
+    struct lmn_http_server *server = lmn_http_server_start(&h);
     if (!server) {
         g_snprintf(err, len, "%s: can't listen: %s", o->listen, strerror(errno));
         return -1;
@@ -401,7 +401,7 @@
     *strrchr(host, ':') = '\0';
     pthread_mutex_lock(&w->lock);
     g_snprintf(w->agent.addr, sizeof w->agent.addr, "%s:%d", host,
-               lmn_httpd_port(server));
+               lmn_http_server_port(server));
     lmn_info(
         "worker-start machine=%s type=%s zone=%s address=%s session=%" G_GUINT64_FORMAT
         " results=%u",
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -28,7 +28,8 @@
 
     if (!c)
         return false;
-    lmn_direct_outcome(explored.nodes[n].core, name, LMN_NO_ANSWER, NULL, explored.now);
+    lmn_direct_outcome(explored.nodes[n].core, name, LMN_HTTP_NO_RESPONSE, NULL,
+                       explored.now);
     *c = (struct command){machine_index(name), body};
     return true;
 }
@@ -46,7 +47,7 @@
         if (!send_directly(n, node->pending_to, node->pending))
             return false;
     } else {
-        lmn_direct_outcome(node->core, node->pending_to, LMN_NOT_SENT, NULL,
+        lmn_direct_outcome(node->core, node->pending_to, LMN_HTTP_NOT_SENT, NULL,
                            explored.now);
         g_byte_array_unref(node->pending);
     }
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -374,12 +374,13 @@
                      0);
     struct lmn_static *s = lmn_static_new(&inventory, &local, db, err, sizeof err);
     assert_non_null(s);
-    struct lmn_httpd *server = lmn_cloud_serve("127.0.0.1:0", 0, &lmn_static_ops, s);
+    struct lmn_http_server *server =
+        lmn_cloud_serve("127.0.0.1:0", 0, &lmn_static_ops, s);
     assert_non_null(server);
     o.local = local;
     g_snprintf(o.local.dir, sizeof o.local.dir, "%s/slot", dir);
     g_strlcpy(o.name, "rack-1", sizeof o.name);
-    g_snprintf(o.fleet, sizeof o.fleet, "127.0.0.1:%d", lmn_httpd_port(server));
+    g_snprintf(o.fleet, sizeof o.fleet, "127.0.0.1:%d", lmn_http_server_port(server));
     lmn_thread(run_slot, &o);
     for (int round = 0; round < 2; round++) {
         GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -427,7 +428,7 @@
 
 static void the_depot_keeps_what_it_says(void **state)
 {
-    struct lmn_httpd *server;
+    struct lmn_http_server *server;
     char *root = g_build_filename(dir, "depot", NULL),
          *src = g_build_filename(dir, "src/sub", NULL);
     char digest[LMN_DIGEST], other[LMN_DIGEST], back[LMN_DIGEST], addr[64];
@@ -438,8 +439,8 @@
 
     server = lmn_depot_start(root, "127.0.0.1:0", err, sizeof err);
     assert_non_null(server);
-    g_snprintf(addr, sizeof addr, "127.0.0.1:%d", lmn_httpd_port(server));
-    struct lmn_http *h = lmn_http_new(addr);
+    g_snprintf(addr, sizeof addr, "127.0.0.1:%d", lmn_http_server_port(server));
+    struct lmn_http_client *h = lmn_http_client_new(addr);
     for (int i = 0; i < 2; i++) {
         g_byte_array_append(b, (const guint8 *)"some bytes", 10);
         assert_int_equal(lmn_depot_put(h, b, i ? other : digest, &e), 0);
@@ -450,13 +451,13 @@
     /* Bytes under another digest, names without a blob, names that leave the directory.
      */
     char *path = g_strdup_printf("/blobs/%s", digest);
-    assert_int_equal(lmn_http_call(h, "PUT", path, b, 5, got), 400);
+    assert_int_equal(lmn_http_client_call(h, "PUT", path, b, 5, got), 400);
     g_free(path);
     lmn_digest("none", 4, back);
     assert_int_equal(lmn_depot_name(h, LMN_DEPOT_JOB, "run-1", back, &e), -1);
-    assert_int_equal(lmn_http_call(h, "GET", "/names/job/..%2F..%2Fetc", NULL, 5, got),
-                     400);
-    assert_int_equal(lmn_http_call(h, "PUT", "/logs/.ssh/x", b, 5, got), 400);
+    assert_int_equal(
+        lmn_http_client_call(h, "GET", "/names/job/..%2F..%2Fetc", NULL, 5, got), 400);
+    assert_int_equal(lmn_http_client_call(h, "PUT", "/logs/.ssh/x", b, 5, got), 400);
     /* A job's description is written once; an image's may change. */
     assert_int_equal(lmn_depot_name(h, LMN_DEPOT_JOB, "run-1", digest, &e), 0);
     assert_int_equal(lmn_depot_name(h, LMN_DEPOT_JOB, "run-1", digest, &e), 0);
@@ -500,7 +501,7 @@
     g_byte_array_unref(evil);
     g_byte_array_unref(b);
     g_byte_array_unref(got);
-    lmn_http_free(h);
+    lmn_http_client_free(h);
     char *all[] = {root, src, file, top, to, text, copy, link, there};
     for (guint i = 0; i < G_N_ELEMENTS(all); i++)
         g_free(all[i]);
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -206,16 +206,17 @@
 
 static struct lmn_socket_plan plan;
 
-static void answer(void *arg, struct lmn_call *call)
+static void answer(void *arg, struct lmn_http_request *call)
 {
-    bool worker = lmn_call_method(call) == LMN_POST;
+    bool worker = lmn_http_request_method(call) == LMN_HTTP_POST;
     (void)arg;
 
-    lmn_call_kind(call, worker ? LMN_SOCKET_WORKER : LMN_SOCKET_USER);
-    lmn_call_answer(call, 200, NULL, 0);
+    lmn_http_request_set_kind(call, worker ? LMN_SOCKET_WORKER : LMN_SOCKET_USER);
+    lmn_http_request_respond(call, 200, NULL, 0);
 }
 
-static bool stands(void *arg, const unsigned open[LMN_HTTPD_KINDS], unsigned kind)
+static bool stands(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
+                   unsigned kind)
 {
     (void)arg;
     return lmn_socket_stands(&plan, open, (enum lmn_socket_kind)kind, false);
@@ -251,19 +252,19 @@
     enum { CROWD = 200 };
     struct lmn_settings s = settings(96, 0);
     int fds[CROWD], standing = 0, closed = 0;
-    struct lmn_httpd_load load;
+    struct lmn_http_server_load load;
     (void)state;
 
     lmn_connection_budget_init(&s, &plan);
-    const struct lmn_httpd_options o = {.listen = "127.0.0.1:0",
-                                        .connections = plan.accepted,
-                                        .max_body = 1024,
-                                        .route = answer,
-                                        .stands = stands};
-    struct lmn_httpd *h = lmn_httpd_start(&o);
+    const struct lmn_http_server_options o = {.listen = "127.0.0.1:0",
+                                              .connections = plan.accepted,
+                                              .max_body = 1024,
+                                              .route = answer,
+                                              .stands = stands};
+    struct lmn_http_server *h = lmn_http_server_start(&o);
     assert_non_null(h);
     for (int i = 0; i < CROWD; i++) {
-        int r = report(lmn_httpd_port(h), &fds[i]);
+        int r = report(lmn_http_server_port(h), &fds[i]);
         assert_true(r >= 0);
         standing += r == 1;
         closed += r == 0;
@@ -277,26 +278,27 @@
     assert_int_equal(closed, CROWD - standing);
     /* The server learns of an end a moment after the peer. */
     do
-        lmn_httpd_load(h, &load);
+        lmn_http_server_load(h, &load);
     while (load.open[LMN_SOCKET_WORKER] != (unsigned)standing);
     assert_int_equal(load.closed[LMN_SOCKET_WORKER], closed);
     assert_int_equal(load.open[LMN_SOCKET_WORKER], standing);
     /* All that stand stay open, and users are served. */
-    struct lmn_http *users[3];
+    struct lmn_http_client *users[3];
     GByteArray *in = g_byte_array_new();
     char addr[32];
-    g_snprintf(addr, sizeof addr, "127.0.0.1:%d", lmn_httpd_port(h));
+    g_snprintf(addr, sizeof addr, "127.0.0.1:%d", lmn_http_server_port(h));
     for (int i = 0; i < 3; i++) {
-        users[i] = lmn_http_new(addr);
+        users[i] = lmn_http_client_new(addr);
         for (int k = 0; k < 3; k++)
-            assert_int_equal(lmn_http_call(users[i], "GET", "/ready", NULL, 20, in), 200);
+            assert_int_equal(
+                lmn_http_client_call(users[i], "GET", "/ready", NULL, 20, in), 200);
     }
     do
-        lmn_httpd_load(h, &load);
+        lmn_http_server_load(h, &load);
     while (load.open[LMN_SOCKET_USER] != 3);
     assert_int_equal(load.closed[LMN_SOCKET_USER], 0);
     for (int i = 0; i < 3; i++)
-        lmn_http_free(users[i]);
+        lmn_http_client_free(users[i]);
     for (int i = 0; i < CROWD; i++)
         if (fds[i] >= 0)
             close(fds[i]);
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -33,20 +33,21 @@
                                          .mem = 1,
                                          .deadline_s = -1};
 
-static void lose_the_first(void *arg, struct lmn_call *call)
+static void lose_the_first(void *arg, struct lmn_http_request *call)
 {
     (void)arg;
     if (g_atomic_int_add(&transactions, 1) == 0) {
-        lmn_call_hold(call);
+        lmn_http_request_defer(call);
         return;
     }
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 1);
     lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, 7);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
-static void reply(struct lmn_call *call, const char *ref, const struct lmn_decision *d)
+static void reply(struct lmn_http_request *call, const char *ref,
+                  const struct lmn_decision *d)
 {
     (void)call;
     assert_string_equal(ref, spec.ref);
@@ -57,11 +58,11 @@
 
 static int setup(void **state)
 {
-    struct lmn_httpd_options o = {.listen = "127.0.0.1:0",
-                                  .connections = 16,
-                                  .max_body = 65536,
-                                  .route = lose_the_first};
-    struct lmn_httpd *h = lmn_httpd_start(&o);
+    struct lmn_http_server_options o = {.listen = "127.0.0.1:0",
+                                        .connections = 16,
+                                        .max_body = 65536,
+                                        .route = lose_the_first};
+    struct lmn_http_server *h = lmn_http_server_start(&o);
     (void)state;
 
     assert_non_null(h);
@@ -69,7 +70,8 @@
     settings.state_rps = settings.state_write_rps = 1000;
     settings.value_kb = 16;
     settings.txn_ops = 12;
-    g_snprintf(settings.state, sizeof settings.state, "127.0.0.1:%d", lmn_httpd_port(h));
+    g_snprintf(settings.state, sizeof settings.state, "127.0.0.1:%d",
+               lmn_http_server_port(h));
     core = lmn_core_new(&settings, lmn_state_new(&settings), 1);
     lmn_state_start(core->state);
     lmn_pending_start(core, reply);
@@ -83,7 +85,7 @@
 
     g_atomic_int_set(&transactions, 0);
     g_atomic_int_set(&replied, 0);
-    lmn_pending_submit(core, (struct lmn_call *)&call, &spec);
+    lmn_pending_submit(core, (struct lmn_http_request *)&call, &spec);
 }
 
 static void wait_for_reply(double longest_s)
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -259,7 +259,7 @@
     reading.status = 404;
     assert_null(lmn_cancellation("run-000001", &reading, 404, &r));
     assert_int_equal(r.status, 404);
-    reading.status = LMN_NO_ANSWER;
+    reading.status = LMN_HTTP_NO_RESPONSE;
     assert_null(lmn_cancellation("run-000001", &reading, 404, &r));
     assert_int_equal(r.status, 503);
     assert_true(lmn_cancelled(LMN_OK, &r));
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -389,14 +389,14 @@
 static void *worker(void *arg)
 {
     struct machine *m = arg;
-    struct lmn_http *h[NODES];
+    struct lmn_http_client *h[NODES];
     GByteArray *in = g_byte_array_new();
     int node = (int)(m - machines) % NODES;
 
     for (int i = 0; i < NODES; i++) {
         char addr[32];
         g_snprintf(addr, sizeof addr, "127.0.0.1:%d", ports[i][0]);
-        h[i] = lmn_http_new(addr);
+        h[i] = lmn_http_client_new(addr);
     }
     for (;;) {
         GByteArray *b = g_byte_array_new();
@@ -410,7 +410,7 @@
         if (gone)
             return NULL;
         struct timespec sent = lmn_now();
-        int status = lmn_http_call(h[node], "POST", P_REPORT, b, 4, in);
+        int status = lmn_http_client_call(h[node], "POST", P_REPORT, b, 4, in);
         g_byte_array_unref(b);
         if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
             uint64_t token = 0;
@@ -655,16 +655,16 @@
 static int call_at(int i, const char *method, const char *path, const GByteArray *body,
                    char *word)
 {
-    static struct lmn_http *h[NODES];
+    static struct lmn_http_client *h[NODES];
     GByteArray *out = g_byte_array_new();
     struct lmn_cbor_document d;
 
     if (!h[i]) {
         char addr[32];
         g_snprintf(addr, sizeof addr, "127.0.0.1:%d", ports[i][0]);
-        h[i] = lmn_http_new(addr);
+        h[i] = lmn_http_client_new(addr);
     }
-    int status = lmn_http_call(h[i], method, path, body, 5, out);
+    int status = lmn_http_client_call(h[i], method, path, body, 5, out);
     *word = '\0';
     if (out->len && lmn_cbor_parse(&d, out->data, out->len) == 0) {
         lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_STATE), word, 32);
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -133,17 +133,17 @@
 static int calls;
 
 /* A state service whose first answer is lost. */
-static void lose_the_first(void *arg, struct lmn_call *call)
+static void lose_the_first(void *arg, struct lmn_http_request *call)
 {
     (void)arg;
     if (g_atomic_int_add(&calls, 1) == 0) {
-        lmn_call_hold(call);
+        lmn_http_request_defer(call);
         return;
     }
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 1);
     lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, 7);
-    lmn_call_answer(call, 200, b, 0);
+    lmn_http_request_respond(call, 200, b, 0);
 }
 
 static void answered(void *arg, struct lmn_txn *t, enum lmn_outcome o, uint64_t revision)
@@ -158,17 +158,17 @@
 static void a_lost_answer_delays_nobody_else(void **state)
 {
     (void)state;
-    struct lmn_httpd_options o = {.listen = "127.0.0.1:0",
-                                  .connections = 16,
-                                  .max_body = 65536,
-                                  .route = lose_the_first};
+    struct lmn_http_server_options o = {.listen = "127.0.0.1:0",
+                                        .connections = 16,
+                                        .max_body = 65536,
+                                        .route = lose_the_first};
     static int done;
 
     make();
     lmn_test_clock = NULL;
-    struct lmn_httpd *h = lmn_httpd_start(&o);
+    struct lmn_http_server *h = lmn_http_server_start(&o);
     assert_non_null(h);
-    g_snprintf(cfg.state, sizeof cfg.state, "127.0.0.1:%d", lmn_httpd_port(h));
+    g_snprintf(cfg.state, sizeof cfg.state, "127.0.0.1:%d", lmn_http_server_port(h));
     struct lmn_state *s = lmn_state_new(&cfg);
     lmn_state_start(s);
     submit(s, LMN_RANK_USER, 1);
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -254,8 +254,8 @@
     GByteArray *out = g_byte_array_new(), *answer = report(machine(1), 7, 4);
     g_strlcpy(held.machine, machine(1)->name, sizeof held.machine);
     lmn_worker_withhold(core, &held, out, now);
-    lmn_direct_outcome(core, machine(0)->name, LMN_NOT_SENT, NULL, now);
-    lmn_direct_outcome(core, machine(1)->name, LMN_NOT_SENT, NULL, now);
+    lmn_direct_outcome(core, machine(0)->name, LMN_HTTP_NOT_SENT, NULL, now);
+    lmn_direct_outcome(core, machine(1)->name, LMN_HTTP_NOT_SENT, NULL, now);
     lmn_probe_outcome(core, machine(1)->name, 4, 200, answer, now);
     assert_int_equal(machine(0)->attempts->len, 2);
     assert_int_equal(machine(1)->attempts->len, 2);
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -85,7 +85,7 @@
                 ((struct lmn_machine *)v)->last = now;
         while (lmn_probe_next(core, 0, 1, name, addr, &term, now)) {
             assert_string_equal(name, silent->name);
-            lmn_probe_outcome(core, name, term, LMN_NO_ANSWER, NULL, now);
+            lmn_probe_outcome(core, name, term, LMN_HTTP_NO_RESPONSE, NULL, now);
         }
         lmn_upkeep(core, now);
     }
@@ -265,7 +265,7 @@
         assert_true(lmn_probe_next(core, lane, 12, name, addr, &term, now));
     assert_false(lmn_probe_next(core, 0, 12, name, addr, &term, now));
     for (int i = 0; i < 12; i++)
-        lmn_probe_outcome(core, lost[i]->name, 1, LMN_NO_ANSWER, NULL, now);
+        lmn_probe_outcome(core, lost[i]->name, 1, LMN_HTTP_NO_RESPONSE, NULL, now);
     core->fresh = now = lmn_time_add(now, 2);
     lmn_upkeep(core, now);
     for (int i = 0; i < 12; i++)
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -214,12 +214,12 @@
         bool there = x->life == m->life && !m->dead && w.now >= m->hang_until;
         if (x->direct) {
             GByteArray *answer = g_byte_array_new();
-            int status = LMN_NOT_SENT;
+            int status = LMN_HTTP_NOT_SENT;
             if (go)
                 status =
                     there && machine_told((int)(n - w.nodes), m) && !held_up(m, x->body)
                         ? machine_direct(m, x->body, answer)
-                        : LMN_NO_ANSWER;
+                        : LMN_HTTP_NO_RESPONSE;
             lmn_direct_outcome(n->core, x->held.machine, status, answer, w.clock);
             g_byte_array_unref(answer);
         } else if (ours) {
@@ -266,7 +266,7 @@
         digest_number(term);
         struct machine *m = machine_named(name);
         if (!m || !machine_told(me, m) || world_chance(0.3)) {
-            lmn_probe_outcome(n->core, name, term, LMN_NO_ANSWER, answer, w.clock);
+            lmn_probe_outcome(n->core, name, term, LMN_HTTP_NO_RESPONSE, answer, w.clock);
             continue;
         }
         g_byte_array_set_size(body, 0);
@@ -279,7 +279,8 @@
         lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, term);
         lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, m->session);
         lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
-        int status = held_up(m, body) ? LMN_NO_ANSWER : machine_direct(m, body, answer);
+        int status =
+            held_up(m, body) ? LMN_HTTP_NO_RESPONSE : machine_direct(m, body, answer);
         lmn_probe_outcome(n->core, name, term, status, answer, w.clock);
     }
     while (lmn_direct_next(n->core, 0, 1, name, addr, body, w.clock)) {
@@ -307,9 +308,9 @@
             if (m && !m->dead && world_chance(0.8))
                 call_late(m, body,
                           g_rand_double_range(w.r, 0.1, world_chance(0.5) ? 3 : 30));
-            lmn_direct_outcome(n->core, name, LMN_NO_ANSWER, answer, w.clock);
+            lmn_direct_outcome(n->core, name, LMN_HTTP_NO_RESPONSE, answer, w.clock);
         } else if (held_up(m, body)) {
-            lmn_direct_outcome(n->core, name, LMN_NO_ANSWER, answer, w.clock);
+            lmn_direct_outcome(n->core, name, LMN_HTTP_NO_RESPONSE, answer, w.clock);
         } else {
             int status = machine_direct(m, body, answer);
             lmn_direct_outcome(n->core, name, status, answer, w.clock);
--- a/tests/world/serving.c
+++ b/tests/world/serving.c
@@ -79,7 +79,7 @@
     struct lmn_query *a = g_new0(struct lmn_query, 1);
 
     a->kind = kind;
-    a->call = (struct lmn_call *)(void *)q;
+    a->call = (struct lmn_http_request *)(void *)q;
     a->absent_status = absent_status;
     a->since = w.clock;
     g_strlcpy(a->ref, q->ref, sizeof a->ref);
@@ -120,7 +120,7 @@
     if (node_served(n) && !chance(0.02))
         world_read_record(ref, &k->reading);
     else
-        k->reading.status = LMN_NO_ANSWER;
+        k->reading.status = LMN_HTTP_NO_RESPONSE;
     k->at = w.now + on_the_way(n);
 }
 
