--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -214,12 +214,13 @@
 static bool size(int port, int sockets, double times, double *best)
 {
     struct lmn_settings s = {.max_connections = sockets, .nmembers = NODES - 1};
-    struct lmn_socket_plan p;
+    struct lmn_connection_budget p;
     char err[256], ref[LMN_JOB_ID_SIZE];
     int pid = 0;
 
     lmn_connection_budget_init(&s, &p);
-    unsigned each = p.accepted - p.floor[LMN_SOCKET_USER] - p.floor[LMN_SOCKET_PASSING];
+    unsigned each =
+        p.accepted - p.floor[LMN_CONNECTION_USER] - p.floor[LMN_CONNECTION_UNIDENTIFIED];
     unsigned workers = (unsigned)(times * NODES * each);
     describe_site(port, sockets, workers);
     if (bench_site("up", file) != 0 ||
--- a/src/admission/connection_budget.c
+++ b/src/admission/connection_budget.c
@@ -16,57 +16,61 @@
     return FIXED + EACH_MEMBER * (unsigned)cfg->nmembers;
 }
 
-unsigned lmn_sockets_least(const struct lmn_settings *cfg)
+unsigned lmn_connection_budget_minimum(const struct lmn_settings *cfg)
 {
-    return fixed(cfg) + LMN_LANES + LEAST_ACCEPTED;
+    return fixed(cfg) + LMN_WORKER_CLIENT_THREADS + LEAST_ACCEPTED;
 }
 
-void lmn_connection_budget_init(const struct lmn_settings *cfg, struct lmn_socket_plan *p)
+void lmn_connection_budget_init(const struct lmn_settings *cfg,
+                                struct lmn_connection_budget *p)
 {
     unsigned all = (unsigned)cfg->max_connections;
 
     /* Each lane has one call under way at most, whatever it keeps open besides. */
-    p->direct = most(lmn_settings_worker_connections(cfg), LMN_LANES);
+    p->direct = most(lmn_settings_worker_connections(cfg), LMN_WORKER_CLIENT_THREADS);
     p->own = fixed(cfg) + p->direct;
     p->accepted = all > p->own + LEAST_ACCEPTED ? all - p->own : LEAST_ACCEPTED;
     /* An eighth is left to pass through, however many stand: a report needs a connection
      * for as long as its answer takes. A quarter each is users' and workers' own; the
      * rest is whose it is needed by. */
-    p->floor[LMN_SOCKET_PASSING] = most(p->accepted / 8, 4);
-    p->floor[LMN_SOCKET_USER] = most(p->accepted / 4, 4);
-    p->floor[LMN_SOCKET_WORKER] = most(p->accepted / 4, 4);
+    p->floor[LMN_CONNECTION_UNIDENTIFIED] = most(p->accepted / 8, 4);
+    p->floor[LMN_CONNECTION_USER] = most(p->accepted / 4, 4);
+    p->floor[LMN_CONNECTION_WORKER] = most(p->accepted / 4, 4);
 }
 
-double lmn_socket_hears(const struct lmn_socket_plan *p, const struct lmn_settings *cfg)
+double lmn_connection_budget_max_machines(const struct lmn_connection_budget *p,
+                                          const struct lmn_settings *cfg)
 {
     /* A few round trips between far zones, and the wait for its turn. */
     static const double held_s = 0.25;
-    double each = p->accepted - p->floor[LMN_SOCKET_USER];
+    double each = p->accepted - p->floor[LMN_CONNECTION_USER];
 
     return each * (double)(cfg->nmembers + 1) * (cfg->report_s / held_s);
 }
 
-bool lmn_socket_admits(const struct lmn_socket_plan *p,
-                       const unsigned open[LMN_SOCKET_KINDS], enum lmn_socket_kind kind)
+bool lmn_connection_budget_admits(const struct lmn_connection_budget *p,
+                                  const unsigned open[LMN_CONNECTION_KINDS],
+                                  enum lmn_connection_kind kind)
 {
-    unsigned users = most(p->floor[LMN_SOCKET_USER], open[LMN_SOCKET_USER]);
+    unsigned users = most(p->floor[LMN_CONNECTION_USER], open[LMN_CONNECTION_USER]);
 
-    return kind != LMN_SOCKET_WORKER ||
-           open[LMN_SOCKET_WORKER] + open[LMN_SOCKET_PASSING] + users < p->accepted;
+    return kind != LMN_CONNECTION_WORKER ||
+           open[LMN_CONNECTION_WORKER] + open[LMN_CONNECTION_UNIDENTIFIED] + users <
+               p->accepted;
 }
 
-bool lmn_socket_stands(const struct lmn_socket_plan *p,
-                       const unsigned open[LMN_SOCKET_KINDS], enum lmn_socket_kind kind,
-                       bool at_fault)
+bool lmn_connection_budget_keeps_open(const struct lmn_connection_budget *p,
+                                      const unsigned open[LMN_CONNECTION_KINDS],
+                                      enum lmn_connection_kind kind, bool at_fault)
 {
     unsigned others = 0;
 
     /* Where nothing can be confirmed, while it can elsewhere, no user is to ask again:
      * answered 503 at once, users stayed on their connections and asked the same node
      * until the balancer had noticed. */
-    if (at_fault && kind == LMN_SOCKET_USER)
+    if (at_fault && kind == LMN_CONNECTION_USER)
         return false;
-    for (int k = 0; k < LMN_SOCKET_KINDS; k++)
+    for (int k = 0; k < LMN_CONNECTION_KINDS; k++)
         if (k != (int)kind)
             others += most(p->floor[k], open[k]);
     return open[kind] + others <= p->accepted;
--- a/src/admission/load_shedding.c
+++ b/src/admission/load_shedding.c
@@ -4,9 +4,9 @@
 
 /* Seconds behind from which on some are shed. A poll waits for 2 s and a submission for
  * 5 s (the protocol's patience); a report for 4 s. */
-static const double FROM_S[LMN_SHEDS] = {0.4, 1.0, 1.5};
+static const double FROM_S[LMN_SHED_KINDS] = {0.4, 1.0, 1.5};
 
-void lmn_load_note(struct lmn_load *l, double late_s, double dt_s)
+void lmn_load_record_delay(struct lmn_load *l, double late_s, double dt_s)
 {
     double late = MAX(late_s, 0);
 
@@ -16,14 +16,14 @@
         l->behind += (late - l->behind) * (1 - exp(-MAX(dt_s, 0)));
 }
 
-double lmn_load_share(double behind_s, enum lmn_shed what)
+double lmn_load_shed_share(double behind_s, enum lmn_shed_kind what)
 {
     return CLAMP(behind_s / FROM_S[what] - 1, 0, 1);
 }
 
-bool lmn_load_sheds(struct lmn_load *l, enum lmn_shed what, GRand *rng)
+bool lmn_load_should_shed(struct lmn_load *l, enum lmn_shed_kind what, GRand *rng)
 {
-    double share = lmn_load_share(l->behind, what);
+    double share = lmn_load_shed_share(l->behind, what);
     bool shed = share > 0 && g_rand_double(rng) < share;
 
     l->shed[what] += shed;
--- a/src/admission/worker_hosts.c
+++ b/src/admission/worker_hosts.c
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 
 /* 0: no host that counts. */
-static guint32 host_of(const struct lmn_hosts *h, const char *addr)
+static guint32 host_of(const struct lmn_worker_hosts *h, const char *addr)
 {
     char host[LMN_ADDRESS_SIZE];
     struct in_addr a;
@@ -19,7 +19,7 @@
     return n >> 24 == 127 || n == h->own ? 0 : n;
 }
 
-void lmn_hosts_init(struct lmn_hosts *h, const char *listen)
+void lmn_worker_hosts_init(struct lmn_worker_hosts *h, const char *listen)
 {
     pthread_mutex_init(&h->lock, NULL);
     h->count = g_hash_table_new(NULL, NULL);
@@ -27,13 +27,13 @@
     h->own = host_of(h, listen);
 }
 
-void lmn_hosts_clear(struct lmn_hosts *h)
+void lmn_worker_hosts_clear(struct lmn_worker_hosts *h)
 {
     g_hash_table_destroy(h->count);
     pthread_mutex_destroy(&h->lock);
 }
 
-static void count(struct lmn_hosts *h, const char *addr, int by)
+static void count(struct lmn_worker_hosts *h, const char *addr, int by)
 {
     guint32 host = host_of(h, addr);
 
@@ -48,17 +48,17 @@
     pthread_mutex_unlock(&h->lock);
 }
 
-void lmn_hosts_add(struct lmn_hosts *h, const char *addr)
+void lmn_worker_hosts_add(struct lmn_worker_hosts *h, const char *addr)
 {
     count(h, addr, 1);
 }
 
-void lmn_hosts_drop(struct lmn_hosts *h, const char *addr)
+void lmn_worker_hosts_remove(struct lmn_worker_hosts *h, const char *addr)
 {
     count(h, addr, -1);
 }
 
-bool lmn_hosts_know(struct lmn_hosts *h, const struct sockaddr *peer)
+bool lmn_worker_hosts_contain(struct lmn_worker_hosts *h, const struct sockaddr *peer)
 {
     const struct sockaddr_in *a = (const struct sockaddr_in *)peer;
 
--- a/src/admission/worker_hosts.h
+++ b/src/admission/worker_hosts.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 struct sockaddr;
 
-struct lmn_hosts {
+struct lmn_worker_hosts {
     pthread_mutex_t lock;
     GHashTable *count; /* IPv4 address as a number -> machines there */
     guint32 own;       /* the node's own */
@@ -16,12 +16,12 @@
 
 /* listen: the node's own "IPv4:port". Hosts that users may share are never counted: the
  * node's own, and loopback. */
-void lmn_hosts_init(struct lmn_hosts *h, const char *listen);
-void lmn_hosts_clear(struct lmn_hosts *h);
+void lmn_worker_hosts_init(struct lmn_worker_hosts *h, const char *listen);
+void lmn_worker_hosts_clear(struct lmn_worker_hosts *h);
 /* One machine more, or one less, at "IPv4:port"; another form counts nowhere. */
-void lmn_hosts_add(struct lmn_hosts *h, const char *addr);
-void lmn_hosts_drop(struct lmn_hosts *h, const char *addr);
+void lmn_worker_hosts_add(struct lmn_worker_hosts *h, const char *addr);
+void lmn_worker_hosts_remove(struct lmn_worker_hosts *h, const char *addr);
 /* Whether some machine stands there. */
-bool lmn_hosts_know(struct lmn_hosts *h, const struct sockaddr *peer);
+bool lmn_worker_hosts_contain(struct lmn_worker_hosts *h, const struct sockaddr *peer);
 
 #endif
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -82,7 +82,7 @@
         lmn_thread(lmn_ask_thread, core);
         lmn_follow_start(core);
     }
-    static struct lmn_lane lanes[LMN_LANES];
+    static struct lmn_lane lanes[LMN_WORKER_CLIENT_THREADS];
     for (unsigned i = 0; i < G_N_ELEMENTS(lanes); i++) {
         lanes[i] = (struct lmn_lane){core, i, G_N_ELEMENTS(lanes)};
         lmn_thread(lmn_direct_thread, &lanes[i]);
@@ -103,7 +103,7 @@
             _exit(core->left ? 0 : 1);
         }
         double since = lmn_time_diff_s(now, last);
-        lmn_load_note(&core->load, since - TICK_S, since);
+        lmn_load_record_delay(&core->load, since - TICK_S, since);
         lmn_members_tick(&core->members, since - TICK_S, now);
         core->members.word.behind_s = core->load.behind;
         last = now;
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -37,7 +37,7 @@
 {
     bool report = post && !strcmp(path, P_REPORT);
 
-    lmn_http_request_set_kind(call, report ? LMN_SOCKET_WORKER : LMN_SOCKET_USER);
+    lmn_http_request_set_kind(call, report ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER);
 }
 
 static bool stands(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
@@ -49,15 +49,17 @@
      * not wait for: one more connection stands, or one fewer. */
     if (__atomic_load_n(&c->leaving, __ATOMIC_RELAXED))
         return false;
-    return lmn_socket_stands(&c->sockets, open, (enum lmn_socket_kind)kind,
-                             __atomic_load_n(&c->odd_one, __ATOMIC_RELAXED));
+    return lmn_connection_budget_keeps_open(
+        &c->sockets, open, (enum lmn_connection_kind)kind,
+        __atomic_load_n(&c->odd_one, __ATOMIC_RELAXED));
 }
 
 static unsigned kind_of(void *arg, const struct sockaddr *peer)
 {
     struct lmn_core *c = arg;
 
-    return lmn_hosts_know(&c->hosts, peer) ? LMN_SOCKET_WORKER : LMN_SOCKET_PASSING;
+    return lmn_worker_hosts_contain(&c->hosts, peer) ? LMN_CONNECTION_WORKER
+                                                     : LMN_CONNECTION_UNIDENTIFIED;
 }
 
 static bool admits(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
@@ -65,7 +67,8 @@
 {
     const struct lmn_core *c = arg;
 
-    return lmn_socket_admits(&c->sockets, open, (enum lmn_socket_kind)kind);
+    return lmn_connection_budget_admits(&c->sockets, open,
+                                        (enum lmn_connection_kind)kind);
 }
 
 static void route(void *arg, struct lmn_http_request *call)
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -92,18 +92,18 @@
     lmn_http_server_load(server, &load);
     lmn_metric_head(out, "lemonspar_connections", "gauge",
                     "Connections open, by purpose");
-    for (int i = 0; i < LMN_SOCKET_KINDS; i++)
+    for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections", "of", kinds[i], load.open[i]);
     lmn_gauge(out, "lemonspar_connections_most", "Connections let in at a time",
               c->sockets.accepted);
     lmn_metric_head(out, "lemonspar_connections_closed", "counter",
                     "Connections closed with their answer, for want of sockets");
-    for (int i = 0; i < LMN_SOCKET_KINDS; i++)
+    for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections_closed_total", "of", kinds[i],
                           (double)load.closed[i]);
     lmn_metric_head(out, "lemonspar_connections_turned_away", "counter",
                     "Connections not let in, for want of sockets");
-    for (int i = 0; i < LMN_SOCKET_KINDS; i++)
+    for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections_turned_away_total", "of", kinds[i],
                           (double)load.turned_away[i]);
 }
@@ -176,7 +176,7 @@
               load.behind);
     lmn_metric_head(out, "lemonspar_shed", "counter",
                     "Requests answered at once since the node was behind");
-    for (int i = 0; i < LMN_SHEDS; i++)
+    for (int i = 0; i < LMN_SHED_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_shed_total", "what", sheds[i],
                           (double)load.shed[i]);
     if (server)
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -197,7 +197,7 @@
 
     if (is_known_now(c, ref, &reply))
         return reply_now(reply);
-    if (lmn_load_sheds(&c->load, LMN_SHED_POLL, c->rng))
+    if (lmn_load_should_shed(&c->load, LMN_SHED_POLL, c->rng))
         return reply_now(plain(503, lmn_retry_after(2 * c->load.behind, c->rng)));
     if (is_blind(c, now))
         return reply_now(plain(503, lmn_retry_after(1, c->rng)));
@@ -222,7 +222,7 @@
         c->count.refused++;
         return reply_now(plain(429, lmn_retry_after(wait, c->rng)));
     }
-    if (lmn_load_sheds(&c->load, LMN_SHED_SUBMISSION, c->rng))
+    if (lmn_load_should_shed(&c->load, LMN_SHED_SUBMISSION, c->rng))
         return reply_now(plain(429, lmn_retry_after(2 * c->load.behind, c->rng)));
     return next_step(LMN_STEP_COMMIT, 503);
 }
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -91,9 +91,10 @@
         s,
         "sockets most=%u passing=%u users=%u workers=%u closed_users=%" G_GUINT64_FORMAT
         " closed_workers=%" G_GUINT64_FORMAT " turned_away=%" G_GUINT64_FORMAT "\n",
-        c->sockets.accepted, l.open[LMN_SOCKET_PASSING], l.open[LMN_SOCKET_USER],
-        l.open[LMN_SOCKET_WORKER], l.closed[LMN_SOCKET_USER], l.closed[LMN_SOCKET_WORKER],
-        l.turned_away[LMN_SOCKET_WORKER]);
+        c->sockets.accepted, l.open[LMN_CONNECTION_UNIDENTIFIED],
+        l.open[LMN_CONNECTION_USER], l.open[LMN_CONNECTION_WORKER],
+        l.closed[LMN_CONNECTION_USER], l.closed[LMN_CONNECTION_WORKER],
+        l.turned_away[LMN_CONNECTION_WORKER]);
 }
 
 char *lmn_status_text(struct lmn_core *c)
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -299,7 +299,7 @@
         held->settled_bytes = commands->len;
         lmn_partition_check(c, p, now);
         /* Far behind, the node settles what was, and starts nothing. */
-        if (!lmn_load_sheds(&c->load, LMN_SHED_START, c->rng))
+        if (!lmn_load_should_shed(&c->load, LMN_SHED_START, c->rng))
             n += lmn_schedule(c, m, commands, now);
         lmn_unpoke(m);
         if (!lmn_machine_bare(m))
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -291,7 +291,7 @@
         if (!x->spec->spot)
             need_ordinary += x->cpus;
     }
-    double heard = lmn_socket_hears(&c->sockets, c->cfg) - machines;
+    double heard = lmn_connection_budget_max_machines(&c->sockets, c->cfg) - machines;
     /* A machine that can't be heard runs nothing, and those that are heard have enough to
      * wait for while the node is behind. */
     if (heard < 1 || c->load.behind > BEHIND_S) {
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -46,7 +46,7 @@
     c->cfg = cfg;
     c->state = state;
     lmn_connection_budget_init(cfg, &c->sockets);
-    lmn_hosts_init(&c->hosts, cfg->listen);
+    lmn_worker_hosts_init(&c->hosts, cfg->listen);
     c->tuning = lmn_operator_settings_default;
     c->rng = g_rand_new_with_seed(seed);
     c->jobs = g_hash_table_new(g_str_hash, g_str_equal);
@@ -127,7 +127,7 @@
     g_hash_table_destroy(c->jobs);
     g_hash_table_destroy(c->gone);
     g_queue_clear(&c->final_jobs);
-    lmn_hosts_clear(&c->hosts);
+    lmn_worker_hosts_clear(&c->hosts);
     lmn_latency_clear(&c->accepting);
     lmn_latency_clear(&c->starting);
     lmn_latency_clear(&c->telling);
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -296,9 +296,10 @@
     struct lmn_copy *copy; /* what we have been told of it; NULL: nothing */
     GHashTable *ranges, *machines;
     GPtrArray *list; /* the same machines in no order: what samples are drawn from */
-    struct lmn_hosts *hosts; /* the core's, where its machines' addresses are counted */
-    GPtrArray *poked;        /* those to be given work at once (lmn_poke) */
-    GPtrArray *blocks;       /* struct lmn_block by number */
+    struct lmn_worker_hosts
+        *hosts;        /* the core's, where its machines' addresses are counted */
+    GPtrArray *poked;  /* those to be given work at once (lmn_poke) */
+    GPtrArray *blocks; /* struct lmn_block by number */
     /* the owner's */
     bool mine, ready, releasing;
     bool warm;    /* every task that may be on a machine is in the books, though not
@@ -380,10 +381,10 @@
     const struct lmn_settings *cfg;
     struct lmn_state *state;
     const struct lmn_owner_ops *owner;
-    struct lmn_socket_plan sockets;
+    struct lmn_connection_budget sockets;
     struct lmn_load load;
     struct lmn_http_server *server; /* the users' and workers'; NULL: none */
-    struct lmn_hosts hosts;         /* of all machines known, with a lock of its own */
+    struct lmn_worker_hosts hosts;  /* of all machines known, with a lock of its own */
     struct lmn_operator_settings tuning;
     uint64_t tuning_rev;
     GRand *rng;
--- a/src/state/task_ledger.c
+++ b/src/state/task_ledger.c
@@ -161,9 +161,9 @@
     if (!strcmp(m->addr, addr))
         return;
     if (*m->addr)
-        lmn_hosts_drop(m->part->hosts, m->addr);
+        lmn_worker_hosts_remove(m->part->hosts, m->addr);
     g_strlcpy(m->addr, addr, sizeof m->addr);
-    lmn_hosts_add(m->part->hosts, m->addr);
+    lmn_worker_hosts_add(m->part->hosts, m->addr);
 }
 
 struct lmn_machine *lmn_machine_new(struct lmn_partition *p, const char *name)
@@ -193,7 +193,7 @@
     if (m->part->stream.phase != LMN_STREAM_NONE)
         g_ptr_array_add(m->part->forgotten, g_strdup(m->name));
     if (*m->addr)
-        lmn_hosts_drop(m->part->hosts, m->addr);
+        lmn_worker_hosts_remove(m->part->hosts, m->addr);
     lmn_block_leave(m);
     /* The last takes its place. */
     list->pdata[m->at] = last;
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -26,31 +26,31 @@
 
 /* Any number of workers and users that come in any order and are answered: what stands
  * never passes the limit, nor takes a floor. */
-static void crowd(GRand *rng, const struct lmn_socket_plan *p, unsigned workers,
+static void crowd(GRand *rng, const struct lmn_connection_budget *p, unsigned workers,
                   unsigned users)
 {
-    unsigned open[LMN_SOCKET_KINDS] = {0};
-    unsigned want[LMN_SOCKET_KINDS] = {0, users, workers};
+    unsigned open[LMN_CONNECTION_KINDS] = {0};
+    unsigned want[LMN_CONNECTION_KINDS] = {0, users, workers};
 
-    while (want[LMN_SOCKET_USER] + want[LMN_SOCKET_WORKER]) {
-        enum lmn_socket_kind k =
-            g_rand_boolean(rng) ? LMN_SOCKET_USER : LMN_SOCKET_WORKER;
+    while (want[LMN_CONNECTION_USER] + want[LMN_CONNECTION_WORKER]) {
+        enum lmn_connection_kind k =
+            g_rand_boolean(rng) ? LMN_CONNECTION_USER : LMN_CONNECTION_WORKER;
         if (!want[k])
-            k = k == LMN_SOCKET_USER ? LMN_SOCKET_WORKER : LMN_SOCKET_USER;
+            k = k == LMN_CONNECTION_USER ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER;
         want[k]--;
         open[k]++;
-        if (!lmn_socket_stands(p, open, k, false))
+        if (!lmn_connection_budget_keeps_open(p, open, k, false))
             open[k]--;
         else if (g_rand_int_range(rng, 0, 20) == 0)
             open[k]--; /* it ends by itself */
-        unsigned sum = open[LMN_SOCKET_USER] + open[LMN_SOCKET_WORKER];
-        assert_true(sum + p->floor[LMN_SOCKET_PASSING] <= p->accepted);
+        unsigned sum = open[LMN_CONNECTION_USER] + open[LMN_CONNECTION_WORKER];
+        assert_true(sum + p->floor[LMN_CONNECTION_UNIDENTIFIED] <= p->accepted);
     }
     /* Whoever else is there, a floor is had. */
-    for (enum lmn_socket_kind k = LMN_SOCKET_USER; k < LMN_SOCKET_KINDS; k++)
+    for (enum lmn_connection_kind k = LMN_CONNECTION_USER; k < LMN_CONNECTION_KINDS; k++)
         if (open[k] < p->floor[k]) {
             open[k]++;
-            assert_true(lmn_socket_stands(p, open, k, false));
+            assert_true(lmn_connection_budget_keeps_open(p, open, k, false));
             open[k]--;
         }
 }
@@ -63,14 +63,14 @@
     for (int i = 0; i < 400; i++) {
         int sockets = (int)exp2(g_rand_double_range(rng, 6, 14.3));
         struct lmn_settings s = settings(sockets, (size_t)g_rand_int_range(rng, 0, 33));
-        struct lmn_socket_plan p;
+        struct lmn_connection_budget p;
         unsigned floors = 0;
         lmn_connection_budget_init(&s, &p);
-        for (int k = 0; k < LMN_SOCKET_KINDS; k++)
+        for (int k = 0; k < LMN_CONNECTION_KINDS; k++)
             floors += p.floor[k];
         assert_true(floors <= p.accepted);
         assert_true(p.direct >= 16);
-        if ((unsigned)sockets >= lmn_sockets_least(&s) && p.direct == 16)
+        if ((unsigned)sockets >= lmn_connection_budget_minimum(&s) && p.direct == 16)
             assert_true(p.own + p.accepted <= (unsigned)sockets);
         if (p.own + 16 <= (unsigned)sockets)
             assert_int_equal(p.own + p.accepted, sockets);
@@ -83,25 +83,28 @@
 static void nothing_is_lost_while_there_is_room(void **state)
 {
     struct lmn_settings s = settings(2000, 2);
-    struct lmn_socket_plan p;
+    struct lmn_connection_budget p;
     (void)state;
 
     lmn_connection_budget_init(&s, &p);
     /* Beyond a floor, what the other kind has no use for may be used: */
     unsigned quiet[] = {0, 3, p.accepted / 2};
-    assert_true(lmn_socket_stands(&p, quiet, LMN_SOCKET_WORKER, false));
+    assert_true(
+        lmn_connection_budget_keeps_open(&p, quiet, LMN_CONNECTION_WORKER, false));
     /* and no more than that. */
     unsigned full[] = {0, 3, p.accepted - p.floor[0] - p.floor[1] + 1};
-    assert_false(lmn_socket_stands(&p, full, LMN_SOCKET_WORKER, false));
-    assert_true(lmn_socket_stands(&p, full, LMN_SOCKET_USER, false));
+    assert_false(
+        lmn_connection_budget_keeps_open(&p, full, LMN_CONNECTION_WORKER, false));
+    assert_true(lmn_connection_budget_keeps_open(&p, full, LMN_CONNECTION_USER, false));
     /* Many that pass make fewer stand. */
     unsigned storm[] = {p.accepted / 2, 3, p.accepted / 2};
-    assert_false(lmn_socket_stands(&p, storm, LMN_SOCKET_WORKER, false));
+    assert_false(
+        lmn_connection_budget_keeps_open(&p, storm, LMN_CONNECTION_WORKER, false));
     /* Users of a node that alone can't confirm anything go elsewhere; its workers stay.
      */
-    assert_true(lmn_socket_stands(&p, quiet, LMN_SOCKET_USER, false));
-    assert_false(lmn_socket_stands(&p, quiet, LMN_SOCKET_USER, true));
-    assert_true(lmn_socket_stands(&p, quiet, LMN_SOCKET_WORKER, true));
+    assert_true(lmn_connection_budget_keeps_open(&p, quiet, LMN_CONNECTION_USER, false));
+    assert_false(lmn_connection_budget_keeps_open(&p, quiet, LMN_CONNECTION_USER, true));
+    assert_true(lmn_connection_budget_keeps_open(&p, quiet, LMN_CONNECTION_WORKER, true));
 }
 
 /* A crowd of workers that comes all at once, none of them answered yet, leaves users'
@@ -113,51 +116,53 @@
 
     for (int i = 0; i < 300; i++) {
         struct lmn_settings s = settings((int)exp2(g_rand_double_range(rng, 7, 14.3)), 2);
-        struct lmn_socket_plan p;
-        unsigned open[LMN_SOCKET_KINDS] = {0};
+        struct lmn_connection_budget p;
+        unsigned open[LMN_CONNECTION_KINDS] = {0};
         lmn_connection_budget_init(&s, &p);
-        open[LMN_SOCKET_USER] = (unsigned)g_rand_int_range(rng, 0, (int)p.accepted / 2);
-        while (lmn_socket_admits(&p, open, LMN_SOCKET_WORKER))
-            open[g_rand_boolean(rng) ? LMN_SOCKET_WORKER : LMN_SOCKET_PASSING]++;
+        open[LMN_CONNECTION_USER] =
+            (unsigned)g_rand_int_range(rng, 0, (int)p.accepted / 2);
+        while (lmn_connection_budget_admits(&p, open, LMN_CONNECTION_WORKER))
+            open[g_rand_boolean(rng) ? LMN_CONNECTION_WORKER
+                                     : LMN_CONNECTION_UNIDENTIFIED]++;
         unsigned left = p.accepted - open[0] - open[1] - open[2];
-        assert_true(open[LMN_SOCKET_USER] + left >= p.floor[LMN_SOCKET_USER]);
-        assert_true(lmn_socket_admits(&p, open, LMN_SOCKET_USER));
-        assert_true(lmn_socket_admits(&p, open, LMN_SOCKET_PASSING));
+        assert_true(open[LMN_CONNECTION_USER] + left >= p.floor[LMN_CONNECTION_USER]);
+        assert_true(lmn_connection_budget_admits(&p, open, LMN_CONNECTION_USER));
+        assert_true(lmn_connection_budget_admits(&p, open, LMN_CONNECTION_UNIDENTIFIED));
     }
     g_rand_free(rng);
 }
 
-static bool knows(struct lmn_hosts *h, const char *host)
+static bool knows(struct lmn_worker_hosts *h, const char *host)
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
 
     inet_pton(AF_INET, host, &a.sin_addr);
-    return lmn_hosts_know(h, (struct sockaddr *)&a);
+    return lmn_worker_hosts_contain(h, (struct sockaddr *)&a);
 }
 
 static void hosts(void **state)
 {
-    struct lmn_hosts h;
+    struct lmn_worker_hosts h;
     (void)state;
 
-    lmn_hosts_init(&h, "10.0.0.1:8080");
-    lmn_hosts_add(&h, "10.1.0.7:9000");
-    lmn_hosts_add(&h, "10.1.0.7:9001");
+    lmn_worker_hosts_init(&h, "10.0.0.1:8080");
+    lmn_worker_hosts_add(&h, "10.1.0.7:9000");
+    lmn_worker_hosts_add(&h, "10.1.0.7:9001");
     assert_true(knows(&h, "10.1.0.7"));
-    lmn_hosts_drop(&h, "10.1.0.7:9000");
+    lmn_worker_hosts_remove(&h, "10.1.0.7:9000");
     assert_true(knows(&h, "10.1.0.7"));
-    lmn_hosts_drop(&h, "10.1.0.7:9001");
+    lmn_worker_hosts_remove(&h, "10.1.0.7:9001");
     assert_false(knows(&h, "10.1.0.7"));
-    lmn_hosts_drop(&h, "10.1.0.7:9001"); /* never below none */
-    lmn_hosts_add(&h, "10.1.0.7:9000");
+    lmn_worker_hosts_remove(&h, "10.1.0.7:9001"); /* never below none */
+    lmn_worker_hosts_add(&h, "10.1.0.7:9000");
     assert_true(knows(&h, "10.1.0.7"));
     /* Where users may be too, an address tells nothing. */
-    lmn_hosts_add(&h, "127.0.0.1:9000");
-    lmn_hosts_add(&h, "10.0.0.1:9000");
-    lmn_hosts_add(&h, "worker.example:9000");
+    lmn_worker_hosts_add(&h, "127.0.0.1:9000");
+    lmn_worker_hosts_add(&h, "10.0.0.1:9000");
+    lmn_worker_hosts_add(&h, "worker.example:9000");
     assert_false(knows(&h, "127.0.0.1"));
     assert_false(knows(&h, "10.0.0.1"));
-    lmn_hosts_clear(&h);
+    lmn_worker_hosts_clear(&h);
 }
 
 static void what_is_shed_first(void **state)
@@ -168,25 +173,25 @@
 
     /* Polls before submissions before starts, each more the further behind. */
     for (double s = 0; s < 6; s += 0.01)
-        for (int k = 0; k < LMN_SHEDS; k++) {
-            assert_true(lmn_load_share(s, k) <= lmn_load_share(s + 0.01, k));
+        for (int k = 0; k < LMN_SHED_KINDS; k++) {
+            assert_true(lmn_load_shed_share(s, k) <= lmn_load_shed_share(s + 0.01, k));
             if (k > 0)
-                assert_true(lmn_load_share(s, k) <= lmn_load_share(s, k - 1));
+                assert_true(lmn_load_shed_share(s, k) <= lmn_load_shed_share(s, k - 1));
         }
-    assert_true(lmn_load_share(0.3, LMN_SHED_POLL) == 0);
-    assert_true(lmn_load_share(0.9, LMN_SHED_SUBMISSION) == 0);
-    assert_true(lmn_load_share(10, LMN_SHED_START) == 1);
+    assert_true(lmn_load_shed_share(0.3, LMN_SHED_POLL) == 0);
+    assert_true(lmn_load_shed_share(0.9, LMN_SHED_SUBMISSION) == 0);
+    assert_true(lmn_load_shed_share(10, LMN_SHED_START) == 1);
     /* A node that stood still for a moment is itself again after a few seconds on time.
      */
     for (int i = 0; i < 4; i++)
-        lmn_load_note(&l, 3, 3);
+        lmn_load_record_delay(&l, 3, 3);
     assert_true(l.behind > 2.5);
-    assert_true(lmn_load_sheds(&l, LMN_SHED_POLL, rng));
+    assert_true(lmn_load_should_shed(&l, LMN_SHED_POLL, rng));
     assert_int_equal(l.shed[LMN_SHED_POLL], 1);
     for (int i = 0; i < 30; i++)
-        lmn_load_note(&l, 0, 0.15);
+        lmn_load_record_delay(&l, 0, 0.15);
     assert_true(l.behind < 0.1);
-    assert_false(lmn_load_sheds(&l, LMN_SHED_POLL, rng));
+    assert_false(lmn_load_should_shed(&l, LMN_SHED_POLL, rng));
     /* Those sent away come back spread, never at once, never after the protocol's 30 s.
      */
     unsigned at[31] = {0};
@@ -204,14 +209,14 @@
 
 /* --- a server --- */
 
-static struct lmn_socket_plan plan;
+static struct lmn_connection_budget plan;
 
 static void answer(void *arg, struct lmn_http_request *call)
 {
     bool worker = lmn_http_request_method(call) == LMN_HTTP_POST;
     (void)arg;
 
-    lmn_http_request_set_kind(call, worker ? LMN_SOCKET_WORKER : LMN_SOCKET_USER);
+    lmn_http_request_set_kind(call, worker ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER);
     lmn_http_request_respond(call, 200, NULL, 0);
 }
 
@@ -219,7 +224,8 @@
                    unsigned kind)
 {
     (void)arg;
-    return lmn_socket_stands(&plan, open, (enum lmn_socket_kind)kind, false);
+    return lmn_connection_budget_keeps_open(&plan, open, (enum lmn_connection_kind)kind,
+                                            false);
 }
 
 /* Asks over a connection of its own; 1: it was answered and stays open, 0: it was
@@ -273,15 +279,15 @@
             fds[i] = -1;
         }
     }
-    assert_int_equal(standing, plan.accepted - plan.floor[LMN_SOCKET_PASSING] -
-                                   plan.floor[LMN_SOCKET_USER]);
+    assert_int_equal(standing, plan.accepted - plan.floor[LMN_CONNECTION_UNIDENTIFIED] -
+                                   plan.floor[LMN_CONNECTION_USER]);
     assert_int_equal(closed, CROWD - standing);
     /* The server learns of an end a moment after the peer. */
     do
         lmn_http_server_load(h, &load);
-    while (load.open[LMN_SOCKET_WORKER] != (unsigned)standing);
-    assert_int_equal(load.closed[LMN_SOCKET_WORKER], closed);
-    assert_int_equal(load.open[LMN_SOCKET_WORKER], standing);
+    while (load.open[LMN_CONNECTION_WORKER] != (unsigned)standing);
+    assert_int_equal(load.closed[LMN_CONNECTION_WORKER], closed);
+    assert_int_equal(load.open[LMN_CONNECTION_WORKER], standing);
     /* All that stand stay open, and users are served. */
     struct lmn_http_client *users[3];
     GByteArray *in = g_byte_array_new();
@@ -295,8 +301,8 @@
     }
     do
         lmn_http_server_load(h, &load);
-    while (load.open[LMN_SOCKET_USER] != 3);
-    assert_int_equal(load.closed[LMN_SOCKET_USER], 0);
+    while (load.open[LMN_CONNECTION_USER] != 3);
+    assert_int_equal(load.closed[LMN_CONNECTION_USER], 0);
     for (int i = 0; i < 3; i++)
         lmn_http_client_free(users[i]);
     for (int i = 0; i < CROWD; i++)
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -163,7 +163,7 @@
         for (int i = 0; i < 3; i++)
             cfg.teams[i].cpus_max = 0;
         lmn_connection_budget_init(&cfg, &c->sockets);
-        most = lmn_socket_hears(&c->sockets, &cfg);
+        most = lmn_connection_budget_max_machines(&c->sockets, &cfg);
         lmn_fleet_init(&f);
         c->load.behind = 3;
         assert_false(lmn_fleet_choose(c, &f, &rental, now));
