--- a/src/controller/members_report.c
+++ b/src/controller/members_report.c
@@ -7,7 +7,7 @@
 /* How a member stands. */
 static const char *standing(const struct lmn_members *ms, int rank, struct timespec now)
 {
-    const struct lmn_peer_view *m = &ms->v[rank];
+    const struct lmn_member_view *m = &ms->v[rank];
 
     if (!m->present)
         return "gone";
@@ -15,22 +15,22 @@
         return "leaving";
     if (m->judged)
         return "judged";
-    if (lmn_member_doubted(ms, rank))
+    if (lmn_member_is_suspected(ms, rank))
         return "suspected";
-    if (!lmn_member_trusted(ms, rank, now))
+    if (!lmn_member_is_trusted(ms, rank, now))
         return "doubtful";
-    return lmn_member_back_s(ms, rank, now) > 0 ? "coming-back" : "alive";
+    return lmn_member_readmission_delay_s(ms, rank, now) > 0 ? "coming-back" : "alive";
 }
 
 static json_t *member(const struct lmn_core *c, int rank, struct timespec now)
 {
     const struct lmn_members *ms = &c->members;
-    const struct lmn_peer_view *m = &ms->v[rank];
-    const struct lmn_word *w = rank == ms->me ? &ms->word : &m->word;
-    struct lmn_evidence e;
+    const struct lmn_member_view *m = &ms->v[rank];
+    const struct lmn_member_health *w = rank == ms->me ? &ms->word : &m->word;
+    struct lmn_failure_evidence e;
     json_t *j = json_object();
 
-    lmn_member_evidence(ms, rank, now, &e);
+    lmn_member_failure_evidence(ms, rank, now, &e);
     json_object_set_new(j, "member", json_string(lmn_member_name(ms, rank)));
     json_object_set_new(j, "self", json_boolean(rank == ms->me));
     json_object_set_new(j, "standing", json_string(standing(ms, rank, now)));
@@ -45,9 +45,10 @@
         j, "mirror_s",
         json_real(rank == ms->me ? MIN(lmn_staleness(c, now), 1e6) : w->stale_s));
     json_object_set_new(j, "unheard_machines", json_real(w->deaf));
-    if (lmn_member_doubted(ms, rank)) {
+    if (lmn_member_is_suspected(ms, rank)) {
         json_object_set_new(j, "suspected_by", json_string(m->doubt_by));
-        json_object_set_new(j, "suspected_of", json_string(lmn_cause_name(m->doubt_why)));
+        json_object_set_new(j, "suspected_of",
+                            json_string(lmn_suspicion_cause_name(m->doubt_why)));
         json_object_set_new(j, "suspected_s",
                             json_real(lmn_time_diff_s(now, m->doubted)));
     }
@@ -56,7 +57,8 @@
     json_object_set_new(j, "against", json_integer(e.by));
     json_object_set_new(j, "workers_here", json_integer(e.visitors));
     json_object_set_new(j, "failures", json_integer(m->strikes));
-    json_object_set_new(j, "back_in_s", json_real(lmn_member_back_s(ms, rank, now)));
+    json_object_set_new(j, "back_in_s",
+                        json_real(lmn_member_readmission_delay_s(ms, rank, now)));
     return j;
 }
 
@@ -108,8 +110,8 @@
     for (int k = 0; k < c->members.n; k++)
         json_array_append_new(all, member(c, k, now));
     json_t *top = json_pack("{s:s, s:b, s:b, s:i, s:o}", "node", c->cfg->node, "awake",
-                            (int)lmn_self_awake(&c->members, now), "fit",
-                            (int)lmn_self_fit(&c->members, now), "health",
+                            (int)lmn_self_may_reply(&c->members, now), "fit",
+                            (int)lmn_self_may_claim(&c->members, now), "health",
                             (int)c->members.health, "members", all);
     pthread_mutex_unlock(&c->lock);
     char *text;
@@ -136,12 +138,12 @@
                     "1: up, not suspected, and fit by its own word");
     for (int i = 0; i < ms->n; i++)
         lmn_metric_sample(out, "lemonspar_member_trusted", "member",
-                          lmn_member_name(ms, i), lmn_member_trusted(ms, i, now));
+                          lmn_member_name(ms, i), lmn_member_is_trusted(ms, i, now));
     lmn_metric_head(out, "lemonspar_member_suspected", "gauge",
                     "1: a suspicion of it stands");
     for (int i = 0; i < ms->n; i++)
         lmn_metric_sample(out, "lemonspar_member_suspected", "member",
-                          lmn_member_name(ms, i), lmn_member_doubted(ms, i));
+                          lmn_member_name(ms, i), lmn_member_is_suspected(ms, i));
     lmn_gauge(out, "lemonspar_member_health",
               "0: this node's clocks are well, to 8: late or not heard", ms->health);
     lmn_counter(out, "lemonspar_member_questions", "Questions to members", n->asked);
--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -20,7 +20,7 @@
         g_string_append_printf(s, " move=%s why=\"%s\"", name_or_none(c, successor),
                                owner < 0 ? "nobody owns it" : "its owner is judged");
     } else if (owner != holder) {
-        double s_left = lmn_member_back_s(ms, holder, now);
+        double s_left = lmn_member_readmission_delay_s(ms, holder, now);
         const char *why = !ms->v[holder].present           ? "its usual holder is gone"
                           : ms->v[holder].leaving          ? "its usual holder leaves"
                           : lmn_member_holds(c, owner) < 2 ? "its owner holds no other"
@@ -44,7 +44,7 @@
     lmn_successors(c, now, successor);
     for (int i = 0; i < c->nparts; i++) {
         const struct lmn_partition *p = &c->parts[i];
-        int owner = p->owner_rev ? lmn_member_rank(&c->members, p->owner) : -1;
+        int owner = p->owner_rev ? lmn_member_index(&c->members, p->owner) : -1;
         g_string_append_printf(
             s, "partition %d owner=%s holder=%s standby=%s machines=%u", i,
             name_or_none(c, owner), name_or_none(c, i % c->members.n),
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -15,7 +15,7 @@
     bool odd = stale >= LMN_STALE_S && c->members.n > 1, anybody = false;
 
     for (int i = 0; i < c->members.n && odd; i++) {
-        const struct lmn_peer_view *m = &c->members.v[i];
+        const struct lmn_member_view *m = &c->members.v[i];
         if (i == c->members.me || !m->word_at.tv_sec ||
             lmn_time_diff_s(now, m->word_at) > 2)
             continue;
@@ -39,22 +39,22 @@
 
 static lmn_rpc_health own_word(const struct lmn_core *c, struct timespec now)
 {
-    const struct lmn_word *w = &c->members.word;
+    const struct lmn_member_health *w = &c->members.word;
 
     return (lmn_rpc_health){w->behind_s, MIN(lmn_staleness(c, now), 1e6), w->deaf};
 }
 
-static struct lmn_word word_of(const lmn_rpc_health *x)
+static struct lmn_member_health word_of(const lmn_rpc_health *x)
 {
-    return (struct lmn_word){x->behind, x->stale, x->deaf};
+    return (struct lmn_member_health){x->behind, x->stale, x->deaf};
 }
 
 /* Names are the settings', which stand for ever. */
 static u_int tell(struct lmn_core *c, int to, int about, struct timespec now,
                   struct lmn_ask_room *room)
 {
-    struct lmn_statement s[LMN_STATEMENTS];
-    unsigned n = lmn_member_statements(&c->members, to, about, now, s);
+    struct lmn_gossip_statement s[LMN_MAX_GOSSIP_STATEMENTS];
+    unsigned n = lmn_member_gossip(&c->members, to, about, now, s);
 
     for (unsigned i = 0; i < n; i++)
         room->said[i] =
@@ -67,10 +67,10 @@
                     struct timespec now)
 {
     for (u_int i = 0; i < n; i++) {
-        struct lmn_statement s = {lmn_member_rank(&c->members, said[i].of),
-                                  said[i].incarnation, said[i].heard, said[i].unanswered,
-                                  said[i].visitors};
-        lmn_member_told(&c->members, by, &s, now);
+        struct lmn_gossip_statement s = {lmn_member_index(&c->members, said[i].of),
+                                         said[i].incarnation, said[i].heard,
+                                         said[i].unanswered, said[i].visitors};
+        lmn_member_record_gossip(&c->members, by, &s, now);
     }
 }
 
@@ -78,17 +78,17 @@
                     struct lmn_ask_room *room)
 {
     struct timespec now = lmn_now();
-    struct lmn_word w = word_of(&q->word);
+    struct lmn_member_health w = word_of(&q->word);
 
     pthread_mutex_lock(&c->lock);
-    int from = lmn_member_rank(&c->members, q->from);
-    int about = *q->about ? lmn_member_rank(&c->members, q->about) : -1;
+    int from = lmn_member_index(&c->members, q->from);
+    int about = *q->about ? lmn_member_index(&c->members, q->about) : -1;
     if (from >= 0 && from != c->members.me) {
-        lmn_member_heard(&c->members, from, &w, now, now);
+        lmn_member_record_contact(&c->members, from, &w, now, now);
         be_told(c, from, q->said.said_len, q->said.said_val, now);
     }
     if (about >= 0 && about != c->members.me) {
-        lmn_member_wonder(&c->members, about, now);
+        lmn_member_request_probe(&c->members, about, now);
         pthread_cond_signal(&c->asking);
     }
     a->word = own_word(c, now);
@@ -103,7 +103,7 @@
     CLIENT *client;
 };
 
-static bool call(struct lmn_core *c, struct asked *peer, const struct lmn_question *q,
+static bool call(struct lmn_core *c, struct asked *peer, const struct lmn_probe *q,
                  lmn_rpc_probe *x, lmn_rpc_probe_reply *a)
 {
     const char *name = lmn_member_name(&c->members, q->rank), *addr = NULL;
@@ -175,7 +175,7 @@
     peer->client = NULL;
 }
 
-static void ask_one(struct lmn_core *c, struct asked *peer, const struct lmn_question *q)
+static void ask_one(struct lmn_core *c, struct asked *peer, const struct lmn_probe *q)
 {
     struct lmn_members *ms = &c->members;
     struct lmn_ask_room room;
@@ -194,11 +194,11 @@
     pthread_mutex_lock(&c->lock);
     struct timespec now = lmn_now();
     if (answered) {
-        struct lmn_word w = word_of(&a.word);
-        lmn_member_answered(ms, q->rank, &w, sent, now);
+        struct lmn_member_health w = word_of(&a.word);
+        lmn_member_record_probe_reply(ms, q->rank, &w, sent, now);
         be_told(c, q->rank, a.said.said_len, a.said.said_val, now);
     } else {
-        lmn_member_unanswered(ms, q->rank, sent, now);
+        lmn_member_record_probe_timeout(ms, q->rank, sent, now);
         lmn_debug("member-unanswered member=%s after=%.2f times=%u",
                   lmn_member_name(ms, q->rank), lmn_time_diff_s(now, sent),
                   ms->v[q->rank].failures);
@@ -217,10 +217,10 @@
     struct asked peers[LMN_MAX_MEMBERS + 1] = {0};
 
     for (;;) {
-        struct lmn_question q;
+        struct lmn_probe q;
         double wait;
         pthread_mutex_lock(&c->lock);
-        while (!lmn_member_question(&c->members, c->rng, lmn_now(), &q, &wait)) {
+        while (!lmn_member_next_probe(&c->members, c->rng, lmn_now(), &q, &wait)) {
             look_around(c, lmn_now());
             lmn_cond_wait_for(&c->asking, &c->lock, wait);
         }
--- a/src/controller/probe_client.h
+++ b/src/controller/probe_client.h
@@ -8,7 +8,7 @@
 
 /* What a question or an answer carries, with room for its names. */
 struct lmn_ask_room {
-    lmn_rpc_gossip said[LMN_STATEMENTS];
+    lmn_rpc_gossip said[LMN_MAX_GOSSIP_STATEMENTS];
 };
 
 /* Takes in a question that another member has sent, and fills the answer, which points
--- a/src/membership/failure_detector.c
+++ b/src/membership/failure_detector.c
@@ -22,20 +22,21 @@
 static const double LATELY_S = 30;
 
 /* Enough of its workers for a side of their own: a twentieth of those recorded. */
-static unsigned enough(const struct lmn_peer_view *m)
+static unsigned enough(const struct lmn_member_view *m)
 {
-    return m->machines ? CLAMP(m->machines / 20, MIN(3, m->machines), LMN_VISITORS / 2)
-                       : LMN_VISITORS + 1;
+    return m->machines ? CLAMP(m->machines / 20, MIN(3, m->machines),
+                               LMN_MAX_REDIRECTED_WORKERS / 2)
+                       : LMN_MAX_REDIRECTED_WORKERS + 1;
 }
 
-static bool deaf(const struct lmn_evidence *e, const struct lmn_peer_view *m)
+static bool deaf(const struct lmn_failure_evidence *e, const struct lmn_member_view *m)
 {
     return e->deaf > DEAF && e->visitors >= enough(m);
 }
 
-static void hear_witness(const struct lmn_members *ms, const struct lmn_peer_view *m,
-                         const struct lmn_witness *w, struct timespec now,
-                         struct lmn_evidence *e)
+static void hear_witness(const struct lmn_members *ms, const struct lmn_member_view *m,
+                         const struct lmn_gossip_record *w, struct timespec now,
+                         struct lmn_failure_evidence *e)
 {
     double age = lmn_time_diff_s(now, w->at);
 
@@ -52,21 +53,21 @@
         return;
     }
     double phi =
-        lmn_accrual_phi(&m->answers, (w->s.unanswered_s + age) / (1 + ms->health));
+        lmn_phi_accrual_phi(&m->answers, (w->s.unanswered_s + age) / (1 + ms->health));
     e->others = MAX(e->others, phi);
     e->by += w->s.inc == m->inc && phi >= AGAINST_PHI;
 }
 
-void lmn_member_evidence(const struct lmn_members *ms, int rank, struct timespec now,
-                         struct lmn_evidence *e)
+void lmn_member_failure_evidence(const struct lmn_members *ms, int rank,
+                                 struct timespec now, struct lmn_failure_evidence *e)
 {
-    const struct lmn_peer_view *m = &ms->v[rank];
+    const struct lmn_member_view *m = &ms->v[rank];
 
     memset(e, 0, sizeof *e);
     if (m->unanswered.tv_sec && m->ever)
-        e->asked = lmn_accrual_phi(&m->answers, lmn_time_diff_s(now, m->unanswered) /
-                                                    (1 + ms->health));
-    e->visitors = lmn_member_visitors(ms, rank, now);
+        e->asked = lmn_phi_accrual_phi(&m->answers, lmn_time_diff_s(now, m->unanswered) /
+                                                        (1 + ms->health));
+    e->visitors = lmn_member_redirected_workers(ms, rank, now);
     for (int k = 0; k < ms->n; k++)
         if (k != rank && k != ms->me)
             hear_witness(ms, m, &m->witness[k], now, e);
@@ -81,27 +82,27 @@
     if (!asked && e->stale_s > BLIND_S && lmn_time_diff_s(now, m->inc_at) > BLIND_S &&
         lmn_time_diff_s(now, ms->steady) > e->stale_s + age &&
         lmn_time_diff_s(now, ms->fresh) < SEEING_S) {
-        e->cause = LMN_BLIND;
+        e->cause = LMN_CAUSE_STALE_CACHE;
         e->sides = 2; /* its own word, and our mirror */
     } else if (!asked && deaf(e, m)) {
-        e->cause = LMN_DEAF;
+        e->cause = LMN_CAUSE_NO_HEARTBEATS;
         e->sides = 2; /* its own word, and its workers */
     } else {
-        e->cause = LMN_SILENT;
+        e->cause = LMN_CAUSE_UNRESPONSIVE;
         e->sides = asked + (asked && e->by) + (asked && e->visitors >= enough(m));
     }
 }
 
-bool lmn_member_doubted(const struct lmn_members *ms, int rank)
+bool lmn_member_is_suspected(const struct lmn_members *ms, int rank)
 {
-    const struct lmn_peer_view *m = &ms->v[rank];
+    const struct lmn_member_view *m = &ms->v[rank];
 
     return m->present && m->doubt_inc == m->inc;
 }
 
 /* After a refutation the next suspicion waits, longer each time; it is forgotten as
  * failures are. */
-static bool refuted_lately(const struct lmn_members *ms, const struct lmn_peer_view *m,
+static bool refuted_lately(const struct lmn_members *ms, const struct lmn_member_view *m,
                            struct timespec now)
 {
     double since = lmn_time_diff_s(now, m->refuted);
@@ -119,16 +120,17 @@
     return false;
 }
 
-bool lmn_member_suspect(const struct lmn_members *ms, int rank, struct timespec now,
-                        struct lmn_evidence *e)
+bool lmn_member_should_suspect(const struct lmn_members *ms, int rank,
+                               struct timespec now, struct lmn_failure_evidence *e)
 {
-    const struct lmn_peer_view *m = &ms->v[rank];
+    const struct lmn_member_view *m = &ms->v[rank];
 
-    lmn_member_evidence(ms, rank, now, e);
-    if (rank == ms->me || !m->present || lmn_member_doubted(ms, rank) ||
-        !lmn_self_fit(ms, now) || (refuted_lately(ms, m, now) && e->visitors < enough(m)))
+    lmn_member_failure_evidence(ms, rank, now, e);
+    if (rank == ms->me || !m->present || lmn_member_is_suspected(ms, rank) ||
+        !lmn_self_may_claim(ms, now) ||
+        (refuted_lately(ms, m, now) && e->visitors < enough(m)))
         return false;
-    if (e->cause != LMN_SILENT)
+    if (e->cause != LMN_CAUSE_UNRESPONSIVE)
         return e->sides >= 2;
     /* Another has had the time to say that it hears it, if there is one to ask. */
     return e->sides >= 1 &&
@@ -140,13 +142,13 @@
 /* So many verdicts at a time as leave a majority of those that were up: if most seem
  * dead, the fault is here. Workers at our door have come from the member: then it is not.
  */
-static bool in_bounds(const struct lmn_members *ms, const struct lmn_peer_view *m,
-                      const struct lmn_evidence *e, struct timespec now)
+static bool in_bounds(const struct lmn_members *ms, const struct lmn_member_view *m,
+                      const struct lmn_failure_evidence *e, struct timespec now)
 {
     int up = 1, gone = 0;
 
     for (int i = 0; i < ms->n; i++) {
-        const struct lmn_peer_view *o = &ms->v[i];
+        const struct lmn_member_view *o = &ms->v[i];
         if (i == ms->me || !o->ever ||
             (!o->present && lmn_time_diff_s(now, o->since) > LATELY_S))
             continue;
@@ -159,38 +161,41 @@
     return ms->n <= 2 || e->visitors >= enough(m) || 2 * (up - gone - 1) > up;
 }
 
-bool lmn_member_judged(const struct lmn_members *ms, int rank, struct timespec now)
+bool lmn_member_is_declared_failed(const struct lmn_members *ms, int rank,
+                                   struct timespec now)
 {
-    const struct lmn_peer_view *m = &ms->v[rank];
-    struct lmn_evidence e;
+    const struct lmn_member_view *m = &ms->v[rank];
+    struct lmn_failure_evidence e;
 
-    if (rank == ms->me || !lmn_member_doubted(ms, rank) || !lmn_self_fit(ms, now))
+    if (rank == ms->me || !lmn_member_is_suspected(ms, rank) ||
+        !lmn_self_may_claim(ms, now))
         return false;
-    lmn_member_evidence(ms, rank, now, &e);
+    lmn_member_failure_evidence(ms, rank, now, &e);
     double stands = ms->t.doubt_s * (1 + ms->health) * (ms->n <= 2 ? 2 : 1) +
                     MIN(2 * m->word.behind_s, ms->t.lease_s);
     return e.sides >= (ms->n <= 2 ? 1u : 2u) &&
            lmn_time_diff_s(ms->fresh, m->doubted) >= stands && in_bounds(ms, m, &e, now);
 }
 
-bool lmn_member_trusted(const struct lmn_members *ms, int rank, struct timespec now)
+bool lmn_member_is_trusted(const struct lmn_members *ms, int rank, struct timespec now)
 {
-    const struct lmn_peer_view *m = &ms->v[rank];
-    struct lmn_evidence e;
+    const struct lmn_member_view *m = &ms->v[rank];
+    struct lmn_failure_evidence e;
 
     if (m->leaving)
         return false;
     if (rank == ms->me)
-        return lmn_self_fit(ms, now) && !lmn_member_doubted(ms, rank);
-    if (!m->present || m->judged || lmn_member_doubted(ms, rank))
+        return lmn_self_may_claim(ms, now) && !lmn_member_is_suspected(ms, rank);
+    if (!m->present || m->judged || lmn_member_is_suspected(ms, rank))
         return false;
-    lmn_member_evidence(ms, rank, now, &e);
+    lmn_member_failure_evidence(ms, rank, now, &e);
     return e.asked < AGAINST_PHI && e.stale_s <= BLIND_S && e.deaf <= DEAF;
 }
 
-double lmn_member_back_s(const struct lmn_members *ms, int rank, struct timespec now)
+double lmn_member_readmission_delay_s(const struct lmn_members *ms, int rank,
+                                      struct timespec now)
 {
-    const struct lmn_peer_view *m = &ms->v[rank];
+    const struct lmn_member_view *m = &ms->v[rank];
     unsigned forgiven = m->struck.tv_sec
                             ? (unsigned)(lmn_time_diff_s(now, m->struck) / FORGIVE_S)
                             : m->strikes;
@@ -205,33 +210,33 @@
 
 /* --- this node --- */
 
-bool lmn_self_fit(const struct lmn_members *ms, struct timespec now)
+bool lmn_self_may_claim(const struct lmn_members *ms, struct timespec now)
 {
     return ms->synced.tv_sec && lmn_time_diff_s(now, ms->synced) >= SETTLE_S &&
-           lmn_self_awake(ms, now) && !ms->shut &&
+           lmn_self_may_reply(ms, now) && !ms->shut &&
            lmn_time_diff_s(now, ms->fresh) < BLIND_S;
 }
 
-bool lmn_self_refutes(const struct lmn_members *ms, struct timespec now)
+bool lmn_self_should_refute(const struct lmn_members *ms, struct timespec now)
 {
-    const struct lmn_peer_view *m = &ms->v[ms->me];
+    const struct lmn_member_view *m = &ms->v[ms->me];
 
-    return lmn_member_doubted(ms, ms->me) && lmn_self_awake(ms, now) &&
-           (m->doubt_why != LMN_DEAF || ms->word.deaf <= DEAF);
+    return lmn_member_is_suspected(ms, ms->me) && lmn_self_may_reply(ms, now) &&
+           (m->doubt_why != LMN_CAUSE_NO_HEARTBEATS || ms->word.deaf <= DEAF);
 }
 
-int lmn_self_successor(const struct lmn_members *ms, struct timespec now)
+int lmn_self_transfer_target(const struct lmn_members *ms, struct timespec now)
 {
-    const struct lmn_peer_view *m = &ms->v[ms->me];
+    const struct lmn_member_view *m = &ms->v[ms->me];
     unsigned most = 0;
     int successor = -1;
 
-    if (ms->word.deaf <= DEAF || !lmn_self_awake(ms, now))
+    if (ms->word.deaf <= DEAF || !lmn_self_may_reply(ms, now))
         return -1;
     for (int k = 0; k < ms->n; k++) {
-        const struct lmn_witness *w = &m->witness[k];
+        const struct lmn_gossip_record *w = &m->witness[k];
         if (k == ms->me || !w->at.tv_sec || lmn_time_diff_s(now, w->at) > TELLING_S ||
-            w->s.visitors < enough(m) || !lmn_member_trusted(ms, k, now))
+            w->s.visitors < enough(m) || !lmn_member_is_trusted(ms, k, now))
             continue;
         if (w->s.visitors > most) {
             most = w->s.visitors;
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -9,7 +9,7 @@
 enum { WORST = 8 };
 
 void lmn_membership_timeouts_init(const struct lmn_settings *cfg,
-                                  struct lmn_member_times *t)
+                                  struct lmn_membership_timeouts *t)
 {
     /* Short enough that a successor answers a crashed owner's workers within their lease,
      * long enough for the stalls of a small share of a core. */
@@ -21,11 +21,11 @@
     t->overdue_s = 1.25 * cfg->report_s + 0.5;
 }
 
-const char *lmn_cause_name(enum lmn_cause c)
+const char *lmn_suspicion_cause_name(enum lmn_suspicion_cause c)
 {
     static const char *const names[] = {"silent", "deaf", "blind"};
 
-    return c < LMN_CAUSES ? names[c] : "unknown";
+    return c < LMN_SUSPICION_CAUSES ? names[c] : "unknown";
 }
 
 void lmn_members_init(struct lmn_members *ms, const struct lmn_settings *cfg,
@@ -53,7 +53,7 @@
     return ms->names[rank];
 }
 
-int lmn_member_rank(const struct lmn_members *ms, const char *name)
+int lmn_member_index(const struct lmn_members *ms, const char *name)
 {
     for (int i = 0; i < ms->n; i++)
         if (!strcmp(ms->names[i], name))
@@ -81,7 +81,7 @@
     ms->tick = now;
 }
 
-void lmn_members_fresh(struct lmn_members *ms, struct timespec asked)
+void lmn_members_record_watch(struct lmn_members *ms, struct timespec asked)
 {
     if (!ms->synced.tv_sec)
         ms->synced = asked;
@@ -93,12 +93,12 @@
     ms->fresh = asked;
 }
 
-bool lmn_self_awake(const struct lmn_members *ms, struct timespec now)
+bool lmn_self_may_reply(const struct lmn_members *ms, struct timespec now)
 {
     return !jumped(ms, now) && !(ms->woke.tv_sec && lmn_time_before(ms->fresh, ms->woke));
 }
 
-void lmn_members_reached(struct lmn_members *ms, struct timespec now)
+void lmn_members_record_own_worker(struct lmn_members *ms, struct timespec now)
 {
     ms->heard_worker = now;
     ms->shut = false;
@@ -106,10 +106,10 @@
 
 /* --- as the mirror shows them --- */
 
-void lmn_member_record(struct lmn_members *ms, int rank, uint64_t rev, uint64_t lease,
-                       struct timespec now)
+void lmn_member_apply_record(struct lmn_members *ms, int rank, uint64_t rev,
+                             uint64_t lease, struct timespec now)
 {
-    struct lmn_peer_view *m = &ms->v[rank];
+    struct lmn_member_view *m = &ms->v[rank];
 
     if (m->present != (rev != 0))
         m->since = now;
@@ -133,10 +133,11 @@
     }
 }
 
-void lmn_member_doubt(struct lmn_members *ms, int rank, uint64_t rev, uint64_t inc,
-                      const char *by, enum lmn_cause why, struct timespec now)
+void lmn_member_apply_suspicion(struct lmn_members *ms, int rank, uint64_t rev,
+                                uint64_t inc, const char *by,
+                                enum lmn_suspicion_cause why, struct timespec now)
 {
-    struct lmn_peer_view *m = &ms->v[rank];
+    struct lmn_member_view *m = &ms->v[rank];
 
     m->doubt_rev = rev;
     if (!rev || inc != m->doubt_inc) {
@@ -153,13 +154,13 @@
     g_strlcpy(m->doubt_by, by, sizeof m->doubt_by);
 }
 
-void lmn_member_strike(struct lmn_members *ms, int rank, struct timespec now)
+void lmn_member_record_failure(struct lmn_members *ms, int rank, struct timespec now)
 {
-    struct lmn_peer_view *m = &ms->v[rank];
+    struct lmn_member_view *m = &ms->v[rank];
 
     /* One that gave them away itself is not judged, and has nothing to refute: found when
      * such a member never got its partition back. */
-    m->judged = m->judged || lmn_member_doubted(ms, rank);
+    m->judged = m->judged || lmn_member_is_suspected(ms, rank);
     /* All its partitions at once are one failure. */
     if (m->struck.tv_sec && lmn_time_diff_s(now, m->struck) < ms->t.lease_s)
         return;
@@ -169,10 +170,10 @@
 
 /* --- questions and answers --- */
 
-static void hear(struct lmn_members *ms, int rank, const struct lmn_word *w,
+static void hear(struct lmn_members *ms, int rank, const struct lmn_member_health *w,
                  struct timespec lived, struct timespec now)
 {
-    struct lmn_peer_view *m = &ms->v[rank];
+    struct lmn_member_view *m = &ms->v[rank];
 
     m->ever = true;
     if (lmn_time_before(m->heard, lived))
@@ -187,26 +188,28 @@
     m->word_at = now;
 }
 
-void lmn_member_heard(struct lmn_members *ms, int rank, const struct lmn_word *w,
-                      struct timespec sent, struct timespec now)
+void lmn_member_record_contact(struct lmn_members *ms, int rank,
+                               const struct lmn_member_health *w, struct timespec sent,
+                               struct timespec now)
 {
     hear(ms, rank, w, sent, now);
 }
 
-void lmn_member_answered(struct lmn_members *ms, int rank, const struct lmn_word *w,
-                         struct timespec sent, struct timespec now)
+void lmn_member_record_probe_reply(struct lmn_members *ms, int rank,
+                                   const struct lmn_member_health *w,
+                                   struct timespec sent, struct timespec now)
 {
-    lmn_accrual_add(&ms->v[rank].answers, lmn_time_diff_s(now, sent));
+    lmn_phi_accrual_add(&ms->v[rank].answers, lmn_time_diff_s(now, sent));
     hear(ms, rank, w, sent, now);
     ms->v[rank].soon = false;
     if (ms->health)
         ms->health--;
 }
 
-void lmn_member_unanswered(struct lmn_members *ms, int rank, struct timespec sent,
-                           struct timespec now)
+void lmn_member_record_probe_timeout(struct lmn_members *ms, int rank,
+                                     struct timespec sent, struct timespec now)
 {
-    struct lmn_peer_view *m = &ms->v[rank];
+    struct lmn_member_view *m = &ms->v[rank];
 
     ms->count.unanswered++;
     if (lmn_time_before(sent, m->heard))
@@ -222,14 +225,14 @@
     m->next = lmn_time_add(now, ms->t.every_s * MIN(m->failures, 8u) / 2);
 }
 
-void lmn_member_told(struct lmn_members *ms, int by, const struct lmn_statement *s,
-                     struct timespec now)
+void lmn_member_record_gossip(struct lmn_members *ms, int by,
+                              const struct lmn_gossip_statement *s, struct timespec now)
 {
     if (s->of < 0 || s->of >= ms->n || by < 0 || by >= ms->n || s->of == by)
         return;
-    struct lmn_peer_view *m = &ms->v[s->of];
+    struct lmn_member_view *m = &ms->v[s->of];
 
-    m->witness[by] = (struct lmn_witness){now, *s};
+    m->witness[by] = (struct lmn_gossip_record){now, *s};
     if (s->of == ms->me)
         return;
     m->helped_at = now;
@@ -240,12 +243,12 @@
         ms->health = MIN(ms->health + 1, (unsigned)WORST);
     }
     if (s->unanswered_s > 0)
-        lmn_member_wonder(ms, s->of, now);
+        lmn_member_request_probe(ms, s->of, now);
 }
 
-void lmn_member_wonder(struct lmn_members *ms, int rank, struct timespec now)
+void lmn_member_request_probe(struct lmn_members *ms, int rank, struct timespec now)
 {
-    struct lmn_peer_view *m = &ms->v[rank];
+    struct lmn_member_view *m = &ms->v[rank];
 
     if (rank == ms->me || m->unanswered.tv_sec || m->soon ||
         (m->ever && lmn_time_diff_s(now, m->heard) < ms->t.every_s / 2))
@@ -254,13 +257,14 @@
     m->next = now;
 }
 
-void lmn_member_visited(struct lmn_members *ms, int rank, const char *worker,
-                        uint64_t session, uint64_t seq, struct timespec now)
+void lmn_member_record_redirected_worker(struct lmn_members *ms, int rank,
+                                         const char *worker, uint64_t session,
+                                         uint64_t seq, struct timespec now)
 {
-    struct lmn_peer_view *m = &ms->v[rank];
+    struct lmn_member_view *m = &ms->v[rank];
     guint who = g_str_hash(worker), at = 0;
 
-    for (guint i = 0; i < LMN_VISITORS; i++) {
+    for (guint i = 0; i < LMN_MAX_REDIRECTED_WORKERS; i++) {
         if (m->visitors[i].who == who && m->visitors[i].at.tv_sec) {
             /* A copy of a report that comes again, minutes later, is no witness. */
             if (session < m->visitors[i].session ||
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -16,7 +16,7 @@
 #include <stdint.h>
 
 /* What follows from the settings. */
-struct lmn_member_times {
+struct lmn_membership_timeouts {
     double lease_s;    /* of a member's lease in the state service: 0.4 of the workers',
                           2 to 8 */
     double every_s;    /* between questions: a sixteenth of it */
@@ -27,42 +27,42 @@
     double overdue_s;  /* a worker that is silent for so long was not heard */
 };
 void lmn_membership_timeouts_init(const struct lmn_settings *cfg,
-                                  struct lmn_member_times *t);
+                                  struct lmn_membership_timeouts *t);
 
 /* What a member is suspected of. */
-enum lmn_cause {
-    LMN_SILENT, /* it answers nobody */
-    LMN_DEAF,   /* it does not hear its workers, others do */
-    LMN_BLIND,  /* its mirror stands still, others' move */
-    LMN_CAUSES
+enum lmn_suspicion_cause {
+    LMN_CAUSE_UNRESPONSIVE,  /* it answers nobody */
+    LMN_CAUSE_NO_HEARTBEATS, /* it does not hear its workers, others do */
+    LMN_CAUSE_STALE_CACHE,   /* its mirror stands still, others' move */
+    LMN_SUSPICION_CAUSES
 };
-const char *lmn_cause_name(enum lmn_cause c);
+const char *lmn_suspicion_cause_name(enum lmn_suspicion_cause c);
 
 /* A member's word of itself. */
-struct lmn_word {
+struct lmn_member_health {
     double behind_s; /* how late it does what is due */
     double stale_s;  /* the age of its mirror */
     double deaf;     /* the part of its machines that it does not hear, 0 to 1 */
 };
 
 /* What one member says of another; ages as of its telling. */
-struct lmn_statement {
+struct lmn_gossip_statement {
     int of;
     uint64_t inc;        /* of the member as the teller's mirror shows it */
     double heard_s;      /* since the last sign of life; negative: never */
     double unanswered_s; /* since the first question that was not answered; 0: none */
     unsigned visitors;   /* its workers that came to the teller lately */
 };
-enum { LMN_STATEMENTS = 8 }; /* at most so many go along with a question */
+enum { LMN_MAX_GOSSIP_STATEMENTS = 8 }; /* at most so many go along with a question */
 
-struct lmn_witness {
+struct lmn_gossip_record {
     struct timespec at; /* when it was told; 0: never */
-    struct lmn_statement s;
+    struct lmn_gossip_statement s;
 };
 
-enum { LMN_VISITORS = 64 };
+enum { LMN_MAX_REDIRECTED_WORKERS = 64 };
 
-struct lmn_peer_view {
+struct lmn_member_view {
     /* as the mirror shows it */
     bool present;           /* it has a record, tied to its lease */
     bool leaving;           /* which says that it is about to end */
@@ -75,7 +75,7 @@
     /* a suspicion as recorded; it counts while it is about this incarnation */
     uint64_t doubt_inc, doubt_rev, doubt_seen;
     char doubt_by[LMN_NAME_SIZE];
-    enum lmn_cause doubt_why;
+    enum lmn_suspicion_cause doubt_why;
     uint32_t doubt_gen;
     struct timespec doubted; /* since when it has stood, the mirror fresh all the while */
     /* our own questions */
@@ -90,16 +90,17 @@
     unsigned helped;            /* how many others were asked about it in this turn */
     struct timespec help;       /* when the next of them may be asked */
     struct timespec helped_at;  /* when somebody last spoke of it */
-    struct lmn_accrual answers;
-    struct lmn_word word;
+    struct lmn_phi_accrual answers;
+    struct lmn_member_health word;
     struct timespec word_at;
-    struct lmn_witness witness[LMN_MAX_MEMBERS + 1]; /* what others say of it, by rank */
+    struct lmn_gossip_record
+        witness[LMN_MAX_MEMBERS + 1]; /* what others say of it, by rank */
     /* its workers that came here, having given it up: distinct names (hashed) */
     struct {
         guint who;
         uint64_t session, seq; /* of its latest report here */
         struct timespec at;
-    } visitors[LMN_VISITORS];
+    } visitors[LMN_MAX_REDIRECTED_WORKERS];
     guint machines; /* recorded of the partitions that it owns; the caller keeps it */
     /* coming back */
     unsigned strikes;
@@ -111,10 +112,10 @@
 
 struct lmn_members {
     const struct lmn_settings *cfg;
-    struct lmn_member_times t;
+    struct lmn_membership_timeouts t;
     int n, me;                              /* all members, and this one's rank */
     const char *names[LMN_MAX_MEMBERS + 1]; /* by rank, the settings' */
-    struct lmn_peer_view v[LMN_MAX_MEMBERS + 1];
+    struct lmn_member_view v[LMN_MAX_MEMBERS + 1];
     int order[LMN_MAX_MEMBERS + 1], at; /* of questions, shuffled each round */
     int turn, told;                     /* where the next look over members begins */
     struct timespec next, beyond;       /* the next question of the round is due, and
@@ -122,7 +123,7 @@
     /* of this node */
     struct timespec tick, woke, synced, fresh;
     struct timespec steady; /* since when the mirror has been fresh without a gap */
-    struct lmn_word word;
+    struct lmn_member_health word;
     double late_s;   /* of the ticks, smoothed */
     unsigned health; /* 0: well, to 8: its own clocks are not to be trusted */
     bool shut;       /* it hears no workers: it owns nothing until one reaches it */
@@ -136,63 +137,68 @@
                       struct timespec now);
 const char *lmn_member_name(const struct lmn_members *ms, int rank);
 /* -1: no member of that name. */
-int lmn_member_rank(const struct lmn_members *ms, const char *name);
+int lmn_member_index(const struct lmn_members *ms, const char *name);
 
 /* --- what is observed --- */
 
 /* This node does its rounds; late_s: how late it is. Notices a stand-still. */
 void lmn_members_tick(struct lmn_members *ms, double late_s, struct timespec now);
 /* The mirror was asked at this time, and answered. The asking is what it proves. */
-void lmn_members_fresh(struct lmn_members *ms, struct timespec asked);
+void lmn_members_record_watch(struct lmn_members *ms, struct timespec asked);
 /* The record n/NODE; rev 0: it is gone. lease: the one that it hangs on. */
-void lmn_member_record(struct lmn_members *ms, int rank, uint64_t rev, uint64_t lease,
-                       struct timespec now);
+void lmn_member_apply_record(struct lmn_members *ms, int rank, uint64_t rev,
+                             uint64_t lease, struct timespec now);
 /* The record u/NODE; rev 0: it is gone. */
-void lmn_member_doubt(struct lmn_members *ms, int rank, uint64_t rev, uint64_t inc,
-                      const char *by, enum lmn_cause why, struct timespec now);
+void lmn_member_apply_suspicion(struct lmn_members *ms, int rank, uint64_t rev,
+                                uint64_t inc, const char *by,
+                                enum lmn_suspicion_cause why, struct timespec now);
 /* Its partition was taken, or given away: it earns its work back later. Where a suspicion
  * stands, that was the verdict, and it is out until its record is written anew. */
-void lmn_member_strike(struct lmn_members *ms, int rank, struct timespec now);
+void lmn_member_record_failure(struct lmn_members *ms, int rank, struct timespec now);
 /* A question to it was sent, and answered; or it asked us: then sent is now. */
-void lmn_member_heard(struct lmn_members *ms, int rank, const struct lmn_word *w,
-                      struct timespec sent, struct timespec now);
-void lmn_member_answered(struct lmn_members *ms, int rank, const struct lmn_word *w,
-                         struct timespec sent, struct timespec now);
-void lmn_member_unanswered(struct lmn_members *ms, int rank, struct timespec sent,
-                           struct timespec now);
+void lmn_member_record_contact(struct lmn_members *ms, int rank,
+                               const struct lmn_member_health *w, struct timespec sent,
+                               struct timespec now);
+void lmn_member_record_probe_reply(struct lmn_members *ms, int rank,
+                                   const struct lmn_member_health *w,
+                                   struct timespec sent, struct timespec now);
+void lmn_member_record_probe_timeout(struct lmn_members *ms, int rank,
+                                     struct timespec sent, struct timespec now);
 /* What another says of a third. */
-void lmn_member_told(struct lmn_members *ms, int by, const struct lmn_statement *s,
-                     struct timespec now);
+void lmn_member_record_gossip(struct lmn_members *ms, int by,
+                              const struct lmn_gossip_statement *s, struct timespec now);
 /* Another asks about it: it is asked next, unless it was heard just now. */
-void lmn_member_wonder(struct lmn_members *ms, int rank, struct timespec now);
+void lmn_member_request_probe(struct lmn_members *ms, int rank, struct timespec now);
 /* A worker of a partition that the member owns has come here, having given it up; by its
  * report of that session and number. */
-void lmn_member_visited(struct lmn_members *ms, int rank, const char *worker,
-                        uint64_t session, uint64_t seq, struct timespec now);
+void lmn_member_record_redirected_worker(struct lmn_members *ms, int rank,
+                                         const char *worker, uint64_t session,
+                                         uint64_t seq, struct timespec now);
 /* A worker of our own has reached us. */
-void lmn_members_reached(struct lmn_members *ms, struct timespec now);
+void lmn_members_record_own_worker(struct lmn_members *ms, struct timespec now);
 
 /* --- questions --- */
 
-struct lmn_question {
+struct lmn_probe {
     int rank;
     int about; /* -1: nobody in particular */
     double patience_s;
 };
 /* The question that is due; false if none is, then *wait is for how long. */
-bool lmn_member_question(struct lmn_members *ms, GRand *rng, struct timespec now,
-                         struct lmn_question *q, double *wait);
+bool lmn_member_next_probe(struct lmn_members *ms, GRand *rng, struct timespec now,
+                           struct lmn_probe *q, double *wait);
 /* What to tell along with a question to, or an answer for, a member: about it itself,
  * about a third (-1: none), and what is suspicious. Returns their number. */
-unsigned lmn_member_statements(struct lmn_members *ms, int to, int about,
-                               struct timespec now, struct lmn_statement *out);
+unsigned lmn_member_gossip(struct lmn_members *ms, int to, int about, struct timespec now,
+                           struct lmn_gossip_statement *out);
 /* How many of its workers have come here lately. */
-unsigned lmn_member_visitors(const struct lmn_members *ms, int rank, struct timespec now);
+unsigned lmn_member_redirected_workers(const struct lmn_members *ms, int rank,
+                                       struct timespec now);
 
 /* --- what follows --- */
 
 /* What speaks against a member. */
-struct lmn_evidence {
+struct lmn_failure_evidence {
     double asked;         /* phi of our questions */
     double others;        /* the surest of the others' questions, phi */
     unsigned by;          /* how many others' questions speak against it */
@@ -200,31 +206,33 @@
     double stale_s, deaf; /* its own word, if fresh; else 0 */
     bool alive;           /* somebody has heard it since our first unanswered question */
     unsigned sides;       /* independent sides against it, for the cause: */
-    enum lmn_cause cause;
+    enum lmn_suspicion_cause cause;
 };
-void lmn_member_evidence(const struct lmn_members *ms, int rank, struct timespec now,
-                         struct lmn_evidence *e);
+void lmn_member_failure_evidence(const struct lmn_members *ms, int rank,
+                                 struct timespec now, struct lmn_failure_evidence *e);
 
 /* Suspicion: a record u/NODE should be written (it has none of this incarnation). */
-bool lmn_member_suspect(const struct lmn_members *ms, int rank, struct timespec now,
-                        struct lmn_evidence *e);
+bool lmn_member_should_suspect(const struct lmn_members *ms, int rank,
+                               struct timespec now, struct lmn_failure_evidence *e);
 /* A suspicion of its incarnation stands. */
-bool lmn_member_doubted(const struct lmn_members *ms, int rank);
+bool lmn_member_is_suspected(const struct lmn_members *ms, int rank);
 /* It may be judged now: its partitions claimed on condition of its incarnation. */
-bool lmn_member_judged(const struct lmn_members *ms, int rank, struct timespec now);
+bool lmn_member_is_declared_failed(const struct lmn_members *ms, int rank,
+                                   struct timespec now);
 /* Up and staying, not suspected, and fit by its own word. */
-bool lmn_member_trusted(const struct lmn_members *ms, int rank, struct timespec now);
+bool lmn_member_is_trusted(const struct lmn_members *ms, int rank, struct timespec now);
 /* Seconds until its work may be given back to it; 0: now. */
-double lmn_member_back_s(const struct lmn_members *ms, int rank, struct timespec now);
+double lmn_member_readmission_delay_s(const struct lmn_members *ms, int rank,
+                                      struct timespec now);
 
 /* This node is suspected, untruly as far as it knows: it should write its record anew. */
-bool lmn_self_refutes(const struct lmn_members *ms, struct timespec now);
+bool lmn_self_should_refute(const struct lmn_members *ms, struct timespec now);
 /* It may answer workers: it has not stood still since the mirror was last asked. */
-bool lmn_self_awake(const struct lmn_members *ms, struct timespec now);
+bool lmn_self_may_reply(const struct lmn_members *ms, struct timespec now);
 /* It may claim, and judge others. */
-bool lmn_self_fit(const struct lmn_members *ms, struct timespec now);
+bool lmn_self_may_claim(const struct lmn_members *ms, struct timespec now);
 /* It hears less than half of its machines, which come to others: the rank of the member
  * to give its partitions to, -1: none. */
-int lmn_self_successor(const struct lmn_members *ms, struct timespec now);
+int lmn_self_transfer_target(const struct lmn_members *ms, struct timespec now);
 
 #endif
--- a/src/membership/phi_accrual.c
+++ b/src/membership/phi_accrual.c
@@ -6,7 +6,7 @@
 static const double LEAST_DEVIATION_S = 0.05, MOST_PHI = 16;
 static const unsigned MEMORY = 50;
 
-void lmn_accrual_add(struct lmn_accrual *a, double s)
+void lmn_phi_accrual_add(struct lmn_phi_accrual *a, double s)
 {
     if (a->n < MEMORY)
         a->n++;
@@ -16,19 +16,19 @@
     a->var = (1 - w) * (a->var + w * d * d);
 }
 
-static double deviation(const struct lmn_accrual *a)
+static double deviation(const struct lmn_phi_accrual *a)
 {
     return fmax(sqrt(a->var), LEAST_DEVIATION_S);
 }
 
-double lmn_accrual_phi(const struct lmn_accrual *a, double s)
+double lmn_phi_accrual_phi(const struct lmn_phi_accrual *a, double s)
 {
     double q = gsl_cdf_gaussian_Q(s - a->mean, deviation(a));
 
     return q > 0 ? fmin(-log10(q), MOST_PHI) : MOST_PHI;
 }
 
-double lmn_accrual_wait(const struct lmn_accrual *a, double phi)
+double lmn_phi_accrual_timeout_s(const struct lmn_phi_accrual *a, double phi)
 {
     return fmax(a->mean + gsl_cdf_gaussian_Qinv(pow(10, -phi), deviation(a)), 0);
 }
--- a/src/membership/phi_accrual.h
+++ b/src/membership/phi_accrual.h
@@ -7,17 +7,17 @@
 #ifndef LMN_MEMBERSHIP_PHI_ACCRUAL_H
 #define LMN_MEMBERSHIP_PHI_ACCRUAL_H
 
-struct lmn_accrual {
+struct lmn_phi_accrual {
     double mean, var;
     unsigned n;
 };
 
 /* An answer came after s. */
-void lmn_accrual_add(struct lmn_accrual *a, double s);
+void lmn_phi_accrual_add(struct lmn_phi_accrual *a, double s);
 /* How sure one may be that no answer is coming, after s without one: 0 to 16. Before the
  * first answer, and for tiny variances, a deviation of 50 ms is assumed. */
-double lmn_accrual_phi(const struct lmn_accrual *a, double s);
+double lmn_phi_accrual_phi(const struct lmn_phi_accrual *a, double s);
 /* The wait at which phi is reached. */
-double lmn_accrual_wait(const struct lmn_accrual *a, double phi);
+double lmn_phi_accrual_timeout_s(const struct lmn_phi_accrual *a, double phi);
 
 #endif
--- a/src/membership/probe_schedule.c
+++ b/src/membership/probe_schedule.c
@@ -11,14 +11,14 @@
 /* An answer is given up when it is this unlikely to come. */
 static const double GIVE_UP_PHI = 8;
 
-static double patience(const struct lmn_members *ms, const struct lmn_peer_view *m)
+static double patience(const struct lmn_members *ms, const struct lmn_member_view *m)
 {
-    double s = lmn_accrual_wait(&m->answers, GIVE_UP_PHI);
+    double s = lmn_phi_accrual_timeout_s(&m->answers, GIVE_UP_PHI);
 
     return CLAMP(s * (1 + ms->health), ms->t.patience_s, 2 * ms->t.patience_s);
 }
 
-static bool ask(struct lmn_members *ms, int rank, int about, struct lmn_question *q)
+static bool ask(struct lmn_members *ms, int rank, int about, struct lmn_probe *q)
 {
     q->rank = rank;
     q->about = about;
@@ -30,7 +30,7 @@
 /* One that has not answered, and is not dealt with yet; its turn of helpers is open. */
 static bool wants_help(const struct lmn_members *ms, int rank, struct timespec now)
 {
-    const struct lmn_peer_view *m = &ms->v[rank];
+    const struct lmn_member_view *m = &ms->v[rank];
 
     return rank != ms->me && m->present && m->unanswered.tv_sec && !m->judged &&
            !lmn_time_before(now, m->help);
@@ -42,7 +42,7 @@
 
     for (int k = 0; k < ms->n; k++) {
         int i = (from + k) % ms->n;
-        const struct lmn_peer_view *m = &ms->v[i];
+        const struct lmn_member_view *m = &ms->v[i];
         if (i != ms->me && i != about && m->present && !m->unanswered.tv_sec)
             return i;
     }
@@ -50,11 +50,11 @@
 }
 
 /* Those that have not answered are asked again, */
-static bool once_more(struct lmn_members *ms, struct timespec now, struct lmn_question *q)
+static bool once_more(struct lmn_members *ms, struct timespec now, struct lmn_probe *q)
 {
     for (int k = 0; k < ms->n; k++) {
         int i = (ms->turn + k) % ms->n;
-        struct lmn_peer_view *m = &ms->v[i];
+        struct lmn_member_view *m = &ms->v[i];
         if (i == ms->me || !m->soon || !m->present || lmn_time_before(now, m->next))
             continue;
         m->soon = false;
@@ -65,11 +65,11 @@
 
 /* and others are asked about them. */
 static bool elsewhere(struct lmn_members *ms, GRand *rng, struct timespec now,
-                      struct lmn_question *q)
+                      struct lmn_probe *q)
 {
     for (int k = 0; k < ms->n; k++) {
         int i = (ms->turn + k) % ms->n;
-        struct lmn_peer_view *m = &ms->v[i];
+        struct lmn_member_view *m = &ms->v[i];
         if (!wants_help(ms, i, now))
             continue;
         int h = helper(ms, i, rng);
@@ -86,7 +86,7 @@
 /* In turns: when a third of the members died at once, those first in order were asked
  * about all the time, and nobody spoke of the last. */
 static bool beyond_the_round(struct lmn_members *ms, GRand *rng, struct timespec now,
-                             struct lmn_question *q)
+                             struct lmn_probe *q)
 {
     ms->turn = (ms->turn + 1) % ms->n;
     if (ms->turn % 2)
@@ -94,7 +94,7 @@
     return elsewhere(ms, rng, now, q) || once_more(ms, now, q);
 }
 
-static bool of_the_round(struct lmn_members *ms, GRand *rng, struct lmn_question *q)
+static bool of_the_round(struct lmn_members *ms, GRand *rng, struct lmn_probe *q)
 {
     for (int tries = 0; tries < 2 * ms->n; tries++) {
         if (ms->at >= ms->n) {
@@ -113,8 +113,8 @@
     return false;
 }
 
-bool lmn_member_question(struct lmn_members *ms, GRand *rng, struct timespec now,
-                         struct lmn_question *q, double *wait)
+bool lmn_member_next_probe(struct lmn_members *ms, GRand *rng, struct timespec now,
+                           struct lmn_probe *q, double *wait)
 {
     if (!lmn_time_before(now, ms->beyond)) {
         /* Four to an interval at most, whatever is the matter. */
@@ -132,34 +132,35 @@
     return false;
 }
 
-unsigned lmn_member_visitors(const struct lmn_members *ms, int rank, struct timespec now)
+unsigned lmn_member_redirected_workers(const struct lmn_members *ms, int rank,
+                                       struct timespec now)
 {
-    const struct lmn_peer_view *m = &ms->v[rank];
+    const struct lmn_member_view *m = &ms->v[rank];
     unsigned n = 0;
 
     /* A worker comes back at its next report at the latest. */
-    for (guint i = 0; i < LMN_VISITORS; i++)
+    for (guint i = 0; i < LMN_MAX_REDIRECTED_WORKERS; i++)
         n += m->visitors[i].at.tv_sec &&
              lmn_time_diff_s(now, m->visitors[i].at) < ms->t.overdue_s + 5;
     return n;
 }
 
 static void state_of(const struct lmn_members *ms, int of, struct timespec now,
-                     struct lmn_statement *s)
+                     struct lmn_gossip_statement *s)
 {
-    const struct lmn_peer_view *m = &ms->v[of];
+    const struct lmn_member_view *m = &ms->v[of];
 
-    *s = (struct lmn_statement){
+    *s = (struct lmn_gossip_statement){
         .of = of,
         .inc = m->inc,
         .heard_s = m->ever ? lmn_time_diff_s(now, m->heard) : -1,
         .unanswered_s = m->unanswered.tv_sec ? lmn_time_diff_s(now, m->unanswered) : 0,
-        .visitors = lmn_member_visitors(ms, of, now),
+        .visitors = lmn_member_redirected_workers(ms, of, now),
     };
 }
 
-unsigned lmn_member_statements(struct lmn_members *ms, int to, int about,
-                               struct timespec now, struct lmn_statement *out)
+unsigned lmn_member_gossip(struct lmn_members *ms, int to, int about, struct timespec now,
+                           struct lmn_gossip_statement *out)
 {
     unsigned n = 0;
 
@@ -168,13 +169,14 @@
     if (about >= 0 && about != ms->me && about != to)
         state_of(ms, about, now, &out[n++]);
     ms->told = (ms->told + 1) % ms->n;
-    for (int k = 0; k < ms->n && n < LMN_STATEMENTS; k++) {
+    for (int k = 0; k < ms->n && n < LMN_MAX_GOSSIP_STATEMENTS; k++) {
         int i = (ms->told + k) % ms->n;
-        const struct lmn_peer_view *m = &ms->v[i];
+        const struct lmn_member_view *m = &ms->v[i];
         if (i == to || i == about || i == ms->me || !m->present)
             continue;
         state_of(ms, i, now, &out[n]);
-        n += out[n].unanswered_s > 0 || out[n].visitors > 0 || lmn_member_doubted(ms, i);
+        n += out[n].unanswered_s > 0 || out[n].visitors > 0 ||
+             lmn_member_is_suspected(ms, i);
     }
     return n;
 }
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -171,9 +171,9 @@
 static int redirect(const struct lmn_core *c, const struct lmn_partition *p,
                     GByteArray *out, struct timespec now)
 {
-    int owner = *p->owner ? lmn_member_rank(&c->members, p->owner) : -1;
+    int owner = *p->owner ? lmn_member_index(&c->members, p->owner) : -1;
 
-    if (owner >= 0 && lmn_member_doubted(&c->members, owner))
+    if (owner >= 0 && lmn_member_is_suspected(&c->members, owner))
         owner = lmn_partition_next(c, p, now);
     return redirect_to(c, owner, out);
 }
@@ -198,10 +198,11 @@
 static void note_visitor(struct lmn_core *c, const struct lmn_partition *p,
                          const struct lmn_report *r, struct timespec now)
 {
-    int owner = *p->owner ? lmn_member_rank(&c->members, p->owner) : -1;
+    int owner = *p->owner ? lmn_member_index(&c->members, p->owner) : -1;
 
     if (owner >= 0 && owner != c->members.me && r->token && r->token == p->owner_term)
-        lmn_member_visited(&c->members, owner, r->name, r->session, r->seq, now);
+        lmn_member_record_redirected_worker(&c->members, owner, r->name, r->session,
+                                            r->seq, now);
 }
 
 static int handle(struct lmn_core *c, const struct lmn_report *r,
@@ -213,7 +214,7 @@
     c->count.reports++;
     /* Whoever has stood still may have been replaced meanwhile: an answer would hold the
      * worker here while its lease runs out. */
-    if (!lmn_self_awake(&c->members, now))
+    if (!lmn_self_may_reply(&c->members, now))
         return 503;
     /* A node that may have missed a cancellation must let its workers' leases run out in
      * time: the last answer, a lease, and all of it within cancel_s. */
@@ -246,7 +247,7 @@
      * overtaken: it may have been for minutes. One that nothing is known of may be one.
      */
     if (m->heard && !overtaken)
-        lmn_members_reached(&c->members, now);
+        lmn_members_record_own_worker(&c->members, now);
     if (sent_on(c, m, now))
         return redirect_to(c, lmn_partition_next(c, p, now), out);
     if (!m->block) {
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -307,7 +307,7 @@
         c->members.v[i].machines = 0;
     for (int i = 0; i < c->nparts; i++) {
         const struct lmn_partition *p = &c->parts[i];
-        int owner = *p->owner ? lmn_member_rank(&c->members, p->owner) : -1;
+        int owner = *p->owner ? lmn_member_index(&c->members, p->owner) : -1;
         if (owner >= 0)
             c->members.v[owner].machines += p->list->len;
     }
@@ -330,7 +330,7 @@
         lmn_time_diff_s(now, c->kept_up) < MIN(machines * EACH_S, LONGEST_S))
         return;
     c->kept_up = now;
-    if (lmn_too_stale(c, now) || !lmn_self_awake(&c->members, now))
+    if (lmn_too_stale(c, now) || !lmn_self_may_reply(&c->members, now))
         c->refused_until = now;
     note_deaf(c, now);
     note_machines(c);
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -101,7 +101,7 @@
 
 bool lmn_holder_known(const struct lmn_core *c, uint64_t lease)
 {
-    const struct lmn_peer_view *me = &c->members.v[c->members.me];
+    const struct lmn_member_view *me = &c->members.v[c->members.me];
 
     return c->synced && me->present && me->lease == lease && me->leaving == c->leaving;
 }
@@ -132,17 +132,17 @@
 struct lmn_txn *lmn_holder_refutation(const struct lmn_core *c, uint64_t lease,
                                       struct timespec now)
 {
-    return lmn_self_refutes(&c->members, now) ? record(c, lease) : NULL;
+    return lmn_self_should_refute(&c->members, now) ? record(c, lease) : NULL;
 }
 
 struct lmn_txn *lmn_holder_suspicion(struct lmn_core *c, int rank, uint64_t lease,
                                      struct timespec now)
 {
     struct lmn_members *ms = &c->members;
-    const struct lmn_peer_view *m = &ms->v[rank];
-    struct lmn_evidence e;
+    const struct lmn_member_view *m = &ms->v[rank];
+    struct lmn_failure_evidence e;
 
-    if (!lmn_member_suspect(ms, rank, now, &e))
+    if (!lmn_member_should_suspect(ms, rank, now, &e))
         return NULL;
     struct lmn_txn *t = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
     char *key = g_strdup_printf("u/%s", lmn_member_name(ms, rank));
@@ -157,8 +157,8 @@
     ms->count.suspicions++;
     lmn_info("member-suspect member=%s incarnation=%" G_GUINT64_FORMAT
              " why=%s asked=%.1f others=%.1f by=%u workers=%u stale=%.1f deaf=%.2f",
-             lmn_member_name(ms, rank), m->inc, lmn_cause_name(e.cause), e.asked,
-             e.others, e.by, e.visitors, e.stale_s, e.deaf);
+             lmn_member_name(ms, rank), m->inc, lmn_suspicion_cause_name(e.cause),
+             e.asked, e.others, e.by, e.visitors, e.stale_s, e.deaf);
     return t;
 }
 
@@ -170,11 +170,11 @@
 {
     const struct lmn_partition *p = &c->parts[id];
     struct lmn_members *ms = &c->members;
-    struct lmn_evidence e;
+    struct lmn_failure_evidence e;
 
     if (!c->synced || p->mine || !lmn_partition_wanted(c, p, now))
         return NULL;
-    if (p->owner_rev && lmn_member_rank(ms, p->owner) == ms->me &&
+    if (p->owner_rev && lmn_member_index(ms, p->owner) == ms->me &&
         !lmn_copy_own_is_last(p)) {
         /* Our last life held it. Who was in step with that one knows more than we do. */
         int named = lmn_standby_named(c, p, now);
@@ -186,15 +186,15 @@
         if (named >= 0 && named != ms->me && lmn_time_diff_s(now, c->synced_at) < HEAR_S)
             return NULL;
     }
-    int judged = p->owner_rev ? lmn_member_rank(ms, p->owner) : -1;
+    int judged = p->owner_rev ? lmn_member_index(ms, p->owner) : -1;
     if (judged >= 0 && judged != ms->me) {
-        lmn_member_evidence(ms, judged, now, &e);
+        lmn_member_failure_evidence(ms, judged, now, &e);
         ms->count.verdicts++;
         lmn_info("member-verdict member=%s incarnation=%" G_GUINT64_FORMAT
                  " partition=%d why=%s sides=%u asked=%.1f others=%.1f by=%u "
                  "workers=%u suspected=%.2f",
-                 p->owner, ms->v[judged].inc, id, lmn_cause_name(e.cause), e.sides,
-                 e.asked, e.others, e.by, e.visitors,
+                 p->owner, ms->v[judged].inc, id, lmn_suspicion_cause_name(e.cause),
+                 e.sides, e.asked, e.others, e.by, e.visitors,
                  lmn_time_diff_s(now, ms->v[judged].doubted));
     }
     return lmn_partition_claim(c, p, lease);
@@ -213,16 +213,17 @@
         return -1;
     if (c->leaving)
         return lmn_leave_successor(c, p, now);
-    int successor = lmn_self_successor(ms, now);
+    int successor = lmn_self_transfer_target(ms, now);
     if (successor >= 0)
         return successor;
     for (int i = 0; i < c->nparts; i++) {
         const struct lmn_partition *o = &c->parts[i];
         held += o->mine;
-        theirs += o->owner_rev && lmn_member_rank(ms, o->owner) == holder;
+        theirs += o->owner_rev && lmn_member_index(ms, o->owner) == holder;
     }
     if (!p->ready || held < 2 || theirs || holder == ms->me ||
-        !lmn_member_trusted(ms, holder, now) || lmn_member_back_s(ms, holder, now) > 0 ||
+        !lmn_member_is_trusted(ms, holder, now) ||
+        lmn_member_readmission_delay_s(ms, holder, now) > 0 ||
         lmn_time_diff_s(now, p->since) < 15.0)
         return -1;
     /* It is told everything first, so that nothing stands still; if that does not come
@@ -245,7 +246,7 @@
     *successor = p->releasing ? -1 : gives(c, p, now);
     if (*successor < 0)
         return NULL;
-    if (lmn_self_successor(ms, now) == *successor && !ms->shut) {
+    if (lmn_self_transfer_target(ms, now) == *successor && !ms->shut) {
         lmn_info("member-deaf deaf=%.2f successor=%s", ms->word.deaf,
                  lmn_member_name(ms, *successor));
         ms->shut = true;
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -211,7 +211,7 @@
         return named;
     for (int k = 0; k < c->members.n; k++) {
         int rank = (p->id + k) % c->members.n;
-        if (lmn_member_trusted(&c->members, rank, now))
+        if (lmn_member_is_trusted(&c->members, rank, now))
             return rank;
     }
     return -1;
@@ -228,13 +228,13 @@
                                struct timespec now)
 {
     const struct lmn_members *ms = &c->members;
-    int last = lmn_member_rank(ms, p->last_owner);
+    int last = lmn_member_index(ms, p->last_owner);
 
     if (last < 0 || last == ms->me || lmn_time_diff_s(now, p->vacant) >= TAKE_BACK_S)
         return false;
-    const struct lmn_peer_view *m = &ms->v[last];
+    const struct lmn_member_view *m = &ms->v[last];
     return m->ever && !m->unanswered.tv_sec && !m->judged && !m->leaving &&
-           !lmn_member_doubted(ms, last);
+           !lmn_member_is_suspected(ms, last);
 }
 
 /* A process that starts, or gets a new lease, takes only its own for so long. */
@@ -247,10 +247,10 @@
     struct timespec since = p->vacant;
     int successor[LMN_MAX_PARTITIONS], ahead = 1;
 
-    if (ms->shut || c->leaving || !lmn_self_awake(ms, now))
+    if (ms->shut || c->leaving || !lmn_self_may_reply(ms, now))
         return false; /* it could not serve it */
     if (p->owner_rev) {
-        int owner = lmn_member_rank(ms, p->owner);
+        int owner = lmn_member_index(ms, p->owner);
         /* Only one process runs for a member: what our last one held is ours. */
         if (owner == ms->me)
             return p->owner_lease != c->lease;
@@ -279,7 +279,7 @@
         int rank = (p->id + k) % ms->n;
         if (rank == ms->me)
             break;
-        ahead += rank != successor[p->id] && lmn_member_trusted(ms, rank, now);
+        ahead += rank != successor[p->id] && lmn_member_is_trusted(ms, rank, now);
     }
     return lmn_time_diff_s(now, since) >= 1.5 * ahead;
 }
@@ -322,7 +322,7 @@
 struct lmn_txn *lmn_partition_claim(const struct lmn_core *c,
                                     const struct lmn_partition *p, uint64_t lease)
 {
-    int owner = p->owner_rev ? lmn_member_rank(&c->members, p->owner) : -1;
+    int owner = p->owner_rev ? lmn_member_index(&c->members, p->owner) : -1;
     /* Conditional on the record only with its copy: without, that would be no help. */
     bool warm = p->copy && !p->copy->own && p->copy->stream == p->standby_stream;
     struct lmn_txn *t = transfer(p, c->cfg->node, lease, warm);
--- a/src/partition/transfer_target.c
+++ b/src/partition/transfer_target.c
@@ -10,10 +10,10 @@
 bool lmn_orphaned(const struct lmn_core *c, const struct lmn_partition *p,
                   struct timespec now)
 {
-    int owner = p->owner_rev ? lmn_member_rank(&c->members, p->owner) : -1;
+    int owner = p->owner_rev ? lmn_member_index(&c->members, p->owner) : -1;
 
     return !p->owner_rev || (owner >= 0 && owner != c->members.me &&
-                             lmn_member_judged(&c->members, owner, now));
+                             lmn_member_is_declared_failed(&c->members, owner, now));
 }
 
 struct fleet {
@@ -26,12 +26,12 @@
     const struct lmn_members *ms = &c->members;
 
     for (int k = 0; k < ms->n; k++) {
-        f->trusted[k] = lmn_member_trusted(ms, k, now);
+        f->trusted[k] = lmn_member_is_trusted(ms, k, now);
         f->load[k] = 0;
     }
     for (int i = 0; i < c->nparts; i++) {
         const struct lmn_partition *p = &c->parts[i];
-        int owner = p->owner_rev ? lmn_member_rank(ms, p->owner) : -1;
+        int owner = p->owner_rev ? lmn_member_index(ms, p->owner) : -1;
         if (owner >= 0)
             f->load[owner] += weight(p);
     }
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -131,7 +131,7 @@
 
     if (!term) {
         if (status == 200)
-            lmn_members_reached(&c->members, now);
+            lmn_members_record_own_worker(&c->members, now);
         return;
     }
     if (!m || !p->mine || p->my_term != term || m->is_gone)
--- a/src/replication/replica_choice.c
+++ b/src/replication/replica_choice.c
@@ -41,7 +41,7 @@
 
 static bool able(const struct lmn_members *ms, int rank, struct timespec now)
 {
-    return lmn_member_trusted(ms, rank, now) &&
+    return lmn_member_is_trusted(ms, rank, now) &&
            ms->v[rank].word.behind_s < LMN_STANDBY_CALM_S;
 }
 
@@ -75,12 +75,12 @@
                       struct timespec now)
 {
     int rank = p->standby_stream && p->standby_term == p->term
-                   ? lmn_member_rank(&c->members, p->standby)
+                   ? lmn_member_index(&c->members, p->standby)
                    : -1;
 
     /* Another life of it has no copy. */
     if (rank < 0 || c->members.v[rank].lease != p->standby_lease ||
-        !lmn_member_trusted(&c->members, rank, now))
+        !lmn_member_is_trusted(&c->members, rank, now))
         return -1;
     return rank;
 }
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -172,10 +172,10 @@
 static bool fit(const struct lmn_core *c, const struct lmn_partition *p)
 {
     const struct lmn_stream *s = &p->stream;
-    const struct lmn_peer_view *m = &c->members.v[s->to];
+    const struct lmn_member_view *m = &c->members.v[s->to];
 
     return c->tuning.standby > 0 && m->present && m->lease == s->to_lease &&
-           !lmn_member_doubted(&c->members, s->to);
+           !lmn_member_is_suspected(&c->members, s->to);
 }
 
 /* Another follows, though the usual holder could, and is about to have its partition
@@ -188,8 +188,8 @@
     int holder = p->id % ms->n;
 
     return holder != ms->me && holder != p->stream.to &&
-           lmn_member_trusted(ms, holder, now) &&
-           lmn_member_back_s(ms, holder, now) < BEFORE_S;
+           lmn_member_is_trusted(ms, holder, now) &&
+           lmn_member_readmission_delay_s(ms, holder, now) < BEFORE_S;
 }
 
 static void strike(struct lmn_core *c, struct lmn_partition *p, const char *why)
--- a/src/simulation/controller_group.c
+++ b/src/simulation/controller_group.c
@@ -11,7 +11,7 @@
     uint64_t rev;
     int by;
     uint64_t inc;
-    enum lmn_cause why;
+    enum lmn_suspicion_cause why;
 };
 
 struct change {
@@ -26,7 +26,7 @@
     int of, by;
     bool doubt, verdict;
     uint64_t inc, doubt_rev;
-    enum lmn_cause why;
+    enum lmn_suspicion_cause why;
     double at;
 };
 
@@ -40,7 +40,7 @@
     guint seen;
     /* the question under way */
     bool asking;
-    struct lmn_question q;
+    struct lmn_probe q;
     double sent, answer, give_up; /* answer 0: none will come */
     double answered_late;
     bool wrote_doubt[LMN_MAX_MEMBERS + 1], refuting, judging[LMN_MAX_MEMBERS + 1];
@@ -158,10 +158,11 @@
             if (c->at > n->look_back)
                 break;
             if (c->doubt)
-                lmn_member_doubt(&n->ms, c->of, c->r.rev, c->r.inc,
-                                 g->nodes[c->r.by].cfg.node, c->r.why, stamp(g->now));
+                lmn_member_apply_suspicion(&n->ms, c->of, c->r.rev, c->r.inc,
+                                           g->nodes[c->r.by].cfg.node, c->r.why,
+                                           stamp(g->now));
             else
-                lmn_member_record(&n->ms, c->of, c->r.rev, 1, stamp(g->now));
+                lmn_member_apply_record(&n->ms, c->of, c->r.rev, 1, stamp(g->now));
             if (c->of == n->ms.me && !c->doubt)
                 n->refuting = false;
             if (c->doubt)
@@ -169,12 +170,12 @@
             else
                 n->judging[c->of] = n->wrote_doubt[c->of] = false;
         }
-        lmn_members_fresh(&n->ms, stamp(n->look_sent));
+        lmn_members_record_watch(&n->ms, stamp(n->look_sent));
     }
     /* The next look: as long as nothing changes, or until something does. */
     double wait = LOOK_S;
     for (int i = 0; i < n->ms.n; i++)
-        if (lmn_member_doubted(&n->ms, i))
+        if (lmn_member_is_suspected(&n->ms, i))
             wait = MIN(wait, 0.2);
     n->look_sent = g->now + PAUSE_S;
     n->look_back = n->look_sent + (n->seen < g->log->len ? 0 : wait) + of_state(g);
@@ -199,11 +200,11 @@
 
 static void tell(struct group *g, struct node *from, struct node *to, int about)
 {
-    struct lmn_statement s[LMN_STATEMENTS];
-    unsigned n = lmn_member_statements(&from->ms, to->ms.me, about, stamp(g->now), s);
+    struct lmn_gossip_statement s[LMN_MAX_GOSSIP_STATEMENTS];
+    unsigned n = lmn_member_gossip(&from->ms, to->ms.me, about, stamp(g->now), s);
 
     for (unsigned i = 0; i < n; i++)
-        lmn_member_told(&to->ms, from->ms.me, &s[i], stamp(g->now));
+        lmn_member_record_gossip(&to->ms, from->ms.me, &s[i], stamp(g->now));
 }
 
 static void ask(struct group *g, struct node *n)
@@ -213,17 +214,19 @@
     if (n->asking) {
         struct node *o = &g->nodes[n->q.rank];
         if (n->answer > 0 && g->now >= n->answer && n->answer <= n->give_up) {
-            struct lmn_word w = o->ms.word;
+            struct lmn_member_health w = o->ms.word;
             n->asking = false;
-            lmn_member_answered(&n->ms, n->q.rank, &w, stamp(n->sent), stamp(g->now));
+            lmn_member_record_probe_reply(&n->ms, n->q.rank, &w, stamp(n->sent),
+                                          stamp(g->now));
             tell(g, o, n, n->q.about);
         } else if (g->now >= n->give_up) {
             n->asking = false;
-            lmn_member_unanswered(&n->ms, n->q.rank, stamp(n->sent), stamp(g->now));
+            lmn_member_record_probe_timeout(&n->ms, n->q.rank, stamp(n->sent),
+                                            stamp(g->now));
         }
         return;
     }
-    if (!lmn_member_question(&n->ms, g->rng, stamp(g->now), &n->q, &wait))
+    if (!lmn_member_next_probe(&n->ms, g->rng, stamp(g->now), &n->q, &wait))
         return;
     g->r->questions++;
     struct node *o = &g->nodes[n->q.rank];
@@ -238,33 +241,33 @@
     double there = MAX(g->now + way(g), o->stalled) + uniform(g, g->o->late_s);
     n->answer = there + way(g);
     if (there <= n->give_up) {
-        struct lmn_word w = n->ms.word;
-        lmn_member_heard(&o->ms, n->ms.me, &w, stamp(g->now), stamp(g->now));
+        struct lmn_member_health w = n->ms.word;
+        lmn_member_record_contact(&o->ms, n->ms.me, &w, stamp(g->now), stamp(g->now));
         tell(g, n, o, n->q.about);
         if (n->q.about >= 0)
-            lmn_member_wonder(&o->ms, n->q.about, stamp(g->now));
+            lmn_member_request_probe(&o->ms, n->q.about, stamp(g->now));
     }
 }
 
 /* How a rule that knows no suspicion judges. */
 static bool plainly(const struct group *g, const struct node *n, int i)
 {
-    const struct lmn_peer_view *m = &n->ms.v[i];
+    const struct lmn_member_view *m = &n->ms.v[i];
 
     if (!m->ever || !m->unanswered.tv_sec)
         return false;
     double s = lmn_time_diff_s(stamp(g->now), m->unanswered);
     return g->o->rule == LMN_SIM_FIXED
                ? s >= g->o->threshold
-               : lmn_accrual_phi(&m->answers, s) >= g->o->threshold;
+               : lmn_phi_accrual_phi(&m->answers, s) >= g->o->threshold;
 }
 
 static void hold(struct group *g, struct node *n)
 {
     struct timespec now = stamp(g->now);
-    struct lmn_evidence e;
+    struct lmn_failure_evidence e;
 
-    if (!n->refuting && lmn_self_refutes(&n->ms, now)) {
+    if (!n->refuting && lmn_self_should_refute(&n->ms, now)) {
         n->refuting = true;
         send(g, (struct write){.of = n->ms.me, .by = n->ms.me});
     }
@@ -273,7 +276,7 @@
         if (i == n->ms.me || n->judging[i])
             continue;
         if (g->o->rule == LMN_SIM_TAKEN) {
-            if (!n->wrote_doubt[i] && lmn_member_suspect(&n->ms, i, now, &e)) {
+            if (!n->wrote_doubt[i] && lmn_member_should_suspect(&n->ms, i, now, &e)) {
                 n->wrote_doubt[i] = true;
                 send(g, (struct write){.of = i,
                                        .by = n->ms.me,
@@ -282,7 +285,7 @@
                                        .doubt_rev = n->ms.v[i].doubt_rev,
                                        .why = e.cause});
             }
-            if (!lmn_member_judged(&n->ms, i, now))
+            if (!lmn_member_is_declared_failed(&n->ms, i, now))
                 continue;
         } else if (!plainly(g, n, i)) {
             continue;
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -189,13 +189,13 @@
 static void note_loss(struct lmn_core *c, const struct lmn_partition *p, const char *to,
                       struct timespec now)
 {
-    int from = *p->owner ? lmn_member_rank(&c->members, p->owner) : -1;
+    int from = *p->owner ? lmn_member_index(&c->members, p->owner) : -1;
 
     /* Nor has one that gives its partitions away since it is asked to end. */
     if (from < 0 || !strcmp(p->owner, to) || c->members.v[from].leaving ||
-        (*to && lmn_member_rank(&c->members, to) == p->id % c->members.n))
+        (*to && lmn_member_index(&c->members, to) == p->id % c->members.n))
         return;
-    lmn_member_strike(&c->members, from, now);
+    lmn_member_record_failure(&c->members, from, now);
 }
 
 static void apply_owner(struct lmn_core *c, struct lmn_partition *p,
@@ -252,13 +252,13 @@
                        const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
                        uint64_t rev, struct timespec now)
 {
-    int rank = lmn_member_rank(&c->members, name);
+    int rank = lmn_member_index(&c->members, name);
     bool leaving = false;
     uint64_t lease = 0;
 
     if (rank < 0)
         return;
-    struct lmn_peer_view *m = &c->members.v[rank];
+    struct lmn_member_view *m = &c->members.v[rank];
     m->gen = c->gen;
     if (m->rev >= rev)
         return;
@@ -273,7 +273,7 @@
     if (leaving && !m->leaving)
         lmn_info("member-leaving member=%s incarnation=%" G_GUINT64_FORMAT, name, rev);
     m->leaving = leaving;
-    if (v && lmn_member_doubted(&c->members, rank))
+    if (v && lmn_member_is_suspected(&c->members, rank))
         lmn_info("member-refute member=%s incarnation=%" G_GUINT64_FORMAT
                  " was=%" G_GUINT64_FORMAT,
                  name, rev, m->inc);
@@ -284,7 +284,7 @@
         lmn_info("member-up member=%s incarnation=%" G_GUINT64_FORMAT, name, rev);
     else if (!v && m->present)
         lmn_info("member-gone member=%s incarnation=%" G_GUINT64_FORMAT, name, m->inc);
-    lmn_member_record(&c->members, rank, v ? rev : 0, lease, now);
+    lmn_member_apply_record(&c->members, rank, v ? rev : 0, lease, now);
     pthread_cond_broadcast(&c->changed);
 }
 
@@ -292,13 +292,13 @@
                         const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
                         uint64_t rev, struct timespec now)
 {
-    int rank = lmn_member_rank(&c->members, name);
+    int rank = lmn_member_index(&c->members, name);
     char by[LMN_NAME_SIZE] = "";
     uint64_t inc = 0, why = 0;
 
     if (rank < 0)
         return;
-    struct lmn_peer_view *m = &c->members.v[rank];
+    struct lmn_member_view *m = &c->members.v[rank];
     m->doubt_gen = c->gen;
     if (m->doubt_seen >= rev)
         return;
@@ -308,12 +308,13 @@
         lmn_cbor_get_uint(lmn_cbor_get(d, v, "why"), &why);
         lmn_cbor_get_text(lmn_cbor_get(d, v, "by"), by, sizeof by);
     }
-    lmn_member_doubt(&c->members, rank, v ? rev : 0, inc, by,
-                     (enum lmn_cause)MIN(why, LMN_CAUSES), now);
-    if (lmn_member_doubted(&c->members, rank))
+    lmn_member_apply_suspicion(&c->members, rank, v ? rev : 0, inc, by,
+                               (enum lmn_suspicion_cause)MIN(why, LMN_SUSPICION_CAUSES),
+                               now);
+    if (lmn_member_is_suspected(&c->members, rank))
         lmn_info("member-suspected member=%s incarnation=%" G_GUINT64_FORMAT
                  " by=%s why=%s",
-                 name, inc, by, lmn_cause_name(m->doubt_why));
+                 name, inc, by, lmn_suspicion_cause_name(m->doubt_why));
     pthread_cond_broadcast(&c->changed);
     pthread_cond_broadcast(&c->asking);
 }
@@ -394,11 +395,12 @@
         }
     }
     for (int i = 0; i < c->members.n; i++) {
-        struct lmn_peer_view *m = &c->members.v[i];
+        struct lmn_member_view *m = &c->members.v[i];
         if (m->gen != c->gen && m->present)
-            lmn_member_record(&c->members, i, 0, 0, now);
+            lmn_member_apply_record(&c->members, i, 0, 0, now);
         if (m->doubt_gen != c->gen && m->doubt_inc)
-            lmn_member_doubt(&c->members, i, 0, 0, "", LMN_SILENT, now);
+            lmn_member_apply_suspicion(&c->members, i, 0, 0, "", LMN_CAUSE_UNRESPONSIVE,
+                                       now);
     }
     pthread_cond_broadcast(&c->changed);
 }
@@ -567,7 +569,7 @@
      */
     pthread_mutex_lock(&c->lock);
     for (int i = 0; i < c->members.n; i++)
-        if (lmn_member_doubted(&c->members, i))
+        if (lmn_member_is_suspected(&c->members, i))
             wait_ms = MIN(wait_ms, 200);
     pthread_mutex_unlock(&c->lock);
     lmn_state_pace(c->state);
@@ -591,7 +593,7 @@
         *revision = upto;
     /* The answer may have been on its way for long: it proves only the time of asking. */
     c->fresh = sent;
-    lmn_members_fresh(&c->members, sent);
+    lmn_members_record_watch(&c->members, sent);
     if (!c->synced) {
         c->synced = true;
         c->synced_at = now;
--- a/tests/takeover/moves.c
+++ b/tests/takeover/moves.c
@@ -39,7 +39,7 @@
 {
     const struct lmn_members *members = &explored.nodes[B].core->members;
 
-    if (explored.jumps >= MOST_JUMPS || !lmn_member_doubted(members, A))
+    if (explored.jumps >= MOST_JUMPS || !lmn_member_is_suspected(members, A))
         return false;
     explored.jumps++;
     advance(members->t.doubt_s + 0.2);
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -74,7 +74,7 @@
         apply_event(c, &explored.events[node->seen++]);
     remove_takeover_guard(c);
     c->fresh = explored.now;
-    lmn_members_fresh(&c->members, explored.now);
+    lmn_members_record_watch(&c->members, explored.now);
     c->synced = true;
     lmn_mirror_settle(c, explored.now);
 }
@@ -250,13 +250,13 @@
 static void set_up_membership(int n)
 {
     struct lmn_members *members = &explored.nodes[n].core->members;
-    struct lmn_word well = {0, 0.5, 0};
+    struct lmn_member_health well = {0, 0.5, 0};
     struct timespec then = lmn_time_add(explored.now, -20);
 
     lmn_members_tick(members, 0, explored.now);
     for (int i = 0; i <= C; i++)
         if (i != n)
-            lmn_member_answered(members, i, &well, then, then);
+            lmn_member_record_probe_reply(members, i, &well, then, then);
 }
 
 void explored_begin(void)
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -10,10 +10,11 @@
 void speak_against_a(void)
 {
     struct lmn_members *members = &explored.nodes[B].core->members;
-    struct lmn_statement says = {A, members->v[A].inc, 20, 10, 0};
+    struct lmn_gossip_statement says = {A, members->v[A].inc, 20, 10, 0};
 
-    lmn_member_unanswered(members, A, lmn_time_add(explored.now, -10), explored.now);
-    lmn_member_told(members, C, &says, explored.now);
+    lmn_member_record_probe_timeout(members, A, lmn_time_add(explored.now, -10),
+                                    explored.now);
+    lmn_member_record_gossip(members, C, &says, explored.now);
 }
 
 /* Carries the transaction out and frees it; false if there is none. */
@@ -67,7 +68,7 @@
 {
     struct node *a = &explored.nodes[A];
     struct lmn_members *members = &a->core->members;
-    struct lmn_statement says = {A, members->v[A].inc, 0.1, 0, 40};
+    struct lmn_gossip_statement says = {A, members->v[A].inc, 0.1, 0, 40};
     int successor;
 
     if (a->stalled || a->ownership || !node_partition(A)->mine)
@@ -75,7 +76,7 @@
     /* It hears none of its machines, and B says that they come there. */
     members->v[A].machines = MACHINES;
     members->word.deaf = 1;
-    lmn_member_told(members, B, &says, explored.now);
+    lmn_member_record_gossip(members, B, &says, explored.now);
     a->ownership = lmn_holder_handover(a->core, 0, &successor, explored.now);
     a->handover = true;
     members->word.deaf = 0;
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -44,9 +44,10 @@
     g_string_append_printf(
         s, "|%d%d%d%d %d %d %d%d%d %d%d %d", node->stalled, node->ownership != NULL,
         p->mine, p->ready + 2 * p->open, (int)p->my_term,
-        (int)(explored.nevents - node->seen), lmn_member_doubted(members, A),
-        members->v[A].unanswered.tv_sec != 0, lmn_member_judged(members, A, explored.now),
-        p->releasing, lmn_self_awake(members, explored.now), (int)p->owner_term);
+        (int)(explored.nevents - node->seen), lmn_member_is_suspected(members, A),
+        members->v[A].unanswered.tv_sec != 0,
+        lmn_member_is_declared_failed(members, A, explored.now), p->releasing,
+        lmn_self_may_reply(members, explored.now), (int)p->owner_term);
 }
 
 static void add_tasks(GString *s, int n)
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -425,7 +425,7 @@
     p->my_term = 42;
     p->my_rev = 8;
     c->tuning.standby = 1;
-    lmn_member_record(&c->members, 1, 5, 300, now);
+    lmn_member_apply_record(&c->members, 1, 5, 300, now);
     p->stream.phase = phase;
     p->stream.to = 1;
     p->stream.to_lease = 300;
@@ -486,7 +486,7 @@
 static void record_of_a_suspicion_keeps_its_bytes(void **state)
 {
     struct lmn_core *c = make();
-    struct lmn_peer_view *m = &c->members.v[1];
+    struct lmn_member_view *m = &c->members.v[1];
     (void)state;
 
     apply(c, "n/nb", "controller_up", 5);
@@ -497,14 +497,14 @@
     for (double s = -5; s <= 0; s += 0.1)
         lmn_members_tick(&c->members, 0, lmn_time_add(now, s));
     c->members.steady = lmn_time_add(now, -100);
-    lmn_members_fresh(&c->members, now);
+    lmn_members_record_watch(&c->members, now);
     struct lmn_txn *t = lmn_holder_suspicion(c, 1, 77, now);
     writes_record(t, "u/nb", 77, "suspicion");
     lmn_txn_free(t);
     apply(c, "u/nb", "suspicion", 7);
     assert_int_equal(m->doubt_inc, 5);
     assert_string_equal(m->doubt_by, "na");
-    assert_int_equal(m->doubt_why, LMN_SILENT);
+    assert_int_equal(m->doubt_why, LMN_CAUSE_UNRESPONSIVE);
 }
 
 /* --- operators' settings --- */
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -14,7 +14,7 @@
 static struct lmn_members ms;
 static double now;
 static uint64_t visits;
-static const struct lmn_word well = {0, 0.5, 0};
+static const struct lmn_member_health well = {0, 0.5, 0};
 
 static struct timespec at(double s)
 {
@@ -33,12 +33,12 @@
     now = 0;
     lmn_members_init(&ms, &cfg, at(0));
     for (int i = 0; i < n; i++)
-        lmn_member_record(&ms, i, (uint64_t)i + 1, 100 + (uint64_t)i, at(0));
+        lmn_member_apply_record(&ms, i, (uint64_t)i + 1, 100 + (uint64_t)i, at(0));
     for (; now < 10; now += 0.1) {
-        lmn_members_fresh(&ms, at(now));
+        lmn_members_record_watch(&ms, at(now));
         lmn_members_tick(&ms, 0, at(now));
         for (int i = 1; i < n; i++)
-            lmn_member_answered(&ms, i, &well, at(now), at(now + 0.002));
+            lmn_member_record_probe_reply(&ms, i, &well, at(now), at(now + 0.002));
     }
 }
 
@@ -47,27 +47,27 @@
 static void pass(double s, int silent, bool others)
 {
     for (double end = now + s; now < end; now += 0.1) {
-        lmn_members_fresh(&ms, at(now));
+        lmn_members_record_watch(&ms, at(now));
         lmn_members_tick(&ms, 0, at(now));
         for (int i = 1; i < ms.n; i++) {
             if (i >= silent) {
-                lmn_member_unanswered(&ms, i, at(now), at(now + 0.05));
+                lmn_member_record_probe_timeout(&ms, i, at(now), at(now + 0.05));
                 continue;
             }
-            lmn_member_answered(&ms, i, &well, at(now), at(now + 0.002));
+            lmn_member_record_probe_reply(&ms, i, &well, at(now), at(now + 0.002));
             for (int k = silent; k < ms.n; k++) {
-                struct lmn_statement says = {k, ms.v[k].inc, others ? 5 : 0.1,
-                                             others ? 1 : 0, 0};
-                lmn_member_told(&ms, i, &says, at(now));
+                struct lmn_gossip_statement says = {k, ms.v[k].inc, others ? 5 : 0.1,
+                                                    others ? 1 : 0, 0};
+                lmn_member_record_gossip(&ms, i, &says, at(now));
             }
         }
     }
 }
 
-static void doubt(int rank, enum lmn_cause why)
+static void doubt(int rank, enum lmn_suspicion_cause why)
 {
-    lmn_member_doubt(&ms, rank, 1000 + (uint64_t)rank, ms.v[rank].inc, "n00", why,
-                     at(now));
+    lmn_member_apply_suspicion(&ms, rank, 1000 + (uint64_t)rank, ms.v[rank].inc, "n00",
+                               why, at(now));
 }
 
 static void tells_how_unlikely_a_wait_is(void **state)
@@ -76,26 +76,26 @@
     GRand *r = g_rand_new_with_seed(1);
 
     for (int k = 0; k < 200; k++) {
-        struct lmn_accrual a = {0};
+        struct lmn_phi_accrual a = {0};
         double mean = g_rand_double_range(r, 0.001, 0.5), last = -1;
         for (int i = 0; i < 60; i++)
-            lmn_accrual_add(&a, mean * g_rand_double_range(r, 0.5, 1.5));
+            lmn_phi_accrual_add(&a, mean * g_rand_double_range(r, 0.5, 1.5));
         for (double s = 0; s < 3; s += 0.1) {
-            double phi = lmn_accrual_phi(&a, s);
+            double phi = lmn_phi_accrual_phi(&a, s);
             assert_true(phi >= last && phi <= 16);
             last = phi;
         }
         /* The wait for phi is where phi is. */
         for (double phi = 1; phi <= 8; phi++)
-            assert_true(fabs(lmn_accrual_phi(&a, lmn_accrual_wait(&a, phi)) - phi) <
-                        1e-6);
+            assert_true(fabs(lmn_phi_accrual_phi(&a, lmn_phi_accrual_timeout_s(&a, phi)) -
+                             phi) < 1e-6);
     }
     g_rand_free(r);
 }
 
 static void times_follow_from_the_settings(void **state)
 {
-    struct lmn_member_times t;
+    struct lmn_membership_timeouts t;
     struct lmn_settings s = {.report_s = 2};
     (void)state;
 
@@ -111,29 +111,29 @@
 
 static void silence_is_suspected_then_judged(void **state)
 {
-    struct lmn_evidence e;
+    struct lmn_failure_evidence e;
     (void)state;
 
     meet(3);
-    assert_false(lmn_member_suspect(&ms, 2, at(now), &e));
+    assert_false(lmn_member_should_suspect(&ms, 2, at(now), &e));
     pass(0.5, 2, true);
-    assert_true(lmn_member_suspect(&ms, 2, at(now), &e));
-    assert_int_equal(e.cause, LMN_SILENT);
+    assert_true(lmn_member_should_suspect(&ms, 2, at(now), &e));
+    assert_int_equal(e.cause, LMN_CAUSE_UNRESPONSIVE);
     assert_int_equal(e.sides, 2);
     /* Never without a suspicion, nor before it has stood. */
     pass(5, 2, true);
-    assert_false(lmn_member_judged(&ms, 2, at(now)));
-    doubt(2, LMN_SILENT);
-    assert_false(lmn_member_judged(&ms, 2, at(now)));
-    assert_false(lmn_member_trusted(&ms, 2, at(now)));
+    assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
+    doubt(2, LMN_CAUSE_UNRESPONSIVE);
+    assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
+    assert_false(lmn_member_is_trusted(&ms, 2, at(now)));
     pass(ms.t.doubt_s + 0.3, 2, true);
-    assert_true(lmn_member_judged(&ms, 2, at(now)));
+    assert_true(lmn_member_is_declared_failed(&ms, 2, at(now)));
     /* For all of its partitions: after the first it is judged still. */
-    lmn_member_strike(&ms, 2, at(now));
-    assert_true(lmn_member_judged(&ms, 2, at(now)));
+    lmn_member_record_failure(&ms, 2, at(now));
+    assert_true(lmn_member_is_declared_failed(&ms, 2, at(now)));
     /* Nor once it was refuted. */
-    lmn_member_record(&ms, 2, 2000, 102, at(now));
-    assert_false(lmn_member_judged(&ms, 2, at(now)));
+    lmn_member_apply_record(&ms, 2, 2000, 102, at(now));
+    assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
 }
 
 /* The accuser has ended, and its suspicion with it, before the judged could refute: it
@@ -144,44 +144,44 @@
 
     meet(3);
     pass(5, 2, true);
-    doubt(2, LMN_SILENT);
+    doubt(2, LMN_CAUSE_UNRESPONSIVE);
     pass(5, 2, true);
-    lmn_member_strike(&ms, 2, at(now));
+    lmn_member_record_failure(&ms, 2, at(now));
     pass(5, 3, true);
-    assert_false(lmn_member_trusted(&ms, 2, at(now)));
-    lmn_member_doubt(&ms, 2, 0, 0, "", LMN_SILENT, at(now));
+    assert_false(lmn_member_is_trusted(&ms, 2, at(now)));
+    lmn_member_apply_suspicion(&ms, 2, 0, 0, "", LMN_CAUSE_UNRESPONSIVE, at(now));
     pass(1, 3, true);
-    assert_true(lmn_member_trusted(&ms, 2, at(now)));
+    assert_true(lmn_member_is_trusted(&ms, 2, at(now)));
 }
 
 static void one_side_is_not_enough(void **state)
 {
-    struct lmn_evidence e;
+    struct lmn_failure_evidence e;
     (void)state;
 
     /* The other still hears it: a broken link. */
     meet(3);
     pass(5, 2, false);
-    assert_false(lmn_member_suspect(&ms, 2, at(now), &e));
+    assert_false(lmn_member_should_suspect(&ms, 2, at(now), &e));
     assert_true(e.alive);
-    doubt(2, LMN_SILENT);
+    doubt(2, LMN_CAUSE_UNRESPONSIVE);
     pass(10, 2, false);
-    assert_false(lmn_member_judged(&ms, 2, at(now)));
+    assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
     /* Both silent to us alone: the fault is here, unless its workers say otherwise. */
     meet(3);
     pass(5, 1, true);
-    doubt(2, LMN_SILENT);
-    doubt(1, LMN_SILENT);
+    doubt(2, LMN_CAUSE_UNRESPONSIVE);
+    doubt(1, LMN_CAUSE_UNRESPONSIVE);
     pass(5, 1, true);
-    assert_false(lmn_member_judged(&ms, 2, at(now)));
+    assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
     ms.v[2].machines = 400;
     for (int i = 0; i < 40; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "host-%d", i);
-        lmn_member_visited(&ms, 2, name, 1, ++visits, at(now));
+        lmn_member_record_redirected_worker(&ms, 2, name, 1, ++visits, at(now));
         /* The same ones again are no more. */
-        assert_int_equal(lmn_member_judged(&ms, 2, at(now)), i >= 19);
-        lmn_member_visited(&ms, 2, "host-0", 1, ++visits, at(now));
+        assert_int_equal(lmn_member_is_declared_failed(&ms, 2, at(now)), i >= 19);
+        lmn_member_record_redirected_worker(&ms, 2, "host-0", 1, ++visits, at(now));
     }
 }
 
@@ -192,18 +192,18 @@
     (void)state;
     meet(3);
     pass(1, 3, true);
-    lmn_member_visited(&ms, 2, "host-1", 3, 7, at(now));
-    lmn_member_visited(&ms, 2, "host-2", 1, 9, at(now));
-    assert_int_equal(lmn_member_visitors(&ms, 2, at(now)), 2);
+    lmn_member_record_redirected_worker(&ms, 2, "host-1", 3, 7, at(now));
+    lmn_member_record_redirected_worker(&ms, 2, "host-2", 1, 9, at(now));
+    assert_int_equal(lmn_member_redirected_workers(&ms, 2, at(now)), 2);
     pass(60, 3, true);
-    assert_int_equal(lmn_member_visitors(&ms, 2, at(now)), 0);
-    lmn_member_visited(&ms, 2, "host-1", 3, 7, at(now));
-    lmn_member_visited(&ms, 2, "host-1", 2, 99, at(now));
-    lmn_member_visited(&ms, 2, "host-2", 1, 8, at(now));
-    assert_int_equal(lmn_member_visitors(&ms, 2, at(now)), 0);
-    lmn_member_visited(&ms, 2, "host-1", 4, 1, at(now));
-    lmn_member_visited(&ms, 2, "host-2", 1, 10, at(now));
-    assert_int_equal(lmn_member_visitors(&ms, 2, at(now)), 2);
+    assert_int_equal(lmn_member_redirected_workers(&ms, 2, at(now)), 0);
+    lmn_member_record_redirected_worker(&ms, 2, "host-1", 3, 7, at(now));
+    lmn_member_record_redirected_worker(&ms, 2, "host-1", 2, 99, at(now));
+    lmn_member_record_redirected_worker(&ms, 2, "host-2", 1, 8, at(now));
+    assert_int_equal(lmn_member_redirected_workers(&ms, 2, at(now)), 0);
+    lmn_member_record_redirected_worker(&ms, 2, "host-1", 4, 1, at(now));
+    lmn_member_record_redirected_worker(&ms, 2, "host-2", 1, 10, at(now));
+    assert_int_equal(lmn_member_redirected_workers(&ms, 2, at(now)), 2);
 }
 
 static void most_are_not_judged_at_a_time(void **state)
@@ -214,12 +214,12 @@
     meet(9);
     pass(1, 3, true);
     for (int i = 3; i < 9; i++)
-        doubt(i, LMN_SILENT);
+        doubt(i, LMN_CAUSE_UNRESPONSIVE);
     for (int i = 3; i < 9; i++) {
         pass(3, 3, true);
-        if (!lmn_member_judged(&ms, i, at(now)))
+        if (!lmn_member_is_declared_failed(&ms, i, at(now)))
             break;
-        lmn_member_strike(&ms, i, at(now));
+        lmn_member_record_failure(&ms, i, at(now));
         judged++;
     }
     /* Of nine, five have to remain. */
@@ -232,51 +232,52 @@
 
     meet(3);
     pass(0.5, 2, true);
-    doubt(2, LMN_SILENT);
+    doubt(2, LMN_CAUSE_UNRESPONSIVE);
     /* An outage of the state service: nobody could have refuted. */
     for (double end = now + 20; now < end; now += 0.1)
         lmn_members_tick(&ms, 0, at(now));
-    assert_false(lmn_member_judged(&ms, 2, at(now)));
+    assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
     /* After it, the suspicion stands anew. */
     pass(0.5, 2, true);
-    assert_false(lmn_member_judged(&ms, 2, at(now)));
+    assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
     pass(ms.t.doubt_s + 0.5, 2, true);
-    assert_true(lmn_member_judged(&ms, 2, at(now)));
+    assert_true(lmn_member_is_declared_failed(&ms, 2, at(now)));
 }
 
 static void half_failures_are_told_apart(void **state)
 {
-    struct lmn_evidence e;
-    struct lmn_word blind = {0, 4, 0}, deaf = {0, 0.5, 0.9};
+    struct lmn_failure_evidence e;
+    struct lmn_member_health blind = {0, 4, 0}, deaf = {0, 0.5, 0.9};
     (void)state;
 
     meet(3);
     pass(5, 3, true);
-    lmn_member_answered(&ms, 2, &blind, at(now), at(now));
-    assert_true(lmn_member_suspect(&ms, 2, at(now), &e));
-    assert_int_equal(e.cause, LMN_BLIND);
+    lmn_member_record_probe_reply(&ms, 2, &blind, at(now), at(now));
+    assert_true(lmn_member_should_suspect(&ms, 2, at(now), &e));
+    assert_int_equal(e.cause, LMN_CAUSE_STALE_CACHE);
     /* Not when our own mirror has stood still as well: then it was an outage. */
     meet(3);
     now += 5;
-    lmn_members_fresh(&ms, at(now));
+    lmn_members_record_watch(&ms, at(now));
     lmn_members_tick(&ms, 0, at(now));
-    lmn_members_fresh(&ms, at(now + 0.01));
+    lmn_members_record_watch(&ms, at(now + 0.01));
     now += 0.1;
-    lmn_member_answered(&ms, 2, &blind, at(now), at(now));
-    assert_false(lmn_member_suspect(&ms, 2, at(now), &e));
+    lmn_member_record_probe_reply(&ms, 2, &blind, at(now), at(now));
+    assert_false(lmn_member_should_suspect(&ms, 2, at(now), &e));
     /* Its word alone is not enough, nor are workers that were turned away. */
     meet(3);
     pass(1, 3, true);
     ms.v[2].machines = 10;
-    lmn_member_answered(&ms, 2, &deaf, at(now), at(now));
-    assert_false(lmn_member_suspect(&ms, 2, at(now), &e));
+    lmn_member_record_probe_reply(&ms, 2, &deaf, at(now), at(now));
+    assert_false(lmn_member_should_suspect(&ms, 2, at(now), &e));
     for (int i = 0; i < 3; i++)
-        lmn_member_visited(&ms, 2, i ? i > 1 ? "a" : "b" : "c", 1, ++visits, at(now));
-    lmn_member_answered(&ms, 2, &well, at(now), at(now));
-    assert_false(lmn_member_suspect(&ms, 2, at(now), &e));
-    lmn_member_answered(&ms, 2, &deaf, at(now), at(now));
-    assert_true(lmn_member_suspect(&ms, 2, at(now), &e));
-    assert_int_equal(e.cause, LMN_DEAF);
+        lmn_member_record_redirected_worker(&ms, 2, i ? i > 1 ? "a" : "b" : "c", 1,
+                                            ++visits, at(now));
+    lmn_member_record_probe_reply(&ms, 2, &well, at(now), at(now));
+    assert_false(lmn_member_should_suspect(&ms, 2, at(now), &e));
+    lmn_member_record_probe_reply(&ms, 2, &deaf, at(now), at(now));
+    assert_true(lmn_member_should_suspect(&ms, 2, at(now), &e));
+    assert_int_equal(e.cause, LMN_CAUSE_NO_HEARTBEATS);
 }
 
 static void the_suspected_refutes_what_is_untrue(void **state)
@@ -284,38 +285,38 @@
     (void)state;
 
     meet(3);
-    assert_false(lmn_self_refutes(&ms, at(now)));
-    doubt(0, LMN_SILENT);
-    assert_true(lmn_self_refutes(&ms, at(now)));
-    lmn_member_record(&ms, 0, 3000, 100, at(now));
-    assert_false(lmn_self_refutes(&ms, at(now)));
-    doubt(0, LMN_DEAF);
-    assert_true(lmn_self_refutes(&ms, at(now)));
+    assert_false(lmn_self_should_refute(&ms, at(now)));
+    doubt(0, LMN_CAUSE_UNRESPONSIVE);
+    assert_true(lmn_self_should_refute(&ms, at(now)));
+    lmn_member_apply_record(&ms, 0, 3000, 100, at(now));
+    assert_false(lmn_self_should_refute(&ms, at(now)));
+    doubt(0, LMN_CAUSE_NO_HEARTBEATS);
+    assert_true(lmn_self_should_refute(&ms, at(now)));
     ms.word.deaf = 0.9;
-    assert_false(lmn_self_refutes(&ms, at(now)));
+    assert_false(lmn_self_should_refute(&ms, at(now)));
 }
 
 static void a_deaf_node_knows_its_heir(void **state)
 {
-    struct lmn_statement few = {0, 1, 0.1, 0, 2}, many = {0, 1, 0.1, 0, 30};
+    struct lmn_gossip_statement few = {0, 1, 0.1, 0, 2}, many = {0, 1, 0.1, 0, 30};
     (void)state;
 
     meet(4);
     ms.v[0].machines = 300;
     ms.word.deaf = 0.8;
-    assert_int_equal(lmn_self_successor(&ms, at(now)), -1);
-    lmn_member_told(&ms, 1, &few, at(now));
-    assert_int_equal(lmn_self_successor(&ms, at(now)), -1);
-    lmn_member_told(&ms, 2, &many, at(now));
-    assert_int_equal(lmn_self_successor(&ms, at(now)), 2);
+    assert_int_equal(lmn_self_transfer_target(&ms, at(now)), -1);
+    lmn_member_record_gossip(&ms, 1, &few, at(now));
+    assert_int_equal(lmn_self_transfer_target(&ms, at(now)), -1);
+    lmn_member_record_gossip(&ms, 2, &many, at(now));
+    assert_int_equal(lmn_self_transfer_target(&ms, at(now)), 2);
     /* What they said is forgotten, and one that is suspected inherits nothing. */
-    doubt(2, LMN_SILENT);
-    assert_int_equal(lmn_self_successor(&ms, at(now)), -1);
-    lmn_member_record(&ms, 2, 3000, 102, at(now));
-    assert_int_equal(lmn_self_successor(&ms, at(now)), 2);
-    assert_int_equal(lmn_self_successor(&ms, at(now + 5)), -1);
+    doubt(2, LMN_CAUSE_UNRESPONSIVE);
+    assert_int_equal(lmn_self_transfer_target(&ms, at(now)), -1);
+    lmn_member_apply_record(&ms, 2, 3000, 102, at(now));
+    assert_int_equal(lmn_self_transfer_target(&ms, at(now)), 2);
+    assert_int_equal(lmn_self_transfer_target(&ms, at(now + 5)), -1);
     ms.word.deaf = 0.2;
-    assert_int_equal(lmn_self_successor(&ms, at(now)), -1);
+    assert_int_equal(lmn_self_transfer_target(&ms, at(now)), -1);
 }
 
 static void a_stand_still_is_noticed_before_an_answer(void **state)
@@ -323,25 +324,25 @@
     (void)state;
 
     meet(3);
-    assert_true(lmn_self_awake(&ms, at(now)));
+    assert_true(lmn_self_may_reply(&ms, at(now)));
     /* No tick is needed for it. */
     now += ms.t.jump_s + 0.3;
-    assert_false(lmn_self_awake(&ms, at(now)));
+    assert_false(lmn_self_may_reply(&ms, at(now)));
     lmn_members_tick(&ms, 3, at(now));
-    assert_false(lmn_self_awake(&ms, at(now)));
-    assert_false(lmn_self_fit(&ms, at(now)));
+    assert_false(lmn_self_may_reply(&ms, at(now)));
+    assert_false(lmn_self_may_claim(&ms, at(now)));
     /* What was asked before it proves nothing. */
-    lmn_members_fresh(&ms, at(now - 0.5));
-    assert_false(lmn_self_awake(&ms, at(now)));
-    lmn_members_fresh(&ms, at(now + 0.01));
-    assert_true(lmn_self_awake(&ms, at(now + 0.02)));
+    lmn_members_record_watch(&ms, at(now - 0.5));
+    assert_false(lmn_self_may_reply(&ms, at(now)));
+    lmn_members_record_watch(&ms, at(now + 0.01));
+    assert_true(lmn_self_may_reply(&ms, at(now + 0.02)));
     /* A node that is always late stands not still. */
     for (int i = 0; i < 100; i++) {
         now += 2;
         lmn_members_tick(&ms, 1.85, at(now));
-        lmn_members_fresh(&ms, at(now));
+        lmn_members_record_watch(&ms, at(now));
     }
-    assert_true(lmn_self_awake(&ms, at(now + 2)));
+    assert_true(lmn_self_may_reply(&ms, at(now + 2)));
 }
 
 static void work_comes_back_later_each_time(void **state)
@@ -351,24 +352,24 @@
 
     meet(3);
     pass(30, 3, true);
-    assert_true(lmn_member_back_s(&ms, 2, at(now)) <= 0);
+    assert_true(lmn_member_readmission_delay_s(&ms, 2, at(now)) <= 0);
     for (int i = 0; i < 5; i++) {
-        lmn_member_strike(&ms, 2, at(now));
-        lmn_member_strike(&ms, 2, at(now)); /* its other partitions */
-        double back = lmn_member_back_s(&ms, 2, at(now));
+        lmn_member_record_failure(&ms, 2, at(now));
+        lmn_member_record_failure(&ms, 2, at(now)); /* its other partitions */
+        double back = lmn_member_readmission_delay_s(&ms, 2, at(now));
         assert_true(i ? fabs(back - 2 * last) < 1 : fabs(back - 15) < 1);
         last = back;
         pass(20, 3, true);
     }
     now += 3000;
-    assert_true(lmn_member_back_s(&ms, 2, at(now)) <= 0);
+    assert_true(lmn_member_readmission_delay_s(&ms, 2, at(now)) <= 0);
     /* One that gave its partitions away itself is not out: it has nothing to refute. */
-    lmn_members_fresh(&ms, at(now));
+    lmn_members_record_watch(&ms, at(now));
     lmn_members_tick(&ms, 0, at(now));
     pass(5, 3, true);
-    lmn_member_strike(&ms, 2, at(now));
+    lmn_member_record_failure(&ms, 2, at(now));
     pass(40, 3, true);
-    assert_true(lmn_member_trusted(&ms, 2, at(now)));
+    assert_true(lmn_member_is_trusted(&ms, 2, at(now)));
 }
 
 static void questions_cost_the_same_at_any_size(void **state)
@@ -379,15 +380,15 @@
 
     for (size_t k = 0; k < G_N_ELEMENTS(sizes); k++) {
         unsigned asked[33] = {0}, all = 0;
-        struct lmn_question q;
+        struct lmn_probe q;
         double wait;
         meet(sizes[k]);
         ms.next = ms.beyond = at(now);
         for (double end = now + 200; now < end; now += 0.05) {
-            lmn_members_fresh(&ms, at(now));
-            while (lmn_member_question(&ms, r, at(now), &q, &wait)) {
+            lmn_members_record_watch(&ms, at(now));
+            while (lmn_member_next_probe(&ms, r, at(now), &q, &wait)) {
                 assert_true(q.rank > 0 && q.rank < ms.n);
-                lmn_member_answered(&ms, q.rank, &well, at(now), at(now));
+                lmn_member_record_probe_reply(&ms, q.rank, &well, at(now), at(now));
                 asked[q.rank]++;
                 all++;
             }
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -294,20 +294,20 @@
         ((struct lmn_machine *)p->list->pdata[k])->accounted = true;
     lmn_partition_check(core, p, now);
     assert_true(p->ready);
-    int nb = lmn_member_rank(&core->members, "nb");
-    struct lmn_word well = {0, 0, 0};
-    lmn_member_record(&core->members, nb, 3, 2, now);
-    lmn_member_answered(&core->members, nb, &well, now, now);
+    int nb = lmn_member_index(&core->members, "nb");
+    struct lmn_member_health well = {0, 0, 0};
+    lmn_member_apply_record(&core->members, nb, 3, 2, now);
+    lmn_member_record_probe_reply(&core->members, nb, &well, now, now);
     /* Not while either is behind. */
     core->load.behind = 1;
     lmn_stream_next(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_NONE);
     core->load.behind = 0;
-    struct lmn_word late = {1, 0, 0};
-    lmn_member_answered(&core->members, nb, &late, now, now);
+    struct lmn_member_health late = {1, 0, 0};
+    lmn_member_record_probe_reply(&core->members, nb, &late, now, now);
     lmn_stream_next(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_NONE);
-    lmn_member_answered(&core->members, nb, &well, now, now);
+    lmn_member_record_probe_reply(&core->members, nb, &well, now, now);
     for (int k = 0; k < 9 && s->phase != LMN_STREAM_NAMING; k++)
         if (lmn_stream_next(core, p, now, &b, &t, &wait) == LMN_STREAM_SEND)
             lmn_stream_sent(core, p, b, true, LMN_COPY_TAKEN, now);
@@ -322,9 +322,9 @@
      * the beginning of time on. */
     assert_true(core->telling.max < 1);
     /* In an outage of the state service its mirror stands still, as everybody's does. */
-    struct lmn_word old = {0, 30, 0};
-    lmn_member_answered(&core->members, nb, &old, now, now);
-    assert_false(lmn_member_trusted(&core->members, nb, now));
+    struct lmn_member_health old = {0, 30, 0};
+    lmn_member_record_probe_reply(&core->members, nb, &old, now, now);
+    assert_false(lmn_member_is_trusted(&core->members, nb, now));
     lmn_stream_next(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_IN_STEP);
     uint64_t mark = lmn_untold_start(p->list->pdata[0], now);
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -44,13 +44,13 @@
     cfg->value_kb = 16;
     cfg->txn_ops = 12;
     struct lmn_core *c = lmn_core_new(cfg, lmn_state_new(cfg), 1);
-    lmn_members_fresh(&c->members, now);
+    lmn_members_record_watch(&c->members, now);
     lmn_members_tick(&c->members, 0, now);
     c->members.synced = lmn_time_add(now, -100);
     c->synced = true;
     c->fresh = now;
     for (int k = 0; k < n; k++) {
-        struct lmn_word well = {0, 0, 0};
+        struct lmn_member_health well = {0, 0, 0};
         if (gone[k])
             continue;
         GByteArray *v = g_byte_array_new();
@@ -60,7 +60,7 @@
         g_snprintf(key, sizeof key, "n/n%02d", k);
         put(c, key, v, 10 + (uint64_t)k);
         if (k != me)
-            lmn_member_answered(&c->members, k, &well, now, now);
+            lmn_member_record_probe_reply(&c->members, k, &well, now, now);
     }
     for (int k = 0; k < n; k++) {
         char name[LMN_NAME_SIZE];
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -58,8 +58,8 @@
     core->fresh = now;
     core->lease = 1;
     part = &core->parts[0];
-    assert_int_equal(lmn_member_rank(&core->members, "na"), HOLDER);
-    assert_int_equal(lmn_member_rank(&core->members, "nb"), ME);
+    assert_int_equal(lmn_member_index(&core->members, "na"), HOLDER);
+    assert_int_equal(lmn_member_index(&core->members, "nb"), ME);
     return 0;
 }
 
@@ -104,11 +104,11 @@
 
 static void member_is_up(int rank)
 {
-    struct lmn_word well = {0, 0, 0};
+    struct lmn_member_health well = {0, 0, 0};
 
-    lmn_member_record(&core->members, rank, ++rev, 50 + (uint64_t)rank, now);
+    lmn_member_apply_record(&core->members, rank, ++rev, 50 + (uint64_t)rank, now);
     if (rank != ME)
-        lmn_member_answered(&core->members, rank, &well, now, now);
+        lmn_member_record_probe_reply(&core->members, rank, &well, now, now);
 }
 
 static struct lmn_machine *machine(int i)
@@ -432,7 +432,7 @@
     struct lmn_partition *p = held_by_nc();
     (void)state;
 
-    member_is_up(lmn_member_rank(&core->members, "nc"));
+    member_is_up(lmn_member_index(&core->members, "nc"));
     put("o/1", NULL);
     assert_false(lmn_partition_wanted(core, p, now));
     assert_false(lmn_partition_wanted(core, p, lmn_time_add(now, 1.4)));
@@ -443,7 +443,7 @@
 static void at_once_if_the_last_owner_is_silent(void **state)
 {
     struct lmn_partition *p = held_by_nc();
-    int nc = lmn_member_rank(&core->members, "nc");
+    int nc = lmn_member_index(&core->members, "nc");
     (void)state;
 
     put("o/1", NULL);
@@ -451,7 +451,7 @@
     member_is_up(nc);
     assert_false(lmn_partition_wanted(core, p, now));
     struct timespec later = lmn_time_add(now, 0.5);
-    lmn_member_unanswered(&core->members, nc, later, lmn_time_add(later, 0.4));
+    lmn_member_record_probe_timeout(&core->members, nc, later, lmn_time_add(later, 0.4));
     assert_true(lmn_partition_wanted(core, p, lmn_time_add(later, 0.4)));
 }
 
@@ -465,7 +465,7 @@
         lmn_members_tick(&core->members, 0, now);
         if (!outage) {
             core->fresh = now;
-            lmn_members_fresh(&core->members, now);
+            lmn_members_record_watch(&core->members, now);
         }
         for (int i = 0; reports && i < MACHINES && !lmn_too_stale(core, now); i++)
             machine(i)->last = now;
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -332,7 +332,7 @@
                 return false;
             const struct lmn_partition *p = &w.nodes[k].core->parts[i];
             owners += p->mine && p->ready;
-            if (!lmn_member_trusted(&c->members, k, w.clock))
+            if (!lmn_member_is_trusted(&c->members, k, w.clock))
                 return false;
         }
         if (owners != 1)
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -121,7 +121,7 @@
             lmn_cbor_free(&d);
     }
     c->fresh = fresh;
-    lmn_members_fresh(&c->members, fresh);
+    lmn_members_record_watch(&c->members, fresh);
     if (!c->synced)
         c->synced_at = w.clock;
     c->synced = true;
@@ -130,9 +130,9 @@
     lmn_mirror_settle(c, w.clock);
 }
 
-struct lmn_word node_word(const struct node *n)
+struct lmn_member_health node_word(const struct node *n)
 {
-    struct lmn_word word = n->core->members.word;
+    struct lmn_member_health word = n->core->members.word;
     word.stale_s = n->core->synced ? lmn_time_diff_s(w.clock, n->core->fresh) : 1e6;
     return word;
 }
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -23,7 +23,7 @@
            (talk((int)(from - w.nodes), (int)(to - w.nodes)) && w.now >= to->still_until);
 }
 
-static void add_statement(const struct lmn_statement *s)
+static void add_statement(const struct lmn_gossip_statement *s)
 {
     digest_number((uint64_t)s->of);
     digest_number(s->inc);
@@ -32,7 +32,8 @@
     digest_number(s->visitors);
 }
 
-static void digest_word(const char *kind, int from, int to, const struct lmn_word *word)
+static void digest_word(const char *kind, int from, int to,
+                        const struct lmn_member_health *word)
 {
     digest_message(kind, w.clock);
     digest_number((uint64_t)from);
@@ -44,15 +45,16 @@
 
 static void tell(struct node *from, struct node *to, int about)
 {
-    struct lmn_statement s[LMN_STATEMENTS];
-    unsigned n = lmn_member_statements(&from->core->members, to->core->members.me, about,
-                                       w.clock, s);
+    struct lmn_gossip_statement s[LMN_MAX_GOSSIP_STATEMENTS];
+    unsigned n =
+        lmn_member_gossip(&from->core->members, to->core->members.me, about, w.clock, s);
     digest_message("statements", w.clock);
     digest_number((uint64_t)from->core->members.me);
     digest_number((uint64_t)to->core->members.me);
     for (unsigned i = 0; i < n; i++) {
         add_statement(&s[i]);
-        lmn_member_told(&to->core->members, from->core->members.me, &s[i], w.clock);
+        lmn_member_record_gossip(&to->core->members, from->core->members.me, &s[i],
+                                 w.clock);
     }
 }
 
@@ -78,31 +80,31 @@
 void node_ask(struct node *n, int me)
 {
     struct lmn_members *ms = &n->core->members;
-    struct lmn_question q;
+    struct lmn_probe q;
     double wait;
 
     lmn_members_tick(ms, 0, w.clock);
-    while (lmn_member_question(ms, w.r, w.clock, &q, &wait)) {
+    while (lmn_member_next_probe(ms, w.r, w.clock, &q, &wait)) {
         struct node *o = &w.nodes[q.rank];
-        struct lmn_word mine = node_word(n);
+        struct lmn_member_health mine = node_word(n);
         digest_word("question", me, q.rank, &mine);
         digest_number((uint64_t)q.about);
         digest_real(q.patience_s);
         if (!talk(me, q.rank) || w.now < o->still_until || world_trouble(0.05)) {
-            lmn_member_unanswered(ms, q.rank, w.clock, w.clock);
+            lmn_member_record_probe_timeout(ms, q.rank, w.clock, w.clock);
             continue;
         }
-        struct lmn_word its = node_word(o);
-        lmn_member_heard(&o->core->members, me, &mine, w.clock, w.clock);
+        struct lmn_member_health its = node_word(o);
+        lmn_member_record_contact(&o->core->members, me, &mine, w.clock, w.clock);
         tell(n, o, q.about);
         if (q.about >= 0)
-            lmn_member_wonder(&o->core->members, q.about, w.clock);
+            lmn_member_request_probe(&o->core->members, q.about, w.clock);
         if (world_trouble(0.05)) { /* the answer is lost */
-            lmn_member_unanswered(ms, q.rank, w.clock, w.clock);
+            lmn_member_record_probe_timeout(ms, q.rank, w.clock, w.clock);
             continue;
         }
         digest_word("word", q.rank, me, &its);
-        lmn_member_answered(ms, q.rank, &its, w.clock, w.clock);
+        lmn_member_record_probe_reply(ms, q.rank, &its, w.clock, w.clock);
         tell_tombstones(n, o, q.rank);
         tell(o, n, q.about);
     }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -354,7 +354,7 @@
 /* --- nodes.c: controllers --- */
 
 bool node_up(const struct node *n);
-struct lmn_word node_word(const struct node *n);
+struct lmn_member_health node_word(const struct node *n);
 /* A write of the thread that holds the lease; what becomes of it is not always known. */
 enum lmn_outcome node_send(struct node *n, struct lmn_txn *t);
 void node_step(struct node *n, int i);
