--- a/bench/retention.c
+++ b/bench/retention.c
@@ -50,7 +50,7 @@
             struct lmn_cbor_document d;
             if (lmn_cbor_parse(&d, b->data, b->len) != 0)
                 return 1;
-            lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
+            lmn_watch_cache_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
             lmn_cbor_free(&d);
             g_byte_array_unref(b);
         }
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -73,7 +73,7 @@
         return 1;
     }
     lmn_state_start(state);
-    lmn_thread(lmn_mirror_thread, core);
+    lmn_thread(lmn_watch_cache_thread, core);
     lmn_thread(lmn_holder_thread, core);
     lmn_api_start(core);
     lmn_thread(lmn_cloud_thread, core);
--- a/src/controller/members_report.c
+++ b/src/controller/members_report.c
@@ -35,7 +35,8 @@
     json_object_set_new(j, "self", json_boolean(rank == ms->me));
     json_object_set_new(j, "standing", json_string(standing(ms, rank, now)));
     json_object_set_new(j, "incarnation", json_integer((json_int_t)m->inc));
-    json_object_set_new(j, "partitions", json_integer(lmn_member_holds(c, rank)));
+    json_object_set_new(j, "partitions",
+                        json_integer(lmn_member_owned_partitions(c, rank)));
     json_object_set_new(j, "stands_by", lmn_standbys_of(c, rank));
     json_object_set_new(
         j, "heard_s", m->ever ? json_real(lmn_time_diff_s(now, m->heard)) : json_null());
@@ -43,7 +44,7 @@
     json_object_set_new(j, "behind_s", json_real(w->behind_s));
     json_object_set_new(
         j, "mirror_s",
-        json_real(rank == ms->me ? MIN(lmn_staleness(c, now), 1e6) : w->stale_s));
+        json_real(rank == ms->me ? MIN(lmn_watch_cache_age_s(c, now), 1e6) : w->stale_s));
     json_object_set_new(j, "unheard_machines", json_real(w->deaf));
     if (lmn_member_is_suspected(ms, rank)) {
         json_object_set_new(j, "suspected_by", json_string(m->doubt_by));
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -15,10 +15,10 @@
     if (r->job->phase != LMN_JOB_ACTIVE || !r->st)
         return;
     for (uint32_t i = 0; i < r->hi - r->lo; i++) {
-        t->queued += r->st[i] == LMN_T_QUEUED;
-        t->started += r->st[i] == LMN_T_STARTED;
-        t->moving += r->st[i] == LMN_T_MOVING;
-        t->done += r->st[i] == LMN_T_DONE;
+        t->queued += r->st[i] == LMN_TASK_QUEUED;
+        t->started += r->st[i] == LMN_TASK_STARTED;
+        t->moving += r->st[i] == LMN_TASK_MOVING;
+        t->done += r->st[i] == LMN_TASK_DONE;
     }
 }
 
@@ -120,7 +120,7 @@
     struct lmn_counters n = c->count;
     struct lmn_load load = c->load;
     const struct lmn_http_server *server = c->server;
-    double stale = lmn_staleness(c, lmn_now());
+    double stale = lmn_watch_cache_age_s(c, lmn_now());
     guint jobs = g_hash_table_size(c->jobs), final_jobs = c->final_jobs.length;
     lmn_quantiles(out, "lemonspar_accepting_seconds", "From a submission to its commit",
                   &c->accepting);
--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -21,14 +21,15 @@
                                owner < 0 ? "nobody owns it" : "its owner is judged");
     } else if (owner != holder) {
         double s_left = lmn_member_readmission_delay_s(ms, holder, now);
-        const char *why = !ms->v[holder].present           ? "its usual holder is gone"
-                          : ms->v[holder].leaving          ? "its usual holder leaves"
-                          : lmn_member_holds(c, owner) < 2 ? "its owner holds no other"
-                          : lmn_member_holds(c, holder) ? "its usual holder has another"
-                          : s_left > 0 ? "its usual holder has to stay up"
-                          : lmn_standby_named(c, p, now) != holder
-                              ? "its usual holder is not in step yet"
-                              : "due";
+        const char *why =
+            !ms->v[holder].present                      ? "its usual holder is gone"
+            : ms->v[holder].leaving                     ? "its usual holder leaves"
+            : lmn_member_owned_partitions(c, owner) < 2 ? "its owner holds no other"
+            : lmn_member_owned_partitions(c, holder)    ? "its usual holder has another"
+            : s_left > 0 ? "its usual holder has to stay up"
+            : lmn_standby_named(c, p, now) != holder
+                ? "its usual holder is not in step yet"
+                : "due";
         g_string_append_printf(s, " move=%s in_s=%.0f why=\"%s\"",
                                name_or_none(c, holder), s_left, why);
     }
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -11,8 +11,8 @@
  * everybody stays. */
 static void look_around(struct lmn_core *c, struct timespec now)
 {
-    double stale = c->synced ? lmn_staleness(c, now) : 0;
-    bool odd = stale >= LMN_STALE_S && c->members.n > 1, anybody = false;
+    double stale = c->synced ? lmn_watch_cache_age_s(c, now) : 0;
+    bool odd = stale >= LMN_CACHE_STALLED_S && c->members.n > 1, anybody = false;
 
     for (int i = 0; i < c->members.n && odd; i++) {
         const struct lmn_member_view *m = &c->members.v[i];
@@ -22,7 +22,7 @@
         if (!anybody)
             odd = false;
         anybody = true;
-        if (m->word.stale_s < LMN_STALE_S) {
+        if (m->word.stale_s < LMN_CACHE_STALLED_S) {
             odd = true;
             break;
         }
@@ -41,7 +41,8 @@
 {
     const struct lmn_member_health *w = &c->members.word;
 
-    return (lmn_rpc_health){w->behind_s, MIN(lmn_staleness(c, now), 1e6), w->deaf};
+    return (lmn_rpc_health){w->behind_s, MIN(lmn_watch_cache_age_s(c, now), 1e6),
+                            w->deaf};
 }
 
 static struct lmn_member_health word_of(const lmn_rpc_health *x)
@@ -132,7 +133,7 @@
     pthread_mutex_lock(&c->lock);
     struct timespec now = lmn_now();
     for (u_int i = 0; i < q->jobs.jobs_len; i++)
-        n += lmn_tombstone_heard(c, q->jobs.jobs_val[i].ref, now);
+        n += lmn_tombstone_receive(c, q->jobs.jobs_val[i].ref, now);
     c->count.tombstones += n;
     pthread_mutex_unlock(&c->lock);
     return n;
@@ -153,7 +154,7 @@
 
     pthread_mutex_lock(&c->lock);
     x.jobs.jobs_len =
-        lmn_tombstones_for(&c->tombstones, rank, refs, G_N_ELEMENTS(refs), &upto);
+        lmn_tombstones_pending(&c->tombstones, rank, refs, G_N_ELEMENTS(refs), &upto);
     for (u_int i = 0; i < x.jobs.jobs_len; i++) {
         g_strlcpy(ref[i], refs[i], LMN_JOB_ID_SIZE);
         jobs[i].ref = ref[i];
@@ -167,7 +168,7 @@
     if (r == RPC_SUCCESS ||
         r == RPC_PROCUNAVAIL) { /* an older program has no use for them */
         pthread_mutex_lock(&c->lock);
-        lmn_tombstones_taken(&c->tombstones, rank, upto);
+        lmn_tombstones_acknowledge(&c->tombstones, rank, upto);
         pthread_mutex_unlock(&c->lock);
         return;
     }
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -72,7 +72,7 @@
         if (!p->mine)
             continue;
         lmn_stream_lag(p, now, &machines, &starts, &seconds);
-        in_step += p->stream.phase == LMN_STREAM_IN_STEP;
+        in_step += p->stream.phase == LMN_STREAM_IN_SYNC;
         untold += machines;
         waits = MAX(waits, seconds);
     }
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -172,7 +172,7 @@
  * patience, and ended as 503 all the same. */
 static bool is_blind(const struct lmn_core *c, struct timespec now)
 {
-    return lmn_staleness(c, now) > LMN_STALE_S;
+    return lmn_watch_cache_age_s(c, now) > LMN_CACHE_STALLED_S;
 }
 
 /* Whether nothing has to be asked: the id can't be one, or its job has ended. */
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -195,7 +195,7 @@
     }
     case LMN_RPC_STALENESS: {
         pthread_mutex_lock(&core->lock);
-        u_int ms = (u_int)(MIN(lmn_staleness(core, lmn_now()), 1e6) * 1000);
+        u_int ms = (u_int)(MIN(lmn_watch_cache_age_s(core, lmn_now()), 1e6) * 1000);
         pthread_mutex_unlock(&core->lock);
         svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&ms);
         return;
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -65,7 +65,7 @@
     g_hash_table_iter_init(&it, c->jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_job *j = v;
-        if (j->phase == LMN_JOB_ACTIVE && lmn_job_accused(&j->failures))
+        if (j->phase == LMN_JOB_ACTIVE && lmn_job_is_faulty(&j->failures))
             g_string_append_printf(s,
                                    "accused job=%s machines=%u rounds=%u next_try=%.1f\n",
                                    j->spec.ref, j->failures.places, j->failures.rounds,
@@ -103,7 +103,7 @@
 
     pthread_mutex_lock(&c->lock);
     g_string_append_printf(s, "node %s lease=%" G_GUINT64_FORMAT " stale=%.1f jobs=%u\n",
-                           c->cfg->node, c->lease, lmn_staleness(c, lmn_now()),
+                           c->cfg->node, c->lease, lmn_watch_cache_age_s(c, lmn_now()),
                            g_hash_table_size(c->jobs));
     for (int i = 0; i < c->nparts; i++)
         show_partition(s, c, &c->parts[i]);
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -17,7 +17,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *m = v;
         if (!m->type)
-            m->type = lmn_type_named(c, m->type_name);
+            m->type = lmn_machine_type_by_name(c, m->type_name);
         if (m->type && m->rev && !m->is_gone &&
             lmn_job_spec_allows(s, m->type, m->zone, m->spot))
             *weight += m->type->cpus + m->type->gpus;
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -80,9 +80,9 @@
 bool lmn_api_ready(struct lmn_core *c)
 {
     pthread_mutex_lock(&c->lock);
-    double stale = lmn_staleness(c, lmn_now());
+    double stale = lmn_watch_cache_age_s(c, lmn_now());
     bool ready = c->synced && c->types_known && !c->leaving &&
-                 (stale < LMN_STALE_S || (!c->odd_one && stale < 30));
+                 (stale < LMN_CACHE_STALLED_S || (!c->odd_one && stale < 30));
     pthread_mutex_unlock(&c->lock);
     return ready;
 }
--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -13,12 +13,12 @@
 static enum lmn_attempt_state attempt_state(const struct lmn_cbor_value *n)
 {
     if (lmn_cbor_text_equals(n, W_ENDED))
-        return LMN_A_ENDED;
+        return LMN_ATTEMPT_ENDED;
     if (lmn_cbor_text_equals(n, W_FETCHING))
-        return LMN_A_FETCHING;
+        return LMN_ATTEMPT_FETCHING;
     if (lmn_cbor_text_equals(n, W_SAVING))
-        return LMN_A_SAVING;
-    return LMN_A_RUNNING;
+        return LMN_ATTEMPT_SAVING;
+    return LMN_ATTEMPT_RUNNING;
 }
 
 bool lmn_report_task(struct lmn_attempt *a, const struct lmn_cbor_document *d,
@@ -110,11 +110,11 @@
 
     g_strlcpy(a.ref, ref, sizeof a.ref);
     a.job = g_hash_table_lookup(c->jobs, ref);
-    a.range = lmn_range_of(m->part, a.job, index);
-    if (state != LMN_A_ENDED) {
+    a.range = lmn_partition_find_range(m->part, a.job, index);
+    if (state != LMN_ATTEMPT_ENDED) {
         lmn_attempt_count(m, &a);
-        if (a.range && a.range->st[index - a.range->lo] == LMN_T_QUEUED) {
-            a.range->st[index - a.range->lo] = LMN_T_STARTED;
+        if (a.range && a.range->st[index - a.range->lo] == LMN_TASK_QUEUED) {
+            a.range->st[index - a.range->lo] = LMN_TASK_STARTED;
             a.range->nstarted++;
         } else {
             a.range = NULL; /* done, closed or started elsewhere: it has to go */
@@ -124,21 +124,22 @@
                   ref, index, number, m->name, a.range != NULL);
     }
     g_array_append_val(m->attempts, a);
-    lmn_untold(m);
+    lmn_machine_mark_unreplicated(m);
     return &g_array_index(m->attempts, struct lmn_attempt, m->attempts->len - 1);
 }
 
-static struct lmn_accuser *accuser(struct lmn_machine *m, struct lmn_job *j)
+static struct lmn_failing_job *accuser(struct lmn_machine *m, struct lmn_job *j)
 {
-    struct lmn_accuser new = {.job = j};
+    struct lmn_failing_job new = {.job = j};
 
     for (guint i = 0; i < m->accusers->len; i++) {
-        struct lmn_accuser *x = &g_array_index(m->accusers, struct lmn_accuser, i);
+        struct lmn_failing_job *x =
+            &g_array_index(m->accusers, struct lmn_failing_job, i);
         if (x->job == j)
             return x;
     }
     g_array_append_val(m->accusers, new);
-    return &g_array_index(m->accusers, struct lmn_accuser, m->accusers->len - 1);
+    return &g_array_index(m->accusers, struct lmn_failing_job, m->accusers->len - 1);
 }
 
 /* A task has failed: at the fault of its job, or of the machine. What its job says counts
@@ -153,25 +154,25 @@
     c->count.failures++;
     if (!j || j->phase != LMN_JOB_ACTIVE)
         return;
-    bool was = lmn_job_accused(&j->failures);
-    lmn_job_failed(&j->failures, where, a->since, now);
-    if (!was && lmn_job_accused(&j->failures)) {
+    bool was = lmn_job_is_faulty(&j->failures);
+    lmn_job_record_failure(&j->failures, where, a->since, now);
+    if (!was && lmn_job_is_faulty(&j->failures)) {
         c->count.accused++;
         lmn_info("job-accused job=%s machines=%u proven=%d", j->spec.ref,
                  j->failures.places, j->failures.proven);
         lmn_job_redeal(c, j, now);
     }
-    struct lmn_accuser *x = accuser(m, j);
+    struct lmn_failing_job *x = accuser(m, j);
     x->times++;
     x->last = now;
     for (guint i = 0; i < m->accusers->len; i++) {
-        x = &g_array_index(m->accusers, struct lmn_accuser, i);
+        x = &g_array_index(m->accusers, struct lmn_failing_job, i);
         sum += lmn_failure_weight(&x->job->failures, where, x->times, x->last, now);
     }
     /* One whose tasks fail at once has room at once: it would empty healthy queues into
      * failures. */
-    m->hold = lmn_time_add(now, lmn_machine_pause(sum));
-    if (lmn_machine_faulty(sum) && !m->retiring) {
+    m->hold = lmn_time_add(now, lmn_machine_quarantine_s(sum));
+    if (lmn_machine_is_faulty(sum) && !m->retiring) {
         c->count.faulty++;
         lmn_info("machine-accused machine=%s jobs=%u weight=%.2f", m->name,
                  m->accusers->len, sum);
@@ -188,9 +189,9 @@
     a->failed = true;
     if (!j || j->phase != LMN_JOB_ACTIVE)
         return;
-    bool was = lmn_job_accused(&j->failures);
-    lmn_job_had_failed(&j->failures, g_str_hash(m->name), now);
-    if (!was && lmn_job_accused(&j->failures)) {
+    bool was = lmn_job_is_faulty(&j->failures);
+    lmn_job_record_inherited_failure(&j->failures, g_str_hash(m->name), now);
+    if (!was && lmn_job_is_faulty(&j->failures)) {
         lmn_info("job-accused job=%s machines=%u by=predecessor", j->spec.ref,
                  j->failures.places);
         lmn_job_redeal(c, j, now);
@@ -205,8 +206,8 @@
     struct lmn_range *r = a->range;
 
     lmn_attempt_uncount(m, a);
-    lmn_untold(m);
-    a->state = LMN_A_ENDED;
+    lmn_machine_mark_unreplicated(m);
+    a->state = LMN_ATTEMPT_ENDED;
     a->done = lmn_cbor_text_equals(why, W_DONE);
     if (a->done) {
         lmn_debug("task-done task=%s/%u attempt=%" G_GUINT64_FORMAT
@@ -214,13 +215,13 @@
                   a->ref, a->index, a->number, m->name, lmn_time_diff_s(now, a->since));
         g_array_set_size(m->accusers, 0);
         if (a->job) {
-            bool was = lmn_job_accused(&a->job->failures);
-            lmn_job_succeeded(&a->job->failures);
+            bool was = lmn_job_is_faulty(&a->job->failures);
+            lmn_job_record_success(&a->job->failures);
             if (was)
                 lmn_job_redeal(c, a->job, now);
         }
         if (!r)
-            r = a->range = lmn_range_of(m->part, a->job, a->index);
+            r = a->range = lmn_partition_find_range(m->part, a->job, a->index);
         if (r)
             lmn_task_finished(r, a->index, now);
         return;
@@ -233,7 +234,7 @@
     if (a->failed)
         attribute_failure(c, m, a, now);
     else if (lmn_cbor_text_equals(why, W_NO_SUCH) && a->job)
-        lmn_job_failed(&a->job->failures, g_str_hash(m->name), a->since, now);
+        lmn_job_record_failure(&a->job->failures, g_str_hash(m->name), a->since, now);
     if (r)
         lmn_task_requeue(c, r, a->index, now);
 }
@@ -243,7 +244,7 @@
     for (guint i = 0; i < m->attempts->len; i++) {
         const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         bool live = a->job && a->job->phase == LMN_JOB_ACTIVE && a->range;
-        if (a->state != LMN_A_ENDED ||
+        if (a->state != LMN_ATTEMPT_ENDED ||
             (a->done && live && !lmn_bitset_get(a->range->done, a->index - a->range->lo)))
             return false;
     }
@@ -264,23 +265,23 @@
         struct lmn_attempt *a = find(m, x.ref, x.index, x.number);
         if (!a) {
             a = adopt(c, m, x.ref, x.index, x.number, x.state, now);
-            if (x.state == LMN_A_ENDED &&
+            if (x.state == LMN_ATTEMPT_ENDED &&
                 lmn_cbor_text_equals(lmn_cbor_get(d, n, W_WHY), W_FAILED))
                 had_failed(c, m, a, now);
         }
         /* It has taken an order of ours: the way there is open. */
-        if (!a->listed && a->state == LMN_A_SENT)
+        if (!a->listed && a->state == LMN_ATTEMPT_SENT)
             m->unheeded = 0;
         a->seen = a->listed = true;
         a->told = false;
-        if (a->job && x.state != LMN_A_ENDED)
-            lmn_note_image(m, a->job, x.state != LMN_A_FETCHING, now);
-        if (x.state == LMN_A_ENDED) {
-            if (a->state != LMN_A_ENDED ||
+        if (a->job && x.state != LMN_ATTEMPT_ENDED)
+            lmn_note_image(m, a->job, x.state != LMN_ATTEMPT_FETCHING, now);
+        if (x.state == LMN_ATTEMPT_ENDED) {
+            if (a->state != LMN_ATTEMPT_ENDED ||
                 (!a->done && lmn_cbor_text_equals(lmn_cbor_get(d, n, W_WHY), W_DONE)))
                 ended(c, m, a, d, n, now);
         } else {
-            if (x.state == LMN_A_RUNNING && a->state != x.state)
+            if (x.state == LMN_ATTEMPT_RUNNING && a->state != x.state)
                 lmn_debug("task-run task=%s/%u attempt=%" G_GUINT64_FORMAT
                           " machine=%s after=%.1f",
                           a->ref, a->index, a->number, m->name,
@@ -297,9 +298,9 @@
     struct lmn_attempt gone = *a;
 
     lmn_attempt_uncount(m, a);
-    lmn_untold(m);
+    lmn_machine_mark_unreplicated(m);
     g_array_remove_index_fast(m->attempts, i);
-    if (gone.state != LMN_A_ENDED) {
+    if (gone.state != LMN_ATTEMPT_ENDED) {
         lmn_debug("task-vanished task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s",
                   gone.ref, gone.index, gone.number, m->name);
         lmn_task_requeue(c, gone.range, gone.index, now);
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -34,7 +34,7 @@
 static bool is_history(const struct lmn_machine *m, const struct lmn_attempt *a)
 {
     if (!a->failed || !a->job || a->job->phase != LMN_JOB_ACTIVE ||
-        !lmn_job_accused(&a->job->failures))
+        !lmn_job_is_faulty(&a->job->failures))
         return false;
     for (guint i = 0; i < m->attempts->len; i++) {
         const struct lmn_attempt *b = &g_array_index(m->attempts, struct lmn_attempt, i);
@@ -82,8 +82,8 @@
     for (const struct lmn_cbor_value *t = lmn_cbor_first_child(d, tasks); t;
          t = lmn_cbor_next(d, t)) {
         struct lmn_attempt a;
-        if (!lmn_report_task(&a, d, t) || a.state == LMN_A_ENDED ||
-            !(a.job = g_hash_table_lookup(c->jobs, a.ref)) || lmn_job_wanted(c, a.job))
+        if (!lmn_report_task(&a, d, t) || a.state == LMN_ATTEMPT_ENDED ||
+            !(a.job = g_hash_table_lookup(c->jobs, a.ref)) || lmn_job_may_run(c, a.job))
             continue;
         n += kill_now(c, &a, out);
     }
@@ -91,7 +91,7 @@
      * names. */
     for (guint i = 0; i < m->attempts->len; i++) {
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
-        if (a->state != LMN_A_ENDED && a->job && !lmn_job_wanted(c, a->job))
+        if (a->state != LMN_ATTEMPT_ENDED && a->job && !lmn_job_may_run(c, a->job))
             n += kill_now(c, a, out);
     }
     return n;
@@ -111,7 +111,7 @@
     for (guint i = m->attempts->len; i-- > 0;) {
         const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         if (!a->seen && !a->direct && !(a->unsure && !a->listed)) {
-            lost += a->state == LMN_A_SENT && !a->listed && !a->told;
+            lost += a->state == LMN_ATTEMPT_SENT && !a->listed && !a->told;
             lmn_attempt_vanish(c, m, i, now);
         }
     }
@@ -120,7 +120,7 @@
     for (guint i = 0; i < m->attempts->len; i++) {
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         bool live = a->job && a->job->phase == LMN_JOB_ACTIVE;
-        bool wanted = a->job && lmn_job_wanted(c, a->job);
+        bool wanted = a->job && lmn_job_may_run(c, a->job);
         if (a->direct && wanted)
             continue;
         if ((a->unsure || a->direct) && !a->listed) {
@@ -129,7 +129,7 @@
             lmn_command(out, W_START, a, -1);
             commands++;
         }
-        if (a->state == LMN_A_ENDED) {
+        if (a->state == LMN_ATTEMPT_ENDED) {
             /* A result may be forgotten only once it is recorded; and an attempt whose
              * start may still arrive must stay known, or that would start it anew. */
             bool recorded = !a->done || !live || !a->range ||
@@ -140,10 +140,10 @@
             }
         } else if (!wanted || !a->range) {
             commands += kill_now(c, a, out);
-        } else if (a->stop && a->state != LMN_A_SAVING) {
+        } else if (a->stop && a->state != LMN_ATTEMPT_SAVING) {
             lmn_command(out, W_KILL, a, a->grace);
             commands++;
-        } else if (m->noticed && a->state == LMN_A_RUNNING &&
+        } else if (m->noticed && a->state == LMN_ATTEMPT_RUNNING &&
                    a->job->spec.checkpoint_s > 0 && !a->killed) {
             double left = m->notice_s - lmn_time_diff_s(now, m->noticed_at);
             if (left < a->job->spec.save_s + 2 * c->cfg->report_s + 1) {
@@ -218,7 +218,7 @@
         return 503;
     /* A node that may have missed a cancellation must let its workers' leases run out in
      * time: the last answer, a lease, and all of it within cancel_s. */
-    if (lmn_too_stale(c, now))
+    if (lmn_watch_cache_is_too_stale(c, now))
         return 503;
     if (!p->mine) {
         note_visitor(c, p, r, now);
@@ -251,13 +251,13 @@
     if (sent_on(c, m, now))
         return redirect_to(c, lmn_partition_next(c, p, now), out);
     if (!m->block) {
-        lmn_machine_at(m, r->addr);
+        lmn_machine_set_address(m, r->addr);
         g_strlcpy(m->type_name, r->type, sizeof m->type_name);
         g_strlcpy(m->zone, r->zone, sizeof m->zone);
         m->spot = r->spot;
     }
     if (!m->type)
-        m->type = lmn_type_named(c, m->type_name);
+        m->type = lmn_machine_type_by_name(c, m->type_name);
     if (m->heard && r->session != m->session)
         /* Commands to the old session are refused from now on. */
         for (guint i = 0; i < m->attempts->len; i++) {
@@ -265,7 +265,7 @@
             a->direct = a->unsure = false;
         }
     if (m->session != r->session)
-        lmn_untold(m);
+        lmn_machine_mark_unreplicated(m);
     m->heard = true;
     m->session = r->session;
     m->report_seq = r->seq;
@@ -302,7 +302,7 @@
         /* Far behind, the node settles what was, and starts nothing. */
         if (!lmn_load_should_shed(&c->load, LMN_SHED_START, c->rng))
             n += lmn_schedule(c, m, commands, now);
-        lmn_unpoke(m);
+        lmn_machine_cancel_wake(m);
         if (!lmn_machine_bare(m))
             m->idle = (struct timespec){0, 0};
         else if (!m->idle.tv_sec)
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -14,12 +14,12 @@
  * drop less often: those harm nobody. */
 static const double ADD_S = 0.3, DROP_S = 3.0;
 
-static struct lmn_block *block_at(struct lmn_partition *p, guint id)
+static struct lmn_machine_block *block_at(struct lmn_partition *p, guint id)
 {
     while (p->blocks->len <= id)
         g_ptr_array_add(p->blocks, NULL);
     if (!p->blocks->pdata[id]) {
-        struct lmn_block *b = g_new0(struct lmn_block, 1);
+        struct lmn_machine_block *b = g_new0(struct lmn_machine_block, 1);
         b->id = id;
         b->machines = g_ptr_array_new();
         p->blocks->pdata[id] = b;
@@ -27,11 +27,11 @@
     return p->blocks->pdata[id];
 }
 
-static void put_in(struct lmn_block *b, struct lmn_machine *m)
+static void put_in(struct lmn_machine_block *b, struct lmn_machine *m)
 {
     m->block = b;
     g_ptr_array_add(b->machines, m);
-    b->bytes += lmn_machine_bytes(m);
+    b->bytes += lmn_machine_record_size(m);
 }
 
 /* The machine's first block with room. It stays there: a write whose outcome is not known
@@ -43,12 +43,12 @@
     guint id = 0;
 
     while (id < p->blocks->len && p->blocks->pdata[id] &&
-           block_at(p, id)->bytes + lmn_machine_bytes(m) > most)
+           block_at(p, id)->bytes + lmn_machine_record_size(m) > most)
         id++;
     put_in(block_at(p, id), m);
 }
 
-static void read_machine(struct lmn_partition *p, struct lmn_block *b,
+static void read_machine(struct lmn_partition *p, struct lmn_machine_block *b,
                          const struct lmn_cbor_document *d,
                          const struct lmn_cbor_value *n, uint64_t rev,
                          struct timespec now)
@@ -64,9 +64,9 @@
         m->first = now;
     }
     if (!m->rev) {
-        lmn_block_leave(m);
+        lmn_machine_leave_block(m);
         n = lmn_cbor_next(d, n), lmn_cbor_get_text(n, addr, sizeof addr);
-        lmn_machine_at(m, addr);
+        lmn_machine_set_address(m, addr);
         n = lmn_cbor_next(d, n), lmn_cbor_get_text(n, m->type_name, sizeof m->type_name);
         n = lmn_cbor_next(d, n), lmn_cbor_get_text(n, m->zone, sizeof m->zone);
         n = lmn_cbor_next(d, n), lmn_cbor_get_bool(n, &m->spot);
@@ -78,7 +78,7 @@
 
 /* Machines that the record does not name any more, and those that were gone before they
  * were recorded. */
-static void drop_others(struct lmn_core *c, struct lmn_block *b, uint64_t rev,
+static void drop_others(struct lmn_core *c, struct lmn_machine_block *b, uint64_t rev,
                         struct timespec now)
 {
     for (guint i = b->machines->len; i-- > 0;) {
@@ -96,7 +96,7 @@
 {
     if (id >= LMN_MAX_BLOCKS)
         return;
-    struct lmn_block *b = block_at(p, (guint)id);
+    struct lmn_machine_block *b = block_at(p, (guint)id);
     b->gen = c->gen;
     if (b->rev >= rev)
         return;
@@ -111,7 +111,7 @@
 void lmn_block_sweep(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
 {
     for (guint i = 0; i < p->blocks->len; i++) {
-        struct lmn_block *b = p->blocks->pdata[i];
+        struct lmn_machine_block *b = p->blocks->pdata[i];
         if (!b || b->gen == c->gen || !b->rev)
             continue;
         b->rev = 0;
@@ -123,7 +123,7 @@
 void lmn_block_reset(struct lmn_partition *p)
 {
     for (guint i = 0; i < p->blocks->len; i++) {
-        struct lmn_block *b = p->blocks->pdata[i];
+        struct lmn_machine_block *b = p->blocks->pdata[i];
         if (b)
             b->writing = false;
         if (b)
@@ -145,7 +145,7 @@
     (void)rev;
 
     pthread_mutex_lock(&w->c->lock);
-    struct lmn_block *b = block_at(&w->c->parts[w->part], w->id);
+    struct lmn_machine_block *b = block_at(&w->c->parts[w->part], w->id);
     /* After a success it is the mirror that ends the write. */
     if (outcome != LMN_OK) {
         b->writing = false;
@@ -155,8 +155,8 @@
     g_free(w);
 }
 
-static void write_block(struct lmn_core *c, struct lmn_partition *p, struct lmn_block *b,
-                        enum lmn_rank rank)
+static void write_block(struct lmn_core *c, struct lmn_partition *p,
+                        struct lmn_machine_block *b, enum lmn_rank rank)
 {
     struct block_ref *w = g_new0(struct block_ref, 1);
     GByteArray *v = g_byte_array_new();
@@ -201,7 +201,7 @@
             assign(c, p, m);
     }
     for (guint i = 0; i < p->blocks->len; i++) {
-        struct lmn_block *b = p->blocks->pdata[i];
+        struct lmn_machine_block *b = p->blocks->pdata[i];
         guint add = 0, drop = 0;
         if (!b || b->writing || lmn_time_before(now, b->retry))
             continue;
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -28,7 +28,7 @@
 {
     guint n = 0;
     for (guint i = 0; i < m->attempts->len; i++)
-        n += g_array_index(m->attempts, struct lmn_attempt, i).state != LMN_A_ENDED;
+        n += g_array_index(m->attempts, struct lmn_attempt, i).state != LMN_ATTEMPT_ENDED;
     return n;
 }
 
@@ -62,7 +62,7 @@
 {
     if (!m->accounted)
         return true;
-    if (!m->lapsed && !lmn_machine_silent(c, m, now))
+    if (!m->lapsed && !lmn_machine_is_silent(c, m, now))
         return false;
     return m->probes > 0 || has_listened(c, now);
 }
@@ -112,7 +112,7 @@
     for (guint k = 0; k < p->list->len; k++) {
         const struct lmn_machine *m = p->list->pdata[k];
         if (!m->is_gone &&
-            ((m->inherited && !m->accounted) || lmn_machine_silent(c, m, now)))
+            ((m->inherited && !m->accounted) || lmn_machine_is_silent(c, m, now)))
             return true;
     }
     return false;
@@ -136,16 +136,16 @@
         return;
     for (guint i = 1; i < a->len; i++) {
         const struct silence *s = &g_array_index(a, struct silence, i);
-        struct lmn_cut *cut = NULL;
+        struct lmn_zone_cut *cut = NULL;
         if (!most_of(s))
             continue;
         for (guint k = 0; k < p->cuts->len && !cut; k++)
-            if (!strcmp(g_array_index(p->cuts, struct lmn_cut, k).zone, s->zone))
-                cut = &g_array_index(p->cuts, struct lmn_cut, k);
+            if (!strcmp(g_array_index(p->cuts, struct lmn_zone_cut, k).zone, s->zone))
+                cut = &g_array_index(p->cuts, struct lmn_zone_cut, k);
         if (!cut) {
-            struct lmn_cut new = {.zone = g_intern_string(s->zone)};
+            struct lmn_zone_cut new = {.zone = g_intern_string(s->zone)};
             g_array_append_val(p->cuts, new);
-            cut = &g_array_index(p->cuts, struct lmn_cut, p->cuts->len - 1);
+            cut = &g_array_index(p->cuts, struct lmn_zone_cut, p->cuts->len - 1);
         }
         if (lmn_time_before(cut->until, now))
             lmn_info("zone-silent partition=%d zone=%s silent=%u of=%u", p->id, s->zone,
@@ -157,7 +157,7 @@
 static bool is_cut(const struct lmn_partition *p, const char *zone, struct timespec now)
 {
     for (guint i = 0; i < p->cuts->len; i++) {
-        const struct lmn_cut *cut = &g_array_index(p->cuts, struct lmn_cut, i);
+        const struct lmn_zone_cut *cut = &g_array_index(p->cuts, struct lmn_zone_cut, i);
         if (!strcmp(cut->zone, zone))
             return lmn_time_before(now, cut->until);
     }
@@ -192,14 +192,14 @@
                  busy(m));
         lmn_machine_empty(c, m, "lease lapsed", now);
     }
-    if (lmn_staleness(c, now) > LMN_BLIND_S)
+    if (lmn_watch_cache_age_s(c, now) > LMN_MAX_CACHE_AGE_S)
         return;
     /* Most machines that fall silent are gone, and a return is a quicker proof of that
      * than a lease; a worker that answers when asked is left alone. Not so in a zone that
      * is cut off: returning its machines ended a third of all replicas at once, where
      * most would have run on, and left nothing to come back to. */
     bool few = !most_silent(silence), cut = is_cut(p, m->zone, now);
-    if (lmn_machine_silent(c, m, now) && m->probes >= 2 && few && !cut)
+    if (lmn_machine_is_silent(c, m, now) && m->probes >= 2 && few && !cut)
         lmn_machine_retire(c, m, true, "silent and unreachable", now);
     if (m->lapsed &&
         silent > cfg->lease_s + LAPSED_BACK_S + (few && cut ? cfg->cancel_s : 0) &&
@@ -242,7 +242,7 @@
 {
     uint32_t n = 0;
     for (guint i = 0; i < q->segs->len; i++) {
-        const struct lmn_seg *s = q->segs->pdata[i];
+        const struct lmn_queue_segment *s = q->segs->pdata[i];
         if (s->range == r)
             n += s->hi - s->lo;
     }
@@ -263,7 +263,7 @@
         if (!r->st || r->job->phase != LMN_JOB_ACTIVE)
             continue;
         for (uint32_t i = 0; i < n; i++)
-            queued += r->st[i] == LMN_T_QUEUED;
+            queued += r->st[i] == LMN_TASK_QUEUED;
         g_hash_table_iter_init(&it, p->machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
             found += in_queue(&((struct lmn_machine *)v)->queue, r);
@@ -330,7 +330,7 @@
         lmn_time_diff_s(now, c->kept_up) < MIN(machines * EACH_S, LONGEST_S))
         return;
     c->kept_up = now;
-    if (lmn_too_stale(c, now) || !lmn_self_may_reply(&c->members, now))
+    if (lmn_watch_cache_is_too_stale(c, now) || !lmn_self_may_reply(&c->members, now))
         c->refused_until = now;
     note_deaf(c, now);
     note_machines(c);
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -14,7 +14,7 @@
 static void range_born(struct lmn_core *c, struct lmn_range *r, struct timespec now)
 {
     lmn_range_open(c, r);
-    if (!lmn_range_free_to_start(r))
+    if (!lmn_range_may_start(r))
         return;
     r->dealt = true;
     lmn_deal(c, r, r->lo, r->hi, now);
@@ -36,7 +36,7 @@
 struct lmn_core *lmn_core_new(const struct lmn_settings *cfg, struct lmn_state *state,
                               uint32_t seed)
 {
-    struct lmn_core *c = lmn_core_bare(cfg, state, seed);
+    struct lmn_core *c = lmn_core_alloc(cfg, state, seed);
 
     c->owner = &ops;
     return c;
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -38,7 +38,7 @@
     g_array_set_size(m->attempts, 0);
     g_array_set_size(m->accusers, 0);
     m->hold = (struct timespec){0, 0};
-    lmn_unpoke(m);
+    lmn_machine_cancel_wake(m);
     m->in_call = false;
     m->probes = m->unheeded = 0;
     m->promised = 0;
@@ -150,7 +150,7 @@
     g_hash_table_iter_init(&it, p->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_range *r = v;
-        if (r->dealt || r->job->phase != LMN_JOB_ACTIVE || !lmn_range_free_to_start(r))
+        if (r->dealt || r->job->phase != LMN_JOB_ACTIVE || !lmn_range_may_start(r))
             continue;
         r->dealt = true;
         lmn_deal_range(c, r, now);
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -237,7 +237,7 @@
     g_hash_table_iter_init(&it, k->fleet.machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_listed *m = v;
-        const struct lmn_machine_type *t = lmn_type_named(c, m->type);
+        const struct lmn_machine_type *t = lmn_machine_type_by_name(c, m->type);
         double missing = lmn_time_diff_s(now, m->listed ? m->seen : m->since);
         if (g_hash_table_contains(c->gone, m->name) ||
             (lmn_time_diff_s(k->listed, now) > -lag && missing > 2 * lag + 4)) {
@@ -364,7 +364,7 @@
         if ((!known || lmn_time_diff_s(now, k.typed) > 120) && pace(&k))
             get_types(&k);
         pthread_mutex_lock(&c->lock);
-        bool blind = lmn_staleness(c, now) > LMN_BLIND_S;
+        bool blind = lmn_watch_cache_age_s(c, now) > LMN_MAX_CACHE_AGE_S;
         pthread_mutex_unlock(&c->lock);
         if (!blind)
             return_machines(&k);
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -141,7 +141,7 @@
     gpus = CLAMP(gpus, 0, MAX(have_gpus - p->used_gpus[team], 0));
     if (cpus < 1e-6 && gpus < 1e-6)
         return false;
-    p->transfer = (struct lmn_limit_transfer){.team = team,
+    p->transfer = (struct lmn_quota_transfer){.team = team,
                                               .to = to,
                                               .cpus = cpus,
                                               .gpus = gpus,
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -24,7 +24,7 @@
     r->dealt = false;
     for (uint32_t i = 0; i < n; i++)
         if (lmn_bitset_get(r->done, i))
-            r->st[i] = LMN_T_DONE;
+            r->st[i] = LMN_TASK_DONE;
 }
 
 void lmn_range_forget(struct lmn_core *c, struct lmn_range *r)
@@ -34,11 +34,11 @@
     gpointer v;
     (void)c;
 
-    lmn_queue_drop_range(&p->unplaced, r);
+    lmn_queue_remove_range(&p->unplaced, r);
     g_hash_table_iter_init(&it, p->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *m = v;
-        lmn_queue_drop_range(&m->queue, r);
+        lmn_queue_remove_range(&m->queue, r);
         for (guint i = 0; i < m->attempts->len; i++) {
             struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
             if (a->range == r)
@@ -51,9 +51,9 @@
 void lmn_task_requeue(struct lmn_core *c, struct lmn_range *r, uint32_t index,
                       struct timespec now)
 {
-    if (!r || !r->st || r->st[index - r->lo] != LMN_T_STARTED)
+    if (!r || !r->st || r->st[index - r->lo] != LMN_TASK_STARTED)
         return;
-    r->st[index - r->lo] = LMN_T_QUEUED;
+    r->st[index - r->lo] = LMN_TASK_QUEUED;
     r->nstarted--;
     if (r->dealt && r->job->phase == LMN_JOB_ACTIVE)
         lmn_deal(c, r, index, index + 1, now);
@@ -63,11 +63,11 @@
 {
     uint8_t *st = &r->st[index - r->lo];
 
-    if (*st == LMN_T_DONE)
+    if (*st == LMN_TASK_DONE)
         return;
-    if (*st == LMN_T_STARTED)
+    if (*st == LMN_TASK_STARTED)
         r->nstarted--;
-    *st = LMN_T_DONE;
+    *st = LMN_TASK_DONE;
     if (r->nfinished++ == r->ndone)
         r->dirty = now;
 }
@@ -82,7 +82,7 @@
     for (guint i = 0; i < old->len; i++) {
         struct lmn_attempt *a = &g_array_index(old, struct lmn_attempt, i);
         lmn_attempt_uncount(m, a);
-        if (a->state != LMN_A_ENDED) {
+        if (a->state != LMN_ATTEMPT_ENDED) {
             lmn_debug("task-lost task=%s/%u attempt=%" G_GUINT64_FORMAT
                       " machine=%s why=\"%s\"",
                       a->ref, a->index, a->number, m->name, why);
@@ -90,5 +90,5 @@
         }
     }
     g_array_free(old, TRUE);
-    lmn_untold(m);
+    lmn_machine_mark_unreplicated(m);
 }
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -85,7 +85,7 @@
     } else {
         struct lmn_range here = {.lo = r->lo, .hi = r->move_at};
         for (uint32_t i = 0; i < here.hi - here.lo; i++)
-            if (r->st[i] == LMN_T_DONE)
+            if (r->st[i] == LMN_TASK_DONE)
                 lmn_bitset_set(bits, i);
         lmn_txn_write(t, r->key, lmn_range_record(&here, bits), 0);
         g_snprintf(key, sizeof key, "j/%s", j->spec.ref);
@@ -147,7 +147,7 @@
     } else {
         uint8_t *done = g_malloc0((n + 7) / 8);
         for (uint32_t i = 0; i < n; i++)
-            if (r->st[i] == LMN_T_DONE)
+            if (r->st[i] == LMN_TASK_DONE)
                 lmn_bitset_set(done, i);
         lmn_txn_write(t, r->key, lmn_range_record(r, done), 0);
         g_free(done);
--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -22,7 +22,7 @@
     __atomic_store_n(&c->leaving, true, __ATOMIC_RELAXED);
     c->left = false;
     c->leave_at = now;
-    lmn_info("leave-begin partitions=%u", lmn_member_holds(c, c->members.me));
+    lmn_info("leave-begin partitions=%u", lmn_member_owned_partitions(c, c->members.me));
     pthread_cond_broadcast(&c->changed);
 }
 
@@ -87,6 +87,6 @@
                            "leaving for %.1f s: %u partitions left to give, lease %s, "
                            "ends within %.1f s\n",
                            lmn_time_diff_s(now, c->leave_at),
-                           lmn_member_holds(c, c->members.me), c->left ? "gone" : "held",
-                           lmn_leave_left_s(c, now));
+                           lmn_member_owned_partitions(c, c->members.me),
+                           c->left ? "gone" : "held", lmn_leave_left_s(c, now));
 }
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -18,7 +18,7 @@
                          struct timespec now)
 {
     return !m->is_gone && !lmn_time_before(now, m->next_probe) &&
-           ((m->inherited && !m->accounted) || lmn_machine_silent(c, m, now));
+           ((m->inherited && !m->accounted) || lmn_machine_is_silent(c, m, now));
 }
 
 /* A node that hears no workers has none, so none comes to it either: it asks one now and
@@ -164,7 +164,7 @@
         m->seq = r.seq;
         m->last = now;
         if (!m->type)
-            m->type = lmn_type_named(c, m->type_name);
+            m->type = lmn_machine_type_by_name(c, m->type_name);
         lmn_debug("machine-accounted machine=%s term=%" G_GUINT64_FORMAT " by=probe",
                   m->name, term);
         lmn_report_tasks(c, m, &d, r.tasks, now);
@@ -173,11 +173,11 @@
         for (guint i = m->attempts->len; i-- > 0;)
             if (g_array_index(m->attempts, struct lmn_attempt, i).told)
                 lmn_attempt_vanish(c, m, i, now);
-        lmn_untold(m);
+        lmn_machine_mark_unreplicated(m);
         lmn_partition_check(c, p, now);
         /* Its lane looks there next, on the connection that it has. */
         if (p->warm)
-            lmn_poke(m);
+            lmn_machine_wake(m);
     }
     lmn_cbor_free(&d);
 }
@@ -215,7 +215,7 @@
 
     for (guint i = 0; i < m->attempts->len; i++) {
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
-        if (!a->stop || a->killed || a->state == LMN_A_ENDED || !a->range)
+        if (!a->stop || a->killed || a->state == LMN_ATTEMPT_ENDED || !a->range)
             continue;
         lmn_command(out, W_KILL, a, a->grace);
         a->killed = true;
@@ -236,7 +236,7 @@
             struct lmn_machine *m = at < poked->len ? poked->pdata[at] : NULL;
             if (!m || m->in_call || g_str_hash(m->name) % lanes != lane)
                 continue;
-            lmn_unpoke(m);
+            lmn_machine_cancel_wake(m);
             if (!m->accounted || m->lapsed || m->unheeded ||
                 lmn_time_diff_s(now, m->last) > 0.6 * c->cfg->lease_s)
                 continue;
@@ -244,7 +244,7 @@
             guint n = stop_some(c, m, commands);
             guint before = m->attempts->len;
             /* Behind the fence no worker is answered, and nothing starts either. */
-            if (!lmn_too_stale(c, now))
+            if (!lmn_watch_cache_is_too_stale(c, now))
                 n += lmn_schedule(c, m, commands, now);
             if (n) {
                 for (guint k = before; k < m->attempts->len; k++)
@@ -308,7 +308,7 @@
         lmn_machine_unheeding(c, m, now);
     /* What made room has ended: the task it was made for goes there at once. */
     if (m->promised && read) {
-        lmn_poke(m);
+        lmn_machine_wake(m);
         pthread_cond_broadcast(&c->poked);
     }
 }
--- a/src/replication/batch.c
+++ b/src/replication/batch.c
@@ -36,7 +36,7 @@
         const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         struct lmn_told_attempt x = {.index = a->index,
                                      .number = a->number,
-                                     .ended = a->state == LMN_A_ENDED,
+                                     .ended = a->state == LMN_ATTEMPT_ENDED,
                                      .done = a->done};
         g_strlcpy(x.ref, a->ref, sizeof x.ref);
         g_array_append_val(t->attempts, x);
--- a/src/replication/failover.c
+++ b/src/replication/failover.c
@@ -59,19 +59,19 @@
 {
     struct lmn_attempt a = {.index = told->index,
                             .number = told->number,
-                            .state = LMN_A_RUNNING,
+                            .state = LMN_ATTEMPT_RUNNING,
                             .told = true,
                             .since = now};
 
     g_strlcpy(a.ref, told->ref, sizeof a.ref);
     a.job = g_hash_table_lookup(c->jobs, told->ref);
-    a.range = lmn_range_of(m->part, a.job, told->index);
+    a.range = lmn_partition_find_range(m->part, a.job, told->index);
     /* One that has failed is not there, and its task was queued again. One that is done
      * is held until the worker says so, or is gone. */
     if (told->ended && (!told->done || !a.range))
         return false;
-    if (a.range && a.range->st[a.index - a.range->lo] == LMN_T_QUEUED) {
-        a.range->st[a.index - a.range->lo] = LMN_T_STARTED;
+    if (a.range && a.range->st[a.index - a.range->lo] == LMN_TASK_QUEUED) {
+        a.range->st[a.index - a.range->lo] = LMN_TASK_STARTED;
         a.range->nstarted++;
     } else {
         a.range = NULL; /* recorded as done, or moved away */
@@ -118,7 +118,7 @@
         }
         m->session = t->session;
         if (!m->type)
-            m->type = lmn_type_named(c, m->type_name);
+            m->type = lmn_machine_type_by_name(c, m->type_name);
         inherit_images(m, t, now);
         for (guint i = 0; i < t->attempts->len; i++) {
             const struct lmn_told_attempt *a =
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -32,7 +32,7 @@
 
 bool lmn_stream_gates(const struct lmn_partition *p)
 {
-    return p->mine && p->stream.phase >= LMN_STREAM_CLOSING;
+    return p->mine && p->stream.phase >= LMN_STREAM_CATCHING_UP;
 }
 
 bool lmn_stream_covers(const struct lmn_partition *p, uint64_t mark)
@@ -145,7 +145,7 @@
 {
     struct lmn_stream *s = &p->stream;
 
-    s->phase = LMN_STREAM_COPYING;
+    s->phase = LMN_STREAM_SNAPSHOT;
     s->to = to;
     s->to_lease = c->members.v[to].lease;
     /* In order within the term, so that a late twin of an older one is known as that. */
@@ -159,7 +159,7 @@
     for (guint i = 0; i < p->list->len; i++) {
         struct lmn_machine *m = p->list->pdata[i];
         m->told_images = 0;
-        lmn_untold(m);
+        lmn_machine_mark_unreplicated(m);
     }
     lmn_debug("standby-copy partition=%d member=%s machines=%u", p->id,
               lmn_member_name(&c->members, to), p->list->len);
@@ -200,7 +200,7 @@
              "waiting=%" G_GUINT64_FORMAT,
              p->id, lmn_member_name(&c->members, s->to), lmn_stream_phase_name(s->phase),
              why, s->mark - s->acked);
-    s->phase = LMN_STREAM_STRIKING;
+    s->phase = LMN_STREAM_REMOVING;
     s->why = why;
     s->written = (struct timespec){0, 0};
     s->count.strikes++;
@@ -209,7 +209,7 @@
 static void fail(struct lmn_core *c, struct lmn_partition *p, const char *why,
                  struct timespec now)
 {
-    if (p->stream.phase >= LMN_STREAM_NAMING)
+    if (p->stream.phase >= LMN_STREAM_JOINING)
         strike(c, p, why);
     else
         end(c, p, why, now);
@@ -257,32 +257,32 @@
             begin(c, p, to, now);
         return;
     }
-    if (s->phase == LMN_STREAM_STRIKING) {
+    if (s->phase == LMN_STREAM_REMOVING) {
         /* A naming that is late can't be applied any more either. */
         if (p->standby_rev > s->named_rev && !shown(p))
             end(c, p, s->why, now);
         return;
     }
-    bool waits = s->phase >= LMN_STREAM_CLOSING && s->acked < s->mark;
+    bool waits = s->phase >= LMN_STREAM_CATCHING_UP && s->acked < s->mark;
     if (!fit(c, p)) {
         fail(c, p, "suspected, or another life", now);
     } else if (waits && lmn_time_diff_s(now, s->waits) > LMN_STREAM_PATIENCE_S) {
         fail(c, p, "no acknowledgement", now);
     } else if (s->failures >= TRIES) {
         fail(c, p, "no answer", now);
-    } else if (s->phase == LMN_STREAM_IN_STEP && passed_over(c, p, now)) {
+    } else if (s->phase == LMN_STREAM_IN_SYNC && passed_over(c, p, now)) {
         strike(c, p, BACK);
-    } else if (s->phase == LMN_STREAM_COPYING && s->number > 0 && !s->batch &&
+    } else if (s->phase == LMN_STREAM_SNAPSHOT && s->number > 0 && !s->batch &&
                p->untold->len <= LMN_BATCH_MACHINES / 2 && !p->forgotten->len) {
-        s->phase = LMN_STREAM_CLOSING;
+        s->phase = LMN_STREAM_CATCHING_UP;
         s->closing = s->mark;
         s->waits = now;
-    } else if (s->phase == LMN_STREAM_CLOSING && s->acked >= s->closing) {
-        s->phase = LMN_STREAM_NAMING;
+    } else if (s->phase == LMN_STREAM_CATCHING_UP && s->acked >= s->closing) {
+        s->phase = LMN_STREAM_JOINING;
         s->named_rev = p->standby_rev;
         s->written = (struct timespec){0, 0};
-    } else if (s->phase == LMN_STREAM_NAMING && shown(p)) {
-        s->phase = LMN_STREAM_IN_STEP;
+    } else if (s->phase == LMN_STREAM_JOINING && shown(p)) {
+        s->phase = LMN_STREAM_IN_SYNC;
         lmn_info("standby-in-step partition=%d member=%s machines=%u after=%.2f", p->id,
                  lmn_member_name(&c->members, s->to), p->list->len,
                  lmn_time_diff_s(now, s->began));
@@ -294,7 +294,7 @@
 
 static bool writes(const struct lmn_stream *s, struct timespec now)
 {
-    return (s->phase == LMN_STREAM_NAMING || s->phase == LMN_STREAM_STRIKING) &&
+    return (s->phase == LMN_STREAM_JOINING || s->phase == LMN_STREAM_REMOVING) &&
            (!s->written.tv_sec || lmn_time_diff_s(now, s->written) > WRITE_S);
 }
 
@@ -303,11 +303,11 @@
 {
     const struct lmn_stream *s = &p->stream;
 
-    if (s->phase == LMN_STREAM_NONE || s->phase == LMN_STREAM_STRIKING || s->sending)
+    if (s->phase == LMN_STREAM_NONE || s->phase == LMN_STREAM_REMOVING || s->sending)
         return false;
     if (s->batch)
         return true; /* once more */
-    if (s->phase == LMN_STREAM_COPYING)
+    if (s->phase == LMN_STREAM_SNAPSHOT)
         return true;
     if (s->acked < s->mark)
         return lmn_time_diff_s(now, s->waits) >= GATHER_S;
@@ -327,7 +327,7 @@
     advance(c, p, now);
     if (writes(s, now)) {
         s->written = now;
-        *txn = record(c, p, s->phase == LMN_STREAM_NAMING);
+        *txn = record(c, p, s->phase == LMN_STREAM_JOINING);
         return LMN_STREAM_WRITE;
     }
     if (tells(p, now)) {
@@ -360,7 +360,7 @@
     s->failures = 0;
     if (answer != LMN_COPY_TAKEN) {
         lmn_batch_free(b);
-        if (s->phase != LMN_STREAM_STRIKING)
+        if (s->phase != LMN_STREAM_REMOVING)
             fail(c, p,
                  answer == LMN_COPY_UNKNOWN ? "it does not know the stream"
                                             : "it refuses the stream",
@@ -372,7 +372,7 @@
     s->count.machines += b->machines->len;
     if (b->mark > s->acked) {
         /* While it is copied, no start waits. */
-        if (s->phase >= LMN_STREAM_CLOSING)
+        if (s->phase >= LMN_STREAM_CATCHING_UP)
             lmn_latency_add(&c->telling, lmn_time_diff_s(now, s->waits));
         s->acked = b->mark;
         s->waits = now;
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -70,7 +70,7 @@
         g_hash_table_iter_init(&it, f->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_listed *m = v;
-            const struct lmn_machine_type *t = lmn_type_named(c, m->type);
+            const struct lmn_machine_type *t = lmn_machine_type_by_name(c, m->type);
             struct kind *k = NULL, new = {t, m->zone, 0, 0};
             if (!t || m->broken)
                 continue;
@@ -162,7 +162,7 @@
                 continue;
             if (s->kind == LMN_JOB_BATCH)
                 left = MIN(left, MAX(left * MAX(s->estimate_s, 1) / horizon, 1));
-            if (lmn_job_accused(&r->job->failures))
+            if (lmn_job_is_faulty(&r->job->failures))
                 left = MIN(left, 1); /* its only try */
             struct want w = {s,
                              r->job->team,
@@ -268,7 +268,7 @@
     g_hash_table_iter_init(&it, f->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_listed *m = v;
-        const struct lmn_machine_type *t = lmn_type_named(c, m->type);
+        const struct lmn_machine_type *t = lmn_machine_type_by_name(c, m->type);
         machines++;
         if (m->broken || !t)
             continue;
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -27,7 +27,7 @@
                    struct timespec now)
 {
     return m->type && m->rev && m->accounted && !m->retiring && !m->noticed &&
-           !m->lapsed && !m->is_gone && !m->promised && !lmn_machine_silent(c, m, now);
+           !m->lapsed && !m->is_gone && !m->promised && !lmn_machine_is_silent(c, m, now);
 }
 
 static bool holds_replica(const struct lmn_attempt *a)
@@ -45,7 +45,7 @@
         const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         if (!holds_replica(a))
             continue;
-        if (a->state != LMN_A_RUNNING || !a->listed || a->stop || a->direct ||
+        if (a->state != LMN_ATTEMPT_RUNNING || !a->listed || a->stop || a->direct ||
             lmn_time_diff_s(now, a->since) < SETTLED_S)
             return 0;
         n++;
@@ -113,7 +113,7 @@
     bool waits = p->unplaced.tasks > 0;
 
     if (!p->mine || !p->ready || p->releasing || lmn_time_before(now, p->next_pack) ||
-        lmn_staleness(c, now) > LMN_BLIND_S)
+        lmn_watch_cache_age_s(c, now) > LMN_MAX_CACHE_AGE_S)
         return;
     p->next_pack = lmn_time_add(now, EVERY_S);
     GArray *targets = g_array_new(FALSE, FALSE, sizeof(struct target));
@@ -153,7 +153,7 @@
             a->grace = a->job->spec.save_s + 1;
         }
         lmn_machine_retire(c, m, false, "its replicas have room elsewhere", now);
-        lmn_poke(m);
+        lmn_machine_wake(m);
         pthread_cond_broadcast(&c->poked);
         break;
     }
--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -32,7 +32,7 @@
     uint32_t waiting = r->hi - r->lo - MIN(r->nfinished + r->nstarted, r->hi - r->lo);
 
     /* Of one that fails wherever it starts, nothing can. */
-    if (lmn_job_accused(&r->job->failures))
+    if (lmn_job_is_faulty(&r->job->failures))
         waiting = 0;
     f->used += r->nstarted * r->job->spec.cpus;
     f->waiting += waiting * r->job->spec.cpus;
@@ -160,7 +160,7 @@
             if (j->phase != LMN_JOB_ACTIVE || !r->st)
                 continue;
             j->aged = wall - j->at > AGED_S && !r->nstarted && !r->nfinished &&
-                      !lmn_job_accused(&j->failures);
+                      !lmn_job_is_faulty(&j->failures);
             j->cheap = j->spec.urgency == LMN_PRIORITY_IDLE && cheap_here(p, &j->spec);
         }
     }
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -67,7 +67,7 @@
         if (r->part == p && r->st)
             tasks += r->hi - r->lo - r->nfinished - r->nstarted;
     }
-    if (lmn_job_accused(&j->failures))
+    if (lmn_job_is_faulty(&j->failures))
         tasks = MIN(tasks, 1);
     return MAX(tasks, 0) * MAX(j->spec.cpus, 0.01) * MAX(j->spec.estimate_s, 1);
 }
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -33,7 +33,7 @@
     uint32_t skip = on ? on->promised : 0;
 
     for (guint i = 0; i < q->segs->len && out->len < HELPED_AT_ONCE; i++) {
-        const struct lmn_seg *s = q->segs->pdata[i];
+        const struct lmn_queue_segment *s = q->segs->pdata[i];
         const struct lmn_job *j = s->job;
         if (j->spec.urgency != LMN_PRIORITY_PRODUCTION || j->phase != LMN_JOB_ACTIVE ||
             lmn_time_before(now, j->failures.hold))
@@ -53,7 +53,7 @@
 {
     return a->job && a->range && a->job->phase == LMN_JOB_ACTIVE && a->counted &&
            !a->stop && !a->direct && a->listed && a->job->spec.urgency < s->urgency &&
-           (a->state == LMN_A_FETCHING || a->state == LMN_A_RUNNING);
+           (a->state == LMN_ATTEMPT_FETCHING || a->state == LMN_ATTEMPT_RUNNING);
 }
 
 /* Seconds for which those who wait can wait for others to save: beyond that, and what it
@@ -75,7 +75,7 @@
 static double loss(const struct lmn_attempt *a, bool saves, struct timespec now)
 {
     const struct lmn_job_spec *s = &a->job->spec;
-    double ran = a->state == LMN_A_FETCHING ? 0 : lmn_time_diff_s(now, a->since);
+    double ran = a->state == LMN_ATTEMPT_FETCHING ? 0 : lmn_time_diff_s(now, a->since);
     double work = s->checkpoint_s <= 0 ? ran
                   : saves              ? MIN(ran, s->save_s)
                                        : MIN(ran, s->checkpoint_s / 2);
@@ -142,7 +142,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *m = v;
         for (guint i = 0; m->promised && i < m->queue.segs->len; i++) {
-            const struct lmn_seg *s = m->queue.segs->pdata[i];
+            const struct lmn_queue_segment *s = m->queue.segs->pdata[i];
             if (s->job == j && !strcmp(m->zone, zone))
                 n += s->hi - s->lo;
         }
@@ -164,7 +164,7 @@
         struct lmn_machine *m = v;
         /* One that does not report would keep the task waiting. */
         if (m->promised || !lmn_can_hold(m, j) || !lmn_zone_room(j, m->zone) ||
-            lmn_machine_silent(c, m, now))
+            lmn_machine_is_silent(c, m, now))
             continue;
         double cost = FETCH_WEIGHT * j->spec.cpus * lmn_fetch_s(m, j, now);
         if (cost < least)
@@ -204,10 +204,10 @@
         m->promised++;
         m->promise_until = lmn_time_add(now, KEEP_S);
         if (m != w->on) {
-            lmn_queue_take(w->queue, w->range, w->index);
+            lmn_queue_remove_task(w->queue, w->range, w->index);
             lmn_queue_add(&m->queue, w->range, w->index, w->index + 1);
         }
-        lmn_poke(m);
+        lmn_machine_wake(m);
         pthread_cond_broadcast(&c->poked);
     }
     g_array_free(wait, TRUE);
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -140,7 +140,7 @@
     struct lmn_partition *p = r->part;
     GHashTableIter it;
     gpointer v;
-    if (lmn_job_accused(&r->job->failures)) {
+    if (lmn_job_is_faulty(&r->job->failures)) {
         /* It is tried with a task at a time: there it fills no machine's queue. */
         lmn_queue_add(&p->unplaced, r, lo, hi);
         return;
@@ -180,7 +180,7 @@
             continue;
         g_hash_table_insert(dealt, x->m->zone, GUINT_TO_POINTER(there + n));
         deal_to(x->m, r, lo, lo + n, now);
-        lmn_poke(x->m);
+        lmn_machine_wake(x->m);
         lo += n;
     }
     g_hash_table_destroy(dealt);
@@ -197,7 +197,7 @@
 
     for (uint32_t i = 0; i < n;) {
         uint32_t k = i;
-        while (k < n && r->st[k] == LMN_T_QUEUED)
+        while (k < n && r->st[k] == LMN_TASK_QUEUED)
             k++;
         if (k > i)
             lmn_deal(c, r, r->lo + i, r->lo + k, now);
@@ -210,10 +210,10 @@
     GHashTableIter it;
     gpointer v;
 
-    lmn_queue_drop_range(&r->part->unplaced, r);
+    lmn_queue_remove_range(&r->part->unplaced, r);
     g_hash_table_iter_init(&it, r->part->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
-        lmn_queue_drop_range(&((struct lmn_machine *)v)->queue, r);
+        lmn_queue_remove_range(&((struct lmn_machine *)v)->queue, r);
     lmn_deal_range(c, r, now);
 }
 
@@ -233,8 +233,8 @@
     m->promised = 0;
     lmn_queue_init(&m->queue);
     for (guint i = 0; i < old.segs->len; i++) {
-        struct lmn_seg *s = old.segs->pdata[i];
-        if (lmn_range_free_to_start(s->range))
+        struct lmn_queue_segment *s = old.segs->pdata[i];
+        if (lmn_range_may_start(s->range))
             lmn_deal(c, s->range, s->lo, s->hi, now);
     }
     lmn_queue_clear(&old);
@@ -262,22 +262,22 @@
     c->turn++;
 }
 
-static void start(struct lmn_core *c, struct lmn_machine *m, struct lmn_seg *s,
+static void start(struct lmn_core *c, struct lmn_machine *m, struct lmn_queue_segment *s,
                   GByteArray *out, struct timespec now)
 {
     struct lmn_partition *p = m->part;
     struct lmn_attempt a = {.job = s->job,
                             .range = s->range,
                             .index = s->lo,
-                            .state = LMN_A_SENT,
+                            .state = LMN_ATTEMPT_SENT,
                             .seen = true,
                             .since = now};
 
     /* Unique for ever without a write: no two owners share a term. */
     a.number = p->my_term << 24 | (++p->attempts & 0xffffff);
     g_strlcpy(a.ref, a.job->spec.ref, sizeof a.ref);
-    a.mark = lmn_untold_start(m, now);
-    s->range->st[a.index - s->range->lo] = LMN_T_STARTED;
+    a.mark = lmn_machine_log_start(m, now);
+    s->range->st[a.index - s->range->lo] = LMN_TASK_STARTED;
     s->range->nstarted++;
     lmn_attempt_count(m, &a);
     if (!p->started)
@@ -286,8 +286,8 @@
     p->started = true;
     c->turn++;
     a.job->aged = false; /* it has begun */
-    if (lmn_job_accused(&a.job->failures))
-        lmn_job_tried(&a.job->failures, now);
+    if (lmn_job_is_faulty(&a.job->failures))
+        lmn_job_record_retry(&a.job->failures, now);
     if (m->promised && a.job->spec.urgency == LMN_PRIORITY_PRODUCTION) {
         m->promised--;
         look_anew(c); /* lesser work may start again */
@@ -363,11 +363,11 @@
     int best = -1;
 
     for (guint i = 0; i < q->segs->len; i++) {
-        const struct lmn_seg *s = q->segs->pdata[i];
+        const struct lmn_queue_segment *s = q->segs->pdata[i];
         if (!startable(c, m, s->job, now))
             continue;
         if (best >= 0) {
-            const struct lmn_seg *t = q->segs->pdata[best];
+            const struct lmn_queue_segment *t = q->segs->pdata[best];
             if (s->job == t->job || order_on(c, m, s->job, t->job, now) > 0)
                 continue;
         }
@@ -415,19 +415,19 @@
 static guint start_from(struct lmn_core *c, struct lmn_queue *q, int at,
                         struct lmn_machine *m, GByteArray *out, struct timespec now)
 {
-    struct lmn_seg *s = q->segs->pdata[at];
+    struct lmn_queue_segment *s = q->segs->pdata[at];
     guint n = 0;
 
     q->tasks--;
     /* The books decide, not the queue: what is not queued there is not started. */
-    if (s->range->st[s->lo - s->range->lo] != LMN_T_QUEUED) {
+    if (s->range->st[s->lo - s->range->lo] != LMN_TASK_QUEUED) {
         s->lo++;
     } else {
         start(c, m, s, out, now);
         n = 1;
     }
     if (s->lo == s->hi)
-        lmn_queue_drop(q, (guint)at);
+        lmn_queue_remove_segment(q, (guint)at);
     return n;
 }
 
@@ -444,13 +444,14 @@
 
     while ((at = best_seg(c, &m->queue, m, now)) >= 0) {
         struct lmn_queue *from = &m->queue;
-        struct lmn_job *best = ((struct lmn_seg *)from->segs->pdata[at])->job;
+        struct lmn_job *best = ((struct lmn_queue_segment *)from->segs->pdata[at])->job;
         if (!queues)
             queues = sample_queues(c, m);
         for (guint i = 0; i < queues->len; i++) {
             struct lmn_queue *q = queues->pdata[i];
             int k = best_seg(c, q, m, now);
-            struct lmn_job *j = k < 0 ? NULL : ((struct lmn_seg *)q->segs->pdata[k])->job;
+            struct lmn_job *j =
+                k < 0 ? NULL : ((struct lmn_queue_segment *)q->segs->pdata[k])->job;
             if (j && j != best && order_on(c, m, j, best, now) < 0) {
                 from = q;
                 at = k;
@@ -473,7 +474,7 @@
 {
     uint32_t n = 0;
     for (guint i = 0; i < q->segs->len; i++) {
-        const struct lmn_seg *s = q->segs->pdata[i];
+        const struct lmn_queue_segment *s = q->segs->pdata[i];
         if (startable(c, thief, s->job, now))
             n += s->hi - s->lo;
     }
@@ -487,14 +488,14 @@
     int at;
 
     while (got < want && (at = best_seg(c, from, m, now)) >= 0) {
-        struct lmn_seg *s = from->segs->pdata[at];
+        struct lmn_queue_segment *s = from->segs->pdata[at];
         uint32_t n = MIN(want - got, s->hi - s->lo);
         lmn_queue_add(&m->queue, s->range, s->lo, s->lo + n);
         s->lo += n;
         from->tasks -= n;
         got += n;
         if (s->lo == s->hi)
-            lmn_queue_drop(from, (guint)at);
+            lmn_queue_remove_segment(from, (guint)at);
     }
     return got;
 }
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -44,7 +44,7 @@
         double n = r->st ? r->hi - r->lo - r->nfinished - r->nstarted : 0;
         if (r->job->team != team || r->job->phase != LMN_JOB_ACTIVE || n <= 0)
             continue;
-        if (lmn_job_accused(&r->job->failures))
+        if (lmn_job_is_faulty(&r->job->failures))
             n = 1; /* it is tried with a task at a time */
         w->cpus += n * r->job->spec.cpus;
         w->gpus += n * r->job->spec.gpus;
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -20,19 +20,19 @@
 static void let_go(struct lmn_machine *m)
 {
     m->kept = NULL;
-    lmn_poke(m);
+    lmn_machine_wake(m);
 }
 
-static void keep(struct lmn_keep *k, const struct lmn_job *j, double cpus, double gpus,
-                 struct timespec until)
+static void keep(struct lmn_quota_reservation *k, const struct lmn_job *j, double cpus,
+                 double gpus, struct timespec until)
 {
-    *k = (struct lmn_keep){j, cpus, gpus, until};
+    *k = (struct lmn_quota_reservation){j, cpus, gpus, until};
 }
 
 void lmn_reserve_limit(struct lmn_partition *p, int team, double cpus, double gpus,
                        struct timespec now)
 {
-    struct lmn_keep *k = &p->keep[team];
+    struct lmn_quota_reservation *k = &p->keep[team];
 
     /* Our own that waits comes first. */
     if (!k->job || !lmn_time_before(now, k->until))
@@ -68,7 +68,7 @@
     for (guint k = 0; k <= p->list->len && !found; k++) {
         from = k ? &((struct lmn_machine *)p->list->pdata[k - 1])->queue : &p->unplaced;
         for (guint i = 0; i < from->segs->len && !found; i++) {
-            const struct lmn_seg *s = from->segs->pdata[i];
+            const struct lmn_queue_segment *s = from->segs->pdata[i];
             found = s->range == r;
             index = s->lo;
         }
@@ -76,7 +76,7 @@
     if (!found || from == &m->queue)
         return;
     struct lmn_range *range = g_hash_table_lookup(p->ranges, r->key);
-    lmn_queue_take(from, range, index);
+    lmn_queue_remove_task(from, range, index);
     lmn_queue_add(&m->queue, range, index, index + 1);
 }
 
@@ -109,7 +109,7 @@
     struct lmn_job *j = r->job;
 
     if (!lmn_in_quota(c, p, j)) {
-        struct lmn_keep *k = &p->keep[j->team];
+        struct lmn_quota_reservation *k = &p->keep[j->team];
         /* What is more than all of the part has to come from others
          * (partition/quota_transfer.c). */
         if (!k->job || !lmn_time_before(now, k->until))
@@ -149,7 +149,7 @@
         kept -= m->kept && kept;
     }
     for (size_t t = 0; t < c->cfg->nteams; t++) {
-        struct lmn_keep *k = &p->keep[t];
+        struct lmn_quota_reservation *k = &p->keep[t];
         if (k->cpus + k->gpus > 0 &&
             (!lmn_time_before(now, k->until) ||
              (k->job && (!k->job->aged || k->job->phase != LMN_JOB_ACTIVE))))
@@ -162,7 +162,7 @@
         const struct lmn_range *r = v;
         if (r->job->aged && c->wall - r->job->at > WAITED_S &&
             r->job->phase == LMN_JOB_ACTIVE && r->st && r->dealt && r->job->team >= 0 &&
-            !lmn_job_accused(&r->job->failures) && lmn_range_free_to_start(r))
+            !lmn_job_is_faulty(&r->job->failures) && lmn_range_may_start(r))
             help(c, p, r, &kept, now);
     }
 }
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -120,7 +120,7 @@
 enum lmn_wait_reason lmn_job_wait(const struct lmn_core *c, const struct lmn_machine *m,
                                   const struct lmn_job *j, struct timespec now)
 {
-    if (!lmn_job_wanted(c, j))
+    if (!lmn_job_may_run(c, j))
         return LMN_WAIT_NOT_WANTED;
     if (!lmn_room(m, &j->spec))
         return LMN_WAIT_ROOM;
@@ -145,7 +145,7 @@
 {
     if (r->part != m->part)
         return LMN_WAIT_OTHER_PARTITION;
-    if (!r->dealt || !lmn_range_free_to_start(r))
+    if (!r->dealt || !lmn_range_may_start(r))
         return LMN_WAIT_NOT_OPEN;
     enum lmn_wait_reason reason = lmn_machine_wait(m, now);
     return reason != LMN_WAIT_NONE ? reason : lmn_job_wait(c, m, r->job, now);
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -71,7 +71,7 @@
         return 0;
     for (guint i = 0; i < t->nrooms; i++) {
         const struct lmn_free_capacity *r = &t->rooms[i];
-        const struct lmn_machine_type *type = lmn_type_named(c, r->type);
+        const struct lmn_machine_type *type = lmn_machine_type_by_name(c, r->type);
         double k = 1e6;
         if (!type || !lmn_job_spec_allows(s, type, r->zone, r->spot))
             continue;
@@ -117,9 +117,9 @@
     if (!r->st || r->job->phase != LMN_JOB_ACTIVE || r->writing || r->move_to >= 0)
         return 0;
     /* Those that fail wherever they start are not worth a change. */
-    if ((is_whole(r->job) && !is_untouched(r)) || lmn_job_accused(&r->job->failures))
+    if ((is_whole(r->job) && !is_untouched(r)) || lmn_job_is_faulty(&r->job->failures))
         return 0;
-    while (k > 0 && r->st[k - 1] == LMN_T_QUEUED)
+    while (k > 0 && r->st[k - 1] == LMN_TASK_QUEUED)
         k--;
     return n - k;
 }
@@ -198,11 +198,11 @@
     best->move_unsure = false;
     best->move_rev = best->rev;
     for (uint32_t i = best->move_at; i < best->hi; i++)
-        best->st[i - best->lo] = LMN_T_MOVING;
-    lmn_queue_cut(&p->unplaced, best, best->move_at);
+        best->st[i - best->lo] = LMN_TASK_MOVING;
+    lmn_queue_remove_tail(&p->unplaced, best, best->move_at);
     g_hash_table_iter_init(&it, p->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
-        lmn_queue_cut(&((struct lmn_machine *)v)->queue, best, best->move_at);
+        lmn_queue_remove_tail(&((struct lmn_machine *)v)->queue, best, best->move_at);
     c->count.moves++;
     c->count.moved_tasks += n;
     lmn_debug("move job=%s from=%u tasks=%u partition=%d to=%d", best->job->spec.ref,
@@ -230,10 +230,10 @@
     gpointer v;
     (void)c;
 
-    lmn_queue_cut(&r->part->unplaced, r, hi);
+    lmn_queue_remove_tail(&r->part->unplaced, r, hi);
     g_hash_table_iter_init(&it, r->part->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
-        lmn_queue_cut(&((struct lmn_machine *)v)->queue, r, hi);
+        lmn_queue_remove_tail(&((struct lmn_machine *)v)->queue, r, hi);
     r->hi = hi;
     r->move_to = -1;
     r->move_unsure = false;
@@ -248,8 +248,8 @@
     if (!r->st)
         return;
     for (uint32_t i = at; i < r->hi; i++)
-        if (r->st[i - r->lo] == LMN_T_MOVING)
-            r->st[i - r->lo] = LMN_T_QUEUED;
+        if (r->st[i - r->lo] == LMN_TASK_MOVING)
+            r->st[i - r->lo] = LMN_TASK_QUEUED;
     if (r->part->ready && r->job->phase == LMN_JOB_ACTIVE)
         lmn_deal(c, r, at, r->hi, now);
 }
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -21,7 +21,7 @@
     p->quota_gpus = g_new0(double, nteams);
     p->used_cpus = g_new0(double, nteams);
     p->used_gpus = g_new0(double, nteams);
-    p->keep = g_new0(struct lmn_keep, nteams);
+    p->keep = g_new0(struct lmn_quota_reservation, nteams);
 }
 
 static void free_teams(struct lmn_partition *p)
@@ -33,8 +33,8 @@
     g_free(p->keep);
 }
 
-struct lmn_core *lmn_core_bare(const struct lmn_settings *cfg, struct lmn_state *state,
-                               uint32_t seed)
+struct lmn_core *lmn_core_alloc(const struct lmn_settings *cfg, struct lmn_state *state,
+                                uint32_t seed)
 {
     struct lmn_core *c = g_new0(struct lmn_core, 1);
 
@@ -76,7 +76,7 @@
         p->hosts = &c->hosts;
         p->poked = g_ptr_array_new();
         p->blocks = g_ptr_array_new();
-        p->cuts = g_array_new(FALSE, TRUE, sizeof(struct lmn_cut));
+        p->cuts = g_array_new(FALSE, TRUE, sizeof(struct lmn_zone_cut));
         p->untold = g_ptr_array_new();
         p->forgotten = g_ptr_array_new_with_free_func(g_free);
         g_queue_init(&p->stream.waiting);
@@ -97,7 +97,7 @@
     g_hash_table_destroy(p->ranges);
     g_hash_table_destroy(p->machines);
     for (guint i = 0; i < p->blocks->len; i++) {
-        struct lmn_block *b = p->blocks->pdata[i];
+        struct lmn_machine_block *b = p->blocks->pdata[i];
         if (b)
             g_ptr_array_free(b->machines, TRUE);
         g_free(b);
@@ -145,7 +145,7 @@
     g_free(c);
 }
 
-unsigned lmn_member_holds(const struct lmn_core *c, int rank)
+unsigned lmn_member_owned_partitions(const struct lmn_core *c, int rank)
 {
     unsigned n = 0;
 
@@ -155,7 +155,8 @@
     return n;
 }
 
-const struct lmn_machine_type *lmn_type_named(const struct lmn_core *c, const char *name)
+const struct lmn_machine_type *lmn_machine_type_by_name(const struct lmn_core *c,
+                                                        const char *name)
 {
     for (size_t i = 0; i < c->types.n; i++)
         if (!strcmp(c->types.v[i].name, name))
@@ -163,17 +164,17 @@
     return NULL;
 }
 
-double lmn_staleness(const struct lmn_core *c, struct timespec now)
+double lmn_watch_cache_age_s(const struct lmn_core *c, struct timespec now)
 {
     return c->synced ? lmn_time_diff_s(now, c->fresh) : 1e9;
 }
 
-bool lmn_too_stale(const struct lmn_core *c, struct timespec now)
+bool lmn_watch_cache_is_too_stale(const struct lmn_core *c, struct timespec now)
 {
-    return lmn_staleness(c, now) > lmn_settings_max_cache_age_s(c->cfg);
+    return lmn_watch_cache_age_s(c, now) > lmn_settings_max_cache_age_s(c->cfg);
 }
 
-bool lmn_tombstone_heard(struct lmn_core *c, const char *ref, struct timespec now)
+bool lmn_tombstone_receive(struct lmn_core *c, const char *ref, struct timespec now)
 {
     struct lmn_job *j = g_hash_table_lookup(c->jobs, ref);
 
@@ -186,7 +187,7 @@
     return true;
 }
 
-bool lmn_job_wanted(const struct lmn_core *c, const struct lmn_job *j)
+bool lmn_job_may_run(const struct lmn_core *c, const struct lmn_job *j)
 {
     return j && j->phase == LMN_JOB_ACTIVE &&
            !(j->tombstone.tv_sec && lmn_time_before(c->fresh, j->tombstone));
--- a/src/state/failures.c
+++ b/src/state/failures.c
@@ -33,11 +33,11 @@
     if (b->places && lmn_time_diff_s(now, b->failed) > FORGET_S)
         forget(b);
     b->failed = now;
-    if (!known(b, machine) && b->places < LMN_FAILURE_MACHINES)
+    if (!known(b, machine) && b->places < LMN_MAX_FAILURE_MACHINES)
         b->on[b->places++] = machine;
 }
 
-bool lmn_job_accused(const struct lmn_job_failures *b)
+bool lmn_job_is_faulty(const struct lmn_job_failures *b)
 {
     return b->places >= (b->proven ? TOO_MANY_PROVEN : TOO_MANY);
 }
@@ -46,12 +46,12 @@
 {
     double doubled = (double)(1u << MIN(b->rounds, 6u));
 
-    return lmn_job_accused(b) ? MIN(ACCUSED_FIRST_S * doubled, ACCUSED_MOST_S)
-                              : MIN(FIRST_S * doubled, MOST_S);
+    return lmn_job_is_faulty(b) ? MIN(ACCUSED_FIRST_S * doubled, ACCUSED_MOST_S)
+                                : MIN(FIRST_S * doubled, MOST_S);
 }
 
-void lmn_job_failed(struct lmn_job_failures *b, guint machine, struct timespec started,
-                    struct timespec now)
+void lmn_job_record_failure(struct lmn_job_failures *b, guint machine,
+                            struct timespec started, struct timespec now)
 {
     note(b, machine, now);
     /* The tasks of a large job fail by the dozen: once each of them doubled the pause,
@@ -65,23 +65,24 @@
         b->hold = hold;
 }
 
-void lmn_job_had_failed(struct lmn_job_failures *b, guint machine, struct timespec now)
+void lmn_job_record_inherited_failure(struct lmn_job_failures *b, guint machine,
+                                      struct timespec now)
 {
     note(b, machine, now);
-    if (lmn_job_accused(b) && !b->rounds) {
+    if (lmn_job_is_faulty(b) && !b->rounds) {
         b->rounds = 1;
         b->round = now;
         b->hold = lmn_time_add(now, pause_s(b));
     }
 }
 
-void lmn_job_succeeded(struct lmn_job_failures *b)
+void lmn_job_record_success(struct lmn_job_failures *b)
 {
     b->proven = true;
     forget(b);
 }
 
-void lmn_job_tried(struct lmn_job_failures *b, struct timespec now)
+void lmn_job_record_retry(struct lmn_job_failures *b, struct timespec now)
 {
     b->hold = lmn_time_add(now, pause_s(b));
 }
@@ -93,19 +94,19 @@
     double fades = exp2(-lmn_time_diff_s(now, last) / HALF_S);
 
     /* Whoever fails elsewhere, too, accuses itself. */
-    if (!times || others >= 2 || lmn_job_accused(b))
+    if (!times || others >= 2 || lmn_job_is_faulty(b))
         return 0;
     double weight = b->proven ? times >= 3 ? GUILTY : 1 : UNPROVEN;
     return fades * weight / (1 + others);
 }
 
-bool lmn_machine_faulty(double sum)
+bool lmn_machine_is_faulty(double sum)
 {
     /* A little less, for what has faded between failures that came together. */
     return sum >= 0.9 * GUILTY;
 }
 
-double lmn_machine_pause(double sum)
+double lmn_machine_quarantine_s(double sum)
 {
     return sum <= 0 ? 0 : exp2(2 * sum);
 }
--- a/src/state/failures.h
+++ b/src/state/failures.h
@@ -10,13 +10,13 @@
 #include <stdbool.h>
 #include <time.h>
 
-enum { LMN_FAILURE_MACHINES = 8 };
+enum { LMN_MAX_FAILURE_MACHINES = 8 };
 
 /* Of a job, in one controller's books. */
 struct lmn_job_failures {
-    guint on[LMN_FAILURE_MACHINES]; /* machines on which it has failed since it last
+    guint on[LMN_MAX_FAILURE_MACHINES]; /* machines on which it has failed since it last
                                    succeeded, as hashes of their names */
-    unsigned places;                /* how many of them */
+    unsigned places;                    /* how many of them */
     unsigned rounds; /* of failures in a row: many that started together are one */
     bool proven;     /* some task of it has succeeded */
     struct timespec round, failed;
@@ -24,26 +24,27 @@
 };
 
 /* A task of the job, started at that time, has failed on that machine. */
-void lmn_job_failed(struct lmn_job_failures *b, guint machine, struct timespec started,
-                    struct timespec now);
+void lmn_job_record_failure(struct lmn_job_failures *b, guint machine,
+                            struct timespec started, struct timespec now);
 /* A predecessor has kept such a failure in the machine's reports: it had accused the job
- * (lmn_job_accused). Counts once a machine. */
-void lmn_job_had_failed(struct lmn_job_failures *b, guint machine, struct timespec now);
-void lmn_job_succeeded(struct lmn_job_failures *b);
+ * (lmn_job_is_faulty). Counts once a machine. */
+void lmn_job_record_inherited_failure(struct lmn_job_failures *b, guint machine,
+                                      struct timespec now);
+void lmn_job_record_success(struct lmn_job_failures *b);
 /* Whether the job itself is at fault, as far as known: it has failed on so many machines
  * that they can't all be. Then it is tried with one task at a time, and says nothing
  * against machines. */
-bool lmn_job_accused(const struct lmn_job_failures *b);
+bool lmn_job_is_faulty(const struct lmn_job_failures *b);
 /* An accused job is tried once more: the next try waits. */
-void lmn_job_tried(struct lmn_job_failures *b, struct timespec now);
+void lmn_job_record_retry(struct lmn_job_failures *b, struct timespec now);
 
 /* What failures of a job on a machine, so many times since anything succeeded there, and
  * the last at that time, say against the machine. */
 double lmn_failure_weight(const struct lmn_job_failures *b, guint machine, unsigned times,
                           struct timespec last, struct timespec now);
 /* Whether testimonies that add up to so much are enough to leave the machine. */
-bool lmn_machine_faulty(double sum);
+bool lmn_machine_is_faulty(double sum);
 /* Seconds for which a machine starts nothing after a failure, with so much against it. */
-double lmn_machine_pause(double sum);
+double lmn_machine_quarantine_s(double sum);
 
 #endif
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -70,7 +70,7 @@
     int tasks;
 };
 
-enum lmn_task_state { LMN_T_QUEUED, LMN_T_STARTED, LMN_T_DONE, LMN_T_MOVING };
+enum lmn_task_state { LMN_TASK_QUEUED, LMN_TASK_STARTED, LMN_TASK_DONE, LMN_TASK_MOVING };
 
 /* Tasks lo..hi-1 of a job, in one partition. */
 struct lmn_range {
@@ -97,7 +97,7 @@
 };
 
 /* A stretch of queued tasks. */
-struct lmn_seg {
+struct lmn_queue_segment {
     struct lmn_range *range;
     struct lmn_job *job; /* the range's: looks over queues want nothing else of it */
     uint32_t lo, hi;
@@ -109,11 +109,11 @@
 };
 
 enum lmn_attempt_state {
-    LMN_A_SENT,
-    LMN_A_FETCHING,
-    LMN_A_RUNNING,
-    LMN_A_SAVING,
-    LMN_A_ENDED
+    LMN_ATTEMPT_SENT,
+    LMN_ATTEMPT_FETCHING,
+    LMN_ATTEMPT_RUNNING,
+    LMN_ATTEMPT_SAVING,
+    LMN_ATTEMPT_ENDED
 };
 
 struct lmn_attempt {
@@ -139,7 +139,7 @@
 };
 
 /* A job that has failed on a machine since something last succeeded there. */
-struct lmn_accuser {
+struct lmn_failing_job {
     struct lmn_job *job;
     unsigned times;
     struct timespec last;
@@ -158,10 +158,10 @@
     const struct lmn_machine_type *type; /* NULL: not known yet */
     bool spot;
     struct lmn_partition *part;
-    guint at;                /* in the partition's list */
-    uint64_t rev;            /* of the record that first named it; 0: not recorded */
-    struct lmn_block *block; /* where it is recorded, or will be */
-    uint64_t block_rev;      /* of the last record that named it */
+    guint at;     /* in the partition's list */
+    uint64_t rev; /* of the record that first named it; 0: not recorded */
+    struct lmn_machine_block *block; /* where it is recorded, or will be */
+    uint64_t block_rev;              /* of the last record that named it */
     /* the owner's */
     bool heard, lapsed;
     bool inherited; /* recorded by an owner before us */
@@ -187,7 +187,7 @@
     double poll_s;
     bool hungry; /* has room for which nothing in its partition fits */
     struct timespec next_steal;
-    GArray *accusers;     /* struct lmn_accuser */
+    GArray *accusers;     /* struct lmn_failing_job */
     struct timespec hold; /* after a failure it starts nothing before */
     GArray *images;       /* struct lmn_image, the most recently used last */
     double used_cpus, used_gpus, used_mem;
@@ -205,7 +205,7 @@
 };
 
 /* Machines that one record names. */
-struct lmn_block {
+struct lmn_machine_block {
     guint id;
     uint64_t rev; /* 0: there is no such record */
     uint32_t gen;
@@ -219,7 +219,7 @@
 enum { LMN_MAX_BLOCKS = 4096 };
 
 /* A part of a team's limit on its way from a partition to another. */
-struct lmn_limit_transfer {
+struct lmn_quota_transfer {
     int team, to; /* team -1: none */
     double cpus, gpus;
     uint64_t rev; /* of the team's record, on which the write is conditional */
@@ -232,11 +232,11 @@
  * CLOSING on starts wait until they are acknowledged. */
 enum lmn_stream_phase {
     LMN_STREAM_NONE,
-    LMN_STREAM_COPYING, /* it is being told everything */
-    LMN_STREAM_CLOSING, /* what is left, while starts wait already */
-    LMN_STREAM_NAMING,  /* the record that names it is being written */
-    LMN_STREAM_IN_STEP,
-    LMN_STREAM_STRIKING, /* it is being struck off the record */
+    LMN_STREAM_SNAPSHOT,    /* it is being told everything */
+    LMN_STREAM_CATCHING_UP, /* what is left, while starts wait already */
+    LMN_STREAM_JOINING,     /* the record that names it is being written */
+    LMN_STREAM_IN_SYNC,
+    LMN_STREAM_REMOVING, /* it is being struck off the record */
 };
 
 struct lmn_batch;
@@ -268,14 +268,14 @@
 
 /* A part of a team's limit that only one job may use: its own, or, with none, another
  * partition that it is to be given to (scheduler/reservation.h). */
-struct lmn_keep {
+struct lmn_quota_reservation {
     const struct lmn_job *job;
     double cpus, gpus;
     struct timespec until;
 };
 
 /* A zone most of whose machines have been silent. */
-struct lmn_cut {
+struct lmn_zone_cut {
     const char *zone; /* interned */
     struct timespec until;
 };
@@ -298,8 +298,8 @@
     GPtrArray *list; /* the same machines in no order: what samples are drawn from */
     struct lmn_worker_hosts
         *hosts;        /* the core's, where its machines' addresses are counted */
-    GPtrArray *poked;  /* those to be given work at once (lmn_poke) */
-    GPtrArray *blocks; /* struct lmn_block by number */
+    GPtrArray *poked;  /* those to be given work at once (lmn_machine_wake) */
+    GPtrArray *blocks; /* struct lmn_machine_block by number */
     /* the owner's */
     bool mine, ready, releasing;
     bool warm;    /* every task that may be on a machine is in the books, though not
@@ -318,13 +318,13 @@
     struct timespec next_steal;
     struct lmn_queue unplaced;     /* tasks that no machine's queue holds yet */
     double *used_cpus, *used_gpus; /* by team */
-    struct lmn_limit_transfer transfer;
-    struct lmn_keep *keep; /* by team */
+    struct lmn_quota_transfer transfer;
+    struct lmn_quota_reservation *keep; /* by team */
     struct lmn_stream stream;
     GPtrArray *untold;        /* machines that the standby has to be told about */
     GPtrArray *forgotten;     /* names of machines that it need not know any more */
     pthread_cond_t following; /* something is to be told */
-    GArray *cuts;             /* struct lmn_cut */
+    GArray *cuts;             /* struct lmn_zone_cut */
     struct timespec next_pack;
     struct timespec next_quota; /* when it may ask others again */
     double quota_poll_s;
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -9,7 +9,7 @@
 /* So many go together: to see what machines refer to takes a look at all of them. */
 enum { TOGETHER = 1000 };
 
-void lmn_retention_note(struct lmn_core *c, struct lmn_job *j, struct timespec now)
+void lmn_retention_add(struct lmn_core *c, struct lmn_job *j, struct timespec now)
 {
     j->final_at = now;
     g_queue_push_tail(&c->final_jobs, j);
@@ -30,8 +30,8 @@
                 g_hash_table_add(set,
                                  g_array_index(m->attempts, struct lmn_attempt, k).job);
             for (guint k = 0; k < m->accusers->len; k++)
-                g_hash_table_add(set,
-                                 g_array_index(m->accusers, struct lmn_accuser, k).job);
+                g_hash_table_add(
+                    set, g_array_index(m->accusers, struct lmn_failing_job, k).job);
         }
     }
     return set;
--- a/src/state/retention.h
+++ b/src/state/retention.h
@@ -7,7 +7,7 @@
 #include "state/model.h"
 
 /* The job has just become final, as the mirror shows it. */
-void lmn_retention_note(struct lmn_core *c, struct lmn_job *j, struct timespec now);
+void lmn_retention_add(struct lmn_core *c, struct lmn_job *j, struct timespec now);
 /* Lets go what can go, once enough has come together; how many went. */
 guint lmn_retention_evict(struct lmn_core *c, struct timespec now);
 
--- a/src/state/task_ledger.c
+++ b/src/state/task_ledger.c
@@ -21,36 +21,36 @@
 {
     q->tasks += hi - lo;
     for (guint i = 0; i < q->segs->len; i++) {
-        struct lmn_seg *s = q->segs->pdata[i];
+        struct lmn_queue_segment *s = q->segs->pdata[i];
         if (s->range == r && s->hi == lo) {
             s->hi = hi;
             return;
         }
     }
-    struct lmn_seg *s = g_new(struct lmn_seg, 1);
-    *s = (struct lmn_seg){r, r->job, lo, hi};
+    struct lmn_queue_segment *s = g_new(struct lmn_queue_segment, 1);
+    *s = (struct lmn_queue_segment){r, r->job, lo, hi};
     g_ptr_array_add(q->segs, s);
 }
 
-void lmn_queue_drop(struct lmn_queue *q, guint at)
+void lmn_queue_remove_segment(struct lmn_queue *q, guint at)
 {
-    struct lmn_seg *s = q->segs->pdata[at];
+    struct lmn_queue_segment *s = q->segs->pdata[at];
     q->tasks -= s->hi - s->lo;
     g_free(s);
     g_ptr_array_remove_index(q->segs, at);
 }
 
-void lmn_queue_drop_range(struct lmn_queue *q, const struct lmn_range *r)
+void lmn_queue_remove_range(struct lmn_queue *q, const struct lmn_range *r)
 {
     for (guint i = q->segs->len; i-- > 0;)
-        if (((struct lmn_seg *)q->segs->pdata[i])->range == r)
-            lmn_queue_drop(q, i);
+        if (((struct lmn_queue_segment *)q->segs->pdata[i])->range == r)
+            lmn_queue_remove_segment(q, i);
 }
 
-void lmn_queue_take(struct lmn_queue *q, const struct lmn_range *r, uint32_t index)
+void lmn_queue_remove_task(struct lmn_queue *q, const struct lmn_range *r, uint32_t index)
 {
     for (guint i = 0; i < q->segs->len; i++) {
-        struct lmn_seg *s = q->segs->pdata[i];
+        struct lmn_queue_segment *s = q->segs->pdata[i];
         if (s->range != r || index < s->lo || index >= s->hi)
             continue;
         uint32_t hi = s->hi;
@@ -58,21 +58,21 @@
         q->tasks -= hi - index;
         s->hi = index;
         if (s->lo == s->hi)
-            lmn_queue_drop(q, i);
+            lmn_queue_remove_segment(q, i);
         if (index + 1 < hi)
             lmn_queue_add(q, range, index + 1, hi);
         return;
     }
 }
 
-void lmn_queue_cut(struct lmn_queue *q, const struct lmn_range *r, uint32_t lo)
+void lmn_queue_remove_tail(struct lmn_queue *q, const struct lmn_range *r, uint32_t lo)
 {
     for (guint i = q->segs->len; i-- > 0;) {
-        struct lmn_seg *s = q->segs->pdata[i];
+        struct lmn_queue_segment *s = q->segs->pdata[i];
         if (s->range != r || s->hi <= lo)
             continue;
         if (s->lo >= lo) {
-            lmn_queue_drop(q, i);
+            lmn_queue_remove_segment(q, i);
         } else {
             q->tasks -= s->hi - lo;
             s->hi = lo;
@@ -80,25 +80,25 @@
     }
 }
 
-size_t lmn_machine_bytes(const struct lmn_machine *m)
+size_t lmn_machine_record_size(const struct lmn_machine *m)
 {
     return strlen(m->name) + strlen(m->addr) + strlen(m->type_name) + strlen(m->zone) +
            24;
 }
 
-void lmn_block_leave(struct lmn_machine *m)
+void lmn_machine_leave_block(struct lmn_machine *m)
 {
     if (!m->block)
         return;
     g_ptr_array_remove_fast(m->block->machines, m);
-    m->block->bytes -= lmn_machine_bytes(m);
+    m->block->bytes -= lmn_machine_record_size(m);
     m->block = NULL;
 }
 
 /* Kept, not counted anew for each candidate: looking at every machine each time would
  * grow with the square of their number. Such a job lies whole in one partition, so its
  * owner sees all. */
-void lmn_zone_count(struct lmn_job *j, const char *zone, int n)
+void lmn_job_add_zone_tasks(struct lmn_job *j, const char *zone, int n)
 {
     struct lmn_zone_tasks *z;
 
@@ -117,21 +117,21 @@
     g_array_append_val(j->zones, new);
 }
 
-void lmn_poke(struct lmn_machine *m)
+void lmn_machine_wake(struct lmn_machine *m)
 {
     if (!m->poke)
         g_ptr_array_add(m->part->poked, m);
     m->poke = true;
 }
 
-void lmn_unpoke(struct lmn_machine *m)
+void lmn_machine_cancel_wake(struct lmn_machine *m)
 {
     if (m->poke)
         g_ptr_array_remove_fast(m->part->poked, m);
     m->poke = false;
 }
 
-void lmn_untold(struct lmn_machine *m)
+void lmn_machine_mark_unreplicated(struct lmn_machine *m)
 {
     struct lmn_partition *p = m->part;
 
@@ -140,12 +140,12 @@
     m->untold = p->stream.phase != LMN_STREAM_NONE;
 }
 
-uint64_t lmn_untold_start(struct lmn_machine *m, struct timespec now)
+uint64_t lmn_machine_log_start(struct lmn_machine *m, struct timespec now)
 {
     struct lmn_stream *s = &m->part->stream;
 
-    lmn_untold(m);
-    if (s->phase < LMN_STREAM_CLOSING) {
+    lmn_machine_mark_unreplicated(m);
+    if (s->phase < LMN_STREAM_CATCHING_UP) {
         /* Nobody waits for it; but it has to be told before a record may be written. */
         s->mark++;
         return 0;
@@ -156,7 +156,7 @@
     return ++s->mark;
 }
 
-void lmn_machine_at(struct lmn_machine *m, const char *addr)
+void lmn_machine_set_address(struct lmn_machine *m, const char *addr)
 {
     if (!strcmp(m->addr, addr))
         return;
@@ -173,7 +173,7 @@
     g_strlcpy(m->name, name, sizeof m->name);
     m->part = p;
     m->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt));
-    m->accusers = g_array_new(FALSE, FALSE, sizeof(struct lmn_accuser));
+    m->accusers = g_array_new(FALSE, FALSE, sizeof(struct lmn_failing_job));
     m->images = g_array_new(FALSE, FALSE, sizeof(struct lmn_image));
     lmn_queue_init(&m->queue);
     g_hash_table_insert(p->machines, m->name, m);
@@ -187,14 +187,14 @@
     GPtrArray *list = m->part->list;
     struct lmn_machine *last = list->pdata[list->len - 1];
 
-    lmn_unpoke(m);
+    lmn_machine_cancel_wake(m);
     if (m->untold)
         g_ptr_array_remove_fast(m->part->untold, m);
     if (m->part->stream.phase != LMN_STREAM_NONE)
         g_ptr_array_add(m->part->forgotten, g_strdup(m->name));
     if (*m->addr)
         lmn_worker_hosts_remove(m->part->hosts, m->addr);
-    lmn_block_leave(m);
+    lmn_machine_leave_block(m);
     /* The last takes its place. */
     list->pdata[m->at] = last;
     last->at = m->at;
@@ -217,7 +217,7 @@
     m->used_cpus += j->spec.cpus;
     m->used_gpus += j->spec.gpus;
     m->used_mem += j->spec.mem;
-    lmn_zone_count(a->job, m->zone, 1);
+    lmn_job_add_zone_tasks(a->job, m->zone, 1);
     if (j->team >= 0) {
         m->part->used_cpus[j->team] += j->spec.cpus;
         m->part->used_gpus[j->team] += j->spec.gpus;
@@ -234,15 +234,15 @@
     m->used_cpus -= j->spec.cpus;
     m->used_gpus -= j->spec.gpus;
     m->used_mem -= j->spec.mem;
-    lmn_zone_count(a->job, m->zone, -1);
+    lmn_job_add_zone_tasks(a->job, m->zone, -1);
     if (j->team >= 0) {
         m->part->used_cpus[j->team] -= j->spec.cpus;
         m->part->used_gpus[j->team] -= j->spec.gpus;
     }
 }
 
-struct lmn_range *lmn_range_of(const struct lmn_partition *p, struct lmn_job *j,
-                               uint32_t index)
+struct lmn_range *lmn_partition_find_range(const struct lmn_partition *p,
+                                           struct lmn_job *j, uint32_t index)
 {
     for (guint i = 0; j && i < j->ranges->len; i++) {
         struct lmn_range *r = j->ranges->pdata[i];
@@ -269,7 +269,7 @@
     g_free(j);
 }
 
-bool lmn_range_free_to_start(const struct lmn_range *r)
+bool lmn_range_may_start(const struct lmn_range *r)
 {
     const struct lmn_partition *p = r->part;
 
@@ -281,8 +281,8 @@
     return r->born > p->my_rev;
 }
 
-bool lmn_machine_silent(const struct lmn_core *c, const struct lmn_machine *m,
-                        struct timespec now)
+bool lmn_machine_is_silent(const struct lmn_core *c, const struct lmn_machine *m,
+                           struct timespec now)
 {
     return m->accounted && !m->lapsed && !m->retiring && !m->is_gone &&
            lmn_time_diff_s(now, m->last) >
--- a/src/state/tombstone.h
+++ b/src/state/tombstone.h
@@ -18,10 +18,10 @@
 
 /* A member that can't be reached for longer misses the oldest; the leases see to those.
  */
-enum { LMN_TOMBSTONES = 256 };
+enum { LMN_MAX_TOMBSTONES = 256 };
 
 struct lmn_tombstones {
-    char ref[LMN_TOMBSTONES]
+    char ref[LMN_MAX_TOMBSTONES]
             [LMN_JOB_ID_SIZE]; /* the n-th stands at n modulo their number */
     uint64_t n;
     uint64_t taken[LMN_MAX_PARTITIONS]; /* by rank: all before this one */
@@ -29,8 +29,8 @@
 
 void lmn_tombstone_add(struct lmn_tombstones *t, const char *ref);
 /* The oldest that the member has not taken, at most `most` of them; returns how many, and
- * in *upto what to say to lmn_tombstones_taken once it has. */
-unsigned lmn_tombstones_for(const struct lmn_tombstones *t, int rank, const char **refs,
-                            unsigned most, uint64_t *upto);
-void lmn_tombstones_taken(struct lmn_tombstones *t, int rank, uint64_t upto);
+ * in *upto what to say to lmn_tombstones_acknowledge once it has. */
+unsigned lmn_tombstones_pending(const struct lmn_tombstones *t, int rank,
+                                const char **refs, unsigned most, uint64_t *upto);
+void lmn_tombstones_acknowledge(struct lmn_tombstones *t, int rank, uint64_t upto);
 #endif
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -110,7 +110,7 @@
         lmn_debug("job-final job=%s phase=%d after=%.1f", ref, phase,
                   lmn_time_seconds(lmn_wall_clock_now()) - j->at);
     if (phase != LMN_JOB_ACTIVE && (j->phase == LMN_JOB_ACTIVE || !j->rev))
-        lmn_retention_note(c, j, now);
+        lmn_retention_add(c, j, now);
     j->phase = phase;
     j->open = open;
     j->rev = rev;
@@ -319,9 +319,10 @@
     pthread_cond_broadcast(&c->asking);
 }
 
-void lmn_mirror_apply(struct lmn_core *c, const char *key,
-                      const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                      uint64_t rev, struct timespec now)
+void lmn_watch_cache_apply(struct lmn_core *c, const char *key,
+                           const struct lmn_cbor_document *d,
+                           const struct lmn_cbor_value *v, uint64_t rev,
+                           struct timespec now)
 {
     char *rest;
 
@@ -368,7 +369,7 @@
     }
 }
 
-void lmn_mirror_sweep(struct lmn_core *c, struct timespec now)
+void lmn_watch_cache_sweep(struct lmn_core *c, struct timespec now)
 {
     for (int i = 0; i < c->nparts; i++) {
         struct lmn_partition *p = &c->parts[i];
@@ -407,7 +408,7 @@
 
 /* Ownership begins with the mirror, never with the answer to our own request: an answer
  * that was lost, or a transaction that was applied late, then makes no difference. */
-void lmn_mirror_settle(struct lmn_core *c, struct timespec now)
+void lmn_watch_cache_begin_ownerships(struct lmn_core *c, struct timespec now)
 {
     for (int i = 0; i < c->nparts; i++) {
         struct lmn_partition *p = &c->parts[i];
@@ -498,7 +499,8 @@
             if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_KEY), after, sizeof after) ||
                 !lmn_cbor_get_uint(lmn_cbor_get(&d, n, W_VERSION), &version))
                 continue;
-            lmn_mirror_apply(c, after, &d, lmn_cbor_get(&d, n, W_VALUE), version, now);
+            lmn_watch_cache_apply(c, after, &d, lmn_cbor_get(&d, n, W_VALUE), version,
+                                  now);
         }
         bool crowded = c->crowded;
         pthread_mutex_unlock(&c->lock);
@@ -532,7 +534,7 @@
     }
     pthread_mutex_lock(&c->lock);
     if (rc == 0 && !c->reread)
-        lmn_mirror_sweep(c, lmn_now());
+        lmn_watch_cache_sweep(c, lmn_now());
     else
         rc = -1;
     g_clear_pointer(&c->needed, g_hash_table_destroy);
@@ -551,9 +553,9 @@
         uint64_t rev = 0;
         lmn_cbor_get_uint(lmn_cbor_get(d, n, W_VERSION), &rev);
         if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_PUT), key, sizeof key))
-            lmn_mirror_apply(c, key, d, lmn_cbor_get(d, n, W_VALUE), rev, now);
+            lmn_watch_cache_apply(c, key, d, lmn_cbor_get(d, n, W_VALUE), rev, now);
         else if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_DELETE), key, sizeof key))
-            lmn_mirror_apply(c, key, d, NULL, rev, now);
+            lmn_watch_cache_apply(c, key, d, NULL, rev, now);
     }
 }
 
@@ -599,14 +601,14 @@
         c->synced_at = now;
         pthread_cond_broadcast(&c->changed);
     }
-    lmn_mirror_settle(c, now);
+    lmn_watch_cache_begin_ownerships(c, now);
     lmn_retention_evict(c, now);
     pthread_mutex_unlock(&c->lock);
     lmn_cbor_free(&d);
     return 200;
 }
 
-void *lmn_mirror_thread(void *arg)
+void *lmn_watch_cache_thread(void *arg)
 {
     struct lmn_core *c = arg;
     struct lmn_http_client *h = lmn_http_client_new(c->cfg->state);
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -69,7 +69,7 @@
         if (explored.without == GUARD_RECORD && p->mine && !m->rev)
             m->rev = 1;
         if (p->mine && !m->in_call)
-            lmn_poke(m);
+            lmn_machine_wake(m);
     }
     GByteArray *body = g_byte_array_new();
     if (!lmn_direct_next(node->core, 0, 1, name, addr, body, explored.now)) {
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -43,8 +43,8 @@
 
     if (e->value)
         lmn_cbor_parse(&d, e->value->data, e->value->len);
-    lmn_mirror_apply(c, e->key, &d, e->value ? lmn_cbor_root(&d) : NULL, e->revision,
-                     explored.now);
+    lmn_watch_cache_apply(c, e->key, &d, e->value ? lmn_cbor_root(&d) : NULL, e->revision,
+                          explored.now);
     if (e->value)
         lmn_cbor_free(&d);
 }
@@ -76,7 +76,7 @@
     c->fresh = explored.now;
     lmn_members_record_watch(&c->members, explored.now);
     c->synced = true;
-    lmn_mirror_settle(c, explored.now);
+    lmn_watch_cache_begin_ownerships(c, explored.now);
 }
 
 /* The record of a member hangs on its lease. */
--- a/tests/takeover/replication.c
+++ b/tests/takeover/replication.c
@@ -51,7 +51,7 @@
         node->standby_record = record;
         return true;
     }
-    if (explored.without == GUARD_STRUCK_OFF && p->stream.phase == LMN_STREAM_STRIKING)
+    if (explored.without == GUARD_STRUCK_OFF && p->stream.phase == LMN_STREAM_REMOVING)
         lmn_stream_reset(node->core, p);
     if (step != LMN_STREAM_SEND)
         return p->stream.phase != before;
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -86,8 +86,8 @@
     assert_true(value->len < cfg.value_kb * 1024);
     g_hash_table_insert(store, g_strdup(key), GSIZE_TO_POINTER((size_t)rev));
     assert_int_equal(lmn_cbor_parse(&d, value->data, value->len), 0);
-    lmn_mirror_apply(owner, key, &d, lmn_cbor_root(&d), rev, now);
-    lmn_mirror_apply(other, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_watch_cache_apply(owner, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_watch_cache_apply(other, key, &d, lmn_cbor_root(&d), rev, now);
     lmn_cbor_free(&d);
 }
 
--- a/tests/test_failures.c
+++ b/tests/test_failures.c
@@ -33,7 +33,7 @@
     guint where = (guint)machine * 2654435761u;
     double sum = 0;
 
-    lmn_job_failed(&d->jobs[job], where, started, d->now);
+    lmn_job_record_failure(&d->jobs[job], where, started, d->now);
     d->failed[job]++;
     d->times[machine][job]++;
     d->last[machine][job] = d->now;
@@ -41,8 +41,8 @@
         if (d->times[machine][j])
             sum += lmn_failure_weight(&d->jobs[j], where, d->times[machine][j],
                                       d->last[machine][j], d->now);
-    d->pause[machine] = lmn_time_add(d->now, lmn_machine_pause(sum));
-    d->left[machine] = d->left[machine] || lmn_machine_faulty(sum);
+    d->pause[machine] = lmn_time_add(d->now, lmn_machine_quarantine_s(sum));
+    d->left[machine] = d->left[machine] || lmn_machine_is_faulty(sum);
 }
 
 /* A day on which every job has tasks without end; a broken one's, and those on a faulty
@@ -66,8 +66,8 @@
             memset(d->jobs, 0, sizeof d->jobs);
             memset(d->times, 0, sizeof d->times);
             for (int j = 0; j < JOBS; j++)
-                for (unsigned k = 0; lmn_job_accused(&old[j]) && k < old[j].places; k++)
-                    lmn_job_had_failed(&d->jobs[j], old[j].on[k], d->now);
+                for (unsigned k = 0; lmn_job_is_faulty(&old[j]) && k < old[j].places; k++)
+                    lmn_job_record_inherited_failure(&d->jobs[j], old[j].on[k], d->now);
             memcpy(d->before, d->failed, sizeof d->before);
         }
         for (guint i = d->n; i-- > 0;) {
@@ -78,7 +78,7 @@
             if (d->broken[r.job] || d->faulty[r.machine]) {
                 failed_on(d, r.job, r.machine, r.started);
             } else {
-                lmn_job_succeeded(&d->jobs[r.job]);
+                lmn_job_record_success(&d->jobs[r.job]);
                 memset(d->times[r.machine], 0, sizeof d->times[r.machine]);
             }
         }
@@ -91,8 +91,8 @@
             if (d->left[m] || here >= 8 || lmn_time_before(d->now, d->pause[m]) ||
                 lmn_time_before(d->now, d->jobs[j].hold))
                 continue;
-            if (lmn_job_accused(&d->jobs[j]))
-                lmn_job_tried(&d->jobs[j], d->now);
+            if (lmn_job_is_faulty(&d->jobs[j]))
+                lmn_job_record_retry(&d->jobs[j], d->now);
             bool bad = d->broken[j] || d->faulty[m];
             double run = bad ? 0.5 : g_rand_double_range(d->rng, 5, 30);
             d->v[d->n++] = (struct running){j, m, d->now, lmn_time_add(d->now, run)};
@@ -122,7 +122,7 @@
             if (d.broken[j])
                 assert_in_range(d.failed[j], 1, 60);
             else if (!d.jobs[j].proven)
-                assert_false(lmn_job_accused(&d.jobs[j]));
+                assert_false(lmn_job_is_faulty(&d.jobs[j]));
         }
     }
     assert_true(good > 2000);
@@ -140,22 +140,22 @@
     (void)state;
 
     for (int i = 0; i < 50; i++)
-        lmn_job_failed(&b, 1, t, lmn_time_add(t, 1 + i * 0.01));
+        lmn_job_record_failure(&b, 1, t, lmn_time_add(t, 1 + i * 0.01));
     assert_int_equal(b.rounds, 1);
-    assert_false(lmn_job_accused(&b));
+    assert_false(lmn_job_is_faulty(&b));
     assert_true(lmn_time_diff_s(b.hold, t) < 3);
     /* The only machine of its type: tried again, more and more seldom, and never blamed
      * by this job alone. */
     for (int i = 0; i < 50; i++) {
         t = b.hold;
-        lmn_job_failed(&b, 1, lmn_time_add(t, 0.1), lmn_time_add(t, 0.2));
-        assert_false(lmn_job_accused(&b));
+        lmn_job_record_failure(&b, 1, lmn_time_add(t, 0.1), lmn_time_add(t, 0.2));
+        assert_false(lmn_job_is_faulty(&b));
         assert_in_range((int)lmn_time_diff_s(b.hold, t), 0, 5);
     }
-    assert_false(lmn_machine_faulty(lmn_failure_weight(&b, 1, 50, t, t)));
-    lmn_job_succeeded(&b); /* elsewhere */
-    lmn_job_failed(&b, 1, t, lmn_time_add(t, 1));
-    assert_true(lmn_machine_faulty(lmn_failure_weight(&b, 1, 51, t, t)));
+    assert_false(lmn_machine_is_faulty(lmn_failure_weight(&b, 1, 50, t, t)));
+    lmn_job_record_success(&b); /* elsewhere */
+    lmn_job_record_failure(&b, 1, t, lmn_time_add(t, 1));
+    assert_true(lmn_machine_is_faulty(lmn_failure_weight(&b, 1, 51, t, t)));
 }
 
 /* An accused job is tried, at most once in four seconds and at least once in a minute;
@@ -168,18 +168,18 @@
     (void)state;
 
     for (guint m = 1; m <= 3; m++)
-        lmn_job_failed(&b, m, t, t);
-    assert_true(lmn_job_accused(&b));
+        lmn_job_record_failure(&b, m, t, t);
+    assert_true(lmn_job_is_faulty(&b));
     while (lmn_time_before(t, end)) {
         t = lmn_time_add(b.hold, 0.01);
-        lmn_job_tried(&b, t);
+        lmn_job_record_retry(&b, t);
         assert_true(lmn_time_diff_s(b.hold, t) > 3.9 && lmn_time_diff_s(b.hold, t) < 61);
-        lmn_job_failed(&b, 1 + tries % 20, t, lmn_time_add(t, 1));
+        lmn_job_record_failure(&b, 1 + tries % 20, t, lmn_time_add(t, 1));
         tries++;
     }
     assert_in_range(tries, 55, 70);
-    lmn_job_succeeded(&b);
-    assert_false(lmn_job_accused(&b));
+    lmn_job_record_success(&b);
+    assert_false(lmn_job_is_faulty(&b));
     assert_true(lmn_time_before(b.hold, t));
 }
 
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -110,7 +110,7 @@
     struct lmn_cbor_document d;
 
     assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-    lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_watch_cache_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
     lmn_cbor_free(&d);
     g_byte_array_unref(b);
 }
@@ -297,14 +297,14 @@
     g_byte_array_unref(b);
 
     /* As its owner writes it, with one task more. */
-    r->st[59] = LMN_T_DONE;
+    r->st[59] = LMN_TASK_DONE;
     r->nfinished++;
     r->dirty = lmn_time_add(now, -10);
     lmn_ranges_flush(c, now);
     take_record(c, key, 0, "range_done_last");
 
     /* Its job ends with it. */
-    memset(r->st, LMN_T_DONE, 60);
+    memset(r->st, LMN_TASK_DONE, 60);
     r->nfinished = 60;
     lmn_ranges_flush(c, lmn_time_add(now, 5));
     struct lmn_txn *t = lmn_state_take(c->state);
@@ -331,7 +331,7 @@
         g_strlcpy(m->type_name, "x", LMN_NAME_SIZE);
         char addr[LMN_ADDRESS_SIZE];
         g_snprintf(addr, sizeof addr, "10.0.0.%u:9000", i + 1);
-        lmn_machine_at(m, addr);
+        lmn_machine_set_address(m, addr);
         g_strlcpy(m->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
         m->spot = i == 2;
         m->heard = m->accounted = true;
@@ -343,7 +343,8 @@
                 writes_record(t, "m/0/0", 0, "machines");
             lmn_txn_finish(t, LMN_REFUSED, 0);
         }
-        ((struct lmn_block *)p->blocks->pdata[0])->retry = (struct timespec){0, 0};
+        ((struct lmn_machine_block *)p->blocks->pdata[0])->retry =
+            (struct timespec){0, 0};
     }
 
     struct lmn_core *other = make();
@@ -439,7 +440,7 @@
     struct lmn_core *c = make();
     (void)state;
 
-    struct lmn_txn *t = standby_write(c, LMN_STREAM_NAMING);
+    struct lmn_txn *t = standby_write(c, LMN_STREAM_JOINING);
     writes_record(t, "b/1", 0, "standby_named");
     lmn_txn_free(t);
     apply(c, "b/1", "standby_named", 9);
@@ -449,7 +450,7 @@
     assert_int_equal(c->parts[1].standby_term, 42);
 
     c = make();
-    t = standby_write(c, LMN_STREAM_STRIKING);
+    t = standby_write(c, LMN_STREAM_REMOVING);
     writes_record(t, "b/1", 0, "standby_struck");
     lmn_txn_free(t);
     apply(c, "b/1", "standby_struck", 10);
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -42,8 +42,9 @@
 {
     static const enum lmn_run_state states[] = {LMN_R_ASKING, LMN_R_FETCHING,
                                                 LMN_R_RUNNING, LMN_R_SAVING};
-    static const enum lmn_attempt_state read_states[] = {LMN_A_FETCHING, LMN_A_FETCHING,
-                                                         LMN_A_RUNNING, LMN_A_SAVING};
+    static const enum lmn_attempt_state read_states[] = {
+        LMN_ATTEMPT_FETCHING, LMN_ATTEMPT_FETCHING, LMN_ATTEMPT_RUNNING,
+        LMN_ATTEMPT_SAVING};
     const struct lmn_agent_ops ops = {.leased = leased};
     struct lmn_agent a = {0};
     struct lmn_report r;
@@ -94,7 +95,7 @@
         assert_string_equal(read.ref, "run-000412");
         assert_int_equal(read.index, i);
         assert_true(read.number == 0x2a00000001ULL + i);
-        assert_int_equal(read.state, i < 4 ? read_states[i] : LMN_A_ENDED);
+        assert_int_equal(read.state, i < 4 ? read_states[i] : LMN_ATTEMPT_ENDED);
         i++;
     }
     assert_int_equal(i, 4 + LMN_NO_SUCH + 1);
@@ -107,7 +108,7 @@
     struct lmn_cbor_document d;
 
     assert_int_equal(lmn_cbor_parse(&d, value->data, value->len), 0);
-    lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_watch_cache_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
     lmn_cbor_free(&d);
     g_byte_array_unref(value);
 }
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -123,7 +123,7 @@
         lmn_sleep(0.005);
     assert_int_equal(lmn_cbor_parse(&d, record->data, record->len), 0);
     pthread_mutex_lock(&core->lock);
-    lmn_mirror_apply(core, "j/run-000001", &d, lmn_cbor_root(&d), 7, lmn_now());
+    lmn_watch_cache_apply(core, "j/run-000001", &d, lmn_cbor_root(&d), 7, lmn_now());
     pthread_mutex_unlock(&core->lock);
     wait_for_reply(1.5);
     assert_int_equal(step, LMN_STEP_CONFIRM);
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -12,7 +12,7 @@
 {
     uint32_t n = 0;
     for (guint i = 0; i < q->segs->len; i++) {
-        const struct lmn_seg *s = q->segs->pdata[i];
+        const struct lmn_queue_segment *s = q->segs->pdata[i];
         for (uint32_t k = s->lo; k < s->hi; k++)
             seen[s->range->job - jobs][k]++;
         n += s->hi - s->lo;
@@ -190,7 +190,7 @@
 
     j->spec.cpus = 1;
     for (guint m = 1; m <= 3; m++)
-        lmn_job_failed(&j->failures, m, now, now);
+        lmn_job_record_failure(&j->failures, m, now, now);
     lmn_job_redeal(core, j, now);
     assert_int_equal(core->parts[0].unplaced.tasks, r->hi);
     start_all();
@@ -198,7 +198,7 @@
     now = lmn_time_add(j->failures.hold, 0.1);
     start_all();
     assert_int_equal(r->nstarted, 1);
-    lmn_job_succeeded(&j->failures);
+    lmn_job_record_success(&j->failures);
     lmn_job_redeal(core, j, now);
     start_all();
     assert_true(r->nstarted == MIN(r->hi, 8 * MACHINES));
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -135,7 +135,7 @@
             GByteArray *b =
                 lmn_job_record(&spec, final ? LMN_JOB_DONE : LMN_JOB_ACTIVE, 1, i);
             assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-            lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
+            lmn_watch_cache_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
             lmn_cbor_free(&d);
             g_byte_array_free(b, TRUE);
         }
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -14,12 +14,12 @@
                             .range = r,
                             .index = index,
                             .number = index + 1,
-                            .state = LMN_A_RUNNING,
+                            .state = LMN_ATTEMPT_RUNNING,
                             .listed = true,
                             .seen = true,
                             .since = now};
 
-    r->st[index - r->lo] = LMN_T_STARTED;
+    r->st[index - r->lo] = LMN_TASK_STARTED;
     r->nstarted++;
     lmn_attempt_count(m, &a);
     g_array_append_val(m->attempts, a);
@@ -94,10 +94,10 @@
             for (guint i = 0; i < where->attempts->len; i++) {
                 struct lmn_attempt *a =
                     &g_array_index(where->attempts, struct lmn_attempt, i);
-                if (!a->stop || a->state == LMN_A_ENDED)
+                if (!a->stop || a->state == LMN_ATTEMPT_ENDED)
                     continue;
                 lmn_attempt_uncount(where, a);
-                a->state = LMN_A_ENDED;
+                a->state = LMN_ATTEMPT_ENDED;
                 break;
             }
             assert_int_equal(lmn_schedule(core, where, out, now), gone);
@@ -233,7 +233,7 @@
                 for (guint i = 0; i < m->attempts->len; i++) {
                     struct lmn_attempt *a =
                         &g_array_index(m->attempts, struct lmn_attempt, i);
-                    a->state = LMN_A_RUNNING;
+                    a->state = LMN_ATTEMPT_RUNNING;
                     a->listed = true;
                 }
             }
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -103,7 +103,7 @@
         char key[32];
         record_key(e->team, key);
         assert_int_equal(lmn_cbor_parse(&d, e->value->data, e->value->len), 0);
-        lmn_mirror_apply(core[i], key, &d, lmn_cbor_root(&d), e->rev, now);
+        lmn_watch_cache_apply(core[i], key, &d, lmn_cbor_root(&d), e->rev, now);
         lmn_cbor_free(&d);
     }
 }
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -58,7 +58,7 @@
         cfg.teams[i].cpus_max =
             g_rand_int_range(r, 0, 4) ? 100.0 * g_rand_int_range(r, 1, 30) : 0;
     }
-    c = lmn_core_bare(&cfg, NULL, 1);
+    c = lmn_core_alloc(&cfg, NULL, 1);
     memcpy(c->types.v, types, sizeof types);
     c->types.n = G_N_ELEMENTS(types);
     c->types_known = true;
@@ -123,7 +123,7 @@
         lmn_fleet_init(&f);
         while (lmn_fleet_choose(c, &f, &rental, now)) {
             assert_true(++calls < 10000);
-            const struct lmn_machine_type *t = lmn_type_named(c, rental.type);
+            const struct lmn_machine_type *t = lmn_machine_type_by_name(c, rental.type);
             for (unsigned i = 0; i < rental.count; i++) {
                 struct lmn_listed *m = g_new0(struct lmn_listed, 1);
                 g_snprintf(m->name, LMN_NAME_SIZE, "m-%d-%u", calls, i);
@@ -224,7 +224,9 @@
             }
             spot += rental.spot ? got : 0;
             ordinary +=
-                rental.spot ? 0 : got * (unsigned)lmn_type_named(c, rental.type)->cpus;
+                rental.spot
+                    ? 0
+                    : got * (unsigned)lmn_machine_type_by_name(c, rental.type)->cpus;
         }
         assert_int_equal(spot, k == 2 ? 0 : 5);
         assert_int_equal(ordinary > 0, k == 1 || k == 2);
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -51,12 +51,12 @@
 
 static struct lmn_core *core_with(const struct lmn_settings *cfg, enum view view)
 {
-    struct lmn_core *c = lmn_core_bare(cfg, lmn_state_new(cfg), 1);
+    struct lmn_core *c = lmn_core_alloc(cfg, lmn_state_new(cfg), 1);
 
     if (view == JUST_STARTED)
         return c;
     c->synced = c->types_known = true;
-    c->fresh = view == OLD_VIEW ? lmn_time_add(now, -LMN_STALE_S - 1) : now;
+    c->fresh = view == OLD_VIEW ? lmn_time_add(now, -LMN_CACHE_STALLED_S - 1) : now;
     c->types.n = 1;
     c->types.v[0] = (struct lmn_machine_type){
         .name = "small", .cpus = 4, .mem = 16, .nzones = 1, .zones = {"a"}};
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -43,7 +43,7 @@
 {
     struct lmn_cbor_document d;
     assert_int_equal(lmn_cbor_parse(&d, value->data, value->len), 0);
-    lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
+    lmn_watch_cache_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
     lmn_cbor_free(&d);
     g_byte_array_unref(value);
 }
--- a/tests/test_scenarios_limits.c
+++ b/tests/test_scenarios_limits.c
@@ -164,14 +164,15 @@
         seen[part].owner = owner;
     }
     if (phase != seen[part].phase) {
-        if (phase == LMN_STREAM_NAMING)
+        if (phase == LMN_STREAM_JOINING)
             cancel_during(NAMING, owner, other);
-        if (phase == LMN_STREAM_STRIKING)
+        if (phase == LMN_STREAM_REMOVING)
             cancel_during(STRIKING, owner, other);
         seen[part].phase = phase;
     }
     uint64_t batches = p->stream.count.batches;
-    if (batches != seen[part].batches && phase != LMN_STREAM_NAMING && world_chance(0.02))
+    if (batches != seen[part].batches && phase != LMN_STREAM_JOINING &&
+        world_chance(0.02))
         cancel_during(COPIED, owner, other);
     seen[part].batches = batches;
     if (p->releasing && !seen[part].releasing)
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -144,7 +144,7 @@
     struct lmn_cbor_document d;
 
     assert_int_equal(lmn_cbor_parse(&d, v->data, v->len), 0);
-    lmn_mirror_apply(core, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_watch_cache_apply(core, key, &d, lmn_cbor_root(&d), rev, now);
     lmn_cbor_free(&d);
     g_byte_array_unref(v);
 }
@@ -192,7 +192,7 @@
     put("b/0", owner("na", 1, 1, copied), 13);
     put("o/0", owner("na", 1, 2, claimed), 14);
     core->lease = 1;
-    lmn_mirror_settle(core, now);
+    lmn_watch_cache_begin_ownerships(core, now);
     assert_true(core->parts[0].mine);
 }
 
@@ -217,10 +217,10 @@
     give(1, 7, 4, gone);
     begin(7, 7);
     assert_true(p->warm && !p->ready);
-    assert_int_equal(range()->st[0], LMN_T_STARTED);
-    assert_int_equal(range()->st[1], LMN_T_QUEUED);
-    assert_int_equal(range()->st[2], LMN_T_QUEUED);
-    assert_int_equal(range()->st[3], LMN_T_DONE);
+    assert_int_equal(range()->st[0], LMN_TASK_STARTED);
+    assert_int_equal(range()->st[1], LMN_TASK_QUEUED);
+    assert_int_equal(range()->st[2], LMN_TASK_QUEUED);
+    assert_int_equal(range()->st[3], LMN_TASK_DONE);
     const struct lmn_machine *m = g_hash_table_lookup(p->machines, "host-1");
     assert_int_equal(m->attempts->len, 1);
     m = g_hash_table_lookup(p->machines, "host-0");
@@ -308,16 +308,16 @@
     lmn_stream_next(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_NONE);
     lmn_member_record_probe_reply(&core->members, nb, &well, now, now);
-    for (int k = 0; k < 9 && s->phase != LMN_STREAM_NAMING; k++)
+    for (int k = 0; k < 9 && s->phase != LMN_STREAM_JOINING; k++)
         if (lmn_stream_next(core, p, now, &b, &t, &wait) == LMN_STREAM_SEND)
             lmn_stream_sent(core, p, b, true, LMN_COPY_TAKEN, now);
-    assert_int_equal(s->phase, LMN_STREAM_NAMING);
+    assert_int_equal(s->phase, LMN_STREAM_JOINING);
     if (t)
         lmn_txn_free(t);
     t = NULL;
     put("b/0", owner("nb", 2, 2, s->id), 20);
     lmn_stream_next(core, p, now, &b, &t, &wait);
-    assert_int_equal(s->phase, LMN_STREAM_IN_STEP);
+    assert_int_equal(s->phase, LMN_STREAM_IN_SYNC);
     /* Found in a status: what was told before anything waited counted as waiting, from
      * the beginning of time on. */
     assert_true(core->telling.max < 1);
@@ -326,8 +326,8 @@
     lmn_member_record_probe_reply(&core->members, nb, &old, now, now);
     assert_false(lmn_member_is_trusted(&core->members, nb, now));
     lmn_stream_next(core, p, now, &b, &t, &wait);
-    assert_int_equal(s->phase, LMN_STREAM_IN_STEP);
-    uint64_t mark = lmn_untold_start(p->list->pdata[0], now);
+    assert_int_equal(s->phase, LMN_STREAM_IN_SYNC);
+    uint64_t mark = lmn_machine_log_start(p->list->pdata[0], now);
     assert_true(mark && !lmn_stream_covers(p, mark) && !lmn_stream_stuck(p, now));
     for (int k = 0; k < 3; k++) {
         now = lmn_time_add(now, 0.15);
@@ -337,13 +337,13 @@
     assert_true(lmn_stream_stuck(p, now));
     if (!t)
         assert_int_equal(lmn_stream_next(core, p, now, &b, &t, &wait), LMN_STREAM_WRITE);
-    assert_int_equal(s->phase, LMN_STREAM_STRIKING);
+    assert_int_equal(s->phase, LMN_STREAM_REMOVING);
     lmn_txn_free(t);
     /* However long that takes. */
     now = lmn_time_add(now, 100);
     assert_false(lmn_stream_covers(p, mark));
     lmn_stream_next(core, p, now, &b, &t, &wait);
-    assert_int_equal(s->phase, LMN_STREAM_STRIKING);
+    assert_int_equal(s->phase, LMN_STREAM_REMOVING);
     lmn_txn_free(t);
     put("b/0", owner("", 0, 2, 0), 21);
     lmn_stream_next(core, p, now, &b, &t, &wait);
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -20,7 +20,7 @@
     struct lmn_cbor_document d;
 
     assert_int_equal(lmn_cbor_parse(&d, v->data, v->len), 0);
-    lmn_mirror_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_watch_cache_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
     lmn_cbor_free(&d);
     g_byte_array_unref(v);
 }
@@ -176,7 +176,7 @@
     (void)state;
 
     c->lease = 100;
-    lmn_mirror_settle(c, now);
+    lmn_watch_cache_begin_ownerships(c, now);
     assert_true(p->mine);
     lmn_leave(c, now);
     assert_false(lmn_leave_bare(c) || lmn_leave_over(c, now));
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -80,7 +80,7 @@
 
     if (v)
         assert_int_equal(lmn_cbor_parse(&d, v->data, v->len), 0);
-    lmn_mirror_apply(core, key, &d, v ? lmn_cbor_root(&d) : NULL, ++rev, now);
+    lmn_watch_cache_apply(core, key, &d, v ? lmn_cbor_root(&d) : NULL, ++rev, now);
     if (!v)
         return;
     lmn_cbor_free(&d);
@@ -99,7 +99,7 @@
     put("o/0", b);
     lmn_cbor_put_uint(t, term);
     put("t/0", t);
-    lmn_mirror_settle(core, now);
+    lmn_watch_cache_begin_ownerships(core, now);
 }
 
 static void member_is_up(int rank)
@@ -175,7 +175,7 @@
     g_strlcpy(a.ref, "run-000001", sizeof a.ref);
     a.job = g_hash_table_lookup(core->jobs, a.ref);
     a.range = g_hash_table_lookup(part->ranges, "r/0/run-000001/0");
-    a.range->st[index] = LMN_T_STARTED;
+    a.range->st[index] = LMN_TASK_STARTED;
     a.range->nstarted++;
     lmn_attempt_count(m, &a);
     g_array_append_val(m->attempts, a);
@@ -187,12 +187,12 @@
 {
     own_cold(4);
     account();
-    start(machine(0), 0, 100)->state = LMN_A_RUNNING;
+    start(machine(0), 0, 100)->state = LMN_ATTEMPT_RUNNING;
     start(machine(0), 1, 101)->direct = true;          /* a call that is under way */
     start(machine(1), 2, 102)->unsure = true;          /* one without an answer */
     start(machine(1), 3, 103)->mark = 9;               /* an answer that is held back */
     struct lmn_attempt *a = start(machine(2), 4, 104); /* ended, not recorded yet */
-    a->state = LMN_A_ENDED;
+    a->state = LMN_ATTEMPT_ENDED;
     a->done = true;
     machine(1)->in_call = true;
     machine(3)->is_gone = true;
@@ -212,7 +212,7 @@
     assert_int_equal(core->count.warm, 1);
     assert_null(part->copy);
     for (int i = 0; i < TASKS; i++)
-        assert_int_equal(range()->st[i], i < 5 ? LMN_T_STARTED : LMN_T_QUEUED);
+        assert_int_equal(range()->st[i], i < 5 ? LMN_TASK_STARTED : LMN_TASK_QUEUED);
     for (int i = 0; i < 3; i++) {
         assert_int_equal(machine(i)->session, 7);
         assert_false(machine(i)->accounted);
@@ -467,7 +467,8 @@
             core->fresh = now;
             lmn_members_record_watch(&core->members, now);
         }
-        for (int i = 0; reports && i < MACHINES && !lmn_too_stale(core, now); i++)
+        for (int i = 0;
+             reports && i < MACHINES && !lmn_watch_cache_is_too_stale(core, now); i++)
             machine(i)->last = now;
         lmn_upkeep(core, now);
     }
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -141,7 +141,7 @@
 }
 static void runs_elsewhere(void)
 {
-    lmn_zone_count(&job, "b", 1);
+    lmn_job_add_zone_tasks(&job, "b", 1);
 }
 static void is_not_open(void)
 {
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -635,10 +635,10 @@
         g_array_index(m->attempts, struct lmn_attempt, i).job = &other;
     other.phase = LMN_JOB_CANCELLED;
     for (int i = 0; i < 4; i++)
-        range.st[i] = LMN_T_QUEUED;
+        range.st[i] = LMN_TASK_QUEUED;
     range.nstarted = 0;
     lmn_deal_range(core, &range, now);
-    core->parts[0].stream.phase = LMN_STREAM_IN_STEP;
+    core->parts[0].stream.phase = LMN_STREAM_IN_SYNC;
     core->parts[0].stream.acked = core->parts[0].stream.mark;
     now = lmn_time_add(now, 4);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
@@ -667,7 +667,7 @@
         now = lmn_time_add(now,
                            lmn_settings_max_cache_age_s(&cfg) + (stale ? 0.01 : -0.01));
         m->last = now;
-        lmn_poke(m);
+        lmn_machine_wake(m);
         assert_int_equal(lmn_direct_next(core, 0, 1, name, addr, body, now), !stale);
         assert_int_equal(m->attempts->len, stale ? 0 : 4);
     }
@@ -690,7 +690,7 @@
     queue_tasks(4);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
     lmn_machine_empty(core, m, "to begin with", now);
-    lmn_poke(m);
+    lmn_machine_wake(m);
     assert_true(lmn_direct_next(core, 0, 1, name, addr, body, now));
     assert_int_equal(m->attempts->len, 4);
     now = lmn_time_add(now, 1);
@@ -705,8 +705,8 @@
 
 static bool took(unsigned most, unsigned want, uint64_t *upto)
 {
-    const char *refs[LMN_TOMBSTONES];
-    return lmn_tombstones_for(&core->tombstones, 1, refs, most, upto) == want;
+    const char *refs[LMN_MAX_TOMBSTONES];
+    return lmn_tombstones_pending(&core->tombstones, 1, refs, most, upto) == want;
 }
 
 /* What another controller has confirmed ends although the mirror doesn't show it, and is
@@ -718,21 +718,21 @@
     (void)state;
 
     struct lmn_machine *m = with_tasks(&seq);
-    assert_false(lmn_tombstone_heard(core, "run-999999", now));
+    assert_false(lmn_tombstone_receive(core, "run-999999", now));
     now = lmn_time_add(now, 1);
-    assert_true(lmn_tombstone_heard(core, "run-000001", now));
+    assert_true(lmn_tombstone_receive(core, "run-000001", now));
     struct timespec heard = now;
     for (int late = 0; late < 2; late++) {
         /* The mirror stands still; a late twin of the tombstone changes nothing. */
         core->fresh = lmn_time_add(heard, -1);
-        assert_false(lmn_job_wanted(core, &job));
+        assert_false(lmn_job_may_run(core, &job));
         assert_int_equal(job.phase, LMN_JOB_ACTIVE);
         lmn_ranges_flush(core, now);
         assert_null(lmn_state_take(core->state));
-        assert_true(lmn_tombstone_heard(core, "run-000001", heard));
+        assert_true(lmn_tombstone_receive(core, "run-000001", heard));
     }
     /* report() has the mirror proven as of now: a tombstone of later than that. */
-    assert_true(lmn_tombstone_heard(core, "run-000001", lmn_time_add(now, 30)));
+    assert_true(lmn_tombstone_receive(core, "run-000001", lmn_time_add(now, 30)));
     now = lmn_time_add(now, 4);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
     assert_int_equal(commands(answered, W_KILL), 4);
@@ -745,23 +745,23 @@
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
     assert_true(orders > 0);
     job.phase = LMN_JOB_CANCELLED;
-    assert_false(lmn_tombstone_heard(core, "run-000001", now));
+    assert_false(lmn_tombstone_receive(core, "run-000001", now));
 
     /* Told until taken, the oldest first, in bounded room. */
     for (int i = 0; i < 10; i++)
         lmn_tombstone_add(&core->tombstones, "run-000001");
     assert_true(took(4, 4, &upto) && took(4, 4, &upto));
-    lmn_tombstones_taken(&core->tombstones, 1, upto);
+    lmn_tombstones_acknowledge(&core->tombstones, 1, upto);
     assert_true(took(100, 6, &upto));
-    lmn_tombstones_taken(&core->tombstones, 1, upto);
+    lmn_tombstones_acknowledge(&core->tombstones, 1, upto);
     assert_true(took(100, 0, &upto));
-    lmn_tombstones_taken(&core->tombstones, 1, 3); /* the answer to an older call */
+    lmn_tombstones_acknowledge(&core->tombstones, 1, 3); /* the answer to an older call */
     assert_true(took(100, 0, &upto));
-    for (int i = 0; i < 3 * LMN_TOMBSTONES; i++)
+    for (int i = 0; i < 3 * LMN_MAX_TOMBSTONES; i++)
         lmn_tombstone_add(&core->tombstones, "run-000002");
-    assert_true(took(LMN_TOMBSTONES, LMN_TOMBSTONES, &upto));
-    lmn_tombstones_taken(&core->tombstones, 1, upto);
-    assert_true(took(LMN_TOMBSTONES, 0, &upto));
+    assert_true(took(LMN_MAX_TOMBSTONES, LMN_MAX_TOMBSTONES, &upto));
+    lmn_tombstones_acknowledge(&core->tombstones, 1, upto);
+    assert_true(took(LMN_MAX_TOMBSTONES, 0, &upto));
 }
 
 /* Once an entry that could not be read was passed over, and its task counted as gone; and
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -115,8 +115,8 @@
         struct lmn_cbor_document d = {0};
         if (e->value)
             assert_int_equal(lmn_cbor_parse(&d, e->value->data, e->value->len), 0);
-        lmn_mirror_apply(c, e->key, &d, e->value ? lmn_cbor_root(&d) : NULL, e->rev,
-                         w.clock);
+        lmn_watch_cache_apply(c, e->key, &d, e->value ? lmn_cbor_root(&d) : NULL, e->rev,
+                              w.clock);
         if (e->value)
             lmn_cbor_free(&d);
     }
@@ -127,7 +127,7 @@
     c->synced = true;
     if (w.broken == G_OWN_TERM)
         trust_own_copies(c);
-    lmn_mirror_settle(c, w.clock);
+    lmn_watch_cache_begin_ownerships(c, w.clock);
 }
 
 struct lmn_member_health node_word(const struct node *n)
@@ -309,11 +309,11 @@
             for (guint k = 0; k < m->attempts->len; k++) {
                 struct lmn_attempt *a =
                     &g_array_index(m->attempts, struct lmn_attempt, k);
-                if (w.broken == G_COUNTED && a->job && !lmn_job_wanted(n->core, a->job))
+                if (w.broken == G_COUNTED && a->job && !lmn_job_may_run(n->core, a->job))
                     lmn_attempt_uncount(m, a);
                 if (w.broken == G_UNSURE)
                     a->unsure = a->direct = false;
-                if (w.broken == G_DONE && a->state == LMN_A_RUNNING && a->range &&
+                if (w.broken == G_DONE && a->state == LMN_ATTEMPT_RUNNING && a->range &&
                     a->range->st)
                     lmn_task_finished(a->range, a->index, w.clock);
             }
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -62,7 +62,7 @@
 {
     const char *refs[8];
     uint64_t upto;
-    unsigned n = lmn_tombstones_for(&from->core->tombstones, rank, refs, 8, &upto);
+    unsigned n = lmn_tombstones_pending(&from->core->tombstones, rank, refs, 8, &upto);
 
     if (!w.helped)
         return;
@@ -71,9 +71,9 @@
     for (unsigned i = 0; i < n; i++)
         digest_text(refs[i]);
     for (unsigned i = 0; i < n; i++)
-        w.tombstones += lmn_tombstone_heard(to->core, refs[i], w.clock);
+        w.tombstones += lmn_tombstone_receive(to->core, refs[i], w.clock);
     if (!world_trouble(0.05)) /* else the answer is lost, and they are told again */
-        lmn_tombstones_taken(&from->core->tombstones, rank, upto);
+        lmn_tombstones_acknowledge(&from->core->tombstones, rank, upto);
 }
 
 /* Ranks are places by name, as the nodes are numbered. */
@@ -117,7 +117,7 @@
     const struct lmn_core *c = w.nodes[s->to].core;
     const struct lmn_copy *copy = c ? c->parts[p->id].copy : NULL;
 
-    if (s->phase != LMN_STREAM_IN_STEP || s->batch || p->untold->len ||
+    if (s->phase != LMN_STREAM_IN_SYNC || s->batch || p->untold->len ||
         p->forgotten->len || !copy || copy->stream != s->id || copy->term != p->my_term)
         return;
     w.compared++;
