--- a/bench/retention.c
+++ b/bench/retention.c
@@ -33,7 +33,7 @@
     double first = 0, last = 0;
     uint64_t rev = 0;
 
-    struct lmn_core *c = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    struct lmn_core *c = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
     for (unsigned long n = 0; n < jobs; n++) {
         struct lmn_job_spec s = {.class_name = (char *)"shift-settlement",
                                  .team = (char *)"t",
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -58,7 +58,7 @@
     if (lmn_settings_warning(cfg, warning, sizeof warning))
         lmn_error("settings-tight why=\"%s\"", warning);
 
-    struct lmn_state *state = lmn_state_new(cfg);
+    struct lmn_kv_client *state = lmn_kv_client_new(cfg);
     struct lmn_core *core = lmn_core_new(cfg, state, g_random_int());
     struct lmn_http_server *server = lmn_server_start(core);
     if (!server) {
@@ -72,7 +72,7 @@
         lmn_error("listen-failed address=%s", cfg->peer_listen);
         return 1;
     }
-    lmn_state_start(state);
+    lmn_kv_client_start(state);
     lmn_thread(lmn_watch_cache_thread, core);
     lmn_thread(lmn_holder_thread, core);
     lmn_api_start(core);
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -183,7 +183,7 @@
         sockets(out, c, server);
     struct lmn_latency writing;
     lmn_latency_init(&writing);
-    double waiting = lmn_state_figures(c->state, &writing);
+    double waiting = lmn_kv_client_statistics(c->state, &writing);
     lmn_gauge(out, "lemonspar_state_waiting_changes",
               "Changes that wait for their budget", waiting);
     lmn_quantiles(out, "lemonspar_state_write_seconds",
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -50,19 +50,19 @@
     pthread_mutex_unlock(&c->lock);
 }
 
-static void committed(void *arg, struct lmn_txn *t, enum lmn_outcome outcome,
+static void committed(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
                       uint64_t rev)
 {
     struct lmn_pending *p = arg;
     struct lmn_decision d = lmn_decide_submitted(outcome);
-    bool known = outcome == LMN_OK || outcome == LMN_CONFLICT;
+    bool known = outcome == LMN_TXN_COMMITTED || outcome == LMN_TXN_CONFLICT;
     double took = lmn_time_diff_s(lmn_now(), p->since);
     char ref[LMN_JOB_ID_SIZE];
     (void)t;
     (void)rev;
 
     lmn_debug("job-submitted job=%s outcome=%d took=%.3f", p->ref, outcome, took);
-    if (outcome == LMN_OK)
+    if (outcome == LMN_TXN_COMMITTED)
         note_latency(p->core, took);
     pthread_mutex_lock(&pendings.lock);
     g_strlcpy(ref, p->ref, sizeof ref);
@@ -89,12 +89,12 @@
     struct lmn_txn *t =
         lmn_submission_txn(c, s, lmn_time_seconds(lmn_wall_clock_now()), committed, p);
     pthread_mutex_unlock(&c->lock);
-    p->twin = lmn_txn_twin(t);
+    p->twin = lmn_txn_copy(t);
     pthread_mutex_lock(&pendings.lock);
     g_queue_push_tail(&pendings.list, p);
     pthread_cond_signal(&pendings.more);
     pthread_mutex_unlock(&pendings.lock);
-    lmn_state_submit(c->state, t);
+    lmn_kv_client_submit(c->state, t);
 }
 
 /* Does what is due for the submission; the lock is held. Returns the call if its job's
@@ -115,7 +115,7 @@
         p->twin = NULL;
         p->in_flight++;
         lmn_debug("job-submitted-again job=%s", p->ref);
-        lmn_state_submit(c->state, twin);
+        lmn_kv_client_submit(c->state, twin);
         return NULL;
     default:
         return NULL;
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -245,7 +245,8 @@
         }
         if (step == LMN_STREAM_WRITE) {
             uint64_t rev;
-            enum lmn_outcome r = lmn_state_send(c->state, f->http, txn, &rev, NULL);
+            enum lmn_txn_outcome r =
+                lmn_kv_client_commit(c->state, f->http, txn, &rev, NULL);
             lmn_debug("standby-write partition=%d outcome=%d", p->id, r);
             lmn_txn_free(txn);
         }
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -117,25 +117,26 @@
 
 struct lmn_txn *lmn_confirmation(const struct lmn_view *v, guint n)
 {
-    struct lmn_txn *t = lmn_txn_new(LMN_RANK_USER, NULL, NULL);
+    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_USER, NULL, NULL);
     char key[64];
 
     for (guint i = 0; i < n; i++) {
         job_key(key, sizeof key, v[i].ref);
-        lmn_txn_if(t, key, v[i].rev);
+        lmn_txn_require_version(t, key, v[i].rev);
     }
     return t;
 }
 
-enum lmn_confirmed lmn_view_confirmed(const struct lmn_view *v, enum lmn_outcome outcome,
+enum lmn_confirmed lmn_view_confirmed(const struct lmn_view *v,
+                                      enum lmn_txn_outcome outcome,
                                       const GPtrArray *failed)
 {
     char key[64];
 
-    if (outcome == LMN_OK)
+    if (outcome == LMN_TXN_COMMITTED)
         return LMN_CONFIRMED_LATEST;
     /* A conflict that names no key says nothing about any. */
-    if (outcome != LMN_CONFLICT || !failed->len)
+    if (outcome != LMN_TXN_CONFLICT || !failed->len)
         return LMN_CONFIRMED_NOTHING;
     job_key(key, sizeof key, v->ref);
     for (guint i = 0; i < failed->len; i++)
@@ -216,7 +217,7 @@
 /* A job that nobody is known to have submitted, and nothing is wrong with. */
 static struct lmn_decision decide_new(struct lmn_core *c)
 {
-    double wait = lmn_state_backlog(c->state, LMN_RANK_USER);
+    double wait = lmn_kv_client_backlog_s(c->state, LMN_WRITE_USER);
 
     if (wait > 2.0) {
         c->count.refused++;
@@ -260,15 +261,15 @@
     return decide_new(c);
 }
 
-struct lmn_decision lmn_decide_submitted(enum lmn_outcome outcome)
+struct lmn_decision lmn_decide_submitted(enum lmn_txn_outcome outcome)
 {
     struct lmn_reply accepted = job_state(LMN_JOB_ACTIVE, 0, 0);
 
     switch (outcome) {
-    case LMN_OK:
+    case LMN_TXN_COMMITTED:
         accepted.status = 201;
         return reply_now(accepted);
-    case LMN_CONFLICT:
+    case LMN_TXN_CONFLICT:
         /* Known already, though not yet to the mirror: it is read. */
         return next_step(LMN_STEP_CONFIRM, 503);
     default:
@@ -360,17 +361,17 @@
         *reply = ended(r);
     if (r->status != 200 || r->phase != LMN_JOB_ACTIVE)
         return NULL;
-    t = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
+    t = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     job_key(key, sizeof key, ref);
-    lmn_txn_if(t, key, r->rev);
-    lmn_txn_write(t, key, lmn_job_record(&r->spec, LMN_JOB_CANCELLED, r->open, r->at), 0);
+    lmn_txn_require_version(t, key, r->rev);
+    lmn_txn_put(t, key, lmn_job_record(&r->spec, LMN_JOB_CANCELLED, r->open, r->at), 0);
     return t;
 }
 
-bool lmn_cancelled(enum lmn_outcome outcome, struct lmn_reply *reply)
+bool lmn_cancelled(enum lmn_txn_outcome outcome, struct lmn_reply *reply)
 {
     /* With an unknown outcome the user asks again, and then it is read. */
-    *reply =
-        outcome == LMN_OK ? job_state(LMN_JOB_CANCELLED, 0, 0) : lmn_reply_unavailable();
-    return outcome != LMN_CONFLICT;
+    *reply = outcome == LMN_TXN_COMMITTED ? job_state(LMN_JOB_CANCELLED, 0, 0)
+                                          : lmn_reply_unavailable();
+    return outcome != LMN_TXN_CONFLICT;
 }
--- a/src/controller/request_decisions.h
+++ b/src/controller/request_decisions.h
@@ -45,7 +45,7 @@
                                           const struct lmn_submission *s,
                                           struct timespec now);
 /* Once the outcome of a submission's transaction is known. */
-struct lmn_decision lmn_decide_submitted(enum lmn_outcome outcome);
+struct lmn_decision lmn_decide_submitted(enum lmn_txn_outcome outcome);
 
 /* What is due for a submission whose transaction has no answer yet. */
 enum lmn_pending_step {
@@ -81,7 +81,8 @@
 /* The transaction that confirms the views: conditions alone. */
 struct lmn_txn *lmn_confirmation(const struct lmn_view *v, guint n);
 /* What its outcome says of one of them; failed: the keys whose condition did not hold. */
-enum lmn_confirmed lmn_view_confirmed(const struct lmn_view *v, enum lmn_outcome outcome,
+enum lmn_confirmed lmn_view_confirmed(const struct lmn_view *v,
+                                      enum lmn_txn_outcome outcome,
                                       const GPtrArray *failed);
 /* The reply of a view that was confirmed, or of what became of it since: the mirror may
  * have moved on while the answer was on its way. */
@@ -113,7 +114,7 @@
 struct lmn_txn *lmn_cancellation(const char *ref, const struct lmn_job_reading *r,
                                  int absent_status, struct lmn_reply *reply);
 /* Whether *reply is the answer now; else the job has changed, and is read again. */
-bool lmn_cancelled(enum lmn_outcome outcome, struct lmn_reply *reply);
+bool lmn_cancelled(enum lmn_txn_outcome outcome, struct lmn_reply *reply);
 
 /* A cancellation is tried so often while others change the job. */
 enum { LMN_CANCEL_TRIES = 5 };
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -34,9 +34,9 @@
 static int tuning_set(const char *name, double value, char *err, size_t len)
 {
     struct lmn_http_client *h = lmn_http_client_new(core->cfg->state);
-    enum lmn_outcome r = LMN_CONFLICT;
+    enum lmn_txn_outcome r = LMN_TXN_CONFLICT;
 
-    for (int tries = 0; tries < 5 && r == LMN_CONFLICT; tries++) {
+    for (int tries = 0; tries < 5 && r == LMN_TXN_CONFLICT; tries++) {
         uint64_t rev = 0;
         pthread_mutex_lock(&core->lock);
         struct lmn_operator_settings t = core->tuning;
@@ -46,21 +46,21 @@
             lmn_http_client_free(h);
             return -1;
         }
-        struct lmn_txn *txn = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
-        lmn_txn_if(txn, "s", seen);
-        lmn_txn_write(txn, "s", lmn_operator_settings_record(&t), 0);
-        r = lmn_state_send(core->state, h, txn, &rev, NULL);
+        struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
+        lmn_txn_require_version(txn, "s", seen);
+        lmn_txn_put(txn, "s", lmn_operator_settings_record(&t), 0);
+        r = lmn_kv_client_commit(core->state, h, txn, &rev, NULL);
         lmn_txn_free(txn);
-        if (r == LMN_CONFLICT)
+        if (r == LMN_TXN_CONFLICT)
             lmn_sleep(0.2);
     }
     lmn_http_client_free(h);
-    if (r == LMN_OK)
+    if (r == LMN_TXN_COMMITTED)
         return 0;
     snprintf(err, len, "the state service did not take it (%s); look, and try again",
-             r == LMN_UNKNOWN   ? "outcome unknown"
-             : r == LMN_REFUSED ? "refused"
-                                : "conflict");
+             r == LMN_TXN_UNKNOWN    ? "outcome unknown"
+             : r == LMN_TXN_REJECTED ? "refused"
+                                     : "conflict");
     return -1;
 }
 
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -58,7 +58,8 @@
     /* While writes have to wait, a job is not cut: steals will spread what one partition
      * can't start. And one owner must see all of a job whose tasks depend on each other's
      * places. */
-    if (s->one_zone || s->spread || lmn_state_backlog(c->state, LMN_RANK_CLOSE) > 0)
+    if (s->one_zone || s->spread ||
+        lmn_kv_client_backlog_s(c->state, LMN_WRITE_CLOSE) > 0)
         want = 1;
     for (int k = 0; k < parts; k++) {
         int i = (first + k) % parts, at = able;
@@ -86,9 +87,9 @@
 }
 
 struct lmn_txn *lmn_submission_txn(struct lmn_core *c, const struct lmn_job_spec *s,
-                                   double accepted_at, lmn_txn_done *done, void *arg)
+                                   double accepted_at, lmn_txn_callback *done, void *arg)
 {
-    struct lmn_txn *t = lmn_txn_new(LMN_RANK_USER, done, arg);
+    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_USER, done, arg);
     uint32_t n[LMN_MAX_PARTITIONS], open = 0, at = 0;
     struct lmn_range r = {0};
     char key[96];
@@ -97,7 +98,7 @@
 
     shares(c, s, n);
     g_snprintf(key, sizeof key, "j/%s", s->ref);
-    lmn_txn_if(t, key, 0);
+    lmn_txn_require_version(t, key, 0);
     char *job_key = g_strdup(key);
     for (int i = 0; i < c->nparts; i++)
         while (n[i] > 0) {
@@ -106,7 +107,7 @@
             r.hi = at + k;
             uint8_t *none = g_malloc0((k + 7) / 8);
             g_snprintf(key, sizeof key, "r/%d/%s/%u", i, s->ref, at);
-            lmn_txn_write(t, key, lmn_range_record(&r, none), 0);
+            lmn_txn_put(t, key, lmn_range_record(&r, none), 0);
             g_free(none);
             at += k;
             n[i] -= k;
@@ -114,7 +115,7 @@
         }
     /* The watch shows changes in the order of the transaction: first ranges, then the
      * job, would leave ranges without a job. */
-    lmn_txn_write_first(t, job_key, lmn_job_record(s, LMN_JOB_ACTIVE, open, accepted_at));
+    lmn_txn_put_first(t, job_key, lmn_job_record(s, LMN_JOB_ACTIVE, open, accepted_at));
     g_free(job_key);
     return t;
 }
--- a/src/controller/submission.h
+++ b/src/controller/submission.h
@@ -26,6 +26,6 @@
 /* The transaction that accepts the job, conditional on its id being unknown: the job's
  * record, and its tasks parted among the partitions. */
 struct lmn_txn *lmn_submission_txn(struct lmn_core *c, const struct lmn_job_spec *s,
-                                   double accepted_at, lmn_txn_done *done, void *arg);
+                                   double accepted_at, lmn_txn_callback *done, void *arg);
 
 #endif
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -114,7 +114,7 @@
     char path[96];
 
     g_snprintf(path, sizeof path, P_STORE "/j/%s", ref);
-    lmn_state_pace(c->state);
+    lmn_kv_client_wait_for_token(c->state);
     int status = lmn_http_client_call(h, "GET", path, NULL, 1.5, buf);
     lmn_reading_parse(r, status, buf->data, buf->len);
 }
@@ -199,10 +199,10 @@
         lmn_reading_clear(&reading);
         if (!t)
             break;
-        enum lmn_outcome outcome = lmn_state_send(c->state, h, t, &rev, NULL);
+        enum lmn_txn_outcome outcome = lmn_kv_client_commit(c->state, h, t, &rev, NULL);
         lmn_txn_free(t);
         over = lmn_cancelled(outcome, &reply);
-        if (outcome == LMN_OK)
+        if (outcome == LMN_TXN_COMMITTED)
             tell_others(c, a->ref);
     }
     answer(a->call, a->ref, &reply);
@@ -222,7 +222,7 @@
         lmn_view_take(c, v[i]->ref, &views[i]);
     pthread_mutex_unlock(&c->lock);
     struct lmn_txn *t = lmn_confirmation(views, n);
-    enum lmn_outcome outcome = lmn_state_send(c->state, h, t, &rev, failed);
+    enum lmn_txn_outcome outcome = lmn_kv_client_commit(c->state, h, t, &rev, failed);
     lmn_txn_free(t);
     /* First what is known: a reading takes its time, and an answer grows old. */
     for (guint i = 0; i < n; i++) {
@@ -231,7 +231,7 @@
             continue;
         if (known == LMN_CONFIRMED_LATEST)
             answer_confirmed(c, &views[i], v[i]);
-        else if (outcome == LMN_UNKNOWN)
+        else if (outcome == LMN_TXN_UNKNOWN)
             query_again(v[i]);
         else
             answer_unavailable(v[i]);
--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -30,20 +30,20 @@
 };
 
 struct lmn_txn {
-    enum lmn_rank rank;
-    lmn_txn_done *done;
+    enum lmn_write_priority rank;
+    lmn_txn_callback *done;
     void *arg;
     GArray *conds, *changes;
     size_t bytes;
     struct timespec since;
 };
 
-struct lmn_state {
+struct lmn_kv_client {
     const struct lmn_settings *cfg;
     pthread_mutex_t lock;
     pthread_cond_t more;
-    GQueue queue[LMN_RANKS];
-    double queued_changes[LMN_RANKS];
+    GQueue queue[LMN_WRITE_PRIORITIES];
+    double queued_changes[LMN_WRITE_PRIORITIES];
     struct lmn_token_bucket requests, writes;
     struct lmn_token_bucket lazy; /* the part of writes that what can wait may use */
     struct lmn_latency writing;   /* from a transaction's sending to its answer */
@@ -51,7 +51,8 @@
     struct timespec hold;         /* after a 429: nothing goes out before */
 };
 
-struct lmn_txn *lmn_txn_new(enum lmn_rank rank, lmn_txn_done *done, void *arg)
+struct lmn_txn *lmn_txn_new(enum lmn_write_priority rank, lmn_txn_callback *done,
+                            void *arg)
 {
     struct lmn_txn *t = g_new0(struct lmn_txn, 1);
     t->rank = rank;
@@ -63,14 +64,14 @@
     return t;
 }
 
-void lmn_txn_if(struct lmn_txn *t, const char *key, uint64_t version)
+void lmn_txn_require_version(struct lmn_txn *t, const char *key, uint64_t version)
 {
     struct cond c = {g_strdup(key), version};
     g_array_append_val(t->conds, c);
     t->bytes += strlen(key) + 40;
 }
 
-void lmn_txn_write(struct lmn_txn *t, const char *key, GByteArray *value, uint64_t lease)
+void lmn_txn_put(struct lmn_txn *t, const char *key, GByteArray *value, uint64_t lease)
 {
     struct change c = {g_strdup(key), value, lease};
     g_array_append_val(t->changes, c);
@@ -79,15 +80,15 @@
     t->bytes += strlen(key) + 60 + value->len + value->len / 2;
 }
 
-void lmn_txn_write_first(struct lmn_txn *t, const char *key, GByteArray *value)
+void lmn_txn_put_first(struct lmn_txn *t, const char *key, GByteArray *value)
 {
-    lmn_txn_write(t, key, value, 0);
+    lmn_txn_put(t, key, value, 0);
     struct change c = g_array_index(t->changes, struct change, t->changes->len - 1);
     g_array_remove_index(t->changes, t->changes->len - 1);
     g_array_prepend_val(t->changes, c);
 }
 
-void lmn_txn_remove(struct lmn_txn *t, const char *key)
+void lmn_txn_delete(struct lmn_txn *t, const char *key)
 {
     struct change c = {g_strdup(key), NULL, 0};
     g_array_append_val(t->changes, c);
@@ -109,33 +110,33 @@
     g_free(t);
 }
 
-struct lmn_txn *lmn_txn_twin(const struct lmn_txn *t)
+struct lmn_txn *lmn_txn_copy(const struct lmn_txn *t)
 {
     struct lmn_txn *twin = lmn_txn_new(t->rank, t->done, t->arg);
 
     for (guint i = 0; i < t->conds->len; i++) {
         const struct cond *c = &g_array_index(t->conds, struct cond, i);
-        lmn_txn_if(twin, c->key, c->version);
+        lmn_txn_require_version(twin, c->key, c->version);
     }
     for (guint i = 0; i < t->changes->len; i++) {
         const struct change *c = &g_array_index(t->changes, struct change, i);
         if (c->value)
-            lmn_txn_write(twin, c->key, g_byte_array_ref(c->value), c->lease);
+            lmn_txn_put(twin, c->key, g_byte_array_ref(c->value), c->lease);
         else
-            lmn_txn_remove(twin, c->key);
+            lmn_txn_delete(twin, c->key);
     }
     return twin;
 }
 
-guint lmn_txn_changes(const struct lmn_txn *t)
+guint lmn_txn_operation_count(const struct lmn_txn *t)
 {
     return t->changes->len;
 }
 
-void lmn_txn_each(const struct lmn_txn *t,
-                  void (*f)(void *arg, const char *key, const GByteArray *value,
-                            uint64_t lease),
-                  void *arg)
+void lmn_txn_foreach_operation(const struct lmn_txn *t,
+                               void (*f)(void *arg, const char *key,
+                                         const GByteArray *value, uint64_t lease),
+                               void *arg)
 {
     for (guint i = 0; i < t->changes->len; i++) {
         const struct change *c = &g_array_index(t->changes, struct change, i);
@@ -143,9 +144,9 @@
     }
 }
 
-void lmn_txn_each_condition(const struct lmn_txn *t,
-                            void (*f)(void *arg, const char *key, uint64_t version),
-                            void *arg)
+void lmn_txn_foreach_condition(const struct lmn_txn *t,
+                               void (*f)(void *arg, const char *key, uint64_t version),
+                               void *arg)
 {
     for (guint i = 0; i < t->conds->len; i++) {
         const struct cond *c = &g_array_index(t->conds, struct cond, i);
@@ -153,23 +154,23 @@
     }
 }
 
-void lmn_txn_finish(struct lmn_txn *t, enum lmn_outcome r, uint64_t revision)
+void lmn_txn_complete(struct lmn_txn *t, enum lmn_txn_outcome r, uint64_t revision)
 {
     if (t->done)
         t->done(t->arg, t, r, revision);
     lmn_txn_free(t);
 }
 
-struct lmn_state *lmn_state_new(const struct lmn_settings *cfg)
+struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *cfg)
 {
-    struct lmn_state *s = g_new0(struct lmn_state, 1);
+    struct lmn_kv_client *s = g_new0(struct lmn_kv_client, 1);
     double share = 1.0 / (double)(cfg->nmembers + 1);
     struct timespec now = lmn_now();
 
     s->cfg = cfg;
     pthread_mutex_init(&s->lock, NULL);
     lmn_cond_init(&s->more);
-    for (int i = 0; i < LMN_RANKS; i++)
+    for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
         g_queue_init(&s->queue[i]);
     /* Each member keeps to its part, a little less for the service's own clock. */
     lmn_token_bucket_init(&s->requests, cfg->state_rps * share * 0.95,
@@ -182,18 +183,18 @@
     return s;
 }
 
-void lmn_state_free(struct lmn_state *s)
+void lmn_kv_client_free(struct lmn_kv_client *s)
 {
-    for (int i = 0; i < LMN_RANKS; i++)
+    for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
         for (struct lmn_txn *t; (t = g_queue_pop_head(&s->queue[i]));)
-            lmn_txn_finish(t, LMN_REFUSED, 0);
+            lmn_txn_complete(t, LMN_TXN_REJECTED, 0);
     lmn_latency_clear(&s->writing);
     pthread_cond_destroy(&s->more);
     pthread_mutex_destroy(&s->lock);
     g_free(s);
 }
 
-void lmn_state_pace(struct lmn_state *s)
+void lmn_kv_client_wait_for_token(struct lmn_kv_client *s)
 {
     for (;;) {
         pthread_mutex_lock(&s->lock);
@@ -205,25 +206,25 @@
     }
 }
 
-double lmn_state_figures(struct lmn_state *s, struct lmn_latency *writing)
+double lmn_kv_client_statistics(struct lmn_kv_client *s, struct lmn_latency *writing)
 {
     double waiting = 0;
 
     pthread_mutex_lock(&s->lock);
     lmn_latency_copy(writing, &s->writing);
-    for (int i = 0; i < LMN_RANKS; i++)
+    for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
         waiting += s->queued_changes[i];
     pthread_mutex_unlock(&s->lock);
     return waiting;
 }
 
-void lmn_state_submit(struct lmn_state *s, struct lmn_txn *t)
+void lmn_kv_client_submit(struct lmn_kv_client *s, struct lmn_txn *t)
 {
     pthread_mutex_lock(&s->lock);
     t->since = lmn_now();
     g_queue_push_tail(&s->queue[t->rank], t);
     s->queued_changes[t->rank] += t->changes->len;
-    if (t->rank == LMN_RANK_LAZY)
+    if (t->rank == LMN_WRITE_DEFERRABLE)
         s->lazy.level -= t->changes->len;
     pthread_cond_signal(&s->more);
     pthread_mutex_unlock(&s->lock);
@@ -234,19 +235,19 @@
  * one node alone, as after a restart of all: their writes and the owners' may overdraw
  * its share by a bucket, which the other members' thrift covers; if it does not, the
  * service says 429. */
-static double reserve(const struct lmn_state *s, enum lmn_rank rank)
+static double reserve(const struct lmn_kv_client *s, enum lmn_write_priority rank)
 {
     switch (rank) {
-    case LMN_RANK_LAZY:
+    case LMN_WRITE_DEFERRABLE:
         return 0.5 * s->writes.burst;
-    case LMN_RANK_CLOSE:
+    case LMN_WRITE_CLOSE:
         return 0.2 * s->writes.burst;
     default:
         return -s->writes.burst;
     }
 }
 
-double lmn_state_backlog(struct lmn_state *s, enum lmn_rank rank)
+double lmn_kv_client_backlog_s(struct lmn_kv_client *s, enum lmn_write_priority rank)
 {
     double ahead = 0, wait;
 
@@ -259,14 +260,14 @@
     return MAX(wait, 0);
 }
 
-double lmn_state_spare(struct lmn_state *s)
+double lmn_kv_client_spare_writes(struct lmn_kv_client *s)
 {
     double spare;
 
     pthread_mutex_lock(&s->lock);
     lmn_token_bucket_refill(&s->writes, lmn_now());
-    spare = s->writes.level - reserve(s, LMN_RANK_LAZY);
-    for (int i = 0; i < LMN_RANKS; i++)
+    spare = s->writes.level - reserve(s, LMN_WRITE_DEFERRABLE);
+    for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
         spare -= s->queued_changes[i];
     lmn_token_bucket_refill(&s->lazy, lmn_now());
     spare = MIN(spare, s->lazy.level);
@@ -276,18 +277,19 @@
 
 /* Whether so many changes of the rank may go out now. More than the bucket holds take it
  * full. */
-static bool affords(const struct lmn_state *s, enum lmn_rank rank, guint changes)
+static bool affords(const struct lmn_kv_client *s, enum lmn_write_priority rank,
+                    guint changes)
 {
     return s->writes.level - reserve(s, rank) >= MIN(changes, 0.45 * s->writes.burst);
 }
 
 /* Seconds until the first transaction of some rank may go out; 0: now. */
-static double until_next(struct lmn_state *s, struct timespec now)
+static double until_next(struct lmn_kv_client *s, struct timespec now)
 {
     double wait = INFINITY;
 
     lmn_token_bucket_refill(&s->writes, now);
-    for (int r = 0; r < LMN_RANKS; r++) {
+    for (int r = 0; r < LMN_WRITE_PRIORITIES; r++) {
         const struct lmn_txn *t = g_queue_peek_head(&s->queue[r]);
         if (!t)
             continue;
@@ -346,21 +348,21 @@
 
 /* Reads the answer to a transaction. Keys whose condition failed are added to conflicts.
  */
-static enum lmn_outcome judge(int status, const GByteArray *answer, uint64_t *revision,
-                              GPtrArray *conflicts)
+static enum lmn_txn_outcome judge(int status, const GByteArray *answer,
+                                  uint64_t *revision, GPtrArray *conflicts)
 {
     struct lmn_cbor_document d;
 
     if (status == LMN_HTTP_NOT_SENT || status == 429 || status == 503 || status == 400)
-        return LMN_REFUSED;
+        return LMN_TXN_REJECTED;
     if (status != 200 && status != 409)
-        return LMN_UNKNOWN;
+        return LMN_TXN_UNKNOWN;
     if (lmn_cbor_parse(&d, answer->data, answer->len) != 0)
-        return LMN_UNKNOWN;
-    enum lmn_outcome r = LMN_UNKNOWN;
+        return LMN_TXN_UNKNOWN;
+    enum lmn_txn_outcome r = LMN_TXN_UNKNOWN;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_REVISION), revision))
-        r = status == 200 ? LMN_OK : LMN_CONFLICT;
+        r = status == 200 ? LMN_TXN_COMMITTED : LMN_TXN_CONFLICT;
     const struct lmn_cbor_value *failed = lmn_cbor_get(&d, root, W_CONFLICTS);
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, failed);
          n && conflicts; n = lmn_cbor_next(&d, n))
@@ -370,9 +372,9 @@
     return r;
 }
 
-static enum lmn_outcome send_batch(struct lmn_http_client *h, struct lmn_txn **v, guint n,
-                                   double timeout_s, uint64_t *revision,
-                                   GPtrArray *conflicts, int *status)
+static enum lmn_txn_outcome send_batch(struct lmn_http_client *h, struct lmn_txn **v,
+                                       guint n, double timeout_s, uint64_t *revision,
+                                       GPtrArray *conflicts, int *status)
 {
     GByteArray *body = encode(v, n), *answer = g_byte_array_new();
 
@@ -380,18 +382,18 @@
     *status = lmn_http_client_call(h, "POST", P_TXN, body, timeout_s, answer);
     lmn_debug("state-write transactions=%u status=%d took=%.3f", n, *status,
               lmn_time_diff_s(lmn_now(), sent));
-    enum lmn_outcome r = judge(*status, answer, revision, conflicts);
+    enum lmn_txn_outcome r = judge(*status, answer, revision, conflicts);
     g_byte_array_unref(body);
     g_byte_array_unref(answer);
     return r;
 }
 
-enum lmn_outcome lmn_state_send(struct lmn_state *s, struct lmn_http_client *h,
-                                struct lmn_txn *t, uint64_t *revision,
-                                GPtrArray *conflicts)
+enum lmn_txn_outcome lmn_kv_client_commit(struct lmn_kv_client *s,
+                                          struct lmn_http_client *h, struct lmn_txn *t,
+                                          uint64_t *revision, GPtrArray *conflicts)
 {
     int status;
-    lmn_state_pace(s);
+    lmn_kv_client_wait_for_token(s);
     return send_batch(h, &t, 1, t->changes->len ? TXN_TIMEOUT_S : CONFIRM_TIMEOUT_S,
                       revision, conflicts, &status);
 }
@@ -423,12 +425,12 @@
 
 /* Takes the next batch off the queues, and its changes off the budget; the lock is held.
  */
-static guint gather(struct lmn_state *s, struct lmn_txn **v, guint max)
+static guint gather(struct lmn_kv_client *s, struct lmn_txn **v, guint max)
 {
     size_t bytes = 0;
     guint n = 0, changes = 0, conds = 0;
 
-    for (int r = 0; r < LMN_RANKS; r++) {
+    for (int r = 0; r < LMN_WRITE_PRIORITIES; r++) {
         for (GList *l = s->queue[r].head; l && n < max;) {
             struct lmn_txn *t = l->data;
             GList *next = l->next;
@@ -453,7 +455,7 @@
     return n;
 }
 
-struct lmn_txn *lmn_state_take(struct lmn_state *s)
+struct lmn_txn *lmn_kv_client_dequeue(struct lmn_kv_client *s)
 {
     struct lmn_txn *t = NULL;
 
@@ -465,7 +467,7 @@
 }
 
 /* Waits until something may go out, and takes it. */
-static guint next_batch(struct lmn_state *s, struct lmn_txn **v, guint max)
+static guint next_batch(struct lmn_kv_client *s, struct lmn_txn **v, guint max)
 {
     pthread_mutex_lock(&s->lock);
     /* Wait for the budget before choosing, so that the urgent still go first. */
@@ -484,7 +486,7 @@
     return n;
 }
 
-static void batch_answered(struct lmn_state *s, struct timespec sent, int status)
+static void batch_answered(struct lmn_kv_client *s, struct timespec sent, int status)
 {
     pthread_mutex_lock(&s->lock);
     lmn_in_flight_end(&s->flight);
@@ -495,40 +497,41 @@
 }
 
 /* One of a batch that the service found unfit (an ended lease, say) goes out alone. */
-static void send_alone(struct lmn_state *s, struct lmn_http_client *h, struct lmn_txn *t)
+static void send_alone(struct lmn_kv_client *s, struct lmn_http_client *h,
+                       struct lmn_txn *t)
 {
     uint64_t revision = 0;
-    enum lmn_outcome r = lmn_state_send(s, h, t, &revision, NULL);
+    enum lmn_txn_outcome r = lmn_kv_client_commit(s, h, t, &revision, NULL);
 
-    lmn_txn_finish(t, r, revision);
+    lmn_txn_complete(t, r, revision);
 }
 
 static void *writer(void *arg)
 {
-    struct lmn_state *s = arg;
+    struct lmn_kv_client *s = arg;
     struct lmn_http_client *h = lmn_http_client_new(s->cfg->state);
     struct lmn_txn *v[64];
 
     for (;;) {
         guint n = next_batch(s, v, G_N_ELEMENTS(v));
-        lmn_state_pace(s);
+        lmn_kv_client_wait_for_token(s);
         GPtrArray *conflicts = g_ptr_array_new_with_free_func(g_free);
         uint64_t revision = 0;
         int status;
         struct timespec sent = lmn_now();
-        enum lmn_outcome r =
+        enum lmn_txn_outcome r =
             send_batch(h, v, n, TXN_TIMEOUT_S, &revision, conflicts, &status);
         batch_answered(s, sent, status);
         for (guint i = 0; i < n; i++) {
-            if (r == LMN_CONFLICT && n > 1 && !touches(v[i], conflicts)) {
+            if (r == LMN_TXN_CONFLICT && n > 1 && !touches(v[i], conflicts)) {
                 /* It was only in bad company: it goes out again. */
-                lmn_state_submit(s, v[i]);
-            } else if (r == LMN_REFUSED && status == 400 && n > 1) {
+                lmn_kv_client_submit(s, v[i]);
+            } else if (r == LMN_TXN_REJECTED && status == 400 && n > 1) {
                 send_alone(s, h, v[i]);
             } else if (status == 429 && lmn_time_diff_s(lmn_now(), v[i]->since) < 1.5) {
-                lmn_state_submit(s, v[i]);
+                lmn_kv_client_submit(s, v[i]);
             } else {
-                lmn_txn_finish(v[i], r, revision);
+                lmn_txn_complete(v[i], r, revision);
             }
         }
         g_ptr_array_free(conflicts, TRUE);
@@ -536,7 +539,7 @@
     return NULL;
 }
 
-void lmn_state_start(struct lmn_state *s)
+void lmn_kv_client_start(struct lmn_kv_client *s)
 {
     for (int i = 0; i < WRITERS; i++)
         lmn_thread(writer, s);
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -137,7 +137,7 @@
     guint id;
 };
 
-static void block_written(void *arg, struct lmn_txn *t, enum lmn_outcome outcome,
+static void block_written(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
                           uint64_t rev)
 {
     struct block_ref *w = arg;
@@ -147,7 +147,7 @@
     pthread_mutex_lock(&w->c->lock);
     struct lmn_machine_block *b = block_at(&w->c->parts[w->part], w->id);
     /* After a success it is the mirror that ends the write. */
-    if (outcome != LMN_OK) {
+    if (outcome != LMN_TXN_COMMITTED) {
         b->writing = false;
         b->retry = lmn_time_add(lmn_now(), 0.3);
     }
@@ -156,7 +156,7 @@
 }
 
 static void write_block(struct lmn_core *c, struct lmn_partition *p,
-                        struct lmn_machine_block *b, enum lmn_rank rank)
+                        struct lmn_machine_block *b, enum lmn_write_priority rank)
 {
     struct block_ref *w = g_new0(struct block_ref, 1);
     GByteArray *v = g_byte_array_new();
@@ -180,12 +180,12 @@
     *w = (struct block_ref){c, p->id, b->id};
     struct lmn_txn *t = lmn_txn_new(rank, block_written, w);
     g_snprintf(key, sizeof key, "o/%d", p->id);
-    lmn_txn_if(t, key, p->my_rev);
+    lmn_txn_require_version(t, key, p->my_rev);
     g_snprintf(key, sizeof key, "m/%d/%u", p->id, b->id);
-    lmn_txn_if(t, key, b->rev);
-    lmn_txn_write(t, key, v, 0);
+    lmn_txn_require_version(t, key, b->rev);
+    lmn_txn_put(t, key, v, 0);
     b->writing = true;
-    lmn_state_submit(c->state, t);
+    lmn_kv_client_submit(c->state, t);
 }
 
 void lmn_blocks_flush(struct lmn_core *c, struct lmn_partition *p, bool lazy,
@@ -214,6 +214,6 @@
         if (!(add && since >= ADD_S) && !(drop && lazy && since >= DROP_S))
             continue;
         b->written = now;
-        write_block(c, p, b, add ? LMN_RANK_OWNER : LMN_RANK_LAZY);
+        write_block(c, p, b, add ? LMN_WRITE_OWNER : LMN_WRITE_DEFERRABLE);
     }
 }
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -33,7 +33,7 @@
     .partition_free = lmn_standby_forget,
 };
 
-struct lmn_core *lmn_core_new(const struct lmn_settings *cfg, struct lmn_state *state,
+struct lmn_core *lmn_core_new(const struct lmn_settings *cfg, struct lmn_kv_client *state,
                               uint32_t seed)
 {
     struct lmn_core *c = lmn_core_alloc(cfg, state, seed);
--- a/src/partition/owner.h
+++ b/src/partition/owner.h
@@ -6,7 +6,7 @@
 
 /* The shared state with an owner's books behind the mirror. cfg and state must outlive
  * it; it is never freed. seed: of its random source. */
-struct lmn_core *lmn_core_new(const struct lmn_settings *cfg, struct lmn_state *state,
+struct lmn_core *lmn_core_new(const struct lmn_settings *cfg, struct lmn_kv_client *state,
                               uint32_t seed);
 
 #endif
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -65,10 +65,10 @@
     }
 }
 
-static enum lmn_outcome send(struct holder *h, struct lmn_txn *t)
+static enum lmn_txn_outcome send(struct holder *h, struct lmn_txn *t)
 {
     uint64_t rev;
-    enum lmn_outcome r = lmn_state_send(h->c->state, h->http, t, &rev, NULL);
+    enum lmn_txn_outcome r = lmn_kv_client_commit(h->c->state, h->http, t, &rev, NULL);
 
     lmn_txn_free(t);
     return r;
@@ -81,12 +81,12 @@
  * anything was read there is nothing to go by. */
 static struct lmn_txn *record(const struct lmn_core *c, uint64_t lease)
 {
-    struct lmn_txn *t = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
+    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     char *key = g_strdup_printf("n/%s", c->cfg->node);
     GByteArray *v = g_byte_array_new();
 
     if (c->synced)
-        lmn_txn_if(t, key, c->members.v[c->members.me].inc);
+        lmn_txn_require_version(t, key, c->members.v[c->members.me].inc);
     if (c->leaving) {
         lmn_cbor_put_map(v, 2);
         lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, lease);
@@ -94,7 +94,7 @@
     } else {
         lmn_cbor_put_uint(v, lease);
     }
-    lmn_txn_write(t, key, v, lease);
+    lmn_txn_put(t, key, v, lease);
     g_free(key);
     return t;
 }
@@ -122,10 +122,10 @@
     return record(c, lease);
 }
 
-void lmn_holder_announced(struct lmn_core *c, enum lmn_outcome r)
+void lmn_holder_announced(struct lmn_core *c, enum lmn_txn_outcome r)
 {
     /* The mirror was a little behind: no need to wait. */
-    if (r == LMN_CONFLICT)
+    if (r == LMN_TXN_CONFLICT)
         c->announced_lease = 0;
 }
 
@@ -144,15 +144,15 @@
 
     if (!lmn_member_should_suspect(ms, rank, now, &e))
         return NULL;
-    struct lmn_txn *t = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
+    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     char *key = g_strdup_printf("u/%s", lmn_member_name(ms, rank));
     GByteArray *v = g_byte_array_new();
-    lmn_txn_if(t, key, m->doubt_rev);
+    lmn_txn_require_version(t, key, m->doubt_rev);
     lmn_cbor_put_map(v, 3);
     lmn_cbor_put_text(v, "incarnation"), lmn_cbor_put_uint(v, m->inc);
     lmn_cbor_put_text(v, "by"), lmn_cbor_put_text(v, c->cfg->node);
     lmn_cbor_put_text(v, "why"), lmn_cbor_put_uint(v, e.cause);
-    lmn_txn_write(t, key, v, lease);
+    lmn_txn_put(t, key, v, lease);
     g_free(key);
     ms->count.suspicions++;
     lmn_info("member-suspect member=%s incarnation=%" G_GUINT64_FORMAT
@@ -259,12 +259,13 @@
     return lmn_partition_handover(c, p, *successor);
 }
 
-void lmn_holder_given(struct lmn_core *c, int id, enum lmn_outcome r, struct timespec now)
+void lmn_holder_given(struct lmn_core *c, int id, enum lmn_txn_outcome r,
+                      struct timespec now)
 {
     struct lmn_partition *p = &c->parts[id];
 
     p->released = now;
-    if (r == LMN_REFUSED || r == LMN_CONFLICT)
+    if (r == LMN_TXN_REJECTED || r == LMN_TXN_CONFLICT)
         p->releasing = false;
 }
 
@@ -278,8 +279,8 @@
     pthread_mutex_unlock(&h->c->lock);
     if (!t)
         return;
-    enum lmn_outcome r = send(h, t);
-    h->announced = h->announced || r == LMN_OK;
+    enum lmn_txn_outcome r = send(h, t);
+    h->announced = h->announced || r == LMN_TXN_COMMITTED;
     pthread_mutex_lock(&h->c->lock);
     lmn_holder_announced(h->c, r);
     pthread_mutex_unlock(&h->c->lock);
@@ -345,7 +346,7 @@
     if (!t)
         return;
     /* Not in the log line: that does nothing at a lower level. */
-    enum lmn_outcome r = send(h, t);
+    enum lmn_txn_outcome r = send(h, t);
     lmn_info("partition-claim partition=%d outcome=%d", id, r);
 }
 
@@ -359,7 +360,7 @@
     pthread_mutex_unlock(&c->lock);
     if (!t)
         return;
-    enum lmn_outcome r = send(h, t);
+    enum lmn_txn_outcome r = send(h, t);
     lmn_info("partition-hand-over partition=%d to=%s outcome=%d", id,
              lmn_member_name(&c->members, successor), r);
     pthread_mutex_lock(&c->lock);
--- a/src/partition/ownership.h
+++ b/src/partition/ownership.h
@@ -14,7 +14,8 @@
  * the present one's place for good, and nobody counted on the node any more. */
 struct lmn_txn *lmn_holder_announce(struct lmn_core *c, uint64_t lease,
                                     struct timespec now);
-void lmn_holder_announced(struct lmn_core *c, enum lmn_outcome r); /* what came of it */
+void lmn_holder_announced(struct lmn_core *c,
+                          enum lmn_txn_outcome r); /* what came of it */
 bool lmn_holder_known(const struct lmn_core *c, uint64_t lease);
 /* Each suspicion is written once, tied to our lease, so that none outlives us. */
 struct lmn_txn *lmn_holder_suspicion(struct lmn_core *c, int rank, uint64_t lease,
@@ -26,7 +27,7 @@
  * started there; lmn_holder_given tells what became of it. */
 struct lmn_txn *lmn_holder_handover(struct lmn_core *c, int id, int *successor,
                                     struct timespec now);
-void lmn_holder_given(struct lmn_core *c, int id, enum lmn_outcome r,
+void lmn_holder_given(struct lmn_core *c, int id, enum lmn_txn_outcome r,
                       struct timespec now);
 
 void *lmn_holder_thread(void *core);
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -289,7 +289,7 @@
 static struct lmn_txn *transfer(const struct lmn_partition *p, const char *to,
                                 uint64_t lease, bool standby)
 {
-    struct lmn_txn *t = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
+    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     uint64_t term = p->term + 1;
     uint64_t stream = standby ? lmn_standby_condition(p, to, t) : 0;
     GByteArray *b = g_byte_array_new();
@@ -301,13 +301,13 @@
     lmn_cbor_put_text(b, "term"), lmn_cbor_put_uint(b, term);
     lmn_cbor_put_text(b, "stream"), lmn_cbor_put_uint(b, stream);
     g_snprintf(key, sizeof key, "o/%d", p->id);
-    lmn_txn_if(t, key, p->owner_rev);
-    lmn_txn_write(t, key, b, lease);
+    lmn_txn_require_version(t, key, p->owner_rev);
+    lmn_txn_put(t, key, b, lease);
     g_snprintf(key, sizeof key, "t/%d", p->id);
-    lmn_txn_if(t, key, p->term_rev);
+    lmn_txn_require_version(t, key, p->term_rev);
     GByteArray *v = g_byte_array_new();
     lmn_cbor_put_uint(v, term);
-    lmn_txn_write(t, key, v, 0);
+    lmn_txn_put(t, key, v, 0);
     return t;
 }
 
@@ -315,7 +315,7 @@
 {
     char *key = g_strdup_printf("n/%s", lmn_member_name(&c->members, rank));
 
-    lmn_txn_if(t, key, c->members.v[rank].inc);
+    lmn_txn_require_version(t, key, c->members.v[rank].inc);
     g_free(key);
 }
 
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -68,7 +68,8 @@
 
 static void submit(struct lmn_core *c, struct lmn_partition *p);
 
-static void given(void *arg, struct lmn_txn *t, enum lmn_outcome outcome, uint64_t rev)
+static void given(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
+                  uint64_t rev)
 {
     struct transfer_ref *w = arg;
     struct lmn_core *c = w->c;
@@ -78,9 +79,9 @@
 
     pthread_mutex_lock(&c->lock);
     if (p->mine && p->transfer.team >= 0 && p->transfer.serial == w->serial) {
-        if (outcome == LMN_REFUSED && !p->transfer.unsure) {
+        if (outcome == LMN_TXN_REJECTED && !p->transfer.unsure) {
             p->transfer.team = -1; /* surely not applied, and never will be */
-        } else if (outcome == LMN_REFUSED || outcome == LMN_UNKNOWN) {
+        } else if (outcome == LMN_TXN_REJECTED || outcome == LMN_TXN_UNKNOWN) {
             /* Only the mirror can tell; the same write again makes it tell. */
             p->transfer.unsure = true;
             p->transfer.retry = lmn_time_add(lmn_now(), 0.5);
@@ -98,10 +99,10 @@
     GByteArray *b = g_byte_array_new();
 
     *w = (struct transfer_ref){c, p->id, p->transfer.serial};
-    struct lmn_txn *t = lmn_txn_new(LMN_RANK_CLOSE, given, w);
+    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_CLOSE, given, w);
     g_snprintf(owner, sizeof owner, "o/%d", p->id);
-    lmn_txn_if(t, owner, p->my_rev);
-    lmn_txn_if(t, key, p->transfer.rev);
+    lmn_txn_require_version(t, owner, p->my_rev);
+    lmn_txn_require_version(t, key, p->transfer.rev);
     lmn_cbor_put_map(b, 4);
     lmn_cbor_put_text(b, "cpus_max"),
         lmn_cbor_put_number(b, c->cfg->teams[team].cpus_max);
@@ -121,10 +122,10 @@
                                                                          : 0));
         }
     }
-    lmn_txn_write(t, key, b, 0);
+    lmn_txn_put(t, key, b, 0);
     g_free(key);
     p->transfer.retry = (struct timespec){0, 0};
-    lmn_state_submit(c->state, t);
+    lmn_kv_client_submit(c->state, t);
 }
 
 bool lmn_quota_give(struct lmn_core *c, struct lmn_partition *p, int team, int to,
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -14,7 +14,7 @@
     char ref[LMN_JOB_ID_SIZE];
 };
 
-static void range_written(void *arg, struct lmn_txn *t, enum lmn_outcome outcome,
+static void range_written(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
                           uint64_t rev)
 {
     struct write_ref *w = arg;
@@ -24,10 +24,10 @@
     pthread_mutex_lock(&c->lock);
     struct lmn_range *r = g_hash_table_lookup(c->parts[w->part].ranges, w->key);
     struct lmn_job *j = g_hash_table_lookup(c->jobs, w->ref);
-    if (outcome != LMN_OK && j)
+    if (outcome != LMN_TXN_COMMITTED && j)
         j->closing = 0;
     if (r && r->writing) {
-        if (outcome == LMN_OK) {
+        if (outcome == LMN_TXN_COMMITTED) {
             r->written = rev;
             if (r->rev >= rev)
                 r->writing = false;
@@ -35,9 +35,9 @@
             /* Nothing is lost by another try: each is conditional on what the mirror
              * shows. */
             r->writing = false;
-            r->retry = lmn_time_add(lmn_now(), outcome == LMN_CONFLICT ? 0.1 : 0.4);
+            r->retry = lmn_time_add(lmn_now(), outcome == LMN_TXN_CONFLICT ? 0.1 : 0.4);
             /* A move is off only if it surely was not, and never will be, applied. */
-            if (outcome == LMN_UNKNOWN)
+            if (outcome == LMN_TXN_UNKNOWN)
                 r->move_unsure = true;
             else if (r->move_to >= 0 && !r->move_unsure)
                 lmn_move_undo(c, r, lmn_now());
@@ -49,7 +49,7 @@
 }
 
 static struct lmn_txn *owner_txn(struct lmn_core *c, struct lmn_range *r,
-                                 enum lmn_rank rank)
+                                 enum lmn_write_priority rank)
 {
     char key[64];
     struct write_ref *w = g_new0(struct write_ref, 1);
@@ -60,8 +60,8 @@
     g_strlcpy(w->ref, r->job->spec.ref, sizeof w->ref);
     struct lmn_txn *t = lmn_txn_new(rank, range_written, w);
     g_snprintf(key, sizeof key, "o/%d", r->part->id);
-    lmn_txn_if(t, key, r->part->my_rev);
-    lmn_txn_if(t, r->key, r->rev);
+    lmn_txn_require_version(t, key, r->part->my_rev);
+    lmn_txn_require_version(t, r->key, r->rev);
     r->writing = true;
     r->written = 0;
     return t;
@@ -74,27 +74,27 @@
     const struct lmn_job *j = r->job;
     struct lmn_range there = {.lo = r->move_at, .hi = r->hi};
     uint8_t *bits = g_malloc0((r->hi - r->lo + 7) / 8);
-    struct lmn_txn *t = owner_txn(c, r, LMN_RANK_CLOSE);
+    struct lmn_txn *t = owner_txn(c, r, LMN_WRITE_CLOSE);
     char key[96];
 
     g_snprintf(key, sizeof key, "r/%d/%s/%u", r->move_to, j->spec.ref, r->move_at);
-    lmn_txn_if(t, key, 0);
-    lmn_txn_write(t, key, lmn_range_record(&there, bits), 0);
+    lmn_txn_require_version(t, key, 0);
+    lmn_txn_put(t, key, lmn_range_record(&there, bits), 0);
     if (r->move_at == r->lo) {
-        lmn_txn_remove(t, r->key);
+        lmn_txn_delete(t, r->key);
     } else {
         struct lmn_range here = {.lo = r->lo, .hi = r->move_at};
         for (uint32_t i = 0; i < here.hi - here.lo; i++)
             if (r->st[i] == LMN_TASK_DONE)
                 lmn_bitset_set(bits, i);
-        lmn_txn_write(t, r->key, lmn_range_record(&here, bits), 0);
+        lmn_txn_put(t, r->key, lmn_range_record(&here, bits), 0);
         g_snprintf(key, sizeof key, "j/%s", j->spec.ref);
-        lmn_txn_if(t, key, j->rev);
-        lmn_txn_write(t, key, lmn_job_record(&j->spec, j->phase, j->open + 1, j->at), 0);
+        lmn_txn_require_version(t, key, j->rev);
+        lmn_txn_put(t, key, lmn_job_record(&j->spec, j->phase, j->open + 1, j->at), 0);
     }
     g_free(bits);
     r->move_rev = r->rev;
-    lmn_state_submit(c->state, t);
+    lmn_kv_client_submit(c->state, t);
 }
 
 /* Gathers in lazily what can wait. */
@@ -121,16 +121,15 @@
         if (j->closing == j->rev)
             return; /* one range of a job at a time, or the job's record conflicts */
         j->closing = j->rev;
-        t = owner_txn(c, r, LMN_RANK_CLOSE);
+        t = owner_txn(c, r, LMN_WRITE_CLOSE);
         g_snprintf(key, sizeof key, "j/%s", j->spec.ref);
-        lmn_txn_if(t, key, j->rev);
-        lmn_txn_remove(t, r->key);
-        lmn_txn_write(t, key,
-                      lmn_job_record(&j->spec,
-                                     j->open <= 1 ? LMN_JOB_DONE : LMN_JOB_ACTIVE,
-                                     j->open - 1, j->at),
-                      0);
-        lmn_state_submit(c->state, t);
+        lmn_txn_require_version(t, key, j->rev);
+        lmn_txn_delete(t, r->key);
+        lmn_txn_put(t, key,
+                    lmn_job_record(&j->spec, j->open <= 1 ? LMN_JOB_DONE : LMN_JOB_ACTIVE,
+                                   j->open - 1, j->at),
+                    0);
+        lmn_kv_client_submit(c->state, t);
         return;
     }
     if (r->nfinished > r->ndone && lmn_time_diff_s(now, r->dirty) > 2.0)
@@ -140,20 +139,20 @@
 static void flush_lazily(struct lmn_core *c, struct lmn_range *r, struct timespec now)
 {
     uint32_t n = r->hi - r->lo;
-    struct lmn_txn *t = owner_txn(c, r, LMN_RANK_LAZY);
+    struct lmn_txn *t = owner_txn(c, r, LMN_WRITE_DEFERRABLE);
 
     if (r->job->phase != LMN_JOB_ACTIVE) {
-        lmn_txn_remove(t, r->key);
+        lmn_txn_delete(t, r->key);
     } else {
         uint8_t *done = g_malloc0((n + 7) / 8);
         for (uint32_t i = 0; i < n; i++)
             if (r->st[i] == LMN_TASK_DONE)
                 lmn_bitset_set(done, i);
-        lmn_txn_write(t, r->key, lmn_range_record(r, done), 0);
+        lmn_txn_put(t, r->key, lmn_range_record(r, done), 0);
         g_free(done);
     }
     r->dirty = now;
-    lmn_state_submit(c->state, t);
+    lmn_kv_client_submit(c->state, t);
 }
 
 static gint by_dirty(gconstpointer a, gconstpointer b)
@@ -165,7 +164,7 @@
 
 void lmn_ranges_flush(struct lmn_core *c, struct timespec now)
 {
-    double spare = lmn_state_spare(c->state);
+    double spare = lmn_kv_client_spare_writes(c->state);
     GPtrArray *lazy = g_ptr_array_new();
 
     for (int i = 0; i < c->nparts; i++) {
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -220,7 +220,7 @@
                               bool named)
 {
     const struct lmn_stream *s = &p->stream;
-    struct lmn_txn *t = lmn_txn_new(LMN_RANK_OWNER, NULL, NULL);
+    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     GByteArray *v = g_byte_array_new();
     char key[32];
 
@@ -231,10 +231,10 @@
     lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, named ? s->id : 0);
     lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, p->my_term);
     g_snprintf(key, sizeof key, "o/%d", p->id);
-    lmn_txn_if(t, key, p->my_rev);
+    lmn_txn_require_version(t, key, p->my_rev);
     g_snprintf(key, sizeof key, "b/%d", p->id);
-    lmn_txn_if(t, key, p->standby_rev);
-    lmn_txn_write(t, key, v, 0);
+    lmn_txn_require_version(t, key, p->standby_rev);
+    lmn_txn_put(t, key, v, 0);
     return t;
 }
 
@@ -399,7 +399,7 @@
     if (!p->standby_stream || p->standby_term != p->term || strcmp(p->standby, member))
         return 0;
     g_snprintf(key, sizeof key, "b/%d", p->id);
-    lmn_txn_if(t, key, p->standby_rev);
+    lmn_txn_require_version(t, key, p->standby_rev);
     return p->standby_stream;
 }
 
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -33,8 +33,8 @@
     g_free(p->keep);
 }
 
-struct lmn_core *lmn_core_alloc(const struct lmn_settings *cfg, struct lmn_state *state,
-                                uint32_t seed)
+struct lmn_core *lmn_core_alloc(const struct lmn_settings *cfg,
+                                struct lmn_kv_client *state, uint32_t seed)
 {
     struct lmn_core *c = g_new0(struct lmn_core, 1);
 
--- a/src/state/core.h
+++ b/src/state/core.h
@@ -6,8 +6,8 @@
 
 /* Without an owner's books: lmn_core_new (partition/owner.h) is what is wanted. A
  * controller never frees it. */
-struct lmn_core *lmn_core_alloc(const struct lmn_settings *cfg, struct lmn_state *state,
-                                uint32_t seed);
+struct lmn_core *lmn_core_alloc(const struct lmn_settings *cfg,
+                                struct lmn_kv_client *state, uint32_t seed);
 /* For simulated controllers, which crash by the thousand: no thread may use it any more.
  * Its state service's client is the caller's. */
 void lmn_core_free(struct lmn_core *c);
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -379,7 +379,7 @@
     pthread_cond_t poked;   /* machines to be given work at once */
     pthread_cond_t told;    /* a standby has acknowledged, or need not any more */
     const struct lmn_settings *cfg;
-    struct lmn_state *state;
+    struct lmn_kv_client *state;
     const struct lmn_owner_ops *owner;
     struct lmn_connection_budget sockets;
     struct lmn_load load;
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -425,7 +425,7 @@
 {
     char path[512];
 
-    lmn_state_pace(c->state);
+    lmn_kv_client_wait_for_token(c->state);
     g_snprintf(path, sizeof path, P_STORE "?" Q_PREFIX "=%s%s%s&" Q_LIMIT "=500", prefix,
                *after ? "&" Q_AFTER "=" : "", after);
     int status = lmn_http_client_call(h, "GET", path, NULL, 3.0, buf);
@@ -574,7 +574,7 @@
         if (lmn_member_is_suspected(&c->members, i))
             wait_ms = MIN(wait_ms, 200);
     pthread_mutex_unlock(&c->lock);
-    lmn_state_pace(c->state);
+    lmn_kv_client_wait_for_token(c->state);
     struct timespec sent = lmn_now();
     g_snprintf(path, sizeof path,
                P_WATCH "?" Q_PREFIX "=&" Q_AFTER "=%" G_GUINT64_FORMAT "&" Q_WAIT_MS
--- a/tests/digest/messages.c
+++ b/tests/digest/messages.c
@@ -1,18 +1,18 @@
 #include "messages.h"
 
-void digest_outcome(enum lmn_outcome outcome)
+void digest_outcome(enum lmn_txn_outcome outcome)
 {
     switch (outcome) {
-    case LMN_OK:
+    case LMN_TXN_COMMITTED:
         digest_text("ok");
         break;
-    case LMN_CONFLICT:
+    case LMN_TXN_CONFLICT:
         digest_text("conflict");
         break;
-    case LMN_REFUSED:
+    case LMN_TXN_REJECTED:
         digest_text("refused");
         break;
-    case LMN_UNKNOWN:
+    case LMN_TXN_UNKNOWN:
         digest_text("unknown");
         break;
     }
@@ -43,9 +43,9 @@
         return;
     digest_message(kind, now);
     digest_text("if");
-    lmn_txn_each_condition(transaction, add_condition, NULL);
+    lmn_txn_foreach_condition(transaction, add_condition, NULL);
     digest_text("then");
-    lmn_txn_each(transaction, add_change, NULL);
+    lmn_txn_foreach_operation(transaction, add_change, NULL);
 }
 
 /* --- batches --- */
--- a/tests/digest/messages.h
+++ b/tests/digest/messages.h
@@ -8,7 +8,7 @@
 #include "kv_client/kv_client.h"
 
 /* A field: enumerators of the product by fixed names, not by their numbers. */
-void digest_outcome(enum lmn_outcome outcome);
+void digest_outcome(enum lmn_txn_outcome outcome);
 /* A message: the transaction's conditions and changes, in order. Further fields may
  * follow. */
 void digest_transaction(const char *kind, struct timespec now,
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -89,7 +89,7 @@
     GRand *r = g_rand_new_with_seed(seed);
 
     set_up_settings();
-    core = lmn_core_new(&settings, lmn_state_new(&settings), seed);
+    core = lmn_core_new(&settings, lmn_kv_client_new(&settings), seed);
     core->types.n = 1;
     core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     struct lmn_partition *p = &core->parts[0];
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -135,7 +135,8 @@
     struct timespec long_ago = lmn_time_add(explored.now, -100);
 
     set_up(&node->settings, n);
-    struct lmn_core *c = lmn_core_new(&node->settings, lmn_state_new(&node->settings), 1);
+    struct lmn_core *c =
+        lmn_core_new(&node->settings, lmn_kv_client_new(&node->settings), 1);
     c->types.n = 1;
     c->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 1, .nzones = 1};
     c->types_known = true;
@@ -153,7 +154,7 @@
 
     if (!node->core)
         return;
-    lmn_state_free(node->core->state);
+    lmn_kv_client_free(node->core->state);
     lmn_core_free(node->core);
     if (node->ownership)
         lmn_txn_free(node->ownership);
@@ -191,7 +192,7 @@
     uint64_t revision;
     struct lmn_txn *t = lmn_holder_claim(node->core, 0, node->lease, explored.now);
 
-    assert_int_equal(store_commit(t, &revision), LMN_OK);
+    assert_int_equal(store_commit(t, &revision), LMN_TXN_COMMITTED);
     lmn_txn_free(t);
     node_mirror(n);
     assert_true(node_partition(n)->mine);
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -94,7 +94,7 @@
         return false;
     node->ownership = NULL;
     if (node->handover)
-        lmn_holder_given(node->core, 0, LMN_UNKNOWN, explored.now);
+        lmn_holder_given(node->core, 0, LMN_TXN_UNKNOWN, explored.now);
     return true;
 }
 
@@ -109,14 +109,14 @@
     if (!answered && explored.had.unanswered == explored.allowed.unanswered)
         return false;
     lmn_ranges_flush(c, explored.now);
-    while ((t = lmn_state_take(c->state))) {
+    while ((t = lmn_kv_client_dequeue(c->state))) {
         uint64_t revision = 0;
-        enum lmn_outcome outcome = store_commit(t, &revision);
+        enum lmn_txn_outcome outcome = store_commit(t, &revision);
         if (!answered) {
-            outcome = LMN_UNKNOWN;
+            outcome = LMN_TXN_UNKNOWN;
             revision = 0;
         }
-        lmn_txn_finish(t, outcome, revision);
+        lmn_txn_complete(t, outcome, revision);
         any = true;
     }
     explored.had.unanswered += any && !answered;
--- a/tests/takeover/store.c
+++ b/tests/takeover/store.c
@@ -61,27 +61,28 @@
         *(bool *)arg = false;
 }
 
-static enum lmn_outcome carry_out(const struct lmn_txn *transaction, uint64_t *revision)
+static enum lmn_txn_outcome carry_out(const struct lmn_txn *transaction,
+                                      uint64_t *revision)
 {
     bool holds = true;
 
     judged_late = false;
-    lmn_txn_each(transaction, check_lease, &holds);
+    lmn_txn_foreach_operation(transaction, check_lease, &holds);
     if (!holds)
-        return LMN_REFUSED;
-    lmn_txn_each_condition(transaction, check_condition, &holds);
+        return LMN_TXN_REJECTED;
+    lmn_txn_foreach_condition(transaction, check_condition, &holds);
     if (!holds)
-        return LMN_CONFLICT;
+        return LMN_TXN_CONFLICT;
     if (judged_late)
         explored.broken_rule = JUDGED_AFTER_REFUTATION;
     *revision = ++explored.revision;
-    lmn_txn_each(transaction, store_put, NULL);
-    return LMN_OK;
+    lmn_txn_foreach_operation(transaction, store_put, NULL);
+    return LMN_TXN_COMMITTED;
 }
 
-enum lmn_outcome store_commit(const struct lmn_txn *transaction, uint64_t *revision)
+enum lmn_txn_outcome store_commit(const struct lmn_txn *transaction, uint64_t *revision)
 {
-    enum lmn_outcome outcome = carry_out(transaction, revision);
+    enum lmn_txn_outcome outcome = carry_out(transaction, revision);
 
     digest_transaction("transaction", explored.now, transaction);
     digest_outcome(outcome);
--- a/tests/takeover/takeover.h
+++ b/tests/takeover/takeover.h
@@ -120,7 +120,7 @@
 int store_index(const char *key);
 void store_put(void *unused, const char *key, const GByteArray *value, uint64_t lease);
 /* All of it, or none if a condition does not hold. */
-enum lmn_outcome store_commit(const struct lmn_txn *transaction, uint64_t *revision);
+enum lmn_txn_outcome store_commit(const struct lmn_txn *transaction, uint64_t *revision);
 void store_end_lease(uint64_t lease);
 
 /* Nodes (nodes.c). */
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -42,8 +42,8 @@
     cfg.txn_ops = 12;
     cfg.value_kb = 8;
     cfg.lease_s = 10;
-    owner = lmn_core_new(&cfg, lmn_state_new(&cfg), seed);
-    other = lmn_core_new(&cfg, lmn_state_new(&cfg), seed);
+    owner = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), seed);
+    other = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), seed);
     owner->types.n = 1;
     owner->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     owner->parts[0].mine = owner->parts[0].ready = true;
@@ -91,16 +91,16 @@
     lmn_cbor_free(&d);
 }
 
-static enum lmn_outcome commit(const struct lmn_txn *t)
+static enum lmn_txn_outcome commit(const struct lmn_txn *t)
 {
     bool ok = true;
 
-    lmn_txn_each_condition(t, check, &ok);
+    lmn_txn_foreach_condition(t, check, &ok);
     if (!ok)
-        return LMN_CONFLICT;
+        return LMN_TXN_CONFLICT;
     rev++;
-    lmn_txn_each(t, apply, NULL);
-    return LMN_OK;
+    lmn_txn_foreach_operation(t, apply, NULL);
+    return LMN_TXN_COMMITTED;
 }
 
 /* A write that is still on its way when its sender has given it up. */
@@ -146,21 +146,21 @@
     if (!r || g_rand_double(r) < 0.3)
         arrive();
     lmn_ranges_flush(owner, now);
-    while ((t = lmn_state_take(owner->state))) {
+    while ((t = lmn_kv_client_dequeue(owner->state))) {
         double luck = r ? g_rand_double(r) : 1;
-        enum lmn_outcome o;
+        enum lmn_txn_outcome o;
         if (luck < 0.15) {
-            o = LMN_REFUSED;
+            o = LMN_TXN_REJECTED;
         } else if (luck < 0.3 && !late.value) {
-            lmn_txn_each_condition(t, keep_condition, NULL);
-            lmn_txn_each(t, keep_change, NULL);
-            o = LMN_UNKNOWN;
+            lmn_txn_foreach_condition(t, keep_condition, NULL);
+            lmn_txn_foreach_operation(t, keep_change, NULL);
+            o = LMN_TXN_UNKNOWN;
         } else {
             o = commit(t);
-            if (luck < 0.45 && o == LMN_OK)
-                o = LMN_UNKNOWN; /* its answer was lost */
+            if (luck < 0.45 && o == LMN_TXN_COMMITTED)
+                o = LMN_TXN_UNKNOWN; /* its answer was lost */
         }
-        lmn_txn_finish(t, o, rev);
+        lmn_txn_complete(t, o, rev);
     }
 }
 
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -48,7 +48,7 @@
     cfg.txn_ops = 12;
     cfg.teams = teams;
     cfg.nteams = G_N_ELEMENTS(teams);
-    struct lmn_core *c = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    struct lmn_core *c = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
     c->types.n = 1;
     c->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     c->types_known = c->synced = true;
@@ -87,7 +87,7 @@
     struct sought s = {.key = key};
 
     assert_non_null(t);
-    lmn_txn_each(t, seek, &s);
+    lmn_txn_foreach_operation(t, seek, &s);
     if (!s.value)
         fail_msg("nothing is written to %s", key);
     assert_int_equal(s.lease, lease);
@@ -98,10 +98,10 @@
 static void take_record(struct lmn_core *c, const char *key, uint64_t lease,
                         const char *name)
 {
-    struct lmn_txn *t = lmn_state_take(c->state);
+    struct lmn_txn *t = lmn_kv_client_dequeue(c->state);
 
     writes_record(t, key, lease, name);
-    lmn_txn_finish(t, LMN_REFUSED, 0);
+    lmn_txn_complete(t, LMN_TXN_REJECTED, 0);
 }
 
 static void apply(struct lmn_core *c, const char *key, const char *name, uint64_t rev)
@@ -250,7 +250,7 @@
 
     s.one_zone = true; /* in one partition */
     struct lmn_txn *t = lmn_submission_txn(c, &s, 1700000000.25, NULL, NULL);
-    assert_int_equal(lmn_txn_changes(t), 2);
+    assert_int_equal(lmn_txn_operation_count(t), 2);
     writes_record(t, "j/run-000412", 0, "job_submitted");
     int part = (int)(g_str_hash(s.ref) % 2);
     char key[64];
@@ -307,12 +307,12 @@
     memset(r->st, LMN_TASK_DONE, 60);
     r->nfinished = 60;
     lmn_ranges_flush(c, lmn_time_add(now, 5));
-    struct lmn_txn *t = lmn_state_take(c->state);
+    struct lmn_txn *t = lmn_kv_client_dequeue(c->state);
     struct sought removal = {.key = key};
     writes_record(t, "j/run-000412", 0, "job_finished");
-    lmn_txn_each(t, seek, &removal);
+    lmn_txn_foreach_operation(t, seek, &removal);
     assert_true(removal.removed);
-    lmn_txn_finish(t, LMN_REFUSED, 0);
+    lmn_txn_complete(t, LMN_TXN_REJECTED, 0);
 }
 
 /* --- machines --- */
@@ -338,10 +338,10 @@
         /* One after another: the order of a table is no part of the record. */
         lmn_blocks_flush(c, p, false, lmn_time_add(now, 10 * i));
         struct lmn_txn *t;
-        while ((t = lmn_state_take(c->state))) {
+        while ((t = lmn_kv_client_dequeue(c->state))) {
             if (i == 2)
                 writes_record(t, "m/0/0", 0, "machines");
-            lmn_txn_finish(t, LMN_REFUSED, 0);
+            lmn_txn_complete(t, LMN_TXN_REJECTED, 0);
         }
         ((struct lmn_machine_block *)p->blocks->pdata[0])->retry =
             (struct timespec){0, 0};
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -125,7 +125,7 @@
     cfg.report_s = 8;
     cfg.lease_s = 44;
     cfg.cancel_s = 64;
-    struct lmn_core *c = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    struct lmn_core *c = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
     c->parts[0].mine = c->parts[0].ready = c->parts[0].open = true;
     c->parts[0].my_term = 42;
     c->parts[0].my_rev = 1;
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -72,8 +72,8 @@
     settings.txn_ops = 12;
     g_snprintf(settings.state, sizeof settings.state, "127.0.0.1:%d",
                lmn_http_server_port(h));
-    core = lmn_core_new(&settings, lmn_state_new(&settings), 1);
-    lmn_state_start(core->state);
+    core = lmn_core_new(&settings, lmn_kv_client_new(&settings), 1);
+    lmn_kv_client_start(core->state);
     lmn_pending_start(core, reply);
     return 0;
 }
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -116,7 +116,7 @@
                               .nteams = 1};
     g_strlcpy(s.teams[0].name, "t", LMN_NAME_SIZE);
     s.teams[0].cpus = 10;
-    struct lmn_core *c = lmn_core_new(&s, lmn_state_new(&s), 1);
+    struct lmn_core *c = lmn_core_new(&s, lmn_kv_client_new(&s), 1);
     struct lmn_job_spec spec = {.class_name = (char *)"c",
                                 .team = (char *)"t",
                                 .image = (char *)"i",
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -84,7 +84,7 @@
     rev = 10;
     memset(record_rev, 0, sizeof record_rev);
     for (int i = 0; i < nparts; i++) {
-        core[i] = lmn_core_new(&cfg, lmn_state_new(&cfg), seed);
+        core[i] = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), seed);
         seen[i] = 0;
         own(i);
     }
@@ -174,21 +174,21 @@
     struct lmn_txn *t;
 
     lmn_ranges_flush(core[i], now);
-    while ((t = lmn_state_take(core[i]->state))) {
+    while ((t = lmn_kv_client_dequeue(core[i]->state))) {
         struct letter l = {.part = i};
         double luck = r ? g_rand_double(r) : 1;
-        enum lmn_outcome o = LMN_UNKNOWN;
-        lmn_txn_each_condition(t, read_condition, &l);
-        lmn_txn_each(t, read_change, &l);
+        enum lmn_txn_outcome o = LMN_TXN_UNKNOWN;
+        lmn_txn_foreach_condition(t, read_condition, &l);
+        lmn_txn_foreach_operation(t, read_change, &l);
         if (luck < 0.15)
-            o = LMN_REFUSED;
+            o = LMN_TXN_REJECTED;
         else if (luck < 0.3)
             g_array_append_val(late, l);
         else if (luck < 0.45)
             commit(&l); /* its answer is lost */
         else
-            o = commit(&l) ? LMN_OK : LMN_CONFLICT;
-        lmn_txn_finish(t, o, rev);
+            o = commit(&l) ? LMN_TXN_COMMITTED : LMN_TXN_CONFLICT;
+        lmn_txn_complete(t, o, rev);
     }
 }
 
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -51,7 +51,7 @@
 
 static struct lmn_core *core_with(const struct lmn_settings *cfg, enum view view)
 {
-    struct lmn_core *c = lmn_core_alloc(cfg, lmn_state_new(cfg), 1);
+    struct lmn_core *c = lmn_core_alloc(cfg, lmn_kv_client_new(cfg), 1);
 
     if (view == JUST_STARTED)
         return c;
@@ -68,10 +68,10 @@
 
 static void core_end(struct lmn_core *c)
 {
-    struct lmn_state *s = c->state;
+    struct lmn_kv_client *s = c->state;
 
     lmn_core_free(c);
-    lmn_state_free(s);
+    lmn_kv_client_free(s);
 }
 
 static GByteArray *submission(const char *ref, enum request what)
@@ -214,15 +214,19 @@
 
     lmn_view_take(c, refs[ACTIVE], &v);
     lmn_view_take(c, refs[UNKNOWN], &absent);
-    assert_int_equal(lmn_view_confirmed(&v, LMN_OK, failed), LMN_CONFIRMED_LATEST);
-    assert_int_equal(lmn_view_confirmed(&v, LMN_UNKNOWN, failed), LMN_CONFIRMED_NOTHING);
-    assert_int_equal(lmn_view_confirmed(&v, LMN_REFUSED, failed), LMN_CONFIRMED_NOTHING);
+    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_COMMITTED, failed),
+                     LMN_CONFIRMED_LATEST);
+    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_UNKNOWN, failed),
+                     LMN_CONFIRMED_NOTHING);
+    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_REJECTED, failed),
+                     LMN_CONFIRMED_NOTHING);
     /* A conflict that names nothing says nothing. */
-    assert_int_equal(lmn_view_confirmed(&v, LMN_CONFLICT, failed), LMN_CONFIRMED_NOTHING);
+    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_CONFLICT, failed),
+                     LMN_CONFIRMED_NOTHING);
     g_ptr_array_add(failed, (char *)"j/run-000001");
-    assert_int_equal(lmn_view_confirmed(&v, LMN_CONFLICT, failed),
+    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_CONFLICT, failed),
                      LMN_CONFIRMED_OUTDATED);
-    assert_int_equal(lmn_view_confirmed(&absent, LMN_CONFLICT, failed),
+    assert_int_equal(lmn_view_confirmed(&absent, LMN_TXN_CONFLICT, failed),
                      LMN_CONFIRMED_LATEST);
 
     for (int status = 400; status < 504; status++) {
@@ -262,18 +266,18 @@
     reading.status = LMN_HTTP_NO_RESPONSE;
     assert_null(lmn_cancellation("run-000001", &reading, 404, &r));
     assert_int_equal(r.status, 503);
-    assert_true(lmn_cancelled(LMN_OK, &r));
+    assert_true(lmn_cancelled(LMN_TXN_COMMITTED, &r));
     assert_int_equal(r.phase, LMN_JOB_CANCELLED);
-    assert_true(lmn_cancelled(LMN_UNKNOWN, &r));
+    assert_true(lmn_cancelled(LMN_TXN_UNKNOWN, &r));
     assert_int_equal(r.status, 503);
-    assert_false(lmn_cancelled(LMN_CONFLICT, &r)); /* it is read again */
-    assert_int_equal(r.status, 503);               /* or that was the last try */
+    assert_false(lmn_cancelled(LMN_TXN_CONFLICT, &r)); /* it is read again */
+    assert_int_equal(r.status, 503);                   /* or that was the last try */
     /* Only what is known to be committed is told as accepted. */
-    assert_int_equal(lmn_decide_submitted(LMN_OK).reply.status, 201);
-    assert_int_equal(lmn_decide_submitted(LMN_UNKNOWN).reply.status, 503);
-    assert_int_equal(lmn_decide_submitted(LMN_REFUSED).reply.status, 503);
-    assert_int_equal(lmn_decide_submitted(LMN_CONFLICT).step, LMN_STEP_CONFIRM);
-    assert_int_equal(lmn_decide_submitted(LMN_CONFLICT).absent_status, 503);
+    assert_int_equal(lmn_decide_submitted(LMN_TXN_COMMITTED).reply.status, 201);
+    assert_int_equal(lmn_decide_submitted(LMN_TXN_UNKNOWN).reply.status, 503);
+    assert_int_equal(lmn_decide_submitted(LMN_TXN_REJECTED).reply.status, 503);
+    assert_int_equal(lmn_decide_submitted(LMN_TXN_CONFLICT).step, LMN_STEP_CONFIRM);
+    assert_int_equal(lmn_decide_submitted(LMN_TXN_CONFLICT).absent_status, 503);
 }
 
 int main(void)
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -82,7 +82,7 @@
 
 static struct lmn_core *core(void)
 {
-    struct lmn_core *c = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    struct lmn_core *c = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
     c->retained_most = KEPT;
     rev = 0;
     return c;
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -41,7 +41,7 @@
     g_strlcpy(cfg.teams[0].name, "x", LMN_NAME_SIZE);
     cfg.teams[0].cpus_max = 4;
     cfg.nteams = 1;
-    core = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
     core->types.n = 1;
     core->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 8, .nzones = 1};
     core->types_known = true;
@@ -51,7 +51,7 @@
 static int teardown(void **state)
 {
     (void)state;
-    lmn_state_free(core->state);
+    lmn_kv_client_free(core->state);
     lmn_core_free(core);
     return 0;
 }
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -21,9 +21,9 @@
 
 static struct lmn_settings cfg;
 static struct timespec now = {1000, 0};
-static unsigned told[LMN_RANKS];
+static unsigned told[LMN_WRITE_PRIORITIES];
 
-static void heard(void *arg, struct lmn_txn *t, enum lmn_outcome o, uint64_t rev)
+static void heard(void *arg, struct lmn_txn *t, enum lmn_txn_outcome o, uint64_t rev)
 {
     (void)t;
     (void)o;
@@ -31,18 +31,18 @@
     told[GPOINTER_TO_INT(arg)]++;
 }
 
-static struct lmn_state *make(void)
+static struct lmn_kv_client *make(void)
 {
     cfg.state_rps = 200;
     cfg.state_write_rps = 25;
     cfg.txn_ops = 48;
     lmn_test_clock = &now;
-    for (int i = 0; i < LMN_RANKS; i++)
+    for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
         told[i] = 0;
-    return lmn_state_new(&cfg);
+    return lmn_kv_client_new(&cfg);
 }
 
-static void submit(struct lmn_state *s, enum lmn_rank rank, guint changes)
+static void submit(struct lmn_kv_client *s, enum lmn_write_priority rank, guint changes)
 {
     static unsigned n;
     struct lmn_txn *t = lmn_txn_new(rank, heard, GINT_TO_POINTER(rank));
@@ -52,20 +52,20 @@
         GByteArray *v = g_byte_array_new();
         lmn_cbor_put_null(v);
         g_snprintf(key, sizeof key, "k/%u", n++);
-        lmn_txn_write(t, key, v, 0);
+        lmn_txn_put(t, key, v, 0);
     }
-    lmn_state_submit(s, t);
+    lmn_kv_client_submit(s, t);
 }
 
 /* Takes what may go out now; returns its changes. */
-static guint drain(struct lmn_state *s)
+static guint drain(struct lmn_kv_client *s)
 {
     struct lmn_txn *t;
     guint n = 0;
 
-    while ((t = lmn_state_take(s))) {
-        n += lmn_txn_changes(t);
-        lmn_txn_finish(t, LMN_OK, 1);
+    while ((t = lmn_kv_client_dequeue(s))) {
+        n += lmn_txn_operation_count(t);
+        lmn_txn_complete(t, LMN_TXN_COMMITTED, 1);
     }
     return n;
 }
@@ -74,28 +74,28 @@
 static void users_find_budget(void **state)
 {
     (void)state;
-    struct lmn_state *s = make();
+    struct lmn_kv_client *s = make();
     for (int i = 0; i < 100; i++)
-        submit(s, LMN_RANK_LAZY, 1);
+        submit(s, LMN_WRITE_DEFERRABLE, 1);
     assert_in_range(drain(s), 1, 12);
-    assert_true(lmn_state_spare(s) == 0);
-    submit(s, LMN_RANK_USER, 4);
+    assert_true(lmn_kv_client_spare_writes(s) == 0);
+    submit(s, LMN_WRITE_USER, 4);
     assert_int_equal(drain(s), 4);
-    assert_int_equal(told[LMN_RANK_USER], 1);
+    assert_int_equal(told[LMN_WRITE_USER], 1);
 }
 
 static void urgent_first(void **state)
 {
     (void)state;
-    struct lmn_state *s = make();
-    static const enum lmn_rank order[] = {LMN_RANK_CLOSE, LMN_RANK_USER, LMN_RANK_LAZY,
-                                          LMN_RANK_OWNER};
+    struct lmn_kv_client *s = make();
+    static const enum lmn_write_priority order[] = {
+        LMN_WRITE_CLOSE, LMN_WRITE_USER, LMN_WRITE_DEFERRABLE, LMN_WRITE_OWNER};
     for (size_t i = 0; i < G_N_ELEMENTS(order); i++)
         submit(s, order[i], 1);
-    for (int r = 0; r < LMN_RANKS; r++) {
-        struct lmn_txn *t = lmn_state_take(s);
+    for (int r = 0; r < LMN_WRITE_PRIORITIES; r++) {
+        struct lmn_txn *t = lmn_kv_client_dequeue(s);
         assert_non_null(t);
-        lmn_txn_finish(t, LMN_OK, 1);
+        lmn_txn_complete(t, LMN_TXN_COMMITTED, 1);
         assert_int_equal(told[r], 1);
     }
 }
@@ -106,15 +106,16 @@
     (void)state;
     for (uint32_t seed = 0; seed < 40; seed++) {
         GRand *r = g_rand_new_with_seed(seed);
-        struct lmn_state *s = make();
+        struct lmn_kv_client *s = make();
         struct timespec begun = now;
-        unsigned submitted[LMN_RANKS] = {0};
+        unsigned submitted[LMN_WRITE_PRIORITIES] = {0};
         double sent = 0, most = 0;
         for (int step = 0; step < 3000; step++) {
             if (step < 1500 && g_rand_double(r) < 0.2) {
-                enum lmn_rank rank = (enum lmn_rank)g_rand_int_range(r, 0, LMN_RANKS);
+                enum lmn_write_priority rank =
+                    (enum lmn_write_priority)g_rand_int_range(r, 0, LMN_WRITE_PRIORITIES);
                 submit(s, rank,
-                       (guint)g_rand_int_range(r, 1, rank == LMN_RANK_USER ? 48 : 4));
+                       (guint)g_rand_int_range(r, 1, rank == LMN_WRITE_USER ? 48 : 4));
                 submitted[rank]++;
             }
             now = lmn_time_add(now, 0.2);
@@ -124,7 +125,7 @@
             most = lmn_time_diff_s(now, begun) * 25 + 2 * 25 + 48;
             assert_true(sent <= most);
         }
-        for (int i = 0; i < LMN_RANKS; i++)
+        for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
             assert_int_equal(told[i], submitted[i]);
         g_rand_free(r);
     }
@@ -146,10 +147,11 @@
     lmn_http_request_respond(call, 200, b, 0);
 }
 
-static void answered(void *arg, struct lmn_txn *t, enum lmn_outcome o, uint64_t revision)
+static void answered(void *arg, struct lmn_txn *t, enum lmn_txn_outcome o,
+                     uint64_t revision)
 {
     (void)t;
-    if (o == LMN_OK && revision == 7)
+    if (o == LMN_TXN_COMMITTED && revision == 7)
         g_atomic_int_set((int *)arg, 1);
 }
 
@@ -169,15 +171,15 @@
     struct lmn_http_server *h = lmn_http_server_start(&o);
     assert_non_null(h);
     g_snprintf(cfg.state, sizeof cfg.state, "127.0.0.1:%d", lmn_http_server_port(h));
-    struct lmn_state *s = lmn_state_new(&cfg);
-    lmn_state_start(s);
-    submit(s, LMN_RANK_USER, 1);
+    struct lmn_kv_client *s = lmn_kv_client_new(&cfg);
+    lmn_kv_client_start(s);
+    submit(s, LMN_WRITE_USER, 1);
     while (!g_atomic_int_get(&calls))
         lmn_sleep(0.005);
-    struct lmn_txn *t = lmn_txn_new(LMN_RANK_USER, answered, &done);
-    lmn_txn_remove(t, "k/late");
+    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_USER, answered, &done);
+    lmn_txn_delete(t, "k/late");
     struct timespec begun = lmn_now();
-    lmn_state_submit(s, t);
+    lmn_kv_client_submit(s, t);
     while (!g_atomic_int_get(&done) && lmn_time_diff_s(lmn_now(), begun) < 1.5)
         lmn_sleep(0.005);
     assert_true(g_atomic_int_get(&done));
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -43,7 +43,7 @@
     cfg->state_rps = cfg->state_write_rps = 1e6;
     cfg->value_kb = 16;
     cfg->txn_ops = 12;
-    struct lmn_core *c = lmn_core_new(cfg, lmn_state_new(cfg), 1);
+    struct lmn_core *c = lmn_core_new(cfg, lmn_kv_client_new(cfg), 1);
     lmn_members_record_watch(&c->members, now);
     lmn_members_tick(&c->members, 0, now);
     c->members.synced = lmn_time_add(now, -100);
@@ -81,10 +81,10 @@
 
 static void drop(struct lmn_core *c)
 {
-    struct lmn_state *s = c->state;
+    struct lmn_kv_client *s = c->state;
 
     lmn_core_free(c);
-    lmn_state_free(s);
+    lmn_kv_client_free(s);
 }
 
 /* Whoever is gone: all that are left agree; each orphan has an successor that is up and
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -50,7 +50,7 @@
     cfg.nteams = 1;
     now = (struct timespec){1000, 0};
     rev = 0;
-    core = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
     core->types.n = 1;
     core->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 8, .nzones = 1};
     core->types_known = true;
@@ -65,11 +65,11 @@
 
 static int teardown(void **state)
 {
-    struct lmn_state *s = core->state;
+    struct lmn_kv_client *s = core->state;
 
     (void)state;
     lmn_core_free(core);
-    lmn_state_free(s);
+    lmn_kv_client_free(s);
     return 0;
 }
 
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -51,7 +51,7 @@
     cfg.teams[0].cpus_max = 100;
     now = (struct timespec){1000, 0};
     lmn_test_clock = &now;
-    core = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
     core->types.n = 1;
     core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
     struct lmn_partition *p = &core->parts[0];
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -58,7 +58,7 @@
     cfg.lease_s = 44;
     cfg.cancel_s = 64;
     now = (struct timespec){1000, 0};
-    core = lmn_core_new(&cfg, lmn_state_new(&cfg), 1);
+    core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
     core->parts[0].mine = core->parts[0].ready = core->parts[0].open = true;
     core->parts[0].my_term = 1;
     core->parts[0].since = now;
@@ -728,7 +728,7 @@
         assert_false(lmn_job_may_run(core, &job));
         assert_int_equal(job.phase, LMN_JOB_ACTIVE);
         lmn_ranges_flush(core, now);
-        assert_null(lmn_state_take(core->state));
+        assert_null(lmn_kv_client_dequeue(core->state));
         assert_true(lmn_tombstone_receive(core, "run-000001", heard));
     }
     /* report() has the mirror proven as of now: a tombstone of later than that. */
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -57,7 +57,7 @@
         n->cfg.teams[k].cpus_max =
             w.broken == G_QUOTA ? 4 * w.layout.limit : w.layout.limit;
     }
-    n->state = lmn_state_new(&n->cfg);
+    n->state = lmn_kv_client_new(&n->cfg);
     n->core = lmn_core_new(&n->cfg, n->state, g_rand_int(w.r));
     n->core->types.n = 1;
     n->core->types.v[0] = (struct lmn_machine_type){
@@ -138,9 +138,9 @@
 }
 
 /* A write of the thread that holds the lease; what becomes of it is not always known. */
-enum lmn_outcome node_send(struct node *n, struct lmn_txn *t)
+enum lmn_txn_outcome node_send(struct node *n, struct lmn_txn *t)
 {
-    enum lmn_outcome r = LMN_UNKNOWN;
+    enum lmn_txn_outcome r = LMN_TXN_UNKNOWN;
     uint64_t rev;
     double luck = g_rand_double(w.r);
 
@@ -154,8 +154,8 @@
     if (luck < (w.now < w.late_until ? 0.6 : 0.95))
         r = world_commit(t, &rev);
     if (luck > 0.9)
-        r = LMN_UNKNOWN;
-    if (luck > 0.97 || (r == LMN_UNKNOWN && w.now < w.late_until))
+        r = LMN_TXN_UNKNOWN;
+    if (luck > 0.97 || (r == LMN_TXN_UNKNOWN && w.now < w.late_until))
         world_late(t);
     lmn_txn_free(t);
     return r;
@@ -189,9 +189,9 @@
     }
     if (!t)
         return;
-    enum lmn_outcome r = node_send(n, t);
+    enum lmn_txn_outcome r = node_send(n, t);
     lmn_holder_announced(n->core, r);
-    if (r == LMN_OK)
+    if (r == LMN_TXN_COMMITTED)
         n->announced = n->lease;
 }
 
@@ -212,15 +212,15 @@
         uint64_t before = c->members.count.verdicts;
         if ((t = lmn_holder_claim(c, i, n->lease, w.clock))) {
             bool verdict = c->members.count.verdicts > before;
-            bool took = node_send(n, t) == LMN_OK;
+            bool took = node_send(n, t) == LMN_TXN_COMMITTED;
             w.takeovers += took;
             w.verdicts += took && verdict;
             n->judged[i] = verdict;
         }
         if ((t = lmn_holder_handover(c, i, &successor, w.clock))) {
-            enum lmn_outcome r = node_send(n, t);
+            enum lmn_txn_outcome r = node_send(n, t);
             lmn_holder_given(c, i, r, w.clock);
-            w.gives += r == LMN_OK;
+            w.gives += r == LMN_TXN_COMMITTED;
         }
     }
 }
@@ -250,7 +250,7 @@
     struct lmn_latency times;
 
     lmn_latency_init(&times);
-    unsigned queued = (unsigned)lmn_state_figures(n->state, &times);
+    unsigned queued = (unsigned)lmn_kv_client_statistics(n->state, &times);
     lmn_latency_clear(&times);
     w.most_queued = MAX(w.most_queued, queued);
 }
@@ -263,12 +263,12 @@
 
     if (plan && plan->writes)
         note_queue(n);
-    for (; most && (t = lmn_state_take(n->state)); most--) {
+    for (; most && (t = lmn_kv_client_dequeue(n->state)); most--) {
         uint64_t rev = 0;
         w.transactions++;
-        w.changes += lmn_txn_changes(t);
-        enum lmn_outcome r = world_send(n, t, g_rand_double(w.r), &rev);
-        lmn_txn_finish(t, r, rev);
+        w.changes += lmn_txn_operation_count(t);
+        enum lmn_txn_outcome r = world_send(n, t, g_rand_double(w.r), &rev);
+        lmn_txn_complete(t, r, rev);
     }
 }
 
@@ -564,9 +564,9 @@
     if (!cut)
         node_write(n);
     else
-        for (struct lmn_txn *t; (t = lmn_state_take(n->state));) {
+        for (struct lmn_txn *t; (t = lmn_kv_client_dequeue(n->state));) {
             digest_transaction("refusal", w.clock, t);
-            lmn_txn_finish(t, LMN_REFUSED, 0);
+            lmn_txn_complete(t, LMN_TXN_REJECTED, 0);
         }
     node_tell(n, i, cut);
     node_release(n);
--- a/tests/world/serving.c
+++ b/tests/world/serving.c
@@ -33,7 +33,7 @@
     guint n, next;
     unsigned tries;
     struct lmn_job_reading reading;
-    enum lmn_outcome outcome;
+    enum lmn_txn_outcome outcome;
     GPtrArray *failed;
 };
 
@@ -149,9 +149,9 @@
         return;
     }
     k->outcome = node_served(n) ? world_send(n, t, g_rand_double(random_numbers), &rev)
-                                : LMN_REFUSED;
+                                : LMN_TXN_REJECTED;
     lmn_txn_free(t);
-    if (k->outcome == LMN_OK)
+    if (k->outcome == LMN_TXN_COMMITTED)
         lmn_tombstone_add(&n->core->tombstones, ref);
     k->stage = CANCEL_ENDS;
     k->at = w.now + on_the_way(n);
@@ -175,11 +175,11 @@
     k->outcome = world_confirm(t, k->failed);
     lmn_txn_free(t);
     if (!node_served(n))
-        k->outcome = LMN_REFUSED;
+        k->outcome = LMN_TXN_REJECTED;
     else if (chance(w.now < w.lost_until ? 0.3 : 0.02))
-        k->outcome = LMN_UNKNOWN;
+        k->outcome = LMN_TXN_UNKNOWN;
     if (w.broken == G_CONFIRM)
-        k->outcome = LMN_OK;
+        k->outcome = LMN_TXN_COMMITTED;
     k->stage = CONFIRM_ENDS;
     k->at = w.now + on_the_way(n);
 }
@@ -311,15 +311,15 @@
 
 /* --- requests --- */
 
-static void submitted(void *arg, struct lmn_txn *t, enum lmn_outcome outcome,
+static void submitted(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
                       uint64_t rev)
 {
     struct request *q = arg;
     (void)t;
     (void)rev;
 
-    if (w.broken == G_OUTCOME && outcome == LMN_UNKNOWN)
-        outcome = LMN_OK;
+    if (w.broken == G_OUTCOME && outcome == LMN_TXN_UNKNOWN)
+        outcome = LMN_TXN_COMMITTED;
     struct lmn_decision d = lmn_decide_submitted(outcome);
     if (d.step != LMN_STEP_REPLY) {
         enqueue(LMN_QUERY_STATUS, q, d.absent_status);
@@ -375,8 +375,8 @@
         enqueue(LMN_QUERY_CANCEL, q, d.absent_status);
         break;
     case LMN_STEP_COMMIT:
-        lmn_state_submit(n->state, lmn_submission_txn(n->core, &q->submission.spec, w.now,
-                                                      submitted, q));
+        lmn_kv_client_submit(n->state, lmn_submission_txn(n->core, &q->submission.spec,
+                                                          w.now, submitted, q));
     }
 }
 
--- a/tests/world/store.c
+++ b/tests/world/store.c
@@ -76,43 +76,43 @@
     world_put(key, value, lease);
 }
 
-static enum lmn_outcome carry_out(const struct lmn_txn *t, bool late, uint64_t *rev)
+static enum lmn_txn_outcome carry_out(const struct lmn_txn *t, bool late, uint64_t *rev)
 {
     bool ok = true;
 
-    lmn_txn_each(t, check_lease, &ok);
+    lmn_txn_foreach_operation(t, check_lease, &ok);
     if (!ok)
-        return LMN_REFUSED;
-    lmn_txn_each_condition(t, check_condition, &ok);
+        return LMN_TXN_REJECTED;
+    lmn_txn_foreach_condition(t, check_condition, &ok);
     if (!ok && !(late && w.broken == G_LATE))
-        return LMN_CONFLICT;
+        return LMN_TXN_CONFLICT;
     *rev = ++w.rev;
-    lmn_txn_each(t, apply_change, NULL);
-    return LMN_OK;
+    lmn_txn_foreach_operation(t, apply_change, NULL);
+    return LMN_TXN_COMMITTED;
 }
 
-static enum lmn_outcome commit(const struct lmn_txn *t, bool late, uint64_t *rev)
+static enum lmn_txn_outcome commit(const struct lmn_txn *t, bool late, uint64_t *rev)
 {
-    enum lmn_outcome outcome = carry_out(t, late, rev);
+    enum lmn_txn_outcome outcome = carry_out(t, late, rev);
 
     digest_transaction("transaction", w.clock, t);
     digest_outcome(outcome);
     return outcome;
 }
 
-enum lmn_outcome world_commit(const struct lmn_txn *t, uint64_t *rev)
+enum lmn_txn_outcome world_commit(const struct lmn_txn *t, uint64_t *rev)
 {
     return commit(t, false, rev);
 }
 
-enum lmn_outcome world_confirm(const struct lmn_txn *t, GPtrArray *failed)
+enum lmn_txn_outcome world_confirm(const struct lmn_txn *t, GPtrArray *failed)
 {
     g_ptr_array_set_size(failed, 0);
-    lmn_txn_each_condition(t, collect_failed, failed);
+    lmn_txn_foreach_condition(t, collect_failed, failed);
     digest_transaction("confirmation", w.clock, t);
     for (guint i = 0; i < failed->len; i++)
         digest_text(failed->pdata[i]);
-    return failed->len ? LMN_CONFLICT : LMN_OK;
+    return failed->len ? LMN_TXN_CONFLICT : LMN_TXN_COMMITTED;
 }
 
 /* --- answers that are lost --- */
@@ -139,8 +139,8 @@
 {
     struct keys k = {0};
 
-    lmn_txn_each(t, note_key, &k);
-    lmn_txn_each_condition(t, note_new_job, &k);
+    lmn_txn_foreach_operation(t, note_key, &k);
+    lmn_txn_foreach_condition(t, note_new_job, &k);
     if (k.has['j'] && k.new_job)
         return TXN_ACCEPTANCE;
     return k.has['o']   ? TXN_CLAIM
@@ -168,20 +168,20 @@
            (w.lost_kind == TXN_KINDS || w.lost_kind == (int)world_txn_kind(t));
 }
 
-enum lmn_outcome world_lose(struct node *n, const struct lmn_txn *t)
+enum lmn_txn_outcome world_lose(struct node *n, const struct lmn_txn *t)
 {
     uint64_t rev;
 
-    if (world_commit(t, &rev) != LMN_OK)
-        return LMN_UNKNOWN;
+    if (world_commit(t, &rev) != LMN_TXN_COMMITTED)
+        return LMN_TXN_UNKNOWN;
     w.lost[world_txn_kind(t)]++;
     if (w.lost_ends && world_chance(0.2))
         n->ends = true;
-    return w.broken == G_LOST ? LMN_CONFLICT : LMN_UNKNOWN;
+    return w.broken == G_LOST ? LMN_TXN_CONFLICT : LMN_TXN_UNKNOWN;
 }
 
-enum lmn_outcome world_send(struct node *n, const struct lmn_txn *t, double luck,
-                            uint64_t *rev)
+enum lmn_txn_outcome world_send(struct node *n, const struct lmn_txn *t, double luck,
+                                uint64_t *rev)
 {
     digest_transaction("sending", w.clock, t);
     digest_number((uint64_t)w.acting);
@@ -189,18 +189,18 @@
         return world_lose(n, t);
     if (w.now < w.late_until && luck < 0.3) {
         world_late(t);
-        return LMN_UNKNOWN;
+        return LMN_TXN_UNKNOWN;
     }
     if (luck < 0.04)
-        return LMN_REFUSED;
+        return LMN_TXN_REJECTED;
     if (luck < 0.08) { /* applied, but the answer is lost */
         world_commit(t, rev);
-        return LMN_UNKNOWN;
+        return LMN_TXN_UNKNOWN;
     }
     if (luck < 0.10) { /* not applied, or late, and the answer is lost */
         if (luck < 0.09)
             world_late(t);
-        return LMN_UNKNOWN;
+        return LMN_TXN_UNKNOWN;
     }
     return world_commit(t, rev);
 }
@@ -211,7 +211,7 @@
 {
     struct late *l = g_new0(struct late, 1);
 
-    l->txn = lmn_txn_twin(t);
+    l->txn = lmn_txn_copy(t);
     l->at = w.now + g_rand_double_range(w.r, 2, 12);
     l->writer = w.acting;
     l->life = w.nodes[w.acting].lives;
@@ -225,7 +225,7 @@
         uint64_t rev;
         if (l->at > w.now)
             continue;
-        bool done = commit(l->txn, true, &rev) == LMN_OK;
+        bool done = commit(l->txn, true, &rev) == LMN_TXN_COMMITTED;
         w.lates += done;
         w.ended_writers += w.nodes[l->writer].lives != l->life;
         lmn_txn_free(l->txn);
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -174,7 +174,7 @@
 struct node {
     struct lmn_settings cfg;
     struct lmn_team teams[MOST_TEAMS];
-    struct lmn_state *state;
+    struct lmn_kv_client *state;
     struct lmn_core *core;
     uint64_t revision, lease, announced; /* the lease of which a record was written */
     unsigned lives;                      /* how often it was started */
@@ -290,18 +290,18 @@
 enum lmn_job_phase world_read_job(const struct job *j, struct lmn_job_spec *s,
                                   uint32_t *open, double *at);
 uint64_t world_job_revision(const struct job *j);
-enum lmn_outcome world_commit(const struct lmn_txn *t, uint64_t *rev);
+enum lmn_txn_outcome world_commit(const struct lmn_txn *t, uint64_t *rev);
 /* One of conditions alone; the keys whose condition did not hold are added to failed. */
-enum lmn_outcome world_confirm(const struct lmn_txn *t, GPtrArray *failed);
+enum lmn_txn_outcome world_confirm(const struct lmn_txn *t, GPtrArray *failed);
 enum txn_kind world_txn_kind(const struct lmn_txn *t);
 const char *world_txn_name(enum txn_kind k);
 /* Whether its answer is to be lost now, by luck (0 to 1). */
 bool world_loses(const struct lmn_txn *t, double luck);
 /* The transaction is carried out, and the node does not hear of it. */
-enum lmn_outcome world_lose(struct node *n, const struct lmn_txn *t);
+enum lmn_txn_outcome world_lose(struct node *n, const struct lmn_txn *t);
 /* A transaction of the node is carried out, refused, lost or late, by luck. */
-enum lmn_outcome world_send(struct node *n, const struct lmn_txn *t, double luck,
-                            uint64_t *rev);
+enum lmn_txn_outcome world_send(struct node *n, const struct lmn_txn *t, double luck,
+                                uint64_t *rev);
 /* The same transaction, once more: to be carried out seconds later, after newer ones. */
 void world_late(const struct lmn_txn *t);
 bool world_lease_alive(uint64_t id);
@@ -356,7 +356,7 @@
 bool node_up(const struct node *n);
 struct lmn_member_health node_word(const struct node *n);
 /* A write of the thread that holds the lease; what becomes of it is not always known. */
-enum lmn_outcome node_send(struct node *n, struct lmn_txn *t);
+enum lmn_txn_outcome node_send(struct node *n, struct lmn_txn *t);
 void node_step(struct node *n, int i);
 /* Its memory is gone, its lease runs on; it is back after so many seconds. */
 void node_crash(struct node *n, double down_s);
