--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -7,17 +7,17 @@
 void lmn_standbys_show(GString *s, const struct lmn_core *c,
                        const struct lmn_partition *p, struct timespec now)
 {
-    const struct lmn_stream *f = &p->stream;
+    const struct lmn_replication_stream *f = &p->stream;
     uint64_t starts;
     guint machines;
     double seconds;
 
     if (p->mine) {
-        lmn_stream_lag(p, now, &machines, &starts, &seconds);
+        lmn_replication_lag(p, now, &machines, &starts, &seconds);
         g_string_append_printf(
             s, "  standby %s phase=%s untold=%u waiting=%" G_GUINT64_FORMAT " waits=%.3f",
             f->phase == LMN_STREAM_NONE ? "-" : lmn_member_name(&c->members, f->to),
-            lmn_stream_phase_name(f->phase), machines, starts, seconds);
+            lmn_replication_phase_name(f->phase), machines, starts, seconds);
         if (f->phase == LMN_STREAM_NONE && f->why)
             g_string_append_printf(s, " last=\"%s\" again_in=%.1f", f->why,
                                    MAX(lmn_time_diff_s(f->next, now), 0));
@@ -55,12 +55,12 @@
 void lmn_standbys_metrics(const struct lmn_core *c, GString *out, struct timespec now)
 {
     unsigned in_step = 0, copies = 0, untold = 0;
-    struct lmn_stream_counts sum = {0};
+    struct lmn_replication_counters sum = {0};
     double waits = 0;
 
     for (int i = 0; i < c->nparts; i++) {
         const struct lmn_partition *p = &c->parts[i];
-        const struct lmn_stream_counts *n = &p->stream.count;
+        const struct lmn_replication_counters *n = &p->stream.count;
         uint64_t starts;
         guint machines;
         double seconds;
@@ -71,7 +71,7 @@
         copies += p->copy && !p->copy->own;
         if (!p->mine)
             continue;
-        lmn_stream_lag(p, now, &machines, &starts, &seconds);
+        lmn_replication_lag(p, now, &machines, &starts, &seconds);
         in_step += p->stream.phase == LMN_STREAM_IN_SYNC;
         untold += machines;
         waits = MAX(waits, seconds);
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 /* An answer to a report that waits for the standby. */
-struct lmn_waiter {
+struct lmn_deferred_response {
     struct lmn_http_request *call;
     GByteArray *out;
     struct lmn_held held;
@@ -25,7 +25,7 @@
 
 u_int lmn_follow_take(struct lmn_core *c, const lmn_rpc_replication_batch *x)
 {
-    struct lmn_batch *b = lmn_batch_new();
+    struct lmn_replication_batch *b = lmn_replication_batch_new();
 
     b->part = x->part;
     b->term = x->term;
@@ -33,40 +33,40 @@
     b->number = x->number;
     for (u_int i = 0; i < x->machines.machines_len; i++) {
         const lmn_rpc_machine *m = &x->machines.machines_val[i];
-        struct lmn_told *t = lmn_told_new(m->name);
+        struct lmn_machine_snapshot *t = lmn_machine_snapshot_new(m->name);
         t->session = m->session;
         t->gone = m->state & 1;
         t->forget = m->state & 2;
         for (u_int k = 0; k < m->attempts.attempts_len; k++) {
             const lmn_rpc_attempt *a = &m->attempts.attempts_val[k];
-            struct lmn_told_attempt y = {.index = a->index,
-                                         .number = a->number,
-                                         .ended = a->state & 1,
-                                         .done = a->state & 2};
+            struct lmn_attempt_snapshot y = {.index = a->index,
+                                             .number = a->number,
+                                             .ended = a->state & 1,
+                                             .done = a->state & 2};
             g_strlcpy(y.ref, a->ref, sizeof y.ref);
             g_array_append_val(t->attempts, y);
         }
         if (m->state & 4)
-            t->images = g_array_new(FALSE, FALSE, sizeof(struct lmn_told_image));
+            t->images = g_array_new(FALSE, FALSE, sizeof(struct lmn_image_snapshot));
         for (u_int k = 0; t->images && k < m->images.images_len; k++) {
             const lmn_rpc_image *a = &m->images.images_val[k];
-            struct lmn_told_image y = {.gb = a->gb, .there = a->there};
+            struct lmn_image_snapshot y = {.gb = a->gb, .there = a->there};
             g_strlcpy(y.name, a->name, sizeof y.name);
             g_array_append_val(t->images, y);
         }
         g_ptr_array_add(b->machines, t);
     }
     pthread_mutex_lock(&c->lock);
-    enum lmn_copy_answer answer = lmn_copy_take(c, b, lmn_now());
+    enum lmn_replica_result answer = lmn_replica_apply(c, b, lmn_now());
     pthread_mutex_unlock(&c->lock);
-    lmn_batch_free(b);
+    lmn_replication_batch_free(b);
     return answer;
 }
 
 /* --- telling --- */
 
 /* Names stay the batch's. */
-static void fill_machine(lmn_rpc_machine *m, const struct lmn_told *t)
+static void fill_machine(lmn_rpc_machine *m, const struct lmn_machine_snapshot *t)
 {
     m->name = (char *)t->name;
     m->session = t->session;
@@ -74,8 +74,8 @@
     m->attempts.attempts_len = MIN(t->attempts->len, LMN_RPC_MAX_ATTEMPTS);
     m->attempts.attempts_val = g_new0(lmn_rpc_attempt, t->attempts->len);
     for (u_int k = 0; k < m->attempts.attempts_len; k++) {
-        struct lmn_told_attempt *a =
-            &g_array_index(t->attempts, struct lmn_told_attempt, k);
+        struct lmn_attempt_snapshot *a =
+            &g_array_index(t->attempts, struct lmn_attempt_snapshot, k);
         m->attempts.attempts_val[k] =
             (lmn_rpc_attempt){a->ref, a->index, a->number, a->ended * 1u | a->done * 2u};
     }
@@ -84,7 +84,8 @@
     m->images.images_len = MIN(t->images->len, LMN_RPC_MAX_ITEMS);
     m->images.images_val = g_new0(lmn_rpc_image, t->images->len);
     for (u_int k = 0; k < m->images.images_len; k++) {
-        struct lmn_told_image *a = &g_array_index(t->images, struct lmn_told_image, k);
+        struct lmn_image_snapshot *a =
+            &g_array_index(t->images, struct lmn_image_snapshot, k);
         m->images.images_val[k] = (lmn_rpc_image){a->name, a->gb, a->there};
     }
 }
@@ -130,9 +131,10 @@
 }
 
 /* The batch is not altered by anyone while it is being sent. */
-static bool send_batch(struct teller *f, int to, const struct lmn_batch *b, u_int *answer)
+static bool send_batch(struct teller *f, int to, const struct lmn_replication_batch *b,
+                       u_int *answer)
 {
-    lmn_rpc_machine machines[LMN_BATCH_MACHINES] = {0};
+    lmn_rpc_machine machines[LMN_REPLICATION_BATCH_MACHINES] = {0};
     lmn_rpc_replication_batch x = {
         b->part, b->term, b->stream, b->number, {b->machines->len, machines}};
 
@@ -156,14 +158,14 @@
     GQueue *q = &p->stream.waiting;
 
     for (GList *l = q->head, *next; l; l = next) {
-        struct lmn_waiter *w = l->data;
+        struct lmn_deferred_response *w = l->data;
         next = l->next;
         if (!p->mine || p->my_term != w->held.term) {
             w->status = 503;
             g_byte_array_set_size(w->out, 0);
-        } else if (lmn_stream_covers(p, w->held.mark)) {
+        } else if (lmn_replication_covers(p, w->held.mark)) {
             w->status = 200;
-        } else if (lmn_time_diff_s(now, w->since) > LMN_STREAM_HOLD_S) {
+        } else if (lmn_time_diff_s(now, w->since) > LMN_REPLICATION_DEFER_S) {
             w->status = 200;
             lmn_worker_withhold(c, &w->held, w->out, now);
         } else {
@@ -177,7 +179,7 @@
 /* No lock held. */
 static void answer_all(GQueue *out)
 {
-    struct lmn_waiter *w;
+    struct lmn_deferred_response *w;
 
     while ((w = g_queue_pop_head(out))) {
         lmn_http_request_respond(w->call, w->status, w->out, 0);
@@ -194,11 +196,11 @@
     pthread_mutex_lock(&c->lock);
     if (!p->mine || p->my_term != held->term)
         status = 503;
-    else if (lmn_stream_covers(p, held->mark))
+    else if (lmn_replication_covers(p, held->mark))
         status = 200;
     if (!status) {
-        struct lmn_waiter *w = g_new0(struct lmn_waiter, 1);
-        *w = (struct lmn_waiter){call, out, *held, lmn_now(), 0};
+        struct lmn_deferred_response *w = g_new0(struct lmn_deferred_response, 1);
+        *w = (struct lmn_deferred_response){call, out, *held, lmn_now(), 0};
         lmn_http_request_defer(call);
         g_queue_push_tail(&p->stream.waiting, w);
     }
@@ -221,29 +223,30 @@
     f->http = lmn_http_client_new(c->cfg->state);
     pthread_mutex_lock(&c->lock);
     for (;;) {
-        struct lmn_batch *batch = NULL;
+        struct lmn_replication_batch *batch = NULL;
         struct lmn_txn *txn = NULL;
         double wait;
-        enum lmn_stream_step step = lmn_stream_next(c, p, lmn_now(), &batch, &txn, &wait);
+        enum lmn_replication_step step =
+            lmn_replication_next_step(c, p, lmn_now(), &batch, &txn, &wait);
         int to = p->stream.to;
         settle(c, p, &done, lmn_now());
-        if (step == LMN_STREAM_WAIT && g_queue_is_empty(&done)) {
+        if (step == LMN_REPLICATION_WAIT && g_queue_is_empty(&done)) {
             lmn_cond_wait_for(&p->following, &c->lock, wait);
             continue;
         }
         pthread_mutex_unlock(&c->lock);
         answer_all(&done);
-        if (step == LMN_STREAM_SEND) {
-            u_int answer = LMN_COPY_UNKNOWN;
+        if (step == LMN_REPLICATION_SEND) {
+            u_int answer = LMN_REPLICA_UNKNOWN_STREAM;
             bool answered = send_batch(f, to, batch, &answer);
             if (!answered)
                 lmn_sleep(PAUSE_S);
             pthread_mutex_lock(&c->lock);
-            lmn_stream_sent(c, p, batch, answered, (enum lmn_copy_answer)answer,
-                            lmn_now());
+            lmn_replication_batch_sent(c, p, batch, answered,
+                                       (enum lmn_replica_result)answer, lmn_now());
             continue;
         }
-        if (step == LMN_STREAM_WRITE) {
+        if (step == LMN_REPLICATION_WRITE) {
             uint64_t rev;
             enum lmn_txn_outcome r =
                 lmn_kv_client_commit(c->state, f->http, txn, &rev, NULL);
--- a/src/controller/replication_thread.h
+++ b/src/controller/replication_thread.h
@@ -15,7 +15,7 @@
 void lmn_follow_hold(struct lmn_core *c, struct lmn_http_request *call, GByteArray *out,
                      const struct lmn_held *held);
 
-/* A batch from another; returns an lmn_copy_answer. No lock held. */
+/* A batch from another; returns an lmn_replica_result. No lock held. */
 u_int lmn_follow_take(struct lmn_core *c, const lmn_rpc_replication_batch *x);
 
 #endif
--- a/src/kv_store/kv_store_internal.h
+++ b/src/kv_store/kv_store_internal.h
@@ -34,7 +34,7 @@
 };
 
 /* Somebody who waits for changes. */
-struct lmn_waiter {
+struct lmn_deferred_response {
     struct lmn_http_request *call;
     char *prefix;
     uint64_t scanned; /* no change up to here concerns it */
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -110,7 +110,7 @@
         lmn_http_request_respond(call, 200, b, 0);
         return;
     }
-    struct lmn_waiter *x = g_new0(struct lmn_waiter, 1);
+    struct lmn_deferred_response *x = g_new0(struct lmn_deferred_response, 1);
     x->call = call;
     x->prefix = g_strdup(prefix ? prefix : "");
     x->scanned = meta.revision;
@@ -123,7 +123,7 @@
     pthread_mutex_unlock(&s->watch_lock);
 }
 
-static void finish(struct lmn_waiter *x, int status, GByteArray *b)
+static void finish(struct lmn_deferred_response *x, int status, GByteArray *b)
 {
     lmn_http_request_respond(x->call, status, b, 0);
     g_free(x->prefix);
@@ -141,7 +141,7 @@
     if (lmn_db_view(r, &meta) != 0)
         return;
     for (GList *l = waiters->head; l; l = l->next)
-        least = MIN(least, ((struct lmn_waiter *)l->data)->scanned);
+        least = MIN(least, ((struct lmn_deferred_response *)l->data)->scanned);
     GPtrArray *events = g_ptr_array_new_with_free_func(free_event);
     if (least < meta.revision && least >= meta.floor)
         lmn_db_changes(r, least, collect, events);
@@ -149,7 +149,7 @@
     GHashTable *made = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                              (GDestroyNotify)g_byte_array_unref);
     for (GList *l = waiters->head, *next; l; l = next) {
-        struct lmn_waiter *x = l->data;
+        struct lmn_deferred_response *x = l->data;
         bool over = !lmn_time_before(now, x->until);
         next = l->next;
         if (too_old(&meta, x->scanned)) {
@@ -192,8 +192,9 @@
             struct timespec now = lmn_now();
             wait = 5;
             for (GList *l = s->waiters.head; l; l = l->next)
-                wait = MIN(wait,
-                           lmn_time_diff_s(((struct lmn_waiter *)l->data)->until, now));
+                wait =
+                    MIN(wait, lmn_time_diff_s(
+                                  ((struct lmn_deferred_response *)l->data)->until, now));
             if (wait <= 0 || (s->waiters.head && (s->behind || s->revision > served)))
                 break;
             lmn_cond_wait_for(&s->watch_more, &s->watch_lock, wait);
@@ -206,7 +207,7 @@
         serve(s, r, &mine);
         pthread_mutex_lock(&s->watch_lock);
         while (mine.head) {
-            struct lmn_waiter *x = g_queue_pop_head(&mine);
+            struct lmn_deferred_response *x = g_queue_pop_head(&mine);
             g_queue_push_tail(&s->waiters, x);
         }
         pthread_mutex_unlock(&s->watch_lock);
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -316,7 +316,7 @@
     held->commands = out->len;
     g_byte_array_append(out, commands->data, commands->len);
     g_byte_array_unref(commands);
-    if (lmn_stream_gates(p) && p->stream.mark > mark) {
+    if (lmn_replication_gates_starts(p) && p->stream.mark > mark) {
         held->part = p->id;
         held->term = p->my_term;
         held->from = mark;
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -338,7 +338,7 @@
         c->audited = now;
     for (int i = 0; i < c->nparts; i++) {
         struct lmn_partition *p = &c->parts[i];
-        lmn_copy_drop_outdated(c, p);
+        lmn_replica_drop_outdated(c, p);
         if (!p->mine)
             continue;
         /* Once for all machines: a look at each from each takes their square. */
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -175,7 +175,7 @@
     if (!c->synced || p->mine || !lmn_partition_wanted(c, p, now))
         return NULL;
     if (p->owner_rev && lmn_member_index(ms, p->owner) == ms->me &&
-        !lmn_copy_own_is_last(p)) {
+        !lmn_replica_own_is_latest(p)) {
         /* Our last life held it. Who was in step with that one knows more than we do. */
         int named = lmn_standby_named(c, p, now);
         if (named >= 0 && named != ms->me && ms->v[named].ever) {
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -56,11 +56,11 @@
  * that knows nothing. */
 static void begin_warm(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
 {
-    const char *why = lmn_takeover_cold(c, p);
+    const char *why = lmn_failover_cold_reason(c, p);
 
     p->warm = !why;
     if (p->warm) {
-        guint held = lmn_takeover_inherit(c, p, now);
+        guint held = lmn_failover_restore(c, p, now);
         c->count.warm++;
         c->count.own += p->copy->own;
         lmn_info("takeover-warm partition=%d term=%" G_GUINT64_FORMAT
@@ -72,7 +72,7 @@
                  " machines=%u why=\"%s\"",
                  p->id, p->my_term, p->list->len, why);
     }
-    lmn_copy_free(p->copy);
+    lmn_replica_free(p->copy);
     p->copy = NULL;
 }
 
@@ -81,7 +81,7 @@
     GHashTableIter it;
     gpointer v;
 
-    lmn_stream_reset(c, p);
+    lmn_replication_reset(c, p);
     p->mine = true;
     p->ready = p->releasing = p->started = p->warm = p->open = false;
     p->my_term = p->owner_term;
@@ -118,9 +118,9 @@
 
     lmn_info("partition-lose partition=%d term=%" G_GUINT64_FORMAT " why=\"%s\"", p->id,
              p->my_term, why);
-    lmn_copy_keep_own(p);
+    lmn_replica_keep_own(p);
     p->mine = p->ready = p->releasing = p->warm = p->open = false;
-    lmn_stream_reset(c, p);
+    lmn_replication_reset(c, p);
     lmn_quota_reset(p);
     lmn_queue_clear(&p->unplaced);
     g_hash_table_iter_init(&it, p->machines);
@@ -257,7 +257,7 @@
         if (!lmn_orphaned(c, p, now))
             return false;
         since = lmn_time_add(ms->v[owner].doubted, ms->t.doubt_s);
-    } else if (lmn_copy_own_is_last(p)) {
+    } else if (lmn_replica_own_is_latest(p)) {
         return true;
     } else if (left_to_last_owner(c, p, now)) {
         return false;
--- a/src/partition/worker.h
+++ b/src/partition/worker.h
@@ -28,7 +28,7 @@
     unsigned lane, lanes;
 };
 /* An answer with starts that the partition's standby has to acknowledge first
- * (lmn_stream_covers). */
+ * (lmn_replication_covers). */
 struct lmn_held {
     int part;
     uint64_t term;
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -331,13 +331,13 @@
 static bool told(struct lmn_core *c, int part, uint64_t term, uint64_t mark)
 {
     struct lmn_partition *p = &c->parts[part];
-    struct timespec until = lmn_time_add(lmn_now(), LMN_STREAM_HOLD_S);
+    struct timespec until = lmn_time_add(lmn_now(), LMN_REPLICATION_DEFER_S);
     double left;
 
-    while (p->mine && p->my_term == term && !lmn_stream_covers(p, mark) &&
+    while (p->mine && p->my_term == term && !lmn_replication_covers(p, mark) &&
            (left = lmn_time_diff_s(until, lmn_now())) > 0)
         lmn_cond_wait_for(&c->told, &c->lock, left);
-    bool ok = p->mine && p->my_term == term && lmn_stream_covers(p, mark);
+    bool ok = p->mine && p->my_term == term && lmn_replication_covers(p, mark);
     if (!ok)
         c->count.withheld++;
     return ok;
--- a/src/replication/batch.c
+++ b/src/replication/batch.c
@@ -2,22 +2,22 @@
 
 #include <string.h>
 
-struct lmn_told *lmn_told_new(const char *name)
+struct lmn_machine_snapshot *lmn_machine_snapshot_new(const char *name)
 {
-    struct lmn_told *t = g_new0(struct lmn_told, 1);
+    struct lmn_machine_snapshot *t = g_new0(struct lmn_machine_snapshot, 1);
 
     g_strlcpy(t->name, name, sizeof t->name);
-    t->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_told_attempt));
+    t->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt_snapshot));
     return t;
 }
 
 static GArray *images_of(const struct lmn_machine *m)
 {
-    GArray *images = g_array_new(FALSE, FALSE, sizeof(struct lmn_told_image));
+    GArray *images = g_array_new(FALSE, FALSE, sizeof(struct lmn_image_snapshot));
 
     for (guint i = 0; i < m->images->len; i++) {
         const struct lmn_image *x = &g_array_index(m->images, struct lmn_image, i);
-        struct lmn_told_image y = {.gb = x->gb, .there = !x->ready.tv_sec};
+        struct lmn_image_snapshot y = {.gb = x->gb, .there = !x->ready.tv_sec};
         if (strlen(x->name) >= sizeof y.name)
             continue;
         g_strlcpy(y.name, x->name, sizeof y.name);
@@ -26,18 +26,19 @@
     return images;
 }
 
-struct lmn_told *lmn_told_of(const struct lmn_machine *m, bool images)
+struct lmn_machine_snapshot *lmn_machine_snapshot_take(const struct lmn_machine *m,
+                                                       bool images)
 {
-    struct lmn_told *t = lmn_told_new(m->name);
+    struct lmn_machine_snapshot *t = lmn_machine_snapshot_new(m->name);
 
     t->session = m->session;
     t->gone = m->is_gone;
     for (guint i = 0; i < m->attempts->len; i++) {
         const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
-        struct lmn_told_attempt x = {.index = a->index,
-                                     .number = a->number,
-                                     .ended = a->state == LMN_ATTEMPT_ENDED,
-                                     .done = a->done};
+        struct lmn_attempt_snapshot x = {.index = a->index,
+                                         .number = a->number,
+                                         .ended = a->state == LMN_ATTEMPT_ENDED,
+                                         .done = a->done};
         g_strlcpy(x.ref, a->ref, sizeof x.ref);
         g_array_append_val(t->attempts, x);
     }
@@ -46,9 +47,9 @@
     return t;
 }
 
-void lmn_told_free(gpointer told)
+void lmn_machine_snapshot_free(gpointer told)
 {
-    struct lmn_told *t = told;
+    struct lmn_machine_snapshot *t = told;
 
     if (!t)
         return;
@@ -58,15 +59,15 @@
     g_free(t);
 }
 
-struct lmn_batch *lmn_batch_new(void)
+struct lmn_replication_batch *lmn_replication_batch_new(void)
 {
-    struct lmn_batch *b = g_new0(struct lmn_batch, 1);
+    struct lmn_replication_batch *b = g_new0(struct lmn_replication_batch, 1);
 
-    b->machines = g_ptr_array_new_with_free_func(lmn_told_free);
+    b->machines = g_ptr_array_new_with_free_func(lmn_machine_snapshot_free);
     return b;
 }
 
-void lmn_batch_free(struct lmn_batch *b)
+void lmn_replication_batch_free(struct lmn_replication_batch *b)
 {
     if (!b)
         return;
--- a/src/replication/batch.h
+++ b/src/replication/batch.h
@@ -4,44 +4,45 @@
 
 #include "state/model.h"
 
-struct lmn_told_attempt {
+struct lmn_attempt_snapshot {
     char ref[LMN_JOB_ID_SIZE];
     uint32_t index;
     uint64_t number;
     bool ended, done; /* as the worker has said */
 };
 
-struct lmn_told_image {
+struct lmn_image_snapshot {
     char name[LMN_NAME_SIZE * 2];
     double gb;
     bool there; /* else it was being fetched */
 };
 
 /* A machine, whole: it takes the place of what was told of it before. */
-struct lmn_told {
+struct lmn_machine_snapshot {
     char name[LMN_NAME_SIZE];
     uint64_t session; /* 0: not known */
     bool gone;        /* the cloud has said so */
     bool forget;      /* no record names it any more */
-    GArray *attempts; /* struct lmn_told_attempt */
-    GArray *images;   /* struct lmn_told_image; NULL: as before */
+    GArray *attempts; /* struct lmn_attempt_snapshot */
+    GArray *images;   /* struct lmn_image_snapshot; NULL: as before */
 };
 
-struct lmn_batch {
+struct lmn_replication_batch {
     int part;
     uint64_t term, stream;
     uint64_t number;     /* 0: the stream begins */
     uint64_t mark;       /* acknowledged, all starts up to this are */
-    GPtrArray *machines; /* struct lmn_told */
+    GPtrArray *machines; /* struct lmn_machine_snapshot */
 };
 
-enum { LMN_BATCH_MACHINES = 32 };
+enum { LMN_REPLICATION_BATCH_MACHINES = 32 };
 
-struct lmn_told *lmn_told_new(const char *name);
+struct lmn_machine_snapshot *lmn_machine_snapshot_new(const char *name);
 /* What may be on the machine now, by its owner's state; with its images or without. */
-struct lmn_told *lmn_told_of(const struct lmn_machine *m, bool images);
-void lmn_told_free(gpointer told);
-struct lmn_batch *lmn_batch_new(void);
-void lmn_batch_free(struct lmn_batch *b);
+struct lmn_machine_snapshot *lmn_machine_snapshot_take(const struct lmn_machine *m,
+                                                       bool images);
+void lmn_machine_snapshot_free(gpointer told);
+struct lmn_replication_batch *lmn_replication_batch_new(void);
+void lmn_replication_batch_free(struct lmn_replication_batch *b);
 
 #endif
--- a/src/replication/failover.c
+++ b/src/replication/failover.c
@@ -5,9 +5,10 @@
 
 #include <string.h>
 
-const char *lmn_takeover_cold(const struct lmn_core *c, const struct lmn_partition *p)
+const char *lmn_failover_cold_reason(const struct lmn_core *c,
+                                     const struct lmn_partition *p)
 {
-    const struct lmn_copy *copy = p->copy;
+    const struct lmn_replica *copy = p->copy;
 
     /* Each claim raises the term by one, conditional on the term before: nobody has owned
      * the partition since this process did. */
@@ -39,12 +40,12 @@
 
     g_hash_table_iter_init(&it, p->copy->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_told *t = v;
+        const struct lmn_machine_snapshot *t = v;
         for (guint i = 0; i < t->attempts->len; i++) {
-            const struct lmn_told_attempt *a =
-                &g_array_index(t->attempts, struct lmn_told_attempt, i);
+            const struct lmn_attempt_snapshot *a =
+                &g_array_index(t->attempts, struct lmn_attempt_snapshot, i);
             char *task = g_strdup_printf("%s/%u", a->ref, a->index);
-            const struct lmn_told_attempt *was = g_hash_table_lookup(best, task);
+            const struct lmn_attempt_snapshot *was = g_hash_table_lookup(best, task);
             if (!was || was->number < a->number)
                 g_hash_table_replace(best, task, (gpointer)a);
             else
@@ -55,7 +56,7 @@
 }
 
 static bool inherit(struct lmn_core *c, struct lmn_machine *m,
-                    const struct lmn_told_attempt *told, struct timespec now)
+                    const struct lmn_attempt_snapshot *told, struct timespec now)
 {
     struct lmn_attempt a = {.index = told->index,
                             .number = told->number,
@@ -83,13 +84,13 @@
     return true;
 }
 
-static void inherit_images(struct lmn_machine *m, const struct lmn_told *t,
+static void inherit_images(struct lmn_machine *m, const struct lmn_machine_snapshot *t,
                            struct timespec now)
 {
     g_array_set_size(m->images, 0);
     for (guint i = 0; t->images && i < t->images->len; i++) {
-        const struct lmn_told_image *x =
-            &g_array_index(t->images, struct lmn_told_image, i);
+        const struct lmn_image_snapshot *x =
+            &g_array_index(t->images, struct lmn_image_snapshot, i);
         struct lmn_image y = {g_intern_string(x->name), x->gb, {0, 0}};
         if (!x->there)
             y.ready = lmn_time_add(
@@ -98,7 +99,7 @@
     }
 }
 
-guint lmn_takeover_inherit(struct lmn_core *c, struct lmn_partition *p,
+guint lmn_failover_restore(struct lmn_core *c, struct lmn_partition *p,
                            struct timespec now)
 {
     GHashTable *best = newest(p);
@@ -106,7 +107,8 @@
 
     for (guint k = 0; k < p->list->len; k++) {
         struct lmn_machine *m = p->list->pdata[k];
-        const struct lmn_told *t = g_hash_table_lookup(p->copy->machines, m->name);
+        const struct lmn_machine_snapshot *t =
+            g_hash_table_lookup(p->copy->machines, m->name);
         if (!t)
             continue; /* nothing was started on it */
         named++;
@@ -121,8 +123,8 @@
             m->type = lmn_machine_type_by_name(c, m->type_name);
         inherit_images(m, t, now);
         for (guint i = 0; i < t->attempts->len; i++) {
-            const struct lmn_told_attempt *a =
-                &g_array_index(t->attempts, struct lmn_told_attempt, i);
+            const struct lmn_attempt_snapshot *a =
+                &g_array_index(t->attempts, struct lmn_attempt_snapshot, i);
             char *task = g_strdup_printf("%s/%u", a->ref, a->index);
             if (g_hash_table_lookup(best, task) == a)
                 held += inherit(c, m, a, now);
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -6,34 +6,36 @@
 
 #include "replication/batch.h"
 
-struct lmn_copy {
+struct lmn_replica {
     uint64_t term, stream;
     uint64_t number;      /* of the last batch taken */
-    GHashTable *machines; /* name -> struct lmn_told */
+    GHashTable *machines; /* name -> struct lmn_machine_snapshot */
     struct timespec last; /* when a batch came last, steady clock */
     bool own; /* this process's own state at the end of that term; no stream */
 };
 
-enum lmn_copy_answer {
-    LMN_COPY_TAKEN,   /* or was before */
-    LMN_COPY_UNKNOWN, /* of no stream that is followed here, or not the next: begin anew
-                       */
-    LMN_COPY_REFUSED, /* of a term that is over, or the partition is ours */
+enum lmn_replica_result {
+    LMN_REPLICA_APPLIED,        /* or was before */
+    LMN_REPLICA_UNKNOWN_STREAM, /* of no stream that is followed here, or not the next:
+                                 * begin anew
+                                 */
+    LMN_REPLICA_REJECTED,       /* of a term that is over, or the partition is ours */
 };
 
 /* Takes the batch over into the partition's copy; its machines may be moved out of it. A
  * batch that begins a stream takes the place of an older stream's copy. */
-enum lmn_copy_answer lmn_copy_take(struct lmn_core *c, struct lmn_batch *b,
-                                   struct timespec now);
-void lmn_copy_free(struct lmn_copy *copy);
+enum lmn_replica_result lmn_replica_apply(struct lmn_core *c,
+                                          struct lmn_replication_batch *b,
+                                          struct timespec now);
+void lmn_replica_free(struct lmn_replica *copy);
 /* The partition is about to be lost: keeps what its owner, this process, knows of it, if
  * that names every attempt that may be on a machine. A batch of another owner takes its
  * place. */
-void lmn_copy_keep_own(struct lmn_partition *p);
+void lmn_replica_keep_own(struct lmn_partition *p);
 /* Whether this process was the partition's last owner, as far as the mirror shows, and
  * has kept what it knew. */
-bool lmn_copy_own_is_last(const struct lmn_partition *p);
+bool lmn_replica_own_is_latest(const struct lmn_partition *p);
 /* Frees what was kept once another has owned the partition: it is of no use any more. */
-void lmn_copy_drop_outdated(const struct lmn_core *c, struct lmn_partition *p);
+void lmn_replica_drop_outdated(const struct lmn_core *c, struct lmn_partition *p);
 
 #endif
--- a/src/replication/replica_choice.c
+++ b/src/replication/replica_choice.c
@@ -42,7 +42,7 @@
 static bool able(const struct lmn_members *ms, int rank, struct timespec now)
 {
     return lmn_member_is_trusted(ms, rank, now) &&
-           ms->v[rank].word.behind_s < LMN_STANDBY_CALM_S;
+           ms->v[rank].word.behind_s < LMN_STANDBY_SETTLE_S;
 }
 
 int lmn_standby_choose(const struct lmn_core *c, const struct lmn_partition *p,
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-const double LMN_STREAM_HOLD_S = 0.3;
-const double LMN_STREAM_PATIENCE_S = 0.4;
+const double LMN_REPLICATION_DEFER_S = 0.3;
+const double LMN_REPLICATION_TIMEOUT_S = 0.4;
 /* Starts that are decided on within this time share a batch: a call each took a fifth
  * more processor, at 22 starts a second. */
 static const double GATHER_S = 0.003;
@@ -22,7 +22,7 @@
 static const char BACK[] = "the usual holder is back";
 enum { TRIES = 3 };
 
-const char *lmn_stream_phase_name(enum lmn_stream_phase phase)
+const char *lmn_replication_phase_name(enum lmn_replication_phase phase)
 {
     static const char *const names[] = {"none",   "copying", "closing",
                                         "naming", "in-step", "striking"};
@@ -30,31 +30,31 @@
     return names[phase];
 }
 
-bool lmn_stream_gates(const struct lmn_partition *p)
+bool lmn_replication_gates_starts(const struct lmn_partition *p)
 {
     return p->mine && p->stream.phase >= LMN_STREAM_CATCHING_UP;
 }
 
-bool lmn_stream_covers(const struct lmn_partition *p, uint64_t mark)
+bool lmn_replication_covers(const struct lmn_partition *p, uint64_t mark)
 {
-    return !lmn_stream_gates(p) || p->stream.acked >= mark;
+    return !lmn_replication_gates_starts(p) || p->stream.acked >= mark;
 }
 
-bool lmn_stream_stuck(const struct lmn_partition *p, struct timespec now)
+bool lmn_replication_is_stuck(const struct lmn_partition *p, struct timespec now)
 {
-    const struct lmn_stream *s = &p->stream;
+    const struct lmn_replication_stream *s = &p->stream;
 
-    return lmn_stream_gates(p) && s->acked < s->mark &&
-           lmn_time_diff_s(now, s->waits) > LMN_STREAM_HOLD_S;
+    return lmn_replication_gates_starts(p) && s->acked < s->mark &&
+           lmn_time_diff_s(now, s->waits) > LMN_REPLICATION_DEFER_S;
 }
 
-void lmn_stream_lag(const struct lmn_partition *p, struct timespec now, guint *machines,
-                    uint64_t *starts, double *seconds)
+void lmn_replication_lag(const struct lmn_partition *p, struct timespec now,
+                         guint *machines, uint64_t *starts, double *seconds)
 {
-    const struct lmn_stream *s = &p->stream;
+    const struct lmn_replication_stream *s = &p->stream;
 
     *machines = p->untold->len;
-    *starts = lmn_stream_gates(p) ? s->mark - s->acked : 0;
+    *starts = lmn_replication_gates_starts(p) ? s->mark - s->acked : 0;
     *seconds = *starts ? lmn_time_diff_s(now, s->waits) : 0;
 }
 
@@ -71,32 +71,32 @@
     return h;
 }
 
-static struct lmn_told *tell(struct lmn_machine *m)
+static struct lmn_machine_snapshot *tell(struct lmn_machine *m)
 {
     guint hash = images_hash(m);
     bool changed = hash != m->told_images;
 
     m->told_images = hash;
-    return lmn_told_of(m, changed);
+    return lmn_machine_snapshot_take(m, changed);
 }
 
-static struct lmn_batch *build(struct lmn_partition *p, struct timespec now)
+static struct lmn_replication_batch *build(struct lmn_partition *p, struct timespec now)
 {
-    struct lmn_stream *s = &p->stream;
-    struct lmn_batch *b = lmn_batch_new();
+    struct lmn_replication_stream *s = &p->stream;
+    struct lmn_replication_batch *b = lmn_replication_batch_new();
 
     b->part = p->id;
     b->term = p->my_term;
     b->stream = s->id;
     b->number = s->number;
-    while (p->forgotten->len && b->machines->len < LMN_BATCH_MACHINES) {
+    while (p->forgotten->len && b->machines->len < LMN_REPLICATION_BATCH_MACHINES) {
         char *name = g_ptr_array_steal_index_fast(p->forgotten, p->forgotten->len - 1);
-        struct lmn_told *t = lmn_told_new(name);
+        struct lmn_machine_snapshot *t = lmn_machine_snapshot_new(name);
         t->forget = true;
         g_ptr_array_add(b->machines, t);
         g_free(name);
     }
-    while (p->untold->len && b->machines->len < LMN_BATCH_MACHINES) {
+    while (p->untold->len && b->machines->len < LMN_REPLICATION_BATCH_MACHINES) {
         struct lmn_machine *m =
             g_ptr_array_steal_index_fast(p->untold, p->untold->len - 1);
         m->untold = false;
@@ -114,7 +114,7 @@
 static void end(struct lmn_core *c, struct lmn_partition *p, const char *why,
                 struct timespec now)
 {
-    struct lmn_stream *s = &p->stream;
+    struct lmn_replication_stream *s = &p->stream;
 
     for (guint i = 0; i < p->untold->len; i++)
         ((struct lmn_machine *)p->untold->pdata[i])->untold = false;
@@ -122,7 +122,7 @@
     g_ptr_array_set_size(p->forgotten, 0);
     /* The thread that sends it frees it. */
     if (!s->sending)
-        lmn_batch_free(s->batch);
+        lmn_replication_batch_free(s->batch);
     s->batch = NULL;
     s->sending = false;
     if (s->phase != LMN_STREAM_NONE && why) {
@@ -143,7 +143,7 @@
 static void begin(struct lmn_core *c, struct lmn_partition *p, int to,
                   struct timespec now)
 {
-    struct lmn_stream *s = &p->stream;
+    struct lmn_replication_stream *s = &p->stream;
 
     s->phase = LMN_STREAM_SNAPSHOT;
     s->to = to;
@@ -171,7 +171,7 @@
  * shows by itself. */
 static bool fit(const struct lmn_core *c, const struct lmn_partition *p)
 {
-    const struct lmn_stream *s = &p->stream;
+    const struct lmn_replication_stream *s = &p->stream;
     const struct lmn_member_view *m = &c->members.v[s->to];
 
     return c->tuning.standby > 0 && m->present && m->lease == s->to_lease &&
@@ -194,12 +194,12 @@
 
 static void strike(struct lmn_core *c, struct lmn_partition *p, const char *why)
 {
-    struct lmn_stream *s = &p->stream;
+    struct lmn_replication_stream *s = &p->stream;
 
     lmn_info("standby-struck partition=%d member=%s phase=%s why=\"%s\" "
              "waiting=%" G_GUINT64_FORMAT,
-             p->id, lmn_member_name(&c->members, s->to), lmn_stream_phase_name(s->phase),
-             why, s->mark - s->acked);
+             p->id, lmn_member_name(&c->members, s->to),
+             lmn_replication_phase_name(s->phase), why, s->mark - s->acked);
     s->phase = LMN_STREAM_REMOVING;
     s->why = why;
     s->written = (struct timespec){0, 0};
@@ -219,7 +219,7 @@
 static struct lmn_txn *record(const struct lmn_core *c, const struct lmn_partition *p,
                               bool named)
 {
-    const struct lmn_stream *s = &p->stream;
+    const struct lmn_replication_stream *s = &p->stream;
     struct lmn_txn *t = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     GByteArray *v = g_byte_array_new();
     char key[32];
@@ -246,12 +246,12 @@
 /* The phase follows from what is acknowledged and what the mirror shows. */
 static void advance(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
 {
-    struct lmn_stream *s = &p->stream;
+    struct lmn_replication_stream *s = &p->stream;
 
     if (s->phase == LMN_STREAM_NONE) {
         int to = -1;
         if ((p->ready || p->warm) && c->tuning.standby > 0 && !p->releasing &&
-            c->load.behind < LMN_STANDBY_CALM_S && !lmn_time_before(now, s->next))
+            c->load.behind < LMN_STANDBY_SETTLE_S && !lmn_time_before(now, s->next))
             to = lmn_standby_choose(c, p, now);
         if (to >= 0)
             begin(c, p, to, now);
@@ -266,14 +266,15 @@
     bool waits = s->phase >= LMN_STREAM_CATCHING_UP && s->acked < s->mark;
     if (!fit(c, p)) {
         fail(c, p, "suspected, or another life", now);
-    } else if (waits && lmn_time_diff_s(now, s->waits) > LMN_STREAM_PATIENCE_S) {
+    } else if (waits && lmn_time_diff_s(now, s->waits) > LMN_REPLICATION_TIMEOUT_S) {
         fail(c, p, "no acknowledgement", now);
     } else if (s->failures >= TRIES) {
         fail(c, p, "no answer", now);
     } else if (s->phase == LMN_STREAM_IN_SYNC && passed_over(c, p, now)) {
         strike(c, p, BACK);
     } else if (s->phase == LMN_STREAM_SNAPSHOT && s->number > 0 && !s->batch &&
-               p->untold->len <= LMN_BATCH_MACHINES / 2 && !p->forgotten->len) {
+               p->untold->len <= LMN_REPLICATION_BATCH_MACHINES / 2 &&
+               !p->forgotten->len) {
         s->phase = LMN_STREAM_CATCHING_UP;
         s->closing = s->mark;
         s->waits = now;
@@ -292,7 +293,7 @@
     pthread_cond_broadcast(&c->told);
 }
 
-static bool writes(const struct lmn_stream *s, struct timespec now)
+static bool writes(const struct lmn_replication_stream *s, struct timespec now)
 {
     return (s->phase == LMN_STREAM_JOINING || s->phase == LMN_STREAM_REMOVING) &&
            (!s->written.tv_sec || lmn_time_diff_s(now, s->written) > WRITE_S);
@@ -301,7 +302,7 @@
 /* Whether something is to be told now. */
 static bool tells(const struct lmn_partition *p, struct timespec now)
 {
-    const struct lmn_stream *s = &p->stream;
+    const struct lmn_replication_stream *s = &p->stream;
 
     if (s->phase == LMN_STREAM_NONE || s->phase == LMN_STREAM_REMOVING || s->sending)
         return false;
@@ -315,40 +316,43 @@
            lmn_time_diff_s(now, s->told) > LAZY_S;
 }
 
-enum lmn_stream_step lmn_stream_next(struct lmn_core *c, struct lmn_partition *p,
-                                     struct timespec now, struct lmn_batch **batch,
-                                     struct lmn_txn **txn, double *wait)
+enum lmn_replication_step lmn_replication_next_step(struct lmn_core *c,
+                                                    struct lmn_partition *p,
+                                                    struct timespec now,
+                                                    struct lmn_replication_batch **batch,
+                                                    struct lmn_txn **txn, double *wait)
 {
-    struct lmn_stream *s = &p->stream;
+    struct lmn_replication_stream *s = &p->stream;
 
     *wait = LAZY_S / 2;
     if (!p->mine)
-        return LMN_STREAM_WAIT;
+        return LMN_REPLICATION_WAIT;
     advance(c, p, now);
     if (writes(s, now)) {
         s->written = now;
         *txn = record(c, p, s->phase == LMN_STREAM_JOINING);
-        return LMN_STREAM_WRITE;
+        return LMN_REPLICATION_WRITE;
     }
     if (tells(p, now)) {
         if (!s->batch)
             s->batch = build(p, now);
         s->sending = true;
         *batch = s->batch;
-        return LMN_STREAM_SEND;
+        return LMN_REPLICATION_SEND;
     }
     if (s->phase != LMN_STREAM_NONE && s->acked < s->mark)
         *wait = s->batch ? 0.05 : MAX(GATHER_S - lmn_time_diff_s(now, s->waits), 0.0005);
-    return LMN_STREAM_WAIT;
+    return LMN_REPLICATION_WAIT;
 }
 
-void lmn_stream_sent(struct lmn_core *c, struct lmn_partition *p, struct lmn_batch *b,
-                     bool answered, enum lmn_copy_answer answer, struct timespec now)
+void lmn_replication_batch_sent(struct lmn_core *c, struct lmn_partition *p,
+                                struct lmn_replication_batch *b, bool answered,
+                                enum lmn_replica_result answer, struct timespec now)
 {
-    struct lmn_stream *s = &p->stream;
+    struct lmn_replication_stream *s = &p->stream;
 
     if (s->batch != b || !s->sending) { /* of a stream that has ended meanwhile */
-        lmn_batch_free(b);
+        lmn_replication_batch_free(b);
         return;
     }
     s->sending = false;
@@ -358,12 +362,12 @@
     }
     s->batch = NULL;
     s->failures = 0;
-    if (answer != LMN_COPY_TAKEN) {
-        lmn_batch_free(b);
+    if (answer != LMN_REPLICA_APPLIED) {
+        lmn_replication_batch_free(b);
         if (s->phase != LMN_STREAM_REMOVING)
             fail(c, p,
-                 answer == LMN_COPY_UNKNOWN ? "it does not know the stream"
-                                            : "it refuses the stream",
+                 answer == LMN_REPLICA_UNKNOWN_STREAM ? "it does not know the stream"
+                                                      : "it refuses the stream",
                  now);
         return;
     }
@@ -377,13 +381,13 @@
         s->acked = b->mark;
         s->waits = now;
     }
-    lmn_batch_free(b);
+    lmn_replication_batch_free(b);
     pthread_cond_broadcast(&c->told);
 }
 
-void lmn_stream_reset(struct lmn_core *c, struct lmn_partition *p)
+void lmn_replication_reset(struct lmn_core *c, struct lmn_partition *p)
 {
-    struct lmn_stream *s = &p->stream;
+    struct lmn_replication_stream *s = &p->stream;
 
     end(c, p, NULL, s->began);
     s->struck = 0;
@@ -405,8 +409,8 @@
 
 void lmn_standby_forget(struct lmn_partition *p)
 {
-    lmn_batch_free(p->stream.batch);
+    lmn_replication_batch_free(p->stream.batch);
     p->stream.batch = NULL;
-    lmn_copy_free(p->copy);
+    lmn_replica_free(p->copy);
     p->copy = NULL;
 }
--- a/src/replication/stream.h
+++ b/src/replication/stream.h
@@ -16,7 +16,7 @@
 /* Who is this far behind would be struck off at once: with eight times the machines,
  * copies were begun and broken off all day, and a tenth fewer tasks started for it.
  * Seconds. */
-#define LMN_STANDBY_CALM_S 0.25
+#define LMN_STANDBY_SETTLE_S 0.25
 
 /* Who should follow this node in the partition: the rank of a trusted member, -1: nobody.
  * The usual holder first, then those of another zone, those with the fewest partitions
@@ -28,42 +28,46 @@
 int lmn_standby_named(const struct lmn_core *c, const struct lmn_partition *p,
                       struct timespec now);
 
-enum lmn_stream_step {
-    LMN_STREAM_WAIT,  /* for so many seconds, or until p->following is signalled */
-    LMN_STREAM_SEND,  /* the batch; tell what became of it by lmn_stream_sent */
-    LMN_STREAM_WRITE, /* the transaction; the mirror will show what became of it */
+enum lmn_replication_step {
+    LMN_REPLICATION_WAIT,  /* for so many seconds, or until p->following is signalled */
+    LMN_REPLICATION_SEND,  /* the batch; tell what became of it by
+                              lmn_replication_batch_sent */
+    LMN_REPLICATION_WRITE, /* the transaction; the mirror will show what became of it */
 };
-/* What is due. The batch stays the stream's until lmn_stream_sent. *txn is the caller's
- * to send and free. */
-enum lmn_stream_step lmn_stream_next(struct lmn_core *c, struct lmn_partition *p,
-                                     struct timespec now, struct lmn_batch **batch,
-                                     struct lmn_txn **txn, double *wait);
+/* What is due. The batch stays the stream's until lmn_replication_batch_sent. *txn is the
+ * caller's to send and free. */
+enum lmn_replication_step lmn_replication_next_step(struct lmn_core *c,
+                                                    struct lmn_partition *p,
+                                                    struct timespec now,
+                                                    struct lmn_replication_batch **batch,
+                                                    struct lmn_txn **txn, double *wait);
 /* answered: false if there was no answer. The stream may be another by then, or the
  * partition lost; then the batch is only freed. */
-void lmn_stream_sent(struct lmn_core *c, struct lmn_partition *p, struct lmn_batch *b,
-                     bool answered, enum lmn_copy_answer answer, struct timespec now);
+void lmn_replication_batch_sent(struct lmn_core *c, struct lmn_partition *p,
+                                struct lmn_replication_batch *b, bool answered,
+                                enum lmn_replica_result answer, struct timespec now);
 /* The partition is ours no more, or has just become ours. */
-void lmn_stream_reset(struct lmn_core *c, struct lmn_partition *p);
+void lmn_replication_reset(struct lmn_core *c, struct lmn_partition *p);
 
 /* Starts wait for their acknowledgement. */
-bool lmn_stream_gates(const struct lmn_partition *p);
+bool lmn_replication_gates_starts(const struct lmn_partition *p);
 /* What was decided on up to the mark may go out. */
-bool lmn_stream_covers(const struct lmn_partition *p, uint64_t mark);
+bool lmn_replication_covers(const struct lmn_partition *p, uint64_t mark);
 /* Starts have waited for too long: none is decided on until that is over. */
-bool lmn_stream_stuck(const struct lmn_partition *p, struct timespec now);
+bool lmn_replication_is_stuck(const struct lmn_partition *p, struct timespec now);
 /* Seconds for which an answer waits at most before it goes out without its starts. */
-extern const double LMN_STREAM_HOLD_S;
+extern const double LMN_REPLICATION_DEFER_S;
 /* How long it takes a standby's silence to be acted on, s. */
-extern const double LMN_STREAM_PATIENCE_S;
+extern const double LMN_REPLICATION_TIMEOUT_S;
 
 /* All of the stream's record, for other transactions: the condition that it is in step
  * with the member, and the stream's name to write into o/P. Returns 0 if it is not. */
 uint64_t lmn_standby_condition(const struct lmn_partition *p, const char *member,
                                struct lmn_txn *t);
 /* How many machines and starts the standby has not been told of. */
-void lmn_stream_lag(const struct lmn_partition *p, struct timespec now, guint *machines,
-                    uint64_t *starts, double *seconds);
-const char *lmn_stream_phase_name(enum lmn_stream_phase phase);
+void lmn_replication_lag(const struct lmn_partition *p, struct timespec now,
+                         guint *machines, uint64_t *starts, double *seconds);
+const char *lmn_replication_phase_name(enum lmn_replication_phase phase);
 /* Frees what a partition holds of and for standbys. */
 void lmn_standby_forget(struct lmn_partition *p);
 
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -112,7 +112,7 @@
     if (!m->type)
         return LMN_WAIT_UNKNOWN_TYPE;
     /* Nobody acknowledges starts now: they would only be taken back. */
-    if (lmn_stream_stuck(m->part, now))
+    if (lmn_replication_is_stuck(m->part, now))
         return LMN_WAIT_STANDBY;
     return lmn_time_before(now, m->hold) ? LMN_WAIT_FAULTY : LMN_WAIT_NONE;
 }
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -230,7 +230,7 @@
 
 /* Where an owner stands with the standby that follows it (replication/stream.h). From
  * CLOSING on starts wait until they are acknowledged. */
-enum lmn_stream_phase {
+enum lmn_replication_phase {
     LMN_STREAM_NONE,
     LMN_STREAM_SNAPSHOT,    /* it is being told everything */
     LMN_STREAM_CATCHING_UP, /* what is left, while starts wait already */
@@ -239,10 +239,10 @@
     LMN_STREAM_REMOVING, /* it is being struck off the record */
 };
 
-struct lmn_batch;
+struct lmn_replication_batch;
 
-struct lmn_stream {
-    enum lmn_stream_phase phase;
+struct lmn_replication_stream {
+    enum lmn_replication_phase phase;
     int to;             /* the rank of who follows */
     uint64_t to_lease;  /* and its lease when it began to */
     uint64_t id;        /* of the stream: the term, and a count */
@@ -251,20 +251,20 @@
     uint64_t acked;     /* as of this mark, all is acknowledged */
     uint64_t closing;   /* as of this, all has to be before the record is written */
     uint64_t named_rev; /* the record's revision on which the naming was conditional */
-    struct lmn_batch *batch; /* on its way, or to be sent again; NULL: none */
-    bool sending;            /* it is with the thread that sends */
-    unsigned failures;       /* of sending it */
-    unsigned struck;         /* how often in a row a stream has come to nothing */
-    const char *why;         /* the last one did */
+    struct lmn_replication_batch *batch; /* on its way, or to be sent again; NULL: none */
+    bool sending;                        /* it is with the thread that sends */
+    unsigned failures;                   /* of sending it */
+    unsigned struck; /* how often in a row a stream has come to nothing */
+    const char *why; /* the last one did */
     struct timespec began, told, waits, next, written;
-    GQueue waiting; /* struct lmn_waiter: answers that wait
+    GQueue waiting; /* struct lmn_deferred_response: answers that wait
                        (controller/replication_thread.h) */
-    struct lmn_stream_counts {
+    struct lmn_replication_counters {
         uint64_t batches, machines, streams, strikes;
     } count;
 };
 
-struct lmn_copy;
+struct lmn_replica;
 
 /* A part of a team's limit that only one job may use: its own, or, with none, another
  * partition that it is to be given to (scheduler/reservation.h). */
@@ -293,7 +293,7 @@
     /* who is in step with the owner of that term, by which stream; 0: nobody */
     char standby[LMN_NAME_SIZE];
     uint64_t standby_lease, standby_stream, standby_term, standby_rev;
-    struct lmn_copy *copy; /* what we have been told of it; NULL: nothing */
+    struct lmn_replica *copy; /* what we have been told of it; NULL: nothing */
     GHashTable *ranges, *machines;
     GPtrArray *list; /* the same machines in no order: what samples are drawn from */
     struct lmn_worker_hosts
@@ -320,7 +320,7 @@
     double *used_cpus, *used_gpus; /* by team */
     struct lmn_quota_transfer transfer;
     struct lmn_quota_reservation *keep; /* by team */
-    struct lmn_stream stream;
+    struct lmn_replication_stream stream;
     GPtrArray *untold;        /* machines that the standby has to be told about */
     GPtrArray *forgotten;     /* names of machines that it need not know any more */
     pthread_cond_t following; /* something is to be told */
--- a/src/state/task_ledger.c
+++ b/src/state/task_ledger.c
@@ -142,7 +142,7 @@
 
 uint64_t lmn_machine_log_start(struct lmn_machine *m, struct timespec now)
 {
-    struct lmn_stream *s = &m->part->stream;
+    struct lmn_replication_stream *s = &m->part->stream;
 
     lmn_machine_mark_unreplicated(m);
     if (s->phase < LMN_STREAM_CATCHING_UP) {
--- a/tests/digest/messages.c
+++ b/tests/digest/messages.c
@@ -50,7 +50,7 @@
 
 /* --- batches --- */
 
-static void add_attempt(const struct lmn_told_attempt *attempt)
+static void add_attempt(const struct lmn_attempt_snapshot *attempt)
 {
     digest_text(attempt->ref);
     digest_number(attempt->index);
@@ -59,14 +59,14 @@
     digest_number(attempt->done);
 }
 
-static void add_image(const struct lmn_told_image *image)
+static void add_image(const struct lmn_image_snapshot *image)
 {
     digest_text(image->name);
     digest_real(image->gb);
     digest_number(image->there);
 }
 
-static void add_machine(const struct lmn_told *machine)
+static void add_machine(const struct lmn_machine_snapshot *machine)
 {
     digest_text(machine->name);
     digest_number(machine->session);
@@ -74,27 +74,28 @@
     digest_number(machine->forget);
     digest_number(machine->attempts->len);
     for (guint i = 0; i < machine->attempts->len; i++)
-        add_attempt(&g_array_index(machine->attempts, struct lmn_told_attempt, i));
+        add_attempt(&g_array_index(machine->attempts, struct lmn_attempt_snapshot, i));
     digest_number(machine->images != NULL);
     for (guint i = 0; machine->images && i < machine->images->len; i++)
-        add_image(&g_array_index(machine->images, struct lmn_told_image, i));
+        add_image(&g_array_index(machine->images, struct lmn_image_snapshot, i));
 }
 
-static const char *answer_name(enum lmn_copy_answer answer)
+static const char *answer_name(enum lmn_replica_result answer)
 {
     switch (answer) {
-    case LMN_COPY_TAKEN:
+    case LMN_REPLICA_APPLIED:
         return "taken";
-    case LMN_COPY_UNKNOWN:
+    case LMN_REPLICA_UNKNOWN_STREAM:
         return "unknown";
-    case LMN_COPY_REFUSED:
+    case LMN_REPLICA_REJECTED:
         return "refused";
     }
     return NULL;
 }
 
-void digest_batch(int from, int to, struct timespec now, const struct lmn_batch *batch,
-                  bool heard, enum lmn_copy_answer answer)
+void digest_batch(int from, int to, struct timespec now,
+                  const struct lmn_replication_batch *batch, bool heard,
+                  enum lmn_replica_result answer)
 {
     if (!digest_is_open())
         return;
--- a/tests/digest/messages.h
+++ b/tests/digest/messages.h
@@ -14,7 +14,8 @@
 void digest_transaction(const char *kind, struct timespec now,
                         const struct lmn_txn *transaction);
 /* A message: a batch from an owner to its standby, and the answer if it was heard. */
-void digest_batch(int from, int to, struct timespec now, const struct lmn_batch *batch,
-                  bool heard, enum lmn_copy_answer answer);
+void digest_batch(int from, int to, struct timespec now,
+                  const struct lmn_replication_batch *batch, bool heard,
+                  enum lmn_replica_result answer);
 
 #endif
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -42,7 +42,8 @@
     if (!node->pending || node->stalled)
         return false;
     uint64_t mark = lmn_direct_mark(node->core, node->pending_to, &id);
-    bool covered = node_partition(n)->mine && lmn_stream_covers(node_partition(n), mark);
+    bool covered =
+        node_partition(n)->mine && lmn_replication_covers(node_partition(n), mark);
     if (covered || explored.without == GUARD_ACKNOWLEDGED) {
         if (!send_directly(n, node->pending_to, node->pending))
             return false;
@@ -113,9 +114,10 @@
 
     if (status != 200 || !held.mark)
         return status;
-    while (explored.fair && !lmn_stream_covers(p, held.mark) && replicate(n, DELIVERED))
+    while (explored.fair && !lmn_replication_covers(p, held.mark) &&
+           replicate(n, DELIVERED))
         write_standby_record(n, true);
-    if (!lmn_stream_covers(p, held.mark) && explored.without != GUARD_ACKNOWLEDGED)
+    if (!lmn_replication_covers(p, held.mark) && explored.without != GUARD_ACKNOWLEDGED)
         lmn_worker_withhold(c, &held, answer, explored.now);
     return status;
 }
--- a/tests/takeover/replication.c
+++ b/tests/takeover/replication.c
@@ -7,53 +7,53 @@
 /* More than an owner tries before it gives a standby up. */
 enum { MANY_FAILURES = 10 };
 
-static bool take_batch(int to, const struct lmn_batch *batch,
-                       enum lmn_copy_answer *answer)
+static bool take_batch(int to, const struct lmn_replication_batch *batch,
+                       enum lmn_replica_result *answer)
 {
     if (to > B || explored.nodes[to].stalled)
         return false;
-    struct lmn_batch *received = batch_twin(batch);
-    *answer = lmn_copy_take(explored.nodes[to].core, received, explored.now);
-    lmn_batch_free(received);
+    struct lmn_replication_batch *received = batch_twin(batch);
+    *answer = lmn_replica_apply(explored.nodes[to].core, received, explored.now);
+    lmn_replication_batch_free(received);
     return true;
 }
 
-static void send_batch(int n, struct lmn_batch *batch, enum delivery how)
+static void send_batch(int n, struct lmn_replication_batch *batch, enum delivery how)
 {
     struct lmn_partition *p = node_partition(n);
-    enum lmn_copy_answer answer = LMN_COPY_TAKEN;
+    enum lmn_replica_result answer = LMN_REPLICA_APPLIED;
 
     bool taken = how != BATCH_LOST && take_batch(p->stream.to, batch, &answer);
     if (how == BATCH_LOST)
         p->stream.failures = MANY_FAILURES;
     digest_batch(n, p->stream.to, explored.now, batch, taken && how == DELIVERED, answer);
-    lmn_stream_sent(explored.nodes[n].core, p, batch, taken && how == DELIVERED, answer,
-                    explored.now);
+    lmn_replication_batch_sent(explored.nodes[n].core, p, batch,
+                               taken && how == DELIVERED, answer, explored.now);
 }
 
 bool replicate(int n, enum delivery how)
 {
     struct node *node = &explored.nodes[n];
     struct lmn_partition *p = node_partition(n);
-    struct lmn_batch *batch = NULL;
+    struct lmn_replication_batch *batch = NULL;
     struct lmn_txn *record = NULL;
     double wait;
 
     if (!explored.with_standby || node->stalled || !p->mine)
         return false;
     advance(0.004); /* starts are gathered for less */
-    enum lmn_stream_phase before = p->stream.phase;
-    enum lmn_stream_step step =
-        lmn_stream_next(node->core, p, explored.now, &batch, &record, &wait);
-    if (step == LMN_STREAM_WRITE) {
+    enum lmn_replication_phase before = p->stream.phase;
+    enum lmn_replication_step step =
+        lmn_replication_next_step(node->core, p, explored.now, &batch, &record, &wait);
+    if (step == LMN_REPLICATION_WRITE) {
         if (node->standby_record)
             lmn_txn_free(node->standby_record);
         node->standby_record = record;
         return true;
     }
     if (explored.without == GUARD_STRUCK_OFF && p->stream.phase == LMN_STREAM_REMOVING)
-        lmn_stream_reset(node->core, p);
-    if (step != LMN_STREAM_SEND)
+        lmn_replication_reset(node->core, p);
+    if (step != LMN_REPLICATION_SEND)
         return p->stream.phase != before;
     send_batch(n, batch, how);
     return true;
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -18,7 +18,7 @@
 {
     const struct node *node = &explored.nodes[n];
     const struct lmn_partition *p = node_partition(n);
-    const struct lmn_stream *f = &p->stream;
+    const struct lmn_replication_stream *f = &p->stream;
 
     g_string_append_printf(
         s, "{%d%d%d%d%d%d%d%d%d %d}", f->phase, f->to, f->batch != NULL, f->number > 0,
@@ -29,7 +29,7 @@
     g_string_append_printf(s, "[%d%d", (int)p->copy->term,
                            p->copy->stream == p->standby_stream);
     for (int k = 0; k < MACHINES; k++) {
-        const struct lmn_told *t =
+        const struct lmn_machine_snapshot *t =
             g_hash_table_lookup(p->copy->machines, explored.machines[k].name);
         g_string_append_printf(s, ",%d", t ? (int)t->attempts->len : 9);
     }
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -415,10 +415,10 @@
     assert_int_equal(p->owner_stream, (uint64_t)42 << 20 | 3);
 }
 
-static struct lmn_txn *standby_write(struct lmn_core *c, enum lmn_stream_phase phase)
+static struct lmn_txn *standby_write(struct lmn_core *c, enum lmn_replication_phase phase)
 {
     struct lmn_partition *p = &c->parts[1];
-    struct lmn_batch *batch = NULL;
+    struct lmn_replication_batch *batch = NULL;
     struct lmn_txn *t = NULL;
     double wait;
 
@@ -431,7 +431,8 @@
     p->stream.to = 1;
     p->stream.to_lease = 300;
     p->stream.id = (uint64_t)42 << 20 | 3;
-    assert_int_equal(lmn_stream_next(c, p, now, &batch, &t, &wait), LMN_STREAM_WRITE);
+    assert_int_equal(lmn_replication_next_step(c, p, now, &batch, &t, &wait),
+                     LMN_REPLICATION_WRITE);
     return t;
 }
 
--- a/tests/test_scenarios_limits.c
+++ b/tests/test_scenarios_limits.c
@@ -106,7 +106,7 @@
 static unsigned confirmed[HANDOVER_STEPS][CONFIRMERS];
 static struct {
     int owner, previous;
-    enum lmn_stream_phase phase;
+    enum lmn_replication_phase phase;
     bool releasing;
     uint64_t batches;
 } seen[MOST_NODES];
@@ -155,7 +155,7 @@
     if (owner < 0)
         return;
     const struct lmn_partition *p = &w.nodes[owner].core->parts[part];
-    enum lmn_stream_phase phase = p->stream.phase;
+    enum lmn_replication_phase phase = p->stream.phase;
     int other = phase == LMN_STREAM_NONE ? (owner + 1) % w.layout.nodes : p->stream.to;
     if (seen[part].owner != owner) {
         if (seen[part].owner >= 0)
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -56,11 +56,11 @@
     return 0;
 }
 
-static struct lmn_told *told(const char *name, const char *ref, uint32_t index,
-                             uint64_t number)
+static struct lmn_machine_snapshot *told(const char *name, const char *ref,
+                                         uint32_t index, uint64_t number)
 {
-    struct lmn_told *t = lmn_told_new(name);
-    struct lmn_told_attempt a = {.index = index, .number = number};
+    struct lmn_machine_snapshot *t = lmn_machine_snapshot_new(name);
+    struct lmn_attempt_snapshot a = {.index = index, .number = number};
 
     g_strlcpy(a.ref, ref, sizeof a.ref);
     if (number)
@@ -68,18 +68,18 @@
     return t;
 }
 
-static enum lmn_copy_answer give(uint64_t term, uint64_t stream, uint64_t number,
-                                 struct lmn_told *t)
+static enum lmn_replica_result give(uint64_t term, uint64_t stream, uint64_t number,
+                                    struct lmn_machine_snapshot *t)
 {
-    struct lmn_batch *b = lmn_batch_new();
+    struct lmn_replication_batch *b = lmn_replication_batch_new();
 
     b->term = term;
     b->stream = stream;
     b->number = number;
     if (t)
         g_ptr_array_add(b->machines, t);
-    enum lmn_copy_answer a = lmn_copy_take(core, b, now);
-    lmn_batch_free(b);
+    enum lmn_replica_result a = lmn_replica_apply(core, b, now);
+    lmn_replication_batch_free(b);
     return a;
 }
 
@@ -104,13 +104,13 @@
             uint64_t which = number % 4;
             char name[16];
             g_snprintf(name, sizeof name, "host-%d", (int)which);
-            enum lmn_copy_answer a =
+            enum lmn_replica_result a =
                 give(1, stream, number, told(name, "run-000001", 0, 1000 + number));
             if (number > next) {
-                assert_int_equal(a, LMN_COPY_UNKNOWN);
+                assert_int_equal(a, LMN_REPLICA_UNKNOWN_STREAM);
                 refused++;
             } else {
-                assert_int_equal(a, LMN_COPY_TAKEN);
+                assert_int_equal(a, LMN_REPLICA_APPLIED);
                 repeated += number < next;
             }
             if (number == next) {
@@ -119,19 +119,21 @@
             }
             /* Another stream's late beginning, and one of a term that is over. */
             if (off == 0 && next > 1)
-                assert_int_equal(give(1, stream - 1, 0, NULL), LMN_COPY_UNKNOWN);
+                assert_int_equal(give(1, stream - 1, 0, NULL),
+                                 LMN_REPLICA_UNKNOWN_STREAM);
         }
-        const struct lmn_copy *copy = core->parts[0].copy;
+        const struct lmn_replica *copy = core->parts[0].copy;
         assert_int_equal(copy->stream, stream);
         assert_int_equal(copy->number + 1, next);
         for (int i = 0; i < 4; i++) {
             char name[16];
             g_snprintf(name, sizeof name, "host-%d", i);
-            const struct lmn_told *t = g_hash_table_lookup(copy->machines, name);
+            const struct lmn_machine_snapshot *t =
+                g_hash_table_lookup(copy->machines, name);
             assert_int_equal(said[i] != 0, t != NULL);
             if (t)
                 assert_int_equal(
-                    g_array_index(t->attempts, struct lmn_told_attempt, 0).number,
+                    g_array_index(t->attempts, struct lmn_attempt_snapshot, 0).number,
                     said[i]);
         }
     }
@@ -212,7 +214,7 @@
     give(1, 7, 1, told("host-1", "run-000001", 0, 6)); /* once more, later */
     give(1, 7, 2, told("host-2", "run-000001", 3, 7)); /* recorded as done */
     give(1, 7, 3, told("host-9", "run-000001", 1, 8)); /* no block names it: it is gone */
-    struct lmn_told *gone = told("host-3", "run-000001", 2, 0);
+    struct lmn_machine_snapshot *gone = told("host-3", "run-000001", 2, 0);
     gone->gone = true;
     give(1, 7, 4, gone);
     begin(7, 7);
@@ -243,24 +245,26 @@
     p->standby_term = 1;
     p->owner_term = 2;
     g_strlcpy(p->standby, "na", LMN_NAME_SIZE);
-    assert_null(lmn_takeover_cold(core, p));
+    assert_null(lmn_failover_cold_reason(core, p));
     p->owner_stream = 0;
-    assert_string_equal(lmn_takeover_cold(core, p), "nobody was in step");
+    assert_string_equal(lmn_failover_cold_reason(core, p), "nobody was in step");
     p->owner_stream = 6;
-    assert_string_equal(lmn_takeover_cold(core, p), "another was in step");
+    assert_string_equal(lmn_failover_cold_reason(core, p), "another was in step");
     p->owner_stream = 7;
     g_strlcpy(p->standby, "nb", LMN_NAME_SIZE);
-    assert_string_equal(lmn_takeover_cold(core, p), "another was in step");
+    assert_string_equal(lmn_failover_cold_reason(core, p), "another was in step");
     g_strlcpy(p->standby, "na", LMN_NAME_SIZE);
     p->owner_term = 3;
-    assert_string_equal(lmn_takeover_cold(core, p), "the copy is of another term");
+    assert_string_equal(lmn_failover_cold_reason(core, p), "the copy is of another term");
     p->owner_term = 2;
     p->copy->stream = 8;
-    assert_string_equal(lmn_takeover_cold(core, p), "the copy is of another stream");
+    assert_string_equal(lmn_failover_cold_reason(core, p),
+                        "the copy is of another stream");
     p->copy->stream = 7;
-    struct lmn_copy *copy = p->copy;
+    struct lmn_replica *copy = p->copy;
     p->copy = NULL;
-    assert_string_equal(lmn_takeover_cold(core, p), "no copy: another life was in step");
+    assert_string_equal(lmn_failover_cold_reason(core, p),
+                        "no copy: another life was in step");
     p->copy = copy;
 }
 
@@ -270,12 +274,12 @@
     (void)state;
     give(1, 7, 0, NULL);
     core->parts[0].term = 2;
-    assert_int_equal(give(1, 7, 1, NULL), LMN_COPY_REFUSED);
-    assert_int_equal(give(2, 8, 0, NULL), LMN_COPY_TAKEN);
+    assert_int_equal(give(1, 7, 1, NULL), LMN_REPLICA_REJECTED);
+    assert_int_equal(give(2, 8, 0, NULL), LMN_REPLICA_APPLIED);
     core->parts[0].mine = true;
-    assert_int_equal(give(2, 8, 1, NULL), LMN_COPY_REFUSED);
+    assert_int_equal(give(2, 8, 1, NULL), LMN_REPLICA_REJECTED);
     core->parts[0].mine = false;
-    assert_int_equal(give(9, 9, 0, NULL), LMN_COPY_TAKEN);
+    assert_int_equal(give(9, 9, 0, NULL), LMN_REPLICA_APPLIED);
 }
 
 /* The standby falls silent while its record stands: nothing goes out, nothing more is
@@ -283,8 +287,8 @@
 static void silence_stops_starts_until_the_record_is_empty(void **state)
 {
     struct lmn_partition *p = &core->parts[0];
-    struct lmn_stream *s = &p->stream;
-    struct lmn_batch *b = NULL;
+    struct lmn_replication_stream *s = &p->stream;
+    struct lmn_replication_batch *b = NULL;
     struct lmn_txn *t = NULL;
     double wait;
     (void)state;
@@ -300,23 +304,24 @@
     lmn_member_record_probe_reply(&core->members, nb, &well, now, now);
     /* Not while either is behind. */
     core->load.behind = 1;
-    lmn_stream_next(core, p, now, &b, &t, &wait);
+    lmn_replication_next_step(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_NONE);
     core->load.behind = 0;
     struct lmn_member_health late = {1, 0, 0};
     lmn_member_record_probe_reply(&core->members, nb, &late, now, now);
-    lmn_stream_next(core, p, now, &b, &t, &wait);
+    lmn_replication_next_step(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_NONE);
     lmn_member_record_probe_reply(&core->members, nb, &well, now, now);
     for (int k = 0; k < 9 && s->phase != LMN_STREAM_JOINING; k++)
-        if (lmn_stream_next(core, p, now, &b, &t, &wait) == LMN_STREAM_SEND)
-            lmn_stream_sent(core, p, b, true, LMN_COPY_TAKEN, now);
+        if (lmn_replication_next_step(core, p, now, &b, &t, &wait) ==
+            LMN_REPLICATION_SEND)
+            lmn_replication_batch_sent(core, p, b, true, LMN_REPLICA_APPLIED, now);
     assert_int_equal(s->phase, LMN_STREAM_JOINING);
     if (t)
         lmn_txn_free(t);
     t = NULL;
     put("b/0", owner("nb", 2, 2, s->id), 20);
-    lmn_stream_next(core, p, now, &b, &t, &wait);
+    lmn_replication_next_step(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_IN_SYNC);
     /* Found in a status: what was told before anything waited counted as waiting, from
      * the beginning of time on. */
@@ -325,29 +330,32 @@
     struct lmn_member_health old = {0, 30, 0};
     lmn_member_record_probe_reply(&core->members, nb, &old, now, now);
     assert_false(lmn_member_is_trusted(&core->members, nb, now));
-    lmn_stream_next(core, p, now, &b, &t, &wait);
+    lmn_replication_next_step(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_IN_SYNC);
     uint64_t mark = lmn_machine_log_start(p->list->pdata[0], now);
-    assert_true(mark && !lmn_stream_covers(p, mark) && !lmn_stream_stuck(p, now));
+    assert_true(mark && !lmn_replication_covers(p, mark) &&
+                !lmn_replication_is_stuck(p, now));
     for (int k = 0; k < 3; k++) {
         now = lmn_time_add(now, 0.15);
-        if (lmn_stream_next(core, p, now, &b, &t, &wait) == LMN_STREAM_SEND)
-            lmn_stream_sent(core, p, b, false, LMN_COPY_TAKEN, now);
+        if (lmn_replication_next_step(core, p, now, &b, &t, &wait) ==
+            LMN_REPLICATION_SEND)
+            lmn_replication_batch_sent(core, p, b, false, LMN_REPLICA_APPLIED, now);
     }
-    assert_true(lmn_stream_stuck(p, now));
+    assert_true(lmn_replication_is_stuck(p, now));
     if (!t)
-        assert_int_equal(lmn_stream_next(core, p, now, &b, &t, &wait), LMN_STREAM_WRITE);
+        assert_int_equal(lmn_replication_next_step(core, p, now, &b, &t, &wait),
+                         LMN_REPLICATION_WRITE);
     assert_int_equal(s->phase, LMN_STREAM_REMOVING);
     lmn_txn_free(t);
     /* However long that takes. */
     now = lmn_time_add(now, 100);
-    assert_false(lmn_stream_covers(p, mark));
-    lmn_stream_next(core, p, now, &b, &t, &wait);
+    assert_false(lmn_replication_covers(p, mark));
+    lmn_replication_next_step(core, p, now, &b, &t, &wait);
     assert_int_equal(s->phase, LMN_STREAM_REMOVING);
     lmn_txn_free(t);
     put("b/0", owner("", 0, 2, 0), 21);
-    lmn_stream_next(core, p, now, &b, &t, &wait);
-    assert_true(lmn_stream_covers(p, mark) && !lmn_stream_stuck(p, now));
+    lmn_replication_next_step(core, p, now, &b, &t, &wait);
+    assert_true(lmn_replication_covers(p, mark) && !lmn_replication_is_stuck(p, now));
 }
 
 int main(void)
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -204,7 +204,7 @@
 {
     (void)state;
     lose_with_attempts();
-    assert_true(lmn_copy_own_is_last(part));
+    assert_true(lmn_replica_own_is_latest(part));
     assert_int_equal(machine(0)->attempts->len, 0);
     core->lease = 2;
     claimed("nb", 2, 5);
@@ -338,7 +338,7 @@
     (void)state;
     lose_with_attempts();
     claimed("nc", 9, 5);
-    assert_false(lmn_copy_own_is_last(part));
+    assert_false(lmn_replica_own_is_latest(part));
     put("o/0", NULL);
     core->lease = 2;
     claimed("nb", 2, 6);
@@ -377,26 +377,26 @@
 {
     (void)state;
     lose_with_attempts();
-    lmn_copy_drop_outdated(core, part);
+    lmn_replica_drop_outdated(core, part);
     assert_non_null(part->copy);
     claimed("nc", 9, 5);
-    lmn_copy_drop_outdated(core, part);
+    lmn_replica_drop_outdated(core, part);
     assert_null(part->copy);
 }
 
 /* The new owner tells us what it knows: that takes the place of our own. */
 static void a_newer_owners_stream_takes_its_place(void **state)
 {
-    struct lmn_batch *b = lmn_batch_new();
+    struct lmn_replication_batch *b = lmn_replication_batch_new();
     (void)state;
 
     lose_with_attempts();
     claimed("nc", 9, 5);
     b->term = 5;
     b->stream = 5 << 20 | 1;
-    assert_int_equal(lmn_copy_take(core, b, now), LMN_COPY_TAKEN);
+    assert_int_equal(lmn_replica_apply(core, b, now), LMN_REPLICA_APPLIED);
     assert_false(part->copy->own);
-    lmn_batch_free(b);
+    lmn_replication_batch_free(b);
 }
 
 /* --- who claims first --- */
--- a/tests/twin.h
+++ b/tests/twin.h
@@ -5,16 +5,17 @@
 #include "replication/batch.h"
 
 /* A copy of the batch, but for images; to be freed. */
-static inline struct lmn_batch *batch_twin(const struct lmn_batch *b)
+static inline struct lmn_replication_batch *
+batch_twin(const struct lmn_replication_batch *b)
 {
-    struct lmn_batch *c = lmn_batch_new();
+    struct lmn_replication_batch *c = lmn_replication_batch_new();
     GPtrArray *machines = c->machines;
 
     *c = *b;
     c->machines = machines;
     for (guint i = 0; i < b->machines->len; i++) {
-        const struct lmn_told *t = b->machines->pdata[i];
-        struct lmn_told *u = lmn_told_new(t->name);
+        const struct lmn_machine_snapshot *t = b->machines->pdata[i];
+        struct lmn_machine_snapshot *u = lmn_machine_snapshot_new(t->name);
         u->session = t->session;
         u->gone = t->gone;
         u->forget = t->forget;
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -194,7 +194,7 @@
                     keep_for_next(x);
                 int status = take_report(n, x, out, &held);
                 if (status == 200 && held.mark &&
-                    !lmn_stream_covers(&n->core->parts[held.part], held.mark)) {
+                    !lmn_replication_covers(&n->core->parts[held.part], held.mark)) {
                     node_hold_back(n, &held, x, m, out);
                 } else if (w.now < m->unheard_until) {
                     ; /* the answer is lost */
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -113,9 +113,9 @@
 /* In step with nothing untold, a standby knows to the letter what the owner does. */
 static void compare(const struct node *n, const struct lmn_partition *p)
 {
-    const struct lmn_stream *s = &p->stream;
+    const struct lmn_replication_stream *s = &p->stream;
     const struct lmn_core *c = w.nodes[s->to].core;
-    const struct lmn_copy *copy = c ? c->parts[p->id].copy : NULL;
+    const struct lmn_replica *copy = c ? c->parts[p->id].copy : NULL;
 
     if (s->phase != LMN_STREAM_IN_SYNC || s->batch || p->untold->len ||
         p->forgotten->len || !copy || copy->stream != s->id || copy->term != p->my_term)
@@ -123,14 +123,15 @@
     w.compared++;
     for (guint k = 0; k < p->list->len; k++) {
         const struct lmn_machine *m = p->list->pdata[k];
-        const struct lmn_told *t = g_hash_table_lookup(copy->machines, m->name);
+        const struct lmn_machine_snapshot *t =
+            g_hash_table_lookup(copy->machines, m->name);
         guint known = t ? t->attempts->len : 0;
         assert_int_equal(m->attempts->len, known);
         for (guint i = 0; i < known; i++) {
             const struct lmn_attempt *a =
                 &g_array_index(m->attempts, struct lmn_attempt, i);
-            const struct lmn_told_attempt *b =
-                &g_array_index(t->attempts, struct lmn_told_attempt, i);
+            const struct lmn_attempt_snapshot *b =
+                &g_array_index(t->attempts, struct lmn_attempt_snapshot, i);
             assert_string_equal(a->ref, b->ref);
             assert_int_equal(a->index, b->index);
             assert_int_equal(a->number, b->number);
@@ -143,30 +144,30 @@
 {
     for (int i = 0; i < w.layout.nodes; i++) {
         struct lmn_partition *p = &n->core->parts[i];
-        enum lmn_stream_step step = LMN_STREAM_SEND;
-        for (int k = 0; k < 6 && step != LMN_STREAM_WAIT; k++) {
-            enum lmn_copy_answer answer = LMN_COPY_UNKNOWN;
-            struct lmn_batch *b = NULL;
+        enum lmn_replication_step step = LMN_REPLICATION_SEND;
+        for (int k = 0; k < 6 && step != LMN_REPLICATION_WAIT; k++) {
+            enum lmn_replica_result answer = LMN_REPLICA_UNKNOWN_STREAM;
+            struct lmn_replication_batch *b = NULL;
             struct lmn_txn *t = NULL;
             double wait;
-            step = lmn_stream_next(n->core, p, w.clock, &b, &t, &wait);
-            if (step == LMN_STREAM_WRITE && !cut)
+            step = lmn_replication_next_step(n->core, p, w.clock, &b, &t, &wait);
+            if (step == LMN_REPLICATION_WRITE && !cut)
                 node_send(n, t);
-            else if (step == LMN_STREAM_WRITE)
+            else if (step == LMN_REPLICATION_WRITE)
                 lmn_txn_free(t);
-            if (step != LMN_STREAM_SEND)
+            if (step != LMN_REPLICATION_SEND)
                 continue;
             struct node *o = &w.nodes[p->stream.to];
             bool heard =
                 talk(me, p->stream.to) && w.now >= o->still_until && !world_trouble(0.02);
             if (heard) {
-                struct lmn_batch *same = batch_twin(b);
-                answer = lmn_copy_take(o->core, same, w.clock);
-                lmn_batch_free(same);
+                struct lmn_replication_batch *same = batch_twin(b);
+                answer = lmn_replica_apply(o->core, same, w.clock);
+                lmn_replication_batch_free(same);
                 heard = !world_trouble(0.02);
             }
             digest_batch(me, p->stream.to, w.clock, b, heard, answer);
-            lmn_stream_sent(n->core, p, b, heard, answer, w.clock);
+            lmn_replication_batch_sent(n->core, p, b, heard, answer, w.clock);
         }
         if (p->mine)
             compare(n, p);
@@ -206,8 +207,8 @@
         struct lmn_partition *p = &n->core->parts[x->held.part];
         struct machine *m = &w.machines[x->machine];
         bool ours = p->mine && p->my_term == x->held.term;
-        bool go = w.broken == G_TOLD || (ours && lmn_stream_covers(p, x->held.mark));
-        if (ours && !go && w.now - x->since <= LMN_STREAM_HOLD_S) {
+        bool go = w.broken == G_TOLD || (ours && lmn_replication_covers(p, x->held.mark));
+        if (ours && !go && w.now - x->since <= LMN_REPLICATION_DEFER_S) {
             i++;
             continue;
         }
@@ -295,7 +296,8 @@
         double luck = g_rand_double(w.r);
         struct lmn_held held = {0};
         held.mark = lmn_direct_mark(n->core, name, &held.part);
-        if (m && held.mark && !lmn_stream_covers(&n->core->parts[held.part], held.mark)) {
+        if (m && held.mark &&
+            !lmn_replication_covers(&n->core->parts[held.part], held.mark)) {
             GByteArray *own = g_byte_array_new();
             g_byte_array_append(own, body->data, body->len);
             held.term = n->core->parts[held.part].my_term;
