--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -107,13 +107,13 @@
         lmn_members_tick(&core->members, since - TICK_S, now);
         core->members.word.behind_s = core->load.behind;
         last = now;
-        lmn_rank_all(core, lmn_time_seconds(lmn_wall_clock_now()));
+        lmn_update_job_order(core, lmn_time_seconds(lmn_wall_clock_now()));
         for (int i = 0; i < core->nparts && core->triaged == core->wall; i++)
-            lmn_reserve(core, &core->parts[i], now);
+            lmn_update_reservations(core, &core->parts[i], now);
         lmn_upkeep(core, now);
         for (int i = 0; i < core->nparts; i++) {
-            lmn_make_room(core, &core->parts[i], now);
-            lmn_pack(core, &core->parts[i], now);
+            lmn_preempt_for_production(core, &core->parts[i], now);
+            lmn_consolidate_replicas(core, &core->parts[i], now);
         }
         lmn_ranges_flush(core, now);
         pthread_mutex_unlock(&core->lock);
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -126,19 +126,19 @@
                   &c->accepting);
     lmn_quantiles(out, "lemonspar_starting_seconds",
                   "From a job's acceptance to a task's start", &c->starting);
-    GArray *classes = lmn_floor_classes(c);
+    GArray *classes = lmn_fair_share_by_class(c);
     lmn_metric_head(out, "lemonspar_class_cpus", "gauge",
                     "Processors that the tasks of a class use here");
     for (guint i = 0; i < classes->len; i++)
         lmn_metric_sample(out, "lemonspar_class_cpus", "class",
-                          g_array_index(classes, struct lmn_floor, i).of,
-                          g_array_index(classes, struct lmn_floor, i).used);
+                          g_array_index(classes, struct lmn_fair_share, i).of,
+                          g_array_index(classes, struct lmn_fair_share, i).used);
     lmn_metric_head(out, "lemonspar_class_waiting_cpus", "gauge",
                     "Processors that its tasks that were not started ask for");
     for (guint i = 0; i < classes->len; i++)
         lmn_metric_sample(out, "lemonspar_class_waiting_cpus", "class",
-                          g_array_index(classes, struct lmn_floor, i).of,
-                          g_array_index(classes, struct lmn_floor, i).waiting);
+                          g_array_index(classes, struct lmn_fair_share, i).of,
+                          g_array_index(classes, struct lmn_fair_share, i).waiting);
     g_array_free(classes, TRUE);
     lmn_members_metrics(c, out);
     lmn_standbys_metrics(c, out, lmn_now());
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -72,7 +72,7 @@
     pthread_mutex_lock(&core->lock);
     struct lmn_machine *m = g_hash_table_lookup(p->machines, name);
     if (p->mine && m) {
-        lmn_machine_retire(core, m, false, "drained by an operator", lmn_now());
+        lmn_machine_drain(core, m, false, "drained by an operator", lmn_now());
         rc = 0;
     } else if (p->mine) {
         snprintf(err, len, "%s: no such machine", name);
@@ -87,13 +87,13 @@
 /* Another controller asks how much would fit there, or for it. */
 static u_int asked(const struct lmn_rpc_steal_request *q, bool give)
 {
-    struct lmn_thief t;
+    struct lmn_steal_request t;
     u_int n = 0;
 
     if (q->victim < 0 || q->victim >= core->nparts || q->thief < 0 ||
         q->thief >= core->nparts)
         return 0;
-    lmn_thief_init(&t, core->cfg);
+    lmn_steal_request_init(&t, core->cfg);
     t.part = q->thief;
     for (u_int i = 0; i < q->rooms.rooms_len && i < G_N_ELEMENTS(t.rooms); i++) {
         const struct lmn_rpc_capacity *x = &q->rooms.rooms_val[i];
@@ -117,13 +117,13 @@
     struct timespec now = lmn_now();
     struct lmn_partition *p = &core->parts[q->victim];
     if (give) {
-        n = lmn_victim_give(core, p, &t, now);
+        n = lmn_victim_transfer(core, p, &t, now);
         lmn_ranges_flush(core, now);
     } else {
         n = lmn_victim_load(core, p, &t);
     }
     pthread_mutex_unlock(&core->lock);
-    lmn_thief_clear(&t);
+    lmn_steal_request_clear(&t);
     return n;
 }
 
@@ -134,8 +134,8 @@
 
     if (!team || q->victim < 0 || q->victim >= core->nparts)
         return 0;
-    struct lmn_quota_want w = {(int)(team - core->cfg->teams), q->cpus, q->gpus,
-                               q->least_cpus, q->least_gpus};
+    struct lmn_quota_request w = {(int)(team - core->cfg->teams), q->cpus, q->gpus,
+                                  q->least_cpus, q->least_gpus};
     pthread_mutex_lock(&core->lock);
     given = lmn_quota_asked(core, &core->parts[q->victim], q->thief, &w, lmn_now());
     pthread_mutex_unlock(&core->lock);
@@ -400,7 +400,7 @@
  * steals but no more than twice a second. */
 static void seek_quota(struct member *members, int part)
 {
-    struct lmn_quota_want *want = g_new(struct lmn_quota_want, core->cfg->nteams);
+    struct lmn_quota_request *want = g_new(struct lmn_quota_request, core->cfg->nteams);
     struct lmn_partition *p = &core->parts[part];
     struct timespec now = lmn_now();
     size_t n = 0;
@@ -408,7 +408,7 @@
 
     pthread_mutex_lock(&core->lock);
     for (size_t i = 0; i < core->cfg->nteams && !lmn_time_before(now, p->next_quota); i++)
-        n += lmn_quota_wanted(core, p, (int)i, &want[n]);
+        n += lmn_quota_shortfall(core, p, (int)i, &want[n]);
     int first = g_rand_int_range(core->rng, 0, core->nparts);
     pthread_mutex_unlock(&core->lock);
     for (size_t i = 0; i < n; i++) {
@@ -441,7 +441,7 @@
     pthread_mutex_unlock(&core->lock);
 }
 
-static void pull(struct member *members, const struct lmn_thief *t)
+static void pull(struct member *members, const struct lmn_steal_request *t)
 {
     struct lmn_rpc_capacity rooms[G_N_ELEMENTS(t->rooms)];
     struct lmn_rpc_team_quota *teams =
@@ -487,7 +487,7 @@
     }
     g_free(teams);
     pthread_mutex_lock(&core->lock);
-    lmn_thief_result(core, &core->parts[t->part], got, lmn_now());
+    lmn_steal_record_result(core, &core->parts[t->part], got, lmn_now());
     if (got) {
         core->count.steals++;
         core->count.stolen_tasks += got;
@@ -498,16 +498,16 @@
 void *lmn_peer_thread(void *arg)
 {
     struct member members[LMN_MAX_MEMBERS] = {0};
-    struct lmn_thief t;
+    struct lmn_steal_request t;
     (void)arg;
 
-    lmn_thief_init(&t, core->cfg);
+    lmn_steal_request_init(&t, core->cfg);
     for (size_t i = 0; i < core->cfg->nmembers; i++)
         members[i].cfg = &core->cfg->members[i];
     for (;;) {
         for (int i = 0; core->nparts > 1 && i < core->nparts; i++) {
             pthread_mutex_lock(&core->lock);
-            bool go = lmn_thief_fill(core, &core->parts[i], &t, lmn_now());
+            bool go = lmn_steal_request_fill(core, &core->parts[i], &t, lmn_now());
             pthread_mutex_unlock(&core->lock);
             if (go)
                 pull(members, &t);
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -43,15 +43,15 @@
 /* What of each class runs here, and what waits; the floor is what it goes first below. */
 static void show_classes(GString *s, const struct lmn_core *c)
 {
-    GArray *v = lmn_floor_classes(c);
+    GArray *v = lmn_fair_share_by_class(c);
     double used;
-    unsigned kinds = lmn_floor_sum(v, &used);
+    unsigned kinds = lmn_fair_share_sum(v, &used);
 
     for (guint i = 0; i < v->len; i++) {
-        const struct lmn_floor *f = &g_array_index(v, struct lmn_floor, i);
+        const struct lmn_fair_share *f = &g_array_index(v, struct lmn_fair_share, i);
         g_string_append_printf(s, "class %s cpus=%.1f waiting=%.1f owed=%d\n",
                                (const char *)f->of, f->used, f->waiting,
-                               lmn_floor_owed(f, used, kinds));
+                               lmn_is_under_fair_share(f, used, kinds));
     }
     g_array_free(v, TRUE);
 }
--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -160,7 +160,7 @@
         c->count.accused++;
         lmn_info("job-accused job=%s machines=%u proven=%d", j->spec.ref,
                  j->failures.places, j->failures.proven);
-        lmn_job_redeal(c, j, now);
+        lmn_reassign_job(c, j, now);
     }
     struct lmn_failing_job *x = accuser(m, j);
     x->times++;
@@ -176,7 +176,7 @@
         c->count.faulty++;
         lmn_info("machine-accused machine=%s jobs=%u weight=%.2f", m->name,
                  m->accusers->len, sum);
-        lmn_machine_retire(c, m, false, "tasks fail on it that succeed elsewhere", now);
+        lmn_machine_drain(c, m, false, "tasks fail on it that succeed elsewhere", now);
     }
 }
 
@@ -194,7 +194,7 @@
     if (!was && lmn_job_is_faulty(&j->failures)) {
         lmn_info("job-accused job=%s machines=%u by=predecessor", j->spec.ref,
                  j->failures.places);
-        lmn_job_redeal(c, j, now);
+        lmn_reassign_job(c, j, now);
     }
 }
 
@@ -218,7 +218,7 @@
             bool was = lmn_job_is_faulty(&a->job->failures);
             lmn_job_record_success(&a->job->failures);
             if (was)
-                lmn_job_redeal(c, a->job, now);
+                lmn_reassign_job(c, a->job, now);
         }
         if (!r)
             r = a->range = lmn_partition_find_range(m->part, a->job, a->index);
@@ -275,7 +275,7 @@
         a->seen = a->listed = true;
         a->told = false;
         if (a->job && x.state != LMN_ATTEMPT_ENDED)
-            lmn_note_image(m, a->job, x.state != LMN_ATTEMPT_FETCHING, now);
+            lmn_machine_record_image(m, a->job, x.state != LMN_ATTEMPT_FETCHING, now);
         if (x.state == LMN_ATTEMPT_ENDED) {
             if (a->state != LMN_ATTEMPT_ENDED ||
                 (!a->done && lmn_cbor_text_equals(lmn_cbor_get(d, n, W_WHY), W_DONE)))
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -58,7 +58,7 @@
     if (m->unheeded > 1)
         return;
     lmn_info("machine-unheeding machine=%s partition=%d", m->name, m->part->id);
-    lmn_redeal_machine(c, m, now);
+    lmn_reassign_machine_queue(c, m, now);
 }
 
 static guint kill_now(struct lmn_core *c, struct lmn_attempt *a, GByteArray *out)
@@ -280,7 +280,7 @@
         m->noticed_at = now;
         m->notice_s = r->notice_s;
         lmn_info("machine-notice machine=%s seconds=%.1f", m->name, r->notice_s);
-        lmn_redeal_machine(c, m, now);
+        lmn_reassign_machine_queue(c, m, now);
     }
 
     GByteArray *commands = g_byte_array_new();
@@ -301,7 +301,7 @@
         lmn_partition_check(c, p, now);
         /* Far behind, the node settles what was, and starts nothing. */
         if (!lmn_load_should_shed(&c->load, LMN_SHED_START, c->rng))
-            n += lmn_schedule(c, m, commands, now);
+            n += lmn_schedule_machine(c, m, commands, now);
         lmn_machine_cancel_wake(m);
         if (!lmn_machine_bare(m))
             m->idle = (struct timespec){0, 0};
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -200,13 +200,13 @@
      * most would have run on, and left nothing to come back to. */
     bool few = !most_silent(silence), cut = is_cut(p, m->zone, now);
     if (lmn_machine_is_silent(c, m, now) && m->probes >= 2 && few && !cut)
-        lmn_machine_retire(c, m, true, "silent and unreachable", now);
+        lmn_machine_drain(c, m, true, "silent and unreachable", now);
     if (m->lapsed &&
         silent > cfg->lease_s + LAPSED_BACK_S + (few && cut ? cfg->cancel_s : 0) &&
         lmn_time_diff_s(now, listening_since(c)) > LAPSED_BACK_S)
-        lmn_machine_retire(c, m, true, "silent", now);
+        lmn_machine_drain(c, m, true, "silent", now);
     if (m->noticed && lmn_time_diff_s(now, m->noticed_at) > m->notice_s + 0.5)
-        lmn_machine_retire(c, m, true, "taken by the cloud", now);
+        lmn_machine_drain(c, m, true, "taken by the cloud", now);
     /* Neither its worker's reports nor our own questions got through. If that goes for
      * most of them, the fault is more likely on this side: then the leases have to run
      * out first. In a zone by itself the partition's usual holder may answer them for as
@@ -225,17 +225,17 @@
     if (m->inherited && !m->accounted && waited > patience &&
         (m->probes >= 2 || (m->probes && waited > 1.25 * cfg->report_s + patience) ||
          waited > cfg->lease_s))
-        lmn_machine_retire(c, m, true, "not heard under the new term", now);
+        lmn_machine_drain(c, m, true, "not heard under the new term", now);
     /* One that nobody recorded, and that was never heard under our term: a copy of a
      * report of a machine that is gone, or one that does not hear. */
     if (!m->inherited && !m->accounted && waited > cfg->lease_s + 1.25 * cfg->report_s)
-        lmn_machine_retire(c, m, true, "never heard under this term", now);
+        lmn_machine_drain(c, m, true, "never heard under this term", now);
     /* While a partition's inherited work has to wait, its machines are idle for that
      * alone. */
     if (m->accounted && !m->retiring && m->idle.tv_sec && p->ready &&
         lmn_time_diff_s(now, m->idle) > c->tuning.idle_return_s &&
         lmn_time_diff_s(now, p->ready_at) > c->tuning.idle_return_s && !m->queue.tasks)
-        lmn_machine_retire(c, m, false, "idle", now);
+        lmn_machine_drain(c, m, false, "idle", now);
 }
 
 static uint32_t in_queue(const struct lmn_queue *q, const struct lmn_range *r)
@@ -271,7 +271,7 @@
             continue;
         c->count.unqueued++;
         lmn_error("tasks-unqueued range=%s queued=%u found=%u", r->key, queued, found);
-        lmn_range_redeal(c, r, now);
+        lmn_reassign_range(c, r, now);
     }
     g_list_free(ranges);
 }
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -17,13 +17,13 @@
     if (!lmn_range_may_start(r))
         return;
     r->dealt = true;
-    lmn_deal(c, r, r->lo, r->hi, now);
+    lmn_assign_tasks(c, r, r->lo, r->hi, now);
 }
 
 static const struct lmn_owner_ops ops = {
     .range_born = range_born,
-    .range_cut = lmn_range_cut,
-    .move_undo = lmn_move_undo,
+    .range_cut = lmn_range_truncate,
+    .move_undo = lmn_range_cancel_move,
     .range_forget = lmn_range_forget,
     .partition_own = lmn_partition_own,
     .partition_lose = lmn_partition_lose,
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -153,7 +153,7 @@
         if (r->dealt || r->job->phase != LMN_JOB_ACTIVE || !lmn_range_may_start(r))
             continue;
         r->dealt = true;
-        lmn_deal_range(c, r, now);
+        lmn_assign_range(c, r, now);
     }
 }
 
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -22,11 +22,11 @@
     struct lmn_http_client *http;
     GByteArray *buf;
     struct lmn_token_bucket budget;
-    struct lmn_fleet fleet;
+    struct lmn_autoscaler fleet;
     bool had_role;
     struct timespec role_since, typed, listed, returned;
-    struct lmn_rental pending; /* a rental whose outcome is not known */
-    char request[160];         /* its name; empty: none */
+    struct lmn_provision_request pending; /* a rental whose outcome is not known */
+    char request[160];                    /* its name; empty: none */
     uint64_t requests;
 };
 
@@ -154,11 +154,11 @@
 
 /* --- the fleet role: with partition 0 --- */
 
-static struct lmn_listed *listed(struct cloud *k, const char *name)
+static struct lmn_cloud_machine *listed(struct cloud *k, const char *name)
 {
-    struct lmn_listed *m = g_hash_table_lookup(k->fleet.machines, name);
+    struct lmn_cloud_machine *m = g_hash_table_lookup(k->fleet.machines, name);
     if (!m) {
-        m = g_new0(struct lmn_listed, 1);
+        m = g_new0(struct lmn_cloud_machine, 1);
         g_strlcpy(m->name, name, sizeof m->name);
         g_hash_table_insert(k->fleet.machines, m->name, m);
     }
@@ -198,7 +198,7 @@
             pthread_mutex_unlock(&k->c->lock);
             if (gone)
                 continue;
-            struct lmn_listed *m = listed(k, after);
+            struct lmn_cloud_machine *m = listed(k, after);
             lmn_cbor_get_text(lmn_cbor_get(&d, n, W_TYPE), m->type, sizeof m->type);
             lmn_cbor_get_text(lmn_cbor_get(&d, n, W_ZONE), m->zone, sizeof m->zone);
             lmn_cbor_get_bool(lmn_cbor_get(&d, n, W_SPOT), &m->spot);
@@ -207,7 +207,7 @@
             bool was = m->booting;
             m->booting = lmn_cbor_text_equals(state, W_BOOTING);
             if (was && !m->booting && !lmn_cbor_text_equals(state, W_BROKEN))
-                lmn_fleet_booted(&k->fleet, m, age);
+                lmn_autoscaler_record_boot(&k->fleet, m, age);
             m->broken = lmn_cbor_text_equals(state, W_BROKEN);
             if (!m->listed)
                 m->since = lmn_time_add(now, -age);
@@ -236,7 +236,7 @@
     pthread_mutex_lock(&c->lock);
     g_hash_table_iter_init(&it, k->fleet.machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_listed *m = v;
+        struct lmn_cloud_machine *m = v;
         const struct lmn_machine_type *t = lmn_machine_type_by_name(c, m->type);
         double missing = lmn_time_diff_s(now, m->listed ? m->seen : m->since);
         if (g_hash_table_contains(c->gone, m->name) ||
@@ -246,7 +246,7 @@
         }
         /* Late ones are used when they do come; a few never do. */
         double patience =
-            t ? 2 * lmn_fleet_patience(&k->fleet, t, m->zone, lag) + 10 : 120;
+            t ? 2 * lmn_autoscaler_boot_timeout_s(&k->fleet, t, m->zone, lag) + 10 : 120;
         if (m->broken || (m->booting && lmn_time_diff_s(now, m->since) > patience))
             g_ptr_array_add(bad, g_strdup(m->name));
     }
@@ -274,13 +274,13 @@
 static void rent(struct cloud *k)
 {
     struct lmn_core *c = k->c;
-    struct lmn_rental *r = &k->pending;
+    struct lmn_provision_request *r = &k->pending;
     struct lmn_cbor_document d;
     unsigned got = 0;
 
     if (!*k->request) {
         pthread_mutex_lock(&c->lock);
-        bool go = c->lease && lmn_fleet_choose(c, &k->fleet, r, lmn_now());
+        bool go = c->lease && lmn_autoscaler_decide(c, &k->fleet, r, lmn_now());
         uint64_t lease = c->lease;
         pthread_mutex_unlock(&c->lock);
         if (!go)
@@ -311,7 +311,7 @@
              n = lmn_cbor_next(&d, n)) {
             if (!lmn_cbor_get_text(n, name, sizeof name))
                 continue;
-            struct lmn_listed *m = listed(k, name);
+            struct lmn_cloud_machine *m = listed(k, name);
             g_strlcpy(m->type, r->type, sizeof m->type);
             g_strlcpy(m->zone, r->zone, sizeof m->zone);
             m->spot = r->spot;
@@ -334,7 +334,7 @@
     }
     lmn_info("machines-rent request=%s type=%s zone=%s spot=%d asked=%u got=%u status=%d",
              k->request, r->type, r->zone, r->spot, r->count, got, status);
-    lmn_fleet_outcome(&k->fleet, r, got, now);
+    lmn_autoscaler_record_result(&k->fleet, r, got, now);
     k->request[0] = '\0';
 }
 
@@ -352,7 +352,7 @@
 
     k.http = lmn_http_client_new(c->cfg->cloud);
     k.buf = g_byte_array_new();
-    lmn_fleet_init(&k.fleet);
+    lmn_autoscaler_init(&k.fleet);
     lmn_token_bucket_init(&k.budget, c->cfg->cloud_rps * share, MAX(c->cfg->cloud_rps, 1),
                           lmn_now());
     for (;;) {
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -113,7 +113,7 @@
         lmn_cbor_put_array(b, (size_t)c->nparts);
         for (int i = 0; i < c->nparts; i++) {
             double x, y;
-            lmn_quota_even(c, team, &x, &y);
+            lmn_quota_even_share(c, team, &x, &y);
             if (c->quota_known[team])
                 x = c->parts[i].quota_cpus[team], y = c->parts[i].quota_gpus[team];
             double by = gpus ? p->transfer.gpus : p->transfer.cpus;
@@ -135,9 +135,9 @@
 
     if (!p->mine || !p->ready || p->releasing || p->transfer.team >= 0 || to == p->id ||
         to < 0 || to >= c->nparts || team < 0 || team >= (int)c->cfg->nteams ||
-        !lmn_quota_limited(&c->cfg->teams[team]))
+        !lmn_team_has_limit(&c->cfg->teams[team]))
         return false;
-    lmn_quota_part(c, p, team, &have_cpus, &have_gpus);
+    lmn_quota_share(c, p, team, &have_cpus, &have_gpus);
     cpus = CLAMP(cpus, 0, MAX(have_cpus - p->used_cpus[team], 0));
     gpus = CLAMP(gpus, 0, MAX(have_gpus - p->used_gpus[team], 0));
     if (cpus < 1e-6 && gpus < 1e-6)
@@ -168,7 +168,7 @@
 }
 
 bool lmn_quota_asked(struct lmn_core *c, struct lmn_partition *p, int to,
-                     const struct lmn_quota_want *w, struct timespec now)
+                     const struct lmn_quota_request *w, struct timespec now)
 {
     double cpus, gpus, have_cpus, have_gpus;
 
@@ -177,11 +177,11 @@
     lmn_quota_spare(c, p, w, &cpus, &gpus);
     /* Small tasks take each piece of the part as it becomes free: a task larger than any
      * part waited for as long as they came. */
-    lmn_quota_part(c, p, w->team, &have_cpus, &have_gpus);
+    lmn_quota_share(c, p, w->team, &have_cpus, &have_gpus);
     double lacks_cpus = MIN(w->least_cpus, have_cpus);
     double lacks_gpus = MIN(w->least_gpus, have_gpus);
     if (p->used_cpus[w->team] + lacks_cpus > have_cpus + 1e-6 ||
         p->used_gpus[w->team] + lacks_gpus > have_gpus + 1e-6)
-        lmn_reserve_limit(p, w->team, lacks_cpus, lacks_gpus, now);
+        lmn_reserve_quota(p, w->team, lacks_cpus, lacks_gpus, now);
     return lmn_quota_give(c, p, w->team, to, cpus, gpus);
 }
--- a/src/partition/quota_transfer.h
+++ b/src/partition/quota_transfer.h
@@ -17,6 +17,6 @@
 /* Another partition is short of it: gives what can be spared, and keeps free what
  * it lacks for one task, until that can be given. */
 bool lmn_quota_asked(struct lmn_core *c, struct lmn_partition *p, int to,
-                     const struct lmn_quota_want *w, struct timespec now);
+                     const struct lmn_quota_request *w, struct timespec now);
 
 #endif
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -56,7 +56,7 @@
     r->st[index - r->lo] = LMN_TASK_QUEUED;
     r->nstarted--;
     if (r->dealt && r->job->phase == LMN_JOB_ACTIVE)
-        lmn_deal(c, r, index, index + 1, now);
+        lmn_assign_tasks(c, r, index, index + 1, now);
 }
 
 void lmn_task_finished(struct lmn_range *r, uint32_t index, struct timespec now)
@@ -77,7 +77,7 @@
 {
     GArray *old = m->attempts;
 
-    lmn_redeal_machine(c, m, now);
+    lmn_reassign_machine_queue(c, m, now);
     m->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt));
     for (guint i = 0; i < old->len; i++) {
         struct lmn_attempt *a = &g_array_index(old, struct lmn_attempt, i);
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -40,7 +40,7 @@
             if (outcome == LMN_TXN_UNKNOWN)
                 r->move_unsure = true;
             else if (r->move_to >= 0 && !r->move_unsure)
-                lmn_move_undo(c, r, lmn_now());
+                lmn_range_cancel_move(c, r, lmn_now());
         }
     }
     pthread_mutex_unlock(&c->lock);
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -245,7 +245,7 @@
             guint before = m->attempts->len;
             /* Behind the fence no worker is answered, and nothing starts either. */
             if (!lmn_watch_cache_is_too_stale(c, now))
-                n += lmn_schedule(c, m, commands, now);
+                n += lmn_schedule_machine(c, m, commands, now);
             if (n) {
                 for (guint k = before; k < m->attempts->len; k++)
                     g_array_index(m->attempts, struct lmn_attempt, k).direct = true;
--- a/src/scheduler/affinity.c
+++ b/src/scheduler/affinity.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-uint32_t lmn_zone_room(const struct lmn_job *j, const char *zone)
+uint32_t lmn_zone_task_capacity(const struct lmn_job *j, const char *zone)
 {
     int here = 0, elsewhere = 0, most = (int)((j->spec.tasks + 1) / 2);
 
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -6,11 +6,11 @@
 #include <math.h>
 #include <string.h>
 
-void lmn_fleet_init(struct lmn_fleet *f)
+void lmn_autoscaler_init(struct lmn_autoscaler *f)
 {
     f->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    f->refusals = g_array_new(FALSE, FALSE, sizeof(struct lmn_refusal));
-    f->boots = g_array_new(FALSE, FALSE, sizeof(struct lmn_boots));
+    f->refusals = g_array_new(FALSE, FALSE, sizeof(struct lmn_capacity_backoff));
+    f->boots = g_array_new(FALSE, FALSE, sizeof(struct lmn_boot_time));
 }
 
 /* Boots usually take up to 1.5 times what the type says (the protocol). */
@@ -18,20 +18,21 @@
 /* How much the last boot counts. */
 static const double LAST = 0.2;
 
-static struct lmn_boots *boots(const struct lmn_fleet *f, const char *type,
-                               const char *zone)
+static struct lmn_boot_time *boots(const struct lmn_autoscaler *f, const char *type,
+                                   const char *zone)
 {
     for (guint i = 0; i < f->boots->len; i++) {
-        struct lmn_boots *b = &g_array_index(f->boots, struct lmn_boots, i);
+        struct lmn_boot_time *b = &g_array_index(f->boots, struct lmn_boot_time, i);
         if (!strcmp(b->type, type) && !strcmp(b->zone, zone))
             return b;
     }
     return NULL;
 }
 
-void lmn_fleet_booted(struct lmn_fleet *f, const struct lmn_listed *m, double age_s)
+void lmn_autoscaler_record_boot(struct lmn_autoscaler *f,
+                                const struct lmn_cloud_machine *m, double age_s)
 {
-    struct lmn_boots *b = boots(f, m->type, m->zone), new = {.typical = age_s};
+    struct lmn_boot_time *b = boots(f, m->type, m->zone), new = {.typical = age_s};
 
     if (b) {
         b->typical += (age_s - b->typical) * LAST;
@@ -42,10 +43,11 @@
     g_array_append_val(f->boots, new);
 }
 
-double lmn_fleet_patience(const struct lmn_fleet *f, const struct lmn_machine_type *t,
-                          const char *zone, double lag_s)
+double lmn_autoscaler_boot_timeout_s(const struct lmn_autoscaler *f,
+                                     const struct lmn_machine_type *t, const char *zone,
+                                     double lag_s)
 {
-    const struct lmn_boots *b = boots(f, t->name, zone);
+    const struct lmn_boot_time *b = boots(f, t->name, zone);
 
     return USUAL * MAX(t->ready_s, b ? b->typical : 0) + 2 * lag_s;
 }
@@ -59,8 +61,8 @@
 
 /* Processors that a few late ones will not bring: they are rented once more. Where many
  * are late it is the cloud that is slow, and more of them would be no sooner there. */
-static void count_late(const struct lmn_core *c, const struct lmn_fleet *f, double *late,
-                       double *late_ordinary, struct timespec now)
+static void count_late(const struct lmn_core *c, const struct lmn_autoscaler *f,
+                       double *late, double *late_ordinary, struct timespec now)
 {
     GArray *kinds = g_array_new(FALSE, FALSE, sizeof(struct kind));
     GHashTableIter it;
@@ -69,7 +71,7 @@
     for (int pass = 0; pass < 2; pass++) {
         g_hash_table_iter_init(&it, f->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            const struct lmn_listed *m = v;
+            const struct lmn_cloud_machine *m = v;
             const struct lmn_machine_type *t = lmn_machine_type_by_name(c, m->type);
             struct kind *k = NULL, new = {t, m->zone, 0, 0};
             if (!t || m->broken)
@@ -82,9 +84,9 @@
                 g_array_append_val(kinds, new);
                 k = &g_array_index(kinds, struct kind, kinds->len - 1);
             }
-            bool is_late =
-                m->booting && lmn_time_diff_s(now, m->since) >
-                                  lmn_fleet_patience(f, t, m->zone, c->cfg->list_lag_s);
+            bool is_late = m->booting && lmn_time_diff_s(now, m->since) >
+                                             lmn_autoscaler_boot_timeout_s(
+                                                 f, t, m->zone, c->cfg->list_lag_s);
             if (!pass) {
                 k->all++;
                 k->late += is_late;
@@ -138,7 +140,7 @@
 static bool cheap_only(const struct lmn_core *c, const struct lmn_job_spec *s)
 {
     for (size_t i = 0; i < c->types.n; i++)
-        if (!lmn_cheap_only(c->cfg, s, &c->types.v[i]))
+        if (!lmn_is_spot_only(c->cfg, s, &c->types.v[i]))
             return false;
     return c->types.n > 0;
 }
@@ -177,21 +179,23 @@
     return a;
 }
 
-static struct lmn_refusal *refusal(struct lmn_fleet *f, const char *type,
-                                   const char *zone, bool spot)
+static struct lmn_capacity_backoff *refusal(struct lmn_autoscaler *f, const char *type,
+                                            const char *zone, bool spot)
 {
     for (guint i = 0; i < f->refusals->len; i++) {
-        struct lmn_refusal *r = &g_array_index(f->refusals, struct lmn_refusal, i);
+        struct lmn_capacity_backoff *r =
+            &g_array_index(f->refusals, struct lmn_capacity_backoff, i);
         if (r->spot == spot && !strcmp(r->type, type) && !strcmp(r->zone, zone))
             return r;
     }
     return NULL;
 }
 
-void lmn_fleet_outcome(struct lmn_fleet *f, const struct lmn_rental *r, unsigned got,
-                       struct timespec now)
+void lmn_autoscaler_record_result(struct lmn_autoscaler *f,
+                                  const struct lmn_provision_request *r, unsigned got,
+                                  struct timespec now)
 {
-    struct lmn_refusal *old = refusal(f, r->type, r->zone, r->spot);
+    struct lmn_capacity_backoff *old = refusal(f, r->type, r->zone, r->spot);
 
     if (got >= r->count) {
         if (old)
@@ -199,11 +203,12 @@
         return;
     }
     if (!old) {
-        struct lmn_refusal n = {.spot = r->spot};
+        struct lmn_capacity_backoff n = {.spot = r->spot};
         g_strlcpy(n.type, r->type, sizeof n.type);
         g_strlcpy(n.zone, r->zone, sizeof n.zone);
         g_array_append_val(f->refusals, n);
-        old = &g_array_index(f->refusals, struct lmn_refusal, f->refusals->len - 1);
+        old = &g_array_index(f->refusals, struct lmn_capacity_backoff,
+                             f->refusals->len - 1);
     }
     old->wait_s = got ? 8 : CLAMP(old->wait_s * 2, 8, 32);
     old->until = lmn_time_add(now, old->wait_s);
@@ -211,9 +216,9 @@
 
 /* The cheapest that serves the deficit, of which ordinary machines may serve no more than
  * `dear`; returns its cost, or infinity. */
-static double choose(const struct lmn_core *c, struct lmn_fleet *f, const GArray *w,
+static double choose(const struct lmn_core *c, struct lmn_autoscaler *f, const GArray *w,
                      double deficit, double dear, bool any, bool first,
-                     struct lmn_rental *out, struct timespec now)
+                     struct lmn_provision_request *out, struct timespec now)
 {
     double best = INFINITY;
 
@@ -221,7 +226,8 @@
         for (int z = 0; z < c->types.v[i].nzones; z++)
             for (int spot = 0; spot <= (any && c->tuning.spot >= 0.5); spot++) {
                 const struct lmn_machine_type *t = &c->types.v[i];
-                const struct lmn_refusal *no = refusal(f, t->name, t->zones[z], spot);
+                const struct lmn_capacity_backoff *no =
+                    refusal(f, t->name, t->zones[z], spot);
                 double cpus = 0, mem = 0;
                 if (no && no->wait_s > 0 && lmn_time_before(now, no->until))
                     continue;
@@ -257,8 +263,8 @@
 /* How far behind a node may be that rents. */
 static const double BEHIND_S = 1;
 
-bool lmn_fleet_choose(struct lmn_core *c, struct lmn_fleet *f, struct lmn_rental *out,
-                      struct timespec now)
+bool lmn_autoscaler_decide(struct lmn_core *c, struct lmn_autoscaler *f,
+                           struct lmn_provision_request *out, struct timespec now)
 {
     double need = c->tuning.spare_cpus, need_ordinary = 0, have = 0, have_ordinary = 0;
     double best = INFINITY, machines = 0, need_cheap = 0;
@@ -267,7 +273,7 @@
     gpointer v;
     g_hash_table_iter_init(&it, f->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_listed *m = v;
+        const struct lmn_cloud_machine *m = v;
         const struct lmn_machine_type *t = lmn_machine_type_by_name(c, m->type);
         machines++;
         if (m->broken || !t)
@@ -281,7 +287,8 @@
     have -= late;
     have_ordinary -= late_ordinary;
     for (guint i = 0; i < f->refusals->len; i++)
-        refused = refused || g_array_index(f->refusals, struct lmn_refusal, i).spot;
+        refused =
+            refused || g_array_index(f->refusals, struct lmn_capacity_backoff, i).spot;
     /* Where no cheap machine can be had at all, idle work takes what there is. */
     GArray *w = wants(c, !refused || have > have_ordinary);
     for (guint i = 0; i < w->len; i++) {
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -5,14 +5,14 @@
 #include "state/model.h"
 
 /* A machine as the cloud lists it, or as a rental of ours that it doesn't list yet. */
-struct lmn_listed {
+struct lmn_cloud_machine {
     char name[LMN_NAME_SIZE], type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool spot, booting, broken, listed;
     struct timespec since; /* of the rental */
     struct timespec seen;  /* last in a list */
 };
 
-struct lmn_refusal {
+struct lmn_capacity_backoff {
     char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool spot;
     double wait_s;
@@ -20,35 +20,38 @@
 };
 
 /* How long machines of a type take to boot in a zone, as far as seen; s. */
-struct lmn_boots {
+struct lmn_boot_time {
     char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     double typical;
 };
 
-struct lmn_fleet {
-    GHashTable *machines; /* name -> lmn_listed */
+struct lmn_autoscaler {
+    GHashTable *machines; /* name -> lmn_cloud_machine */
     GArray *refusals;
-    GArray *boots; /* struct lmn_boots */
+    GArray *boots; /* struct lmn_boot_time */
 };
 
-struct lmn_rental {
+struct lmn_provision_request {
     char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool spot;
     unsigned count;
 };
 
-void lmn_fleet_init(struct lmn_fleet *f);
+void lmn_autoscaler_init(struct lmn_autoscaler *f);
 /* A machine was first listed as running at that age. */
-void lmn_fleet_booted(struct lmn_fleet *f, const struct lmn_listed *m, double age_s);
+void lmn_autoscaler_record_boot(struct lmn_autoscaler *f,
+                                const struct lmn_cloud_machine *m, double age_s);
 /* Seconds within which a machine of the type should be up: from what was seen of its
  * kind, and no less than is usual. From then on others are rented in its place, as long
  * as only some are late; after twice that it is returned. */
-double lmn_fleet_patience(const struct lmn_fleet *f, const struct lmn_machine_type *t,
-                          const char *zone, double lag_s);
+double lmn_autoscaler_boot_timeout_s(const struct lmn_autoscaler *f,
+                                     const struct lmn_machine_type *t, const char *zone,
+                                     double lag_s);
 /* Whether to rent, and what. The core's lock is held. */
-bool lmn_fleet_choose(struct lmn_core *c, struct lmn_fleet *f, struct lmn_rental *r,
-                      struct timespec now);
+bool lmn_autoscaler_decide(struct lmn_core *c, struct lmn_autoscaler *f,
+                           struct lmn_provision_request *r, struct timespec now);
 /* The cloud gave got of the machines asked for. */
-void lmn_fleet_outcome(struct lmn_fleet *f, const struct lmn_rental *r, unsigned got,
-                       struct timespec now);
+void lmn_autoscaler_record_result(struct lmn_autoscaler *f,
+                                  const struct lmn_provision_request *r, unsigned got,
+                                  struct timespec now);
 #endif
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -65,8 +65,8 @@
         if (t->m == from || t->cpus < s->cpus - 1e-6 || t->gpus < s->gpus - 1e-6 ||
             t->mem < s->mem - 1e-6 || (best && t->cpus >= best->cpus))
             continue;
-        if (!lmn_can_hold(t->m, j) || !lmn_has_image(t->m, j) ||
-            (strcmp(t->m->zone, from->zone) && !lmn_zone_room(j, t->m->zone)))
+        if (!lmn_machine_can_run(t->m, j) || !lmn_machine_has_image(t->m, j) ||
+            (strcmp(t->m->zone, from->zone) && !lmn_zone_task_capacity(j, t->m->zone)))
             continue;
         best = t;
     }
@@ -105,7 +105,8 @@
     return strcmp(x->m->name, y->m->name);
 }
 
-void lmn_pack(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
+void lmn_consolidate_replicas(struct lmn_core *c, struct lmn_partition *p,
+                              struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
@@ -152,7 +153,7 @@
             a->stop = true;
             a->grace = a->job->spec.save_s + 1;
         }
-        lmn_machine_retire(c, m, false, "its replicas have room elsewhere", now);
+        lmn_machine_drain(c, m, false, "its replicas have room elsewhere", now);
         lmn_machine_wake(m);
         pthread_cond_broadcast(&c->poked);
         break;
--- a/src/scheduler/consolidation.h
+++ b/src/scheduler/consolidation.h
@@ -5,6 +5,7 @@
 #include "state/model.h"
 
 /* Empties a machine whose replicas have room elsewhere. */
-void lmn_pack(struct lmn_core *c, struct lmn_partition *p, struct timespec now);
+void lmn_consolidate_replicas(struct lmn_core *c, struct lmn_partition *p,
+                              struct timespec now);
 
 #endif
--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -9,25 +9,26 @@
  * so fills a gap on a machine that stays for others. */
 static const double LEFT = 2, GAP_S = 30;
 
-bool lmn_floor_owed(const struct lmn_floor *f, double all_used, unsigned kinds)
+bool lmn_is_under_fair_share(const struct lmn_fair_share *f, double all_used,
+                             unsigned kinds)
 {
     return kinds > 1 && f->waiting > 0 && f->used < PART * all_used / kinds;
 }
 
-static struct lmn_floor *find(GArray *v, const void *of)
+static struct lmn_fair_share *find(GArray *v, const void *of)
 {
-    struct lmn_floor new = {.of = of};
+    struct lmn_fair_share new = {.of = of};
 
     for (guint i = 0; i < v->len; i++) {
-        struct lmn_floor *f = &g_array_index(v, struct lmn_floor, i);
+        struct lmn_fair_share *f = &g_array_index(v, struct lmn_fair_share, i);
         if (f->of == of)
             return f;
     }
     g_array_append_val(v, new);
-    return &g_array_index(v, struct lmn_floor, v->len - 1);
+    return &g_array_index(v, struct lmn_fair_share, v->len - 1);
 }
 
-static void count(struct lmn_floor *f, const struct lmn_range *r)
+static void count(struct lmn_fair_share *f, const struct lmn_range *r)
 {
     uint32_t waiting = r->hi - r->lo - MIN(r->nfinished + r->nstarted, r->hi - r->lo);
 
@@ -59,21 +60,21 @@
     }
 }
 
-GArray *lmn_floor_classes(const struct lmn_core *c)
+GArray *lmn_fair_share_by_class(const struct lmn_core *c)
 {
-    GArray *classes = g_array_new(FALSE, FALSE, sizeof(struct lmn_floor));
+    GArray *classes = g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share));
 
     add_up(c, classes, NULL);
     return classes;
 }
 
-unsigned lmn_floor_sum(const GArray *v, double *used)
+unsigned lmn_fair_share_sum(const GArray *v, double *used)
 {
     unsigned kinds = 0;
 
     *used = 0;
     for (guint i = 0; i < v->len; i++) {
-        const struct lmn_floor *f = &g_array_index(v, struct lmn_floor, i);
+        const struct lmn_fair_share *f = &g_array_index(v, struct lmn_fair_share, i);
         *used += f->used;
         kinds += f->waiting > 0;
     }
@@ -84,10 +85,11 @@
 static bool keep_owed(GArray *v)
 {
     double used;
-    unsigned kinds = lmn_floor_sum(v, &used);
+    unsigned kinds = lmn_fair_share_sum(v, &used);
 
     for (guint i = v->len; i-- > 0;)
-        if (!lmn_floor_owed(&g_array_index(v, struct lmn_floor, i), used, kinds))
+        if (!lmn_is_under_fair_share(&g_array_index(v, struct lmn_fair_share, i), used,
+                                     kinds))
             g_array_remove_index_fast(v, i);
     return v->len > 0;
 }
@@ -95,15 +97,15 @@
 static bool among(const GArray *v, const void *of)
 {
     for (guint i = 0; i < v->len; i++)
-        if (g_array_index(v, struct lmn_floor, i).of == of)
+        if (g_array_index(v, struct lmn_fair_share, i).of == of)
             return true;
     return false;
 }
 
-void lmn_floors(struct lmn_core *c)
+void lmn_update_fair_shares(struct lmn_core *c)
 {
-    GArray *classes = g_array_new(FALSE, FALSE, sizeof(struct lmn_floor));
-    GArray *teams = g_array_new(FALSE, FALSE, sizeof(struct lmn_floor));
+    GArray *classes = g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share));
+    GArray *teams = g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share));
 
     add_up(c, classes, teams);
     bool any = keep_owed(classes);
@@ -125,8 +127,8 @@
     g_array_free(teams, TRUE);
 }
 
-bool lmn_cheap_only(const struct lmn_settings *cfg, const struct lmn_job_spec *s,
-                    const struct lmn_machine_type *t)
+bool lmn_is_spot_only(const struct lmn_settings *cfg, const struct lmn_job_spec *s,
+                      const struct lmn_machine_type *t)
 {
     return s->urgency == LMN_PRIORITY_IDLE && s->spot && s->kind == LMN_JOB_BATCH &&
            s->estimate_s > GAP_S && t->rate > LEFT * t->spot_rate &&
@@ -145,7 +147,7 @@
     return false;
 }
 
-void lmn_ages(struct lmn_core *c, double wall)
+void lmn_update_starvation(struct lmn_core *c, double wall)
 {
     for (int i = 0; i < c->nparts; i++) {
         struct lmn_partition *p = &c->parts[i];
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -17,7 +17,8 @@
     }
 }
 
-void lmn_job_rank(const struct lmn_settings *cfg, struct lmn_job *j, double wall)
+void lmn_job_update_latest_start(const struct lmn_settings *cfg, struct lmn_job *j,
+                                 double wall)
 {
     const struct lmn_job_spec *s = &j->spec;
     bool any = false;
@@ -90,7 +91,7 @@
  * other. So the jobs are run through in that order, and whenever one would be late, the
  * largest so far of its urgency yields (after J. M. Moore, "An n job, one machine
  * sequencing algorithm for minimizing the number of late jobs", 1968). */
-void lmn_triage(GPtrArray *v, double wall, double cpus, double ordinary_cpus)
+void lmn_overload_triage(GPtrArray *v, double wall, double cpus, double ordinary_cpus)
 {
     double all = 0, ordinary = 0;
 
@@ -149,13 +150,13 @@
         j->left = work_left(j, p);
         g_ptr_array_add(v, j);
     }
-    lmn_triage(v, wall, cpus, ordinary);
+    lmn_overload_triage(v, wall, cpus, ordinary);
     for (guint i = 0; i < v->len; i++)
         ((struct lmn_job *)v->pdata[i])->ranked = NULL;
     g_ptr_array_free(v, TRUE);
 }
 
-void lmn_rank_all(struct lmn_core *c, double wall)
+void lmn_update_job_order(struct lmn_core *c, double wall)
 {
     GHashTableIter it;
     gpointer v;
@@ -165,8 +166,8 @@
     c->wall = wall;
     if (due) {
         c->triaged = wall;
-        lmn_floors(c);
-        lmn_ages(c, wall);
+        lmn_update_fair_shares(c);
+        lmn_update_starvation(c, wall);
     }
     for (int i = 0; i < c->nparts; i++) {
         struct lmn_partition *p = &c->parts[i];
@@ -174,7 +175,7 @@
             continue;
         g_hash_table_iter_init(&it, p->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            lmn_job_rank(c->cfg, ((struct lmn_range *)v)->job, wall);
+            lmn_job_update_latest_start(c->cfg, ((struct lmn_range *)v)->job, wall);
         if (due)
             triage_partition(p, wall);
     }
@@ -192,7 +193,7 @@
                                                                   : 3;
 }
 
-int lmn_job_order(const struct lmn_job *a, const struct lmn_job *b)
+int lmn_job_compare(const struct lmn_job *a, const struct lmn_job *b)
 {
     /* A team need not wait for others as long as its work fits into its guarantee. */
     if (a->guaranteed != b->guaranteed)
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -163,13 +163,14 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *m = v;
         /* One that does not report would keep the task waiting. */
-        if (m->promised || !lmn_can_hold(m, j) || !lmn_zone_room(j, m->zone) ||
-            lmn_machine_is_silent(c, m, now))
+        if (m->promised || !lmn_machine_can_run(m, j) ||
+            !lmn_zone_task_capacity(j, m->zone) || lmn_machine_is_silent(c, m, now))
             continue;
-        double cost = FETCH_WEIGHT * j->spec.cpus * lmn_fetch_s(m, j, now);
+        double cost = FETCH_WEIGHT * j->spec.cpus * lmn_image_fetch_s(m, j, now);
         if (cost < least)
             cost += make_on(m, &j->spec, patience(c->cfg, &j->spec), false, now);
-        if (cost >= least || lmn_zone_room(j, m->zone) <= promised_in(p, j, m->zone))
+        if (cost >= least ||
+            lmn_zone_task_capacity(j, m->zone) <= promised_in(p, j, m->zone))
             continue;
         least = cost;
         best = m;
@@ -177,7 +178,8 @@
     return best;
 }
 
-void lmn_make_room(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
+void lmn_preempt_for_production(struct lmn_core *c, struct lmn_partition *p,
+                                struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
@@ -196,7 +198,8 @@
     for (guint i = 0; i < wait->len; i++) {
         struct waiting *w = &g_array_index(wait, struct waiting, i);
         const struct lmn_job *j = w->range->job;
-        struct lmn_machine *m = lmn_in_quota(c, p, j) ? place_for(c, p, j, now) : NULL;
+        struct lmn_machine *m =
+            lmn_job_within_quota(c, p, j) ? place_for(c, p, j, now) : NULL;
         if (!m)
             continue;
         c->count.preempted +=
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -5,6 +5,7 @@
 #include "state/model.h"
 
 /* Finds room for tasks of production that wait, and makes it where there is none. */
-void lmn_make_room(struct lmn_core *c, struct lmn_partition *p, struct timespec now);
+void lmn_preempt_for_production(struct lmn_core *c, struct lmn_partition *p,
+                                struct timespec now);
 
 #endif
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -22,7 +22,7 @@
     return -1;
 }
 
-bool lmn_has_image(const struct lmn_machine *m, const struct lmn_job *j)
+bool lmn_machine_has_image(const struct lmn_machine *m, const struct lmn_job *j)
 {
     return image_at(m, j->image) >= 0;
 }
@@ -32,8 +32,8 @@
     return m->type && m->type->pull > 0 ? j->spec.image_gb / m->type->pull : 0;
 }
 
-double lmn_fetch_s(const struct lmn_machine *m, const struct lmn_job *j,
-                   struct timespec now)
+double lmn_image_fetch_s(const struct lmn_machine *m, const struct lmn_job *j,
+                         struct timespec now)
 {
     int at = image_at(m, j->image);
 
@@ -55,8 +55,8 @@
     return n;
 }
 
-void lmn_note_image(struct lmn_machine *m, const struct lmn_job *j, bool there,
-                    struct timespec now)
+void lmn_machine_record_image(struct lmn_machine *m, const struct lmn_job *j, bool there,
+                              struct timespec now)
 {
     struct lmn_image new = {j->image, j->spec.image_gb, {0, 0}};
     int at = image_at(m, j->image);
@@ -85,7 +85,7 @@
  * some work can run nowhere else; an image that is missing has to be fetched first. */
 static int unfit(const struct lmn_machine *m, const struct lmn_job *j)
 {
-    return (j->spec.spot && !m->spot ? 2 : 0) + !lmn_has_image(m, j);
+    return (j->spec.spot && !m->spot ? 2 : 0) + !lmn_machine_has_image(m, j);
 }
 
 static void deal_to(struct lmn_machine *m, struct lmn_range *r, uint32_t lo, uint32_t hi,
@@ -125,7 +125,7 @@
     GPtrArray *near = g_ptr_array_new();
 
     for (guint i = 0; i < able->len; i++)
-        if (lmn_has_image(able->pdata[i], r->job))
+        if (lmn_machine_has_image(able->pdata[i], r->job))
             g_ptr_array_add(near, able->pdata[i]);
     const GPtrArray *to = 2 * near->len >= hi - lo ? near : able;
     p->rr++;
@@ -134,8 +134,8 @@
     g_ptr_array_free(near, TRUE);
 }
 
-void lmn_deal(struct lmn_core *c, struct lmn_range *r, uint32_t lo, uint32_t hi,
-              struct timespec now)
+void lmn_assign_tasks(struct lmn_core *c, struct lmn_range *r, uint32_t lo, uint32_t hi,
+                      struct timespec now)
 {
     struct lmn_partition *p = r->part;
     GHashTableIter it;
@@ -151,7 +151,7 @@
     g_hash_table_iter_init(&it, p->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *m = v;
-        if (m->unheeded || !lmn_can_hold(m, r->job))
+        if (m->unheeded || !lmn_machine_can_run(m, r->job))
             continue;
         uint32_t has = lmn_room(m, &r->job->spec);
         if (has > m->queue.tasks) {
@@ -171,7 +171,8 @@
     for (guint i = 0; i < roomy->len && lo < hi; i++) {
         struct candidate *x = &g_array_index(roomy, struct candidate, i);
         guint there = GPOINTER_TO_UINT(g_hash_table_lookup(dealt, x->m->zone));
-        uint32_t n = MIN(x->room, hi - lo), may = lmn_zone_room(r->job, x->m->zone);
+        uint32_t n = MIN(x->room, hi - lo),
+                 may = lmn_zone_task_capacity(r->job, x->m->zone);
         /* Not where it could not start for the job's other tasks: a service whose
          * replicas were all dealt to the fullest machine waited there until others pulled
          * them. */
@@ -191,7 +192,7 @@
     g_ptr_array_free(able, TRUE);
 }
 
-void lmn_deal_range(struct lmn_core *c, struct lmn_range *r, struct timespec now)
+void lmn_assign_range(struct lmn_core *c, struct lmn_range *r, struct timespec now)
 {
     uint32_t n = r->hi - r->lo;
 
@@ -200,12 +201,12 @@
         while (k < n && r->st[k] == LMN_TASK_QUEUED)
             k++;
         if (k > i)
-            lmn_deal(c, r, r->lo + i, r->lo + k, now);
+            lmn_assign_tasks(c, r, r->lo + i, r->lo + k, now);
         i = k + 1;
     }
 }
 
-void lmn_range_redeal(struct lmn_core *c, struct lmn_range *r, struct timespec now)
+void lmn_reassign_range(struct lmn_core *c, struct lmn_range *r, struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
@@ -214,19 +215,20 @@
     g_hash_table_iter_init(&it, r->part->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         lmn_queue_remove_range(&((struct lmn_machine *)v)->queue, r);
-    lmn_deal_range(c, r, now);
+    lmn_assign_range(c, r, now);
 }
 
-void lmn_job_redeal(struct lmn_core *c, struct lmn_job *j, struct timespec now)
+void lmn_reassign_job(struct lmn_core *c, struct lmn_job *j, struct timespec now)
 {
     for (guint i = 0; i < j->ranges->len; i++) {
         struct lmn_range *r = j->ranges->pdata[i];
         if (r->part->mine && r->st && r->dealt)
-            lmn_range_redeal(c, r, now);
+            lmn_reassign_range(c, r, now);
     }
 }
 
-void lmn_redeal_machine(struct lmn_core *c, struct lmn_machine *m, struct timespec now)
+void lmn_reassign_machine_queue(struct lmn_core *c, struct lmn_machine *m,
+                                struct timespec now)
 {
     struct lmn_queue old = m->queue;
 
@@ -235,14 +237,14 @@
     for (guint i = 0; i < old.segs->len; i++) {
         struct lmn_queue_segment *s = old.segs->pdata[i];
         if (lmn_range_may_start(s->range))
-            lmn_deal(c, s->range, s->lo, s->hi, now);
+            lmn_assign_tasks(c, s->range, s->lo, s->hi, now);
     }
     lmn_queue_clear(&old);
     g_ptr_array_free(old.segs, TRUE);
 }
 
-void lmn_machine_retire(struct lmn_core *c, struct lmn_machine *m, bool force,
-                        const char *why, struct timespec now)
+void lmn_machine_drain(struct lmn_core *c, struct lmn_machine *m, bool force,
+                       const char *why, struct timespec now)
 {
     m->force = m->force || force;
     if (m->retiring)
@@ -251,7 +253,7 @@
              m->part->id, force, why);
     m->retiring = true;
     m->retired_at = now;
-    lmn_redeal_machine(c, m, now);
+    lmn_reassign_machine_queue(c, m, now);
 }
 
 /* A look over queues begins: for one machine, at one time. What is found out of a job is
@@ -292,7 +294,7 @@
         m->promised--;
         look_anew(c); /* lesser work may start again */
     }
-    lmn_note_image(m, a.job, false, now);
+    lmn_machine_record_image(m, a.job, false, now);
     g_array_append_val(m->attempts, a);
     c->count.starts++;
     lmn_latency_add(&c->starting, c->wall - a.job->at);
@@ -317,7 +319,7 @@
         return false;
     if (j->look_yes == c->turn)
         return true;
-    bool ok = lmn_job_wait(c, m, j, now) == LMN_WAIT_NONE;
+    bool ok = lmn_job_wait_reason(c, m, j, now) == LMN_WAIT_NONE;
     if (ok)
         j->look_yes = c->turn;
     else
@@ -325,18 +327,18 @@
     return ok;
 }
 
-/* lmn_fetch_s, remembered until the next start. */
+/* lmn_image_fetch_s, remembered until the next start. */
 static double fetch_now(const struct lmn_core *c, const struct lmn_machine *m,
                         struct lmn_job *j, struct timespec now)
 {
     if (j->look_fetch != c->turn) {
-        j->fetch_s = lmn_fetch_s(m, j, now);
+        j->fetch_s = lmn_image_fetch_s(m, j, now);
         j->look_fetch = c->turn;
     }
     return j->fetch_s;
 }
 
-/* How the machine should choose between the jobs: as lmn_job_order, but a task whose
+/* How the machine should choose between the jobs: as lmn_job_compare, but a task whose
  * image it lacks would start, and end, later by the fetch, and hold its room idle
  * meanwhile. So do those that come after it while the fetch is under way: once it counted
  * as there from the first start on, whole machines waited side by side for one fetch,
@@ -352,7 +354,7 @@
         if (x != y)
             return x < y ? -1 : 1;
     }
-    return lmn_job_order(a, b);
+    return lmn_job_compare(a, b);
 }
 
 /* The most urgent stretch of a queue that the machine could start now; -1: none. The
@@ -500,7 +502,7 @@
     return got;
 }
 
-bool lmn_steal(struct lmn_core *c, struct lmn_machine *m, struct timespec now)
+bool lmn_steal_for_machine(struct lmn_core *c, struct lmn_machine *m, struct timespec now)
 {
     struct lmn_queue *best = NULL;
     uint32_t most = 0;
@@ -537,20 +539,21 @@
     return true;
 }
 
-guint lmn_schedule(struct lmn_core *c, struct lmn_machine *m, GByteArray *out,
-                   struct timespec now)
+guint lmn_schedule_machine(struct lmn_core *c, struct lmn_machine *m, GByteArray *out,
+                           struct timespec now)
 {
     guint n;
 
     m->hungry = false;
-    if (lmn_machine_wait(m, now) != LMN_WAIT_NONE)
+    if (lmn_machine_wait_reason(m, now) != LMN_WAIT_NONE)
         return 0;
     look_anew(c);
     n = start_own(c, m, out, now);
     /* Left with room and nothing of its own that fits: it pulls, until that brings
      * nothing. */
     for (int turn = 0; turn < 8; turn++) {
-        if ((m->unheeded && n) || load_for(c, &m->queue, m, now) || !lmn_steal(c, m, now))
+        if ((m->unheeded && n) || load_for(c, &m->queue, m, now) ||
+            !lmn_steal_for_machine(c, m, now))
             break;
         n += start_own(c, m, out, now);
     }
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -4,21 +4,21 @@
 
 #include <string.h>
 
-bool lmn_quota_limited(const struct lmn_team *t)
+bool lmn_team_has_limit(const struct lmn_team *t)
 {
     return t->cpus_max > 0 || t->gpus_max > 0;
 }
 
-void lmn_quota_even(const struct lmn_core *c, int team, double *cpus, double *gpus)
+void lmn_quota_even_share(const struct lmn_core *c, int team, double *cpus, double *gpus)
 {
     *cpus = c->cfg->teams[team].cpus_max / c->nparts;
     *gpus = c->cfg->teams[team].gpus_max / c->nparts;
 }
 
-void lmn_quota_part(const struct lmn_core *c, const struct lmn_partition *p, int team,
-                    double *cpus, double *gpus)
+void lmn_quota_share(const struct lmn_core *c, const struct lmn_partition *p, int team,
+                     double *cpus, double *gpus)
 {
-    lmn_quota_even(c, team, cpus, gpus);
+    lmn_quota_even_share(c, team, cpus, gpus);
     if (c->quota_known[team]) {
         *cpus = p->quota_cpus[team];
         *gpus = p->quota_gpus[team];
@@ -31,13 +31,13 @@
 
 /* What the team's queued tasks in the partition ask for, and the largest of them; returns
  * the processors of the smallest. */
-static double queued(const struct lmn_partition *p, int team, struct lmn_quota_want *w)
+static double queued(const struct lmn_partition *p, int team, struct lmn_quota_request *w)
 {
     double smallest = 1e12;
     GHashTableIter it;
     gpointer v;
 
-    *w = (struct lmn_quota_want){.team = team};
+    *w = (struct lmn_quota_request){.team = team};
     g_hash_table_iter_init(&it, p->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_range *r = v;
@@ -72,15 +72,15 @@
     return sum;
 }
 
-bool lmn_quota_wanted(const struct lmn_core *c, const struct lmn_partition *p, int team,
-                      struct lmn_quota_want *w)
+bool lmn_quota_shortfall(const struct lmn_core *c, const struct lmn_partition *p,
+                         int team, struct lmn_quota_request *w)
 {
     double cpus, gpus;
 
-    if (!p->mine || !p->ready || !lmn_quota_limited(&c->cfg->teams[team]))
+    if (!p->mine || !p->ready || !lmn_team_has_limit(&c->cfg->teams[team]))
         return false;
     double smallest = queued(p, team, w);
-    lmn_quota_part(c, p, team, &cpus, &gpus);
+    lmn_quota_share(c, p, team, &cpus, &gpus);
     /* Only what its queue is short of; the least it needs is what a task needs beyond all
      * of the part, which waiting for others to end would never give it. */
     bool short_cpus = p->used_cpus[team] + w->least_cpus > cpus + 1e-6;
@@ -104,12 +104,12 @@
 }
 
 void lmn_quota_spare(const struct lmn_core *c, const struct lmn_partition *p,
-                     const struct lmn_quota_want *w, double *cpus, double *gpus)
+                     const struct lmn_quota_request *w, double *cpus, double *gpus)
 {
-    struct lmn_quota_want own;
+    struct lmn_quota_request own;
 
     double smallest = queued(p, w->team, &own);
-    lmn_quota_part(c, p, w->team, cpus, gpus);
+    lmn_quota_share(c, p, w->team, cpus, gpus);
     /* What its own queue does not need, or has no room for: a partition whose machines
      * were full kept most of the limit, while another with room had none left. What is
      * kept for a job that waits for it (scheduler/reservation.h) stays. And whatever
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -29,7 +29,7 @@
     *k = (struct lmn_quota_reservation){j, cpus, gpus, until};
 }
 
-void lmn_reserve_limit(struct lmn_partition *p, int team, double cpus, double gpus,
+void lmn_reserve_quota(struct lmn_partition *p, int team, double cpus, double gpus,
                        struct timespec now)
 {
     struct lmn_quota_reservation *k = &p->keep[team];
@@ -46,7 +46,7 @@
 
     for (guint i = 0; i < p->list->len; i++) {
         struct lmn_machine *m = p->list->pdata[i];
-        if (m->kept || m->promised || m->unheeded || !lmn_can_hold(m, j) ||
+        if (m->kept || m->promised || m->unheeded || !lmn_machine_can_run(m, j) ||
             m->type->cpus < j->spec.cpus || m->type->gpus < j->spec.gpus ||
             m->type->mem < j->spec.mem)
             continue;
@@ -96,8 +96,8 @@
 {
     for (guint i = 0; i < p->list->len; i++) {
         const struct lmn_machine *m = p->list->pdata[i];
-        if (m->kept == j ||
-            (!m->kept && !m->unheeded && lmn_can_hold(m, j) && lmn_room(m, &j->spec) > 0))
+        if (m->kept == j || (!m->kept && !m->unheeded && lmn_machine_can_run(m, j) &&
+                             lmn_room(m, &j->spec) > 0))
             return true;
     }
     return false;
@@ -108,7 +108,7 @@
 {
     struct lmn_job *j = r->job;
 
-    if (!lmn_in_quota(c, p, j)) {
+    if (!lmn_job_within_quota(c, p, j)) {
         struct lmn_quota_reservation *k = &p->keep[j->team];
         /* What is more than all of the part has to come from others
          * (partition/quota_transfer.c). */
@@ -129,7 +129,8 @@
     bring(p, r, m);
 }
 
-void lmn_reserve(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
+void lmn_update_reservations(struct lmn_core *c, struct lmn_partition *p,
+                             struct timespec now)
 {
     guint kept = MAX(p->list->len / KEPT_OF, 1);
     GHashTableIter it;
@@ -144,7 +145,7 @@
         if (m->kept &&
             (!m->kept->aged || !waits_here(p, m->kept) ||
              m->kept->phase != LMN_JOB_ACTIVE || !lmn_time_before(now, m->kept_until) ||
-             !lmn_can_hold(m, m->kept)))
+             !lmn_machine_can_run(m, m->kept)))
             let_go(m);
         kept -= m->kept && kept;
     }
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -10,33 +10,33 @@
 
 static const char *const names[LMN_WAIT_REASONS] = {
     [LMN_WAIT_NONE] = "nothing is in the way",
-    [LMN_WAIT_HANDOVER] = "the partition is being handed over",
+    [LMN_WAIT_TRANSFER] = "the partition is being handed over",
     [LMN_WAIT_UNACCOUNTED] = "the machine has not reported to this owner",
     [LMN_WAIT_UNRECORDED] = "the machine is not recorded",
-    [LMN_WAIT_RETIRING] = "the machine is to be returned",
-    [LMN_WAIT_NOTICED] = "the cloud takes the machine back",
+    [LMN_WAIT_DRAINING] = "the machine is to be returned",
+    [LMN_WAIT_SPOT_NOTICE] = "the cloud takes the machine back",
     [LMN_WAIT_UNKNOWN_TYPE] = "the machine's type is not known",
-    [LMN_WAIT_STANDBY] = "the standby does not acknowledge starts",
-    [LMN_WAIT_FAULTY] = "the machine pauses after failures",
-    [LMN_WAIT_NOT_WANTED] = "the job is over",
-    [LMN_WAIT_ROOM] = "too little room",
-    [LMN_WAIT_PROMISED] = "room is being made for more urgent work",
-    [LMN_WAIT_KEPT] = "the machine is kept for another job",
-    [LMN_WAIT_DEAR] = "left to cheap machines",
-    [LMN_WAIT_FAILING] = "the job pauses after failures",
+    [LMN_WAIT_REPLICATION] = "the standby does not acknowledge starts",
+    [LMN_WAIT_QUARANTINED] = "the machine pauses after failures",
+    [LMN_WAIT_JOB_OVER] = "the job is over",
+    [LMN_WAIT_CAPACITY] = "too little room",
+    [LMN_WAIT_PREEMPTION_RESERVED] = "room is being made for more urgent work",
+    [LMN_WAIT_BACKFILL_RESERVED] = "the machine is kept for another job",
+    [LMN_WAIT_SPOT_ONLY] = "left to cheap machines",
+    [LMN_WAIT_JOB_BACKOFF] = "the job pauses after failures",
     [LMN_WAIT_NOT_ALLOWED] = "the machine can't take it",
-    [LMN_WAIT_LIMIT] = "the team's limit",
+    [LMN_WAIT_QUOTA] = "the team's limit",
     [LMN_WAIT_ZONE] = "the zones of the job's other tasks",
     [LMN_WAIT_OTHER_PARTITION] = "in another partition",
     [LMN_WAIT_NOT_OPEN] = "inherited, and not all machines are accounted for",
 };
 
-const char *lmn_wait_name(enum lmn_wait_reason reason)
+const char *lmn_wait_reason_name(enum lmn_wait_reason reason)
 {
     return names[reason];
 }
 
-bool lmn_can_hold(const struct lmn_machine *m, const struct lmn_job *j)
+bool lmn_machine_can_run(const struct lmn_machine *m, const struct lmn_job *j)
 {
     /* One that was told, and has not spoken yet, is dealt work too, which it starts once
      * it has: dealt to the first few that speak, everything would stand in their queues.
@@ -61,15 +61,15 @@
     return n > 0 ? (uint32_t)n : 0;
 }
 
-bool lmn_in_quota(const struct lmn_core *c, const struct lmn_partition *p,
-                  const struct lmn_job *j)
+bool lmn_job_within_quota(const struct lmn_core *c, const struct lmn_partition *p,
+                          const struct lmn_job *j)
 {
     if (j->team < 0)
         return false;
     const struct lmn_team *t = &c->cfg->teams[j->team];
     double cpus, gpus;
 
-    lmn_quota_part(c, p, j->team, &cpus, &gpus);
+    lmn_quota_share(c, p, j->team, &cpus, &gpus);
     if (p->keep[j->team].job != j) {
         cpus -= p->keep[j->team].cpus;
         gpus -= p->keep[j->team].gpus;
@@ -94,49 +94,52 @@
 static bool too_dear(const struct lmn_core *c, const struct lmn_machine *m,
                      const struct lmn_job *j)
 {
-    return j->cheap && !m->spot && !j->aged && lmn_cheap_only(c->cfg, &j->spec, m->type);
+    return j->cheap && !m->spot && !j->aged &&
+           lmn_is_spot_only(c->cfg, &j->spec, m->type);
 }
 
-enum lmn_wait_reason lmn_machine_wait(const struct lmn_machine *m, struct timespec now)
+enum lmn_wait_reason lmn_machine_wait_reason(const struct lmn_machine *m,
+                                             struct timespec now)
 {
     if (m->part->releasing)
-        return LMN_WAIT_HANDOVER;
+        return LMN_WAIT_TRANSFER;
     if (!m->accounted)
         return LMN_WAIT_UNACCOUNTED;
     if (!m->rev)
         return LMN_WAIT_UNRECORDED;
     if (m->retiring)
-        return LMN_WAIT_RETIRING;
+        return LMN_WAIT_DRAINING;
     if (m->noticed)
-        return LMN_WAIT_NOTICED;
+        return LMN_WAIT_SPOT_NOTICE;
     if (!m->type)
         return LMN_WAIT_UNKNOWN_TYPE;
     /* Nobody acknowledges starts now: they would only be taken back. */
     if (lmn_replication_is_stuck(m->part, now))
-        return LMN_WAIT_STANDBY;
-    return lmn_time_before(now, m->hold) ? LMN_WAIT_FAULTY : LMN_WAIT_NONE;
+        return LMN_WAIT_REPLICATION;
+    return lmn_time_before(now, m->hold) ? LMN_WAIT_QUARANTINED : LMN_WAIT_NONE;
 }
 
-enum lmn_wait_reason lmn_job_wait(const struct lmn_core *c, const struct lmn_machine *m,
-                                  const struct lmn_job *j, struct timespec now)
+enum lmn_wait_reason lmn_job_wait_reason(const struct lmn_core *c,
+                                         const struct lmn_machine *m,
+                                         const struct lmn_job *j, struct timespec now)
 {
     if (!lmn_job_may_run(c, j))
-        return LMN_WAIT_NOT_WANTED;
+        return LMN_WAIT_JOB_OVER;
     if (!lmn_room(m, &j->spec))
-        return LMN_WAIT_ROOM;
+        return LMN_WAIT_CAPACITY;
     if (m->promised && j->spec.urgency != LMN_PRIORITY_PRODUCTION)
-        return LMN_WAIT_PROMISED;
+        return LMN_WAIT_PREEMPTION_RESERVED;
     if (m->kept && m->kept != j)
-        return LMN_WAIT_KEPT;
+        return LMN_WAIT_BACKFILL_RESERVED;
     if (too_dear(c, m, j))
-        return LMN_WAIT_DEAR;
+        return LMN_WAIT_SPOT_ONLY;
     if (lmn_time_before(now, j->failures.hold))
-        return LMN_WAIT_FAILING;
-    if (!lmn_can_hold(m, j))
+        return LMN_WAIT_JOB_BACKOFF;
+    if (!lmn_machine_can_run(m, j))
         return LMN_WAIT_NOT_ALLOWED;
-    if (!lmn_in_quota(c, m->part, j))
-        return LMN_WAIT_LIMIT;
-    return lmn_zone_room(j, m->zone) ? LMN_WAIT_NONE : LMN_WAIT_ZONE;
+    if (!lmn_job_within_quota(c, m->part, j))
+        return LMN_WAIT_QUOTA;
+    return lmn_zone_task_capacity(j, m->zone) ? LMN_WAIT_NONE : LMN_WAIT_ZONE;
 }
 
 enum lmn_wait_reason lmn_wait_reason(const struct lmn_core *c,
@@ -147,6 +150,6 @@
         return LMN_WAIT_OTHER_PARTITION;
     if (!r->dealt || !lmn_range_may_start(r))
         return LMN_WAIT_NOT_OPEN;
-    enum lmn_wait_reason reason = lmn_machine_wait(m, now);
-    return reason != LMN_WAIT_NONE ? reason : lmn_job_wait(c, m, r->job, now);
+    enum lmn_wait_reason reason = lmn_machine_wait_reason(m, now);
+    return reason != LMN_WAIT_NONE ? reason : lmn_job_wait_reason(c, m, r->job, now);
 }
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -13,21 +13,21 @@
 #include <math.h>
 #include <string.h>
 
-void lmn_thief_init(struct lmn_thief *t, const struct lmn_settings *cfg)
+void lmn_steal_request_init(struct lmn_steal_request *t, const struct lmn_settings *cfg)
 {
     memset(t, 0, sizeof *t);
     t->team_cpus = g_new0(double, cfg->nteams);
     t->team_gpus = g_new0(double, cfg->nteams);
 }
 
-void lmn_thief_clear(struct lmn_thief *t)
+void lmn_steal_request_clear(struct lmn_steal_request *t)
 {
     g_free(t->team_cpus);
     g_free(t->team_gpus);
 }
 
-bool lmn_thief_fill(struct lmn_core *c, struct lmn_partition *p, struct lmn_thief *t,
-                    struct timespec now)
+bool lmn_steal_request_fill(struct lmn_core *c, struct lmn_partition *p,
+                            struct lmn_steal_request *t, struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
@@ -53,7 +53,7 @@
     for (size_t i = 0; i < c->cfg->nteams; i++) {
         const struct lmn_team *team = &c->cfg->teams[i];
         double cpus, gpus;
-        lmn_quota_part(c, p, (int)i, &cpus, &gpus);
+        lmn_quota_share(c, p, (int)i, &cpus, &gpus);
         t->team_cpus[i] = team->cpus_max > 0 ? cpus - p->used_cpus[i] : 1e12;
         t->team_gpus[i] = team->gpus_max > 0 ? gpus - p->used_gpus[i] : 1e12;
     }
@@ -61,7 +61,7 @@
 }
 
 /* How many tasks of the job the thief has room and quota for. */
-static uint32_t thief_room(const struct lmn_core *c, const struct lmn_thief *t,
+static uint32_t thief_room(const struct lmn_core *c, const struct lmn_steal_request *t,
                            const struct lmn_job *j)
 {
     const struct lmn_job_spec *s = &j->spec;
@@ -127,7 +127,7 @@
 /* How many of the range's tasks should go to the thief. Of a job that can only be moved
  * as one, all, if one of them could start there: such jobs waited for ever in a partition
  * without a machine in their zone. */
-static uint32_t movable(const struct lmn_core *c, const struct lmn_thief *t,
+static uint32_t movable(const struct lmn_core *c, const struct lmn_steal_request *t,
                         const struct lmn_range *r)
 {
     uint32_t queued = tail(r), room = queued ? thief_room(c, t, r->job) : 0;
@@ -136,7 +136,7 @@
 }
 
 uint32_t lmn_victim_load(const struct lmn_core *c, const struct lmn_partition *p,
-                         const struct lmn_thief *t)
+                         const struct lmn_steal_request *t)
 {
     GHashTableIter it;
     gpointer v;
@@ -159,13 +159,13 @@
 
     g_hash_table_iter_init(&it, p->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
-        if (lmn_can_hold(v, j))
+        if (lmn_machine_can_run(v, j))
             return true;
     return false;
 }
 
-uint32_t lmn_victim_give(struct lmn_core *c, struct lmn_partition *p,
-                         const struct lmn_thief *t, struct timespec now)
+uint32_t lmn_victim_transfer(struct lmn_core *c, struct lmn_partition *p,
+                             const struct lmn_steal_request *t, struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
@@ -181,7 +181,7 @@
         uint32_t n = movable(c, t, r);
         if (!n)
             continue;
-        int order = best ? lmn_job_order(r->job, best->job) : -1;
+        int order = best ? lmn_job_compare(r->job, best->job) : -1;
         if (order < 0 || (order == 0 && n > most)) {
             best = r;
             most = n;
@@ -210,8 +210,8 @@
     return n;
 }
 
-void lmn_thief_result(struct lmn_core *c, struct lmn_partition *p, uint32_t got,
-                      struct timespec now)
+void lmn_steal_record_result(struct lmn_core *c, struct lmn_partition *p, uint32_t got,
+                             struct timespec now)
 {
     if (got) {
         p->poll_s = 0;
@@ -224,7 +224,7 @@
     p->next_steal = lmn_time_add(now, p->poll_s);
 }
 
-void lmn_range_cut(struct lmn_core *c, struct lmn_range *r, uint32_t hi)
+void lmn_range_truncate(struct lmn_core *c, struct lmn_range *r, uint32_t hi)
 {
     GHashTableIter it;
     gpointer v;
@@ -239,7 +239,7 @@
     r->move_unsure = false;
 }
 
-void lmn_move_undo(struct lmn_core *c, struct lmn_range *r, struct timespec now)
+void lmn_range_cancel_move(struct lmn_core *c, struct lmn_range *r, struct timespec now)
 {
     uint32_t at = r->move_at;
 
@@ -251,5 +251,5 @@
         if (r->st[i - r->lo] == LMN_TASK_MOVING)
             r->st[i - r->lo] = LMN_TASK_QUEUED;
     if (r->part->ready && r->job->phase == LMN_JOB_ACTIVE)
-        lmn_deal(c, r, at, r->hi, now);
+        lmn_assign_tasks(c, r, at, r->hi, now);
 }
--- a/src/scheduler/work_stealing.h
+++ b/src/scheduler/work_stealing.h
@@ -9,29 +9,29 @@
     bool spot;
     double cpus, gpus, mem;
 };
-struct lmn_thief {
+struct lmn_steal_request {
     int part;
     struct lmn_free_capacity rooms[64];
     guint nrooms;
     double *team_cpus, *team_gpus; /* by team: what its quota leaves */
 };
-/* Room for the teams of these settings; lmn_thief_clear. */
-void lmn_thief_init(struct lmn_thief *t, const struct lmn_settings *cfg);
-void lmn_thief_clear(struct lmn_thief *t);
+/* Room for the teams of these settings; lmn_steal_request_clear. */
+void lmn_steal_request_init(struct lmn_steal_request *t, const struct lmn_settings *cfg);
+void lmn_steal_request_clear(struct lmn_steal_request *t);
 /* Idle room of a partition of ours; false if there is none, or it is not yet time. */
-bool lmn_thief_fill(struct lmn_core *c, struct lmn_partition *p, struct lmn_thief *t,
-                    struct timespec now);
+bool lmn_steal_request_fill(struct lmn_core *c, struct lmn_partition *p,
+                            struct lmn_steal_request *t, struct timespec now);
 /* Queued tasks of the partition that the thief could start. */
 uint32_t lmn_victim_load(const struct lmn_core *c, const struct lmn_partition *p,
-                         const struct lmn_thief *t);
+                         const struct lmn_steal_request *t);
 /* Sets a move going; returns how many tasks go. */
-uint32_t lmn_victim_give(struct lmn_core *c, struct lmn_partition *p,
-                         const struct lmn_thief *t, struct timespec now);
-void lmn_thief_result(struct lmn_core *c, struct lmn_partition *p, uint32_t got,
-                      struct timespec now);
+uint32_t lmn_victim_transfer(struct lmn_core *c, struct lmn_partition *p,
+                             const struct lmn_steal_request *t, struct timespec now);
+void lmn_steal_record_result(struct lmn_core *c, struct lmn_partition *p, uint32_t got,
+                             struct timespec now);
 /* The mirror shows the range cut at hi. */
-void lmn_range_cut(struct lmn_core *c, struct lmn_range *r, uint32_t hi);
+void lmn_range_truncate(struct lmn_core *c, struct lmn_range *r, uint32_t hi);
 /* The move did not take place. */
-void lmn_move_undo(struct lmn_core *c, struct lmn_range *r, struct timespec now);
+void lmn_range_cancel_move(struct lmn_core *c, struct lmn_range *r, struct timespec now);
 
 #endif
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -46,7 +46,7 @@
     bool lost;
     bool guaranteed; /* it fitted into its team's guarantee when it came */
     bool yields;     /* it could still be met, but only at the cost of more others
-                        (lmn_triage) */
+                        (lmn_overload_triage) */
     double left;     /* processor seconds that have not been started */
     GArray *zones;   /* struct lmn_zone_tasks, of a job whose tasks look at each other's
                         places */
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -131,7 +131,7 @@
         g_hash_table_iter_init(&it, core->parts[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             ((struct lmn_machine *)v)->next_steal = now;
-            n += lmn_schedule(core, v, out, now);
+            n += lmn_schedule_machine(core, v, out, now);
         }
     } while (n);
     g_byte_array_unref(out);
@@ -152,6 +152,6 @@
     j->spec.spot = true;
     j->spec.zone = NULL;
     j->spec.cpus = 8;
-    lmn_deal_range(core, j->ranges->pdata[0], now);
+    lmn_assign_range(core, j->ranges->pdata[0], now);
     return j;
 }
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -68,7 +68,7 @@
         GRand *r = g_rand_new_with_seed(seed);
         fixture_begin(seed);
         for (int i = 0; i < JOBS; i++)
-            lmn_deal(core, jobs[i].ranges->pdata[0], 0, jobs[i].spec.tasks, now);
+            lmn_assign_tasks(core, jobs[i].ranges->pdata[0], 0, jobs[i].spec.tasks, now);
         check_all();
         for (int step = 0; step < 120; step++) {
             struct lmn_machine *m = some_machine(r);
@@ -76,17 +76,17 @@
             now = lmn_time_add(now, 0.3);
             switch (g_rand_int_range(r, 0, 6)) {
             case 0:
-                lmn_steal(core, m, now);
+                lmn_steal_for_machine(core, m, now);
                 break;
             case 1:
                 lmn_machine_empty(core, m, "test", now);
                 break;
             case 2:
                 m->noticed = !m->noticed;
-                lmn_redeal_machine(core, m, now);
+                lmn_reassign_machine_queue(core, m, now);
                 break;
             default:
-                lmn_schedule(core, m, out, now);
+                lmn_schedule_machine(core, m, out, now);
             }
             g_byte_array_unref(out);
             check_all();
@@ -113,7 +113,7 @@
         j->spec.tasks = r->hi = n;
         lmn_range_open(core, r);
         r->dealt = true;
-        lmn_deal(core, r, 0, n, now);
+        lmn_assign_tasks(core, r, 0, n, now);
         g_hash_table_iter_init(&it, core->parts[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_machine *m = v;
@@ -143,14 +143,14 @@
         jobs[i].image = g_intern_string(i ? "near" : "far");
         lmn_queue_add(&m->queue, jobs[i].ranges->pdata[0], 0, 1);
     }
-    lmn_note_image(m, &jobs[1], true, now);
-    assert_true(lmn_fetch_s(m, &jobs[1], now) == 0);
-    assert_true(fabs(lmn_fetch_s(m, &jobs[0], now) - 20) < 1e-9);
+    lmn_machine_record_image(m, &jobs[1], true, now);
+    assert_true(lmn_image_fetch_s(m, &jobs[1], now) == 0);
+    assert_true(fabs(lmn_image_fetch_s(m, &jobs[0], now) - 20) < 1e-9);
     for (int urgent = 0; urgent < 2; urgent++) {
         GByteArray *out = g_byte_array_new();
         jobs[0].latest = 1000;
         jobs[1].latest = urgent ? 1100 : 1010;
-        assert_int_equal(lmn_schedule(core, m, out, now), 1);
+        assert_int_equal(lmn_schedule_machine(core, m, out, now), 1);
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, 0);
         assert_ptr_equal(a->job, &jobs[urgent ? 0 : 1]);
         lmn_machine_empty(core, m, "again", now);
@@ -162,22 +162,23 @@
     /* While one task's fetch is under way, others of its job wait for what is left of it.
      */
     struct lmn_machine *o = g_hash_table_lookup(core->parts[0].machines, "m-1");
-    lmn_note_image(o, &jobs[0], false, now);
-    assert_true(lmn_has_image(o, &jobs[0]));
-    assert_true(fabs(lmn_fetch_s(o, &jobs[0], lmn_time_add(now, 5)) - 15) < 1e-6);
-    lmn_note_image(o, &jobs[1], false, now); /* a second one shares the rate */
-    assert_true(fabs(lmn_fetch_s(o, &jobs[1], now) - 40) < 1e-6);
-    lmn_note_image(o, &jobs[0], true, lmn_time_add(now, 6)); /* a task of it runs */
-    assert_true(lmn_fetch_s(o, &jobs[0], lmn_time_add(now, 6)) == 0);
-    assert_true(lmn_fetch_s(o, &jobs[1], lmn_time_add(now, 50)) == 0);
+    lmn_machine_record_image(o, &jobs[0], false, now);
+    assert_true(lmn_machine_has_image(o, &jobs[0]));
+    assert_true(fabs(lmn_image_fetch_s(o, &jobs[0], lmn_time_add(now, 5)) - 15) < 1e-6);
+    lmn_machine_record_image(o, &jobs[1], false, now); /* a second one shares the rate */
+    assert_true(fabs(lmn_image_fetch_s(o, &jobs[1], now) - 40) < 1e-6);
+    lmn_machine_record_image(o, &jobs[0], true,
+                             lmn_time_add(now, 6)); /* a task of it runs */
+    assert_true(lmn_image_fetch_s(o, &jobs[0], lmn_time_add(now, 6)) == 0);
+    assert_true(lmn_image_fetch_s(o, &jobs[1], lmn_time_add(now, 50)) == 0);
     /* The cache holds ten: the least recently used go. */
     for (int i = 2; i < 7; i++) {
         jobs[i].spec.image_gb = 2;
         jobs[i].image = g_intern_string(jobs[i].spec.ref);
-        lmn_note_image(m, &jobs[i], true, now);
+        lmn_machine_record_image(m, &jobs[i], true, now);
     }
-    assert_true(lmn_fetch_s(m, &jobs[6], now) == 0);
-    assert_true(lmn_fetch_s(m, &jobs[1], now) > 0);
+    assert_true(lmn_image_fetch_s(m, &jobs[6], now) == 0);
+    assert_true(lmn_image_fetch_s(m, &jobs[1], now) > 0);
 }
 
 /* A job that fails wherever it starts stands in unplaced, out of the machines' queues,
@@ -191,7 +192,7 @@
     j->spec.cpus = 1;
     for (guint m = 1; m <= 3; m++)
         lmn_job_record_failure(&j->failures, m, now, now);
-    lmn_job_redeal(core, j, now);
+    lmn_reassign_job(core, j, now);
     assert_int_equal(core->parts[0].unplaced.tasks, r->hi);
     start_all();
     assert_int_equal(r->nstarted, 0);
@@ -199,7 +200,7 @@
     start_all();
     assert_int_equal(r->nstarted, 1);
     lmn_job_record_success(&j->failures);
-    lmn_job_redeal(core, j, now);
+    lmn_reassign_job(core, j, now);
     start_all();
     assert_true(r->nstarted == MIN(r->hi, 8 * MACHINES));
 }
--- a/tests/test_queue_floor.c
+++ b/tests/test_queue_floor.c
@@ -39,13 +39,13 @@
         lmn_range_open(core, r);
         r->dealt = true;
     }
-    lmn_deal_range(core, small->ranges->pdata[0], now);
-    lmn_deal_range(core, large->ranges->pdata[0], now);
+    lmn_assign_range(core, small->ranges->pdata[0], now);
+    lmn_assign_range(core, large->ranges->pdata[0], now);
     for (; t < 600 && !count_started(large, true) && !count_started(large, false); t++) {
         now = lmn_time_add(now, 1);
         core->wall = t;
-        lmn_ages(core, t);
-        lmn_reserve(core, p, now);
+        lmn_update_starvation(core, t);
+        lmn_update_reservations(core, p, now);
         for (guint k = 0; k < p->list->len; k++) {
             struct lmn_machine *m = p->list->pdata[k];
             /* A tenth of the small tasks end each second, one after the other. */
@@ -58,10 +58,10 @@
                 lmn_task_finished(a->range, a->index, now);
                 g_array_remove_index_fast(m->attempts, i);
                 m->next_steal = now;
-                lmn_schedule(core, m, out, now);
+                lmn_schedule_machine(core, m, out, now);
             }
             m->next_steal = now;
-            lmn_schedule(core, m, out, now);
+            lmn_schedule_machine(core, m, out, now);
         }
     }
     g_byte_array_unref(out);
@@ -71,18 +71,18 @@
 /* A quarter of an even part of what is in use, over those with work waiting. */
 static void floors(void **state)
 {
-    struct lmn_floor f = {.used = 12, .waiting = 1};
+    struct lmn_fair_share f = {.used = 12, .waiting = 1};
     (void)state;
 
-    assert_true(lmn_floor_owed(&f, 100, 2));  /* of 12.5 */
-    assert_false(lmn_floor_owed(&f, 100, 3)); /* of 8.3 */
-    assert_false(lmn_floor_owed(&f, 100, 1)); /* nobody else waits */
+    assert_true(lmn_is_under_fair_share(&f, 100, 2));  /* of 12.5 */
+    assert_false(lmn_is_under_fair_share(&f, 100, 3)); /* of 8.3 */
+    assert_false(lmn_is_under_fair_share(&f, 100, 1)); /* nobody else waits */
     f.used = 13;
-    assert_false(lmn_floor_owed(&f, 100, 2));
+    assert_false(lmn_is_under_fair_share(&f, 100, 2));
     f.used = 0;
-    assert_true(lmn_floor_owed(&f, 1, 50));
+    assert_true(lmn_is_under_fair_share(&f, 1, 50));
     f.waiting = 0;
-    assert_false(lmn_floor_owed(&f, 100, 2));
+    assert_false(lmn_is_under_fair_share(&f, 100, 2));
 }
 
 /* Twenty tasks of an urgent class came before one of a lesser one, and more come with
@@ -97,12 +97,12 @@
     g_strlcpy(high.spec.ref, "run-000001", LMN_JOB_ID_SIZE);
     g_strlcpy(low.spec.ref, "run-000002", LMN_JOB_ID_SIZE);
     g_strlcpy(prod.spec.ref, "run-000003", LMN_JOB_ID_SIZE);
-    assert_true(lmn_job_order(&high, &low) < 0);
+    assert_true(lmn_job_compare(&high, &low) < 0);
     low.owed = true;
-    assert_true(lmn_job_order(&low, &high) < 0);
-    assert_true(lmn_job_order(&prod, &low) < 0);
+    assert_true(lmn_job_compare(&low, &high) < 0);
+    assert_true(lmn_job_compare(&prod, &low) < 0);
     high.guaranteed = true;
-    assert_true(lmn_job_order(&high, &low) < 0);
+    assert_true(lmn_job_compare(&high, &low) < 0);
 }
 
 /* Found when long idle work sat on ordinary machines, at three times the price, for
@@ -126,7 +126,7 @@
             settings.objectives[0] =
                 (struct lmn_objective){LMN_OBJECTIVE_FINISH, "c", 180, 1, 1};
         }
-        lmn_ages(core, j->at);
+        lmn_update_starvation(core, j->at);
         start_all();
         assert_int_equal(count_started(j, true) > 0, k != 3);
         assert_int_equal(count_started(j, false) > 0, k != 0);
@@ -157,16 +157,16 @@
     old->spec.urgency = LMN_PRIORITY_NORMAL;
     urgent->spec.urgency = LMN_PRIORITY_HIGH;
     old->lost = urgent->lost = false;
-    lmn_deal_range(core, urgent->ranges->pdata[0], now);
-    lmn_deal_range(core, old->ranges->pdata[0], now);
-    lmn_ages(core, old->at + 50);
+    lmn_assign_range(core, urgent->ranges->pdata[0], now);
+    lmn_assign_range(core, old->ranges->pdata[0], now);
+    lmn_update_starvation(core, old->at + 50);
     assert_false(old->aged);
-    lmn_ages(core, old->at + 61);
-    assert_true(old->aged && lmn_job_order(old, urgent) < 0);
+    lmn_update_starvation(core, old->at + 61);
+    assert_true(old->aged && lmn_job_compare(old, urgent) < 0);
     urgent->aged = false;
     start_all();
     assert_int_equal(count_started(old, true) + count_started(old, false), 1);
-    lmn_ages(core, old->at + 100);
+    lmn_update_starvation(core, old->at + 100);
     assert_false(old->aged);
 }
 
@@ -177,8 +177,8 @@
     assert_in_range(wait_among_small(true), 120, 240);
     assert_int_equal(core->parts[0].keep[0].job != NULL, true);
     /* And what was kept is given up once it has begun. */
-    lmn_ages(core, 601);
-    lmn_reserve(core, &core->parts[0], now);
+    lmn_update_starvation(core, 601);
+    lmn_update_reservations(core, &core->parts[0], now);
     assert_null(core->parts[0].keep[0].job);
     for (guint k = 0; k < core->parts[0].list->len; k++)
         assert_null(((struct lmn_machine *)core->parts[0].list->pdata[k])->kept);
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -38,13 +38,13 @@
     }
     for (int a = 0; a < JOBS; a++)
         for (int b = 0; b < JOBS; b++) {
-            int ab = lmn_job_order(&jobs[a], &jobs[b]),
-                ba = lmn_job_order(&jobs[b], &jobs[a]);
+            int ab = lmn_job_compare(&jobs[a], &jobs[b]),
+                ba = lmn_job_compare(&jobs[b], &jobs[a]);
             assert_int_equal(ab<0, ba> 0);
             assert_int_equal(ab == 0, a == b);
             for (int c = 0; c < JOBS; c++)
-                if (ab < 0 && lmn_job_order(&jobs[b], &jobs[c]) < 0)
-                    assert_true(lmn_job_order(&jobs[a], &jobs[c]) < 0);
+                if (ab < 0 && lmn_job_compare(&jobs[b], &jobs[c]) < 0)
+                    assert_true(lmn_job_compare(&jobs[a], &jobs[c]) < 0);
         }
 }
 
@@ -61,14 +61,14 @@
     s.objectives[0] = (struct lmn_objective){LMN_OBJECTIVE_START, "c", 20, 1, 1};
     s.objectives[1] = (struct lmn_objective){LMN_OBJECTIVE_FINISH, "c", 60, 1, 1};
     s.objectives[2] = (struct lmn_objective){LMN_OBJECTIVE_START, "other", 1, 1, 1};
-    lmn_job_rank(&s, &j, 110);
+    lmn_job_update_latest_start(&s, &j, 110);
     assert_true(!j.lost && j.latest == 120);
-    lmn_job_rank(&s, &j, 121);
+    lmn_job_update_latest_start(&s, &j, 121);
     assert_true(!j.lost && j.latest == 155);
-    lmn_job_rank(&s, &j, 156);
+    lmn_job_update_latest_start(&s, &j, 156);
     assert_true(j.lost);
     j.spec.class_name = (char *)"unheard-of";
-    lmn_job_rank(&s, &j, 156);
+    lmn_job_update_latest_start(&s, &j, 156);
     assert_true(!j.lost && isinf(j.latest));
 }
 
@@ -90,7 +90,7 @@
             v[i].latest = (i ? v[i - 1].latest : 1000) + g_rand_int_range(r, 0, 20);
             g_ptr_array_add(list, &v[i]);
         }
-        lmn_triage(list, 1000, 10, 10);
+        lmn_overload_triage(list, 1000, 10, 10);
         for (int i = 0; i < N; i++)
             kept |= (unsigned)!v[i].yields << i;
         for (unsigned mask = 1; mask < 1u << N; mask++)
@@ -148,7 +148,7 @@
     struct lmn_job b = *a;
     b.guaranteed = false;
     b.spec.urgency = LMN_PRIORITY_PRODUCTION;
-    assert_true(lmn_job_order(a, &b) < 0);
+    assert_true(lmn_job_compare(a, &b) < 0);
 }
 
 /* A service is never too late: counted as lost once its start was late, it waited behind
@@ -172,10 +172,10 @@
                                        .urgency = LMN_PRIORITY_NORMAL,
                                        .deadline_s = -1};
     for (double wall = 500; wall < 5000; wall += 50) {
-        lmn_job_rank(&s, &service, wall);
-        lmn_job_rank(&s, &batch, wall);
+        lmn_job_update_latest_start(&s, &service, wall);
+        lmn_job_update_latest_start(&s, &batch, wall);
         assert_false(service.lost);
-        assert_true(lmn_job_order(&service, &batch) < 0);
+        assert_true(lmn_job_compare(&service, &batch) < 0);
     }
 }
 
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -63,7 +63,7 @@
                 run(m, i < equals ? peer : low, at++);
         }
         lmn_queue_add(&p->unplaced, prod, 0, 1);
-        lmn_make_room(core, p, now);
+        lmn_preempt_for_production(core, p, now);
         guint stopped = 0;
         struct lmn_machine *where = NULL;
         g_hash_table_iter_init(&it, p->machines);
@@ -85,7 +85,7 @@
         assert_int_equal(where->promised, 1);
         assert_int_equal(p->unplaced.tasks, 0);
         /* Again: it is helped already. */
-        lmn_make_room(core, p, lmn_time_add(now, 1));
+        lmn_preempt_for_production(core, p, lmn_time_add(now, 1));
         assert_int_equal(core->count.preempted, 1);
         /* One victim has ended: its piece stays free until the other has too. */
         lmn_queue_add(&where->queue, low, 199, 200);
@@ -100,7 +100,7 @@
                 a->state = LMN_ATTEMPT_ENDED;
                 break;
             }
-            assert_int_equal(lmn_schedule(core, where, out, now), gone);
+            assert_int_equal(lmn_schedule_machine(core, where, out, now), gone);
             g_byte_array_unref(out);
         }
         assert_int_equal(prod->nstarted, 1);
@@ -143,7 +143,7 @@
             run(v, low, at++);
         }
         lmn_queue_add(&p->unplaced, prod, 0, 1);
-        lmn_make_room(core, p, now);
+        lmn_preempt_for_production(core, p, now);
         g_hash_table_iter_init(&it, p->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_attempt *a = &g_array_index(
@@ -182,7 +182,7 @@
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *m = v;
             m->spot = false;
-            lmn_note_image(m, &jobs[3], true, now);
+            lmn_machine_record_image(m, &jobs[3], true, now);
             for (uint32_t i = 0, n = 1 + (seed + at) % 2; i < n; i++)
                 run(m, r, at++);
         }
@@ -201,7 +201,7 @@
                 lmn_queue_add(&p->unplaced, jobs[5].ranges->pdata[0], 0, 1);
             if (step == 11)
                 lmn_queue_clear(&p->unplaced);
-            lmn_pack(core, p, then);
+            lmn_consolidate_replicas(core, p, then);
             g_hash_table_iter_init(&it, p->machines);
             while (g_hash_table_iter_next(&it, NULL, &v)) {
                 struct lmn_machine *m = v;
@@ -228,7 +228,7 @@
             while (g_hash_table_iter_next(&it, NULL, &v)) {
                 struct lmn_machine *m = v;
                 GByteArray *out = g_byte_array_new();
-                lmn_schedule(core, m, out, then);
+                lmn_schedule_machine(core, m, out, then);
                 g_byte_array_unref(out);
                 for (guint i = 0; i < m->attempts->len; i++) {
                     struct lmn_attempt *a =
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -19,12 +19,12 @@
 
     for (int i = 0; i < 20; i++) {
         now = m->next_steal.tv_sec ? lmn_time_add(m->next_steal, 0.01) : now;
-        assert_false(lmn_steal(core, m, now));
+        assert_false(lmn_steal_for_machine(core, m, now));
         assert_true(last == 0 || m->poll_s == fmin(last * 2, core->tuning.poll_cap_s));
         last = m->poll_s;
     }
     assert_true(last == core->tuning.poll_cap_s);
-    lmn_deal(core, jobs[2].ranges->pdata[0], 0, jobs[2].spec.tasks, now);
+    lmn_assign_tasks(core, jobs[2].ranges->pdata[0], 0, jobs[2].spec.tasks, now);
     struct lmn_machine *dealt = NULL;
     for (int i = 0; i < MACHINES && !dealt; i++) {
         char name[16];
@@ -62,7 +62,7 @@
     }
     lmn_queue_add(&busy->queue, early->ranges->pdata[0], 0, 1);
     lmn_queue_add(&m->queue, late->ranges->pdata[0], 0, 1);
-    assert_int_equal(lmn_schedule(core, m, out, now), 1);
+    assert_int_equal(lmn_schedule_machine(core, m, out, now), 1);
     assert_ptr_equal(g_array_index(m->attempts, struct lmn_attempt, 0).job, early);
     assert_int_equal(busy->queue.tasks, 0);
     assert_int_equal(m->queue.tasks, 1);
@@ -73,7 +73,7 @@
     late->latest = early->latest - 1;
     lmn_queue_add(&busy->queue, early->ranges->pdata[0], 0, 1);
     lmn_queue_add(&m->queue, late->ranges->pdata[0], 0, 1);
-    assert_int_equal(lmn_schedule(core, m, out, now), 1);
+    assert_int_equal(lmn_schedule_machine(core, m, out, now), 1);
     assert_ptr_equal(g_array_index(m->attempts, struct lmn_attempt, 0).job, late);
     assert_int_equal(busy->queue.tasks, 1);
     g_byte_array_free(out, TRUE);
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -142,7 +142,7 @@
 static double part_of(int i, int team)
 {
     double cpus, gpus;
-    lmn_quota_part(core[i], &core[i]->parts[i], team, &cpus, &gpus);
+    lmn_quota_share(core[i], &core[i]->parts[i], team, &cpus, &gpus);
     return cpus;
 }
 
@@ -297,7 +297,7 @@
     struct lmn_partition *p = &core[0]->parts[0];
     struct lmn_job *j = g_new0(struct lmn_job, 1);
     struct lmn_range *r = g_new0(struct lmn_range, 1);
-    struct lmn_quota_want w;
+    struct lmn_quota_request w;
 
     j->spec.cpus = 20; /* of 24, in three parts of 8 */
     j->ranges = g_ptr_array_new();
@@ -310,7 +310,7 @@
     lmn_range_open(core[0], r);
     for (int turn = 0; turn < 4; turn++)
         for (int i = 1; i < nparts; i++) {
-            if (!lmn_quota_wanted(core[0], p, 0, &w))
+            if (!lmn_quota_shortfall(core[0], p, 0, &w))
                 break;
             lmn_quota_asked(core[i], &core[i]->parts[i], 0, &w, now);
             write_out(NULL, i);
@@ -319,7 +319,7 @@
             check();
         }
     assert_true(part(0) >= 20 - 1e-6);
-    assert_false(lmn_quota_wanted(core[0], p, 0, &w));
+    assert_false(lmn_quota_shortfall(core[0], p, 0, &w));
 }
 
 /* The other partitions' parts are full of small tasks, and more of them wait: a task
@@ -330,7 +330,7 @@
     (void)state;
     make(2, 3, 1);
     struct lmn_partition *p = &core[0]->parts[0];
-    struct lmn_quota_want w = {0};
+    struct lmn_quota_request w = {0};
     GRand *r = g_rand_new_with_seed(4);
     bool moved = false;
 
@@ -355,9 +355,9 @@
             /* One ends now and then, and another starts at once, if it may. */
             if (o->used_cpus[0] > 0 && g_rand_boolean(r))
                 o->used_cpus[0]--;
-            while (lmn_in_quota(core[i], o, small))
+            while (lmn_job_within_quota(core[i], o, small))
                 o->used_cpus[0]++;
-            if (lmn_quota_wanted(core[0], p, 0, &w))
+            if (lmn_quota_shortfall(core[0], p, 0, &w))
                 lmn_quota_asked(core[i], o, 0, &w, now);
             write_out(NULL, i);
             for (int k = 0; k < nparts; k++)
@@ -382,7 +382,7 @@
     struct lmn_range *range = g_new0(struct lmn_range, 1);
     struct lmn_machine_type type = {.name = "t", .cpus = 8};
     struct lmn_machine *m = lmn_machine_new(p, "host-000001");
-    struct lmn_quota_want want = {0, 2, 0, 0, 0}, own;
+    struct lmn_quota_request want = {0, 2, 0, 0, 0}, own;
     double cpus, gpus;
 
     job->spec.cpus = 2;
@@ -398,12 +398,12 @@
     p->used_cpus[0] = 4;
     lmn_quota_spare(c, p, &want, &cpus, &gpus);
     assert_true(cpus == 2);
-    assert_false(lmn_quota_wanted(c, p, 0, &own));
+    assert_false(lmn_quota_shortfall(c, p, 0, &own));
     /* Nor does it ask for more than it has room for; what it has room for, it keeps. */
     p->used_cpus[0] = 8;
-    assert_false(lmn_quota_wanted(c, p, 0, &own));
+    assert_false(lmn_quota_shortfall(c, p, 0, &own));
     m->used_cpus = 3;
-    assert_true(lmn_quota_wanted(c, p, 0, &own));
+    assert_true(lmn_quota_shortfall(c, p, 0, &own));
     assert_true(own.cpus == 5);
     p->used_cpus[0] = 4;
     lmn_quota_spare(c, p, &want, &cpus, &gpus);
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -116,16 +116,16 @@
         int n = g_rand_int_range(r, 0, 64);
         struct lmn_core *c = make(r, n);
         struct timespec now = {1000, 0};
-        struct lmn_fleet f;
-        struct lmn_rental rental;
+        struct lmn_autoscaler f;
+        struct lmn_provision_request rental;
         double have = 0, ordinary = 0;
         int calls = 0;
-        lmn_fleet_init(&f);
-        while (lmn_fleet_choose(c, &f, &rental, now)) {
+        lmn_autoscaler_init(&f);
+        while (lmn_autoscaler_decide(c, &f, &rental, now)) {
             assert_true(++calls < 10000);
             const struct lmn_machine_type *t = lmn_machine_type_by_name(c, rental.type);
             for (unsigned i = 0; i < rental.count; i++) {
-                struct lmn_listed *m = g_new0(struct lmn_listed, 1);
+                struct lmn_cloud_machine *m = g_new0(struct lmn_cloud_machine, 1);
                 g_snprintf(m->name, LMN_NAME_SIZE, "m-%d-%u", calls, i);
                 g_strlcpy(m->type, rental.type, LMN_NAME_SIZE);
                 m->spot = rental.spot;
@@ -155,8 +155,8 @@
     for (int round = 0; round < 40; round++) {
         struct lmn_core *c = make(r, 60);
         struct timespec now = {1000, 0};
-        struct lmn_fleet f;
-        struct lmn_rental rental;
+        struct lmn_autoscaler f;
+        struct lmn_provision_request rental;
         double most;
         cfg.max_connections = 64 << g_rand_int_range(r, 0, 3);
         cfg.report_s = g_rand_double_range(r, 0.2, 2);
@@ -164,13 +164,13 @@
             cfg.teams[i].cpus_max = 0;
         lmn_connection_budget_init(&cfg, &c->sockets);
         most = lmn_connection_budget_max_machines(&c->sockets, &cfg);
-        lmn_fleet_init(&f);
+        lmn_autoscaler_init(&f);
         c->load.behind = 3;
-        assert_false(lmn_fleet_choose(c, &f, &rental, now));
+        assert_false(lmn_autoscaler_decide(c, &f, &rental, now));
         c->load.behind = 0;
-        for (int calls = 0; lmn_fleet_choose(c, &f, &rental, now); calls++)
+        for (int calls = 0; lmn_autoscaler_decide(c, &f, &rental, now); calls++)
             for (unsigned i = 0; i < rental.count; i++) {
-                struct lmn_listed *m = g_new0(struct lmn_listed, 1);
+                struct lmn_cloud_machine *m = g_new0(struct lmn_cloud_machine, 1);
                 g_snprintf(m->name, LMN_NAME_SIZE, "m-%d-%u", calls, i);
                 g_strlcpy(m->type, rental.type, LMN_NAME_SIZE);
                 g_hash_table_insert(f.machines, m->name, m);
@@ -191,8 +191,8 @@
     for (int k = 0; k < 4; k++) {
         struct lmn_core *c = make(r, 2);
         struct timespec now = {1000, 0};
-        struct lmn_fleet f;
-        struct lmn_rental rental;
+        struct lmn_autoscaler f;
+        struct lmn_provision_request rental;
         unsigned ordinary = 0, spot = 0;
         for (int i = 0; i < 2; i++) {
             cfg.teams[jobs[i].team].cpus_max = 0;
@@ -205,18 +205,18 @@
             jobs[i].spec.urgency =
                 i == 1 && k == 1 ? LMN_PRIORITY_HIGH : LMN_PRIORITY_IDLE;
         }
-        lmn_fleet_init(&f);
+        lmn_autoscaler_init(&f);
         /* Five cheap machines, if any, are all there are. */
         for (int calls = 0; calls < 400; calls++) {
             now = lmn_time_add(now, 1);
-            if (!lmn_fleet_choose(c, &f, &rental, now))
+            if (!lmn_autoscaler_decide(c, &f, &rental, now))
                 continue;
             unsigned got = !rental.spot          ? rental.count
                            : k == 2 || spot >= 5 ? 0
                                                  : MIN(rental.count, 5 - spot);
-            lmn_fleet_outcome(&f, &rental, got, now);
+            lmn_autoscaler_record_result(&f, &rental, got, now);
             for (unsigned i = 0; i < got; i++) {
-                struct lmn_listed *m = g_new0(struct lmn_listed, 1);
+                struct lmn_cloud_machine *m = g_new0(struct lmn_cloud_machine, 1);
                 g_snprintf(m->name, LMN_NAME_SIZE, "m-%d-%u", calls, i);
                 g_strlcpy(m->type, rental.type, LMN_NAME_SIZE);
                 m->spot = rental.spot;
@@ -247,8 +247,8 @@
     for (int k = 0; k < 3; k++) {
         struct lmn_core *c = make(r, 1);
         struct timespec now = {1000, 0};
-        struct lmn_fleet f;
-        struct lmn_rental rental;
+        struct lmn_autoscaler f;
+        struct lmn_provision_request rental;
         GHashTableIter it;
         gpointer v;
         int n = 0, late = k == 0 ? 3 : 20;
@@ -262,9 +262,9 @@
         jobs[0].spec.tasks = ranges[0].hi = 30;
         g_strlcpy(c->types.v[0].zones[0], "a", LMN_NAME_SIZE);
         c->types.n = 1;
-        lmn_fleet_init(&f);
+        lmn_autoscaler_init(&f);
         for (int i = 0; i < 30; i++) {
-            struct lmn_listed *m = g_new0(struct lmn_listed, 1);
+            struct lmn_cloud_machine *m = g_new0(struct lmn_cloud_machine, 1);
             g_snprintf(m->name, LMN_NAME_SIZE, "m-%d", i);
             g_strlcpy(m->type, "small", LMN_NAME_SIZE);
             g_strlcpy(m->zone, "a", LMN_NAME_SIZE);
@@ -273,13 +273,13 @@
             g_hash_table_insert(f.machines, m->name, m);
         }
         for (int i = 0; k == 2 && i < 20; i++) /* they take long here */
-            lmn_fleet_booted(&f, g_hash_table_lookup(f.machines, "m-25"), 200);
+            lmn_autoscaler_record_boot(&f, g_hash_table_lookup(f.machines, "m-25"), 200);
         now = lmn_time_add(now, 30);
-        assert_false(lmn_fleet_choose(c, &f, &rental, now));
+        assert_false(lmn_autoscaler_decide(c, &f, &rental, now));
         now = lmn_time_add(now, 20);
-        while (lmn_fleet_choose(c, &f, &rental, now) && ++n < 100)
+        while (lmn_autoscaler_decide(c, &f, &rental, now) && ++n < 100)
             for (unsigned i = 0; i < rental.count; i++, more++) {
-                struct lmn_listed *m = g_new0(struct lmn_listed, 1);
+                struct lmn_cloud_machine *m = g_new0(struct lmn_cloud_machine, 1);
                 g_snprintf(m->name, LMN_NAME_SIZE, "n-%u", more);
                 g_strlcpy(m->type, "small", LMN_NAME_SIZE);
                 g_strlcpy(m->zone, "a", LMN_NAME_SIZE);
@@ -291,9 +291,10 @@
         /* They do come: what is too much goes back by itself. */
         g_hash_table_iter_init(&it, f.machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            ((struct lmn_listed *)v)->booting = false;
-        assert_false(lmn_fleet_choose(c, &f, &rental, now));
-        assert_true(lmn_fleet_patience(&f, &c->types.v[0], "a", 4) > (k == 2 ? 250 : 30));
+            ((struct lmn_cloud_machine *)v)->booting = false;
+        assert_false(lmn_autoscaler_decide(c, &f, &rental, now));
+        assert_true(lmn_autoscaler_boot_timeout_s(&f, &c->types.v[0], "a", 4) >
+                    (k == 2 ? 250 : 30));
     }
     g_rand_free(r);
 }
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -159,20 +159,20 @@
         enum lmn_wait_reason reason;
     } cases[] = {
         {nothing, LMN_WAIT_NONE},
-        {hand_over, LMN_WAIT_HANDOVER},
+        {hand_over, LMN_WAIT_TRANSFER},
         {is_new, LMN_WAIT_UNACCOUNTED},
         {lacks_record, LMN_WAIT_UNRECORDED},
-        {retires, LMN_WAIT_RETIRING},
-        {is_noticed, LMN_WAIT_NOTICED},
+        {retires, LMN_WAIT_DRAINING},
+        {is_noticed, LMN_WAIT_SPOT_NOTICE},
         {has_no_type, LMN_WAIT_UNKNOWN_TYPE},
-        {failed, LMN_WAIT_FAULTY},
-        {job_is_over, LMN_WAIT_NOT_WANTED},
-        {is_full, LMN_WAIT_ROOM},
-        {is_promised, LMN_WAIT_PROMISED},
-        {is_kept, LMN_WAIT_KEPT},
-        {job_fails, LMN_WAIT_FAILING},
+        {failed, LMN_WAIT_QUARANTINED},
+        {job_is_over, LMN_WAIT_JOB_OVER},
+        {is_full, LMN_WAIT_CAPACITY},
+        {is_promised, LMN_WAIT_PREEMPTION_RESERVED},
+        {is_kept, LMN_WAIT_BACKFILL_RESERVED},
+        {job_fails, LMN_WAIT_JOB_BACKOFF},
         {forbids_zone, LMN_WAIT_NOT_ALLOWED},
-        {reaches_limit, LMN_WAIT_LIMIT},
+        {reaches_limit, LMN_WAIT_QUOTA},
         {runs_elsewhere, LMN_WAIT_ZONE},
     };
     (void)state;
@@ -182,8 +182,9 @@
         make();
         cases[i].happens();
         enum lmn_wait_reason reason = lmn_wait_reason(core, machine, range, now);
-        assert_string_equal(lmn_wait_name(reason), lmn_wait_name(cases[i].reason));
-        guint started = lmn_schedule(core, machine, out, now);
+        assert_string_equal(lmn_wait_reason_name(reason),
+                            lmn_wait_reason_name(cases[i].reason));
+        guint started = lmn_schedule_machine(core, machine, out, now);
         assert_int_equal(started, reason == LMN_WAIT_NONE ? TASKS : 0);
         g_byte_array_unref(out);
     }
@@ -193,11 +194,11 @@
 }
 
 static double cpus_left[] = {8}, gpus_left[] = {1e12}; /* of the team's limit */
-static const struct lmn_thief thief = {.part = 1,
-                                       .rooms = {{"x", "b", false, 2, 0, 64}},
-                                       .nrooms = 1,
-                                       .team_cpus = cpus_left,
-                                       .team_gpus = gpus_left};
+static const struct lmn_steal_request thief = {.part = 1,
+                                               .rooms = {{"x", "b", false, 2, 0, 64}},
+                                               .nrooms = 1,
+                                               .team_cpus = cpus_left,
+                                               .team_gpus = gpus_left};
 
 /* A job of one zone waited for ever in a partition without a machine there. */
 static void untouched_job_moves_whole(void **state)
@@ -206,7 +207,7 @@
     make();
     forbids_zone();
     assert_int_equal(lmn_victim_load(core, range->part, &thief), TASKS);
-    assert_int_equal(lmn_victim_give(core, range->part, &thief, now), TASKS);
+    assert_int_equal(lmn_victim_transfer(core, range->part, &thief, now), TASKS);
     assert_int_equal(range->move_at, 0);
     assert_int_equal(machine->queue.tasks, 0);
 }
@@ -239,7 +240,7 @@
         make();
         cases[i]();
         assert_int_equal(lmn_victim_load(core, range->part, &thief), 0);
-        assert_int_equal(lmn_victim_give(core, range->part, &thief, now), 0);
+        assert_int_equal(lmn_victim_transfer(core, range->part, &thief, now), 0);
     }
 }
 
@@ -252,10 +253,10 @@
     other.ranges = g_ptr_array_new();
     machine->kept = &job;
     machine->kept_until = lmn_time_add(now, 60);
-    lmn_reserve(core, machine->part, now);
+    lmn_update_reservations(core, machine->part, now);
     assert_ptr_equal(machine->kept, &job);
     machine->kept = &other;
-    lmn_reserve(core, machine->part, now);
+    lmn_update_reservations(core, machine->part, now);
     assert_null(machine->kept);
 }
 
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -338,7 +338,7 @@
     g_hash_table_insert(core->jobs, job.spec.ref, &job);
     lmn_range_open(core, &range);
     range.dealt = true;
-    lmn_deal_range(core, &range, now);
+    lmn_assign_range(core, &range, now);
 }
 
 static void with_type(void)
@@ -637,7 +637,7 @@
     for (int i = 0; i < 4; i++)
         range.st[i] = LMN_TASK_QUEUED;
     range.nstarted = 0;
-    lmn_deal_range(core, &range, now);
+    lmn_assign_range(core, &range, now);
     core->parts[0].stream.phase = LMN_STREAM_IN_SYNC;
     core->parts[0].stream.acked = core->parts[0].stream.mark;
     now = lmn_time_add(now, 4);
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -350,7 +350,7 @@
     }
 }
 
-static uint32_t steal_from(int victim, const struct lmn_thief *t)
+static uint32_t steal_from(int victim, const struct lmn_steal_request *t)
 {
     uint32_t got = 0;
 
@@ -358,7 +358,7 @@
         struct node *o = &w.nodes[k];
         if (node_up(o) && o->core && o->core->parts[victim].mine &&
             lmn_victim_load(o->core, &o->core->parts[victim], t))
-            got = lmn_victim_give(o->core, &o->core->parts[victim], t, w.clock);
+            got = lmn_victim_transfer(o->core, &o->core->parts[victim], t, w.clock);
     }
     digest_message("theft", w.clock);
     digest_number((uint64_t)t->part);
@@ -371,25 +371,25 @@
 static void node_steal(struct node *n)
 {
     for (int i = 0; i < w.layout.nodes; i++) {
-        struct lmn_thief t;
+        struct lmn_steal_request t;
         uint32_t got = 0;
-        lmn_thief_init(&t, &n->cfg);
-        if (!lmn_thief_fill(n->core, &n->core->parts[i], &t, w.clock)) {
-            lmn_thief_clear(&t);
+        lmn_steal_request_init(&t, &n->cfg);
+        if (!lmn_steal_request_fill(n->core, &n->core->parts[i], &t, w.clock)) {
+            lmn_steal_request_clear(&t);
             continue;
         }
         /* A sample of the others; while faults go on, one. */
         int sample = w.calm ? (int)ceil(2 * sqrt(w.layout.nodes)) : 1;
         while (sample-- > 0 && !got)
             got = steal_from(g_rand_int_range(w.r, 0, w.layout.nodes), &t);
-        lmn_thief_result(n->core, &n->core->parts[i], got, w.clock);
-        lmn_thief_clear(&t);
+        lmn_steal_record_result(n->core, &n->core->parts[i], got, w.clock);
+        lmn_steal_request_clear(&t);
         w.steals += got;
     }
 }
 
 static bool ask_for_limit(struct node *o, int victim, int part,
-                          const struct lmn_quota_want *want)
+                          const struct lmn_quota_request *want)
 {
     bool given = lmn_quota_asked(o->core, &o->core->parts[victim], part, want, w.clock);
 
@@ -414,8 +414,8 @@
 
     for (int team = 0; team < w.teams && !lmn_time_before(w.clock, p->next_quota);
          team++) {
-        struct lmn_quota_want want;
-        if (!lmn_quota_wanted(n->core, p, team, &want))
+        struct lmn_quota_request want;
+        if (!lmn_quota_shortfall(n->core, p, team, &want))
             continue;
         any = true;
         int first = g_rand_int_range(w.r, 0, w.layout.nodes);
@@ -544,19 +544,19 @@
         break_guards(n);
     pass_for_recorded(n, true);
     double wall = w.now;
-    lmn_rank_all(n->core, wall);
+    lmn_update_job_order(n->core, wall);
     if (w.broken == G_FLOORS)
         drop_floors(n->core);
     for (int i = 0; i < n->core->nparts && n->core->triaged == n->core->wall; i++)
-        lmn_reserve(n->core, &n->core->parts[i], w.clock);
+        lmn_update_reservations(n->core, &n->core->parts[i], w.clock);
     lmn_upkeep(n->core, w.clock);
     for (int k = 0; k < w.layout.nodes && w.broken == G_UNHEARD; k++) {
         n->core->parts[k].unheard_cpus = n->core->parts[k].unheard_gpus = 0;
         n->core->parts[k].unheard_unknown = false;
     }
     for (int k = 0; k < w.layout.nodes; k++) {
-        lmn_make_room(n->core, &n->core->parts[k], w.clock);
-        lmn_pack(n->core, &n->core->parts[k], w.clock);
+        lmn_preempt_for_production(n->core, &n->core->parts[k], w.clock);
+        lmn_consolidate_replicas(n->core, &n->core->parts[k], w.clock);
     }
     pass_for_recorded(n, false);
     lmn_ranges_flush(n->core, w.clock);
--- a/tests/world/served.c
+++ b/tests/world/served.c
@@ -120,7 +120,7 @@
             }
         }
     }
-    return lmn_wait_name(said);
+    return lmn_wait_reason_name(said);
 }
 
 void world_explain(const struct job *j)
