--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -74,18 +74,18 @@
     }
     lmn_kv_client_start(state);
     lmn_thread(lmn_watch_cache_thread, core);
-    lmn_thread(lmn_holder_thread, core);
+    lmn_thread(lmn_ownership_thread, core);
     lmn_api_start(core);
-    lmn_thread(lmn_cloud_thread, core);
+    lmn_thread(lmn_provisioner_thread, core);
     lmn_thread(lmn_peer_thread, core);
     if (cfg->nmembers) {
         lmn_thread(lmn_ask_thread, core);
         lmn_follow_start(core);
     }
-    static struct lmn_lane lanes[LMN_WORKER_CLIENT_THREADS];
+    static struct lmn_worker_client lanes[LMN_WORKER_CLIENT_THREADS];
     for (unsigned i = 0; i < G_N_ELEMENTS(lanes); i++) {
-        lanes[i] = (struct lmn_lane){core, i, G_N_ELEMENTS(lanes)};
-        lmn_thread(lmn_direct_thread, &lanes[i]);
+        lanes[i] = (struct lmn_worker_client){core, i, G_N_ELEMENTS(lanes)};
+        lmn_thread(lmn_worker_client_thread, &lanes[i]);
     }
     struct timespec last = lmn_now();
     for (;;) {
@@ -95,8 +95,8 @@
         /* With the lock, so that waiting for it counts as being late. */
         struct timespec now = lmn_now();
         if (asked_to_end)
-            lmn_leave(core, now);
-        if (asked_to_end > 1 || lmn_leave_over(core, now)) {
+            lmn_shutdown_begin(core, now);
+        if (asked_to_end > 1 || lmn_shutdown_is_complete(core, now)) {
             lmn_info("leave-end after=%.2f given=%d",
                      lmn_time_diff_s(now, core->leave_at), core->left);
             /* Nothing is to be cleared away, and the other threads go on until then. */
@@ -110,12 +110,12 @@
         lmn_update_job_order(core, lmn_time_seconds(lmn_wall_clock_now()));
         for (int i = 0; i < core->nparts && core->triaged == core->wall; i++)
             lmn_update_reservations(core, &core->parts[i], now);
-        lmn_upkeep(core, now);
+        lmn_maintenance_run(core, now);
         for (int i = 0; i < core->nparts; i++) {
             lmn_preempt_for_production(core, &core->parts[i], now);
             lmn_consolidate_replicas(core, &core->parts[i], now);
         }
-        lmn_ranges_flush(core, now);
+        lmn_range_writer_flush(core, now);
         pthread_mutex_unlock(&core->lock);
     }
 }
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -83,8 +83,9 @@
     } else if (post && !strcmp(path, P_REPORT)) {
         GByteArray *out = g_byte_array_new();
         const GByteArray *body = lmn_http_request_body(call);
-        struct lmn_held held;
-        int status = lmn_worker_report(c, body->data, body->len, out, &held, lmn_now());
+        struct lmn_deferred_starts held;
+        int status =
+            lmn_heartbeat_handle(c, body->data, body->len, out, &held, lmn_now());
         if (held.mark)
             lmn_follow_hold(c, call, out, &held);
         else
--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -42,7 +42,7 @@
     int successor[LMN_MAX_PARTITIONS];
 
     pthread_mutex_lock(&c->lock);
-    lmn_successors(c, now, successor);
+    lmn_transfer_targets(c, now, successor);
     for (int i = 0; i < c->nparts; i++) {
         const struct lmn_partition *p = &c->parts[i];
         int owner = p->owner_rev ? lmn_member_index(&c->members, p->owner) : -1;
@@ -54,7 +54,7 @@
         g_string_append_c(s, '\n');
     }
     if (c->leaving)
-        lmn_leave_show(c, s, now);
+        lmn_shutdown_describe(c, s, now);
     pthread_mutex_unlock(&c->lock);
     return g_string_free(s, FALSE);
 }
@@ -67,13 +67,13 @@
 
     pthread_mutex_lock(&c->lock);
     if (leave)
-        lmn_leave(c, now);
-    else if (!lmn_leave_undo(c))
+        lmn_shutdown_begin(c, now);
+    else if (!lmn_shutdown_cancel(c))
         code = 1;
     if (code)
         g_string_append(s, "it has given everything away and ends: start it again\n");
     else
-        lmn_leave_show(c, s, now);
+        lmn_shutdown_describe(c, s, now);
     pthread_mutex_unlock(&c->lock);
     *text = g_string_free(s, FALSE);
     return code;
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -11,7 +11,7 @@
 struct lmn_deferred_response {
     struct lmn_http_request *call;
     GByteArray *out;
-    struct lmn_held held;
+    struct lmn_deferred_starts held;
     struct timespec since;
     int status; /* 0: it waits still */
 };
@@ -167,7 +167,7 @@
             w->status = 200;
         } else if (lmn_time_diff_s(now, w->since) > LMN_REPLICATION_DEFER_S) {
             w->status = 200;
-            lmn_worker_withhold(c, &w->held, w->out, now);
+            lmn_heartbeat_withhold_starts(c, &w->held, w->out, now);
         } else {
             continue;
         }
@@ -188,7 +188,7 @@
 }
 
 void lmn_follow_hold(struct lmn_core *c, struct lmn_http_request *call, GByteArray *out,
-                     const struct lmn_held *held)
+                     const struct lmn_deferred_starts *held)
 {
     struct lmn_partition *p = &c->parts[held->part];
     int status = 0;
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -66,7 +66,7 @@
 
 static int drain(const char *name, char *err, size_t len)
 {
-    struct lmn_partition *p = &core->parts[lmn_partition_of(name, core->nparts)];
+    struct lmn_partition *p = &core->parts[lmn_partition_for_machine(name, core->nparts)];
     int rc = -1;
 
     pthread_mutex_lock(&core->lock);
@@ -118,7 +118,7 @@
     struct lmn_partition *p = &core->parts[q->victim];
     if (give) {
         n = lmn_victim_transfer(core, p, &t, now);
-        lmn_ranges_flush(core, now);
+        lmn_range_writer_flush(core, now);
     } else {
         n = lmn_victim_load(core, p, &t);
     }
@@ -137,7 +137,8 @@
     struct lmn_quota_request w = {(int)(team - core->cfg->teams), q->cpus, q->gpus,
                                   q->least_cpus, q->least_gpus};
     pthread_mutex_lock(&core->lock);
-    given = lmn_quota_asked(core, &core->parts[q->victim], q->thief, &w, lmn_now());
+    given =
+        lmn_quota_request_handle(core, &core->parts[q->victim], q->thief, &w, lmn_now());
     pthread_mutex_unlock(&core->lock);
     return given;
 }
--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -21,8 +21,8 @@
     return LMN_ATTEMPT_RUNNING;
 }
 
-bool lmn_report_task(struct lmn_attempt *a, const struct lmn_cbor_document *d,
-                     const struct lmn_cbor_value *n)
+bool lmn_heartbeat_parse_task(struct lmn_attempt *a, const struct lmn_cbor_document *d,
+                              const struct lmn_cbor_value *n)
 {
     char task[LMN_JOB_ID_SIZE + 16], *slash;
 
@@ -53,7 +53,8 @@
     return at > s && !*at;
 }
 
-const char *lmn_report_read(struct lmn_report *r, const struct lmn_cbor_document *d)
+const char *lmn_heartbeat_parse(struct lmn_heartbeat *r,
+                                const struct lmn_cbor_document *d)
 {
     const struct lmn_cbor_value *m = lmn_cbor_root(d);
     struct lmn_attempt a;
@@ -83,7 +84,7 @@
     /* One entry that can't be read, and the task that it is about would count as gone. */
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, r->tasks); n;
          n = lmn_cbor_next(d, n))
-        if (!lmn_report_task(&a, d, n))
+        if (!lmn_heartbeat_parse_task(&a, d, n))
             return W_TASKS
                 ": expected a task, as in run-000412/3, and an attempt in each";
     return NULL;
@@ -239,7 +240,7 @@
         lmn_task_requeue(c, r, a->index, now);
 }
 
-bool lmn_machine_bare(const struct lmn_machine *m)
+bool lmn_machine_is_empty(const struct lmn_machine *m)
 {
     for (guint i = 0; i < m->attempts->len; i++) {
         const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
@@ -251,16 +252,16 @@
     return true;
 }
 
-void lmn_report_tasks(struct lmn_core *c, struct lmn_machine *m,
-                      const struct lmn_cbor_document *d,
-                      const struct lmn_cbor_value *tasks, struct timespec now)
+void lmn_heartbeat_apply_tasks(struct lmn_core *c, struct lmn_machine *m,
+                               const struct lmn_cbor_document *d,
+                               const struct lmn_cbor_value *tasks, struct timespec now)
 {
     for (guint i = 0; i < m->attempts->len; i++)
         g_array_index(m->attempts, struct lmn_attempt, i).seen = false;
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, tasks); n;
          n = lmn_cbor_next(d, n)) {
         struct lmn_attempt x;
-        if (!lmn_report_task(&x, d, n))
+        if (!lmn_heartbeat_parse_task(&x, d, n))
             continue;
         struct lmn_attempt *a = find(m, x.ref, x.index, x.number);
         if (!a) {
@@ -291,8 +292,8 @@
     }
 }
 
-void lmn_attempt_vanish(struct lmn_core *c, struct lmn_machine *m, guint i,
-                        struct timespec now)
+void lmn_attempt_vanished(struct lmn_core *c, struct lmn_machine *m, guint i,
+                          struct timespec now)
 {
     struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
     struct lmn_attempt gone = *a;
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -14,8 +14,8 @@
 /* A worker's patience with an answer (the protocol's). */
 static const double WORKER_WAITS_S = 4;
 
-void lmn_command(GByteArray *out, const char *op, const struct lmn_attempt *a,
-                 double grace)
+void lmn_append_command(GByteArray *out, const char *op, const struct lmn_attempt *a,
+                        double grace)
 {
     char task[LMN_JOB_ID_SIZE + 16];
 
@@ -51,7 +51,8 @@
  * machines took whatever they had room for, again with each report, and ran none of it.
  * Now one task is tried, more and more seldom, until one order is seen to have had an
  * effect; its queue is others'. */
-void lmn_machine_unheeding(struct lmn_core *c, struct lmn_machine *m, struct timespec now)
+void lmn_machine_record_ignored_command(struct lmn_core *c, struct lmn_machine *m,
+                                        struct timespec now)
 {
     m->unheeded++;
     m->hold = lmn_time_add(now, (double)(1u << MIN(m->unheeded, 4u)));
@@ -63,7 +64,7 @@
 
 static guint kill_now(struct lmn_core *c, struct lmn_attempt *a, GByteArray *out)
 {
-    lmn_command(out, W_KILL, a, 0);
+    lmn_append_command(out, W_KILL, a, 0);
     c->count.kills += !a->killed;
     a->killed = true;
     return 1;
@@ -82,7 +83,7 @@
     for (const struct lmn_cbor_value *t = lmn_cbor_first_child(d, tasks); t;
          t = lmn_cbor_next(d, t)) {
         struct lmn_attempt a;
-        if (!lmn_report_task(&a, d, t) || a.state == LMN_ATTEMPT_ENDED ||
+        if (!lmn_heartbeat_parse_task(&a, d, t) || a.state == LMN_ATTEMPT_ENDED ||
             !(a.job = g_hash_table_lookup(c->jobs, a.ref)) || lmn_job_may_run(c, a.job))
             continue;
         n += kill_now(c, &a, out);
@@ -104,7 +105,7 @@
 {
     guint commands = 0, lost = 0;
 
-    lmn_report_tasks(c, m, d, tasks, now);
+    lmn_heartbeat_apply_tasks(c, m, d, tasks, now);
     /* What a newer report does not name is not there: the worker had dealt with our last
      * answer, or had given it up, before it wrote this one. Commands sent straight to it
      * are another matter: they travel by themselves, and may arrive minutes late. */
@@ -112,11 +113,11 @@
         const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         if (!a->seen && !a->direct && !(a->unsure && !a->listed)) {
             lost += a->state == LMN_ATTEMPT_SENT && !a->listed && !a->told;
-            lmn_attempt_vanish(c, m, i, now);
+            lmn_attempt_vanished(c, m, i, now);
         }
     }
     if (lost)
-        lmn_machine_unheeding(c, m, now);
+        lmn_machine_record_ignored_command(c, m, now);
     for (guint i = 0; i < m->attempts->len; i++) {
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         bool live = a->job && a->job->phase == LMN_JOB_ACTIVE;
@@ -126,7 +127,7 @@
         if ((a->unsure || a->direct) && !a->listed) {
             /* The same start by the way that can't be late: then it is surely there, and
              * its late twin changes nothing. */
-            lmn_command(out, W_START, a, -1);
+            lmn_append_command(out, W_START, a, -1);
             commands++;
         }
         if (a->state == LMN_ATTEMPT_ENDED) {
@@ -135,19 +136,19 @@
             bool recorded = !a->done || !live || !a->range ||
                             lmn_bitset_get(a->range->done, a->index - a->range->lo);
             if (recorded && !a->unsure && !a->direct && !is_history(m, a)) {
-                lmn_command(out, W_CLEAR, a, -1);
+                lmn_append_command(out, W_CLEAR, a, -1);
                 commands++;
             }
         } else if (!wanted || !a->range) {
             commands += kill_now(c, a, out);
         } else if (a->stop && a->state != LMN_ATTEMPT_SAVING) {
-            lmn_command(out, W_KILL, a, a->grace);
+            lmn_append_command(out, W_KILL, a, a->grace);
             commands++;
         } else if (m->noticed && a->state == LMN_ATTEMPT_RUNNING &&
                    a->job->spec.checkpoint_s > 0 && !a->killed) {
             double left = m->notice_s - lmn_time_diff_s(now, m->noticed_at);
             if (left < a->job->spec.save_s + 2 * c->cfg->report_s + 1) {
-                lmn_command(out, W_KILL, a, a->job->spec.save_s + 1);
+                lmn_append_command(out, W_KILL, a, a->job->spec.save_s + 1);
                 commands++;
                 a->killed = true;
             }
@@ -174,7 +175,7 @@
     int owner = *p->owner ? lmn_member_index(&c->members, p->owner) : -1;
 
     if (owner >= 0 && lmn_member_is_suspected(&c->members, owner))
-        owner = lmn_partition_next(c, p, now);
+        owner = lmn_partition_next_owner(c, p, now);
     return redirect_to(c, owner, out);
 }
 
@@ -196,7 +197,7 @@
 /* It has spoken with its owner before, and has come here all the same: to the owner's
  * neighbours it is a witness. */
 static void note_visitor(struct lmn_core *c, const struct lmn_partition *p,
-                         const struct lmn_report *r, struct timespec now)
+                         const struct lmn_heartbeat *r, struct timespec now)
 {
     int owner = *p->owner ? lmn_member_index(&c->members, p->owner) : -1;
 
@@ -205,11 +206,11 @@
                                             r->seq, now);
 }
 
-static int handle(struct lmn_core *c, const struct lmn_report *r,
+static int handle(struct lmn_core *c, const struct lmn_heartbeat *r,
                   const struct lmn_cbor_document *d, GByteArray *out,
-                  struct lmn_held *held, struct timespec now)
+                  struct lmn_deferred_starts *held, struct timespec now)
 {
-    struct lmn_partition *p = &c->parts[lmn_partition_of(r->name, c->nparts)];
+    struct lmn_partition *p = &c->parts[lmn_partition_for_machine(r->name, c->nparts)];
 
     c->count.reports++;
     /* Whoever has stood still may have been replaced meanwhile: an answer would hold the
@@ -249,7 +250,7 @@
     if (m->heard && !overtaken)
         lmn_members_record_own_worker(&c->members, now);
     if (sent_on(c, m, now))
-        return redirect_to(c, lmn_partition_next(c, p, now), out);
+        return redirect_to(c, lmn_partition_next_owner(c, p, now), out);
     if (!m->block) {
         lmn_machine_set_address(m, r->addr);
         g_strlcpy(m->type_name, r->type, sizeof m->type_name);
@@ -298,12 +299,12 @@
         n += settle_tasks(c, m, d, r->tasks, commands, now);
         held->settled = n;
         held->settled_bytes = commands->len;
-        lmn_partition_check(c, p, now);
+        lmn_partition_check_ready(c, p, now);
         /* Far behind, the node settles what was, and starts nothing. */
         if (!lmn_load_should_shed(&c->load, LMN_SHED_START, c->rng))
             n += lmn_schedule_machine(c, m, commands, now);
         lmn_machine_cancel_wake(m);
-        if (!lmn_machine_bare(m))
+        if (!lmn_machine_is_empty(m))
             m->idle = (struct timespec){0, 0};
         else if (!m->idle.tv_sec)
             m->idle = now;
@@ -339,18 +340,19 @@
               name, what, c->count.malformed);
 }
 
-int lmn_worker_report(struct lmn_core *c, const void *body, size_t len, GByteArray *out,
-                      struct lmn_held *held, struct timespec now)
+int lmn_heartbeat_handle(struct lmn_core *c, const void *body, size_t len,
+                         GByteArray *out, struct lmn_deferred_starts *held,
+                         struct timespec now)
 {
     struct lmn_cbor_document d;
-    struct lmn_report r = {0};
+    struct lmn_heartbeat r = {0};
     const char *what = "not CBOR, or too much of it";
     int status = 400;
 
     memset(held, 0, sizeof *held);
     bool parsed = lmn_cbor_parse(&d, body, len) == 0;
     if (parsed)
-        what = lmn_report_read(&r, &d);
+        what = lmn_heartbeat_parse(&r, &d);
     pthread_mutex_lock(&c->lock);
     if (what)
         complain(c, r.name, what, now);
@@ -366,8 +368,9 @@
     return status;
 }
 
-void lmn_worker_withhold(struct lmn_core *c, const struct lmn_held *held, GByteArray *out,
-                         struct timespec now)
+void lmn_heartbeat_withhold_starts(struct lmn_core *c,
+                                   const struct lmn_deferred_starts *held,
+                                   GByteArray *out, struct timespec now)
 {
     struct lmn_partition *p = &c->parts[held->part];
     struct lmn_machine *m = g_hash_table_lookup(p->machines, held->machine);
@@ -376,7 +379,7 @@
         const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         if (a->mark > held->from && a->mark <= held->mark) {
             c->count.withheld++;
-            lmn_attempt_vanish(c, m, i, now);
+            lmn_attempt_vanished(c, m, i, now);
         }
     }
     /* Kills and clears stay: an answer without them renewed the lease of tasks that had
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -85,14 +85,15 @@
         struct lmn_machine *m = b->machines->pdata[i];
         if (m->block_rev == rev || (!m->rev && !m->is_gone))
             continue;
-        lmn_machine_empty(c, m, "record removed", now);
+        lmn_machine_requeue_tasks(c, m, "record removed", now);
         g_hash_table_remove(m->part->machines, m->name);
     }
 }
 
-void lmn_block_apply(struct lmn_core *c, struct lmn_partition *p, unsigned long id,
-                     const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                     uint64_t rev, struct timespec now)
+void lmn_machine_block_apply(struct lmn_core *c, struct lmn_partition *p,
+                             unsigned long id, const struct lmn_cbor_document *d,
+                             const struct lmn_cbor_value *v, uint64_t rev,
+                             struct timespec now)
 {
     if (id >= LMN_MAX_BLOCKS)
         return;
@@ -108,7 +109,8 @@
     b->writing = false;
 }
 
-void lmn_block_sweep(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
+void lmn_machine_block_sweep(struct lmn_core *c, struct lmn_partition *p,
+                             struct timespec now)
 {
     for (guint i = 0; i < p->blocks->len; i++) {
         struct lmn_machine_block *b = p->blocks->pdata[i];
@@ -120,7 +122,7 @@
     }
 }
 
-void lmn_block_reset(struct lmn_partition *p)
+void lmn_machine_blocks_reset(struct lmn_partition *p)
 {
     for (guint i = 0; i < p->blocks->len; i++) {
         struct lmn_machine_block *b = p->blocks->pdata[i];
@@ -188,8 +190,8 @@
     lmn_kv_client_submit(c->state, t);
 }
 
-void lmn_blocks_flush(struct lmn_core *c, struct lmn_partition *p, bool lazy,
-                      struct timespec now)
+void lmn_machine_blocks_flush(struct lmn_core *c, struct lmn_partition *p, bool lazy,
+                              struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
--- a/src/partition/machine_block.h
+++ b/src/partition/machine_block.h
@@ -5,15 +5,17 @@
 #include "state/model.h"
 
 /* A block's record as the mirror shows it; v NULL: removed. */
-void lmn_block_apply(struct lmn_core *c, struct lmn_partition *p, unsigned long id,
-                     const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                     uint64_t rev, struct timespec now);
-void lmn_block_sweep(struct lmn_core *c, struct lmn_partition *p, struct timespec now);
+void lmn_machine_block_apply(struct lmn_core *c, struct lmn_partition *p,
+                             unsigned long id, const struct lmn_cbor_document *d,
+                             const struct lmn_cbor_value *v, uint64_t rev,
+                             struct timespec now);
+void lmn_machine_block_sweep(struct lmn_core *c, struct lmn_partition *p,
+                             struct timespec now);
 /* No write of ours is under way any more. */
-void lmn_block_reset(struct lmn_partition *p);
+void lmn_machine_blocks_reset(struct lmn_partition *p);
 /* Writes the blocks that machines have come to or gone from; lazy: there is budget to
  * spare. */
-void lmn_blocks_flush(struct lmn_core *c, struct lmn_partition *p, bool lazy,
-                      struct timespec now);
+void lmn_machine_blocks_flush(struct lmn_core *c, struct lmn_partition *p, bool lazy,
+                              struct timespec now);
 
 #endif
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -12,14 +12,15 @@
 #include <math.h>
 #include <string.h>
 
-void lmn_machine_gone(struct lmn_core *c, struct lmn_machine *m, struct timespec now)
+void lmn_machine_terminated(struct lmn_core *c, struct lmn_machine *m,
+                            struct timespec now)
 {
     m->is_gone = true;
     m->inherited = false;
     m->accounted = true;
-    lmn_machine_empty(c, m, "machine gone", now);
+    lmn_machine_requeue_tasks(c, m, "machine gone", now);
     g_hash_table_add(c->gone, g_strdup(m->name));
-    lmn_partition_check(c, m->part, now);
+    lmn_partition_check_ready(c, m->part, now);
     if (!m->block)
         g_hash_table_remove(m->part->machines, m->name);
 }
@@ -190,7 +191,7 @@
         m->lapsed = true;
         lmn_info("machine-lapsed machine=%s partition=%d tasks=%u", m->name, p->id,
                  busy(m));
-        lmn_machine_empty(c, m, "lease lapsed", now);
+        lmn_machine_requeue_tasks(c, m, "lease lapsed", now);
     }
     if (lmn_watch_cache_age_s(c, now) > LMN_MAX_CACHE_AGE_S)
         return;
@@ -212,9 +213,10 @@
      * out first. In a zone by itself the partition's usual holder may answer them for as
      * long as its view is not too old, and their leases run out after that. If it stands
      * elsewhere, nobody answers them, and the partition's queued work need not wait. */
-    double patience = !few                                         ? cfg->lease_s + 8
-                      : cut && lmn_holder_stands_in(c, p, m->zone) ? cfg->cancel_s + 4
-                                                                   : 2.5;
+    double patience = !few ? cfg->lease_s + 8
+                      : cut && lmn_preferred_owner_is_in_zone(c, p, m->zone)
+                          ? cfg->cancel_s + 4
+                          : 2.5;
     /* Heard or not: reports of an older term may be copies that come late, or come from a
      * machine that does not hear us. Once each of them put the return off, and the
      * partition's inherited work waited for as long as they came. One that was heard has
@@ -317,7 +319,7 @@
 static const double EACH_S = 0.0003, LONGEST_S = 1;
 enum { FEW = 1000 };
 
-void lmn_upkeep(struct lmn_core *c, struct timespec now)
+void lmn_maintenance_run(struct lmn_core *c, struct timespec now)
 {
     bool due = lmn_time_diff_s(now, c->audited) > 5.0;
     guint machines = 0;
@@ -348,7 +350,7 @@
         for (guint k = 0; k < p->list->len; k++)
             upkeep_machine(c, p->list->pdata[k], silence, now);
         g_array_free(silence, TRUE);
-        lmn_partition_check(c, p, now);
+        lmn_partition_check_ready(c, p, now);
         if (due)
             audit(c, p, now);
     }
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -27,9 +27,9 @@
     .range_forget = lmn_range_forget,
     .partition_own = lmn_partition_own,
     .partition_lose = lmn_partition_lose,
-    .block_apply = lmn_block_apply,
-    .block_sweep = lmn_block_sweep,
-    .quota_apply = lmn_quota_apply,
+    .block_apply = lmn_machine_block_apply,
+    .block_sweep = lmn_machine_block_sweep,
+    .quota_apply = lmn_quota_record_apply,
     .partition_free = lmn_standby_forget,
 };
 
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -99,7 +99,7 @@
     return t;
 }
 
-bool lmn_holder_known(const struct lmn_core *c, uint64_t lease)
+bool lmn_ownership_is_announced(const struct lmn_core *c, uint64_t lease)
 {
     const struct lmn_member_view *me = &c->members.v[c->members.me];
 
@@ -109,10 +109,10 @@
 /* Until the mirror shows it, it is said again after this time. */
 static const double AGAIN_S = 1;
 
-struct lmn_txn *lmn_holder_announce(struct lmn_core *c, uint64_t lease,
-                                    struct timespec now)
+struct lmn_txn *lmn_ownership_announce(struct lmn_core *c, uint64_t lease,
+                                       struct timespec now)
 {
-    if (!lease || lmn_holder_known(c, lease) ||
+    if (!lease || lmn_ownership_is_announced(c, lease) ||
         (c->announced_lease == lease && c->announced_leaving == c->leaving &&
          lmn_time_diff_s(now, c->announced) < AGAIN_S))
         return NULL;
@@ -122,21 +122,21 @@
     return record(c, lease);
 }
 
-void lmn_holder_announced(struct lmn_core *c, enum lmn_txn_outcome r)
+void lmn_ownership_announced(struct lmn_core *c, enum lmn_txn_outcome r)
 {
     /* The mirror was a little behind: no need to wait. */
     if (r == LMN_TXN_CONFLICT)
         c->announced_lease = 0;
 }
 
-struct lmn_txn *lmn_holder_refutation(const struct lmn_core *c, uint64_t lease,
-                                      struct timespec now)
+struct lmn_txn *lmn_ownership_refutation(const struct lmn_core *c, uint64_t lease,
+                                         struct timespec now)
 {
     return lmn_self_should_refute(&c->members, now) ? record(c, lease) : NULL;
 }
 
-struct lmn_txn *lmn_holder_suspicion(struct lmn_core *c, int rank, uint64_t lease,
-                                     struct timespec now)
+struct lmn_txn *lmn_ownership_suspicion(struct lmn_core *c, int rank, uint64_t lease,
+                                        struct timespec now)
 {
     struct lmn_members *ms = &c->members;
     const struct lmn_member_view *m = &ms->v[rank];
@@ -165,14 +165,14 @@
 /* A process that starts again hears of the others within this time, if they are there. */
 static const double HEAR_S = 1;
 
-struct lmn_txn *lmn_holder_claim(struct lmn_core *c, int id, uint64_t lease,
-                                 struct timespec now)
+struct lmn_txn *lmn_ownership_claim(struct lmn_core *c, int id, uint64_t lease,
+                                    struct timespec now)
 {
     const struct lmn_partition *p = &c->parts[id];
     struct lmn_members *ms = &c->members;
     struct lmn_failure_evidence e;
 
-    if (!c->synced || p->mine || !lmn_partition_wanted(c, p, now))
+    if (!c->synced || p->mine || !lmn_partition_should_claim(c, p, now))
         return NULL;
     if (p->owner_rev && lmn_member_index(ms, p->owner) == ms->me &&
         !lmn_replica_own_is_latest(p)) {
@@ -181,7 +181,7 @@
         if (named >= 0 && named != ms->me && ms->v[named].ever) {
             lmn_info("partition-hand-on partition=%d to=%s", id,
                      lmn_member_name(ms, named));
-            return lmn_partition_handover(c, p, named);
+            return lmn_partition_transfer(c, p, named);
         }
         if (named >= 0 && named != ms->me && lmn_time_diff_s(now, c->synced_at) < HEAR_S)
             return NULL;
@@ -212,7 +212,7 @@
     if (!p->mine)
         return -1;
     if (c->leaving)
-        return lmn_leave_successor(c, p, now);
+        return lmn_shutdown_transfer_target(c, p, now);
     int successor = lmn_self_transfer_target(ms, now);
     if (successor >= 0)
         return successor;
@@ -234,8 +234,8 @@
     return holder;
 }
 
-struct lmn_txn *lmn_holder_handover(struct lmn_core *c, int id, int *successor,
-                                    struct timespec now)
+struct lmn_txn *lmn_ownership_transfer(struct lmn_core *c, int id, int *successor,
+                                       struct timespec now)
 {
     struct lmn_partition *p = &c->parts[id];
     struct lmn_members *ms = &c->members;
@@ -256,11 +256,11 @@
     p->releasing = true;
     p->released = now;
     ms->count.gives++;
-    return lmn_partition_handover(c, p, *successor);
+    return lmn_partition_transfer(c, p, *successor);
 }
 
-void lmn_holder_given(struct lmn_core *c, int id, enum lmn_txn_outcome r,
-                      struct timespec now)
+void lmn_ownership_transferred(struct lmn_core *c, int id, enum lmn_txn_outcome r,
+                               struct timespec now)
 {
     struct lmn_partition *p = &c->parts[id];
 
@@ -274,15 +274,15 @@
 static void announce(struct holder *h)
 {
     pthread_mutex_lock(&h->c->lock);
-    struct lmn_txn *t = lmn_holder_announce(h->c, h->lease, lmn_now());
-    h->announced = h->announced || lmn_holder_known(h->c, h->lease);
+    struct lmn_txn *t = lmn_ownership_announce(h->c, h->lease, lmn_now());
+    h->announced = h->announced || lmn_ownership_is_announced(h->c, h->lease);
     pthread_mutex_unlock(&h->c->lock);
     if (!t)
         return;
     enum lmn_txn_outcome r = send(h, t);
     h->announced = h->announced || r == LMN_TXN_COMMITTED;
     pthread_mutex_lock(&h->c->lock);
-    lmn_holder_announced(h->c, r);
+    lmn_ownership_announced(h->c, r);
     pthread_mutex_unlock(&h->c->lock);
 }
 
@@ -294,7 +294,7 @@
     char path[64];
 
     pthread_mutex_lock(&c->lock);
-    bool bare = lmn_leave_bare(c) && !c->left;
+    bool bare = lmn_shutdown_owns_nothing(c) && !c->left;
     pthread_mutex_unlock(&c->lock);
     if (!bare)
         return;
@@ -328,8 +328,8 @@
     for (int i = 0; i < c->members.n; i++) {
         pthread_mutex_lock(&c->lock);
         struct lmn_txn *t = i == c->members.me
-                                ? lmn_holder_refutation(c, h->lease, lmn_now())
-                                : lmn_holder_suspicion(c, i, h->lease, lmn_now());
+                                ? lmn_ownership_refutation(c, h->lease, lmn_now())
+                                : lmn_ownership_suspicion(c, i, h->lease, lmn_now());
         pthread_mutex_unlock(&c->lock);
         if (t)
             send(h, t);
@@ -341,7 +341,7 @@
     struct lmn_core *c = h->c;
 
     pthread_mutex_lock(&c->lock);
-    struct lmn_txn *t = lmn_holder_claim(c, id, h->lease, lmn_now());
+    struct lmn_txn *t = lmn_ownership_claim(c, id, h->lease, lmn_now());
     pthread_mutex_unlock(&c->lock);
     if (!t)
         return;
@@ -356,7 +356,7 @@
     int successor;
 
     pthread_mutex_lock(&c->lock);
-    struct lmn_txn *t = lmn_holder_handover(c, id, &successor, lmn_now());
+    struct lmn_txn *t = lmn_ownership_transfer(c, id, &successor, lmn_now());
     pthread_mutex_unlock(&c->lock);
     if (!t)
         return;
@@ -364,11 +364,11 @@
     lmn_info("partition-hand-over partition=%d to=%s outcome=%d", id,
              lmn_member_name(&c->members, successor), r);
     pthread_mutex_lock(&c->lock);
-    lmn_holder_given(c, id, r, lmn_now());
+    lmn_ownership_transferred(c, id, r, lmn_now());
     pthread_mutex_unlock(&c->lock);
 }
 
-void *lmn_holder_thread(void *arg)
+void *lmn_ownership_thread(void *arg)
 {
     struct lmn_core *c = arg;
     struct holder h = {.c = c, .ttl = c->members.t.lease_s};
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -16,7 +16,7 @@
 
 /* A fixed function of the name: machines are numbered as they are rented, so the number's
  * remainder spreads them evenly; names of another form are hashed. */
-int lmn_partition_of(const char *machine, int nparts)
+int lmn_partition_for_machine(const char *machine, int nparts)
 {
     size_t len = strlen(machine), digits = 0;
     unsigned long n = 0;
@@ -92,11 +92,11 @@
     memset(p->used_cpus, 0, c->cfg->nteams * sizeof *p->used_cpus);
     memset(p->used_gpus, 0, c->cfg->nteams * sizeof *p->used_gpus);
     c->count.takeovers++;
-    lmn_block_reset(p);
+    lmn_machine_blocks_reset(p);
     /* Of an earlier term of ours: they would hold returns up that wait for no cut. */
     g_array_set_size(p->cuts, 0);
     memset(p->keep, 0, c->cfg->nteams * sizeof *p->keep);
-    lmn_quota_reset(p);
+    lmn_quota_transfer_reset(p);
     g_hash_table_iter_init(&it, p->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         reset_machine(v);
@@ -107,7 +107,7 @@
         "partition-own partition=%d term=%" G_GUINT64_FORMAT " machines=%u ranges=%u",
         p->id, p->my_term, g_hash_table_size(p->machines), g_hash_table_size(p->ranges));
     begin_warm(c, p, now);
-    lmn_partition_check(c, p, now);
+    lmn_partition_check_ready(c, p, now);
     pthread_cond_broadcast(&c->poked);
 }
 
@@ -121,7 +121,7 @@
     lmn_replica_keep_own(p);
     p->mine = p->ready = p->releasing = p->warm = p->open = false;
     lmn_replication_reset(c, p);
-    lmn_quota_reset(p);
+    lmn_quota_transfer_reset(p);
     lmn_queue_clear(&p->unplaced);
     g_hash_table_iter_init(&it, p->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -157,7 +157,8 @@
     }
 }
 
-void lmn_partition_check(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
+void lmn_partition_check_ready(struct lmn_core *c, struct lmn_partition *p,
+                               struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
@@ -189,8 +190,8 @@
     deal_ranges(c, p, now);
 }
 
-bool lmn_holder_stands_in(const struct lmn_core *c, const struct lmn_partition *p,
-                          const char *zone)
+bool lmn_preferred_owner_is_in_zone(const struct lmn_core *c,
+                                    const struct lmn_partition *p, const char *zone)
 {
     int n = (int)c->cfg->nmembers + 1, holder = p->id % n;
 
@@ -202,8 +203,8 @@
     return false;
 }
 
-int lmn_partition_next(const struct lmn_core *c, const struct lmn_partition *p,
-                       struct timespec now)
+int lmn_partition_next_owner(const struct lmn_core *c, const struct lmn_partition *p,
+                             struct timespec now)
 {
     int named = lmn_standby_named(c, p, now);
 
@@ -240,8 +241,8 @@
 /* A process that starts, or gets a new lease, takes only its own for so long. */
 static const double FIRST_S = 3;
 
-bool lmn_partition_wanted(const struct lmn_core *c, const struct lmn_partition *p,
-                          struct timespec now)
+bool lmn_partition_should_claim(const struct lmn_core *c, const struct lmn_partition *p,
+                                struct timespec now)
 {
     const struct lmn_members *ms = &c->members;
     struct timespec since = p->vacant;
@@ -254,7 +255,7 @@
         /* Only one process runs for a member: what our last one held is ours. */
         if (owner == ms->me)
             return p->owner_lease != c->lease;
-        if (!lmn_orphaned(c, p, now))
+        if (!lmn_partition_is_orphaned(c, p, now))
             return false;
         since = lmn_time_add(ms->v[owner].doubted, ms->t.doubt_s);
     } else if (lmn_replica_own_is_latest(p)) {
@@ -271,7 +272,7 @@
     if (lmn_time_diff_s(now, c->synced_at) < FIRST_S ||
         lmn_time_diff_s(now, c->leased) < FIRST_S)
         return false;
-    lmn_successors(c, now, successor);
+    lmn_transfer_targets(c, now, successor);
     if (successor[p->id] == ms->me)
         return true;
     /* Should that one not come, the others that are up, in their order. */
@@ -333,7 +334,7 @@
     return t;
 }
 
-struct lmn_txn *lmn_partition_handover(const struct lmn_core *c,
+struct lmn_txn *lmn_partition_transfer(const struct lmn_core *c,
                                        const struct lmn_partition *p, int successor)
 {
     struct lmn_txn *t = transfer(p, lmn_member_name(&c->members, successor),
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -125,7 +125,7 @@
         while (g_hash_table_iter_next(&it, NULL, &v) && names->len < 100) {
             struct lmn_machine *m = v;
             if (m->retiring && !m->is_gone &&
-                (m->force || (lmn_machine_bare(m) && !m->in_call)))
+                (m->force || (lmn_machine_is_empty(m) && !m->in_call)))
                 g_ptr_array_add(names, g_strdup(m->name));
         }
     }
@@ -138,10 +138,10 @@
         struct timespec now = lmn_now();
         for (guint i = 0; i < names->len; i++) {
             struct lmn_partition *p =
-                &c->parts[lmn_partition_of(names->pdata[i], c->nparts)];
+                &c->parts[lmn_partition_for_machine(names->pdata[i], c->nparts)];
             struct lmn_machine *m = g_hash_table_lookup(p->machines, names->pdata[i]);
             if (m && p->mine)
-                lmn_machine_gone(c, m, now);
+                lmn_machine_terminated(c, m, now);
             else
                 g_hash_table_add(c->gone, g_strdup(names->pdata[i]));
         }
@@ -257,10 +257,10 @@
         pthread_mutex_lock(&c->lock);
         for (guint i = 0; i < bad->len; i++) {
             struct lmn_partition *p =
-                &c->parts[lmn_partition_of(bad->pdata[i], c->nparts)];
+                &c->parts[lmn_partition_for_machine(bad->pdata[i], c->nparts)];
             struct lmn_machine *m = g_hash_table_lookup(p->machines, bad->pdata[i]);
             if (m && p->mine && !m->is_gone)
-                lmn_machine_gone(c, m, now);
+                lmn_machine_terminated(c, m, now);
             else
                 g_hash_table_add(c->gone, g_strdup(bad->pdata[i]));
         }
@@ -344,7 +344,7 @@
  */
 static const double ROLE_SHARE = 0.8, OTHERS_SHARE = 0.15;
 
-void *lmn_cloud_thread(void *arg)
+void *lmn_provisioner_thread(void *arg)
 {
     struct cloud k = {.c = arg};
     struct lmn_core *c = arg;
--- a/src/partition/provisioner.h
+++ b/src/partition/provisioner.h
@@ -4,6 +4,6 @@
 
 /* Reads machine types and lists, rents and returns, for ever (a thread). core: struct
  * lmn_core. */
-void *lmn_cloud_thread(void *core);
+void *lmn_provisioner_thread(void *core);
 
 #endif
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -20,9 +20,9 @@
     return key;
 }
 
-void lmn_quota_apply(struct lmn_core *c, const char *key,
-                     const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                     uint64_t rev)
+void lmn_quota_record_apply(struct lmn_core *c, const char *key,
+                            const struct lmn_cbor_document *d,
+                            const struct lmn_cbor_value *v, uint64_t rev)
 {
     int team = -1;
 
@@ -128,8 +128,8 @@
     lmn_kv_client_submit(c->state, t);
 }
 
-bool lmn_quota_give(struct lmn_core *c, struct lmn_partition *p, int team, int to,
-                    double cpus, double gpus)
+bool lmn_quota_transfer_begin(struct lmn_core *c, struct lmn_partition *p, int team,
+                              int to, double cpus, double gpus)
 {
     double have_cpus, have_gpus;
 
@@ -154,7 +154,8 @@
     return true;
 }
 
-void lmn_quota_flush(struct lmn_core *c, struct lmn_partition *p, struct timespec now)
+void lmn_quota_transfer_flush(struct lmn_core *c, struct lmn_partition *p,
+                              struct timespec now)
 {
     if (p->transfer.team >= 0 && p->transfer.retry.tv_sec &&
         !lmn_time_before(now, p->transfer.retry) &&
@@ -162,13 +163,13 @@
         submit(c, p);
 }
 
-void lmn_quota_reset(struct lmn_partition *p)
+void lmn_quota_transfer_reset(struct lmn_partition *p)
 {
     p->transfer.team = -1;
 }
 
-bool lmn_quota_asked(struct lmn_core *c, struct lmn_partition *p, int to,
-                     const struct lmn_quota_request *w, struct timespec now)
+bool lmn_quota_request_handle(struct lmn_core *c, struct lmn_partition *p, int to,
+                              const struct lmn_quota_request *w, struct timespec now)
 {
     double cpus, gpus, have_cpus, have_gpus;
 
@@ -183,5 +184,5 @@
     if (p->used_cpus[w->team] + lacks_cpus > have_cpus + 1e-6 ||
         p->used_gpus[w->team] + lacks_gpus > have_gpus + 1e-6)
         lmn_reserve_quota(p, w->team, lacks_cpus, lacks_gpus, now);
-    return lmn_quota_give(c, p, w->team, to, cpus, gpus);
+    return lmn_quota_transfer_begin(c, p, w->team, to, cpus, gpus);
 }
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -72,8 +72,8 @@
         r->dirty = now;
 }
 
-void lmn_machine_empty(struct lmn_core *c, struct lmn_machine *m, const char *why,
-                       struct timespec now)
+void lmn_machine_requeue_tasks(struct lmn_core *c, struct lmn_machine *m, const char *why,
+                               struct timespec now)
 {
     GArray *old = m->attempts;
 
--- a/src/partition/range.h
+++ b/src/partition/range.h
@@ -13,7 +13,7 @@
                       struct timespec now);
 void lmn_task_finished(struct lmn_range *r, uint32_t index, struct timespec now);
 /* The machine holds no task any more: everything it carried is queued again. */
-void lmn_machine_empty(struct lmn_core *c, struct lmn_machine *m, const char *why,
-                       struct timespec now);
+void lmn_machine_requeue_tasks(struct lmn_core *c, struct lmn_machine *m, const char *why,
+                               struct timespec now);
 
 #endif
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -162,7 +162,7 @@
     return lmn_time_before(x->dirty, y->dirty) ? -1 : lmn_time_before(y->dirty, x->dirty);
 }
 
-void lmn_ranges_flush(struct lmn_core *c, struct timespec now)
+void lmn_range_writer_flush(struct lmn_core *c, struct timespec now)
 {
     double spare = lmn_kv_client_spare_writes(c->state);
     GPtrArray *lazy = g_ptr_array_new();
@@ -176,8 +176,8 @@
         g_hash_table_iter_init(&it, p->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
             flush_range(c, v, lazy, now);
-        lmn_blocks_flush(c, p, spare >= 1, now);
-        lmn_quota_flush(c, p, now);
+        lmn_machine_blocks_flush(c, p, spare >= 1, now);
+        lmn_quota_transfer_flush(c, p, now);
     }
     /* No more than can go out now: one that is queued holds up the close of its range. */
     g_ptr_array_sort(lazy, by_dirty);
--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -15,7 +15,7 @@
 /* Nobody is in step: the copy of a partition takes some tenths of a second. */
 static const double COPY_S = 2;
 
-void lmn_leave(struct lmn_core *c, struct timespec now)
+void lmn_shutdown_begin(struct lmn_core *c, struct timespec now)
 {
     if (c->leaving)
         return;
@@ -26,7 +26,7 @@
     pthread_cond_broadcast(&c->changed);
 }
 
-bool lmn_leave_undo(struct lmn_core *c)
+bool lmn_shutdown_cancel(struct lmn_core *c)
 {
     if (c->left)
         return false;
@@ -37,8 +37,8 @@
     return true;
 }
 
-int lmn_leave_successor(const struct lmn_core *c, const struct lmn_partition *p,
-                        struct timespec now)
+int lmn_shutdown_transfer_target(const struct lmn_core *c, const struct lmn_partition *p,
+                                 struct timespec now)
 {
     int named = lmn_standby_named(c, p, now);
 
@@ -48,10 +48,10 @@
      * anew. */
     if (lmn_time_diff_s(now, c->leave_at) < COPY_S && c->tuning.standby > 0)
         return -1;
-    return lmn_successor_of(c, p, now);
+    return lmn_transfer_target(c, p, now);
 }
 
-bool lmn_leave_bare(const struct lmn_core *c)
+bool lmn_shutdown_owns_nothing(const struct lmn_core *c)
 {
     if (!c->leaving)
         return false;
@@ -62,7 +62,7 @@
     return true;
 }
 
-double lmn_leave_left_s(const struct lmn_core *c, struct timespec now)
+double lmn_shutdown_remaining_s(const struct lmn_core *c, struct timespec now)
 {
     double least = MAX(USERS_S - lmn_time_diff_s(now, c->leave_at), 0);
 
@@ -72,12 +72,12 @@
     return MAX(MOST_S - lmn_time_diff_s(now, c->leave_at), 0);
 }
 
-bool lmn_leave_over(const struct lmn_core *c, struct timespec now)
+bool lmn_shutdown_is_complete(const struct lmn_core *c, struct timespec now)
 {
-    return c->leaving && lmn_leave_left_s(c, now) <= 0;
+    return c->leaving && lmn_shutdown_remaining_s(c, now) <= 0;
 }
 
-void lmn_leave_show(const struct lmn_core *c, GString *s, struct timespec now)
+void lmn_shutdown_describe(const struct lmn_core *c, GString *s, struct timespec now)
 {
     if (!c->leaving) {
         g_string_append(s, "not leaving\n");
@@ -88,5 +88,5 @@
                            "ends within %.1f s\n",
                            lmn_time_diff_s(now, c->leave_at),
                            lmn_member_owned_partitions(c, c->members.me),
-                           c->left ? "gone" : "held", lmn_leave_left_s(c, now));
+                           c->left ? "gone" : "held", lmn_shutdown_remaining_s(c, now));
 }
--- a/src/partition/transfer_target.c
+++ b/src/partition/transfer_target.c
@@ -7,8 +7,8 @@
     return p->list->len + 1;
 }
 
-bool lmn_orphaned(const struct lmn_core *c, const struct lmn_partition *p,
-                  struct timespec now)
+bool lmn_partition_is_orphaned(const struct lmn_core *c, const struct lmn_partition *p,
+                               struct timespec now)
 {
     int owner = p->owner_rev ? lmn_member_index(&c->members, p->owner) : -1;
 
@@ -64,21 +64,22 @@
     return least(c, p, f, but);
 }
 
-void lmn_successors(const struct lmn_core *c, struct timespec now, int *successor)
+void lmn_transfer_targets(const struct lmn_core *c, struct timespec now, int *successor)
 {
     struct fleet f;
 
     weigh(c, now, &f);
     for (int i = 0; i < c->nparts; i++) {
         const struct lmn_partition *p = &c->parts[i];
-        successor[i] = lmn_orphaned(c, p, now) ? choose(c, p, &f, -1, now) : -1;
+        successor[i] =
+            lmn_partition_is_orphaned(c, p, now) ? choose(c, p, &f, -1, now) : -1;
         if (successor[i] >= 0)
             f.load[successor[i]] += weight(p);
     }
 }
 
-int lmn_successor_of(const struct lmn_core *c, const struct lmn_partition *p,
-                     struct timespec now)
+int lmn_transfer_target(const struct lmn_core *c, const struct lmn_partition *p,
+                        struct timespec now)
 {
     struct fleet f;
 
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -68,8 +68,9 @@
     return room(a) > room(b);
 }
 
-bool lmn_probe_next(struct lmn_core *c, unsigned lane, unsigned lanes, char *name,
-                    char *addr, uint64_t *term, struct timespec now)
+bool lmn_worker_client_next_probe(struct lmn_core *c, unsigned lane, unsigned lanes,
+                                  char *name, char *addr, uint64_t *term,
+                                  struct timespec now)
 {
     struct lmn_machine *best = NULL;
     GHashTableIter it;
@@ -106,12 +107,12 @@
                           struct timespec now)
 {
     struct lmn_cbor_document d;
-    struct lmn_report r;
+    struct lmn_heartbeat r;
 
     if (lmn_cbor_parse(&d, answer->data, answer->len) != 0)
         return false;
-    bool newer =
-        !lmn_report_read(&r, &d) && !strcmp(r.name, m->name) && r.session > m->session;
+    bool newer = !lmn_heartbeat_parse(&r, &d) && !strcmp(r.name, m->name) &&
+                 r.session > m->session;
     lmn_cbor_free(&d);
     if (!newer)
         return false;
@@ -121,13 +122,14 @@
     return true;
 }
 
-void lmn_probe_outcome(struct lmn_core *c, const char *name, uint64_t term, int status,
-                       const GByteArray *answer, struct timespec now)
+void lmn_worker_client_probe_done(struct lmn_core *c, const char *name, uint64_t term,
+                                  int status, const GByteArray *answer,
+                                  struct timespec now)
 {
-    struct lmn_partition *p = &c->parts[lmn_partition_of(name, c->nparts)];
+    struct lmn_partition *p = &c->parts[lmn_partition_for_machine(name, c->nparts)];
     struct lmn_machine *m = g_hash_table_lookup(p->machines, name);
     struct lmn_cbor_document d;
-    struct lmn_report r;
+    struct lmn_heartbeat r;
 
     if (!term) {
         if (status == 200)
@@ -154,7 +156,7 @@
         return;
     /* Written after the worker had taken our term: whatever a predecessor sends comes too
      * late. Its lease was renewed before now, if by anyone else. */
-    if (!lmn_report_read(&r, &d) && r.token == term && !strcmp(r.name, m->name) &&
+    if (!lmn_heartbeat_parse(&r, &d) && r.token == term && !strcmp(r.name, m->name) &&
         !(m->heard &&
           (r.session < m->session || (r.session == m->session && r.seq <= m->seq)))) {
         if (!m->heard || r.session > m->session)
@@ -167,14 +169,14 @@
             m->type = lmn_machine_type_by_name(c, m->type_name);
         lmn_debug("machine-accounted machine=%s term=%" G_GUINT64_FORMAT " by=probe",
                   m->name, term);
-        lmn_report_tasks(c, m, &d, r.tasks, now);
+        lmn_heartbeat_apply_tasks(c, m, &d, r.tasks, now);
         /* What we were told may be there, and is not, will not be: a command that is
          * still on its way is of an older term. */
         for (guint i = m->attempts->len; i-- > 0;)
             if (g_array_index(m->attempts, struct lmn_attempt, i).told)
-                lmn_attempt_vanish(c, m, i, now);
+                lmn_attempt_vanished(c, m, i, now);
         lmn_machine_mark_unreplicated(m);
-        lmn_partition_check(c, p, now);
+        lmn_partition_check_ready(c, p, now);
         /* Its lane looks there next, on the connection that it has. */
         if (p->warm)
             lmn_machine_wake(m);
@@ -217,7 +219,7 @@
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         if (!a->stop || a->killed || a->state == LMN_ATTEMPT_ENDED || !a->range)
             continue;
-        lmn_command(out, W_KILL, a, a->grace);
+        lmn_append_command(out, W_KILL, a, a->grace);
         a->killed = true;
         c->count.kills++;
         n++;
@@ -225,8 +227,9 @@
     return n;
 }
 
-bool lmn_direct_next(struct lmn_core *c, unsigned lane, unsigned lanes, char *name,
-                     char *addr, GByteArray *body, struct timespec now)
+bool lmn_worker_client_next_push(struct lmn_core *c, unsigned lane, unsigned lanes,
+                                 char *name, char *addr, GByteArray *body,
+                                 struct timespec now)
 {
     for (int i = 0; i < c->nparts; i++) {
         GPtrArray *poked = c->parts[i].poked;
@@ -269,13 +272,13 @@
     return false;
 }
 
-void lmn_direct_outcome(struct lmn_core *c, const char *name, int status,
-                        const GByteArray *answer, struct timespec now)
+void lmn_worker_client_push_done(struct lmn_core *c, const char *name, int status,
+                                 const GByteArray *answer, struct timespec now)
 {
-    struct lmn_partition *p = &c->parts[lmn_partition_of(name, c->nparts)];
+    struct lmn_partition *p = &c->parts[lmn_partition_for_machine(name, c->nparts)];
     struct lmn_machine *m = g_hash_table_lookup(p->machines, name);
     struct lmn_cbor_document d;
-    struct lmn_report r;
+    struct lmn_heartbeat r;
     bool read = false, newer = false, lost = false;
 
     if (!m || !m->in_call)
@@ -283,11 +286,11 @@
     m->in_call = false;
     if ((status == 200 || status == 409) &&
         lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
-        read = !lmn_report_read(&r, &d) && r.session == m->session;
+        read = !lmn_heartbeat_parse(&r, &d) && r.session == m->session;
         newer = read && r.seq > m->seq;
         if (newer) {
             m->seq = r.seq;
-            lmn_report_tasks(c, m, &d, r.tasks, now);
+            lmn_heartbeat_apply_tasks(c, m, &d, r.tasks, now);
         }
         lmn_cbor_free(&d);
     }
@@ -299,13 +302,13 @@
         /* Only the call's own commands are judged by its answer: what a report's answer
          * started may be on its way still. */
         if (status == LMN_HTTP_NOT_SENT || (status == 409 && newer && !a->seen))
-            lmn_attempt_vanish(c, m, i, now);
+            lmn_attempt_vanished(c, m, i, now);
         else if (!read || (status == 200 && newer && !a->seen))
             a->unsure = lost = true;
     }
     /* Its answer may be late; a report that lists what was ordered settles it. */
     if (lost && !read)
-        lmn_machine_unheeding(c, m, now);
+        lmn_machine_record_ignored_command(c, m, now);
     /* What made room has ended: the task it was made for goes there at once. */
     if (m->promised && read) {
         lmn_machine_wake(m);
@@ -313,9 +316,10 @@
     }
 }
 
-uint64_t lmn_direct_mark(const struct lmn_core *c, const char *name, int *part)
+uint64_t lmn_worker_client_log_position(const struct lmn_core *c, const char *name,
+                                        int *part)
 {
-    *part = lmn_partition_of(name, c->nparts);
+    *part = lmn_partition_for_machine(name, c->nparts);
     const struct lmn_machine *m = g_hash_table_lookup(c->parts[*part].machines, name);
     uint64_t mark = 0;
 
@@ -346,7 +350,7 @@
 /* The session that we were told, if nobody has said another since. */
 static uint64_t told_session(const struct lmn_core *c, const char *name)
 {
-    const struct lmn_partition *p = &c->parts[lmn_partition_of(name, c->nparts)];
+    const struct lmn_partition *p = &c->parts[lmn_partition_for_machine(name, c->nparts)];
     const struct lmn_machine *m = g_hash_table_lookup(p->machines, name);
 
     return m && !m->heard ? m->session : 0;
@@ -364,9 +368,9 @@
     }
 }
 
-void *lmn_direct_thread(void *arg)
+void *lmn_worker_client_thread(void *arg)
 {
-    struct lmn_lane *lane = arg;
+    struct lmn_worker_client *lane = arg;
     struct lmn_core *c = lane->core;
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
     GHashTable *clients = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -380,9 +384,11 @@
         for (;;) {
             struct timespec now = lmn_now();
             probing = false;
-            if (lmn_direct_next(c, lane->lane, lane->lanes, name, addr, body, now))
+            if (lmn_worker_client_next_push(c, lane->lane, lane->lanes, name, addr, body,
+                                            now))
                 break;
-            probing = lmn_probe_next(c, lane->lane, lane->lanes, name, addr, &term, now);
+            probing = lmn_worker_client_next_probe(c, lane->lane, lane->lanes, name, addr,
+                                                   &term, now);
             if (probing)
                 break;
             lmn_cond_wait_for(&c->poked, &c->lock, 0.5);
@@ -390,9 +396,9 @@
         if (probing)
             session = term ? told_session(c, name) : 0;
         else
-            mark = lmn_direct_mark(c, name, &part);
+            mark = lmn_worker_client_log_position(c, name, &part);
         if (mark && !told(c, part, c->parts[part].my_term, mark)) {
-            lmn_direct_outcome(c, name, LMN_HTTP_NOT_SENT, NULL, lmn_now());
+            lmn_worker_client_push_done(c, name, LMN_HTTP_NOT_SENT, NULL, lmn_now());
             pthread_mutex_unlock(&c->lock);
             continue;
         }
@@ -411,9 +417,9 @@
         lmn_debug("direct machine=%s probe=%d status=%d", name, probing, status);
         pthread_mutex_lock(&c->lock);
         if (probing)
-            lmn_probe_outcome(c, name, term, status, answer, lmn_now());
+            lmn_worker_client_probe_done(c, name, term, status, answer, lmn_now());
         else
-            lmn_direct_outcome(c, name, status, answer, lmn_now());
+            lmn_worker_client_push_done(c, name, status, answer, lmn_now());
         pthread_mutex_unlock(&c->lock);
         if (status < 0) {
             g_hash_table_remove(clients, addr);
--- a/src/partition/worker_internal.h
+++ b/src/partition/worker_internal.h
@@ -6,7 +6,7 @@
 #include "protocol/cbor.h"
 #include "state/model.h"
 
-struct lmn_report {
+struct lmn_heartbeat {
     char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], type[LMN_NAME_SIZE],
         zone[LMN_NAME_SIZE];
     bool spot, noticed;
@@ -16,23 +16,24 @@
 };
 
 /* NULL, or what is wrong with it. */
-const char *lmn_report_read(struct lmn_report *r, const struct lmn_cbor_document *d);
+const char *lmn_heartbeat_parse(struct lmn_heartbeat *r,
+                                const struct lmn_cbor_document *d);
 /* Which attempt the entry of a report names, and its state; the rest of *a is 0. False:
  * malformed. */
-bool lmn_report_task(struct lmn_attempt *a, const struct lmn_cbor_document *d,
-                     const struct lmn_cbor_value *n);
+bool lmn_heartbeat_parse_task(struct lmn_attempt *a, const struct lmn_cbor_document *d,
+                              const struct lmn_cbor_value *n);
 /* What the message says of each task. */
-void lmn_report_tasks(struct lmn_core *c, struct lmn_machine *m,
-                      const struct lmn_cbor_document *d,
-                      const struct lmn_cbor_value *tasks, struct timespec now);
+void lmn_heartbeat_apply_tasks(struct lmn_core *c, struct lmn_machine *m,
+                               const struct lmn_cbor_document *d,
+                               const struct lmn_cbor_value *tasks, struct timespec now);
 /* The attempt at the place i is not there: out of the books, its task queued again. */
-void lmn_attempt_vanish(struct lmn_core *c, struct lmn_machine *m, guint i,
-                        struct timespec now);
+void lmn_attempt_vanished(struct lmn_core *c, struct lmn_machine *m, guint i,
+                          struct timespec now);
 /* Appends a command; grace: seconds to save, negative: it has none. */
-void lmn_command(GByteArray *out, const char *op, const struct lmn_attempt *a,
-                 double grace);
+void lmn_append_command(GByteArray *out, const char *op, const struct lmn_attempt *a,
+                        double grace);
 /* Our last answer, or call, had no effect. */
-void lmn_machine_unheeding(struct lmn_core *c, struct lmn_machine *m,
-                           struct timespec now);
+void lmn_machine_record_ignored_command(struct lmn_core *c, struct lmn_machine *m,
+                                        struct timespec now);
 
 #endif
--- a/src/state/model.h
+++ b/src/state/model.h
@@ -308,7 +308,7 @@
     bool started; /* something, since it is ours */
     bool asking;  /* some machine may have to be asked whether it is there */
     /* what may run on inherited machines that are not accounted for, as of the last
-     * lmn_partition_check; unknown: of one, not even the type is known */
+     * lmn_partition_check_ready; unknown: of one, not even the type is known */
     double unheard_cpus, unheard_gpus;
     bool unheard_unknown;
     uint64_t my_term, my_rev, attempts;
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -28,8 +28,8 @@
 
     if (!c)
         return false;
-    lmn_direct_outcome(explored.nodes[n].core, name, LMN_HTTP_NO_RESPONSE, NULL,
-                       explored.now);
+    lmn_worker_client_push_done(explored.nodes[n].core, name, LMN_HTTP_NO_RESPONSE, NULL,
+                                explored.now);
     *c = (struct command){machine_index(name), body};
     return true;
 }
@@ -41,15 +41,15 @@
 
     if (!node->pending || node->stalled)
         return false;
-    uint64_t mark = lmn_direct_mark(node->core, node->pending_to, &id);
+    uint64_t mark = lmn_worker_client_log_position(node->core, node->pending_to, &id);
     bool covered =
         node_partition(n)->mine && lmn_replication_covers(node_partition(n), mark);
     if (covered || explored.without == GUARD_ACKNOWLEDGED) {
         if (!send_directly(n, node->pending_to, node->pending))
             return false;
     } else {
-        lmn_direct_outcome(node->core, node->pending_to, LMN_HTTP_NOT_SENT, NULL,
-                           explored.now);
+        lmn_worker_client_push_done(node->core, node->pending_to, LMN_HTTP_NOT_SENT, NULL,
+                                    explored.now);
         g_byte_array_unref(node->pending);
     }
     node->pending = NULL;
@@ -73,7 +73,7 @@
             lmn_machine_wake(m);
     }
     GByteArray *body = g_byte_array_new();
-    if (!lmn_direct_next(node->core, 0, 1, name, addr, body, explored.now)) {
+    if (!lmn_worker_client_next_push(node->core, 0, 1, name, addr, body, explored.now)) {
         g_byte_array_unref(body);
         return false;
     }
@@ -82,7 +82,7 @@
     digest_text(name);
     digest_text(addr);
     digest_array(body);
-    if (!lmn_direct_mark(node->core, name, &id))
+    if (!lmn_worker_client_log_position(node->core, name, &id))
         return send_directly(n, name, body);
     node->pending = body;
     g_strlcpy(node->pending_to, name, LMN_NAME_SIZE);
@@ -103,8 +103,9 @@
 {
     struct lmn_core *c = explored.nodes[n].core;
     struct lmn_partition *p = node_partition(n);
-    struct lmn_held held;
-    int status = lmn_worker_report(c, body->data, body->len, answer, &held, explored.now);
+    struct lmn_deferred_starts held;
+    int status =
+        lmn_heartbeat_handle(c, body->data, body->len, answer, &held, explored.now);
     digest_message("report", explored.now);
     digest_number((uint64_t)n);
     digest_array(body);
@@ -118,7 +119,7 @@
            replicate(n, DELIVERED))
         write_standby_record(n, true);
     if (!lmn_replication_covers(p, held.mark) && explored.without != GUARD_ACKNOWLEDGED)
-        lmn_worker_withhold(c, &held, answer, explored.now);
+        lmn_heartbeat_withhold_starts(c, &held, answer, explored.now);
     return status;
 }
 
@@ -171,7 +172,7 @@
     char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     uint64_t term;
 
-    if (!lmn_probe_next(c, 0, 1, name, addr, &term, explored.now) || !term)
+    if (!lmn_worker_client_next_probe(c, 0, 1, name, addr, &term, explored.now) || !term)
         return false;
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
     int k = machine_index(name);
@@ -182,7 +183,8 @@
     lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
     bool accepted = machine_accept(k, body, true);
     machine_report(k, answer);
-    lmn_probe_outcome(c, name, term, accepted ? 200 : 409, answer, explored.now);
+    lmn_worker_client_probe_done(c, name, term, accepted ? 200 : 409, answer,
+                                 explored.now);
     g_byte_array_unref(body);
     g_byte_array_unref(answer);
     return true;
--- a/tests/takeover/fair.c
+++ b/tests/takeover/fair.c
@@ -48,16 +48,16 @@
     int successor;
 
     node_mirror(n);
-    commit_if_any(lmn_holder_handover(c, 0, &successor, explored.now));
+    commit_if_any(lmn_ownership_transfer(c, 0, &successor, explored.now));
     renew_lease(n);
-    struct lmn_txn *t = lmn_holder_refutation(c, node->lease, explored.now);
-    commit_if_any(t ? t : lmn_holder_claim(c, 0, node->lease, explored.now));
+    struct lmn_txn *t = lmn_ownership_refutation(c, node->lease, explored.now);
+    commit_if_any(t ? t : lmn_ownership_claim(c, 0, node->lease, explored.now));
     node_mirror(n);
     probe(n);
     for (int k = 0; k < MACHINES; k++)
         report(n, k);
     flush(n, true);
-    lmn_upkeep(c, explored.now);
+    lmn_maintenance_run(c, explored.now);
     while (replicate(n, DELIVERED) && !node->standby_record)
         ;
     write_standby_record(n, true);
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -190,7 +190,7 @@
 {
     struct node *node = &explored.nodes[n];
     uint64_t revision;
-    struct lmn_txn *t = lmn_holder_claim(node->core, 0, node->lease, explored.now);
+    struct lmn_txn *t = lmn_ownership_claim(node->core, 0, node->lease, explored.now);
 
     assert_int_equal(store_commit(t, &revision), LMN_TXN_COMMITTED);
     lmn_txn_free(t);
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -36,7 +36,7 @@
     if (explored.suspicions == MOST_SUSPICIONS)
         return false;
     speak_against_a();
-    if (!commit_and_free(lmn_holder_suspicion(b->core, A, b->lease, explored.now)))
+    if (!commit_and_free(lmn_ownership_suspicion(b->core, A, b->lease, explored.now)))
         return false;
     explored.suspicions++;
     return true;
@@ -47,7 +47,7 @@
     struct node *a = &explored.nodes[A];
 
     return !a->stalled &&
-           commit_and_free(lmn_holder_refutation(a->core, a->lease, explored.now));
+           commit_and_free(lmn_ownership_refutation(a->core, a->lease, explored.now));
 }
 
 bool claim(int n)
@@ -59,7 +59,7 @@
         return false;
     if (explored.without == GUARD_TERM && n == B && p->standby_stream)
         p->standby_term = p->term;
-    node->ownership = lmn_holder_claim(node->core, 0, node->lease, explored.now);
+    node->ownership = lmn_ownership_claim(node->core, 0, node->lease, explored.now);
     node->handover = false;
     return node->ownership != NULL;
 }
@@ -77,7 +77,7 @@
     members->v[A].machines = MACHINES;
     members->word.deaf = 1;
     lmn_member_record_gossip(members, B, &says, explored.now);
-    a->ownership = lmn_holder_handover(a->core, 0, &successor, explored.now);
+    a->ownership = lmn_ownership_transfer(a->core, 0, &successor, explored.now);
     a->handover = true;
     members->word.deaf = 0;
     members->shut = false;
@@ -94,7 +94,7 @@
         return false;
     node->ownership = NULL;
     if (node->handover)
-        lmn_holder_given(node->core, 0, LMN_TXN_UNKNOWN, explored.now);
+        lmn_ownership_transferred(node->core, 0, LMN_TXN_UNKNOWN, explored.now);
     return true;
 }
 
@@ -108,7 +108,7 @@
         return false;
     if (!answered && explored.had.unanswered == explored.allowed.unanswered)
         return false;
-    lmn_ranges_flush(c, explored.now);
+    lmn_range_writer_flush(c, explored.now);
     while ((t = lmn_kv_client_dequeue(c->state))) {
         uint64_t revision = 0;
         enum lmn_txn_outcome outcome = store_commit(t, &revision);
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -145,7 +145,7 @@
     now = lmn_time_add(now, 4);
     if (!r || g_rand_double(r) < 0.3)
         arrive();
-    lmn_ranges_flush(owner, now);
+    lmn_range_writer_flush(owner, now);
     while ((t = lmn_kv_client_dequeue(owner->state))) {
         double luck = r ? g_rand_double(r) : 1;
         enum lmn_txn_outcome o;
@@ -199,7 +199,7 @@
     assert_true(writes <= 10);
     writes = 0;
     for (int i = 0; i < 300; i++)
-        lmn_machine_gone(owner, machine(i), now);
+        lmn_machine_terminated(owner, machine(i), now);
     for (int k = 0; k < 3; k++)
         turn(NULL);
     same();
@@ -222,7 +222,7 @@
             for (GList *l = all; l; l = l->next) {
                 struct lmn_machine *m = l->data;
                 if (!m->is_gone && g_rand_double(r) < 0.08)
-                    lmn_machine_gone(owner, m, now);
+                    lmn_machine_terminated(owner, m, now);
             }
             g_list_free(all);
             turn(r);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -300,13 +300,13 @@
     r->st[59] = LMN_TASK_DONE;
     r->nfinished++;
     r->dirty = lmn_time_add(now, -10);
-    lmn_ranges_flush(c, now);
+    lmn_range_writer_flush(c, now);
     take_record(c, key, 0, "range_done_last");
 
     /* Its job ends with it. */
     memset(r->st, LMN_TASK_DONE, 60);
     r->nfinished = 60;
-    lmn_ranges_flush(c, lmn_time_add(now, 5));
+    lmn_range_writer_flush(c, lmn_time_add(now, 5));
     struct lmn_txn *t = lmn_kv_client_dequeue(c->state);
     struct sought removal = {.key = key};
     writes_record(t, "j/run-000412", 0, "job_finished");
@@ -336,7 +336,7 @@
         m->spot = i == 2;
         m->heard = m->accounted = true;
         /* One after another: the order of a table is no part of the record. */
-        lmn_blocks_flush(c, p, false, lmn_time_add(now, 10 * i));
+        lmn_machine_blocks_flush(c, p, false, lmn_time_add(now, 10 * i));
         struct lmn_txn *t;
         while ((t = lmn_kv_client_dequeue(c->state))) {
             if (i == 2)
@@ -369,7 +369,7 @@
     (void)state;
 
     c->parts[0].mine = c->parts[0].ready = true;
-    assert_true(lmn_quota_give(c, &c->parts[0], 0, 1, 7.25, 2));
+    assert_true(lmn_quota_transfer_begin(c, &c->parts[0], 0, 1, 7.25, 2));
     take_record(c, "q/ml%20train", 0, "team_parts");
     apply(c, "q/ml%20train", "team_parts", 6);
     assert_true(c->quota_known[0]);
@@ -405,7 +405,7 @@
     p->standby_stream = (uint64_t)42 << 20 | 3;
     p->standby_term = 42;
     c->members.v[1].lease = 300;
-    t = lmn_partition_handover(c, p, 1);
+    t = lmn_partition_transfer(c, p, 1);
     writes_record(t, "o/1", 300, "owner_handover");
     lmn_txn_free(t);
     apply(c, "o/1", "owner_handover", 9);
@@ -468,7 +468,7 @@
     struct lmn_core *c = make();
     (void)state;
 
-    struct lmn_txn *t = lmn_holder_announce(c, 77, now);
+    struct lmn_txn *t = lmn_ownership_announce(c, 77, now);
     writes_record(t, "n/na", 77, "controller_up");
     lmn_txn_free(t);
     apply(c, "n/na", "controller_up", 5);
@@ -477,7 +477,7 @@
     assert_int_equal(c->members.v[0].lease, 77);
 
     c->leaving = true;
-    t = lmn_holder_announce(c, 77, now);
+    t = lmn_ownership_announce(c, 77, now);
     writes_record(t, "n/na", 77, "controller_leaving");
     lmn_txn_free(t);
     apply(c, "n/na", "controller_leaving", 6);
@@ -500,7 +500,7 @@
         lmn_members_tick(&c->members, 0, lmn_time_add(now, s));
     c->members.steady = lmn_time_add(now, -100);
     lmn_members_record_watch(&c->members, now);
-    struct lmn_txn *t = lmn_holder_suspicion(c, 1, 77, now);
+    struct lmn_txn *t = lmn_ownership_suspicion(c, 1, 77, now);
     writes_record(t, "u/nb", 77, "suspicion");
     lmn_txn_free(t);
     apply(c, "u/nb", "suspicion", 7);
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -47,7 +47,7 @@
         LMN_ATTEMPT_SAVING};
     const struct lmn_agent_ops ops = {.leased = leased};
     struct lmn_agent a = {0};
-    struct lmn_report r;
+    struct lmn_heartbeat r;
     struct lmn_cbor_document d;
     (void)state;
 
@@ -78,7 +78,7 @@
 
     b = golden_read("worker_report");
     assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-    assert_null(lmn_report_read(&r, &d));
+    assert_null(lmn_heartbeat_parse(&r, &d));
     assert_string_equal(r.name, "host-000001");
     assert_string_equal(r.addr, "10.0.0.1:9000");
     assert_string_equal(r.type, "x");
@@ -91,7 +91,7 @@
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, r.tasks); n;
          n = lmn_cbor_next(&d, n)) {
         struct lmn_attempt read;
-        assert_true(lmn_report_task(&read, &d, n));
+        assert_true(lmn_heartbeat_parse_task(&read, &d, n));
         assert_string_equal(read.ref, "run-000412");
         assert_int_equal(read.index, i);
         assert_true(read.number == 0x2a00000001ULL + i);
@@ -167,9 +167,10 @@
 static void answers(struct lmn_core *c, GByteArray *body, const char *name)
 {
     GByteArray *out = g_byte_array_new();
-    struct lmn_held held;
+    struct lmn_deferred_starts held;
 
-    assert_int_equal(lmn_worker_report(c, body->data, body->len, out, &held, now), 200);
+    assert_int_equal(lmn_heartbeat_handle(c, body->data, body->len, out, &held, now),
+                     200);
     g_byte_array_unref(body);
     same(name, out);
 }
@@ -206,10 +207,10 @@
 static void answer_to_a_malformed_report_keeps_its_bytes(void **state)
 {
     GByteArray *out = g_byte_array_new();
-    struct lmn_held held;
+    struct lmn_deferred_starts held;
     (void)state;
 
-    assert_int_equal(lmn_worker_report(owner(), "\xa0", 1, out, &held, now), 400);
+    assert_int_equal(lmn_heartbeat_handle(owner(), "\xa0", 1, out, &held, now), 400);
     same("worker_answer_malformed", out);
 }
 
@@ -219,10 +220,10 @@
     GByteArray *b = g_byte_array_new();
     (void)state;
 
-    lmn_command(b, "start", &a, -1);
+    lmn_append_command(b, "start", &a, -1);
     same("command_start", b);
     b = g_byte_array_new();
-    lmn_command(b, "kill", &a, 12.5);
+    lmn_append_command(b, "kill", &a, 12.5);
     same("command_kill_with_grace", b);
 }
 
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -79,7 +79,7 @@
                 lmn_steal_for_machine(core, m, now);
                 break;
             case 1:
-                lmn_machine_empty(core, m, "test", now);
+                lmn_machine_requeue_tasks(core, m, "test", now);
                 break;
             case 2:
                 m->noticed = !m->noticed;
@@ -153,7 +153,7 @@
         assert_int_equal(lmn_schedule_machine(core, m, out, now), 1);
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, 0);
         assert_ptr_equal(a->job, &jobs[urgent ? 0 : 1]);
-        lmn_machine_empty(core, m, "again", now);
+        lmn_machine_requeue_tasks(core, m, "again", now);
         lmn_queue_clear(&m->queue);
         for (int i = 0; i < 2; i++)
             lmn_queue_add(&m->queue, jobs[i].ranges->pdata[0], 0, 1);
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -67,7 +67,7 @@
     assert_int_equal(busy->queue.tasks, 0);
     assert_int_equal(m->queue.tasks, 1);
     /* What is no more urgent stays where it was dealt. */
-    lmn_machine_empty(core, m, "again", now);
+    lmn_machine_requeue_tasks(core, m, "again", now);
     lmn_queue_clear(&busy->queue);
     lmn_queue_clear(&m->queue);
     late->latest = early->latest - 1;
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -173,7 +173,7 @@
 {
     struct lmn_txn *t;
 
-    lmn_ranges_flush(core[i], now);
+    lmn_range_writer_flush(core[i], now);
     while ((t = lmn_kv_client_dequeue(core[i]->state))) {
         struct letter l = {.part = i};
         double luck = r ? g_rand_double(r) : 1;
@@ -238,9 +238,9 @@
         int team = g_rand_int_range(r, 0, (gint32)cfg.nteams);
         now = lmn_time_add(now, 0.2);
         if (g_rand_double(r) < 0.4)
-            lmn_quota_give(core[i], &core[i]->parts[i], team,
-                           g_rand_int_range(r, 0, nparts),
-                           g_rand_double_range(r, 0, LIMIT), 0);
+            lmn_quota_transfer_begin(core[i], &core[i]->parts[i], team,
+                                     g_rand_int_range(r, 0, nparts),
+                                     g_rand_double_range(r, 0, LIMIT), 0);
         write_out(r, i);
         if (late->len && g_rand_double(r) < 0.3) {
             guint at = (guint)g_rand_int_range(r, 0, (gint32)late->len);
@@ -312,7 +312,7 @@
         for (int i = 1; i < nparts; i++) {
             if (!lmn_quota_shortfall(core[0], p, 0, &w))
                 break;
-            lmn_quota_asked(core[i], &core[i]->parts[i], 0, &w, now);
+            lmn_quota_request_handle(core[i], &core[i]->parts[i], 0, &w, now);
             write_out(NULL, i);
             for (int k = 0; k < nparts; k++)
                 follow(k, events->len);
@@ -358,7 +358,7 @@
             while (lmn_job_within_quota(core[i], o, small))
                 o->used_cpus[0]++;
             if (lmn_quota_shortfall(core[0], p, 0, &w))
-                lmn_quota_asked(core[i], o, 0, &w, now);
+                lmn_quota_request_handle(core[i], o, 0, &w, now);
             write_out(NULL, i);
             for (int k = 0; k < nparts; k++)
                 follow(k, events->len);
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -296,7 +296,7 @@
     begin(0, 0);
     for (guint k = 0; k < p->list->len; k++)
         ((struct lmn_machine *)p->list->pdata[k])->accounted = true;
-    lmn_partition_check(core, p, now);
+    lmn_partition_check_ready(core, p, now);
     assert_true(p->ready);
     int nb = lmn_member_index(&core->members, "nb");
     struct lmn_member_health well = {0, 0, 0};
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -117,7 +117,7 @@
             for (int v = 0; v < 2; v++) {
                 struct lmn_core *c =
                     view(&cfg[v], n, up[v ? ups - 1 : ups / 2], gone, leaving);
-                lmn_successors(c, now, successor[v]);
+                lmn_transfer_targets(c, now, successor[v]);
                 drop(c);
             }
             for (int k = 0; k < n; k++) {
@@ -148,7 +148,7 @@
 
     lmn_cbor_put_uint(t, 1);
     put(c, "t/1", t, 90);
-    lmn_successors(c, now, successor);
+    lmn_transfer_targets(c, now, successor);
     assert_int_equal(successor[1], 2);
     lmn_cbor_put_map(v, 4);
     lmn_cbor_put_text(v, "node"), lmn_cbor_put_text(v, "n04");
@@ -156,11 +156,11 @@
     lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, 7);
     lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, 1);
     put(c, "b/1", v, 91);
-    lmn_successors(c, now, successor);
+    lmn_transfer_targets(c, now, successor);
     assert_int_equal(successor[1], 4);
     /* Not with another lease: that is another life, which has no copy. */
     c->members.v[4].lease = 999;
-    lmn_successors(c, now, successor);
+    lmn_transfer_targets(c, now, successor);
     assert_int_equal(successor[1], 2);
     drop(c);
 }
@@ -178,25 +178,25 @@
     c->lease = 100;
     lmn_watch_cache_begin_ownerships(c, now);
     assert_true(p->mine);
-    lmn_leave(c, now);
-    assert_false(lmn_leave_bare(c) || lmn_leave_over(c, now));
+    lmn_shutdown_begin(c, now);
+    assert_false(lmn_shutdown_owns_nothing(c) || lmn_shutdown_is_complete(c, now));
     /* Nobody is in step: for 2 s it waits for somebody. */
-    assert_int_equal(lmn_leave_successor(c, p, now), -1);
-    assert_int_equal(lmn_leave_successor(c, p, lmn_time_add(now, 2.1)), 1);
-    assert_true(lmn_leave_undo(c));
+    assert_int_equal(lmn_shutdown_transfer_target(c, p, now), -1);
+    assert_int_equal(lmn_shutdown_transfer_target(c, p, lmn_time_add(now, 2.1)), 1);
+    assert_true(lmn_shutdown_cancel(c));
     assert_false(c->leaving);
-    lmn_leave(c, now);
+    lmn_shutdown_begin(c, now);
     c->owner->partition_lose(c, p, "given");
     p->owner[0] = '\0';
     p->owner_rev = 0;
-    assert_true(lmn_leave_bare(c));
+    assert_true(lmn_shutdown_owns_nothing(c));
     c->left = true;
-    assert_false(lmn_leave_undo(c));
-    assert_false(lmn_leave_over(c, lmn_time_add(now, 5.9)));
-    assert_true(lmn_leave_over(c, lmn_time_add(now, 6.1)));
+    assert_false(lmn_shutdown_cancel(c));
+    assert_false(lmn_shutdown_is_complete(c, lmn_time_add(now, 5.9)));
+    assert_true(lmn_shutdown_is_complete(c, lmn_time_add(now, 6.1)));
     c->left = false;
-    assert_false(lmn_leave_over(c, lmn_time_add(now, 9.9)));
-    assert_true(lmn_leave_over(c, lmn_time_add(now, 10.1)));
+    assert_false(lmn_shutdown_is_complete(c, lmn_time_add(now, 9.9)));
+    assert_true(lmn_shutdown_is_complete(c, lmn_time_add(now, 10.1)));
     drop(c);
 }
 
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -164,7 +164,7 @@
         m->session = 7;
         m->type = &core->types.v[0];
     }
-    lmn_partition_check(core, part, now);
+    lmn_partition_check_ready(core, part, now);
     assert_true(part->ready);
 }
 
@@ -245,7 +245,7 @@
  * the attempts of the new term. */
 static void what_ends_late_gives_no_attempt_up(void **state)
 {
-    struct lmn_held held = {.part = 0, .term = 4, .from = 8, .mark = 9};
+    struct lmn_deferred_starts held = {.part = 0, .term = 4, .from = 8, .mark = 9};
     (void)state;
 
     lose_with_attempts();
@@ -253,10 +253,10 @@
     claimed("nb", 2, 5);
     GByteArray *out = g_byte_array_new(), *answer = report(machine(1), 7, 4);
     g_strlcpy(held.machine, machine(1)->name, sizeof held.machine);
-    lmn_worker_withhold(core, &held, out, now);
-    lmn_direct_outcome(core, machine(0)->name, LMN_HTTP_NOT_SENT, NULL, now);
-    lmn_direct_outcome(core, machine(1)->name, LMN_HTTP_NOT_SENT, NULL, now);
-    lmn_probe_outcome(core, machine(1)->name, 4, 200, answer, now);
+    lmn_heartbeat_withhold_starts(core, &held, out, now);
+    lmn_worker_client_push_done(core, machine(0)->name, LMN_HTTP_NOT_SENT, NULL, now);
+    lmn_worker_client_push_done(core, machine(1)->name, LMN_HTTP_NOT_SENT, NULL, now);
+    lmn_worker_client_probe_done(core, machine(1)->name, 4, 200, answer, now);
     assert_int_equal(machine(0)->attempts->len, 2);
     assert_int_equal(machine(1)->attempts->len, 2);
     assert_false(machine(1)->accounted);
@@ -277,19 +277,19 @@
     claimed("nb", 2, 5);
     struct lmn_machine *m = machine(1);
     GByteArray *refusal = report(m, 8, 4), *answer = report(m, 8, 5);
-    lmn_probe_outcome(core, m->name, 5, 409, refusal, now);
+    lmn_worker_client_probe_done(core, m->name, 5, 409, refusal, now);
     assert_int_equal(m->session, 8);
     assert_int_equal(m->attempts->len, 2);
     assert_false(m->accounted);
     bool asked = false;
-    while (lmn_probe_next(core, 0, 1, name, addr, &term, now))
+    while (lmn_worker_client_next_probe(core, 0, 1, name, addr, &term, now))
         asked = asked || !strcmp(name, m->name);
     assert_true(asked);
     /* Refused in that session too: not at once, but by asking for it. */
-    lmn_probe_outcome(core, m->name, 5, 409, refusal, now);
+    lmn_worker_client_probe_done(core, m->name, 5, 409, refusal, now);
     assert_int_equal(m->session, 0);
     assert_true(lmn_time_before(now, m->next_probe));
-    lmn_probe_outcome(core, m->name, 5, 200, answer, now);
+    lmn_worker_client_probe_done(core, m->name, 5, 200, answer, now);
     assert_true(m->accounted);
     assert_int_equal(m->attempts->len, 0);
     g_byte_array_unref(refusal);
@@ -306,17 +306,17 @@
     (void)state;
 
     own_cold(4);
-    while (lmn_probe_next(core, 0, LANES, name, addr, &term, now)) {
+    while (lmn_worker_client_next_probe(core, 0, LANES, name, addr, &term, now)) {
         assert_int_equal(g_str_hash(name) % LANES, 0);
         own++;
     }
     assert_true(own > 0 && own < MACHINES);
     now = lmn_time_add(now, 0.6);
     for (unsigned i = own; i < MACHINES; i++) {
-        assert_true(lmn_probe_next(core, 0, LANES, name, addr, &term, now));
+        assert_true(lmn_worker_client_next_probe(core, 0, LANES, name, addr, &term, now));
         assert_int_equal(g_str_hash(name) % LANES, 1);
     }
-    assert_false(lmn_probe_next(core, 0, LANES, name, addr, &term, now));
+    assert_false(lmn_worker_client_next_probe(core, 0, LANES, name, addr, &term, now));
 }
 
 /* It may lose the partition again before a machine has spoken: what it holds stays. */
@@ -409,9 +409,9 @@
     core->lease = 2;
     core->leased = core->synced_at = now;
     member_is_up(HOLDER);
-    assert_true(lmn_partition_wanted(core, part, now));
+    assert_true(lmn_partition_should_claim(core, part, now));
     core->leaving = true;
-    assert_false(lmn_partition_wanted(core, part, now));
+    assert_false(lmn_partition_should_claim(core, part, now));
 }
 
 /* This node's own partition, which nc holds until its key goes. */
@@ -434,9 +434,9 @@
 
     member_is_up(lmn_member_index(&core->members, "nc"));
     put("o/1", NULL);
-    assert_false(lmn_partition_wanted(core, p, now));
-    assert_false(lmn_partition_wanted(core, p, lmn_time_add(now, 1.4)));
-    assert_true(lmn_partition_wanted(core, p, lmn_time_add(now, 1.6)));
+    assert_false(lmn_partition_should_claim(core, p, now));
+    assert_false(lmn_partition_should_claim(core, p, lmn_time_add(now, 1.4)));
+    assert_true(lmn_partition_should_claim(core, p, lmn_time_add(now, 1.6)));
 }
 
 /* A crash costs nothing more: its questions are unanswered, or it was never heard. */
@@ -447,12 +447,12 @@
     (void)state;
 
     put("o/1", NULL);
-    assert_true(lmn_partition_wanted(core, p, now));
+    assert_true(lmn_partition_should_claim(core, p, now));
     member_is_up(nc);
-    assert_false(lmn_partition_wanted(core, p, now));
+    assert_false(lmn_partition_should_claim(core, p, now));
     struct timespec later = lmn_time_add(now, 0.5);
     lmn_member_record_probe_timeout(&core->members, nc, later, lmn_time_add(later, 0.4));
-    assert_true(lmn_partition_wanted(core, p, lmn_time_add(later, 0.4)));
+    assert_true(lmn_partition_should_claim(core, p, lmn_time_add(later, 0.4)));
 }
 
 /* --- silence of our own making --- */
@@ -470,7 +470,7 @@
         for (int i = 0;
              reports && i < MACHINES && !lmn_watch_cache_is_too_stale(core, now); i++)
             machine(i)->last = now;
-        lmn_upkeep(core, now);
+        lmn_maintenance_run(core, now);
     }
 }
 
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -83,11 +83,12 @@
         while (g_hash_table_iter_next(&it, NULL, &v))
             if (v != silent)
                 ((struct lmn_machine *)v)->last = now;
-        while (lmn_probe_next(core, 0, 1, name, addr, &term, now)) {
+        while (lmn_worker_client_next_probe(core, 0, 1, name, addr, &term, now)) {
             assert_string_equal(name, silent->name);
-            lmn_probe_outcome(core, name, term, LMN_HTTP_NO_RESPONSE, NULL, now);
+            lmn_worker_client_probe_done(core, name, term, LMN_HTTP_NO_RESPONSE, NULL,
+                                         now);
         }
-        lmn_upkeep(core, now);
+        lmn_maintenance_run(core, now);
     }
 }
 
@@ -133,10 +134,10 @@
     core->fresh = lmn_time_add(
         now, cfg.lease_s - 1); /* the last that it heard of the state service */
     now = lmn_time_add(now, 2 * cfg.lease_s);
-    lmn_upkeep(core, now);
+    lmn_maintenance_run(core, now);
     assert_false(m->lapsed);
     core->fresh = now; /* heard again, and still the owner */
-    lmn_upkeep(core, now);
+    lmn_maintenance_run(core, now);
     assert_true(m->lapsed);
 }
 
@@ -169,7 +170,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v))
         if (v != one && strcmp(((struct lmn_machine *)v)->zone, "b"))
             ((struct lmn_machine *)v)->last = now;
-    lmn_upkeep(core, now);
+    lmn_maintenance_run(core, now);
     assert_true(one->retiring);
     for (int i = 0; i < 8; i++)
         assert_false(far[i]->retiring);
@@ -181,7 +182,7 @@
         while (g_hash_table_iter_next(&it, NULL, &v))
             if (v != far[0] && v != far[1])
                 ((struct lmn_machine *)v)->last = now;
-        lmn_upkeep(core, now);
+        lmn_maintenance_run(core, now);
         for (int i = 0; i < 2; i++)
             assert_int_equal(far[i]->retiring, k);
     }
@@ -213,7 +214,7 @@
         }
         now = lmn_time_add(now, 6);
         core->fresh = now;
-        lmn_upkeep(core, now);
+        lmn_maintenance_run(core, now);
         for (int i = 0; i < 8; i++)
             assert_int_equal(far[i]->retiring, k == 0);
     }
@@ -236,11 +237,11 @@
         m->probes = i % 2;
     }
     for (int i = 0; i < 20; i++) {
-        assert_true(lmn_probe_next(core, 0, 1, name, addr, &term, now));
+        assert_true(lmn_worker_client_next_probe(core, 0, 1, name, addr, &term, now));
         struct lmn_machine *m = g_hash_table_lookup(core->parts[0].machines, name);
         assert_int_equal(m->probes, i < 10 ? 0 : 1);
     }
-    assert_false(lmn_probe_next(core, 0, 1, name, addr, &term, now));
+    assert_false(lmn_worker_client_next_probe(core, 0, 1, name, addr, &term, now));
 }
 
 /* After a wave of losses a few lanes were left with most of the silent machines, a second
@@ -262,12 +263,13 @@
     }
     now = lmn_time_add(now, 3);
     for (unsigned lane = 0; lane < 12; lane++)
-        assert_true(lmn_probe_next(core, lane, 12, name, addr, &term, now));
-    assert_false(lmn_probe_next(core, 0, 12, name, addr, &term, now));
+        assert_true(lmn_worker_client_next_probe(core, lane, 12, name, addr, &term, now));
+    assert_false(lmn_worker_client_next_probe(core, 0, 12, name, addr, &term, now));
     for (int i = 0; i < 12; i++)
-        lmn_probe_outcome(core, lost[i]->name, 1, LMN_HTTP_NO_RESPONSE, NULL, now);
+        lmn_worker_client_probe_done(core, lost[i]->name, 1, LMN_HTTP_NO_RESPONSE, NULL,
+                                     now);
     core->fresh = now = lmn_time_add(now, 2);
-    lmn_upkeep(core, now);
+    lmn_maintenance_run(core, now);
     for (int i = 0; i < 12; i++)
         assert_false(lost[i]->retiring);
     core->fresh = now = lmn_time_add(now, 1.25 * cfg.report_s);
@@ -277,7 +279,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v))
         if (!((struct lmn_machine *)v)->inherited)
             ((struct lmn_machine *)v)->last = now;
-    lmn_upkeep(core, now);
+    lmn_maintenance_run(core, now);
     for (int i = 0; i < 12; i++)
         assert_true(lost[i]->retiring);
 }
@@ -296,15 +298,15 @@
     lost->heard = lost->accounted = false;
     for (int i = 0; i < 30; i++) {
         core->fresh = m->last = now = lmn_time_add(now, 1);
-        lmn_upkeep(core, now);
+        lmn_maintenance_run(core, now);
         assert_false(m->retiring);
         if (i == 20)
-            lmn_machine_gone(core, lost, now);
+            lmn_machine_terminated(core, lost, now);
     }
     assert_true(core->parts[0].ready);
     for (int i = 0; i < 10; i++) {
         core->fresh = m->last = now = lmn_time_add(now, 1);
-        lmn_upkeep(core, now);
+        lmn_maintenance_run(core, now);
     }
     assert_true(m->retiring);
 }
@@ -351,7 +353,7 @@
 /* A report that lists the tasks of the last answer if it was heard. Returns the status,
  * and in *orders how many orders the answer has. */
 static GByteArray *answered; /* the last answer, and what it waits for */
-static struct lmn_held last_held;
+static struct lmn_deferred_starts last_held;
 
 static int report(const struct lmn_machine *of, const char *name, uint64_t session,
                   uint64_t seq, uint64_t token, bool lists, uint64_t *orders)
@@ -380,7 +382,7 @@
         lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, W_FETCHING);
     }
     core->members.fresh = core->members.tick = core->fresh = now;
-    int status = lmn_worker_report(core, b->data, b->len, out, &last_held, now);
+    int status = lmn_heartbeat_handle(core, b->data, b->len, out, &last_held, now);
     *orders = 0;
     if (status == 200 && lmn_cbor_parse(&d, out->data, out->len) == 0) {
         *orders = lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS)->len;
@@ -463,7 +465,7 @@
                                  200);
             assert_false(m->accounted);
             core->fresh = now;
-            lmn_upkeep(core, now);
+            lmn_maintenance_run(core, now);
         }
         assert_true(m->retiring && m->force);
         assert_in_range((int)waited, 1.25 * cfg.report_s + 4, 1.25 * cfg.report_s + 8);
@@ -490,7 +492,7 @@
     assert_false(m->retiring);
     pass(1.25 * cfg.report_s + 1, m);
     assert_true(m->retiring && m->force);
-    lmn_machine_gone(core, m, now);
+    lmn_machine_terminated(core, m, now);
     assert_int_equal(report(NULL, "host-000900", 2, 71, 4, false, &orders), 503);
 }
 
@@ -645,7 +647,7 @@
     assert_true(last_held.mark > 0);
     assert_int_equal(commands(answered, W_KILL), 4);
     assert_int_equal(commands(answered, W_START), 4);
-    lmn_worker_withhold(core, &last_held, answered, now);
+    lmn_heartbeat_withhold_starts(core, &last_held, answered, now);
     assert_int_equal(commands(answered, W_KILL), 4);
     assert_int_equal(commands(answered, W_START), 0);
     assert_int_equal(range.nstarted, 0);
@@ -668,7 +670,8 @@
                            lmn_settings_max_cache_age_s(&cfg) + (stale ? 0.01 : -0.01));
         m->last = now;
         lmn_machine_wake(m);
-        assert_int_equal(lmn_direct_next(core, 0, 1, name, addr, body, now), !stale);
+        assert_int_equal(lmn_worker_client_next_push(core, 0, 1, name, addr, body, now),
+                         !stale);
         assert_int_equal(m->attempts->len, stale ? 0 : 4);
     }
     g_byte_array_unref(body);
@@ -689,9 +692,9 @@
     m->type = &core->types.v[0];
     queue_tasks(4);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
-    lmn_machine_empty(core, m, "to begin with", now);
+    lmn_machine_requeue_tasks(core, m, "to begin with", now);
     lmn_machine_wake(m);
-    assert_true(lmn_direct_next(core, 0, 1, name, addr, body, now));
+    assert_true(lmn_worker_client_next_push(core, 0, 1, name, addr, body, now));
     assert_int_equal(m->attempts->len, 4);
     now = lmn_time_add(now, 1);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
@@ -727,7 +730,7 @@
         core->fresh = lmn_time_add(heard, -1);
         assert_false(lmn_job_may_run(core, &job));
         assert_int_equal(job.phase, LMN_JOB_ACTIVE);
-        lmn_ranges_flush(core, now);
+        lmn_range_writer_flush(core, now);
         assert_null(lmn_kv_client_dequeue(core->state));
         assert_true(lmn_tombstone_receive(core, "run-000001", heard));
     }
@@ -778,7 +781,7 @@
     struct lmn_machine old = *m;
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
         GByteArray *b = g_byte_array_new(), *out = g_byte_array_new();
-        struct lmn_held held;
+        struct lmn_deferred_starts held;
         lmn_cbor_put_map(b, 8);
         lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, m->name);
         lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, "10.0.0.9:1");
@@ -791,7 +794,8 @@
         lmn_cbor_put_map(b, 2);
         lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, bad[i]);
         lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, 1);
-        assert_int_equal(lmn_worker_report(core, b->data, b->len, out, &held, now), 400);
+        assert_int_equal(lmn_heartbeat_handle(core, b->data, b->len, out, &held, now),
+                         400);
         assert_non_null(memmem(out->data, out->len, W_TASKS, strlen(W_TASKS)));
         g_byte_array_unref(b);
         g_byte_array_unref(out);
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -77,7 +77,7 @@
 
 static int part_of(const struct message *x)
 {
-    return lmn_partition_of(w.machines[x->machine].name, w.layout.nodes);
+    return lmn_partition_for_machine(w.machines[x->machine].name, w.layout.nodes);
 }
 
 static void keep_for_next(const struct message *x)
@@ -95,7 +95,8 @@
 {
     for (int i = 0; i < w.layout.machines; i++) {
         const struct machine *m = &w.machines[i];
-        if (m->token == term && lmn_partition_of(m->name, w.layout.nodes) == part)
+        if (m->token == term &&
+            lmn_partition_for_machine(m->name, w.layout.nodes) == part)
             return true;
     }
     return false;
@@ -133,7 +134,7 @@
 /* The report as it arrives. Without the guard, one of an older term counts as one that
  * was written in the owner's. */
 static int take_report(struct node *n, struct message *x, GByteArray *out,
-                       struct lmn_held *held)
+                       struct lmn_deferred_starts *held)
 {
     const struct lmn_partition *p = &n->core->parts[part_of(x)];
 
@@ -142,7 +143,7 @@
         lmn_cbor_put_uint(x->body, p->my_term);
     }
     int status =
-        lmn_worker_report(n->core, x->body->data, x->body->len, out, held, w.clock);
+        lmn_heartbeat_handle(n->core, x->body->data, x->body->len, out, held, w.clock);
     digest_message("report", w.clock);
     digest_number((uint64_t)x->node);
     digest_array(x->body);
@@ -179,12 +180,12 @@
                 continue;
             }
             if (x->copy) {
-                struct lmn_held held;
+                struct lmn_deferred_starts held;
                 if (node_up(n) && n->core)
                     take_report(n, x, out, &held);
                 w.copies++;
             } else if (node_up(n) && n->core && machine_reached(x->node, m)) {
-                struct lmn_held held;
+                struct lmn_deferred_starts held;
                 if (world_trouble(0.03) ||
                     (w.now < w.copies_until &&
                      world_chance(
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -181,7 +181,7 @@
 
 static void node_announce(struct node *n)
 {
-    struct lmn_txn *t = lmn_holder_announce(n->core, n->lease, w.clock);
+    struct lmn_txn *t = lmn_ownership_announce(n->core, n->lease, w.clock);
 
     if (t && w.broken == G_ANNOUNCE && n->announced == n->lease) {
         lmn_txn_free(t);
@@ -190,7 +190,7 @@
     if (!t)
         return;
     enum lmn_txn_outcome r = node_send(n, t);
-    lmn_holder_announced(n->core, r);
+    lmn_ownership_announced(n->core, r);
     if (r == LMN_TXN_COMMITTED)
         n->announced = n->lease;
 }
@@ -202,24 +202,24 @@
     int successor;
 
     for (int i = 0; i < w.layout.nodes; i++) {
-        t = i == c->members.me ? lmn_holder_refutation(c, n->lease, w.clock)
-                               : lmn_holder_suspicion(c, i, n->lease, w.clock);
+        t = i == c->members.me ? lmn_ownership_refutation(c, n->lease, w.clock)
+                               : lmn_ownership_suspicion(c, i, n->lease, w.clock);
         w.refutations += t && i == c->members.me;
         if (t)
             node_send(n, t);
     }
     for (int i = 0; i < w.layout.nodes; i++) {
         uint64_t before = c->members.count.verdicts;
-        if ((t = lmn_holder_claim(c, i, n->lease, w.clock))) {
+        if ((t = lmn_ownership_claim(c, i, n->lease, w.clock))) {
             bool verdict = c->members.count.verdicts > before;
             bool took = node_send(n, t) == LMN_TXN_COMMITTED;
             w.takeovers += took;
             w.verdicts += took && verdict;
             n->judged[i] = verdict;
         }
-        if ((t = lmn_holder_handover(c, i, &successor, w.clock))) {
+        if ((t = lmn_ownership_transfer(c, i, &successor, w.clock))) {
             enum lmn_txn_outcome r = node_send(n, t);
-            lmn_holder_given(c, i, r, w.clock);
+            lmn_ownership_transferred(c, i, r, w.clock);
             w.gives += r == LMN_TXN_COMMITTED;
         }
     }
@@ -233,8 +233,8 @@
 
     if (!c->leaving)
         return false;
-    bool bare = lmn_leave_bare(c);
-    if (!bare && !lmn_leave_over(c, w.clock))
+    bool bare = lmn_shutdown_owns_nothing(c);
+    if (!bare && !lmn_shutdown_is_complete(c, w.clock))
         return false;
     for (guint i = 0; bare && i < w.leases->len; i++)
         if (g_array_index(w.leases, struct holder, i).id == n->lease)
@@ -326,7 +326,7 @@
             while (g_hash_table_iter_next(&it, NULL, &v))
                 ((struct lmn_job *)v)->closing = 0;
         }
-        lmn_partition_check(n->core, p, w.clock);
+        lmn_partition_check_ready(n->core, p, w.clock);
     }
     if (w.broken == G_FENCE)
         n->core->fresh = w.clock;
@@ -391,7 +391,8 @@
 static bool ask_for_limit(struct node *o, int victim, int part,
                           const struct lmn_quota_request *want)
 {
-    bool given = lmn_quota_asked(o->core, &o->core->parts[victim], part, want, w.clock);
+    bool given =
+        lmn_quota_request_handle(o->core, &o->core->parts[victim], part, want, w.clock);
 
     digest_message("limit", w.clock);
     digest_number((uint64_t)victim);
@@ -440,9 +441,9 @@
         if (plan || w.calm)
             seek_limits(n, i);
         if (w.teams == 1 && (plan || !w.calm) && world_chance(0.02))
-            lmn_quota_give(n->core, &n->core->parts[i], 0,
-                           g_rand_int_range(w.r, 0, w.layout.nodes),
-                           g_rand_double_range(w.r, 0, w.layout.limit), 0);
+            lmn_quota_transfer_begin(n->core, &n->core->parts[i], 0,
+                                     g_rand_int_range(w.r, 0, w.layout.nodes),
+                                     g_rand_double_range(w.r, 0, w.layout.limit), 0);
     }
 }
 
@@ -459,7 +460,7 @@
         GList *all = g_hash_table_get_values(p->machines);
         for (GList *l = all; l; l = l->next) {
             struct lmn_machine *m = l->data;
-            if (!m->retiring || m->is_gone || !(m->force || lmn_machine_bare(m)))
+            if (!m->retiring || m->is_gone || !(m->force || lmn_machine_is_empty(m)))
                 continue;
             struct machine *x = machine_named(m->name);
             if (x) {
@@ -468,7 +469,7 @@
             }
             digest_message("removal", w.clock);
             digest_text(m->name);
-            lmn_machine_gone(n->core, m, w.clock);
+            lmn_machine_terminated(n->core, m, w.clock);
         }
         g_list_free(all);
     }
@@ -537,7 +538,7 @@
     if (!cut && n->core->synced)
         node_hold(n);
     if (w.standbys && world_trouble(0.0015))
-        lmn_leave(n->core, w.clock);
+        lmn_shutdown_begin(n->core, w.clock);
     if (!cut && node_leave(n))
         return;
     if (w.broken)
@@ -549,7 +550,7 @@
         drop_floors(n->core);
     for (int i = 0; i < n->core->nparts && n->core->triaged == n->core->wall; i++)
         lmn_update_reservations(n->core, &n->core->parts[i], w.clock);
-    lmn_upkeep(n->core, w.clock);
+    lmn_maintenance_run(n->core, w.clock);
     for (int k = 0; k < w.layout.nodes && w.broken == G_UNHEARD; k++) {
         n->core->parts[k].unheard_cpus = n->core->parts[k].unheard_gpus = 0;
         n->core->parts[k].unheard_unknown = false;
@@ -559,7 +560,7 @@
         lmn_consolidate_replicas(n->core, &n->core->parts[k], w.clock);
     }
     pass_for_recorded(n, false);
-    lmn_ranges_flush(n->core, w.clock);
+    lmn_range_writer_flush(n->core, w.clock);
     pass_for_recorded(n, true);
     if (!cut)
         node_write(n);
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -223,11 +223,12 @@
                     there && machine_told((int)(n - w.nodes), m) && !held_up(m, x->body)
                         ? machine_direct(m, x->body, answer)
                         : LMN_HTTP_NO_RESPONSE;
-            lmn_direct_outcome(n->core, x->held.machine, status, answer, w.clock);
+            lmn_worker_client_push_done(n->core, x->held.machine, status, answer,
+                                        w.clock);
             g_byte_array_unref(answer);
         } else if (ours) {
             if (!go)
-                lmn_worker_withhold(n->core, &x->held, x->body, w.clock);
+                lmn_heartbeat_withhold_starts(n->core, &x->held, x->body, w.clock);
             struct message answer = {
                 .body = x->body, .session = x->session, .seq = x->seq};
             if (there && w.now >= m->unheard_until)
@@ -238,8 +239,8 @@
     }
 }
 
-void node_hold_back(struct node *n, const struct lmn_held *held, const struct message *x,
-                    struct machine *m, GByteArray *body)
+void node_hold_back(struct node *n, const struct lmn_deferred_starts *held,
+                    const struct message *x, struct machine *m, GByteArray *body)
 {
     struct waiter *y = g_new0(struct waiter, 1);
 
@@ -261,7 +262,7 @@
     uint64_t term;
     int me = (int)(n - w.nodes);
 
-    while (lmn_probe_next(n->core, 0, 1, name, addr, &term, w.clock)) {
+    while (lmn_worker_client_next_probe(n->core, 0, 1, name, addr, &term, w.clock)) {
         digest_message("probe", w.clock);
         digest_number((uint64_t)me);
         digest_text(name);
@@ -269,13 +270,14 @@
         digest_number(term);
         struct machine *m = machine_named(name);
         if (!m || !machine_told(me, m) || world_chance(0.3)) {
-            lmn_probe_outcome(n->core, name, term, LMN_HTTP_NO_RESPONSE, answer, w.clock);
+            lmn_worker_client_probe_done(n->core, name, term, LMN_HTTP_NO_RESPONSE,
+                                         answer, w.clock);
             continue;
         }
         g_byte_array_set_size(body, 0);
         g_byte_array_set_size(answer, 0);
         if (!term) { /* only whether it can be reached */
-            lmn_probe_outcome(n->core, name, term, 200, answer, w.clock);
+            lmn_worker_client_probe_done(n->core, name, term, 200, answer, w.clock);
             continue;
         }
         lmn_cbor_put_map(body, 3);
@@ -284,9 +286,9 @@
         lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
         int status =
             held_up(m, body) ? LMN_HTTP_NO_RESPONSE : machine_direct(m, body, answer);
-        lmn_probe_outcome(n->core, name, term, status, answer, w.clock);
+        lmn_worker_client_probe_done(n->core, name, term, status, answer, w.clock);
     }
-    while (lmn_direct_next(n->core, 0, 1, name, addr, body, w.clock)) {
+    while (lmn_worker_client_next_push(n->core, 0, 1, name, addr, body, w.clock)) {
         digest_message("direct", w.clock);
         digest_number((uint64_t)me);
         digest_text(name);
@@ -294,8 +296,8 @@
         digest_array(body);
         struct machine *m = machine_named(name);
         double luck = g_rand_double(w.r);
-        struct lmn_held held = {0};
-        held.mark = lmn_direct_mark(n->core, name, &held.part);
+        struct lmn_deferred_starts held = {0};
+        held.mark = lmn_worker_client_log_position(n->core, name, &held.part);
         if (m && held.mark &&
             !lmn_replication_covers(&n->core->parts[held.part], held.mark)) {
             GByteArray *own = g_byte_array_new();
@@ -312,12 +314,14 @@
             if (m && !m->dead && world_chance(0.8))
                 call_late(m, body,
                           g_rand_double_range(w.r, 0.1, world_chance(0.5) ? 3 : 30));
-            lmn_direct_outcome(n->core, name, LMN_HTTP_NO_RESPONSE, answer, w.clock);
+            lmn_worker_client_push_done(n->core, name, LMN_HTTP_NO_RESPONSE, answer,
+                                        w.clock);
         } else if (held_up(m, body)) {
-            lmn_direct_outcome(n->core, name, LMN_HTTP_NO_RESPONSE, answer, w.clock);
+            lmn_worker_client_push_done(n->core, name, LMN_HTTP_NO_RESPONSE, answer,
+                                        w.clock);
         } else {
             int status = machine_direct(m, body, answer);
-            lmn_direct_outcome(n->core, name, status, answer, w.clock);
+            lmn_worker_client_push_done(n->core, name, status, answer, w.clock);
         }
     }
     g_byte_array_unref(body);
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -110,7 +110,7 @@
         break;
     case T_LEAVE:
         if (n->core)
-            lmn_leave(n->core, w.clock);
+            lmn_shutdown_begin(n->core, w.clock);
         break;
     default:
         break;
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -193,7 +193,7 @@
 
 /* An answer to a report, or a call to a machine, that waits for an acknowledgement. */
 struct waiter {
-    struct lmn_held held;
+    struct lmn_deferred_starts held;
     bool direct;
     int machine, life;
     GByteArray *body;
@@ -370,8 +370,8 @@
 void node_release(struct node *n);
 /* Holds an answer to a report, or with x NULL a call, until a standby has acknowledged
  * it. */
-void node_hold_back(struct node *n, const struct lmn_held *held, const struct message *x,
-                    struct machine *m, GByteArray *body);
+void node_hold_back(struct node *n, const struct lmn_deferred_starts *held,
+                    const struct message *x, struct machine *m, GByteArray *body);
 void node_direct(struct node *n);
 
 /* --- troubles.c: what a schedule begins --- */
