--- a/src/cli/controller.c
+++ b/src/cli/controller.c
@@ -30,7 +30,7 @@
     if (lmn_settings_load(check ? check : config, &settings, err, sizeof err) != 0)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
     if (!check)
-        return lmn_service_run(&settings);
+        return lmn_controller_run(&settings);
     if (lmn_settings_warning(&settings, err, sizeof err))
         fprintf(stderr, "%s: warning: %s\n", check, err);
     printf("%s: good\n", check);
--- a/src/controller/admin_client.c
+++ b/src/controller/admin_client.c
@@ -72,7 +72,7 @@
         usleep(150000);
     }
     clnt_destroy(*cl);
-    *cl = lmn_peer_dial(addr);
+    *cl = lmn_rpc_connect(addr);
     if (*cl) {
         fprintf(stderr, "lemonspar: %s: it has not ended\n", addr);
         return 1;
@@ -101,7 +101,7 @@
                         "| set NAME VALUE | drain MACHINE | balance | leave | join\n");
         return 2;
     }
-    cl = lmn_peer_dial(addr);
+    cl = lmn_rpc_connect(addr);
     if (!cl) {
         fprintf(stderr, "lemonspar: %s: no controller answers there\n", addr);
         return 1;
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -40,7 +40,7 @@
     asked_to_end++;
 }
 
-int lmn_service_run(const struct lmn_settings *cfg)
+int lmn_controller_run(const struct lmn_settings *cfg)
 {
     struct sigaction end = {.sa_handler = on_term};
 
@@ -60,7 +60,7 @@
 
     struct lmn_kv_client *state = lmn_kv_client_new(cfg);
     struct lmn_core *core = lmn_core_new(cfg, state, g_random_int());
-    struct lmn_http_server *server = lmn_server_start(core);
+    struct lmn_http_server *server = lmn_http_routes_start(core);
     if (!server) {
         lmn_error("listen-failed address=%s", cfg->listen);
         return 1;
@@ -68,19 +68,19 @@
     pthread_mutex_lock(&core->lock);
     core->server = server;
     pthread_mutex_unlock(&core->lock);
-    if (lmn_peer_start(core) != 0) {
+    if (lmn_rpc_server_start(core) != 0) {
         lmn_error("listen-failed address=%s", cfg->peer_listen);
         return 1;
     }
     lmn_kv_client_start(state);
     lmn_thread(lmn_watch_cache_thread, core);
     lmn_thread(lmn_ownership_thread, core);
-    lmn_api_start(core);
+    lmn_user_api_start(core);
     lmn_thread(lmn_provisioner_thread, core);
-    lmn_thread(lmn_peer_thread, core);
+    lmn_thread(lmn_steal_thread, core);
     if (cfg->nmembers) {
-        lmn_thread(lmn_ask_thread, core);
-        lmn_follow_start(core);
+        lmn_thread(lmn_probe_thread, core);
+        lmn_replication_start(core);
     }
     static struct lmn_worker_client lanes[LMN_WORKER_CLIENT_THREADS];
     for (unsigned i = 0; i < G_N_ELEMENTS(lanes); i++) {
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -22,10 +22,10 @@
     size_t len = strlen(ref), end = strlen(P_CANCEL);
 
     if (lmn_http_request_method(call) == LMN_HTTP_GET) {
-        lmn_api_poll(c, call, ref);
+        lmn_user_api_status(c, call, ref);
     } else if (len > end && !strcmp(ref + len - end, P_CANCEL)) {
         ref[len - end] = '\0';
-        lmn_api_cancel(c, call, ref);
+        lmn_user_api_cancel(c, call, ref);
     } else {
         lmn_http_request_respond(call, 404, NULL, 0);
     }
@@ -87,15 +87,15 @@
         int status =
             lmn_heartbeat_handle(c, body->data, body->len, out, &held, lmn_now());
         if (held.mark)
-            lmn_follow_hold(c, call, out, &held);
+            lmn_replication_defer_response(c, call, out, &held);
         else
             lmn_http_request_respond(call, status, out, 0);
     } else if (!post && !strcmp(path, "/metrics")) {
         lmn_metrics_answer(call, lmn_controller_metrics, c);
     } else if (!post && !strcmp(path, P_READY)) {
-        lmn_http_request_respond(call, lmn_api_ready(c) ? 200 : 503, NULL, 0);
+        lmn_http_request_respond(call, lmn_user_api_is_ready(c) ? 200 : 503, NULL, 0);
     } else if (post && !strcmp(path, P_JOBS)) {
-        lmn_api_submit(c, call);
+        lmn_user_api_submit(c, call);
     } else if (g_str_has_prefix(path, P_JOBS "/")) {
         route_job(c, call, path + strlen(P_JOBS "/"));
     } else {
@@ -103,7 +103,7 @@
     }
 }
 
-struct lmn_http_server *lmn_server_start(struct lmn_core *c)
+struct lmn_http_server *lmn_http_routes_start(struct lmn_core *c)
 {
     const struct lmn_http_server_options o = {
         .listen = c->cfg->listen,
--- a/src/controller/members_report.c
+++ b/src/controller/members_report.c
@@ -37,7 +37,7 @@
     json_object_set_new(j, "incarnation", json_integer((json_int_t)m->inc));
     json_object_set_new(j, "partitions",
                         json_integer(lmn_member_owned_partitions(c, rank)));
-    json_object_set_new(j, "stands_by", lmn_standbys_of(c, rank));
+    json_object_set_new(j, "stands_by", lmn_replication_standby_partitions(c, rank));
     json_object_set_new(
         j, "heard_s", m->ever ? json_real(lmn_time_diff_s(now, m->heard)) : json_null());
     json_object_set_new(j, "answers_s", json_real(m->answers.mean));
@@ -101,7 +101,7 @@
     g_string_append_c(s, '\n');
 }
 
-char *lmn_members_text(struct lmn_core *c, bool json)
+char *lmn_members_report(struct lmn_core *c, bool json)
 {
     struct timespec now = lmn_now();
     json_t *all = json_array(), *j;
--- a/src/controller/members_report.h
+++ b/src/controller/members_report.h
@@ -5,7 +5,7 @@
 #include "state/model.h"
 
 /* A line a member, or one JSON object; to be freed. Takes the lock. */
-char *lmn_members_text(struct lmn_core *c, bool json);
+char *lmn_members_report(struct lmn_core *c, bool json);
 /* The same as metrics. The lock is held. */
 void lmn_members_metrics(const struct lmn_core *c, GString *out);
 
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -141,7 +141,7 @@
                           g_array_index(classes, struct lmn_fair_share, i).waiting);
     g_array_free(classes, TRUE);
     lmn_members_metrics(c, out);
-    lmn_standbys_metrics(c, out, lmn_now());
+    lmn_replication_metrics(c, out, lmn_now());
     pthread_mutex_unlock(&c->lock);
     lmn_gauge(out, "lemonspar_mirror_behind_seconds", "How far the mirror may be behind",
               stale);
--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -35,7 +35,7 @@
     }
 }
 
-char *lmn_balance_text(struct lmn_core *c)
+char *lmn_ownership_report(struct lmn_core *c)
 {
     GString *s = g_string_new(NULL);
     struct timespec now = lmn_now();
@@ -59,7 +59,7 @@
     return g_string_free(s, FALSE);
 }
 
-int lmn_balance_leave(struct lmn_core *c, bool leave, char **text)
+int lmn_shutdown_handle(struct lmn_core *c, bool leave, char **text)
 {
     GString *s = g_string_new(NULL);
     struct timespec now = lmn_now();
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -4,7 +4,7 @@
 
 #include <math.h>
 
-struct lmn_pending {
+struct lmn_pending_submission {
     struct lmn_core *core;
     struct lmn_http_request *call; /* NULL: it has its reply */
     char ref[LMN_JOB_ID_SIZE];
@@ -16,15 +16,15 @@
 static struct {
     pthread_mutex_t lock;
     pthread_cond_t more;
-    GQueue list; /* struct lmn_pending, the oldest first */
-    lmn_pending_reply *reply;
+    GQueue list; /* struct lmn_pending_submission, the oldest first */
+    lmn_submission_responder *reply;
 } pendings = {.lock = PTHREAD_MUTEX_INITIALIZER, .list = G_QUEUE_INIT};
 
 /* How often the mirror is looked at for one that is due. */
 static const double LOOK_EVERY_S = 0.02;
 
 /* The lock is held. Returns the call if it has no reply yet: the caller replies. */
-static struct lmn_http_request *take_call(struct lmn_pending *p)
+static struct lmn_http_request *take_call(struct lmn_pending_submission *p)
 {
     struct lmn_http_request *call = p->call;
 
@@ -33,7 +33,7 @@
 }
 
 /* The lock is held. */
-static void free_if_over(struct lmn_pending *p)
+static void free_if_over(struct lmn_pending_submission *p)
 {
     if (p->in_flight)
         return;
@@ -53,8 +53,8 @@
 static void committed(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
                       uint64_t rev)
 {
-    struct lmn_pending *p = arg;
-    struct lmn_decision d = lmn_decide_submitted(outcome);
+    struct lmn_pending_submission *p = arg;
+    struct lmn_request_decision d = lmn_decide_submitted(outcome);
     bool known = outcome == LMN_TXN_COMMITTED || outcome == LMN_TXN_CONFLICT;
     double took = lmn_time_diff_s(lmn_now(), p->since);
     char ref[LMN_JOB_ID_SIZE];
@@ -75,10 +75,10 @@
         pendings.reply(call, ref, &d);
 }
 
-void lmn_pending_submit(struct lmn_core *c, struct lmn_http_request *call,
-                        const struct lmn_job_spec *s)
+void lmn_pending_submission_submit(struct lmn_core *c, struct lmn_http_request *call,
+                                   const struct lmn_job_spec *s)
 {
-    struct lmn_pending *p = g_new0(struct lmn_pending, 1);
+    struct lmn_pending_submission *p = g_new0(struct lmn_pending_submission, 1);
 
     p->core = c;
     p->call = call;
@@ -99,13 +99,14 @@
 
 /* Does what is due for the submission; the lock is held. Returns the call if its job's
  * state is to be confirmed. */
-static struct lmn_http_request *look(struct lmn_core *c, struct lmn_pending *p,
+static struct lmn_http_request *look(struct lmn_core *c, struct lmn_pending_submission *p,
                                      struct timespec now)
 {
     struct lmn_txn *twin;
 
     pthread_mutex_lock(&c->lock);
-    enum lmn_pending_step step = lmn_decide_pending(c, p->ref, p->since, !p->twin, now);
+    enum lmn_pending_submission_step step =
+        lmn_decide_pending_submission(c, p->ref, p->since, !p->twin, now);
     pthread_mutex_unlock(&c->lock);
     switch (step) {
     case LMN_PENDING_CONFIRM:
@@ -126,7 +127,7 @@
 static double until_due(struct timespec now)
 {
     for (GList *l = pendings.list.head; l; l = l->next) {
-        const struct lmn_pending *p = l->data;
+        const struct lmn_pending_submission *p = l->data;
         if (p->call)
             return MAX(LMN_PENDING_LOOK_S - lmn_time_diff_s(now, p->since), LOOK_EVERY_S);
     }
@@ -141,7 +142,8 @@
         char ref[LMN_JOB_ID_SIZE];
     };
     GArray *due = g_array_new(FALSE, FALSE, sizeof(struct due));
-    const struct lmn_decision confirm = {.step = LMN_STEP_CONFIRM, .absent_status = 503};
+    const struct lmn_request_decision confirm = {.step = LMN_STEP_CONFIRM,
+                                                 .absent_status = 503};
 
     pthread_mutex_lock(&pendings.lock);
     double wait = until_due(lmn_now());
@@ -150,7 +152,7 @@
     else
         lmn_cond_wait_for(&pendings.more, &pendings.lock, wait);
     for (GList *l = pendings.list.head; l; l = l->next) {
-        struct lmn_pending *p = l->data;
+        struct lmn_pending_submission *p = l->data;
         struct due d = {.call = p->call ? look(c, p, lmn_now()) : NULL};
         g_strlcpy(d.ref, p->ref, sizeof d.ref);
         if (d.call)
@@ -171,7 +173,7 @@
     return NULL;
 }
 
-void lmn_pending_start(struct lmn_core *c, lmn_pending_reply *reply)
+void lmn_pending_submission_start(struct lmn_core *c, lmn_submission_responder *reply)
 {
     lmn_cond_init(&pendings.more);
     pendings.reply = reply;
--- a/src/controller/pending_submission.h
+++ b/src/controller/pending_submission.h
@@ -9,16 +9,16 @@
 #include "controller/request_decisions.h"
 
 struct lmn_http_request;
-struct lmn_pending;
+struct lmn_pending_submission;
 
 /* Carries out a decision for a call that is held. */
-typedef void lmn_pending_reply(struct lmn_http_request *call, const char *ref,
-                               const struct lmn_decision *d);
+typedef void lmn_submission_responder(struct lmn_http_request *call, const char *ref,
+                                      const struct lmn_request_decision *d);
 
 /* Starts the thread that looks after them. */
-void lmn_pending_start(struct lmn_core *c, lmn_pending_reply *reply);
+void lmn_pending_submission_start(struct lmn_core *c, lmn_submission_responder *reply);
 /* Takes over the call, which is held, and sends the transaction that accepts the job. */
-void lmn_pending_submit(struct lmn_core *c, struct lmn_http_request *call,
-                        const struct lmn_job_spec *s);
+void lmn_pending_submission_submit(struct lmn_core *c, struct lmn_http_request *call,
+                                   const struct lmn_job_spec *s);
 
 #endif
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -52,7 +52,7 @@
 
 /* Names are the settings', which stand for ever. */
 static u_int tell(struct lmn_core *c, int to, int about, struct timespec now,
-                  struct lmn_ask_room *room)
+                  struct lmn_probe_reply_buffer *room)
 {
     struct lmn_gossip_statement s[LMN_MAX_GOSSIP_STATEMENTS];
     unsigned n = lmn_member_gossip(&c->members, to, about, now, s);
@@ -75,8 +75,8 @@
     }
 }
 
-void lmn_ask_answer(struct lmn_core *c, const lmn_rpc_probe *q, lmn_rpc_probe_reply *a,
-                    struct lmn_ask_room *room)
+void lmn_probe_handle(struct lmn_core *c, const lmn_rpc_probe *q, lmn_rpc_probe_reply *a,
+                      struct lmn_probe_reply_buffer *room)
 {
     struct timespec now = lmn_now();
     struct lmn_member_health w = word_of(&q->word);
@@ -115,7 +115,7 @@
         if (!strcmp(c->cfg->members[i].name, name))
             addr = c->cfg->members[i].addr;
     if (!peer->client && addr)
-        peer->client = lmn_peer_dial_within(addr, q->patience_s);
+        peer->client = lmn_rpc_connect_within(addr, q->patience_s);
     if (!peer->client)
         return false;
     if (clnt_call(peer->client, LMN_RPC_PROBE, (xdrproc_t)xdr_lmn_rpc_probe, (char *)x,
@@ -126,7 +126,7 @@
     return false;
 }
 
-u_int lmn_ask_tombstones(struct lmn_core *c, const lmn_rpc_tombstones *q)
+u_int lmn_tombstones_handle(struct lmn_core *c, const lmn_rpc_tombstones *q)
 {
     u_int n = 0;
 
@@ -179,7 +179,7 @@
 static void ask_one(struct lmn_core *c, struct asked *peer, const struct lmn_probe *q)
 {
     struct lmn_members *ms = &c->members;
-    struct lmn_ask_room room;
+    struct lmn_probe_reply_buffer room;
     lmn_rpc_probe x = {.from = (char *)c->cfg->node, .about = (char *)""};
     lmn_rpc_probe_reply a = {0};
 
@@ -212,7 +212,7 @@
     tell_tombstones(c, peer, q->rank);
 }
 
-void *lmn_ask_thread(void *arg)
+void *lmn_probe_thread(void *arg)
 {
     struct lmn_core *c = arg;
     struct asked peers[LMN_MAX_MEMBERS + 1] = {0};
--- a/src/controller/probe_client.h
+++ b/src/controller/probe_client.h
@@ -7,18 +7,18 @@
 #include "controller_rpc.h"
 
 /* What a question or an answer carries, with room for its names. */
-struct lmn_ask_room {
+struct lmn_probe_reply_buffer {
     lmn_rpc_gossip said[LMN_MAX_GOSSIP_STATEMENTS];
 };
 
 /* Takes in a question that another member has sent, and fills the answer, which points
  * into the room. Takes the lock. */
-void lmn_ask_answer(struct lmn_core *c, const lmn_rpc_probe *q, lmn_rpc_probe_reply *a,
-                    struct lmn_ask_room *room);
+void lmn_probe_handle(struct lmn_core *c, const lmn_rpc_probe *q, lmn_rpc_probe_reply *a,
+                      struct lmn_probe_reply_buffer *room);
 /* Takes in what another has confirmed to users as withdrawn; returns how many of them the
  * mirror does not show. Takes the lock. */
-u_int lmn_ask_tombstones(struct lmn_core *c, const lmn_rpc_tombstones *q);
+u_int lmn_tombstones_handle(struct lmn_core *c, const lmn_rpc_tombstones *q);
 /* Asks (a thread). */
-void *lmn_ask_thread(void *core);
+void *lmn_probe_thread(void *core);
 
 #endif
--- a/src/controller/read_batch.h
+++ b/src/controller/read_batch.h
@@ -11,20 +11,20 @@
 #include <glib.h>
 #include <time.h>
 
-enum lmn_query_kind { LMN_QUERY_STATUS, LMN_QUERY_CANCEL };
+enum lmn_read_request_kind { LMN_READ_STATUS, LMN_READ_CANCEL };
 
 struct lmn_http_request;
 
-struct lmn_query {
-    enum lmn_query_kind kind;
+struct lmn_read_request {
+    enum lmn_read_request_kind kind;
     struct lmn_http_request *call;
     char ref[LMN_JOB_ID_SIZE];
     int absent_status; /* the answer if there is no such job */
     struct timespec since;
-    struct lmn_query *next; /* who asks the same */
+    struct lmn_read_request *next; /* who asks the same */
 };
 
-struct lmn_query_queue {
+struct lmn_read_batch {
     GQueue order;     /* the first who asked about each job, and all cancellations */
     GHashTable *jobs; /* ref -> that first one */
     guint waiting;
@@ -33,15 +33,15 @@
 /* How long a user listens for the answer to a question (the protocol's), less the way. */
 #define LMN_QUERY_PATIENCE_S 1.8
 
-void lmn_query_queue_init(struct lmn_query_queue *q);
-void lmn_query_queue_clear(struct lmn_query_queue *q); /* frees what waits */
+void lmn_read_batch_init(struct lmn_read_batch *q);
+void lmn_read_batch_clear(struct lmn_read_batch *q); /* frees what waits */
 /* Takes the query over. */
-void lmn_query_queue_put(struct lmn_query_queue *q, struct lmn_query *a);
+void lmn_read_batch_add(struct lmn_read_batch *q, struct lmn_read_request *a);
 /* Takes the next questions off the queue: of `most` jobs at most, a list for each, and
  * one cancellation (NULL: none). What has waited for too long goes to *late, a list, in
  * either case. Returns how many jobs. */
-guint lmn_query_queue_take(struct lmn_query_queue *q, struct lmn_query **jobs, guint most,
-                           struct lmn_query **cancel, struct lmn_query **late,
-                           struct timespec now);
+guint lmn_read_batch_take(struct lmn_read_batch *q, struct lmn_read_request **jobs,
+                          guint most, struct lmn_read_request **cancel,
+                          struct lmn_read_request **late, struct timespec now);
 
 #endif
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-void lmn_standbys_show(GString *s, const struct lmn_core *c,
-                       const struct lmn_partition *p, struct timespec now)
+void lmn_replication_describe(GString *s, const struct lmn_core *c,
+                              const struct lmn_partition *p, struct timespec now)
 {
     const struct lmn_replication_stream *f = &p->stream;
     uint64_t starts;
@@ -39,7 +39,7 @@
     }
 }
 
-json_t *lmn_standbys_of(const struct lmn_core *c, int rank)
+json_t *lmn_replication_standby_partitions(const struct lmn_core *c, int rank)
 {
     const char *name = lmn_member_name(&c->members, rank);
     json_t *all = json_array();
@@ -52,7 +52,7 @@
     return all;
 }
 
-void lmn_standbys_metrics(const struct lmn_core *c, GString *out, struct timespec now)
+void lmn_replication_metrics(const struct lmn_core *c, GString *out, struct timespec now)
 {
     unsigned in_step = 0, copies = 0, untold = 0;
     struct lmn_replication_counters sum = {0};
--- a/src/controller/replication_report.h
+++ b/src/controller/replication_report.h
@@ -8,10 +8,10 @@
 #include <jansson.h>
 
 /* A line on who follows us in the partition, or on what we have of it. */
-void lmn_standbys_show(GString *s, const struct lmn_core *c,
-                       const struct lmn_partition *p, struct timespec now);
+void lmn_replication_describe(GString *s, const struct lmn_core *c,
+                              const struct lmn_partition *p, struct timespec now);
 /* The partitions for which the member is in step, as far as the mirror shows. */
-json_t *lmn_standbys_of(const struct lmn_core *c, int rank);
-void lmn_standbys_metrics(const struct lmn_core *c, GString *out, struct timespec now);
+json_t *lmn_replication_standby_partitions(const struct lmn_core *c, int rank);
+void lmn_replication_metrics(const struct lmn_core *c, GString *out, struct timespec now);
 
 #endif
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -23,7 +23,7 @@
 
 /* --- being told --- */
 
-u_int lmn_follow_take(struct lmn_core *c, const lmn_rpc_replication_batch *x)
+u_int lmn_replication_receive(struct lmn_core *c, const lmn_rpc_replication_batch *x)
 {
     struct lmn_replication_batch *b = lmn_replication_batch_new();
 
@@ -119,7 +119,7 @@
     }
     f->to = to;
     if (!f->client && addr_of(f->c, to))
-        f->client = lmn_peer_dial_within(addr_of(f->c, to), CALL_S);
+        f->client = lmn_rpc_connect_within(addr_of(f->c, to), CALL_S);
     if (!f->client)
         return false;
     if (clnt_call(f->client, LMN_RPC_REPLICATE, (xdrproc_t)xdr_lmn_rpc_replication_batch,
@@ -187,8 +187,9 @@
     }
 }
 
-void lmn_follow_hold(struct lmn_core *c, struct lmn_http_request *call, GByteArray *out,
-                     const struct lmn_deferred_starts *held)
+void lmn_replication_defer_response(struct lmn_core *c, struct lmn_http_request *call,
+                                    GByteArray *out,
+                                    const struct lmn_deferred_starts *held)
 {
     struct lmn_partition *p = &c->parts[held->part];
     int status = 0;
@@ -258,7 +259,7 @@
     return NULL;
 }
 
-void lmn_follow_start(struct lmn_core *c)
+void lmn_replication_start(struct lmn_core *c)
 {
     for (int i = 0; i < c->nparts; i++) {
         struct teller *f = g_new0(struct teller, 1);
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -8,40 +8,40 @@
 
 /* --- replies --- */
 
-static struct lmn_reply plain(int status, int retry_after)
+static struct lmn_job_reply plain(int status, int retry_after)
 {
-    return (struct lmn_reply){.status = status, .retry_after = retry_after};
+    return (struct lmn_job_reply){.status = status, .retry_after = retry_after};
 }
 
-static struct lmn_reply fault(int status, const char *error)
+static struct lmn_job_reply fault(int status, const char *error)
 {
-    return (struct lmn_reply){.status = status, .error = error};
+    return (struct lmn_job_reply){.status = status, .error = error};
 }
 
-static struct lmn_reply job_state(enum lmn_job_phase phase, uint32_t done,
-                                  uint32_t running)
+static struct lmn_job_reply job_state(enum lmn_job_phase phase, uint32_t done,
+                                      uint32_t running)
 {
-    return (struct lmn_reply){.status = 200,
-                              .shows_job = true,
-                              .phase = phase,
-                              .done = done,
-                              .running = running};
+    return (struct lmn_job_reply){.status = 200,
+                                  .shows_job = true,
+                                  .phase = phase,
+                                  .done = done,
+                                  .running = running};
 }
 
-struct lmn_reply lmn_reply_unavailable(void)
+struct lmn_job_reply lmn_job_reply_unavailable(void)
 {
     return plain(503, 1);
 }
 
 /* There is no such job. */
-static struct lmn_reply absent(int status)
+static struct lmn_job_reply absent(int status)
 {
     if (status == 503)
-        return lmn_reply_unavailable();
+        return lmn_job_reply_unavailable();
     return status == 404 ? plain(404, 0) : fault(status, "refused");
 }
 
-static const char *state_word(const struct lmn_reply *r)
+static const char *state_word(const struct lmn_job_reply *r)
 {
     if (r->phase == LMN_JOB_DONE)
         return W_DONE;
@@ -50,7 +50,7 @@
     return r->running || r->done ? W_RUNNING : W_QUEUED;
 }
 
-GByteArray *lmn_reply_body(const struct lmn_reply *r, const char *ref)
+GByteArray *lmn_job_reply_body(const struct lmn_job_reply *r, const char *ref)
 {
     GByteArray *b;
 
@@ -91,7 +91,7 @@
         *running = 0;
 }
 
-void lmn_view_take(const struct lmn_core *c, const char *ref, struct lmn_view *v)
+void lmn_job_view_take(const struct lmn_core *c, const char *ref, struct lmn_job_view *v)
 {
     const struct lmn_job *j = g_hash_table_lookup(c->jobs, ref);
     uint32_t done, running;
@@ -105,7 +105,7 @@
     v->reply = job_state(j->phase, done, running);
 }
 
-static bool is_final(const struct lmn_view *v)
+static bool is_final(const struct lmn_job_view *v)
 {
     return v->rev && v->reply.phase != LMN_JOB_ACTIVE;
 }
@@ -115,7 +115,7 @@
     g_snprintf(key, len, "j/%s", ref);
 }
 
-struct lmn_txn *lmn_confirmation(const struct lmn_view *v, guint n)
+struct lmn_txn *lmn_confirmation_txn(const struct lmn_job_view *v, guint n)
 {
     struct lmn_txn *t = lmn_txn_new(LMN_WRITE_USER, NULL, NULL);
     char key[64];
@@ -127,9 +127,9 @@
     return t;
 }
 
-enum lmn_confirmed lmn_view_confirmed(const struct lmn_view *v,
-                                      enum lmn_txn_outcome outcome,
-                                      const GPtrArray *failed)
+enum lmn_confirmation_result lmn_job_view_confirmed(const struct lmn_job_view *v,
+                                                    enum lmn_txn_outcome outcome,
+                                                    const GPtrArray *failed)
 {
     char key[64];
 
@@ -145,13 +145,14 @@
     return LMN_CONFIRMED_LATEST;
 }
 
-struct lmn_reply lmn_reply_confirmed(const struct lmn_core *c, const struct lmn_view *v,
-                                     int absent_status)
+struct lmn_job_reply lmn_job_reply_confirmed(const struct lmn_core *c,
+                                             const struct lmn_job_view *v,
+                                             int absent_status)
 {
-    struct lmn_view latest;
+    struct lmn_job_view latest;
 
     /* A later revision in the mirror is of a later instant than the confirmation. */
-    lmn_view_take(c, v->ref, &latest);
+    lmn_job_view_take(c, v->ref, &latest);
     if (latest.rev > v->rev)
         return latest.reply;
     return v->rev ? v->reply : absent(absent_status);
@@ -159,14 +160,15 @@
 
 /* --- first decisions --- */
 
-static struct lmn_decision reply_now(struct lmn_reply r)
+static struct lmn_request_decision reply_now(struct lmn_job_reply r)
 {
-    return (struct lmn_decision){.step = LMN_STEP_REPLY, .reply = r};
+    return (struct lmn_request_decision){.step = LMN_STEP_REPLY, .reply = r};
 }
 
-static struct lmn_decision next_step(enum lmn_step step, int absent_status)
+static struct lmn_request_decision next_step(enum lmn_request_step step,
+                                             int absent_status)
 {
-    return (struct lmn_decision){.step = step, .absent_status = absent_status};
+    return (struct lmn_request_decision){.step = step, .absent_status = absent_status};
 }
 
 /* Nothing can be confirmed now: held back, a question took a socket and its user's
@@ -177,24 +179,24 @@
 }
 
 /* Whether nothing has to be asked: the id can't be one, or its job has ended. */
-static bool is_known_now(struct lmn_core *c, const char *ref, struct lmn_reply *reply)
+static bool is_known_now(struct lmn_core *c, const char *ref, struct lmn_job_reply *reply)
 {
-    struct lmn_view v;
+    struct lmn_job_view v;
 
     if (!lmn_job_id_is_valid(ref)) {
         *reply = plain(404, 0);
         return true;
     }
     c->count.polls++;
-    lmn_view_take(c, ref, &v);
+    lmn_job_view_take(c, ref, &v);
     *reply = v.reply;
     return is_final(&v);
 }
 
-struct lmn_decision lmn_decide_status(struct lmn_core *c, const char *ref,
-                                      struct timespec now)
+struct lmn_request_decision lmn_decide_status(struct lmn_core *c, const char *ref,
+                                              struct timespec now)
 {
-    struct lmn_reply reply;
+    struct lmn_job_reply reply;
 
     if (is_known_now(c, ref, &reply))
         return reply_now(reply);
@@ -205,9 +207,9 @@
     return next_step(LMN_STEP_CONFIRM, 404);
 }
 
-struct lmn_decision lmn_decide_cancel(struct lmn_core *c, const char *ref)
+struct lmn_request_decision lmn_decide_cancel(struct lmn_core *c, const char *ref)
 {
-    struct lmn_reply reply;
+    struct lmn_job_reply reply;
 
     if (is_known_now(c, ref, &reply))
         return reply_now(reply);
@@ -215,7 +217,7 @@
 }
 
 /* A job that nobody is known to have submitted, and nothing is wrong with. */
-static struct lmn_decision decide_new(struct lmn_core *c)
+static struct lmn_request_decision decide_new(struct lmn_core *c)
 {
     double wait = lmn_kv_client_backlog_s(c->state, LMN_WRITE_USER);
 
@@ -228,17 +230,17 @@
     return next_step(LMN_STEP_COMMIT, 503);
 }
 
-struct lmn_decision lmn_decide_submission(struct lmn_core *c,
-                                          const struct lmn_submission *s,
-                                          struct timespec now)
+struct lmn_request_decision lmn_decide_submission(struct lmn_core *c,
+                                                  const struct lmn_submission *s,
+                                                  struct timespec now)
 {
     const char *why;
-    struct lmn_view v;
+    struct lmn_job_view v;
 
-    if (s->fault == LMN_SUBMISSION_UNNAMED)
+    if (s->fault == LMN_SUBMISSION_NO_ID)
         return reply_now(fault(400, s->what));
     c->count.submissions++;
-    lmn_view_take(c, s->spec.ref, &v);
+    lmn_job_view_take(c, s->spec.ref, &v);
     if (is_final(&v))
         return reply_now(v.reply);
     /* An id that was accepted before is answered with its state, whatever is wrong with
@@ -261,9 +263,9 @@
     return decide_new(c);
 }
 
-struct lmn_decision lmn_decide_submitted(enum lmn_txn_outcome outcome)
+struct lmn_request_decision lmn_decide_submitted(enum lmn_txn_outcome outcome)
 {
-    struct lmn_reply accepted = job_state(LMN_JOB_ACTIVE, 0, 0);
+    struct lmn_job_reply accepted = job_state(LMN_JOB_ACTIVE, 0, 0);
 
     switch (outcome) {
     case LMN_TXN_COMMITTED:
@@ -274,16 +276,16 @@
         return next_step(LMN_STEP_CONFIRM, 503);
     default:
         /* If it was executed after all, the user's retry finds the job. */
-        return reply_now(lmn_reply_unavailable());
+        return reply_now(lmn_job_reply_unavailable());
     }
 }
 
 /* A transaction without an answer for so long may never be carried out. */
 static const double RESEND_S = 0.3;
 
-enum lmn_pending_step lmn_decide_pending(const struct lmn_core *c, const char *ref,
-                                         struct timespec since, bool resent,
-                                         struct timespec now)
+enum lmn_pending_submission_step
+lmn_decide_pending_submission(const struct lmn_core *c, const char *ref,
+                              struct timespec since, bool resent, struct timespec now)
 {
     double waited = lmn_time_diff_s(now, since);
 
@@ -298,8 +300,8 @@
 
 /* --- reading, and cancelling --- */
 
-void lmn_reading_parse(struct lmn_job_reading *r, int status, const guint8 *body,
-                       size_t len)
+void lmn_job_reading_parse(struct lmn_job_reading *r, int status, const guint8 *body,
+                           size_t len)
 {
     struct lmn_cbor_document d;
 
@@ -318,37 +320,38 @@
     lmn_cbor_free(&d);
 }
 
-void lmn_reading_clear(struct lmn_job_reading *r)
+void lmn_job_reading_clear(struct lmn_job_reading *r)
 {
     lmn_job_spec_clear(&r->spec);
 }
 
 /* Of a job's record that has ended. */
-static struct lmn_reply ended(const struct lmn_job_reading *r)
+static struct lmn_job_reply ended(const struct lmn_job_reading *r)
 {
     return job_state(r->phase, r->phase == LMN_JOB_DONE ? r->spec.tasks : 0, 0);
 }
 
-struct lmn_reply lmn_reply_read(const struct lmn_core *c, const char *ref,
-                                const struct lmn_job_reading *r, int absent_status)
+struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *c, const char *ref,
+                                                const struct lmn_job_reading *r,
+                                                int absent_status)
 {
-    struct lmn_view latest;
+    struct lmn_job_view latest;
 
     if (r->status == 404)
         return absent(absent_status);
     if (r->status != 200)
-        return lmn_reply_unavailable();
+        return lmn_job_reply_unavailable();
     if (r->phase != LMN_JOB_ACTIVE)
         return ended(r);
     /* The mirror's counts will do for an active job; and it may have moved on. */
-    lmn_view_take(c, ref, &latest);
+    lmn_job_view_take(c, ref, &latest);
     if (latest.rev > r->rev)
         return latest.reply;
     return job_state(LMN_JOB_ACTIVE, latest.reply.done, latest.reply.running);
 }
 
-struct lmn_txn *lmn_cancellation(const char *ref, const struct lmn_job_reading *r,
-                                 int absent_status, struct lmn_reply *reply)
+struct lmn_txn *lmn_cancellation_txn(const char *ref, const struct lmn_job_reading *r,
+                                     int absent_status, struct lmn_job_reply *reply)
 {
     struct lmn_txn *t;
     char key[64];
@@ -356,7 +359,7 @@
     if (r->status == 404)
         *reply = absent(absent_status);
     else if (r->status != 200)
-        *reply = lmn_reply_unavailable();
+        *reply = lmn_job_reply_unavailable();
     else if (r->phase != LMN_JOB_ACTIVE)
         *reply = ended(r);
     if (r->status != 200 || r->phase != LMN_JOB_ACTIVE)
@@ -368,10 +371,11 @@
     return t;
 }
 
-bool lmn_cancelled(enum lmn_txn_outcome outcome, struct lmn_reply *reply)
+bool lmn_cancellation_is_settled(enum lmn_txn_outcome outcome,
+                                 struct lmn_job_reply *reply)
 {
     /* With an unknown outcome the user asks again, and then it is read. */
     *reply = outcome == LMN_TXN_COMMITTED ? job_state(LMN_JOB_CANCELLED, 0, 0)
-                                          : lmn_reply_unavailable();
+                                          : lmn_job_reply_unavailable();
     return outcome != LMN_TXN_CONFLICT;
 }
--- a/src/controller/request_decisions.h
+++ b/src/controller/request_decisions.h
@@ -14,14 +14,14 @@
 #include "state/model.h"
 
 /* What is to be done about a request. */
-enum lmn_step {
+enum lmn_request_step {
     LMN_STEP_REPLY,   /* it is answered now */
     LMN_STEP_CONFIRM, /* the job's state is told once it is confirmed */
     LMN_STEP_CANCEL,  /* the job is read, and its cancellation written */
     LMN_STEP_COMMIT,  /* the submission is written */
 };
 
-struct lmn_reply {
+struct lmn_job_reply {
     int status;
     int retry_after;   /* seconds; 0: none */
     const char *error; /* what is wrong with the request; NULL: nothing to say */
@@ -30,25 +30,25 @@
     uint32_t done, running; /* tasks, as far as this node knows */
 };
 
-struct lmn_decision {
-    enum lmn_step step;
-    struct lmn_reply reply; /* of LMN_STEP_REPLY */
-    int absent_status;      /* of the others: the status if there is no such job */
+struct lmn_request_decision {
+    enum lmn_request_step step;
+    struct lmn_job_reply reply; /* of LMN_STEP_REPLY */
+    int absent_status;          /* of the others: the status if there is no such job */
 };
 
 /* --- first decisions, when a request has arrived --- */
 
-struct lmn_decision lmn_decide_status(struct lmn_core *c, const char *ref,
-                                      struct timespec now);
-struct lmn_decision lmn_decide_cancel(struct lmn_core *c, const char *ref);
-struct lmn_decision lmn_decide_submission(struct lmn_core *c,
-                                          const struct lmn_submission *s,
-                                          struct timespec now);
+struct lmn_request_decision lmn_decide_status(struct lmn_core *c, const char *ref,
+                                              struct timespec now);
+struct lmn_request_decision lmn_decide_cancel(struct lmn_core *c, const char *ref);
+struct lmn_request_decision lmn_decide_submission(struct lmn_core *c,
+                                                  const struct lmn_submission *s,
+                                                  struct timespec now);
 /* Once the outcome of a submission's transaction is known. */
-struct lmn_decision lmn_decide_submitted(enum lmn_txn_outcome outcome);
+struct lmn_request_decision lmn_decide_submitted(enum lmn_txn_outcome outcome);
 
 /* What is due for a submission whose transaction has no answer yet. */
-enum lmn_pending_step {
+enum lmn_pending_submission_step {
     LMN_PENDING_WAIT,
     LMN_PENDING_CONFIRM, /* the mirror shows the job: its state is to be confirmed */
     LMN_PENDING_RESEND,  /* the transaction is sent once more */
@@ -58,37 +58,38 @@
 #define LMN_PENDING_LOOK_S 0.05
 
 /* resent: it was sent twice already. */
-enum lmn_pending_step lmn_decide_pending(const struct lmn_core *c, const char *ref,
-                                         struct timespec since, bool resent,
-                                         struct timespec now);
+enum lmn_pending_submission_step
+lmn_decide_pending_submission(const struct lmn_core *c, const char *ref,
+                              struct timespec since, bool resent, struct timespec now);
 
 /* --- confirmations --- */
 
 /* What the mirror shows of a job. */
-struct lmn_view {
+struct lmn_job_view {
     char ref[LMN_JOB_ID_SIZE];
     uint64_t rev; /* of the job's record; 0: there is none */
-    struct lmn_reply reply;
+    struct lmn_job_reply reply;
 };
 
-enum lmn_confirmed {
+enum lmn_confirmation_result {
     LMN_CONFIRMED_LATEST,   /* the view was the latest when the state service looked */
     LMN_CONFIRMED_OUTDATED, /* there is a later one: it has to be read */
     LMN_CONFIRMED_NOTHING,  /* nobody knows */
 };
 
-void lmn_view_take(const struct lmn_core *c, const char *ref, struct lmn_view *v);
+void lmn_job_view_take(const struct lmn_core *c, const char *ref, struct lmn_job_view *v);
 /* The transaction that confirms the views: conditions alone. */
-struct lmn_txn *lmn_confirmation(const struct lmn_view *v, guint n);
+struct lmn_txn *lmn_confirmation_txn(const struct lmn_job_view *v, guint n);
 /* What its outcome says of one of them; failed: the keys whose condition did not hold. */
-enum lmn_confirmed lmn_view_confirmed(const struct lmn_view *v,
-                                      enum lmn_txn_outcome outcome,
-                                      const GPtrArray *failed);
+enum lmn_confirmation_result lmn_job_view_confirmed(const struct lmn_job_view *v,
+                                                    enum lmn_txn_outcome outcome,
+                                                    const GPtrArray *failed);
 /* The reply of a view that was confirmed, or of what became of it since: the mirror may
  * have moved on while the answer was on its way. */
-struct lmn_reply lmn_reply_confirmed(const struct lmn_core *c, const struct lmn_view *v,
-                                     int absent_status);
-struct lmn_reply lmn_reply_unavailable(void);
+struct lmn_job_reply lmn_job_reply_confirmed(const struct lmn_core *c,
+                                             const struct lmn_job_view *v,
+                                             int absent_status);
+struct lmn_job_reply lmn_job_reply_unavailable(void);
 
 /* --- reading, and cancelling --- */
 
@@ -103,18 +104,20 @@
 };
 
 /* Of an answer of the state service; to be cleared. */
-void lmn_reading_parse(struct lmn_job_reading *r, int status, const guint8 *body,
-                       size_t len);
-void lmn_reading_clear(struct lmn_job_reading *r);
-struct lmn_reply lmn_reply_read(const struct lmn_core *c, const char *ref,
-                                const struct lmn_job_reading *r, int absent_status);
+void lmn_job_reading_parse(struct lmn_job_reading *r, int status, const guint8 *body,
+                           size_t len);
+void lmn_job_reading_clear(struct lmn_job_reading *r);
+struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *c, const char *ref,
+                                                const struct lmn_job_reading *r,
+                                                int absent_status);
 
 /* The transaction that cancels an active job, conditional on the revision that was read;
  * NULL: there is nothing to cancel, and *reply is the answer. */
-struct lmn_txn *lmn_cancellation(const char *ref, const struct lmn_job_reading *r,
-                                 int absent_status, struct lmn_reply *reply);
+struct lmn_txn *lmn_cancellation_txn(const char *ref, const struct lmn_job_reading *r,
+                                     int absent_status, struct lmn_job_reply *reply);
 /* Whether *reply is the answer now; else the job has changed, and is read again. */
-bool lmn_cancelled(enum lmn_txn_outcome outcome, struct lmn_reply *reply);
+bool lmn_cancellation_is_settled(enum lmn_txn_outcome outcome,
+                                 struct lmn_job_reply *reply);
 
 /* A cancellation is tried so often while others change the job. */
 enum { LMN_CANCEL_TRIES = 5 };
@@ -122,6 +125,6 @@
 /* --- on the wire --- */
 
 /* The reply's body; NULL: none. */
-GByteArray *lmn_reply_body(const struct lmn_reply *r, const char *ref);
+GByteArray *lmn_job_reply_body(const struct lmn_job_reply *r, const char *ref);
 
 #endif
--- a/src/controller/rpc_client.c
+++ b/src/controller/rpc_client.c
@@ -8,14 +8,14 @@
 #include <poll.h>
 #include <unistd.h>
 
-CLIENT *lmn_peer_dial(const char *addr)
+CLIENT *lmn_rpc_connect(const char *addr)
 {
     /* A member behind a cut says nothing: a connection is not waited for longer than
      * this. */
-    return lmn_peer_dial_within(addr, 0.6);
+    return lmn_rpc_connect_within(addr, 0.6);
 }
 
-CLIENT *lmn_peer_dial_within(const char *addr, double seconds)
+CLIENT *lmn_rpc_connect_within(const char *addr, double seconds)
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
     struct netbuf nb = {sizeof a, sizeof a, &a};
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -152,7 +152,7 @@
         svc_sendreply(x, nothing, NULL);
         return;
     case LMN_RPC_STATUS: {
-        struct lmn_rpc_reply r = {0, lmn_status_text(core)};
+        struct lmn_rpc_reply r = {0, lmn_status_report(core)};
         if (strlen(r.text) >= LMN_RPC_MAX_TEXT)
             r.text[LMN_RPC_MAX_TEXT - 1] = '\0';
         svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
@@ -226,13 +226,13 @@
     }
     case LMN_RPC_PROBE: {
         struct lmn_rpc_probe q = {0};
-        struct lmn_ask_room room;
+        struct lmn_probe_reply_buffer room;
         lmn_rpc_probe_reply a = {0};
         if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_probe, (char *)&q)) {
             svcerr_decode(x);
             return;
         }
-        lmn_ask_answer(core, &q, &a, &room);
+        lmn_probe_handle(core, &q, &a, &room);
         svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)&a);
         svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_probe, (char *)&q);
         return;
@@ -243,7 +243,7 @@
             svcerr_decode(x);
             return;
         }
-        struct lmn_rpc_reply r = {0, lmn_members_text(core, json != 0)};
+        struct lmn_rpc_reply r = {0, lmn_members_report(core, json != 0)};
         svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
@@ -255,13 +255,13 @@
             return;
         }
         struct lmn_rpc_reply r = {0};
-        r.code = lmn_balance_leave(core, leave != 0, &r.text);
+        r.code = lmn_shutdown_handle(core, leave != 0, &r.text);
         svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
     }
     case LMN_RPC_OWNERSHIP: {
-        struct lmn_rpc_reply r = {0, lmn_balance_text(core)};
+        struct lmn_rpc_reply r = {0, lmn_ownership_report(core)};
         svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
@@ -272,7 +272,7 @@
             svcerr_decode(x);
             return;
         }
-        u_int n = lmn_follow_take(core, &q);
+        u_int n = lmn_replication_receive(core, &q);
         svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
         svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_replication_batch, (char *)&q);
         return;
@@ -283,7 +283,7 @@
             svcerr_decode(x);
             return;
         }
-        u_int n = lmn_ask_tombstones(core, &q);
+        u_int n = lmn_tombstones_handle(core, &q);
         svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
         svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_tombstones, (char *)&q);
         return;
@@ -301,7 +301,7 @@
     return NULL;
 }
 
-int lmn_peer_start(struct lmn_core *c)
+int lmn_rpc_server_start(struct lmn_core *c)
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
     char host[LMN_ADDRESS_SIZE];
@@ -345,7 +345,7 @@
     if (!m->client) {
         if (lmn_time_before(now, m->retry))
             return false;
-        m->client = lmn_peer_dial(m->cfg->addr);
+        m->client = lmn_rpc_connect(m->cfg->addr);
         m->retry = lmn_time_add(now, 3.0);
     }
     if (!m->client)
@@ -496,7 +496,7 @@
     pthread_mutex_unlock(&core->lock);
 }
 
-void *lmn_peer_thread(void *arg)
+void *lmn_steal_thread(void *arg)
 {
     struct member members[LMN_MAX_MEMBERS] = {0};
     struct lmn_steal_request t;
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -25,7 +25,7 @@
         p->id, *p->owner ? p->owner : "-", p->owner_term, p->mine, p->ready,
         g_hash_table_size(p->machines), g_hash_table_size(p->ranges), queued,
         p->unplaced.tasks, running);
-    lmn_standbys_show(s, c, p, lmn_now());
+    lmn_replication_describe(s, c, p, lmn_now());
     for (size_t i = 0; p->mine && i < c->cfg->nteams; i++)
         g_string_append_printf(s, "  team %s cpus=%.1f gpus=%.1f\n",
                                c->cfg->teams[i].name, p->used_cpus[i], p->used_gpus[i]);
@@ -97,7 +97,7 @@
         l.turned_away[LMN_CONNECTION_WORKER]);
 }
 
-char *lmn_status_text(struct lmn_core *c)
+char *lmn_status_report(struct lmn_core *c)
 {
     GString *s = g_string_new(NULL);
 
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -146,12 +146,12 @@
 
     memset(s, 0, sizeof *s);
     s->what = "not CBOR";
-    s->fault = LMN_SUBMISSION_UNNAMED;
+    s->fault = LMN_SUBMISSION_NO_ID;
     if (lmn_cbor_parse(&d, body, len) != 0)
         return;
     if (lmn_job_spec_parse(&s->spec, &d, lmn_cbor_root(&d), &s->what) == 0)
         s->fault =
-            too_large(cfg, &s->spec) ? LMN_SUBMISSION_TOO_LARGE : LMN_SUBMISSION_SOUND;
+            too_large(cfg, &s->spec) ? LMN_SUBMISSION_TOO_LARGE : LMN_SUBMISSION_VALID;
     else if (lmn_job_id_is_valid(s->spec.ref))
         s->fault = LMN_SUBMISSION_MALFORMED;
     lmn_cbor_free(&d);
--- a/src/controller/submission.h
+++ b/src/controller/submission.h
@@ -6,8 +6,8 @@
 #include "state/model.h"
 
 enum lmn_submission_fault {
-    LMN_SUBMISSION_SOUND,
-    LMN_SUBMISSION_UNNAMED,   /* unreadable, or without an id that could be known */
+    LMN_SUBMISSION_VALID,
+    LMN_SUBMISSION_NO_ID,     /* unreadable, or without an id that could be known */
     LMN_SUBMISSION_MALFORMED, /* it names an id; a field is missing or invalid */
     LMN_SUBMISSION_TOO_LARGE, /* no value of the state service could hold it */
 };
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -14,22 +14,22 @@
 
 static pthread_mutex_t queries_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t queries_more;
-static struct lmn_query_queue queries;
+static struct lmn_read_batch queries;
 static struct lmn_in_flight flight; /* of confirmations and cancellations */
 /* Threads that ask the state service; one alone queries at a time unless it is slow. */
 enum { QUERY_THREADS = 3 };
 
 static void answer(struct lmn_http_request *call, const char *ref,
-                   const struct lmn_reply *r)
+                   const struct lmn_job_reply *r)
 {
-    lmn_http_request_respond(call, r->status, lmn_reply_body(r, ref), r->retry_after);
+    lmn_http_request_respond(call, r->status, lmn_job_reply_body(r, ref), r->retry_after);
 }
 
 /* The call is held already. */
-static void enqueue(enum lmn_query_kind kind, struct lmn_http_request *call,
+static void enqueue(enum lmn_read_request_kind kind, struct lmn_http_request *call,
                     const char *ref, int absent_status)
 {
-    struct lmn_query *a = g_new0(struct lmn_query, 1);
+    struct lmn_read_request *a = g_new0(struct lmn_read_request, 1);
 
     a->kind = kind;
     a->call = call;
@@ -37,23 +37,23 @@
     a->since = lmn_now();
     g_strlcpy(a->ref, ref, sizeof a->ref);
     pthread_mutex_lock(&queries_lock);
-    lmn_query_queue_put(&queries, a);
+    lmn_read_batch_add(&queries, a);
     pthread_cond_signal(&queries_more);
     pthread_mutex_unlock(&queries_lock);
 }
 
 /* All steps but the commit of a submission, for a call that is held. */
 static void carry_out_held(struct lmn_http_request *call, const char *ref,
-                           const struct lmn_decision *d)
+                           const struct lmn_request_decision *d)
 {
     if (d->step == LMN_STEP_REPLY)
         answer(call, ref, &d->reply);
     else
-        enqueue(d->step == LMN_STEP_CANCEL ? LMN_QUERY_CANCEL : LMN_QUERY_STATUS, call,
-                ref, d->absent_status);
+        enqueue(d->step == LMN_STEP_CANCEL ? LMN_READ_CANCEL : LMN_READ_STATUS, call, ref,
+                d->absent_status);
 }
 
-static void carry_out(const struct lmn_decision *d, struct lmn_http_request *call,
+static void carry_out(const struct lmn_request_decision *d, struct lmn_http_request *call,
                       const char *ref)
 {
     if (d->step != LMN_STEP_REPLY)
@@ -61,23 +61,25 @@
     carry_out_held(call, ref, d);
 }
 
-void lmn_api_poll(struct lmn_core *c, struct lmn_http_request *call, const char *ref)
+void lmn_user_api_status(struct lmn_core *c, struct lmn_http_request *call,
+                         const char *ref)
 {
     pthread_mutex_lock(&c->lock);
-    struct lmn_decision d = lmn_decide_status(c, ref, lmn_now());
+    struct lmn_request_decision d = lmn_decide_status(c, ref, lmn_now());
     pthread_mutex_unlock(&c->lock);
     carry_out(&d, call, ref);
 }
 
-void lmn_api_cancel(struct lmn_core *c, struct lmn_http_request *call, const char *ref)
+void lmn_user_api_cancel(struct lmn_core *c, struct lmn_http_request *call,
+                         const char *ref)
 {
     pthread_mutex_lock(&c->lock);
-    struct lmn_decision d = lmn_decide_cancel(c, ref);
+    struct lmn_request_decision d = lmn_decide_cancel(c, ref);
     pthread_mutex_unlock(&c->lock);
     carry_out(&d, call, ref);
 }
 
-bool lmn_api_ready(struct lmn_core *c)
+bool lmn_user_api_is_ready(struct lmn_core *c)
 {
     pthread_mutex_lock(&c->lock);
     double stale = lmn_watch_cache_age_s(c, lmn_now());
@@ -87,18 +89,18 @@
     return ready;
 }
 
-void lmn_api_submit(struct lmn_core *c, struct lmn_http_request *call)
+void lmn_user_api_submit(struct lmn_core *c, struct lmn_http_request *call)
 {
     const GByteArray *body = lmn_http_request_body(call);
     struct lmn_submission s;
 
     lmn_submission_parse(&s, c->cfg, body->data, body->len);
     pthread_mutex_lock(&c->lock);
-    struct lmn_decision d = lmn_decide_submission(c, &s, lmn_now());
+    struct lmn_request_decision d = lmn_decide_submission(c, &s, lmn_now());
     pthread_mutex_unlock(&c->lock);
     if (d.step == LMN_STEP_COMMIT) {
         lmn_http_request_defer(call);
-        lmn_pending_submit(c, call, &s.spec);
+        lmn_pending_submission_submit(c, call, &s.spec);
     } else {
         carry_out(&d, call, s.spec.ref);
     }
@@ -116,15 +118,15 @@
     g_snprintf(path, sizeof path, P_STORE "/j/%s", ref);
     lmn_kv_client_wait_for_token(c->state);
     int status = lmn_http_client_call(h, "GET", path, NULL, 1.5, buf);
-    lmn_reading_parse(r, status, buf->data, buf->len);
+    lmn_job_reading_parse(r, status, buf->data, buf->len);
 }
 
 /* Answers all in the list, for which nobody knows anything. */
-static void answer_unavailable(struct lmn_query *list)
+static void answer_unavailable(struct lmn_read_request *list)
 {
-    const struct lmn_reply r = lmn_reply_unavailable();
+    const struct lmn_job_reply r = lmn_job_reply_unavailable();
 
-    for (struct lmn_query *a = list, *next; a; a = next) {
+    for (struct lmn_read_request *a = list, *next; a; a = next) {
         next = a->next;
         answer(a->call, a->ref, &r);
         g_free(a);
@@ -132,24 +134,24 @@
 }
 
 /* The confirmation's answer was lost: those who still listen are asked for again. */
-static void query_again(struct lmn_query *list)
+static void query_again(struct lmn_read_request *list)
 {
     pthread_mutex_lock(&queries_lock);
-    for (struct lmn_query *a = list, *next; a; a = next) {
+    for (struct lmn_read_request *a = list, *next; a; a = next) {
         next = a->next;
-        lmn_query_queue_put(&queries, a);
+        lmn_read_batch_add(&queries, a);
     }
     pthread_mutex_unlock(&queries_lock);
 }
 
 /* Answers all who asked about the same job by its confirmed view. */
-static void answer_confirmed(struct lmn_core *c, const struct lmn_view *v,
-                             struct lmn_query *list)
+static void answer_confirmed(struct lmn_core *c, const struct lmn_job_view *v,
+                             struct lmn_read_request *list)
 {
-    for (struct lmn_query *a = list, *next; a; a = next) {
+    for (struct lmn_read_request *a = list, *next; a; a = next) {
         next = a->next;
         pthread_mutex_lock(&c->lock);
-        struct lmn_reply r = lmn_reply_confirmed(c, v, a->absent_status);
+        struct lmn_job_reply r = lmn_job_reply_confirmed(c, v, a->absent_status);
         pthread_mutex_unlock(&c->lock);
         answer(a->call, a->ref, &r);
         g_free(a);
@@ -158,20 +160,21 @@
 
 /* The mirror is behind: the job itself is read. */
 static void answer_read(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                        struct lmn_query *list)
+                        struct lmn_read_request *list)
 {
     struct lmn_job_reading reading;
 
     read_job(c, h, buf, list->ref, &reading);
-    for (struct lmn_query *a = list, *next; a; a = next) {
+    for (struct lmn_read_request *a = list, *next; a; a = next) {
         next = a->next;
         pthread_mutex_lock(&c->lock);
-        struct lmn_reply r = lmn_reply_read(c, a->ref, &reading, a->absent_status);
+        struct lmn_job_reply r =
+            lmn_job_reply_from_reading(c, a->ref, &reading, a->absent_status);
         pthread_mutex_unlock(&c->lock);
         answer(a->call, a->ref, &r);
         g_free(a);
     }
-    lmn_reading_clear(&reading);
+    lmn_job_reading_clear(&reading);
 }
 
 /* A cancellation has been committed. */
@@ -185,9 +188,9 @@
 }
 
 static void cancel_one(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                       const struct lmn_query *a)
+                       const struct lmn_read_request *a)
 {
-    struct lmn_reply reply = lmn_reply_unavailable();
+    struct lmn_job_reply reply = lmn_job_reply_unavailable();
     bool over = false;
 
     for (int tries = 0; tries < LMN_CANCEL_TRIES && !over; tries++) {
@@ -195,13 +198,14 @@
         uint64_t rev;
 
         read_job(c, h, buf, a->ref, &reading);
-        struct lmn_txn *t = lmn_cancellation(a->ref, &reading, a->absent_status, &reply);
-        lmn_reading_clear(&reading);
+        struct lmn_txn *t =
+            lmn_cancellation_txn(a->ref, &reading, a->absent_status, &reply);
+        lmn_job_reading_clear(&reading);
         if (!t)
             break;
         enum lmn_txn_outcome outcome = lmn_kv_client_commit(c->state, h, t, &rev, NULL);
         lmn_txn_free(t);
-        over = lmn_cancelled(outcome, &reply);
+        over = lmn_cancellation_is_settled(outcome, &reply);
         if (outcome == LMN_TXN_COMMITTED)
             tell_others(c, a->ref);
     }
@@ -211,22 +215,23 @@
 /* Many jobs, one request: a transaction of conditions alone says which of the mirror's
  * versions are the latest. */
 static void confirm_batch(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                          struct lmn_query **v, guint n)
+                          struct lmn_read_request **v, guint n)
 {
-    struct lmn_view *views = g_new0(struct lmn_view, n);
+    struct lmn_job_view *views = g_new0(struct lmn_job_view, n);
     GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
     uint64_t rev;
 
     pthread_mutex_lock(&c->lock);
     for (guint i = 0; i < n; i++)
-        lmn_view_take(c, v[i]->ref, &views[i]);
+        lmn_job_view_take(c, v[i]->ref, &views[i]);
     pthread_mutex_unlock(&c->lock);
-    struct lmn_txn *t = lmn_confirmation(views, n);
+    struct lmn_txn *t = lmn_confirmation_txn(views, n);
     enum lmn_txn_outcome outcome = lmn_kv_client_commit(c->state, h, t, &rev, failed);
     lmn_txn_free(t);
     /* First what is known: a reading takes its time, and an answer grows old. */
     for (guint i = 0; i < n; i++) {
-        enum lmn_confirmed known = lmn_view_confirmed(&views[i], outcome, failed);
+        enum lmn_confirmation_result known =
+            lmn_job_view_confirmed(&views[i], outcome, failed);
         if (known == LMN_CONFIRMED_OUTDATED)
             continue;
         if (known == LMN_CONFIRMED_LATEST)
@@ -245,8 +250,9 @@
 }
 
 /* Waits for questions and takes the next; returns how many jobs they are about. */
-static guint next_queries(struct lmn_query **v, guint most, struct lmn_query **cancel,
-                          struct lmn_query **late)
+static guint next_queries(struct lmn_read_request **v, guint most,
+                          struct lmn_read_request **cancel,
+                          struct lmn_read_request **late)
 {
     pthread_mutex_lock(&queries_lock);
     for (;;) {
@@ -258,7 +264,7 @@
         else
             break;
     }
-    guint n = lmn_query_queue_take(&queries, v, most, cancel, late, lmn_now());
+    guint n = lmn_read_batch_take(&queries, v, most, cancel, late, lmn_now());
     lmn_in_flight_begin(&flight, lmn_now());
     pthread_mutex_unlock(&queries_lock);
     return n;
@@ -270,7 +276,7 @@
     struct lmn_http_client *h = lmn_http_client_new(c->cfg->state);
     GByteArray *buf = g_byte_array_new();
     guint max = (guint)MIN(4 * c->cfg->txn_ops, 100);
-    struct lmn_query **v = g_new0(struct lmn_query *, max), *cancel, *late;
+    struct lmn_read_request **v = g_new0(struct lmn_read_request *, max), *cancel, *late;
 
     for (;;) {
         guint n = next_queries(v, max, &cancel, &late);
@@ -288,15 +294,15 @@
     return NULL;
 }
 
-void lmn_api_start(struct lmn_core *c)
+void lmn_user_api_start(struct lmn_core *c)
 {
     for (int i = 0; i < QUERY_THREADS; i++)
         lmn_thread(query_thread, c);
-    lmn_pending_start(c, carry_out_held);
+    lmn_pending_submission_start(c, carry_out_held);
 }
 
 __attribute__((constructor)) static void init(void)
 {
     lmn_cond_init(&queries_more);
-    lmn_query_queue_init(&queries);
+    lmn_read_batch_init(&queries);
 }
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -6,11 +6,13 @@
 #include "http/server.h"
 #include "state/model.h"
 
-void lmn_api_submit(struct lmn_core *c, struct lmn_http_request *call);
-void lmn_api_poll(struct lmn_core *c, struct lmn_http_request *call, const char *ref);
-void lmn_api_cancel(struct lmn_core *c, struct lmn_http_request *call, const char *ref);
-bool lmn_api_ready(struct lmn_core *c);
+void lmn_user_api_submit(struct lmn_core *c, struct lmn_http_request *call);
+void lmn_user_api_status(struct lmn_core *c, struct lmn_http_request *call,
+                         const char *ref);
+void lmn_user_api_cancel(struct lmn_core *c, struct lmn_http_request *call,
+                         const char *ref);
+bool lmn_user_api_is_ready(struct lmn_core *c);
 /* Starts the threads that ask the state service, and that look after submissions. */
-void lmn_api_start(struct lmn_core *c);
+void lmn_user_api_start(struct lmn_core *c);
 
 #endif
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -153,7 +153,7 @@
         struct lmn_machine *m = v;
         if (m->unheeded || !lmn_machine_can_run(m, r->job))
             continue;
-        uint32_t has = lmn_room(m, &r->job->spec);
+        uint32_t has = lmn_machine_task_capacity(m, &r->job->spec);
         if (has > m->queue.tasks) {
             struct candidate x = {m, unfit(m, r->job), m->type->cpus - m->used_cpus,
                                   has - m->queue.tasks, able->len};
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -97,7 +97,7 @@
     for (guint i = 0; i < p->list->len; i++) {
         const struct lmn_machine *m = p->list->pdata[i];
         if (m->kept == j || (!m->kept && !m->unheeded && lmn_machine_can_run(m, j) &&
-                             lmn_room(m, &j->spec) > 0))
+                             lmn_machine_task_capacity(m, &j->spec) > 0))
             return true;
     }
     return false;
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -47,7 +47,8 @@
            !m->is_gone && lmn_job_spec_allows(&j->spec, m->type, m->zone, m->spot);
 }
 
-uint32_t lmn_room(const struct lmn_machine *m, const struct lmn_job_spec *s)
+uint32_t lmn_machine_task_capacity(const struct lmn_machine *m,
+                                   const struct lmn_job_spec *s)
 {
     const double slack = 1e-6;
     double n = 1e6;
@@ -125,7 +126,7 @@
 {
     if (!lmn_job_may_run(c, j))
         return LMN_WAIT_JOB_OVER;
-    if (!lmn_room(m, &j->spec))
+    if (!lmn_machine_task_capacity(m, &j->spec))
         return LMN_WAIT_CAPACITY;
     if (m->promised && j->spec.urgency != LMN_PRIORITY_PRODUCTION)
         return LMN_WAIT_PREEMPTION_RESERVED;
--- a/src/scheduler/wait_reason.h
+++ b/src/scheduler/wait_reason.h
@@ -40,7 +40,8 @@
 bool lmn_job_within_quota(const struct lmn_core *c, const struct lmn_partition *p,
                           const struct lmn_job *j);
 /* How many tasks of the job have room on the machine now, its queue aside. */
-uint32_t lmn_room(const struct lmn_machine *m, const struct lmn_job_spec *s);
+uint32_t lmn_machine_task_capacity(const struct lmn_machine *m,
+                                   const struct lmn_job_spec *s);
 /* Whether the machine takes work now, and the job allows it. */
 bool lmn_machine_can_run(const struct lmn_machine *m, const struct lmn_job *j);
 
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -223,8 +223,8 @@
     job_keeps("job_withdrawn", plain(), LMN_JOB_CANCELLED, 1, 1700000000.25);
     struct lmn_job_reading r = {
         .status = 200, .rev = 5, .spec = plain(), .open = 1, .at = 1700000000.25};
-    struct lmn_reply reply;
-    struct lmn_txn *t = lmn_cancellation("run-000412", &r, 404, &reply);
+    struct lmn_job_reply reply;
+    struct lmn_txn *t = lmn_cancellation_txn("run-000412", &r, 404, &reply);
     writes_record(t, "j/run-000412", 0, "job_withdrawn");
     lmn_txn_free(t);
 }
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -229,9 +229,9 @@
 
 /* --- users --- */
 
-static void reply_keeps(const char *name, struct lmn_reply r)
+static void reply_keeps(const char *name, struct lmn_job_reply r)
 {
-    GByteArray *b = lmn_reply_body(&r, "run-000412");
+    GByteArray *b = lmn_job_reply_body(&r, "run-000412");
 
     assert_non_null(b);
     same(name, b);
@@ -239,7 +239,7 @@
 
 static void replies_to_users_keep_their_bytes(void **state)
 {
-    struct lmn_reply r = {.status = 200, .shows_job = true, .phase = LMN_JOB_ACTIVE};
+    struct lmn_job_reply r = {.status = 200, .shows_job = true, .phase = LMN_JOB_ACTIVE};
     (void)state;
 
     reply_keeps("reply_queued", r);
@@ -255,7 +255,8 @@
     reply_keeps("reply_done", r);
     r.phase = LMN_JOB_CANCELLED;
     reply_keeps("reply_withdrawn", r);
-    reply_keeps("reply_error", (struct lmn_reply){.status = 400, .error = "not CBOR"});
+    reply_keeps("reply_error",
+                (struct lmn_job_reply){.status = 400, .error = "not CBOR"});
 }
 
 /* --- the keeper --- */
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -47,7 +47,7 @@
 }
 
 static void reply(struct lmn_http_request *call, const char *ref,
-                  const struct lmn_decision *d)
+                  const struct lmn_request_decision *d)
 {
     (void)call;
     assert_string_equal(ref, spec.ref);
@@ -74,7 +74,7 @@
                lmn_http_server_port(h));
     core = lmn_core_new(&settings, lmn_kv_client_new(&settings), 1);
     lmn_kv_client_start(core->state);
-    lmn_pending_start(core, reply);
+    lmn_pending_submission_start(core, reply);
     return 0;
 }
 
@@ -85,7 +85,7 @@
 
     g_atomic_int_set(&transactions, 0);
     g_atomic_int_set(&replied, 0);
-    lmn_pending_submit(core, (struct lmn_http_request *)&call, &spec);
+    lmn_pending_submission_submit(core, (struct lmn_http_request *)&call, &spec);
 }
 
 static void wait_for_reply(double longest_s)
--- a/tests/test_query_queue.c
+++ b/tests/test_query_queue.c
@@ -7,22 +7,22 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-static void put(struct lmn_query_queue *q, enum lmn_query_kind kind, int job,
+static void put(struct lmn_read_batch *q, enum lmn_read_request_kind kind, int job,
                 struct timespec now)
 {
-    struct lmn_query *a = g_new0(struct lmn_query, 1);
+    struct lmn_read_request *a = g_new0(struct lmn_read_request, 1);
 
     a->kind = kind;
     a->since = now;
     g_snprintf(a->ref, sizeof a->ref, "run-%06d", job);
-    lmn_query_queue_put(q, a);
+    lmn_read_batch_add(q, a);
 }
 
-static guint done(struct lmn_query *a)
+static guint done(struct lmn_read_request *a)
 {
     guint n = 0;
 
-    for (struct lmn_query *next; a; a = next, n++) {
+    for (struct lmn_read_request *next; a; a = next, n++) {
         next = a->next;
         g_free(a);
     }
@@ -39,23 +39,23 @@
     (void)state;
 
     for (int round = 0; round < 20; round++) {
-        struct lmn_query_queue q;
+        struct lmn_read_batch q;
         struct timespec now = {1000, 0};
-        struct lmn_query *v[16], *cancel, *late;
+        struct lmn_read_request *v[16], *cancel, *late;
         guint in = 0, out = 0, told = 0, shared = 0, taken = 0;
-        lmn_query_queue_init(&q);
+        lmn_read_batch_init(&q);
         for (int tick = 0; tick < 2000; tick++) {
             bool slow = tick % 400 > 350;
             double took = slow ? 2 : 0.02;
             guint asked = slow ? 60 : (guint)g_rand_int_range(r, 0, 30);
             for (guint i = 0; i < asked; i++, in++)
-                put(&q, g_rand_int_range(r, 0, 50) ? LMN_QUERY_STATUS : LMN_QUERY_CANCEL,
+                put(&q, g_rand_int_range(r, 0, 50) ? LMN_READ_STATUS : LMN_READ_CANCEL,
                     g_rand_int_range(r, 0, 100),
                     lmn_time_add(now, g_rand_double(r) * took));
             now = lmn_time_add(now, took);
-            guint n = lmn_query_queue_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
+            guint n = lmn_read_batch_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
             assert_true(n <= G_N_ELEMENTS(v));
-            for (struct lmn_query *a = late; a; a = a->next)
+            for (struct lmn_read_request *a = late; a; a = a->next)
                 assert_true(lmn_time_diff_s(now, a->since) > LMN_QUERY_PATIENCE_S);
             /* What the state service holds up is over with it. */
             assert_true(tick % 400 > 350 || tick % 400 < 20 || !late);
@@ -64,7 +64,7 @@
                 guint who = 0;
                 for (guint k = 0; k < i; k++)
                     assert_string_not_equal(v[i]->ref, v[k]->ref);
-                for (struct lmn_query *a = v[i]; a; a = a->next, who++) {
+                for (struct lmn_read_request *a = v[i]; a; a = a->next, who++) {
                     assert_true(lmn_time_diff_s(now, a->since) <= LMN_QUERY_PATIENCE_S);
                     assert_string_equal(a->ref, v[i]->ref);
                 }
@@ -77,7 +77,7 @@
         }
         while (q.waiting) {
             now = lmn_time_add(now, 0.02);
-            guint n = lmn_query_queue_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
+            guint n = lmn_read_batch_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
             for (guint i = 0; i < n; i++)
                 out += done(v[i]);
             out += done(cancel);
@@ -85,7 +85,7 @@
         }
         assert_int_equal(in, out + told);
         assert_true(shared > 100);
-        lmn_query_queue_clear(&q);
+        lmn_read_batch_clear(&q);
     }
     g_rand_free(r);
 }
@@ -93,20 +93,20 @@
 /* A job that few ask about is not passed over for those that many do. */
 static void nobody_is_passed_over(void **state)
 {
-    struct lmn_query_queue q;
+    struct lmn_read_batch q;
     struct timespec now = {1000, 0};
-    struct lmn_query *v[8], *cancel, *late;
+    struct lmn_read_request *v[8], *cancel, *late;
     (void)state;
 
-    lmn_query_queue_init(&q);
+    lmn_read_batch_init(&q);
     for (int i = 0; i < 400; i++)
-        put(&q, LMN_QUERY_STATUS, i % 20, now);
-    put(&q, LMN_QUERY_STATUS, 99, now);
+        put(&q, LMN_READ_STATUS, i % 20, now);
+    put(&q, LMN_READ_STATUS, 99, now);
     for (int i = 0; i < 400; i++)
-        put(&q, LMN_QUERY_STATUS, i % 20, now);
+        put(&q, LMN_READ_STATUS, i % 20, now);
     int batches = 0, at = -1;
     while (q.waiting) {
-        guint n = lmn_query_queue_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
+        guint n = lmn_read_batch_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
         for (guint i = 0; i < n; i++) {
             if (g_str_has_suffix(v[i]->ref, "000099"))
                 at = batches;
@@ -116,32 +116,32 @@
     }
     assert_int_equal(batches, 3);
     assert_int_equal(at, 2);
-    lmn_query_queue_clear(&q);
+    lmn_read_batch_clear(&q);
 }
 
 /* A confirmation may be of an instant before a later question arrived: that one waits for
  * the next, and a cancellation shares none. */
 static void who_comes_later_is_confirmed_anew(void **state)
 {
-    struct lmn_query_queue q;
+    struct lmn_read_batch q;
     struct timespec now = {1000, 0};
-    struct lmn_query *first[4], *second[4], *cancel, *none, *late;
+    struct lmn_read_request *first[4], *second[4], *cancel, *none, *late;
     (void)state;
 
-    lmn_query_queue_init(&q);
-    put(&q, LMN_QUERY_STATUS, 1, now);
-    put(&q, LMN_QUERY_STATUS, 1, now);
-    put(&q, LMN_QUERY_CANCEL, 1, now);
-    put(&q, LMN_QUERY_STATUS, 1, now);
-    assert_int_equal(lmn_query_queue_take(&q, first, 4, &cancel, &late, now), 1);
-    put(&q, LMN_QUERY_STATUS, 1, now);
-    assert_int_equal(lmn_query_queue_take(&q, second, 4, &none, &late, now), 1);
+    lmn_read_batch_init(&q);
+    put(&q, LMN_READ_STATUS, 1, now);
+    put(&q, LMN_READ_STATUS, 1, now);
+    put(&q, LMN_READ_CANCEL, 1, now);
+    put(&q, LMN_READ_STATUS, 1, now);
+    assert_int_equal(lmn_read_batch_take(&q, first, 4, &cancel, &late, now), 1);
+    put(&q, LMN_READ_STATUS, 1, now);
+    assert_int_equal(lmn_read_batch_take(&q, second, 4, &none, &late, now), 1);
     assert_null(none);
     assert_int_equal(done(first[0]), 3);
     assert_int_equal(done(second[0]), 1);
     assert_int_equal(done(cancel), 1);
     assert_int_equal(q.waiting, 0);
-    lmn_query_queue_clear(&q);
+    lmn_read_batch_clear(&q);
 }
 
 int main(void)
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -100,10 +100,11 @@
     return b;
 }
 
-static struct lmn_decision decide(struct lmn_core *c, enum request what, const char *ref)
+static struct lmn_request_decision decide(struct lmn_core *c, enum request what,
+                                          const char *ref)
 {
     struct lmn_submission s;
-    struct lmn_decision d;
+    struct lmn_request_decision d;
 
     if (what == STATUS)
         return lmn_decide_status(c, ref, now);
@@ -119,7 +120,7 @@
 
 /* The step, and the status: of the reply, or if there is no such job. */
 struct expected {
-    enum lmn_step step;
+    enum lmn_request_step step;
     int status;
 };
 #define REPLY(status)                                                                    \
@@ -165,7 +166,7 @@
         for (enum job kind = 0; kind < KINDS_OF_JOBS; kind++)
             for (enum request what = 0; what < REQUESTS; what++) {
                 struct lmn_core *c = core_with(&cfg, view);
-                struct lmn_decision d = decide(c, what, refs[kind]);
+                struct lmn_request_decision d = decide(c, what, refs[kind]);
                 bool shown = view != JUST_STARTED && kind != UNKNOWN;
                 struct expected e = shown ? active[view][what] : unknown[view][what];
                 if (shown && kind != ACTIVE)
@@ -195,7 +196,7 @@
         const char *const bodies[] = {"", "\xa0", "\x80", "\xff\xff", "\x01"};
         for (size_t i = 0; i < G_N_ELEMENTS(bodies); i++) {
             lmn_submission_parse(&s, &cfg, (const guint8 *)bodies[i], strlen(bodies[i]));
-            struct lmn_decision d = lmn_decide_submission(c, &s, now);
+            struct lmn_request_decision d = lmn_decide_submission(c, &s, now);
             assert_int_equal(d.step, LMN_STEP_REPLY);
             assert_int_equal(d.reply.status, 400);
             lmn_submission_clear(&s);
@@ -209,69 +210,71 @@
     struct lmn_settings cfg = settings();
     struct lmn_core *c = core_with(&cfg, FOLLOWING);
     GPtrArray *failed = g_ptr_array_new();
-    struct lmn_view v, absent;
+    struct lmn_job_view v, absent;
     (void)state;
 
-    lmn_view_take(c, refs[ACTIVE], &v);
-    lmn_view_take(c, refs[UNKNOWN], &absent);
-    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_COMMITTED, failed),
+    lmn_job_view_take(c, refs[ACTIVE], &v);
+    lmn_job_view_take(c, refs[UNKNOWN], &absent);
+    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_COMMITTED, failed),
                      LMN_CONFIRMED_LATEST);
-    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_UNKNOWN, failed),
+    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_UNKNOWN, failed),
                      LMN_CONFIRMED_NOTHING);
-    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_REJECTED, failed),
+    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_REJECTED, failed),
                      LMN_CONFIRMED_NOTHING);
     /* A conflict that names nothing says nothing. */
-    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_CONFLICT, failed),
+    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_CONFLICT, failed),
                      LMN_CONFIRMED_NOTHING);
     g_ptr_array_add(failed, (char *)"j/run-000001");
-    assert_int_equal(lmn_view_confirmed(&v, LMN_TXN_CONFLICT, failed),
+    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_CONFLICT, failed),
                      LMN_CONFIRMED_OUTDATED);
-    assert_int_equal(lmn_view_confirmed(&absent, LMN_TXN_CONFLICT, failed),
+    assert_int_equal(lmn_job_view_confirmed(&absent, LMN_TXN_CONFLICT, failed),
                      LMN_CONFIRMED_LATEST);
 
     for (int status = 400; status < 504; status++) {
-        struct lmn_reply r = lmn_reply_confirmed(c, &absent, status);
+        struct lmn_job_reply r = lmn_job_reply_confirmed(c, &absent, status);
         assert_int_equal(r.status, status);
         assert_false(r.shows_job);
     }
     /* What the mirror has learnt since is told, by its revision. */
     struct lmn_job *j = g_hash_table_lookup(c->jobs, refs[ACTIVE]);
-    assert_int_equal(lmn_reply_confirmed(c, &v, 404).phase, LMN_JOB_ACTIVE);
+    assert_int_equal(lmn_job_reply_confirmed(c, &v, 404).phase, LMN_JOB_ACTIVE);
     j->phase = LMN_JOB_DONE;
     j->rev++;
-    assert_int_equal(lmn_reply_confirmed(c, &v, 404).phase, LMN_JOB_DONE);
+    assert_int_equal(lmn_job_reply_confirmed(c, &v, 404).phase, LMN_JOB_DONE);
     struct lmn_job_reading reading = {
         .status = 200, .rev = v.rev, .phase = LMN_JOB_ACTIVE, .spec.tasks = 3};
-    assert_int_equal(lmn_reply_read(c, refs[ACTIVE], &reading, 404).phase, LMN_JOB_DONE);
+    assert_int_equal(lmn_job_reply_from_reading(c, refs[ACTIVE], &reading, 404).phase,
+                     LMN_JOB_DONE);
     reading.rev = j->rev + 1;
-    assert_int_equal(lmn_reply_read(c, refs[ACTIVE], &reading, 404).phase,
+    assert_int_equal(lmn_job_reply_from_reading(c, refs[ACTIVE], &reading, 404).phase,
                      LMN_JOB_ACTIVE);
     know(c, UNKNOWN, LMN_JOB_ACTIVE);
-    assert_int_equal(lmn_reply_confirmed(c, &absent, 422).status, 200);
+    assert_int_equal(lmn_job_reply_confirmed(c, &absent, 422).status, 200);
     g_ptr_array_free(failed, TRUE);
     core_end(c);
 }
 
 static void cancellations(void **state)
 {
-    struct lmn_reply r;
+    struct lmn_job_reply r;
     struct lmn_job_reading reading = {.status = 200, .phase = LMN_JOB_DONE};
     (void)state;
 
-    assert_null(lmn_cancellation("run-000001", &reading, 404, &r));
+    assert_null(lmn_cancellation_txn("run-000001", &reading, 404, &r));
     assert_int_equal(r.phase, LMN_JOB_DONE);
     reading.status = 404;
-    assert_null(lmn_cancellation("run-000001", &reading, 404, &r));
+    assert_null(lmn_cancellation_txn("run-000001", &reading, 404, &r));
     assert_int_equal(r.status, 404);
     reading.status = LMN_HTTP_NO_RESPONSE;
-    assert_null(lmn_cancellation("run-000001", &reading, 404, &r));
+    assert_null(lmn_cancellation_txn("run-000001", &reading, 404, &r));
     assert_int_equal(r.status, 503);
-    assert_true(lmn_cancelled(LMN_TXN_COMMITTED, &r));
+    assert_true(lmn_cancellation_is_settled(LMN_TXN_COMMITTED, &r));
     assert_int_equal(r.phase, LMN_JOB_CANCELLED);
-    assert_true(lmn_cancelled(LMN_TXN_UNKNOWN, &r));
+    assert_true(lmn_cancellation_is_settled(LMN_TXN_UNKNOWN, &r));
     assert_int_equal(r.status, 503);
-    assert_false(lmn_cancelled(LMN_TXN_CONFLICT, &r)); /* it is read again */
-    assert_int_equal(r.status, 503);                   /* or that was the last try */
+    assert_false(
+        lmn_cancellation_is_settled(LMN_TXN_CONFLICT, &r)); /* it is read again */
+    assert_int_equal(r.status, 503);                        /* or that was the last try */
     /* Only what is known to be committed is told as accepted. */
     assert_int_equal(lmn_decide_submitted(LMN_TXN_COMMITTED).reply.status, 201);
     assert_int_equal(lmn_decide_submitted(LMN_TXN_UNKNOWN).reply.status, 503);
--- a/tests/world/requests.h
+++ b/tests/world/requests.h
@@ -41,7 +41,7 @@
 /* --- users.c --- */
 
 /* The first answer; the user hears no other. */
-void request_reply(struct request *q, const struct lmn_reply *r);
+void request_reply(struct request *q, const struct lmn_job_reply *r);
 /* The controller has nothing more to do with it. */
 void request_over(struct request *q);
 
--- a/tests/world/serving.c
+++ b/tests/world/serving.c
@@ -25,11 +25,11 @@
 /* The thread that asks the state service. */
 struct asker {
     const struct lmn_core *life;
-    struct lmn_query_queue asks;
+    struct lmn_read_batch asks;
     enum stage stage;
     double at; /* when the stage goes on */
-    struct lmn_query *cancel, *batch[BATCH];
-    struct lmn_view views[BATCH];
+    struct lmn_read_request *cancel, *batch[BATCH];
+    struct lmn_job_view views[BATCH];
     guint n, next;
     unsigned tries;
     struct lmn_job_reading reading;
@@ -55,15 +55,15 @@
 
 /* --- the thread that asks --- */
 
-static struct request *request_of(const struct lmn_query *a)
+static struct request *request_of(const struct lmn_read_request *a)
 {
     return (struct request *)(void *)a->call;
 }
 
 /* The question joins one that is being confirmed already; false: there is none. */
-static bool join(struct asker *k, struct lmn_query *a)
+static bool join(struct asker *k, struct lmn_read_request *a)
 {
-    if (k->stage != CONFIRM_ENDS || a->kind != LMN_QUERY_STATUS)
+    if (k->stage != CONFIRM_ENDS || a->kind != LMN_READ_STATUS)
         return false;
     for (guint i = 0; i < k->n; i++)
         if (!strcmp(k->batch[i]->ref, a->ref)) {
@@ -74,9 +74,9 @@
     return false;
 }
 
-static void enqueue(enum lmn_query_kind kind, struct request *q, int absent_status)
+static void enqueue(enum lmn_read_request_kind kind, struct request *q, int absent_status)
 {
-    struct lmn_query *a = g_new0(struct lmn_query, 1);
+    struct lmn_read_request *a = g_new0(struct lmn_read_request, 1);
 
     a->kind = kind;
     a->call = (struct lmn_http_request *)(void *)q;
@@ -84,21 +84,21 @@
     a->since = w.clock;
     g_strlcpy(a->ref, q->ref, sizeof a->ref);
     if (w.broken != G_SHARE || !join(&askers[q->node], a))
-        lmn_query_queue_put(&askers[q->node].asks, a);
+        lmn_read_batch_add(&askers[q->node].asks, a);
 }
 
-static void answer(struct lmn_query *a, const struct lmn_reply *r)
+static void answer(struct lmn_read_request *a, const struct lmn_job_reply *r)
 {
     request_reply(request_of(a), r);
     request_over(request_of(a));
     g_free(a);
 }
 
-static void answer_unavailable(struct lmn_query *list)
+static void answer_unavailable(struct lmn_read_request *list)
 {
-    const struct lmn_reply r = lmn_reply_unavailable();
+    const struct lmn_job_reply r = lmn_job_reply_unavailable();
 
-    for (struct lmn_query *a = list, *next; a; a = next) {
+    for (struct lmn_read_request *a = list, *next; a; a = next) {
         next = a->next;
         answer(a, &r);
     }
@@ -106,9 +106,9 @@
 
 static void take(struct asker *k)
 {
-    struct lmn_query *late;
+    struct lmn_read_request *late;
 
-    k->n = lmn_query_queue_take(&k->asks, k->batch, BATCH, &k->cancel, &late, w.clock);
+    k->n = lmn_read_batch_take(&k->asks, k->batch, BATCH, &k->cancel, &late, w.clock);
     k->tries = 0;
     k->stage = k->cancel ? CANCEL_READS : CONFIRM_ASKS;
     answer_unavailable(late);
@@ -116,7 +116,7 @@
 
 static void read_job(struct asker *k, const struct node *n, const char *ref)
 {
-    lmn_reading_clear(&k->reading);
+    lmn_job_reading_clear(&k->reading);
     if (node_served(n) && !chance(0.02))
         world_read_record(ref, &k->reading);
     else
@@ -124,7 +124,7 @@
     k->at = w.now + on_the_way(n);
 }
 
-static void cancel_answered(struct asker *k, const struct lmn_reply *r)
+static void cancel_answered(struct asker *k, const struct lmn_job_reply *r)
 {
     answer(k->cancel, r);
     k->cancel = NULL;
@@ -134,16 +134,17 @@
 static void cancel_writes(struct asker *k, struct node *n)
 {
     const char *ref = k->cancel->ref;
-    struct lmn_reply r;
+    struct lmn_job_reply r;
     uint64_t rev = 0;
 
     if (w.broken == G_FINAL && k->reading.status == 200) {
         /* Written whatever the record has become. */
-        lmn_reading_clear(&k->reading);
+        lmn_job_reading_clear(&k->reading);
         world_read_record(ref, &k->reading);
         k->reading.phase = LMN_JOB_ACTIVE;
     }
-    struct lmn_txn *t = lmn_cancellation(ref, &k->reading, k->cancel->absent_status, &r);
+    struct lmn_txn *t =
+        lmn_cancellation_txn(ref, &k->reading, k->cancel->absent_status, &r);
     if (!t) {
         cancel_answered(k, &r);
         return;
@@ -159,9 +160,9 @@
 
 static void cancel_ends(struct asker *k)
 {
-    struct lmn_reply r;
+    struct lmn_job_reply r;
 
-    if (lmn_cancelled(k->outcome, &r) || ++k->tries == LMN_CANCEL_TRIES)
+    if (lmn_cancellation_is_settled(k->outcome, &r) || ++k->tries == LMN_CANCEL_TRIES)
         cancel_answered(k, &r);
     else
         k->stage = CANCEL_READS;
@@ -170,8 +171,8 @@
 static void confirm_asks(struct asker *k, const struct node *n)
 {
     for (guint i = 0; i < k->n; i++)
-        lmn_view_take(n->core, k->batch[i]->ref, &k->views[i]);
-    struct lmn_txn *t = lmn_confirmation(k->views, k->n);
+        lmn_job_view_take(n->core, k->batch[i]->ref, &k->views[i]);
+    struct lmn_txn *t = lmn_confirmation_txn(k->views, k->n);
     k->outcome = world_confirm(t, k->failed);
     lmn_txn_free(t);
     if (!node_served(n))
@@ -189,8 +190,8 @@
     guint outdated = 0;
 
     for (guint i = 0; i < k->n; i++) {
-        enum lmn_confirmed known =
-            lmn_view_confirmed(&k->views[i], k->outcome, k->failed);
+        enum lmn_confirmation_result known =
+            lmn_job_view_confirmed(&k->views[i], k->outcome, k->failed);
         if (known == LMN_CONFIRMED_OUTDATED) {
             k->batch[outdated++] = k->batch[i];
             continue;
@@ -199,10 +200,10 @@
             answer_unavailable(k->batch[i]);
             continue;
         }
-        for (struct lmn_query *a = k->batch[i], *next; a; a = next) {
+        for (struct lmn_read_request *a = k->batch[i], *next; a; a = next) {
             next = a->next;
-            struct lmn_reply r =
-                lmn_reply_confirmed(n->core, &k->views[i], a->absent_status);
+            struct lmn_job_reply r =
+                lmn_job_reply_confirmed(n->core, &k->views[i], a->absent_status);
             answer(a, &r);
         }
     }
@@ -213,10 +214,10 @@
 
 static void read_ends(struct asker *k, const struct node *n)
 {
-    for (struct lmn_query *a = k->batch[k->next], *next; a; a = next) {
+    for (struct lmn_read_request *a = k->batch[k->next], *next; a; a = next) {
         next = a->next;
-        struct lmn_reply r =
-            lmn_reply_read(n->core, a->ref, &k->reading, a->absent_status);
+        struct lmn_job_reply r =
+            lmn_job_reply_from_reading(n->core, a->ref, &k->reading, a->absent_status);
         answer(a, &r);
     }
     k->next++;
@@ -263,9 +264,9 @@
     }
 }
 
-static void free_list(struct lmn_query *list)
+static void free_list(struct lmn_read_request *list)
 {
-    for (struct lmn_query *a = list, *next; a; a = next) {
+    for (struct lmn_read_request *a = list, *next; a; a = next) {
         next = a->next;
         g_free(a);
     }
@@ -275,17 +276,17 @@
 static void reset(struct asker *k, const struct lmn_core *life)
 {
     if (k->failed) {
-        lmn_query_queue_clear(&k->asks);
+        lmn_read_batch_clear(&k->asks);
         free_list(k->cancel);
         for (guint i = k->stage >= READ_ASKS ? k->next : 0; i < k->n; i++)
             free_list(k->batch[i]);
-        lmn_reading_clear(&k->reading);
+        lmn_job_reading_clear(&k->reading);
         g_ptr_array_free(k->failed, TRUE);
     }
     memset(k, 0, sizeof *k);
     k->life = life;
     k->failed = g_ptr_array_new_with_free_func(g_free);
-    lmn_query_queue_init(&k->asks);
+    lmn_read_batch_init(&k->asks);
 }
 
 void serving_begin(GRand *r)
@@ -320,9 +321,9 @@
 
     if (w.broken == G_OUTCOME && outcome == LMN_TXN_UNKNOWN)
         outcome = LMN_TXN_COMMITTED;
-    struct lmn_decision d = lmn_decide_submitted(outcome);
+    struct lmn_request_decision d = lmn_decide_submitted(outcome);
     if (d.step != LMN_STEP_REPLY) {
-        enqueue(LMN_QUERY_STATUS, q, d.absent_status);
+        enqueue(LMN_READ_STATUS, q, d.absent_status);
         return;
     }
     request_reply(q, &d.reply);
@@ -344,7 +345,7 @@
     return b;
 }
 
-static struct lmn_decision decide(struct request *q, struct node *n)
+static struct lmn_request_decision decide(struct request *q, struct node *n)
 {
     if (q->kind == STATUS)
         return lmn_decide_status(n->core, q->ref, w.clock);
@@ -358,21 +359,21 @@
 
 static void carry_out(struct request *q, struct node *n)
 {
-    struct lmn_decision d = decide(q, n);
+    struct lmn_request_decision d = decide(q, n);
 
     if (w.broken == G_REPEAT && q->form != SOUND && d.step == LMN_STEP_CONFIRM)
-        d = (struct lmn_decision){.step = LMN_STEP_REPLY,
-                                  .reply.status = d.absent_status};
+        d = (struct lmn_request_decision){.step = LMN_STEP_REPLY,
+                                          .reply.status = d.absent_status};
     switch (d.step) {
     case LMN_STEP_REPLY:
         request_reply(q, &d.reply);
         request_over(q);
         break;
     case LMN_STEP_CONFIRM:
-        enqueue(LMN_QUERY_STATUS, q, d.absent_status);
+        enqueue(LMN_READ_STATUS, q, d.absent_status);
         break;
     case LMN_STEP_CANCEL:
-        enqueue(LMN_QUERY_CANCEL, q, d.absent_status);
+        enqueue(LMN_READ_CANCEL, q, d.absent_status);
         break;
     case LMN_STEP_COMMIT:
         lmn_kv_client_submit(n->state, lmn_submission_txn(n->core, &q->submission.spec,
@@ -395,7 +396,7 @@
         q->life = n->core;
         carry_out(q, n);
     } else if (!q->answered && w.now - q->sent > PATIENCE_S) {
-        const struct lmn_reply r = lmn_reply_unavailable();
+        const struct lmn_job_reply r = lmn_job_reply_unavailable();
         request_reply(q, &r);
     }
 }
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -55,7 +55,7 @@
 
 /* --- checking --- */
 
-static void wrong(const struct request *q, enum rule rule, const struct lmn_reply *r)
+static void wrong(const struct request *q, enum rule rule, const struct lmn_job_reply *r)
 {
     w.broke[rule]++;
     w.answers_back++;
@@ -67,7 +67,7 @@
 }
 
 /* A state was told. */
-static void check_state(const struct request *q, const struct lmn_reply *r)
+static void check_state(const struct request *q, const struct lmn_job_reply *r)
 {
     struct job *j = q->job;
 
@@ -96,7 +96,7 @@
 }
 
 /* An answer has reached its user. */
-static void receive(const struct request *q, const struct lmn_reply *r)
+static void receive(const struct request *q, const struct lmn_job_reply *r)
 {
     struct job *j = q->job;
 
@@ -129,9 +129,9 @@
 
 /* --- requests --- */
 
-static void digest_reply(const struct request *q, const struct lmn_reply *r)
+static void digest_reply(const struct request *q, const struct lmn_job_reply *r)
 {
-    GByteArray *body = r->status ? lmn_reply_body(r, q->ref) : NULL;
+    GByteArray *body = r->status ? lmn_job_reply_body(r, q->ref) : NULL;
 
     digest_message("reply", w.clock);
     digest_number((uint64_t)q->kind);
@@ -145,7 +145,7 @@
         g_byte_array_unref(body);
 }
 
-void request_reply(struct request *q, const struct lmn_reply *r)
+void request_reply(struct request *q, const struct lmn_job_reply *r)
 {
     int i = q->job ? (int)(q->job - w.jobs) : -1;
 
@@ -164,7 +164,7 @@
 
 void request_over(struct request *q)
 {
-    const struct lmn_reply nobody = {0};
+    const struct lmn_job_reply nobody = {0};
 
     if (!q->answered)
         request_reply(q, &nobody);
@@ -188,7 +188,7 @@
         struct lmn_job_reading now;
         world_read_record(ref, &now);
         q->phase = now.phase;
-        lmn_reading_clear(&now);
+        lmn_job_reading_clear(&now);
     }
     if (q->job) {
         q->accepted = q->job->accepted;
