--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -60,7 +60,7 @@
 /* The records of one side, in a process of its own, whose lease ends with it. */
 static void fill(int side, unsigned jobs, uint64_t host)
 {
-    static struct lmn_book b;
+    static struct lmn_gateway_records b;
     bool restored;
 
     pid_t pid = fork();
@@ -68,10 +68,10 @@
         waitpid(pid, NULL, 0);
         return;
     }
-    lmn_book_open(&b, state[side], "loader", 48, &restored);
+    lmn_gateway_records_open(&b, state[side], "loader", 48, &restored);
     struct lmn_http_client *h = lmn_http_client_new(state[side]);
     for (unsigned n = 0; n < jobs;) {
-        static struct lmn_write w[BATCH];
+        static struct lmn_record_write w[BATCH];
         unsigned k = 0;
         pthread_mutex_lock(&b.lock);
         for (; k < BATCH && n < jobs; k++, n++) {
@@ -83,26 +83,27 @@
                                      .estimate_s = 5,
                                      .deadline_s = -1};
             g_snprintf(s.ref, sizeof s.ref, W_JOB_PREFIX "%09u", n);
-            w[k] = (struct lmn_write){0};
+            w[k] = (struct lmn_record_write){0};
             if (side == 0) {
-                w[k].job = lmn_book_new_job(&b, &s);
-                w[k].home = (struct lmn_home){.state = LMN_H_AWAY,
-                                              .epoch = 1,
-                                              .incarnation = host,
-                                              .transfers = 1,
-                                              .site = "host"};
+                w[k].job = lmn_gateway_records_new_job(&b, &s);
+                w[k].home = (struct lmn_origin_record){.state = LMN_ORIGIN_REMOTE,
+                                                       .epoch = 1,
+                                                       .incarnation = host,
+                                                       .transfers = 1,
+                                                       .site = "host"};
             } else {
-                w[k].guest = lmn_book_new_guest(&b, "home", s.ref);
+                w[k].guest = lmn_gateway_records_new_remote_job(&b, "home", s.ref);
                 w[k].guest->spec = s;
                 w[k].guest->spec.class_name = g_strdup("c");
                 w[k].guest->spec.team = g_strdup("t");
                 w[k].guest->spec.image = g_strdup("none");
-                w[k].host = (struct lmn_host){
-                    .state = LMN_HO_OVER, .epoch = 1, .outcome = LMN_O_DONE};
+                w[k].host = (struct lmn_execution_record){.state = LMN_EXECUTION_FINISHED,
+                                                          .epoch = 1,
+                                                          .outcome = LMN_OUTCOME_DONE};
             }
         }
         pthread_mutex_unlock(&b.lock);
-        lmn_book_write(&b, h, w, k);
+        lmn_gateway_records_write(&b, h, w, k);
     }
     _exit(0);
 }
--- a/bench/fuzz/frames.c
+++ b/bench/fuzz/frames.c
@@ -12,27 +12,27 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t len)
 {
     const char *bytes = (const char *)data + 1, *what;
-    struct lmn_work w;
-    lmn_g_request q;
-    lmn_g_response r;
+    struct lmn_task_command w;
+    lmn_gateway_rpc_request q;
+    lmn_gateway_rpc_response r;
 
     if (len < 1)
         return 0;
     switch (data[0] % 3) {
     case 0:
         if (lmn_frame_request(bytes, len - 1, &q) == 0)
-            xdr_free((xdrproc_t)xdr_lmn_g_request, (char *)&q);
+            xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_request, (char *)&q);
         return 0;
     case 1:
         if (lmn_frame_response(bytes, len - 1, &r) == 0)
-            xdr_free((xdrproc_t)xdr_lmn_g_response, (char *)&r);
+            xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
         return 0;
     default:
-        if (lmn_work_read(&w, bytes, len - 1, &what) == 0) {
+        if (lmn_task_command_decode(&w, bytes, len - 1, &what) == 0) {
             /* What was read is written alike. */
-            GByteArray *b = lmn_work_put(&w);
+            GByteArray *b = lmn_task_command_encode(&w);
             g_byte_array_unref(b);
-            lmn_work_clear(&w);
+            lmn_task_command_clear(&w);
         }
         return 0;
     }
--- a/bench/noise.c
+++ b/bench/noise.c
@@ -11,18 +11,18 @@
 int main(int argc, char **argv)
 {
     static const struct {
-        enum lmn_sim_rule rule;
+        enum lmn_controller_group_rule rule;
         double threshold;
         const char *name;
     } rules[] = {
-        {LMN_SIM_TAKEN, 0, "suspicion, then verdict"},
-        {LMN_SIM_FIXED, 0.5, "a question unanswered for 0.5 s"},
-        {LMN_SIM_FIXED, 1, "for 1 s"},
-        {LMN_SIM_FIXED, 2, "for 2 s"},
-        {LMN_SIM_FIXED, 4, "for 4 s"},
-        {LMN_SIM_PHI, 3, "phi of 3"},
-        {LMN_SIM_PHI, 8, "phi of 8"},
-        {LMN_SIM_PHI, 15, "phi of 15"},
+        {LMN_GROUP_RULE_PRODUCT, 0, "suspicion, then verdict"},
+        {LMN_GROUP_RULE_FIXED_TIMEOUT, 0.5, "a question unanswered for 0.5 s"},
+        {LMN_GROUP_RULE_FIXED_TIMEOUT, 1, "for 1 s"},
+        {LMN_GROUP_RULE_FIXED_TIMEOUT, 2, "for 2 s"},
+        {LMN_GROUP_RULE_FIXED_TIMEOUT, 4, "for 4 s"},
+        {LMN_GROUP_RULE_PHI, 3, "phi of 3"},
+        {LMN_GROUP_RULE_PHI, 8, "phi of 8"},
+        {LMN_GROUP_RULE_PHI, 15, "phi of 15"},
     };
     enum { DEATHS = 60 };
 
@@ -34,22 +34,22 @@
            "peers refuse each other for 10 s "
            "every 10 minutes\n");
     for (size_t i = 0; i < sizeof rules / sizeof *rules; i++) {
-        struct lmn_sim_group_options o = {.members = atoi(argv[1]),
-                                          .lease_s = 31,
-                                          .report_s = 6,
-                                          .seconds = atof(argv[2]),
-                                          .state_s = 0.004,
-                                          .loss = 0.05,
-                                          .stalls_s = 60,
-                                          .stall_s = 2,
-                                          .refused_s = 600,
-                                          .rule = rules[i].rule,
-                                          .threshold = rules[i].threshold,
-                                          .seed = 3};
-        struct lmn_sim_group_result r;
+        struct lmn_controller_group_options o = {.members = atoi(argv[1]),
+                                                 .lease_s = 31,
+                                                 .report_s = 6,
+                                                 .seconds = atof(argv[2]),
+                                                 .state_s = 0.004,
+                                                 .loss = 0.05,
+                                                 .stalls_s = 60,
+                                                 .stall_s = 2,
+                                                 .refused_s = 600,
+                                                 .rule = rules[i].rule,
+                                                 .threshold = rules[i].threshold,
+                                                 .seed = 3};
+        struct lmn_controller_group_result r;
         double sum = 0, most = 0;
         int judged = 0;
-        lmn_sim_group(&o, &r);
+        lmn_simulate_controller_group(&o, &r);
         unsigned wrong = r.false_verdicts, suspicions = r.suspicions;
         o.seconds = 60;
         o.stall_s = 1;
@@ -58,7 +58,7 @@
         for (int k = 0; k < DEATHS; k++) {
             o.seed = (uint32_t)k + 1;
             o.dead_at = 20 + k * 0.037;
-            lmn_sim_group(&o, &r);
+            lmn_simulate_controller_group(&o, &r);
             if (r.judged_s < 0)
                 continue;
             judged++;
--- a/bench/routes.c
+++ b/bench/routes.c
@@ -120,7 +120,7 @@
 static void look(unsigned me)
 {
     struct site *s = &w.sites[me];
-    bool idle = lmn_route_idle(CPUS, s->busy, queued_s(s), 0.95);
+    bool idle = lmn_route_for_idle_site(CPUS, s->busy, queued_s(s), 0.95);
     unsigned got = 0;
 
     if (idle) {
@@ -136,8 +136,8 @@
             unsigned picks[OFFERS], n = 0;
             for (GList *l = o->queue.head; l && n < G_N_ELEMENTS(jobs); l = l->next)
                 jobs[n++] = (struct lmn_route_job){1, RUN_S, RUN_S, INFINITY, 2 * LINK_S};
-            const struct lmn_route_home home = {CPUS, o->busy, (CPUS - o->busy) * RUN_S,
-                                                0.5};
+            const struct lmn_route_for_origin home = {CPUS, o->busy,
+                                                      (CPUS - o->busy) * RUN_S, 0.5};
             unsigned k = lmn_route_choose(jobs, n, &home, CPUS - s->busy, OFFERS, picks);
             w.messages += 2 + k; /* pull and offers, an answer each */
             for (unsigned i = k; i-- > 0; got++) {
--- a/bench/submit.h
+++ b/bench/submit.h
@@ -13,9 +13,9 @@
                                          uint32_t tasks, double estimate_s, char **argv,
                                          char **env)
 {
-    struct lmn_work w = {.argv = argv, .env = env};
-    struct lmn_depot_error e;
-    char digest[LMN_DIGEST];
+    struct lmn_task_command w = {.argv = argv, .env = env};
+    struct lmn_image_store_error e;
+    char digest[LMN_DIGEST_SIZE];
 
     w.spec = (struct lmn_job_spec){.class_name = (char *)"c",
                                    .team = (char *)"t",
@@ -27,9 +27,9 @@
                                    .estimate_s = estimate_s,
                                    .deadline_s = -1};
     g_strlcpy(w.spec.ref, ref, sizeof w.spec.ref);
-    GByteArray *blob = lmn_work_put(&w), *body = g_byte_array_new();
-    while (lmn_depot_put(depot, blob, digest, &e) != 0 ||
-           lmn_depot_name(depot, LMN_DEPOT_JOB, ref, digest, &e) != 0)
+    GByteArray *blob = lmn_task_command_encode(&w), *body = g_byte_array_new();
+    while (lmn_image_store_put(depot, blob, digest, &e) != 0 ||
+           lmn_image_store_bind(depot, LMN_IMAGE_STORE_KIND_JOB, ref, digest, &e) != 0)
         lmn_sleep(0.1);
     g_byte_array_unref(blob);
     lmn_cbor_put_map(body, lmn_job_spec_pair_count());
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -13,8 +13,8 @@
 
 /* A command's parts. argv[0] is the command's full name, as in "lemonspar state". */
 int lmn_cmd_controller(int argc, char **argv);
-int lmn_cmd_state(int argc, char **argv);
-int lmn_cmd_fleet(int argc, char **argv);
+int lmn_cmd_kv_store(int argc, char **argv);
+int lmn_cmd_machine_provider(int argc, char **argv);
 int lmn_cmd_worker(int argc, char **argv);
 int lmn_cmd_site(int argc, char **argv);
 int lmn_cmd_job(int argc, char **argv);
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -94,13 +94,13 @@
 
 static uint64_t tasks_of(struct lmn_users *u, const char *ref)
 {
-    struct lmn_depot_error e;
-    struct lmn_work w;
+    struct lmn_image_store_error e;
+    struct lmn_task_command w;
     uint64_t n = 0;
 
     if (u->depot && lmn_users_work(u, ref, &w, &e) == 0) {
         n = w.spec.tasks;
-        lmn_work_clear(&w);
+        lmn_task_command_clear(&w);
     }
     return n;
 }
@@ -175,7 +175,7 @@
 }
 
 /* What the options say; -1, and said, if they are wrong. */
-static int describe(const struct request *q, char **argv, struct lmn_work *w)
+static int describe(const struct request *q, char **argv, struct lmn_task_command *w)
 {
     static const char *const kinds[] = {"batch", "service", NULL};
     static const char *const urgencies[] = {"idle", "normal", "high", "prod", NULL};
@@ -189,7 +189,7 @@
         return lmn_cli_fail(-1, "--tasks: expected a number from 1 to %d", LMN_MAX_TASKS);
     if (!(q->cpus >= 0) || !(q->gpus >= 0) || !(q->mem >= 0) || q->cpus > 1e6)
         return lmn_cli_fail(-1, "--cpus, --gpus, --mem: expected numbers from 0 on");
-    if (!lmn_image_name_ok(q->image))
+    if (!lmn_image_name_is_valid(q->image))
         return lmn_cli_fail(-1, "--image: '%s' can't be an image's name", q->image);
     for (char **e = q->env; e && *e; e++)
         if (!strchr(*e, '=') || **e == '=')
@@ -227,15 +227,16 @@
     return 0;
 }
 
-static int send_job(struct lmn_users *u, const struct lmn_work *w)
+static int send_job(struct lmn_users *u, const struct lmn_task_command *w)
 {
-    GByteArray *blob = lmn_work_put(w), *body = g_byte_array_new();
-    struct lmn_depot_error e = {0};
+    GByteArray *blob = lmn_task_command_encode(w), *body = g_byte_array_new();
+    struct lmn_image_store_error e = {0};
     struct lmn_job_state s;
-    char digest[LMN_DIGEST];
+    char digest[LMN_DIGEST_SIZE];
 
-    if (lmn_depot_put(u->depot, blob, digest, &e) != 0 ||
-        lmn_depot_name(u->depot, LMN_DEPOT_JOB, w->spec.ref, digest, &e) != 0)
+    if (lmn_image_store_put(u->depot, blob, digest, &e) != 0 ||
+        lmn_image_store_bind(u->depot, LMN_IMAGE_STORE_KIND_JOB, w->spec.ref, digest,
+                             &e) != 0)
         return lmn_cli_fail(
             LMN_EXIT_FAILED, "%s%s", e.what,
             e.status == 409 ? ": this job was submitted with another description" : "");
@@ -309,7 +310,7 @@
         G_OPTION_ENTRY_NULL,
     };
     struct lmn_users u;
-    struct lmn_work w = {0};
+    struct lmn_task_command w = {0};
     int rc = lmn_cli_parse(
         entries, "-- COMMAND [ARGUMENT...]", "Submits a job; prints its id.",
         "Tasks find LEMONSPAR_JOB, _TASK, _TASKS, _ATTEMPT, _MACHINE, _IMAGE and "
@@ -330,7 +331,7 @@
         rc = send_job(&u, &w);
     if (!rc && q.watch)
         rc = watch_job(&u, w.spec.ref, 0);
-    lmn_work_clear(&w);
+    lmn_task_command_clear(&w);
     return rc;
 }
 
@@ -442,15 +443,15 @@
 
     if (rc || (rc = open_users(&u, true)))
         return rc;
-    GPtrArray *refs = names_at(u.depot, "/names/" LMN_DEPOT_JOB, &status);
+    GPtrArray *refs = names_at(u.depot, "/names/" LMN_IMAGE_STORE_KIND_JOB, &status);
     if (status != 200)
         return lmn_cli_fail(LMN_EXIT_FAILED, "job list: the depot does not answer (%d)",
                             status);
     json_t *all = json_array();
     for (guint i = 0; i < refs->len && shown < most; i++) {
-        struct lmn_depot_error e;
+        struct lmn_image_store_error e;
         struct lmn_job_state s;
-        struct lmn_work w;
+        struct lmn_task_command w;
         char path[96];
         if (lmn_users_work(&u, refs->pdata[i], &w, &e) != 0)
             continue;
@@ -458,7 +459,7 @@
         if ((team && strcmp(team, w.spec.team)) ||
             lmn_users_call(&u, "GET", path, NULL, 10, &s) != 200 ||
             (state && strcmp(state, s.state))) {
-            lmn_work_clear(&w);
+            lmn_task_command_clear(&w);
             continue;
         }
         shown++;
@@ -470,7 +471,7 @@
             printf("%-24s %-12s %-9s %6" G_GUINT64_FORMAT "/%u  %s\n", s.ref, w.spec.team,
                    s.state, s.done, w.spec.tasks, w.argv[0]);
         }
-        lmn_work_clear(&w);
+        lmn_task_command_clear(&w);
     }
     if (json)
         lmn_json_print(all, true);
@@ -543,7 +544,7 @@
 static int image_put(int argc, char **argv)
 {
     const GOptionEntry entries[] = {WHERE, G_OPTION_ENTRY_NULL};
-    struct lmn_depot_error e = {0};
+    struct lmn_image_store_error e = {0};
     struct lmn_users u;
     uint64_t bytes = 0;
     int rc = lmn_cli_parse(entries, "NAME DIR", "Uploads a directory as an image.", NULL,
@@ -551,7 +552,7 @@
 
     if (!rc && argc != 3)
         rc = lmn_cli_fail(LMN_EXIT_USAGE, "expected: image put NAME DIR");
-    if (!rc && (!lmn_image_name_ok(argv[1]) || !strcmp(argv[1], LMN_NO_IMAGE)))
+    if (!rc && (!lmn_image_name_is_valid(argv[1]) || !strcmp(argv[1], LMN_NO_IMAGE)))
         rc = lmn_cli_fail(LMN_EXIT_USAGE, "%s: can't be an image's name", argv[1]);
     if (rc || (rc = open_users(&u, true)))
         return rc;
@@ -568,7 +569,7 @@
 
     if (rc || (rc = open_users(&u, true)))
         return rc;
-    GPtrArray *names = names_at(u.depot, "/names/" LMN_DEPOT_IMAGE, &status);
+    GPtrArray *names = names_at(u.depot, "/names/" LMN_IMAGE_STORE_KIND_IMAGE, &status);
     for (guint i = 0; i < names->len; i++)
         printf("%s\n", (char *)names->pdata[i]);
     g_ptr_array_free(names, TRUE);
--- a/src/cli/kv_store.c
+++ b/src/cli/kv_store.c
@@ -11,7 +11,7 @@
 #include <string.h>
 #include <unistd.h>
 
-static int read_config(const char *path, struct lmn_store_options *o, char *err,
+static int read_config(const char *path, struct lmn_kv_store_options *o, char *err,
                        size_t len)
 {
     struct lmn_config *c = lmn_config_load(path, err, len);
@@ -33,7 +33,7 @@
 
 static int serve(int argc, char **argv)
 {
-    struct lmn_store_options o = lmn_store_defaults;
+    struct lmn_kv_store_options o = lmn_kv_store_default_options;
     char *config = NULL, *listen = NULL, *data = NULL, err[512];
     gboolean one_by_one = FALSE;
     const GOptionEntry entries[] = {
@@ -79,7 +79,7 @@
         return lmn_cli_fail(LMN_EXIT_USAGE, "limits are numbers from 0 on (0: none)");
     o.one_by_one = one_by_one;
     lmn_log_init("state");
-    if (!lmn_store_start(&o, err, sizeof err))
+    if (!lmn_kv_store_start(&o, err, sizeof err))
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
     for (;;)
         pause();
@@ -223,7 +223,7 @@
                                : lmn_cli_fail(LMN_EXIT_FAILED, "dump: cannot write");
 }
 
-int lmn_cmd_state(int argc, char **argv)
+int lmn_cmd_kv_store(int argc, char **argv)
 {
     static const struct lmn_subcommand subs[] = {
         {"backup", "FILE --data DIR", "", backup},
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -23,7 +23,7 @@
     char listen[LMN_ADDRESS_SIZE], data[512], inventory[512];
     double rps;
     bool emulated;
-    struct lmn_local_options local;
+    struct lmn_local_agent_options local;
     struct lmn_emulation_options emulation;
 };
 
@@ -44,7 +44,7 @@
         lmn_config_fail(c, "backend", "expected 'static' or 'emulated'");
     if (o->emulated)
         lmn_emulation_read(c, &o->emulation);
-    lmn_local_read(c, &o->local);
+    lmn_local_agent_options_read(c, &o->local);
     g_snprintf(o->local.dir, sizeof o->local.dir, "%s/machines", o->data);
     int rc = lmn_config_finish(c, err, len);
     lmn_config_free(c);
@@ -60,7 +60,7 @@
     struct lmn_emulation *e = lmn_emulation_start(&o->emulation, err, sizeof err);
     if (!e)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
-    if (!lmn_cloud_serve(o->listen, o->rps, &lmn_emulation_ops, e))
+    if (!lmn_machine_provider_serve(o->listen, o->rps, &lmn_emulation_ops, e))
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s: can't listen: %s", o->listen,
                             strerror(errno));
     for (;;)
@@ -111,7 +111,7 @@
     return LMN_EXIT_OK;
 }
 
-int lmn_cmd_fleet(int argc, char **argv)
+int lmn_cmd_machine_provider(int argc, char **argv)
 {
     static struct fleet_options o;
     static struct lmn_inventory v;
@@ -151,17 +151,18 @@
     signal(SIGPIPE, SIG_IGN);
     char *db = g_build_filename(o.data, "fleet", NULL),
          *depot = g_build_filename(o.data, "depot", NULL);
-    if (!lmn_depot_start(depot, o.local.worker.depot, err, sizeof err))
+    if (!lmn_image_store_start(depot, o.local.worker.depot, err, sizeof err))
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
     if (o.emulated)
         return serve_emulated(&o, &v);
-    struct lmn_static *s = lmn_static_new(&v, &o.local, db, err, sizeof err);
+    struct lmn_static_provider *s =
+        lmn_static_provider_new(&v, &o.local, db, err, sizeof err);
     if (!s)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
-    if (!lmn_cloud_serve(o.listen, o.rps, &lmn_static_ops, s))
+    if (!lmn_machine_provider_serve(o.listen, o.rps, &lmn_static_provider_ops, s))
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s: can't listen: %s", o.listen,
                             strerror(errno));
-    lmn_static_thread(s);
+    lmn_static_provider_thread(s);
     return LMN_EXIT_FAILED;
 }
 
--- a/src/cli/users.c
+++ b/src/cli/users.c
@@ -96,17 +96,17 @@
     return status;
 }
 
-int lmn_users_work(struct lmn_users *u, const char *ref, struct lmn_work *w,
-                   struct lmn_depot_error *e)
+int lmn_users_work(struct lmn_users *u, const char *ref, struct lmn_task_command *w,
+                   struct lmn_image_store_error *e)
 {
     GByteArray *b = g_byte_array_new();
-    char digest[LMN_DIGEST];
+    char digest[LMN_DIGEST_SIZE];
     const char *what;
-    int rc = lmn_depot_look(u->depot, LMN_DEPOT_JOB, ref, digest, e);
+    int rc = lmn_image_store_lookup(u->depot, LMN_IMAGE_STORE_KIND_JOB, ref, digest, e);
 
     if (rc == 0)
-        rc = lmn_depot_get(u->depot, digest, b, e);
-    if (rc == 0 && lmn_work_read(w, b->data, b->len, &what) != 0) {
+        rc = lmn_image_store_get(u->depot, digest, b, e);
+    if (rc == 0 && lmn_task_command_decode(w, b->data, b->len, &what) != 0) {
         g_snprintf(e->what, sizeof e->what, "%s: its description can't be read: %s", ref,
                    what);
         rc = -1;
--- a/src/cli/users.h
+++ b/src/cli/users.h
@@ -30,7 +30,7 @@
 int lmn_users_call(struct lmn_users *u, const char *method, const char *path,
                    const GByteArray *body, double seconds, struct lmn_job_state *s);
 /* A job's description from the depot. -1 with e. */
-int lmn_users_work(struct lmn_users *u, const char *ref, struct lmn_work *w,
-                   struct lmn_depot_error *e);
+int lmn_users_work(struct lmn_users *u, const char *ref, struct lmn_task_command *w,
+                   struct lmn_image_store_error *e);
 
 #endif
--- a/src/emulator/cloud.c
+++ b/src/emulator/cloud.c
@@ -13,7 +13,7 @@
 {
     memset(c, 0, sizeof *c);
     c->v = v;
-    c->knobs = lmn_knobs_default;
+    c->knobs = lmn_emulator_faults_default;
     c->rng = g_rand_new_with_seed(seed);
     c->machines = g_ptr_array_new_with_free_func(g_free);
     c->requests = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
@@ -54,8 +54,8 @@
     return NULL;
 }
 
-static unsigned left(const struct lmn_emu_cloud *c, const struct lmn_rent *q, int type,
-                     double now)
+static unsigned left(const struct lmn_emu_cloud *c, const struct lmn_rental_request *q,
+                     int type, double now)
 {
     unsigned all = 0, used = 0;
 
@@ -80,7 +80,7 @@
     return chance(c, c->knobs.boot_slow) ? s * SLOW_BOOT : s;
 }
 
-int lmn_emu_cloud_rent(struct lmn_emu_cloud *c, const struct lmn_rent *q,
+int lmn_emu_cloud_rent(struct lmn_emu_cloud *c, const struct lmn_rental_request *q,
                        GPtrArray *names, double now)
 {
     int type = lmn_inventory_type(c->v, q->type);
@@ -135,8 +135,8 @@
 }
 
 void lmn_emu_cloud_list(struct lmn_emu_cloud *c, const char *after,
-                        bool (*each)(void *to, const struct lmn_rented *m), void *to,
-                        double now)
+                        bool (*each)(void *to, const struct lmn_rented_machine *m),
+                        void *to, double now)
 {
     /* One list, one time that it describes: mostly the lag, sometimes twice that, so that
      * a list may be older than the one before. */
@@ -146,7 +146,7 @@
 
     for (guint i = 0; i < c->machines->len; i++) {
         const struct lmn_emu_machine *m = c->machines->pdata[i];
-        struct lmn_rented x = {.spot = m->spot, .age_s = then - m->made};
+        struct lmn_rented_machine x = {.spot = m->spot, .age_s = then - m->made};
         if (strcmp(m->name, after) <= 0 || m->made > then || m->gone <= then ||
             m->taken <= then)
             continue;
@@ -187,7 +187,7 @@
 int lmn_emu_cloud_set(struct lmn_emu_cloud *c, const char *name, double value, double now,
                       char *err, size_t len)
 {
-    if (lmn_knob_set(&c->knobs, name, value, err, len) != 0)
+    if (lmn_emulator_fault_set(&c->knobs, name, value, err, len) != 0)
         return -1;
     for (guint i = 0; i < c->machines->len; i++) {
         struct lmn_emu_machine *m = c->machines->pdata[i];
--- a/src/emulator/cloud.h
+++ b/src/emulator/cloud.h
@@ -21,7 +21,7 @@
 
 struct lmn_emu_cloud {
     const struct lmn_inventory *v;
-    struct lmn_knobs knobs;
+    struct lmn_emulator_faults knobs;
     GRand *rng;
     GPtrArray *machines;  /* struct lmn_emu_machine, by name */
     GHashTable *requests; /* name -> GPtrArray of names */
@@ -34,14 +34,14 @@
                         uint32_t seed);
 void lmn_emu_cloud_clear(struct lmn_emu_cloud *c);
 /* 200 with names (the caller's), 400 or 503. */
-int lmn_emu_cloud_rent(struct lmn_emu_cloud *c, const struct lmn_rent *q,
+int lmn_emu_cloud_rent(struct lmn_emu_cloud *c, const struct lmn_rental_request *q,
                        GPtrArray *names, double now);
 /* Whether it was there; from now on it is gone. */
 bool lmn_emu_cloud_return(struct lmn_emu_cloud *c, const char *name, double now);
 /* The list, as old as it is. */
 void lmn_emu_cloud_list(struct lmn_emu_cloud *c, const char *after,
-                        bool (*each)(void *to, const struct lmn_rented *m), void *to,
-                        double now);
+                        bool (*each)(void *to, const struct lmn_rented_machine *m),
+                        void *to, double now);
 void lmn_emu_cloud_types(struct lmn_emu_cloud *c,
                          void (*each)(void *to, const struct lmn_machine_type *t),
                          void *to, double now);
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -54,7 +54,7 @@
     GQueue asked;      /* struct question */
     GHashTable *specs; /* ref -> struct lmn_job_spec; NULL value: there is no such job */
     guint next_trouble;
-    GArray *ends; /* struct lmn_emu_trouble: what is to be set back */
+    GArray *ends; /* struct lmn_emu_fault: what is to be set back */
     struct lmn_http_server *server;
     int epoll;
     uint64_t reports, failed_reports;
@@ -164,7 +164,7 @@
 
     if (lmn_http_request_method(call) == LMN_HTTP_POST &&
         !strcmp(lmn_http_request_path(call), P_DIRECT))
-        status = lmn_agent_do(&u->w.agent, body->data, body->len, out, lmn_now());
+        status = lmn_agent_execute(&u->w.agent, body->data, body->len, out, lmn_now());
     else if (lmn_http_request_method(call) == LMN_HTTP_GET &&
              !strcmp(lmn_http_request_path(call), P_SHOW))
         status = lmn_agent_show(&u->w.agent, out, lmn_now());
@@ -175,7 +175,7 @@
 {
     for (guint i = 0; i < u->w.asking->len; i++) {
         uint64_t id = g_array_index(u->w.asking, uint64_t, i);
-        const struct lmn_run *r = lmn_agent_run(&u->w.agent, id);
+        const struct lmn_task_run *r = lmn_agent_find_run(&u->w.agent, id);
         gpointer spec = NULL;
         if (!r)
             continue;
@@ -205,7 +205,7 @@
         answer(u, call);
     if (isfinite(m->taken) && !m->told) {
         m->told = true;
-        lmn_agent_notice(&u->w.agent, lmn_time_add(lmn_now(), m->taken - now));
+        lmn_agent_spot_notice(&u->w.agent, lmn_time_add(lmn_now(), m->taken - now));
     }
     lmn_emu_worker_pass(&u->w, lmn_now());
     ask_jobs(e, u);
@@ -223,24 +223,24 @@
     char err[128];
 
     while (e->next_trouble < e->o.script->len) {
-        const struct lmn_emu_trouble *t =
-            &g_array_index(e->o.script, struct lmn_emu_trouble, e->next_trouble);
+        const struct lmn_emu_fault *t =
+            &g_array_index(e->o.script, struct lmn_emu_fault, e->next_trouble);
         if (t->at > now)
             break;
         e->next_trouble++;
         lmn_info("trouble set=%s value=%g for=%g", t->name, t->value, t->lasts);
         lmn_emu_cloud_set(&e->cloud, t->name, t->value, now, err, sizeof err);
         if (t->lasts > 0) {
-            struct lmn_emu_trouble back = {.at = now + t->lasts};
+            struct lmn_emu_fault back = {.at = now + t->lasts};
             g_strlcpy(back.name, t->name, sizeof back.name);
-            for (size_t i = 0; lmn_knob_name(i); i++)
-                if (!strcmp(lmn_knob_name(i), t->name))
-                    back.value = lmn_knob_value(&e->o.knobs, i);
+            for (size_t i = 0; lmn_emulator_fault_name(i); i++)
+                if (!strcmp(lmn_emulator_fault_name(i), t->name))
+                    back.value = lmn_emulator_fault_value(&e->o.knobs, i);
             g_array_append_val(e->ends, back);
         }
     }
     for (guint i = e->ends->len; i-- > 0;) {
-        struct lmn_emu_trouble t = g_array_index(e->ends, struct lmn_emu_trouble, i);
+        struct lmn_emu_fault t = g_array_index(e->ends, struct lmn_emu_fault, i);
         if (t.at > now)
             continue;
         g_array_remove_index_fast(e->ends, i);
@@ -315,7 +315,7 @@
     struct timespec sent = lmn_now();
     unsigned to = u->controller;
 
-    lmn_agent_report(&u->w.agent, out, sent);
+    lmn_agent_write_heartbeat(&u->w.agent, out, sent);
     u->last = sent;
     e->reports++;
     struct lmn_http_client *http = line(e, u, h, to);
@@ -334,7 +334,8 @@
         if (!wait)
             u->last = lmn_time_add(lmn_now(), -1);
     } else if (u->m && !unheard(u, seconds(e))) {
-        lmn_agent_answered(&u->w.agent, session, sent, in->data, in->len, lmn_now());
+        lmn_agent_heartbeat_answered(&u->w.agent, session, sent, in->data, in->len,
+                                     lmn_now());
         lmn_emu_worker_pass(&u->w, lmn_now());
         ask_jobs(e, u);
     }
@@ -379,10 +380,10 @@
     struct lmn_http_client *h = lmn_http_client_new(e->o.worker.depot);
 
     for (;;) {
-        struct lmn_depot_error err = {0};
-        struct lmn_work work;
+        struct lmn_image_store_error err = {0};
+        struct lmn_task_command work;
         GByteArray *b = g_byte_array_new();
-        char digest[LMN_DIGEST];
+        char digest[LMN_DIGEST_SIZE];
         const char *what;
         pthread_mutex_lock(&e->lock);
         while (!e->asked.head)
@@ -392,13 +393,15 @@
         pthread_mutex_unlock(&e->lock);
         struct lmn_job_spec *spec = NULL;
         bool sure = known;
-        if (!known && lmn_depot_look(h, LMN_DEPOT_JOB, q->ref, digest, &err) == 0 &&
-            lmn_depot_get(h, digest, b, &err) == 0 &&
-            lmn_work_read(&work, b->data, b->len, &what) == 0) {
+        if (!known &&
+            lmn_image_store_lookup(h, LMN_IMAGE_STORE_KIND_JOB, q->ref, digest, &err) ==
+                0 &&
+            lmn_image_store_get(h, digest, b, &err) == 0 &&
+            lmn_task_command_decode(&work, b->data, b->len, &what) == 0) {
             spec = g_new(struct lmn_job_spec, 1);
             *spec = work.spec;
             memset(&work.spec, 0, sizeof work.spec);
-            lmn_work_clear(&work);
+            lmn_task_command_clear(&work);
             sure = true;
         }
         sure = sure || err.status == 404;
@@ -474,7 +477,7 @@
     pthread_mutex_unlock(&e->lock);
 }
 
-static int rent(void *arg, const struct lmn_rent *q, GPtrArray *names)
+static int rent(void *arg, const struct lmn_rental_request *q, GPtrArray *names)
 {
     struct lmn_emulation *e = arg;
     pthread_mutex_lock(&e->lock);
@@ -504,7 +507,7 @@
 }
 
 static void list(void *arg, const char *after,
-                 bool (*each)(void *to, const struct lmn_rented *m), void *to)
+                 bool (*each)(void *to, const struct lmn_rented_machine *m), void *to)
 {
     struct lmn_emulation *e = arg;
     pthread_mutex_lock(&e->lock);
@@ -560,13 +563,13 @@
     GByteArray *b = g_byte_array_new();
     size_t n = 0;
 
-    while (lmn_knob_name(n))
+    while (lmn_emulator_fault_name(n))
         n++;
     lmn_cbor_put_map(b, n);
     pthread_mutex_lock(&e->lock);
     for (size_t i = 0; i < n; i++)
-        lmn_cbor_put_text(b, lmn_knob_name(i)),
-            lmn_cbor_put_number(b, lmn_knob_value(&e->cloud.knobs, i));
+        lmn_cbor_put_text(b, lmn_emulator_fault_name(i)),
+            lmn_cbor_put_number(b, lmn_emulator_fault_value(&e->cloud.knobs, i));
     pthread_mutex_unlock(&e->lock);
     lmn_http_request_respond(call, 200, b, 0);
 }
@@ -575,7 +578,7 @@
 {
     struct lmn_emulation *e = arg;
     const GByteArray *body = lmn_http_request_body(call);
-    struct lmn_emu_trouble t = {0};
+    struct lmn_emu_fault t = {0};
     char err[128] = "a map with Set and Value is expected";
     struct lmn_cbor_document d;
 
@@ -595,12 +598,12 @@
     }
     pthread_mutex_lock(&e->lock);
     double now = seconds(e), old = 0;
-    for (size_t i = 0; lmn_knob_name(i); i++)
-        if (!strcmp(lmn_knob_name(i), t.name))
-            old = lmn_knob_value(&e->cloud.knobs, i);
+    for (size_t i = 0; lmn_emulator_fault_name(i); i++)
+        if (!strcmp(lmn_emulator_fault_name(i), t.name))
+            old = lmn_emulator_fault_value(&e->cloud.knobs, i);
     ok = ok && lmn_emu_cloud_set(&e->cloud, t.name, t.value, now, err, sizeof err) == 0;
-    if (ok && t.lasts > 0 && !lmn_knob_is_event(t.name)) {
-        struct lmn_emu_trouble back = t;
+    if (ok && t.lasts > 0 && !lmn_emulator_fault_is_event(t.name)) {
+        struct lmn_emu_fault back = t;
         back.at = now + t.lasts;
         back.value = old;
         g_array_append_val(e->ends, back);
@@ -613,7 +616,7 @@
     return true;
 }
 
-const struct lmn_cloud_ops lmn_emulation_ops = {
+const struct lmn_machine_provider_ops lmn_emulation_ops = {
     .types = types,
     .rent = rent,
     .give_back = give_back,
@@ -624,7 +627,7 @@
 
 static gint by_time(gconstpointer a, gconstpointer b)
 {
-    const struct lmn_emu_trouble *x = a, *y = b;
+    const struct lmn_emu_fault *x = a, *y = b;
     return x->at < y->at ? -1 : x->at > y->at;
 }
 
@@ -632,21 +635,22 @@
 {
     char path[96], err[128];
 
-    o->knobs = lmn_knobs_default;
-    o->script = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_trouble));
+    o->knobs = lmn_emulator_faults_default;
+    o->script = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_fault));
     o->seed = (uint32_t)lmn_config_number(c, "emulate.seed", 1, 0, 4294967295.0);
-    for (size_t i = 0; lmn_knob_name(i); i++) {
-        g_snprintf(path, sizeof path, "emulate.%s", lmn_knob_name(i));
+    for (size_t i = 0; lmn_emulator_fault_name(i); i++) {
+        g_snprintf(path, sizeof path, "emulate.%s", lmn_emulator_fault_name(i));
         if (!lmn_config_has(c, path))
             continue;
         double v = lmn_config_number(c, path, 0, -1e9, 1e9);
-        if (lmn_knob_set(&o->knobs, lmn_knob_name(i), v, err, sizeof err) != 0)
+        if (lmn_emulator_fault_set(&o->knobs, lmn_emulator_fault_name(i), v, err,
+                                   sizeof err) != 0)
             lmn_config_fail(c, path, "%s", err);
     }
     guint n = lmn_config_count(c, "troubles");
     for (guint i = 0; i < n; i++) {
-        struct lmn_emu_trouble t = {0};
-        struct lmn_knobs try = o->knobs;
+        struct lmn_emu_fault t = {0};
+        struct lmn_emulator_faults try = o->knobs;
         g_snprintf(path, sizeof path, "troubles[%u].at", i);
         t.at = lmn_config_number(c, path, 0, 0, 1e9);
         g_snprintf(path, sizeof path, "troubles[%u].value", i);
@@ -655,7 +659,7 @@
         t.lasts = lmn_config_number(c, path, 0, 0, 1e9);
         g_snprintf(path, sizeof path, "troubles[%u].set", i);
         g_strlcpy(t.name, lmn_config_name(c, path, NULL), sizeof t.name);
-        if (lmn_knob_set(&try, t.name, t.value, err, sizeof err) != 0)
+        if (lmn_emulator_fault_set(&try, t.name, t.value, err, sizeof err) != 0)
             lmn_config_fail(c, path, "%s", err);
         g_array_append_val(o->script, t);
     }
@@ -684,7 +688,7 @@
     e->units = g_hash_table_new(g_int64_hash, g_int64_equal);
     e->ports = g_hash_table_new(g_int_hash, g_int_equal);
     e->specs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, forget_spec);
-    e->ends = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_trouble));
+    e->ends = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_fault));
     e->epoll = epoll_create1(EPOLL_CLOEXEC);
     e->server = lmn_http_server_start(&h);
     if (e->epoll < 0 || !e->server) {
--- a/src/emulator/emulator.h
+++ b/src/emulator/emulator.h
@@ -15,11 +15,11 @@
         worker; /* listen (its address), depot, report_s, lease_s, controllers */
     uint32_t seed;
     /* troubles at set times after the start */
-    GArray *script; /* struct lmn_emu_trouble */
-    struct lmn_knobs knobs;
+    GArray *script; /* struct lmn_emu_fault */
+    struct lmn_emulator_faults knobs;
 };
 
-struct lmn_emu_trouble {
+struct lmn_emu_fault {
     double at, value, lasts; /* seconds; lasts 0: until it is set otherwise */
     char name[32];
 };
@@ -31,6 +31,6 @@
                                           char *err, size_t len);
 /* Also answers GET /troubles, the knobs, and POST /troubles {"Set", "Value", "For"}. arg:
  * struct lmn_emulation. */
-extern const struct lmn_cloud_ops lmn_emulation_ops;
+extern const struct lmn_machine_provider_ops lmn_emulation_ops;
 
 #endif
--- a/src/emulator/knobs.c
+++ b/src/emulator/knobs.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <string.h>
 
-const struct lmn_knobs lmn_knobs_default = {
+const struct lmn_emulator_faults lmn_emulator_faults_default = {
     .capacity = 1,
     .boot = 1,
     .list_lag_s = 1,
@@ -23,7 +23,7 @@
 } knobs[] = {
 #define KNOB(name, hi, event)                                                            \
     {                                                                                    \
-#name, offsetof(struct lmn_knobs, name), hi, event                               \
+#name, offsetof(struct lmn_emulator_faults, name), hi, event                     \
     }
     KNOB(capacity, 1, false),
     KNOB(outage, 1, false),
@@ -50,17 +50,17 @@
 
 enum { N = sizeof knobs / sizeof *knobs };
 
-const char *lmn_knob_name(size_t i)
+const char *lmn_emulator_fault_name(size_t i)
 {
     return i < N ? knobs[i].name : NULL;
 }
 
-double lmn_knob_value(const struct lmn_knobs *k, size_t i)
+double lmn_emulator_fault_value(const struct lmn_emulator_faults *k, size_t i)
 {
     return *(const double *)((const char *)k + knobs[i].at);
 }
 
-bool lmn_knob_is_event(const char *name)
+bool lmn_emulator_fault_is_event(const char *name)
 {
     for (size_t i = 0; i < N; i++)
         if (!strcmp(knobs[i].name, name))
@@ -68,8 +68,8 @@
     return false;
 }
 
-int lmn_knob_set(struct lmn_knobs *k, const char *name, double value, char *err,
-                 size_t len)
+int lmn_emulator_fault_set(struct lmn_emulator_faults *k, const char *name, double value,
+                           char *err, size_t len)
 {
     for (size_t i = 0; i < N; i++) {
         if (strcmp(knobs[i].name, name))
--- a/src/emulator/knobs.h
+++ b/src/emulator/knobs.h
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-struct lmn_knobs {
+struct lmn_emulator_faults {
     double capacity; /* share of the pools that can be had */
     double outage;   /* 1: the cloud answers 503 to everything */
     double refuse;   /* share of rentals that are refused */
@@ -31,13 +31,13 @@
     double hang; /* machines hang for hang_s, and then go on */
 };
 
-extern const struct lmn_knobs lmn_knobs_default;
+extern const struct lmn_emulator_faults lmn_emulator_faults_default;
 /* Names, NULL past the last; whether it is an event. */
-const char *lmn_knob_name(size_t i);
-bool lmn_knob_is_event(const char *name);
+const char *lmn_emulator_fault_name(size_t i);
+bool lmn_emulator_fault_is_event(const char *name);
 /* 0, or -1 with what is wrong in err. */
-int lmn_knob_set(struct lmn_knobs *k, const char *name, double value, char *err,
-                 size_t len);
-double lmn_knob_value(const struct lmn_knobs *k, size_t i);
+int lmn_emulator_fault_set(struct lmn_emulator_faults *k, const char *name, double value,
+                           char *err, size_t len);
+double lmn_emulator_fault_value(const struct lmn_emulator_faults *k, size_t i);
 
 #endif
--- a/src/emulator/worker.c
+++ b/src/emulator/worker.c
@@ -27,21 +27,21 @@
 /* The clock of the ops, which are told no time: that of the call under way. */
 static _Thread_local struct timespec now_of_call;
 
-static void describe(void *arg, struct lmn_run *r)
+static void describe(void *arg, struct lmn_task_run *r)
 {
     struct lmn_emu_worker *w = arg;
     g_array_append_val(w->asking, r->id);
 }
 
 static const struct lmn_emu_spec *spec_of(const struct lmn_emu_worker *w,
-                                          const struct lmn_run *r)
+                                          const struct lmn_task_run *r)
 {
     static const struct lmn_emu_spec none;
     const struct lmn_emu_spec *s = g_hash_table_lookup(w->specs, r->ref);
     return s ? s : &none;
 }
 
-static void fetch(void *arg, struct lmn_run *r)
+static void fetch(void *arg, struct lmn_task_run *r)
 {
     struct lmn_emu_worker *w = arg;
     const struct lmn_emu_spec *s = spec_of(w, r);
@@ -88,7 +88,7 @@
     return gsl_cdf_ugaussian_Pinv(CLAMP(g_rand_double(r), 1e-9, 1 - 1e-9));
 }
 
-static void start(void *arg, struct lmn_run *r)
+static void start(void *arg, struct lmn_task_run *r)
 {
     struct lmn_emu_worker *w = arg;
     const struct lmn_emu_spec *s = spec_of(w, r);
@@ -105,13 +105,13 @@
     add(w, T_END, lmn_time_add(now_of_call, run), r->id, NULL);
 }
 
-static void save(void *arg, struct lmn_run *r, double grace_s)
+static void save(void *arg, struct lmn_task_run *r, double grace_s)
 {
     struct lmn_emu_worker *w = arg;
     add(w, T_SAVED, lmn_time_add(now_of_call, MIN(r->save_s, grace_s)), r->id, NULL);
 }
 
-static void kill_run(void *arg, struct lmn_run *r)
+static void kill_run(void *arg, struct lmn_task_run *r)
 {
     add(arg, T_KILLED, lmn_time_add(now_of_call, KILL_S), r->id, NULL);
 }
@@ -135,7 +135,7 @@
 static const struct lmn_agent_ops ops = {describe, fetch,    give_up,  has_result, start,
                                          save,     kill_run, kill_all, leased};
 
-void lmn_emu_worker_init(struct lmn_emu_worker *w, const struct lmn_knobs *k,
+void lmn_emu_worker_init(struct lmn_emu_worker *w, const struct lmn_emulator_faults *k,
                          uint32_t seed, double lease_s, struct timespec now)
 {
     w->knobs = k;
@@ -191,7 +191,7 @@
         g_ptr_array_remove_index(w->images, 0);
 }
 
-static void exited(struct lmn_emu_worker *w, const struct lmn_run *r, bool done,
+static void exited(struct lmn_emu_worker *w, const struct lmn_task_run *r, bool done,
                    bool saved, struct timespec now)
 {
     if (w->ledger)
@@ -201,7 +201,7 @@
 
 static void ring(struct lmn_emu_worker *w, const struct timer *t, struct timespec now)
 {
-    const struct lmn_run *r = lmn_agent_run(&w->agent, t->id);
+    const struct lmn_task_run *r = lmn_agent_find_run(&w->agent, t->id);
 
     switch (t->kind) {
     case T_FETCH:
@@ -209,10 +209,10 @@
         lmn_agent_fetched(&w->agent, t->image, true, now);
         return;
     case T_EMPTY:
-        lmn_agent_emptied(&w->agent, w->agent.session + 1, now);
+        lmn_agent_incarnation_ended(&w->agent, w->agent.session + 1, now);
         return;
     case T_END:
-        if (!r || (r->state != LMN_R_RUNNING && r->state != LMN_R_SAVING))
+        if (!r || (r->state != LMN_RUN_RUNNING && r->state != LMN_RUN_SAVING))
             return;
         if (!w->faulty)
             g_hash_table_add(w->results, g_strdup_printf("%s/%u", r->ref, r->index));
--- a/src/emulator/worker.h
+++ b/src/emulator/worker.h
@@ -10,7 +10,7 @@
 
 struct lmn_emu_worker {
     struct lmn_agent agent;
-    const struct lmn_knobs *knobs;
+    const struct lmn_emulator_faults *knobs;
     struct lmn_emu_ledger *ledger; /* the fleet's; NULL: none */
     GRand *rng;
     double speed; /* of this machine, 1: as its type */
@@ -31,7 +31,7 @@
     bool service;
 };
 
-void lmn_emu_worker_init(struct lmn_emu_worker *w, const struct lmn_knobs *k,
+void lmn_emu_worker_init(struct lmn_emu_worker *w, const struct lmn_emulator_faults *k,
                          uint32_t seed, double lease_s, struct timespec now);
 void lmn_emu_worker_clear(struct lmn_emu_worker *w);
 /* The job of a run that asked; spec NULL: there is none. */
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -17,7 +17,7 @@
 
 struct feeder {
     struct lmn_gateway *g;
-    struct lmn_http_client *controllers[LMN_G_CONTROLLERS], *depot, *state;
+    struct lmn_http_client *controllers[LMN_GATEWAY_MAX_CONTROLLERS], *depot, *state;
     unsigned turn;
     struct lmn_token_bucket polls;
     GByteArray *in;
@@ -49,17 +49,17 @@
     return status;
 }
 
-static enum lmn_outcome_word ended(const char *word)
+static enum lmn_handover_outcome ended(const char *word)
 {
-    return !strcmp(word, W_DONE)        ? LMN_O_DONE
-           : !strcmp(word, W_WITHDRAWN) ? LMN_O_WITHDRAWN
-                                        : LMN_O_NONE;
+    return !strcmp(word, W_DONE)        ? LMN_OUTCOME_DONE
+           : !strcmp(word, W_WITHDRAWN) ? LMN_OUTCOME_CANCELLED
+                                        : LMN_OUTCOME_NONE;
 }
 
 /* A run at the own controllers: a job of this home, or a guest. */
 struct run {
-    struct lmn_gjob *job;
-    struct lmn_guest *guest;
+    struct lmn_gateway_job *job;
+    struct lmn_remote_job *guest;
     char ref[LMN_JOB_ID_SIZE], home[LMN_NAME_SIZE], local[LMN_JOB_ID_SIZE];
     bool handed, cancel, asked; /* cancel: to be stopped; asked: by its user */
     uint64_t epoch;
@@ -81,53 +81,56 @@
 static bool describe(struct feeder *f, const char *digest, const char *local)
 {
     GByteArray *b = g_byte_array_new();
-    struct lmn_depot_error e;
-    struct lmn_work w;
+    struct lmn_image_store_error e;
+    struct lmn_task_command w;
     const char *what;
-    char own[LMN_DIGEST];
+    char own[LMN_DIGEST_SIZE];
     bool ok = false;
 
-    if (lmn_depot_get(f->depot, digest, b, &e) == 0 &&
-        lmn_work_read(&w, b->data, b->len, &what) == 0) {
+    if (lmn_image_store_get(f->depot, digest, b, &e) == 0 &&
+        lmn_task_command_decode(&w, b->data, b->len, &what) == 0) {
         g_strlcpy(w.spec.ref, local, sizeof w.spec.ref);
-        GByteArray *mine = lmn_work_put(&w);
-        ok = lmn_depot_put(f->depot, mine, own, &e) == 0 &&
-             lmn_depot_name(f->depot, LMN_DEPOT_JOB, local, own, &e) == 0;
+        GByteArray *mine = lmn_task_command_encode(&w);
+        ok =
+            lmn_image_store_put(f->depot, mine, own, &e) == 0 &&
+            lmn_image_store_bind(f->depot, LMN_IMAGE_STORE_KIND_JOB, local, own, &e) == 0;
         g_byte_array_unref(mine);
-        lmn_work_clear(&w);
+        lmn_task_command_clear(&w);
     }
     g_byte_array_unref(b);
     return ok;
 }
 
 /* Ends the hand-over on this side. */
-static void conclude(struct feeder *f, const struct run *r, enum lmn_outcome_word outcome)
+static void conclude(struct feeder *f, const struct run *r,
+                     enum lmn_handover_outcome outcome)
 {
-    struct lmn_book *b = &f->g->book;
-    struct lmn_write w = {0};
+    struct lmn_gateway_records *b = &f->g->book;
+    struct lmn_record_write w = {0};
 
     pthread_mutex_lock(&b->lock);
-    w.job = r->guest ? NULL : lmn_book_take_job(b, r->ref);
-    w.guest = r->guest ? lmn_book_take_guest(b, r->home, r->ref) : NULL;
+    w.job = r->guest ? NULL : lmn_gateway_records_take_job(b, r->ref);
+    w.guest = r->guest ? lmn_gateway_records_take_remote_job(b, r->home, r->ref) : NULL;
     if (w.job)
         w.home = w.job->hand;
     if (w.guest)
         w.host = w.guest->hand;
     /* What was looked at may be another epoch's by now. */
     bool change =
-        w.job ? w.home.epoch == r->epoch && lmn_home_kept_over(&w.home, outcome)
-              : w.guest && w.host.epoch == r->epoch && lmn_host_over(&w.host, outcome);
+        w.job ? w.home.epoch == r->epoch && lmn_origin_local_finished(&w.home, outcome)
+              : w.guest && w.host.epoch == r->epoch &&
+                    lmn_execution_finished(&w.host, outcome);
     if (!change && w.job)
-        lmn_book_put_job(b, w.job);
+        lmn_gateway_records_release_job(b, w.job);
     if (!change && w.guest)
-        lmn_book_put_guest(b, w.guest);
+        lmn_gateway_records_release_remote_job(b, w.guest);
     pthread_mutex_unlock(&b->lock);
     if (!change)
         return;
-    lmn_book_write(b, f->state, &w, 1);
+    lmn_gateway_records_write(b, f->state, &w, 1);
     pthread_mutex_lock(&b->lock);
     if (r->guest)
-        lmn_peer_poke(f->g, r->home);
+        lmn_gateway_peer_wake(f->g, r->home);
     pthread_mutex_unlock(&b->lock);
 }
 
@@ -145,16 +148,16 @@
         status = ask(f, "POST", P_JOBS, body, word, p);
         g_byte_array_unref(body);
         if ((status == 422 || status == 400) && r->guest)
-            conclude(f, r, LMN_O_RETURNED); /* it can't run here */
+            conclude(f, r, LMN_OUTCOME_RETURNED); /* it can't run here */
         if (status != 200 && status != 201)
             return;
         pthread_mutex_lock(&f->g->book.lock);
-        struct lmn_gjob *j =
+        struct lmn_gateway_job *j =
             r->guest ? NULL : g_hash_table_lookup(f->g->book.jobs, r->ref);
         if (j)
             j->handed = true;
         char *key = g_strdup_printf("%s/%s", r->home, r->ref);
-        struct lmn_guest *x =
+        struct lmn_remote_job *x =
             r->guest ? g_hash_table_lookup(f->g->book.guests, key) : NULL;
         if (x && x->hand.epoch == r->epoch)
             x->handed = true;
@@ -166,21 +169,21 @@
         status = ask(f, r->cancel ? "POST" : "GET", path, NULL, word, p);
         if (status == 404 && r->cancel)
             conclude(f, r,
-                     r->asked
-                         ? LMN_O_WITHDRAWN
-                         : LMN_O_RETURNED); /* never accepted there: nothing of it runs */
+                     r->asked ? LMN_OUTCOME_CANCELLED
+                              : LMN_OUTCOME_RETURNED); /* never accepted there: nothing of
+                                                          it runs */
         if (status != 200)
             return;
     }
-    enum lmn_outcome_word o = ended(word);
+    enum lmn_handover_outcome o = ended(word);
     /* Stopped here, but not by its user: that is no outcome, it goes back. */
-    if (o == LMN_O_WITHDRAWN && r->guest && !r->asked)
-        o = LMN_O_RETURNED;
-    if (o != LMN_O_NONE)
+    if (o == LMN_OUTCOME_CANCELLED && r->guest && !r->asked)
+        o = LMN_OUTCOME_RETURNED;
+    if (o != LMN_OUTCOME_NONE)
         conclude(f, r, o);
 }
 
-static void add_run(GPtrArray *v, struct lmn_gjob *j, struct lmn_guest *x)
+static void add_run(GPtrArray *v, struct lmn_gateway_job *j, struct lmn_remote_job *x)
 {
     struct run *r = g_new0(struct run, 1);
 
@@ -198,11 +201,11 @@
 }
 
 /* A guest on a leash stops when its home was not heard for so long. */
-static void check_leash(struct feeder *f, struct lmn_guest *x, struct timespec now)
+static void check_leash(struct feeder *f, struct lmn_remote_job *x, struct timespec now)
 {
     if (x->leash_s <= 0 || x->leashed)
         return;
-    const struct lmn_gpeer *p = lmn_peer_named(f->g, x->home);
+    const struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(f->g, x->home);
     if (!p || lmn_time_diff_s(now, p->synced) <= x->leash_s)
         return;
     lmn_info("leash-over home=%s job=%s", x->home, x->ref);
@@ -219,16 +222,17 @@
     pthread_mutex_lock(&f->g->book.lock);
     g_hash_table_iter_init(&it, f->g->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
-        struct lmn_gjob *j = p;
-        if (j->hand.state != LMN_H_LOCAL || lmn_time_diff_s(now, j->polled) < POLL_S)
+        struct lmn_gateway_job *j = p;
+        if (j->hand.state != LMN_ORIGIN_LOCAL || lmn_time_diff_s(now, j->polled) < POLL_S)
             continue;
         j->polled = now;
         add_run(v, j, NULL);
     }
     g_hash_table_iter_init(&it, f->g->book.open_guests);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
-        struct lmn_guest *x = p;
-        if (x->hand.state != LMN_HO_RUNS || lmn_time_diff_s(now, x->polled) < POLL_S)
+        struct lmn_remote_job *x = p;
+        if (x->hand.state != LMN_EXECUTION_RUNNING ||
+            lmn_time_diff_s(now, x->polled) < POLL_S)
             continue;
         check_leash(f, x, now);
         x->polled = now;
@@ -241,25 +245,26 @@
 /* The next that the own controllers get. */
 static void feed(struct feeder *f)
 {
-    struct lmn_book *b = &f->g->book;
-    GArray *w = g_array_new(FALSE, TRUE, sizeof(struct lmn_write));
+    struct lmn_gateway_records *b = &f->g->book;
+    GArray *w = g_array_new(FALSE, TRUE, sizeof(struct lmn_record_write));
 
     pthread_mutex_lock(&b->lock);
     double cpus, handed, most = f->g->o->feed_s * f->g->o->cpus;
-    lmn_handed(f->g, &cpus, &handed);
-    GPtrArray *v = handed < most ? lmn_waiting(f->g) : g_ptr_array_new();
+    lmn_gateway_local_load(f->g, &cpus, &handed);
+    GPtrArray *v = handed < most ? lmn_gateway_waiting_jobs(f->g) : g_ptr_array_new();
     for (guint i = 0; i < v->len && handed < most; i++) {
-        struct lmn_gjob *j = v->pdata[i];
-        struct lmn_write x = {.job = j, .home = j->hand};
-        if (!lmn_home_keep(&x.home))
+        struct lmn_gateway_job *j = v->pdata[i];
+        struct lmn_record_write x = {.job = j, .home = j->hand};
+        if (!lmn_origin_run_locally(&x.home))
             continue;
         j->busy = true;
         j->handed = false;
-        handed += lmn_job_cpus(&j->spec) * MAX(j->spec.estimate_s, 0.1);
+        handed += lmn_job_spec_total_cpus(&j->spec) * MAX(j->spec.estimate_s, 0.1);
         g_array_append_val(w, x);
     }
     pthread_mutex_unlock(&b->lock);
-    lmn_book_write(b, f->state, (struct lmn_write *)(void *)w->data, w->len);
+    lmn_gateway_records_write(b, f->state, (struct lmn_record_write *)(void *)w->data,
+                              w->len);
     g_array_free(w, TRUE);
     g_ptr_array_free(v, TRUE);
 }
@@ -294,7 +299,7 @@
     g_ptr_array_free(runs, TRUE);
 }
 
-void *lmn_feed_thread(void *arg)
+void *lmn_cluster_client_thread(void *arg)
 {
     struct lmn_gateway *g = arg;
     struct feeder f = {.g = g, .in = g_byte_array_new()};
--- a/src/gateway/execution.c
+++ b/src/gateway/execution.c
@@ -13,42 +13,44 @@
 static const double DIAL_FLOOR_S = 0.2, DIAL_CAP_S = 5;
 
 struct host {
-    struct lmn_gpeer *p;
-    struct lmn_link *link;
+    struct lmn_gateway_peer *p;
+    struct lmn_peer_connection *link;
     struct lmn_http_client *state, *depot;
     double wait_s; /* until the next dialling, after failures */
 };
 
 /* What there is to say of the peer's jobs; strings belong to the book. The lock is held.
  */
-static GArray *collect(struct lmn_gpeer *p)
+static GArray *collect(struct lmn_gateway_peer *p)
 {
-    GArray *v = g_array_new(FALSE, TRUE, sizeof(struct lmn_g_item));
+    GArray *v = g_array_new(FALSE, TRUE, sizeof(struct lmn_gateway_rpc_item));
     GHashTableIter it;
     gpointer x;
 
-    while (p->refusals.head && v->len < LMN_G_ITEMS / 2) {
-        struct lmn_gsay *s = g_queue_pop_head(&p->refusals);
-        struct lmn_g_item *i = lmn_item_add(v);
+    while (p->refusals.head && v->len < LMN_GATEWAY_RPC_MAX_ITEMS / 2) {
+        struct lmn_gateway_rejection *s = g_queue_pop_head(&p->refusals);
+        struct lmn_gateway_rpc_item *i = lmn_gateway_item_append(v);
         i->ref = g_strdup(s->ref);
         i->epoch = s->epoch;
         i->incarnation = p->g->book.incarnation;
-        i->word = LMN_A_REFUSED;
+        i->word = LMN_HANDOVER_REJECTED;
         g_free(s);
     }
     /* Outcomes first: progress is only for display. */
     for (int outcomes = 1; outcomes >= 0; outcomes--) {
         g_hash_table_iter_init(&it, p->g->book.open_guests);
-        while (g_hash_table_iter_next(&it, NULL, &x) && v->len < LMN_G_ITEMS) {
-            const struct lmn_guest *guest = x;
-            bool over = guest->hand.state == LMN_HO_OVER;
-            if (strcmp(guest->home, lmn_peer_site(p)) || guest->busy || over != outcomes)
+        while (g_hash_table_iter_next(&it, NULL, &x) &&
+               v->len < LMN_GATEWAY_RPC_MAX_ITEMS) {
+            const struct lmn_remote_job *guest = x;
+            bool over = guest->hand.state == LMN_EXECUTION_FINISHED;
+            if (strcmp(guest->home, lmn_gateway_peer_site(p)) || guest->busy ||
+                over != outcomes)
                 continue;
-            struct lmn_g_item *i = lmn_item_add(v);
+            struct lmn_gateway_rpc_item *i = lmn_gateway_item_append(v);
             i->ref = g_strdup(guest->ref);
             i->epoch = guest->hand.epoch;
             i->incarnation = p->g->book.incarnation;
-            i->word = over ? LMN_A_OVER : LMN_A_ACCEPTED;
+            i->word = over ? LMN_HANDOVER_FINISHED : LMN_HANDOVER_ACCEPTED;
             i->outcome = guest->hand.outcome;
             i->done = guest->progress.done;
             i->running = guest->progress.running;
@@ -60,41 +62,41 @@
 static void free_items(GArray *v)
 {
     for (guint i = 0; i < v->len; i++)
-        g_free(g_array_index(v, struct lmn_g_item, i).ref);
+        g_free(g_array_index(v, struct lmn_gateway_rpc_item, i).ref);
     g_array_free(v, TRUE);
 }
 
 /* Brings what the guest's tasks run into the own depot; true if it is there. */
 static bool fetch_blob(struct host *k, const char *digest)
 {
-    lmn_g_request q = {.kind = LMN_G_BLOB};
-    lmn_g_response r;
-    struct lmn_depot_error e;
-    char is[LMN_DIGEST];
+    lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_BLOB};
+    lmn_gateway_rpc_response r;
+    struct lmn_image_store_error e;
+    char is[LMN_DIGEST_SIZE];
     bool ok = false;
 
-    q.lmn_g_request_u.digest = (char *)digest;
+    q.lmn_gateway_rpc_request_u.digest = (char *)digest;
     if (!*digest)
         return true;
-    if (lmn_link_send_request(k->link, &q) != 0 ||
-        lmn_link_read_response(k->link, &r) != 0)
+    if (lmn_peer_connection_send_request(k->link, &q) != 0 ||
+        lmn_peer_connection_read_response(k->link, &r) != 0)
         return false;
-    if (r.kind == LMN_G_BLOB) {
+    if (r.kind == LMN_GATEWAY_RPC_BLOB) {
         GByteArray *b = g_byte_array_new();
-        g_byte_array_append(b, (guint8 *)r.lmn_g_response_u.blob.blob_val,
-                            r.lmn_g_response_u.blob.blob_len);
+        g_byte_array_append(b, (guint8 *)r.lmn_gateway_rpc_response_u.blob.blob_val,
+                            r.lmn_gateway_rpc_response_u.blob.blob_len);
         /* Under its own digest it can be nothing else than it says. */
         lmn_digest(b->data, b->len, is);
-        ok = !strcmp(is, digest) && lmn_depot_put(k->depot, b, is, &e) == 0;
+        ok = !strcmp(is, digest) && lmn_image_store_put(k->depot, b, is, &e) == 0;
         g_byte_array_unref(b);
     }
-    xdr_free((xdrproc_t)xdr_lmn_g_response, (char *)&r);
+    xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
     return ok;
 }
 
-static void refuse_later(struct lmn_gpeer *p, const char *ref, uint64_t epoch)
+static void refuse_later(struct lmn_gateway_peer *p, const char *ref, uint64_t epoch)
 {
-    struct lmn_gsay *s = g_new0(struct lmn_gsay, 1);
+    struct lmn_gateway_rejection *s = g_new0(struct lmn_gateway_rejection, 1);
 
     g_strlcpy(s->ref, ref, sizeof s->ref);
     s->epoch = epoch;
@@ -103,12 +105,12 @@
 }
 
 /* A job that is offered: accepted, or refused for good, on the disk before it is said. */
-static void take_offer(struct host *k, const struct lmn_g_offer *o, bool room)
+static void take_offer(struct host *k, const struct lmn_gateway_rpc_offer *o, bool room)
 {
     struct lmn_gateway *g = k->p->g;
-    struct lmn_write w = {0};
+    struct lmn_record_write w = {0};
     struct lmn_job_spec spec = {0};
-    enum lmn_answer answer = LMN_A_REFUSED;
+    enum lmn_handover_answer answer = LMN_HANDOVER_REJECTED;
     const char *what;
     struct lmn_cbor_document d;
     bool old = false, ours = o->incarnation == g->book.incarnation;
@@ -124,9 +126,11 @@
         team = team || !strcmp(g->o->teams[i], spec.team);
     room = room && sane && team && fetch_blob(k, o->digest);
     pthread_mutex_lock(&g->book.lock);
-    w.guest = lmn_book_take_guest(&g->book, lmn_peer_site(k->p), o->ref);
+    w.guest = lmn_gateway_records_take_remote_job(&g->book, lmn_gateway_peer_site(k->p),
+                                                  o->ref);
     if (!w.guest && sane) {
-        w.guest = lmn_book_new_guest(&g->book, lmn_peer_site(k->p), o->ref);
+        w.guest = lmn_gateway_records_new_remote_job(&g->book,
+                                                     lmn_gateway_peer_site(k->p), o->ref);
         if (w.guest) {
             w.guest->spec = spec;
             memset(&spec, 0, sizeof spec);
@@ -137,16 +141,17 @@
     if (w.guest)
         w.host = w.guest->hand;
     bool full = sane && !w.guest; /* nothing is on the disk: nothing may be said */
-    bool change = w.guest && lmn_host_offer(&w.host, o->epoch, ours, room, &answer, &old);
+    bool change = w.guest && lmn_execution_handle_offer(&w.host, o->epoch, ours, room,
+                                                        &answer, &old);
     if (w.guest && !change && w.guest->rev)
-        lmn_book_put_guest(&g->book, w.guest);
+        lmn_gateway_records_release_remote_job(&g->book, w.guest);
     pthread_mutex_unlock(&g->book.lock);
     if (w.guest && (change || !w.guest->rev))
-        lmn_book_write(&g->book, k->state, &w, 1);
+        lmn_gateway_records_write(&g->book, k->state, &w, 1);
     lmn_job_spec_clear(&spec);
     pthread_mutex_lock(&g->book.lock);
     if (!full && (w.ok || (!change && !old))) {
-        if (!sane || answer == LMN_A_REFUSED)
+        if (!sane || answer == LMN_HANDOVER_REJECTED)
             refuse_later(k->p, o->ref, o->epoch);
         else
             k->p->offers_in++;
@@ -155,16 +160,17 @@
     pthread_mutex_unlock(&g->book.lock);
 }
 
-static void resolve(struct host *k, const struct lmn_g_item *i)
+static void resolve(struct host *k, const struct lmn_gateway_rpc_item *i)
 {
     struct lmn_gateway *g = k->p->g;
-    struct lmn_write w = {0};
-    enum lmn_answer answer = LMN_A_REFUSED;
+    struct lmn_record_write w = {0};
+    enum lmn_handover_answer answer = LMN_HANDOVER_REJECTED;
     bool old = false;
 
     pthread_mutex_lock(&g->book.lock);
     w.guest = lmn_job_id_is_valid(i->ref)
-                  ? lmn_book_take_guest(&g->book, lmn_peer_site(k->p), i->ref)
+                  ? lmn_gateway_records_take_remote_job(
+                        &g->book, lmn_gateway_peer_site(k->p), i->ref)
                   : NULL;
     if (!w.guest) {
         /* Never heard of. There is no record to refuse it in: one is made, by a
@@ -178,7 +184,8 @@
             pthread_mutex_unlock(&g->book.lock);
             return;
         }
-        w.guest = lmn_book_new_guest(&g->book, lmn_peer_site(k->p), i->ref);
+        w.guest = lmn_gateway_records_new_remote_job(&g->book,
+                                                     lmn_gateway_peer_site(k->p), i->ref);
         if (!w.guest) {
             pthread_mutex_unlock(&g->book.lock);
             return;
@@ -190,47 +197,49 @@
         w.guest->spec.image = g_strdup("none");
     }
     w.host = w.guest->hand;
-    bool change = lmn_host_resolve(&w.host, i->epoch,
-                                   i->incarnation == g->book.incarnation, &answer, &old);
+    bool change = lmn_execution_resolve(
+        &w.host, i->epoch, i->incarnation == g->book.incarnation, &answer, &old);
     if (!change && w.guest->rev)
-        lmn_book_put_guest(&g->book, w.guest);
+        lmn_gateway_records_release_remote_job(&g->book, w.guest);
     pthread_mutex_unlock(&g->book.lock);
     if (change || !w.guest->rev)
-        lmn_book_write(&g->book, k->state, &w, 1);
+        lmn_gateway_records_write(&g->book, k->state, &w, 1);
     pthread_mutex_lock(&g->book.lock);
-    if ((w.ok || !change) && !old && answer == LMN_A_REFUSED)
+    if ((w.ok || !change) && !old && answer == LMN_HANDOVER_REJECTED)
         refuse_later(k->p, i->ref, i->epoch);
     k->p->news = true;
     pthread_mutex_unlock(&g->book.lock);
 }
 
-static void take_word(struct host *k, const struct lmn_g_item *i, bool cancel,
+static void take_word(struct host *k, const struct lmn_gateway_rpc_item *i, bool cancel,
                       GArray *writes)
 {
     struct lmn_gateway *g = k->p->g;
-    struct lmn_write w = {0};
+    struct lmn_record_write w = {0};
 
-    if (i->incarnation != g->book.incarnation || lmn_write_among(writes, i->ref))
+    if (i->incarnation != g->book.incarnation ||
+        lmn_record_write_contains(writes, i->ref))
         return;
     pthread_mutex_lock(&g->book.lock);
-    w.guest = lmn_book_take_guest(&g->book, lmn_peer_site(k->p), i->ref);
+    w.guest = lmn_gateway_records_take_remote_job(&g->book, lmn_gateway_peer_site(k->p),
+                                                  i->ref);
     if (w.guest)
         w.host = w.guest->hand;
-    bool recall = cancel && i->outcome == LMN_O_RETURNED;
+    bool recall = cancel && i->outcome == LMN_OUTCOME_RETURNED;
     /* A job that is called back is stopped as one whose leash is over. In memory: its
      * home says so again until it has come. */
-    if (w.guest && recall && w.host.state == LMN_HO_RUNS && w.host.epoch == i->epoch &&
-        !w.guest->leashed) {
+    if (w.guest && recall && w.host.state == LMN_EXECUTION_RUNNING &&
+        w.host.epoch == i->epoch && !w.guest->leashed) {
         lmn_info("called-back home=%s job=%s", w.guest->home, w.guest->ref);
         w.guest->leashed = true;
     }
-    bool change =
-        w.guest && !recall &&
-        (cancel ? lmn_host_cancel(&w.host, i->epoch) : lmn_host_heard(&w.host, i->epoch));
+    bool change = w.guest && !recall &&
+                  (cancel ? lmn_execution_cancel(&w.host, i->epoch)
+                          : lmn_execution_acknowledged(&w.host, i->epoch));
     if (change)
         g_array_append_val(writes, w);
     else if (w.guest)
-        lmn_book_put_guest(&g->book, w.guest);
+        lmn_gateway_records_release_remote_job(&g->book, w.guest);
     k->p->outcomes_out += change && !cancel;
     pthread_mutex_unlock(&g->book.lock);
 }
@@ -240,58 +249,59 @@
 {
     double cpus, work_s;
 
-    lmn_handed(g, &cpus, &work_s);
+    lmn_gateway_local_load(g, &cpus, &work_s);
     return MAX(g->o->cpus * MAX(g->o->pull_at, 1) - cpus, 0);
 }
 
 static bool sync_once(struct host *k)
 {
     struct lmn_gateway *g = k->p->g;
-    lmn_g_request q = {.kind = LMN_G_SYNC};
-    lmn_g_response r;
+    lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_SYNC};
+    lmn_gateway_rpc_response r;
     struct timespec sent = lmn_now();
 
     pthread_mutex_lock(&g->book.lock);
     GArray *says = collect(k->p);
     unsigned pull = g->fenced ? 0 : k->p->pull;
     k->p->pull = 0;
-    k->p->news = says->len >= LMN_G_ITEMS;
+    k->p->news = says->len >= LMN_GATEWAY_RPC_MAX_ITEMS;
     double room = room_now(g);
     pthread_mutex_unlock(&g->book.lock);
-    q.lmn_g_request_u.sync.says.says_len = says->len;
-    q.lmn_g_request_u.sync.says.says_val = (struct lmn_g_item *)(void *)says->data;
-    q.lmn_g_request_u.sync.room_cpus = room;
-    q.lmn_g_request_u.sync.most = pull;
-    bool ok = lmn_link_send_request(k->link, &q) == 0 &&
-              lmn_link_read_response(k->link, &r) == 0;
+    q.lmn_gateway_rpc_request_u.sync.says.says_len = says->len;
+    q.lmn_gateway_rpc_request_u.sync.says.says_val =
+        (struct lmn_gateway_rpc_item *)(void *)says->data;
+    q.lmn_gateway_rpc_request_u.sync.room_cpus = room;
+    q.lmn_gateway_rpc_request_u.sync.most = pull;
+    bool ok = lmn_peer_connection_send_request(k->link, &q) == 0 &&
+              lmn_peer_connection_read_response(k->link, &r) == 0;
     free_items(says);
     if (!ok)
         return false;
-    if (r.kind != LMN_G_SYNC) {
-        xdr_free((xdrproc_t)xdr_lmn_g_response, (char *)&r);
+    if (r.kind != LMN_GATEWAY_RPC_SYNC) {
+        xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
         return false;
     }
-    const struct lmn_g_reply *y = &r.lmn_g_response_u.reply;
-    bool late = lmn_time_diff_s(lmn_now(), sent) > LMN_LATE_S;
-    GArray *writes = g_array_new(FALSE, TRUE, sizeof(struct lmn_write));
+    const struct lmn_gateway_rpc_reply *y = &r.lmn_gateway_rpc_response_u.reply;
+    bool late = lmn_time_diff_s(lmn_now(), sent) > LMN_OFFER_MAX_DELAY_S;
+    GArray *writes = g_array_new(FALSE, TRUE, sizeof(struct lmn_record_write));
     for (u_int i = 0; i < y->heard.heard_len; i++)
         take_word(k, &y->heard.heard_val[i], false, writes);
     for (u_int i = 0; i < y->cancel.cancel_len; i++)
         take_word(k, &y->cancel.cancel_val[i], true, writes);
-    lmn_book_write(&g->book, k->state, (struct lmn_write *)(void *)writes->data,
-                   writes->len);
+    lmn_gateway_records_write(
+        &g->book, k->state, (struct lmn_record_write *)(void *)writes->data, writes->len);
     g_array_free(writes, TRUE);
     for (u_int i = 0; i < y->resolve.resolve_len; i++)
         resolve(k, &y->resolve.resolve_val[i]);
     pthread_mutex_lock(&g->book.lock);
-    bool evicted = lmn_book_is_evicted(&g->book, lmn_peer_site(k->p));
+    bool evicted = lmn_gateway_records_is_evicted(&g->book, lmn_gateway_peer_site(k->p));
     pthread_mutex_unlock(&g->book.lock);
     for (u_int i = 0; i < y->offers.offers_len && !late; i++)
         take_offer(k, &y->offers.offers_val[i], !evicted);
     pthread_mutex_lock(&g->book.lock);
     k->p->heard = k->p->synced = sent;
     k->p->messages++;
-    k->p->bytes = lmn_link_bytes(k->link);
+    k->p->bytes = lmn_peer_connection_bytes(k->link);
     k->p->queued_cpu_s = y->queued_cpu_s;
     if (pull) {
         g->pulls++;
@@ -300,25 +310,26 @@
         g->next_pull = lmn_time_add(lmn_now(), g->poll_s);
     }
     pthread_mutex_unlock(&g->book.lock);
-    xdr_free((xdrproc_t)xdr_lmn_g_response, (char *)&r);
+    xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
     return true;
 }
 
 static bool greet(struct host *k)
 {
-    lmn_g_request q = {.kind = LMN_G_HELLO};
-    lmn_g_response r;
+    lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_HELLO};
+    lmn_gateway_rpc_response r;
     const char *wrong = "no hello";
 
-    lmn_hello_fill(k->p->g, &q.lmn_g_request_u.hello);
-    if (lmn_link_send_request(k->link, &q) != 0 ||
-        lmn_link_read_response(k->link, &r) != 0)
+    lmn_gateway_hello_fill(k->p->g, &q.lmn_gateway_rpc_request_u.hello);
+    if (lmn_peer_connection_send_request(k->link, &q) != 0 ||
+        lmn_peer_connection_read_response(k->link, &r) != 0)
         return false;
-    if (r.kind == LMN_G_HELLO)
-        wrong = lmn_hello_take(k->p->g, lmn_peer_site(k->p), &r.lmn_g_response_u.hello);
-    xdr_free((xdrproc_t)xdr_lmn_g_response, (char *)&r);
+    if (r.kind == LMN_GATEWAY_RPC_HELLO)
+        wrong = lmn_gateway_hello_accept(k->p->g, lmn_gateway_peer_site(k->p),
+                                         &r.lmn_gateway_rpc_response_u.hello);
+    xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
     if (wrong)
-        lmn_error("hello-refused site=%s why=\"%s\"", lmn_peer_site(k->p), wrong);
+        lmn_error("hello-refused site=%s why=\"%s\"", lmn_gateway_peer_site(k->p), wrong);
     return !wrong;
 }
 
@@ -326,21 +337,21 @@
 {
     pthread_mutex_lock(&k->p->g->book.lock);
     if (k->p->up)
-        lmn_info("link-down site=%s why=\"%s\"", lmn_peer_site(k->p), why);
+        lmn_info("link-down site=%s why=\"%s\"", lmn_gateway_peer_site(k->p), why);
     k->p->up = false;
     k->p->failures++;
     g_strlcpy(k->p->why, why, sizeof k->p->why);
     pthread_mutex_unlock(&k->p->g->book.lock);
     if (k->link)
-        lmn_link_close(k->link);
+        lmn_peer_connection_close(k->link);
     k->link = NULL;
     k->wait_s = k->wait_s > 0 ? MIN(2 * k->wait_s, DIAL_CAP_S) : DIAL_FLOOR_S;
     lmn_sleep(k->wait_s * (0.5 + g_random_double()));
 }
 
-void *lmn_host_thread(void *arg)
+void *lmn_execution_thread(void *arg)
 {
-    struct lmn_gpeer *p = arg;
+    struct lmn_gateway_peer *p = arg;
     struct lmn_gateway *g = p->g;
     struct host k = {.p = p,
                      .state = lmn_http_client_new(g->o->state),
@@ -352,14 +363,16 @@
         if (!k.link) {
             p->dials++;
             /* Of a site's gateways one listens; which, shows the next try. */
-            const char *addr = g->o->addresses[p->index][turn % LMN_G_GATEWAYS];
+            const char *addr =
+                g->o->addresses[p->index][turn % LMN_GATEWAY_MAX_ADDRESSES];
             if (!*addr) {
                 turn = 0;
                 continue;
             }
             turn++;
-            k.link = lmn_link_dial(g->tls, addr, lmn_peer_site(p), LMN_LINK_S, err,
-                                   sizeof err);
+            k.link =
+                lmn_peer_connection_open(g->tls, addr, lmn_gateway_peer_site(p),
+                                         LMN_PEER_MESSAGE_TIMEOUT_S, err, sizeof err);
             if (!k.link) {
                 drop(&k, err);
                 continue;
@@ -368,7 +381,7 @@
                 drop(&k, "no hello");
                 continue;
             }
-            lmn_info("link-up site=%s", lmn_peer_site(p));
+            lmn_info("link-up site=%s", lmn_gateway_peer_site(p));
             k.wait_s = 0;
         }
         if (!sync_once(&k)) {
@@ -389,13 +402,14 @@
 {
     double cpus, work_s;
 
-    lmn_handed(g, &cpus, &work_s);
-    return lmn_route_idle(g->o->cpus, cpus, lmn_queued_cpu_s(g), g->o->pull_at);
+    lmn_gateway_local_load(g, &cpus, &work_s);
+    return lmn_route_for_idle_site(g->o->cpus, cpus, lmn_gateway_queued_cpu_s(g),
+                                   g->o->pull_at);
 }
 
 /* An idle site pulls: it looks at a fresh random sample of the others, the root of their
  * number, and asks the busiest for a share of what waits there (T 2.3). */
-void *lmn_pull_thread(void *arg)
+void *lmn_gateway_pull_thread(void *arg)
 {
     struct lmn_gateway *g = arg;
 
@@ -411,12 +425,12 @@
         struct lmn_route_peer view[LMN_MAX_PEERS];
         for (unsigned i = 0; i < g->o->npeers; i++)
             view[i] = (struct lmn_route_peer){
-                g->peers[i].up &&
-                    !lmn_book_is_evicted(&g->book, lmn_peer_site(&g->peers[i])),
+                g->peers[i].up && !lmn_gateway_records_is_evicted(
+                                      &g->book, lmn_gateway_peer_site(&g->peers[i])),
                 g->peers[i].queued_cpu_s};
         int busiest = lmn_route_pick(g->rng, view, g->o->npeers);
         if (busiest >= 0) {
-            g->peers[busiest].pull = LMN_G_OFFERS;
+            g->peers[busiest].pull = LMN_GATEWAY_RPC_MAX_OFFERS;
             pthread_cond_signal(&g->peers[busiest].due);
             g->next_pull = lmn_time_add(now, 1); /* until its answer says otherwise */
         } else {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -7,21 +7,21 @@
 
 #include "gateway/peer_connection.h"
 
-enum { LMN_G_CONTROLLERS = LMN_MAX_MEMBERS + 1, LMN_G_GATEWAYS = 4 };
+enum { LMN_GATEWAY_MAX_CONTROLLERS = LMN_MAX_MEMBERS + 1, LMN_GATEWAY_MAX_ADDRESSES = 4 };
 
 /* A host drops offers that took longer to come, by its own clock: so that a leash can be
  * reckoned with. */
-#define LMN_LATE_S 10.0
+#define LMN_OFFER_MAX_DELAY_S 10.0
 
 struct lmn_gateway_options {
     char site[LMN_NAME_SIZE], name[LMN_NAME_SIZE];
     char listen[LMN_ADDRESS_SIZE];      /* users, and the command line */
     char link_listen[LMN_ADDRESS_SIZE]; /* other sites' gateways */
     char state[LMN_ADDRESS_SIZE], depot[LMN_ADDRESS_SIZE], keys[256];
-    char controllers[LMN_G_CONTROLLERS][LMN_ADDRESS_SIZE];
+    char controllers[LMN_GATEWAY_MAX_CONTROLLERS][LMN_ADDRESS_SIZE];
     unsigned ncontrollers;
     struct lmn_peer_key peers[LMN_MAX_PEERS];
-    char addresses[LMN_MAX_PEERS][LMN_G_GATEWAYS]
+    char addresses[LMN_MAX_PEERS][LMN_GATEWAY_MAX_ADDRESSES]
                   [LMN_ADDRESS_SIZE]; /* one of a peer's acts */
     unsigned npeers;
     char (*teams)[LMN_NAME_SIZE]; /* kept for as long as the process runs */
--- a/src/gateway/gateway_internal.h
+++ b/src/gateway/gateway_internal.h
@@ -8,7 +8,7 @@
 #include "gateway/gateway.h"
 
 /* A peer as this site's gateway sees it. */
-struct lmn_gpeer {
+struct lmn_gateway_peer {
     struct lmn_gateway *g;
     unsigned index;
     struct timespec heard;  /* it last spoke, either way */
@@ -20,22 +20,22 @@
     uint64_t dials, failures, messages, bytes, offers_out, offers_in, outcomes_out,
         outcomes_in;
     uint64_t incarnation;
-    GQueue refusals;    /* struct lmn_gsay: to be told once; the peer asks again if it was
-                           lost */
+    GQueue refusals; /* struct lmn_gateway_rejection: to be told once; the peer asks again
+                        if it was lost */
     pthread_cond_t due; /* with the book's lock */
     bool news;
 };
 
-struct lmn_gsay {
+struct lmn_gateway_rejection {
     char ref[LMN_JOB_ID_SIZE];
     uint64_t epoch;
 };
 
 struct lmn_gateway {
     const struct lmn_gateway_options *o;
-    struct lmn_book book;
+    struct lmn_gateway_records book;
     struct lmn_tls *tls;
-    struct lmn_gpeer peers[LMN_MAX_PEERS]; /* guarded by the book's lock */
+    struct lmn_gateway_peer peers[LMN_MAX_PEERS]; /* guarded by the book's lock */
     bool fenced; /* the state was restored: nothing goes out until an operator has said
                     what is so */
     GRand *rng;
@@ -48,30 +48,31 @@
 };
 
 /* Processors that the job needs, all its tasks together. */
-double lmn_job_cpus(const struct lmn_job_spec *s);
+double lmn_job_spec_total_cpus(const struct lmn_job_spec *s);
 /* What was handed to the own controllers and has not ended, guests too: in processors,
  * and in processor seconds; the lock is held. */
-void lmn_handed(const struct lmn_gateway *g, double *cpus, double *work_s);
+void lmn_gateway_local_load(const struct lmn_gateway *g, double *cpus, double *work_s);
 /* Processor seconds that wait at home; the lock is held. */
-double lmn_queued_cpu_s(const struct lmn_gateway *g);
+double lmn_gateway_queued_cpu_s(const struct lmn_gateway *g);
 /* The jobs that wait at home and that nobody holds, in the order in which the home starts
  * them: by urgency, then the oldest. The lock is held; the caller frees the array. */
-GPtrArray *lmn_waiting(const struct lmn_gateway *g);
+GPtrArray *lmn_gateway_waiting_jobs(const struct lmn_gateway *g);
 /* NULL: there is no such peer. */
-struct lmn_gpeer *lmn_peer_named(struct lmn_gateway *g, const char *site);
+struct lmn_gateway_peer *lmn_gateway_peer_by_site(struct lmn_gateway *g,
+                                                  const char *site);
 /* Tells the peer's thread that there is something to say; the lock is held. */
-void lmn_peer_poke(struct lmn_gateway *g, const char *site);
+void lmn_gateway_peer_wake(struct lmn_gateway *g, const char *site);
 
 /* --- users (front.c) --- */
-int lmn_front_start(struct lmn_gateway *g);
+int lmn_gateway_http_start(struct lmn_gateway *g);
 
 /* --- the own controllers (feed.c); for ever (threads) --- */
-void *lmn_feed_thread(void *gateway);
+void *lmn_cluster_client_thread(void *gateway);
 
 /* --- other sites (host.c, home.c) --- */
-void *lmn_host_thread(void *peer); /* asks the peer, as the host of its jobs */
-int lmn_home_start(struct lmn_gateway *g, char *err,
-                   size_t len);       /* answers peers, as the home of jobs */
-void *lmn_pull_thread(void *gateway); /* decides whom to pull from */
+void *lmn_execution_thread(void *peer); /* asks the peer, as the host of its jobs */
+int lmn_origin_start(struct lmn_gateway *g, char *err,
+                     size_t len);             /* answers peers, as the home of jobs */
+void *lmn_gateway_pull_thread(void *gateway); /* decides whom to pull from */
 
 #endif
--- a/src/gateway/gateway_process.c
+++ b/src/gateway/gateway_process.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <unistd.h>
 
-double lmn_job_cpus(const struct lmn_job_spec *s)
+double lmn_job_spec_total_cpus(const struct lmn_job_spec *s)
 {
     return s->tasks * MAX(s->cpus, 0.01);
 }
@@ -23,7 +23,7 @@
     *work_s += left * MAX(s->estimate_s, 0.1);
 }
 
-void lmn_handed(const struct lmn_gateway *g, double *cpus, double *work_s)
+void lmn_gateway_local_load(const struct lmn_gateway *g, double *cpus, double *work_s)
 {
     GHashTableIter it;
     gpointer v;
@@ -31,19 +31,19 @@
     *cpus = *work_s = 0;
     g_hash_table_iter_init(&it, g->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_gjob *j = v;
-        if (j->hand.state == LMN_H_LOCAL)
+        const struct lmn_gateway_job *j = v;
+        if (j->hand.state == LMN_ORIGIN_LOCAL)
             add_left(&j->spec, &j->progress, cpus, work_s);
     }
     g_hash_table_iter_init(&it, g->book.open_guests);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_guest *x = v;
-        if (x->hand.state == LMN_HO_RUNS)
+        const struct lmn_remote_job *x = v;
+        if (x->hand.state == LMN_EXECUTION_RUNNING)
             add_left(&x->spec, &x->progress, cpus, work_s);
     }
 }
 
-double lmn_queued_cpu_s(const struct lmn_gateway *g)
+double lmn_gateway_queued_cpu_s(const struct lmn_gateway *g)
 {
     GHashTableIter it;
     gpointer v;
@@ -51,24 +51,24 @@
 
     g_hash_table_iter_init(&it, g->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_gjob *j = v;
-        if (j->hand.state == LMN_H_QUEUED && !j->busy)
-            sum += lmn_job_cpus(&j->spec) * MAX(j->spec.estimate_s, 0.1);
+        const struct lmn_gateway_job *j = v;
+        if (j->hand.state == LMN_ORIGIN_QUEUED && !j->busy)
+            sum += lmn_job_spec_total_cpus(&j->spec) * MAX(j->spec.estimate_s, 0.1);
     }
     return sum;
 }
 
 static gint by_order(gconstpointer a, gconstpointer b)
 {
-    const struct lmn_gjob *x = *(struct lmn_gjob *const *)a,
-                          *y = *(struct lmn_gjob *const *)b;
+    const struct lmn_gateway_job *x = *(struct lmn_gateway_job *const *)a,
+                                 *y = *(struct lmn_gateway_job *const *)b;
 
     if (x->spec.urgency != y->spec.urgency)
         return x->spec.urgency > y->spec.urgency ? -1 : 1;
     return x->at < y->at ? -1 : x->at > y->at;
 }
 
-GPtrArray *lmn_waiting(const struct lmn_gateway *g)
+GPtrArray *lmn_gateway_waiting_jobs(const struct lmn_gateway *g)
 {
     GPtrArray *v = g_ptr_array_new();
     GHashTableIter it;
@@ -76,15 +76,15 @@
 
     g_hash_table_iter_init(&it, g->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
-        struct lmn_gjob *j = p;
-        if (j->hand.state == LMN_H_QUEUED && !j->busy)
+        struct lmn_gateway_job *j = p;
+        if (j->hand.state == LMN_ORIGIN_QUEUED && !j->busy)
             g_ptr_array_add(v, j);
     }
     g_ptr_array_sort(v, by_order);
     return v;
 }
 
-struct lmn_gpeer *lmn_peer_named(struct lmn_gateway *g, const char *site)
+struct lmn_gateway_peer *lmn_gateway_peer_by_site(struct lmn_gateway *g, const char *site)
 {
     for (unsigned i = 0; i < g->o->npeers; i++)
         if (!strcmp(g->o->peers[i].site, site))
@@ -92,9 +92,9 @@
     return NULL;
 }
 
-void lmn_peer_poke(struct lmn_gateway *g, const char *site)
+void lmn_gateway_peer_wake(struct lmn_gateway *g, const char *site)
 {
-    struct lmn_gpeer *p = lmn_peer_named(g, site);
+    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(g, site);
 
     if (!p)
         return;
@@ -108,25 +108,25 @@
 static void fence(struct lmn_gateway *g)
 {
     struct lmn_http_client *h = lmn_http_client_new(g->o->state);
-    GArray *all = g_array_new(FALSE, TRUE, sizeof(struct lmn_write));
+    GArray *all = g_array_new(FALSE, TRUE, sizeof(struct lmn_record_write));
     GHashTableIter it;
     gpointer v;
 
     pthread_mutex_lock(&g->book.lock);
     g_hash_table_iter_init(&it, g->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_gjob *j = v;
-        struct lmn_write w = {.job = j, .home = j->hand};
-        if (!lmn_home_restored(&w.home))
+        struct lmn_gateway_job *j = v;
+        struct lmn_record_write w = {.job = j, .home = j->hand};
+        if (!lmn_origin_restored(&w.home))
             continue;
         j->busy = true;
         g_array_append_val(all, w);
     }
     g_hash_table_iter_init(&it, g->book.guests);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_guest *x = v;
-        struct lmn_write w = {.guest = x, .host = x->hand};
-        if (!lmn_host_restored(&w.host))
+        struct lmn_remote_job *x = v;
+        struct lmn_record_write w = {.guest = x, .host = x->hand};
+        if (!lmn_execution_restored(&w.host))
             continue;
         x->busy = true;
         g_array_append_val(all, w);
@@ -136,7 +136,8 @@
               "known that "
               "nothing of them runs\"",
               all->len);
-    lmn_book_write(&g->book, h, (struct lmn_write *)(void *)all->data, all->len);
+    lmn_gateway_records_write(&g->book, h, (struct lmn_record_write *)(void *)all->data,
+                              all->len);
     g_array_free(all, TRUE);
     lmn_http_client_free(h);
 }
@@ -147,7 +148,7 @@
 {
     pthread_mutex_lock(&g->book.lock);
     for (unsigned i = 0; i < g->o->npeers; i++) {
-        struct lmn_gpeer *p = &g->peers[i];
+        struct lmn_gateway_peer *p = &g->peers[i];
         double silent = lmn_time_diff_s(lmn_now(), p->heard);
         if (!p->alarmed && silent > g->o->silent_s)
             lmn_error("peer-silent site=%s seconds=%.0f why=\"%s\"", g->o->peers[i].site,
@@ -172,28 +173,28 @@
     if (!g->tls)
         return -1;
     lmn_info("gateway-start site=%s name=%s peers=%u", o->site, o->name, o->npeers);
-    lmn_book_open(&g->book, o->state, o->name, o->txn_ops, &restored);
+    lmn_gateway_records_open(&g->book, o->state, o->name, o->txn_ops, &restored);
     if (restored)
         fence(g);
     lmn_cond_init(&g->calls_more);
     for (unsigned i = 0; i < o->npeers; i++) {
-        struct lmn_gpeer *p = &g->peers[i];
+        struct lmn_gateway_peer *p = &g->peers[i];
         p->g = g;
         p->index = i;
         p->heard = p->synced = lmn_now();
         lmn_cond_init(&p->due);
         g_queue_init(&p->refusals);
     }
-    if (lmn_front_start(g) != 0) {
+    if (lmn_gateway_http_start(g) != 0) {
         g_snprintf(err, len, "%s: can't listen", o->listen);
         return -1;
     }
-    if (lmn_home_start(g, err, len) != 0)
+    if (lmn_origin_start(g, err, len) != 0)
         return -1;
     for (unsigned i = 0; i < o->npeers; i++)
-        lmn_thread(lmn_host_thread, &g->peers[i]);
-    lmn_thread(lmn_feed_thread, g);
-    lmn_thread(lmn_pull_thread, g);
+        lmn_thread(lmn_execution_thread, &g->peers[i]);
+    lmn_thread(lmn_cluster_client_thread, g);
+    lmn_thread(lmn_gateway_pull_thread, g);
     for (unsigned turn = 0;; turn++) {
         lmn_sleep(0.1);
         /* While the state service does not answer, users are told so, and when to come
@@ -241,9 +242,9 @@
             lmn_config_fail(c, p, "names this site itself");
         g_snprintf(p, sizeof p, "peers[%u].addresses", i);
         guint gateways = lmn_config_count(c, p);
-        if (gateways > LMN_G_GATEWAYS)
-            lmn_config_fail(c, p, "expected at most %d", LMN_G_GATEWAYS);
-        for (guint a = 0; a < MIN(gateways, LMN_G_GATEWAYS); a++) {
+        if (gateways > LMN_GATEWAY_MAX_ADDRESSES)
+            lmn_config_fail(c, p, "expected at most %d", LMN_GATEWAY_MAX_ADDRESSES);
+        for (guint a = 0; a < MIN(gateways, LMN_GATEWAY_MAX_ADDRESSES); a++) {
             g_snprintf(p, sizeof p, "peers[%u].addresses[%u]", i, a);
             g_strlcpy(o->addresses[o->npeers][a], lmn_config_address(c, p, NULL),
                       LMN_ADDRESS_SIZE);
@@ -280,8 +281,8 @@
     g_strlcpy(o->state, lmn_config_address(c, "state", NULL), sizeof o->state);
     g_strlcpy(o->depot, lmn_config_address(c, "depot", NULL), sizeof o->depot);
     g_strlcpy(o->keys, lmn_config_text(c, "keys", NULL), sizeof o->keys);
-    o->ncontrollers = names(c, "controllers", LMN_G_CONTROLLERS, true, o->controllers[0],
-                            LMN_ADDRESS_SIZE);
+    o->ncontrollers = names(c, "controllers", LMN_GATEWAY_MAX_CONTROLLERS, true,
+                            o->controllers[0], LMN_ADDRESS_SIZE);
     o->teams =
         g_malloc0_n(CLAMP(lmn_config_count(c, "teams"), 1, LMN_MAX_TEAMS), LMN_NAME_SIZE);
     o->nteams = names(c, "teams", LMN_MAX_TEAMS, false, o->teams[0], LMN_NAME_SIZE);
--- a/src/gateway/handover.c
+++ b/src/gateway/handover.c
@@ -3,22 +3,22 @@
 #include <glib.h>
 #include <string.h>
 
-static bool handed_over(const struct lmn_home *h)
+static bool handed_over(const struct lmn_origin_record *h)
 {
-    return h->state == LMN_H_OFFERED || h->state == LMN_H_AWAY;
+    return h->state == LMN_ORIGIN_OFFERED || h->state == LMN_ORIGIN_REMOTE;
 }
 
-bool lmn_home_is_at(const struct lmn_home *h, const char *site)
+bool lmn_origin_is_at(const struct lmn_origin_record *h, const char *site)
 {
     return handed_over(h) && !strcmp(h->site, site);
 }
 
-bool lmn_home_offer(struct lmn_home *h, const char *site, uint64_t incarnation,
-                    uint32_t most)
+bool lmn_origin_offer(struct lmn_origin_record *h, const char *site, uint64_t incarnation,
+                      uint32_t most)
 {
-    if (h->state != LMN_H_QUEUED || h->cancel || h->recall || h->transfers >= most)
+    if (h->state != LMN_ORIGIN_QUEUED || h->cancel || h->recall || h->transfers >= most)
         return false;
-    h->state = LMN_H_OFFERED;
+    h->state = LMN_ORIGIN_OFFERED;
     h->epoch++;
     h->transfers++;
     g_strlcpy(h->site, site, sizeof h->site);
@@ -26,93 +26,95 @@
     return true;
 }
 
-bool lmn_home_keep(struct lmn_home *h)
+bool lmn_origin_run_locally(struct lmn_origin_record *h)
 {
-    if (h->state != LMN_H_QUEUED || h->cancel)
+    if (h->state != LMN_ORIGIN_QUEUED || h->cancel)
         return false;
-    h->state = LMN_H_LOCAL;
+    h->state = LMN_ORIGIN_LOCAL;
     h->epoch++;
     return true;
 }
 
-static bool end(struct lmn_home *h, enum lmn_outcome_word outcome)
+static bool end(struct lmn_origin_record *h, enum lmn_handover_outcome outcome)
 {
-    h->state = LMN_H_FINAL;
+    h->state = LMN_ORIGIN_FINAL;
     h->outcome = outcome;
     return true;
 }
 
 /* Back in the queue; or withdrawn, if that is what its user waits for: nothing of it
  * runs. */
-static bool come_back(struct lmn_home *h)
+static bool come_back(struct lmn_origin_record *h)
 {
     if (h->cancel)
-        return end(h, LMN_O_WITHDRAWN);
-    h->state = LMN_H_QUEUED;
+        return end(h, LMN_OUTCOME_CANCELLED);
+    h->state = LMN_ORIGIN_QUEUED;
     h->site[0] = '\0';
     return true;
 }
 
-bool lmn_home_kept_over(struct lmn_home *h, enum lmn_outcome_word outcome)
+bool lmn_origin_local_finished(struct lmn_origin_record *h,
+                               enum lmn_handover_outcome outcome)
 {
-    if (h->state != LMN_H_LOCAL)
+    if (h->state != LMN_ORIGIN_LOCAL)
         return false;
-    return outcome == LMN_O_RETURNED ? come_back(h) : end(h, outcome);
+    return outcome == LMN_OUTCOME_RETURNED ? come_back(h) : end(h, outcome);
 }
 
-bool lmn_home_answer(struct lmn_home *h, const char *site, uint64_t incarnation,
-                     uint64_t epoch, enum lmn_answer answer,
-                     enum lmn_outcome_word outcome, bool *heard)
+bool lmn_origin_handle_answer(struct lmn_origin_record *h, const char *site,
+                              uint64_t incarnation, uint64_t epoch,
+                              enum lmn_handover_answer answer,
+                              enum lmn_handover_outcome outcome, bool *heard)
 {
     *heard = false;
-    if (!lmn_home_is_at(h, site) || epoch != h->epoch) {
+    if (!lmn_origin_is_at(h, site) || epoch != h->epoch) {
         /* Of an epoch that is past: it changes nothing, and the host may forget it. */
-        *heard = h->state != LMN_H_FENCED && epoch <= h->epoch;
+        *heard = h->state != LMN_ORIGIN_FENCED && epoch <= h->epoch;
         return false;
     }
     if (incarnation != h->incarnation) {
         /* It has forgotten what it did since its backup: whether it ran the job nobody
          * knows. */
-        h->state = LMN_H_FENCED;
+        h->state = LMN_ORIGIN_FENCED;
         return true;
     }
     switch (answer) {
-    case LMN_A_ACCEPTED:
-        if (h->state == LMN_H_AWAY)
+    case LMN_HANDOVER_ACCEPTED:
+        if (h->state == LMN_ORIGIN_REMOTE)
             return false;
-        h->state = LMN_H_AWAY;
+        h->state = LMN_ORIGIN_REMOTE;
         return true;
-    case LMN_A_REFUSED:
+    case LMN_HANDOVER_REJECTED:
         /* Only an offer can be refused; what was accepted once ends in an outcome. */
-        if (h->state != LMN_H_OFFERED)
+        if (h->state != LMN_ORIGIN_OFFERED)
             return false;
         *heard = true;
         return come_back(h);
     default:
         *heard = true;
-        return outcome == LMN_O_RETURNED ? come_back(h) : end(h, outcome);
+        return outcome == LMN_OUTCOME_RETURNED ? come_back(h) : end(h, outcome);
     }
 }
 
-bool lmn_home_cancel(struct lmn_home *h)
+bool lmn_origin_cancel(struct lmn_origin_record *h)
 {
-    if (h->state == LMN_H_FINAL || h->cancel)
+    if (h->state == LMN_ORIGIN_FINAL || h->cancel)
         return false;
     h->cancel = true;
-    if (h->state == LMN_H_QUEUED)
-        end(h, LMN_O_WITHDRAWN);
+    if (h->state == LMN_ORIGIN_QUEUED)
+        end(h, LMN_OUTCOME_CANCELLED);
     return true;
 }
 
-bool lmn_home_recall(struct lmn_home *h)
+bool lmn_origin_revoke(struct lmn_origin_record *h)
 {
-    if (h->state == LMN_H_FINAL || h->state == LMN_H_FENCED || h->recall)
+    if (h->state == LMN_ORIGIN_FINAL || h->state == LMN_ORIGIN_FENCED || h->recall)
         return false;
     h->recall = true;
     return true;
 }
 
-bool lmn_home_conclude(struct lmn_home *h, bool may_run_again)
+bool lmn_origin_conclude(struct lmn_origin_record *h, bool may_run_again)
 {
     if (!handed_over(h))
         return false;
@@ -121,85 +123,88 @@
     return come_back(h);
 }
 
-bool lmn_home_restored(struct lmn_home *h)
+bool lmn_origin_restored(struct lmn_origin_record *h)
 {
-    if (h->state == LMN_H_FINAL || h->state == LMN_H_FENCED)
+    if (h->state == LMN_ORIGIN_FINAL || h->state == LMN_ORIGIN_FENCED)
         return false;
-    h->state = LMN_H_FENCED;
+    h->state = LMN_ORIGIN_FENCED;
     return true;
 }
 
-bool lmn_home_unfence(struct lmn_home *h)
+bool lmn_origin_unfence(struct lmn_origin_record *h)
 {
-    return h->state == LMN_H_FENCED && come_back(h);
+    return h->state == LMN_ORIGIN_FENCED && come_back(h);
 }
 
-static void tell(const struct lmn_host *f, enum lmn_answer *answer)
+static void tell(const struct lmn_execution_record *f, enum lmn_handover_answer *answer)
 {
-    *answer = f->state == LMN_HO_RUNS ? LMN_A_ACCEPTED : LMN_A_OVER;
+    *answer =
+        f->state == LMN_EXECUTION_RUNNING ? LMN_HANDOVER_ACCEPTED : LMN_HANDOVER_FINISHED;
 }
 
-bool lmn_host_offer(struct lmn_host *f, uint64_t epoch, bool ours, bool room,
-                    enum lmn_answer *answer, bool *old)
+bool lmn_execution_handle_offer(struct lmn_execution_record *f, uint64_t epoch, bool ours,
+                                bool room, enum lmn_handover_answer *answer, bool *old)
 {
-    uint64_t known = MAX(f->floor, f->state == LMN_HO_NONE ? 0 : f->epoch);
+    uint64_t known = MAX(f->floor, f->state == LMN_EXECUTION_NONE ? 0 : f->epoch);
 
     *old = ours && epoch < known;
-    *answer = LMN_A_REFUSED;
+    *answer = LMN_HANDOVER_REJECTED;
     if (*old || !ours)
         return false;
     if (epoch == known) {
-        if (f->state != LMN_HO_NONE && f->epoch == epoch)
+        if (f->state != LMN_EXECUTION_NONE && f->epoch == epoch)
             tell(f, answer);
         return false;
     }
     /* A newer one: the home has an end of the older. One that still runs here contradicts
      * that. */
-    if (f->state == LMN_HO_RUNS || !room) {
+    if (f->state == LMN_EXECUTION_RUNNING || !room) {
         f->floor = epoch;
         return true;
     }
-    *f = (struct lmn_host){.state = LMN_HO_RUNS, .epoch = epoch, .floor = f->floor};
-    *answer = LMN_A_ACCEPTED;
+    *f = (struct lmn_execution_record){
+        .state = LMN_EXECUTION_RUNNING, .epoch = epoch, .floor = f->floor};
+    *answer = LMN_HANDOVER_ACCEPTED;
     return true;
 }
 
-bool lmn_host_resolve(struct lmn_host *f, uint64_t epoch, bool ours,
-                      enum lmn_answer *answer, bool *old)
+bool lmn_execution_resolve(struct lmn_execution_record *f, uint64_t epoch, bool ours,
+                           enum lmn_handover_answer *answer, bool *old)
 {
     /* As an offer for which there is no room: what is not known is refused for good. */
-    return lmn_host_offer(f, epoch, ours, false, answer, old);
+    return lmn_execution_handle_offer(f, epoch, ours, false, answer, old);
 }
 
-bool lmn_host_restored(struct lmn_host *f)
+bool lmn_execution_restored(struct lmn_execution_record *f)
 {
-    if (f->state == LMN_HO_NONE)
+    if (f->state == LMN_EXECUTION_NONE)
         return false;
     f->floor = MAX(f->floor, f->epoch);
-    f->state = LMN_HO_NONE;
+    f->state = LMN_EXECUTION_NONE;
     return true;
 }
 
-bool lmn_host_over(struct lmn_host *f, enum lmn_outcome_word outcome)
+bool lmn_execution_finished(struct lmn_execution_record *f,
+                            enum lmn_handover_outcome outcome)
 {
-    if (f->state != LMN_HO_RUNS)
+    if (f->state != LMN_EXECUTION_RUNNING)
         return false;
-    f->state = LMN_HO_OVER;
+    f->state = LMN_EXECUTION_FINISHED;
     f->outcome = outcome;
     return true;
 }
 
-bool lmn_host_cancel(struct lmn_host *f, uint64_t epoch)
+bool lmn_execution_cancel(struct lmn_execution_record *f, uint64_t epoch)
 {
-    if (f->state != LMN_HO_RUNS || f->epoch != epoch || f->cancel)
+    if (f->state != LMN_EXECUTION_RUNNING || f->epoch != epoch || f->cancel)
         return false;
     f->cancel = true;
     return true;
 }
 
-bool lmn_host_heard(struct lmn_host *f, uint64_t epoch)
+bool lmn_execution_acknowledged(struct lmn_execution_record *f, uint64_t epoch)
 {
-    if (f->state != LMN_HO_OVER || f->epoch != epoch || f->heard)
+    if (f->state != LMN_EXECUTION_FINISHED || f->epoch != epoch || f->heard)
         return false;
     f->heard = true;
     return true;
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -27,25 +27,26 @@
 enum { COURSES = G_N_ELEMENTS(states) };
 
 /* Queued, running, done or withdrawn, as the protocol says. */
-static const char *word(const struct lmn_gjob *j)
+static const char *word(const struct lmn_gateway_job *j)
 {
-    if (j->hand.state == LMN_H_FINAL)
-        return j->hand.outcome == LMN_O_DONE ? W_DONE : W_WITHDRAWN;
+    if (j->hand.state == LMN_ORIGIN_FINAL)
+        return j->hand.outcome == LMN_OUTCOME_DONE ? W_DONE : W_WITHDRAWN;
     return j->progress.done || j->progress.running ? W_RUNNING : W_QUEUED;
 }
 
 /* The lock is held. */
-static GByteArray *job_answer(const struct lmn_gateway *g, const struct lmn_gjob *j)
+static GByteArray *job_answer(const struct lmn_gateway *g,
+                              const struct lmn_gateway_job *j)
 {
     GByteArray *b = g_byte_array_new();
-    bool final = j->hand.state == LMN_H_FINAL, away = *j->hand.site && !final;
+    bool final = j->hand.state == LMN_ORIGIN_FINAL, away = *j->hand.site && !final;
 
     lmn_cbor_put_map(b, 10);
     lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, j->ref);
     lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, word(j));
     lmn_cbor_put_text(b, W_DONE);
-    lmn_cbor_put_uint(b, final && j->hand.outcome == LMN_O_DONE ? j->spec.tasks
-                                                                : j->progress.done);
+    lmn_cbor_put_uint(b, final && j->hand.outcome == LMN_OUTCOME_DONE ? j->spec.tasks
+                                                                      : j->progress.done);
     lmn_cbor_put_text(b, W_RUNNING),
         lmn_cbor_put_uint(b, final ? 0 : j->progress.running);
     /* Where it is, and how old that knowledge is. */
@@ -63,9 +64,9 @@
 
 static void find_digest(struct lmn_http_client *depot, const char *ref, char *digest)
 {
-    struct lmn_depot_error e;
+    struct lmn_image_store_error e;
 
-    if (lmn_depot_look(depot, LMN_DEPOT_JOB, ref, digest, &e) != 0)
+    if (lmn_image_store_lookup(depot, LMN_IMAGE_STORE_KIND_JOB, ref, digest, &e) != 0)
         *digest = '\0';
 }
 
@@ -73,11 +74,11 @@
                    struct lmn_http_client *depot, struct lmn_http_request *call)
 {
     const GByteArray *body = lmn_http_request_body(call);
-    struct lmn_write w = {0};
+    struct lmn_record_write w = {0};
     struct lmn_job_spec s;
     struct lmn_cbor_document d;
     const char *what = "not CBOR";
-    char digest[LMN_DIGEST] = "";
+    char digest[LMN_DIGEST_SIZE] = "";
     double leash = 0;
     bool team = false;
 
@@ -100,12 +101,13 @@
     if (sane && team)
         find_digest(depot, s.ref, digest);
     pthread_mutex_lock(&g->book.lock);
-    struct lmn_gjob *j = *s.ref ? lmn_book_take_job(&g->book, s.ref) : NULL;
+    struct lmn_gateway_job *j =
+        *s.ref ? lmn_gateway_records_take_job(&g->book, s.ref) : NULL;
     GByteArray *known = j ? job_answer(g, j) : NULL;
     if (j)
-        lmn_book_put_job(&g->book, j);
+        lmn_gateway_records_release_job(&g->book, j);
     else if (sane && team)
-        w.job = lmn_book_new_job(&g->book, &s);
+        w.job = lmn_gateway_records_new_job(&g->book, &s);
     if (w.job) {
         g_strlcpy(w.job->digest, digest, sizeof w.job->digest);
         w.job->leash_s = CLAMP(leash, 0, 1e7);
@@ -120,7 +122,7 @@
         lmn_http_request_fail(call, sane ? 422 : 400, sane ? "unknown team" : what);
         return;
     }
-    lmn_book_write(&g->book, state, &w, 1);
+    lmn_gateway_records_write(&g->book, state, &w, 1);
     if (!w.ok) {
         lmn_http_request_respond(call, 503, NULL, 1);
         return;
@@ -138,24 +140,24 @@
  * is there; NULL: wherever it is. */
 static enum changed change_job(struct lmn_gateway *g, struct lmn_http_client *state,
                                const char *ref, const char *site,
-                               bool (*transition)(struct lmn_home *))
+                               bool (*transition)(struct lmn_origin_record *))
 {
-    struct lmn_write w = {0};
+    struct lmn_record_write w = {0};
 
     pthread_mutex_lock(&g->book.lock);
-    w.job = lmn_book_take_job(&g->book, ref);
+    w.job = lmn_gateway_records_take_job(&g->book, ref);
     bool known = w.job, change = false;
     if (known) {
         w.home = w.job->hand;
-        change = (!site || lmn_home_is_at(&w.home, site)) && transition(&w.home);
+        change = (!site || lmn_origin_is_at(&w.home, site)) && transition(&w.home);
         if (!change)
-            lmn_book_put_job(&g->book, w.job);
+            lmn_gateway_records_release_job(&g->book, w.job);
     }
     pthread_mutex_unlock(&g->book.lock);
-    if (change && transition == lmn_home_recall)
+    if (change && transition == lmn_origin_revoke)
         lmn_info("recall job=%s site=%s", ref, w.home.site);
     if (change)
-        lmn_book_write(&g->book, state, &w, 1);
+        lmn_gateway_records_write(&g->book, state, &w, 1);
     return change ? CHANGED : known ? AS_IT_WAS : UNKNOWN;
 }
 
@@ -164,16 +166,16 @@
 static void cancel(struct lmn_gateway *g, struct lmn_http_client *state,
                    struct lmn_http_request *call, const char *ref)
 {
-    enum changed change = change_job(g, state, ref, NULL, lmn_home_cancel);
+    enum changed change = change_job(g, state, ref, NULL, lmn_origin_cancel);
 
     if (change == UNKNOWN) {
         lmn_http_request_respond(call, 404, NULL, 0);
         return;
     }
     pthread_mutex_lock(&g->book.lock);
-    const struct lmn_gjob *j = g_hash_table_lookup(g->book.jobs, ref);
-    bool final = j->hand.state == LMN_H_FINAL;
-    const struct lmn_gpeer *p = lmn_peer_named(g, j->hand.site);
+    const struct lmn_gateway_job *j = g_hash_table_lookup(g->book.jobs, ref);
+    bool final = j->hand.state == LMN_ORIGIN_FINAL;
+    const struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(g, j->hand.site);
     GByteArray *b = final ? job_answer(g, j) : NULL;
     bool reached = !p || p->up;
     g->cancelled += change == CHANGED;
@@ -184,7 +186,8 @@
 /* Takes every job without an outcome through the transition; how many were changed. One
  * that somebody holds is waited for. site: see change_job. */
 static uint64_t change_all(struct lmn_gateway *g, struct lmn_http_client *state,
-                           const char *site, bool (*transition)(struct lmn_home *))
+                           const char *site,
+                           bool (*transition)(struct lmn_origin_record *))
 {
     GPtrArray *refs = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter it;
@@ -194,10 +197,10 @@
     pthread_mutex_lock(&g->book.lock);
     g_hash_table_iter_init(&it, g->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
-        const struct lmn_gjob *j = x;
-        struct lmn_home h = j->hand;
+        const struct lmn_gateway_job *j = x;
+        struct lmn_origin_record h = j->hand;
         /* What is being written may become so. */
-        if (j->busy || ((!site || lmn_home_is_at(&h, site)) && transition(&h)))
+        if (j->busy || ((!site || lmn_origin_is_at(&h, site)) && transition(&h)))
             g_ptr_array_add(refs, g_strdup(j->ref));
     }
     pthread_mutex_unlock(&g->book.lock);
@@ -221,7 +224,7 @@
 static void unfence(struct lmn_gateway *g, struct lmn_http_client *state,
                     struct lmn_http_request *call)
 {
-    uint64_t n = change_all(g, state, NULL, lmn_home_unfence);
+    uint64_t n = change_all(g, state, NULL, lmn_origin_unfence);
 
     lmn_info("unfenced jobs=%" G_GUINT64_FORMAT, n);
     answer_jobs(call, n);
@@ -232,14 +235,14 @@
 static void recall(struct lmn_gateway *g, struct lmn_http_client *state,
                    struct lmn_http_request *call, const char *ref)
 {
-    if (change_job(g, state, ref, NULL, lmn_home_recall) == UNKNOWN) {
+    if (change_job(g, state, ref, NULL, lmn_origin_revoke) == UNKNOWN) {
         lmn_http_request_respond(call, 404, NULL, 0);
         return;
     }
     pthread_mutex_lock(&g->book.lock);
-    const struct lmn_gjob *j = g_hash_table_lookup(g->book.jobs, ref);
-    bool ok = j->hand.recall || j->hand.state == LMN_H_FINAL,
-         fenced = j->hand.state == LMN_H_FENCED;
+    const struct lmn_gateway_job *j = g_hash_table_lookup(g->book.jobs, ref);
+    bool ok = j->hand.recall || j->hand.state == LMN_ORIGIN_FINAL,
+         fenced = j->hand.state == LMN_ORIGIN_FENCED;
     GByteArray *b = ok && !fenced ? job_answer(g, j) : NULL;
     pthread_mutex_unlock(&g->book.lock);
     if (fenced)
@@ -253,19 +256,19 @@
 static void evict(struct lmn_gateway *g, struct lmn_http_client *state,
                   struct lmn_http_request *call, const char *site, bool out)
 {
-    if (!lmn_peer_named(g, site)) {
+    if (!lmn_gateway_peer_by_site(g, site)) {
         lmn_http_request_respond(call, 404, NULL, 0);
         return;
     }
-    lmn_book_evict(&g->book, state, site, out);
+    lmn_gateway_records_evict(&g->book, state, site, out);
     pthread_mutex_lock(&g->book.lock);
-    bool ok = lmn_book_is_evicted(&g->book, site) == out;
+    bool ok = lmn_gateway_records_is_evicted(&g->book, site) == out;
     pthread_mutex_unlock(&g->book.lock);
     if (!ok) {
         lmn_http_request_respond(call, 503, NULL, 1);
         return;
     }
-    uint64_t n = out ? change_all(g, state, site, lmn_home_recall) : 0;
+    uint64_t n = out ? change_all(g, state, site, lmn_origin_revoke) : 0;
     lmn_info("%s site=%s called_back=%" G_GUINT64_FORMAT, out ? "evicted" : "admitted",
              site, n);
     answer_jobs(call, n);
@@ -310,7 +313,7 @@
                      const char *ref)
 {
     pthread_mutex_lock(&g->book.lock);
-    const struct lmn_gjob *j = g_hash_table_lookup(g->book.jobs, ref);
+    const struct lmn_gateway_job *j = g_hash_table_lookup(g->book.jobs, ref);
     /* One that is being written for the first time was never told to anybody. */
     GByteArray *b = j && j->rev ? job_answer(g, j) : NULL;
     pthread_mutex_unlock(&g->book.lock);
@@ -320,15 +323,15 @@
 /* Jobs by their course; the lock is held. */
 static void count_courses(const struct lmn_gateway *g, uint64_t n[COURSES])
 {
-    const struct lmn_book *b = &g->book;
+    const struct lmn_gateway_records *b = &g->book;
     GHashTableIter it;
     gpointer x;
 
     memset(n, 0, COURSES * sizeof *n);
     g_hash_table_iter_init(&it, b->open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x))
-        n[((struct lmn_gjob *)x)->hand.state]++;
-    n[LMN_H_FINAL] = g_hash_table_size(b->jobs) - g_hash_table_size(b->open_jobs);
+        n[((struct lmn_gateway_job *)x)->hand.state]++;
+    n[LMN_ORIGIN_FINAL] = g_hash_table_size(b->jobs) - g_hash_table_size(b->open_jobs);
 }
 
 static void status(struct lmn_gateway *g, struct lmn_http_request *call)
@@ -342,7 +345,7 @@
     count_courses(g, n);
     g_hash_table_iter_init(&it, g->book.open_guests);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
-        bool runs = ((struct lmn_guest *)x)->hand.state == LMN_HO_RUNS;
+        bool runs = ((struct lmn_remote_job *)x)->hand.state == LMN_EXECUTION_RUNNING;
         guests += runs;
         untold += !runs;
     }
@@ -355,12 +358,13 @@
     lmn_cbor_put_text(b, "Guests"), lmn_cbor_put_uint(b, guests);
     lmn_cbor_put_text(b, "OutcomesUntold"), lmn_cbor_put_uint(b, untold);
     double cpus, work_s;
-    lmn_handed(g, &cpus, &work_s);
+    lmn_gateway_local_load(g, &cpus, &work_s);
     lmn_cbor_put_text(b, "HandedCpus"), lmn_cbor_put_number(b, cpus);
-    lmn_cbor_put_text(b, "QueuedCpuS"), lmn_cbor_put_number(b, lmn_queued_cpu_s(g));
+    lmn_cbor_put_text(b, "QueuedCpuS"),
+        lmn_cbor_put_number(b, lmn_gateway_queued_cpu_s(g));
     lmn_cbor_put_text(b, "Peers"), lmn_cbor_put_array(b, g->o->npeers);
     for (unsigned i = 0; i < g->o->npeers; i++) {
-        const struct lmn_gpeer *p = &g->peers[i];
+        const struct lmn_gateway_peer *p = &g->peers[i];
         lmn_cbor_put_map(b, 12);
         lmn_cbor_put_text(b, "Site"), lmn_cbor_put_text(b, g->o->peers[i].site);
         lmn_cbor_put_text(b, "Address"), lmn_cbor_put_text(b, g->o->addresses[i][0]);
@@ -368,7 +372,8 @@
         lmn_cbor_put_text(b, "SilentS"),
             lmn_cbor_put_number(b, lmn_time_diff_s(lmn_now(), p->heard));
         lmn_cbor_put_text(b, "Evicted");
-        lmn_cbor_put_bool(b, lmn_book_is_evicted(&g->book, g->o->peers[i].site));
+        lmn_cbor_put_bool(b,
+                          lmn_gateway_records_is_evicted(&g->book, g->o->peers[i].site));
         lmn_cbor_put_text(b, "Alarm"), lmn_cbor_put_bool(b, p->alarmed);
         lmn_cbor_put_text(b, "Why"), lmn_cbor_put_text(b, p->up ? "" : p->why);
         lmn_cbor_put_text(b, "OffersOut"), lmn_cbor_put_uint(b, p->offers_out);
@@ -449,7 +454,7 @@
         lmn_http_request_respond(call, 404, NULL, 0);
 }
 
-int lmn_front_start(struct lmn_gateway *g)
+int lmn_gateway_http_start(struct lmn_gateway *g)
 {
     const struct lmn_http_server_options o = {.listen = g->o->listen,
                                               .connections = 4096,
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -28,47 +28,47 @@
 
 struct answering {
     struct lmn_gateway *g;
-    struct lmn_link *link;
+    struct lmn_peer_connection *link;
     struct lmn_http_client *state, *depot;
     const char *site;
 };
 
 /* What the host says of a job of ours; heard: to be told that it need not say it again.
  */
-static void hear(struct answering *a, const struct lmn_g_item *i, GArray *writes,
-                 GArray *heard)
+static void hear(struct answering *a, const struct lmn_gateway_rpc_item *i,
+                 GArray *writes, GArray *heard)
 {
-    struct lmn_book *b = &a->g->book;
-    struct lmn_write w = {0};
+    struct lmn_gateway_records *b = &a->g->book;
+    struct lmn_record_write w = {0};
     bool done = false;
 
-    if (!lmn_job_id_is_valid(i->ref) || i->word < LMN_A_ACCEPTED ||
-        i->word > LMN_A_OVER || i->outcome < 0 || i->outcome > LMN_O_RETURNED ||
-        lmn_write_among(writes, i->ref))
+    if (!lmn_job_id_is_valid(i->ref) || i->word < LMN_HANDOVER_ACCEPTED ||
+        i->word > LMN_HANDOVER_FINISHED || i->outcome < 0 ||
+        i->outcome > LMN_OUTCOME_RETURNED || lmn_record_write_contains(writes, i->ref))
         return;
     pthread_mutex_lock(&b->lock);
-    w.job = lmn_book_take_job(b, i->ref);
+    w.job = lmn_gateway_records_take_job(b, i->ref);
     if (w.job) {
         w.home = w.job->hand;
-        bool change = lmn_home_answer(&w.home, a->site, i->incarnation, i->epoch,
-                                      (enum lmn_answer)i->word,
-                                      (enum lmn_outcome_word)i->outcome, &done);
-        if (w.home.state == LMN_H_AWAY && i->epoch == w.home.epoch) {
+        bool change = lmn_origin_handle_answer(
+            &w.home, a->site, i->incarnation, i->epoch, (enum lmn_handover_answer)i->word,
+            (enum lmn_handover_outcome)i->outcome, &done);
+        if (w.home.state == LMN_ORIGIN_REMOTE && i->epoch == w.home.epoch) {
             w.job->progress.done =
                 MAX(w.job->progress.done, MIN(i->done, w.job->spec.tasks));
             w.job->progress.running = i->running;
             w.job->progress.known = lmn_now();
         }
-        if (w.home.state == LMN_H_FENCED && change)
+        if (w.home.state == LMN_ORIGIN_FENCED && change)
             lmn_error("job-fenced job=%s site=%s why=\"that site was restored\"", i->ref,
                       a->site);
         if (change)
             g_array_append_val(writes, w);
         else
-            lmn_book_put_job(b, w.job);
-        if (done &&
-            (!change || w.home.state == LMN_H_FINAL || w.home.state == LMN_H_QUEUED)) {
-            struct lmn_g_item *h = lmn_item_add(heard);
+            lmn_gateway_records_release_job(b, w.job);
+        if (done && (!change || w.home.state == LMN_ORIGIN_FINAL ||
+                     w.home.state == LMN_ORIGIN_QUEUED)) {
+            struct lmn_gateway_rpc_item *h = lmn_gateway_item_append(heard);
             *h = *i;
             h->ref = g_strdup(i->ref);
             /* Told only once it is written: marked by the place of its write. */
@@ -79,14 +79,14 @@
 }
 
 /* How a job that waits looks to routing. */
-static struct lmn_route_job seen(const struct lmn_gjob *j, double wall)
+static struct lmn_route_job seen(const struct lmn_gateway_job *j, double wall)
 {
     const struct lmn_job_spec *s = &j->spec;
     double run = MAX(s->estimate_s, 0.1);
 
     return (struct lmn_route_job){
-        .cpus = lmn_job_cpus(s),
-        .work_s = lmn_job_cpus(s) * run,
+        .cpus = lmn_job_spec_total_cpus(s),
+        .work_s = lmn_job_spec_total_cpus(s) * run,
         .run_s = run,
         .slack_s = s->deadline_s >= 0 ? j->at + s->deadline_s - run - wall : INFINITY,
         /* A hand-over takes some messages; an image comes by no less than a gigabyte in
@@ -96,38 +96,39 @@
 }
 
 /* Offers jobs to a site that pulls: recorded by the caller before they are sent. */
-static void choose_offers(struct answering *a, const lmn_g_sync *q, GArray *writes)
+static void choose_offers(struct answering *a, const lmn_gateway_rpc_sync *q,
+                          GArray *writes)
 {
     struct lmn_gateway *g = a->g;
-    struct lmn_book *b = &g->book;
-    struct lmn_gpeer *p = lmn_peer_named(g, a->site);
+    struct lmn_gateway_records *b = &g->book;
+    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(g, a->site);
     GHashTableIter it;
     gpointer x;
-    unsigned transit = 0, picks[LMN_G_OFFERS], n = 0;
+    unsigned transit = 0, picks[LMN_GATEWAY_RPC_MAX_OFFERS], n = 0;
 
     pthread_mutex_lock(&b->lock);
     g_hash_table_iter_init(&it, b->open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
-        const struct lmn_gjob *j = x;
-        transit += j->hand.state == LMN_H_OFFERED && !strcmp(j->hand.site, a->site);
+        const struct lmn_gateway_job *j = x;
+        transit += j->hand.state == LMN_ORIGIN_OFFERED && !strcmp(j->hand.site, a->site);
     }
-    GPtrArray *v = lmn_waiting(g);
+    GPtrArray *v = lmn_gateway_waiting_jobs(g);
     struct lmn_route_job *jobs = g_new(struct lmn_route_job, v->len + 1);
     double wall = lmn_time_seconds(lmn_wall_clock_now());
     for (guint i = 0; i < v->len; i++)
         jobs[i] = seen(v->pdata[i], wall);
     double cpus, work_s;
-    lmn_handed(g, &cpus, &work_s);
-    const struct lmn_route_home home = {g->o->cpus, cpus,
-                                        g->o->feed_s * g->o->cpus - work_s, g->o->share};
-    unsigned most = MIN(q->most, LMN_G_OFFERS);
+    lmn_gateway_local_load(g, &cpus, &work_s);
+    const struct lmn_route_for_origin home = {
+        g->o->cpus, cpus, g->o->feed_s * g->o->cpus - work_s, g->o->share};
+    unsigned most = MIN(q->most, LMN_GATEWAY_RPC_MAX_OFFERS);
     most = MIN(most, g->o->most_transit > transit ? g->o->most_transit - transit : 0);
-    if (!g->fenced && p->incarnation && !lmn_book_is_evicted(b, a->site))
+    if (!g->fenced && p->incarnation && !lmn_gateway_records_is_evicted(b, a->site))
         n = lmn_route_choose(jobs, v->len, &home, q->room_cpus, most, picks);
     for (unsigned i = 0; i < n; i++) {
-        struct lmn_gjob *j = v->pdata[picks[i]];
-        struct lmn_write w = {.job = j, .home = j->hand};
-        if (!lmn_home_offer(&w.home, a->site, p->incarnation, g->o->most_transfers))
+        struct lmn_gateway_job *j = v->pdata[picks[i]];
+        struct lmn_record_write w = {.job = j, .home = j->hand};
+        if (!lmn_origin_offer(&w.home, a->site, p->incarnation, g->o->most_transfers))
             continue;
         j->busy = true;
         j->offered = lmn_now();
@@ -148,42 +149,45 @@
     pthread_mutex_lock(&a->g->book.lock);
     g_hash_table_iter_init(&it, a->g->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
-        const struct lmn_gjob *j = x;
-        bool offered = j->hand.state == LMN_H_OFFERED, away = !offered;
-        if (!lmn_home_is_at(&j->hand, a->site))
+        const struct lmn_gateway_job *j = x;
+        bool offered = j->hand.state == LMN_ORIGIN_OFFERED, away = !offered;
+        if (!lmn_origin_is_at(&j->hand, a->site))
             continue;
         GArray *to = offered && lmn_time_diff_s(lmn_now(), j->offered) > RESOLVE_S
                          ? resolve
                      : away && (j->hand.cancel || j->hand.recall) ? cancel
                                                                   : NULL;
-        if (!to || to->len >= LMN_G_ITEMS)
+        if (!to || to->len >= LMN_GATEWAY_RPC_MAX_ITEMS)
             continue;
-        struct lmn_g_item *i = lmn_item_add(to);
+        struct lmn_gateway_rpc_item *i = lmn_gateway_item_append(to);
         i->ref = g_strdup(j->ref);
         i->epoch = j->hand.epoch;
         i->incarnation = j->hand.incarnation;
-        i->outcome = j->hand.cancel ? LMN_O_WITHDRAWN : LMN_O_RETURNED;
+        i->outcome = j->hand.cancel ? LMN_OUTCOME_CANCELLED : LMN_OUTCOME_RETURNED;
     }
     pthread_mutex_unlock(&a->g->book.lock);
 }
 
-static void answer_sync(struct answering *a, const lmn_g_sync *q, lmn_g_response *r)
+static void answer_sync(struct answering *a, const lmn_gateway_rpc_sync *q,
+                        lmn_gateway_rpc_response *r)
 {
-    struct lmn_g_reply *y = &r->lmn_g_response_u.reply;
-    GArray *writes = g_array_new(FALSE, TRUE, sizeof(struct lmn_write));
-    GArray *heard = g_array_new(FALSE, TRUE, sizeof(struct lmn_g_item));
-    GArray *resolve = g_array_new(FALSE, TRUE, sizeof(struct lmn_g_item));
-    GArray *cancel = g_array_new(FALSE, TRUE, sizeof(struct lmn_g_item));
+    struct lmn_gateway_rpc_reply *y = &r->lmn_gateway_rpc_response_u.reply;
+    GArray *writes = g_array_new(FALSE, TRUE, sizeof(struct lmn_record_write));
+    GArray *heard = g_array_new(FALSE, TRUE, sizeof(struct lmn_gateway_rpc_item));
+    GArray *resolve = g_array_new(FALSE, TRUE, sizeof(struct lmn_gateway_rpc_item));
+    GArray *cancel = g_array_new(FALSE, TRUE, sizeof(struct lmn_gateway_rpc_item));
 
     for (u_int i = 0; i < q->says.says_len; i++)
         hear(a, &q->says.says_val[i], writes, heard);
-    lmn_book_write(&a->g->book, a->state, (struct lmn_write *)(void *)writes->data,
-                   writes->len);
+    lmn_gateway_records_write(&a->g->book, a->state,
+                              (struct lmn_record_write *)(void *)writes->data,
+                              writes->len);
     for (guint i = heard->len; i-- > 0;) {
-        struct lmn_g_item *h = &g_array_index(heard, struct lmn_g_item, i);
+        struct lmn_gateway_rpc_item *h =
+            &g_array_index(heard, struct lmn_gateway_rpc_item, i);
         u_int at = h->running;
         h->running = 0;
-        if (at && !g_array_index(writes, struct lmn_write, at - 1).ok) {
+        if (at && !g_array_index(writes, struct lmn_record_write, at - 1).ok) {
             g_free(h->ref);
             g_array_remove_index_fast(heard, i);
         }
@@ -191,14 +195,16 @@
     g_array_set_size(writes, 0);
     if (q->most)
         choose_offers(a, q, writes);
-    lmn_book_write(&a->g->book, a->state, (struct lmn_write *)(void *)writes->data,
-                   writes->len);
+    lmn_gateway_records_write(&a->g->book, a->state,
+                              (struct lmn_record_write *)(void *)writes->data,
+                              writes->len);
     remind(a, resolve, cancel);
-    r->kind = LMN_G_SYNC;
-    y->offers.offers_val = g_new0(struct lmn_g_offer, writes->len + 1);
+    r->kind = LMN_GATEWAY_RPC_SYNC;
+    y->offers.offers_val = g_new0(struct lmn_gateway_rpc_offer, writes->len + 1);
     for (guint i = 0; i < writes->len; i++) {
-        const struct lmn_write *w = &g_array_index(writes, struct lmn_write, i);
-        struct lmn_g_offer *o = &y->offers.offers_val[y->offers.offers_len];
+        const struct lmn_record_write *w =
+            &g_array_index(writes, struct lmn_record_write, i);
+        struct lmn_gateway_rpc_offer *o = &y->offers.offers_val[y->offers.offers_len];
         if (!w->ok || !w->job)
             continue;
         GByteArray *b = g_byte_array_new();
@@ -214,24 +220,27 @@
         y->offers.offers_len++;
     }
     pthread_mutex_lock(&a->g->book.lock);
-    struct lmn_gpeer *p = lmn_peer_named(a->g, a->site);
+    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(a->g, a->site);
     p->heard = lmn_now();
     p->outcomes_in += heard->len;
-    y->queued_cpu_s = a->g->fenced ? 0 : lmn_queued_cpu_s(a->g);
+    y->queued_cpu_s = a->g->fenced ? 0 : lmn_gateway_queued_cpu_s(a->g);
     pthread_mutex_unlock(&a->g->book.lock);
     y->heard.heard_len = heard->len;
-    y->heard.heard_val = (struct lmn_g_item *)(void *)g_array_free(heard, FALSE);
+    y->heard.heard_val =
+        (struct lmn_gateway_rpc_item *)(void *)g_array_free(heard, FALSE);
     y->resolve.resolve_len = resolve->len;
-    y->resolve.resolve_val = (struct lmn_g_item *)(void *)g_array_free(resolve, FALSE);
+    y->resolve.resolve_val =
+        (struct lmn_gateway_rpc_item *)(void *)g_array_free(resolve, FALSE);
     y->cancel.cancel_len = cancel->len;
-    y->cancel.cancel_val = (struct lmn_g_item *)(void *)g_array_free(cancel, FALSE);
+    y->cancel.cancel_val =
+        (struct lmn_gateway_rpc_item *)(void *)g_array_free(cancel, FALSE);
     g_array_free(writes, TRUE);
 }
 
-static void free_reply(lmn_g_reply *y)
+static void free_reply(lmn_gateway_rpc_reply *y)
 {
-    struct lmn_g_item *lists[] = {y->heard.heard_val, y->resolve.resolve_val,
-                                  y->cancel.cancel_val};
+    struct lmn_gateway_rpc_item *lists[] = {y->heard.heard_val, y->resolve.resolve_val,
+                                            y->cancel.cancel_val};
     u_int lens[] = {y->heard.heard_len, y->resolve.resolve_len, y->cancel.cancel_len};
 
     for (int k = 0; k < 3; k++) {
@@ -257,7 +266,7 @@
     pthread_mutex_lock(&a->g->book.lock);
     g_hash_table_iter_init(&it, a->g->book.jobs);
     while (!may && g_hash_table_iter_next(&it, NULL, &x)) {
-        const struct lmn_gjob *j = x;
+        const struct lmn_gateway_job *j = x;
         may = !strcmp(j->digest, digest) && !strcmp(j->hand.site, a->site);
     }
     pthread_mutex_unlock(&a->g->book.lock);
@@ -267,57 +276,59 @@
 static int answer_blob(struct answering *a, const char *digest)
 {
     GByteArray *b = g_byte_array_new();
-    struct lmn_depot_error e;
-    lmn_g_response r = {0};
+    struct lmn_image_store_error e;
+    lmn_gateway_rpc_response r = {0};
 
-    if (may_have(a, digest) && lmn_depot_get(a->depot, digest, b, &e) == 0 &&
-        b->len <= LMN_G_BYTES) {
-        r.kind = LMN_G_BLOB;
-        r.lmn_g_response_u.blob.blob_len = b->len;
-        r.lmn_g_response_u.blob.blob_val = (char *)b->data;
+    if (may_have(a, digest) && lmn_image_store_get(a->depot, digest, b, &e) == 0 &&
+        b->len <= LMN_GATEWAY_RPC_MAX_BLOB_BYTES) {
+        r.kind = LMN_GATEWAY_RPC_BLOB;
+        r.lmn_gateway_rpc_response_u.blob.blob_len = b->len;
+        r.lmn_gateway_rpc_response_u.blob.blob_val = (char *)b->data;
     } else {
-        r.lmn_g_response_u.error = (char *)"no such blob";
+        r.lmn_gateway_rpc_response_u.error = (char *)"no such blob";
     }
-    int rc = lmn_link_send_response(a->link, &r);
+    int rc = lmn_peer_connection_send_response(a->link, &r);
     g_byte_array_unref(b);
     return rc;
 }
 
-static int answer_one(struct answering *a, const lmn_g_request *q, bool *greeted)
+static int answer_one(struct answering *a, const lmn_gateway_rpc_request *q,
+                      bool *greeted)
 {
-    lmn_g_response r = {0};
+    lmn_gateway_rpc_response r = {0};
     int rc;
 
-    if (q->kind == LMN_G_HELLO) {
-        const char *wrong = lmn_hello_take(a->g, a->site, &q->lmn_g_request_u.hello);
+    if (q->kind == LMN_GATEWAY_RPC_HELLO) {
+        const char *wrong =
+            lmn_gateway_hello_accept(a->g, a->site, &q->lmn_gateway_rpc_request_u.hello);
         *greeted = !wrong;
         if (wrong) {
             lmn_error("hello-refused site=%s why=\"%s\"", a->site, wrong);
             return -1;
         }
-        r.kind = LMN_G_HELLO;
-        lmn_hello_fill(a->g, &r.lmn_g_response_u.hello);
-        return lmn_link_send_response(a->link, &r);
+        r.kind = LMN_GATEWAY_RPC_HELLO;
+        lmn_gateway_hello_fill(a->g, &r.lmn_gateway_rpc_response_u.hello);
+        return lmn_peer_connection_send_response(a->link, &r);
     }
     if (!*greeted)
         return -1;
     switch (q->kind) {
-    case LMN_G_SYNC:
-        answer_sync(a, &q->lmn_g_request_u.sync, &r);
-        rc = lmn_link_send_response(a->link, &r);
-        free_reply(&r.lmn_g_response_u.reply);
+    case LMN_GATEWAY_RPC_SYNC:
+        answer_sync(a, &q->lmn_gateway_rpc_request_u.sync, &r);
+        rc = lmn_peer_connection_send_response(a->link, &r);
+        free_reply(&r.lmn_gateway_rpc_response_u.reply);
         return rc;
-    case LMN_G_LOAD:
-        r.kind = LMN_G_LOAD;
+    case LMN_GATEWAY_RPC_LOAD:
+        r.kind = LMN_GATEWAY_RPC_LOAD;
         pthread_mutex_lock(&a->g->book.lock);
-        r.lmn_g_response_u.queued_cpu_s = lmn_queued_cpu_s(a->g);
+        r.lmn_gateway_rpc_response_u.queued_cpu_s = lmn_gateway_queued_cpu_s(a->g);
         pthread_mutex_unlock(&a->g->book.lock);
-        return lmn_link_send_response(a->link, &r);
-    case LMN_G_BLOB:
-        return answer_blob(a, q->lmn_g_request_u.digest);
+        return lmn_peer_connection_send_response(a->link, &r);
+    case LMN_GATEWAY_RPC_BLOB:
+        return answer_blob(a, q->lmn_gateway_rpc_request_u.digest);
     default:
-        r.lmn_g_response_u.error = (char *)"no such request";
-        return lmn_link_send_response(a->link, &r);
+        r.lmn_gateway_rpc_response_u.error = (char *)"no such request";
+        return lmn_peer_connection_send_response(a->link, &r);
     }
 }
 
@@ -328,25 +339,26 @@
     struct conn *c = arg;
     struct answering a = {.g = c->g};
     char err[256];
-    lmn_g_request q;
+    lmn_gateway_rpc_request q;
     bool greeted = false;
 
     /* Longer than a peer's silence between two syncs. */
-    a.link = lmn_link_accept(c->g->tls, c->fd, MAX(LMN_LINK_S, 3 * c->g->o->sync_s), err,
-                             sizeof err);
+    a.link = lmn_peer_connection_accept(
+        c->g->tls, c->fd, MAX(LMN_PEER_MESSAGE_TIMEOUT_S, 3 * c->g->o->sync_s), err,
+        sizeof err);
     if (!a.link) {
         lmn_info("link-refused why=\"%s\"", err);
     } else {
-        a.site = lmn_link_site(a.link);
+        a.site = lmn_peer_connection_site(a.link);
         a.state = lmn_http_client_new(c->g->o->state);
         a.depot = lmn_http_client_new(c->g->o->depot);
-        while (lmn_link_read_request(a.link, &q) == 0) {
+        while (lmn_peer_connection_read_request(a.link, &q) == 0) {
             int rc = answer_one(&a, &q, &greeted);
-            xdr_free((xdrproc_t)xdr_lmn_g_request, (char *)&q);
+            xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_request, (char *)&q);
             if (rc != 0)
                 break;
         }
-        lmn_link_close(a.link);
+        lmn_peer_connection_close(a.link);
         lmn_http_client_free(a.state);
         lmn_http_client_free(a.depot);
     }
@@ -378,7 +390,7 @@
     return NULL;
 }
 
-int lmn_home_start(struct lmn_gateway *g, char *err, size_t len)
+int lmn_origin_start(struct lmn_gateway *g, char *err, size_t len)
 {
     struct conn *l = g_new0(struct conn, 1);
     struct sockaddr_in a = {.sin_family = AF_INET};
--- a/src/gateway/peer_connection.c
+++ b/src/gateway/peer_connection.c
@@ -28,7 +28,7 @@
     X509_CRL *theirs[LMN_MAX_PEERS]; /* by the peer's place in the table */
 };
 
-struct lmn_link {
+struct lmn_peer_connection {
     SSL *ssl;
     int fd;
     char site[LMN_NAME_SIZE];
@@ -237,12 +237,12 @@
 
 /* --- links --- */
 
-static struct lmn_link *shake(struct lmn_tls *t, int fd, bool server, double seconds,
-                              char *err, size_t len)
+static struct lmn_peer_connection *shake(struct lmn_tls *t, int fd, bool server,
+                                         double seconds, char *err, size_t len)
 {
     struct timeval wait = {(time_t)seconds,
                            (suseconds_t)((seconds - (double)(time_t)seconds) * 1e6)};
-    struct lmn_link *l = g_new0(struct lmn_link, 1);
+    struct lmn_peer_connection *l = g_new0(struct lmn_peer_connection, 1);
     struct verdict v = {.t = t};
     int one = 1;
 
@@ -259,7 +259,7 @@
     ERR_clear_error();
     if ((server ? SSL_accept(l->ssl) : SSL_connect(l->ssl)) != 1) {
         g_snprintf(err, len, "%s", *v.why ? v.why : ssl_error());
-        lmn_link_close(l);
+        lmn_peer_connection_close(l);
         return NULL;
     }
     SSL_set_ex_data(l->ssl, tls_slot, NULL);
@@ -267,8 +267,9 @@
     return l;
 }
 
-struct lmn_link *lmn_link_dial(struct lmn_tls *t, const char *addr, const char *site,
-                               double seconds, char *err, size_t len)
+struct lmn_peer_connection *lmn_peer_connection_open(struct lmn_tls *t, const char *addr,
+                                                     const char *site, double seconds,
+                                                     char *err, size_t len)
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
     char host[LMN_ADDRESS_SIZE];
@@ -295,42 +296,43 @@
         }
     }
     fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) & ~O_NONBLOCK);
-    struct lmn_link *l = shake(t, fd, false, seconds, err, len);
+    struct lmn_peer_connection *l = shake(t, fd, false, seconds, err, len);
     if (l && strcmp(l->site, site)) {
         g_snprintf(err, len, "%s: wrong name: '%s' answers, not '%s'", addr, l->site,
                    site);
-        lmn_link_close(l);
+        lmn_peer_connection_close(l);
         return NULL;
     }
     return l;
 }
 
-struct lmn_link *lmn_link_accept(struct lmn_tls *t, int fd, double seconds, char *err,
-                                 size_t len)
+struct lmn_peer_connection *lmn_peer_connection_accept(struct lmn_tls *t, int fd,
+                                                       double seconds, char *err,
+                                                       size_t len)
 {
     return shake(t, fd, true, seconds, err, len);
 }
 
-void lmn_link_close(struct lmn_link *l)
+void lmn_peer_connection_close(struct lmn_peer_connection *l)
 {
     SSL_free(l->ssl);
     close(l->fd);
     g_free(l);
 }
 
-const char *lmn_link_site(const struct lmn_link *l)
+const char *lmn_peer_connection_site(const struct lmn_peer_connection *l)
 {
     return l->site;
 }
 
-uint64_t lmn_link_bytes(const struct lmn_link *l)
+uint64_t lmn_peer_connection_bytes(const struct lmn_peer_connection *l)
 {
     return l->bytes;
 }
 
 /* --- frames --- */
 
-static int write_all(struct lmn_link *l, const char *p, size_t n)
+static int write_all(struct lmn_peer_connection *l, const char *p, size_t n)
 {
     while (n > 0) {
         ERR_clear_error();
@@ -344,7 +346,7 @@
     return 0;
 }
 
-static int read_all(struct lmn_link *l, char *p, size_t n)
+static int read_all(struct lmn_peer_connection *l, char *p, size_t n)
 {
     while (n > 0) {
         ERR_clear_error();
@@ -358,13 +360,13 @@
     return 0;
 }
 
-static int send_frame(struct lmn_link *l, xdrproc_t proc, void *what)
+static int send_frame(struct lmn_peer_connection *l, xdrproc_t proc, void *what)
 {
-    char *buf = g_malloc(LMN_FRAME_MAX);
+    char *buf = g_malloc(LMN_MAX_FRAME_BYTES);
     uint32_t be;
     XDR x;
 
-    xdrmem_create(&x, buf + sizeof be, LMN_FRAME_MAX - sizeof be, XDR_ENCODE);
+    xdrmem_create(&x, buf + sizeof be, LMN_MAX_FRAME_BYTES - sizeof be, XDR_ENCODE);
     bool ok = proc(&x, what, 0);
     u_int n = xdr_getpos(&x);
     xdr_destroy(&x);
@@ -390,11 +392,12 @@
     return -1;
 }
 
-static int read_frame(struct lmn_link *l, xdrproc_t proc, void *what, size_t size)
+static int read_frame(struct lmn_peer_connection *l, xdrproc_t proc, void *what,
+                      size_t size)
 {
     uint32_t be;
 
-    if (read_all(l, (char *)&be, sizeof be) != 0 || ntohl(be) > LMN_FRAME_MAX)
+    if (read_all(l, (char *)&be, sizeof be) != 0 || ntohl(be) > LMN_MAX_FRAME_BYTES)
         return -1;
     size_t n = ntohl(be);
     char *buf = g_malloc(n + 1);
@@ -403,32 +406,36 @@
     return rc;
 }
 
-int lmn_frame_request(const char *bytes, size_t len, lmn_g_request *q)
+int lmn_frame_request(const char *bytes, size_t len, lmn_gateway_rpc_request *q)
 {
-    return decode(bytes, len, (xdrproc_t)xdr_lmn_g_request, q, sizeof *q);
+    return decode(bytes, len, (xdrproc_t)xdr_lmn_gateway_rpc_request, q, sizeof *q);
 }
 
-int lmn_frame_response(const char *bytes, size_t len, lmn_g_response *r)
+int lmn_frame_response(const char *bytes, size_t len, lmn_gateway_rpc_response *r)
 {
-    return decode(bytes, len, (xdrproc_t)xdr_lmn_g_response, r, sizeof *r);
+    return decode(bytes, len, (xdrproc_t)xdr_lmn_gateway_rpc_response, r, sizeof *r);
 }
 
-int lmn_link_send_request(struct lmn_link *l, lmn_g_request *q)
+int lmn_peer_connection_send_request(struct lmn_peer_connection *l,
+                                     lmn_gateway_rpc_request *q)
 {
-    return send_frame(l, (xdrproc_t)xdr_lmn_g_request, q);
+    return send_frame(l, (xdrproc_t)xdr_lmn_gateway_rpc_request, q);
 }
 
-int lmn_link_read_request(struct lmn_link *l, lmn_g_request *q)
+int lmn_peer_connection_read_request(struct lmn_peer_connection *l,
+                                     lmn_gateway_rpc_request *q)
 {
-    return read_frame(l, (xdrproc_t)xdr_lmn_g_request, q, sizeof *q);
+    return read_frame(l, (xdrproc_t)xdr_lmn_gateway_rpc_request, q, sizeof *q);
 }
 
-int lmn_link_send_response(struct lmn_link *l, lmn_g_response *r)
+int lmn_peer_connection_send_response(struct lmn_peer_connection *l,
+                                      lmn_gateway_rpc_response *r)
 {
-    return send_frame(l, (xdrproc_t)xdr_lmn_g_response, r);
+    return send_frame(l, (xdrproc_t)xdr_lmn_gateway_rpc_response, r);
 }
 
-int lmn_link_read_response(struct lmn_link *l, lmn_g_response *r)
+int lmn_peer_connection_read_response(struct lmn_peer_connection *l,
+                                      lmn_gateway_rpc_response *r)
 {
-    return read_frame(l, (xdrproc_t)xdr_lmn_g_response, r, sizeof *r);
+    return read_frame(l, (xdrproc_t)xdr_lmn_gateway_rpc_response, r, sizeof *r);
 }
--- a/src/gateway/peer_connection.h
+++ b/src/gateway/peer_connection.h
@@ -10,7 +10,7 @@
 
 #include <pthread.h>
 
-enum { LMN_MAX_PEERS = 128, LMN_FRAME_MAX = 5 << 20 };
+enum { LMN_MAX_PEERS = 128, LMN_MAX_FRAME_BYTES = 5 << 20 };
 
 struct lmn_peer_key {
     char site[LMN_NAME_SIZE], fingerprint[LMN_FINGERPRINT]; /* of the site's authority */
@@ -32,27 +32,33 @@
 void lmn_tls_learn_crl(struct lmn_tls *t, const char *site, const unsigned char *der,
                        size_t len);
 
-struct lmn_link;
+struct lmn_peer_connection;
 /* Dials; NULL with why in err. site: who must be there. */
-struct lmn_link *lmn_link_dial(struct lmn_tls *t, const char *addr, const char *site,
-                               double seconds, char *err, size_t len);
+struct lmn_peer_connection *lmn_peer_connection_open(struct lmn_tls *t, const char *addr,
+                                                     const char *site, double seconds,
+                                                     char *err, size_t len);
 /* The other side of an accepted socket, which is taken over; NULL with why in err. */
-struct lmn_link *lmn_link_accept(struct lmn_tls *t, int fd, double seconds, char *err,
-                                 size_t len);
-void lmn_link_close(struct lmn_link *l);
+struct lmn_peer_connection *lmn_peer_connection_accept(struct lmn_tls *t, int fd,
+                                                       double seconds, char *err,
+                                                       size_t len);
+void lmn_peer_connection_close(struct lmn_peer_connection *l);
 /* Who the other side is, by its certificate. */
-const char *lmn_link_site(const struct lmn_link *l);
-uint64_t lmn_link_bytes(const struct lmn_link *l);
+const char *lmn_peer_connection_site(const struct lmn_peer_connection *l);
+uint64_t lmn_peer_connection_bytes(const struct lmn_peer_connection *l);
 
 /* 0, or -1: the link is of no use any more. What is read is freed by xdr_free. */
-int lmn_link_send_request(struct lmn_link *l, lmn_g_request *q);
-int lmn_link_read_request(struct lmn_link *l, lmn_g_request *q);
-int lmn_link_send_response(struct lmn_link *l, lmn_g_response *r);
-int lmn_link_read_response(struct lmn_link *l, lmn_g_response *r);
+int lmn_peer_connection_send_request(struct lmn_peer_connection *l,
+                                     lmn_gateway_rpc_request *q);
+int lmn_peer_connection_read_request(struct lmn_peer_connection *l,
+                                     lmn_gateway_rpc_request *q);
+int lmn_peer_connection_send_response(struct lmn_peer_connection *l,
+                                      lmn_gateway_rpc_response *r);
+int lmn_peer_connection_read_response(struct lmn_peer_connection *l,
+                                      lmn_gateway_rpc_response *r);
 
 /* --- for tests and fuzzing: a frame's bytes --- */
 /* 0, or -1 if they are no such message; nothing is left allocated then. */
-int lmn_frame_request(const char *bytes, size_t len, lmn_g_request *q);
-int lmn_frame_response(const char *bytes, size_t len, lmn_g_response *r);
+int lmn_frame_request(const char *bytes, size_t len, lmn_gateway_rpc_request *q);
+int lmn_frame_response(const char *bytes, size_t len, lmn_gateway_rpc_response *r);
 
 #endif
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -37,7 +37,8 @@
 
 /* --- records --- */
 
-static GByteArray *job_record(const struct lmn_gjob *j, const struct lmn_home *h)
+static GByteArray *job_record(const struct lmn_gateway_job *j,
+                              const struct lmn_origin_record *h)
 {
     GByteArray *b = g_byte_array_new();
 
@@ -58,7 +59,8 @@
     return b;
 }
 
-static GByteArray *guest_record(const struct lmn_guest *g, const struct lmn_host *f)
+static GByteArray *guest_record(const struct lmn_remote_job *g,
+                                const struct lmn_execution_record *f)
 {
     GByteArray *b = g_byte_array_new();
 
@@ -85,27 +87,28 @@
 }
 
 /* Puts a record among those that are open, or takes it out. */
-static void sort_job(struct lmn_book *b, struct lmn_gjob *j)
+static void sort_job(struct lmn_gateway_records *b, struct lmn_gateway_job *j)
 {
-    if (j->hand.state != LMN_H_FINAL)
+    if (j->hand.state != LMN_ORIGIN_FINAL)
         g_hash_table_insert(b->open_jobs, j->ref, j);
     else
         g_hash_table_remove(b->open_jobs, j->ref);
 }
 
-static void sort_guest(struct lmn_book *b, struct lmn_guest *g)
+static void sort_guest(struct lmn_gateway_records *b, struct lmn_remote_job *g)
 {
-    if (g->hand.state == LMN_HO_RUNS || (g->hand.state == LMN_HO_OVER && !g->hand.heard))
+    if (g->hand.state == LMN_EXECUTION_RUNNING ||
+        (g->hand.state == LMN_EXECUTION_FINISHED && !g->hand.heard))
         g_hash_table_insert(b->open_guests, g->key, g);
     else
         g_hash_table_remove(b->open_guests, g->key);
 }
 
-static void read_job(struct lmn_book *b, const char *ref,
+static void read_job(struct lmn_gateway_records *b, const char *ref,
                      const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
                      uint64_t rev)
 {
-    struct lmn_gjob *j = g_new0(struct lmn_gjob, 1);
+    struct lmn_gateway_job *j = g_new0(struct lmn_gateway_job, 1);
     uint64_t outcome = count_of(d, v, "outcome");
     const char *what;
 
@@ -118,11 +121,11 @@
     lmn_cbor_get_text(lmn_cbor_get(d, v, "digest"), j->digest, sizeof j->digest);
     lmn_cbor_get_number(lmn_cbor_get(d, v, "at"), &j->at);
     lmn_cbor_get_number(lmn_cbor_get(d, v, "leash"), &j->leash_s);
-    j->hand.state = (enum lmn_home_state)count_of(d, v, "state");
+    j->hand.state = (enum lmn_origin_state)count_of(d, v, "state");
     j->hand.epoch = count_of(d, v, "epoch");
     lmn_cbor_get_text(lmn_cbor_get(d, v, "site"), j->hand.site, sizeof j->hand.site);
     j->hand.incarnation = count_of(d, v, "incarnation");
-    j->hand.outcome = (enum lmn_outcome_word)(outcome & 0xff);
+    j->hand.outcome = (enum lmn_handover_outcome)(outcome & 0xff);
     j->hand.cancel = outcome >> 8 & 1;
     j->hand.recall = outcome >> 9 & 1;
     j->hand.transfers = (uint32_t)count_of(d, v, "transfers");
@@ -131,11 +134,11 @@
     sort_job(b, j);
 }
 
-static void read_guest(struct lmn_book *b, const char *key,
+static void read_guest(struct lmn_gateway_records *b, const char *key,
                        const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
                        uint64_t rev)
 {
-    struct lmn_guest *g = g_new0(struct lmn_guest, 1);
+    struct lmn_remote_job *g = g_new0(struct lmn_remote_job, 1);
     uint64_t outcome = count_of(d, v, "outcome");
     const char *what, *slash = strchr(key, '/');
 
@@ -150,19 +153,19 @@
     g_strlcpy(g->ref, slash + 1, sizeof g->ref);
     lmn_cbor_get_text(lmn_cbor_get(d, v, "digest"), g->digest, sizeof g->digest);
     lmn_cbor_get_number(lmn_cbor_get(d, v, "leash"), &g->leash_s);
-    g->hand.state = (enum lmn_host_state)count_of(d, v, "state");
+    g->hand.state = (enum lmn_execution_state)count_of(d, v, "state");
     g->hand.epoch = count_of(d, v, "epoch");
     g->hand.floor = count_of(d, v, "floor");
-    g->hand.outcome = (enum lmn_outcome_word)(outcome & 0xff);
+    g->hand.outcome = (enum lmn_handover_outcome)(outcome & 0xff);
     g->hand.cancel = outcome >> 8 & 1;
     g->hand.heard = outcome >> 9 & 1;
     g->rev = rev;
-    lmn_guest_local(g->home, g->ref, g->hand.epoch, g->local);
+    lmn_remote_job_local_id(g->home, g->ref, g->hand.epoch, g->local);
     g_hash_table_insert(b->guests, g->key, g);
     sort_guest(b, g);
 }
 
-static void read_all(struct lmn_book *b, struct lmn_http_client *h)
+static void read_all(struct lmn_gateway_records *b, struct lmn_http_client *h)
 {
     GByteArray *in = g_byte_array_new();
     char after[256] = "", path[512];
@@ -201,7 +204,7 @@
 
 static void *keep_lease(void *arg)
 {
-    struct lmn_book *b = arg;
+    struct lmn_gateway_records *b = arg;
     struct lmn_http_client *h = lmn_http_client_new(b->state);
     GByteArray *in = g_byte_array_new();
     char path[64];
@@ -274,8 +277,8 @@
     return v;
 }
 
-static void note_incarnation(struct lmn_book *b, struct lmn_http_client *h, uint64_t rev,
-                             GByteArray *in)
+static void note_incarnation(struct lmn_gateway_records *b, struct lmn_http_client *h,
+                             uint64_t rev, GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
 
@@ -289,8 +292,8 @@
     g_byte_array_unref(q);
 }
 
-void lmn_book_open(struct lmn_book *b, const char *state, const char *gateway,
-                   int txn_ops, bool *restored)
+void lmn_gateway_records_open(struct lmn_gateway_records *b, const char *state,
+                              const char *gateway, int txn_ops, bool *restored)
 {
     struct lmn_http_client *h = lmn_http_client_new(state);
     GByteArray *in = g_byte_array_new();
@@ -331,9 +334,10 @@
 
 /* --- taking --- */
 
-struct lmn_gjob *lmn_book_take_job(struct lmn_book *b, const char *ref)
+struct lmn_gateway_job *lmn_gateway_records_take_job(struct lmn_gateway_records *b,
+                                                     const char *ref)
 {
-    struct lmn_gjob *j;
+    struct lmn_gateway_job *j;
 
     while ((j = g_hash_table_lookup(b->jobs, ref)) && j->busy)
         pthread_cond_wait(&b->idle, &b->lock);
@@ -342,11 +346,12 @@
     return j;
 }
 
-struct lmn_guest *lmn_book_take_guest(struct lmn_book *b, const char *home,
-                                      const char *ref)
+struct lmn_remote_job *lmn_gateway_records_take_remote_job(struct lmn_gateway_records *b,
+                                                           const char *home,
+                                                           const char *ref)
 {
     char key[LMN_NAME_SIZE + LMN_JOB_ID_SIZE + 2];
-    struct lmn_guest *g;
+    struct lmn_remote_job *g;
 
     g_snprintf(key, sizeof key, "%s/%s", home, ref);
     while ((g = g_hash_table_lookup(b->guests, key)) && g->busy)
@@ -366,11 +371,12 @@
     to->types = g_strdupv(from->types);
 }
 
-struct lmn_gjob *lmn_book_new_job(struct lmn_book *b, const struct lmn_job_spec *spec)
+struct lmn_gateway_job *lmn_gateway_records_new_job(struct lmn_gateway_records *b,
+                                                    const struct lmn_job_spec *spec)
 {
     if (g_hash_table_contains(b->jobs, spec->ref))
         return NULL;
-    struct lmn_gjob *j = g_new0(struct lmn_gjob, 1);
+    struct lmn_gateway_job *j = g_new0(struct lmn_gateway_job, 1);
     g_strlcpy(j->ref, spec->ref, sizeof j->ref);
     copy_spec(&j->spec, spec);
     j->busy = true;
@@ -381,10 +387,11 @@
     return j;
 }
 
-struct lmn_guest *lmn_book_new_guest(struct lmn_book *b, const char *home,
-                                     const char *ref)
+struct lmn_remote_job *lmn_gateway_records_new_remote_job(struct lmn_gateway_records *b,
+                                                          const char *home,
+                                                          const char *ref)
 {
-    struct lmn_guest *g = g_new0(struct lmn_guest, 1);
+    struct lmn_remote_job *g = g_new0(struct lmn_remote_job, 1);
 
     g->key = g_strdup_printf("%s/%s", home, ref);
     /* A bound on what other sites can make this one remember. */
@@ -401,19 +408,22 @@
     return g;
 }
 
-void lmn_book_put_job(struct lmn_book *b, struct lmn_gjob *j)
+void lmn_gateway_records_release_job(struct lmn_gateway_records *b,
+                                     struct lmn_gateway_job *j)
 {
     j->busy = false;
     pthread_cond_broadcast(&b->idle);
 }
 
-void lmn_book_put_guest(struct lmn_book *b, struct lmn_guest *g)
+void lmn_gateway_records_release_remote_job(struct lmn_gateway_records *b,
+                                            struct lmn_remote_job *g)
 {
     g->busy = false;
     pthread_cond_broadcast(&b->idle);
 }
 
-void lmn_guest_local(const char *home, const char *ref, uint64_t epoch, char *local)
+void lmn_remote_job_local_id(const char *home, const char *ref, uint64_t epoch,
+                             char *local)
 {
     char *what = g_strdup_printf("%s/%s/%" G_GUINT64_FORMAT, home, ref, epoch);
     char *hex = g_compute_checksum_for_string(G_CHECKSUM_SHA256, what, -1);
@@ -429,20 +439,21 @@
 
 /* --- writing --- */
 
-static char *key_of(const struct lmn_write *w)
+static char *key_of(const struct lmn_record_write *w)
 {
     return w->job ? g_strdup_printf("g/j/%s", w->job->ref)
                   : g_strdup_printf("g/f/%s", w->guest->key);
 }
 
-static GByteArray *value_of(const struct lmn_write *w)
+static GByteArray *value_of(const struct lmn_record_write *w)
 {
     return w->job ? job_record(w->job, &w->home) : guest_record(w->guest, &w->host);
 }
 
 /* One transaction of them; the status. */
-static int send(struct lmn_book *b, struct lmn_http_client *h, const struct lmn_write *w,
-                unsigned n, uint64_t *rev, GByteArray *in)
+static int send(struct lmn_gateway_records *b, struct lmn_http_client *h,
+                const struct lmn_record_write *w, unsigned n, uint64_t *rev,
+                GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
     struct lmn_cbor_document d;
@@ -476,7 +487,7 @@
 
 /* A conflict where only this gateway writes: an earlier try of the same, without an
  * answer, was applied. Whether it was shows the record. */
-static bool was_written(struct lmn_http_client *h, const struct lmn_write *w,
+static bool was_written(struct lmn_http_client *h, const struct lmn_record_write *w,
                         uint64_t *rev, GByteArray *in)
 {
     char *key = key_of(w), *path = g_strdup_printf(P_STORE "/%s", key);
@@ -500,7 +511,8 @@
     return same;
 }
 
-static void install(struct lmn_book *b, struct lmn_write *w, uint64_t rev)
+static void install(struct lmn_gateway_records *b, struct lmn_record_write *w,
+                    uint64_t rev)
 {
     w->ok = true;
     if (w->job) {
@@ -515,12 +527,13 @@
         w->guest->hand = w->host;
         sort_guest(b, w->guest);
         w->guest->rev = rev;
-        lmn_guest_local(w->guest->home, w->guest->ref, w->host.epoch, w->guest->local);
+        lmn_remote_job_local_id(w->guest->home, w->guest->ref, w->host.epoch,
+                                w->guest->local);
     }
     b->writes++;
 }
 
-static void put_back(struct lmn_book *b, struct lmn_write *w)
+static void put_back(struct lmn_gateway_records *b, struct lmn_record_write *w)
 {
     if (w->job && !w->job->rev) {
         g_hash_table_remove(b->jobs, w->job->ref);
@@ -536,14 +549,14 @@
         g_clear_pointer(&w->guest, g_free);
         pthread_cond_broadcast(&b->idle);
     } else if (w->job) {
-        lmn_book_put_job(b, w->job);
+        lmn_gateway_records_release_job(b, w->job);
     } else {
-        lmn_book_put_guest(b, w->guest);
+        lmn_gateway_records_release_remote_job(b, w->guest);
     }
 }
 
-void lmn_book_write(struct lmn_book *b, struct lmn_http_client *h, struct lmn_write *w,
-                    unsigned n)
+void lmn_gateway_records_write(struct lmn_gateway_records *b, struct lmn_http_client *h,
+                               struct lmn_record_write *w, unsigned n)
 {
     GByteArray *in = g_byte_array_new();
 
@@ -554,7 +567,7 @@
         uint64_t rev = 0;
         int status = send(b, h, w + at, k, &rev, in);
         for (unsigned i = 0; i < k; i++) {
-            struct lmn_write *x = &w[at + i];
+            struct lmn_record_write *x = &w[at + i];
             uint64_t own = rev;
             bool ok = status == 200;
             if (!ok && k > 1)
@@ -576,8 +589,8 @@
 
 /* --- peers that are evicted --- */
 
-void lmn_book_evict(struct lmn_book *b, struct lmn_http_client *h, const char *site,
-                    bool out)
+void lmn_gateway_records_evict(struct lmn_gateway_records *b, struct lmn_http_client *h,
+                               const char *site, bool out)
 {
     GByteArray *q = g_byte_array_new(), *in = g_byte_array_new();
     char *key = g_strdup_printf("g/e/%s", site);
@@ -604,7 +617,7 @@
     g_byte_array_unref(in);
 }
 
-bool lmn_book_is_evicted(const struct lmn_book *b, const char *site)
+bool lmn_gateway_records_is_evicted(const struct lmn_gateway_records *b, const char *site)
 {
     return g_hash_table_contains(b->evicted, site);
 }
--- a/src/gateway/records.h
+++ b/src/gateway/records.h
@@ -24,9 +24,9 @@
     struct timespec known; /* as of when */
 };
 
-struct lmn_gjob {
+struct lmn_gateway_job {
     char ref[LMN_JOB_ID_SIZE];
-    struct lmn_home hand;
+    struct lmn_origin_record hand;
     struct lmn_job_spec spec;
     char digest[65]; /* of what its tasks run; empty: none */
     double at;       /* time of day of its acceptance */
@@ -37,11 +37,11 @@
     struct timespec offered, polled;
 };
 
-struct lmn_guest {
+struct lmn_remote_job {
     char home[LMN_NAME_SIZE], ref[LMN_JOB_ID_SIZE],
         local[LMN_JOB_ID_SIZE]; /* its name at the own controllers */
     char *key;                  /* HOME/REF */
-    struct lmn_host hand;
+    struct lmn_execution_record hand;
     struct lmn_job_spec spec;
     char digest[65];
     double leash_s;
@@ -52,14 +52,14 @@
     struct timespec polled;
 };
 
-struct lmn_book {
+struct lmn_gateway_records {
     char state[LMN_ADDRESS_SIZE];
     int txn_ops;
     uint64_t lead_rev, lease, incarnation;
     pthread_mutex_t lock; /* of what follows */
     pthread_cond_t idle;  /* a record is not busy any more */
-    GHashTable *jobs;     /* ref -> lmn_gjob */
-    GHashTable *guests;   /* HOME/REF -> lmn_guest */
+    GHashTable *jobs;     /* ref -> lmn_gateway_job */
+    GHashTable *guests;   /* HOME/REF -> lmn_remote_job */
     /* Of those, what there may still be something to do for: jobs without an outcome,
      * guests that run here or whose outcome their home has not heard. Everything that
      * goes round looks at these alone: the rest grows for ever. */
@@ -71,42 +71,51 @@
 /* Waits until this gateway leads the site, then reads all records. Its lease is kept by a
  * thread, which ends the process if it is lost. *restored: the state was restored from a
  * backup since. */
-void lmn_book_open(struct lmn_book *b, const char *state, const char *gateway,
-                   int txn_ops, bool *restored);
+void lmn_gateway_records_open(struct lmn_gateway_records *b, const char *state,
+                              const char *gateway, int txn_ops, bool *restored);
 /* Takes the record: it is this thread's until it is put back. NULL: there is none. The
  * lock is held, and let go while it waits. */
-struct lmn_gjob *lmn_book_take_job(struct lmn_book *b, const char *ref);
-struct lmn_guest *lmn_book_take_guest(struct lmn_book *b, const char *home,
-                                      const char *ref);
+struct lmn_gateway_job *lmn_gateway_records_take_job(struct lmn_gateway_records *b,
+                                                     const char *ref);
+struct lmn_remote_job *lmn_gateway_records_take_remote_job(struct lmn_gateway_records *b,
+                                                           const char *home,
+                                                           const char *ref);
 /* Makes a record that is not written yet, taken. The lock is held. NULL: there is one,
  * or there are too many. */
-struct lmn_gjob *lmn_book_new_job(struct lmn_book *b, const struct lmn_job_spec *spec);
-struct lmn_guest *lmn_book_new_guest(struct lmn_book *b, const char *home,
-                                     const char *ref);
+struct lmn_gateway_job *lmn_gateway_records_new_job(struct lmn_gateway_records *b,
+                                                    const struct lmn_job_spec *spec);
+struct lmn_remote_job *lmn_gateway_records_new_remote_job(struct lmn_gateway_records *b,
+                                                          const char *home,
+                                                          const char *ref);
 
-/* A record as it should be: written by lmn_book_write with others, in few transactions.
+/* A record as it should be: written by lmn_gateway_records_write with others, in few
+ * transactions.
  */
-struct lmn_write {
-    struct lmn_gjob *job; /* one of the two, taken */
-    struct lmn_guest *guest;
-    struct lmn_home home; /* as it should be */
-    struct lmn_host host;
+struct lmn_record_write {
+    struct lmn_gateway_job *job; /* one of the two, taken */
+    struct lmn_remote_job *guest;
+    struct lmn_origin_record home; /* as it should be */
+    struct lmn_execution_record host;
     bool ok; /* it is so, on the disk */
 };
 /* Writes them, the lock not held; those that are written are changed in memory, all are
  * put back. A new record that could not be written is forgotten. */
-void lmn_book_write(struct lmn_book *b, struct lmn_http_client *h, struct lmn_write *w,
-                    unsigned n);
+void lmn_gateway_records_write(struct lmn_gateway_records *b, struct lmn_http_client *h,
+                               struct lmn_record_write *w, unsigned n);
 /* Records that an operator has evicted the site, or that it is a peer again; in memory
  * only once it is on the disk. The lock is not held. */
-void lmn_book_evict(struct lmn_book *b, struct lmn_http_client *h, const char *site,
-                    bool out);
+void lmn_gateway_records_evict(struct lmn_gateway_records *b, struct lmn_http_client *h,
+                               const char *site, bool out);
 /* Whether it is evicted; the lock is held. */
-bool lmn_book_is_evicted(const struct lmn_book *b, const char *site);
+bool lmn_gateway_records_is_evicted(const struct lmn_gateway_records *b,
+                                    const char *site);
 /* Puts back without a change. The lock is held. */
-void lmn_book_put_job(struct lmn_book *b, struct lmn_gjob *j);
-void lmn_book_put_guest(struct lmn_book *b, struct lmn_guest *g);
+void lmn_gateway_records_release_job(struct lmn_gateway_records *b,
+                                     struct lmn_gateway_job *j);
+void lmn_gateway_records_release_remote_job(struct lmn_gateway_records *b,
+                                            struct lmn_remote_job *g);
 /* The name that a guest has at the own controllers: a function of home, ref and epoch. */
-void lmn_guest_local(const char *home, const char *ref, uint64_t epoch, char *local);
+void lmn_remote_job_local_id(const char *home, const char *ref, uint64_t epoch,
+                             char *local);
 
 #endif
--- a/src/gateway/route.c
+++ b/src/gateway/route.c
@@ -4,7 +4,8 @@
 
 static const double FLOOR_S = 0.2, CAP_S = 5;
 
-bool lmn_route_idle(double cpus, double handed_cpus, double queued_cpu_s, double pull_at)
+bool lmn_route_for_idle_site(double cpus, double handed_cpus, double queued_cpu_s,
+                             double pull_at)
 {
     return handed_cpus < pull_at * cpus && queued_cpu_s <= 0;
 }
@@ -31,7 +32,7 @@
 }
 
 unsigned lmn_route_choose(const struct lmn_route_job *jobs, unsigned n,
-                          const struct lmn_route_home *home, double room_cpus,
+                          const struct lmn_route_for_origin *home, double room_cpus,
                           unsigned most, unsigned *picks)
 {
     double spared = MAX(home->spare_s, 0), share = 0;
--- a/src/gateway/route.h
+++ b/src/gateway/route.h
@@ -8,7 +8,8 @@
 #include <stdbool.h>
 
 /* Whether a site should pull: little handed to its controllers, and nothing waits. */
-bool lmn_route_idle(double cpus, double handed_cpus, double queued_cpu_s, double pull_at);
+bool lmn_route_for_idle_site(double cpus, double handed_cpus, double queued_cpu_s,
+                             double pull_at);
 
 /* What a site knows of another. */
 struct lmn_route_peer {
@@ -31,7 +32,7 @@
         slack_s; /* until it would have to start to be in time; INFINITY: no deadline */
     double fetch_s; /* until it could start there: transfer, image */
 };
-struct lmn_route_home {
+struct lmn_route_for_origin {
     double cpus, handed_cpus; /* the site's processors; what its controllers have */
     double spare_s; /* processor seconds that they will still get before they run dry */
     double share;   /* of what waits that a pull takes at most */
@@ -41,7 +42,7 @@
  * sooner at home stays; of what goes, what would miss its deadline here and can meet it
  * there goes first. Returns how many. */
 unsigned lmn_route_choose(const struct lmn_route_job *jobs, unsigned n,
-                          const struct lmn_route_home *home, double room_cpus,
+                          const struct lmn_route_for_origin *home, double room_cpus,
                           unsigned most, unsigned *picks);
 
 #endif
--- a/src/gateway/sync.c
+++ b/src/gateway/sync.c
@@ -6,12 +6,12 @@
 
 enum { PROTOCOL = 2 };
 
-const char *lmn_peer_site(const struct lmn_gpeer *p)
+const char *lmn_gateway_peer_site(const struct lmn_gateway_peer *p)
 {
     return p->g->o->peers[p->index].site;
 }
 
-void lmn_hello_fill(struct lmn_gateway *g, lmn_g_hello *h)
+void lmn_gateway_hello_fill(struct lmn_gateway *g, lmn_gateway_rpc_hello *h)
 {
     static uint64_t serial;
     size_t n;
@@ -28,9 +28,10 @@
     h->crl.crl_len = (u_int)n;
 }
 
-const char *lmn_hello_take(struct lmn_gateway *g, const char *site, const lmn_g_hello *h)
+const char *lmn_gateway_hello_accept(struct lmn_gateway *g, const char *site,
+                                     const lmn_gateway_rpc_hello *h)
 {
-    struct lmn_gpeer *p = lmn_peer_named(g, site);
+    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(g, site);
 
     if (strcmp(h->site, site))
         return "wrong name: the hello is another site's";
@@ -48,17 +49,18 @@
     return NULL;
 }
 
-struct lmn_g_item *lmn_item_add(GArray *v)
+struct lmn_gateway_rpc_item *lmn_gateway_item_append(GArray *v)
 {
-    struct lmn_g_item i = {0};
+    struct lmn_gateway_rpc_item i = {0};
     g_array_append_val(v, i);
-    return &g_array_index(v, struct lmn_g_item, v->len - 1);
+    return &g_array_index(v, struct lmn_gateway_rpc_item, v->len - 1);
 }
 
-bool lmn_write_among(const GArray *writes, const char *ref)
+bool lmn_record_write_contains(const GArray *writes, const char *ref)
 {
     for (guint i = 0; i < writes->len; i++) {
-        const struct lmn_write *w = &g_array_index(writes, struct lmn_write, i);
+        const struct lmn_record_write *w =
+            &g_array_index(writes, struct lmn_record_write, i);
         if (!strcmp(w->job ? w->job->ref : w->guest->ref, ref))
             return true;
     }
--- a/src/image_store/client.c
+++ b/src/image_store/client.c
@@ -8,11 +8,11 @@
 void lmn_digest(const void *bytes, size_t len, char *digest)
 {
     char *hex = g_compute_checksum_for_data(G_CHECKSUM_SHA256, bytes, len);
-    g_strlcpy(digest, hex, LMN_DIGEST);
+    g_strlcpy(digest, hex, LMN_DIGEST_SIZE);
     g_free(hex);
 }
 
-static int failed(struct lmn_depot_error *e, int status, const char *what)
+static int failed(struct lmn_image_store_error *e, int status, const char *what)
 {
     e->status = MAX(status, 0);
     if (status == LMN_HTTP_NOT_SENT)
@@ -24,8 +24,8 @@
     return -1;
 }
 
-int lmn_depot_put(struct lmn_http_client *h, const GByteArray *blob, char *digest,
-                  struct lmn_depot_error *e)
+int lmn_image_store_put(struct lmn_http_client *h, const GByteArray *blob, char *digest,
+                        struct lmn_image_store_error *e)
 {
     GByteArray *out = g_byte_array_new();
     char path[128], stat[160];
@@ -40,10 +40,10 @@
     return status == 200 || status == 201 ? 0 : failed(e, status, path);
 }
 
-int lmn_depot_get(struct lmn_http_client *h, const char *digest, GByteArray *blob,
-                  struct lmn_depot_error *e)
+int lmn_image_store_get(struct lmn_http_client *h, const char *digest, GByteArray *blob,
+                        struct lmn_image_store_error *e)
 {
-    char path[128], is[LMN_DIGEST];
+    char path[128], is[LMN_DIGEST_SIZE];
 
     g_snprintf(path, sizeof path, "/blobs/%s", digest);
     int status = lmn_http_client_call(h, "GET", path, NULL, PATIENCE_S, blob);
@@ -57,8 +57,8 @@
     return -1;
 }
 
-int lmn_depot_name(struct lmn_http_client *h, const char *kind, const char *name,
-                   const char *digest, struct lmn_depot_error *e)
+int lmn_image_store_bind(struct lmn_http_client *h, const char *kind, const char *name,
+                         const char *digest, struct lmn_image_store_error *e)
 {
     GByteArray *in = g_byte_array_new(), *out = g_byte_array_new();
     char path[256];
@@ -71,18 +71,18 @@
     return status == 200 || status == 201 ? 0 : failed(e, status, path);
 }
 
-int lmn_depot_look(struct lmn_http_client *h, const char *kind, const char *name,
-                   char *digest, struct lmn_depot_error *e)
+int lmn_image_store_lookup(struct lmn_http_client *h, const char *kind, const char *name,
+                           char *digest, struct lmn_image_store_error *e)
 {
     GByteArray *out = g_byte_array_new();
     char path[256];
 
     g_snprintf(path, sizeof path, "/names/%s/%s", kind, name);
     int status = lmn_http_client_call(h, "GET", path, NULL, PATIENCE_S, out);
-    bool ok = status == 200 && out->len == LMN_DIGEST - 1;
+    bool ok = status == 200 && out->len == LMN_DIGEST_SIZE - 1;
     if (ok) {
-        memcpy(digest, out->data, LMN_DIGEST - 1);
-        digest[LMN_DIGEST - 1] = '\0';
+        memcpy(digest, out->data, LMN_DIGEST_SIZE - 1);
+        digest[LMN_DIGEST_SIZE - 1] = '\0';
     }
     g_byte_array_unref(out);
     return ok ? 0 : failed(e, status, path);
--- a/src/image_store/image.c
+++ b/src/image_store/image.c
@@ -12,7 +12,7 @@
 
 enum { PIECE = 4 << 20, MAX_FILES = 100000 };
 
-bool lmn_image_name_ok(const char *name)
+bool lmn_image_name_is_valid(const char *name)
 {
     size_t n = strlen(name);
 
@@ -26,13 +26,13 @@
 
 struct walk {
     struct lmn_http_client *http;
-    struct lmn_depot_error *e;
+    struct lmn_image_store_error *e;
     GByteArray *files;
     uint64_t bytes;
     size_t n;
 };
 
-static int wrong(struct lmn_depot_error *e, const char *path, const char *why)
+static int wrong(struct lmn_image_store_error *e, const char *path, const char *why)
 {
     e->status = 0;
     g_snprintf(e->what, sizeof e->what, "%s: %s", path, why);
@@ -44,7 +44,7 @@
 {
     GByteArray *pieces = g_byte_array_new(), *piece = g_byte_array_new();
     int fd = open(path, O_RDONLY | O_NOFOLLOW | O_CLOEXEC), rc = fd < 0 ? -1 : 0;
-    char digest[LMN_DIGEST];
+    char digest[LMN_DIGEST_SIZE];
     size_t n = 0;
 
     if (rc != 0)
@@ -57,7 +57,7 @@
         if (got <= 0)
             break;
         g_byte_array_set_size(piece, (guint)got);
-        rc = lmn_depot_put(w->http, piece, digest, w->e);
+        rc = lmn_image_store_put(w->http, piece, digest, w->e);
         lmn_cbor_put_text(pieces, digest);
         w->bytes += (uint64_t)got;
         n++;
@@ -110,19 +110,19 @@
 }
 
 int lmn_image_put(struct lmn_http_client *h, const char *name, const char *dir,
-                  uint64_t *bytes, struct lmn_depot_error *e)
+                  uint64_t *bytes, struct lmn_image_store_error *e)
 {
     struct walk w = {.http = h, .e = e, .files = g_byte_array_new()};
     int rc = put_dir(&w, dir, "");
     GByteArray *list = g_byte_array_new();
-    char digest[LMN_DIGEST];
+    char digest[LMN_DIGEST_SIZE];
 
     lmn_cbor_put_array(list, w.n);
     g_byte_array_append(list, w.files->data, w.files->len);
     if (rc == 0)
-        rc = lmn_depot_put(h, list, digest, e);
+        rc = lmn_image_store_put(h, list, digest, e);
     if (rc == 0)
-        rc = lmn_depot_name(h, LMN_DEPOT_IMAGE, name, digest, e);
+        rc = lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, e);
     *bytes = w.bytes;
     g_byte_array_unref(w.files);
     g_byte_array_unref(list);
@@ -144,7 +144,7 @@
 
 struct fetch {
     struct lmn_http_client *http;
-    struct lmn_depot_error *e;
+    struct lmn_image_store_error *e;
     double rate;
     bool (*go_on)(void *arg);
     void *arg;
@@ -155,7 +155,7 @@
 static int get_file(struct fetch *f, const char *dir, const struct lmn_cbor_document *d,
                     const struct lmn_cbor_value *n)
 {
-    char path[1024], digest[LMN_DIGEST];
+    char path[1024], digest[LMN_DIGEST_SIZE];
     uint64_t mode = 0;
     GByteArray *piece = g_byte_array_new();
     int rc = 0;
@@ -179,7 +179,7 @@
         else if (!lmn_cbor_get_text(p, digest, sizeof digest))
             rc = wrong(f->e, path, "its pieces can't be read");
         else
-            rc = lmn_depot_get(f->http, digest, piece, f->e);
+            rc = lmn_image_store_get(f->http, digest, piece, f->e);
         if (rc == 0 && write(fd, piece->data, piece->len) != (ssize_t)piece->len)
             rc = wrong(f->e, to, strerror(errno));
         f->bytes += piece->len;
@@ -199,17 +199,18 @@
 
 int lmn_image_get(struct lmn_http_client *h, const char *name, const char *dir,
                   double bytes_per_s, bool (*go_on)(void *arg), void *arg,
-                  uint64_t *bytes, struct lmn_depot_error *e)
+                  uint64_t *bytes, struct lmn_image_store_error *e)
 {
     struct fetch f = {h, e, bytes_per_s, go_on, arg, lmn_now(), 0};
     GByteArray *list = g_byte_array_new();
-    char digest[LMN_DIGEST], *part = g_strdup_printf("%s.part", dir);
+    char digest[LMN_DIGEST_SIZE], *part = g_strdup_printf("%s.part", dir);
     struct lmn_cbor_document d;
-    int rc = lmn_image_name_ok(name) ? lmn_depot_look(h, LMN_DEPOT_IMAGE, name, digest, e)
-                                     : wrong(e, name, "can't be an image's name");
+    int rc = lmn_image_name_is_valid(name)
+                 ? lmn_image_store_lookup(h, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, e)
+                 : wrong(e, name, "can't be an image's name");
 
     if (rc == 0)
-        rc = lmn_depot_get(h, digest, list, e);
+        rc = lmn_image_store_get(h, digest, list, e);
     if (rc == 0 && lmn_cbor_parse(&d, list->data, list->len) != 0)
         rc = wrong(e, name, "its list of files can't be read");
     else if (rc == 0) {
--- a/src/image_store/image_store.h
+++ b/src/image_store/image_store.h
@@ -16,33 +16,33 @@
 #include "http/client.h"
 #include "http/server.h"
 
-enum { LMN_BLOB_MAX = 8 << 20, LMN_DIGEST = 65 };
+enum { LMN_MAX_BLOB_BYTES = 8 << 20, LMN_DIGEST_SIZE = 65 };
 
-#define LMN_DEPOT_JOB "job"
-#define LMN_DEPOT_IMAGE "image"
+#define LMN_IMAGE_STORE_KIND_JOB "job"
+#define LMN_IMAGE_STORE_KIND_IMAGE "image"
 /* The image that is nothing at all. */
 #define LMN_NO_IMAGE "none"
 
 /* Serves dir at the address; NULL with err. Serves until the process ends. */
-struct lmn_http_server *lmn_depot_start(const char *dir, const char *listen, char *err,
-                                        size_t len);
+struct lmn_http_server *lmn_image_store_start(const char *dir, const char *listen,
+                                              char *err, size_t len);
 
 /* --- its client: each returns 0, or -1 with err ("what: why") and, where the other side
  * answered, its status in *status (else 0) --- */
-struct lmn_depot_error {
+struct lmn_image_store_error {
     int status;
     char what[256];
 };
-/* The hex SHA-256 of the bytes; digest: LMN_DIGEST bytes. */
+/* The hex SHA-256 of the bytes; digest: LMN_DIGEST_SIZE bytes. */
 void lmn_digest(const void *bytes, size_t len, char *digest);
-int lmn_depot_put(struct lmn_http_client *h, const GByteArray *blob, char *digest,
-                  struct lmn_depot_error *e);
+int lmn_image_store_put(struct lmn_http_client *h, const GByteArray *blob, char *digest,
+                        struct lmn_image_store_error *e);
 /* Checks what it got against the digest. */
-int lmn_depot_get(struct lmn_http_client *h, const char *digest, GByteArray *blob,
-                  struct lmn_depot_error *e);
-int lmn_depot_name(struct lmn_http_client *h, const char *kind, const char *name,
-                   const char *digest, struct lmn_depot_error *e);
-int lmn_depot_look(struct lmn_http_client *h, const char *kind, const char *name,
-                   char *digest, struct lmn_depot_error *e);
+int lmn_image_store_get(struct lmn_http_client *h, const char *digest, GByteArray *blob,
+                        struct lmn_image_store_error *e);
+int lmn_image_store_bind(struct lmn_http_client *h, const char *kind, const char *name,
+                         const char *digest, struct lmn_image_store_error *e);
+int lmn_image_store_lookup(struct lmn_http_client *h, const char *kind, const char *name,
+                           char *digest, struct lmn_image_store_error *e);
 
 #endif
--- a/src/image_store/server.c
+++ b/src/image_store/server.c
@@ -15,7 +15,8 @@
 
 static bool digest_ok(const char *s)
 {
-    return strlen(s) == LMN_DIGEST - 1 && strspn(s, "0123456789abcdef") == LMN_DIGEST - 1;
+    return strlen(s) == LMN_DIGEST_SIZE - 1 &&
+           strspn(s, "0123456789abcdef") == LMN_DIGEST_SIZE - 1;
 }
 
 static char *blob_path(const struct depot *d, const char *digest)
@@ -60,7 +61,7 @@
 static void blob(struct depot *d, struct lmn_http_request *call, const char *digest)
 {
     const GByteArray *body = lmn_http_request_body(call);
-    char is[LMN_DIGEST];
+    char is[LMN_DIGEST_SIZE];
 
     if (!digest_ok(digest)) {
         lmn_http_request_fail(call, 400, "a digest is 64 digits of hexadecimal");
@@ -129,11 +130,11 @@
                      const char *path)
 {
     const GByteArray *body = lmn_http_request_body(call);
-    char digest[LMN_DIGEST] = "";
+    char digest[LMN_DIGEST_SIZE] = "";
     bool there = g_file_test(path, G_FILE_TEST_IS_REGULAR);
 
-    if (body->len == LMN_DIGEST - 1)
-        memcpy(digest, body->data, LMN_DIGEST - 1);
+    if (body->len == LMN_DIGEST_SIZE - 1)
+        memcpy(digest, body->data, LMN_DIGEST_SIZE - 1);
     if (!digest_ok(digest)) {
         lmn_http_request_fail(call, 400, "a name points at a digest");
         return;
@@ -145,7 +146,7 @@
         lmn_http_request_fail(call, 400, "there is no such blob yet");
     else if (there && holds(path, body))
         lmn_http_request_respond(call, 200, NULL, 0);
-    else if (there && !strcmp(kind, LMN_DEPOT_JOB))
+    else if (there && !strcmp(kind, LMN_IMAGE_STORE_KIND_JOB))
         lmn_http_request_fail(call, 409, "the job has another description");
     else
         answer_stored(call, store(path, body->data, body->len), 201);
@@ -164,8 +165,8 @@
         blob(d, call, p[1]);
     } else if (n == 1 && !strcmp(p[0], "ready")) {
         lmn_http_request_respond(call, 200, NULL, 0);
-    } else if ((names || logs) && lmn_image_name_ok(p[1]) &&
-               (n == 2 || (n == 3 && lmn_image_name_ok(p[2])))) {
+    } else if ((names || logs) && lmn_image_name_is_valid(p[1]) &&
+               (n == 2 || (n == 3 && lmn_image_name_is_valid(p[2])))) {
         char *path = g_strjoin("/", d->dir, p[0], p[1], p[2], NULL);
         if (n == 2 && get)
             listing(call, path);
@@ -188,13 +189,13 @@
     g_strfreev(p);
 }
 
-struct lmn_http_server *lmn_depot_start(const char *dir, const char *listen, char *err,
-                                        size_t len)
+struct lmn_http_server *lmn_image_store_start(const char *dir, const char *listen,
+                                              char *err, size_t len)
 {
     struct depot *d = g_new0(struct depot, 1);
     const struct lmn_http_server_options o = {.listen = listen,
                                               .connections = 4096,
-                                              .max_body = LMN_BLOB_MAX,
+                                              .max_body = LMN_MAX_BLOB_BYTES,
                                               .route = route,
                                               .arg = d};
 
--- a/src/image_store/work.c
+++ b/src/image_store/work.c
@@ -13,7 +13,7 @@
         lmn_cbor_put_text(b, v[i]);
 }
 
-GByteArray *lmn_work_put(const struct lmn_work *w)
+GByteArray *lmn_task_command_encode(const struct lmn_task_command *w)
 {
     GByteArray *b = g_byte_array_new();
 
@@ -43,7 +43,8 @@
     return v;
 }
 
-int lmn_work_read(struct lmn_work *w, const void *bytes, size_t len, const char **what)
+int lmn_task_command_decode(struct lmn_task_command *w, const void *bytes, size_t len,
+                            const char **what)
 {
     struct lmn_cbor_document d;
 
@@ -62,12 +63,12 @@
             rc = lmn_job_spec_parse(&w->spec, &d, lmn_cbor_get(&d, root, "Job"), what);
     }
     if (rc != 0)
-        lmn_work_clear(w);
+        lmn_task_command_clear(w);
     lmn_cbor_free(&d);
     return rc;
 }
 
-void lmn_work_clear(struct lmn_work *w)
+void lmn_task_command_clear(struct lmn_task_command *w)
 {
     lmn_job_spec_clear(&w->spec);
     g_strfreev(w->argv);
--- a/src/image_store/work.h
+++ b/src/image_store/work.h
@@ -4,16 +4,17 @@
 
 #include "job/job_spec.h"
 
-struct lmn_work {
+struct lmn_task_command {
     struct lmn_job_spec spec;
     char **argv; /* the command and its arguments */
     char **env;  /* "NAME=value" */
 };
 
 /* A description's bytes, the same for the same work. */
-GByteArray *lmn_work_put(const struct lmn_work *w);
+GByteArray *lmn_task_command_encode(const struct lmn_task_command *w);
 /* 0, or -1 with the field that is wrong in *what; clears what it took on failure. */
-int lmn_work_read(struct lmn_work *w, const void *bytes, size_t len, const char **what);
-void lmn_work_clear(struct lmn_work *w);
+int lmn_task_command_decode(struct lmn_task_command *w, const void *bytes, size_t len,
+                            const char **what);
+void lmn_task_command_clear(struct lmn_task_command *w);
 
 #endif
--- a/src/kv_store/kv_store.h
+++ b/src/kv_store/kv_store.h
@@ -12,7 +12,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
-struct lmn_store_options {
+struct lmn_kv_store_options {
     char listen[LMN_ADDRESS_SIZE];
     const char *dir;
     double map_gb;
@@ -24,14 +24,14 @@
     bool one_by_one; /* for measuring only: a sync for each transaction */
 };
 
-extern const struct lmn_store_options lmn_store_defaults;
+extern const struct lmn_kv_store_options lmn_kv_store_default_options;
 
-struct lmn_store;
+struct lmn_kv_store;
 /* Opens the database and serves it; NULL with what is wrong in err. Serves until the
  * process ends. */
-struct lmn_store *lmn_store_start(const struct lmn_store_options *o, char *err,
-                                  size_t len);
+struct lmn_kv_store *lmn_kv_store_start(const struct lmn_kv_store_options *o, char *err,
+                                        size_t len);
 /* Appends its metrics as OpenMetrics text. */
-void lmn_store_metrics(struct lmn_store *s, GString *out);
+void lmn_kv_store_metrics(struct lmn_kv_store *s, GString *out);
 
 #endif
--- a/src/kv_store/kv_store_internal.h
+++ b/src/kv_store/kv_store_internal.h
@@ -10,11 +10,16 @@
 
 #include <pthread.h>
 
-enum lmn_op_kind { LMN_OP_TXN, LMN_OP_GRANT, LMN_OP_REVOKE, LMN_OP_EXPIRE };
+enum lmn_kv_store_operation_kind {
+    LMN_KV_STORE_TXN,
+    LMN_KV_STORE_GRANT,
+    LMN_KV_STORE_REVOKE,
+    LMN_KV_STORE_EXPIRE
+};
 
 /* What waits for the writer. */
-struct lmn_op {
-    enum lmn_op_kind kind;
+struct lmn_kv_store_operation {
+    enum lmn_kv_store_operation_kind kind;
     struct lmn_http_request *call; /* NULL: the service's own */
     struct lmn_db_txn txn;
     GPtrArray *bytes; /* keys and values that txn points at */
@@ -26,7 +31,7 @@
     GPtrArray *failed;
 };
 
-struct lmn_store_lease {
+struct lmn_kv_store_lease {
     uint64_t id;
     uint32_t ttl_ms;
     struct timespec until;
@@ -41,8 +46,8 @@
     struct timespec until;
 };
 
-struct lmn_store {
-    struct lmn_store_options o;
+struct lmn_kv_store {
+    struct lmn_kv_store_options o;
     struct lmn_db *db;
     struct lmn_db_reader *reader; /* the server thread's */
     struct lmn_http_server *server;
@@ -51,7 +56,7 @@
     pthread_mutex_t lock; /* of what follows */
     pthread_cond_t more;
     GQueue ops;
-    GHashTable *leases; /* id -> lmn_store_lease */
+    GHashTable *leases; /* id -> lmn_kv_store_lease */
     uint64_t applied, conflicts, refused, limited, syncs, failures;
     struct lmn_latency committing; /* from a request to its answer */
     double largest;                /* transactions that shared a sync */
@@ -63,17 +68,17 @@
     bool behind;       /* a waiter has not seen it */
 };
 
-void lmn_op_free(struct lmn_op *op);
+void lmn_kv_store_operation_free(struct lmn_kv_store_operation *op);
 /* Hands it to the writer; false: too many wait, and the call was answered so. */
-bool lmn_store_submit(struct lmn_store *s, struct lmn_op *op);
-/* Commits for ever (a thread). store: struct lmn_store. */
-void *lmn_store_writer(void *store);
+bool lmn_kv_store_submit(struct lmn_kv_store *s, struct lmn_kv_store_operation *op);
+/* Commits for ever (a thread). store: struct lmn_kv_store. */
+void *lmn_kv_store_writer_thread(void *store);
 /* Ends leases that were not renewed, for ever (a thread). */
-void *lmn_store_keeper(void *store);
+void *lmn_kv_store_lease_thread(void *store);
 /* Answers those who wait for changes, for ever (a thread). */
-void *lmn_store_watcher(void *store);
+void *lmn_kv_store_watch_thread(void *store);
 /* GET /changes, on the server's thread. */
-void lmn_store_watch(struct lmn_store *s, struct lmn_http_request *call);
-void lmn_store_put_item(GByteArray *b, const struct lmn_db_item *item);
+void lmn_kv_store_watch(struct lmn_kv_store *s, struct lmn_http_request *call);
+void lmn_kv_store_put_item(GByteArray *b, const struct lmn_db_item *item);
 
 #endif
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -14,7 +14,7 @@
 
 enum { MAX_BODY = 64 * 1024, MAX_ITEMS = 1000, MAX_LIST = 512 * 1024 };
 
-const struct lmn_store_options lmn_store_defaults = {
+const struct lmn_kv_store_options lmn_kv_store_default_options = {
     .listen = "127.0.0.1:2379",
     .map_gb = 64,
     .value_kb = 16,
@@ -32,7 +32,7 @@
     return b->rate <= 0 || lmn_token_bucket_take(b, n, lmn_now()) <= 0;
 }
 
-static bool limited(struct lmn_store *s, struct lmn_http_request *call,
+static bool limited(struct lmn_kv_store *s, struct lmn_http_request *call,
                     struct lmn_token_bucket *b, double n)
 {
     if (take(b, n))
@@ -44,7 +44,7 @@
     return true;
 }
 
-void lmn_store_put_item(GByteArray *b, const struct lmn_db_item *item)
+void lmn_kv_store_put_item(GByteArray *b, const struct lmn_db_item *item)
 {
     lmn_cbor_put_map(b, item->lease ? 4 : 3);
     lmn_cbor_put_text(b, W_KEY), lmn_cbor_put_text(b, item->key);
@@ -54,7 +54,7 @@
         lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, item->lease);
 }
 
-static void get(struct lmn_store *s, struct lmn_http_request *call, const char *key)
+static void get(struct lmn_kv_store *s, struct lmn_http_request *call, const char *key)
 {
     struct lmn_db_meta meta;
     struct lmn_db_item item;
@@ -66,7 +66,7 @@
         return;
     }
     if (lmn_db_get(s->reader, key, &item)) {
-        lmn_store_put_item(b, &item);
+        lmn_kv_store_put_item(b, &item);
     } else {
         status = 404;
         lmn_cbor_put_map(b, 1);
@@ -90,12 +90,12 @@
         l->more = true;
         return false;
     }
-    lmn_store_put_item(l->items, item);
+    lmn_kv_store_put_item(l->items, item);
     l->n++;
     return true;
 }
 
-static void list(struct lmn_store *s, struct lmn_http_request *call)
+static void list(struct lmn_kv_store *s, struct lmn_http_request *call)
 {
     const char *prefix = lmn_http_request_query(call, Q_PREFIX),
                *after = lmn_http_request_query(call, Q_AFTER);
@@ -128,7 +128,7 @@
 
 /* --- transactions --- */
 
-static const char *keep(struct lmn_op *op, const struct lmn_cbor_value *n)
+static const char *keep(struct lmn_kv_store_operation *op, const struct lmn_cbor_value *n)
 {
     char key[LMN_DB_KEY + 2];
 
@@ -139,7 +139,8 @@
     return copy;
 }
 
-static const char *read_cond(struct lmn_op *op, const struct lmn_cbor_document *d,
+static const char *read_cond(struct lmn_kv_store_operation *op,
+                             const struct lmn_cbor_document *d,
                              const struct lmn_cbor_value *n)
 {
     struct lmn_db_cond *c = &op->txn.conds[op->txn.nconds++];
@@ -152,7 +153,8 @@
                ": a version is missing";
 }
 
-static const char *read_change(const struct lmn_store *s, struct lmn_op *op,
+static const char *read_change(const struct lmn_kv_store *s,
+                               struct lmn_kv_store_operation *op,
                                const struct lmn_cbor_document *d,
                                const struct lmn_cbor_value *n)
 {
@@ -180,7 +182,8 @@
 }
 
 /* What is wrong with it; NULL: nothing. */
-static const char *read_txn(const struct lmn_store *s, struct lmn_op *op,
+static const char *read_txn(const struct lmn_kv_store *s,
+                            struct lmn_kv_store_operation *op,
                             const struct lmn_cbor_document *d)
 {
     const struct lmn_cbor_value *root = lmn_cbor_root(d),
@@ -207,26 +210,26 @@
     return bad;
 }
 
-static void transact(struct lmn_store *s, struct lmn_http_request *call,
+static void transact(struct lmn_kv_store *s, struct lmn_http_request *call,
                      const struct lmn_cbor_document *d)
 {
-    struct lmn_op *op = g_new0(struct lmn_op, 1);
+    struct lmn_kv_store_operation *op = g_new0(struct lmn_kv_store_operation, 1);
 
-    op->kind = LMN_OP_TXN;
+    op->kind = LMN_KV_STORE_TXN;
     op->call = call;
     op->bytes = g_ptr_array_new_with_free_func(g_free);
     const char *bad = read_txn(s, op, d);
     if (bad)
         lmn_http_request_fail(call, 400, bad);
     if (bad || limited(s, call, &s->writes, (double)op->txn.nchanges))
-        lmn_op_free(op);
+        lmn_kv_store_operation_free(op);
     else
-        lmn_store_submit(s, op);
+        lmn_kv_store_submit(s, op);
 }
 
 /* --- leases --- */
 
-static void grant(struct lmn_store *s, struct lmn_http_request *call,
+static void grant(struct lmn_kv_store *s, struct lmn_http_request *call,
                   const struct lmn_cbor_document *d)
 {
     uint64_t ttl = 0;
@@ -236,14 +239,14 @@
         lmn_http_request_fail(call, 400, W_TTL_MS ": from 100 to 600000");
         return;
     }
-    struct lmn_op *op = g_new0(struct lmn_op, 1);
-    op->kind = LMN_OP_GRANT;
+    struct lmn_kv_store_operation *op = g_new0(struct lmn_kv_store_operation, 1);
+    op->kind = LMN_KV_STORE_GRANT;
     op->call = call;
     op->ttl_ms = (uint32_t)ttl;
-    lmn_store_submit(s, op);
+    lmn_kv_store_submit(s, op);
 }
 
-static void lease_call(struct lmn_store *s, struct lmn_http_request *call,
+static void lease_call(struct lmn_kv_store *s, struct lmn_http_request *call,
                        const char *rest)
 {
     char *end;
@@ -256,7 +259,7 @@
         return;
     }
     pthread_mutex_lock(&s->lock);
-    struct lmn_store_lease *l = g_hash_table_lookup(s->leases, &id);
+    struct lmn_kv_store_lease *l = g_hash_table_lookup(s->leases, &id);
     if (l && !l->ending) {
         there = true;
         if (renew)
@@ -271,11 +274,11 @@
         lmn_http_request_respond(call, there ? 200 : 404, b, 0);
         return;
     }
-    struct lmn_op *op = g_new0(struct lmn_op, 1);
-    op->kind = LMN_OP_REVOKE;
+    struct lmn_kv_store_operation *op = g_new0(struct lmn_kv_store_operation, 1);
+    op->kind = LMN_KV_STORE_REVOKE;
     op->call = call;
     op->lease = id;
-    if (!lmn_store_submit(s, op)) {
+    if (!lmn_kv_store_submit(s, op)) {
         pthread_mutex_lock(&s->lock);
         l = g_hash_table_lookup(s->leases, &id);
         if (l)
@@ -284,7 +287,7 @@
     }
 }
 
-static void post(struct lmn_store *s, struct lmn_http_request *call, const char *path)
+static void post(struct lmn_kv_store *s, struct lmn_http_request *call, const char *path)
 {
     const GByteArray *body = lmn_http_request_body(call);
     struct lmn_cbor_document d;
@@ -301,7 +304,7 @@
 }
 
 /* Beyond the protocol: by it others see that this state was restored from a backup. */
-static void incarnation(struct lmn_store *s, struct lmn_http_request *call)
+static void incarnation(struct lmn_kv_store *s, struct lmn_http_request *call)
 {
     struct lmn_db_meta meta;
     GByteArray *b = g_byte_array_new();
@@ -318,12 +321,12 @@
 
 static void route(void *arg, struct lmn_http_request *call)
 {
-    struct lmn_store *s = arg;
+    struct lmn_kv_store *s = arg;
     const char *path = lmn_http_request_path(call);
     enum lmn_http_method method = lmn_http_request_method(call);
 
     if (method == LMN_HTTP_GET && !strcmp(path, "/metrics")) {
-        lmn_metrics_answer(call, (void (*)(void *, GString *))lmn_store_metrics, s);
+        lmn_metrics_answer(call, (void (*)(void *, GString *))lmn_kv_store_metrics, s);
         return;
     }
     if (method == LMN_HTTP_GET && !strcmp(path, P_READY)) {
@@ -341,7 +344,7 @@
     else if (g_str_has_prefix(path, P_LEASES "/"))
         lease_call(s, call, path + strlen(P_LEASES "/"));
     else if (method == LMN_HTTP_GET && !strcmp(path, P_WATCH))
-        lmn_store_watch(s, call);
+        lmn_kv_store_watch(s, call);
     else if (method == LMN_HTTP_GET && !strcmp(path, P_STORE))
         list(s, call);
     else if (method == LMN_HTTP_GET && g_str_has_prefix(path, P_STORE "/"))
@@ -350,7 +353,7 @@
         lmn_http_request_respond(call, 404, NULL, 0);
 }
 
-void lmn_store_metrics(struct lmn_store *s, GString *out)
+void lmn_kv_store_metrics(struct lmn_kv_store *s, GString *out)
 {
     struct lmn_db_meta meta = {0};
     struct lmn_db_reader *r = lmn_db_reader_new(s->db);
@@ -386,8 +389,8 @@
 
 static void take_lease(void *arg, uint64_t id, uint32_t ttl_ms)
 {
-    struct lmn_store *s = arg;
-    struct lmn_store_lease *l = g_new0(struct lmn_store_lease, 1);
+    struct lmn_kv_store *s = arg;
+    struct lmn_kv_store_lease *l = g_new0(struct lmn_kv_store_lease, 1);
 
     l->id = id;
     l->ttl_ms = ttl_ms;
@@ -395,8 +398,8 @@
     g_hash_table_insert(s->leases, &l->id, l);
 }
 
-struct lmn_store *lmn_store_start(const struct lmn_store_options *o, char *err,
-                                  size_t len)
+struct lmn_kv_store *lmn_kv_store_start(const struct lmn_kv_store_options *o, char *err,
+                                        size_t len)
 {
     const struct lmn_db_options d = {.dir = o->dir, .map_gb = o->map_gb, .create = true};
     struct lmn_db *db = lmn_db_open(&d, err, len);
@@ -405,7 +408,7 @@
 
     if (!db)
         return NULL;
-    struct lmn_store *s = g_new0(struct lmn_store, 1);
+    struct lmn_kv_store *s = g_new0(struct lmn_kv_store, 1);
     signal(SIGPIPE, SIG_IGN);
     signal(SIGXFSZ, SIG_IGN); /* a file at its limit is an error like a full disk */
     s->o = *o;
@@ -431,9 +434,9 @@
                                               .max_body = MAX_BODY,
                                               .route = route,
                                               .arg = s};
-    lmn_thread(lmn_store_writer, s);
-    lmn_thread(lmn_store_watcher, s);
-    lmn_thread(lmn_store_keeper, s);
+    lmn_thread(lmn_kv_store_writer_thread, s);
+    lmn_thread(lmn_kv_store_watch_thread, s);
+    lmn_thread(lmn_kv_store_lease_thread, s);
     s->server = lmn_http_server_start(&h);
     if (!s->server) {
         snprintf(err, len, "%s: can't listen: %s", o->listen, strerror(errno));
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -78,7 +78,7 @@
     return after < meta->floor || after > meta->revision;
 }
 
-void lmn_store_watch(struct lmn_store *s, struct lmn_http_request *call)
+void lmn_kv_store_watch(struct lmn_kv_store *s, struct lmn_http_request *call)
 {
     const char *prefix = lmn_http_request_query(call, Q_PREFIX),
                *a = lmn_http_request_query(call, Q_AFTER);
@@ -132,7 +132,7 @@
 
 /* Answers whom it can; the others stay in the queue. Many wait for the same: what goes to
  * them is made once. */
-static void serve(struct lmn_store *s, struct lmn_db_reader *r, GQueue *waiters)
+static void serve(struct lmn_kv_store *s, struct lmn_db_reader *r, GQueue *waiters)
 {
     struct timespec now = lmn_now();
     struct lmn_db_meta meta;
@@ -179,9 +179,9 @@
     (void)s;
 }
 
-void *lmn_store_watcher(void *arg)
+void *lmn_kv_store_watch_thread(void *arg)
 {
-    struct lmn_store *s = arg;
+    struct lmn_kv_store *s = arg;
     struct lmn_db_reader *r = lmn_db_reader_new(s->db);
     uint64_t served = 0;
 
