--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -10,7 +10,7 @@
 
 enum { MAX_WAITING = 8192, MAX_BATCH = 1024 };
 
-void lmn_op_free(struct lmn_op *op)
+void lmn_kv_store_operation_free(struct lmn_kv_store_operation *op)
 {
     if (op->bytes)
         g_ptr_array_free(op->bytes, TRUE);
@@ -21,7 +21,7 @@
     g_free(op);
 }
 
-bool lmn_store_submit(struct lmn_store *s, struct lmn_op *op)
+bool lmn_kv_store_submit(struct lmn_kv_store *s, struct lmn_kv_store_operation *op)
 {
     pthread_mutex_lock(&s->lock);
     bool full = s->ops.length >= MAX_WAITING;
@@ -36,16 +36,16 @@
     if (full) {
         if (op->call)
             lmn_http_request_respond(op->call, 503, NULL, 1);
-        lmn_op_free(op);
+        lmn_kv_store_operation_free(op);
     }
     return !full;
 }
 
 /* Applies one; false if the batch is broken. */
-static bool apply(struct lmn_db_batch *b, struct lmn_op *op)
+static bool apply(struct lmn_db_batch *b, struct lmn_kv_store_operation *op)
 {
     switch (op->kind) {
-    case LMN_OP_TXN:
+    case LMN_KV_STORE_TXN:
         op->failed = g_ptr_array_new_with_free_func(g_free);
         switch (lmn_db_apply(b, &op->txn, &op->rev, op->failed)) {
         case LMN_DB_APPLIED:
@@ -60,7 +60,7 @@
         default:
             return false;
         }
-    case LMN_OP_GRANT:
+    case LMN_KV_STORE_GRANT:
         op->lease = lmn_db_grant(b, op->ttl_ms);
         op->status = 200;
         return op->lease != 0;
@@ -70,7 +70,7 @@
     }
 }
 
-static GByteArray *txn_answer(const struct lmn_op *op)
+static GByteArray *txn_answer(const struct lmn_kv_store_operation *op)
 {
     GByteArray *b = g_byte_array_new();
 
@@ -90,50 +90,51 @@
 }
 
 /* After the commit: what it means to the leases in memory. The lock is held. */
-static void settle_lease(struct lmn_store *s, const struct lmn_op *op,
+static void settle_lease(struct lmn_kv_store *s, const struct lmn_kv_store_operation *op,
                          struct timespec now)
 {
-    if (op->kind == LMN_OP_GRANT) {
-        struct lmn_store_lease *l = g_new0(struct lmn_store_lease, 1);
+    if (op->kind == LMN_KV_STORE_GRANT) {
+        struct lmn_kv_store_lease *l = g_new0(struct lmn_kv_store_lease, 1);
         l->id = op->lease;
         l->ttl_ms = op->ttl_ms;
         l->until = lmn_time_add(now, op->ttl_ms / 1000.0);
         g_hash_table_insert(s->leases, &l->id, l);
-    } else if (op->kind != LMN_OP_TXN) {
+    } else if (op->kind != LMN_KV_STORE_TXN) {
         g_hash_table_remove(s->leases, &op->lease);
     }
 }
 
-static void tell(struct lmn_op *op)
+static void tell(struct lmn_kv_store_operation *op)
 {
     GByteArray *b = NULL;
 
     if (!op->call)
         return;
-    if (op->kind == LMN_OP_TXN) {
+    if (op->kind == LMN_KV_STORE_TXN) {
         b = txn_answer(op);
     } else {
         b = g_byte_array_new();
-        lmn_cbor_put_map(b, op->kind == LMN_OP_GRANT);
-        if (op->kind == LMN_OP_GRANT)
+        lmn_cbor_put_map(b, op->kind == LMN_KV_STORE_GRANT);
+        if (op->kind == LMN_KV_STORE_GRANT)
             lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, op->lease);
     }
     lmn_http_request_respond(op->call, op->status, b, 0);
 }
 
 /* The batch was not applied: its calls are told so, and its leases live on. */
-static void give_up(struct lmn_store *s, GQueue *ops, const char *why)
+static void give_up(struct lmn_kv_store *s, GQueue *ops, const char *why)
 {
-    struct lmn_op *op;
+    struct lmn_kv_store_operation *op;
 
     lmn_error("commit-failed operations=%u why=\"%s\"", ops->length, why);
     pthread_mutex_lock(&s->lock);
     s->failures++;
     for (GList *l = ops->head; l; l = l->next) {
         op = l->data;
-        struct lmn_store_lease *x = op->kind == LMN_OP_EXPIRE || op->kind == LMN_OP_REVOKE
-                                        ? g_hash_table_lookup(s->leases, &op->lease)
-                                        : NULL;
+        struct lmn_kv_store_lease *x =
+            op->kind == LMN_KV_STORE_EXPIRE || op->kind == LMN_KV_STORE_REVOKE
+                ? g_hash_table_lookup(s->leases, &op->lease)
+                : NULL;
         if (x)
             x->ending = false; /* the keeper, or its holder, tries again */
     }
@@ -141,16 +142,16 @@
     while ((op = g_queue_pop_head(ops))) {
         if (op->call)
             lmn_http_request_respond(op->call, 503, NULL, 1);
-        lmn_op_free(op);
+        lmn_kv_store_operation_free(op);
     }
 }
 
-static void commit(struct lmn_store *s, GQueue *ops)
+static void commit(struct lmn_kv_store *s, GQueue *ops)
 {
     char err[256] = "";
     struct lmn_db_batch *b = lmn_db_begin(s->db, err, sizeof err);
     struct timespec begun = lmn_now();
-    struct lmn_op *op;
+    struct lmn_kv_store_operation *op;
     uint64_t applied = 0, conflicts = 0;
 
     if (!b) {
@@ -162,8 +163,8 @@
         op = l->data;
         if (!apply(b, op))
             break; /* the commit will say what is wrong */
-        applied += op->kind == LMN_OP_TXN && op->status == 200;
-        conflicts += op->kind == LMN_OP_TXN && op->status == 409;
+        applied += op->kind == LMN_KV_STORE_TXN && op->status == 200;
+        conflicts += op->kind == LMN_KV_STORE_TXN && op->status == 409;
     }
     uint64_t rev = lmn_db_batch_revision(b);
     int rc = lmn_db_commit(b, err, sizeof err);
@@ -191,7 +192,7 @@
               ops->length, rev, lmn_time_diff_s(now, begun));
     while ((op = g_queue_pop_head(ops))) {
         tell(op);
-        lmn_op_free(op);
+        lmn_kv_store_operation_free(op);
     }
     pthread_mutex_lock(&s->watch_lock);
     s->revision = MAX(s->revision, rev);
@@ -199,9 +200,9 @@
     pthread_mutex_unlock(&s->watch_lock);
 }
 
-void *lmn_store_writer(void *arg)
+void *lmn_kv_store_writer_thread(void *arg)
 {
-    struct lmn_store *s = arg;
+    struct lmn_kv_store *s = arg;
     guint most = s->o.one_by_one ? 1 : MAX_BATCH;
 
     for (;;) {
@@ -223,7 +224,7 @@
  * every lease has its full time again, as after an outage. */
 static const double STALL_S = 1.0;
 
-static void expire(struct lmn_store *s, struct timespec now, bool stalled)
+static void expire(struct lmn_kv_store *s, struct timespec now, bool stalled)
 {
     GQueue over = G_QUEUE_INIT;
     GHashTableIter it;
@@ -232,13 +233,13 @@
     pthread_mutex_lock(&s->lock);
     g_hash_table_iter_init(&it, s->leases);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_store_lease *l = v;
+        struct lmn_kv_store_lease *l = v;
         if (stalled && !l->ending)
             l->until = lmn_time_add(now, l->ttl_ms / 1000.0);
         if (l->ending || lmn_time_before(now, l->until))
             continue;
-        struct lmn_op *op = g_new0(struct lmn_op, 1);
-        op->kind = LMN_OP_EXPIRE;
+        struct lmn_kv_store_operation *op = g_new0(struct lmn_kv_store_operation, 1);
+        op->kind = LMN_KV_STORE_EXPIRE;
         op->lease = l->id;
         l->ending = true;
         g_queue_push_tail(&over, op);
@@ -250,7 +251,7 @@
     pthread_mutex_unlock(&s->lock);
 }
 
-void *lmn_store_keeper(void *arg)
+void *lmn_kv_store_lease_thread(void *arg)
 {
     struct timespec last = lmn_now();
 
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -29,7 +29,7 @@
     return !lmn_time_before(now, b->next);
 }
 
-void lmn_local_read(struct lmn_config *c, struct lmn_local_options *o)
+void lmn_local_agent_options_read(struct lmn_config *c, struct lmn_local_agent_options *o)
 {
     struct lmn_worker_options *w = &o->worker;
 
@@ -60,7 +60,7 @@
     g_free(q);
 }
 
-static GString *settings(const struct lmn_local_options *o, const char *dir,
+static GString *settings(const struct lmn_local_agent_options *o, const char *dir,
                          const char *name, const struct lmn_machine_type *t,
                          const char *zone, bool spot)
 {
@@ -90,9 +90,9 @@
     return s;
 }
 
-int lmn_local_start(const struct lmn_local_options *o, const char *name,
-                    const struct lmn_machine_type *type, const char *zone, bool spot,
-                    char *err, size_t len)
+int lmn_local_agent_start(const struct lmn_local_agent_options *o, const char *name,
+                          const struct lmn_machine_type *type, const char *zone,
+                          bool spot, char *err, size_t len)
 {
     char *dir = g_build_filename(o->dir, name, NULL);
     char *file = g_build_filename(dir, "worker.toml", NULL);
@@ -120,7 +120,8 @@
     return rc;
 }
 
-bool lmn_local_up(const struct lmn_local_options *o, const char *name, char *addr)
+bool lmn_local_agent_is_up(const struct lmn_local_agent_options *o, const char *name,
+                           char *addr)
 {
     char *lock = g_build_filename(o->dir, name, "agent.lock", NULL);
     char *file = g_build_filename(o->dir, name, "address", NULL), *text = NULL;
@@ -136,10 +137,11 @@
     return up;
 }
 
-bool lmn_local_end(const struct lmn_local_options *o, const char *name, double seconds)
+bool lmn_local_agent_end(const struct lmn_local_agent_options *o, const char *name,
+                         double seconds)
 {
-    char *dir = g_build_filename(o->dir, name, NULL), *mark = lmn_keeper_mark(dir);
-    bool ok = lmn_keeper_clear(dir, mark, seconds);
+    char *dir = g_build_filename(o->dir, name, NULL), *mark = lmn_executor_mark(dir);
+    bool ok = lmn_executor_clear(dir, mark, seconds);
 
     if (ok && lmn_tree_remove(dir) != 0)
         lmn_error("directory-left path=%s error=\"%s\"", dir, strerror(errno));
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -11,7 +11,7 @@
 enum { MAX_BODY = 64 * 1024, HANDS = 4 };
 
 struct front {
-    const struct lmn_cloud_ops *ops;
+    const struct lmn_machine_provider_ops *ops;
     void *arg;
     struct lmn_token_bucket budget; /* the server thread's */
     uint64_t requests, limited;
@@ -65,7 +65,7 @@
     lmn_http_request_respond(call, 200, b, 0);
 }
 
-static bool put_machine(void *to, const struct lmn_rented *m)
+static bool put_machine(void *to, const struct lmn_rented_machine *m)
 {
     struct counted *c = to;
     GByteArray *b = c->bytes;
@@ -90,9 +90,10 @@
 {
     const char *after = lmn_http_request_query(call, Q_AFTER),
                *limit = lmn_http_request_query(call, Q_LIMIT);
-    struct counted c = {.most = limit ? (size_t)strtoul(limit, NULL, 10) : LMN_LIST_MOST};
+    struct counted c = {.most = limit ? (size_t)strtoul(limit, NULL, 10)
+                                      : LMN_MAX_LIST_COUNT};
 
-    if (c.most < 1 || c.most > LMN_LIST_MOST) {
+    if (c.most < 1 || c.most > LMN_MAX_LIST_COUNT) {
         lmn_http_request_fail(call, 400, Q_LIMIT ": from 1 to 500");
         return;
     }
@@ -113,7 +114,7 @@
                  const struct lmn_cbor_document *d)
 {
     const struct lmn_cbor_value *root = lmn_cbor_root(d);
-    struct lmn_rent q = {0};
+    struct lmn_rental_request q = {0};
     uint64_t n = 0;
 
     if (!lmn_cbor_get_text(lmn_cbor_get(d, root, W_REQUEST), q.request,
@@ -123,7 +124,7 @@
         !lmn_cbor_get_text(lmn_cbor_get(d, root, W_ZONE), q.zone, sizeof q.zone) ||
         !lmn_cbor_get_bool(lmn_cbor_get(d, root, W_SPOT), &q.spot) ||
         !lmn_cbor_get_uint(lmn_cbor_get(d, root, W_COUNT), &n) || n < 1 ||
-        n > LMN_RENT_MOST) {
+        n > LMN_MAX_RENTAL_COUNT) {
         lmn_http_request_fail(call, 400, "malformed");
         return;
     }
@@ -149,7 +150,8 @@
     const struct lmn_cbor_value *l = lmn_cbor_get(d, lmn_cbor_root(d), W_MACHINES);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     char name[LMN_NAME_SIZE];
-    int status = l && l->type == LMN_CBOR_ARRAY && l->len <= LMN_RETURN_MOST ? 200 : 400;
+    int status =
+        l && l->type == LMN_CBOR_ARRAY && l->len <= LMN_MAX_RETURN_COUNT ? 200 : 400;
 
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, l); n && status == 200;
          n = lmn_cbor_next(d, n)) {
@@ -243,8 +245,9 @@
     }
 }
 
-struct lmn_http_server *lmn_cloud_serve(const char *listen, double rps,
-                                        const struct lmn_cloud_ops *ops, void *arg)
+struct lmn_http_server *
+lmn_machine_provider_serve(const char *listen, double rps,
+                           const struct lmn_machine_provider_ops *ops, void *arg)
 {
     struct front *f = g_new0(struct front, 1);
     const struct lmn_http_server_options o = {.listen = listen,
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -21,7 +21,7 @@
     g_strlcpy(o->name, lmn_config_name(c, "slot", NULL), sizeof o->name);
     g_strlcpy(o->fleet, lmn_config_address(c, "fleet", NULL), sizeof o->fleet);
     g_strlcpy(o->local.dir, lmn_config_text(c, "data", NULL), sizeof o->local.dir);
-    lmn_local_read(c, &o->local);
+    lmn_local_agent_options_read(c, &o->local);
     int rc = lmn_config_finish(c, err, len);
     lmn_config_free(c);
     return rc;
@@ -101,11 +101,11 @@
     for (;; lmn_sleep(ASK_S)) {
         struct rented_as as;
         held(o, holds);
-        bool up = *holds && lmn_local_up(&o->local, holds, addr);
+        bool up = *holds && lmn_local_agent_is_up(&o->local, holds, addr);
         if (!ask(h, o, holds, up ? addr : "", &as))
             continue; /* what it is, it stays: its lease watches over it */
         if (*holds && strcmp(holds, as.machine)) {
-            bool gone = lmn_local_end(&o->local, holds, END_S);
+            bool gone = lmn_local_agent_end(&o->local, holds, END_S);
             lmn_info("slot-left machine=%s gone=%d", holds, gone);
             memset(&backoff, 0, sizeof backoff);
             continue; /* says so with the next question */
@@ -115,8 +115,8 @@
         if (*as.machine && !up && !young &&
             (!*holds || lmn_backoff_due(&backoff, lmn_now()))) {
             lmn_backoff_started(&backoff, lmn_now());
-            if (lmn_local_start(&o->local, as.machine, &as.type, as.zone, as.spot, err,
-                                sizeof err) != 0)
+            if (lmn_local_agent_start(&o->local, as.machine, &as.type, as.zone, as.spot,
+                                      err, sizeof err) != 0)
                 lmn_error("start-failed machine=%s why=\"%s\"", as.machine, err);
         }
     }
--- a/src/machine_provider/slot.h
+++ b/src/machine_provider/slot.h
@@ -8,7 +8,7 @@
 
 struct lmn_slot_options {
     char name[LMN_NAME_SIZE], fleet[LMN_ADDRESS_SIZE];
-    struct lmn_local_options local;
+    struct lmn_local_agent_options local;
 };
 
 int lmn_slot_load(const char *path, struct lmn_slot_options *o, char *err, size_t len);
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -34,9 +34,9 @@
     char holds[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
 };
 
-struct lmn_static {
+struct lmn_static_provider {
     const struct lmn_inventory *v;
-    const struct lmn_local_options *o;
+    const struct lmn_local_agent_options *o;
     struct lmn_db *db;
     pthread_mutex_t order; /* of rentals and returns, which write; taken first */
     pthread_mutex_t lock;  /* of what follows; short */
@@ -55,7 +55,8 @@
 
 /* --- the database: machine/NAME, request/NAME, number --- */
 
-static GByteArray *machine_record(const struct lmn_static *s, const struct machine *m)
+static GByteArray *machine_record(const struct lmn_static_provider *s,
+                                  const struct machine *m)
 {
     GByteArray *b = g_byte_array_new();
 
@@ -96,7 +97,7 @@
     g_array_append_val(w->changes, c);
 }
 
-static bool write_end(struct lmn_static *s, struct write *w)
+static bool write_end(struct lmn_static_provider *s, struct write *w)
 {
     const struct lmn_db_txn t = {NULL, (struct lmn_db_change *)(void *)w->changes->data,
                                  0, w->changes->len};
@@ -123,7 +124,7 @@
 
 static bool read_machine(void *arg, const struct lmn_db_item *i)
 {
-    struct lmn_static *s = arg;
+    struct lmn_static_provider *s = arg;
     struct machine *m = g_new0(struct machine, 1);
     char type[LMN_NAME_SIZE] = "";
     struct lmn_cbor_document d;
@@ -149,7 +150,8 @@
 }
 
 /* The answer that a request got; false: it is new. */
-static bool old_request(struct lmn_static *s, const char *request, GPtrArray *names)
+static bool old_request(struct lmn_static_provider *s, const char *request,
+                        GPtrArray *names)
 {
     struct lmn_db_reader *r = lmn_db_reader_new(s->db);
     char *escaped = g_uri_escape_string(request, NULL, FALSE);
@@ -206,7 +208,7 @@
     return TRUE;
 }
 
-static bool slot_free(struct lmn_static *s, const struct lmn_slot *slot,
+static bool slot_free(struct lmn_static_provider *s, const struct lmn_slot *slot,
                       struct timespec now)
 {
     const struct seen *seen = g_hash_table_lookup(s->slots, slot->name);
@@ -218,8 +220,9 @@
     return !search[1];
 }
 
-static struct machine *new_machine(struct lmn_static *s, const struct lmn_rent *q,
-                                   int type, const char *slot)
+static struct machine *new_machine(struct lmn_static_provider *s,
+                                   const struct lmn_rental_request *q, int type,
+                                   const char *slot)
 {
     struct machine *m = g_new0(struct machine, 1);
 
@@ -233,7 +236,8 @@
 }
 
 /* What can be had of it, up to the count. */
-static GPtrArray *choose(struct lmn_static *s, const struct lmn_rent *q, int type)
+static GPtrArray *choose(struct lmn_static_provider *s,
+                         const struct lmn_rental_request *q, int type)
 {
     struct counting c = {type, q->zone, q->spot, 0};
     GPtrArray *got = g_ptr_array_new();
@@ -260,7 +264,8 @@
     return got;
 }
 
-static bool record_rental(struct lmn_static *s, const struct lmn_rent *q, GPtrArray *got)
+static bool record_rental(struct lmn_static_provider *s,
+                          const struct lmn_rental_request *q, GPtrArray *got)
 {
     struct write w;
     GByteArray *names = g_byte_array_new(), *number = g_byte_array_new();
@@ -281,20 +286,20 @@
     return write_end(s, &w);
 }
 
-static void start(struct lmn_static *s, struct machine *m)
+static void start(struct lmn_static_provider *s, struct machine *m)
 {
     char err[256];
 
     lmn_backoff_started(&m->backoff, lmn_now());
-    if (lmn_local_start(s->o, m->name, &s->v->types[m->type], m->zone, m->spot, err,
-                        sizeof err) != 0)
+    if (lmn_local_agent_start(s->o, m->name, &s->v->types[m->type], m->zone, m->spot, err,
+                              sizeof err) != 0)
         lmn_error("start-failed machine=%s why=\"%s\"", m->name, err);
     s->starts++;
 }
 
-static int rent(void *arg, const struct lmn_rent *q, GPtrArray *names)
+static int rent(void *arg, const struct lmn_rental_request *q, GPtrArray *names)
 {
-    struct lmn_static *s = arg;
+    struct lmn_static_provider *s = arg;
     int type = lmn_inventory_type(s->v, q->type), status = 200;
 
     if (type < 0 || strlen(q->request) > 60)
@@ -329,7 +334,8 @@
 
 /* Only what the slot says from now on counts: what it said before may be older than the
  * answer that told it to be the machine. */
-static bool slot_gone(struct lmn_static *s, const char *slot, const char *machine)
+static bool slot_gone(struct lmn_static_provider *s, const char *slot,
+                      const char *machine)
 {
     struct timespec end = lmn_time_add(lmn_now(), END_S);
     bool gone = false;
@@ -349,7 +355,7 @@
 }
 
 /* The machine of the name, from now on ending; NULL: unknown. */
-static struct machine *mark_ending(struct lmn_static *s, const char *name)
+static struct machine *mark_ending(struct lmn_static_provider *s, const char *name)
 {
     pthread_mutex_lock(&s->lock);
     struct machine *m = g_tree_lookup(s->machines, name);
@@ -361,7 +367,7 @@
 
 static int give_back(void *arg, char *const *names, unsigned n)
 {
-    struct lmn_static *s = arg;
+    struct lmn_static_provider *s = arg;
     GPtrArray *gone = g_ptr_array_new();
     struct write w;
     int status = 200;
@@ -374,7 +380,7 @@
             continue;
         /* Only this thread frees it, which holds the order. */
         bool ok = *m->slot ? slot_gone(s, m->slot, m->name)
-                           : lmn_local_end(s->o, m->name, END_S);
+                           : lmn_local_agent_end(s->o, m->name, END_S);
         lmn_info("machine-returned machine=%s gone=%d", m->name, ok);
         if (!ok) {
             status = 503; /* it can't be told that it is gone */
@@ -403,15 +409,15 @@
 static void types(void *arg, void (*each)(void *to, const struct lmn_machine_type *t),
                   void *to)
 {
-    const struct lmn_static *s = arg;
+    const struct lmn_static_provider *s = arg;
     for (unsigned i = 0; i < s->v->ntypes; i++)
         each(to, &s->v->types[i]);
 }
 
 struct look {
-    struct lmn_static *s;
+    struct lmn_static_provider *s;
     const char *after;
-    bool (*each)(void *to, const struct lmn_rented *m);
+    bool (*each)(void *to, const struct lmn_rented_machine *m);
     void *to;
     double now;
 };
@@ -420,7 +426,7 @@
 {
     const struct machine *m = v;
     struct look *l = arg;
-    struct lmn_rented x = {.spot = m->spot, .age_s = MAX(l->now - m->at, 0)};
+    struct lmn_rented_machine x = {.spot = m->spot, .age_s = MAX(l->now - m->at, 0)};
 
     if (strcmp(key, l->after) <= 0)
         return FALSE;
@@ -435,9 +441,9 @@
 }
 
 static void list(void *arg, const char *after,
-                 bool (*each)(void *to, const struct lmn_rented *m), void *to)
+                 bool (*each)(void *to, const struct lmn_rented_machine *m), void *to)
 {
-    struct lmn_static *s = arg;
+    struct lmn_static_provider *s = arg;
     struct look l = {s, after, each, to, lmn_time_seconds(lmn_wall_clock_now())};
 
     pthread_mutex_lock(&s->lock);
@@ -447,7 +453,7 @@
 
 static void metrics(void *arg, GString *out)
 {
-    struct lmn_static *s = arg;
+    struct lmn_static_provider *s = arg;
 
     pthread_mutex_lock(&s->lock);
     lmn_gauge(out, "lemonspar_fleet_machines", "Machines rented",
@@ -476,7 +482,7 @@
 
 static bool slots(void *arg, struct lmn_http_request *call)
 {
-    struct lmn_static *s = arg;
+    struct lmn_static_provider *s = arg;
     const GByteArray *body = lmn_http_request_body(call);
     char name[LMN_NAME_SIZE] = "";
     struct machine *m = NULL;
@@ -549,7 +555,7 @@
     return true;
 }
 
-const struct lmn_cloud_ops lmn_static_ops = {
+const struct lmn_machine_provider_ops lmn_static_provider_ops = {
     .types = types,
     .rent = rent,
     .give_back = give_back,
@@ -569,10 +575,10 @@
     return FALSE;
 }
 
-static void watch_one(struct lmn_static *s, const char *name)
+static void watch_one(struct lmn_static_provider *s, const char *name)
 {
     char addr[LMN_ADDRESS_SIZE];
-    bool up = lmn_local_up(s->o, name, addr), due = false;
+    bool up = lmn_local_agent_is_up(s->o, name, addr), due = false;
 
     /* A machine that is being returned must not be started again: who returns holds the
      * order. */
@@ -595,9 +601,9 @@
     pthread_mutex_unlock(&s->order);
 }
 
-void *lmn_static_thread(void *arg)
+void *lmn_static_provider_thread(void *arg)
 {
-    struct lmn_static *s = arg;
+    struct lmn_static_provider *s = arg;
 
     for (;;) {
         GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -628,7 +634,7 @@
 }
 
 /* Requests that nobody will ask again. */
-static void forget_requests(struct lmn_static *s, struct lmn_db_reader *r)
+static void forget_requests(struct lmn_static_provider *s, struct lmn_db_reader *r)
 {
     GPtrArray *keys = g_ptr_array_new_with_free_func(g_free);
     struct write w;
@@ -641,9 +647,10 @@
     g_ptr_array_free(keys, TRUE);
 }
 
-struct lmn_static *lmn_static_new(const struct lmn_inventory *v,
-                                  const struct lmn_local_options *o, const char *dir,
-                                  char *err, size_t len)
+struct lmn_static_provider *
+lmn_static_provider_new(const struct lmn_inventory *v,
+                        const struct lmn_local_agent_options *o, const char *dir,
+                        char *err, size_t len)
 {
     const struct lmn_db_options d = {.dir = dir, .map_gb = 4, .create = true};
     struct lmn_db *db = lmn_db_open(&d, err, len);
@@ -653,7 +660,7 @@
 
     if (!db)
         return NULL;
-    struct lmn_static *s = g_new0(struct lmn_static, 1);
+    struct lmn_static_provider *s = g_new0(struct lmn_static_provider, 1);
     s->v = v;
     s->o = o;
     s->db = db;
--- a/src/machine_provider/static_provider.h
+++ b/src/machine_provider/static_provider.h
@@ -8,15 +8,17 @@
 #include "machine_provider/local_agents.h"
 #include "inventory/inventory.h"
 
-struct lmn_static;
+struct lmn_static_provider;
 
 /* Opens the database in dir and takes up what it says: agents that run are left running.
  * NULL with err. The inventory and options must outlive it. */
-struct lmn_static *lmn_static_new(const struct lmn_inventory *v,
-                                  const struct lmn_local_options *o, const char *dir,
-                                  char *err, size_t len);
-extern const struct lmn_cloud_ops lmn_static_ops; /* arg: struct lmn_static */
+struct lmn_static_provider *
+lmn_static_provider_new(const struct lmn_inventory *v,
+                        const struct lmn_local_agent_options *o, const char *dir,
+                        char *err, size_t len);
+extern const struct lmn_machine_provider_ops
+    lmn_static_provider_ops; /* arg: struct lmn_static_provider */
 /* Starts again what has ended, for ever (a thread). */
-void *lmn_static_thread(void *fleet);
+void *lmn_static_provider_thread(void *fleet);
 
 #endif
--- a/src/simulation/controller_group.c
+++ b/src/simulation/controller_group.c
@@ -47,8 +47,8 @@
 };
 
 struct group {
-    const struct lmn_sim_group_options *o;
-    struct lmn_sim_group_result *r;
+    const struct lmn_controller_group_options *o;
+    struct lmn_controller_group_result *r;
     GRand *rng;
     double now, refused;
     uint64_t rev;
@@ -257,7 +257,7 @@
     if (!m->ever || !m->unanswered.tv_sec)
         return false;
     double s = lmn_time_diff_s(stamp(g->now), m->unanswered);
-    return g->o->rule == LMN_SIM_FIXED
+    return g->o->rule == LMN_GROUP_RULE_FIXED_TIMEOUT
                ? s >= g->o->threshold
                : lmn_phi_accrual_phi(&m->answers, s) >= g->o->threshold;
 }
@@ -275,7 +275,7 @@
         uint64_t inc = n->ms.v[i].inc;
         if (i == n->ms.me || n->judging[i])
             continue;
-        if (g->o->rule == LMN_SIM_TAKEN) {
+        if (g->o->rule == LMN_GROUP_RULE_PRODUCT) {
             if (!n->wrote_doubt[i] && lmn_member_should_suspect(&n->ms, i, now, &e)) {
                 n->wrote_doubt[i] = true;
                 send(g, (struct write){.of = i,
@@ -317,7 +317,7 @@
 
 static void troubles(struct group *g)
 {
-    const struct lmn_sim_group_options *o = g->o;
+    const struct lmn_controller_group_options *o = g->o;
 
     for (int i = 0; i < o->members && o->stalls_s > 0; i++)
         if (runs(g, i) && g_rand_double(g->rng) < STEP_S / o->stalls_s)
@@ -355,7 +355,8 @@
     return n > 0;
 }
 
-void lmn_sim_group(const struct lmn_sim_group_options *o, struct lmn_sim_group_result *r)
+void lmn_simulate_controller_group(const struct lmn_controller_group_options *o,
+                                   struct lmn_controller_group_result *r)
 {
     struct group g = {.o = o, .r = r, .refused = -1e9};
 
--- a/src/simulation/controller_group.h
+++ b/src/simulation/controller_group.h
@@ -12,14 +12,18 @@
 /* By what a member is judged: as the product does, or, to compare with, by one node alone
  * as soon as a question has gone unanswered for a fixed time (threshold: seconds), or for
  * one that is this unlikely (threshold: phi). */
-enum lmn_sim_rule { LMN_SIM_TAKEN, LMN_SIM_FIXED, LMN_SIM_PHI };
+enum lmn_controller_group_rule {
+    LMN_GROUP_RULE_PRODUCT,
+    LMN_GROUP_RULE_FIXED_TIMEOUT,
+    LMN_GROUP_RULE_PHI
+};
 
-struct lmn_sim_group_options {
+struct lmn_controller_group_options {
     int members;
     double lease_s, report_s; /* the workers', from which all times follow */
     uint32_t seed;
     double seconds;
-    enum lmn_sim_rule rule;
+    enum lmn_controller_group_rule rule;
     double threshold;
     /* noise */
     double loss;      /* share of messages that are sent again, after 0.2 s, 0.4 s, ... */
@@ -34,13 +38,14 @@
     double dead_at;
 };
 
-struct lmn_sim_group_result {
+struct lmn_controller_group_result {
     unsigned questions, suspicions, refutations;
     unsigned false_verdicts; /* of members that had not failed */
     /* from the failure until all that died are suspected, and judged; negative: not */
     double suspected_s, judged_s;
 };
 
-void lmn_sim_group(const struct lmn_sim_group_options *o, struct lmn_sim_group_result *r);
+void lmn_simulate_controller_group(const struct lmn_controller_group_options *o,
+                                   struct lmn_controller_group_result *r);
 
 #endif
--- a/src/site/config.c
+++ b/src/site/config.c
@@ -92,13 +92,12 @@
         return;
     lmn_emulation_read(c, &o);
     g_string_append_printf(s->emulate, "[emulate]\nseed = %u\n", o.seed);
-    for (size_t i = 0; lmn_knob_name(i); i++)
-        if (!lmn_knob_is_event(lmn_knob_name(i)))
-            g_string_append_printf(s->emulate, "%s = %.17g\n", lmn_knob_name(i),
-                                   lmn_knob_value(&o.knobs, i));
+    for (size_t i = 0; lmn_emulator_fault_name(i); i++)
+        if (!lmn_emulator_fault_is_event(lmn_emulator_fault_name(i)))
+            g_string_append_printf(s->emulate, "%s = %.17g\n", lmn_emulator_fault_name(i),
+                                   lmn_emulator_fault_value(&o.knobs, i));
     for (guint i = 0; i < o.script->len; i++) {
-        const struct lmn_emu_trouble *t =
-            &g_array_index(o.script, struct lmn_emu_trouble, i);
+        const struct lmn_emu_fault *t = &g_array_index(o.script, struct lmn_emu_fault, i);
         g_string_append_printf(s->emulate,
                                "[[troubles]]\nat = %.17g\nset = \"%s\"\nvalue = %.17g\n"
                                "for = %.17g\n",
--- a/src/site/supervise.c
+++ b/src/site/supervise.c
@@ -183,8 +183,8 @@
     bool ok = true;
 
     while (d && (name = g_dir_read_name(d))) {
-        char *dir = g_build_filename(root, name, NULL), *mark = lmn_keeper_mark(dir);
-        ok = lmn_keeper_clear(dir, mark, END_S) && ok;
+        char *dir = g_build_filename(root, name, NULL), *mark = lmn_executor_mark(dir);
+        ok = lmn_executor_clear(dir, mark, END_S) && ok;
         g_free(dir);
         g_free(mark);
     }
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -29,10 +29,10 @@
     g_ptr_array_free(a->runs, TRUE);
 }
 
-struct lmn_run *lmn_agent_run(struct lmn_agent *a, uint64_t id)
+struct lmn_task_run *lmn_agent_find_run(struct lmn_agent *a, uint64_t id)
 {
     for (guint i = 0; i < a->runs->len; i++) {
-        struct lmn_run *r = a->runs->pdata[i];
+        struct lmn_task_run *r = a->runs->pdata[i];
         if (r->id == id)
             return r;
     }
@@ -41,24 +41,24 @@
 
 /* --- reports --- */
 
-static const char *state_word(const struct lmn_run *r)
+static const char *state_word(const struct lmn_task_run *r)
 {
-    switch (r->state == LMN_R_ENDING ? r->shown : r->state) {
-    case LMN_R_RUNNING:
+    switch (r->state == LMN_RUN_ENDING ? r->shown : r->state) {
+    case LMN_RUN_RUNNING:
         return W_RUNNING;
-    case LMN_R_SAVING:
+    case LMN_RUN_SAVING:
         return W_SAVING;
-    case LMN_R_ENDED:
+    case LMN_RUN_ENDED:
         return W_ENDED;
     default:
         return W_FETCHING;
     }
 }
 
-static void put_run(GByteArray *b, const struct lmn_run *r)
+static void put_run(GByteArray *b, const struct lmn_task_run *r)
 {
     char task[LMN_JOB_ID_SIZE + 16];
-    bool ended = r->state == LMN_R_ENDED, stopped = ended && r->why == LMN_STOPPED;
+    bool ended = r->state == LMN_RUN_ENDED, stopped = ended && r->why == LMN_EXIT_STOPPED;
 
     g_snprintf(task, sizeof task, "%s/%u", r->ref, r->index);
     lmn_cbor_put_map(b, 3 + ended + stopped);
@@ -71,7 +71,7 @@
         lmn_cbor_put_text(b, W_SAVED), lmn_cbor_put_bool(b, r->saved);
 }
 
-void lmn_agent_report(struct lmn_agent *a, GByteArray *b, struct timespec now)
+void lmn_agent_write_heartbeat(struct lmn_agent *a, GByteArray *b, struct timespec now)
 {
     lmn_cbor_put_map(b, a->noticed ? 10 : 9);
     lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, a->name);
@@ -104,26 +104,26 @@
     a->token = token;
 }
 
-static void end(struct lmn_agent *a, struct lmn_run *r, enum lmn_why why)
+static void end(struct lmn_agent *a, struct lmn_task_run *r, enum lmn_exit_reason why)
 {
-    r->state = LMN_R_ENDED;
+    r->state = LMN_RUN_ENDED;
     r->why = why;
-    a->finished += why == LMN_DONE;
-    a->refused += why > LMN_FAILED;
+    a->finished += why == LMN_EXIT_DONE;
+    a->refused += why > LMN_EXIT_ERROR;
     a->changed = true;
 }
 
-static bool holds_room(const struct lmn_run *r)
+static bool holds_room(const struct lmn_task_run *r)
 {
-    return r->known && r->state != LMN_R_ENDED;
+    return r->known && r->state != LMN_RUN_ENDED;
 }
 
-static bool has_room(const struct lmn_agent *a, const struct lmn_run *r)
+static bool has_room(const struct lmn_agent *a, const struct lmn_task_run *r)
 {
     double cpus = r->cpus, gpus = r->gpus, mem = r->mem;
 
     for (guint i = 0; i < a->runs->len; i++) {
-        const struct lmn_run *o = a->runs->pdata[i];
+        const struct lmn_task_run *o = a->runs->pdata[i];
         if (o == r || !holds_room(o))
             continue;
         cpus += o->cpus;
@@ -134,27 +134,27 @@
            mem <= a->type.mem + 1e-6;
 }
 
-static void begin(struct lmn_agent *a, struct lmn_run *r, struct timespec now)
+static void begin(struct lmn_agent *a, struct lmn_task_run *r, struct timespec now)
 {
     r->since = now;
     a->changed = true;
     if (a->ops->has_result(a->arg, r->ref, r->index)) {
-        end(a, r, LMN_DONE);
+        end(a, r, LMN_EXIT_DONE);
         return;
     }
-    r->state = LMN_R_RUNNING;
+    r->state = LMN_RUN_RUNNING;
     a->ops->start(a->arg, r);
 }
 
 void lmn_agent_described(struct lmn_agent *a, uint64_t id, const struct lmn_job_spec *s,
                          struct timespec now)
 {
-    struct lmn_run *r = lmn_agent_run(a, id);
+    struct lmn_task_run *r = lmn_agent_find_run(a, id);
 
-    if (!r || r->state != LMN_R_ASKING)
+    if (!r || r->state != LMN_RUN_DESCRIBING)
         return;
     if (!s || r->index >= s->tasks) {
-        end(a, r, LMN_NO_SUCH);
+        end(a, r, LMN_EXIT_NO_SUCH_JOB);
         return;
     }
     r->cpus = s->cpus;
@@ -164,11 +164,11 @@
     r->saves = s->checkpoint_s > 0;
     r->image = (char *)g_intern_string(s->image);
     if (!has_room(a, r)) {
-        end(a, r, LMN_NO_ROOM);
+        end(a, r, LMN_EXIT_NO_CAPACITY);
         return;
     }
     r->known = true;
-    r->state = LMN_R_FETCHING;
+    r->state = LMN_RUN_FETCHING;
     r->since = now;
     a->ops->fetch(a->arg, r);
 }
@@ -177,21 +177,21 @@
                        struct timespec now)
 {
     for (guint i = 0; i < a->runs->len; i++) {
-        struct lmn_run *r = a->runs->pdata[i];
-        if (r->state != LMN_R_FETCHING || strcmp(r->image, image))
+        struct lmn_task_run *r = a->runs->pdata[i];
+        if (r->state != LMN_RUN_FETCHING || strcmp(r->image, image))
             continue;
         if (ok)
             begin(a, r, now);
         else
-            end(a, r, LMN_FAILED);
+            end(a, r, LMN_EXIT_ERROR);
     }
 }
 
 static void give_up_image(struct lmn_agent *a, const char *image)
 {
     for (guint i = 0; i < a->runs->len; i++) {
-        const struct lmn_run *r = a->runs->pdata[i];
-        if (r->state == LMN_R_FETCHING && !strcmp(r->image, image))
+        const struct lmn_task_run *r = a->runs->pdata[i];
+        if (r->state == LMN_RUN_FETCHING && !strcmp(r->image, image))
             return;
     }
     a->ops->give_up(a->arg, image);
@@ -200,12 +200,12 @@
 static void start(struct lmn_agent *a, const char *ref, uint32_t index, uint64_t attempt,
                   struct timespec now)
 {
-    struct lmn_run *r = g_new0(struct lmn_run, 1);
+    struct lmn_task_run *r = g_new0(struct lmn_task_run, 1);
     bool busy = false;
 
     for (guint i = 0; i < a->runs->len; i++) {
-        const struct lmn_run *o = a->runs->pdata[i];
-        if (o->index == index && !strcmp(o->ref, ref) && o->state != LMN_R_ENDED)
+        const struct lmn_task_run *o = a->runs->pdata[i];
+        if (o->index == index && !strcmp(o->ref, ref) && o->state != LMN_RUN_ENDED)
             busy = true;
     }
     r->id = ++a->ids;
@@ -217,32 +217,32 @@
     a->starts++;
     a->changed = true;
     if (busy)
-        end(a, r, LMN_BUSY);
+        end(a, r, LMN_EXIT_BUSY);
     else if (!lmn_job_id_is_valid(ref)) /* names become paths */
-        end(a, r, LMN_NO_SUCH);
+        end(a, r, LMN_EXIT_NO_SUCH_JOB);
     else
         a->ops->describe(a->arg, r);
 }
 
-static void stop(struct lmn_agent *a, struct lmn_run *r, double grace)
+static void stop(struct lmn_agent *a, struct lmn_task_run *r, double grace)
 {
     switch (r->state) {
-    case LMN_R_ASKING:
-        end(a, r, LMN_STOPPED);
+    case LMN_RUN_DESCRIBING:
+        end(a, r, LMN_EXIT_STOPPED);
         return;
-    case LMN_R_FETCHING:
-        end(a, r, LMN_STOPPED);
+    case LMN_RUN_FETCHING:
+        end(a, r, LMN_EXIT_STOPPED);
         give_up_image(a, r->image);
         return;
-    case LMN_R_RUNNING:
+    case LMN_RUN_RUNNING:
         if (r->saves && grace >= r->save_s) {
-            r->state = LMN_R_SAVING;
+            r->state = LMN_RUN_SAVING;
             a->changed = true;
             a->ops->save(a->arg, r, grace);
             return;
         }
         break;
-    case LMN_R_SAVING:
+    case LMN_RUN_SAVING:
         if (grace > 0)
             return;
         break;
@@ -250,7 +250,7 @@
         return;
     }
     r->shown = r->state;
-    r->state = LMN_R_ENDING;
+    r->state = LMN_RUN_ENDING;
     a->ops->kill(a->arg, r);
 }
 
@@ -259,7 +259,7 @@
 {
     const struct lmn_cbor_value *op = lmn_cbor_get(d, n, W_OP);
     char task[LMN_JOB_ID_SIZE + 16], *slash;
-    struct lmn_run *r = NULL;
+    struct lmn_task_run *r = NULL;
     uint64_t attempt = 0;
     double grace = 0;
 
@@ -270,7 +270,7 @@
     *slash = '\0';
     uint32_t index = (uint32_t)g_ascii_strtoull(slash + 1, NULL, 10);
     for (guint i = 0; i < a->runs->len && !r; i++) {
-        struct lmn_run *o = a->runs->pdata[i];
+        struct lmn_task_run *o = a->runs->pdata[i];
         if (o->attempt == attempt && o->index == index && !strcmp(o->ref, task))
             r = o;
     }
@@ -280,7 +280,7 @@
     } else if (lmn_cbor_text_equals(op, W_KILL) && r) {
         lmn_cbor_get_number(lmn_cbor_get(d, n, W_GRACE), &grace);
         stop(a, r, grace);
-    } else if (lmn_cbor_text_equals(op, W_CLEAR) && r && r->state == LMN_R_ENDED) {
+    } else if (lmn_cbor_text_equals(op, W_CLEAR) && r && r->state == LMN_RUN_ENDED) {
         g_ptr_array_remove(a->runs, r);
         a->changed = true;
     }
@@ -298,8 +298,9 @@
         obey(a, d, n, now);
 }
 
-bool lmn_agent_answered(struct lmn_agent *a, uint64_t session, struct timespec sent,
-                        const void *body, size_t len, struct timespec now)
+bool lmn_agent_heartbeat_answered(struct lmn_agent *a, uint64_t session,
+                                  struct timespec sent, const void *body, size_t len,
+                                  struct timespec now)
 {
     struct lmn_cbor_document d;
     uint64_t token = 0;
@@ -321,8 +322,8 @@
     return good;
 }
 
-int lmn_agent_do(struct lmn_agent *a, const void *body, size_t len, GByteArray *out,
-                 struct timespec now)
+int lmn_agent_execute(struct lmn_agent *a, const void *body, size_t len, GByteArray *out,
+                      struct timespec now)
 {
     struct lmn_cbor_document d;
     uint64_t token, session;
@@ -348,7 +349,7 @@
     /* The answer tells all; but the lease is renewed by reports alone, so one is due all
      * the same. */
     bool changed = a->changed;
-    lmn_agent_report(a, out, now);
+    lmn_agent_write_heartbeat(a, out, now);
     a->changed = changed;
     return status;
 }
@@ -359,7 +360,7 @@
     if (a->ending)
         return 503;
     bool changed = a->changed;
-    lmn_agent_report(a, out, now);
+    lmn_agent_write_heartbeat(a, out, now);
     a->changed = changed;
     return 200;
 }
@@ -369,17 +370,17 @@
 void lmn_agent_exited(struct lmn_agent *a, uint64_t id, bool done, bool saved,
                       struct timespec now)
 {
-    struct lmn_run *r = lmn_agent_run(a, id);
+    struct lmn_task_run *r = lmn_agent_find_run(a, id);
     (void)now;
 
-    if (!r || r->state == LMN_R_ENDED || a->ending)
+    if (!r || r->state == LMN_RUN_ENDED || a->ending)
         return;
-    bool told = r->state == LMN_R_SAVING || r->state == LMN_R_ENDING;
+    bool told = r->state == LMN_RUN_SAVING || r->state == LMN_RUN_ENDING;
     r->saved = told && saved && !done;
-    end(a, r, done ? LMN_DONE : told ? LMN_STOPPED : LMN_FAILED);
+    end(a, r, done ? LMN_EXIT_DONE : told ? LMN_EXIT_STOPPED : LMN_EXIT_ERROR);
 }
 
-void lmn_agent_lapse(struct lmn_agent *a, const char *why)
+void lmn_agent_expire_lease(struct lmn_agent *a, const char *why)
 {
     if (a->ending)
         return;
@@ -394,10 +395,11 @@
 void lmn_agent_tick(struct lmn_agent *a, struct timespec now)
 {
     if (!a->ending && lmn_time_diff_s(now, a->lease_from) > a->lease_s)
-        lmn_agent_lapse(a, "the lease is over");
+        lmn_agent_expire_lease(a, "the lease is over");
 }
 
-void lmn_agent_emptied(struct lmn_agent *a, uint64_t session, struct timespec now)
+void lmn_agent_incarnation_ended(struct lmn_agent *a, uint64_t session,
+                                 struct timespec now)
 {
     if (!a->ending)
         return;
@@ -408,7 +410,7 @@
     a->ops->leased(a->arg, lmn_time_add(now, a->lease_s));
 }
 
-void lmn_agent_notice(struct lmn_agent *a, struct timespec gone_at)
+void lmn_agent_spot_notice(struct lmn_agent *a, struct timespec gone_at)
 {
     a->noticed = true;
     a->gone_at = gone_at;
--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -16,26 +16,33 @@
 
 struct lmn_agent;
 
-enum lmn_run_state {
-    LMN_R_ASKING,   /* its job's description is being asked for; told as fetching */
-    LMN_R_FETCHING, /* its image is */
-    LMN_R_RUNNING,
-    LMN_R_SAVING,
-    LMN_R_ENDING, /* killed; told as what it was, until its processes are gone */
-    LMN_R_ENDED,
+enum lmn_task_run_state {
+    LMN_RUN_DESCRIBING, /* its job's description is being asked for; told as fetching */
+    LMN_RUN_FETCHING,   /* its image is */
+    LMN_RUN_RUNNING,
+    LMN_RUN_SAVING,
+    LMN_RUN_ENDING, /* killed; told as what it was, until its processes are gone */
+    LMN_RUN_ENDED,
 };
 
-enum lmn_why { LMN_DONE, LMN_STOPPED, LMN_FAILED, LMN_NO_ROOM, LMN_BUSY, LMN_NO_SUCH };
+enum lmn_exit_reason {
+    LMN_EXIT_DONE,
+    LMN_EXIT_STOPPED,
+    LMN_EXIT_ERROR,
+    LMN_EXIT_NO_CAPACITY,
+    LMN_EXIT_BUSY,
+    LMN_EXIT_NO_SUCH_JOB
+};
 
 /* An attempt at a task on the machine. */
-struct lmn_run {
+struct lmn_task_run {
     uint64_t id; /* of the agent's own, never used twice in its life */
     char ref[LMN_JOB_ID_SIZE];
     uint32_t index;
     uint64_t attempt;
-    enum lmn_run_state state;
-    enum lmn_run_state shown; /* while LMN_R_ENDING */
-    enum lmn_why why;
+    enum lmn_task_run_state state;
+    enum lmn_task_run_state shown; /* while LMN_RUN_ENDING */
+    enum lmn_exit_reason why;
     bool saved;
     bool known; /* the description has come: */
     double cpus, gpus, mem, save_s;
@@ -46,20 +53,21 @@
 
 struct lmn_agent_ops {
     /* Asks for the job's description: lmn_agent_described answers, now or later. */
-    void (*describe)(void *arg, struct lmn_run *r);
+    void (*describe)(void *arg, struct lmn_task_run *r);
     /* Asks for the run's image: lmn_agent_fetched answers, for all runs that need it. */
-    void (*fetch)(void *arg, struct lmn_run *r);
+    void (*fetch)(void *arg, struct lmn_task_run *r);
     /* No run waits for the image any more. */
     void (*give_up)(void *arg, const char *image);
     /* Whether the task's result is kept here. */
     bool (*has_result)(void *arg, const char *ref, uint32_t index);
     /* Starts it: lmn_agent_exited answers. */
-    void (*start)(void *arg, struct lmn_run *r);
+    void (*start)(void *arg, struct lmn_task_run *r);
     /* Asks it to save and exit within grace_s; then it is killed. */
-    void (*save)(void *arg, struct lmn_run *r, double grace_s);
+    void (*save)(void *arg, struct lmn_task_run *r, double grace_s);
     /* Ends it at once: lmn_agent_exited answers. */
-    void (*kill)(void *arg, struct lmn_run *r);
-    /* The lease is over: ends everything; lmn_agent_emptied answers when nothing is left.
+    void (*kill)(void *arg, struct lmn_task_run *r);
+    /* The lease is over: ends everything; lmn_agent_incarnation_ended answers when
+     * nothing is left.
      */
     void (*kill_all)(void *arg);
     /* The lease holds until then, by the caller's clock. */
@@ -90,20 +98,21 @@
 void lmn_agent_clear(struct lmn_agent *a);
 
 /* Appends a report, with the next number. Not while it is ending. */
-void lmn_agent_report(struct lmn_agent *a, GByteArray *out, struct timespec now);
+void lmn_agent_write_heartbeat(struct lmn_agent *a, GByteArray *out, struct timespec now);
 /* A 200 to a report that was sent at the time, in the session. False: it had to be
  * dropped. */
-bool lmn_agent_answered(struct lmn_agent *a, uint64_t session, struct timespec sent,
-                        const void *body, size_t len, struct timespec now);
+bool lmn_agent_heartbeat_answered(struct lmn_agent *a, uint64_t session,
+                                  struct timespec sent, const void *body, size_t len,
+                                  struct timespec now);
 /* POST /do: returns the status, and the body. 503 while it is ending. */
-int lmn_agent_do(struct lmn_agent *a, const void *body, size_t len, GByteArray *out,
-                 struct timespec now);
+int lmn_agent_execute(struct lmn_agent *a, const void *body, size_t len, GByteArray *out,
+                      struct timespec now);
 /* GET /show. */
 int lmn_agent_show(struct lmn_agent *a, GByteArray *out, struct timespec now);
 /* Ends the session if its lease is over. To be called often. */
 void lmn_agent_tick(struct lmn_agent *a, struct timespec now);
 /* The cloud takes the machine away at the time. */
-void lmn_agent_notice(struct lmn_agent *a, struct timespec gone_at);
+void lmn_agent_spot_notice(struct lmn_agent *a, struct timespec gone_at);
 
 /* --- what came of it --- */
 /* spec NULL: no such job. */
@@ -116,11 +125,12 @@
 void lmn_agent_exited(struct lmn_agent *a, uint64_t id, bool done, bool saved,
                       struct timespec now);
 /* Nothing is left of the session: session is the next one's number. */
-void lmn_agent_emptied(struct lmn_agent *a, uint64_t session, struct timespec now);
+void lmn_agent_incarnation_ended(struct lmn_agent *a, uint64_t session,
+                                 struct timespec now);
 /* Its processes were ended from without, as by the lease's own keeper: as if the lease
  * were over. */
-void lmn_agent_lapse(struct lmn_agent *a, const char *why);
+void lmn_agent_expire_lease(struct lmn_agent *a, const char *why);
 /* The run of that number; NULL: forgotten. */
-struct lmn_run *lmn_agent_run(struct lmn_agent *a, uint64_t id);
+struct lmn_task_run *lmn_agent_find_run(struct lmn_agent *a, uint64_t id);
 
 #endif
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -48,7 +48,7 @@
 
 /* --- what it says --- */
 
-static void tell(const struct keeper *k, enum lmn_keeper_event event, uint64_t id,
+static void tell(const struct keeper *k, enum lmn_executor_event event, uint64_t id,
                  int status, const char *what)
 {
     GByteArray *b = g_byte_array_new();
@@ -209,7 +209,7 @@
         if (out[i] >= 0)
             close(out[i]);
     if (error) {
-        tell(k, LMN_K_FAILED, id, 0, g_strerror(error));
+        tell(k, LMN_EXECUTOR_START_FAILED, id, 0, g_strerror(error));
         if (t->pid > 0)
             waitpid(t->pid, NULL, 0);
         close_output(t, 0);
@@ -301,7 +301,7 @@
         }
         g_ptr_array_set_size(k->tasks, 0);
         k->ending = false;
-        tell(k, k->lapsed ? LMN_K_LAPSED : LMN_K_EMPTY, 0, 0, "");
+        tell(k, k->lapsed ? LMN_EXECUTOR_LEASE_EXPIRED : LMN_EXECUTOR_EMPTY, 0, 0, "");
         return;
     }
     if (!any || strays)
@@ -314,7 +314,7 @@
         read_output(t, 1);
         close_output(t, 0);
         close_output(t, 1);
-        tell(k, LMN_K_EXITED, t->id, t->status, "");
+        tell(k, LMN_EXECUTOR_EXITED, t->id, t->status, "");
         g_ptr_array_remove_index_fast(k->tasks, i);
     }
 }
@@ -456,7 +456,7 @@
     _exit(0);
 }
 
-char *lmn_keeper_mark(const char *dir)
+char *lmn_executor_mark(const char *dir)
 {
     char *whole = g_canonicalize_filename(dir, NULL);
     char *mark = g_strdup_printf("LEMONSPAR_MACHINE_DIR=%s", whole);
@@ -464,7 +464,7 @@
     return mark;
 }
 
-bool lmn_keeper_clear(const char *dir, const char *mark, double seconds)
+bool lmn_executor_clear(const char *dir, const char *mark, double seconds)
 {
     char *agent = g_build_filename(dir, "agent.lock", NULL);
     char *keeper = g_build_filename(dir, "keeper.lock", NULL);
@@ -480,7 +480,7 @@
     return ok;
 }
 
-int lmn_keeper_start(const char *dir, const char *mark, char *err, size_t len)
+int lmn_executor_start(const char *dir, const char *mark, char *err, size_t len)
 {
     char *lock = g_build_filename(dir, "keeper.lock", NULL);
     int pair[2] = {-1, -1}, size = 512 * 1024;
--- a/src/worker/executor_message.c
+++ b/src/worker/executor_message.c
@@ -22,8 +22,8 @@
         lmn_cbor_put_text(b, v[i]);
 }
 
-GByteArray *lmn_keeper_msg_start(uint64_t id, char *const argv[], char *const env[],
-                                 const char *cwd, uint64_t log_bytes)
+GByteArray *lmn_executor_encode_start(uint64_t id, char *const argv[], char *const env[],
+                                      const char *cwd, uint64_t log_bytes)
 {
     GByteArray *b = message("start", 5);
 
@@ -35,7 +35,7 @@
     return b;
 }
 
-GByteArray *lmn_keeper_msg_save(uint64_t id, double grace_s)
+GByteArray *lmn_executor_encode_save(uint64_t id, double grace_s)
 {
     GByteArray *b = message("save", 2);
 
@@ -44,7 +44,7 @@
     return b;
 }
 
-GByteArray *lmn_keeper_msg_kill(uint64_t id)
+GByteArray *lmn_executor_encode_kill(uint64_t id)
 {
     GByteArray *b = message("kill", 1);
 
@@ -52,12 +52,12 @@
     return b;
 }
 
-GByteArray *lmn_keeper_msg_kill_all(void)
+GByteArray *lmn_executor_encode_kill_all(void)
 {
     return message("kill_all", 0);
 }
 
-GByteArray *lmn_keeper_msg_until(struct timespec at)
+GByteArray *lmn_executor_encode_lease(struct timespec at)
 {
     GByteArray *b = message("until", 2);
 
@@ -66,7 +66,8 @@
     return b;
 }
 
-int lmn_keeper_read(const void *bytes, size_t len, struct lmn_keeper_msg *m)
+int lmn_executor_event_decode(const void *bytes, size_t len,
+                              struct lmn_executor_event_message *m)
 {
     struct lmn_cbor_document d;
     uint64_t event = 0, status = 0;
@@ -76,11 +77,11 @@
         return -1;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     bool ok = lmn_cbor_get_uint(lmn_cbor_get(&d, root, "event"), &event) &&
-              event <= LMN_K_LAPSED;
+              event <= LMN_EXECUTOR_LEASE_EXPIRED;
     lmn_cbor_get_uint(lmn_cbor_get(&d, root, "id"), &m->id);
     lmn_cbor_get_uint(lmn_cbor_get(&d, root, "status"), &status);
     lmn_cbor_get_text(lmn_cbor_get(&d, root, "what"), m->what, sizeof m->what);
-    m->event = (enum lmn_keeper_event)event;
+    m->event = (enum lmn_executor_event)event;
     m->status = (int)status;
     lmn_cbor_free(&d);
     return ok ? 0 : -1;
--- a/src/worker/task_runner.c
+++ b/src/worker/task_runner.c
@@ -21,26 +21,26 @@
 
 static void send(struct lmn_worker *w, GByteArray *msg, char *dir)
 {
-    struct lmn_outgoing *o = g_new(struct lmn_outgoing, 1);
-    *o = (struct lmn_outgoing){msg, dir};
+    struct lmn_executor_request *o = g_new(struct lmn_executor_request, 1);
+    *o = (struct lmn_executor_request){msg, dir};
     g_queue_push_tail(&w->outbox, o);
 }
 
-static void describe(void *arg, struct lmn_run *r)
+static void describe(void *arg, struct lmn_task_run *r)
 {
     struct lmn_worker *w = arg;
-    struct lmn_wish *q = g_new0(struct lmn_wish, 1);
+    struct lmn_fetch_request *q = g_new0(struct lmn_fetch_request, 1);
 
     q->id = r->id;
     g_strlcpy(q->ref, r->ref, sizeof q->ref);
     g_queue_push_tail(&w->pending, q);
 }
 
-static void fetch(void *arg, struct lmn_run *r)
+static void fetch(void *arg, struct lmn_task_run *r)
 {
     struct lmn_worker *w = arg;
-    struct lmn_wish *q = g_new0(struct lmn_wish, 1);
-    const struct lmn_work *work = g_hash_table_lookup(w->works, r->ref);
+    struct lmn_fetch_request *q = g_new0(struct lmn_fetch_request, 1);
+    const struct lmn_task_command *work = g_hash_table_lookup(w->works, r->ref);
 
     q->image = true;
     q->name = r->image;
@@ -66,7 +66,7 @@
     return g_hash_table_contains(w->results, key);
 }
 
-static char *run_dir(const struct lmn_worker *w, const struct lmn_run *r)
+static char *run_dir(const struct lmn_worker *w, const struct lmn_task_run *r)
 {
     return g_strdup_printf("%s/tasks/%s.%u.%" G_GUINT64_FORMAT, w->o->dir, r->ref,
                            r->index, r->attempt);
@@ -77,8 +77,8 @@
     return g_strdup_printf("%s/images/%s", w->o->dir, image);
 }
 
-static char **environment(const struct lmn_worker *w, const struct lmn_work *work,
-                          const struct lmn_run *r)
+static char **environment(const struct lmn_worker *w, const struct lmn_task_command *work,
+                          const struct lmn_task_run *r)
 {
     GPtrArray *a = g_ptr_array_new();
 
@@ -103,16 +103,16 @@
     return (char **)g_ptr_array_free(a, FALSE);
 }
 
-static void start(void *arg, struct lmn_run *r)
+static void start(void *arg, struct lmn_task_run *r)
 {
     struct lmn_worker *w = arg;
-    const struct lmn_work *work = g_hash_table_lookup(w->works, r->ref);
+    const struct lmn_task_command *work = g_hash_table_lookup(w->works, r->ref);
     char *dir = run_dir(w, r);
 
     /* The description was there to know the image by; if it was dropped since, it comes
      * again. */
     if (!work) {
-        r->state = LMN_R_ASKING;
+        r->state = LMN_RUN_DESCRIBING;
         describe(arg, r);
         g_free(dir);
         return;
@@ -121,35 +121,35 @@
     if (r->saves && *w->o->checkpoints)
         send(w, NULL, g_strdup_printf("%s/%s/%u", w->o->checkpoints, r->ref, r->index));
     send(w,
-         lmn_keeper_msg_start(r->id, work->argv, env, dir,
-                              (uint64_t)(w->o->log_kb * 1024)),
+         lmn_executor_encode_start(r->id, work->argv, env, dir,
+                                   (uint64_t)(w->o->log_kb * 1024)),
          dir);
     g_strfreev(env);
     lmn_debug("task-start task=%s/%u attempt=%" G_GUINT64_FORMAT, r->ref, r->index,
               r->attempt);
 }
 
-static void save(void *arg, struct lmn_run *r, double grace_s)
+static void save(void *arg, struct lmn_task_run *r, double grace_s)
 {
-    send(arg, lmn_keeper_msg_save(r->id, grace_s), NULL);
+    send(arg, lmn_executor_encode_save(r->id, grace_s), NULL);
 }
 
-static void kill_run(void *arg, struct lmn_run *r)
+static void kill_run(void *arg, struct lmn_task_run *r)
 {
-    send(arg, lmn_keeper_msg_kill(r->id), NULL);
+    send(arg, lmn_executor_encode_kill(r->id), NULL);
 }
 
 static void kill_all(void *arg)
 {
-    send(arg, lmn_keeper_msg_kill_all(), NULL);
+    send(arg, lmn_executor_encode_kill_all(), NULL);
 }
 
 static void leased(void *arg, struct timespec until)
 {
-    send(arg, lmn_keeper_msg_until(until), NULL);
+    send(arg, lmn_executor_encode_lease(until), NULL);
 }
 
-const struct lmn_agent_ops lmn_run_ops = {
+const struct lmn_agent_ops lmn_worker_agent_ops = {
     .describe = describe,
     .fetch = fetch,
     .give_up = give_up,
@@ -174,28 +174,30 @@
     while (g_hash_table_iter_next(&it, &ref, NULL)) {
         bool used = false;
         for (guint i = 0; i < w->agent.runs->len && !used; i++)
-            used = !strcmp(((struct lmn_run *)w->agent.runs->pdata[i])->ref, ref);
+            used = !strcmp(((struct lmn_task_run *)w->agent.runs->pdata[i])->ref, ref);
         if (!used)
             g_hash_table_iter_remove(&it);
     }
 }
 
 /* 1: there, 0: there is no such job, -1: the depot has to be asked again. */
-static int get_work(struct lmn_http_client *h, const char *ref, struct lmn_work *work)
+static int get_work(struct lmn_http_client *h, const char *ref,
+                    struct lmn_task_command *work)
 {
     GByteArray *b = g_byte_array_new();
-    char digest[LMN_DIGEST];
-    struct lmn_depot_error e = {0};
+    char digest[LMN_DIGEST_SIZE];
+    struct lmn_image_store_error e = {0};
     const char *what = "";
-    int rc = lmn_depot_look(h, LMN_DEPOT_JOB, ref, digest, &e);
+    int rc = lmn_image_store_lookup(h, LMN_IMAGE_STORE_KIND_JOB, ref, digest, &e);
 
     if (rc == 0)
-        rc = lmn_depot_get(h, digest, b, &e);
+        rc = lmn_image_store_get(h, digest, b, &e);
     if (rc != 0) {
         rc = e.status == 404 ? 0 : -1;
         lmn_info("description-missing job=%s why=\"%s\"", ref, e.what);
-    } else if (lmn_work_read(work, b->data, b->len, &what) != 0 ||
-               strcmp(work->spec.ref, ref) || !lmn_image_name_ok(work->spec.image)) {
+    } else if (lmn_task_command_decode(work, b->data, b->len, &what) != 0 ||
+               strcmp(work->spec.ref, ref) ||
+               !lmn_image_name_is_valid(work->spec.image)) {
         lmn_error("description-unreadable job=%s field=%s", ref, what);
         rc = 0;
     } else {
@@ -211,34 +213,34 @@
     struct lmn_http_client *h = lmn_http_client_new(w->o->depot);
 
     for (;;) {
-        lmn_run_lock(w);
+        lmn_worker_lock(w);
         while (!w->wishes.head)
             pthread_cond_wait(&w->wishes_more, &w->lock);
-        struct lmn_wish *q = g_queue_pop_head(&w->wishes);
-        bool wanted = lmn_agent_run(&w->agent, q->id) != NULL;
+        struct lmn_fetch_request *q = g_queue_pop_head(&w->wishes);
+        bool wanted = lmn_agent_find_run(&w->agent, q->id) != NULL;
         bool known = g_hash_table_contains(w->works, q->ref);
         if (known && wanted)
             g_queue_push_tail(&w->pending, q);
-        lmn_run_unlock(w);
+        lmn_worker_unlock(w);
         if (!wanted)
             g_free(q);
         if (!wanted || known)
             continue;
-        struct lmn_work *work = g_new0(struct lmn_work, 1);
+        struct lmn_task_command *work = g_new0(struct lmn_task_command, 1);
         int rc = get_work(h, q->ref, work);
         if (rc < 0)
             lmn_sleep(0.3);
-        lmn_run_lock(w);
+        lmn_worker_lock(w);
         if (rc > 0) {
             free_unused(w);
             g_hash_table_replace(w->works, work->spec.ref, work);
             g_queue_push_tail(&w->pending, q);
         } else if (rc == 0) {
-            lmn_agent_described(&w->agent, q->id, NULL, lmn_run_now());
+            lmn_agent_described(&w->agent, q->id, NULL, lmn_worker_now());
         } else {
             g_queue_push_tail(&w->wishes, q);
         }
-        lmn_run_unlock(w);
+        lmn_worker_unlock(w);
         if (rc <= 0)
             g_free(work);
         if (rc == 0)
@@ -281,8 +283,8 @@
 static bool in_use(const struct lmn_worker *w, const char *image)
 {
     for (guint i = 0; i < w->agent.runs->len; i++) {
-        const struct lmn_run *r = w->agent.runs->pdata[i];
-        if (r->state != LMN_R_ENDED && r->image && !strcmp(r->image, image))
+        const struct lmn_task_run *r = w->agent.runs->pdata[i];
+        if (r->state != LMN_RUN_ENDED && r->image && !strcmp(r->image, image))
             return true;
     }
     return false;
@@ -346,7 +348,7 @@
     char *dir = image_dir(w, name), *sizes = g_strdup_printf("%s/sizes", w->o->dir);
     char *note = g_build_filename(sizes, name, NULL), text[32];
     struct going going = {w, name};
-    struct lmn_depot_error e = {0};
+    struct lmn_image_store_error e = {0};
     struct timespec begun = lmn_now();
 
     g_mkdir_with_parents(sizes, 0755);
@@ -375,18 +377,18 @@
 
     for (;;) {
         uint64_t bytes = 0;
-        lmn_run_lock(w);
+        lmn_worker_lock(w);
         while (!w->images.head)
             pthread_cond_wait(&w->images_more, &w->lock);
-        struct lmn_wish *q = g_queue_pop_head(&w->images);
+        struct lmn_fetch_request *q = g_queue_pop_head(&w->images);
         bool there = g_hash_table_contains(w->here, q->name);
         bool wanted = in_use(w, q->name);
         if (!there && wanted)
             make_room(w, q->gb * 1e9, drop);
-        lmn_run_unlock(w);
+        lmn_worker_unlock(w);
         drop_images(w, drop);
         bool ok = there || (wanted && get_image(w, h, q->name, &bytes));
-        lmn_run_lock(w);
+        lmn_worker_lock(w);
         if (ok && !there) {
             guint64 *n = g_new(guint64, 1);
             *n = bytes;
@@ -396,8 +398,8 @@
         }
         if (w->given_up == q->name)
             w->given_up = NULL;
-        lmn_agent_fetched(&w->agent, q->name, ok, lmn_run_now());
-        lmn_run_unlock(w);
+        lmn_agent_fetched(&w->agent, q->name, ok, lmn_worker_now());
+        lmn_worker_unlock(w);
         g_free(q);
     }
     return NULL;
@@ -433,14 +435,14 @@
 
     for (;;) {
         GString *lines = g_string_new(NULL);
-        lmn_run_lock(w);
+        lmn_worker_lock(w);
         while (!w->ended.head)
             pthread_cond_wait(&w->ended_more, &w->lock);
         GQueue mine = w->ended;
         g_queue_init(&w->ended);
-        lmn_run_unlock(w);
+        lmn_worker_unlock(w);
         for (GList *l = mine.head; l; l = l->next) {
-            const struct lmn_ended *e = l->data;
+            const struct lmn_ended_attempt *e = l->data;
             if (e->done)
                 g_string_append_printf(lines, "%s/%u\n", e->ref, e->index);
         }
@@ -449,11 +451,12 @@
                                     fdatasync(w->results_fd) == 0);
         if (!kept)
             lmn_error("result-lost error=\"%s\"", strerror(errno));
-        lmn_run_lock(w);
-        for (struct lmn_ended *e; (e = g_queue_pop_head(&mine));) {
+        lmn_worker_lock(w);
+        for (struct lmn_ended_attempt *e; (e = g_queue_pop_head(&mine));) {
             if (e->done && kept)
                 g_hash_table_add(w->results, g_strdup_printf("%s/%u", e->ref, e->index));
-            lmn_agent_exited(&w->agent, e->id, e->done && kept, e->saved, lmn_run_now());
+            lmn_agent_exited(&w->agent, e->id, e->done && kept, e->saved,
+                             lmn_worker_now());
             if (w->logs.length < MAX_LOGS) {
                 g_queue_push_tail(&w->logs, e);
                 pthread_cond_signal(&w->logs_more);
@@ -463,7 +466,7 @@
                 g_free(e);
             }
         }
-        lmn_run_unlock(w);
+        lmn_worker_unlock(w);
         g_string_free(lines, TRUE);
     }
     return NULL;
@@ -471,7 +474,7 @@
 
 /* --- output --- */
 
-static bool upload(struct lmn_http_client *h, const struct lmn_ended *e,
+static bool upload(struct lmn_http_client *h, const struct lmn_ended_attempt *e,
                    const char *stream)
 {
     char *path = g_build_filename(e->dir, stream, NULL), *text = NULL, to[160];
@@ -502,7 +505,7 @@
         pthread_mutex_lock(&w->lock);
         while (!w->logs.head)
             pthread_cond_wait(&w->logs_more, &w->lock);
-        struct lmn_ended *e = g_queue_pop_head(&w->logs);
+        struct lmn_ended_attempt *e = g_queue_pop_head(&w->logs);
         pthread_mutex_unlock(&w->lock);
         bool ok = upload(h, e, "stdout") && upload(h, e, "stderr");
         if (!ok && ++e->tries < LOG_TRIES) {
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -26,14 +26,14 @@
 /* A worker waits for an answer to a report so long. */
 static const double ANSWER_S = 4;
 
-struct timespec lmn_run_now(void)
+struct timespec lmn_worker_now(void)
 {
     struct timespec t;
     clock_gettime(CLOCK_BOOTTIME, &t); /* a lease is over in sleep, too */
     return t;
 }
 
-void lmn_run_lock(struct lmn_worker *w)
+void lmn_worker_lock(struct lmn_worker *w)
 {
     pthread_mutex_lock(&w->lock);
 }
@@ -42,11 +42,11 @@
  * is held. */
 static void drain(struct lmn_worker *w)
 {
-    struct lmn_wish *q;
+    struct lmn_fetch_request *q;
 
     while ((q = g_queue_pop_head(&w->pending))) {
-        struct timespec now = lmn_run_now();
-        const struct lmn_work *work =
+        struct timespec now = lmn_worker_now();
+        const struct lmn_task_command *work =
             q->image ? NULL : g_hash_table_lookup(w->works, q->ref);
         if (work) {
             lmn_agent_described(&w->agent, q->id, &work->spec, now);
@@ -78,7 +78,7 @@
     GQueue mine = w->outbox;
     g_queue_init(&w->outbox);
     pthread_mutex_unlock(&w->lock);
-    for (struct lmn_outgoing *o; (o = g_queue_pop_head(&mine));) {
+    for (struct lmn_executor_request *o; (o = g_queue_pop_head(&mine));) {
         if (o->dir && g_mkdir_with_parents(o->dir, 0755) != 0)
             lmn_error("no-directory path=%s error=\"%s\"", o->dir, strerror(errno));
         if (o->msg && send(w->keeper, o->msg->data, o->msg->len, MSG_NOSIGNAL) < 0)
@@ -91,7 +91,7 @@
     pthread_mutex_unlock(&w->sending);
 }
 
-void lmn_run_unlock(struct lmn_worker *w)
+void lmn_worker_unlock(struct lmn_worker *w)
 {
     drain(w);
     bool out = w->outbox.head != NULL;
@@ -128,13 +128,13 @@
     return last;
 }
 
-static void task_ended(struct lmn_worker *w, const struct lmn_keeper_msg *m)
+static void task_ended(struct lmn_worker *w, const struct lmn_executor_event_message *m)
 {
-    lmn_run_lock(w);
-    const struct lmn_run *r = lmn_agent_run(&w->agent, m->id);
+    lmn_worker_lock(w);
+    const struct lmn_task_run *r = lmn_agent_find_run(&w->agent, m->id);
     if (r) {
-        struct lmn_ended *e = g_new0(struct lmn_ended, 1);
-        bool exited = m->event == LMN_K_EXITED && WIFEXITED(m->status);
+        struct lmn_ended_attempt *e = g_new0(struct lmn_ended_attempt, 1);
+        bool exited = m->event == LMN_EXECUTOR_EXITED && WIFEXITED(m->status);
         e->id = r->id;
         e->attempt = r->attempt;
         g_strlcpy(e->ref, r->ref, sizeof e->ref);
@@ -146,12 +146,12 @@
         lmn_debug("task-exit task=%s/%u attempt=%" G_GUINT64_FORMAT
                   " status=%d what=\"%s\"",
                   r->ref, r->index, r->attempt, m->status, m->what);
-        if (m->event == LMN_K_FAILED)
+        if (m->event == LMN_EXECUTOR_START_FAILED)
             lmn_info("task-unstarted task=%s/%u why=\"%s\"", r->ref, r->index, m->what);
         g_queue_push_tail(&w->ended, e);
         pthread_cond_signal(&w->ended_more);
     }
-    lmn_run_unlock(w);
+    lmn_worker_unlock(w);
 }
 
 static void *listen_to_keeper(void *arg)
@@ -160,7 +160,7 @@
     char buf[MAX_MESSAGE];
 
     for (;;) {
-        struct lmn_keeper_msg m;
+        struct lmn_executor_event_message m;
         ssize_t n = recv(w->keeper, buf, sizeof buf, 0);
         if (n < 0 && errno == EINTR)
             continue;
@@ -169,19 +169,19 @@
             lmn_error("keeper-gone");
             _exit(1);
         }
-        if (lmn_keeper_read(buf, (size_t)n, &m) != 0)
+        if (lmn_executor_event_decode(buf, (size_t)n, &m) != 0)
             continue;
-        if (m.event == LMN_K_EXITED || m.event == LMN_K_FAILED) {
+        if (m.event == LMN_EXECUTOR_EXITED || m.event == LMN_EXECUTOR_START_FAILED) {
             task_ended(w, &m);
             continue;
         }
-        uint64_t session = m.event == LMN_K_EMPTY ? next_session(w) : 0;
-        lmn_run_lock(w);
-        if (m.event == LMN_K_EMPTY)
-            lmn_agent_emptied(&w->agent, session, lmn_run_now());
+        uint64_t session = m.event == LMN_EXECUTOR_EMPTY ? next_session(w) : 0;
+        lmn_worker_lock(w);
+        if (m.event == LMN_EXECUTOR_EMPTY)
+            lmn_agent_incarnation_ended(&w->agent, session, lmn_worker_now());
         else
-            lmn_agent_lapse(&w->agent, "the keeper found the lease over");
-        lmn_run_unlock(w);
+            lmn_agent_expire_lease(&w->agent, "the keeper found the lease over");
+        lmn_worker_unlock(w);
     }
     return NULL;
 }
@@ -235,25 +235,25 @@
     for (;;) {
         GByteArray *out = g_byte_array_new();
         wait_for_report(w, last);
-        lmn_run_lock(w);
+        lmn_worker_lock(w);
         if (w->agent.ending) {
-            lmn_run_unlock(w);
+            lmn_worker_unlock(w);
             g_byte_array_unref(out);
             continue;
         }
         uint64_t session = w->agent.session;
-        struct timespec sent = lmn_run_now();
-        lmn_agent_report(&w->agent, out, sent);
+        struct timespec sent = lmn_worker_now();
+        lmn_agent_write_heartbeat(&w->agent, out, sent);
         w->reports++;
-        lmn_run_unlock(w);
+        lmn_worker_unlock(w);
         last = lmn_now();
         int status = lmn_http_client_call(h[to], "POST", P_REPORT, out, ANSWER_S, in);
         g_byte_array_unref(out);
         if (status == 200) {
-            lmn_run_lock(w);
-            lmn_agent_answered(&w->agent, session, sent, in->data, in->len,
-                               lmn_run_now());
-            lmn_run_unlock(w);
+            lmn_worker_lock(w);
+            lmn_agent_heartbeat_answered(&w->agent, session, sent, in->data, in->len,
+                                         lmn_worker_now());
+            lmn_worker_unlock(w);
             continue;
         }
         unsigned next = status == 421 ? controller_named(w, in, to) : to;
@@ -279,9 +279,9 @@
 
     for (;;) {
         lmn_sleep(0.05);
-        lmn_run_lock(w);
-        lmn_agent_tick(&w->agent, lmn_run_now());
-        lmn_run_unlock(w);
+        lmn_worker_lock(w);
+        lmn_agent_tick(&w->agent, lmn_worker_now());
+        lmn_worker_unlock(w);
     }
     return NULL;
 }
@@ -323,18 +323,19 @@
         lmn_metrics_answer(call, metrics, w);
         return;
     }
-    lmn_run_lock(w);
+    lmn_worker_lock(w);
     if (lmn_http_request_method(call) == LMN_HTTP_POST && !strcmp(path, P_DIRECT))
-        status = lmn_agent_do(&w->agent, body->data, body->len, out, lmn_run_now());
+        status =
+            lmn_agent_execute(&w->agent, body->data, body->len, out, lmn_worker_now());
     else if (lmn_http_request_method(call) == LMN_HTTP_GET && !strcmp(path, P_SHOW))
-        status = lmn_agent_show(&w->agent, out, lmn_run_now());
-    lmn_run_unlock(w);
+        status = lmn_agent_show(&w->agent, out, lmn_worker_now());
+    lmn_worker_unlock(w);
     lmn_http_request_respond(call, status, out, 0);
 }
 
 static void free_work(gpointer p)
 {
-    lmn_work_clear(p);
+    lmn_task_command_clear(p);
     g_free(p);
 }
 
@@ -368,8 +369,8 @@
             g_snprintf(err, len, "%s: %s", o->dir, strerror(errno));
         return -1;
     }
-    w->mark = lmn_keeper_mark(o->dir);
-    w->keeper = lmn_keeper_start(o->dir, w->mark, err, len);
+    w->mark = lmn_executor_mark(o->dir);
+    w->keeper = lmn_executor_start(o->dir, w->mark, err, len);
     if (w->keeper < 0)
         return -1;
     /* Nothing of an earlier session runs any more: only now is there a next one. */
@@ -391,7 +392,8 @@
     w->agent.type = o->type;
     w->agent.spot = o->spot;
     w->agent.lease_s = o->lease_s;
-    lmn_agent_init(&w->agent, &lmn_run_ops, w, next_session(w), lmn_run_now());
+    lmn_agent_init(&w->agent, &lmn_worker_agent_ops, w, next_session(w),
+                   lmn_worker_now());
     struct lmn_http_server *server = lmn_http_server_start(&h);
     if (!server) {
         g_snprintf(err, len, "%s: can't listen: %s", o->listen, strerror(errno));
@@ -409,7 +411,7 @@
         g_hash_table_size(w->results));
     char *address = g_build_filename(o->dir, "address", NULL), said[LMN_ADDRESS_SIZE + 1];
     int n = g_snprintf(said, sizeof said, "%s\n", w->agent.addr);
-    lmn_run_unlock(w);
+    lmn_worker_unlock(w);
     /* For the fleet's list. */
     lmn_file_put(address, said, (size_t)n);
     g_free(address);
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -41,13 +41,13 @@
             g_array_remove_index_fast(v, i);
 }
 
-static void describe(void *arg, struct lmn_run *r)
+static void describe(void *arg, struct lmn_task_run *r)
 {
     (void)arg;
     g_array_append_val(w.asked, r->id);
 }
 
-static void fetch(void *arg, struct lmn_run *r)
+static void fetch(void *arg, struct lmn_task_run *r)
 {
     (void)arg;
     if (!g_ptr_array_find(w.images, r->image, NULL))
@@ -58,8 +58,8 @@
 {
     (void)arg;
     for (guint i = 0; i < w.a.runs->len; i++) {
-        const struct lmn_run *r = w.a.runs->pdata[i];
-        assert_false(r->state == LMN_R_FETCHING && !strcmp(r->image, image));
+        const struct lmn_task_run *r = w.a.runs->pdata[i];
+        assert_false(r->state == LMN_RUN_FETCHING && !strcmp(r->image, image));
     }
 }
 
@@ -71,7 +71,7 @@
     return g_hash_table_contains(w.results, key);
 }
 
-static void start(void *arg, struct lmn_run *r)
+static void start(void *arg, struct lmn_task_run *r)
 {
     uint64_t *id = g_new(uint64_t, 1);
     (void)arg;
@@ -80,21 +80,22 @@
      */
     assert_true(g_hash_table_add(w.begun, id));
     for (guint i = 0; i < w.live->len; i++) {
-        const struct lmn_run *o = lmn_agent_run(&w.a, g_array_index(w.live, uint64_t, i));
+        const struct lmn_task_run *o =
+            lmn_agent_find_run(&w.a, g_array_index(w.live, uint64_t, i));
         assert_false(o && o->index == r->index && !strcmp(o->ref, r->ref));
     }
     g_array_append_val(w.live, r->id);
     w.starts++;
 }
 
-static void save(void *arg, struct lmn_run *r, double grace)
+static void save(void *arg, struct lmn_task_run *r, double grace)
 {
     (void)arg;
     assert_true(r->saves && grace >= r->save_s);
     w.saves++;
 }
 
-static void kill_run(void *arg, struct lmn_run *r)
+static void kill_run(void *arg, struct lmn_task_run *r)
 {
     (void)arg;
     (void)r;
@@ -134,7 +135,7 @@
         int ref = some(JOBS), index = some(TASKS), attempt = 1 + some(ATTEMPTS);
         /* Often about something that is there. */
         if (w.a.runs->len && some(3)) {
-            const struct lmn_run *r = w.a.runs->pdata[some((int)w.a.runs->len)];
+            const struct lmn_task_run *r = w.a.runs->pdata[some((int)w.a.runs->len)];
             ref = r->ref[strlen(r->ref) - 1] - '0';
             index = (int)r->index;
             attempt = (int)r->attempt;
@@ -154,14 +155,14 @@
     double cpus = 0;
 
     for (guint i = 0; i < w.a.runs->len; i++) {
-        const struct lmn_run *r = w.a.runs->pdata[i];
-        if (r->known && r->state != LMN_R_ENDED)
+        const struct lmn_task_run *r = w.a.runs->pdata[i];
+        if (r->known && r->state != LMN_RUN_ENDED)
             cpus += r->cpus;
         for (guint k = 0; k < i; k++) {
-            const struct lmn_run *o = w.a.runs->pdata[k];
+            const struct lmn_task_run *o = w.a.runs->pdata[k];
             bool same = o->index == r->index && !strcmp(o->ref, r->ref);
             /* One attempt of a task at a time, and each attempt once. */
-            assert_false(same && o->state != LMN_R_ENDED && r->state != LMN_R_ENDED);
+            assert_false(same && o->state != LMN_RUN_ENDED && r->state != LMN_RUN_ENDED);
             assert_false(same && o->attempt == r->attempt);
         }
     }
@@ -192,7 +193,7 @@
     GByteArray *b = orders(token, session), *out = g_byte_array_new();
     if (direct) {
         bool was = w.a.ending;
-        int status = lmn_agent_do(&w.a, b->data, b->len, out, w.now);
+        int status = lmn_agent_execute(&w.a, b->data, b->len, out, w.now);
         if (was || w.a.ending)
             assert_int_equal(status, 503);
         else
@@ -200,7 +201,8 @@
         assert_true(status == 503 || w.a.seq == seq + 1);
     } else {
         struct timespec sent = lmn_time_add(w.now, -0.1 * some(10));
-        bool took = lmn_agent_answered(&w.a, session, sent, b->data, b->len, w.now);
+        bool took =
+            lmn_agent_heartbeat_answered(&w.a, session, sent, b->data, b->len, w.now);
         assert_true(!took || !drop);
     }
     if (drop) {
@@ -220,7 +222,7 @@
     case 0:
         if (w.asked->len) {
             uint64_t id = g_array_index(w.asked, uint64_t, some((int)w.asked->len));
-            const struct lmn_run *r = lmn_agent_run(&w.a, id);
+            const struct lmn_task_run *r = lmn_agent_find_run(&w.a, id);
             drop_id(w.asked, id);
             int job = r ? r->ref[strlen(r->ref) - 1] - '0' : 0;
             lmn_agent_described(&w.a, id, some(20) ? &w.specs[job] : NULL, w.now);
@@ -236,7 +238,7 @@
     default:
         if (w.live->len && !w.emptying) {
             uint64_t id = g_array_index(w.live, uint64_t, some((int)w.live->len));
-            const struct lmn_run *r = lmn_agent_run(&w.a, id);
+            const struct lmn_task_run *r = lmn_agent_find_run(&w.a, id);
             bool done = some(2);
             assert_non_null(r); /* what runs is known until its session ends */
             if (done) {
@@ -245,9 +247,9 @@
             }
             drop_id(w.live, id);
             lmn_agent_exited(&w.a, id, done, some(2), w.now);
-            r = lmn_agent_run(&w.a, id);
-            assert_int_equal(r->state, LMN_R_ENDED);
-            assert_int_equal(r->why == LMN_DONE, done);
+            r = lmn_agent_find_run(&w.a, id);
+            assert_int_equal(r->state, LMN_RUN_ENDED);
+            assert_int_equal(r->why == LMN_EXIT_DONE, done);
         }
     }
 }
@@ -262,7 +264,7 @@
         g_byte_array_unref(b);
         return;
     }
-    lmn_agent_report(&w.a, b, w.now);
+    lmn_agent_write_heartbeat(&w.a, b, w.now);
     assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
     assert_true(lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SEQ), &told) &&
                 told == seq + 1);
@@ -271,7 +273,8 @@
     if (some(5)) {
         /* It is answered, by whoever holds the highest token. */
         GByteArray *o = orders(w.a.token + (some(30) == 0), w.a.session);
-        bool took = lmn_agent_answered(&w.a, w.a.session, w.now, o->data, o->len, w.now);
+        bool took = lmn_agent_heartbeat_answered(&w.a, w.a.session, w.now, o->data,
+                                                 o->len, w.now);
         assert_true(!took || lmn_time_diff_s(w.leased, w.now) > w.a.lease_s - 0.01);
         g_byte_array_unref(o);
     }
@@ -312,7 +315,7 @@
             g_array_set_size(w.live, 0);
             w.emptying = false;
             uint64_t id = w.a.ids;
-            lmn_agent_emptied(&w.a, w.a.session + 1, w.now);
+            lmn_agent_incarnation_ended(&w.a, w.a.session + 1, w.now);
             lmn_agent_exited(&w.a, id, true, false, w.now);
             assert_int_equal(w.a.runs->len, 0);
         }
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -236,36 +236,38 @@
 /* --- the static fleet --- */
 
 static struct lmn_inventory inventory;
-static struct lmn_local_options local;
+static struct lmn_local_agent_options local;
 
-static struct lmn_static *open_fleet(void)
+static struct lmn_static_provider *open_fleet(void)
 {
     char *db = g_build_filename(dir, "fleet", NULL);
-    struct lmn_static *s = lmn_static_new(&inventory, &local, db, err, sizeof err);
+    struct lmn_static_provider *s =
+        lmn_static_provider_new(&inventory, &local, db, err, sizeof err);
     if (!s)
         fail_msg("%s", err);
     g_free(db);
     return s;
 }
 
-static int rent(struct lmn_static *s, const char *request, unsigned n, GPtrArray *names)
+static int rent(struct lmn_static_provider *s, const char *request, unsigned n,
+                GPtrArray *names)
 {
-    struct lmn_rent q = {.type = "small", .zone = "a", .count = n};
+    struct lmn_rental_request q = {.type = "small", .zone = "a", .count = n};
     g_strlcpy(q.request, request, sizeof q.request);
-    return lmn_static_ops.rent(s, &q, names);
+    return lmn_static_provider_ops.rent(s, &q, names);
 }
 
 static void await_agent(const char *name, bool up)
 {
     struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
     char addr[LMN_ADDRESS_SIZE];
-    while (lmn_local_up(&local, name, addr) != up) {
+    while (lmn_local_agent_is_up(&local, name, addr) != up) {
         assert_true(lmn_time_before(lmn_now(), end));
         lmn_sleep(0.01);
     }
 }
 
-static bool take_listed(void *to, const struct lmn_rented *m)
+static bool take_listed(void *to, const struct lmn_rented_machine *m)
 {
     g_string_append_printf(to, "%s ", m->name);
     return true;
@@ -282,7 +284,7 @@
     pid_t pid = fork();
     if (pid == 0) {
         GPtrArray *a = g_ptr_array_new(), *c = g_ptr_array_new();
-        struct lmn_static *s = open_fleet();
+        struct lmn_static_provider *s = open_fleet();
         int first = rent(s, "r-1", 2, a), second = rent(s, "r-2", 5, c);
         g_snprintf(text, sizeof text, "%d %d %u %u %s %s", first, second, a->len, c->len,
                    (char *)a->pdata[0], (char *)a->pdata[1]);
@@ -314,18 +316,18 @@
     char *said = rent_and_die();
     assert_string_equal(said, "200 200 2 1 host-000000 host-000001");
     /* What it had rented is still rented, under the same request, and still runs. */
-    struct lmn_static *s = open_fleet();
+    struct lmn_static_provider *s = open_fleet();
     await_agent("host-000000", true);
     await_agent("host-000001", true);
     assert_int_equal(rent(s, "r-1", 2, a), 200);
     assert_string_equal(a->pdata[0], "host-000000");
     assert_string_equal(a->pdata[1], "host-000001");
     assert_int_equal(rent(s, "r-3", 1, b), 503);
-    lmn_static_ops.list(s, "host-000000", take_listed, listed);
+    lmn_static_provider_ops.list(s, "host-000000", take_listed, listed);
     assert_string_equal(listed->str, "host-000001 host-000002 ");
     /* An agent that dies is started again; one that is returned is not, with all that it
      * has. */
-    lmn_thread(lmn_static_thread, s);
+    lmn_thread(lmn_static_provider_thread, s);
     char *lock = g_build_filename(local.dir, "host-000000", "agent.lock", NULL);
     pid_t first;
     assert_true(lmn_lock_held(lock, &first));
@@ -338,13 +340,13 @@
     char *back[] = {(char *)"host-000000", (char *)"host-000001", (char *)"host-000002",
                     (char *)"host-999999"};
     char *machine = g_build_filename(local.dir, "host-000001", NULL);
-    char *mark = lmn_keeper_mark(machine);
-    assert_int_equal(lmn_static_ops.give_back(s, back, 4), 200);
+    char *mark = lmn_executor_mark(machine);
+    assert_int_equal(lmn_static_provider_ops.give_back(s, back, 4), 200);
     assert_false(lmn_lock_held(lock, &pid));
     assert_int_equal(lmn_kill_marked(mark), 0);
     assert_int_equal(rent(s, "r-3", 1, b), 200);
     assert_string_equal(b->pdata[0], "host-000003"); /* never a name again */
-    assert_int_equal(lmn_static_ops.give_back(s, (char **)b->pdata, 1), 200);
+    assert_int_equal(lmn_static_provider_ops.give_back(s, (char **)b->pdata, 1), 200);
     g_free(lock);
     g_free(machine);
     g_free(mark);
@@ -366,16 +368,17 @@
 {
     static struct lmn_slot_options o;
     struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
-    struct lmn_rent q = {.type = "small", .zone = "b", .count = 4};
+    struct lmn_rental_request q = {.type = "small", .zone = "b", .count = 4};
     char *db = g_build_filename(dir, "fleet2", NULL);
     (void)state;
 
     assert_int_equal(lmn_inventory_parse(good, "inv.toml", &inventory, err, sizeof err),
                      0);
-    struct lmn_static *s = lmn_static_new(&inventory, &local, db, err, sizeof err);
+    struct lmn_static_provider *s =
+        lmn_static_provider_new(&inventory, &local, db, err, sizeof err);
     assert_non_null(s);
     struct lmn_http_server *server =
-        lmn_cloud_serve("127.0.0.1:0", 0, &lmn_static_ops, s);
+        lmn_machine_provider_serve("127.0.0.1:0", 0, &lmn_static_provider_ops, s);
     assert_non_null(server);
     o.local = local;
     g_snprintf(o.local.dir, sizeof o.local.dir, "%s/slot", dir);
@@ -386,20 +389,20 @@
         GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
         char addr[LMN_ADDRESS_SIZE];
         g_snprintf(q.request, sizeof q.request, "s-%d", round);
-        while (lmn_static_ops.rent(s, &q, names) != 200) {
+        while (lmn_static_provider_ops.rent(s, &q, names) != 200) {
             assert_true(lmn_time_before(lmn_now(), end));
             lmn_sleep(0.02);
         }
         assert_int_equal(names->len, 1);
         assert_string_equal(names->pdata[0], round ? "host-000001" : "host-000000");
-        while (!lmn_local_up(&o.local, names->pdata[0], addr)) {
+        while (!lmn_local_agent_is_up(&o.local, names->pdata[0], addr)) {
             assert_true(lmn_time_before(lmn_now(), end));
             lmn_sleep(0.02);
         }
         /* On a busy machine the slot may be slower than the call is patient. */
-        while (lmn_static_ops.give_back(s, (char **)names->pdata, 1) != 200)
+        while (lmn_static_provider_ops.give_back(s, (char **)names->pdata, 1) != 200)
             assert_true(lmn_time_before(lmn_now(), end));
-        assert_false(lmn_local_up(&o.local, names->pdata[0], addr));
+        assert_false(lmn_local_agent_is_up(&o.local, names->pdata[0], addr));
         g_ptr_array_free(names, TRUE);
     }
     g_free(db);
@@ -410,7 +413,7 @@
 {
     char *home = g_path_get_dirname(file),
          *lock = g_build_filename(home, "agent.lock", NULL);
-    char *mark = lmn_keeper_mark(home);
+    char *mark = lmn_executor_mark(home);
     pid_t other;
 
     if (lmn_lock_file(lock, &other) < 0)
@@ -431,22 +434,23 @@
     struct lmn_http_server *server;
     char *root = g_build_filename(dir, "depot", NULL),
          *src = g_build_filename(dir, "src/sub", NULL);
-    char digest[LMN_DIGEST], other[LMN_DIGEST], back[LMN_DIGEST], addr[64];
+    char digest[LMN_DIGEST_SIZE], other[LMN_DIGEST_SIZE], back[LMN_DIGEST_SIZE], addr[64];
     GByteArray *b = g_byte_array_new(), *got = g_byte_array_new();
-    struct lmn_depot_error e = {0};
+    struct lmn_image_store_error e = {0};
     uint64_t bytes = 0;
     (void)state;
 
-    server = lmn_depot_start(root, "127.0.0.1:0", err, sizeof err);
+    server = lmn_image_store_start(root, "127.0.0.1:0", err, sizeof err);
     assert_non_null(server);
     g_snprintf(addr, sizeof addr, "127.0.0.1:%d", lmn_http_server_port(server));
     struct lmn_http_client *h = lmn_http_client_new(addr);
     for (int i = 0; i < 2; i++) {
         g_byte_array_append(b, (const guint8 *)"some bytes", 10);
-        assert_int_equal(lmn_depot_put(h, b, i ? other : digest, &e), 0);
-        assert_int_equal(lmn_depot_put(h, b, back, &e), 0); /* again changes nothing */
+        assert_int_equal(lmn_image_store_put(h, b, i ? other : digest, &e), 0);
+        assert_int_equal(lmn_image_store_put(h, b, back, &e),
+                         0); /* again changes nothing */
     }
-    assert_int_equal(lmn_depot_get(h, digest, got, &e), 0);
+    assert_int_equal(lmn_image_store_get(h, digest, got, &e), 0);
     assert_int_equal(got->len, 10);
     /* Bytes under another digest, names without a blob, names that leave the directory.
      */
@@ -454,16 +458,21 @@
     assert_int_equal(lmn_http_client_call(h, "PUT", path, b, 5, got), 400);
     g_free(path);
     lmn_digest("none", 4, back);
-    assert_int_equal(lmn_depot_name(h, LMN_DEPOT_JOB, "run-1", back, &e), -1);
+    assert_int_equal(lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", back, &e),
+                     -1);
     assert_int_equal(
         lmn_http_client_call(h, "GET", "/names/job/..%2F..%2Fetc", NULL, 5, got), 400);
     assert_int_equal(lmn_http_client_call(h, "PUT", "/logs/.ssh/x", b, 5, got), 400);
     /* A job's description is written once; an image's may change. */
-    assert_int_equal(lmn_depot_name(h, LMN_DEPOT_JOB, "run-1", digest, &e), 0);
-    assert_int_equal(lmn_depot_name(h, LMN_DEPOT_JOB, "run-1", digest, &e), 0);
-    assert_int_equal(lmn_depot_name(h, LMN_DEPOT_JOB, "run-1", other, &e), -1);
+    assert_int_equal(
+        lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", digest, &e), 0);
+    assert_int_equal(
+        lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", digest, &e), 0);
+    assert_int_equal(
+        lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", other, &e), -1);
     assert_int_equal(e.status, 409);
-    assert_int_equal(lmn_depot_look(h, LMN_DEPOT_JOB, "run-1", back, &e), 0);
+    assert_int_equal(
+        lmn_image_store_lookup(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", back, &e), 0);
     assert_string_equal(back, digest);
     /* A directory comes back as it was; one that holds more than files is refused by
      * name. */
@@ -493,8 +502,9 @@
     lmn_cbor_put_text(evil, "Mode"), lmn_cbor_put_uint(evil, 0644);
     lmn_cbor_put_text(evil, "Pieces"), lmn_cbor_put_array(evil, 1),
         lmn_cbor_put_text(evil, digest);
-    assert_int_equal(lmn_depot_put(h, evil, back, &e), 0);
-    assert_int_equal(lmn_depot_name(h, LMN_DEPOT_IMAGE, "evil", back, &e), 0);
+    assert_int_equal(lmn_image_store_put(h, evil, back, &e), 0);
+    assert_int_equal(
+        lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_IMAGE, "evil", back, &e), 0);
     char *there = g_build_filename(dir, "evil", NULL);
     assert_int_equal(lmn_image_get(h, "evil", there, 0, NULL, NULL, &bytes, &e), -1);
     assert_int_not_equal(access(there, F_OK), 0);
@@ -509,7 +519,7 @@
 
 /* --- the emulated cloud --- */
 
-static bool check_listed(void *to, const struct lmn_rented *m)
+static bool check_listed(void *to, const struct lmn_rented_machine *m)
 {
     const struct lmn_emu_cloud *c = ((gpointer *)to)[0];
     const double *now = ((gpointer *)to)[1];
@@ -538,9 +548,9 @@
     assert_int_equal(lmn_emu_cloud_set(&c, "boot_never", 0.1, 0, err, sizeof err), 0);
     for (int step = 0; step < 20000; step++) {
         GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-        struct lmn_rent q = {.type = "small",
-                             .zone = "a",
-                             .count = 1 + (unsigned)g_rand_int_range(r, 0, 3)};
+        struct lmn_rental_request q = {.type = "small",
+                                       .zone = "a",
+                                       .count = 1 + (unsigned)g_rand_int_range(r, 0, 3)};
         unsigned held = 0;
         now += g_rand_double(r);
         g_snprintf(q.request, sizeof q.request, "r-%d", g_rand_int_range(r, 0, 4000));
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -40,8 +40,8 @@
 /* A report with an attempt in each state and for each end, as the agent writes it. */
 static void report_of_a_worker_keeps_its_bytes(void **state)
 {
-    static const enum lmn_run_state states[] = {LMN_R_ASKING, LMN_R_FETCHING,
-                                                LMN_R_RUNNING, LMN_R_SAVING};
+    static const enum lmn_task_run_state states[] = {LMN_RUN_DESCRIBING, LMN_RUN_FETCHING,
+                                                     LMN_RUN_RUNNING, LMN_RUN_SAVING};
     static const enum lmn_attempt_state read_states[] = {
         LMN_ATTEMPT_FETCHING, LMN_ATTEMPT_FETCHING, LMN_ATTEMPT_RUNNING,
         LMN_ATTEMPT_SAVING};
@@ -61,18 +61,18 @@
     a.gone_at = lmn_time_add(now, 30.5);
     a.token = 42;
     a.seq = 16;
-    for (uint32_t i = 0; i < 4 + LMN_NO_SUCH + 1; i++) {
-        struct lmn_run *run = g_new0(struct lmn_run, 1);
+    for (uint32_t i = 0; i < 4 + LMN_EXIT_NO_SUCH_JOB + 1; i++) {
+        struct lmn_task_run *run = g_new0(struct lmn_task_run, 1);
         g_strlcpy(run->ref, "run-000412", sizeof run->ref);
         run->index = i;
         run->attempt = 0x2a00000001ULL + i;
-        run->state = i < 4 ? states[i] : LMN_R_ENDED;
-        run->why = i < 4 ? LMN_DONE : (enum lmn_why)(i - 4);
-        run->saved = run->why == LMN_STOPPED;
+        run->state = i < 4 ? states[i] : LMN_RUN_ENDED;
+        run->why = i < 4 ? LMN_EXIT_DONE : (enum lmn_exit_reason)(i - 4);
+        run->saved = run->why == LMN_EXIT_STOPPED;
         g_ptr_array_add(a.runs, run);
     }
     GByteArray *b = g_byte_array_new();
-    lmn_agent_report(&a, b, now);
+    lmn_agent_write_heartbeat(&a, b, now);
     lmn_agent_clear(&a);
     same("worker_report", b);
 
@@ -98,7 +98,7 @@
         assert_int_equal(read.state, i < 4 ? read_states[i] : LMN_ATTEMPT_ENDED);
         i++;
     }
-    assert_int_equal(i, 4 + LMN_NO_SUCH + 1);
+    assert_int_equal(i, 4 + LMN_EXIT_NO_SUCH_JOB + 1);
     lmn_cbor_free(&d);
     g_byte_array_unref(b);
 }
@@ -268,12 +268,12 @@
     (void)state;
 
     same("keeper_start",
-         lmn_keeper_msg_start(300, (char *const *)(guintptr)argv,
-                              (char *const *)(guintptr)env, "/srv/task", 1 << 20));
-    same("keeper_save", lmn_keeper_msg_save(300, 12.5));
-    same("keeper_kill", lmn_keeper_msg_kill(300));
-    same("keeper_kill_all", lmn_keeper_msg_kill_all());
-    same("keeper_until", lmn_keeper_msg_until((struct timespec){70000, 999}));
+         lmn_executor_encode_start(300, (char *const *)(guintptr)argv,
+                                   (char *const *)(guintptr)env, "/srv/task", 1 << 20));
+    same("keeper_save", lmn_executor_encode_save(300, 12.5));
+    same("keeper_kill", lmn_executor_encode_kill(300));
+    same("keeper_kill_all", lmn_executor_encode_kill_all());
+    same("keeper_until", lmn_executor_encode_lease((struct timespec){70000, 999}));
 }
 
 int main(void)
--- a/tests/test_golden_wire.c
+++ b/tests/test_golden_wire.c
@@ -217,27 +217,29 @@
 
 /* --- gateways --- */
 
-static void request_keeps(const char *name, lmn_g_request *q, lmn_g_request *read)
+static void request_keeps(const char *name, lmn_gateway_rpc_request *q,
+                          lmn_gateway_rpc_request *read)
 {
-    KEEPS(lmn_g_request, name, q, read);
-    FORGET(lmn_g_request, read);
+    KEEPS(lmn_gateway_rpc_request, name, q, read);
+    FORGET(lmn_gateway_rpc_request, read);
     GByteArray *b = golden_read(name);
     assert_int_equal(lmn_frame_request((const char *)b->data, b->len, read), 0);
     g_byte_array_unref(b);
     assert_int_equal(read->kind, q->kind);
 }
 
-static void response_keeps(const char *name, lmn_g_response *r, lmn_g_response *read)
+static void response_keeps(const char *name, lmn_gateway_rpc_response *r,
+                           lmn_gateway_rpc_response *read)
 {
-    KEEPS(lmn_g_response, name, r, read);
-    FORGET(lmn_g_response, read);
+    KEEPS(lmn_gateway_rpc_response, name, r, read);
+    FORGET(lmn_gateway_rpc_response, read);
     GByteArray *b = golden_read(name);
     assert_int_equal(lmn_frame_response((const char *)b->data, b->len, read), 0);
     g_byte_array_unref(b);
     assert_int_equal(read->kind, r->kind);
 }
 
-static void check_hello(const lmn_g_hello *h)
+static void check_hello(const lmn_gateway_rpc_hello *h)
 {
     assert_string_equal(h->site, "north");
     assert_string_equal(h->gateway, "gw-1");
@@ -248,7 +250,7 @@
     assert_memory_equal(h->crl.crl_val, "\x30\x03\x02\x01\x07", 5);
 }
 
-static void check_item(const lmn_g_item *i, const char *ref)
+static void check_item(const lmn_gateway_rpc_item *i, const char *ref)
 {
     assert_string_equal(i->ref, ref);
     assert_int_equal(i->epoch, 9);
@@ -262,61 +264,61 @@
 static void kinds_of_gateway_messages_keep_their_numbers(void **state)
 {
     (void)state;
-    assert_int_equal(LMN_G_HELLO, 1);
-    assert_int_equal(LMN_G_SYNC, 2);
-    assert_int_equal(LMN_G_LOAD, 3);
-    assert_int_equal(LMN_G_BLOB, 4);
+    assert_int_equal(LMN_GATEWAY_RPC_HELLO, 1);
+    assert_int_equal(LMN_GATEWAY_RPC_SYNC, 2);
+    assert_int_equal(LMN_GATEWAY_RPC_LOAD, 3);
+    assert_int_equal(LMN_GATEWAY_RPC_BLOB, 4);
 }
 
 static void requests_between_gateways_keep_their_bytes(void **state)
 {
-    lmn_g_item says[] = {{text("run-000412"), 9, 5, 2, 1, 40, 3}};
-    lmn_g_request q = {.kind = LMN_G_HELLO}, read;
+    lmn_gateway_rpc_item says[] = {{text("run-000412"), 9, 5, 2, 1, 40, 3}};
+    lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_HELLO}, read;
     (void)state;
 
-    q.lmn_g_request_u.hello = (lmn_g_hello){
+    q.lmn_gateway_rpc_request_u.hello = (lmn_gateway_rpc_hello){
         text("north"), text("gw-1"), 3, 5, 6, {5, text("\x30\x03\x02\x01\x07")}};
     request_keeps("gateway_hello", &q, &read);
-    check_hello(&read.lmn_g_request_u.hello);
-    FORGET(lmn_g_request, &read);
-    q.kind = LMN_G_SYNC;
-    q.lmn_g_request_u.sync = (lmn_g_sync){{1, says}, 120.5, 8, 32};
+    check_hello(&read.lmn_gateway_rpc_request_u.hello);
+    FORGET(lmn_gateway_rpc_request, &read);
+    q.kind = LMN_GATEWAY_RPC_SYNC;
+    q.lmn_gateway_rpc_request_u.sync = (lmn_gateway_rpc_sync){{1, says}, 120.5, 8, 32};
     request_keeps("gateway_sync", &q, &read);
-    const lmn_g_sync *sync = &read.lmn_g_request_u.sync;
+    const lmn_gateway_rpc_sync *sync = &read.lmn_gateway_rpc_request_u.sync;
     assert_int_equal(sync->says.says_len, 1);
     check_item(sync->says.says_val, "run-000412");
     assert_true(sync->room_cpus == 120.5 && sync->room_gpus == 8);
     assert_int_equal(sync->most, 32);
-    FORGET(lmn_g_request, &read);
-    q.kind = LMN_G_LOAD;
+    FORGET(lmn_gateway_rpc_request, &read);
+    q.kind = LMN_GATEWAY_RPC_LOAD;
     request_keeps("gateway_load", &q, &read);
-    q.kind = LMN_G_BLOB;
-    q.lmn_g_request_u.digest = text("00ff17");
+    q.kind = LMN_GATEWAY_RPC_BLOB;
+    q.lmn_gateway_rpc_request_u.digest = text("00ff17");
     request_keeps("gateway_blob", &q, &read);
-    assert_string_equal(read.lmn_g_request_u.digest, "00ff17");
-    FORGET(lmn_g_request, &read);
+    assert_string_equal(read.lmn_gateway_rpc_request_u.digest, "00ff17");
+    FORGET(lmn_gateway_rpc_request, &read);
 }
 
 static void responses_between_gateways_keep_their_bytes(void **state)
 {
-    lmn_g_item heard[] = {{text("run-1"), 9, 5, 2, 1, 40, 3}};
-    lmn_g_item resolve[] = {{text("run-2"), 9, 5, 2, 1, 40, 3}};
-    lmn_g_item cancel[] = {{text("run-3"), 9, 5, 2, 1, 40, 3}};
-    lmn_g_offer offers[] = {
+    lmn_gateway_rpc_item heard[] = {{text("run-1"), 9, 5, 2, 1, 40, 3}};
+    lmn_gateway_rpc_item resolve[] = {{text("run-2"), 9, 5, 2, 1, 40, 3}};
+    lmn_gateway_rpc_item cancel[] = {{text("run-3"), 9, 5, 2, 1, 40, 3}};
+    lmn_gateway_rpc_offer offers[] = {
         {text("run-4"), 10, 5, {3, text("\xa1\x61\x61")}, text("00ff17"), 600.5}};
-    lmn_g_response r = {.kind = LMN_G_HELLO}, read;
+    lmn_gateway_rpc_response r = {.kind = LMN_GATEWAY_RPC_HELLO}, read;
     (void)state;
 
-    r.lmn_g_response_u.hello = (lmn_g_hello){
+    r.lmn_gateway_rpc_response_u.hello = (lmn_gateway_rpc_hello){
         text("north"), text("gw-1"), 3, 5, 6, {5, text("\x30\x03\x02\x01\x07")}};
     response_keeps("gateway_hello_response", &r, &read);
-    check_hello(&read.lmn_g_response_u.hello);
-    FORGET(lmn_g_response, &read);
-    r.kind = LMN_G_SYNC;
-    r.lmn_g_response_u.reply =
-        (lmn_g_reply){{1, heard}, {1, resolve}, {1, cancel}, {1, offers}, 7200.25};
+    check_hello(&read.lmn_gateway_rpc_response_u.hello);
+    FORGET(lmn_gateway_rpc_response, &read);
+    r.kind = LMN_GATEWAY_RPC_SYNC;
+    r.lmn_gateway_rpc_response_u.reply = (lmn_gateway_rpc_reply){
+        {1, heard}, {1, resolve}, {1, cancel}, {1, offers}, 7200.25};
     response_keeps("gateway_sync_response", &r, &read);
-    const lmn_g_reply *reply = &read.lmn_g_response_u.reply;
+    const lmn_gateway_rpc_reply *reply = &read.lmn_gateway_rpc_response_u.reply;
     assert_int_equal(reply->heard.heard_len, 1);
     check_item(reply->heard.heard_val, "run-1");
     assert_int_equal(reply->resolve.resolve_len, 1);
@@ -324,7 +326,7 @@
     assert_int_equal(reply->cancel.cancel_len, 1);
     check_item(reply->cancel.cancel_val, "run-3");
     assert_int_equal(reply->offers.offers_len, 1);
-    const lmn_g_offer *offer = reply->offers.offers_val;
+    const lmn_gateway_rpc_offer *offer = reply->offers.offers_val;
     assert_string_equal(offer->ref, "run-4");
     assert_int_equal(offer->epoch, 10);
     assert_int_equal(offer->incarnation, 5);
@@ -332,23 +334,23 @@
     assert_memory_equal(offer->spec.spec_val, "\xa1\x61\x61", 3);
     assert_string_equal(offer->digest, "00ff17");
     assert_true(offer->leash_s == 600.5 && reply->queued_cpu_s == 7200.25);
-    FORGET(lmn_g_response, &read);
-    r.kind = LMN_G_LOAD;
-    r.lmn_g_response_u.queued_cpu_s = 7200.25;
+    FORGET(lmn_gateway_rpc_response, &read);
+    r.kind = LMN_GATEWAY_RPC_LOAD;
+    r.lmn_gateway_rpc_response_u.queued_cpu_s = 7200.25;
     response_keeps("gateway_load_response", &r, &read);
-    assert_true(read.lmn_g_response_u.queued_cpu_s == 7200.25);
-    r.kind = LMN_G_BLOB;
-    r.lmn_g_response_u.blob.blob_len = 5;
-    r.lmn_g_response_u.blob.blob_val = text("hello");
+    assert_true(read.lmn_gateway_rpc_response_u.queued_cpu_s == 7200.25);
+    r.kind = LMN_GATEWAY_RPC_BLOB;
+    r.lmn_gateway_rpc_response_u.blob.blob_len = 5;
+    r.lmn_gateway_rpc_response_u.blob.blob_val = text("hello");
     response_keeps("gateway_blob_response", &r, &read);
-    assert_int_equal(read.lmn_g_response_u.blob.blob_len, 5);
-    assert_memory_equal(read.lmn_g_response_u.blob.blob_val, "hello", 5);
-    FORGET(lmn_g_response, &read);
+    assert_int_equal(read.lmn_gateway_rpc_response_u.blob.blob_len, 5);
+    assert_memory_equal(read.lmn_gateway_rpc_response_u.blob.blob_val, "hello", 5);
+    FORGET(lmn_gateway_rpc_response, &read);
     r.kind = 0;
-    r.lmn_g_response_u.error = text("not a peer");
+    r.lmn_gateway_rpc_response_u.error = text("not a peer");
     response_keeps("gateway_error_response", &r, &read);
-    assert_string_equal(read.lmn_g_response_u.error, "not a peer");
-    FORGET(lmn_g_response, &read);
+    assert_string_equal(read.lmn_gateway_rpc_response_u.error, "not a peer");
+    FORGET(lmn_gateway_rpc_response, &read);
 }
 
 int main(void)
--- a/tests/test_hand.c
+++ b/tests/test_hand.c
@@ -52,8 +52,8 @@
 }
 
 struct world {
-    struct lmn_home home;
-    struct lmn_host host, backup;
+    struct lmn_origin_record home;
+    struct lmn_execution_record host, backup;
     uint64_t flight;
     /* the truth, which no record knows */
     bool at_home, at_host;
@@ -65,8 +65,8 @@
 /* Without padding, for the table of states. */
 static char *pack(const struct world *w)
 {
-    const struct lmn_home *h = &w->home;
-    const struct lmn_host *f[] = {&w->host, &w->backup};
+    const struct lmn_origin_record *h = &w->home;
+    const struct lmn_execution_record *f[] = {&w->host, &w->backup};
     GString *s = g_string_new(NULL);
 
     g_string_append_printf(s, "%d %d %d %d %d %d %d|", h->state, (int)h->epoch,
@@ -92,42 +92,43 @@
             1ull << bit(k, epoch, k >= SAY_RUNS ? w->inc : (unsigned)w->home.incarnation);
 }
 
-static enum kind saying(enum lmn_answer a, enum lmn_outcome_word o)
+static enum kind saying(enum lmn_handover_answer a, enum lmn_handover_outcome o)
 {
-    if (a != LMN_A_OVER)
-        return a == LMN_A_ACCEPTED ? SAY_RUNS : SAY_REFUSED;
-    return o == LMN_O_DONE        ? SAY_DONE
-           : o == LMN_O_WITHDRAWN ? SAY_WITHDRAWN
-                                  : SAY_RETURNED;
+    if (a != LMN_HANDOVER_FINISHED)
+        return a == LMN_HANDOVER_ACCEPTED ? SAY_RUNS : SAY_REFUSED;
+    return o == LMN_OUTCOME_DONE        ? SAY_DONE
+           : o == LMN_OUTCOME_CANCELLED ? SAY_WITHDRAWN
+                                        : SAY_RETURNED;
 }
 
 static void host_hears(struct world *w, enum kind k, uint64_t epoch, unsigned inc)
 {
     bool ours = inc == w->inc || without == G_INCARNATION;
-    struct lmn_host before = w->host;
-    enum lmn_answer a;
+    struct lmn_execution_record before = w->host;
+    enum lmn_handover_answer a;
     bool old;
 
     if (k == CANCEL) {
         if (ours)
-            lmn_host_cancel(&w->host, epoch);
+            lmn_execution_cancel(&w->host, epoch);
     } else if (k == HEARD) {
         if (ours)
-            lmn_host_heard(&w->host, epoch);
+            lmn_execution_acknowledged(&w->host, epoch);
     } else {
         if (k == OFFER)
-            lmn_host_offer(&w->host, epoch, ours, true, &a, &old);
+            lmn_execution_handle_offer(&w->host, epoch, ours, true, &a, &old);
         else
-            lmn_host_resolve(&w->host, epoch, ours, &a, &old);
-        if (without == G_FLOOR && k == RESOLVE && a == LMN_A_REFUSED)
+            lmn_execution_resolve(&w->host, epoch, ours, &a, &old);
+        if (without == G_FLOOR && k == RESOLVE && a == LMN_HANDOVER_REJECTED)
             w->host = before;
-        if (without == G_OLD_OFFER && k == OFFER && w->host.state != LMN_HO_RUNS) {
-            w->host.state = LMN_HO_RUNS;
+        if (without == G_OLD_OFFER && k == OFFER &&
+            w->host.state != LMN_EXECUTION_RUNNING) {
+            w->host.state = LMN_EXECUTION_RUNNING;
             w->host.epoch = epoch;
             old = false;
-            a = LMN_A_ACCEPTED;
+            a = LMN_HANDOVER_ACCEPTED;
         }
-        w->at_host = w->host.state == LMN_HO_RUNS;
+        w->at_host = w->host.state == LMN_EXECUTION_RUNNING;
         if (!old)
             send(w, saying(a, w->host.outcome), epoch);
     }
@@ -135,19 +136,19 @@
 
 static void home_hears(struct world *w, enum kind k, uint64_t epoch, unsigned inc)
 {
-    enum lmn_answer a = k == SAY_RUNS      ? LMN_A_ACCEPTED
-                        : k == SAY_REFUSED ? LMN_A_REFUSED
-                                           : LMN_A_OVER;
-    enum lmn_outcome_word o = k == SAY_DONE        ? LMN_O_DONE
-                              : k == SAY_WITHDRAWN ? LMN_O_WITHDRAWN
-                                                   : LMN_O_RETURNED;
+    enum lmn_handover_answer a = k == SAY_RUNS      ? LMN_HANDOVER_ACCEPTED
+                                 : k == SAY_REFUSED ? LMN_HANDOVER_REJECTED
+                                                    : LMN_HANDOVER_FINISHED;
+    enum lmn_handover_outcome o = k == SAY_DONE        ? LMN_OUTCOME_DONE
+                                  : k == SAY_WITHDRAWN ? LMN_OUTCOME_CANCELLED
+                                                       : LMN_OUTCOME_RETURNED;
     bool heard;
 
     if (without == G_EPOCH)
         epoch = w->home.epoch;
-    lmn_home_answer(&w->home, "host",
-                    without == G_INCARNATION ? w->home.incarnation : inc, epoch, a, o,
-                    &heard);
+    lmn_origin_handle_answer(&w->home, "host",
+                             without == G_INCARNATION ? w->home.incarnation : inc, epoch,
+                             a, o, &heard);
     if (heard && k >= SAY_DONE)
         send(w, HEARD, epoch);
 }
@@ -159,54 +160,56 @@
     *fair = true;
     switch (n) {
     case 0:
-        if (w->home.epoch < EPOCHS && lmn_home_offer(&w->home, "host", w->inc, EPOCHS))
+        if (w->home.epoch < EPOCHS && lmn_origin_offer(&w->home, "host", w->inc, EPOCHS))
             send(w, OFFER, w->home.epoch);
         return true;
     case 1:
-        w->at_home = lmn_home_keep(&w->home) || w->at_home;
+        w->at_home = lmn_origin_run_locally(&w->home) || w->at_home;
         return true;
     case 2: /* it completes at home */
-        if (w->at_home && lmn_home_kept_over(&w->home, LMN_O_DONE)) {
+        if (w->at_home && lmn_origin_local_finished(&w->home, LMN_OUTCOME_DONE)) {
             w->done++;
             w->at_home = false;
         }
         return true;
     case 3: /* a cancelled one is stopped at home */
-        if (w->at_home && w->home.cancel && lmn_home_kept_over(&w->home, LMN_O_WITHDRAWN))
+        if (w->at_home && w->home.cancel &&
+            lmn_origin_local_finished(&w->home, LMN_OUTCOME_CANCELLED))
             w->at_home = false;
         return true;
     case 4:
-        if (w->home.state == LMN_H_OFFERED || w->home.state == LMN_H_AWAY)
-            send(w, w->home.cancel && w->home.state == LMN_H_AWAY ? CANCEL : RESOLVE,
+        if (w->home.state == LMN_ORIGIN_OFFERED || w->home.state == LMN_ORIGIN_REMOTE)
+            send(w,
+                 w->home.cancel && w->home.state == LMN_ORIGIN_REMOTE ? CANCEL : RESOLVE,
                  w->home.epoch);
         return true;
     case 5:
-        lmn_home_cancel(&w->home);
-        if (without == G_HONEST && w->home.state == LMN_H_AWAY) {
-            w->home.state = LMN_H_FINAL;
-            w->home.outcome = LMN_O_WITHDRAWN;
+        lmn_origin_cancel(&w->home);
+        if (without == G_HONEST && w->home.state == LMN_ORIGIN_REMOTE) {
+            w->home.state = LMN_ORIGIN_FINAL;
+            w->home.outcome = LMN_OUTCOME_CANCELLED;
         }
         return true;
     case 6: /* it completes there, */
     case 7: /* is stopped for its cancellation, */
     case 8: /* or for the leash, or to make room */
         if (w->at_host && (n != 7 || w->host.cancel)) {
-            lmn_host_over(&w->host, n == 6   ? LMN_O_DONE
-                                    : n == 7 ? LMN_O_WITHDRAWN
-                                             : LMN_O_RETURNED);
+            lmn_execution_finished(&w->host, n == 6   ? LMN_OUTCOME_DONE
+                                             : n == 7 ? LMN_OUTCOME_CANCELLED
+                                                      : LMN_OUTCOME_RETURNED);
             w->done += n == 6;
             w->at_host = false;
         }
         *fair = n != 8;
         return true;
     case 9: /* it says what it has, until it was heard */
-        if (w->host.state == LMN_HO_RUNS)
+        if (w->host.state == LMN_EXECUTION_RUNNING)
             send(w, SAY_RUNS, w->host.epoch);
-        if (w->host.state == LMN_HO_OVER && !w->host.heard)
-            send(w, saying(LMN_A_OVER, w->host.outcome), w->host.epoch);
+        if (w->host.state == LMN_EXECUTION_FINISHED && !w->host.heard)
+            send(w, saying(LMN_HANDOVER_FINISHED, w->host.outcome), w->host.epoch);
         return true;
     case 10: /* the leash is over: the host surely runs nothing */
-        if (w->leash && !w->at_host && lmn_home_conclude(&w->home, false))
+        if (w->leash && !w->at_host && lmn_origin_conclude(&w->home, false))
             /* By then no offer can be accepted any more: a host drops those that come
              * late by its own clock. */
             for (uint64_t e = 1; e <= EPOCHS; e++)
@@ -214,8 +217,8 @@
                     w->flight &= ~(1ull << bit(OFFER, e, i));
         return true;
     case 11:
-        if (without == G_UNANSWERED && w->home.state == LMN_H_OFFERED)
-            w->home.state = LMN_H_QUEUED;
+        if (without == G_UNANSWERED && w->home.state == LMN_ORIGIN_OFFERED)
+            w->home.state = LMN_ORIGIN_QUEUED;
         return true;
     case 12:
         if (restores && !w->backed_up) {
@@ -228,14 +231,14 @@
         if (w->backed_up && w->inc + 1 < INCARNATIONS) {
             w->host = w->backup;
             if (without != G_INCARNATION)
-                lmn_host_restored(&w->host);
-            w->at_host = w->host.state == LMN_HO_RUNS;
+                lmn_execution_restored(&w->host);
+            w->at_host = w->host.state == LMN_EXECUTION_RUNNING;
             w->inc++;
         }
         return true;
     case 14: /* an operator calls it back: the host may stop it at any time, see 8 */
         if (recalls)
-            lmn_home_recall(&w->home);
+            lmn_origin_revoke(&w->home);
         return true;
     default:
         break;
@@ -265,18 +268,18 @@
 
 static void check(const struct world *w, const struct world *before)
 {
-    const struct lmn_home *h = &w->home;
+    const struct lmn_origin_record *h = &w->home;
 
     if (w->at_home && w->at_host)
         broken = "it runs at both sites";
     if (w->done > 1)
         broken = "it completes twice";
-    if (h->state == LMN_H_FINAL && h->outcome == LMN_O_DONE && !w->done)
+    if (h->state == LMN_ORIGIN_FINAL && h->outcome == LMN_OUTCOME_DONE && !w->done)
         broken = "it is called done, and never completed";
-    if (h->state == LMN_H_FINAL && (w->at_home || w->at_host))
+    if (h->state == LMN_ORIGIN_FINAL && (w->at_home || w->at_host))
         broken = "it has an outcome, and runs";
-    if (before->home.state == LMN_H_FINAL &&
-        (h->state != LMN_H_FINAL || h->outcome != before->home.outcome))
+    if (before->home.state == LMN_ORIGIN_FINAL &&
+        (h->state != LMN_ORIGIN_FINAL || h->outcome != before->home.outcome))
         broken = "its outcome changes";
 }
 
@@ -340,7 +343,7 @@
     for (guint i = 0; i < worlds->len && !broken; i++) {
         struct world from = g_array_index(worlds, struct world, i), to;
         bool fair;
-        if (from.home.state == LMN_H_FINAL || from.home.state == LMN_H_FENCED)
+        if (from.home.state == LMN_ORIGIN_FINAL || from.home.state == LMN_ORIGIN_FENCED)
             g_hash_table_add(ends, GUINT_TO_POINTER(i));
         for (unsigned n = 0; step(&from, n, &to, &fair) && !broken; n++) {
             gpointer known;
@@ -402,19 +405,20 @@
 /* From then on it stays: no offer is made of it, wherever it was. */
 static void a_job_that_is_called_back_stays(void **state)
 {
-    struct lmn_home h = {0};
+    struct lmn_origin_record h = {0};
     bool heard;
     (void)state;
 
-    assert_true(lmn_home_offer(&h, "host", 1, 4));
-    assert_true(lmn_home_recall(&h));
-    assert_false(lmn_home_recall(&h));
-    assert_true(lmn_home_answer(&h, "host", 1, 1, LMN_A_OVER, LMN_O_RETURNED, &heard));
-    assert_int_equal(h.state, LMN_H_QUEUED);
-    assert_false(lmn_home_offer(&h, "host", 1, 4));
-    assert_true(lmn_home_keep(&h));
-    assert_true(lmn_home_kept_over(&h, LMN_O_DONE));
-    assert_false(lmn_home_recall(&h));
+    assert_true(lmn_origin_offer(&h, "host", 1, 4));
+    assert_true(lmn_origin_revoke(&h));
+    assert_false(lmn_origin_revoke(&h));
+    assert_true(lmn_origin_handle_answer(&h, "host", 1, 1, LMN_HANDOVER_FINISHED,
+                                         LMN_OUTCOME_RETURNED, &heard));
+    assert_int_equal(h.state, LMN_ORIGIN_QUEUED);
+    assert_false(lmn_origin_offer(&h, "host", 1, 4));
+    assert_true(lmn_origin_run_locally(&h));
+    assert_true(lmn_origin_local_finished(&h, LMN_OUTCOME_DONE));
+    assert_false(lmn_origin_revoke(&h));
 }
 
 static void a_restored_host_is_fenced(void **state)
--- a/tests/test_keeper.c
+++ b/tests/test_keeper.c
@@ -28,7 +28,7 @@
     g_snprintf(dir, sizeof dir, "/tmp/lemonspar-keeper-%d", (int)getpid());
     lmn_tree_remove(dir);
     g_mkdir_with_parents(dir, 0755);
-    mark = lmn_keeper_mark(dir);
+    mark = lmn_executor_mark(dir);
     return 0;
 }
 
@@ -43,7 +43,7 @@
 
 static int keeper(void)
 {
-    int sock = lmn_keeper_start(dir, mark, err, sizeof err);
+    int sock = lmn_executor_start(dir, mark, err, sizeof err);
     if (sock < 0)
         fail_msg("%s", err);
     return sock;
@@ -62,20 +62,20 @@
     char *cwd = g_strdup_printf("%s/%d", dir, (int)id);
 
     g_mkdir_with_parents(cwd, 0755);
-    say(sock, lmn_keeper_msg_start(id, argv, env, cwd, 100));
+    say(sock, lmn_executor_encode_start(id, argv, env, cwd, 100));
     g_free(cwd);
 }
 
-static struct lmn_keeper_msg hear(int sock)
+static struct lmn_executor_event_message hear(int sock)
 {
-    struct lmn_keeper_msg m;
+    struct lmn_executor_event_message m;
     struct pollfd p = {sock, POLLIN, 0};
     char buf[1024];
 
     assert_int_equal(poll(&p, 1, (int)(PATIENCE_S * 1000)), 1);
     ssize_t n = recv(sock, buf, sizeof buf, 0);
     assert_true(n > 0);
-    assert_int_equal(lmn_keeper_read(buf, (size_t)n, &m), 0);
+    assert_int_equal(lmn_executor_event_decode(buf, (size_t)n, &m), 0);
     return m;
 }
 
@@ -140,8 +140,8 @@
     (void)state;
 
     start(sock, 1, "echo $GREETING; echo oops >&2; exit 3");
-    struct lmn_keeper_msg m = hear(sock);
-    assert_int_equal(m.event, LMN_K_EXITED);
+    struct lmn_executor_event_message m = hear(sock);
+    assert_int_equal(m.event, LMN_EXECUTOR_EXITED);
     assert_int_equal(m.id, 1);
     assert_int_equal(WEXITSTATUS(m.status), 3);
     char *out = output(1, "stdout"), *errors = output(1, "stderr");
@@ -159,9 +159,9 @@
     g_free(out);
     /* What can't be started says why. */
     char *argv[] = {(char *)"/no/such/program", NULL}, *none[] = {NULL};
-    say(sock, lmn_keeper_msg_start(3, argv, none, dir, 100));
+    say(sock, lmn_executor_encode_start(3, argv, none, dir, 100));
     m = hear(sock);
-    assert_int_equal(m.event, LMN_K_FAILED);
+    assert_int_equal(m.event, LMN_EXECUTOR_START_FAILED);
     assert_non_null(strstr(m.what, "No such file"));
     close(sock);
 }
@@ -173,8 +173,8 @@
     (void)state;
 
     start(sock, 1, script); /* ends by itself, and leaves much behind */
-    struct lmn_keeper_msg m = hear(sock);
-    assert_int_equal(m.event, LMN_K_EXITED);
+    struct lmn_executor_event_message m = hear(sock);
+    assert_int_equal(m.event, LMN_EXECUTOR_EXITED);
     nothing_marked_is_left();
     g_free(script);
     script = g_strdup_printf("trap '' TERM; %s sleep 1000", spread);
@@ -183,7 +183,7 @@
     g_free(up);
     start(sock, 2, script);
     wait_for_file("up");
-    say(sock, lmn_keeper_msg_kill(2));
+    say(sock, lmn_executor_encode_kill(2));
     m = hear(sock);
     assert_int_equal(m.id, 2);
     assert_int_equal(WTERMSIG(m.status), SIGKILL);
@@ -200,12 +200,12 @@
 
     start(sock, 1, "trap 'exit 75' TERM; : > ../up1; while :; do sleep 0.05; done");
     wait_for_file("up1");
-    say(sock, lmn_keeper_msg_save(1, 1000));
-    struct lmn_keeper_msg m = hear(sock);
+    say(sock, lmn_executor_encode_save(1, 1000));
+    struct lmn_executor_event_message m = hear(sock);
     assert_true(WIFEXITED(m.status) && WEXITSTATUS(m.status) == 75);
     start(sock, 2, "trap '' TERM; : > ../up2; while :; do sleep 0.05; done");
     wait_for_file("up2");
-    say(sock, lmn_keeper_msg_save(2, 0.1));
+    say(sock, lmn_executor_encode_save(2, 0.1));
     m = hear(sock);
     assert_true(WIFSIGNALED(m.status) && WTERMSIG(m.status) == SIGKILL);
     close(sock);
@@ -222,14 +222,14 @@
     wait_for_file("up");
     clock_gettime(CLOCK_BOOTTIME, &now);
     /* This process says no more, as if it were stopped: the keeper ends it alone. */
-    say(sock, lmn_keeper_msg_until(lmn_time_add(now, 0.2)));
-    struct lmn_keeper_msg m = hear(sock);
-    while (m.event != LMN_K_LAPSED)
+    say(sock, lmn_executor_encode_lease(lmn_time_add(now, 0.2)));
+    struct lmn_executor_event_message m = hear(sock);
+    while (m.event != LMN_EXECUTOR_LEASE_EXPIRED)
         m = hear(sock);
     nothing_marked_is_left();
-    say(sock, lmn_keeper_msg_kill_all());
+    say(sock, lmn_executor_encode_kill_all());
     m = hear(sock);
-    assert_int_equal(m.event, LMN_K_EMPTY);
+    assert_int_equal(m.event, LMN_EXECUTOR_EMPTY);
     g_free(script);
     close(sock);
 }
@@ -263,7 +263,7 @@
     sock = keeper(); /* returns only when nothing of the other's is left */
     nothing_marked_is_left();
     start(sock, 1, "exit 0");
-    assert_int_equal(hear(sock).event, LMN_K_EXITED);
+    assert_int_equal(hear(sock).event, LMN_EXECUTOR_EXITED);
     g_free(script);
     g_free(lock);
     close(sock);
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -83,20 +83,21 @@
 static void *serve_one(void *arg)
 {
     struct server *s = arg;
-    struct lmn_link *l =
-        lmn_link_accept(s->tls, accept(s->fd, NULL, NULL), 5, s->err, sizeof s->err);
-    lmn_g_request q;
-    lmn_g_response r = {.kind = LMN_G_LOAD, .lmn_g_response_u.queued_cpu_s = 42};
+    struct lmn_peer_connection *l = lmn_peer_connection_accept(
+        s->tls, accept(s->fd, NULL, NULL), 5, s->err, sizeof s->err);
+    lmn_gateway_rpc_request q;
+    lmn_gateway_rpc_response r = {.kind = LMN_GATEWAY_RPC_LOAD,
+                                  .lmn_gateway_rpc_response_u.queued_cpu_s = 42};
 
     if (!l)
         return NULL;
-    g_strlcpy(s->seen, lmn_link_site(l), sizeof s->seen);
-    while (lmn_link_read_request(l, &q) == 0) {
+    g_strlcpy(s->seen, lmn_peer_connection_site(l), sizeof s->seen);
+    while (lmn_peer_connection_read_request(l, &q) == 0) {
         s->in = true;
-        xdr_free((xdrproc_t)xdr_lmn_g_request, (char *)&q);
-        lmn_link_send_response(l, &r);
+        xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_request, (char *)&q);
+        lmn_peer_connection_send_response(l, &r);
     }
-    lmn_link_close(l);
+    lmn_peer_connection_close(l);
     return NULL;
 }
 
@@ -118,14 +119,16 @@
     getsockname(s.fd, (struct sockaddr *)&a, &len);
     g_snprintf(addr, sizeof addr, "127.0.0.1:%d", ntohs(a.sin_port));
     pthread_create(&t, NULL, serve_one, &s);
-    struct lmn_link *l = lmn_link_dial(client, addr, site, 5, mine, sizeof mine);
+    struct lmn_peer_connection *l =
+        lmn_peer_connection_open(client, addr, site, 5, mine, sizeof mine);
     if (l) {
-        lmn_g_request q = {.kind = LMN_G_LOAD};
-        lmn_g_response r;
+        lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_LOAD};
+        lmn_gateway_rpc_response r;
         /* TLS 1.3: a client hears of its refusal with its first reading. */
-        ok = lmn_link_send_request(l, &q) == 0 && lmn_link_read_response(l, &r) == 0;
-        assert_true(!ok || r.lmn_g_response_u.queued_cpu_s == 42);
-        lmn_link_close(l);
+        ok = lmn_peer_connection_send_request(l, &q) == 0 &&
+             lmn_peer_connection_read_response(l, &r) == 0;
+        assert_true(!ok || r.lmn_gateway_rpc_response_u.queued_cpu_s == 42);
+        lmn_peer_connection_close(l);
     }
     pthread_join(t, NULL);
     close(s.fd);
@@ -199,34 +202,34 @@
 
 static size_t frame(char *buf, size_t size, GRand *r)
 {
-    static struct lmn_g_item items[4];
-    static struct lmn_g_offer offers[2];
-    lmn_g_response p = {.kind = LMN_G_SYNC};
-    lmn_g_request q = {.kind = LMN_G_SYNC};
+    static struct lmn_gateway_rpc_item items[4];
+    static struct lmn_gateway_rpc_offer offers[2];
+    lmn_gateway_rpc_response p = {.kind = LMN_GATEWAY_RPC_SYNC};
+    lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_SYNC};
     XDR x;
 
     for (int i = 0; i < 4; i++)
-        items[i] = (struct lmn_g_item){(char *)"run-000001", 3, 1, 1, 2, 0, 0};
+        items[i] = (struct lmn_gateway_rpc_item){(char *)"run-000001", 3, 1, 1, 2, 0, 0};
     for (int i = 0; i < 2; i++)
-        offers[i] = (struct lmn_g_offer){(char *)"run-000002",
-                                         1,
-                                         1,
-                                         {5, (char *)"\xa1"
-                                                     "aa\x01"},
-                                         (char *)"d",
-                                         0};
+        offers[i] = (struct lmn_gateway_rpc_offer){(char *)"run-000002",
+                                                   1,
+                                                   1,
+                                                   {5, (char *)"\xa1"
+                                                               "aa\x01"},
+                                                   (char *)"d",
+                                                   0};
     xdrmem_create(&x, buf, (u_int)size, XDR_ENCODE);
     if (g_rand_boolean(r)) {
-        struct lmn_g_reply *y = &p.lmn_g_response_u.reply;
+        struct lmn_gateway_rpc_reply *y = &p.lmn_gateway_rpc_response_u.reply;
         y->heard.heard_len = y->cancel.cancel_len = 4;
         y->heard.heard_val = y->cancel.cancel_val = items;
         y->offers.offers_len = 2;
         y->offers.offers_val = offers;
-        assert_true(xdr_lmn_g_response(&x, &p));
+        assert_true(xdr_lmn_gateway_rpc_response(&x, &p));
     } else {
-        q.lmn_g_request_u.sync.says.says_len = 4;
-        q.lmn_g_request_u.sync.says.says_val = items;
-        assert_true(xdr_lmn_g_request(&x, &q));
+        q.lmn_gateway_rpc_request_u.sync.says.says_len = 4;
+        q.lmn_gateway_rpc_request_u.sync.says.says_val = items;
+        assert_true(xdr_lmn_gateway_rpc_request(&x, &q));
     }
     size_t n = xdr_getpos(&x);
     xdr_destroy(&x);
@@ -242,8 +245,8 @@
 
     for (int round = 0; round < 60000; round++) {
         size_t n = frame(buf, sizeof buf, r);
-        lmn_g_request q;
-        lmn_g_response p;
+        lmn_gateway_rpc_request q;
+        lmn_gateway_rpc_response p;
         for (int k = g_rand_int_range(r, 0, 4); k > 0; k--) {
             size_t at = (size_t)g_rand_int_range(r, 0, (gint32)n);
             switch (g_rand_int_range(r, 0, 4)) {
@@ -262,11 +265,11 @@
         }
         if (lmn_frame_request(buf, n, &q) == 0) {
             taken++;
-            xdr_free((xdrproc_t)xdr_lmn_g_request, (char *)&q);
+            xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_request, (char *)&q);
         }
         if (lmn_frame_response(buf, n, &p) == 0) {
             taken++;
-            xdr_free((xdrproc_t)xdr_lmn_g_response, (char *)&p);
+            xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&p);
         }
     }
     assert_true(taken >
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -403,14 +403,14 @@
 
 /* --- groups in simulated time --- */
 
-static const struct lmn_sim_group_options usual = {
+static const struct lmn_controller_group_options usual = {
     .members = 3, .lease_s = 31, .report_s = 6, .seconds = 100000, .state_s = 0.004};
 
-static void calm(const struct lmn_sim_group_options *o)
+static void calm(const struct lmn_controller_group_options *o)
 {
-    struct lmn_sim_group_result r;
+    struct lmn_controller_group_result r;
 
-    lmn_sim_group(o, &r);
+    lmn_simulate_controller_group(o, &r);
     assert_int_equal(r.false_verdicts, 0);
     assert_true(r.questions > o->seconds);
     /* Every suspicion was refuted. */
@@ -419,7 +419,7 @@
 
 static void noise_makes_no_verdict(void **state)
 {
-    struct lmn_sim_group_options o = usual;
+    struct lmn_controller_group_options o = usual;
     (void)state;
 
     o.loss = 0.05;
@@ -457,14 +457,14 @@
     for (size_t k = 0; k < G_N_ELEMENTS(sizes); k++) {
         double sum = 0;
         for (uint32_t seed = 1; seed <= 20; seed++) {
-            struct lmn_sim_group_options o = usual;
-            struct lmn_sim_group_result r;
+            struct lmn_controller_group_options o = usual;
+            struct lmn_controller_group_result r;
             o.members = sizes[k];
             o.seed = seed;
             o.seconds = 60;
             o.dead = sizes[k] > 4 ? sizes[k] / 3 : 1;
             o.dead_at = 20 + 0.037 * seed;
-            lmn_sim_group(&o, &r);
+            lmn_simulate_controller_group(&o, &r);
             assert_true(r.judged_s > 0 && r.judged_s < 7);
             assert_true(r.suspected_s < r.judged_s);
             assert_int_equal(r.false_verdicts, 0);
--- a/tests/test_route.c
+++ b/tests/test_route.c
@@ -19,8 +19,9 @@
     for (int round = 0; round < 20000; round++) {
         struct lmn_route_job j[MOST] = {{0}};
         unsigned picks[MOST] = {0}, n = (unsigned)g_rand_int_range(r, 0, MOST), most;
-        struct lmn_route_home home = {1 + 50 * g_rand_double(r), 100 * g_rand_double(r),
-                                      500 * (g_rand_double(r) - 0.3), g_rand_double(r)};
+        struct lmn_route_for_origin home = {
+            1 + 50 * g_rand_double(r), 100 * g_rand_double(r),
+            500 * (g_rand_double(r) - 0.3), g_rand_double(r)};
         double room = 40 * g_rand_double(r), all = 0, gone = 0, largest = 0;
         for (unsigned i = 0; i < n; i++) {
             j[i] = (struct lmn_route_job){
@@ -93,9 +94,9 @@
         s = next;
     }
     assert_true(s <= 5 && lmn_route_interval(s, true) == 0);
-    assert_true(lmn_route_idle(10, 5, 0, 0.7));
-    assert_false(lmn_route_idle(10, 8, 0, 0.7));
-    assert_false(lmn_route_idle(10, 0, 1, 0.7));
+    assert_true(lmn_route_for_idle_site(10, 5, 0, 0.7));
+    assert_false(lmn_route_for_idle_site(10, 8, 0, 0.7));
+    assert_false(lmn_route_for_idle_site(10, 0, 1, 0.7));
     g_rand_free(r);
 }
 
