--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -82,7 +82,7 @@
                                      .cpus = 1,
                                      .estimate_s = 5,
                                      .deadline_s = -1};
-            g_snprintf(s.ref, sizeof s.ref, W_JOB_PREFIX "%09u", n);
+            g_snprintf(s.ref, sizeof s.ref, WIRE_JOB_ID_PREFIX "%09u", n);
             w[k] = (struct lmn_record_write){0};
             if (side == 0) {
                 w[k].job = lmn_gateway_records_new_job(&b, &s);
@@ -135,10 +135,10 @@
     GByteArray *b = g_byte_array_new(), *in = g_byte_array_new();
     struct timespec begun = lmn_now();
 
-    g_snprintf(s.ref, sizeof s.ref, W_JOB_PREFIX "9%09u", n);
+    g_snprintf(s.ref, sizeof s.ref, WIRE_JOB_ID_PREFIX "9%09u", n);
     lmn_cbor_put_map(b, lmn_job_spec_pair_count());
     lmn_job_spec_write(b, &s);
-    int status = lmn_http_client_call(h, "POST", P_JOBS, b, 10, in);
+    int status = lmn_http_client_call(h, "POST", WIRE_PATH_JOBS, b, 10, in);
     g_byte_array_unref(b);
     g_byte_array_unref(in);
     return status == 201 ? lmn_time_diff_s(lmn_now(), begun) : 10;
@@ -200,7 +200,7 @@
         pids[2 + i] = start(args, log);
         struct lmn_http_client *h = lmn_http_client_new(users[i]);
         GByteArray *in = g_byte_array_new();
-        while (lmn_http_client_call(h, "GET", P_READY, NULL, 2, in) != 200)
+        while (lmn_http_client_call(h, "GET", WIRE_PATH_READY, NULL, 2, in) != 200)
             lmn_sleep(0.02);
         lmn_http_client_free(h);
         g_byte_array_unref(in);
--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -71,11 +71,11 @@
     char *argv[] = {(char *)"true", NULL}, *env[] = {NULL};
     struct lmn_job_state s;
 
-    g_snprintf(ref, LMN_JOB_ID_SIZE, W_JOB_PREFIX "%09u%06u",
+    g_snprintf(ref, LMN_JOB_ID_SIZE, WIRE_JOB_ID_PREFIX "%09u%06u",
                g_random_int() % 1000000000u, jobs++);
     GByteArray *body = bench_describe(users.depot, ref, tasks, estimate, argv, env);
     struct timespec begun = lmn_now();
-    int status = lmn_users_call(&users, "POST", P_JOBS, body, 60, &s);
+    int status = lmn_users_call(&users, "POST", WIRE_PATH_JOBS, body, 60, &s);
     g_byte_array_unref(body);
     return status == 201 || status == 200 ? lmn_time_diff_s(lmn_now(), begun) : -1;
 }
@@ -85,7 +85,7 @@
     struct lmn_job_state s = {0};
     char path[96];
 
-    g_snprintf(path, sizeof path, P_JOBS "/%s", ref);
+    g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s", ref);
     lmn_users_call(&users, "GET", path, NULL, 10, &s);
     return s.done;
 }
@@ -118,7 +118,7 @@
             /* A new connection for each, as a balancer makes. */
             struct lmn_http_client *h = lmn_http_client_new(site.users[i]);
             int status =
-                lmn_http_client_call(h, "GET", P_READY, NULL, timed ? 1 : 20, in);
+                lmn_http_client_call(h, "GET", WIRE_PATH_READY, NULL, timed ? 1 : 20, in);
             lmn_http_client_free(h);
             pthread_mutex_lock(&checks.lock);
             checks.asked++;
--- a/bench/failover.c
+++ b/bench/failover.c
@@ -229,7 +229,7 @@
 
     while (!ok && lmn_time_diff_s(lmn_now(), begun) < patience_s) {
         struct lmn_http_client *h = lmn_http_client_new(addr);
-        ok = lmn_http_client_call(h, "GET", P_READY, NULL, 1, in) == 200;
+        ok = lmn_http_client_call(h, "GET", WIRE_PATH_READY, NULL, 1, in) == 200;
         lmn_http_client_free(h);
         if (!ok)
             lmn_sleep(0.1);
@@ -256,10 +256,10 @@
     char *argv[] = {(char *)"true", NULL}, *env[] = {NULL}, ref[LMN_JOB_ID_SIZE];
     struct lmn_job_state s;
 
-    g_snprintf(ref, LMN_JOB_ID_SIZE, W_JOB_PREFIX "%09u%06u",
+    g_snprintf(ref, LMN_JOB_ID_SIZE, WIRE_JOB_ID_PREFIX "%09u%06u",
                (unsigned)g_random_int() % 1000000000u, jobs++);
     GByteArray *body = bench_describe(users.depot, ref, tasks, estimate_s, argv, env);
-    int status = lmn_users_call(&users, "POST", P_JOBS, body, 60, &s);
+    int status = lmn_users_call(&users, "POST", WIRE_PATH_JOBS, body, 60, &s);
     g_byte_array_unref(body);
     pthread_mutex_lock(&night.lock);
     night.submitted++;
@@ -576,13 +576,13 @@
     for (guint i = 0; i < night.refs->len; i++) {
         char path[96];
         struct lmn_job_state s = {0};
-        g_snprintf(path, sizeof path, P_JOBS "/%s", (char *)night.refs->pdata[i]);
+        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s", (char *)night.refs->pdata[i]);
         do {
             lmn_users_call(&users, "GET", path, NULL, 10, &s);
-            if (strcmp(s.state, W_DONE))
+            if (strcmp(s.state, WIRE_DONE))
                 lmn_sleep(0.2);
-        } while (strcmp(s.state, W_DONE) && lmn_time_diff_s(lmn_now(), begun) < 120);
-        if (strcmp(s.state, W_DONE)) {
+        } while (strcmp(s.state, WIRE_DONE) && lmn_time_diff_s(lmn_now(), begun) < 120);
+        if (strcmp(s.state, WIRE_DONE)) {
             printf("FAILED: job %s is %s\n", s.ref, s.state);
             return false;
         }
--- a/bench/gateway.c
+++ b/bench/gateway.c
@@ -155,7 +155,7 @@
 
     *state = '\0';
     if (in->len && lmn_cbor_parse(&d, in->data, in->len) == 0) {
-        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_STATE), state, 16);
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_STATE), state, 16);
         lmn_cbor_free(&d);
     }
     g_byte_array_unref(in);
@@ -180,7 +180,7 @@
     GByteArray *body = bench_describe(depots[j->home], j->ref, j->tasks, 8, argv, env);
     struct timespec begun = lmn_now();
     do {
-        status = call(gateways[j->home], "POST", P_JOBS, body, state);
+        status = call(gateways[j->home], "POST", WIRE_PATH_JOBS, body, state);
         if (status != 200 && status != 201)
             lmn_sleep(0.1);
     } while (status != 200 && status != 201 && status != 400 && status != 422);
@@ -199,7 +199,7 @@
     char path[96], course[16] = "";
     struct lmn_cbor_document d;
 
-    g_snprintf(path, sizeof path, P_JOBS "/%s", j->ref);
+    g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s", j->ref);
     if (lmn_http_client_call(h, "GET", path, NULL, 10, in) == 200 &&
         lmn_cbor_parse(&d, in->data, in->len) == 0) {
         lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), "Course"), course,
@@ -255,7 +255,7 @@
         /* Most of the work comes to one site. */
         j->home = g_rand_int_range(rng, 0, 10) < 8 ? 0 : g_rand_int_range(rng, 1, SITES);
         j->tasks = JOB_TASKS;
-        g_snprintf(j->ref, sizeof j->ref, W_JOB_PREFIX "%09u%06u",
+        g_snprintf(j->ref, sizeof j->ref, WIRE_JOB_ID_PREFIX "%09u%06u",
                    g_rand_int(rng) % 1000000000u, njobs);
         double seconds = 0.05 + 0.3 * g_rand_double(rng);
         if (g_rand_int_range(rng, 0, 12) == 0)
@@ -267,9 +267,9 @@
         njobs++;
         if (cancel) {
             j->cancel = true;
-            g_snprintf(path, sizeof path, P_JOBS "/%s" P_CANCEL, j->ref);
+            g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s" WIRE_PATH_CANCEL, j->ref);
             if (call(gateways[j->home], "POST", path, NULL, state) == 200)
-                j->told = !strcmp(state, W_WITHDRAWN);
+                j->told = !strcmp(state, WIRE_CANCELLED);
         }
         lmn_sleep(0.02);
     }
@@ -350,7 +350,7 @@
     elsewhere += away;
     if (ends > 1 && !j->recall)
         complain("came to its end twice", path);
-    if (!strcmp(j->state, W_DONE) && !ends)
+    if (!strcmp(j->state, WIRE_DONE) && !ends)
         complain("is called done, and did not come to its end", path);
     g_strfreev(lines);
     g_free(text);
@@ -368,26 +368,26 @@
         h[i] = lmn_http_client_new(sites[i].users);
     for (unsigned i = 0; i < njobs; i++) {
         struct job *j = &jobs[i];
-        g_snprintf(path, sizeof path, P_JOBS "/%s", j->ref);
+        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s", j->ref);
         for (;;) {
             int status = call(h[j->home], "GET", path, NULL, state);
             if (status == 404)
                 complain("was accepted, and is not known", j->ref);
-            if (!strcmp(state, W_DONE) || !strcmp(state, W_WITHDRAWN) || status == 404 ||
-                lmn_time_before(end, lmn_now()))
+            if (!strcmp(state, WIRE_DONE) || !strcmp(state, WIRE_CANCELLED) ||
+                status == 404 || lmn_time_before(end, lmn_now()))
                 break;
             lmn_sleep(0.1);
         }
         g_strlcpy(j->state, state, sizeof j->state);
-        if (strcmp(state, W_DONE) && strcmp(state, W_WITHDRAWN))
+        if (strcmp(state, WIRE_DONE) && strcmp(state, WIRE_CANCELLED))
             complain("has no outcome", j->ref);
-        if (!j->cancel && !strcmp(state, W_WITHDRAWN))
+        if (!j->cancel && !strcmp(state, WIRE_CANCELLED))
             complain("is withdrawn, and nobody asked for it", j->ref);
-        if (j->told && strcmp(state, W_WITHDRAWN))
+        if (j->told && strcmp(state, WIRE_CANCELLED))
             complain("was told to be withdrawn, and is something else", j->ref);
     }
     for (unsigned i = 0; i < njobs; i++) {
-        g_snprintf(path, sizeof path, P_JOBS "/%s", jobs[i].ref);
+        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s", jobs[i].ref);
         if (call(h[jobs[i].home], "GET", path, NULL, state) != 200 ||
             strcmp(state, jobs[i].state))
             complain("its outcome changed", jobs[i].ref);
@@ -469,8 +469,8 @@
         complain(text, "a task ran twice at the same time");
     for (unsigned i = 0; i < njobs; i++) {
         tasks += jobs[i].tasks;
-        done += !strcmp(jobs[i].state, W_DONE);
-        withdrawn += !strcmp(jobs[i].state, W_WITHDRAWN);
+        done += !strcmp(jobs[i].state, WIRE_DONE);
+        withdrawn += !strcmp(jobs[i].state, WIRE_CANCELLED);
         for (uint32_t k = 0; k < jobs[i].tasks; k++)
             check_task(&jobs[i], k);
     }
--- a/bench/rehearsal.c
+++ b/bench/rehearsal.c
@@ -103,7 +103,7 @@
     struct timespec begun = lmn_now();
     int status;
     do
-        status = lmn_users_call(u, "POST", P_JOBS, body, 60, &s);
+        status = lmn_users_call(u, "POST", WIRE_PATH_JOBS, body, 60, &s);
     while (status != 200 && status != 201 && status != 422 && status != 400);
     pthread_mutex_lock(&lock);
     lmn_latency_add(&submitting, lmn_time_diff_s(lmn_now(), begun));
@@ -121,14 +121,14 @@
     struct lmn_job_state s;
     int status;
 
-    g_snprintf(path, sizeof path, P_JOBS "/%s" P_CANCEL, j->ref);
+    g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s" WIRE_PATH_CANCEL, j->ref);
     j->cancel = true;
     do
         status = lmn_users_call(u, "POST", path, NULL, 60, &s);
     while (status != 200 && status != 404);
     if (status == 404)
         complain("was accepted, and is not known", j->ref);
-    if (!strcmp(s.state, W_WITHDRAWN))
+    if (!strcmp(s.state, WIRE_CANCELLED))
         j->told = wall();
 }
 
@@ -143,7 +143,7 @@
     while (!stop && njobs < MOST_JOBS) {
         pthread_mutex_lock(&lock);
         struct job *j = &jobs[njobs];
-        g_snprintf(j->ref, sizeof j->ref, W_JOB_PREFIX "%09u%06u",
+        g_snprintf(j->ref, sizeof j->ref, WIRE_JOB_ID_PREFIX "%09u%06u",
                    g_rand_int(rng) % 1000000000u, njobs);
         j->tasks = (uint32_t)g_rand_int_range(rng, 1, 25);
         double seconds = 0.1 + g_rand_double(rng);
@@ -259,23 +259,23 @@
     lmn_users_open(&u, file, NULL, NULL, err, sizeof err);
     for (unsigned i = 0; i < njobs; i++) {
         struct lmn_job_state s = {0};
-        g_snprintf(path, sizeof path, P_JOBS "/%s", jobs[i].ref);
+        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s", jobs[i].ref);
         for (;;) {
             int status = lmn_users_call(&u, "GET", path, NULL, 60, &s);
             if (status == 404)
                 complain("was accepted, and is not known", jobs[i].ref);
-            if (!strcmp(s.state, W_DONE) || !strcmp(s.state, W_WITHDRAWN) ||
+            if (!strcmp(s.state, WIRE_DONE) || !strcmp(s.state, WIRE_CANCELLED) ||
                 status == 404 || lmn_time_before(end, lmn_now()))
                 break;
             lmn_sleep(0.1);
         }
         g_strlcpy(jobs[i].state, s.state, sizeof jobs[i].state);
-        if (strcmp(s.state, W_DONE) && strcmp(s.state, W_WITHDRAWN))
+        if (strcmp(s.state, WIRE_DONE) && strcmp(s.state, WIRE_CANCELLED))
             complain("has no end", jobs[i].ref);
-        if (jobs[i].told && strcmp(s.state, W_WITHDRAWN))
+        if (jobs[i].told && strcmp(s.state, WIRE_CANCELLED))
             complain("its user was told that it is withdrawn, and now something else",
                      jobs[i].ref);
-        if (!jobs[i].cancel && !strcmp(s.state, W_WITHDRAWN))
+        if (!jobs[i].cancel && !strcmp(s.state, WIRE_CANCELLED))
             complain("is withdrawn, and nobody asked for it", jobs[i].ref);
     }
     lmn_users_close(&u);
@@ -299,7 +299,7 @@
                      path);
     }
     again += starts > 1;
-    if (!strcmp(j->state, W_DONE) && !ends)
+    if (!strcmp(j->state, WIRE_DONE) && !ends)
         complain("is called done, and did not come to its end", path);
     g_strfreev(lines);
     g_free(text);
@@ -353,8 +353,8 @@
         complain(text, "two attempts of a task ran at the same time");
     for (unsigned i = 0; i < njobs; i++) {
         tasks += jobs[i].tasks;
-        done += !strcmp(jobs[i].state, W_DONE);
-        withdrawn += !strcmp(jobs[i].state, W_WITHDRAWN);
+        done += !strcmp(jobs[i].state, WIRE_DONE);
+        withdrawn += !strcmp(jobs[i].state, WIRE_CANCELLED);
         for (uint32_t k = 0; k < jobs[i].tasks; k++)
             check_task(&jobs[i], k);
     }
--- a/bench/site.c
+++ b/bench/site.c
@@ -69,11 +69,11 @@
     char *argv[] = {(char *)"true", NULL}, *env[] = {NULL};
     struct lmn_job_state s;
 
-    g_snprintf(ref, LMN_JOB_ID_SIZE, W_JOB_PREFIX "%09u%06u",
+    g_snprintf(ref, LMN_JOB_ID_SIZE, WIRE_JOB_ID_PREFIX "%09u%06u",
                g_random_int() % 1000000000u, jobs++);
     GByteArray *body = bench_describe(users.depot, ref, tasks, estimate, argv, env);
     struct timespec begun = lmn_now();
-    int status = lmn_users_call(&users, "POST", P_JOBS, body, 60, &s);
+    int status = lmn_users_call(&users, "POST", WIRE_PATH_JOBS, body, 60, &s);
     if (status != 201)
         fprintf(stderr, "%s: %d\n", ref, status);
     g_byte_array_unref(body);
@@ -85,8 +85,8 @@
     struct lmn_job_state s = {0};
     char path[96];
 
-    g_snprintf(path, sizeof path, P_JOBS "/%s", ref);
-    while (strcmp(s.state, W_DONE)) {
+    g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s", ref);
+    while (strcmp(s.state, WIRE_DONE)) {
         lmn_users_call(&users, "GET", path, NULL, 60, &s);
         lmn_sleep(0.02);
     }
--- a/bench/state.c
+++ b/bench/state.c
@@ -60,7 +60,7 @@
 static bool serves(struct lmn_http_client *h)
 {
     GByteArray *in = g_byte_array_new();
-    int status = lmn_http_client_call(h, "GET", P_READY, NULL, 1, in);
+    int status = lmn_http_client_call(h, "GET", WIRE_PATH_READY, NULL, 1, in);
     g_byte_array_unref(in);
     return status == 200;
 }
@@ -81,20 +81,20 @@
 {
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 2);
-    lmn_cbor_put_text(b, W_IF), lmn_cbor_put_array(b, cond ? 1 : 0);
+    lmn_cbor_put_text(b, WIRE_CONDITIONS), lmn_cbor_put_array(b, cond ? 1 : 0);
     if (cond) {
         lmn_cbor_put_map(b, 2);
-        lmn_cbor_put_text(b, W_KEY), lmn_cbor_put_text(b, cond);
-        lmn_cbor_put_text(b, W_VERSION), lmn_cbor_put_uint(b, rev);
+        lmn_cbor_put_text(b, WIRE_KEY), lmn_cbor_put_text(b, cond);
+        lmn_cbor_put_text(b, WIRE_VERSION), lmn_cbor_put_uint(b, rev);
     }
-    lmn_cbor_put_text(b, W_THEN), lmn_cbor_put_array(b, own ? 2 : 1);
+    lmn_cbor_put_text(b, WIRE_OPERATIONS), lmn_cbor_put_array(b, own ? 2 : 1);
     lmn_cbor_put_map(b, 2);
-    lmn_cbor_put_text(b, W_PUT), lmn_cbor_put_text(b, key);
-    lmn_cbor_put_text(b, W_VALUE), lmn_cbor_put_uint(b, value);
+    lmn_cbor_put_text(b, WIRE_PUT), lmn_cbor_put_text(b, key);
+    lmn_cbor_put_text(b, WIRE_VALUE), lmn_cbor_put_uint(b, value);
     if (own) {
         lmn_cbor_put_map(b, 2);
-        lmn_cbor_put_text(b, W_PUT), lmn_cbor_put_text(b, own);
-        lmn_cbor_put_text(b, W_VALUE), lmn_cbor_put_map(b, 2);
+        lmn_cbor_put_text(b, WIRE_PUT), lmn_cbor_put_text(b, own);
+        lmn_cbor_put_text(b, WIRE_VALUE), lmn_cbor_put_map(b, 2);
         lmn_cbor_put_text(b, "counter"), lmn_cbor_put_text(b, counter);
         lmn_cbor_put_text(b, "value"), lmn_cbor_put_uint(b, value);
     }
@@ -124,14 +124,14 @@
     struct lmn_cbor_document d;
 
     *rev = *value = 0;
-    g_snprintf(path, sizeof path, P_STORE "/%s", key);
+    g_snprintf(path, sizeof path, WIRE_PATH_STORE "/%s", key);
     int status = lmn_http_client_call(h, "GET", path, NULL, 2, in);
     if (status == 404)
         return true;
     if (status != 200 || lmn_cbor_parse(&d, in->data, in->len) != 0)
         return false;
-    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_VERSION), rev);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_VALUE), value);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_VERSION), rev);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_VALUE), value);
     lmn_cbor_free(&d);
     return true;
 }
@@ -156,12 +156,12 @@
         }
         GByteArray *b = transaction(counter, rev, counter, value + 1, own, counter);
         struct acked a = {.sent = lmn_now()};
-        int status = lmn_http_client_call(h, "POST", P_TXN, b, 2, in);
+        int status = lmn_http_client_call(h, "POST", WIRE_PATH_TXN, b, 2, in);
         a.heard = lmn_now();
         g_byte_array_unref(b);
         g_strlcpy(a.own, own, sizeof a.own);
         if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
-            lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REVISION), &a.rev);
+            lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_REVISION), &a.rev);
             lmn_cbor_free(&d);
         }
         pthread_mutex_lock(&w.lock);
@@ -379,7 +379,7 @@
         g_snprintf(key, sizeof key, "speed/%d/%u", me, n % 1000);
         GByteArray *b = transaction(NULL, 0, key, n, NULL, NULL);
         struct timespec sent = lmn_now();
-        int status = lmn_http_client_call(h, "POST", P_TXN, b, 10, in);
+        int status = lmn_http_client_call(h, "POST", WIRE_PATH_TXN, b, 10, in);
         g_byte_array_unref(b);
         pthread_mutex_lock(&w.lock);
         w.tried += status == 200;
@@ -482,8 +482,9 @@
 /* So many clients wait for changes, on a connection each; then one is made. */
 static int watches(int n)
 {
-    static const char ask[] = "GET " P_WATCH "?Under=w/&After=0&WaitMs=60000 HTTP/1.1\r\n"
-                              "Host: x\r\n\r\n";
+    static const char ask[] =
+        "GET " WIRE_PATH_WATCH "?Under=w/&After=0&WaitMs=60000 HTTP/1.1\r\n"
+        "Host: x\r\n\r\n";
     struct sockaddr_in a = {.sin_family = AF_INET,
                             .sin_port = htons(27379),
                             .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
@@ -510,7 +511,7 @@
     struct lmn_http_client *h = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new(), *b = transaction(NULL, 0, "w/1", 1, NULL, NULL);
     struct timespec begun = lmn_now();
-    int status = lmn_http_client_call(h, "POST", P_TXN, b, 10, in);
+    int status = lmn_http_client_call(h, "POST", WIRE_PATH_TXN, b, 10, in);
     for (int i = 0; i < n; i++)
         heard += read(fds[i], buf, sizeof buf) > 0 && strstr(buf, "200 OK");
     double took = lmn_time_diff_s(lmn_now(), begun);
--- a/src/cli/gateway.c
+++ b/src/cli/gateway.c
@@ -138,7 +138,7 @@
 
     if (rc)
         return rc;
-    char *path = g_strdup_printf(P_JOBS "/%s", argv[1]);
+    char *path = g_strdup_printf(WIRE_PATH_JOBS "/%s", argv[1]);
     json_t *j = ask("GET", path, argv[1], not_home, &rc);
     g_free(path);
     if (j)
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -112,7 +112,7 @@
 {
     char path[96];
 
-    g_snprintf(path, sizeof path, P_JOBS "/%s%s", ref, suffix);
+    g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s%s", ref, suffix);
     int status = lmn_users_call(u, method, path, NULL, 60, s);
     if (status == 404)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s: there is no such job", ref);
@@ -132,7 +132,7 @@
             return rc;
         /* A controller may know of fewer than another; what is done stays done. */
         s.done = MAX(s.done, last.done);
-        bool final = !strcmp(s.state, W_DONE) || !strcmp(s.state, W_WITHDRAWN);
+        bool final = !strcmp(s.state, WIRE_DONE) || !strcmp(s.state, WIRE_CANCELLED);
         bool news = s.done != last.done || s.running != last.running ||
                     strcmp(s.state, last.state);
         if (json && (news || final))
@@ -146,11 +146,11 @@
     }
     if (terminal)
         putchar('\n');
-    if (!json && !strcmp(s.state, W_DONE))
+    if (!json && !strcmp(s.state, WIRE_DONE))
         printf("%" G_GUINT64_FORMAT " done\n", s.done);
-    return !strcmp(s.state, W_DONE)        ? LMN_EXIT_OK
-           : !strcmp(s.state, W_WITHDRAWN) ? EXIT_WITHDRAWN
-                                           : EXIT_TIMEOUT;
+    return !strcmp(s.state, WIRE_DONE)        ? LMN_EXIT_OK
+           : !strcmp(s.state, WIRE_CANCELLED) ? EXIT_WITHDRAWN
+                                              : EXIT_TIMEOUT;
 }
 
 /* --- submit --- */
@@ -198,11 +198,12 @@
     if (q->ref)
         g_strlcpy(s->ref, q->ref, sizeof s->ref);
     else
-        g_snprintf(s->ref, sizeof s->ref, W_JOB_PREFIX "%09u%09u",
+        g_snprintf(s->ref, sizeof s->ref, WIRE_JOB_ID_PREFIX "%09u%09u",
                    g_random_int() % 1000000000u, g_random_int() % 1000000000u);
     if (!lmn_job_id_is_valid(s->ref))
         return lmn_cli_fail(
-            -1, "--ref: '%s': expected " W_JOB_PREFIX " and up to 19 digits", s->ref);
+            -1, "--ref: '%s': expected " WIRE_JOB_ID_PREFIX " and up to 19 digits",
+            s->ref);
     s->class_name = g_strdup(q->class_name);
     s->team = g_strdup(q->team);
     s->image = g_strdup(q->image);
@@ -242,7 +243,7 @@
             e.status == 409 ? ": this job was submitted with another description" : "");
     lmn_cbor_put_map(body, lmn_job_spec_pair_count());
     lmn_job_spec_write(body, &w->spec);
-    int status = lmn_users_call(u, "POST", P_JOBS, body, 60, &s);
+    int status = lmn_users_call(u, "POST", WIRE_PATH_JOBS, body, 60, &s);
     g_byte_array_unref(blob);
     g_byte_array_unref(body);
     if (status == 422)
@@ -398,7 +399,7 @@
     int rc = with_ref("REF", "Cancels a job.", NULL, &argc, &argv);
 
     if (rc || (rc = open_users(&u, false)) ||
-        (rc = ask(&u, "POST", argv[1], P_CANCEL, &s)))
+        (rc = ask(&u, "POST", argv[1], WIRE_PATH_CANCEL, &s)))
         return rc;
     if (json)
         lmn_json_print(state_json(&s, 0), true);
@@ -455,7 +456,7 @@
         char path[96];
         if (lmn_users_work(&u, refs->pdata[i], &w, &e) != 0)
             continue;
-        g_snprintf(path, sizeof path, P_JOBS "/%s", (char *)refs->pdata[i]);
+        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s", (char *)refs->pdata[i]);
         if ((team && strcmp(team, w.spec.team)) ||
             lmn_users_call(&u, "GET", path, NULL, 10, &s) != 200 ||
             (state && strcmp(state, s.state))) {
--- a/src/cli/users.c
+++ b/src/cli/users.c
@@ -56,11 +56,11 @@
     if (!in->len || lmn_cbor_parse(&d, in->data, in->len) != 0)
         return;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-    lmn_cbor_get_text(lmn_cbor_get(&d, root, W_ID), s->ref, sizeof s->ref);
-    if (!lmn_cbor_get_text(lmn_cbor_get(&d, root, W_STATE), s->state, sizeof s->state))
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_JOB_ID), s->ref, sizeof s->ref);
+    if (!lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_STATE), s->state, sizeof s->state))
         lmn_cbor_get_text(lmn_cbor_get(&d, root, "error"), s->state, sizeof s->state);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_DONE), &s->done);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_RUNNING), &s->running);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_DONE), &s->done);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_RUNNING), &s->running);
     lmn_cbor_free(&d);
 }
 
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -19,11 +19,11 @@
 static void route_job(struct lmn_core *c, struct lmn_http_request *call, const char *rest)
 {
     char *ref = g_strdup(rest);
-    size_t len = strlen(ref), end = strlen(P_CANCEL);
+    size_t len = strlen(ref), end = strlen(WIRE_PATH_CANCEL);
 
     if (lmn_http_request_method(call) == LMN_HTTP_GET) {
         lmn_user_api_status(c, call, ref);
-    } else if (len > end && !strcmp(ref + len - end, P_CANCEL)) {
+    } else if (len > end && !strcmp(ref + len - end, WIRE_PATH_CANCEL)) {
         ref[len - end] = '\0';
         lmn_user_api_cancel(c, call, ref);
     } else {
@@ -35,7 +35,7 @@
 /* What the connection asks for tells whose it is. */
 static void tell_kind(struct lmn_http_request *call, bool post, const char *path)
 {
-    bool report = post && !strcmp(path, P_REPORT);
+    bool report = post && !strcmp(path, WIRE_PATH_HEARTBEAT);
 
     lmn_http_request_set_kind(call, report ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER);
 }
@@ -80,7 +80,7 @@
     tell_kind(call, post, path);
     if (!post && lmn_http_request_method(call) != LMN_HTTP_GET) {
         lmn_http_request_respond(call, 405, NULL, 0);
-    } else if (post && !strcmp(path, P_REPORT)) {
+    } else if (post && !strcmp(path, WIRE_PATH_HEARTBEAT)) {
         GByteArray *out = g_byte_array_new();
         const GByteArray *body = lmn_http_request_body(call);
         struct lmn_deferred_starts held;
@@ -92,12 +92,12 @@
             lmn_http_request_respond(call, status, out, 0);
     } else if (!post && !strcmp(path, "/metrics")) {
         lmn_metrics_answer(call, lmn_controller_metrics, c);
-    } else if (!post && !strcmp(path, P_READY)) {
+    } else if (!post && !strcmp(path, WIRE_PATH_READY)) {
         lmn_http_request_respond(call, lmn_user_api_is_ready(c) ? 200 : 503, NULL, 0);
-    } else if (post && !strcmp(path, P_JOBS)) {
+    } else if (post && !strcmp(path, WIRE_PATH_JOBS)) {
         lmn_user_api_submit(c, call);
-    } else if (g_str_has_prefix(path, P_JOBS "/")) {
-        route_job(c, call, path + strlen(P_JOBS "/"));
+    } else if (g_str_has_prefix(path, WIRE_PATH_JOBS "/")) {
+        route_job(c, call, path + strlen(WIRE_PATH_JOBS "/"));
     } else {
         lmn_http_request_respond(call, 404, NULL, 0);
     }
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -44,10 +44,10 @@
 static const char *state_word(const struct lmn_job_reply *r)
 {
     if (r->phase == LMN_JOB_DONE)
-        return W_DONE;
+        return WIRE_DONE;
     if (r->phase == LMN_JOB_CANCELLED)
-        return W_WITHDRAWN;
-    return r->running || r->done ? W_RUNNING : W_QUEUED;
+        return WIRE_CANCELLED;
+    return r->running || r->done ? WIRE_RUNNING : WIRE_QUEUED;
 }
 
 GByteArray *lmn_job_reply_body(const struct lmn_job_reply *r, const char *ref)
@@ -63,12 +63,12 @@
         return b;
     }
     lmn_cbor_put_map(b, r->status == 201 ? 2 : 4);
-    lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, ref);
-    lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, state_word(r));
+    lmn_cbor_put_text(b, WIRE_JOB_ID), lmn_cbor_put_text(b, ref);
+    lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, state_word(r));
     if (r->status == 201)
         return b;
-    lmn_cbor_put_text(b, W_DONE), lmn_cbor_put_uint(b, r->done);
-    lmn_cbor_put_text(b, W_RUNNING), lmn_cbor_put_uint(b, r->running);
+    lmn_cbor_put_text(b, WIRE_DONE), lmn_cbor_put_uint(b, r->done);
+    lmn_cbor_put_text(b, WIRE_RUNNING), lmn_cbor_put_uint(b, r->running);
     return b;
 }
 
@@ -313,9 +313,9 @@
     if (lmn_cbor_parse(&d, body, len) != 0)
         return;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_VERSION), &r->rev) &&
-        lmn_job_read(&d, lmn_cbor_get(&d, root, W_VALUE), &r->spec, &r->phase, &r->open,
-                     &r->at) == 0)
+    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_VERSION), &r->rev) &&
+        lmn_job_read(&d, lmn_cbor_get(&d, root, WIRE_VALUE), &r->spec, &r->phase,
+                     &r->open, &r->at) == 0)
         r->status = 200;
     lmn_cbor_free(&d);
 }
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -115,7 +115,7 @@
 {
     char path[96];
 
-    g_snprintf(path, sizeof path, P_STORE "/j/%s", ref);
+    g_snprintf(path, sizeof path, WIRE_PATH_STORE "/j/%s", ref);
     lmn_kv_client_wait_for_token(c->state);
     int status = lmn_http_client_call(h, "GET", path, NULL, 1.5, buf);
     lmn_job_reading_parse(r, status, buf->data, buf->len);
--- a/src/emulator/cloud.c
+++ b/src/emulator/cloud.c
@@ -154,9 +154,9 @@
         g_strlcpy(x.addr, m->addr, sizeof x.addr);
         g_strlcpy(x.type, c->v->types[m->type].name, sizeof x.type);
         g_strlcpy(x.zone, m->zone, sizeof x.zone);
-        x.state = m->dead + DEATH_SEEN_S <= then ? W_BROKEN
-                  : m->up <= then                ? W_RUNNING
-                                                 : W_BOOTING;
+        x.state = m->dead + DEATH_SEEN_S <= then ? WIRE_BROKEN
+                  : m->up <= then                ? WIRE_RUNNING
+                                                 : WIRE_BOOTING;
         if (!each(to, &x))
             return;
     }
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -163,10 +163,10 @@
     int status = 404;
 
     if (lmn_http_request_method(call) == LMN_HTTP_POST &&
-        !strcmp(lmn_http_request_path(call), P_DIRECT))
+        !strcmp(lmn_http_request_path(call), WIRE_PATH_COMMANDS))
         status = lmn_agent_execute(&u->w.agent, body->data, body->len, out, lmn_now());
     else if (lmn_http_request_method(call) == LMN_HTTP_GET &&
-             !strcmp(lmn_http_request_path(call), P_SHOW))
+             !strcmp(lmn_http_request_path(call), WIRE_PATH_SHOW))
         status = lmn_agent_show(&u->w.agent, out, lmn_now());
     lmn_http_request_respond(call, status, out, 0);
 }
@@ -281,7 +281,7 @@
     struct lmn_cbor_document d;
 
     if (in->len && lmn_cbor_parse(&d, in->data, in->len) == 0) {
-        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REPORT_TO), name,
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_REDIRECT_TO), name,
                           sizeof name);
         lmn_cbor_free(&d);
     }
@@ -320,7 +320,8 @@
     e->reports++;
     struct lmn_http_client *http = line(e, u, h, to);
     pthread_mutex_unlock(&e->lock);
-    int status = lmn_http_client_call(http, "POST", P_REPORT, out, ANSWER_S, in);
+    int status =
+        lmn_http_client_call(http, "POST", WIRE_PATH_HEARTBEAT, out, ANSWER_S, in);
     g_byte_array_unref(out);
     pthread_mutex_lock(&e->lock);
     u->busy = false;
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -38,9 +38,9 @@
     if (status < 0 || !f->in->len || lmn_cbor_parse(&d, f->in->data, f->in->len) != 0)
         return status;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-    lmn_cbor_get_text(lmn_cbor_get(&d, root, W_STATE), word, 16);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_DONE), &done);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_RUNNING), &running);
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_STATE), word, 16);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_DONE), &done);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_RUNNING), &running);
     lmn_cbor_free(&d);
     /* Controllers know more and less of it; what is done stays done. */
     p->done = MAX(p->done, (uint32_t)done);
@@ -51,9 +51,9 @@
 
 static enum lmn_handover_outcome ended(const char *word)
 {
-    return !strcmp(word, W_DONE)        ? LMN_OUTCOME_DONE
-           : !strcmp(word, W_WITHDRAWN) ? LMN_OUTCOME_CANCELLED
-                                        : LMN_OUTCOME_NONE;
+    return !strcmp(word, WIRE_DONE)        ? LMN_OUTCOME_DONE
+           : !strcmp(word, WIRE_CANCELLED) ? LMN_OUTCOME_CANCELLED
+                                           : LMN_OUTCOME_NONE;
 }
 
 /* A run at the own controllers: a job of this home, or a guest. */
@@ -145,7 +145,7 @@
         if (r->guest && *digest && !describe(f, digest, r->local))
             return;
         GByteArray *body = body_of(spec, r->local);
-        status = ask(f, "POST", P_JOBS, body, word, p);
+        status = ask(f, "POST", WIRE_PATH_JOBS, body, word, p);
         g_byte_array_unref(body);
         if ((status == 422 || status == 400) && r->guest)
             conclude(f, r, LMN_OUTCOME_RETURNED); /* it can't run here */
@@ -164,8 +164,8 @@
         g_free(key);
         pthread_mutex_unlock(&f->g->book.lock);
     } else {
-        g_snprintf(path, sizeof path, P_JOBS "/%s%s", r->local,
-                   r->cancel ? P_CANCEL : "");
+        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s%s", r->local,
+                   r->cancel ? WIRE_PATH_CANCEL : "");
         status = ask(f, r->cancel ? "POST" : "GET", path, NULL, word, p);
         if (status == 404 && r->cancel)
             conclude(f, r,
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -30,8 +30,8 @@
 static const char *word(const struct lmn_gateway_job *j)
 {
     if (j->hand.state == LMN_ORIGIN_FINAL)
-        return j->hand.outcome == LMN_OUTCOME_DONE ? W_DONE : W_WITHDRAWN;
-    return j->progress.done || j->progress.running ? W_RUNNING : W_QUEUED;
+        return j->hand.outcome == LMN_OUTCOME_DONE ? WIRE_DONE : WIRE_CANCELLED;
+    return j->progress.done || j->progress.running ? WIRE_RUNNING : WIRE_QUEUED;
 }
 
 /* The lock is held. */
@@ -42,12 +42,12 @@
     bool final = j->hand.state == LMN_ORIGIN_FINAL, away = *j->hand.site && !final;
 
     lmn_cbor_put_map(b, 10);
-    lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, j->ref);
-    lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, word(j));
-    lmn_cbor_put_text(b, W_DONE);
+    lmn_cbor_put_text(b, WIRE_JOB_ID), lmn_cbor_put_text(b, j->ref);
+    lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, word(j));
+    lmn_cbor_put_text(b, WIRE_DONE);
     lmn_cbor_put_uint(b, final && j->hand.outcome == LMN_OUTCOME_DONE ? j->spec.tasks
                                                                       : j->progress.done);
-    lmn_cbor_put_text(b, W_RUNNING),
+    lmn_cbor_put_text(b, WIRE_RUNNING),
         lmn_cbor_put_uint(b, final ? 0 : j->progress.running);
     /* Where it is, and how old that knowledge is. */
     lmn_cbor_put_text(b, "Site"), lmn_cbor_put_text(b, away ? j->hand.site : g->o->site);
@@ -287,7 +287,7 @@
         struct lmn_http_request *call = g_queue_pop_head(&g->calls);
         pthread_mutex_unlock(&g->book.lock);
         const char *path = lmn_http_request_path(call);
-        if (!strcmp(path, P_JOBS)) {
+        if (!strcmp(path, WIRE_PATH_JOBS)) {
             submit(g, state, depot, call);
         } else if (!strcmp(path, "/gateway/unfence")) {
             unfence(g, state, call);
@@ -298,8 +298,8 @@
         } else if (g_str_has_prefix(path, ADMIT)) {
             evict(g, state, call, path + strlen(ADMIT), false);
         } else {
-            char *ref = g_strdup(path + strlen(P_JOBS "/"));
-            ref[strlen(ref) - strlen(P_CANCEL)] = '\0';
+            char *ref = g_strdup(path + strlen(WIRE_PATH_JOBS "/"));
+            ref[strlen(ref) - strlen(WIRE_PATH_CANCEL)] = '\0';
             cancel(g, state, call, ref);
             g_free(ref);
         }
@@ -435,20 +435,21 @@
     const char *path = lmn_http_request_path(call);
     bool get = lmn_http_request_method(call) == LMN_HTTP_GET,
          post = lmn_http_request_method(call) == LMN_HTTP_POST;
-    bool aborts = g_str_has_prefix(path, P_JOBS "/") && g_str_has_suffix(path, P_CANCEL);
+    bool aborts = g_str_has_prefix(path, WIRE_PATH_JOBS "/") &&
+                  g_str_has_suffix(path, WIRE_PATH_CANCEL);
 
-    if (get && !strcmp(path, P_READY))
+    if (get && !strcmp(path, WIRE_PATH_READY))
         lmn_http_request_respond(call, 200, NULL, 0);
     else if (get && !strcmp(path, "/metrics"))
         lmn_metrics_answer(call, metrics, g);
     else if (get && !strcmp(path, "/gateway"))
         status(g, call);
-    else if (get && g_str_has_prefix(path, P_JOBS "/"))
-        poll_job(g, call, path + strlen(P_JOBS "/"));
+    else if (get && g_str_has_prefix(path, WIRE_PATH_JOBS "/"))
+        poll_job(g, call, path + strlen(WIRE_PATH_JOBS "/"));
     else if (post &&
-             (!strcmp(path, P_JOBS) || aborts || !strcmp(path, "/gateway/unfence") ||
-              g_str_has_prefix(path, RECALL) || g_str_has_prefix(path, EVICT) ||
-              g_str_has_prefix(path, ADMIT)))
+             (!strcmp(path, WIRE_PATH_JOBS) || aborts ||
+              !strcmp(path, "/gateway/unfence") || g_str_has_prefix(path, RECALL) ||
+              g_str_has_prefix(path, EVICT) || g_str_has_prefix(path, ADMIT)))
         queue_call(g, call);
     else
         lmn_http_request_respond(call, 404, NULL, 0);
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -31,8 +31,8 @@
 static void put_cond(GByteArray *b, const char *key, uint64_t rev)
 {
     lmn_cbor_put_map(b, 2);
-    lmn_cbor_put_text(b, W_KEY), lmn_cbor_put_text(b, key);
-    lmn_cbor_put_text(b, W_VERSION), lmn_cbor_put_uint(b, rev);
+    lmn_cbor_put_text(b, WIRE_KEY), lmn_cbor_put_text(b, key);
+    lmn_cbor_put_text(b, WIRE_VERSION), lmn_cbor_put_uint(b, rev);
 }
 
 /* --- records --- */
@@ -173,20 +173,21 @@
 
     while (more) {
         struct lmn_cbor_document d;
-        g_snprintf(path, sizeof path, P_STORE "?Under=g/%s%s&Limit=500",
+        g_snprintf(path, sizeof path, WIRE_PATH_STORE "?Under=g/%s%s&Limit=500",
                    *after ? "&After=" : "", after);
         if (insist(h, "GET", path, NULL, in) != 200 ||
             lmn_cbor_parse(&d, in->data, in->len) != 0)
             continue;
         const struct lmn_cbor_value *root = lmn_cbor_root(&d),
-                                    *items = lmn_cbor_get(&d, root, W_ITEMS);
+                                    *items = lmn_cbor_get(&d, root, WIRE_ITEMS);
         more = false;
-        lmn_cbor_get_bool(lmn_cbor_get(&d, root, W_MORE), &more);
+        lmn_cbor_get_bool(lmn_cbor_get(&d, root, WIRE_HAS_MORE), &more);
         for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, items); n;
              n = lmn_cbor_next(&d, n)) {
-            const struct lmn_cbor_value *v = lmn_cbor_get(&d, n, W_VALUE);
-            uint64_t rev = count_of(&d, n, W_VERSION);
-            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_KEY), after, sizeof after) || !v)
+            const struct lmn_cbor_value *v = lmn_cbor_get(&d, n, WIRE_VALUE);
+            uint64_t rev = count_of(&d, n, WIRE_VERSION);
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_KEY), after, sizeof after) ||
+                !v)
                 continue;
             if (g_str_has_prefix(after, "g/j/"))
                 read_job(b, after + 4, &d, v, rev);
@@ -209,7 +210,8 @@
     GByteArray *in = g_byte_array_new();
     char path[64];
 
-    g_snprintf(path, sizeof path, P_LEASES "/%" G_GUINT64_FORMAT P_RENEW, b->lease);
+    g_snprintf(path, sizeof path, WIRE_PATH_LEASES "/%" G_GUINT64_FORMAT WIRE_PATH_RENEW,
+               b->lease);
     for (;;) {
         if (lmn_http_client_call(h, "POST", path, NULL, 2, in) == 404) {
             /* Another may lead by now. Nothing that this one writes is taken any more. */
@@ -228,10 +230,10 @@
     uint64_t id = 0;
 
     lmn_cbor_put_map(q, 1);
-    lmn_cbor_put_text(q, W_TTL_MS), lmn_cbor_put_uint(q, (uint64_t)(TTL_S * 1000));
-    if (insist(h, "POST", P_LEASES, q, in) == 200 &&
+    lmn_cbor_put_text(q, WIRE_TTL_MS), lmn_cbor_put_uint(q, (uint64_t)(TTL_S * 1000));
+    if (insist(h, "POST", WIRE_PATH_LEASES, q, in) == 200 &&
         lmn_cbor_parse(&d, in->data, in->len) == 0) {
-        id = count_of(&d, lmn_cbor_root(&d), W_LEASE);
+        id = count_of(&d, lmn_cbor_root(&d), WIRE_LEASE);
         lmn_cbor_free(&d);
     }
     g_byte_array_unref(q);
@@ -247,14 +249,16 @@
     uint64_t rev = 0;
 
     lmn_cbor_put_map(q, 2);
-    lmn_cbor_put_text(q, W_IF), lmn_cbor_put_array(q, 1), put_cond(q, "g/lead", 0);
-    lmn_cbor_put_text(q, W_THEN), lmn_cbor_put_array(q, 1), lmn_cbor_put_map(q, 3);
-    lmn_cbor_put_text(q, W_PUT), lmn_cbor_put_text(q, "g/lead");
-    lmn_cbor_put_text(q, W_VALUE), lmn_cbor_put_text(q, gateway);
-    lmn_cbor_put_text(q, W_LEASE), lmn_cbor_put_uint(q, lease);
-    int status = lmn_http_client_call(h, "POST", P_TXN, q, PATIENCE_S, in);
+    lmn_cbor_put_text(q, WIRE_CONDITIONS), lmn_cbor_put_array(q, 1),
+        put_cond(q, "g/lead", 0);
+    lmn_cbor_put_text(q, WIRE_OPERATIONS), lmn_cbor_put_array(q, 1),
+        lmn_cbor_put_map(q, 3);
+    lmn_cbor_put_text(q, WIRE_PUT), lmn_cbor_put_text(q, "g/lead");
+    lmn_cbor_put_text(q, WIRE_VALUE), lmn_cbor_put_text(q, gateway);
+    lmn_cbor_put_text(q, WIRE_LEASE), lmn_cbor_put_uint(q, lease);
+    int status = lmn_http_client_call(h, "POST", WIRE_PATH_TXN, q, PATIENCE_S, in);
     if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
-        rev = count_of(&d, lmn_cbor_root(&d), W_REVISION);
+        rev = count_of(&d, lmn_cbor_root(&d), WIRE_REVISION);
         lmn_cbor_free(&d);
     }
     g_byte_array_unref(q);
@@ -272,7 +276,7 @@
         lmn_cbor_parse(&d, in->data, in->len) != 0)
         return 0;
     lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), field), &v);
-    *rev = count_of(&d, lmn_cbor_root(&d), W_VERSION);
+    *rev = count_of(&d, lmn_cbor_root(&d), WIRE_VERSION);
     lmn_cbor_free(&d);
     return v;
 }
@@ -283,12 +287,13 @@
     GByteArray *q = g_byte_array_new();
 
     lmn_cbor_put_map(q, 2);
-    lmn_cbor_put_text(q, W_IF), lmn_cbor_put_array(q, 2);
+    lmn_cbor_put_text(q, WIRE_CONDITIONS), lmn_cbor_put_array(q, 2);
     put_cond(q, "g/lead", b->lead_rev), put_cond(q, "g/i", rev);
-    lmn_cbor_put_text(q, W_THEN), lmn_cbor_put_array(q, 1), lmn_cbor_put_map(q, 2);
-    lmn_cbor_put_text(q, W_PUT), lmn_cbor_put_text(q, "g/i");
-    lmn_cbor_put_text(q, W_VALUE), lmn_cbor_put_uint(q, b->incarnation);
-    insist(h, "POST", P_TXN, q, in);
+    lmn_cbor_put_text(q, WIRE_OPERATIONS), lmn_cbor_put_array(q, 1),
+        lmn_cbor_put_map(q, 2);
+    lmn_cbor_put_text(q, WIRE_PUT), lmn_cbor_put_text(q, "g/i");
+    lmn_cbor_put_text(q, WIRE_VALUE), lmn_cbor_put_uint(q, b->incarnation);
+    insist(h, "POST", WIRE_PATH_TXN, q, in);
     g_byte_array_unref(q);
 }
 
@@ -321,7 +326,7 @@
     }
     lmn_thread(keep_lease, b);
     b->incarnation = read_number(h, "/incarnation", "Incarnation", &rev, in);
-    was = read_number(h, P_STORE "/g/i", W_VALUE, &rev, in);
+    was = read_number(h, WIRE_PATH_STORE "/g/i", WIRE_VALUE, &rev, in);
     *restored = rev && was != b->incarnation;
     read_all(b, h);
     if (!rev)
@@ -431,7 +436,7 @@
 
     /* 18 digits of the first 60 bits: as many as a job's name has room for. */
     memcpy(half, hex, 15);
-    g_snprintf(local, LMN_JOB_ID_SIZE, W_JOB_PREFIX "%018" G_GUINT64_FORMAT,
+    g_snprintf(local, LMN_JOB_ID_SIZE, WIRE_JOB_ID_PREFIX "%018" G_GUINT64_FORMAT,
                (uint64_t)(g_ascii_strtoull(half, NULL, 16) % 1000000000000000000ull));
     g_free(what);
     g_free(hex);
@@ -459,26 +464,26 @@
     struct lmn_cbor_document d;
 
     lmn_cbor_put_map(q, 2);
-    lmn_cbor_put_text(q, W_IF), lmn_cbor_put_array(q, n + 1);
+    lmn_cbor_put_text(q, WIRE_CONDITIONS), lmn_cbor_put_array(q, n + 1);
     put_cond(q, "g/lead", b->lead_rev);
     for (unsigned i = 0; i < n; i++) {
         char *key = key_of(&w[i]);
         put_cond(q, key, w[i].job ? w[i].job->rev : w[i].guest->rev);
         g_free(key);
     }
-    lmn_cbor_put_text(q, W_THEN), lmn_cbor_put_array(q, n);
+    lmn_cbor_put_text(q, WIRE_OPERATIONS), lmn_cbor_put_array(q, n);
     for (unsigned i = 0; i < n; i++) {
         char *key = key_of(&w[i]);
         GByteArray *v = value_of(&w[i]);
         lmn_cbor_put_map(q, 2);
-        lmn_cbor_put_text(q, W_PUT), lmn_cbor_put_text(q, key);
-        lmn_cbor_put_text(q, W_VALUE), g_byte_array_append(q, v->data, v->len);
+        lmn_cbor_put_text(q, WIRE_PUT), lmn_cbor_put_text(q, key);
+        lmn_cbor_put_text(q, WIRE_VALUE), g_byte_array_append(q, v->data, v->len);
         g_byte_array_unref(v);
         g_free(key);
     }
-    int status = insist(h, "POST", P_TXN, q, in);
+    int status = insist(h, "POST", WIRE_PATH_TXN, q, in);
     if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
-        *rev = count_of(&d, lmn_cbor_root(&d), W_REVISION);
+        *rev = count_of(&d, lmn_cbor_root(&d), WIRE_REVISION);
         lmn_cbor_free(&d);
     }
     g_byte_array_unref(q);
@@ -490,15 +495,15 @@
 static bool was_written(struct lmn_http_client *h, const struct lmn_record_write *w,
                         uint64_t *rev, GByteArray *in)
 {
-    char *key = key_of(w), *path = g_strdup_printf(P_STORE "/%s", key);
+    char *key = key_of(w), *path = g_strdup_printf(WIRE_PATH_STORE "/%s", key);
     GByteArray *v = value_of(w), *is = g_byte_array_new();
     struct lmn_cbor_document d;
     bool same = false;
 
     if (insist(h, "GET", path, NULL, in) == 200 &&
         lmn_cbor_parse(&d, in->data, in->len) == 0) {
-        const struct lmn_cbor_value *n = lmn_cbor_get(&d, lmn_cbor_root(&d), W_VALUE);
-        *rev = count_of(&d, lmn_cbor_root(&d), W_VERSION);
+        const struct lmn_cbor_value *n = lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_VALUE);
+        *rev = count_of(&d, lmn_cbor_root(&d), WIRE_VERSION);
         if (n)
             lmn_cbor_put_value(is, &d, n);
         same = is->len == v->len && !memcmp(is->data, v->data, v->len);
@@ -596,15 +601,15 @@
     char *key = g_strdup_printf("g/e/%s", site);
 
     lmn_cbor_put_map(q, 2);
-    lmn_cbor_put_text(q, W_IF), lmn_cbor_put_array(q, 1),
+    lmn_cbor_put_text(q, WIRE_CONDITIONS), lmn_cbor_put_array(q, 1),
         put_cond(q, "g/lead", b->lead_rev);
-    lmn_cbor_put_text(q, W_THEN), lmn_cbor_put_array(q, 1),
+    lmn_cbor_put_text(q, WIRE_OPERATIONS), lmn_cbor_put_array(q, 1),
         lmn_cbor_put_map(q, out ? 2 : 1);
-    lmn_cbor_put_text(q, out ? W_PUT : W_DELETE), lmn_cbor_put_text(q, key);
+    lmn_cbor_put_text(q, out ? WIRE_PUT : WIRE_DELETE), lmn_cbor_put_text(q, key);
     if (out)
-        lmn_cbor_put_text(q, W_VALUE), lmn_cbor_put_bool(q, true);
+        lmn_cbor_put_text(q, WIRE_VALUE), lmn_cbor_put_bool(q, true);
     /* Said again, it is the same: an answer that was lost does no harm. */
-    if (insist(h, "POST", P_TXN, q, in) == 200) {
+    if (insist(h, "POST", WIRE_PATH_TXN, q, in) == 200) {
         pthread_mutex_lock(&b->lock);
         if (out)
             g_hash_table_add(b->evicted, g_strdup(site));
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -115,7 +115,7 @@
 {
     struct lmn_http_client *h = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new();
-    int status = lmn_http_client_call(h, "GET", P_READY, NULL, 1, in);
+    int status = lmn_http_client_call(h, "GET", WIRE_PATH_READY, NULL, 1, in);
 
     g_byte_array_unref(in);
     lmn_http_client_free(h);
--- a/src/job/job_spec.c
+++ b/src/job/job_spec.c
@@ -8,9 +8,10 @@
 
 bool lmn_job_id_is_valid(const char *ref)
 {
-    size_t head = strlen(W_JOB_PREFIX), len = strlen(ref);
+    size_t head = strlen(WIRE_JOB_ID_PREFIX), len = strlen(ref);
 
-    if (len <= head || len >= LMN_JOB_ID_SIZE - 8 || strncmp(ref, W_JOB_PREFIX, head))
+    if (len <= head || len >= LMN_JOB_ID_SIZE - 8 ||
+        strncmp(ref, WIRE_JOB_ID_PREFIX, head))
         return false;
     return strspn(ref + head, "0123456789") == len - head;
 }
@@ -35,7 +36,7 @@
 static bool get_types(const struct lmn_cbor_document *d, const struct lmn_cbor_value *m,
                       char ***out)
 {
-    const struct lmn_cbor_value *list = lmn_cbor_get(d, m, W_TYPES);
+    const struct lmn_cbor_value *list = lmn_cbor_get(d, m, WIRE_MACHINE_TYPES);
     GPtrArray *a;
     char t[LMN_NAME_SIZE];
 
@@ -65,7 +66,7 @@
     return -1;
 }
 
-static const char *const kinds[] = {W_BATCH, W_DAEMON, NULL};
+static const char *const kinds[] = {WIRE_BATCH, WIRE_SERVICE, NULL};
 static const char *const urgencies[] = {"idle", "normal", "high", "prod", NULL};
 
 int lmn_job_spec_parse(struct lmn_job_spec *s, const struct lmn_cbor_document *d,
@@ -83,35 +84,39 @@
         }                                                                                \
     } while (0)
     NEED("body", m && m->type == LMN_CBOR_MAP);
-    NEED(W_ID, lmn_cbor_get_text(lmn_cbor_get(d, m, W_ID), s->ref, sizeof s->ref) &&
-                   lmn_job_id_is_valid(s->ref));
-    NEED(W_CLASS, get_word(d, m, W_CLASS, &s->class_name));
-    NEED(W_TEAM, get_word(d, m, W_TEAM, &s->team));
-    kind = get_one_of(lmn_cbor_get(d, m, W_KIND), kinds);
-    NEED(W_KIND, kind >= 0);
+    NEED(WIRE_JOB_ID,
+         lmn_cbor_get_text(lmn_cbor_get(d, m, WIRE_JOB_ID), s->ref, sizeof s->ref) &&
+             lmn_job_id_is_valid(s->ref));
+    NEED(WIRE_CLASS, get_word(d, m, WIRE_CLASS, &s->class_name));
+    NEED(WIRE_TEAM, get_word(d, m, WIRE_TEAM, &s->team));
+    kind = get_one_of(lmn_cbor_get(d, m, WIRE_JOB_KIND), kinds);
+    NEED(WIRE_JOB_KIND, kind >= 0);
     s->kind = (enum lmn_job_kind)kind;
-    urgency = get_one_of(lmn_cbor_get(d, m, W_URGENCY), urgencies);
-    NEED(W_URGENCY, urgency >= 0);
+    urgency = get_one_of(lmn_cbor_get(d, m, WIRE_PRIORITY), urgencies);
+    NEED(WIRE_PRIORITY, urgency >= 0);
     s->urgency = (enum lmn_priority)urgency;
-    NEED(W_TASKS, lmn_cbor_get_uint(lmn_cbor_get(d, m, W_TASKS), &tasks) && tasks > 0 &&
-                      tasks <= LMN_MAX_TASKS);
+    NEED(WIRE_TASKS, lmn_cbor_get_uint(lmn_cbor_get(d, m, WIRE_TASKS), &tasks) &&
+                         tasks > 0 && tasks <= LMN_MAX_TASKS);
     s->tasks = (uint32_t)tasks;
-    NEED(W_CPUS, get_amount(d, m, W_CPUS, &s->cpus));
-    NEED(W_GPUS, get_amount(d, m, W_GPUS, &s->gpus));
-    NEED(W_MEM, get_amount(d, m, W_MEM, &s->mem));
-    NEED(W_IMAGE, get_word(d, m, W_IMAGE, &s->image));
-    NEED(W_IMAGE_GB, get_amount(d, m, W_IMAGE_GB, &s->image_gb));
-    NEED(W_TYPES, get_types(d, m, &s->types));
-    NEED(W_ZONE, !lmn_cbor_get(d, m, W_ZONE) || get_word(d, m, W_ZONE, &s->zone));
-    NEED(W_ONE_ZONE, lmn_cbor_get_bool(lmn_cbor_get(d, m, W_ONE_ZONE), &s->one_zone));
-    NEED(W_SPREAD, lmn_cbor_get_bool(lmn_cbor_get(d, m, W_SPREAD), &s->spread));
-    NEED(W_SPOT, lmn_cbor_get_bool(lmn_cbor_get(d, m, W_SPOT), &s->spot));
-    NEED(W_ESTIMATE, get_amount(d, m, W_ESTIMATE, &s->estimate_s));
-    NEED(W_CHECKPOINT, get_amount(d, m, W_CHECKPOINT, &s->checkpoint_s));
-    NEED(W_SAVE, get_amount(d, m, W_SAVE, &s->save_s));
+    NEED(WIRE_CPUS, get_amount(d, m, WIRE_CPUS, &s->cpus));
+    NEED(WIRE_GPUS, get_amount(d, m, WIRE_GPUS, &s->gpus));
+    NEED(WIRE_MEMORY_GB, get_amount(d, m, WIRE_MEMORY_GB, &s->mem));
+    NEED(WIRE_IMAGE, get_word(d, m, WIRE_IMAGE, &s->image));
+    NEED(WIRE_IMAGE_GB, get_amount(d, m, WIRE_IMAGE_GB, &s->image_gb));
+    NEED(WIRE_MACHINE_TYPES, get_types(d, m, &s->types));
+    NEED(WIRE_ZONE,
+         !lmn_cbor_get(d, m, WIRE_ZONE) || get_word(d, m, WIRE_ZONE, &s->zone));
+    NEED(WIRE_ZONE_AFFINITY,
+         lmn_cbor_get_bool(lmn_cbor_get(d, m, WIRE_ZONE_AFFINITY), &s->one_zone));
+    NEED(WIRE_ZONE_ANTI_AFFINITY,
+         lmn_cbor_get_bool(lmn_cbor_get(d, m, WIRE_ZONE_ANTI_AFFINITY), &s->spread));
+    NEED(WIRE_SPOT, lmn_cbor_get_bool(lmn_cbor_get(d, m, WIRE_SPOT), &s->spot));
+    NEED(WIRE_ESTIMATE_S, get_amount(d, m, WIRE_ESTIMATE_S, &s->estimate_s));
+    NEED(WIRE_CHECKPOINT_S, get_amount(d, m, WIRE_CHECKPOINT_S, &s->checkpoint_s));
+    NEED(WIRE_SAVE_S, get_amount(d, m, WIRE_SAVE_S, &s->save_s));
     s->deadline_s = -1;
-    NEED(W_DEADLINE,
-         !lmn_cbor_get(d, m, W_DEADLINE) || get_amount(d, m, W_DEADLINE, &s->deadline_s));
+    NEED(WIRE_DEADLINE_S, !lmn_cbor_get(d, m, WIRE_DEADLINE_S) ||
+                              get_amount(d, m, WIRE_DEADLINE_S, &s->deadline_s));
 #undef NEED
     return 0;
 }
@@ -141,18 +146,18 @@
 
 void lmn_job_spec_write(GByteArray *b, const struct lmn_job_spec *s)
 {
-    lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, s->ref);
-    lmn_cbor_put_text(b, W_CLASS), lmn_cbor_put_text(b, s->class_name);
-    lmn_cbor_put_text(b, W_TEAM), lmn_cbor_put_text(b, s->team);
-    lmn_cbor_put_text(b, W_KIND), lmn_cbor_put_text(b, kinds[s->kind]);
-    lmn_cbor_put_text(b, W_URGENCY), lmn_cbor_put_text(b, urgencies[s->urgency]);
-    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_uint(b, s->tasks);
-    lmn_cbor_put_text(b, W_CPUS), lmn_cbor_put_number(b, s->cpus);
-    lmn_cbor_put_text(b, W_GPUS), lmn_cbor_put_number(b, s->gpus);
-    lmn_cbor_put_text(b, W_MEM), lmn_cbor_put_number(b, s->mem);
-    lmn_cbor_put_text(b, W_IMAGE), lmn_cbor_put_text(b, s->image);
-    lmn_cbor_put_text(b, W_IMAGE_GB), lmn_cbor_put_number(b, s->image_gb);
-    lmn_cbor_put_text(b, W_TYPES);
+    lmn_cbor_put_text(b, WIRE_JOB_ID), lmn_cbor_put_text(b, s->ref);
+    lmn_cbor_put_text(b, WIRE_CLASS), lmn_cbor_put_text(b, s->class_name);
+    lmn_cbor_put_text(b, WIRE_TEAM), lmn_cbor_put_text(b, s->team);
+    lmn_cbor_put_text(b, WIRE_JOB_KIND), lmn_cbor_put_text(b, kinds[s->kind]);
+    lmn_cbor_put_text(b, WIRE_PRIORITY), lmn_cbor_put_text(b, urgencies[s->urgency]);
+    lmn_cbor_put_text(b, WIRE_TASKS), lmn_cbor_put_uint(b, s->tasks);
+    lmn_cbor_put_text(b, WIRE_CPUS), lmn_cbor_put_number(b, s->cpus);
+    lmn_cbor_put_text(b, WIRE_GPUS), lmn_cbor_put_number(b, s->gpus);
+    lmn_cbor_put_text(b, WIRE_MEMORY_GB), lmn_cbor_put_number(b, s->mem);
+    lmn_cbor_put_text(b, WIRE_IMAGE), lmn_cbor_put_text(b, s->image);
+    lmn_cbor_put_text(b, WIRE_IMAGE_GB), lmn_cbor_put_number(b, s->image_gb);
+    lmn_cbor_put_text(b, WIRE_MACHINE_TYPES);
     if (s->types) {
         lmn_cbor_put_array(b, g_strv_length(s->types));
         for (char **t = s->types; *t; t++)
@@ -160,14 +165,14 @@
     } else {
         lmn_cbor_put_null(b);
     }
-    lmn_cbor_put_text(b, W_ZONE), put_or_null(b, s->zone);
-    lmn_cbor_put_text(b, W_ONE_ZONE), lmn_cbor_put_bool(b, s->one_zone);
-    lmn_cbor_put_text(b, W_SPREAD), lmn_cbor_put_bool(b, s->spread);
-    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, s->spot);
-    lmn_cbor_put_text(b, W_ESTIMATE), lmn_cbor_put_number(b, s->estimate_s);
-    lmn_cbor_put_text(b, W_CHECKPOINT), lmn_cbor_put_number(b, s->checkpoint_s);
-    lmn_cbor_put_text(b, W_SAVE), lmn_cbor_put_number(b, s->save_s);
-    lmn_cbor_put_text(b, W_DEADLINE);
+    lmn_cbor_put_text(b, WIRE_ZONE), put_or_null(b, s->zone);
+    lmn_cbor_put_text(b, WIRE_ZONE_AFFINITY), lmn_cbor_put_bool(b, s->one_zone);
+    lmn_cbor_put_text(b, WIRE_ZONE_ANTI_AFFINITY), lmn_cbor_put_bool(b, s->spread);
+    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, s->spot);
+    lmn_cbor_put_text(b, WIRE_ESTIMATE_S), lmn_cbor_put_number(b, s->estimate_s);
+    lmn_cbor_put_text(b, WIRE_CHECKPOINT_S), lmn_cbor_put_number(b, s->checkpoint_s);
+    lmn_cbor_put_text(b, WIRE_SAVE_S), lmn_cbor_put_number(b, s->save_s);
+    lmn_cbor_put_text(b, WIRE_DEADLINE_S);
     if (s->deadline_s >= 0)
         lmn_cbor_put_number(b, s->deadline_s);
     else
--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -315,33 +315,33 @@
         changes += v[i]->changes->len;
     }
     lmn_cbor_put_map(b, changes ? 2 : 1);
-    lmn_cbor_put_text(b, W_IF);
+    lmn_cbor_put_text(b, WIRE_CONDITIONS);
     lmn_cbor_put_array(b, conds);
     for (guint i = 0; i < n; i++)
         for (guint k = 0; k < v[i]->conds->len; k++) {
             const struct cond *c = &g_array_index(v[i]->conds, struct cond, k);
             lmn_cbor_put_map(b, 2);
-            lmn_cbor_put_text(b, W_KEY), lmn_cbor_put_text(b, c->key);
-            lmn_cbor_put_text(b, W_VERSION), lmn_cbor_put_uint(b, c->version);
+            lmn_cbor_put_text(b, WIRE_KEY), lmn_cbor_put_text(b, c->key);
+            lmn_cbor_put_text(b, WIRE_VERSION), lmn_cbor_put_uint(b, c->version);
         }
     if (!changes)
         return b;
-    lmn_cbor_put_text(b, W_THEN);
+    lmn_cbor_put_text(b, WIRE_OPERATIONS);
     lmn_cbor_put_array(b, changes);
     for (guint i = 0; i < n; i++)
         for (guint k = 0; k < v[i]->changes->len; k++) {
             const struct change *c = &g_array_index(v[i]->changes, struct change, k);
             if (!c->value) {
                 lmn_cbor_put_map(b, 1);
-                lmn_cbor_put_text(b, W_DELETE), lmn_cbor_put_text(b, c->key);
+                lmn_cbor_put_text(b, WIRE_DELETE), lmn_cbor_put_text(b, c->key);
                 continue;
             }
             lmn_cbor_put_map(b, c->lease ? 3 : 2);
-            lmn_cbor_put_text(b, W_PUT), lmn_cbor_put_text(b, c->key);
-            lmn_cbor_put_text(b, W_VALUE);
+            lmn_cbor_put_text(b, WIRE_PUT), lmn_cbor_put_text(b, c->key);
+            lmn_cbor_put_text(b, WIRE_VALUE);
             g_byte_array_append(b, c->value->data, c->value->len);
             if (c->lease)
-                lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, c->lease);
+                lmn_cbor_put_text(b, WIRE_LEASE), lmn_cbor_put_uint(b, c->lease);
         }
     return b;
 }
@@ -361,9 +361,9 @@
         return LMN_TXN_UNKNOWN;
     enum lmn_txn_outcome r = LMN_TXN_UNKNOWN;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_REVISION), revision))
+    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_REVISION), revision))
         r = status == 200 ? LMN_TXN_COMMITTED : LMN_TXN_CONFLICT;
-    const struct lmn_cbor_value *failed = lmn_cbor_get(&d, root, W_CONFLICTS);
+    const struct lmn_cbor_value *failed = lmn_cbor_get(&d, root, WIRE_CONFLICTS);
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, failed);
          n && conflicts; n = lmn_cbor_next(&d, n))
         if (n->type == LMN_CBOR_TEXT)
@@ -379,7 +379,7 @@
     GByteArray *body = encode(v, n), *answer = g_byte_array_new();
 
     struct timespec sent = lmn_now();
-    *status = lmn_http_client_call(h, "POST", P_TXN, body, timeout_s, answer);
+    *status = lmn_http_client_call(h, "POST", WIRE_PATH_TXN, body, timeout_s, answer);
     lmn_debug("state-write transactions=%u status=%d took=%.3f", n, *status,
               lmn_time_diff_s(lmn_now(), sent));
     enum lmn_txn_outcome r = judge(*status, answer, revision, conflicts);
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -47,11 +47,12 @@
 void lmn_kv_store_put_item(GByteArray *b, const struct lmn_db_item *item)
 {
     lmn_cbor_put_map(b, item->lease ? 4 : 3);
-    lmn_cbor_put_text(b, W_KEY), lmn_cbor_put_text(b, item->key);
-    lmn_cbor_put_text(b, W_VALUE), g_byte_array_append(b, item->value, (guint)item->len);
-    lmn_cbor_put_text(b, W_VERSION), lmn_cbor_put_uint(b, item->rev);
+    lmn_cbor_put_text(b, WIRE_KEY), lmn_cbor_put_text(b, item->key);
+    lmn_cbor_put_text(b, WIRE_VALUE),
+        g_byte_array_append(b, item->value, (guint)item->len);
+    lmn_cbor_put_text(b, WIRE_VERSION), lmn_cbor_put_uint(b, item->rev);
     if (item->lease)
-        lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, item->lease);
+        lmn_cbor_put_text(b, WIRE_LEASE), lmn_cbor_put_uint(b, item->lease);
 }
 
 static void get(struct lmn_kv_store *s, struct lmn_http_request *call, const char *key)
@@ -70,7 +71,7 @@
     } else {
         status = 404;
         lmn_cbor_put_map(b, 1);
-        lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, meta.revision);
+        lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, meta.revision);
     }
     lmn_db_view_end(s->reader);
     lmn_http_request_respond(call, status, b, 0);
@@ -97,15 +98,15 @@
 
 static void list(struct lmn_kv_store *s, struct lmn_http_request *call)
 {
-    const char *prefix = lmn_http_request_query(call, Q_PREFIX),
-               *after = lmn_http_request_query(call, Q_AFTER);
-    const char *limit = lmn_http_request_query(call, Q_LIMIT);
+    const char *prefix = lmn_http_request_query(call, WIRE_QUERY_PREFIX),
+               *after = lmn_http_request_query(call, WIRE_QUERY_AFTER);
+    const char *limit = lmn_http_request_query(call, WIRE_QUERY_LIMIT);
     struct listing l = {.most = limit ? (size_t)g_ascii_strtoull(limit, NULL, 10)
                                       : MAX_ITEMS};
     struct lmn_db_meta meta;
 
     if (l.most < 1 || l.most > MAX_ITEMS) {
-        lmn_http_request_fail(call, 400, Q_LIMIT ": from 1 to 1000");
+        lmn_http_request_fail(call, 400, WIRE_QUERY_LIMIT ": from 1 to 1000");
         return;
     }
     if (lmn_db_view(s->reader, &meta) != 0) {
@@ -118,9 +119,9 @@
     lmn_db_view_end(s->reader);
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 3);
-    lmn_cbor_put_text(b, W_MORE), lmn_cbor_put_bool(b, l.more);
-    lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, meta.revision);
-    lmn_cbor_put_text(b, W_ITEMS), lmn_cbor_put_array(b, l.n);
+    lmn_cbor_put_text(b, WIRE_HAS_MORE), lmn_cbor_put_bool(b, l.more);
+    lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, meta.revision);
+    lmn_cbor_put_text(b, WIRE_ITEMS), lmn_cbor_put_array(b, l.n);
     g_byte_array_append(b, l.items->data, l.items->len);
     g_byte_array_unref(l.items);
     lmn_http_request_respond(call, 200, b, 0);
@@ -145,11 +146,11 @@
 {
     struct lmn_db_cond *c = &op->txn.conds[op->txn.nconds++];
 
-    c->key = keep(op, lmn_cbor_get(d, n, W_KEY));
+    c->key = keep(op, lmn_cbor_get(d, n, WIRE_KEY));
     if (!c->key)
-        return W_IF ": a key of 1 to 200 bytes without spaces is missing";
-    return lmn_cbor_get_uint(lmn_cbor_get(d, n, W_VERSION), &c->rev) ? NULL
-                                                                     : W_IF
+        return WIRE_CONDITIONS ": a key of 1 to 200 bytes without spaces is missing";
+    return lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_VERSION), &c->rev) ? NULL
+                                                                        : WIRE_CONDITIONS
                ": a version is missing";
 }
 
@@ -159,17 +160,17 @@
                                const struct lmn_cbor_value *n)
 {
     struct lmn_db_change *c = &op->txn.changes[op->txn.nchanges++];
-    const struct lmn_cbor_value *put = lmn_cbor_get(d, n, W_PUT), *v;
+    const struct lmn_cbor_value *put = lmn_cbor_get(d, n, WIRE_PUT), *v;
 
-    c->key = keep(op, put ? put : lmn_cbor_get(d, n, W_DELETE));
+    c->key = keep(op, put ? put : lmn_cbor_get(d, n, WIRE_DELETE));
     if (!c->key)
-        return W_THEN ": a key of 1 to 200 bytes without spaces is missing";
+        return WIRE_OPERATIONS ": a key of 1 to 200 bytes without spaces is missing";
     if (!put)
         return NULL;
-    v = lmn_cbor_get(d, n, W_VALUE);
-    lmn_cbor_get_uint(lmn_cbor_get(d, n, W_LEASE), &c->lease);
+    v = lmn_cbor_get(d, n, WIRE_VALUE);
+    lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_LEASE), &c->lease);
     if (s->o.value_kb > 0 && v && (double)lmn_cbor_json_size(d, v) > s->o.value_kb * 1024)
-        return W_THEN ": a value is too large";
+        return WIRE_OPERATIONS ": a value is too large";
     GByteArray *b = g_byte_array_new();
     if (v)
         lmn_cbor_put_value(b, d, v);
@@ -187,13 +188,13 @@
                             const struct lmn_cbor_document *d)
 {
     const struct lmn_cbor_value *root = lmn_cbor_root(d),
-                                *conds = lmn_cbor_get(d, root, W_IF);
-    const struct lmn_cbor_value *changes = lmn_cbor_get(d, root, W_THEN);
+                                *conds = lmn_cbor_get(d, root, WIRE_CONDITIONS);
+    const struct lmn_cbor_value *changes = lmn_cbor_get(d, root, WIRE_OPERATIONS);
     const char *bad = NULL;
 
     if (root->type != LMN_CBOR_MAP || (conds && conds->type != LMN_CBOR_ARRAY) ||
         (changes && changes->type != LMN_CBOR_ARRAY))
-        return "a map with lists " W_IF " and " W_THEN " is expected";
+        return "a map with lists " WIRE_CONDITIONS " and " WIRE_OPERATIONS " is expected";
     if (lmn_cbor_json_size(d, root) > MAX_BODY)
         return "more than 64 KiB";
     if (s->o.txn_ops > 0 && ((changes && changes->len > (uint32_t)s->o.txn_ops) ||
@@ -234,9 +235,9 @@
 {
     uint64_t ttl = 0;
 
-    if (!lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_TTL_MS), &ttl) ||
+    if (!lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), WIRE_TTL_MS), &ttl) ||
         ttl < 100 || ttl > 600000) {
-        lmn_http_request_fail(call, 400, W_TTL_MS ": from 100 to 600000");
+        lmn_http_request_fail(call, 400, WIRE_TTL_MS ": from 100 to 600000");
         return;
     }
     struct lmn_kv_store_operation *op = g_new0(struct lmn_kv_store_operation, 1);
@@ -251,7 +252,8 @@
 {
     char *end;
     uint64_t id = g_ascii_strtoull(rest, &end, 10);
-    bool renew = lmn_http_request_method(call) == LMN_HTTP_POST && !strcmp(end, P_RENEW);
+    bool renew =
+        lmn_http_request_method(call) == LMN_HTTP_POST && !strcmp(end, WIRE_PATH_RENEW);
     bool there = false;
 
     if (!renew && !(lmn_http_request_method(call) == LMN_HTTP_DELETE && !*end)) {
@@ -296,7 +298,7 @@
         lmn_http_request_fail(call, 400, "not CBOR");
         return;
     }
-    if (!strcmp(path, P_TXN))
+    if (!strcmp(path, WIRE_PATH_TXN))
         transact(s, call, &d);
     else
         grant(s, call, &d);
@@ -329,7 +331,7 @@
         lmn_metrics_answer(call, (void (*)(void *, GString *))lmn_kv_store_metrics, s);
         return;
     }
-    if (method == LMN_HTTP_GET && !strcmp(path, P_READY)) {
+    if (method == LMN_HTTP_GET && !strcmp(path, WIRE_PATH_READY)) {
         lmn_http_request_respond(call, 200, NULL, 0);
         return;
     }
@@ -339,16 +341,17 @@
         incarnation(s, call);
         return;
     }
-    if (method == LMN_HTTP_POST && (!strcmp(path, P_TXN) || !strcmp(path, P_LEASES)))
+    if (method == LMN_HTTP_POST &&
+        (!strcmp(path, WIRE_PATH_TXN) || !strcmp(path, WIRE_PATH_LEASES)))
         post(s, call, path);
-    else if (g_str_has_prefix(path, P_LEASES "/"))
-        lease_call(s, call, path + strlen(P_LEASES "/"));
-    else if (method == LMN_HTTP_GET && !strcmp(path, P_WATCH))
+    else if (g_str_has_prefix(path, WIRE_PATH_LEASES "/"))
+        lease_call(s, call, path + strlen(WIRE_PATH_LEASES "/"));
+    else if (method == LMN_HTTP_GET && !strcmp(path, WIRE_PATH_WATCH))
         lmn_kv_store_watch(s, call);
-    else if (method == LMN_HTTP_GET && !strcmp(path, P_STORE))
+    else if (method == LMN_HTTP_GET && !strcmp(path, WIRE_PATH_STORE))
         list(s, call);
-    else if (method == LMN_HTTP_GET && g_str_has_prefix(path, P_STORE "/"))
-        get(s, call, path + strlen(P_STORE "/"));
+    else if (method == LMN_HTTP_GET && g_str_has_prefix(path, WIRE_PATH_STORE "/"))
+        get(s, call, path + strlen(WIRE_PATH_STORE "/"));
     else
         lmn_http_request_respond(call, 404, NULL, 0);
 }
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -32,13 +32,13 @@
     e->rev = item->rev;
     e->bytes = g_byte_array_new();
     lmn_cbor_put_map(e->bytes, item->value ? 3 : 2);
-    lmn_cbor_put_text(e->bytes, item->value ? W_PUT : W_DELETE),
+    lmn_cbor_put_text(e->bytes, item->value ? WIRE_PUT : WIRE_DELETE),
         lmn_cbor_put_text(e->bytes, item->key);
     if (item->value) {
-        lmn_cbor_put_text(e->bytes, W_VALUE);
+        lmn_cbor_put_text(e->bytes, WIRE_VALUE);
         g_byte_array_append(e->bytes, item->value, (guint)item->len);
     }
-    lmn_cbor_put_text(e->bytes, W_VERSION), lmn_cbor_put_uint(e->bytes, item->rev);
+    lmn_cbor_put_text(e->bytes, WIRE_VERSION), lmn_cbor_put_uint(e->bytes, item->rev);
     g_ptr_array_add(arg, e);
     return true;
 }
@@ -64,8 +64,8 @@
     }
     b = g_byte_array_new();
     lmn_cbor_put_map(b, 2);
-    lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, rev);
-    lmn_cbor_put_text(b, W_EVENTS), lmn_cbor_put_array(b, n);
+    lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, rev);
+    lmn_cbor_put_text(b, WIRE_EVENTS), lmn_cbor_put_array(b, n);
     g_byte_array_append(b, list->data, list->len);
     g_byte_array_unref(list);
     return b;
@@ -80,15 +80,15 @@
 
 void lmn_kv_store_watch(struct lmn_kv_store *s, struct lmn_http_request *call)
 {
-    const char *prefix = lmn_http_request_query(call, Q_PREFIX),
-               *a = lmn_http_request_query(call, Q_AFTER);
-    const char *w = lmn_http_request_query(call, Q_WAIT_MS);
+    const char *prefix = lmn_http_request_query(call, WIRE_QUERY_PREFIX),
+               *a = lmn_http_request_query(call, WIRE_QUERY_AFTER);
+    const char *w = lmn_http_request_query(call, WIRE_QUERY_WAIT_MS);
     uint64_t after = a ? g_ascii_strtoull(a, NULL, 10) : 0;
     uint64_t wait_ms = w ? g_ascii_strtoull(w, NULL, 10) : 0;
     struct lmn_db_meta meta;
 
     if (wait_ms > MAX_WAIT_MS) {
-        lmn_http_request_fail(call, 400, Q_WAIT_MS ": at most 60000");
+        lmn_http_request_fail(call, 400, WIRE_QUERY_WAIT_MS ": at most 60000");
         return;
     }
     if (lmn_db_view(s->reader, &meta) != 0) {
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -81,11 +81,11 @@
     }
     lmn_cbor_put_map(b, op->status == 409 ? 2 : 1);
     if (op->status == 409) {
-        lmn_cbor_put_text(b, W_CONFLICTS), lmn_cbor_put_array(b, op->failed->len);
+        lmn_cbor_put_text(b, WIRE_CONFLICTS), lmn_cbor_put_array(b, op->failed->len);
         for (guint i = 0; i < op->failed->len; i++)
             lmn_cbor_put_text(b, op->failed->pdata[i]);
     }
-    lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, op->rev);
+    lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, op->rev);
     return b;
 }
 
@@ -116,7 +116,7 @@
         b = g_byte_array_new();
         lmn_cbor_put_map(b, op->kind == LMN_KV_STORE_GRANT);
         if (op->kind == LMN_KV_STORE_GRANT)
-            lmn_cbor_put_text(b, W_LEASE), lmn_cbor_put_uint(b, op->lease);
+            lmn_cbor_put_text(b, WIRE_LEASE), lmn_cbor_put_uint(b, op->lease);
     }
     lmn_http_request_respond(op->call, op->status, b, 0);
 }
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -25,16 +25,16 @@
     GByteArray *b = to;
 
     lmn_cbor_put_map(b, 10);
-    lmn_cbor_put_text(b, W_SKU), lmn_cbor_put_text(b, t->name);
-    lmn_cbor_put_text(b, W_CPUS), lmn_cbor_put_number(b, t->cpus);
-    lmn_cbor_put_text(b, W_GPUS), lmn_cbor_put_number(b, t->gpus);
-    lmn_cbor_put_text(b, W_MEM), lmn_cbor_put_number(b, t->mem);
-    lmn_cbor_put_text(b, W_CACHE_GB), lmn_cbor_put_number(b, t->cache_gb);
-    lmn_cbor_put_text(b, W_PULL), lmn_cbor_put_number(b, t->pull);
-    lmn_cbor_put_text(b, W_RATE), lmn_cbor_put_number(b, t->rate);
-    lmn_cbor_put_text(b, W_SPOT_RATE), lmn_cbor_put_number(b, t->spot_rate);
-    lmn_cbor_put_text(b, W_READY), lmn_cbor_put_number(b, t->ready_s);
-    lmn_cbor_put_text(b, W_ZONES), lmn_cbor_put_array(b, (size_t)t->nzones);
+    lmn_cbor_put_text(b, WIRE_TYPE_NAME), lmn_cbor_put_text(b, t->name);
+    lmn_cbor_put_text(b, WIRE_CPUS), lmn_cbor_put_number(b, t->cpus);
+    lmn_cbor_put_text(b, WIRE_GPUS), lmn_cbor_put_number(b, t->gpus);
+    lmn_cbor_put_text(b, WIRE_MEMORY_GB), lmn_cbor_put_number(b, t->mem);
+    lmn_cbor_put_text(b, WIRE_CACHE_GB), lmn_cbor_put_number(b, t->cache_gb);
+    lmn_cbor_put_text(b, WIRE_PULL_GB_PER_S), lmn_cbor_put_number(b, t->pull);
+    lmn_cbor_put_text(b, WIRE_PRICE), lmn_cbor_put_number(b, t->rate);
+    lmn_cbor_put_text(b, WIRE_SPOT_PRICE), lmn_cbor_put_number(b, t->spot_rate);
+    lmn_cbor_put_text(b, WIRE_BOOT_S), lmn_cbor_put_number(b, t->ready_s);
+    lmn_cbor_put_text(b, WIRE_ZONES), lmn_cbor_put_array(b, (size_t)t->nzones);
     for (int i = 0; i < t->nzones; i++)
         lmn_cbor_put_text(b, t->zones[i]);
 }
@@ -59,7 +59,7 @@
 
     f->ops->types(f->arg, count_type, &c);
     lmn_cbor_put_map(b, 1);
-    lmn_cbor_put_text(b, W_TYPES), lmn_cbor_put_array(b, c.n);
+    lmn_cbor_put_text(b, WIRE_MACHINE_TYPES), lmn_cbor_put_array(b, c.n);
     g_byte_array_append(b, c.bytes->data, c.bytes->len);
     g_byte_array_unref(c.bytes);
     lmn_http_request_respond(call, 200, b, 0);
@@ -76,33 +76,33 @@
     }
     c->n++;
     lmn_cbor_put_map(b, 7);
-    lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, m->name);
-    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, m->addr);
-    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, m->type);
-    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, m->zone);
-    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, m->spot);
-    lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, m->state);
-    lmn_cbor_put_text(b, W_AGE), lmn_cbor_put_number(b, m->age_s);
+    lmn_cbor_put_text(b, WIRE_JOB_ID), lmn_cbor_put_text(b, m->name);
+    lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, m->addr);
+    lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, m->type);
+    lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, m->zone);
+    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, m->spot);
+    lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, m->state);
+    lmn_cbor_put_text(b, WIRE_AGE_S), lmn_cbor_put_number(b, m->age_s);
     return true;
 }
 
 static void list(struct front *f, struct lmn_http_request *call)
 {
-    const char *after = lmn_http_request_query(call, Q_AFTER),
-               *limit = lmn_http_request_query(call, Q_LIMIT);
+    const char *after = lmn_http_request_query(call, WIRE_QUERY_AFTER),
+               *limit = lmn_http_request_query(call, WIRE_QUERY_LIMIT);
     struct counted c = {.most = limit ? (size_t)strtoul(limit, NULL, 10)
                                       : LMN_MAX_LIST_COUNT};
 
     if (c.most < 1 || c.most > LMN_MAX_LIST_COUNT) {
-        lmn_http_request_fail(call, 400, Q_LIMIT ": from 1 to 500");
+        lmn_http_request_fail(call, 400, WIRE_QUERY_LIMIT ": from 1 to 500");
         return;
     }
     c.bytes = g_byte_array_new();
     f->ops->list(f->arg, after ? after : "", put_machine, &c);
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 2);
-    lmn_cbor_put_text(b, W_MORE), lmn_cbor_put_bool(b, c.more);
-    lmn_cbor_put_text(b, W_MACHINES), lmn_cbor_put_array(b, c.n);
+    lmn_cbor_put_text(b, WIRE_HAS_MORE), lmn_cbor_put_bool(b, c.more);
+    lmn_cbor_put_text(b, WIRE_MACHINES), lmn_cbor_put_array(b, c.n);
     g_byte_array_append(b, c.bytes->data, c.bytes->len);
     g_byte_array_unref(c.bytes);
     lmn_http_request_respond(call, 200, b, 0);
@@ -117,13 +117,14 @@
     struct lmn_rental_request q = {0};
     uint64_t n = 0;
 
-    if (!lmn_cbor_get_text(lmn_cbor_get(d, root, W_REQUEST), q.request,
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, root, WIRE_REQUEST_ID), q.request,
                            sizeof q.request) ||
         !*q.request ||
-        !lmn_cbor_get_text(lmn_cbor_get(d, root, W_TYPE), q.type, sizeof q.type) ||
-        !lmn_cbor_get_text(lmn_cbor_get(d, root, W_ZONE), q.zone, sizeof q.zone) ||
-        !lmn_cbor_get_bool(lmn_cbor_get(d, root, W_SPOT), &q.spot) ||
-        !lmn_cbor_get_uint(lmn_cbor_get(d, root, W_COUNT), &n) || n < 1 ||
+        !lmn_cbor_get_text(lmn_cbor_get(d, root, WIRE_MACHINE_TYPE), q.type,
+                           sizeof q.type) ||
+        !lmn_cbor_get_text(lmn_cbor_get(d, root, WIRE_ZONE), q.zone, sizeof q.zone) ||
+        !lmn_cbor_get_bool(lmn_cbor_get(d, root, WIRE_SPOT), &q.spot) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(d, root, WIRE_COUNT), &n) || n < 1 ||
         n > LMN_MAX_RENTAL_COUNT) {
         lmn_http_request_fail(call, 400, "malformed");
         return;
@@ -134,7 +135,7 @@
     if (status == 200) {
         GByteArray *b = g_byte_array_new();
         lmn_cbor_put_map(b, 1);
-        lmn_cbor_put_text(b, W_MACHINES), lmn_cbor_put_array(b, names->len);
+        lmn_cbor_put_text(b, WIRE_MACHINES), lmn_cbor_put_array(b, names->len);
         for (guint i = 0; i < names->len; i++)
             lmn_cbor_put_text(b, names->pdata[i]);
         lmn_http_request_respond(call, 200, b, 0);
@@ -147,7 +148,7 @@
 static void give_back(struct front *f, struct lmn_http_request *call,
                       const struct lmn_cbor_document *d)
 {
-    const struct lmn_cbor_value *l = lmn_cbor_get(d, lmn_cbor_root(d), W_MACHINES);
+    const struct lmn_cbor_value *l = lmn_cbor_get(d, lmn_cbor_root(d), WIRE_MACHINES);
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     char name[LMN_NAME_SIZE];
     int status =
@@ -188,7 +189,7 @@
             lmn_http_request_fail(call, 400, "malformed");
             continue;
         }
-        if (!strcmp(lmn_http_request_path(call), P_RETURN))
+        if (!strcmp(lmn_http_request_path(call), WIRE_PATH_RETURN))
             give_back(f, call, &d);
         else
             rent(f, call, &d);
@@ -212,14 +213,16 @@
     const char *path = lmn_http_request_path(call);
     bool get = lmn_http_request_method(call) == LMN_HTTP_GET,
          post = lmn_http_request_method(call) == LMN_HTTP_POST;
-    bool waits = post && (!strcmp(path, P_MACHINES) || !strcmp(path, P_RETURN));
-    bool reads = get && (!strcmp(path, P_TYPES) || !strcmp(path, P_MACHINES));
+    bool waits =
+        post && (!strcmp(path, WIRE_PATH_MACHINES) || !strcmp(path, WIRE_PATH_RETURN));
+    bool reads = get && (!strcmp(path, WIRE_PATH_MACHINE_TYPES) ||
+                         !strcmp(path, WIRE_PATH_MACHINES));
 
     if (get && !strcmp(path, "/metrics")) {
         lmn_metrics_answer(call, metrics, f);
         return;
     }
-    if (get && !strcmp(path, P_READY)) {
+    if (get && !strcmp(path, WIRE_PATH_READY)) {
         lmn_http_request_respond(call, 200, NULL, 0);
         return;
     }
@@ -238,7 +241,7 @@
         g_queue_push_tail(&f->calls, call);
         pthread_cond_signal(&f->more);
         pthread_mutex_unlock(&f->lock);
-    } else if (!strcmp(path, P_TYPES)) {
+    } else if (!strcmp(path, WIRE_PATH_MACHINE_TYPES)) {
         types(f, call);
     } else {
         list(f, call);
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -62,24 +62,24 @@
     lmn_cbor_put_text(b, "Slot"), lmn_cbor_put_text(b, o->name);
     lmn_cbor_put_text(b, "Seq"), lmn_cbor_put_uint(b, seq);
     if (*holds) {
-        lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, holds);
-        lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, addr);
+        lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, holds);
+        lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, addr);
     }
     int status = lmn_http_client_call(h, "POST", "/slots", b, 5, in);
     bool ok = status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0;
     if (ok) {
         const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-        lmn_cbor_get_text(lmn_cbor_get(&d, root, W_MACHINE), as->machine,
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_MACHINE), as->machine,
                           sizeof as->machine);
-        lmn_cbor_get_text(lmn_cbor_get(&d, root, W_ZONE), as->zone, sizeof as->zone);
-        lmn_cbor_get_bool(lmn_cbor_get(&d, root, W_SPOT), &as->spot);
-        lmn_cbor_get_text(lmn_cbor_get(&d, root, W_TYPE), as->type.name,
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_ZONE), as->zone, sizeof as->zone);
+        lmn_cbor_get_bool(lmn_cbor_get(&d, root, WIRE_SPOT), &as->spot);
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_MACHINE_TYPE), as->type.name,
                           sizeof as->type.name);
-        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_CPUS), &as->type.cpus);
-        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_GPUS), &as->type.gpus);
-        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_MEM), &as->type.mem);
-        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_CACHE_GB), &as->type.cache_gb);
-        lmn_cbor_get_number(lmn_cbor_get(&d, root, W_PULL), &as->type.pull);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_CPUS), &as->type.cpus);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_GPUS), &as->type.gpus);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_MEMORY_GB), &as->type.mem);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_CACHE_GB), &as->type.cache_gb);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_PULL_GB_PER_S), &as->type.pull);
         lmn_cbor_free(&d);
     } else if (status == 404) {
         lmn_error("slot-unknown slot=%s mend=\"name it in the fleet's inventory\"",
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -434,9 +434,9 @@
     g_strlcpy(x.addr, m->addr, sizeof x.addr);
     g_strlcpy(x.type, l->s->v->types[m->type].name, sizeof x.type);
     g_strlcpy(x.zone, m->zone, sizeof x.zone);
-    x.state = m->up                                ? W_RUNNING
-              : m->backoff.deaths >= FAILED_DEATHS ? W_BROKEN
-                                                   : W_BOOTING;
+    x.state = m->up                                ? WIRE_RUNNING
+              : m->backoff.deaths >= FAILED_DEATHS ? WIRE_BROKEN
+                                                   : WIRE_BOOTING;
     return !l->each(l->to, &x);
 }
 
@@ -522,8 +522,10 @@
     seen->said++;
     seen->when = lmn_now();
     *seen->holds = *seen->addr = '\0';
-    lmn_cbor_get_text(lmn_cbor_get(&d, root, W_MACHINE), seen->holds, sizeof seen->holds);
-    lmn_cbor_get_text(lmn_cbor_get(&d, root, W_ADDR), seen->addr, sizeof seen->addr);
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_MACHINE), seen->holds,
+                      sizeof seen->holds);
+    lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_ADDRESS), seen->addr,
+                      sizeof seen->addr);
     g_tree_foreach(s->machines, find_slot, (gpointer[]){&m, name});
     if (m) {
         m->up = !strcmp(seen->holds, m->name) && *seen->addr;
@@ -538,19 +540,19 @@
     const struct lmn_machine_type *t = &s->v->types[slot->type];
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 9);
-    lmn_cbor_put_text(b, W_MACHINE);
+    lmn_cbor_put_text(b, WIRE_MACHINE);
     if (*wanted)
         lmn_cbor_put_text(b, wanted);
     else
         lmn_cbor_put_null(b);
-    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, slot->zone);
-    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, slot->spot);
-    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, t->name);
-    lmn_cbor_put_text(b, W_CPUS), lmn_cbor_put_number(b, t->cpus);
-    lmn_cbor_put_text(b, W_GPUS), lmn_cbor_put_number(b, t->gpus);
-    lmn_cbor_put_text(b, W_MEM), lmn_cbor_put_number(b, t->mem);
-    lmn_cbor_put_text(b, W_CACHE_GB), lmn_cbor_put_number(b, t->cache_gb);
-    lmn_cbor_put_text(b, W_PULL), lmn_cbor_put_number(b, t->pull);
+    lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, slot->zone);
+    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, slot->spot);
+    lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, t->name);
+    lmn_cbor_put_text(b, WIRE_CPUS), lmn_cbor_put_number(b, t->cpus);
+    lmn_cbor_put_text(b, WIRE_GPUS), lmn_cbor_put_number(b, t->gpus);
+    lmn_cbor_put_text(b, WIRE_MEMORY_GB), lmn_cbor_put_number(b, t->mem);
+    lmn_cbor_put_text(b, WIRE_CACHE_GB), lmn_cbor_put_number(b, t->cache_gb);
+    lmn_cbor_put_text(b, WIRE_PULL_GB_PER_S), lmn_cbor_put_number(b, t->pull);
     lmn_http_request_respond(call, 200, b, 0);
     return true;
 }
--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -12,11 +12,11 @@
 
 static enum lmn_attempt_state attempt_state(const struct lmn_cbor_value *n)
 {
-    if (lmn_cbor_text_equals(n, W_ENDED))
+    if (lmn_cbor_text_equals(n, WIRE_ENDED))
         return LMN_ATTEMPT_ENDED;
-    if (lmn_cbor_text_equals(n, W_FETCHING))
+    if (lmn_cbor_text_equals(n, WIRE_FETCHING))
         return LMN_ATTEMPT_FETCHING;
-    if (lmn_cbor_text_equals(n, W_SAVING))
+    if (lmn_cbor_text_equals(n, WIRE_SAVING))
         return LMN_ATTEMPT_SAVING;
     return LMN_ATTEMPT_RUNNING;
 }
@@ -27,8 +27,8 @@
     char task[LMN_JOB_ID_SIZE + 16], *slash;
 
     memset(a, 0, sizeof *a);
-    if (!lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), task, sizeof task) ||
-        !lmn_cbor_get_uint(lmn_cbor_get(d, n, W_ATTEMPT), &a->number) ||
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_TASK), task, sizeof task) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_ATTEMPT), &a->number) ||
         !(slash = strrchr(task, '/')))
         return false;
     /* Once a number of any size, or none, named some task: "x/" was x's first. */
@@ -39,7 +39,7 @@
     *slash = '\0';
     g_strlcpy(a->ref, task, sizeof a->ref);
     a->index = (uint32_t)strtoul(slash + 1, NULL, 10);
-    a->state = attempt_state(lmn_cbor_get(d, n, W_STATE));
+    a->state = attempt_state(lmn_cbor_get(d, n, WIRE_STATE));
     return true;
 }
 
@@ -61,31 +61,34 @@
     char name[LMN_NAME_SIZE];
 
     memset(r, 0, sizeof *r);
-    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, W_MACHINE), name, sizeof name) ||
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, WIRE_MACHINE), name, sizeof name) ||
         !is_name(name))
-        return W_MACHINE ": expected a name";
+        return WIRE_MACHINE ": expected a name";
     g_strlcpy(r->name, name, sizeof r->name);
-    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, W_ADDR), r->addr, sizeof r->addr))
-        return W_ADDR ": expected an address";
-    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, W_TYPE), r->type, sizeof r->type))
-        return W_TYPE ": expected a name";
-    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, W_ZONE), r->zone, sizeof r->zone))
-        return W_ZONE ": expected a name";
-    if (!lmn_cbor_get_uint(lmn_cbor_get(d, m, W_SESSION), &r->session) || !r->session)
-        return W_SESSION ": expected a count from 1 on";
-    if (!lmn_cbor_get_uint(lmn_cbor_get(d, m, W_SEQ), &r->seq))
-        return W_SEQ ": expected a count";
-    lmn_cbor_get_bool(lmn_cbor_get(d, m, W_SPOT), &r->spot);
-    lmn_cbor_get_uint(lmn_cbor_get(d, m, W_TOKEN), &r->token);
-    r->noticed = lmn_cbor_get_number(lmn_cbor_get(d, m, W_NOTICE), &r->notice_s);
-    r->tasks = lmn_cbor_get(d, m, W_TASKS);
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, WIRE_ADDRESS), r->addr, sizeof r->addr))
+        return WIRE_ADDRESS ": expected an address";
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, WIRE_MACHINE_TYPE), r->type,
+                           sizeof r->type))
+        return WIRE_MACHINE_TYPE ": expected a name";
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, m, WIRE_ZONE), r->zone, sizeof r->zone))
+        return WIRE_ZONE ": expected a name";
+    if (!lmn_cbor_get_uint(lmn_cbor_get(d, m, WIRE_AGENT_INCARNATION), &r->session) ||
+        !r->session)
+        return WIRE_AGENT_INCARNATION ": expected a count from 1 on";
+    if (!lmn_cbor_get_uint(lmn_cbor_get(d, m, WIRE_SEQUENCE), &r->seq))
+        return WIRE_SEQUENCE ": expected a count";
+    lmn_cbor_get_bool(lmn_cbor_get(d, m, WIRE_SPOT), &r->spot);
+    lmn_cbor_get_uint(lmn_cbor_get(d, m, WIRE_FENCING_TOKEN), &r->token);
+    r->noticed =
+        lmn_cbor_get_number(lmn_cbor_get(d, m, WIRE_SPOT_NOTICE_S), &r->notice_s);
+    r->tasks = lmn_cbor_get(d, m, WIRE_TASKS);
     if (r->tasks && r->tasks->type != LMN_CBOR_ARRAY)
-        return W_TASKS ": expected a list";
+        return WIRE_TASKS ": expected a list";
     /* One entry that can't be read, and the task that it is about would count as gone. */
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, r->tasks); n;
          n = lmn_cbor_next(d, n))
         if (!lmn_heartbeat_parse_task(&a, d, n))
-            return W_TASKS
+            return WIRE_TASKS
                 ": expected a task, as in run-000412/3, and an attempt in each";
     return NULL;
 }
@@ -203,13 +206,13 @@
                   const struct lmn_cbor_document *d, const struct lmn_cbor_value *n,
                   struct timespec now)
 {
-    const struct lmn_cbor_value *why = lmn_cbor_get(d, n, W_WHY);
+    const struct lmn_cbor_value *why = lmn_cbor_get(d, n, WIRE_EXIT_REASON);
     struct lmn_range *r = a->range;
 
     lmn_attempt_uncount(m, a);
     lmn_machine_mark_unreplicated(m);
     a->state = LMN_ATTEMPT_ENDED;
-    a->done = lmn_cbor_text_equals(why, W_DONE);
+    a->done = lmn_cbor_text_equals(why, WIRE_DONE);
     if (a->done) {
         lmn_debug("task-done task=%s/%u attempt=%" G_GUINT64_FORMAT
                   " machine=%s after=%.1f",
@@ -230,11 +233,11 @@
     lmn_debug("task-ended task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s why=%.*s",
               a->ref, a->index, a->number, m->name, why ? (int)why->len : 0,
               why ? why->s : "");
-    a->failed = lmn_cbor_text_equals(why, W_FAILED);
+    a->failed = lmn_cbor_text_equals(why, WIRE_ERROR);
     a->range = NULL;
     if (a->failed)
         attribute_failure(c, m, a, now);
-    else if (lmn_cbor_text_equals(why, W_NO_SUCH) && a->job)
+    else if (lmn_cbor_text_equals(why, WIRE_NO_SUCH_JOB) && a->job)
         lmn_job_record_failure(&a->job->failures, g_str_hash(m->name), a->since, now);
     if (r)
         lmn_task_requeue(c, r, a->index, now);
@@ -267,7 +270,7 @@
         if (!a) {
             a = adopt(c, m, x.ref, x.index, x.number, x.state, now);
             if (x.state == LMN_ATTEMPT_ENDED &&
-                lmn_cbor_text_equals(lmn_cbor_get(d, n, W_WHY), W_FAILED))
+                lmn_cbor_text_equals(lmn_cbor_get(d, n, WIRE_EXIT_REASON), WIRE_ERROR))
                 had_failed(c, m, a, now);
         }
         /* It has taken an order of ours: the way there is open. */
@@ -279,7 +282,8 @@
             lmn_machine_record_image(m, a->job, x.state != LMN_ATTEMPT_FETCHING, now);
         if (x.state == LMN_ATTEMPT_ENDED) {
             if (a->state != LMN_ATTEMPT_ENDED ||
-                (!a->done && lmn_cbor_text_equals(lmn_cbor_get(d, n, W_WHY), W_DONE)))
+                (!a->done &&
+                 lmn_cbor_text_equals(lmn_cbor_get(d, n, WIRE_EXIT_REASON), WIRE_DONE)))
                 ended(c, m, a, d, n, now);
         } else {
             if (x.state == LMN_ATTEMPT_RUNNING && a->state != x.state)
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -21,11 +21,11 @@
 
     g_snprintf(task, sizeof task, "%s/%u", a->ref, a->index);
     lmn_cbor_put_map(out, grace >= 0 ? 4 : 3);
-    lmn_cbor_put_text(out, W_OP), lmn_cbor_put_text(out, op);
-    lmn_cbor_put_text(out, W_TASK), lmn_cbor_put_text(out, task);
-    lmn_cbor_put_text(out, W_ATTEMPT), lmn_cbor_put_uint(out, a->number);
+    lmn_cbor_put_text(out, WIRE_COMMAND), lmn_cbor_put_text(out, op);
+    lmn_cbor_put_text(out, WIRE_TASK), lmn_cbor_put_text(out, task);
+    lmn_cbor_put_text(out, WIRE_ATTEMPT), lmn_cbor_put_uint(out, a->number);
     if (grace >= 0)
-        lmn_cbor_put_text(out, W_GRACE), lmn_cbor_put_number(out, grace);
+        lmn_cbor_put_text(out, WIRE_GRACE_S), lmn_cbor_put_number(out, grace);
 }
 
 /* A failure of an accused job stays in the machine's reports, one on each machine: the
@@ -64,7 +64,7 @@
 
 static guint kill_now(struct lmn_core *c, struct lmn_attempt *a, GByteArray *out)
 {
-    lmn_append_command(out, W_KILL, a, 0);
+    lmn_append_command(out, WIRE_KILL, a, 0);
     c->count.kills += !a->killed;
     a->killed = true;
     return 1;
@@ -127,7 +127,7 @@
         if ((a->unsure || a->direct) && !a->listed) {
             /* The same start by the way that can't be late: then it is surely there, and
              * its late twin changes nothing. */
-            lmn_append_command(out, W_START, a, -1);
+            lmn_append_command(out, WIRE_START, a, -1);
             commands++;
         }
         if (a->state == LMN_ATTEMPT_ENDED) {
@@ -136,19 +136,19 @@
             bool recorded = !a->done || !live || !a->range ||
                             lmn_bitset_get(a->range->done, a->index - a->range->lo);
             if (recorded && !a->unsure && !a->direct && !is_history(m, a)) {
-                lmn_append_command(out, W_CLEAR, a, -1);
+                lmn_append_command(out, WIRE_CLEAR, a, -1);
                 commands++;
             }
         } else if (!wanted || !a->range) {
             commands += kill_now(c, a, out);
         } else if (a->stop && a->state != LMN_ATTEMPT_SAVING) {
-            lmn_append_command(out, W_KILL, a, a->grace);
+            lmn_append_command(out, WIRE_KILL, a, a->grace);
             commands++;
         } else if (m->noticed && a->state == LMN_ATTEMPT_RUNNING &&
                    a->job->spec.checkpoint_s > 0 && !a->killed) {
             double left = m->notice_s - lmn_time_diff_s(now, m->noticed_at);
             if (left < a->job->spec.save_s + 2 * c->cfg->report_s + 1) {
-                lmn_append_command(out, W_KILL, a, a->job->spec.save_s + 1);
+                lmn_append_command(out, WIRE_KILL, a, a->job->spec.save_s + 1);
                 commands++;
                 a->killed = true;
             }
@@ -162,7 +162,7 @@
     if (rank < 0 || rank == c->members.me)
         return 503;
     lmn_cbor_put_map(out, 1);
-    lmn_cbor_put_text(out, W_REPORT_TO);
+    lmn_cbor_put_text(out, WIRE_REDIRECT_TO);
     lmn_cbor_put_text(out, lmn_member_name(&c->members, rank));
     return 421;
 }
@@ -312,8 +312,8 @@
         n += kill_unwanted(c, m, d, r->tasks, commands);
     }
     lmn_cbor_put_map(out, 2);
-    lmn_cbor_put_text(out, W_TOKEN), lmn_cbor_put_uint(out, p->my_term);
-    lmn_cbor_put_text(out, W_COMMANDS), lmn_cbor_put_array(out, n);
+    lmn_cbor_put_text(out, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(out, p->my_term);
+    lmn_cbor_put_text(out, WIRE_COMMANDS), lmn_cbor_put_array(out, n);
     held->commands = out->len;
     g_byte_array_append(out, commands->data, commands->len);
     g_byte_array_unref(commands);
@@ -388,8 +388,8 @@
     g_byte_array_append(settled, out->data + held->commands, held->settled_bytes);
     g_byte_array_set_size(out, 0);
     lmn_cbor_put_map(out, 2);
-    lmn_cbor_put_text(out, W_TOKEN), lmn_cbor_put_uint(out, held->term);
-    lmn_cbor_put_text(out, W_COMMANDS), lmn_cbor_put_array(out, held->settled);
+    lmn_cbor_put_text(out, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(out, held->term);
+    lmn_cbor_put_text(out, WIRE_COMMANDS), lmn_cbor_put_array(out, held->settled);
     g_byte_array_append(out, settled->data, settled->len);
     g_byte_array_unref(settled);
 }
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -36,7 +36,8 @@
     int status;
 
     if (h->lease) {
-        g_snprintf(path, sizeof path, P_LEASES "/%" G_GUINT64_FORMAT P_RENEW, h->lease);
+        g_snprintf(path, sizeof path,
+                   WIRE_PATH_LEASES "/%" G_GUINT64_FORMAT WIRE_PATH_RENEW, h->lease);
         struct timespec sent = lmn_now();
         status = lmn_http_client_call(h->http, "POST", path, NULL, 1.0, h->buf);
         if (status == 200)
@@ -47,13 +48,15 @@
     }
     GByteArray *body = g_byte_array_new();
     lmn_cbor_put_map(body, 1);
-    lmn_cbor_put_text(body, W_TTL_MS), lmn_cbor_put_uint(body, (uint64_t)(h->ttl * 1000));
+    lmn_cbor_put_text(body, WIRE_TTL_MS),
+        lmn_cbor_put_uint(body, (uint64_t)(h->ttl * 1000));
     struct timespec sent = lmn_now();
-    status = lmn_http_client_call(h->http, "POST", P_LEASES, body, 1.5, h->buf);
+    status = lmn_http_client_call(h->http, "POST", WIRE_PATH_LEASES, body, 1.5, h->buf);
     g_byte_array_unref(body);
     struct lmn_cbor_document d;
     if (status == 200 && lmn_cbor_parse(&d, h->buf->data, h->buf->len) == 0) {
-        if (lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_LEASE), &h->lease)) {
+        if (lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_LEASE),
+                              &h->lease)) {
             h->renewed = sent;
             pthread_mutex_lock(&c->lock);
             c->lease = h->lease;
@@ -299,7 +302,7 @@
     if (!bare)
         return;
     if (h->lease) {
-        g_snprintf(path, sizeof path, P_LEASES "/%" G_GUINT64_FORMAT, h->lease);
+        g_snprintf(path, sizeof path, WIRE_PATH_LEASES "/%" G_GUINT64_FORMAT, h->lease);
         int status = lmn_http_client_call(h->http, "DELETE", path, NULL, 1.0, h->buf);
         if (status != 200 && status != 404)
             return;
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -38,16 +38,16 @@
 static void read_type(struct lmn_machine_type *t, const struct lmn_cbor_document *d,
                       const struct lmn_cbor_value *n)
 {
-    const struct lmn_cbor_value *zones = lmn_cbor_get(d, n, W_ZONES);
+    const struct lmn_cbor_value *zones = lmn_cbor_get(d, n, WIRE_ZONES);
 
-    lmn_cbor_get_number(lmn_cbor_get(d, n, W_CPUS), &t->cpus);
-    lmn_cbor_get_number(lmn_cbor_get(d, n, W_GPUS), &t->gpus);
-    lmn_cbor_get_number(lmn_cbor_get(d, n, W_MEM), &t->mem);
-    lmn_cbor_get_number(lmn_cbor_get(d, n, W_CACHE_GB), &t->cache_gb);
-    lmn_cbor_get_number(lmn_cbor_get(d, n, W_PULL), &t->pull);
-    lmn_cbor_get_number(lmn_cbor_get(d, n, W_RATE), &t->rate);
-    lmn_cbor_get_number(lmn_cbor_get(d, n, W_SPOT_RATE), &t->spot_rate);
-    lmn_cbor_get_number(lmn_cbor_get(d, n, W_READY), &t->ready_s);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, WIRE_CPUS), &t->cpus);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, WIRE_GPUS), &t->gpus);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, WIRE_MEMORY_GB), &t->mem);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, WIRE_CACHE_GB), &t->cache_gb);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, WIRE_PULL_GB_PER_S), &t->pull);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, WIRE_PRICE), &t->rate);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, WIRE_SPOT_PRICE), &t->spot_rate);
+    lmn_cbor_get_number(lmn_cbor_get(d, n, WIRE_BOOT_S), &t->ready_s);
     t->nzones = 0;
     for (const struct lmn_cbor_value *z = lmn_cbor_first_child(d, zones);
          z && t->nzones < LMN_MAX_ZONES; z = lmn_cbor_next(d, z))
@@ -60,16 +60,18 @@
     struct lmn_core *c = k->c;
     struct lmn_cbor_document d;
 
-    if (lmn_http_client_call(k->http, "GET", P_TYPES, NULL, 3.0, k->buf) != 200 ||
+    if (lmn_http_client_call(k->http, "GET", WIRE_PATH_MACHINE_TYPES, NULL, 3.0,
+                             k->buf) != 200 ||
         lmn_cbor_parse(&d, k->buf->data, k->buf->len) != 0)
         return;
     pthread_mutex_lock(&c->lock);
-    const struct lmn_cbor_value *list = lmn_cbor_get(&d, lmn_cbor_root(&d), W_TYPES);
+    const struct lmn_cbor_value *list =
+        lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_MACHINE_TYPES);
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
          n = lmn_cbor_next(&d, n)) {
         char name[LMN_NAME_SIZE];
         size_t i = 0;
-        if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_SKU), name, sizeof name))
+        if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_TYPE_NAME), name, sizeof name))
             continue;
         while (i < c->types.n && strcmp(c->types.v[i].name, name))
             i++;
@@ -95,11 +97,12 @@
     GByteArray *body = g_byte_array_new();
 
     lmn_cbor_put_map(body, 1);
-    lmn_cbor_put_text(body, W_MACHINES);
+    lmn_cbor_put_text(body, WIRE_MACHINES);
     lmn_cbor_put_array(body, names->len);
     for (guint i = 0; i < names->len; i++)
         lmn_cbor_put_text(body, names->pdata[i]);
-    int status = lmn_http_client_call(k->http, "POST", P_RETURN, body, 5.0, k->buf);
+    int status =
+        lmn_http_client_call(k->http, "POST", WIRE_PATH_RETURN, body, 5.0, k->buf);
     g_byte_array_unref(body);
     lmn_info("machines-return count=%u first=%s status=%d", names->len,
              (const char *)names->pdata[0], status);
@@ -178,20 +181,22 @@
         while (!pace(k))
             lmn_sleep(0.2);
         if (*after)
-            g_snprintf(path, sizeof path, P_MACHINES "?" Q_AFTER "=%s&" Q_LIMIT "=500",
+            g_snprintf(path, sizeof path,
+                       WIRE_PATH_MACHINES "?" WIRE_QUERY_AFTER "=%s&" WIRE_QUERY_LIMIT
+                                          "=500",
                        after);
         else
-            g_snprintf(path, sizeof path, P_MACHINES "?" Q_LIMIT "=500");
+            g_snprintf(path, sizeof path, WIRE_PATH_MACHINES "?" WIRE_QUERY_LIMIT "=500");
         if (lmn_http_client_call(k->http, "GET", path, NULL, 4.0, k->buf) != 200 ||
             lmn_cbor_parse(&d, k->buf->data, k->buf->len) != 0)
             return false;
         struct timespec now = lmn_now();
         const struct lmn_cbor_value *list =
-            lmn_cbor_get(&d, lmn_cbor_root(&d), W_MACHINES);
+            lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_MACHINES);
         for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
              n = lmn_cbor_next(&d, n)) {
             double age = 0;
-            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_ID), after, sizeof after))
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_JOB_ID), after, sizeof after))
                 continue;
             pthread_mutex_lock(&k->c->lock);
             bool gone = g_hash_table_contains(k->c->gone, after);
@@ -199,23 +204,24 @@
             if (gone)
                 continue;
             struct lmn_cloud_machine *m = listed(k, after);
-            lmn_cbor_get_text(lmn_cbor_get(&d, n, W_TYPE), m->type, sizeof m->type);
-            lmn_cbor_get_text(lmn_cbor_get(&d, n, W_ZONE), m->zone, sizeof m->zone);
-            lmn_cbor_get_bool(lmn_cbor_get(&d, n, W_SPOT), &m->spot);
-            lmn_cbor_get_number(lmn_cbor_get(&d, n, W_AGE), &age);
-            const struct lmn_cbor_value *state = lmn_cbor_get(&d, n, W_STATE);
+            lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_MACHINE_TYPE), m->type,
+                              sizeof m->type);
+            lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_ZONE), m->zone, sizeof m->zone);
+            lmn_cbor_get_bool(lmn_cbor_get(&d, n, WIRE_SPOT), &m->spot);
+            lmn_cbor_get_number(lmn_cbor_get(&d, n, WIRE_AGE_S), &age);
+            const struct lmn_cbor_value *state = lmn_cbor_get(&d, n, WIRE_STATE);
             bool was = m->booting;
-            m->booting = lmn_cbor_text_equals(state, W_BOOTING);
-            if (was && !m->booting && !lmn_cbor_text_equals(state, W_BROKEN))
+            m->booting = lmn_cbor_text_equals(state, WIRE_BOOTING);
+            if (was && !m->booting && !lmn_cbor_text_equals(state, WIRE_BROKEN))
                 lmn_autoscaler_record_boot(&k->fleet, m, age);
-            m->broken = lmn_cbor_text_equals(state, W_BROKEN);
+            m->broken = lmn_cbor_text_equals(state, WIRE_BROKEN);
             if (!m->listed)
                 m->since = lmn_time_add(now, -age);
             m->listed = true;
             m->seen = now;
         }
         more = false;
-        lmn_cbor_get_bool(lmn_cbor_get(&d, lmn_cbor_root(&d), W_MORE), &more);
+        lmn_cbor_get_bool(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_HAS_MORE), &more);
         if (!list || !list->len)
             more = false;
         lmn_cbor_free(&d);
@@ -295,17 +301,18 @@
         return;
     GByteArray *body = g_byte_array_new();
     lmn_cbor_put_map(body, 5);
-    lmn_cbor_put_text(body, W_REQUEST), lmn_cbor_put_text(body, k->request);
-    lmn_cbor_put_text(body, W_TYPE), lmn_cbor_put_text(body, r->type);
-    lmn_cbor_put_text(body, W_ZONE), lmn_cbor_put_text(body, r->zone);
-    lmn_cbor_put_text(body, W_SPOT), lmn_cbor_put_bool(body, r->spot);
-    lmn_cbor_put_text(body, W_COUNT), lmn_cbor_put_uint(body, r->count);
-    int status = lmn_http_client_call(k->http, "POST", P_MACHINES, body, 4.0, k->buf);
+    lmn_cbor_put_text(body, WIRE_REQUEST_ID), lmn_cbor_put_text(body, k->request);
+    lmn_cbor_put_text(body, WIRE_MACHINE_TYPE), lmn_cbor_put_text(body, r->type);
+    lmn_cbor_put_text(body, WIRE_ZONE), lmn_cbor_put_text(body, r->zone);
+    lmn_cbor_put_text(body, WIRE_SPOT), lmn_cbor_put_bool(body, r->spot);
+    lmn_cbor_put_text(body, WIRE_COUNT), lmn_cbor_put_uint(body, r->count);
+    int status =
+        lmn_http_client_call(k->http, "POST", WIRE_PATH_MACHINES, body, 4.0, k->buf);
     g_byte_array_unref(body);
     struct timespec now = lmn_now();
     if (status == 200 && lmn_cbor_parse(&d, k->buf->data, k->buf->len) == 0) {
         const struct lmn_cbor_value *list =
-            lmn_cbor_get(&d, lmn_cbor_root(&d), W_MACHINES);
+            lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_MACHINES);
         char name[LMN_NAME_SIZE];
         for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
              n = lmn_cbor_next(&d, n)) {
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -193,20 +193,21 @@
     struct lmn_cbor_document d;
 
     if (!session) {
-        int status = lmn_http_client_call(h, "GET", P_SHOW, NULL, 1.0, answer);
+        int status = lmn_http_client_call(h, "GET", WIRE_PATH_SHOW, NULL, 1.0, answer);
         if (!term)
             return status;
         if (status != 200 || lmn_cbor_parse(&d, answer->data, answer->len) != 0)
             return status == 200 ? LMN_HTTP_NO_RESPONSE : status;
-        lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SESSION), &session);
+        lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_AGENT_INCARNATION),
+                          &session);
         lmn_cbor_free(&d);
     }
     g_byte_array_set_size(body, 0);
     lmn_cbor_put_map(body, 3);
-    lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, term);
-    lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, session);
-    lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
-    return lmn_http_client_call(h, "POST", P_DIRECT, body, 1.0, answer);
+    lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, term);
+    lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(body, session);
+    lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, 0);
+    return lmn_http_client_call(h, "POST", WIRE_PATH_COMMANDS, body, 1.0, answer);
 }
 
 /* Tells tasks that have to make room to stop; if that gets lost, the next report's answer
@@ -219,7 +220,7 @@
         struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
         if (!a->stop || a->killed || a->state == LMN_ATTEMPT_ENDED || !a->range)
             continue;
-        lmn_append_command(out, W_KILL, a, a->grace);
+        lmn_append_command(out, WIRE_KILL, a, a->grace);
         a->killed = true;
         c->count.kills++;
         n++;
@@ -258,10 +259,11 @@
                 g_strlcpy(addr, m->addr, LMN_ADDRESS_SIZE);
                 g_byte_array_set_size(body, 0);
                 lmn_cbor_put_map(body, 3);
-                lmn_cbor_put_text(body, W_TOKEN),
+                lmn_cbor_put_text(body, WIRE_FENCING_TOKEN),
                     lmn_cbor_put_uint(body, c->parts[i].my_term);
-                lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, m->session);
-                lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, n);
+                lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
+                    lmn_cbor_put_uint(body, m->session);
+                lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, n);
                 g_byte_array_append(body, commands->data, commands->len);
             }
             g_byte_array_unref(commands);
@@ -411,9 +413,9 @@
             h = lmn_http_client_new(addr);
             g_hash_table_insert(clients, g_strdup(addr), h);
         }
-        int status = probing
-                         ? probe(h, term, session, body, answer)
-                         : lmn_http_client_call(h, "POST", P_DIRECT, body, 1.5, answer);
+        int status = probing ? probe(h, term, session, body, answer)
+                             : lmn_http_client_call(h, "POST", WIRE_PATH_COMMANDS, body,
+                                                    1.5, answer);
         lmn_debug("direct machine=%s probe=%d status=%d", name, probing, status);
         pthread_mutex_lock(&c->lock);
         if (probing)
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -301,9 +301,9 @@
     char task[LMN_JOB_ID_SIZE + 16];
     g_snprintf(task, sizeof task, "%s/%u", a.ref, a.index);
     lmn_cbor_put_map(out, 3);
-    lmn_cbor_put_text(out, W_OP), lmn_cbor_put_text(out, W_START);
-    lmn_cbor_put_text(out, W_TASK), lmn_cbor_put_text(out, task);
-    lmn_cbor_put_text(out, W_ATTEMPT), lmn_cbor_put_uint(out, a.number);
+    lmn_cbor_put_text(out, WIRE_COMMAND), lmn_cbor_put_text(out, WIRE_START);
+    lmn_cbor_put_text(out, WIRE_TASK), lmn_cbor_put_text(out, task);
+    lmn_cbor_put_text(out, WIRE_ATTEMPT), lmn_cbor_put_uint(out, a.number);
     lmn_debug("task-start task=%s attempt=%" G_GUINT64_FORMAT
               " machine=%s term=%" G_GUINT64_FORMAT,
               task, a.number, m->name, p->my_term);
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -426,8 +426,9 @@
     char path[512];
 
     lmn_kv_client_wait_for_token(c->state);
-    g_snprintf(path, sizeof path, P_STORE "?" Q_PREFIX "=%s%s%s&" Q_LIMIT "=500", prefix,
-               *after ? "&" Q_AFTER "=" : "", after);
+    g_snprintf(path, sizeof path,
+               WIRE_PATH_STORE "?" WIRE_QUERY_PREFIX "=%s%s%s&" WIRE_QUERY_LIMIT "=500",
+               prefix, *after ? "&" WIRE_QUERY_AFTER "=" : "", after);
     int status = lmn_http_client_call(h, "GET", path, NULL, 3.0, buf);
     if (status == 200 && lmn_cbor_parse(d, buf->data, buf->len) == 0)
         return 0;
@@ -438,10 +439,10 @@
 static bool more_pages(const struct lmn_cbor_document *d)
 {
     const struct lmn_cbor_value *root = lmn_cbor_root(d),
-                                *items = lmn_cbor_get(d, root, W_ITEMS);
+                                *items = lmn_cbor_get(d, root, WIRE_ITEMS);
     bool more = false;
 
-    lmn_cbor_get_bool(lmn_cbor_get(d, root, W_MORE), &more);
+    lmn_cbor_get_bool(lmn_cbor_get(d, root, WIRE_HAS_MORE), &more);
     return more && items && items->len;
 }
 
@@ -458,10 +459,11 @@
             g_hash_table_destroy(set);
             return NULL;
         }
-        const struct lmn_cbor_value *items = lmn_cbor_get(&d, lmn_cbor_root(&d), W_ITEMS);
+        const struct lmn_cbor_value *items =
+            lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_ITEMS);
         for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, items); n;
              n = lmn_cbor_next(&d, n)) {
-            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_KEY), after, sizeof after))
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_KEY), after, sizeof after))
                 continue;
             char **part = g_strsplit(after, "/", 4); /* r/P/REF/LO */
             if (g_strv_length(part) == 4)
@@ -486,20 +488,20 @@
         if (read_page(c, h, buf, "", after, &d) != 0)
             return -1;
         const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-        lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_REVISION), &rev);
+        lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_REVISION), &rev);
         if (first)
             *revision = rev;
         first = false;
         pthread_mutex_lock(&c->lock);
         struct timespec now = lmn_now();
-        const struct lmn_cbor_value *items = lmn_cbor_get(&d, root, W_ITEMS);
+        const struct lmn_cbor_value *items = lmn_cbor_get(&d, root, WIRE_ITEMS);
         for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, items); n;
              n = lmn_cbor_next(&d, n)) {
             uint64_t version = 0;
-            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, W_KEY), after, sizeof after) ||
-                !lmn_cbor_get_uint(lmn_cbor_get(&d, n, W_VERSION), &version))
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_KEY), after, sizeof after) ||
+                !lmn_cbor_get_uint(lmn_cbor_get(&d, n, WIRE_VERSION), &version))
                 continue;
-            lmn_watch_cache_apply(c, after, &d, lmn_cbor_get(&d, n, W_VALUE), version,
+            lmn_watch_cache_apply(c, after, &d, lmn_cbor_get(&d, n, WIRE_VALUE), version,
                                   now);
         }
         bool crowded = c->crowded;
@@ -551,10 +553,10 @@
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, events); n;
          n = lmn_cbor_next(d, n)) {
         uint64_t rev = 0;
-        lmn_cbor_get_uint(lmn_cbor_get(d, n, W_VERSION), &rev);
-        if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_PUT), key, sizeof key))
-            lmn_watch_cache_apply(c, key, d, lmn_cbor_get(d, n, W_VALUE), rev, now);
-        else if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_DELETE), key, sizeof key))
+        lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_VERSION), &rev);
+        if (lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_PUT), key, sizeof key))
+            lmn_watch_cache_apply(c, key, d, lmn_cbor_get(d, n, WIRE_VALUE), rev, now);
+        else if (lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_DELETE), key, sizeof key))
             lmn_watch_cache_apply(c, key, d, NULL, rev, now);
     }
 }
@@ -577,8 +579,8 @@
     lmn_kv_client_wait_for_token(c->state);
     struct timespec sent = lmn_now();
     g_snprintf(path, sizeof path,
-               P_WATCH "?" Q_PREFIX "=&" Q_AFTER "=%" G_GUINT64_FORMAT "&" Q_WAIT_MS
-                       "=%d",
+               WIRE_PATH_WATCH "?" WIRE_QUERY_PREFIX "=&" WIRE_QUERY_AFTER
+                               "=%" G_GUINT64_FORMAT "&" WIRE_QUERY_WAIT_MS "=%d",
                *revision, wait_ms);
     int status = lmn_http_client_call(h, "GET", path, NULL, wait_ms / 1000.0 + 2.0, buf);
     if (status != 200)
@@ -587,10 +589,10 @@
         return LMN_HTTP_NO_RESPONSE;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     uint64_t upto = *revision;
-    lmn_cbor_get_uint(lmn_cbor_get(&d, root, W_REVISION), &upto);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_REVISION), &upto);
     pthread_mutex_lock(&c->lock);
     struct timespec now = lmn_now();
-    apply_events(c, &d, lmn_cbor_get(&d, root, W_EVENTS), now);
+    apply_events(c, &d, lmn_cbor_get(&d, root, WIRE_EVENTS), now);
     if (upto > *revision)
         *revision = upto;
     /* The answer may have been on its way for long: it proves only the time of asking. */
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -6,8 +6,8 @@
 #include <stdio.h>
 #include <string.h>
 
-static const char *const whys[] = {W_DONE,    W_STOPPED, W_FAILED,
-                                   W_NO_ROOM, W_BUSY,    W_NO_SUCH};
+static const char *const whys[] = {WIRE_DONE,        WIRE_STOPPED, WIRE_ERROR,
+                                   WIRE_NO_CAPACITY, WIRE_BUSY,    WIRE_NO_SUCH_JOB};
 
 void lmn_agent_init(struct lmn_agent *a, const struct lmn_agent_ops *ops, void *arg,
                     uint64_t session, struct timespec now)
@@ -45,13 +45,13 @@
 {
     switch (r->state == LMN_RUN_ENDING ? r->shown : r->state) {
     case LMN_RUN_RUNNING:
-        return W_RUNNING;
+        return WIRE_RUNNING;
     case LMN_RUN_SAVING:
-        return W_SAVING;
+        return WIRE_SAVING;
     case LMN_RUN_ENDED:
-        return W_ENDED;
+        return WIRE_ENDED;
     default:
-        return W_FETCHING;
+        return WIRE_FETCHING;
     }
 }
 
@@ -62,30 +62,30 @@
 
     g_snprintf(task, sizeof task, "%s/%u", r->ref, r->index);
     lmn_cbor_put_map(b, 3 + ended + stopped);
-    lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, task);
-    lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, r->attempt);
-    lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, state_word(r));
+    lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, task);
+    lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, r->attempt);
+    lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, state_word(r));
     if (ended)
-        lmn_cbor_put_text(b, W_WHY), lmn_cbor_put_text(b, whys[r->why]);
+        lmn_cbor_put_text(b, WIRE_EXIT_REASON), lmn_cbor_put_text(b, whys[r->why]);
     if (stopped)
-        lmn_cbor_put_text(b, W_SAVED), lmn_cbor_put_bool(b, r->saved);
+        lmn_cbor_put_text(b, WIRE_SAVED), lmn_cbor_put_bool(b, r->saved);
 }
 
 void lmn_agent_write_heartbeat(struct lmn_agent *a, GByteArray *b, struct timespec now)
 {
     lmn_cbor_put_map(b, a->noticed ? 10 : 9);
-    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, a->name);
-    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, a->addr);
-    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, a->type.name);
-    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, a->zone);
-    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, a->spot);
-    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, a->session);
-    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, ++a->seq);
-    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, a->token);
+    lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, a->name);
+    lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, a->addr);
+    lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, a->type.name);
+    lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, a->zone);
+    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, a->spot);
+    lmn_cbor_put_text(b, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(b, a->session);
+    lmn_cbor_put_text(b, WIRE_SEQUENCE), lmn_cbor_put_uint(b, ++a->seq);
+    lmn_cbor_put_text(b, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(b, a->token);
     if (a->noticed)
-        lmn_cbor_put_text(b, W_NOTICE),
+        lmn_cbor_put_text(b, WIRE_SPOT_NOTICE_S),
             lmn_cbor_put_number(b, MAX(lmn_time_diff_s(a->gone_at, now), 0));
-    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, a->runs->len);
+    lmn_cbor_put_text(b, WIRE_TASKS), lmn_cbor_put_array(b, a->runs->len);
     for (guint i = 0; i < a->runs->len; i++)
         put_run(b, a->runs->pdata[i]);
     a->changed = false;
@@ -257,14 +257,14 @@
 static void obey(struct lmn_agent *a, const struct lmn_cbor_document *d,
                  const struct lmn_cbor_value *n, struct timespec now)
 {
-    const struct lmn_cbor_value *op = lmn_cbor_get(d, n, W_OP);
+    const struct lmn_cbor_value *op = lmn_cbor_get(d, n, WIRE_COMMAND);
     char task[LMN_JOB_ID_SIZE + 16], *slash;
     struct lmn_task_run *r = NULL;
     uint64_t attempt = 0;
     double grace = 0;
 
-    if (!lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), task, sizeof task) ||
-        !lmn_cbor_get_uint(lmn_cbor_get(d, n, W_ATTEMPT), &attempt) ||
+    if (!lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_TASK), task, sizeof task) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_ATTEMPT), &attempt) ||
         !(slash = strrchr(task, '/')) || slash - task >= LMN_JOB_ID_SIZE)
         return;
     *slash = '\0';
@@ -274,13 +274,13 @@
         if (o->attempt == attempt && o->index == index && !strcmp(o->ref, task))
             r = o;
     }
-    if (lmn_cbor_text_equals(op, W_START)) {
+    if (lmn_cbor_text_equals(op, WIRE_START)) {
         if (!r)
             start(a, task, index, attempt, now);
-    } else if (lmn_cbor_text_equals(op, W_KILL) && r) {
-        lmn_cbor_get_number(lmn_cbor_get(d, n, W_GRACE), &grace);
+    } else if (lmn_cbor_text_equals(op, WIRE_KILL) && r) {
+        lmn_cbor_get_number(lmn_cbor_get(d, n, WIRE_GRACE_S), &grace);
         stop(a, r, grace);
-    } else if (lmn_cbor_text_equals(op, W_CLEAR) && r && r->state == LMN_RUN_ENDED) {
+    } else if (lmn_cbor_text_equals(op, WIRE_CLEAR) && r && r->state == LMN_RUN_ENDED) {
         g_ptr_array_remove(a->runs, r);
         a->changed = true;
     }
@@ -289,7 +289,7 @@
 static void obey_all(struct lmn_agent *a, const struct lmn_cbor_document *d,
                      struct timespec now)
 {
-    const struct lmn_cbor_value *list = lmn_cbor_get(d, lmn_cbor_root(d), W_COMMANDS);
+    const struct lmn_cbor_value *list = lmn_cbor_get(d, lmn_cbor_root(d), WIRE_COMMANDS);
 
     if (!list || list->type != LMN_CBOR_ARRAY)
         return;
@@ -309,7 +309,8 @@
     lmn_agent_tick(a, now);
     if (a->ending || session != a->session || lmn_cbor_parse(&d, body, len) != 0)
         return false;
-    bool good = lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token) &&
+    bool good = lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN),
+                                  &token) &&
                 token >= a->token;
     if (good) {
         take_token(a, token, now);
@@ -334,8 +335,10 @@
         return 503;
     if (lmn_cbor_parse(&d, body, len) != 0)
         return 400;
-    if (!lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token) ||
-        !lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SESSION), &session)) {
+    if (!lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN),
+                           &token) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_AGENT_INCARNATION),
+                           &session)) {
         lmn_cbor_free(&d);
         return 400;
     }
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -195,7 +195,7 @@
     struct lmn_cbor_document d;
 
     if (answer->len && lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
-        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REPORT_TO), name,
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_REDIRECT_TO), name,
                           sizeof name);
         lmn_cbor_free(&d);
     }
@@ -247,7 +247,8 @@
         w->reports++;
         lmn_worker_unlock(w);
         last = lmn_now();
-        int status = lmn_http_client_call(h[to], "POST", P_REPORT, out, ANSWER_S, in);
+        int status =
+            lmn_http_client_call(h[to], "POST", WIRE_PATH_HEARTBEAT, out, ANSWER_S, in);
         g_byte_array_unref(out);
         if (status == 200) {
             lmn_worker_lock(w);
@@ -324,10 +325,12 @@
         return;
     }
     lmn_worker_lock(w);
-    if (lmn_http_request_method(call) == LMN_HTTP_POST && !strcmp(path, P_DIRECT))
+    if (lmn_http_request_method(call) == LMN_HTTP_POST &&
+        !strcmp(path, WIRE_PATH_COMMANDS))
         status =
             lmn_agent_execute(&w->agent, body->data, body->len, out, lmn_worker_now());
-    else if (lmn_http_request_method(call) == LMN_HTTP_GET && !strcmp(path, P_SHOW))
+    else if (lmn_http_request_method(call) == LMN_HTTP_GET &&
+             !strcmp(path, WIRE_PATH_SHOW))
         status = lmn_agent_show(&w->agent, out, lmn_worker_now());
     lmn_worker_unlock(w);
     lmn_http_request_respond(call, status, out, 0);
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -177,10 +177,10 @@
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
     int k = machine_index(name);
     lmn_cbor_put_map(body, 3);
-    lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, term);
-    lmn_cbor_put_text(body, W_SESSION),
+    lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, term);
+    lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
         lmn_cbor_put_uint(body, explored.machines[k].session);
-    lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
+    lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, 0);
     bool accepted = machine_accept(k, body, true);
     machine_report(k, answer);
     lmn_worker_client_probe_done(c, name, term, accepted ? 200 : 409, answer,
--- a/tests/takeover/machines.c
+++ b/tests/takeover/machines.c
@@ -6,13 +6,13 @@
 static void put_attempt(const struct attempt *a, GByteArray *body)
 {
     lmn_cbor_put_map(body, a->running ? 3 : 4);
-    lmn_cbor_put_text(body, W_TASK), lmn_cbor_put_text(body, "run-000001/0");
-    lmn_cbor_put_text(body, W_ATTEMPT), lmn_cbor_put_uint(body, a->number);
-    lmn_cbor_put_text(body, W_STATE),
-        lmn_cbor_put_text(body, a->running ? W_RUNNING : W_ENDED);
+    lmn_cbor_put_text(body, WIRE_TASK), lmn_cbor_put_text(body, "run-000001/0");
+    lmn_cbor_put_text(body, WIRE_ATTEMPT), lmn_cbor_put_uint(body, a->number);
+    lmn_cbor_put_text(body, WIRE_STATE),
+        lmn_cbor_put_text(body, a->running ? WIRE_RUNNING : WIRE_ENDED);
     if (!a->running)
-        lmn_cbor_put_text(body, W_WHY),
-            lmn_cbor_put_text(body, a->done ? W_DONE : W_STOPPED);
+        lmn_cbor_put_text(body, WIRE_EXIT_REASON),
+            lmn_cbor_put_text(body, a->done ? WIRE_DONE : WIRE_STOPPED);
 }
 
 void machine_report(int k, GByteArray *body)
@@ -20,15 +20,15 @@
     struct machine *m = &explored.machines[k];
 
     lmn_cbor_put_map(body, 9);
-    lmn_cbor_put_text(body, W_MACHINE), lmn_cbor_put_text(body, m->name);
-    lmn_cbor_put_text(body, W_ADDR), lmn_cbor_put_text(body, "10.0.0.1:9000");
-    lmn_cbor_put_text(body, W_TYPE), lmn_cbor_put_text(body, "t");
-    lmn_cbor_put_text(body, W_ZONE), lmn_cbor_put_text(body, "z");
-    lmn_cbor_put_text(body, W_SPOT), lmn_cbor_put_bool(body, false);
-    lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, m->session);
-    lmn_cbor_put_text(body, W_SEQ), lmn_cbor_put_uint(body, ++m->seq);
-    lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, m->token);
-    lmn_cbor_put_text(body, W_TASKS), lmn_cbor_put_array(body, (size_t)m->nattempts);
+    lmn_cbor_put_text(body, WIRE_MACHINE), lmn_cbor_put_text(body, m->name);
+    lmn_cbor_put_text(body, WIRE_ADDRESS), lmn_cbor_put_text(body, "10.0.0.1:9000");
+    lmn_cbor_put_text(body, WIRE_MACHINE_TYPE), lmn_cbor_put_text(body, "t");
+    lmn_cbor_put_text(body, WIRE_ZONE), lmn_cbor_put_text(body, "z");
+    lmn_cbor_put_text(body, WIRE_SPOT), lmn_cbor_put_bool(body, false);
+    lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(body, m->session);
+    lmn_cbor_put_text(body, WIRE_SEQUENCE), lmn_cbor_put_uint(body, ++m->seq);
+    lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, m->token);
+    lmn_cbor_put_text(body, WIRE_TASKS), lmn_cbor_put_array(body, (size_t)m->nattempts);
     for (int i = 0; i < m->nattempts; i++)
         put_attempt(&m->attempts[i], body);
 }
@@ -46,12 +46,13 @@
 {
     uint64_t number = 0;
 
-    lmn_cbor_get_uint(lmn_cbor_get(d, c, W_ATTEMPT), &number);
+    lmn_cbor_get_uint(lmn_cbor_get(d, c, WIRE_ATTEMPT), &number);
     int at = find_attempt(m, number);
-    if (lmn_cbor_text_equals(lmn_cbor_get(d, c, W_OP), W_START)) {
+    if (lmn_cbor_text_equals(lmn_cbor_get(d, c, WIRE_COMMAND), WIRE_START)) {
         if (at < 0 && m->nattempts < TASKS)
             m->attempts[m->nattempts++] = (struct attempt){number, true, false};
-    } else if (at >= 0 && lmn_cbor_text_equals(lmn_cbor_get(d, c, W_OP), W_KILL)) {
+    } else if (at >= 0 &&
+               lmn_cbor_text_equals(lmn_cbor_get(d, c, WIRE_COMMAND), WIRE_KILL)) {
         m->attempts[at].running = false;
     } else if (at >= 0 && !m->attempts[at].running) {
         m->attempts[at] = m->attempts[--m->nattempts];
@@ -65,13 +66,14 @@
     uint64_t token = 0, session = 0;
 
     lmn_cbor_parse(&d, body->data, body->len);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SESSION), &session);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN), &token);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_AGENT_INCARNATION),
+                      &session);
     bool accepted = (token >= m->token || explored.without == GUARD_TOKEN) &&
                     (!direct || session == m->session);
     if (accepted) {
         const struct lmn_cbor_value *list =
-            lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS);
+            lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_COMMANDS);
         m->token = MAX(m->token, token);
         for (const struct lmn_cbor_value *c = lmn_cbor_first_child(&d, list); c;
              c = lmn_cbor_next(&d, c))
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -91,7 +91,7 @@
     uint64_t token = 0;
 
     lmn_cbor_parse(&d, body->data, body->len);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN), &token);
     lmn_cbor_free(&d);
     return (int)token;
 }
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -125,11 +125,12 @@
     int n = some(4);
 
     lmn_cbor_put_map(b, 3);
-    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, token);
-    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, session);
-    lmn_cbor_put_text(b, W_COMMANDS), lmn_cbor_put_array(b, (size_t)n);
+    lmn_cbor_put_text(b, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(b, token);
+    lmn_cbor_put_text(b, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(b, session);
+    lmn_cbor_put_text(b, WIRE_COMMANDS), lmn_cbor_put_array(b, (size_t)n);
     for (int i = 0; i < n; i++) {
-        static const char *const words[] = {W_START, W_START, W_KILL, W_CLEAR, W_CLEAR};
+        static const char *const words[] = {WIRE_START, WIRE_START, WIRE_KILL, WIRE_CLEAR,
+                                            WIRE_CLEAR};
         const char *op = words[some(5)];
         char task[64];
         int ref = some(JOBS), index = some(TASKS), attempt = 1 + some(ATTEMPTS);
@@ -142,10 +143,10 @@
         }
         g_snprintf(task, sizeof task, "run-%06d/%d", ref, index);
         lmn_cbor_put_map(b, 4);
-        lmn_cbor_put_text(b, W_OP), lmn_cbor_put_text(b, op);
-        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, task);
-        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, (uint64_t)attempt);
-        lmn_cbor_put_text(b, W_GRACE), lmn_cbor_put_number(b, some(2) ? 10 : 0);
+        lmn_cbor_put_text(b, WIRE_COMMAND), lmn_cbor_put_text(b, op);
+        lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, task);
+        lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, (uint64_t)attempt);
+        lmn_cbor_put_text(b, WIRE_GRACE_S), lmn_cbor_put_number(b, some(2) ? 10 : 0);
     }
     return b;
 }
@@ -266,9 +267,10 @@
     }
     lmn_agent_write_heartbeat(&w.a, b, w.now);
     assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-    assert_true(lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SEQ), &told) &&
-                told == seq + 1);
-    assert_int_equal(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TASKS)->len, w.a.runs->len);
+    assert_true(
+        lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_SEQUENCE), &told) &&
+        told == seq + 1);
+    assert_int_equal(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_TASKS)->len, w.a.runs->len);
     lmn_cbor_free(&d);
     if (some(5)) {
         /* It is answered, by whoever holds the highest token. */
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -529,7 +529,7 @@
     assert_true(m->age_s >= 0);
     /* Nothing that was gone for longer than the oldest list. */
     assert_true(fmin(x->gone, x->taken) > *now - 2 * c->knobs.list_lag_s - 1e-6);
-    if (!strcmp(m->state, W_RUNNING))
+    if (!strcmp(m->state, WIRE_RUNNING))
         assert_true(x->up <= *now);
     return true;
 }
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -76,8 +76,9 @@
     g_byte_array_append(body, (const guint8 *)"{}", 2);
     for (int i = 0; i < 20; i++) {
         g_atomic_int_set(&executed, 0);
-        assert_int_equal(lmn_http_client_call(h, "POST", P_TXN, body, 2, out), 200);
-        assert_int_equal(lmn_http_client_call(h, "POST", P_TXN, body, 2, out),
+        assert_int_equal(lmn_http_client_call(h, "POST", WIRE_PATH_TXN, body, 2, out),
+                         200);
+        assert_int_equal(lmn_http_client_call(h, "POST", WIRE_PATH_TXN, body, 2, out),
                          LMN_HTTP_NO_RESPONSE);
         assert_int_equal(g_atomic_int_get(&executed), 2);
     }
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -99,11 +99,25 @@
 
 static void each_field_is_checked(void **state)
 {
-    static const char *const required[] = {
-        W_ID,     W_CLASS, W_TEAM,     W_KIND,       W_URGENCY,  W_TASKS,
-        W_CPUS,   W_GPUS,  W_MEM,      W_IMAGE,      W_IMAGE_GB, W_ONE_ZONE,
-        W_SPREAD, W_SPOT,  W_ESTIMATE, W_CHECKPOINT, W_SAVE};
-    static const char *const optional[] = {W_TYPES, W_ZONE, W_DEADLINE};
+    static const char *const required[] = {WIRE_JOB_ID,
+                                           WIRE_CLASS,
+                                           WIRE_TEAM,
+                                           WIRE_JOB_KIND,
+                                           WIRE_PRIORITY,
+                                           WIRE_TASKS,
+                                           WIRE_CPUS,
+                                           WIRE_GPUS,
+                                           WIRE_MEMORY_GB,
+                                           WIRE_IMAGE,
+                                           WIRE_IMAGE_GB,
+                                           WIRE_ZONE_AFFINITY,
+                                           WIRE_ZONE_ANTI_AFFINITY,
+                                           WIRE_SPOT,
+                                           WIRE_ESTIMATE_S,
+                                           WIRE_CHECKPOINT_S,
+                                           WIRE_SAVE_S};
+    static const char *const optional[] = {WIRE_MACHINE_TYPES, WIRE_ZONE,
+                                           WIRE_DEADLINE_S};
     GRand *r = g_rand_new_with_seed(4);
     struct lmn_job_spec s;
     GByteArray *list = g_byte_array_new(), *nan = g_byte_array_new(),
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -112,20 +112,20 @@
     GPtrArray *failed = g_ptr_array_new();
     char key[256];
 
-    for (n = lmn_cbor_first_child(d, lmn_cbor_get(d, root, W_IF)); n;
+    for (n = lmn_cbor_first_child(d, lmn_cbor_get(d, root, WIRE_CONDITIONS)); n;
          n = lmn_cbor_next(d, n)) {
         uint64_t version = 0;
-        lmn_cbor_get_text(lmn_cbor_get(d, n, W_KEY), key, sizeof key);
-        lmn_cbor_get_uint(lmn_cbor_get(d, n, W_VERSION), &version);
+        lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_KEY), key, sizeof key);
+        lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_VERSION), &version);
         struct item *it = g_tree_lookup(store, key);
         if ((it && it->value ? it->rev : 0) != version)
             g_ptr_array_add(failed, g_strdup(key));
     }
     const struct lmn_cbor_value *then =
-        lmn_cbor_first_child(d, lmn_cbor_get(d, root, W_THEN));
+        lmn_cbor_first_child(d, lmn_cbor_get(d, root, WIRE_OPERATIONS));
     for (n = then; n; n = lmn_cbor_next(d, n)) {
         uint64_t lease = 0;
-        lmn_cbor_get_uint(lmn_cbor_get(d, n, W_LEASE), &lease);
+        lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_LEASE), &lease);
         if (lease && !find_lease(lease))
             return 400;
     }
@@ -133,17 +133,17 @@
         revision++;
         for (n = then; n; n = lmn_cbor_next(d, n)) {
             uint64_t lease = 0;
-            lmn_cbor_get_uint(lmn_cbor_get(d, n, W_LEASE), &lease);
-            if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_PUT), key, sizeof key))
-                put(key, copy(d, lmn_cbor_get(d, n, W_VALUE)), lease);
-            else if (lmn_cbor_get_text(lmn_cbor_get(d, n, W_DELETE), key, sizeof key))
+            lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_LEASE), &lease);
+            if (lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_PUT), key, sizeof key))
+                put(key, copy(d, lmn_cbor_get(d, n, WIRE_VALUE)), lease);
+            else if (lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_DELETE), key, sizeof key))
                 put(key, NULL, 0);
         }
     }
     lmn_cbor_put_map(out, failed->len ? 2 : 1);
-    lmn_cbor_put_text(out, W_REVISION), lmn_cbor_put_uint(out, revision);
+    lmn_cbor_put_text(out, WIRE_REVISION), lmn_cbor_put_uint(out, revision);
     if (failed->len) {
-        lmn_cbor_put_text(out, W_CONFLICTS), lmn_cbor_put_array(out, failed->len);
+        lmn_cbor_put_text(out, WIRE_CONFLICTS), lmn_cbor_put_array(out, failed->len);
         for (guint i = 0; i < failed->len; i++)
             lmn_cbor_put_text(out, failed->pdata[i]);
     }
@@ -153,10 +153,10 @@
 static void put_item(GByteArray *out, const char *key, const struct item *it)
 {
     lmn_cbor_put_map(out, 3);
-    lmn_cbor_put_text(out, W_KEY), lmn_cbor_put_text(out, key);
-    lmn_cbor_put_text(out, W_VALUE),
+    lmn_cbor_put_text(out, WIRE_KEY), lmn_cbor_put_text(out, key);
+    lmn_cbor_put_text(out, WIRE_VALUE),
         g_byte_array_append(out, it->value->data, it->value->len);
-    lmn_cbor_put_text(out, W_VERSION), lmn_cbor_put_uint(out, it->rev);
+    lmn_cbor_put_text(out, WIRE_VERSION), lmn_cbor_put_uint(out, it->rev);
 }
 
 struct listing {
@@ -182,8 +182,9 @@
 
 static int state_watch(struct MHD_Connection *c, GByteArray *out)
 {
-    uint64_t after = g_ascii_strtoull(query(c, Q_AFTER), NULL, 10);
-    struct timespec end = lmn_time_add(lmn_now(), atof(query(c, Q_WAIT_MS)) / 1000);
+    uint64_t after = g_ascii_strtoull(query(c, WIRE_QUERY_AFTER), NULL, 10);
+    struct timespec end =
+        lmn_time_add(lmn_now(), atof(query(c, WIRE_QUERY_WAIT_MS)) / 1000);
     size_t n = 0;
 
     while (revision <= after && lmn_time_before(lmn_now(), end)) {
@@ -193,18 +194,18 @@
     for (guint i = 0; i < events->len; i++)
         n += ((struct event *)events->pdata[i])->rev > after;
     lmn_cbor_put_map(out, 2);
-    lmn_cbor_put_text(out, W_REVISION), lmn_cbor_put_uint(out, revision);
-    lmn_cbor_put_text(out, W_EVENTS), lmn_cbor_put_array(out, n);
+    lmn_cbor_put_text(out, WIRE_REVISION), lmn_cbor_put_uint(out, revision);
+    lmn_cbor_put_text(out, WIRE_EVENTS), lmn_cbor_put_array(out, n);
     for (guint i = 0; i < events->len; i++) {
         const struct event *e = events->pdata[i];
         if (e->rev <= after)
             continue;
         lmn_cbor_put_map(out, e->value ? 3 : 2);
-        lmn_cbor_put_text(out, e->value ? W_PUT : W_DELETE),
+        lmn_cbor_put_text(out, e->value ? WIRE_PUT : WIRE_DELETE),
             lmn_cbor_put_text(out, e->key);
-        lmn_cbor_put_text(out, W_VERSION), lmn_cbor_put_uint(out, e->rev);
+        lmn_cbor_put_text(out, WIRE_VERSION), lmn_cbor_put_uint(out, e->rev);
         if (e->value)
-            lmn_cbor_put_text(out, W_VALUE),
+            lmn_cbor_put_text(out, WIRE_VALUE),
                 g_byte_array_append(out, e->value->data, e->value->len);
     }
     return 200;
@@ -217,42 +218,42 @@
     expire();
     if (refusing)
         return 503;
-    if (post && !strcmp(path, P_TXN))
+    if (post && !strcmp(path, WIRE_PATH_TXN))
         return state_txn(d, out);
-    if (!strcmp(path, P_WATCH))
+    if (!strcmp(path, WIRE_PATH_WATCH))
         return state_watch(c, out);
-    if (post && !strcmp(path, P_LEASES)) {
+    if (post && !strcmp(path, WIRE_PATH_LEASES)) {
         uint64_t ttl = 1000;
-        lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_TTL_MS), &ttl);
+        lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), WIRE_TTL_MS), &ttl);
         struct lease l = {++last_lease, (double)ttl / 1000, {0, 0}};
         l.until = lmn_time_add(lmn_now(), l.ttl);
         g_array_append_val(leases, l);
         lmn_cbor_put_map(out, 1);
-        lmn_cbor_put_text(out, W_LEASE), lmn_cbor_put_uint(out, l.id);
+        lmn_cbor_put_text(out, WIRE_LEASE), lmn_cbor_put_uint(out, l.id);
         return 200;
     }
-    if (post && g_str_has_prefix(path, P_LEASES "/")) {
+    if (post && g_str_has_prefix(path, WIRE_PATH_LEASES "/")) {
         struct lease *l =
-            find_lease(g_ascii_strtoull(path + strlen(P_LEASES "/"), NULL, 10));
+            find_lease(g_ascii_strtoull(path + strlen(WIRE_PATH_LEASES "/"), NULL, 10));
         if (l)
             l->until = lmn_time_add(lmn_now(), l->ttl);
         return l ? 200 : 404;
     }
-    if (!strcmp(path, P_STORE)) {
+    if (!strcmp(path, WIRE_PATH_STORE)) {
         struct listing l = {g_byte_array_new(), 0};
         g_tree_foreach(store, list_item, &l);
         lmn_cbor_put_map(out, 3);
-        lmn_cbor_put_text(out, W_REVISION), lmn_cbor_put_uint(out, revision);
-        lmn_cbor_put_text(out, W_MORE), lmn_cbor_put_bool(out, false);
-        lmn_cbor_put_text(out, W_ITEMS), lmn_cbor_put_array(out, l.n);
+        lmn_cbor_put_text(out, WIRE_REVISION), lmn_cbor_put_uint(out, revision);
+        lmn_cbor_put_text(out, WIRE_HAS_MORE), lmn_cbor_put_bool(out, false);
+        lmn_cbor_put_text(out, WIRE_ITEMS), lmn_cbor_put_array(out, l.n);
         g_byte_array_append(out, l.items->data, l.items->len);
         return 200;
     }
-    if (g_str_has_prefix(path, P_STORE "/")) {
-        struct item *it = g_tree_lookup(store, path + strlen(P_STORE "/"));
+    if (g_str_has_prefix(path, WIRE_PATH_STORE "/")) {
+        struct item *it = g_tree_lookup(store, path + strlen(WIRE_PATH_STORE "/"));
         if (!it || !it->value)
             return 404;
-        put_item(out, path + strlen(P_STORE "/"), it);
+        put_item(out, path + strlen(WIRE_PATH_STORE "/"), it);
         return 200;
     }
     return 400;
@@ -287,25 +288,26 @@
     for (int i = 0; i < MAX_HELD; i++)
         n += m->held[i].state != FREE;
     lmn_cbor_put_map(b, 9);
-    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, m->name);
-    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, m->addr);
-    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "small");
-    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, "a");
-    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, false);
-    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, m->session);
-    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, ++m->seq);
-    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, m->token);
-    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, n);
+    lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, m->name);
+    lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, m->addr);
+    lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, "small");
+    lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, "a");
+    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, false);
+    lmn_cbor_put_text(b, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(b, m->session);
+    lmn_cbor_put_text(b, WIRE_SEQUENCE), lmn_cbor_put_uint(b, ++m->seq);
+    lmn_cbor_put_text(b, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(b, m->token);
+    lmn_cbor_put_text(b, WIRE_TASKS), lmn_cbor_put_array(b, n);
     for (int i = 0; i < MAX_HELD; i++) {
         const struct held *h = &m->held[i];
         if (h->state == FREE)
             continue;
         lmn_cbor_put_map(b, 4);
-        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, h->task);
-        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, h->attempt);
-        lmn_cbor_put_text(b, W_STATE),
-            lmn_cbor_put_text(b, h->state == RUNNING ? W_RUNNING : W_ENDED);
-        lmn_cbor_put_text(b, W_WHY), lmn_cbor_put_text(b, h->done ? W_DONE : W_STOPPED);
+        lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, h->task);
+        lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, h->attempt);
+        lmn_cbor_put_text(b, WIRE_STATE),
+            lmn_cbor_put_text(b, h->state == RUNNING ? WIRE_RUNNING : WIRE_ENDED);
+        lmn_cbor_put_text(b, WIRE_EXIT_REASON),
+            lmn_cbor_put_text(b, h->done ? WIRE_DONE : WIRE_STOPPED);
     }
 }
 
@@ -314,12 +316,12 @@
 {
     for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, orders); n;
          n = lmn_cbor_next(d, n)) {
-        const struct lmn_cbor_value *op = lmn_cbor_get(d, n, W_OP);
+        const struct lmn_cbor_value *op = lmn_cbor_get(d, n, WIRE_COMMAND);
         struct held *same = NULL, *room = NULL;
         char task[64] = "";
         uint64_t attempt = 0;
-        lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), task, sizeof task);
-        lmn_cbor_get_uint(lmn_cbor_get(d, n, W_ATTEMPT), &attempt);
+        lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_TASK), task, sizeof task);
+        lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_ATTEMPT), &attempt);
         for (int i = 0; i < MAX_HELD; i++) {
             struct held *h = &m->held[i];
             if (h->state == FREE)
@@ -327,7 +329,7 @@
             else if (!strcmp(h->task, task) && h->attempt == attempt)
                 same = h;
         }
-        if (lmn_cbor_text_equals(op, W_START) && !same && room) {
+        if (lmn_cbor_text_equals(op, WIRE_START) && !same && room) {
             for (int k = 0; k < nmachines; k++)
                 for (int i = 0; i < MAX_HELD; i++)
                     twice += !machines[k].gone && machines[k].held[i].state == RUNNING &&
@@ -339,9 +341,10 @@
             room->until =
                 lmn_time_add(lmn_now(), g_str_has_prefix(task, "run-00010") ? 1e6 : 0.4);
             started++;
-        } else if (lmn_cbor_text_equals(op, W_KILL) && same && same->state == RUNNING) {
+        } else if (lmn_cbor_text_equals(op, WIRE_KILL) && same &&
+                   same->state == RUNNING) {
             same->state = ENDED;
-        } else if (lmn_cbor_text_equals(op, W_CLEAR) && same && same->state == ENDED) {
+        } else if (lmn_cbor_text_equals(op, WIRE_CLEAR) && same && same->state == ENDED) {
             same->state = FREE;
         }
     }
@@ -372,14 +375,15 @@
     int status = 200;
 
     pass(m);
-    if (!strcmp(path, P_DIRECT)) {
-        lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_TOKEN), &token);
-        lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), W_SESSION), &session);
+    if (!strcmp(path, WIRE_PATH_COMMANDS)) {
+        lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), WIRE_FENCING_TOKEN), &token);
+        lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), WIRE_AGENT_INCARNATION),
+                          &session);
         if (token < m->token || session != m->session) {
             status = 409;
         } else {
             m->token = token;
-            obey(m, d, lmn_cbor_get(d, lmn_cbor_root(d), W_COMMANDS));
+            obey(m, d, lmn_cbor_get(d, lmn_cbor_root(d), WIRE_COMMANDS));
         }
     }
     report(m, out);
@@ -410,16 +414,17 @@
         if (gone)
             return NULL;
         struct timespec sent = lmn_now();
-        int status = lmn_http_client_call(h[node], "POST", P_REPORT, b, 4, in);
+        int status = lmn_http_client_call(h[node], "POST", WIRE_PATH_HEARTBEAT, b, 4, in);
         g_byte_array_unref(b);
         if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
             uint64_t token = 0;
-            lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
+            lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN),
+                              &token);
             pthread_mutex_lock(&lock);
             if (!m->gone && token >= m->token && session == m->session) {
                 m->token = token;
                 m->answered = sent;
-                obey(m, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS));
+                obey(m, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_COMMANDS));
             }
             pthread_mutex_unlock(&lock);
             lmn_cbor_free(&d);
@@ -427,8 +432,8 @@
         } else {
             char to[32] = "";
             if (status == 421 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
-                lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REPORT_TO), to,
-                                  sizeof to);
+                lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_REDIRECT_TO),
+                                  to, sizeof to);
                 lmn_cbor_free(&d);
             }
             node = *to ? atoi(to + 1) : (node + 1) % NODES;
@@ -468,25 +473,25 @@
     const struct lmn_cbor_value *root = lmn_cbor_root(d);
     (void)arg;
     (void)c;
-    if (!strcmp(path, P_TYPES)) {
+    if (!strcmp(path, WIRE_PATH_MACHINE_TYPES)) {
         lmn_cbor_put_map(out, 1);
-        lmn_cbor_put_text(out, W_TYPES), lmn_cbor_put_array(out, 1);
+        lmn_cbor_put_text(out, WIRE_MACHINE_TYPES), lmn_cbor_put_array(out, 1);
         lmn_cbor_put_map(out, 10);
-        lmn_cbor_put_text(out, W_SKU), lmn_cbor_put_text(out, "small");
-        lmn_cbor_put_text(out, W_CPUS), lmn_cbor_put_number(out, 4);
-        lmn_cbor_put_text(out, W_GPUS), lmn_cbor_put_number(out, 0);
-        lmn_cbor_put_text(out, W_MEM), lmn_cbor_put_number(out, 16);
-        lmn_cbor_put_text(out, W_CACHE_GB), lmn_cbor_put_number(out, 10);
-        lmn_cbor_put_text(out, W_PULL), lmn_cbor_put_number(out, 1);
-        lmn_cbor_put_text(out, W_RATE), lmn_cbor_put_number(out, 1);
-        lmn_cbor_put_text(out, W_SPOT_RATE), lmn_cbor_put_number(out, 0.5);
-        lmn_cbor_put_text(out, W_READY), lmn_cbor_put_number(out, 1);
-        lmn_cbor_put_text(out, W_ZONES), lmn_cbor_put_array(out, 1),
+        lmn_cbor_put_text(out, WIRE_TYPE_NAME), lmn_cbor_put_text(out, "small");
+        lmn_cbor_put_text(out, WIRE_CPUS), lmn_cbor_put_number(out, 4);
+        lmn_cbor_put_text(out, WIRE_GPUS), lmn_cbor_put_number(out, 0);
+        lmn_cbor_put_text(out, WIRE_MEMORY_GB), lmn_cbor_put_number(out, 16);
+        lmn_cbor_put_text(out, WIRE_CACHE_GB), lmn_cbor_put_number(out, 10);
+        lmn_cbor_put_text(out, WIRE_PULL_GB_PER_S), lmn_cbor_put_number(out, 1);
+        lmn_cbor_put_text(out, WIRE_PRICE), lmn_cbor_put_number(out, 1);
+        lmn_cbor_put_text(out, WIRE_SPOT_PRICE), lmn_cbor_put_number(out, 0.5);
+        lmn_cbor_put_text(out, WIRE_BOOT_S), lmn_cbor_put_number(out, 1);
+        lmn_cbor_put_text(out, WIRE_ZONES), lmn_cbor_put_array(out, 1),
             lmn_cbor_put_text(out, "a");
         return 200;
     }
-    if (!strcmp(path, P_RETURN)) {
-        const struct lmn_cbor_value *list = lmn_cbor_get(d, root, W_MACHINES);
+    if (!strcmp(path, WIRE_PATH_RETURN)) {
+        const struct lmn_cbor_value *list = lmn_cbor_get(d, root, WIRE_MACHINES);
         for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, list); n;
              n = lmn_cbor_next(d, n))
             for (int i = 0; i < nmachines; i++)
@@ -497,7 +502,7 @@
     }
     if (!strcmp(method, "POST")) {
         uint64_t count = 0;
-        lmn_cbor_get_uint(lmn_cbor_get(d, root, W_COUNT), &count);
+        lmn_cbor_get_uint(lmn_cbor_get(d, root, WIRE_COUNT), &count);
         count = MIN(count, (uint64_t)MIN(6 - (int)rented, MAX_MACHINES - nmachines));
         if (!count || rented >= 6) {
             lmn_cbor_put_map(out, 1);
@@ -505,7 +510,7 @@
             return 503;
         }
         lmn_cbor_put_map(out, 1);
-        lmn_cbor_put_text(out, W_MACHINES), lmn_cbor_put_array(out, count);
+        lmn_cbor_put_text(out, WIRE_MACHINES), lmn_cbor_put_array(out, count);
         for (uint64_t i = 0; i < count; i++) {
             struct machine *m = &machines[nmachines];
             g_snprintf(m->name, sizeof m->name, "host-%06d", nmachines++);
@@ -524,18 +529,18 @@
     for (int i = 0; i < nmachines; i++)
         n += !machines[i].gone;
     lmn_cbor_put_map(out, 2);
-    lmn_cbor_put_text(out, W_MORE), lmn_cbor_put_bool(out, false);
-    lmn_cbor_put_text(out, W_MACHINES), lmn_cbor_put_array(out, n);
+    lmn_cbor_put_text(out, WIRE_HAS_MORE), lmn_cbor_put_bool(out, false);
+    lmn_cbor_put_text(out, WIRE_MACHINES), lmn_cbor_put_array(out, n);
     for (int i = 0; i < nmachines; i++) {
         if (machines[i].gone)
             continue;
         lmn_cbor_put_map(out, 6);
-        lmn_cbor_put_text(out, W_ID), lmn_cbor_put_text(out, machines[i].name);
-        lmn_cbor_put_text(out, W_TYPE), lmn_cbor_put_text(out, "small");
-        lmn_cbor_put_text(out, W_ZONE), lmn_cbor_put_text(out, "a");
-        lmn_cbor_put_text(out, W_SPOT), lmn_cbor_put_bool(out, false);
-        lmn_cbor_put_text(out, W_STATE), lmn_cbor_put_text(out, W_RUNNING);
-        lmn_cbor_put_text(out, W_AGE), lmn_cbor_put_number(out, 10);
+        lmn_cbor_put_text(out, WIRE_JOB_ID), lmn_cbor_put_text(out, machines[i].name);
+        lmn_cbor_put_text(out, WIRE_MACHINE_TYPE), lmn_cbor_put_text(out, "small");
+        lmn_cbor_put_text(out, WIRE_ZONE), lmn_cbor_put_text(out, "a");
+        lmn_cbor_put_text(out, WIRE_SPOT), lmn_cbor_put_bool(out, false);
+        lmn_cbor_put_text(out, WIRE_STATE), lmn_cbor_put_text(out, WIRE_RUNNING);
+        lmn_cbor_put_text(out, WIRE_AGE_S), lmn_cbor_put_number(out, 10);
     }
     return 200;
 }
@@ -667,7 +672,7 @@
     int status = lmn_http_client_call(h[i], method, path, body, 5, out);
     *word = '\0';
     if (out->len && lmn_cbor_parse(&d, out->data, out->len) == 0) {
-        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_STATE), word, 32);
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_STATE), word, 32);
         lmn_cbor_free(&d);
     }
     g_byte_array_unref(out);
@@ -725,11 +730,11 @@
     for (int k = 0; k < 6; k++) {
         g_snprintf(path, sizeof path, "run-%06d", k);
         b = job(path, 20, LMN_JOB_BATCH);
-        insist("POST", P_JOBS, b, 201, 200, word);
+        insist("POST", WIRE_PATH_JOBS, b, 201, 200, word);
         g_byte_array_unref(b);
     }
     b = job("run-000100", 3, LMN_JOB_SERVICE);
-    insist("POST", P_JOBS, b, 201, 200, word);
+    insist("POST", WIRE_PATH_JOBS, b, 201, 200, word);
     g_byte_array_unref(b);
 
     /* One controller after the other is killed in the midst of it, and starts again. */
@@ -743,25 +748,25 @@
         lmn_sleep(1.0);
         start_node(i);
     }
-    insist("POST", P_JOBS "/run-000100" P_CANCEL, NULL, 200, 200, word);
-    assert_string_equal(word, W_WITHDRAWN);
+    insist("POST", WIRE_PATH_JOBS "/run-000100" WIRE_PATH_CANCEL, NULL, 200, 200, word);
+    assert_string_equal(word, WIRE_CANCELLED);
     for (int k = 0; k < 6; k++) {
         struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
-        g_snprintf(path, sizeof path, P_JOBS "/run-%06d", k);
+        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/run-%06d", k);
         do {
             int status = call("GET", path, NULL, word);
             assert_int_not_equal(status, 404);
             lmn_sleep(0.2);
-        } while (strcmp(word, W_DONE) && lmn_time_before(lmn_now(), end));
-        assert_string_equal(word, W_DONE);
+        } while (strcmp(word, WIRE_DONE) && lmn_time_before(lmn_now(), end));
+        assert_string_equal(word, WIRE_DONE);
     }
     /* Every controller gives the final answers, again and again. */
     for (int i = 0; i < 2 * NODES; i++) {
-        insist("GET", P_JOBS "/run-000100", NULL, 200, 404, word);
-        assert_string_equal(word, W_WITHDRAWN);
+        insist("GET", WIRE_PATH_JOBS "/run-000100", NULL, 200, 404, word);
+        assert_string_equal(word, WIRE_CANCELLED);
         b = job("run-000000", 20, LMN_JOB_BATCH);
-        assert_int_equal(insist("POST", P_JOBS, b, 200, 422, word), 200);
-        assert_string_equal(word, W_DONE);
+        assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 200, 422, word), 200);
+        assert_string_equal(word, WIRE_DONE);
         g_byte_array_unref(b);
     }
     pthread_mutex_lock(&lock);
@@ -777,10 +782,10 @@
     (void)state;
 
     g_byte_array_append(b, (const guint8 *)"\xa0", 1);
-    assert_int_equal(insist("POST", P_JOBS, b, 400, 422, word), 400);
+    assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 400, 422, word), 400);
     g_byte_array_set_size(b, 70000);
     memset(b->data, 0, b->len);
-    assert_int_equal(insist("POST", P_JOBS, b, 400, 201, word), 400);
+    assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 400, 201, word), 400);
     g_byte_array_unref(b);
     /* A description that no value of the state service can hold. */
     char *types[251] = {NULL};
@@ -798,16 +803,16 @@
     b = g_byte_array_new();
     lmn_cbor_put_map(b, lmn_job_spec_pair_count());
     lmn_job_spec_write(b, &large);
-    assert_int_equal(insist("POST", P_JOBS, b, 400, 422, word), 400);
+    assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 400, 422, word), 400);
     g_byte_array_unref(b);
     for (int i = 0; i < 250; i++)
         g_free(types[i]);
     b = job("run-000200", 61,
             LMN_JOB_SERVICE); /* all replicas: more than the team's limit */
-    assert_int_equal(insist("POST", P_JOBS, b, 422, 201, word), 422);
+    assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 422, 201, word), 422);
     g_byte_array_unref(b);
-    insist("GET", P_JOBS "/run-000200", NULL, 404, 404, word);
-    insist("GET", P_JOBS "/nonsense", NULL, 404, 404, word);
+    insist("GET", WIRE_PATH_JOBS "/run-000200", NULL, 404, 404, word);
+    insist("GET", WIRE_PATH_JOBS "/nonsense", NULL, 404, 404, word);
 }
 
 /* --- odd requests, at each controller --- */
@@ -821,7 +826,7 @@
     if (what == NO_FIELD) {
         g_byte_array_set_size(b, 0);
         lmn_cbor_put_map(b, 1);
-        lmn_cbor_put_text(b, W_ID), lmn_cbor_put_text(b, ref);
+        lmn_cbor_put_text(b, WIRE_JOB_ID), lmn_cbor_put_text(b, ref);
     }
     return b;
 }
@@ -831,12 +836,12 @@
     char path[96];
 
     if (what <= CANCEL) {
-        g_snprintf(path, sizeof path, P_JOBS "/%s%s", ref,
-                   what == CANCEL ? P_CANCEL : "");
+        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s%s", ref,
+                   what == CANCEL ? WIRE_PATH_CANCEL : "");
         return call_at(node, what == CANCEL ? "POST" : "GET", path, NULL, word);
     }
     GByteArray *b = odd_body(what, ref);
-    int status = call_at(node, "POST", P_JOBS, b, word);
+    int status = call_at(node, "POST", WIRE_PATH_JOBS, b, word);
     g_byte_array_unref(b);
     return status;
 }
@@ -877,7 +882,7 @@
     assert_int_equal(odd_call(node, CANCEL, "nonsense", word), 404);
     assert_int_equal(odd_call(node, NO_FIELD, "nonsense", word), 400);
     g_byte_array_append(b, (const guint8 *)"\xff", 1);
-    assert_int_equal(call_at(node, "POST", P_JOBS, b, word), 400);
+    assert_int_equal(call_at(node, "POST", WIRE_PATH_JOBS, b, word), 400);
     g_byte_array_unref(b);
 }
 
@@ -889,11 +894,11 @@
     GByteArray *b = job("run-000101", 1, LMN_JOB_SERVICE);
     (void)state;
 
-    insist("POST", P_JOBS, b, 201, 200, word);
+    insist("POST", WIRE_PATH_JOBS, b, 201, 200, word);
     g_byte_array_unref(b);
     for (int i = 0; i < NODES; i++) {
-        expect(i, "run-000000", known, W_DONE);
-        expect(i, "run-000100", known, W_WITHDRAWN);
+        expect(i, "run-000000", known, WIRE_DONE);
+        expect(i, "run-000100", known, WIRE_CANCELLED);
         for (enum odd what = ASK; what < ODD; what++)
             if (what != CANCEL)
                 assert_int_equal(odd_call(i, what, "run-000101", word), 200);
@@ -910,24 +915,24 @@
     kill(pids[0], SIGKILL);
     waitpid(pids[0], &status, 0);
     start_node(0);
-    while (call_at(0, "GET", P_READY, NULL, word) != 503)
+    while (call_at(0, "GET", WIRE_PATH_READY, NULL, word) != 503)
         lmn_sleep(0.05);
     for (int i = 0; i < NODES; i++) {
-        expect(i, "run-000000", i ? known : cant_tell, W_DONE);
+        expect(i, "run-000000", i ? known : cant_tell, WIRE_DONE);
         expect(i, "run-000101", cant_tell, NULL);
         expect(i, "run-000900", cant_tell, NULL);
         expect_unnamed(i);
     }
     lmn_sleep(4); /* now their views are old as well */
     for (int i = 0; i < NODES; i++) {
-        expect(i, "run-000000", i ? known : cant_tell, W_DONE);
+        expect(i, "run-000000", i ? known : cant_tell, WIRE_DONE);
         expect(i, "run-000101", cant_tell, NULL);
         expect(i, "run-000900", cant_tell, NULL);
     }
     refuse(false);
     for (int i = 0; i < NODES; i++) {
-        expect(i, "run-000000", known, W_DONE);
-        expect(i, "run-000101", known, i ? W_WITHDRAWN : NULL);
+        expect(i, "run-000000", known, WIRE_DONE);
+        expect(i, "run-000101", known, i ? WIRE_CANCELLED : NULL);
     }
 }
 
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -143,7 +143,7 @@
     }
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 1);
-    lmn_cbor_put_text(b, W_REVISION), lmn_cbor_put_uint(b, 7);
+    lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, 7);
     lmn_http_request_respond(call, 200, b, 0);
 }
 
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -229,15 +229,15 @@
     GByteArray *b = g_byte_array_new();
 
     lmn_cbor_put_map(b, 9);
-    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, m->name);
-    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, m->addr);
-    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "t");
-    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, "z");
-    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, false);
-    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, session);
-    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, 1);
-    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, token);
-    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, 0);
+    lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, m->name);
+    lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, m->addr);
+    lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, "t");
+    lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, "z");
+    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, false);
+    lmn_cbor_put_text(b, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(b, session);
+    lmn_cbor_put_text(b, WIRE_SEQUENCE), lmn_cbor_put_uint(b, 1);
+    lmn_cbor_put_text(b, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(b, token);
+    lmn_cbor_put_text(b, WIRE_TASKS), lmn_cbor_put_array(b, 0);
     return b;
 }
 
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -363,29 +363,29 @@
     guint n = lists ? of->attempts->len : 0;
 
     lmn_cbor_put_map(b, 9);
-    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, name);
-    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, "10.0.0.9:1");
-    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "x");
-    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, "a");
-    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, false);
-    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, session);
-    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, seq);
-    lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, token);
-    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, n);
+    lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, name);
+    lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, "10.0.0.9:1");
+    lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, "x");
+    lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, "a");
+    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, false);
+    lmn_cbor_put_text(b, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(b, session);
+    lmn_cbor_put_text(b, WIRE_SEQUENCE), lmn_cbor_put_uint(b, seq);
+    lmn_cbor_put_text(b, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(b, token);
+    lmn_cbor_put_text(b, WIRE_TASKS), lmn_cbor_put_array(b, n);
     for (guint i = 0; i < n; i++) {
         const struct lmn_attempt *a = &g_array_index(of->attempts, struct lmn_attempt, i);
         char task[64];
         g_snprintf(task, sizeof task, "%s/%u", a->ref, a->index);
         lmn_cbor_put_map(b, 3);
-        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, task);
-        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, a->number);
-        lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, W_FETCHING);
+        lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, task);
+        lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, a->number);
+        lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, WIRE_FETCHING);
     }
     core->members.fresh = core->members.tick = core->fresh = now;
     int status = lmn_heartbeat_handle(core, b->data, b->len, out, &last_held, now);
     *orders = 0;
     if (status == 200 && lmn_cbor_parse(&d, out->data, out->len) == 0) {
-        *orders = lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS)->len;
+        *orders = lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_COMMANDS)->len;
         lmn_cbor_free(&d);
     }
     g_byte_array_unref(b);
@@ -571,10 +571,11 @@
     unsigned n = 0;
 
     assert_int_equal(lmn_cbor_parse(&d, out->data, out->len), 0);
-    const struct lmn_cbor_value *list = lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS);
+    const struct lmn_cbor_value *list =
+        lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_COMMANDS);
     for (const struct lmn_cbor_value *x = lmn_cbor_first_child(&d, list); x;
          x = lmn_cbor_next(&d, x))
-        n += lmn_cbor_text_equals(lmn_cbor_get(&d, x, W_OP), op);
+        n += lmn_cbor_text_equals(lmn_cbor_get(&d, x, WIRE_COMMAND), op);
     lmn_cbor_free(&d);
     return n;
 }
@@ -611,15 +612,15 @@
             job.phase = LMN_JOB_CANCELLED;
         m->seq = seq + 9; /* a call's answer was newer */
         assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
-        assert_int_equal(commands(answered, W_KILL), withdrawn ? 4 + 4 : 0);
-        assert_int_equal(orders, commands(answered, W_KILL));
+        assert_int_equal(commands(answered, WIRE_KILL), withdrawn ? 4 + 4 : 0);
+        assert_int_equal(orders, commands(answered, WIRE_KILL));
         /* Another has it from now on, and has heard nothing of the machine. */
         g_array_set_size(m->attempts, 0);
         m->heard = m->accounted = false;
         core->parts[0].my_term = 2;
         assert_int_equal(report(names, m->name, 2, ++seq, 1, true, &orders), 200);
-        assert_int_equal(commands(answered, W_KILL), withdrawn ? 4 : 0);
-        assert_int_equal(orders, commands(answered, W_KILL));
+        assert_int_equal(commands(answered, WIRE_KILL), withdrawn ? 4 : 0);
+        assert_int_equal(orders, commands(answered, WIRE_KILL));
         assert_false(m->accounted);
     }
 }
@@ -645,11 +646,11 @@
     now = lmn_time_add(now, 4);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
     assert_true(last_held.mark > 0);
-    assert_int_equal(commands(answered, W_KILL), 4);
-    assert_int_equal(commands(answered, W_START), 4);
+    assert_int_equal(commands(answered, WIRE_KILL), 4);
+    assert_int_equal(commands(answered, WIRE_START), 4);
     lmn_heartbeat_withhold_starts(core, &last_held, answered, now);
-    assert_int_equal(commands(answered, W_KILL), 4);
-    assert_int_equal(commands(answered, W_START), 0);
+    assert_int_equal(commands(answered, WIRE_KILL), 4);
+    assert_int_equal(commands(answered, WIRE_START), 0);
     assert_int_equal(range.nstarted, 0);
 }
 
@@ -701,8 +702,8 @@
     assert_int_equal(orders, 0);
     job.phase = LMN_JOB_CANCELLED;
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
-    assert_int_equal(commands(answered, W_START), 4);
-    assert_int_equal(commands(answered, W_KILL), 4);
+    assert_int_equal(commands(answered, WIRE_START), 4);
+    assert_int_equal(commands(answered, WIRE_KILL), 4);
     g_byte_array_unref(body);
 }
 
@@ -738,7 +739,7 @@
     assert_true(lmn_tombstone_receive(core, "run-000001", lmn_time_add(now, 30)));
     now = lmn_time_add(now, 4);
     assert_int_equal(report(m, m->name, 2, ++seq, 1, true, &orders), 200);
-    assert_int_equal(commands(answered, W_KILL), 4);
+    assert_int_equal(commands(answered, WIRE_KILL), 4);
     assert_int_equal(orders, 4);
     now = lmn_time_add(now, 4); /* they are gone: queued again, and not started */
     assert_int_equal(report(m, m->name, 2, ++seq, 1, false, &orders), 200);
@@ -783,20 +784,20 @@
         GByteArray *b = g_byte_array_new(), *out = g_byte_array_new();
         struct lmn_deferred_starts held;
         lmn_cbor_put_map(b, 8);
-        lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, m->name);
-        lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, "10.0.0.9:1");
-        lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "x");
-        lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, "a");
-        lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, 2);
-        lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, seq + 1);
-        lmn_cbor_put_text(b, W_TOKEN), lmn_cbor_put_uint(b, 1);
-        lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, 1);
+        lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, m->name);
+        lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, "10.0.0.9:1");
+        lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, "x");
+        lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, "a");
+        lmn_cbor_put_text(b, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(b, 2);
+        lmn_cbor_put_text(b, WIRE_SEQUENCE), lmn_cbor_put_uint(b, seq + 1);
+        lmn_cbor_put_text(b, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(b, 1);
+        lmn_cbor_put_text(b, WIRE_TASKS), lmn_cbor_put_array(b, 1);
         lmn_cbor_put_map(b, 2);
-        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, bad[i]);
-        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, 1);
+        lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, bad[i]);
+        lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, 1);
         assert_int_equal(lmn_heartbeat_handle(core, b->data, b->len, out, &held, now),
                          400);
-        assert_non_null(memmem(out->data, out->len, W_TASKS, strlen(W_TASKS)));
+        assert_non_null(memmem(out->data, out->len, WIRE_TASKS, strlen(WIRE_TASKS)));
         g_byte_array_unref(b);
         g_byte_array_unref(out);
     }
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -43,7 +43,7 @@
     char name[LMN_NAME_SIZE] = "";
 
     if (status == 421 && lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
-        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), W_REPORT_TO), name,
+        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_REDIRECT_TO), name,
                           sizeof name);
         lmn_cbor_free(&d);
     }
--- a/tests/world/machines.c
+++ b/tests/world/machines.c
@@ -39,31 +39,31 @@
 /* Returns where the token stands. */
 static guint put_report(struct machine *m, GByteArray *b)
 {
-    static const char *const states[] = {W_FETCHING, W_RUNNING, W_ENDED};
+    static const char *const states[] = {WIRE_FETCHING, WIRE_RUNNING, WIRE_ENDED};
 
     lmn_cbor_put_map(b, 10);
-    lmn_cbor_put_text(b, W_MACHINE), lmn_cbor_put_text(b, m->name);
-    lmn_cbor_put_text(b, W_ADDR), lmn_cbor_put_text(b, "10.0.0.1:9000");
-    lmn_cbor_put_text(b, W_TYPE), lmn_cbor_put_text(b, "t");
-    lmn_cbor_put_text(b, W_ZONE), lmn_cbor_put_text(b, m->zone);
-    lmn_cbor_put_text(b, W_SPOT), lmn_cbor_put_bool(b, m->spot);
-    lmn_cbor_put_text(b, W_SESSION), lmn_cbor_put_uint(b, m->session);
-    lmn_cbor_put_text(b, W_SEQ), lmn_cbor_put_uint(b, ++m->seq);
-    lmn_cbor_put_text(b, W_NOTICE), lmn_cbor_put_null(b);
-    lmn_cbor_put_text(b, W_TASKS), lmn_cbor_put_array(b, (size_t)m->ntasks);
+    lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, m->name);
+    lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, "10.0.0.1:9000");
+    lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, "t");
+    lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, m->zone);
+    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, m->spot);
+    lmn_cbor_put_text(b, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(b, m->session);
+    lmn_cbor_put_text(b, WIRE_SEQUENCE), lmn_cbor_put_uint(b, ++m->seq);
+    lmn_cbor_put_text(b, WIRE_SPOT_NOTICE_S), lmn_cbor_put_null(b);
+    lmn_cbor_put_text(b, WIRE_TASKS), lmn_cbor_put_array(b, (size_t)m->ntasks);
     for (int i = 0; i < m->ntasks; i++) {
         const struct task *t = &m->tasks[i];
         char name[64];
         g_snprintf(name, sizeof name, "%s/%d", w.jobs[t->job].ref, t->index);
         lmn_cbor_put_map(b, t->state == ENDED ? 4 : 3);
-        lmn_cbor_put_text(b, W_TASK), lmn_cbor_put_text(b, name);
-        lmn_cbor_put_text(b, W_ATTEMPT), lmn_cbor_put_uint(b, t->attempt);
-        lmn_cbor_put_text(b, W_STATE), lmn_cbor_put_text(b, states[t->state]);
+        lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, name);
+        lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, t->attempt);
+        lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, states[t->state]);
         if (t->state == ENDED)
-            lmn_cbor_put_text(b, W_WHY),
-                lmn_cbor_put_text(b, t->done ? W_DONE : W_STOPPED);
+            lmn_cbor_put_text(b, WIRE_EXIT_REASON),
+                lmn_cbor_put_text(b, t->done ? WIRE_DONE : WIRE_STOPPED);
     }
-    lmn_cbor_put_text(b, W_TOKEN);
+    lmn_cbor_put_text(b, WIRE_FENCING_TOKEN);
     guint token_at = b->len;
     lmn_cbor_put_uint(b, m->token);
     return token_at;
@@ -118,8 +118,8 @@
          n = lmn_cbor_next(d, n)) {
         char name[64];
         uint64_t attempt = 0;
-        assert_true(lmn_cbor_get_text(lmn_cbor_get(d, n, W_TASK), name, sizeof name));
-        assert_true(lmn_cbor_get_uint(lmn_cbor_get(d, n, W_ATTEMPT), &attempt));
+        assert_true(lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_TASK), name, sizeof name));
+        assert_true(lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_ATTEMPT), &attempt));
         char *slash = strrchr(name, '/');
         *slash = '\0';
         int job = world_job(name), index = atoi(slash + 1), at = -1;
@@ -134,7 +134,7 @@
                     same_task = true;
             }
         }
-        if (lmn_cbor_text_equals(lmn_cbor_get(d, n, W_OP), W_START)) {
+        if (lmn_cbor_text_equals(lmn_cbor_get(d, n, WIRE_COMMAND), WIRE_START)) {
             if (at >= 0 || m->ntasks == 64)
                 continue;
             struct task *t = &m->tasks[m->ntasks++];
@@ -142,7 +142,7 @@
                                FETCHING, false, w.now + g_rand_double_range(w.r, 0, 0.5)};
             if (same_task)
                 t->state = ENDED; /* busy */
-        } else if (lmn_cbor_text_equals(lmn_cbor_get(d, n, W_OP), W_KILL)) {
+        } else if (lmn_cbor_text_equals(lmn_cbor_get(d, n, WIRE_COMMAND), WIRE_KILL)) {
             bool ours = attempt >> 24 == m->token;
             if (at >= 0 && m->tasks[at].state != ENDED &&
                 (ours || w.broken != G_INHERITED))
@@ -170,7 +170,7 @@
     m->next_report = w.now + g_rand_double_range(w.r, 0.75, 1.25);
     if (lmn_cbor_parse(&d, x->body->data, x->body->len) != 0)
         return;
-    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN), &token);
     if (token >= m->token && token) {
         bool kills = w.broken != G_KILLS || token == m->token;
         if (token > m->token)
@@ -178,7 +178,7 @@
         m->token = token;
         m->lease_from = m->answer_by - 4; /* when the report was sent */
         if (kills)
-            obey(m, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS));
+            obey(m, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_COMMANDS));
     }
     lmn_cbor_free(&d);
 }
@@ -203,11 +203,12 @@
     int status = 409;
 
     assert_int_equal(lmn_cbor_parse(&d, body->data, body->len), 0);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_TOKEN), &token);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), W_SESSION), &session);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN), &token);
+    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_AGENT_INCARNATION),
+                      &session);
     if (command_counts(m, token, session)) {
         m->token = MAX(m->token, token);
-        obey(m, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), W_COMMANDS));
+        obey(m, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_COMMANDS));
         status = 200;
     }
     lmn_cbor_free(&d);
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -281,9 +281,10 @@
             continue;
         }
         lmn_cbor_put_map(body, 3);
-        lmn_cbor_put_text(body, W_TOKEN), lmn_cbor_put_uint(body, term);
-        lmn_cbor_put_text(body, W_SESSION), lmn_cbor_put_uint(body, m->session);
-        lmn_cbor_put_text(body, W_COMMANDS), lmn_cbor_put_array(body, 0);
+        lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, term);
+        lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
+            lmn_cbor_put_uint(body, m->session);
+        lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, 0);
         int status =
             held_up(m, body) ? LMN_HTTP_NO_RESPONSE : machine_direct(m, body, answer);
         lmn_worker_client_probe_done(n->core, name, term, status, answer, w.clock);
