--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -41,19 +41,19 @@
 
 static uint64_t incarnation_of(int i)
 {
-    struct lmn_http_client *h = lmn_http_client_new(state[i]);
+    struct lmn_http_client *client = lmn_http_client_new(state[i]);
     GByteArray *in = g_byte_array_new();
     struct lmn_cbor_document d;
     uint64_t v = 0;
 
-    while (lmn_http_client_call(h, "GET", "/incarnation", NULL, 2, in) != 200)
+    while (lmn_http_client_call(client, "GET", "/incarnation", NULL, 2, in) != 200)
         lmn_sleep(0.05);
     if (lmn_cbor_parse(&d, in->data, in->len) == 0) {
         lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), "Incarnation"), &v);
         lmn_cbor_free(&d);
     }
     g_byte_array_unref(in);
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     return v;
 }
 
@@ -69,7 +69,7 @@
         return;
     }
     lmn_gateway_records_open(&b, state[side], "loader", 48, &restored);
-    struct lmn_http_client *h = lmn_http_client_new(state[side]);
+    struct lmn_http_client *client = lmn_http_client_new(state[side]);
     for (unsigned n = 0; n < jobs;) {
         static struct lmn_record_write w[BATCH];
         unsigned k = 0;
@@ -103,18 +103,18 @@
             }
         }
         pthread_mutex_unlock(&b.lock);
-        lmn_gateway_records_write(&b, h, w, k);
+        lmn_gateway_records_write(&b, client, w, k);
     }
     _exit(0);
 }
 
-static uint64_t finals(struct lmn_http_client *h)
+static uint64_t finals(struct lmn_http_client *client)
 {
     GByteArray *in = g_byte_array_new();
     struct lmn_cbor_document d;
     uint64_t n = 0;
 
-    if (lmn_http_client_call(h, "GET", "/gateway", NULL, 5, in) == 200 &&
+    if (lmn_http_client_call(client, "GET", "/gateway", NULL, 5, in) == 200 &&
         lmn_cbor_parse(&d, in->data, in->len) == 0) {
         lmn_cbor_get_uint(
             lmn_cbor_get(&d, lmn_cbor_get(&d, lmn_cbor_root(&d), "Jobs"), "final"), &n);
@@ -124,7 +124,7 @@
     return n;
 }
 
-static double submit(struct lmn_http_client *h, unsigned n)
+static double submit(struct lmn_http_client *client, unsigned n)
 {
     struct lmn_job_spec s = {.class_name = (char *)"c",
                              .team = (char *)"t",
@@ -138,7 +138,7 @@
     g_snprintf(s.ref, sizeof s.ref, WIRE_JOB_ID_PREFIX "9%09u", n);
     lmn_cbor_put_map(b, lmn_job_spec_pair_count());
     lmn_job_spec_write(b, &s);
-    int status = lmn_http_client_call(h, "POST", WIRE_PATH_JOBS, b, 10, in);
+    int status = lmn_http_client_call(client, "POST", WIRE_PATH_JOBS, b, 10, in);
     g_byte_array_unref(b);
     g_byte_array_unref(in);
     return status == 201 ? lmn_time_diff_s(lmn_now(), begun) : 10;
@@ -198,24 +198,24 @@
                                     "--config",  file[i],   NULL};
         /* The home first: the link returns when the host has begun. */
         pids[2 + i] = start(args, log);
-        struct lmn_http_client *h = lmn_http_client_new(users[i]);
+        struct lmn_http_client *client = lmn_http_client_new(users[i]);
         GByteArray *in = g_byte_array_new();
-        while (lmn_http_client_call(h, "GET", WIRE_PATH_READY, NULL, 2, in) != 200)
+        while (lmn_http_client_call(client, "GET", WIRE_PATH_READY, NULL, 2, in) != 200)
             lmn_sleep(0.02);
-        lmn_http_client_free(h);
+        lmn_http_client_free(client);
         g_byte_array_unref(in);
         g_free(text);
     }
-    struct lmn_http_client *h = lmn_http_client_new(users[0]);
+    struct lmn_http_client *client = lmn_http_client_new(users[0]);
     struct timespec begun = lmn_now();
     lmn_latency_init(&l);
-    while (finals(h) < jobs && lmn_time_diff_s(lmn_now(), begun) < 600) {
+    while (finals(client) < jobs && lmn_time_diff_s(lmn_now(), begun) < 600) {
         for (int i = 0; i < 5; i++)
-            lmn_latency_add(&l, submit(h, n++));
+            lmn_latency_add(&l, submit(client, n++));
         lmn_sleep(0.02);
     }
     double took = lmn_time_diff_s(lmn_now(), begun);
-    uint64_t known = finals(h);
+    uint64_t known = finals(client);
     printf("%s outcomes=%u known=%" G_GUINT64_FORMAT
            " after=%.2f s (%.0f a second), meanwhile "
            "submissions=%u p50=%.4f p99=%.4f longest=%.4f\n",
--- a/bench/common.h
+++ b/bench/common.h
@@ -38,17 +38,17 @@
  * stands before it and behind, as in "\nname ". */
 static inline double bench_metric(const char *addr, const char *name)
 {
-    struct lmn_http_client *h = lmn_http_client_new(addr);
+    struct lmn_http_client *client = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new();
     double v = 0;
 
-    if (lmn_http_client_call(h, "GET", "/metrics", NULL, 5, in) == 200) {
+    if (lmn_http_client_call(client, "GET", "/metrics", NULL, 5, in) == 200) {
         g_byte_array_append(in, (const guint8 *)"", 1);
         const char *at = strstr((char *)in->data, name);
         v = at ? g_ascii_strtod(at + strlen(name), NULL) : 0;
     }
     g_byte_array_unref(in);
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     return v;
 }
 
--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -116,10 +116,10 @@
             if (spared)
                 continue;
             /* A new connection for each, as a balancer makes. */
-            struct lmn_http_client *h = lmn_http_client_new(site.users[i]);
-            int status =
-                lmn_http_client_call(h, "GET", WIRE_PATH_READY, NULL, timed ? 1 : 20, in);
-            lmn_http_client_free(h);
+            struct lmn_http_client *client = lmn_http_client_new(site.users[i]);
+            int status = lmn_http_client_call(client, "GET", WIRE_PATH_READY, NULL,
+                                              timed ? 1 : 20, in);
+            lmn_http_client_free(client);
             pthread_mutex_lock(&checks.lock);
             checks.asked++;
             checks.failed += status < 0 && checks.spared != i;
--- a/bench/failover.c
+++ b/bench/failover.c
@@ -228,9 +228,9 @@
     bool ok = false;
 
     while (!ok && lmn_time_diff_s(lmn_now(), begun) < patience_s) {
-        struct lmn_http_client *h = lmn_http_client_new(addr);
-        ok = lmn_http_client_call(h, "GET", WIRE_PATH_READY, NULL, 1, in) == 200;
-        lmn_http_client_free(h);
+        struct lmn_http_client *client = lmn_http_client_new(addr);
+        ok = lmn_http_client_call(client, "GET", WIRE_PATH_READY, NULL, 1, in) == 200;
+        lmn_http_client_free(client);
         if (!ok)
             lmn_sleep(0.1);
     }
@@ -590,10 +590,10 @@
     return true;
 }
 
-static void show(const char *what, const struct lmn_latency *l)
+static void show(const char *what, const struct lmn_latency *latency)
 {
-    printf("  %s: p50 %.2f s, p99 %.2f s\n", what, lmn_latency_quantile(l, 0.5),
-           lmn_latency_quantile(l, 0.99));
+    printf("  %s: p50 %.2f s, p99 %.2f s\n", what, lmn_latency_quantile(latency, 0.5),
+           lmn_latency_quantile(latency, 0.99));
 }
 
 int main(int argc, char **argv)
--- a/bench/gateway.c
+++ b/bench/gateway.c
@@ -146,12 +146,12 @@
 
 /* --- users --- */
 
-static int call(struct lmn_http_client *h, const char *method, const char *path,
+static int call(struct lmn_http_client *client, const char *method, const char *path,
                 const GByteArray *body, char *state)
 {
     GByteArray *in = g_byte_array_new();
     struct lmn_cbor_document d;
-    int status = lmn_http_client_call(h, method, path, body, 10, in);
+    int status = lmn_http_client_call(client, method, path, body, 10, in);
 
     *state = '\0';
     if (in->len && lmn_cbor_parse(&d, in->data, in->len) == 0) {
@@ -193,14 +193,14 @@
 }
 
 /* Whether another site has the job, as its home says. */
-static bool is_away(struct lmn_http_client *h, const struct job *j)
+static bool is_away(struct lmn_http_client *client, const struct job *j)
 {
     GByteArray *in = g_byte_array_new();
     char path[96], course[16] = "";
     struct lmn_cbor_document d;
 
     g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s", j->ref);
-    if (lmn_http_client_call(h, "GET", path, NULL, 10, in) == 200 &&
+    if (lmn_http_client_call(client, "GET", path, NULL, 10, in) == 200 &&
         lmn_cbor_parse(&d, in->data, in->len) == 0) {
         lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), "Course"), course,
                           sizeof course);
@@ -310,13 +310,13 @@
  * stood there by then is called back. */
 static void evict_one(void)
 {
-    struct lmn_http_client *h = lmn_http_client_new(sites[0].users);
+    struct lmn_http_client *client = lmn_http_client_new(sites[0].users);
     char path[96], state[16];
 
     for (int out = 1; out >= 0; out--) {
         g_snprintf(path, sizeof path, "/gateway/%s/%s", out ? "evict" : "admit",
                    names[1]);
-        while (call(h, "POST", path, NULL, state) != 200)
+        while (call(client, "POST", path, NULL, state) != 200)
             lmn_sleep(0.1);
         for (unsigned i = 0; i < njobs; i++)
             jobs[i].recall = jobs[i].recall || jobs[i].home == 0;
@@ -324,7 +324,7 @@
             cut_one();
     }
     evictions++;
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
 }
 
 /* --- the check --- */
--- a/bench/rehearsal.c
+++ b/bench/rehearsal.c
@@ -86,7 +86,7 @@
 
 /* --- users --- */
 
-static void submit(struct lmn_users *u, struct job *j, double seconds)
+static void submit(struct lmn_users *users, struct job *j, double seconds)
 {
     static const char script[] =
         "exec 9>>\"$STAMPS/$LEMONSPAR_JOB.$LEMONSPAR_TASK\"\n"
@@ -99,11 +99,11 @@
                    g_strdup_printf("FOR=%.2f", seconds), NULL};
     struct lmn_job_state s;
 
-    GByteArray *body = bench_describe(u->depot, j->ref, j->tasks, 4, argv, env);
+    GByteArray *body = bench_describe(users->depot, j->ref, j->tasks, 4, argv, env);
     struct timespec begun = lmn_now();
     int status;
     do
-        status = lmn_users_call(u, "POST", WIRE_PATH_JOBS, body, 60, &s);
+        status = lmn_users_call(users, "POST", WIRE_PATH_JOBS, body, 60, &s);
     while (status != 200 && status != 201 && status != 422 && status != 400);
     pthread_mutex_lock(&lock);
     lmn_latency_add(&submitting, lmn_time_diff_s(lmn_now(), begun));
@@ -115,7 +115,7 @@
     g_free(env[1]);
 }
 
-static void cancel(struct lmn_users *u, struct job *j)
+static void cancel(struct lmn_users *users, struct job *j)
 {
     char path[96];
     struct lmn_job_state s;
@@ -124,7 +124,7 @@
     g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s" WIRE_PATH_CANCEL, j->ref);
     j->cancel = true;
     do
-        status = lmn_users_call(u, "POST", path, NULL, 60, &s);
+        status = lmn_users_call(users, "POST", path, NULL, 60, &s);
     while (status != 200 && status != 404);
     if (status == 404)
         complain("was accepted, and is not known", j->ref);
--- a/bench/retention.c
+++ b/bench/retention.c
@@ -31,9 +31,9 @@
     struct timespec now = {1000, 0};
     unsigned long jobs = argc > 1 ? strtoul(argv[1], NULL, 10) : 1000000;
     double first = 0, last = 0;
-    uint64_t rev = 0;
+    uint64_t revision = 0;
 
-    struct lmn_core *c = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
+    struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
     for (unsigned long n = 0; n < jobs; n++) {
         struct lmn_job_spec s = {.class_name = (char *)"shift-settlement",
                                  .team = (char *)"t",
@@ -50,18 +50,18 @@
             struct lmn_cbor_document d;
             if (lmn_cbor_parse(&d, b->data, b->len) != 0)
                 return 1;
-            lmn_watch_cache_apply(c, key, &d, lmn_cbor_root(&d), ++rev, now);
+            lmn_watch_cache_apply(core, key, &d, lmn_cbor_root(&d), ++revision, now);
             lmn_cbor_free(&d);
             g_byte_array_unref(b);
         }
         now = lmn_time_add(now, 0.1); /* ten jobs a second */
-        lmn_retention_evict(c, now);
+        lmn_retention_evict(core, now);
         if ((n + 1) % (jobs / 10) == 0) {
             last = bench_resident_mb(0);
             if (first <= 0)
                 first = last;
             printf("jobs=%lu in_memory=%u resident=%.1f MB\n", n + 1,
-                   g_hash_table_size(c->jobs), last);
+                   g_hash_table_size(core->jobs), last);
         }
     }
     printf("%s after a tenth %.1f MB, at the end %.1f MB\n",
--- a/bench/state.c
+++ b/bench/state.c
@@ -57,10 +57,10 @@
     waitpid(service, NULL, 0);
 }
 
-static bool serves(struct lmn_http_client *h)
+static bool serves(struct lmn_http_client *client)
 {
     GByteArray *in = g_byte_array_new();
-    int status = lmn_http_client_call(h, "GET", WIRE_PATH_READY, NULL, 1, in);
+    int status = lmn_http_client_call(client, "GET", WIRE_PATH_READY, NULL, 1, in);
     g_byte_array_unref(in);
     return status == 200;
 }
@@ -69,14 +69,14 @@
 static double wait_service(void)
 {
     struct timespec begun = lmn_now();
-    struct lmn_http_client *h = lmn_http_client_new(addr);
-    while (!serves(h) && lmn_time_diff_s(lmn_now(), begun) < 300)
+    struct lmn_http_client *client = lmn_http_client_new(addr);
+    while (!serves(client) && lmn_time_diff_s(lmn_now(), begun) < 300)
         lmn_sleep(0.001);
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     return lmn_time_diff_s(lmn_now(), begun);
 }
 
-static GByteArray *transaction(const char *cond, uint64_t rev, const char *key,
+static GByteArray *transaction(const char *cond, uint64_t revision, const char *key,
                                uint64_t value, const char *own, const char *counter)
 {
     GByteArray *b = g_byte_array_new();
@@ -85,7 +85,7 @@
     if (cond) {
         lmn_cbor_put_map(b, 2);
         lmn_cbor_put_text(b, WIRE_KEY), lmn_cbor_put_text(b, cond);
-        lmn_cbor_put_text(b, WIRE_VERSION), lmn_cbor_put_uint(b, rev);
+        lmn_cbor_put_text(b, WIRE_VERSION), lmn_cbor_put_uint(b, revision);
     }
     lmn_cbor_put_text(b, WIRE_OPERATIONS), lmn_cbor_put_array(b, own ? 2 : 1);
     lmn_cbor_put_map(b, 2);
@@ -117,7 +117,7 @@
     pthread_t threads[MOST_WRITERS];
 } w = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
-static bool read_counter(struct lmn_http_client *h, GByteArray *in, const char *key,
+static bool read_counter(struct lmn_http_client *client, GByteArray *in, const char *key,
                          uint64_t *rev, uint64_t *value)
 {
     char path[64];
@@ -125,7 +125,7 @@
 
     *rev = *value = 0;
     g_snprintf(path, sizeof path, WIRE_PATH_STORE "/%s", key);
-    int status = lmn_http_client_call(h, "GET", path, NULL, 2, in);
+    int status = lmn_http_client_call(client, "GET", path, NULL, 2, in);
     if (status == 404)
         return true;
     if (status != 200 || lmn_cbor_parse(&d, in->data, in->len) != 0)
@@ -139,24 +139,24 @@
 static void *writer(void *arg)
 {
     int me = (int)(intptr_t)arg;
-    struct lmn_http_client *h = lmn_http_client_new(addr);
+    struct lmn_http_client *client = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new();
     GRand *r = g_rand_new_with_seed((guint32)me + 1);
 
     for (unsigned n = 0; !w.stop; n++) {
         char counter[16], own[48];
-        uint64_t rev, value;
+        uint64_t revision, value;
         struct lmn_cbor_document d;
         g_snprintf(counter, sizeof counter, "counter/%d",
                    g_rand_int_range(r, 0, COUNTERS));
         g_snprintf(own, sizeof own, "own/%d/%u", me, n);
-        if (!read_counter(h, in, counter, &rev, &value)) {
+        if (!read_counter(client, in, counter, &revision, &value)) {
             lmn_sleep(0.005);
             continue;
         }
-        GByteArray *b = transaction(counter, rev, counter, value + 1, own, counter);
+        GByteArray *b = transaction(counter, revision, counter, value + 1, own, counter);
         struct acked a = {.sent = lmn_now()};
-        int status = lmn_http_client_call(h, "POST", WIRE_PATH_TXN, b, 2, in);
+        int status = lmn_http_client_call(client, "POST", WIRE_PATH_TXN, b, 2, in);
         a.heard = lmn_now();
         g_byte_array_unref(b);
         g_strlcpy(a.own, own, sizeof a.own);
@@ -173,7 +173,7 @@
             g_array_append_val(w.acked, a);
         pthread_mutex_unlock(&w.lock);
     }
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     g_byte_array_unref(in);
     g_rand_free(r);
     return NULL;
@@ -192,21 +192,21 @@
     char counter[16];
 };
 
-static bool take_own(void *arg, const struct lmn_db_item *i)
+static bool take_own(void *arg, const struct lmn_db_item *item)
 {
     struct applied *a = g_new0(struct applied, 1);
     struct lmn_cbor_document d;
 
-    if (lmn_cbor_parse(&d, i->value, i->len) != 0) {
-        complain("can't be read", i->key);
+    if (lmn_cbor_parse(&d, item->value, item->len) != 0) {
+        complain("can't be read", item->key);
         return true;
     }
-    a->rev = i->rev;
+    a->rev = item->rev;
     lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), "counter"), a->counter,
                       sizeof a->counter);
     lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), "value"), &a->value);
     lmn_cbor_free(&d);
-    g_hash_table_insert(arg, g_strdup(i->key), a);
+    g_hash_table_insert(arg, g_strdup(item->key), a);
     return true;
 }
 
@@ -262,10 +262,10 @@
         complain(err, dir);
         return 0;
     }
-    struct lmn_db_reader *r = lmn_db_reader_new(db);
-    if (lmn_db_view(r, &meta) != 0)
+    struct lmn_db_reader *reader = lmn_db_reader_new(db);
+    if (lmn_db_view(reader, &meta) != 0)
         complain("can't be viewed", dir);
-    lmn_db_list(r, "own/", NULL, take_own, own);
+    lmn_db_list(reader, "own/", NULL, take_own, own);
     g_assert(w.acked != NULL); /* made by begin_writers */
     for (guint i = 0; i < w.acked->len; i++) {
         const struct acked *a = &g_array_index(w.acked, struct acked, i);
@@ -289,7 +289,8 @@
         uint64_t value = 0;
         struct lmn_cbor_document d;
         g_snprintf(name, sizeof name, "counter/%d", i);
-        if (lmn_db_get(r, name, &item) && lmn_cbor_parse(&d, item.value, item.len) == 0) {
+        if (lmn_db_get(reader, name, &item) &&
+            lmn_cbor_parse(&d, item.value, item.len) == 0) {
             lmn_cbor_get_uint(lmn_cbor_root(&d), &value);
             lmn_cbor_free(&d);
         }
@@ -299,8 +300,8 @@
     *applied = g_hash_table_size(own);
     extra = *applied - w.acked->len;
     check_order(w.acked);
-    lmn_db_view_end(r);
-    lmn_db_reader_free(r);
+    lmn_db_view_end(reader);
+    lmn_db_reader_free(reader);
     lmn_db_close(db);
     g_hash_table_destroy(own);
     g_hash_table_destroy(made);
@@ -371,7 +372,7 @@
 static void *plain_writer(void *arg)
 {
     int me = (int)(intptr_t)arg;
-    struct lmn_http_client *h = lmn_http_client_new(addr);
+    struct lmn_http_client *client = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new();
 
     for (unsigned n = 0; !w.stop; n++) {
@@ -379,14 +380,14 @@
         g_snprintf(key, sizeof key, "speed/%d/%u", me, n % 1000);
         GByteArray *b = transaction(NULL, 0, key, n, NULL, NULL);
         struct timespec sent = lmn_now();
-        int status = lmn_http_client_call(h, "POST", WIRE_PATH_TXN, b, 10, in);
+        int status = lmn_http_client_call(client, "POST", WIRE_PATH_TXN, b, 10, in);
         g_byte_array_unref(b);
         pthread_mutex_lock(&w.lock);
         w.tried += status == 200;
         lmn_latency_add(&latency, lmn_time_diff_s(lmn_now(), sent));
         pthread_mutex_unlock(&w.lock);
     }
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     g_byte_array_unref(in);
     return NULL;
 }
@@ -419,18 +420,18 @@
 
 static double metric(const char *name)
 {
-    struct lmn_http_client *h = lmn_http_client_new(addr);
+    struct lmn_http_client *client = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new();
     double v = 0;
 
-    lmn_http_client_call(h, "GET", "/metrics", NULL, 5, in);
+    lmn_http_client_call(client, "GET", "/metrics", NULL, 5, in);
     g_byte_array_append(in, (const guint8 *)"", 1);
     char *line = g_strdup_printf("\n%s ", name), *at = strstr((char *)in->data, line);
     if (at)
         v = g_ascii_strtod(at + strlen(line), NULL);
     g_free(line);
     g_byte_array_unref(in);
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     return v;
 }
 
@@ -508,10 +509,10 @@
         lmn_sleep(0.05);
     threads = status_field("Threads:") - threads;
     kb = status_field("VmRSS:") - kb;
-    struct lmn_http_client *h = lmn_http_client_new(addr);
+    struct lmn_http_client *client = lmn_http_client_new(addr);
     GByteArray *in = g_byte_array_new(), *b = transaction(NULL, 0, "w/1", 1, NULL, NULL);
     struct timespec begun = lmn_now();
-    int status = lmn_http_client_call(h, "POST", WIRE_PATH_TXN, b, 10, in);
+    int status = lmn_http_client_call(client, "POST", WIRE_PATH_TXN, b, 10, in);
     for (int i = 0; i < n; i++)
         heard += read(fds[i], buf, sizeof buf) > 0 && strstr(buf, "200 OK");
     double took = lmn_time_diff_s(lmn_now(), begun);
@@ -542,18 +543,19 @@
             return 1;
         }
         for (unsigned long k = 0; k < want;) {
-            struct lmn_db_batch *b = lmn_db_begin(db, err, sizeof err);
+            struct lmn_db_batch *batch = lmn_db_begin(db, err, sizeof err);
             for (unsigned in = 0; in < 10000 && k < want; in++, k++) {
                 char key[48], value[200];
-                uint64_t rev;
+                uint64_t revision;
                 g_snprintf(key, sizeof key, "j/run-%09lu", k * 7919 % 1000000007);
                 memset(value, 'v', sizeof value);
                 value[0] = 0x78,
                 value[1] = (char)(sizeof value - 2); /* a text, in CBOR */
                 struct lmn_db_change c = {key, value, sizeof value, 0};
-                lmn_db_apply(b, &(struct lmn_db_txn){NULL, &c, 0, 1}, &rev, NULL);
+                lmn_db_apply(batch, &(struct lmn_db_txn){NULL, &c, 0, 1}, &revision,
+                             NULL);
             }
-            if (lmn_db_commit(b, err, sizeof err) != 0) {
+            if (lmn_db_commit(batch, err, sizeof err) != 0) {
                 fprintf(stderr, "%s\n", err);
                 return 1;
             }
--- a/src/admission/connection_budget.c
+++ b/src/admission/connection_budget.c
@@ -22,44 +22,46 @@
 }
 
 void lmn_connection_budget_init(const struct lmn_settings *cfg,
-                                struct lmn_connection_budget *p)
+                                struct lmn_connection_budget *budget)
 {
     unsigned all = (unsigned)cfg->max_connections;
 
     /* Each lane has one call under way at most, whatever it keeps open besides. */
-    p->direct = most(lmn_settings_worker_connections(cfg), LMN_WORKER_CLIENT_THREADS);
-    p->own = fixed(cfg) + p->direct;
-    p->accepted = all > p->own + LEAST_ACCEPTED ? all - p->own : LEAST_ACCEPTED;
+    budget->direct =
+        most(lmn_settings_worker_connections(cfg), LMN_WORKER_CLIENT_THREADS);
+    budget->own = fixed(cfg) + budget->direct;
+    budget->accepted =
+        all > budget->own + LEAST_ACCEPTED ? all - budget->own : LEAST_ACCEPTED;
     /* An eighth is left to pass through, however many stand: a report needs a connection
      * for as long as its answer takes. A quarter each is users' and workers' own; the
      * rest is whose it is needed by. */
-    p->floor[LMN_CONNECTION_UNIDENTIFIED] = most(p->accepted / 8, 4);
-    p->floor[LMN_CONNECTION_USER] = most(p->accepted / 4, 4);
-    p->floor[LMN_CONNECTION_WORKER] = most(p->accepted / 4, 4);
+    budget->floor[LMN_CONNECTION_UNIDENTIFIED] = most(budget->accepted / 8, 4);
+    budget->floor[LMN_CONNECTION_USER] = most(budget->accepted / 4, 4);
+    budget->floor[LMN_CONNECTION_WORKER] = most(budget->accepted / 4, 4);
 }
 
-double lmn_connection_budget_max_machines(const struct lmn_connection_budget *p,
+double lmn_connection_budget_max_machines(const struct lmn_connection_budget *budget,
                                           const struct lmn_settings *cfg)
 {
     /* A few round trips between far zones, and the wait for its turn. */
     static const double held_s = 0.25;
-    double each = p->accepted - p->floor[LMN_CONNECTION_USER];
+    double each = budget->accepted - budget->floor[LMN_CONNECTION_USER];
 
     return each * (double)(cfg->nmembers + 1) * (cfg->report_s / held_s);
 }
 
-bool lmn_connection_budget_admits(const struct lmn_connection_budget *p,
+bool lmn_connection_budget_admits(const struct lmn_connection_budget *budget,
                                   const unsigned open[LMN_CONNECTION_KINDS],
                                   enum lmn_connection_kind kind)
 {
-    unsigned users = most(p->floor[LMN_CONNECTION_USER], open[LMN_CONNECTION_USER]);
+    unsigned users = most(budget->floor[LMN_CONNECTION_USER], open[LMN_CONNECTION_USER]);
 
     return kind != LMN_CONNECTION_WORKER ||
            open[LMN_CONNECTION_WORKER] + open[LMN_CONNECTION_UNIDENTIFIED] + users <
-               p->accepted;
+               budget->accepted;
 }
 
-bool lmn_connection_budget_keeps_open(const struct lmn_connection_budget *p,
+bool lmn_connection_budget_keeps_open(const struct lmn_connection_budget *budget,
                                       const unsigned open[LMN_CONNECTION_KINDS],
                                       enum lmn_connection_kind kind, bool at_fault)
 {
@@ -72,6 +74,6 @@
         return false;
     for (int k = 0; k < LMN_CONNECTION_KINDS; k++)
         if (k != (int)kind)
-            others += most(p->floor[k], open[k]);
-    return open[kind] + others <= p->accepted;
+            others += most(budget->floor[k], open[k]);
+    return open[kind] + others <= budget->accepted;
 }
--- a/src/admission/connection_budget.h
+++ b/src/admission/connection_budget.h
@@ -34,7 +34,7 @@
  * lmn_connection_budget_minimum; below, accepted is 16 and something will be
  * refused. */
 void lmn_connection_budget_init(const struct lmn_settings *cfg,
-                                struct lmn_connection_budget *p);
+                                struct lmn_connection_budget *budget);
 
 /* The fewest max_connections that a node with so many members can serve with. */
 unsigned lmn_connection_budget_minimum(const struct lmn_settings *cfg);
@@ -42,21 +42,21 @@
 /* How many machines the site's controllers can hear: all members' connections but users'
  * part, each held for a quarter of a second by a report that comes every report_s. No
  * more than that are rented. */
-double lmn_connection_budget_max_machines(const struct lmn_connection_budget *p,
+double lmn_connection_budget_max_machines(const struct lmn_connection_budget *budget,
                                           const struct lmn_settings *cfg);
 
 /* Whether a new connection is let in at all, with so many open: a worker's is not once
  * workers and those whose purpose is not known yet have everything but users' part. It is
  * closed then; a worker goes on to the next node a second later. Others are let in as
  * long as there are sockets. */
-bool lmn_connection_budget_admits(const struct lmn_connection_budget *p,
+bool lmn_connection_budget_admits(const struct lmn_connection_budget *budget,
                                   const unsigned open[LMN_CONNECTION_KINDS],
                                   enum lmn_connection_kind kind);
 
 /* Whether a connection of the kind may stay open after its answer, with so many of each
  * kind open now (itself among them): not if that took from what other kinds have open, or
  * from their floors; nor a user's, if this node alone is at fault. */
-bool lmn_connection_budget_keeps_open(const struct lmn_connection_budget *p,
+bool lmn_connection_budget_keeps_open(const struct lmn_connection_budget *budget,
                                       const unsigned open[LMN_CONNECTION_KINDS],
                                       enum lmn_connection_kind kind, bool at_fault);
 
--- a/src/admission/load_shedding.c
+++ b/src/admission/load_shedding.c
@@ -6,14 +6,14 @@
  * 5 s (the protocol's patience); a report for 4 s. */
 static const double FROM_S[LMN_SHED_KINDS] = {0.4, 1.0, 1.5};
 
-void lmn_load_record_delay(struct lmn_load *l, double late_s, double dt_s)
+void lmn_load_record_delay(struct lmn_load *load, double late_s, double dt_s)
 {
     double late = MAX(late_s, 0);
 
-    if (late > l->behind)
-        l->behind += (late - l->behind) / 2;
+    if (late > load->behind)
+        load->behind += (late - load->behind) / 2;
     else
-        l->behind += (late - l->behind) * (1 - exp(-MAX(dt_s, 0)));
+        load->behind += (late - load->behind) * (1 - exp(-MAX(dt_s, 0)));
 }
 
 double lmn_load_shed_share(double behind_s, enum lmn_shed_kind what)
@@ -21,12 +21,12 @@
     return CLAMP(behind_s / FROM_S[what] - 1, 0, 1);
 }
 
-bool lmn_load_should_shed(struct lmn_load *l, enum lmn_shed_kind what, GRand *rng)
+bool lmn_load_should_shed(struct lmn_load *load, enum lmn_shed_kind what, GRand *rng)
 {
-    double share = lmn_load_shed_share(l->behind, what);
+    double share = lmn_load_shed_share(load->behind, what);
     bool shed = share > 0 && g_rand_double(rng) < share;
 
-    l->shed[what] += shed;
+    load->shed[what] += shed;
     return shed;
 }
 
--- a/src/admission/load_shedding.h
+++ b/src/admission/load_shedding.h
@@ -20,14 +20,14 @@
 
 /* Something that was due is done so many seconds late, dt seconds after the last such
  * note. Rises at once by half of what is new, falls with a time constant of 1 s. */
-void lmn_load_record_delay(struct lmn_load *l, double late_s, double dt_s);
+void lmn_load_record_delay(struct lmn_load *load, double late_s, double dt_s);
 
 /* The share of such requests that is shed with the node so far behind: 0 up to a
  * threshold, 1 from twice that on. */
 double lmn_load_shed_share(double behind_s, enum lmn_shed_kind what);
 
 /* Whether this one is shed: by chance, so that nobody is shed each time. Counts it. */
-bool lmn_load_should_shed(struct lmn_load *l, enum lmn_shed_kind what, GRand *rng);
+bool lmn_load_should_shed(struct lmn_load *load, enum lmn_shed_kind what, GRand *rng);
 
 /* After how many whole seconds to come back: 1 to 30, by chance over an interval that
  * grows with wait_s, so that those who were sent away do not come back together. */
--- a/src/admission/worker_hosts.c
+++ b/src/admission/worker_hosts.c
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 
 /* 0: no host that counts. */
-static guint32 host_of(const struct lmn_worker_hosts *h, const char *addr)
+static guint32 host_of(const struct lmn_worker_hosts *hosts, const char *addr)
 {
     char host[LMN_ADDRESS_SIZE];
     struct in_addr a;
@@ -16,57 +16,58 @@
         inet_pton(AF_INET, host, &a) != 1)
         return 0;
     guint32 n = ntohl(a.s_addr);
-    return n >> 24 == 127 || n == h->own ? 0 : n;
+    return n >> 24 == 127 || n == hosts->own ? 0 : n;
 }
 
-void lmn_worker_hosts_init(struct lmn_worker_hosts *h, const char *listen)
+void lmn_worker_hosts_init(struct lmn_worker_hosts *hosts, const char *listen)
 {
-    pthread_mutex_init(&h->lock, NULL);
-    h->count = g_hash_table_new(NULL, NULL);
-    h->own = 0;
-    h->own = host_of(h, listen);
+    pthread_mutex_init(&hosts->lock, NULL);
+    hosts->count = g_hash_table_new(NULL, NULL);
+    hosts->own = 0;
+    hosts->own = host_of(hosts, listen);
 }
 
-void lmn_worker_hosts_clear(struct lmn_worker_hosts *h)
+void lmn_worker_hosts_clear(struct lmn_worker_hosts *hosts)
 {
-    g_hash_table_destroy(h->count);
-    pthread_mutex_destroy(&h->lock);
+    g_hash_table_destroy(hosts->count);
+    pthread_mutex_destroy(&hosts->lock);
 }
 
-static void count(struct lmn_worker_hosts *h, const char *addr, int by)
+static void count(struct lmn_worker_hosts *hosts, const char *addr, int by)
 {
-    guint32 host = host_of(h, addr);
+    guint32 host = host_of(hosts, addr);
 
     if (!host)
         return;
-    pthread_mutex_lock(&h->lock);
-    int n = GPOINTER_TO_INT(g_hash_table_lookup(h->count, GUINT_TO_POINTER(host))) + by;
+    pthread_mutex_lock(&hosts->lock);
+    int n =
+        GPOINTER_TO_INT(g_hash_table_lookup(hosts->count, GUINT_TO_POINTER(host))) + by;
     if (n > 0)
-        g_hash_table_insert(h->count, GUINT_TO_POINTER(host), GINT_TO_POINTER(n));
+        g_hash_table_insert(hosts->count, GUINT_TO_POINTER(host), GINT_TO_POINTER(n));
     else
-        g_hash_table_remove(h->count, GUINT_TO_POINTER(host));
-    pthread_mutex_unlock(&h->lock);
+        g_hash_table_remove(hosts->count, GUINT_TO_POINTER(host));
+    pthread_mutex_unlock(&hosts->lock);
 }
 
-void lmn_worker_hosts_add(struct lmn_worker_hosts *h, const char *addr)
+void lmn_worker_hosts_add(struct lmn_worker_hosts *hosts, const char *addr)
 {
-    count(h, addr, 1);
+    count(hosts, addr, 1);
 }
 
-void lmn_worker_hosts_remove(struct lmn_worker_hosts *h, const char *addr)
+void lmn_worker_hosts_remove(struct lmn_worker_hosts *hosts, const char *addr)
 {
-    count(h, addr, -1);
+    count(hosts, addr, -1);
 }
 
-bool lmn_worker_hosts_contain(struct lmn_worker_hosts *h, const struct sockaddr *peer)
+bool lmn_worker_hosts_contain(struct lmn_worker_hosts *hosts, const struct sockaddr *peer)
 {
     const struct sockaddr_in *a = (const struct sockaddr_in *)peer;
 
     if (!peer || peer->sa_family != AF_INET)
         return false;
-    pthread_mutex_lock(&h->lock);
+    pthread_mutex_lock(&hosts->lock);
     bool known =
-        g_hash_table_contains(h->count, GUINT_TO_POINTER(ntohl(a->sin_addr.s_addr)));
-    pthread_mutex_unlock(&h->lock);
+        g_hash_table_contains(hosts->count, GUINT_TO_POINTER(ntohl(a->sin_addr.s_addr)));
+    pthread_mutex_unlock(&hosts->lock);
     return known;
 }
--- a/src/admission/worker_hosts.h
+++ b/src/admission/worker_hosts.h
@@ -16,12 +16,13 @@
 
 /* listen: the node's own "IPv4:port". Hosts that users may share are never counted: the
  * node's own, and loopback. */
-void lmn_worker_hosts_init(struct lmn_worker_hosts *h, const char *listen);
-void lmn_worker_hosts_clear(struct lmn_worker_hosts *h);
+void lmn_worker_hosts_init(struct lmn_worker_hosts *hosts, const char *listen);
+void lmn_worker_hosts_clear(struct lmn_worker_hosts *hosts);
 /* One machine more, or one less, at "IPv4:port"; another form counts nowhere. */
-void lmn_worker_hosts_add(struct lmn_worker_hosts *h, const char *addr);
-void lmn_worker_hosts_remove(struct lmn_worker_hosts *h, const char *addr);
+void lmn_worker_hosts_add(struct lmn_worker_hosts *hosts, const char *addr);
+void lmn_worker_hosts_remove(struct lmn_worker_hosts *hosts, const char *addr);
 /* Whether some machine stands there. */
-bool lmn_worker_hosts_contain(struct lmn_worker_hosts *h, const struct sockaddr *peer);
+bool lmn_worker_hosts_contain(struct lmn_worker_hosts *hosts,
+                              const struct sockaddr *peer);
 
 #endif
--- a/src/cli/gateway.c
+++ b/src/cli/gateway.c
@@ -42,9 +42,9 @@
 static json_t *ask(const char *method, const char *path, const char *what,
                    const char *unknown, int *rc)
 {
-    struct lmn_http_client *h = lmn_http_client_new(o.listen);
+    struct lmn_http_client *client = lmn_http_client_new(o.listen);
     GByteArray *in = g_byte_array_new();
-    int status = lmn_http_client_call(h, method, path, NULL, 30, in);
+    int status = lmn_http_client_call(client, method, path, NULL, 30, in);
     json_t *j = in->len ? lmn_json_of_bytes(in->data, in->len) : NULL;
 
     *rc = LMN_EXIT_OK;
@@ -61,7 +61,7 @@
     if (*rc)
         g_clear_pointer(&j, json_decref);
     g_byte_array_unref(in);
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     return j;
 }
 
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -38,13 +38,13 @@
         "json", 0, 0, G_OPTION_ARG_NONE, &json, "JSON for programs", NULL                \
     }
 
-static int open_users(struct lmn_users *u, bool need_depot)
+static int open_users(struct lmn_users *users, bool need_depot)
 {
     char err[512];
 
-    if (lmn_users_open(u, site, controllers, depot, err, sizeof err) != 0)
+    if (lmn_users_open(users, site, controllers, depot, err, sizeof err) != 0)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
-    if (need_depot && !u->depot)
+    if (need_depot && !users->depot)
         return lmn_cli_fail(LMN_EXIT_USAGE, "--depot is missing");
     return 0;
 }
@@ -92,13 +92,13 @@
     fflush(stdout);
 }
 
-static uint64_t tasks_of(struct lmn_users *u, const char *ref)
+static uint64_t tasks_of(struct lmn_users *users, const char *ref)
 {
     struct lmn_image_store_error e;
     struct lmn_task_command w;
     uint64_t n = 0;
 
-    if (u->depot && lmn_users_work(u, ref, &w, &e) == 0) {
+    if (users->depot && lmn_users_work(users, ref, &w, &e) == 0) {
         n = w.spec.tasks;
         lmn_task_command_clear(&w);
     }
@@ -107,27 +107,27 @@
 
 /* Asks for the job, or by suffix for something to be done with it; the exit status, said
  * if it is a failure. */
-static int ask(struct lmn_users *u, const char *method, const char *ref,
+static int ask(struct lmn_users *users, const char *method, const char *ref,
                const char *suffix, struct lmn_job_state *s)
 {
     char path[96];
 
     g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s%s", ref, suffix);
-    int status = lmn_users_call(u, method, path, NULL, 60, s);
+    int status = lmn_users_call(users, method, path, NULL, 60, s);
     if (status == 404)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s: there is no such job", ref);
     return status == 200 ? LMN_EXIT_OK : no_answer(ref, status);
 }
 
-static int watch_job(struct lmn_users *u, const char *ref, double seconds)
+static int watch_job(struct lmn_users *users, const char *ref, double seconds)
 {
     struct timespec end = lmn_time_add(lmn_now(), seconds > 0 ? seconds : 1e9);
     struct lmn_job_state s, last = {0};
-    uint64_t tasks = tasks_of(u, ref);
+    uint64_t tasks = tasks_of(users, ref);
     bool terminal = isatty(STDOUT_FILENO) && !json;
 
     for (;;) {
-        int rc = ask(u, "GET", ref, "", &s);
+        int rc = ask(users, "GET", ref, "", &s);
         if (rc)
             return rc;
         /* A controller may know of fewer than another; what is done stays done. */
@@ -179,7 +179,7 @@
 {
     static const char *const kinds[] = {"batch", "service", NULL};
     static const char *const urgencies[] = {"idle", "normal", "high", "prod", NULL};
-    struct lmn_job_spec *s = &w->spec;
+    struct lmn_job_spec *spec = &w->spec;
     int kind = one_of("--kind", q->kind, kinds);
     int urgency = kind < 0 ? -1 : one_of("--urgency", q->urgency, urgencies);
 
@@ -196,54 +196,54 @@
             return lmn_cli_fail(-1, "--env: '%s': expected NAME=VALUE", *e);
     memset(w, 0, sizeof *w);
     if (q->ref)
-        g_strlcpy(s->ref, q->ref, sizeof s->ref);
+        g_strlcpy(spec->ref, q->ref, sizeof spec->ref);
     else
-        g_snprintf(s->ref, sizeof s->ref, WIRE_JOB_ID_PREFIX "%09u%09u",
+        g_snprintf(spec->ref, sizeof spec->ref, WIRE_JOB_ID_PREFIX "%09u%09u",
                    g_random_int() % 1000000000u, g_random_int() % 1000000000u);
-    if (!lmn_job_id_is_valid(s->ref))
+    if (!lmn_job_id_is_valid(spec->ref))
         return lmn_cli_fail(
             -1, "--ref: '%s': expected " WIRE_JOB_ID_PREFIX " and up to 19 digits",
-            s->ref);
-    s->class_name = g_strdup(q->class_name);
-    s->team = g_strdup(q->team);
-    s->image = g_strdup(q->image);
-    s->zone = g_strdup(q->zone);
-    s->types = q->types ? g_strdupv(q->types) : NULL;
-    s->kind = (enum lmn_job_kind)kind;
-    s->urgency = (enum lmn_priority)urgency;
-    s->tasks = (uint32_t)q->tasks;
-    s->cpus = q->cpus;
-    s->gpus = q->gpus;
-    s->mem = q->mem;
-    s->image_gb = q->image_gb;
-    s->estimate_s = q->estimate;
-    s->checkpoint_s = q->checkpoint;
-    s->save_s = q->save;
-    s->deadline_s = q->deadline > 0 ? q->deadline : -1;
-    s->one_zone = q->one_zone;
-    s->spread = q->apart;
-    s->spot = q->spot;
+            spec->ref);
+    spec->class_name = g_strdup(q->class_name);
+    spec->team = g_strdup(q->team);
+    spec->image = g_strdup(q->image);
+    spec->zone = g_strdup(q->zone);
+    spec->types = q->types ? g_strdupv(q->types) : NULL;
+    spec->kind = (enum lmn_job_kind)kind;
+    spec->urgency = (enum lmn_priority)urgency;
+    spec->tasks = (uint32_t)q->tasks;
+    spec->cpus = q->cpus;
+    spec->gpus = q->gpus;
+    spec->mem = q->mem;
+    spec->image_gb = q->image_gb;
+    spec->estimate_s = q->estimate;
+    spec->checkpoint_s = q->checkpoint;
+    spec->save_s = q->save;
+    spec->deadline_s = q->deadline > 0 ? q->deadline : -1;
+    spec->one_zone = q->one_zone;
+    spec->spread = q->apart;
+    spec->spot = q->spot;
     w->argv = g_strdupv(argv);
     w->env = q->env ? g_strdupv(q->env) : g_new0(char *, 1);
     return 0;
 }
 
-static int send_job(struct lmn_users *u, const struct lmn_task_command *w)
+static int send_job(struct lmn_users *users, const struct lmn_task_command *w)
 {
     GByteArray *blob = lmn_task_command_encode(w), *body = g_byte_array_new();
     struct lmn_image_store_error e = {0};
     struct lmn_job_state s;
     char digest[LMN_DIGEST_SIZE];
 
-    if (lmn_image_store_put(u->depot, blob, digest, &e) != 0 ||
-        lmn_image_store_bind(u->depot, LMN_IMAGE_STORE_KIND_JOB, w->spec.ref, digest,
+    if (lmn_image_store_put(users->depot, blob, digest, &e) != 0 ||
+        lmn_image_store_bind(users->depot, LMN_IMAGE_STORE_KIND_JOB, w->spec.ref, digest,
                              &e) != 0)
         return lmn_cli_fail(
             LMN_EXIT_FAILED, "%s%s", e.what,
             e.status == 409 ? ": this job was submitted with another description" : "");
     lmn_cbor_put_map(body, lmn_job_spec_pair_count());
     lmn_job_spec_write(body, &w->spec);
-    int status = lmn_users_call(u, "POST", WIRE_PATH_JOBS, body, 60, &s);
+    int status = lmn_users_call(users, "POST", WIRE_PATH_JOBS, body, 60, &s);
     g_byte_array_unref(blob);
     g_byte_array_unref(body);
     if (status == 422)
@@ -408,19 +408,19 @@
     return LMN_EXIT_OK;
 }
 
-static GPtrArray *names_at(struct lmn_http_client *h, const char *path, int *status)
+static GPtrArray *names_at(struct lmn_http_client *client, const char *path, int *status)
 {
     GPtrArray *a = g_ptr_array_new_with_free_func(g_free);
     GByteArray *in = g_byte_array_new();
     struct lmn_cbor_document d;
     char name[160];
 
-    *status = lmn_http_client_call(h, "GET", path, NULL, 30, in);
+    *status = lmn_http_client_call(client, "GET", path, NULL, 30, in);
     if (*status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
         const struct lmn_cbor_value *list = lmn_cbor_get(&d, lmn_cbor_root(&d), "Names");
-        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, list); n;
-             n = lmn_cbor_next(&d, n))
-            if (lmn_cbor_get_text(n, name, sizeof name))
+        for (const struct lmn_cbor_value *node = lmn_cbor_first_child(&d, list); node;
+             node = lmn_cbor_next(&d, node))
+            if (lmn_cbor_get_text(node, name, sizeof name))
                 g_ptr_array_add(a, g_strdup(name));
         lmn_cbor_free(&d);
     }
--- a/src/cli/kv_store.c
+++ b/src/cli/kv_store.c
@@ -14,20 +14,21 @@
 static int read_config(const char *path, struct lmn_kv_store_options *o, char *err,
                        size_t len)
 {
-    struct lmn_config *c = lmn_config_load(path, err, len);
+    struct lmn_config *config = lmn_config_load(path, err, len);
 
-    if (!c)
+    if (!config)
         return -1;
-    g_strlcpy(o->listen, lmn_config_address(c, "listen", o->listen), sizeof o->listen);
-    if (lmn_config_has(c, "data") || !o->dir)
-        o->dir = g_strdup(lmn_config_text(c, "data", NULL));
-    o->map_gb = lmn_config_number(c, "map_gb", o->map_gb, 0.001, 16384);
-    o->rps = lmn_config_number(c, "rps", o->rps, 0, 1e9);
-    o->write_rps = lmn_config_number(c, "write_rps", o->write_rps, 0, 1e9);
-    o->value_kb = lmn_config_number(c, "value_kb", o->value_kb, 0, 1e6);
-    o->txn_ops = (int)lmn_config_number(c, "txn_ops", o->txn_ops, 0, 1e6);
-    int rc = lmn_config_finish(c, err, len);
-    lmn_config_free(c);
+    g_strlcpy(o->listen, lmn_config_address(config, "listen", o->listen),
+              sizeof o->listen);
+    if (lmn_config_has(config, "data") || !o->dir)
+        o->dir = g_strdup(lmn_config_text(config, "data", NULL));
+    o->map_gb = lmn_config_number(config, "map_gb", o->map_gb, 0.001, 16384);
+    o->rps = lmn_config_number(config, "rps", o->rps, 0, 1e9);
+    o->write_rps = lmn_config_number(config, "write_rps", o->write_rps, 0, 1e9);
+    o->value_kb = lmn_config_number(config, "value_kb", o->value_kb, 0, 1e6);
+    o->txn_ops = (int)lmn_config_number(config, "txn_ops", o->txn_ops, 0, 1e6);
+    int rc = lmn_config_finish(config, err, len);
+    lmn_config_free(config);
     return rc;
 }
 
@@ -172,29 +173,30 @@
     return n ? LMN_EXIT_FAILED : LMN_EXIT_OK;
 }
 
-static bool dump_json(void *arg, const struct lmn_db_item *i)
+static bool dump_json(void *arg, const struct lmn_db_item *item)
 {
-    json_t *v = lmn_json_of_bytes(i->value, i->len);
+    json_t *v = lmn_json_of_bytes(item->value, item->len);
     (void)arg;
-    lmn_json_print(json_pack("{s:s, s:I, s:I, s:o*}", "key", i->key, "revision",
-                             (json_int_t)i->rev, "lease", (json_int_t)i->lease, "value",
-                             v),
+    lmn_json_print(json_pack("{s:s, s:I, s:I, s:o*}", "key", item->key, "revision",
+                             (json_int_t)item->rev, "lease", (json_int_t)item->lease,
+                             "value", v),
                    false);
     return true;
 }
 
-static bool dump_cbor(void *arg, const struct lmn_db_item *i)
+static bool dump_cbor(void *arg, const struct lmn_db_item *item)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     (void)arg;
 
-    lmn_cbor_put_map(b, 4);
-    lmn_cbor_put_text(b, "key"), lmn_cbor_put_text(b, i->key);
-    lmn_cbor_put_text(b, "revision"), lmn_cbor_put_uint(b, i->rev);
-    lmn_cbor_put_text(b, "lease"), lmn_cbor_put_uint(b, i->lease);
-    lmn_cbor_put_text(b, "value"), g_byte_array_append(b, i->value, (guint)i->len);
-    fwrite(b->data, 1, b->len, stdout);
-    g_byte_array_unref(b);
+    lmn_cbor_put_map(buffer, 4);
+    lmn_cbor_put_text(buffer, "key"), lmn_cbor_put_text(buffer, item->key);
+    lmn_cbor_put_text(buffer, "revision"), lmn_cbor_put_uint(buffer, item->rev);
+    lmn_cbor_put_text(buffer, "lease"), lmn_cbor_put_uint(buffer, item->lease);
+    lmn_cbor_put_text(buffer, "value"),
+        g_byte_array_append(buffer, item->value, (guint)item->len);
+    fwrite(buffer->data, 1, buffer->len, stdout);
+    g_byte_array_unref(buffer);
     return true;
 }
 
@@ -212,12 +214,12 @@
     struct lmn_db *db = lmn_db_open(&o, err, sizeof err);
     if (!db)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
-    struct lmn_db_reader *r = lmn_db_reader_new(db);
-    if (lmn_db_view(r, &meta) == 0) {
-        lmn_db_list(r, "", NULL, json ? dump_json : dump_cbor, NULL);
-        lmn_db_view_end(r);
+    struct lmn_db_reader *reader = lmn_db_reader_new(db);
+    if (lmn_db_view(reader, &meta) == 0) {
+        lmn_db_list(reader, "", NULL, json ? dump_json : dump_cbor, NULL);
+        lmn_db_view_end(reader);
     }
-    lmn_db_reader_free(r);
+    lmn_db_reader_free(reader);
     lmn_db_close(db);
     return fflush(stdout) == 0 ? LMN_EXIT_OK
                                : lmn_cli_fail(LMN_EXIT_FAILED, "dump: cannot write");
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -29,38 +29,39 @@
 
 static int load(const char *path, struct fleet_options *o, char *err, size_t len)
 {
-    struct lmn_config *c = lmn_config_load(path, err, len);
+    struct lmn_config *config = lmn_config_load(path, err, len);
 
-    if (!c)
+    if (!config)
         return -1;
-    g_strlcpy(o->listen, lmn_config_address(c, "listen", "127.0.0.1:8443"),
+    g_strlcpy(o->listen, lmn_config_address(config, "listen", "127.0.0.1:8443"),
               sizeof o->listen);
-    g_strlcpy(o->data, lmn_config_text(c, "data", NULL), sizeof o->data);
-    g_strlcpy(o->inventory, lmn_config_text(c, "inventory", NULL), sizeof o->inventory);
-    o->rps = lmn_config_number(c, "rps", 0, 0, 1e6);
-    const char *backend = lmn_config_text(c, "backend", "static");
+    g_strlcpy(o->data, lmn_config_text(config, "data", NULL), sizeof o->data);
+    g_strlcpy(o->inventory, lmn_config_text(config, "inventory", NULL),
+              sizeof o->inventory);
+    o->rps = lmn_config_number(config, "rps", 0, 0, 1e6);
+    const char *backend = lmn_config_text(config, "backend", "static");
     o->emulated = !strcmp(backend, "emulated");
     if (!o->emulated && strcmp(backend, "static"))
-        lmn_config_fail(c, "backend", "expected 'static' or 'emulated'");
+        lmn_config_fail(config, "backend", "expected 'static' or 'emulated'");
     if (o->emulated)
-        lmn_emulation_read(c, &o->emulation);
-    lmn_local_agent_options_read(c, &o->local);
+        lmn_emulation_read(config, &o->emulation);
+    lmn_local_agent_options_read(config, &o->local);
     g_snprintf(o->local.dir, sizeof o->local.dir, "%s/machines", o->data);
-    int rc = lmn_config_finish(c, err, len);
-    lmn_config_free(c);
+    int rc = lmn_config_finish(config, err, len);
+    lmn_config_free(config);
     return rc;
 }
 
-static int serve_emulated(struct fleet_options *o, const struct lmn_inventory *v)
+static int serve_emulated(struct fleet_options *o, const struct lmn_inventory *inventory)
 {
     char err[256];
 
-    o->emulation.inventory = v;
+    o->emulation.inventory = inventory;
     o->emulation.worker = o->local.worker;
-    struct lmn_emulation *e = lmn_emulation_start(&o->emulation, err, sizeof err);
-    if (!e)
+    struct lmn_emulation *emulation = lmn_emulation_start(&o->emulation, err, sizeof err);
+    if (!emulation)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
-    if (!lmn_machine_provider_serve(o->listen, o->rps, &lmn_emulation_ops, e))
+    if (!lmn_machine_provider_serve(o->listen, o->rps, &lmn_emulation_ops, emulation))
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s: can't listen: %s", o->listen,
                             strerror(errno));
     for (;;)
@@ -87,20 +88,20 @@
         return lmn_cli_fail(LMN_EXIT_USAGE,
                             "expected: fleet trouble --fleet ADDR [NAME VALUE]");
     curl_global_init(CURL_GLOBAL_NOTHING);
-    struct lmn_http_client *h = lmn_http_client_new(addr);
-    GByteArray *in = g_byte_array_new(), *b = g_byte_array_new();
+    struct lmn_http_client *client = lmn_http_client_new(addr);
+    GByteArray *in = g_byte_array_new(), *buffer = g_byte_array_new();
     if (argc == 3) {
         char *end;
         double value = g_ascii_strtod(argv[2], &end);
         if (end == argv[2] || *end)
             return lmn_cli_fail(LMN_EXIT_USAGE, "%s: expected a number", argv[2]);
-        lmn_cbor_put_map(b, 3);
-        lmn_cbor_put_text(b, "Set"), lmn_cbor_put_text(b, argv[1]);
-        lmn_cbor_put_text(b, "Value"), lmn_cbor_put_number(b, value);
-        lmn_cbor_put_text(b, "For"), lmn_cbor_put_number(b, lasts);
+        lmn_cbor_put_map(buffer, 3);
+        lmn_cbor_put_text(buffer, "Set"), lmn_cbor_put_text(buffer, argv[1]);
+        lmn_cbor_put_text(buffer, "Value"), lmn_cbor_put_number(buffer, value);
+        lmn_cbor_put_text(buffer, "For"), lmn_cbor_put_number(buffer, lasts);
     }
-    int status =
-        lmn_http_client_call(h, argc == 3 ? "POST" : "GET", "/troubles", b, 5, in);
+    int status = lmn_http_client_call(client, argc == 3 ? "POST" : "GET", "/troubles",
+                                      buffer, 5, in);
     json_t *j = in->len ? lmn_json_of_bytes(in->data, in->len) : NULL;
     if (status != 200)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s: %s", addr,
--- a/src/cli/site.c
+++ b/src/cli/site.c
@@ -169,23 +169,23 @@
         printf("%-14s %-9s pid %ld\n", "supervisor", supervised ? "up" : "down",
                (long)pid);
     for (unsigned i = 0; i < site.nprocesses; i++) {
-        const struct lmn_site_process *p = &site.processes[i];
+        const struct lmn_site_process *process = &site.processes[i];
         unsigned starts;
         int at;
-        bool is_up = lmn_site_up(&site, p->name, &at);
-        const char *word = !is_up                        ? "down"
-                           : lmn_http_is_ready(p->ready) ? "serving"
-                                                         : "starting";
-        history(text ? text : "", p->name, &starts, why, sizeof why);
+        bool is_up = lmn_site_up(&site, process->name, &at);
+        const char *word = !is_up                              ? "down"
+                           : lmn_http_is_ready(process->ready) ? "serving"
+                                                               : "starting";
+        history(text ? text : "", process->name, &starts, why, sizeof why);
         all = all && !strcmp(word, "serving");
         if (json)
-            json_array_append_new(list, json_pack("{s:s, s:s, s:i, s:i, s:s, s:s}",
-                                                  "process", p->name, "state", word,
-                                                  "pid", at, "starts", (int)starts,
-                                                  "address", p->ready, "last_end", why));
+            json_array_append_new(
+                list, json_pack("{s:s, s:s, s:i, s:i, s:s, s:s}", "process",
+                                process->name, "state", word, "pid", at, "starts",
+                                (int)starts, "address", process->ready, "last_end", why));
         else
-            printf("%-14s %-9s pid %-8d starts %-3u %-21s %s%s\n", p->name, word, at,
-                   starts, p->ready, *why ? "last end: " : "", why);
+            printf("%-14s %-9s pid %-8d starts %-3u %-21s %s%s\n", process->name, word,
+                   at, starts, process->ready, *why ? "last end: " : "", why);
     }
     if (json)
         lmn_json_print(json_pack("{s:s, s:b, s:o}", "site", site.name, "supervised",
--- a/src/cli/users.h
+++ b/src/cli/users.h
@@ -21,16 +21,16 @@
 
 /* From a site's file, or, if controllers is given, from "A,B,C" and a depot's address. -1
  * with err. */
-int lmn_users_open(struct lmn_users *u, const char *site, const char *controllers,
+int lmn_users_open(struct lmn_users *users, const char *site, const char *controllers,
                    const char *depot, char *err, size_t len);
-void lmn_users_close(struct lmn_users *u);
+void lmn_users_close(struct lmn_users *users);
 /* A call, tried at one controller after the other for up to seconds, as long as the
  * answers are such as are retried (429, 503, 504, none), no sooner than Retry-After says.
  * The last status; the answer in *s, if it is a job's. */
-int lmn_users_call(struct lmn_users *u, const char *method, const char *path,
+int lmn_users_call(struct lmn_users *users, const char *method, const char *path,
                    const GByteArray *body, double seconds, struct lmn_job_state *s);
 /* A job's description from the depot. -1 with e. */
-int lmn_users_work(struct lmn_users *u, const char *ref, struct lmn_task_command *w,
+int lmn_users_work(struct lmn_users *users, const char *ref, struct lmn_task_command *w,
                    struct lmn_image_store_error *e);
 
 #endif
--- a/src/config/operator_settings.c
+++ b/src/config/operator_settings.c
@@ -37,12 +37,12 @@
     return i < G_N_ELEMENTS(fields) ? fields[i].name : NULL;
 }
 
-double lmn_operator_settings_value(const struct lmn_operator_settings *t, size_t i)
+double lmn_operator_settings_value(const struct lmn_operator_settings *settings, size_t i)
 {
-    return *(const double *)((const char *)t + fields[i].at);
+    return *(const double *)((const char *)settings + fields[i].at);
 }
 
-int lmn_operator_settings_set(struct lmn_operator_settings *t, const char *name,
+int lmn_operator_settings_set(struct lmn_operator_settings *settings, const char *name,
                               double value, char *err, size_t len)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
@@ -53,33 +53,33 @@
                      fields[i].hi);
             return -1;
         }
-        *(double *)((char *)t + fields[i].at) = value;
+        *(double *)((char *)settings + fields[i].at) = value;
         return 0;
     }
     snprintf(err, len, "%s: no such setting", name);
     return -1;
 }
 
-GByteArray *lmn_operator_settings_record(const struct lmn_operator_settings *t)
+GByteArray *lmn_operator_settings_record(const struct lmn_operator_settings *settings)
 {
-    GByteArray *b = g_byte_array_new();
-    lmn_cbor_put_map(b, G_N_ELEMENTS(fields));
+    GByteArray *buffer = g_byte_array_new();
+    lmn_cbor_put_map(buffer, G_N_ELEMENTS(fields));
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
-        lmn_cbor_put_text(b, fields[i].name);
-        lmn_cbor_put_number(b, lmn_operator_settings_value(t, i));
+        lmn_cbor_put_text(buffer, fields[i].name);
+        lmn_cbor_put_number(buffer, lmn_operator_settings_value(settings, i));
     }
-    return b;
+    return buffer;
 }
 
-void lmn_operator_settings_read(struct lmn_operator_settings *t,
+void lmn_operator_settings_read(struct lmn_operator_settings *settings,
                                 const struct lmn_cbor_document *doc,
                                 const struct lmn_cbor_value *value)
 {
     char err[128];
     double v;
 
-    *t = lmn_operator_settings_default;
+    *settings = lmn_operator_settings_default;
     for (size_t i = 0; value && i < G_N_ELEMENTS(fields); i++)
         if (lmn_cbor_get_number(lmn_cbor_get(doc, value, fields[i].name), &v))
-            lmn_operator_settings_set(t, fields[i].name, v, err, sizeof err);
+            lmn_operator_settings_set(settings, fields[i].name, v, err, sizeof err);
 }
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -21,11 +21,12 @@
 /* Names one setting; NULL past the last. */
 const char *lmn_operator_settings_name(size_t i);
 /* 0, or -1 with what is wrong in err. */
-int lmn_operator_settings_set(struct lmn_operator_settings *t, const char *name,
+int lmn_operator_settings_set(struct lmn_operator_settings *settings, const char *name,
                               double value, char *err, size_t len);
-double lmn_operator_settings_value(const struct lmn_operator_settings *t, size_t i);
-GByteArray *lmn_operator_settings_record(const struct lmn_operator_settings *t);
-void lmn_operator_settings_read(struct lmn_operator_settings *t,
+double lmn_operator_settings_value(const struct lmn_operator_settings *settings,
+                                   size_t i);
+GByteArray *lmn_operator_settings_record(const struct lmn_operator_settings *settings);
+void lmn_operator_settings_read(struct lmn_operator_settings *settings,
                                 const struct lmn_cbor_document *doc,
                                 const struct lmn_cbor_value *value);
 
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -6,49 +6,50 @@
 #include <stdlib.h>
 #include <string.h>
 
-void lmn_settings_free(struct lmn_settings *s)
+void lmn_settings_free(struct lmn_settings *settings)
 {
-    free(s->teams);
-    s->teams = NULL;
-    s->nteams = 0;
+    free(settings->teams);
+    settings->teams = NULL;
+    settings->nteams = 0;
 }
 
-const struct lmn_team *lmn_settings_team(const struct lmn_settings *s, const char *name)
+const struct lmn_team *lmn_settings_team(const struct lmn_settings *settings,
+                                         const char *name)
 {
-    for (size_t i = 0; i < s->nteams; i++)
-        if (!strcmp(s->teams[i].name, name))
-            return &s->teams[i];
+    for (size_t i = 0; i < settings->nteams; i++)
+        if (!strcmp(settings->teams[i].name, name))
+            return &settings->teams[i];
     return NULL;
 }
 
-int lmn_settings_member_index(const struct lmn_settings *s, const char *node)
+int lmn_settings_member_index(const struct lmn_settings *settings, const char *node)
 {
-    int rank = strcmp(s->node, node) < 0;
+    int member_index = strcmp(settings->node, node) < 0;
 
-    for (size_t i = 0; i < s->nmembers; i++)
-        if (strcmp(s->members[i].name, node) < 0)
-            rank++;
-    return rank;
+    for (size_t i = 0; i < settings->nmembers; i++)
+        if (strcmp(settings->members[i].name, node) < 0)
+            member_index++;
+    return member_index;
 }
 
-static double stale_margin(const struct lmn_settings *s)
+static double stale_margin(const struct lmn_settings *settings)
 {
-    double share = 0.05 * s->cancel_s;
+    double share = 0.05 * settings->cancel_s;
     return share > 1 ? share : 1;
 }
 
-double lmn_settings_max_cache_age_s(const struct lmn_settings *s)
+double lmn_settings_max_cache_age_s(const struct lmn_settings *settings)
 {
-    return s->cancel_s - s->lease_s - stale_margin(s);
+    return settings->cancel_s - settings->lease_s - stale_margin(settings);
 }
 
 /* A view is up to about a second old when all is well, and older when the state service
  * is slow. */
 static const double TIGHT_S = 3;
 
-bool lmn_settings_warning(const struct lmn_settings *s, char *text, size_t len)
+bool lmn_settings_warning(const struct lmn_settings *settings, char *text, size_t len)
 {
-    double limit = lmn_settings_max_cache_age_s(s);
+    double limit = lmn_settings_max_cache_age_s(settings);
 
     if (limit > TIGHT_S)
         return false;
@@ -56,11 +57,12 @@
              "params.workers.cancel_s = %g, lease_s = %g: beside a lease and a margin of "
              "%g s, a cancellation leaves a controller's view %g s to be old; %s. Raise "
              "cancel_s to %g or more, or lower lease_s",
-             s->cancel_s, s->lease_s, stale_margin(s), limit > 0 ? limit : 0,
+             settings->cancel_s, settings->lease_s, stale_margin(settings),
+             limit > 0 ? limit : 0,
              limit > 0 ? "whenever the state service is slower than that, all tasks are "
                          "lost"
                        : "no worker is ever answered, and no task ever starts",
-             ceil((s->lease_s + TIGHT_S + 1) / 0.95));
+             ceil((settings->lease_s + TIGHT_S + 1) / 0.95));
     return true;
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -64,28 +64,31 @@
 #endif
 /* Fills *s from the file. On failure returns -1, puts "file: field: what" in err, and
  * leaves nothing to be freed. */
-int lmn_settings_load(const char *path, struct lmn_settings *s, char *err, size_t errlen);
-int lmn_settings_parse(const char *text, const char *name, struct lmn_settings *s,
+int lmn_settings_load(const char *path, struct lmn_settings *settings, char *err,
+                      size_t errlen);
+int lmn_settings_parse(const char *text, const char *name, struct lmn_settings *settings,
                        char *err, size_t errlen);
-void lmn_settings_free(struct lmn_settings *s);
+void lmn_settings_free(struct lmn_settings *settings);
 
 /* How old a node's view may be, in seconds, for it to answer workers: what cancel_s
  * leaves beside a lease and a margin for the clocks' drift and the last kill. Not above
  * 0: no view ever is young enough. */
-double lmn_settings_max_cache_age_s(const struct lmn_settings *s);
+double lmn_settings_max_cache_age_s(const struct lmn_settings *settings);
 /* Puts into text what follows from settings that can be kept, but not well; false: there
  * is nothing to say. */
-bool lmn_settings_warning(const struct lmn_settings *s, char *text, size_t len);
+bool lmn_settings_warning(const struct lmn_settings *settings, char *text, size_t len);
 
 /* How many connections to workers a node keeps open for its own calls. */
-static inline unsigned lmn_settings_worker_connections(const struct lmn_settings *s)
+static inline unsigned
+lmn_settings_worker_connections(const struct lmn_settings *settings)
 {
-    return (unsigned)s->max_connections / 5;
+    return (unsigned)settings->max_connections / 5;
 }
 
-const struct lmn_team *lmn_settings_team(const struct lmn_settings *s, const char *name);
+const struct lmn_team *lmn_settings_team(const struct lmn_settings *settings,
+                                         const char *name);
 /* The node's place among all members by name: who prefers which partition. */
-int lmn_settings_member_index(const struct lmn_settings *s, const char *node);
+int lmn_settings_member_index(const struct lmn_settings *settings, const char *node);
 /* Splits "10.0.0.1:8080"; 0 if it is an IPv4 address with a port. */
 int lmn_address_split(const char *addr, char *host, size_t len, int *port);
 
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -188,12 +188,12 @@
         whole(r, "params.resources.", "max_connections", 1024, 32, 10000000);
 }
 
-int parse(const std::string &doc, const char *name, lmn_settings *s, char *err,
+int parse(const std::string &doc, const char *name, lmn_settings *settings, char *err,
           size_t errlen)
 {
-    std::memset(s, 0, sizeof *s);
+    std::memset(settings, 0, sizeof *settings);
     try {
-        fill(toml::parse(doc), *s);
+        fill(toml::parse(doc), *settings);
         return 0;
     } catch (const toml::parse_error &e) {
         std::snprintf(err, errlen, "%s: line %u: %s", name,
@@ -202,19 +202,19 @@
     } catch (const std::exception &e) {
         std::snprintf(err, errlen, "%s: %s", name, e.what());
     }
-    lmn_settings_free(s);
+    lmn_settings_free(settings);
     return -1;
 }
 
 } // namespace
 
-extern "C" int lmn_settings_parse(const char *t, const char *name, lmn_settings *s,
+extern "C" int lmn_settings_parse(const char *t, const char *name, lmn_settings *settings,
                                   char *err, size_t errlen)
 {
-    return parse(t, name, s, err, errlen);
+    return parse(t, name, settings, err, errlen);
 }
 
-extern "C" int lmn_settings_load(const char *path, lmn_settings *s, char *err,
+extern "C" int lmn_settings_load(const char *path, lmn_settings *settings, char *err,
                                  size_t errlen)
 {
     std::ifstream in(path);
@@ -224,7 +224,7 @@
         return -1;
     }
     doc << in.rdbuf();
-    return parse(doc.str(), path, s, err, errlen);
+    return parse(doc.str(), path, settings, err, errlen);
 }
 
 // --- operators' files: everything, flat, with its line ---
@@ -232,28 +232,29 @@
 namespace
 {
 
-void flatten(lmn_config *c, const std::string &path, const toml::node &n)
+void flatten(lmn_config *config, const std::string &path, const toml::node &n)
 {
     unsigned line = static_cast<unsigned>(n.source().begin.line);
     if (auto *t = n.as_table()) {
         if (!path.empty())
-            lmn_config_add(c, path.c_str(), LMN_CONFIG_TABLE, "", 0, line);
+            lmn_config_add(config, path.c_str(), LMN_CONFIG_TABLE, "", 0, line);
         for (auto &&[key, value] : *t)
-            flatten(c, (path.empty() ? "" : path + ".") + std::string(key.str()), value);
+            flatten(config, (path.empty() ? "" : path + ".") + std::string(key.str()),
+                    value);
     } else if (auto *a = n.as_array()) {
         size_t i = 0;
-        lmn_config_add(c, path.c_str(), LMN_CONFIG_ARRAY, "",
+        lmn_config_add(config, path.c_str(), LMN_CONFIG_ARRAY, "",
                        static_cast<double>(a->size()), line);
         for (auto &e : *a)
-            flatten(c, path + "[" + std::to_string(i++) + "]", e);
+            flatten(config, path + "[" + std::to_string(i++) + "]", e);
     } else if (auto *b = n.as_boolean()) {
-        lmn_config_add(c, path.c_str(), LMN_CONFIG_BOOL, "", **b, line);
+        lmn_config_add(config, path.c_str(), LMN_CONFIG_BOOL, "", **b, line);
     } else if (auto v = n.value<double>(); v && n.is_number()) {
-        lmn_config_add(c, path.c_str(), LMN_CONFIG_NUMBER, "", *v, line);
+        lmn_config_add(config, path.c_str(), LMN_CONFIG_NUMBER, "", *v, line);
     } else if (auto s = n.value<std::string>()) {
-        lmn_config_add(c, path.c_str(), LMN_CONFIG_TEXT, s->c_str(), 0, line);
+        lmn_config_add(config, path.c_str(), LMN_CONFIG_TEXT, s->c_str(), 0, line);
     } else {
-        lmn_config_add(c, path.c_str(), LMN_CONFIG_TABLE, "", 0,
+        lmn_config_add(config, path.c_str(), LMN_CONFIG_TABLE, "", 0,
                        line); // dates: of no field here
     }
 }
@@ -265,9 +266,9 @@
 {
     try {
         auto doc = toml::parse(std::string(text));
-        lmn_config *c = lmn_config_new(name);
-        flatten(c, "", doc);
-        return c;
+        lmn_config *config = lmn_config_new(name);
+        flatten(config, "", doc);
+        return config;
     } catch (const toml::parse_error &e) {
         std::snprintf(err, len, "%s: line %u: %s", name,
                       static_cast<unsigned>(e.source().begin.line),
--- a/src/controller/admin_client.c
+++ b/src/controller/admin_client.c
@@ -15,13 +15,13 @@
 /* xdr_void's type differs from all others'; the detour says that this is meant. */
 #define nothing ((xdrproc_t)(void (*)(void))xdr_void)
 
-static int show_reply(CLIENT *cl, rpcproc_t proc, xdrproc_t xargs, void *args)
+static int show_reply(CLIENT *client, rpcproc_t proc, xdrproc_t xargs, void *args)
 {
     struct lmn_rpc_reply r = {0};
 
-    if (clnt_call(cl, proc, xargs, args, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r,
+    if (clnt_call(client, proc, xargs, args, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r,
                   patience) != RPC_SUCCESS) {
-        fprintf(stderr, "lemonspar: %s\n", clnt_sperror(cl, "no answer"));
+        fprintf(stderr, "lemonspar: %s\n", clnt_sperror(client, "no answer"));
         return 1;
     }
     fprintf(r.code ? stderr : stdout, "%s%s", r.text,
@@ -29,13 +29,13 @@
     return r.code ? 1 : 0;
 }
 
-static int show_tuning(CLIENT *cl)
+static int show_tuning(CLIENT *client)
 {
     struct lmn_rpc_settings l = {{0, NULL}};
 
-    if (clnt_call(cl, LMN_RPC_SETTINGS_GET, nothing, NULL,
+    if (clnt_call(client, LMN_RPC_SETTINGS_GET, nothing, NULL,
                   (xdrproc_t)xdr_lmn_rpc_settings, (char *)&l, patience) != RPC_SUCCESS) {
-        fprintf(stderr, "lemonspar: %s\n", clnt_sperror(cl, "no answer"));
+        fprintf(stderr, "lemonspar: %s\n", clnt_sperror(client, "no answer"));
         return 1;
     }
     for (u_int i = 0; i < l.items.items_len; i++)
@@ -83,7 +83,7 @@
 
 int lmn_admin_main(const char *addr, int argc, char **argv)
 {
-    CLIENT *cl;
+    CLIENT *client;
     char *end = NULL;
     double value = 0;
     int rc = 2;
@@ -101,33 +101,35 @@
                         "| set NAME VALUE | drain MACHINE | balance | leave | join\n");
         return 2;
     }
-    cl = lmn_rpc_connect(addr);
-    if (!cl) {
+    client = lmn_rpc_connect(addr);
+    if (!client) {
         fprintf(stderr, "lemonspar: %s: no controller answers there\n", addr);
         return 1;
     }
     if (!strcmp(argv[0], "status"))
-        rc = show_reply(cl, LMN_RPC_STATUS, nothing, NULL);
+        rc = show_reply(client, LMN_RPC_STATUS, nothing, NULL);
     else if (!strcmp(argv[0], "members")) {
         u_int json = argc > 1;
-        rc = show_reply(cl, LMN_RPC_MEMBERS, (xdrproc_t)xdr_u_int, &json);
+        rc = show_reply(client, LMN_RPC_MEMBERS, (xdrproc_t)xdr_u_int, &json);
     } else if (!strcmp(argv[0], "get"))
-        rc = show_tuning(cl);
+        rc = show_tuning(client);
     else if (!strcmp(argv[0], "balance"))
-        rc = show_reply(cl, LMN_RPC_OWNERSHIP, nothing, NULL);
+        rc = show_reply(client, LMN_RPC_OWNERSHIP, nothing, NULL);
     else if (!strcmp(argv[0], "join")) {
         u_int no = 0;
-        rc = show_reply(cl, LMN_RPC_SHUTDOWN, (xdrproc_t)xdr_u_int, &no);
+        rc = show_reply(client, LMN_RPC_SHUTDOWN, (xdrproc_t)xdr_u_int, &no);
     } else if (!strcmp(argv[0], "leave"))
-        rc = leave(addr, &cl);
+        rc = leave(addr, &client);
     else if (!strcmp(argv[0], "set")) {
         struct lmn_rpc_set_request q = {argv[1], value};
-        rc = show_reply(cl, LMN_RPC_SETTINGS_SET, (xdrproc_t)xdr_lmn_rpc_set_request, &q);
+        rc = show_reply(client, LMN_RPC_SETTINGS_SET, (xdrproc_t)xdr_lmn_rpc_set_request,
+                        &q);
     } else {
         struct lmn_rpc_machine_request q = {argv[1]};
-        rc = show_reply(cl, LMN_RPC_DRAIN, (xdrproc_t)xdr_lmn_rpc_machine_request, &q);
+        rc =
+            show_reply(client, LMN_RPC_DRAIN, (xdrproc_t)xdr_lmn_rpc_machine_request, &q);
     }
-    if (cl)
-        clnt_destroy(cl);
+    if (client)
+        clnt_destroy(client);
     return rc;
 }
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -16,108 +16,111 @@
  */
 static const double PATIENCE_S = 2.5;
 
-static void route_job(struct lmn_core *c, struct lmn_http_request *call, const char *rest)
+static void route_job(struct lmn_core *core, struct lmn_http_request *request,
+                      const char *rest)
 {
     char *ref = g_strdup(rest);
     size_t len = strlen(ref), end = strlen(WIRE_PATH_CANCEL);
 
-    if (lmn_http_request_method(call) == LMN_HTTP_GET) {
-        lmn_user_api_status(c, call, ref);
+    if (lmn_http_request_method(request) == LMN_HTTP_GET) {
+        lmn_user_api_status(core, request, ref);
     } else if (len > end && !strcmp(ref + len - end, WIRE_PATH_CANCEL)) {
         ref[len - end] = '\0';
-        lmn_user_api_cancel(c, call, ref);
+        lmn_user_api_cancel(core, request, ref);
     } else {
-        lmn_http_request_respond(call, 404, NULL, 0);
+        lmn_http_request_respond(request, 404, NULL, 0);
     }
     g_free(ref);
 }
 
 /* What the connection asks for tells whose it is. */
-static void tell_kind(struct lmn_http_request *call, bool post, const char *path)
+static void tell_kind(struct lmn_http_request *request, bool post, const char *path)
 {
     bool report = post && !strcmp(path, WIRE_PATH_HEARTBEAT);
 
-    lmn_http_request_set_kind(call, report ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER);
+    lmn_http_request_set_kind(request,
+                              report ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER);
 }
 
 static bool stands(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
                    unsigned kind)
 {
-    const struct lmn_core *c = arg;
+    const struct lmn_core *core = arg;
 
     /* Who comes again is to come to another. Read without the lock, which an answer need
      * not wait for: one more connection stands, or one fewer. */
-    if (__atomic_load_n(&c->leaving, __ATOMIC_RELAXED))
+    if (__atomic_load_n(&core->leaving, __ATOMIC_RELAXED))
         return false;
     return lmn_connection_budget_keeps_open(
-        &c->sockets, open, (enum lmn_connection_kind)kind,
-        __atomic_load_n(&c->odd_one, __ATOMIC_RELAXED));
+        &core->sockets, open, (enum lmn_connection_kind)kind,
+        __atomic_load_n(&core->odd_one, __ATOMIC_RELAXED));
 }
 
 static unsigned kind_of(void *arg, const struct sockaddr *peer)
 {
-    struct lmn_core *c = arg;
+    struct lmn_core *core = arg;
 
-    return lmn_worker_hosts_contain(&c->hosts, peer) ? LMN_CONNECTION_WORKER
-                                                     : LMN_CONNECTION_UNIDENTIFIED;
+    return lmn_worker_hosts_contain(&core->hosts, peer) ? LMN_CONNECTION_WORKER
+                                                        : LMN_CONNECTION_UNIDENTIFIED;
 }
 
 static bool admits(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
                    unsigned kind)
 {
-    const struct lmn_core *c = arg;
+    const struct lmn_core *core = arg;
 
-    return lmn_connection_budget_admits(&c->sockets, open,
+    return lmn_connection_budget_admits(&core->sockets, open,
                                         (enum lmn_connection_kind)kind);
 }
 
-static void route(void *arg, struct lmn_http_request *call)
+static void route(void *arg, struct lmn_http_request *request)
 {
-    struct lmn_core *c = arg;
-    const char *path = lmn_http_request_path(call);
-    bool post = lmn_http_request_method(call) == LMN_HTTP_POST;
+    struct lmn_core *core = arg;
+    const char *path = lmn_http_request_path(request);
+    bool post = lmn_http_request_method(request) == LMN_HTTP_POST;
 
-    tell_kind(call, post, path);
-    if (!post && lmn_http_request_method(call) != LMN_HTTP_GET) {
-        lmn_http_request_respond(call, 405, NULL, 0);
+    tell_kind(request, post, path);
+    if (!post && lmn_http_request_method(request) != LMN_HTTP_GET) {
+        lmn_http_request_respond(request, 405, NULL, 0);
     } else if (post && !strcmp(path, WIRE_PATH_HEARTBEAT)) {
         GByteArray *out = g_byte_array_new();
-        const GByteArray *body = lmn_http_request_body(call);
+        const GByteArray *body = lmn_http_request_body(request);
         struct lmn_deferred_starts held;
         int status =
-            lmn_heartbeat_handle(c, body->data, body->len, out, &held, lmn_now());
+            lmn_heartbeat_handle(core, body->data, body->len, out, &held, lmn_now());
         if (held.mark)
-            lmn_replication_defer_response(c, call, out, &held);
+            lmn_replication_defer_response(core, request, out, &held);
         else
-            lmn_http_request_respond(call, status, out, 0);
+            lmn_http_request_respond(request, status, out, 0);
     } else if (!post && !strcmp(path, "/metrics")) {
-        lmn_metrics_answer(call, lmn_controller_metrics, c);
+        lmn_metrics_answer(request, lmn_controller_metrics, core);
     } else if (!post && !strcmp(path, WIRE_PATH_READY)) {
-        lmn_http_request_respond(call, lmn_user_api_is_ready(c) ? 200 : 503, NULL, 0);
+        lmn_http_request_respond(request, lmn_user_api_is_ready(core) ? 200 : 503, NULL,
+                                 0);
     } else if (post && !strcmp(path, WIRE_PATH_JOBS)) {
-        lmn_user_api_submit(c, call);
+        lmn_user_api_submit(core, request);
     } else if (g_str_has_prefix(path, WIRE_PATH_JOBS "/")) {
-        route_job(c, call, path + strlen(WIRE_PATH_JOBS "/"));
+        route_job(core, request, path + strlen(WIRE_PATH_JOBS "/"));
     } else {
-        lmn_http_request_respond(call, 404, NULL, 0);
+        lmn_http_request_respond(request, 404, NULL, 0);
     }
 }
 
-struct lmn_http_server *lmn_http_routes_start(struct lmn_core *c)
+struct lmn_http_server *lmn_http_routes_start(struct lmn_core *core)
 {
     const struct lmn_http_server_options o = {
-        .listen = c->cfg->listen,
-        .connections = c->sockets.accepted,
+        .listen = core->cfg->listen,
+        .connections = core->sockets.accepted,
         .max_body = MAX_BODY,
         .call_memory = 6144,
         .patience_s = PATIENCE_S,
         /* A machine that was silent for a lease holds no socket any more. */
-        .idle_s = (unsigned)CLAMP(c->cfg->lease_s, 20, 90),
+        .idle_s = (unsigned)CLAMP(core->cfg->lease_s, 20, 90),
         .route = route,
         .stands = stands,
         .kind_of = kind_of,
         .admits = admits,
-        .arg = c,
+        .arg = core,
     };
 
     return lmn_http_server_start(&o);
--- a/src/controller/http_routes.h
+++ b/src/controller/http_routes.h
@@ -6,6 +6,6 @@
 #include "state/model.h"
 
 /* Listens on the settings' client_listen; NULL if it can't. The core is never freed. */
-struct lmn_http_server *lmn_http_routes_start(struct lmn_core *c);
+struct lmn_http_server *lmn_http_routes_start(struct lmn_core *core);
 
 #endif
--- a/src/controller/members_report.c
+++ b/src/controller/members_report.c
@@ -5,75 +5,82 @@
 #include "state/core.h"
 
 /* How a member stands. */
-static const char *standing(const struct lmn_members *ms, int rank, struct timespec now)
+static const char *standing(const struct lmn_members *members, int member_index,
+                            struct timespec now)
 {
-    const struct lmn_member_view *m = &ms->v[rank];
+    const struct lmn_member_view *member = &members->v[member_index];
 
-    if (!m->present)
+    if (!member->present)
         return "gone";
-    if (m->leaving)
+    if (member->leaving)
         return "leaving";
-    if (m->judged)
+    if (member->judged)
         return "judged";
-    if (lmn_member_is_suspected(ms, rank))
+    if (lmn_member_is_suspected(members, member_index))
         return "suspected";
-    if (!lmn_member_is_trusted(ms, rank, now))
+    if (!lmn_member_is_trusted(members, member_index, now))
         return "doubtful";
-    return lmn_member_readmission_delay_s(ms, rank, now) > 0 ? "coming-back" : "alive";
+    return lmn_member_readmission_delay_s(members, member_index, now) > 0 ? "coming-back"
+                                                                          : "alive";
 }
 
-static json_t *member(const struct lmn_core *c, int rank, struct timespec now)
+static json_t *member(const struct lmn_core *core, int member_index, struct timespec now)
 {
-    const struct lmn_members *ms = &c->members;
-    const struct lmn_member_view *m = &ms->v[rank];
-    const struct lmn_member_health *w = rank == ms->me ? &ms->word : &m->word;
+    const struct lmn_members *members = &core->members;
+    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_health *health =
+        member_index == members->me ? &members->word : &member->word;
     struct lmn_failure_evidence e;
     json_t *j = json_object();
 
-    lmn_member_failure_evidence(ms, rank, now, &e);
-    json_object_set_new(j, "member", json_string(lmn_member_name(ms, rank)));
-    json_object_set_new(j, "self", json_boolean(rank == ms->me));
-    json_object_set_new(j, "standing", json_string(standing(ms, rank, now)));
-    json_object_set_new(j, "incarnation", json_integer((json_int_t)m->inc));
+    lmn_member_failure_evidence(members, member_index, now, &e);
+    json_object_set_new(j, "member", json_string(lmn_member_name(members, member_index)));
+    json_object_set_new(j, "self", json_boolean(member_index == members->me));
+    json_object_set_new(j, "standing", json_string(standing(members, member_index, now)));
+    json_object_set_new(j, "incarnation", json_integer((json_int_t)member->inc));
     json_object_set_new(j, "partitions",
-                        json_integer(lmn_member_owned_partitions(c, rank)));
-    json_object_set_new(j, "stands_by", lmn_replication_standby_partitions(c, rank));
-    json_object_set_new(
-        j, "heard_s", m->ever ? json_real(lmn_time_diff_s(now, m->heard)) : json_null());
-    json_object_set_new(j, "answers_s", json_real(m->answers.mean));
-    json_object_set_new(j, "behind_s", json_real(w->behind_s));
-    json_object_set_new(
-        j, "mirror_s",
-        json_real(rank == ms->me ? MIN(lmn_watch_cache_age_s(c, now), 1e6) : w->stale_s));
-    json_object_set_new(j, "unheard_machines", json_real(w->deaf));
-    if (lmn_member_is_suspected(ms, rank)) {
-        json_object_set_new(j, "suspected_by", json_string(m->doubt_by));
+                        json_integer(lmn_member_owned_partitions(core, member_index)));
+    json_object_set_new(j, "stands_by",
+                        lmn_replication_standby_partitions(core, member_index));
+    json_object_set_new(j, "heard_s",
+                        member->ever ? json_real(lmn_time_diff_s(now, member->heard))
+                                     : json_null());
+    json_object_set_new(j, "answers_s", json_real(member->answers.mean));
+    json_object_set_new(j, "behind_s", json_real(health->behind_s));
+    json_object_set_new(j, "mirror_s",
+                        json_real(member_index == members->me
+                                      ? MIN(lmn_watch_cache_age_s(core, now), 1e6)
+                                      : health->stale_s));
+    json_object_set_new(j, "unheard_machines", json_real(health->deaf));
+    if (lmn_member_is_suspected(members, member_index)) {
+        json_object_set_new(j, "suspected_by", json_string(member->doubt_by));
         json_object_set_new(j, "suspected_of",
-                            json_string(lmn_suspicion_cause_name(m->doubt_why)));
+                            json_string(lmn_suspicion_cause_name(member->doubt_why)));
         json_object_set_new(j, "suspected_s",
-                            json_real(lmn_time_diff_s(now, m->doubted)));
+                            json_real(lmn_time_diff_s(now, member->doubted)));
     }
     json_object_set_new(j, "asked_phi", json_real(e.asked));
     json_object_set_new(j, "others_phi", json_real(e.others));
     json_object_set_new(j, "against", json_integer(e.by));
     json_object_set_new(j, "workers_here", json_integer(e.visitors));
-    json_object_set_new(j, "failures", json_integer(m->strikes));
-    json_object_set_new(j, "back_in_s",
-                        json_real(lmn_member_readmission_delay_s(ms, rank, now)));
+    json_object_set_new(j, "failures", json_integer(member->strikes));
+    json_object_set_new(
+        j, "back_in_s",
+        json_real(lmn_member_readmission_delay_s(members, member_index, now)));
     return j;
 }
 
 /* 0,3; -: none */
-static void partitions(GString *s, const json_t *list)
+static void partitions(GString *text, const json_t *list)
 {
     for (size_t i = 0; i < json_array_size(list); i++)
-        g_string_append_printf(s, "%s%" JSON_INTEGER_FORMAT, i ? "," : "",
+        g_string_append_printf(text, "%s%" JSON_INTEGER_FORMAT, i ? "," : "",
                                json_integer_value(json_array_get(list, i)));
     if (!json_array_size(list))
-        g_string_append_c(s, '-');
+        g_string_append_c(text, '-');
 }
 
-static void line(GString *s, const json_t *j)
+static void line(GString *text, const json_t *j)
 {
     const json_t *v;
     const char *key;
@@ -83,38 +90,38 @@
     {
         if (json_is_null(v))
             continue;
-        g_string_append(s, first ? "" : " ");
+        g_string_append(text, first ? "" : " ");
         if (!first)
-            g_string_append_printf(s, "%s=", key);
+            g_string_append_printf(text, "%s=", key);
         if (json_is_string(v))
-            g_string_append(s, json_string_value(v));
+            g_string_append(text, json_string_value(v));
         else if (json_is_integer(v))
-            g_string_append_printf(s, "%" JSON_INTEGER_FORMAT, json_integer_value(v));
+            g_string_append_printf(text, "%" JSON_INTEGER_FORMAT, json_integer_value(v));
         else if (json_is_real(v))
-            g_string_append_printf(s, "%.2f", json_real_value(v));
+            g_string_append_printf(text, "%.2f", json_real_value(v));
         else if (json_is_array(v))
-            partitions(s, v);
+            partitions(text, v);
         else
-            g_string_append(s, json_is_true(v) ? "yes" : "no");
+            g_string_append(text, json_is_true(v) ? "yes" : "no");
         first = false;
     }
-    g_string_append_c(s, '\n');
+    g_string_append_c(text, '\n');
 }
 
-char *lmn_members_report(struct lmn_core *c, bool json)
+char *lmn_members_report(struct lmn_core *core, bool json)
 {
     struct timespec now = lmn_now();
     json_t *all = json_array(), *j;
     size_t i;
 
-    pthread_mutex_lock(&c->lock);
-    for (int k = 0; k < c->members.n; k++)
-        json_array_append_new(all, member(c, k, now));
-    json_t *top = json_pack("{s:s, s:b, s:b, s:i, s:o}", "node", c->cfg->node, "awake",
-                            (int)lmn_self_may_reply(&c->members, now), "fit",
-                            (int)lmn_self_may_claim(&c->members, now), "health",
-                            (int)c->members.health, "members", all);
-    pthread_mutex_unlock(&c->lock);
+    pthread_mutex_lock(&core->lock);
+    for (int k = 0; k < core->members.n; k++)
+        json_array_append_new(all, member(core, k, now));
+    json_t *top = json_pack("{s:s, s:b, s:b, s:i, s:o}", "node", core->cfg->node, "awake",
+                            (int)lmn_self_may_reply(&core->members, now), "fit",
+                            (int)lmn_self_may_claim(&core->members, now), "health",
+                            (int)core->members.health, "members", all);
+    pthread_mutex_unlock(&core->lock);
     char *text;
     if (json) {
         char *dumped = json_dumps(top, JSON_INDENT(1) | JSON_REAL_PRECISION(6));
@@ -129,24 +136,26 @@
     return text;
 }
 
-void lmn_members_metrics(const struct lmn_core *c, GString *out)
+void lmn_members_metrics(const struct lmn_core *core, GString *out)
 {
-    const struct lmn_members *ms = &c->members;
-    const struct lmn_member_counts *n = &ms->count;
+    const struct lmn_members *members = &core->members;
+    const struct lmn_member_counts *n = &members->count;
     struct timespec now = lmn_now();
 
     lmn_metric_head(out, "lemonspar_member_trusted", "gauge",
                     "1: up, not suspected, and fit by its own word");
-    for (int i = 0; i < ms->n; i++)
+    for (int i = 0; i < members->n; i++)
         lmn_metric_sample(out, "lemonspar_member_trusted", "member",
-                          lmn_member_name(ms, i), lmn_member_is_trusted(ms, i, now));
+                          lmn_member_name(members, i),
+                          lmn_member_is_trusted(members, i, now));
     lmn_metric_head(out, "lemonspar_member_suspected", "gauge",
                     "1: a suspicion of it stands");
-    for (int i = 0; i < ms->n; i++)
+    for (int i = 0; i < members->n; i++)
         lmn_metric_sample(out, "lemonspar_member_suspected", "member",
-                          lmn_member_name(ms, i), lmn_member_is_suspected(ms, i));
+                          lmn_member_name(members, i),
+                          lmn_member_is_suspected(members, i));
     lmn_gauge(out, "lemonspar_member_health",
-              "0: this node's clocks are well, to 8: late or not heard", ms->health);
+              "0: this node's clocks are well, to 8: late or not heard", members->health);
     lmn_counter(out, "lemonspar_member_questions", "Questions to members", n->asked);
     lmn_counter(out, "lemonspar_member_unanswered", "Of these, not answered",
                 n->unanswered);
--- a/src/controller/members_report.h
+++ b/src/controller/members_report.h
@@ -5,8 +5,8 @@
 #include "state/model.h"
 
 /* A line a member, or one JSON object; to be freed. Takes the lock. */
-char *lmn_members_report(struct lmn_core *c, bool json);
+char *lmn_members_report(struct lmn_core *core, bool json);
 /* The same as metrics. The lock is held. */
-void lmn_members_metrics(const struct lmn_core *c, GString *out);
+void lmn_members_metrics(const struct lmn_core *core, GString *out);
 
 #endif
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -10,15 +10,15 @@
     double queued, started, moving, done;
 };
 
-static void count_range(struct tasks *t, const struct lmn_range *r)
+static void count_range(struct tasks *t, const struct lmn_range *range)
 {
-    if (r->job->phase != LMN_JOB_ACTIVE || !r->st)
+    if (range->job->phase != LMN_JOB_ACTIVE || !range->st)
         return;
-    for (uint32_t i = 0; i < r->hi - r->lo; i++) {
-        t->queued += r->st[i] == LMN_TASK_QUEUED;
-        t->started += r->st[i] == LMN_TASK_STARTED;
-        t->moving += r->st[i] == LMN_TASK_MOVING;
-        t->done += r->st[i] == LMN_TASK_DONE;
+    for (uint32_t i = 0; i < range->hi - range->lo; i++) {
+        t->queued += range->st[i] == LMN_TASK_QUEUED;
+        t->started += range->st[i] == LMN_TASK_STARTED;
+        t->moving += range->st[i] == LMN_TASK_MOVING;
+        t->done += range->st[i] == LMN_TASK_DONE;
     }
 }
 
@@ -28,62 +28,66 @@
     double *used; /* by team */
 };
 
-static void count_partition(const struct lmn_core *c, struct sums *s,
-                            const struct lmn_partition *p)
+static void count_partition(const struct lmn_core *core, struct sums *s,
+                            const struct lmn_partition *partition)
 {
     GHashTableIter it;
     gpointer v;
 
     s->owned++;
-    s->ready += p->ready;
-    s->unplaced += p->unplaced.tasks;
-    g_hash_table_iter_init(&it, p->machines);
+    s->ready += partition->ready;
+    s->unplaced += partition->unplaced.tasks;
+    g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine *m = v;
-        s->machines += !m->is_gone;
-        s->unaccounted += !m->accounted;
-        s->retiring += m->retiring;
-        s->queued += m->queue.tasks;
+        const struct lmn_machine *machine = v;
+        s->machines += !machine->is_gone;
+        s->unaccounted += !machine->accounted;
+        s->retiring += machine->retiring;
+        s->queued += machine->queue.tasks;
     }
-    g_hash_table_iter_init(&it, p->ranges);
+    g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v))
         count_range(&s->tasks, v);
-    for (size_t i = 0; i < c->cfg->nteams; i++)
-        s->used[i] += p->used_cpus[i];
+    for (size_t i = 0; i < core->cfg->nteams; i++)
+        s->used[i] += partition->used_cpus[i];
 }
 
-static void counters(GString *out, const struct lmn_counters *n)
+static void counters(GString *out, const struct lmn_counters *counters)
 {
     const struct {
         const char *name, *help;
         uint64_t value;
     } all[] = {
-        {"lemonspar_submissions", "Submissions", n->submissions},
-        {"lemonspar_refused", "Submissions answered 429 since too many wait", n->refused},
-        {"lemonspar_polls", "Polls and cancellations", n->polls},
-        {"lemonspar_reports", "Workers' reports", n->reports},
-        {"lemonspar_starts", "Start commands", n->starts},
-        {"lemonspar_kills", "Kill commands", n->kills},
-        {"lemonspar_failures", "Tasks that ended with an error", n->failures},
-        {"lemonspar_jobs_accused", "Jobs found to fail wherever they start", n->accused},
+        {"lemonspar_submissions", "Submissions", counters->submissions},
+        {"lemonspar_refused", "Submissions answered 429 since too many wait",
+         counters->refused},
+        {"lemonspar_polls", "Polls and cancellations", counters->polls},
+        {"lemonspar_reports", "Workers' reports", counters->reports},
+        {"lemonspar_starts", "Start commands", counters->starts},
+        {"lemonspar_kills", "Kill commands", counters->kills},
+        {"lemonspar_failures", "Tasks that ended with an error", counters->failures},
+        {"lemonspar_jobs_accused", "Jobs found to fail wherever they start",
+         counters->accused},
         {"lemonspar_machines_accused",
-         "Machines left because tasks fail on them that succeed elsewhere", n->faulty},
-        {"lemonspar_preempted", "Tasks stopped to make room", n->preempted},
-        {"lemonspar_steal_tries", "Looks at a sample of queues", n->steal_tries},
-        {"lemonspar_steals", "Steals inside partitions", n->steals},
-        {"lemonspar_stolen_tasks", "Tasks that they took", n->stolen_tasks},
-        {"lemonspar_moves", "Steals between partitions", n->moves},
-        {"lemonspar_moved_tasks", "Tasks that they took", n->moved_tasks},
-        {"lemonspar_takeovers", "Partitions taken over", n->takeovers},
+         "Machines left because tasks fail on them that succeed elsewhere",
+         counters->faulty},
+        {"lemonspar_preempted", "Tasks stopped to make room", counters->preempted},
+        {"lemonspar_steal_tries", "Looks at a sample of queues", counters->steal_tries},
+        {"lemonspar_steals", "Steals inside partitions", counters->steals},
+        {"lemonspar_stolen_tasks", "Tasks that they took", counters->stolen_tasks},
+        {"lemonspar_moves", "Steals between partitions", counters->moves},
+        {"lemonspar_moved_tasks", "Tasks that they took", counters->moved_tasks},
+        {"lemonspar_takeovers", "Partitions taken over", counters->takeovers},
         {"lemonspar_unqueued",
-         "Queued tasks that stood in no queue (there should be none)", n->unqueued},
+         "Queued tasks that stood in no queue (there should be none)",
+         counters->unqueued},
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(all); i++)
         lmn_counter(out, all[i].name, all[i].help, all[i].value);
 }
 
-static void sockets(GString *out, const struct lmn_core *c,
+static void sockets(GString *out, const struct lmn_core *core,
                     const struct lmn_http_server *server)
 {
     static const char *const kinds[] = {"passing", "users", "workers"};
@@ -95,7 +99,7 @@
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections", "of", kinds[i], load.open[i]);
     lmn_gauge(out, "lemonspar_connections_most", "Connections let in at a time",
-              c->sockets.accepted);
+              core->sockets.accepted);
     lmn_metric_head(out, "lemonspar_connections_closed", "counter",
                     "Connections closed with their answer, for want of sockets");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -24,99 +24,101 @@
 static const double LOOK_EVERY_S = 0.02;
 
 /* The lock is held. Returns the call if it has no reply yet: the caller replies. */
-static struct lmn_http_request *take_call(struct lmn_pending_submission *p)
+static struct lmn_http_request *take_call(struct lmn_pending_submission *pending)
 {
-    struct lmn_http_request *call = p->call;
+    struct lmn_http_request *request = pending->call;
 
-    p->call = NULL;
-    return call;
+    pending->call = NULL;
+    return request;
 }
 
 /* The lock is held. */
-static void free_if_over(struct lmn_pending_submission *p)
+static void free_if_over(struct lmn_pending_submission *pending)
 {
-    if (p->in_flight)
+    if (pending->in_flight)
         return;
-    g_queue_remove(&pendings.list, p);
-    if (p->twin)
-        lmn_txn_free(p->twin);
-    g_free(p);
+    g_queue_remove(&pendings.list, pending);
+    if (pending->twin)
+        lmn_txn_free(pending->twin);
+    g_free(pending);
 }
 
-static void note_latency(struct lmn_core *c, double took)
+static void note_latency(struct lmn_core *core, double took)
 {
-    pthread_mutex_lock(&c->lock);
-    lmn_latency_add(&c->accepting, took);
-    pthread_mutex_unlock(&c->lock);
+    pthread_mutex_lock(&core->lock);
+    lmn_latency_add(&core->accepting, took);
+    pthread_mutex_unlock(&core->lock);
 }
 
-static void committed(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
-                      uint64_t rev)
+static void committed(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
+                      uint64_t revision)
 {
-    struct lmn_pending_submission *p = arg;
+    struct lmn_pending_submission *pending = arg;
     struct lmn_request_decision d = lmn_decide_submitted(outcome);
     bool known = outcome == LMN_TXN_COMMITTED || outcome == LMN_TXN_CONFLICT;
-    double took = lmn_time_diff_s(lmn_now(), p->since);
+    double took = lmn_time_diff_s(lmn_now(), pending->since);
     char ref[LMN_JOB_ID_SIZE];
-    (void)t;
-    (void)rev;
+    (void)txn;
+    (void)revision;
 
-    lmn_debug("job-submitted job=%s outcome=%d took=%.3f", p->ref, outcome, took);
+    lmn_debug("job-submitted job=%s outcome=%d took=%.3f", pending->ref, outcome, took);
     if (outcome == LMN_TXN_COMMITTED)
-        note_latency(p->core, took);
+        note_latency(pending->core, took);
     pthread_mutex_lock(&pendings.lock);
-    g_strlcpy(ref, p->ref, sizeof ref);
-    p->in_flight--;
+    g_strlcpy(ref, pending->ref, sizeof ref);
+    pending->in_flight--;
     /* Of two, the other may still tell. */
-    struct lmn_http_request *call = known || !p->in_flight ? take_call(p) : NULL;
-    free_if_over(p);
+    struct lmn_http_request *request =
+        known || !pending->in_flight ? take_call(pending) : NULL;
+    free_if_over(pending);
     pthread_mutex_unlock(&pendings.lock);
-    if (call)
-        pendings.reply(call, ref, &d);
+    if (request)
+        pendings.reply(request, ref, &d);
 }
 
-void lmn_pending_submission_submit(struct lmn_core *c, struct lmn_http_request *call,
-                                   const struct lmn_job_spec *s)
+void lmn_pending_submission_submit(struct lmn_core *core,
+                                   struct lmn_http_request *request,
+                                   const struct lmn_job_spec *spec)
 {
-    struct lmn_pending_submission *p = g_new0(struct lmn_pending_submission, 1);
-
-    p->core = c;
-    p->call = call;
-    p->since = lmn_now();
-    p->in_flight = 1;
-    g_strlcpy(p->ref, s->ref, sizeof p->ref);
-    pthread_mutex_lock(&c->lock);
-    struct lmn_txn *t =
-        lmn_submission_txn(c, s, lmn_time_seconds(lmn_wall_clock_now()), committed, p);
-    pthread_mutex_unlock(&c->lock);
-    p->twin = lmn_txn_copy(t);
+    struct lmn_pending_submission *pending = g_new0(struct lmn_pending_submission, 1);
+
+    pending->core = core;
+    pending->call = request;
+    pending->since = lmn_now();
+    pending->in_flight = 1;
+    g_strlcpy(pending->ref, spec->ref, sizeof pending->ref);
+    pthread_mutex_lock(&core->lock);
+    struct lmn_txn *txn = lmn_submission_txn(
+        core, spec, lmn_time_seconds(lmn_wall_clock_now()), committed, pending);
+    pthread_mutex_unlock(&core->lock);
+    pending->twin = lmn_txn_copy(txn);
     pthread_mutex_lock(&pendings.lock);
-    g_queue_push_tail(&pendings.list, p);
+    g_queue_push_tail(&pendings.list, pending);
     pthread_cond_signal(&pendings.more);
     pthread_mutex_unlock(&pendings.lock);
-    lmn_kv_client_submit(c->state, t);
+    lmn_kv_client_submit(core->state, txn);
 }
 
 /* Does what is due for the submission; the lock is held. Returns the call if its job's
  * state is to be confirmed. */
-static struct lmn_http_request *look(struct lmn_core *c, struct lmn_pending_submission *p,
-                                     struct timespec now)
+static struct lmn_http_request *
+look(struct lmn_core *core, struct lmn_pending_submission *pending, struct timespec now)
 {
     struct lmn_txn *twin;
 
-    pthread_mutex_lock(&c->lock);
-    enum lmn_pending_submission_step step =
-        lmn_decide_pending_submission(c, p->ref, p->since, !p->twin, now);
-    pthread_mutex_unlock(&c->lock);
+    pthread_mutex_lock(&core->lock);
+    enum lmn_pending_submission_step step = lmn_decide_pending_submission(
+        core, pending->ref, pending->since, !pending->twin, now);
+    pthread_mutex_unlock(&core->lock);
     switch (step) {
     case LMN_PENDING_CONFIRM:
-        return take_call(p);
+        return take_call(pending);
     case LMN_PENDING_RESEND:
-        twin = p->twin;
-        p->twin = NULL;
-        p->in_flight++;
-        lmn_debug("job-submitted-again job=%s", p->ref);
-        lmn_kv_client_submit(c->state, twin);
+        twin = pending->twin;
+        pending->twin = NULL;
+        pending->in_flight++;
+        lmn_debug("job-submitted-again job=%s", pending->ref);
+        lmn_kv_client_submit(core->state, twin);
         return NULL;
     default:
         return NULL;
@@ -127,15 +129,16 @@
 static double until_due(struct timespec now)
 {
     for (GList *l = pendings.list.head; l; l = l->next) {
-        const struct lmn_pending_submission *p = l->data;
-        if (p->call)
-            return MAX(LMN_PENDING_LOOK_S - lmn_time_diff_s(now, p->since), LOOK_EVERY_S);
+        const struct lmn_pending_submission *pending = l->data;
+        if (pending->call)
+            return MAX(LMN_PENDING_LOOK_S - lmn_time_diff_s(now, pending->since),
+                       LOOK_EVERY_S);
     }
     return INFINITY;
 }
 
 /* Waits until one may be due, and looks at all. */
-static void look_at_all(struct lmn_core *c)
+static void look_at_all(struct lmn_core *core)
 {
     struct due {
         struct lmn_http_request *call;
@@ -152,9 +155,9 @@
     else
         lmn_cond_wait_for(&pendings.more, &pendings.lock, wait);
     for (GList *l = pendings.list.head; l; l = l->next) {
-        struct lmn_pending_submission *p = l->data;
-        struct due d = {.call = p->call ? look(c, p, lmn_now()) : NULL};
-        g_strlcpy(d.ref, p->ref, sizeof d.ref);
+        struct lmn_pending_submission *pending = l->data;
+        struct due d = {.call = pending->call ? look(core, pending, lmn_now()) : NULL};
+        g_strlcpy(d.ref, pending->ref, sizeof d.ref);
         if (d.call)
             g_array_append_val(due, d);
     }
@@ -173,9 +176,9 @@
     return NULL;
 }
 
-void lmn_pending_submission_start(struct lmn_core *c, lmn_submission_responder *reply)
+void lmn_pending_submission_start(struct lmn_core *core, lmn_submission_responder *reply)
 {
     lmn_cond_init(&pendings.more);
     pendings.reply = reply;
-    lmn_thread(pending_thread, c);
+    lmn_thread(pending_thread, core);
 }
--- a/src/controller/pending_submission.h
+++ b/src/controller/pending_submission.h
@@ -16,9 +16,10 @@
                                       const struct lmn_request_decision *d);
 
 /* Starts the thread that looks after them. */
-void lmn_pending_submission_start(struct lmn_core *c, lmn_submission_responder *reply);
+void lmn_pending_submission_start(struct lmn_core *core, lmn_submission_responder *reply);
 /* Takes over the call, which is held, and sends the transaction that accepts the job. */
-void lmn_pending_submission_submit(struct lmn_core *c, struct lmn_http_request *call,
-                                   const struct lmn_job_spec *s);
+void lmn_pending_submission_submit(struct lmn_core *core,
+                                   struct lmn_http_request *request,
+                                   const struct lmn_job_spec *spec);
 
 #endif
--- a/src/controller/probe_client.h
+++ b/src/controller/probe_client.h
@@ -13,11 +13,11 @@
 
 /* Takes in a question that another member has sent, and fills the answer, which points
  * into the room. Takes the lock. */
-void lmn_probe_handle(struct lmn_core *c, const lmn_rpc_probe *q, lmn_rpc_probe_reply *a,
-                      struct lmn_probe_reply_buffer *room);
+void lmn_probe_handle(struct lmn_core *core, const lmn_rpc_probe *probe,
+                      lmn_rpc_probe_reply *reply, struct lmn_probe_reply_buffer *room);
 /* Takes in what another has confirmed to users as withdrawn; returns how many of them the
  * mirror does not show. Takes the lock. */
-u_int lmn_tombstones_handle(struct lmn_core *c, const lmn_rpc_tombstones *q);
+u_int lmn_tombstones_handle(struct lmn_core *core, const lmn_rpc_tombstones *tombstones);
 /* Asks (a thread). */
 void *lmn_probe_thread(void *core);
 
--- a/src/controller/read_batch.c
+++ b/src/controller/read_batch.c
@@ -1,82 +1,84 @@
 #include "controller/read_batch.h"
 #include "util/clock.h"
 
-void lmn_read_batch_init(struct lmn_read_batch *q)
+void lmn_read_batch_init(struct lmn_read_batch *batch)
 {
-    g_queue_init(&q->order);
-    q->jobs = g_hash_table_new(g_str_hash, g_str_equal);
-    q->waiting = 0;
+    g_queue_init(&batch->order);
+    batch->jobs = g_hash_table_new(g_str_hash, g_str_equal);
+    batch->waiting = 0;
 }
 
-void lmn_read_batch_clear(struct lmn_read_batch *q)
+void lmn_read_batch_clear(struct lmn_read_batch *batch)
 {
-    struct lmn_read_request *a, *next;
+    struct lmn_read_request *read, *next;
 
-    while ((a = g_queue_pop_head(&q->order)))
-        for (; a; a = next) {
-            next = a->next;
-            g_free(a);
+    while ((read = g_queue_pop_head(&batch->order)))
+        for (; read; read = next) {
+            next = read->next;
+            g_free(read);
         }
-    g_hash_table_destroy(q->jobs);
+    g_hash_table_destroy(batch->jobs);
 }
 
-void lmn_read_batch_add(struct lmn_read_batch *q, struct lmn_read_request *a)
+void lmn_read_batch_add(struct lmn_read_batch *batch, struct lmn_read_request *read)
 {
-    struct lmn_read_request *first =
-        a->kind == LMN_READ_STATUS ? g_hash_table_lookup(q->jobs, a->ref) : NULL;
+    struct lmn_read_request *first = read->kind == LMN_READ_STATUS
+                                         ? g_hash_table_lookup(batch->jobs, read->ref)
+                                         : NULL;
 
-    q->waiting++;
-    a->next = NULL;
+    batch->waiting++;
+    read->next = NULL;
     if (!first) {
-        g_queue_push_tail(&q->order, a);
-        if (a->kind == LMN_READ_STATUS)
-            g_hash_table_insert(q->jobs, a->ref, a);
+        g_queue_push_tail(&batch->order, read);
+        if (read->kind == LMN_READ_STATUS)
+            g_hash_table_insert(batch->jobs, read->ref, read);
         return;
     }
     /* The next is the latest: nobody needs them in their order. */
-    a->next = first->next;
-    first->next = a;
+    read->next = first->next;
+    first->next = read;
 }
 
 /* Splits the list: who still listens is returned, the others go before *late. */
-static struct lmn_read_request *
-listening(struct lmn_read_request *a, struct lmn_read_request **late, struct timespec now)
+static struct lmn_read_request *listening(struct lmn_read_request *read,
+                                          struct lmn_read_request **late,
+                                          struct timespec now)
 {
     struct lmn_read_request *still = NULL, *next;
 
-    for (; a; a = next) {
+    for (; read; read = next) {
         struct lmn_read_request **to =
-            lmn_time_diff_s(now, a->since) > LMN_QUERY_PATIENCE_S ? late : &still;
-        next = a->next;
-        a->next = *to;
-        *to = a;
+            lmn_time_diff_s(now, read->since) > LMN_QUERY_PATIENCE_S ? late : &still;
+        next = read->next;
+        read->next = *to;
+        *to = read;
     }
     return still;
 }
 
-guint lmn_read_batch_take(struct lmn_read_batch *q, struct lmn_read_request **jobs,
+guint lmn_read_batch_take(struct lmn_read_batch *batch, struct lmn_read_request **jobs,
                           guint most, struct lmn_read_request **cancel,
                           struct lmn_read_request **late, struct timespec now)
 {
     guint n = 0;
 
     *cancel = *late = NULL;
-    for (GList *l = q->order.head, *next; l && n < most; l = next) {
+    for (GList *l = batch->order.head, *next; l && n < most; l = next) {
         struct lmn_read_request *a = l->data;
         next = l->next;
         if (a->kind == LMN_READ_CANCEL) {
             if (*cancel)
                 continue;
             *cancel = a;
-            q->waiting--;
+            batch->waiting--;
         } else {
-            g_hash_table_remove(q->jobs, a->ref);
+            g_hash_table_remove(batch->jobs, a->ref);
             for (const struct lmn_read_request *x = a; x; x = x->next)
-                q->waiting--;
+                batch->waiting--;
             if ((a = listening(a, late, now)))
                 jobs[n++] = a;
         }
-        g_queue_delete_link(&q->order, l);
+        g_queue_delete_link(&batch->order, l);
     }
     return n;
 }
--- a/src/controller/read_batch.h
+++ b/src/controller/read_batch.h
@@ -33,14 +33,14 @@
 /* How long a user listens for the answer to a question (the protocol's), less the way. */
 #define LMN_QUERY_PATIENCE_S 1.8
 
-void lmn_read_batch_init(struct lmn_read_batch *q);
-void lmn_read_batch_clear(struct lmn_read_batch *q); /* frees what waits */
+void lmn_read_batch_init(struct lmn_read_batch *batch);
+void lmn_read_batch_clear(struct lmn_read_batch *batch); /* frees what waits */
 /* Takes the query over. */
-void lmn_read_batch_add(struct lmn_read_batch *q, struct lmn_read_request *a);
+void lmn_read_batch_add(struct lmn_read_batch *batch, struct lmn_read_request *read);
 /* Takes the next questions off the queue: of `most` jobs at most, a list for each, and
  * one cancellation (NULL: none). What has waited for too long goes to *late, a list, in
  * either case. Returns how many jobs. */
-guint lmn_read_batch_take(struct lmn_read_batch *q, struct lmn_read_request **jobs,
+guint lmn_read_batch_take(struct lmn_read_batch *batch, struct lmn_read_request **jobs,
                           guint most, struct lmn_read_request **cancel,
                           struct lmn_read_request **late, struct timespec now);
 
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -4,63 +4,70 @@
 
 #include <string.h>
 
-void lmn_replication_describe(GString *s, const struct lmn_core *c,
-                              const struct lmn_partition *p, struct timespec now)
+void lmn_replication_describe(GString *text, const struct lmn_core *core,
+                              const struct lmn_partition *partition, struct timespec now)
 {
-    const struct lmn_replication_stream *f = &p->stream;
+    const struct lmn_replication_stream *stream = &partition->stream;
     uint64_t starts;
     guint machines;
     double seconds;
 
-    if (p->mine) {
-        lmn_replication_lag(p, now, &machines, &starts, &seconds);
+    if (partition->mine) {
+        lmn_replication_lag(partition, now, &machines, &starts, &seconds);
         g_string_append_printf(
-            s, "  standby %s phase=%s untold=%u waiting=%" G_GUINT64_FORMAT " waits=%.3f",
-            f->phase == LMN_STREAM_NONE ? "-" : lmn_member_name(&c->members, f->to),
-            lmn_replication_phase_name(f->phase), machines, starts, seconds);
-        if (f->phase == LMN_STREAM_NONE && f->why)
-            g_string_append_printf(s, " last=\"%s\" again_in=%.1f", f->why,
-                                   MAX(lmn_time_diff_s(f->next, now), 0));
-        g_string_append_printf(s,
-                               " batches=%" G_GUINT64_FORMAT
-                               " machines=%" G_GUINT64_FORMAT
-                               " strikes=%" G_GUINT64_FORMAT "\n",
-                               f->count.batches, f->count.machines, f->count.strikes);
-    } else if (p->copy && p->copy->own) {
-        g_string_append_printf(s, "  own term=%" G_GUINT64_FORMAT " machines=%u\n",
-                               p->copy->term, g_hash_table_size(p->copy->machines));
-    } else if (p->copy) {
+            text,
+            "  standby %s phase=%s untold=%u waiting=%" G_GUINT64_FORMAT " waits=%.3f",
+            stream->phase == LMN_STREAM_NONE
+                ? "-"
+                : lmn_member_name(&core->members, stream->to),
+            lmn_replication_phase_name(stream->phase), machines, starts, seconds);
+        if (stream->phase == LMN_STREAM_NONE && stream->why)
+            g_string_append_printf(text, " last=\"%s\" again_in=%.1f", stream->why,
+                                   MAX(lmn_time_diff_s(stream->next, now), 0));
         g_string_append_printf(
-            s, "  copy term=%" G_GUINT64_FORMAT " machines=%u last=%.2f in_step=%d\n",
-            p->copy->term, g_hash_table_size(p->copy->machines),
-            lmn_time_diff_s(now, p->copy->last),
-            p->copy->stream == p->standby_stream && p->copy->term == p->term &&
-                !strcmp(p->standby, c->cfg->node));
+            text,
+            " batches=%" G_GUINT64_FORMAT " machines=%" G_GUINT64_FORMAT
+            " strikes=%" G_GUINT64_FORMAT "\n",
+            stream->count.batches, stream->count.machines, stream->count.strikes);
+    } else if (partition->copy && partition->copy->own) {
+        g_string_append_printf(text, "  own term=%" G_GUINT64_FORMAT " machines=%u\n",
+                               partition->copy->term,
+                               g_hash_table_size(partition->copy->machines));
+    } else if (partition->copy) {
+        g_string_append_printf(
+            text, "  copy term=%" G_GUINT64_FORMAT " machines=%u last=%.2f in_step=%d\n",
+            partition->copy->term, g_hash_table_size(partition->copy->machines),
+            lmn_time_diff_s(now, partition->copy->last),
+            partition->copy->stream == partition->standby_stream &&
+                partition->copy->term == partition->term &&
+                !strcmp(partition->standby, core->cfg->node));
     }
 }
 
-json_t *lmn_replication_standby_partitions(const struct lmn_core *c, int rank)
+json_t *lmn_replication_standby_partitions(const struct lmn_core *core, int member_index)
 {
-    const char *name = lmn_member_name(&c->members, rank);
+    const char *name = lmn_member_name(&core->members, member_index);
     json_t *all = json_array();
 
-    for (int i = 0; i < c->nparts; i++) {
-        const struct lmn_partition *p = &c->parts[i];
-        if (p->standby_stream && p->standby_term == p->term && !strcmp(p->standby, name))
+    for (int i = 0; i < core->nparts; i++) {
+        const struct lmn_partition *partition = &core->parts[i];
+        if (partition->standby_stream && partition->standby_term == partition->term &&
+            !strcmp(partition->standby, name))
             json_array_append_new(all, json_integer(i));
     }
     return all;
 }
 
-void lmn_replication_metrics(const struct lmn_core *c, GString *out, struct timespec now)
+void lmn_replication_metrics(const struct lmn_core *core, GString *out,
+                             struct timespec now)
 {
     unsigned in_step = 0, copies = 0, untold = 0;
     struct lmn_replication_counters sum = {0};
     double waits = 0;
 
-    for (int i = 0; i < c->nparts; i++) {
-        const struct lmn_partition *p = &c->parts[i];
-        const struct lmn_replication_counters *n = &p->stream.count;
+    for (int i = 0; i < core->nparts; i++) {
+        const struct lmn_partition *partition = &core->parts[i];
+        const struct lmn_replication_counters *n = &partition->stream.count;
         uint64_t starts;
         guint machines;
         double seconds;
@@ -68,11 +75,11 @@
         sum.machines += n->machines;
         sum.streams += n->streams;
         sum.strikes += n->strikes;
-        copies += p->copy && !p->copy->own;
-        if (!p->mine)
+        copies += partition->copy && !partition->copy->own;
+        if (!partition->mine)
             continue;
-        lmn_replication_lag(p, now, &machines, &starts, &seconds);
-        in_step += p->stream.phase == LMN_STREAM_IN_SYNC;
+        lmn_replication_lag(partition, now, &machines, &starts, &seconds);
+        in_step += partition->stream.phase == LMN_STREAM_IN_SYNC;
         untold += machines;
         waits = MAX(waits, seconds);
     }
@@ -92,15 +99,15 @@
     lmn_counter(
         out, "lemonspar_tombstones",
         "Withdrawals that another controller told of before the mirror showed them",
-        c->count.tombstones);
+        core->count.tombstones);
     lmn_counter(out, "lemonspar_starts_withheld",
                 "Starts taken back since no standby acknowledged them",
-                c->count.withheld);
+                core->count.withheld);
     lmn_counter(out, "lemonspar_takeovers_warm",
-                "Takeovers with a standby's copy, or an owner's own", c->count.warm);
+                "Takeovers with a standby's copy, or an owner's own", core->count.warm);
     lmn_counter(out, "lemonspar_takeovers_own",
-                "Of those: by the last owner, with its own", c->count.own);
-    lmn_counter(out, "lemonspar_takeovers_cold", "Takeovers without", c->count.cold);
+                "Of those: by the last owner, with its own", core->count.own);
+    lmn_counter(out, "lemonspar_takeovers_cold", "Takeovers without", core->count.cold);
     lmn_quantiles(out, "lemonspar_standby_ack_seconds",
-                  "What starts wait for their acknowledgement", &c->telling);
+                  "What starts wait for their acknowledgement", &core->telling);
 }
--- a/src/controller/replication_report.h
+++ b/src/controller/replication_report.h
@@ -8,10 +8,11 @@
 #include <jansson.h>
 
 /* A line on who follows us in the partition, or on what we have of it. */
-void lmn_replication_describe(GString *s, const struct lmn_core *c,
-                              const struct lmn_partition *p, struct timespec now);
+void lmn_replication_describe(GString *text, const struct lmn_core *core,
+                              const struct lmn_partition *partition, struct timespec now);
 /* The partitions for which the member is in step, as far as the mirror shows. */
-json_t *lmn_replication_standby_partitions(const struct lmn_core *c, int rank);
-void lmn_replication_metrics(const struct lmn_core *c, GString *out, struct timespec now);
+json_t *lmn_replication_standby_partitions(const struct lmn_core *core, int member_index);
+void lmn_replication_metrics(const struct lmn_core *core, GString *out,
+                             struct timespec now);
 
 #endif
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -23,7 +23,7 @@
 
 /* --- being told --- */
 
-u_int lmn_replication_receive(struct lmn_core *c, const lmn_rpc_replication_batch *x)
+u_int lmn_replication_receive(struct lmn_core *core, const lmn_rpc_replication_batch *x)
 {
     struct lmn_replication_batch *b = lmn_replication_batch_new();
 
@@ -32,33 +32,34 @@
     b->stream = x->stream;
     b->number = x->number;
     for (u_int i = 0; i < x->machines.machines_len; i++) {
-        const lmn_rpc_machine *m = &x->machines.machines_val[i];
-        struct lmn_machine_snapshot *t = lmn_machine_snapshot_new(m->name);
-        t->session = m->session;
-        t->gone = m->state & 1;
-        t->forget = m->state & 2;
-        for (u_int k = 0; k < m->attempts.attempts_len; k++) {
-            const lmn_rpc_attempt *a = &m->attempts.attempts_val[k];
-            struct lmn_attempt_snapshot y = {.index = a->index,
-                                             .number = a->number,
-                                             .ended = a->state & 1,
-                                             .done = a->state & 2};
-            g_strlcpy(y.ref, a->ref, sizeof y.ref);
-            g_array_append_val(t->attempts, y);
+        const lmn_rpc_machine *machine = &x->machines.machines_val[i];
+        struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(machine->name);
+        snapshot->session = machine->session;
+        snapshot->gone = machine->state & 1;
+        snapshot->forget = machine->state & 2;
+        for (u_int k = 0; k < machine->attempts.attempts_len; k++) {
+            const lmn_rpc_attempt *attempt = &machine->attempts.attempts_val[k];
+            struct lmn_attempt_snapshot y = {.index = attempt->index,
+                                             .number = attempt->number,
+                                             .ended = attempt->state & 1,
+                                             .done = attempt->state & 2};
+            g_strlcpy(y.ref, attempt->ref, sizeof y.ref);
+            g_array_append_val(snapshot->attempts, y);
         }
-        if (m->state & 4)
-            t->images = g_array_new(FALSE, FALSE, sizeof(struct lmn_image_snapshot));
-        for (u_int k = 0; t->images && k < m->images.images_len; k++) {
-            const lmn_rpc_image *a = &m->images.images_val[k];
+        if (machine->state & 4)
+            snapshot->images =
+                g_array_new(FALSE, FALSE, sizeof(struct lmn_image_snapshot));
+        for (u_int k = 0; snapshot->images && k < machine->images.images_len; k++) {
+            const lmn_rpc_image *a = &machine->images.images_val[k];
             struct lmn_image_snapshot y = {.gb = a->gb, .there = a->there};
             g_strlcpy(y.name, a->name, sizeof y.name);
-            g_array_append_val(t->images, y);
+            g_array_append_val(snapshot->images, y);
         }
-        g_ptr_array_add(b->machines, t);
+        g_ptr_array_add(b->machines, snapshot);
     }
-    pthread_mutex_lock(&c->lock);
-    enum lmn_replica_result answer = lmn_replica_apply(c, b, lmn_now());
-    pthread_mutex_unlock(&c->lock);
+    pthread_mutex_lock(&core->lock);
+    enum lmn_replica_result answer = lmn_replica_apply(core, b, lmn_now());
+    pthread_mutex_unlock(&core->lock);
     lmn_replication_batch_free(b);
     return answer;
 }
@@ -66,27 +67,31 @@
 /* --- telling --- */
 
 /* Names stay the batch's. */
-static void fill_machine(lmn_rpc_machine *m, const struct lmn_machine_snapshot *t)
+static void fill_machine(lmn_rpc_machine *machine,
+                         const struct lmn_machine_snapshot *snapshot)
 {
-    m->name = (char *)t->name;
-    m->session = t->session;
-    m->state = t->gone * 1u | t->forget * 2u | (t->images ? 4u : 0);
-    m->attempts.attempts_len = MIN(t->attempts->len, LMN_RPC_MAX_ATTEMPTS);
-    m->attempts.attempts_val = g_new0(lmn_rpc_attempt, t->attempts->len);
-    for (u_int k = 0; k < m->attempts.attempts_len; k++) {
-        struct lmn_attempt_snapshot *a =
-            &g_array_index(t->attempts, struct lmn_attempt_snapshot, k);
-        m->attempts.attempts_val[k] =
-            (lmn_rpc_attempt){a->ref, a->index, a->number, a->ended * 1u | a->done * 2u};
+    machine->name = (char *)snapshot->name;
+    machine->session = snapshot->session;
+    machine->state =
+        snapshot->gone * 1u | snapshot->forget * 2u | (snapshot->images ? 4u : 0);
+    machine->attempts.attempts_len = MIN(snapshot->attempts->len, LMN_RPC_MAX_ATTEMPTS);
+    machine->attempts.attempts_val = g_new0(lmn_rpc_attempt, snapshot->attempts->len);
+    for (u_int k = 0; k < machine->attempts.attempts_len; k++) {
+        struct lmn_attempt_snapshot *attempt =
+            &g_array_index(snapshot->attempts, struct lmn_attempt_snapshot, k);
+        machine->attempts.attempts_val[k] =
+            (lmn_rpc_attempt){attempt->ref, attempt->index, attempt->number,
+                              attempt->ended * 1u | attempt->done * 2u};
     }
-    if (!t->images)
+    if (!snapshot->images)
         return;
-    m->images.images_len = MIN(t->images->len, LMN_RPC_MAX_ITEMS);
-    m->images.images_val = g_new0(lmn_rpc_image, t->images->len);
-    for (u_int k = 0; k < m->images.images_len; k++) {
-        struct lmn_image_snapshot *a =
-            &g_array_index(t->images, struct lmn_image_snapshot, k);
-        m->images.images_val[k] = (lmn_rpc_image){a->name, a->gb, a->there};
+    machine->images.images_len = MIN(snapshot->images->len, LMN_RPC_MAX_ITEMS);
+    machine->images.images_val = g_new0(lmn_rpc_image, snapshot->images->len);
+    for (u_int k = 0; k < machine->images.images_len; k++) {
+        struct lmn_image_snapshot *image =
+            &g_array_index(snapshot->images, struct lmn_image_snapshot, k);
+        machine->images.images_val[k] =
+            (lmn_rpc_image){image->name, image->gb, image->there};
     }
 }
 
@@ -98,17 +103,17 @@
     int to;
 };
 
-static const char *addr_of(const struct lmn_core *c, int rank)
+static const char *addr_of(const struct lmn_core *core, int member_index)
 {
-    const char *name = lmn_member_name(&c->members, rank);
+    const char *name = lmn_member_name(&core->members, member_index);
 
-    for (size_t i = 0; i < c->cfg->nmembers; i++)
-        if (!strcmp(c->cfg->members[i].name, name))
-            return c->cfg->members[i].addr;
+    for (size_t i = 0; i < core->cfg->nmembers; i++)
+        if (!strcmp(core->cfg->members[i].name, name))
+            return core->cfg->members[i].addr;
     return NULL;
 }
 
-static bool call(struct teller *f, int to, const lmn_rpc_replication_batch *x,
+static bool call(struct teller *f, int to, const lmn_rpc_replication_batch *batch,
                  u_int *answer)
 {
     const struct timeval wait = {0, (suseconds_t)(1e6 * CALL_S)};
@@ -123,7 +128,8 @@
     if (!f->client)
         return false;
     if (clnt_call(f->client, LMN_RPC_REPLICATE, (xdrproc_t)xdr_lmn_rpc_replication_batch,
-                  (char *)x, (xdrproc_t)xdr_u_int, (char *)answer, wait) == RPC_SUCCESS)
+                  (char *)batch, (xdrproc_t)xdr_u_int, (char *)answer,
+                  wait) == RPC_SUCCESS)
         return true;
     clnt_destroy(f->client);
     f->client = NULL;
@@ -131,17 +137,20 @@
 }
 
 /* The batch is not altered by anyone while it is being sent. */
-static bool send_batch(struct teller *f, int to, const struct lmn_replication_batch *b,
-                       u_int *answer)
+static bool send_batch(struct teller *f, int to,
+                       const struct lmn_replication_batch *batch, u_int *answer)
 {
     lmn_rpc_machine machines[LMN_REPLICATION_BATCH_MACHINES] = {0};
-    lmn_rpc_replication_batch x = {
-        b->part, b->term, b->stream, b->number, {b->machines->len, machines}};
+    lmn_rpc_replication_batch x = {batch->part,
+                                   batch->term,
+                                   batch->stream,
+                                   batch->number,
+                                   {batch->machines->len, machines}};
 
-    for (guint i = 0; i < b->machines->len; i++)
-        fill_machine(&machines[i], b->machines->pdata[i]);
+    for (guint i = 0; i < batch->machines->len; i++)
+        fill_machine(&machines[i], batch->machines->pdata[i]);
     bool ok = call(f, to, &x, answer);
-    for (guint i = 0; i < b->machines->len; i++) {
+    for (guint i = 0; i < batch->machines->len; i++) {
         g_free(machines[i].attempts.attempts_val);
         g_free(machines[i].images.images_val);
     }
@@ -152,22 +161,22 @@
 
 /* Takes those out whose fate is known: their starts may go out, or were taken back, or
  * the partition is another's. The lock is held. */
-static void settle(struct lmn_core *c, struct lmn_partition *p, GQueue *out,
+static void settle(struct lmn_core *core, struct lmn_partition *partition, GQueue *out,
                    struct timespec now)
 {
-    GQueue *q = &p->stream.waiting;
+    GQueue *q = &partition->stream.waiting;
 
     for (GList *l = q->head, *next; l; l = next) {
-        struct lmn_deferred_response *w = l->data;
+        struct lmn_deferred_response *response = l->data;
         next = l->next;
-        if (!p->mine || p->my_term != w->held.term) {
-            w->status = 503;
-            g_byte_array_set_size(w->out, 0);
-        } else if (lmn_replication_covers(p, w->held.mark)) {
-            w->status = 200;
-        } else if (lmn_time_diff_s(now, w->since) > LMN_REPLICATION_DEFER_S) {
-            w->status = 200;
-            lmn_heartbeat_withhold_starts(c, &w->held, w->out, now);
+        if (!partition->mine || partition->my_term != response->held.term) {
+            response->status = 503;
+            g_byte_array_set_size(response->out, 0);
+        } else if (lmn_replication_covers(partition, response->held.mark)) {
+            response->status = 200;
+        } else if (lmn_time_diff_s(now, response->since) > LMN_REPLICATION_DEFER_S) {
+            response->status = 200;
+            lmn_heartbeat_withhold_starts(core, &response->held, response->out, now);
         } else {
             continue;
         }
@@ -179,37 +188,37 @@
 /* No lock held. */
 static void answer_all(GQueue *out)
 {
-    struct lmn_deferred_response *w;
+    struct lmn_deferred_response *response;
 
-    while ((w = g_queue_pop_head(out))) {
-        lmn_http_request_respond(w->call, w->status, w->out, 0);
-        g_free(w);
+    while ((response = g_queue_pop_head(out))) {
+        lmn_http_request_respond(response->call, response->status, response->out, 0);
+        g_free(response);
     }
 }
 
-void lmn_replication_defer_response(struct lmn_core *c, struct lmn_http_request *call,
-                                    GByteArray *out,
-                                    const struct lmn_deferred_starts *held)
+void lmn_replication_defer_response(struct lmn_core *core,
+                                    struct lmn_http_request *request, GByteArray *out,
+                                    const struct lmn_deferred_starts *deferred)
 {
-    struct lmn_partition *p = &c->parts[held->part];
+    struct lmn_partition *partition = &core->parts[deferred->part];
     int status = 0;
 
-    pthread_mutex_lock(&c->lock);
-    if (!p->mine || p->my_term != held->term)
+    pthread_mutex_lock(&core->lock);
+    if (!partition->mine || partition->my_term != deferred->term)
         status = 503;
-    else if (lmn_replication_covers(p, held->mark))
+    else if (lmn_replication_covers(partition, deferred->mark))
         status = 200;
     if (!status) {
-        struct lmn_deferred_response *w = g_new0(struct lmn_deferred_response, 1);
-        *w = (struct lmn_deferred_response){call, out, *held, lmn_now(), 0};
-        lmn_http_request_defer(call);
-        g_queue_push_tail(&p->stream.waiting, w);
+        struct lmn_deferred_response *response = g_new0(struct lmn_deferred_response, 1);
+        *response = (struct lmn_deferred_response){request, out, *deferred, lmn_now(), 0};
+        lmn_http_request_defer(request);
+        g_queue_push_tail(&partition->stream.waiting, response);
     }
-    pthread_mutex_unlock(&c->lock);
+    pthread_mutex_unlock(&core->lock);
     if (status == 503)
         g_byte_array_set_size(out, 0);
     if (status)
-        lmn_http_request_respond(call, status, out, 0);
+        lmn_http_request_respond(request, status, out, 0);
 }
 
 /* --- the threads --- */
@@ -217,54 +226,54 @@
 static void *tell_thread(void *arg)
 {
     struct teller *f = arg;
-    struct lmn_core *c = f->c;
-    struct lmn_partition *p = f->p;
+    struct lmn_core *core = f->c;
+    struct lmn_partition *partition = f->p;
     GQueue done = G_QUEUE_INIT;
 
-    f->http = lmn_http_client_new(c->cfg->state);
-    pthread_mutex_lock(&c->lock);
+    f->http = lmn_http_client_new(core->cfg->state);
+    pthread_mutex_lock(&core->lock);
     for (;;) {
         struct lmn_replication_batch *batch = NULL;
         struct lmn_txn *txn = NULL;
         double wait;
         enum lmn_replication_step step =
-            lmn_replication_next_step(c, p, lmn_now(), &batch, &txn, &wait);
-        int to = p->stream.to;
-        settle(c, p, &done, lmn_now());
+            lmn_replication_next_step(core, partition, lmn_now(), &batch, &txn, &wait);
+        int to = partition->stream.to;
+        settle(core, partition, &done, lmn_now());
         if (step == LMN_REPLICATION_WAIT && g_queue_is_empty(&done)) {
-            lmn_cond_wait_for(&p->following, &c->lock, wait);
+            lmn_cond_wait_for(&partition->following, &core->lock, wait);
             continue;
         }
-        pthread_mutex_unlock(&c->lock);
+        pthread_mutex_unlock(&core->lock);
         answer_all(&done);
         if (step == LMN_REPLICATION_SEND) {
             u_int answer = LMN_REPLICA_UNKNOWN_STREAM;
             bool answered = send_batch(f, to, batch, &answer);
             if (!answered)
                 lmn_sleep(PAUSE_S);
-            pthread_mutex_lock(&c->lock);
-            lmn_replication_batch_sent(c, p, batch, answered,
+            pthread_mutex_lock(&core->lock);
+            lmn_replication_batch_sent(core, partition, batch, answered,
                                        (enum lmn_replica_result)answer, lmn_now());
             continue;
         }
         if (step == LMN_REPLICATION_WRITE) {
-            uint64_t rev;
+            uint64_t revision;
             enum lmn_txn_outcome r =
-                lmn_kv_client_commit(c->state, f->http, txn, &rev, NULL);
-            lmn_debug("standby-write partition=%d outcome=%d", p->id, r);
+                lmn_kv_client_commit(core->state, f->http, txn, &revision, NULL);
+            lmn_debug("standby-write partition=%d outcome=%d", partition->id, r);
             lmn_txn_free(txn);
         }
-        pthread_mutex_lock(&c->lock);
+        pthread_mutex_lock(&core->lock);
     }
     return NULL;
 }
 
-void lmn_replication_start(struct lmn_core *c)
+void lmn_replication_start(struct lmn_core *core)
 {
-    for (int i = 0; i < c->nparts; i++) {
+    for (int i = 0; i < core->nparts; i++) {
         struct teller *f = g_new0(struct teller, 1);
-        f->c = c;
-        f->p = &c->parts[i];
+        f->c = core;
+        f->p = &core->parts[i];
         lmn_thread(tell_thread, f);
     }
 }
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -41,73 +41,74 @@
     return status == 404 ? plain(404, 0) : fault(status, "refused");
 }
 
-static const char *state_word(const struct lmn_job_reply *r)
+static const char *state_word(const struct lmn_job_reply *reply)
 {
-    if (r->phase == LMN_JOB_DONE)
+    if (reply->phase == LMN_JOB_DONE)
         return WIRE_DONE;
-    if (r->phase == LMN_JOB_CANCELLED)
+    if (reply->phase == LMN_JOB_CANCELLED)
         return WIRE_CANCELLED;
-    return r->running || r->done ? WIRE_RUNNING : WIRE_QUEUED;
+    return reply->running || reply->done ? WIRE_RUNNING : WIRE_QUEUED;
 }
 
-GByteArray *lmn_job_reply_body(const struct lmn_job_reply *r, const char *ref)
+GByteArray *lmn_job_reply_body(const struct lmn_job_reply *reply, const char *ref)
 {
-    GByteArray *b;
+    GByteArray *buffer;
 
-    if (!r->shows_job && !r->error)
+    if (!reply->shows_job && !reply->error)
         return NULL;
-    b = g_byte_array_new();
-    if (r->error) {
-        lmn_cbor_put_map(b, 1);
-        lmn_cbor_put_text(b, "error"), lmn_cbor_put_text(b, r->error);
-        return b;
+    buffer = g_byte_array_new();
+    if (reply->error) {
+        lmn_cbor_put_map(buffer, 1);
+        lmn_cbor_put_text(buffer, "error"), lmn_cbor_put_text(buffer, reply->error);
+        return buffer;
     }
-    lmn_cbor_put_map(b, r->status == 201 ? 2 : 4);
-    lmn_cbor_put_text(b, WIRE_JOB_ID), lmn_cbor_put_text(b, ref);
-    lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, state_word(r));
-    if (r->status == 201)
-        return b;
-    lmn_cbor_put_text(b, WIRE_DONE), lmn_cbor_put_uint(b, r->done);
-    lmn_cbor_put_text(b, WIRE_RUNNING), lmn_cbor_put_uint(b, r->running);
-    return b;
+    lmn_cbor_put_map(buffer, reply->status == 201 ? 2 : 4);
+    lmn_cbor_put_text(buffer, WIRE_JOB_ID), lmn_cbor_put_text(buffer, ref);
+    lmn_cbor_put_text(buffer, WIRE_STATE), lmn_cbor_put_text(buffer, state_word(reply));
+    if (reply->status == 201)
+        return buffer;
+    lmn_cbor_put_text(buffer, WIRE_DONE), lmn_cbor_put_uint(buffer, reply->done);
+    lmn_cbor_put_text(buffer, WIRE_RUNNING), lmn_cbor_put_uint(buffer, reply->running);
+    return buffer;
 }
 
 /* --- the mirror's view --- */
 
 /* Tasks done and running, as far as this node knows; for display. */
-static void tally(const struct lmn_job *j, uint32_t *done, uint32_t *running)
+static void tally(const struct lmn_job *job, uint32_t *done, uint32_t *running)
 {
     uint32_t left = 0;
 
     *running = 0;
-    for (guint i = 0; i < j->ranges->len; i++) {
-        const struct lmn_range *r = j->ranges->pdata[i];
-        left += r->hi - r->lo - (r->st ? r->nfinished : r->ndone);
-        *running += r->nstarted;
+    for (guint i = 0; i < job->ranges->len; i++) {
+        const struct lmn_range *range = job->ranges->pdata[i];
+        left += range->hi - range->lo - (range->st ? range->nfinished : range->ndone);
+        *running += range->nstarted;
     }
-    *done = j->phase == LMN_JOB_DONE ? j->spec.tasks
-                                     : j->spec.tasks - MIN(left, j->spec.tasks);
-    if (j->phase != LMN_JOB_ACTIVE)
+    *done = job->phase == LMN_JOB_DONE ? job->spec.tasks
+                                       : job->spec.tasks - MIN(left, job->spec.tasks);
+    if (job->phase != LMN_JOB_ACTIVE)
         *running = 0;
 }
 
-void lmn_job_view_take(const struct lmn_core *c, const char *ref, struct lmn_job_view *v)
+void lmn_job_view_take(const struct lmn_core *core, const char *ref,
+                       struct lmn_job_view *view)
 {
-    const struct lmn_job *j = g_hash_table_lookup(c->jobs, ref);
+    const struct lmn_job *job = g_hash_table_lookup(core->jobs, ref);
     uint32_t done, running;
 
-    memset(v, 0, sizeof *v);
-    g_strlcpy(v->ref, ref, sizeof v->ref);
-    if (!j)
+    memset(view, 0, sizeof *view);
+    g_strlcpy(view->ref, ref, sizeof view->ref);
+    if (!job)
         return;
-    tally(j, &done, &running);
-    v->rev = j->rev;
-    v->reply = job_state(j->phase, done, running);
+    tally(job, &done, &running);
+    view->rev = job->rev;
+    view->reply = job_state(job->phase, done, running);
 }
 
-static bool is_final(const struct lmn_job_view *v)
+static bool is_final(const struct lmn_job_view *view)
 {
-    return v->rev && v->reply.phase != LMN_JOB_ACTIVE;
+    return view->rev && view->reply.phase != LMN_JOB_ACTIVE;
 }
 
 static void job_key(char *key, size_t len, const char *ref)
@@ -115,19 +116,19 @@
     g_snprintf(key, len, "j/%s", ref);
 }
 
-struct lmn_txn *lmn_confirmation_txn(const struct lmn_job_view *v, guint n)
+struct lmn_txn *lmn_confirmation_txn(const struct lmn_job_view *view, guint n)
 {
-    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_USER, NULL, NULL);
+    struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_USER, NULL, NULL);
     char key[64];
 
     for (guint i = 0; i < n; i++) {
-        job_key(key, sizeof key, v[i].ref);
-        lmn_txn_require_version(t, key, v[i].rev);
+        job_key(key, sizeof key, view[i].ref);
+        lmn_txn_require_version(txn, key, view[i].rev);
     }
-    return t;
+    return txn;
 }
 
-enum lmn_confirmation_result lmn_job_view_confirmed(const struct lmn_job_view *v,
+enum lmn_confirmation_result lmn_job_view_confirmed(const struct lmn_job_view *view,
                                                     enum lmn_txn_outcome outcome,
                                                     const GPtrArray *failed)
 {
@@ -138,24 +139,24 @@
     /* A conflict that names no key says nothing about any. */
     if (outcome != LMN_TXN_CONFLICT || !failed->len)
         return LMN_CONFIRMED_NOTHING;
-    job_key(key, sizeof key, v->ref);
+    job_key(key, sizeof key, view->ref);
     for (guint i = 0; i < failed->len; i++)
         if (!strcmp(failed->pdata[i], key))
             return LMN_CONFIRMED_OUTDATED;
     return LMN_CONFIRMED_LATEST;
 }
 
-struct lmn_job_reply lmn_job_reply_confirmed(const struct lmn_core *c,
-                                             const struct lmn_job_view *v,
+struct lmn_job_reply lmn_job_reply_confirmed(const struct lmn_core *core,
+                                             const struct lmn_job_view *view,
                                              int absent_status)
 {
     struct lmn_job_view latest;
 
     /* A later revision in the mirror is of a later instant than the confirmation. */
-    lmn_job_view_take(c, v->ref, &latest);
-    if (latest.rev > v->rev)
+    lmn_job_view_take(core, view->ref, &latest);
+    if (latest.rev > view->rev)
         return latest.reply;
-    return v->rev ? v->reply : absent(absent_status);
+    return view->rev ? view->reply : absent(absent_status);
 }
 
 /* --- first decisions --- */
@@ -173,13 +174,14 @@
 
 /* Nothing can be confirmed now: held back, a question took a socket and its user's
  * patience, and ended as 503 all the same. */
-static bool is_blind(const struct lmn_core *c, struct timespec now)
+static bool is_blind(const struct lmn_core *core, struct timespec now)
 {
-    return lmn_watch_cache_age_s(c, now) > LMN_CACHE_STALLED_S;
+    return lmn_watch_cache_age_s(core, now) > LMN_CACHE_STALLED_S;
 }
 
 /* Whether nothing has to be asked: the id can't be one, or its job has ended. */
-static bool is_known_now(struct lmn_core *c, const char *ref, struct lmn_job_reply *reply)
+static bool is_known_now(struct lmn_core *core, const char *ref,
+                         struct lmn_job_reply *reply)
 {
     struct lmn_job_view v;
 
@@ -187,80 +189,80 @@
         *reply = plain(404, 0);
         return true;
     }
-    c->count.polls++;
-    lmn_job_view_take(c, ref, &v);
+    core->count.polls++;
+    lmn_job_view_take(core, ref, &v);
     *reply = v.reply;
     return is_final(&v);
 }
 
-struct lmn_request_decision lmn_decide_status(struct lmn_core *c, const char *ref,
+struct lmn_request_decision lmn_decide_status(struct lmn_core *core, const char *ref,
                                               struct timespec now)
 {
     struct lmn_job_reply reply;
 
-    if (is_known_now(c, ref, &reply))
+    if (is_known_now(core, ref, &reply))
         return reply_now(reply);
-    if (lmn_load_should_shed(&c->load, LMN_SHED_POLL, c->rng))
-        return reply_now(plain(503, lmn_retry_after(2 * c->load.behind, c->rng)));
-    if (is_blind(c, now))
-        return reply_now(plain(503, lmn_retry_after(1, c->rng)));
+    if (lmn_load_should_shed(&core->load, LMN_SHED_POLL, core->rng))
+        return reply_now(plain(503, lmn_retry_after(2 * core->load.behind, core->rng)));
+    if (is_blind(core, now))
+        return reply_now(plain(503, lmn_retry_after(1, core->rng)));
     return next_step(LMN_STEP_CONFIRM, 404);
 }
 
-struct lmn_request_decision lmn_decide_cancel(struct lmn_core *c, const char *ref)
+struct lmn_request_decision lmn_decide_cancel(struct lmn_core *core, const char *ref)
 {
     struct lmn_job_reply reply;
 
-    if (is_known_now(c, ref, &reply))
+    if (is_known_now(core, ref, &reply))
         return reply_now(reply);
     return next_step(LMN_STEP_CANCEL, 404);
 }
 
 /* A job that nobody is known to have submitted, and nothing is wrong with. */
-static struct lmn_request_decision decide_new(struct lmn_core *c)
+static struct lmn_request_decision decide_new(struct lmn_core *core)
 {
-    double wait = lmn_kv_client_backlog_s(c->state, LMN_WRITE_USER);
+    double wait = lmn_kv_client_backlog_s(core->state, LMN_WRITE_USER);
 
     if (wait > 2.0) {
-        c->count.refused++;
-        return reply_now(plain(429, lmn_retry_after(wait, c->rng)));
+        core->count.refused++;
+        return reply_now(plain(429, lmn_retry_after(wait, core->rng)));
     }
-    if (lmn_load_should_shed(&c->load, LMN_SHED_SUBMISSION, c->rng))
-        return reply_now(plain(429, lmn_retry_after(2 * c->load.behind, c->rng)));
+    if (lmn_load_should_shed(&core->load, LMN_SHED_SUBMISSION, core->rng))
+        return reply_now(plain(429, lmn_retry_after(2 * core->load.behind, core->rng)));
     return next_step(LMN_STEP_COMMIT, 503);
 }
 
-struct lmn_request_decision lmn_decide_submission(struct lmn_core *c,
-                                                  const struct lmn_submission *s,
+struct lmn_request_decision lmn_decide_submission(struct lmn_core *core,
+                                                  const struct lmn_submission *submission,
                                                   struct timespec now)
 {
     const char *why;
     struct lmn_job_view v;
 
-    if (s->fault == LMN_SUBMISSION_NO_ID)
-        return reply_now(fault(400, s->what));
-    c->count.submissions++;
-    lmn_job_view_take(c, s->spec.ref, &v);
+    if (submission->fault == LMN_SUBMISSION_NO_ID)
+        return reply_now(fault(400, submission->what));
+    core->count.submissions++;
+    lmn_job_view_take(core, submission->spec.ref, &v);
     if (is_final(&v))
         return reply_now(v.reply);
     /* An id that was accepted before is answered with its state, whatever is wrong with
      * what is sent now: so a refusal too has to be confirmed. */
-    if (s->fault == LMN_SUBMISSION_MALFORMED)
+    if (submission->fault == LMN_SUBMISSION_MALFORMED)
         return next_step(LMN_STEP_CONFIRM, 400);
     if (v.rev)
         return next_step(LMN_STEP_CONFIRM, 503);
     /* No value can hold it: that would be 503 at each try, for ever. */
-    if (s->fault == LMN_SUBMISSION_TOO_LARGE)
+    if (submission->fault == LMN_SUBMISSION_TOO_LARGE)
         return next_step(LMN_STEP_CONFIRM, 400);
-    if (!c->synced || !c->types_known)
+    if (!core->synced || !core->types_known)
         return reply_now(plain(503, 2));
-    if (is_blind(c, now))
-        return reply_now(plain(503, lmn_retry_after(1, c->rng)));
-    if (!lmn_job_spec_is_feasible(&s->spec, c->cfg, &c->types, &why)) {
-        lmn_debug("job-impossible job=%s why=\"%s\"", s->spec.ref, why);
+    if (is_blind(core, now))
+        return reply_now(plain(503, lmn_retry_after(1, core->rng)));
+    if (!lmn_job_spec_is_feasible(&submission->spec, core->cfg, &core->types, &why)) {
+        lmn_debug("job-impossible job=%s why=\"%s\"", submission->spec.ref, why);
         return next_step(LMN_STEP_CONFIRM, 422);
     }
-    return decide_new(c);
+    return decide_new(core);
 }
 
 struct lmn_request_decision lmn_decide_submitted(enum lmn_txn_outcome outcome)
@@ -284,7 +286,7 @@
 static const double RESEND_S = 0.3;
 
 enum lmn_pending_submission_step
-lmn_decide_pending_submission(const struct lmn_core *c, const char *ref,
+lmn_decide_pending_submission(const struct lmn_core *core, const char *ref,
                               struct timespec since, bool resent, struct timespec now)
 {
     double waited = lmn_time_diff_s(now, since);
@@ -293,82 +295,87 @@
         return LMN_PENDING_WAIT;
     /* Not answered from the mirror: the job may have been cancelled since, and another
      * node may have said so. */
-    if (g_hash_table_contains(c->jobs, ref))
+    if (g_hash_table_contains(core->jobs, ref))
         return LMN_PENDING_CONFIRM;
     return waited >= RESEND_S && !resent ? LMN_PENDING_RESEND : LMN_PENDING_WAIT;
 }
 
 /* --- reading, and cancelling --- */
 
-void lmn_job_reading_parse(struct lmn_job_reading *r, int status, const guint8 *body,
-                           size_t len)
+void lmn_job_reading_parse(struct lmn_job_reading *reading, int status,
+                           const guint8 *body, size_t len)
 {
     struct lmn_cbor_document d;
 
-    memset(r, 0, sizeof *r);
-    r->status = status;
+    memset(reading, 0, sizeof *reading);
+    reading->status = status;
     if (status != 200)
         return;
-    r->status = LMN_HTTP_NO_RESPONSE;
+    reading->status = LMN_HTTP_NO_RESPONSE;
     if (lmn_cbor_parse(&d, body, len) != 0)
         return;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_VERSION), &r->rev) &&
-        lmn_job_read(&d, lmn_cbor_get(&d, root, WIRE_VALUE), &r->spec, &r->phase,
-                     &r->open, &r->at) == 0)
-        r->status = 200;
+    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_VERSION), &reading->rev) &&
+        lmn_job_read(&d, lmn_cbor_get(&d, root, WIRE_VALUE), &reading->spec,
+                     &reading->phase, &reading->open, &reading->at) == 0)
+        reading->status = 200;
     lmn_cbor_free(&d);
 }
 
-void lmn_job_reading_clear(struct lmn_job_reading *r)
+void lmn_job_reading_clear(struct lmn_job_reading *reading)
 {
-    lmn_job_spec_clear(&r->spec);
+    lmn_job_spec_clear(&reading->spec);
 }
 
 /* Of a job's record that has ended. */
-static struct lmn_job_reply ended(const struct lmn_job_reading *r)
+static struct lmn_job_reply ended(const struct lmn_job_reading *reading)
 {
-    return job_state(r->phase, r->phase == LMN_JOB_DONE ? r->spec.tasks : 0, 0);
+    return job_state(reading->phase,
+                     reading->phase == LMN_JOB_DONE ? reading->spec.tasks : 0, 0);
 }
 
-struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *c, const char *ref,
-                                                const struct lmn_job_reading *r,
+struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *core,
+                                                const char *ref,
+                                                const struct lmn_job_reading *reading,
                                                 int absent_status)
 {
     struct lmn_job_view latest;
 
-    if (r->status == 404)
+    if (reading->status == 404)
         return absent(absent_status);
-    if (r->status != 200)
+    if (reading->status != 200)
         return lmn_job_reply_unavailable();
-    if (r->phase != LMN_JOB_ACTIVE)
-        return ended(r);
+    if (reading->phase != LMN_JOB_ACTIVE)
+        return ended(reading);
     /* The mirror's counts will do for an active job; and it may have moved on. */
-    lmn_job_view_take(c, ref, &latest);
-    if (latest.rev > r->rev)
+    lmn_job_view_take(core, ref, &latest);
+    if (latest.rev > reading->rev)
         return latest.reply;
     return job_state(LMN_JOB_ACTIVE, latest.reply.done, latest.reply.running);
 }
 
-struct lmn_txn *lmn_cancellation_txn(const char *ref, const struct lmn_job_reading *r,
+struct lmn_txn *lmn_cancellation_txn(const char *ref,
+                                     const struct lmn_job_reading *reading,
                                      int absent_status, struct lmn_job_reply *reply)
 {
-    struct lmn_txn *t;
+    struct lmn_txn *txn;
     char key[64];
 
-    if (r->status == 404)
+    if (reading->status == 404)
         *reply = absent(absent_status);
-    else if (r->status != 200)
+    else if (reading->status != 200)
         *reply = lmn_job_reply_unavailable();
-    else if (r->phase != LMN_JOB_ACTIVE)
-        *reply = ended(r);
-    if (r->status != 200 || r->phase != LMN_JOB_ACTIVE)
+    else if (reading->phase != LMN_JOB_ACTIVE)
+        *reply = ended(reading);
+    if (reading->status != 200 || reading->phase != LMN_JOB_ACTIVE)
         return NULL;
-    t = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
+    txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     job_key(key, sizeof key, ref);
-    lmn_txn_require_version(t, key, r->rev);
-    lmn_txn_put(t, key, lmn_job_record(&r->spec, LMN_JOB_CANCELLED, r->open, r->at), 0);
-    return t;
+    lmn_txn_require_version(txn, key, reading->rev);
+    lmn_txn_put(
+        txn, key,
+        lmn_job_record(&reading->spec, LMN_JOB_CANCELLED, reading->open, reading->at), 0);
+    return txn;
 }
 
 bool lmn_cancellation_is_settled(enum lmn_txn_outcome outcome,
--- a/src/controller/request_decisions.h
+++ b/src/controller/request_decisions.h
@@ -38,11 +38,11 @@
 
 /* --- first decisions, when a request has arrived --- */
 
-struct lmn_request_decision lmn_decide_status(struct lmn_core *c, const char *ref,
+struct lmn_request_decision lmn_decide_status(struct lmn_core *core, const char *ref,
                                               struct timespec now);
-struct lmn_request_decision lmn_decide_cancel(struct lmn_core *c, const char *ref);
-struct lmn_request_decision lmn_decide_submission(struct lmn_core *c,
-                                                  const struct lmn_submission *s,
+struct lmn_request_decision lmn_decide_cancel(struct lmn_core *core, const char *ref);
+struct lmn_request_decision lmn_decide_submission(struct lmn_core *core,
+                                                  const struct lmn_submission *submission,
                                                   struct timespec now);
 /* Once the outcome of a submission's transaction is known. */
 struct lmn_request_decision lmn_decide_submitted(enum lmn_txn_outcome outcome);
@@ -59,7 +59,7 @@
 
 /* resent: it was sent twice already. */
 enum lmn_pending_submission_step
-lmn_decide_pending_submission(const struct lmn_core *c, const char *ref,
+lmn_decide_pending_submission(const struct lmn_core *core, const char *ref,
                               struct timespec since, bool resent, struct timespec now);
 
 /* --- confirmations --- */
@@ -77,17 +77,18 @@
     LMN_CONFIRMED_NOTHING,  /* nobody knows */
 };
 
-void lmn_job_view_take(const struct lmn_core *c, const char *ref, struct lmn_job_view *v);
+void lmn_job_view_take(const struct lmn_core *core, const char *ref,
+                       struct lmn_job_view *view);
 /* The transaction that confirms the views: conditions alone. */
-struct lmn_txn *lmn_confirmation_txn(const struct lmn_job_view *v, guint n);
+struct lmn_txn *lmn_confirmation_txn(const struct lmn_job_view *view, guint n);
 /* What its outcome says of one of them; failed: the keys whose condition did not hold. */
-enum lmn_confirmation_result lmn_job_view_confirmed(const struct lmn_job_view *v,
+enum lmn_confirmation_result lmn_job_view_confirmed(const struct lmn_job_view *view,
                                                     enum lmn_txn_outcome outcome,
                                                     const GPtrArray *failed);
 /* The reply of a view that was confirmed, or of what became of it since: the mirror may
  * have moved on while the answer was on its way. */
-struct lmn_job_reply lmn_job_reply_confirmed(const struct lmn_core *c,
-                                             const struct lmn_job_view *v,
+struct lmn_job_reply lmn_job_reply_confirmed(const struct lmn_core *core,
+                                             const struct lmn_job_view *view,
                                              int absent_status);
 struct lmn_job_reply lmn_job_reply_unavailable(void);
 
@@ -104,16 +105,18 @@
 };
 
 /* Of an answer of the state service; to be cleared. */
-void lmn_job_reading_parse(struct lmn_job_reading *r, int status, const guint8 *body,
-                           size_t len);
-void lmn_job_reading_clear(struct lmn_job_reading *r);
-struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *c, const char *ref,
-                                                const struct lmn_job_reading *r,
+void lmn_job_reading_parse(struct lmn_job_reading *reading, int status,
+                           const guint8 *body, size_t len);
+void lmn_job_reading_clear(struct lmn_job_reading *reading);
+struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *core,
+                                                const char *ref,
+                                                const struct lmn_job_reading *reading,
                                                 int absent_status);
 
 /* The transaction that cancels an active job, conditional on the revision that was read;
  * NULL: there is nothing to cancel, and *reply is the answer. */
-struct lmn_txn *lmn_cancellation_txn(const char *ref, const struct lmn_job_reading *r,
+struct lmn_txn *lmn_cancellation_txn(const char *ref,
+                                     const struct lmn_job_reading *reading,
                                      int absent_status, struct lmn_job_reply *reply);
 /* Whether *reply is the answer now; else the job has changed, and is read again. */
 bool lmn_cancellation_is_settled(enum lmn_txn_outcome outcome,
@@ -125,6 +128,6 @@
 /* --- on the wire --- */
 
 /* The reply's body; NULL: none. */
-GByteArray *lmn_job_reply_body(const struct lmn_job_reply *r, const char *ref);
+GByteArray *lmn_job_reply_body(const struct lmn_job_reply *reply, const char *ref);
 
 #endif
--- a/src/controller/rpc_client.c
+++ b/src/controller/rpc_client.c
@@ -39,11 +39,11 @@
         }
     }
     fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) & ~O_NONBLOCK);
-    CLIENT *cl = clnt_vc_create(fd, &nb, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, 0, 0);
-    if (!cl) {
+    CLIENT *client = clnt_vc_create(fd, &nb, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, 0, 0);
+    if (!client) {
         close(fd);
         return NULL;
     }
-    clnt_control(cl, CLSET_FD_CLOSE, NULL);
-    return cl;
+    clnt_control(client, CLSET_FD_CLOSE, NULL);
+    return client;
 }
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -33,28 +33,28 @@
 /* Settings are changed by compare-and-set on their one record. */
 static int tuning_set(const char *name, double value, char *err, size_t len)
 {
-    struct lmn_http_client *h = lmn_http_client_new(core->cfg->state);
+    struct lmn_http_client *client = lmn_http_client_new(core->cfg->state);
     enum lmn_txn_outcome r = LMN_TXN_CONFLICT;
 
     for (int tries = 0; tries < 5 && r == LMN_TXN_CONFLICT; tries++) {
-        uint64_t rev = 0;
+        uint64_t revision = 0;
         pthread_mutex_lock(&core->lock);
         struct lmn_operator_settings t = core->tuning;
         uint64_t seen = core->tuning_rev;
         pthread_mutex_unlock(&core->lock);
         if (lmn_operator_settings_set(&t, name, value, err, len) != 0) {
-            lmn_http_client_free(h);
+            lmn_http_client_free(client);
             return -1;
         }
         struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
         lmn_txn_require_version(txn, "s", seen);
         lmn_txn_put(txn, "s", lmn_operator_settings_record(&t), 0);
-        r = lmn_kv_client_commit(core->state, h, txn, &rev, NULL);
+        r = lmn_kv_client_commit(core->state, client, txn, &revision, NULL);
         lmn_txn_free(txn);
         if (r == LMN_TXN_CONFLICT)
             lmn_sleep(0.2);
     }
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     if (r == LMN_TXN_COMMITTED)
         return 0;
     snprintf(err, len, "the state service did not take it (%s); look, and try again",
@@ -66,96 +66,98 @@
 
 static int drain(const char *name, char *err, size_t len)
 {
-    struct lmn_partition *p = &core->parts[lmn_partition_for_machine(name, core->nparts)];
+    struct lmn_partition *partition =
+        &core->parts[lmn_partition_for_machine(name, core->nparts)];
     int rc = -1;
 
     pthread_mutex_lock(&core->lock);
-    struct lmn_machine *m = g_hash_table_lookup(p->machines, name);
-    if (p->mine && m) {
-        lmn_machine_drain(core, m, false, "drained by an operator", lmn_now());
+    struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
+    if (partition->mine && machine) {
+        lmn_machine_drain(core, machine, false, "drained by an operator", lmn_now());
         rc = 0;
-    } else if (p->mine) {
+    } else if (partition->mine) {
         snprintf(err, len, "%s: no such machine", name);
     } else {
         snprintf(err, len, "%s: ask its owner, %s", name,
-                 *p->owner ? p->owner : "nobody now");
+                 *partition->owner ? partition->owner : "nobody now");
     }
     pthread_mutex_unlock(&core->lock);
     return rc;
 }
 
 /* Another controller asks how much would fit there, or for it. */
-static u_int asked(const struct lmn_rpc_steal_request *q, bool give)
+static u_int asked(const struct lmn_rpc_steal_request *request, bool give)
 {
     struct lmn_steal_request t;
     u_int n = 0;
 
-    if (q->victim < 0 || q->victim >= core->nparts || q->thief < 0 ||
-        q->thief >= core->nparts)
+    if (request->victim < 0 || request->victim >= core->nparts || request->thief < 0 ||
+        request->thief >= core->nparts)
         return 0;
     lmn_steal_request_init(&t, core->cfg);
-    t.part = q->thief;
-    for (u_int i = 0; i < q->rooms.rooms_len && i < G_N_ELEMENTS(t.rooms); i++) {
-        const struct lmn_rpc_capacity *x = &q->rooms.rooms_val[i];
-        struct lmn_free_capacity *r = &t.rooms[t.nrooms++];
-        g_strlcpy(r->type, x->type, sizeof r->type);
-        g_strlcpy(r->zone, x->zone, sizeof r->zone);
-        r->spot = x->spot;
-        r->cpus = x->cpus;
-        r->gpus = x->gpus;
-        r->mem = x->mem;
+    t.part = request->thief;
+    for (u_int i = 0; i < request->rooms.rooms_len && i < G_N_ELEMENTS(t.rooms); i++) {
+        const struct lmn_rpc_capacity *x = &request->rooms.rooms_val[i];
+        struct lmn_free_capacity *capacity = &t.rooms[t.nrooms++];
+        g_strlcpy(capacity->type, x->type, sizeof capacity->type);
+        g_strlcpy(capacity->zone, x->zone, sizeof capacity->zone);
+        capacity->spot = x->spot;
+        capacity->cpus = x->cpus;
+        capacity->gpus = x->gpus;
+        capacity->mem = x->mem;
     }
-    for (u_int i = 0; i < q->teams.teams_len; i++) {
+    for (u_int i = 0; i < request->teams.teams_len; i++) {
         const struct lmn_team *team =
-            lmn_settings_team(core->cfg, q->teams.teams_val[i].name);
+            lmn_settings_team(core->cfg, request->teams.teams_val[i].name);
         if (!team)
             continue;
-        t.team_cpus[team - core->cfg->teams] = q->teams.teams_val[i].cpus;
-        t.team_gpus[team - core->cfg->teams] = q->teams.teams_val[i].gpus;
+        t.team_cpus[team - core->cfg->teams] = request->teams.teams_val[i].cpus;
+        t.team_gpus[team - core->cfg->teams] = request->teams.teams_val[i].gpus;
     }
     pthread_mutex_lock(&core->lock);
     struct timespec now = lmn_now();
-    struct lmn_partition *p = &core->parts[q->victim];
+    struct lmn_partition *partition = &core->parts[request->victim];
     if (give) {
-        n = lmn_victim_transfer(core, p, &t, now);
+        n = lmn_victim_transfer(core, partition, &t, now);
         lmn_range_writer_flush(core, now);
     } else {
-        n = lmn_victim_load(core, p, &t);
+        n = lmn_victim_load(core, partition, &t);
     }
     pthread_mutex_unlock(&core->lock);
     lmn_steal_request_clear(&t);
     return n;
 }
 
-static u_int asked_quota(const struct lmn_rpc_quota_request *q)
+static u_int asked_quota(const struct lmn_rpc_quota_request *request)
 {
-    const struct lmn_team *team = lmn_settings_team(core->cfg, q->team);
+    const struct lmn_team *team = lmn_settings_team(core->cfg, request->team);
     bool given = false;
 
-    if (!team || q->victim < 0 || q->victim >= core->nparts)
+    if (!team || request->victim < 0 || request->victim >= core->nparts)
         return 0;
-    struct lmn_quota_request w = {(int)(team - core->cfg->teams), q->cpus, q->gpus,
-                                  q->least_cpus, q->least_gpus};
+    struct lmn_quota_request w = {(int)(team - core->cfg->teams), request->cpus,
+                                  request->gpus, request->least_cpus,
+                                  request->least_gpus};
     pthread_mutex_lock(&core->lock);
-    given =
-        lmn_quota_request_handle(core, &core->parts[q->victim], q->thief, &w, lmn_now());
+    given = lmn_quota_request_handle(core, &core->parts[request->victim], request->thief,
+                                     &w, lmn_now());
     pthread_mutex_unlock(&core->lock);
     return given;
 }
 
-static void dispatch(struct svc_req *rq, SVCXPRT *x)
+static void dispatch(struct svc_req *request, SVCXPRT *transport)
 {
     char err[256] = "done";
 
-    switch (rq->rq_proc) {
+    switch (request->rq_proc) {
     case LMN_RPC_PING:
-        svc_sendreply(x, nothing, NULL);
+        svc_sendreply(transport, nothing, NULL);
         return;
     case LMN_RPC_STATUS: {
         struct lmn_rpc_reply r = {0, lmn_status_report(core)};
         if (strlen(r.text) >= LMN_RPC_MAX_TEXT)
             r.text[LMN_RPC_MAX_TEXT - 1] = '\0';
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
+        svc_sendreply(transport, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
     }
@@ -169,127 +171,128 @@
             l.items.items_len++;
         }
         pthread_mutex_unlock(&core->lock);
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_settings, (char *)&l);
+        svc_sendreply(transport, (xdrproc_t)xdr_lmn_rpc_settings, (char *)&l);
         return;
     }
     case LMN_RPC_SETTINGS_SET: {
         struct lmn_rpc_set_request q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_set_request, (char *)&q)) {
-            svcerr_decode(x);
+        if (!svc_getargs(transport, (xdrproc_t)xdr_lmn_rpc_set_request, (char *)&q)) {
+            svcerr_decode(transport);
             return;
         }
         struct lmn_rpc_reply r = {tuning_set(q.name, q.value, err, sizeof err), err};
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_set_request, (char *)&q);
+        svc_sendreply(transport, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
+        svc_freeargs(transport, (xdrproc_t)xdr_lmn_rpc_set_request, (char *)&q);
         return;
     }
     case LMN_RPC_DRAIN: {
         struct lmn_rpc_machine_request q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_machine_request, (char *)&q)) {
-            svcerr_decode(x);
+        if (!svc_getargs(transport, (xdrproc_t)xdr_lmn_rpc_machine_request, (char *)&q)) {
+            svcerr_decode(transport);
             return;
         }
         struct lmn_rpc_reply r = {drain(q.machine, err, sizeof err), err};
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_machine_request, (char *)&q);
+        svc_sendreply(transport, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
+        svc_freeargs(transport, (xdrproc_t)xdr_lmn_rpc_machine_request, (char *)&q);
         return;
     }
     case LMN_RPC_STALENESS: {
         pthread_mutex_lock(&core->lock);
         u_int ms = (u_int)(MIN(lmn_watch_cache_age_s(core, lmn_now()), 1e6) * 1000);
         pthread_mutex_unlock(&core->lock);
-        svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&ms);
+        svc_sendreply(transport, (xdrproc_t)xdr_u_int, (char *)&ms);
         return;
     }
     case LMN_RPC_LOAD:
     case LMN_RPC_STEAL: {
         struct lmn_rpc_steal_request q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_steal_request, (char *)&q)) {
-            svcerr_decode(x);
+        if (!svc_getargs(transport, (xdrproc_t)xdr_lmn_rpc_steal_request, (char *)&q)) {
+            svcerr_decode(transport);
             return;
         }
-        u_int n = asked(&q, rq->rq_proc == LMN_RPC_STEAL);
-        svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_steal_request, (char *)&q);
+        u_int n = asked(&q, request->rq_proc == LMN_RPC_STEAL);
+        svc_sendreply(transport, (xdrproc_t)xdr_u_int, (char *)&n);
+        svc_freeargs(transport, (xdrproc_t)xdr_lmn_rpc_steal_request, (char *)&q);
         return;
     }
     case LMN_RPC_QUOTA: {
         struct lmn_rpc_quota_request q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_quota_request, (char *)&q)) {
-            svcerr_decode(x);
+        if (!svc_getargs(transport, (xdrproc_t)xdr_lmn_rpc_quota_request, (char *)&q)) {
+            svcerr_decode(transport);
             return;
         }
         u_int n = asked_quota(&q);
-        svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_quota_request, (char *)&q);
+        svc_sendreply(transport, (xdrproc_t)xdr_u_int, (char *)&n);
+        svc_freeargs(transport, (xdrproc_t)xdr_lmn_rpc_quota_request, (char *)&q);
         return;
     }
     case LMN_RPC_PROBE: {
         struct lmn_rpc_probe q = {0};
         struct lmn_probe_reply_buffer room;
         lmn_rpc_probe_reply a = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_probe, (char *)&q)) {
-            svcerr_decode(x);
+        if (!svc_getargs(transport, (xdrproc_t)xdr_lmn_rpc_probe, (char *)&q)) {
+            svcerr_decode(transport);
             return;
         }
         lmn_probe_handle(core, &q, &a, &room);
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)&a);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_probe, (char *)&q);
+        svc_sendreply(transport, (xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)&a);
+        svc_freeargs(transport, (xdrproc_t)xdr_lmn_rpc_probe, (char *)&q);
         return;
     }
     case LMN_RPC_MEMBERS: {
         u_int json = 0;
-        if (!svc_getargs(x, (xdrproc_t)xdr_u_int, (char *)&json)) {
-            svcerr_decode(x);
+        if (!svc_getargs(transport, (xdrproc_t)xdr_u_int, (char *)&json)) {
+            svcerr_decode(transport);
             return;
         }
         struct lmn_rpc_reply r = {0, lmn_members_report(core, json != 0)};
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
+        svc_sendreply(transport, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
     }
     case LMN_RPC_SHUTDOWN: {
         u_int leave = 0;
-        if (!svc_getargs(x, (xdrproc_t)xdr_u_int, (char *)&leave)) {
-            svcerr_decode(x);
+        if (!svc_getargs(transport, (xdrproc_t)xdr_u_int, (char *)&leave)) {
+            svcerr_decode(transport);
             return;
         }
         struct lmn_rpc_reply r = {0};
         r.code = lmn_shutdown_handle(core, leave != 0, &r.text);
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
+        svc_sendreply(transport, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
     }
     case LMN_RPC_OWNERSHIP: {
         struct lmn_rpc_reply r = {0, lmn_ownership_report(core)};
-        svc_sendreply(x, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
+        svc_sendreply(transport, (xdrproc_t)xdr_lmn_rpc_reply, (char *)&r);
         g_free(r.text);
         return;
     }
     case LMN_RPC_REPLICATE: {
         lmn_rpc_replication_batch q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_replication_batch, (char *)&q)) {
-            svcerr_decode(x);
+        if (!svc_getargs(transport, (xdrproc_t)xdr_lmn_rpc_replication_batch,
+                         (char *)&q)) {
+            svcerr_decode(transport);
             return;
         }
         u_int n = lmn_replication_receive(core, &q);
-        svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_replication_batch, (char *)&q);
+        svc_sendreply(transport, (xdrproc_t)xdr_u_int, (char *)&n);
+        svc_freeargs(transport, (xdrproc_t)xdr_lmn_rpc_replication_batch, (char *)&q);
         return;
     }
     case LMN_RPC_TOMBSTONES: {
         lmn_rpc_tombstones q = {0};
-        if (!svc_getargs(x, (xdrproc_t)xdr_lmn_rpc_tombstones, (char *)&q)) {
-            svcerr_decode(x);
+        if (!svc_getargs(transport, (xdrproc_t)xdr_lmn_rpc_tombstones, (char *)&q)) {
+            svcerr_decode(transport);
             return;
         }
         u_int n = lmn_tombstones_handle(core, &q);
-        svc_sendreply(x, (xdrproc_t)xdr_u_int, (char *)&n);
-        svc_freeargs(x, (xdrproc_t)xdr_lmn_rpc_tombstones, (char *)&q);
+        svc_sendreply(transport, (xdrproc_t)xdr_u_int, (char *)&n);
+        svc_freeargs(transport, (xdrproc_t)xdr_lmn_rpc_tombstones, (char *)&q);
         return;
     }
     default:
-        svcerr_noproc(x);
+        svcerr_noproc(transport);
     }
 }
 
@@ -320,9 +323,10 @@
     /* Records are read as they come: half a request must not hold up the others. */
     int most = 256 * 1024;
     rpc_control(RPC_SVC_CONNMAXREC_SET, &most);
-    SVCXPRT *x = svc_vc_create(fd, 0, 0);
+    SVCXPRT *transport = svc_vc_create(fd, 0, 0);
     /* No port mapper: the members' addresses are in the settings. */
-    if (!x || !svc_reg(x, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, dispatch, NULL))
+    if (!transport ||
+        !svc_reg(transport, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, dispatch, NULL))
         return -1;
     lmn_thread(serve, NULL);
     return 0;
@@ -385,14 +389,15 @@
 }
 
 /* Asks the owner of a partition, which may be this node itself. */
-static u_int ask(struct member *members, rpcproc_t proc, struct lmn_rpc_steal_request *q)
+static u_int ask(struct member *members, rpcproc_t proc,
+                 struct lmn_rpc_steal_request *request)
 {
     u_int n = 0;
 
-    if (own(q->victim))
-        return asked(q, proc == LMN_RPC_STEAL);
-    return ask_owner(members, q->victim, proc, (xdrproc_t)xdr_lmn_rpc_steal_request, q,
-                     &n)
+    if (own(request->victim))
+        return asked(request, proc == LMN_RPC_STEAL);
+    return ask_owner(members, request->victim, proc, (xdrproc_t)xdr_lmn_rpc_steal_request,
+                     request, &n)
                ? n
                : 0;
 }
@@ -402,14 +407,15 @@
 static void seek_quota(struct member *members, int part)
 {
     struct lmn_quota_request *want = g_new(struct lmn_quota_request, core->cfg->nteams);
-    struct lmn_partition *p = &core->parts[part];
+    struct lmn_partition *partition = &core->parts[part];
     struct timespec now = lmn_now();
     size_t n = 0;
     u_int got = 0;
 
     pthread_mutex_lock(&core->lock);
-    for (size_t i = 0; i < core->cfg->nteams && !lmn_time_before(now, p->next_quota); i++)
-        n += lmn_quota_shortfall(core, p, (int)i, &want[n]);
+    for (size_t i = 0;
+         i < core->cfg->nteams && !lmn_time_before(now, partition->next_quota); i++)
+        n += lmn_quota_shortfall(core, partition, (int)i, &want[n]);
     int first = g_rand_int_range(core->rng, 0, core->nparts);
     pthread_mutex_unlock(&core->lock);
     for (size_t i = 0; i < n; i++) {
@@ -437,33 +443,35 @@
     if (!n)
         return;
     pthread_mutex_lock(&core->lock);
-    p->quota_poll_s = got ? 0.5 : CLAMP(p->quota_poll_s * 2, 0.5, 8);
-    p->next_quota = lmn_time_add(now, p->quota_poll_s);
+    partition->quota_poll_s = got ? 0.5 : CLAMP(partition->quota_poll_s * 2, 0.5, 8);
+    partition->next_quota = lmn_time_add(now, partition->quota_poll_s);
     pthread_mutex_unlock(&core->lock);
 }
 
-static void pull(struct member *members, const struct lmn_steal_request *t)
+static void pull(struct member *members, const struct lmn_steal_request *request)
 {
-    struct lmn_rpc_capacity rooms[G_N_ELEMENTS(t->rooms)];
+    struct lmn_rpc_capacity rooms[G_N_ELEMENTS(request->rooms)];
     struct lmn_rpc_team_quota *teams =
         g_new(struct lmn_rpc_team_quota, core->cfg->nteams);
-    struct lmn_rpc_steal_request q = {.thief = t->part};
+    struct lmn_rpc_steal_request q = {.thief = request->part};
     int others[LMN_MAX_PARTITIONS], n = 0, best = -1;
     u_int most = 0, got = 0;
 
-    for (guint i = 0; i < t->nrooms; i++)
+    for (guint i = 0; i < request->nrooms; i++)
         rooms[i] = (struct lmn_rpc_capacity){
-            (char *)t->rooms[i].type, (char *)t->rooms[i].zone, t->rooms[i].spot,
-            t->rooms[i].cpus,         t->rooms[i].gpus,         t->rooms[i].mem};
+            (char *)request->rooms[i].type, (char *)request->rooms[i].zone,
+            request->rooms[i].spot,         request->rooms[i].cpus,
+            request->rooms[i].gpus,         request->rooms[i].mem};
     for (size_t i = 0; i < core->cfg->nteams; i++)
-        teams[i] = (struct lmn_rpc_team_quota){(char *)core->cfg->teams[i].name,
-                                               t->team_cpus[i], t->team_gpus[i]};
-    q.rooms.rooms_len = t->nrooms;
+        teams[i] =
+            (struct lmn_rpc_team_quota){(char *)core->cfg->teams[i].name,
+                                        request->team_cpus[i], request->team_gpus[i]};
+    q.rooms.rooms_len = request->nrooms;
     q.rooms.rooms_val = rooms;
     q.teams.teams_len = (u_int)core->cfg->nteams;
     q.teams.teams_val = teams;
     for (int i = 0; i < core->nparts; i++)
-        if (i != t->part)
+        if (i != request->part)
             others[n++] = i;
     pthread_mutex_lock(&core->lock);
     int sample = core->tuning.sample > 0 ? (int)core->tuning.sample : (int)ceil(sqrt(n));
@@ -488,7 +496,7 @@
     }
     g_free(teams);
     pthread_mutex_lock(&core->lock);
-    lmn_steal_record_result(core, &core->parts[t->part], got, lmn_now());
+    lmn_steal_record_result(core, &core->parts[request->part], got, lmn_now());
     if (got) {
         core->count.steals++;
         core->count.stolen_tasks += got;
--- a/src/controller/rpc_server.h
+++ b/src/controller/rpc_server.h
@@ -5,7 +5,7 @@
 #include "state/model.h"
 
 /* Serves internal_addr (a thread). -1 if it can't listen. */
-int lmn_rpc_server_start(struct lmn_core *c);
+int lmn_rpc_server_start(struct lmn_core *core);
 /* Pulls work from other partitions for machines that have run dry (a thread). */
 void *lmn_steal_thread(void *core);
 
--- a/src/controller/status.h
+++ b/src/controller/status.h
@@ -5,6 +5,6 @@
 #include "state/model.h"
 
 /* Lines of text; to be freed with g_free. Takes the lock. */
-char *lmn_status_report(struct lmn_core *c);
+char *lmn_status_report(struct lmn_core *core);
 
 #endif
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -6,29 +6,30 @@
 #include <string.h>
 
 /* What a partition could give to the job, and what it still has to do, in processors. */
-static void weigh(struct lmn_core *c, int id, const struct lmn_job_spec *s,
+static void weigh(struct lmn_core *core, int id, const struct lmn_job_spec *spec,
                   double *weight, double *load)
 {
     GHashTableIter it;
     gpointer v;
 
     *weight = *load = 0;
-    g_hash_table_iter_init(&it, c->parts[id].machines);
+    g_hash_table_iter_init(&it, core->parts[id].machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *m = v;
-        if (!m->type)
-            m->type = lmn_machine_type_by_name(c, m->type_name);
-        if (m->type && m->rev && !m->is_gone &&
-            lmn_job_spec_allows(s, m->type, m->zone, m->spot))
-            *weight += m->type->cpus + m->type->gpus;
+        struct lmn_machine *machine = v;
+        if (!machine->type)
+            machine->type = lmn_machine_type_by_name(core, machine->type_name);
+        if (machine->type && machine->rev && !machine->is_gone &&
+            lmn_job_spec_allows(spec, machine->type, machine->zone, machine->spot))
+            *weight += machine->type->cpus + machine->type->gpus;
     }
     /* As recorded, for one's own partitions too: else they would look emptier than the
      * others. */
-    g_hash_table_iter_init(&it, c->parts[id].ranges);
+    g_hash_table_iter_init(&it, core->parts[id].ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_range *r = v;
-        if (r->job->phase == LMN_JOB_ACTIVE)
-            *load += (r->hi - r->lo - r->ndone) * (r->job->spec.cpus + r->job->spec.gpus);
+        const struct lmn_range *range = v;
+        if (range->job->phase == LMN_JOB_ACTIVE)
+            *load += (range->hi - range->lo - range->ndone) *
+                     (range->job->spec.cpus + range->job->spec.gpus);
     }
 }
 
@@ -39,27 +40,27 @@
 
 /* The job's tasks for each partition: as few parts as its size needs, to those with the
  * least to do for their size. */
-static void shares(struct lmn_core *c, const struct lmn_job_spec *s, uint32_t *n)
+static void shares(struct lmn_core *core, const struct lmn_job_spec *spec, uint32_t *n)
 {
     double weight[LMN_MAX_PARTITIONS] = {0}, load[LMN_MAX_PARTITIONS], sum = 0;
-    int parts = c->nparts, order[LMN_MAX_PARTITIONS] = {0}, able = 0;
-    int first = (int)(g_str_hash(s->ref) % (guint)parts);
+    int parts = core->nparts, order[LMN_MAX_PARTITIONS] = {0}, able = 0;
+    int first = (int)(g_str_hash(spec->ref) % (guint)parts);
     uint32_t given = 0;
 
-    memset(n, 0, sizeof *n * (size_t)c->nparts);
+    memset(n, 0, sizeof *n * (size_t)core->nparts);
     for (int i = 0; i < parts; i++) {
-        weigh(c, i, s, &weight[i], &load[i]);
+        weigh(core, i, spec, &weight[i], &load[i]);
         sum += weight[i];
     }
-    double size = s->tasks * (s->cpus + s->gpus) * parts;
+    double size = spec->tasks * (spec->cpus + spec->gpus) * parts;
     int want = sum > 0 ? (int)MIN(ceil(size / (LEAST_PART * sum)), parts) : 1;
     for (int i = 0; sum <= 0 && i < parts; i++)
         weight[i] = 1;
     /* While writes have to wait, a job is not cut: steals will spread what one partition
      * can't start. And one owner must see all of a job whose tasks depend on each other's
      * places. */
-    if (s->one_zone || s->spread ||
-        lmn_kv_client_backlog_s(c->state, LMN_WRITE_CLOSE) > 0)
+    if (spec->one_zone || spec->spread ||
+        lmn_kv_client_backlog_s(core->state, LMN_WRITE_CLOSE) > 0)
         want = 1;
     for (int k = 0; k < parts; k++) {
         int i = (first + k) % parts, at = able;
@@ -74,40 +75,41 @@
         able++;
     }
     /* The job's record and each part are a change of one transaction. */
-    want = CLAMP(want, 1, MIN(able, MAX(c->cfg->txn_ops - 1, 1)));
+    want = CLAMP(want, 1, MIN(able, MAX(core->cfg->txn_ops - 1, 1)));
     sum = 0;
     for (int k = 0; k < want; k++)
         sum += weight[order[k]];
     for (int k = 0; k < want; k++) {
-        uint32_t part = (uint32_t)floor((double)s->tasks * weight[order[k]] / sum + 0.5);
-        n[order[k]] = MIN(part, s->tasks - given);
+        uint32_t part =
+            (uint32_t)floor((double)spec->tasks * weight[order[k]] / sum + 0.5);
+        n[order[k]] = MIN(part, spec->tasks - given);
         given += n[order[k]];
     }
-    n[order[0]] += s->tasks - given;
+    n[order[0]] += spec->tasks - given;
 }
 
-struct lmn_txn *lmn_submission_txn(struct lmn_core *c, const struct lmn_job_spec *s,
+struct lmn_txn *lmn_submission_txn(struct lmn_core *core, const struct lmn_job_spec *spec,
                                    double accepted_at, lmn_txn_callback *done, void *arg)
 {
-    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_USER, done, arg);
+    struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_USER, done, arg);
     uint32_t n[LMN_MAX_PARTITIONS], open = 0, at = 0;
     struct lmn_range r = {0};
     char key[96];
     /* One bit a task as hexadecimal text: so many that no value passes the limit. */
-    uint32_t most = (uint32_t)(c->cfg->value_kb * 1024 * 3);
+    uint32_t most = (uint32_t)(core->cfg->value_kb * 1024 * 3);
 
-    shares(c, s, n);
-    g_snprintf(key, sizeof key, "j/%s", s->ref);
-    lmn_txn_require_version(t, key, 0);
+    shares(core, spec, n);
+    g_snprintf(key, sizeof key, "j/%s", spec->ref);
+    lmn_txn_require_version(txn, key, 0);
     char *job_key = g_strdup(key);
-    for (int i = 0; i < c->nparts; i++)
+    for (int i = 0; i < core->nparts; i++)
         while (n[i] > 0) {
             uint32_t k = MIN(n[i], most);
             r.lo = at;
             r.hi = at + k;
             uint8_t *none = g_malloc0((k + 7) / 8);
-            g_snprintf(key, sizeof key, "r/%d/%s/%u", i, s->ref, at);
-            lmn_txn_put(t, key, lmn_range_record(&r, none), 0);
+            g_snprintf(key, sizeof key, "r/%d/%s/%u", i, spec->ref, at);
+            lmn_txn_put(txn, key, lmn_range_record(&r, none), 0);
             g_free(none);
             at += k;
             n[i] -= k;
@@ -115,49 +117,51 @@
         }
     /* The watch shows changes in the order of the transaction: first ranges, then the
      * job, would leave ranges without a job. */
-    lmn_txn_put_first(t, job_key, lmn_job_record(s, LMN_JOB_ACTIVE, open, accepted_at));
+    lmn_txn_put_first(txn, job_key,
+                      lmn_job_record(spec, LMN_JOB_ACTIVE, open, accepted_at));
     g_free(job_key);
-    return t;
+    return txn;
 }
 
 /* Whether the job's record is larger than a value may be, counted as JSON. */
-static bool too_large(const struct lmn_settings *cfg, const struct lmn_job_spec *s)
+static bool too_large(const struct lmn_settings *cfg, const struct lmn_job_spec *spec)
 {
     size_t most = (size_t)(cfg->value_kb * 1024), types = 0;
     struct lmn_cbor_document d;
 
-    for (char **t = s->types; t && *t; t++)
+    for (char **t = spec->types; t && *t; t++)
         types += strlen(*t) + 3;
     /* All else is bounded; few descriptions need a closer look. */
     if (types + 2048 < most)
         return false;
-    GByteArray *b = lmn_job_record(s, LMN_JOB_ACTIVE, UINT32_MAX, 1e10);
-    bool large = lmn_cbor_parse(&d, b->data, b->len) == 0 &&
+    GByteArray *buffer = lmn_job_record(spec, LMN_JOB_ACTIVE, UINT32_MAX, 1e10);
+    bool large = lmn_cbor_parse(&d, buffer->data, buffer->len) == 0 &&
                  lmn_cbor_json_size(&d, lmn_cbor_root(&d)) > most;
     lmn_cbor_free(&d);
-    g_byte_array_unref(b);
+    g_byte_array_unref(buffer);
     return large;
 }
 
-void lmn_submission_parse(struct lmn_submission *s, const struct lmn_settings *cfg,
-                          const guint8 *body, size_t len)
+void lmn_submission_parse(struct lmn_submission *submission,
+                          const struct lmn_settings *cfg, const guint8 *body, size_t len)
 {
     struct lmn_cbor_document d;
 
-    memset(s, 0, sizeof *s);
-    s->what = "not CBOR";
-    s->fault = LMN_SUBMISSION_NO_ID;
+    memset(submission, 0, sizeof *submission);
+    submission->what = "not CBOR";
+    submission->fault = LMN_SUBMISSION_NO_ID;
     if (lmn_cbor_parse(&d, body, len) != 0)
         return;
-    if (lmn_job_spec_parse(&s->spec, &d, lmn_cbor_root(&d), &s->what) == 0)
-        s->fault =
-            too_large(cfg, &s->spec) ? LMN_SUBMISSION_TOO_LARGE : LMN_SUBMISSION_VALID;
-    else if (lmn_job_id_is_valid(s->spec.ref))
-        s->fault = LMN_SUBMISSION_MALFORMED;
+    if (lmn_job_spec_parse(&submission->spec, &d, lmn_cbor_root(&d), &submission->what) ==
+        0)
+        submission->fault = too_large(cfg, &submission->spec) ? LMN_SUBMISSION_TOO_LARGE
+                                                              : LMN_SUBMISSION_VALID;
+    else if (lmn_job_id_is_valid(submission->spec.ref))
+        submission->fault = LMN_SUBMISSION_MALFORMED;
     lmn_cbor_free(&d);
 }
 
-void lmn_submission_clear(struct lmn_submission *s)
+void lmn_submission_clear(struct lmn_submission *submission)
 {
-    lmn_job_spec_clear(&s->spec);
+    lmn_job_spec_clear(&submission->spec);
 }
--- a/src/controller/submission.h
+++ b/src/controller/submission.h
@@ -19,13 +19,13 @@
 };
 
 /* Reads a request's body. To be cleared, whatever its fault. */
-void lmn_submission_parse(struct lmn_submission *s, const struct lmn_settings *cfg,
-                          const guint8 *body, size_t len);
-void lmn_submission_clear(struct lmn_submission *s);
+void lmn_submission_parse(struct lmn_submission *submission,
+                          const struct lmn_settings *cfg, const guint8 *body, size_t len);
+void lmn_submission_clear(struct lmn_submission *submission);
 
 /* The transaction that accepts the job, conditional on its id being unknown: the job's
  * record, and its tasks parted among the partitions. */
-struct lmn_txn *lmn_submission_txn(struct lmn_core *c, const struct lmn_job_spec *s,
+struct lmn_txn *lmn_submission_txn(struct lmn_core *core, const struct lmn_job_spec *spec,
                                    double accepted_at, lmn_txn_callback *done, void *arg);
 
 #endif
