--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -19,90 +19,91 @@
 /* Threads that ask the state service; one alone queries at a time unless it is slow. */
 enum { QUERY_THREADS = 3 };
 
-static void answer(struct lmn_http_request *call, const char *ref,
-                   const struct lmn_job_reply *r)
+static void answer(struct lmn_http_request *request, const char *ref,
+                   const struct lmn_job_reply *reply)
 {
-    lmn_http_request_respond(call, r->status, lmn_job_reply_body(r, ref), r->retry_after);
+    lmn_http_request_respond(request, reply->status, lmn_job_reply_body(reply, ref),
+                             reply->retry_after);
 }
 
 /* The call is held already. */
-static void enqueue(enum lmn_read_request_kind kind, struct lmn_http_request *call,
+static void enqueue(enum lmn_read_request_kind kind, struct lmn_http_request *request,
                     const char *ref, int absent_status)
 {
-    struct lmn_read_request *a = g_new0(struct lmn_read_request, 1);
+    struct lmn_read_request *read = g_new0(struct lmn_read_request, 1);
 
-    a->kind = kind;
-    a->call = call;
-    a->absent_status = absent_status;
-    a->since = lmn_now();
-    g_strlcpy(a->ref, ref, sizeof a->ref);
+    read->kind = kind;
+    read->call = request;
+    read->absent_status = absent_status;
+    read->since = lmn_now();
+    g_strlcpy(read->ref, ref, sizeof read->ref);
     pthread_mutex_lock(&queries_lock);
-    lmn_read_batch_add(&queries, a);
+    lmn_read_batch_add(&queries, read);
     pthread_cond_signal(&queries_more);
     pthread_mutex_unlock(&queries_lock);
 }
 
 /* All steps but the commit of a submission, for a call that is held. */
-static void carry_out_held(struct lmn_http_request *call, const char *ref,
-                           const struct lmn_request_decision *d)
+static void carry_out_held(struct lmn_http_request *request, const char *ref,
+                           const struct lmn_request_decision *decision)
 {
-    if (d->step == LMN_STEP_REPLY)
-        answer(call, ref, &d->reply);
+    if (decision->step == LMN_STEP_REPLY)
+        answer(request, ref, &decision->reply);
     else
-        enqueue(d->step == LMN_STEP_CANCEL ? LMN_READ_CANCEL : LMN_READ_STATUS, call, ref,
-                d->absent_status);
+        enqueue(decision->step == LMN_STEP_CANCEL ? LMN_READ_CANCEL : LMN_READ_STATUS,
+                request, ref, decision->absent_status);
 }
 
-static void carry_out(const struct lmn_request_decision *d, struct lmn_http_request *call,
-                      const char *ref)
+static void carry_out(const struct lmn_request_decision *decision,
+                      struct lmn_http_request *request, const char *ref)
 {
-    if (d->step != LMN_STEP_REPLY)
-        lmn_http_request_defer(call);
-    carry_out_held(call, ref, d);
+    if (decision->step != LMN_STEP_REPLY)
+        lmn_http_request_defer(request);
+    carry_out_held(request, ref, decision);
 }
 
-void lmn_user_api_status(struct lmn_core *c, struct lmn_http_request *call,
+void lmn_user_api_status(struct lmn_core *core, struct lmn_http_request *request,
                          const char *ref)
 {
-    pthread_mutex_lock(&c->lock);
-    struct lmn_request_decision d = lmn_decide_status(c, ref, lmn_now());
-    pthread_mutex_unlock(&c->lock);
-    carry_out(&d, call, ref);
+    pthread_mutex_lock(&core->lock);
+    struct lmn_request_decision d = lmn_decide_status(core, ref, lmn_now());
+    pthread_mutex_unlock(&core->lock);
+    carry_out(&d, request, ref);
 }
 
-void lmn_user_api_cancel(struct lmn_core *c, struct lmn_http_request *call,
+void lmn_user_api_cancel(struct lmn_core *core, struct lmn_http_request *request,
                          const char *ref)
 {
-    pthread_mutex_lock(&c->lock);
-    struct lmn_request_decision d = lmn_decide_cancel(c, ref);
-    pthread_mutex_unlock(&c->lock);
-    carry_out(&d, call, ref);
+    pthread_mutex_lock(&core->lock);
+    struct lmn_request_decision d = lmn_decide_cancel(core, ref);
+    pthread_mutex_unlock(&core->lock);
+    carry_out(&d, request, ref);
 }
 
-bool lmn_user_api_is_ready(struct lmn_core *c)
+bool lmn_user_api_is_ready(struct lmn_core *core)
 {
-    pthread_mutex_lock(&c->lock);
-    double stale = lmn_watch_cache_age_s(c, lmn_now());
-    bool ready = c->synced && c->types_known && !c->leaving &&
-                 (stale < LMN_CACHE_STALLED_S || (!c->odd_one && stale < 30));
-    pthread_mutex_unlock(&c->lock);
+    pthread_mutex_lock(&core->lock);
+    double stale = lmn_watch_cache_age_s(core, lmn_now());
+    bool ready = core->synced && core->types_known && !core->leaving &&
+                 (stale < LMN_CACHE_STALLED_S || (!core->odd_one && stale < 30));
+    pthread_mutex_unlock(&core->lock);
     return ready;
 }
 
-void lmn_user_api_submit(struct lmn_core *c, struct lmn_http_request *call)
+void lmn_user_api_submit(struct lmn_core *core, struct lmn_http_request *request)
 {
-    const GByteArray *body = lmn_http_request_body(call);
+    const GByteArray *body = lmn_http_request_body(request);
     struct lmn_submission s;
 
-    lmn_submission_parse(&s, c->cfg, body->data, body->len);
-    pthread_mutex_lock(&c->lock);
-    struct lmn_request_decision d = lmn_decide_submission(c, &s, lmn_now());
-    pthread_mutex_unlock(&c->lock);
+    lmn_submission_parse(&s, core->cfg, body->data, body->len);
+    pthread_mutex_lock(&core->lock);
+    struct lmn_request_decision d = lmn_decide_submission(core, &s, lmn_now());
+    pthread_mutex_unlock(&core->lock);
     if (d.step == LMN_STEP_COMMIT) {
-        lmn_http_request_defer(call);
-        lmn_pending_submission_submit(c, call, &s.spec);
+        lmn_http_request_defer(request);
+        lmn_pending_submission_submit(core, request, &s.spec);
     } else {
-        carry_out(&d, call, s.spec.ref);
+        carry_out(&d, request, s.spec.ref);
     }
     lmn_submission_clear(&s);
 }
@@ -110,15 +111,15 @@
 /* --- the threads that ask the state service --- */
 
 /* Reads one job; to be cleared. */
-static void read_job(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                     const char *ref, struct lmn_job_reading *r)
+static void read_job(struct lmn_core *core, struct lmn_http_client *client,
+                     GByteArray *buf, const char *ref, struct lmn_job_reading *reading)
 {
     char path[96];
 
     g_snprintf(path, sizeof path, WIRE_PATH_STORE "/j/%s", ref);
-    lmn_kv_client_wait_for_token(c->state);
-    int status = lmn_http_client_call(h, "GET", path, NULL, 1.5, buf);
-    lmn_job_reading_parse(r, status, buf->data, buf->len);
+    lmn_kv_client_wait_for_token(core->state);
+    int status = lmn_http_client_call(client, "GET", path, NULL, 1.5, buf);
+    lmn_job_reading_parse(reading, status, buf->data, buf->len);
 }
 
 /* Answers all in the list, for which nobody knows anything. */
@@ -126,10 +127,10 @@
 {
     const struct lmn_job_reply r = lmn_job_reply_unavailable();
 
-    for (struct lmn_read_request *a = list, *next; a; a = next) {
-        next = a->next;
-        answer(a->call, a->ref, &r);
-        g_free(a);
+    for (struct lmn_read_request *read = list, *next; read; read = next) {
+        next = read->next;
+        answer(read->call, read->ref, &r);
+        g_free(read);
     }
 }
 
@@ -137,97 +138,99 @@
 static void query_again(struct lmn_read_request *list)
 {
     pthread_mutex_lock(&queries_lock);
-    for (struct lmn_read_request *a = list, *next; a; a = next) {
-        next = a->next;
-        lmn_read_batch_add(&queries, a);
+    for (struct lmn_read_request *read = list, *next; read; read = next) {
+        next = read->next;
+        lmn_read_batch_add(&queries, read);
     }
     pthread_mutex_unlock(&queries_lock);
 }
 
 /* Answers all who asked about the same job by its confirmed view. */
-static void answer_confirmed(struct lmn_core *c, const struct lmn_job_view *v,
+static void answer_confirmed(struct lmn_core *core, const struct lmn_job_view *view,
                              struct lmn_read_request *list)
 {
-    for (struct lmn_read_request *a = list, *next; a; a = next) {
-        next = a->next;
-        pthread_mutex_lock(&c->lock);
-        struct lmn_job_reply r = lmn_job_reply_confirmed(c, v, a->absent_status);
-        pthread_mutex_unlock(&c->lock);
-        answer(a->call, a->ref, &r);
-        g_free(a);
+    for (struct lmn_read_request *read = list, *next; read; read = next) {
+        next = read->next;
+        pthread_mutex_lock(&core->lock);
+        struct lmn_job_reply r = lmn_job_reply_confirmed(core, view, read->absent_status);
+        pthread_mutex_unlock(&core->lock);
+        answer(read->call, read->ref, &r);
+        g_free(read);
     }
 }
 
 /* The mirror is behind: the job itself is read. */
-static void answer_read(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                        struct lmn_read_request *list)
+static void answer_read(struct lmn_core *core, struct lmn_http_client *client,
+                        GByteArray *buf, struct lmn_read_request *list)
 {
     struct lmn_job_reading reading;
 
-    read_job(c, h, buf, list->ref, &reading);
-    for (struct lmn_read_request *a = list, *next; a; a = next) {
-        next = a->next;
-        pthread_mutex_lock(&c->lock);
+    read_job(core, client, buf, list->ref, &reading);
+    for (struct lmn_read_request *read = list, *next; read; read = next) {
+        next = read->next;
+        pthread_mutex_lock(&core->lock);
         struct lmn_job_reply r =
-            lmn_job_reply_from_reading(c, a->ref, &reading, a->absent_status);
-        pthread_mutex_unlock(&c->lock);
-        answer(a->call, a->ref, &r);
-        g_free(a);
+            lmn_job_reply_from_reading(core, read->ref, &reading, read->absent_status);
+        pthread_mutex_unlock(&core->lock);
+        answer(read->call, read->ref, &r);
+        g_free(read);
     }
     lmn_job_reading_clear(&reading);
 }
 
 /* A cancellation has been committed. */
-static void tell_others(struct lmn_core *c, const char *ref)
+static void tell_others(struct lmn_core *core, const char *ref)
 {
     lmn_debug("job-cancelled job=%s", ref);
-    pthread_mutex_lock(&c->lock);
-    if (c->members.n > 1)
-        lmn_tombstone_add(&c->tombstones, ref);
-    pthread_mutex_unlock(&c->lock);
+    pthread_mutex_lock(&core->lock);
+    if (core->members.n > 1)
+        lmn_tombstone_add(&core->tombstones, ref);
+    pthread_mutex_unlock(&core->lock);
 }
 
-static void cancel_one(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                       const struct lmn_read_request *a)
+static void cancel_one(struct lmn_core *core, struct lmn_http_client *client,
+                       GByteArray *buf, const struct lmn_read_request *read)
 {
     struct lmn_job_reply reply = lmn_job_reply_unavailable();
     bool over = false;
 
     for (int tries = 0; tries < LMN_CANCEL_TRIES && !over; tries++) {
         struct lmn_job_reading reading;
-        uint64_t rev;
+        uint64_t revision;
 
-        read_job(c, h, buf, a->ref, &reading);
-        struct lmn_txn *t =
-            lmn_cancellation_txn(a->ref, &reading, a->absent_status, &reply);
+        read_job(core, client, buf, read->ref, &reading);
+        struct lmn_txn *txn =
+            lmn_cancellation_txn(read->ref, &reading, read->absent_status, &reply);
         lmn_job_reading_clear(&reading);
-        if (!t)
+        if (!txn)
             break;
-        enum lmn_txn_outcome outcome = lmn_kv_client_commit(c->state, h, t, &rev, NULL);
-        lmn_txn_free(t);
+        enum lmn_txn_outcome outcome =
+            lmn_kv_client_commit(core->state, client, txn, &revision, NULL);
+        lmn_txn_free(txn);
         over = lmn_cancellation_is_settled(outcome, &reply);
         if (outcome == LMN_TXN_COMMITTED)
-            tell_others(c, a->ref);
+            tell_others(core, read->ref);
     }
-    answer(a->call, a->ref, &reply);
+    answer(read->call, read->ref, &reply);
 }
 
 /* Many jobs, one request: a transaction of conditions alone says which of the mirror's
  * versions are the latest. */
-static void confirm_batch(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                          struct lmn_read_request **v, guint n)
+static void confirm_batch(struct lmn_core *core, struct lmn_http_client *client,
+                          GByteArray *buf, struct lmn_read_request **v, guint n)
 {
     struct lmn_job_view *views = g_new0(struct lmn_job_view, n);
     GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
-    uint64_t rev;
+    uint64_t revision;
 
-    pthread_mutex_lock(&c->lock);
+    pthread_mutex_lock(&core->lock);
     for (guint i = 0; i < n; i++)
-        lmn_job_view_take(c, v[i]->ref, &views[i]);
-    pthread_mutex_unlock(&c->lock);
-    struct lmn_txn *t = lmn_confirmation_txn(views, n);
-    enum lmn_txn_outcome outcome = lmn_kv_client_commit(c->state, h, t, &rev, failed);
-    lmn_txn_free(t);
+        lmn_job_view_take(core, v[i]->ref, &views[i]);
+    pthread_mutex_unlock(&core->lock);
+    struct lmn_txn *txn = lmn_confirmation_txn(views, n);
+    enum lmn_txn_outcome outcome =
+        lmn_kv_client_commit(core->state, client, txn, &revision, failed);
+    lmn_txn_free(txn);
     /* First what is known: a reading takes its time, and an answer grows old. */
     for (guint i = 0; i < n; i++) {
         enum lmn_confirmation_result known =
@@ -235,7 +238,7 @@
         if (known == LMN_CONFIRMED_OUTDATED)
             continue;
         if (known == LMN_CONFIRMED_LATEST)
-            answer_confirmed(c, &views[i], v[i]);
+            answer_confirmed(core, &views[i], v[i]);
         else if (outcome == LMN_TXN_UNKNOWN)
             query_again(v[i]);
         else
@@ -244,7 +247,7 @@
     }
     for (guint i = 0; i < n; i++)
         if (v[i])
-            answer_read(c, h, buf, v[i]);
+            answer_read(core, client, buf, v[i]);
     g_free(views);
     g_ptr_array_free(failed, TRUE);
 }
@@ -272,19 +275,19 @@
 
 static void *query_thread(void *arg)
 {
-    struct lmn_core *c = arg;
-    struct lmn_http_client *h = lmn_http_client_new(c->cfg->state);
+    struct lmn_core *core = arg;
+    struct lmn_http_client *client = lmn_http_client_new(core->cfg->state);
     GByteArray *buf = g_byte_array_new();
-    guint max = (guint)MIN(4 * c->cfg->txn_ops, 100);
+    guint max = (guint)MIN(4 * core->cfg->txn_ops, 100);
     struct lmn_read_request **v = g_new0(struct lmn_read_request *, max), *cancel, *late;
 
     for (;;) {
         guint n = next_queries(v, max, &cancel, &late);
         answer_unavailable(late);
         if (n)
-            confirm_batch(c, h, buf, v, n);
+            confirm_batch(core, client, buf, v, n);
         if (cancel) {
-            cancel_one(c, h, buf, cancel);
+            cancel_one(core, client, buf, cancel);
             g_free(cancel);
         }
         pthread_mutex_lock(&queries_lock);
@@ -294,11 +297,11 @@
     return NULL;
 }
 
-void lmn_user_api_start(struct lmn_core *c)
+void lmn_user_api_start(struct lmn_core *core)
 {
     for (int i = 0; i < QUERY_THREADS; i++)
-        lmn_thread(query_thread, c);
-    lmn_pending_submission_start(c, carry_out_held);
+        lmn_thread(query_thread, core);
+    lmn_pending_submission_start(core, carry_out_held);
 }
 
 __attribute__((constructor)) static void init(void)
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -6,13 +6,13 @@
 #include "http/server.h"
 #include "state/model.h"
 
-void lmn_user_api_submit(struct lmn_core *c, struct lmn_http_request *call);
-void lmn_user_api_status(struct lmn_core *c, struct lmn_http_request *call,
+void lmn_user_api_submit(struct lmn_core *core, struct lmn_http_request *request);
+void lmn_user_api_status(struct lmn_core *core, struct lmn_http_request *request,
                          const char *ref);
-void lmn_user_api_cancel(struct lmn_core *c, struct lmn_http_request *call,
+void lmn_user_api_cancel(struct lmn_core *core, struct lmn_http_request *request,
                          const char *ref);
-bool lmn_user_api_is_ready(struct lmn_core *c);
+bool lmn_user_api_is_ready(struct lmn_core *core);
 /* Starts the threads that ask the state service, and that look after submissions. */
-void lmn_user_api_start(struct lmn_core *c);
+void lmn_user_api_start(struct lmn_core *core);
 
 #endif
--- a/src/emulator/cloud.h
+++ b/src/emulator/cloud.h
@@ -30,30 +30,30 @@
     double spent; /* money, by what was listed */
 };
 
-void lmn_emu_cloud_init(struct lmn_emu_cloud *c, const struct lmn_inventory *v,
-                        uint32_t seed);
-void lmn_emu_cloud_clear(struct lmn_emu_cloud *c);
+void lmn_emu_cloud_init(struct lmn_emu_cloud *cloud,
+                        const struct lmn_inventory *inventory, uint32_t seed);
+void lmn_emu_cloud_clear(struct lmn_emu_cloud *cloud);
 /* 200 with names (the caller's), 400 or 503. */
-int lmn_emu_cloud_rent(struct lmn_emu_cloud *c, const struct lmn_rental_request *q,
+int lmn_emu_cloud_rent(struct lmn_emu_cloud *cloud, const struct lmn_rental_request *q,
                        GPtrArray *names, double now);
 /* Whether it was there; from now on it is gone. */
-bool lmn_emu_cloud_return(struct lmn_emu_cloud *c, const char *name, double now);
+bool lmn_emu_cloud_return(struct lmn_emu_cloud *cloud, const char *name, double now);
 /* The list, as old as it is. */
-void lmn_emu_cloud_list(struct lmn_emu_cloud *c, const char *after,
+void lmn_emu_cloud_list(struct lmn_emu_cloud *cloud, const char *after,
                         bool (*each)(void *to, const struct lmn_rented_machine *m),
                         void *to, double now);
-void lmn_emu_cloud_types(struct lmn_emu_cloud *c,
-                         void (*each)(void *to, const struct lmn_machine_type *t),
+void lmn_emu_cloud_types(struct lmn_emu_cloud *cloud,
+                         void (*each)(void *to, const struct lmn_machine_type *type),
                          void *to, double now);
 /* Sets a knob; an event happens at once. -1 with err. */
-int lmn_emu_cloud_set(struct lmn_emu_cloud *c, const char *name, double value, double now,
-                      char *err, size_t len);
+int lmn_emu_cloud_set(struct lmn_emu_cloud *cloud, const char *name, double value,
+                      double now, char *err, size_t len);
 /* Whether the machine lives: it is up, and neither gone, dead nor taken. */
-bool lmn_emu_machine_lives(const struct lmn_emu_machine *m, double now);
+bool lmn_emu_machine_lives(const struct lmn_emu_machine *machine, double now);
 /* Forgets machines that no list names any more. Those with a worker stay until it is
  * taken off. */
-void lmn_emu_cloud_pass(struct lmn_emu_cloud *c, double now);
-struct lmn_emu_machine *lmn_emu_cloud_machine(const struct lmn_emu_cloud *c,
+void lmn_emu_cloud_pass(struct lmn_emu_cloud *cloud, double now);
+struct lmn_emu_machine *lmn_emu_cloud_machine(const struct lmn_emu_cloud *cloud,
                                               const char *name);
 
 #endif
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -66,9 +66,9 @@
     char ref[LMN_JOB_ID_SIZE];
 };
 
-static double seconds(const struct lmn_emulation *e)
+static double seconds(const struct lmn_emulation *emulation)
 {
-    return lmn_time_diff_s(lmn_now(), e->begun);
+    return lmn_time_diff_s(lmn_now(), emulation->begun);
 }
 
 /* --- machines that come and go --- */
@@ -94,180 +94,182 @@
     return fd;
 }
 
-static void come_up(struct lmn_emulation *e, struct lmn_emu_machine *m)
+static void come_up(struct lmn_emulation *emulation, struct lmn_emu_machine *machine)
 {
-    struct unit *u = g_new0(struct unit, 1);
+    struct unit *unit = g_new0(struct unit, 1);
     char host[LMN_ADDRESS_SIZE];
 
-    u->listener = listen_anywhere(e->o.worker.listen, &u->port);
-    if (u->listener < 0) {
-        g_free(u);
+    unit->listener = listen_anywhere(emulation->o.worker.listen, &unit->port);
+    if (unit->listener < 0) {
+        g_free(unit);
         return;
     }
-    g_strlcpy(host, e->o.worker.listen, sizeof host);
+    g_strlcpy(host, emulation->o.worker.listen, sizeof host);
     *strrchr(host, ':') = '\0';
-    u->serial = ++e->serials;
-    u->m = m;
-    m->worker = u;
-    g_snprintf(m->addr, sizeof m->addr, "%s:%d", host, u->port);
-    g_strlcpy(u->w.agent.name, m->name, LMN_NAME_SIZE);
-    g_strlcpy(u->w.agent.addr, m->addr, LMN_ADDRESS_SIZE);
-    g_strlcpy(u->w.agent.zone, m->zone, LMN_NAME_SIZE);
-    u->w.agent.type = e->o.inventory->types[m->type];
-    u->w.agent.spot = m->spot;
-    u->w.ledger = &e->ledger;
-    lmn_emu_worker_init(&u->w, &e->cloud.knobs, g_rand_int(e->cloud.rng),
-                        e->o.worker.lease_s, lmn_now());
-    u->controller = (unsigned)u->serial % e->o.worker.ncontrollers;
-    u->next = lmn_now();
-    g_hash_table_insert(e->units, &u->serial, u);
-    g_hash_table_insert(e->ports, &u->port, u);
-    struct epoll_event ev = {.events = EPOLLIN, .data.fd = u->listener};
-    epoll_ctl(e->epoll, EPOLL_CTL_ADD, u->listener, &ev);
+    unit->serial = ++emulation->serials;
+    unit->m = machine;
+    machine->worker = unit;
+    g_snprintf(machine->addr, sizeof machine->addr, "%s:%d", host, unit->port);
+    g_strlcpy(unit->w.agent.name, machine->name, LMN_NAME_SIZE);
+    g_strlcpy(unit->w.agent.addr, machine->addr, LMN_ADDRESS_SIZE);
+    g_strlcpy(unit->w.agent.zone, machine->zone, LMN_NAME_SIZE);
+    unit->w.agent.type = emulation->o.inventory->types[machine->type];
+    unit->w.agent.spot = machine->spot;
+    unit->w.ledger = &emulation->ledger;
+    lmn_emu_worker_init(&unit->w, &emulation->cloud.knobs,
+                        g_rand_int(emulation->cloud.rng), emulation->o.worker.lease_s,
+                        lmn_now());
+    unit->controller = (unsigned)unit->serial % emulation->o.worker.ncontrollers;
+    unit->next = lmn_now();
+    g_hash_table_insert(emulation->units, &unit->serial, unit);
+    g_hash_table_insert(emulation->ports, &unit->port, unit);
+    struct epoll_event ev = {.events = EPOLLIN, .data.fd = unit->listener};
+    epoll_ctl(emulation->epoll, EPOLL_CTL_ADD, unit->listener, &ev);
 }
 
-static void free_unit(struct unit *u)
+static void free_unit(struct unit *unit)
 {
-    if (u->http)
-        lmn_http_client_free(u->http);
-    g_free(u);
+    if (unit->http)
+        lmn_http_client_free(unit->http);
+    g_free(unit);
 }
 
 /* It lives no more. */
-static void go_down(struct lmn_emulation *e, struct unit *u)
+static void go_down(struct lmn_emulation *emulation, struct unit *unit)
 {
-    struct lmn_http_request *call;
-
-    u->m->worker = NULL;
-    u->m = NULL;
-    close(u->listener);
-    g_hash_table_remove(e->ports, &u->port);
-    g_hash_table_steal(e->units, &u->serial);
-    while ((call = g_queue_pop_head(&u->held)))
-        lmn_http_request_respond(call, 503, NULL, 0);
-    if (u->busy)
+    struct lmn_http_request *request;
+
+    unit->m->worker = NULL;
+    unit->m = NULL;
+    close(unit->listener);
+    g_hash_table_remove(emulation->ports, &unit->port);
+    g_hash_table_steal(emulation->units, &unit->serial);
+    while ((request = g_queue_pop_head(&unit->held)))
+        lmn_http_request_respond(request, 503, NULL, 0);
+    if (unit->busy)
         return; /* its sender frees it */
-    lmn_emu_worker_clear(&u->w);
-    free_unit(u);
+    lmn_emu_worker_clear(&unit->w);
+    free_unit(unit);
 }
 
-static bool unheard(const struct unit *u, double now)
+static bool unheard(const struct unit *unit, double now)
 {
-    return u->m->cut || u->m->hang_until > now;
+    return unit->m->cut || unit->m->hang_until > now;
 }
 
-static void answer(struct unit *u, struct lmn_http_request *call)
+static void answer(struct unit *unit, struct lmn_http_request *request)
 {
-    const GByteArray *body = lmn_http_request_body(call);
+    const GByteArray *body = lmn_http_request_body(request);
     GByteArray *out = g_byte_array_new();
     int status = 404;
 
-    if (lmn_http_request_method(call) == LMN_HTTP_POST &&
-        !strcmp(lmn_http_request_path(call), WIRE_PATH_COMMANDS))
-        status = lmn_agent_execute(&u->w.agent, body->data, body->len, out, lmn_now());
-    else if (lmn_http_request_method(call) == LMN_HTTP_GET &&
-             !strcmp(lmn_http_request_path(call), WIRE_PATH_SHOW))
-        status = lmn_agent_show(&u->w.agent, out, lmn_now());
-    lmn_http_request_respond(call, status, out, 0);
+    if (lmn_http_request_method(request) == LMN_HTTP_POST &&
+        !strcmp(lmn_http_request_path(request), WIRE_PATH_COMMANDS))
+        status = lmn_agent_execute(&unit->w.agent, body->data, body->len, out, lmn_now());
+    else if (lmn_http_request_method(request) == LMN_HTTP_GET &&
+             !strcmp(lmn_http_request_path(request), WIRE_PATH_SHOW))
+        status = lmn_agent_show(&unit->w.agent, out, lmn_now());
+    lmn_http_request_respond(request, status, out, 0);
 }
 
-static void ask_jobs(struct lmn_emulation *e, struct unit *u)
+static void ask_jobs(struct lmn_emulation *emulation, struct unit *unit)
 {
-    for (guint i = 0; i < u->w.asking->len; i++) {
-        uint64_t id = g_array_index(u->w.asking, uint64_t, i);
-        const struct lmn_task_run *r = lmn_agent_find_run(&u->w.agent, id);
+    for (guint i = 0; i < unit->w.asking->len; i++) {
+        uint64_t id = g_array_index(unit->w.asking, uint64_t, i);
+        const struct lmn_task_run *r = lmn_agent_find_run(&unit->w.agent, id);
         gpointer spec = NULL;
         if (!r)
             continue;
-        if (g_hash_table_lookup_extended(e->specs, r->ref, NULL, &spec)) {
-            lmn_emu_worker_described(&u->w, id, spec, lmn_now());
+        if (g_hash_table_lookup_extended(emulation->specs, r->ref, NULL, &spec)) {
+            lmn_emu_worker_described(&unit->w, id, spec, lmn_now());
             continue;
         }
         struct question *q = g_new0(struct question, 1);
-        q->serial = u->serial;
+        q->serial = unit->serial;
         q->id = id;
         g_strlcpy(q->ref, r->ref, sizeof q->ref);
-        g_queue_push_tail(&e->asked, q);
-        pthread_cond_signal(&e->asked_more);
+        g_queue_push_tail(&emulation->asked, q);
+        pthread_cond_signal(&emulation->asked_more);
     }
-    g_array_set_size(u->w.asking, 0);
+    g_array_set_size(unit->w.asking, 0);
 }
 
-static void pass_unit(struct lmn_emulation *e, struct unit *u, double now)
+static void pass_unit(struct lmn_emulation *emulation, struct unit *unit, double now)
 {
-    struct lmn_http_request *call;
-    struct lmn_emu_machine *m = u->m;
+    struct lmn_http_request *request;
+    struct lmn_emu_machine *machine = unit->m;
 
-    if (m->hang_until > now)
+    if (machine->hang_until > now)
         return;
     /* What came while it hung is executed now, if token and session still match. */
-    while (!unheard(u, now) && (call = g_queue_pop_head(&u->held)))
-        answer(u, call);
-    if (isfinite(m->taken) && !m->told) {
-        m->told = true;
-        lmn_agent_spot_notice(&u->w.agent, lmn_time_add(lmn_now(), m->taken - now));
+    while (!unheard(unit, now) && (request = g_queue_pop_head(&unit->held)))
+        answer(unit, request);
+    if (isfinite(machine->taken) && !machine->told) {
+        machine->told = true;
+        lmn_agent_spot_notice(&unit->w.agent,
+                              lmn_time_add(lmn_now(), machine->taken - now));
     }
-    lmn_emu_worker_pass(&u->w, lmn_now());
-    ask_jobs(e, u);
-    bool soon = u->w.agent.changed && lmn_time_diff_s(lmn_now(), u->last) > 0.5;
-    if (!u->busy && !u->w.agent.ending && !m->cut &&
-        (soon || !lmn_time_before(lmn_now(), u->next))) {
-        u->busy = true;
-        g_queue_push_tail(&e->due, u);
-        pthread_cond_signal(&e->due_more);
+    lmn_emu_worker_pass(&unit->w, lmn_now());
+    ask_jobs(emulation, unit);
+    bool soon = unit->w.agent.changed && lmn_time_diff_s(lmn_now(), unit->last) > 0.5;
+    if (!unit->busy && !unit->w.agent.ending && !machine->cut &&
+        (soon || !lmn_time_before(lmn_now(), unit->next))) {
+        unit->busy = true;
+        g_queue_push_tail(&emulation->due, unit);
+        pthread_cond_signal(&emulation->due_more);
     }
 }
 
-static void pass_troubles(struct lmn_emulation *e, double now)
+static void pass_troubles(struct lmn_emulation *emulation, double now)
 {
     char err[128];
 
-    while (e->next_trouble < e->o.script->len) {
-        const struct lmn_emu_fault *t =
-            &g_array_index(e->o.script, struct lmn_emu_fault, e->next_trouble);
+    while (emulation->next_trouble < emulation->o.script->len) {
+        const struct lmn_emu_fault *t = &g_array_index(
+            emulation->o.script, struct lmn_emu_fault, emulation->next_trouble);
         if (t->at > now)
             break;
-        e->next_trouble++;
+        emulation->next_trouble++;
         lmn_info("trouble set=%s value=%g for=%g", t->name, t->value, t->lasts);
-        lmn_emu_cloud_set(&e->cloud, t->name, t->value, now, err, sizeof err);
+        lmn_emu_cloud_set(&emulation->cloud, t->name, t->value, now, err, sizeof err);
         if (t->lasts > 0) {
             struct lmn_emu_fault back = {.at = now + t->lasts};
             g_strlcpy(back.name, t->name, sizeof back.name);
             for (size_t i = 0; lmn_emulator_fault_name(i); i++)
                 if (!strcmp(lmn_emulator_fault_name(i), t->name))
-                    back.value = lmn_emulator_fault_value(&e->o.knobs, i);
-            g_array_append_val(e->ends, back);
+                    back.value = lmn_emulator_fault_value(&emulation->o.knobs, i);
+            g_array_append_val(emulation->ends, back);
         }
     }
-    for (guint i = e->ends->len; i-- > 0;) {
-        struct lmn_emu_fault t = g_array_index(e->ends, struct lmn_emu_fault, i);
+    for (guint i = emulation->ends->len; i-- > 0;) {
+        struct lmn_emu_fault t = g_array_index(emulation->ends, struct lmn_emu_fault, i);
         if (t.at > now)
             continue;
-        g_array_remove_index_fast(e->ends, i);
-        lmn_emu_cloud_set(&e->cloud, t.name, t.value, now, err, sizeof err);
+        g_array_remove_index_fast(emulation->ends, i);
+        lmn_emu_cloud_set(&emulation->cloud, t.name, t.value, now, err, sizeof err);
     }
 }
 
 static void *passer(void *arg)
 {
-    struct lmn_emulation *e = arg;
+    struct lmn_emulation *emulation = arg;
 
     for (;;) {
-        pthread_mutex_lock(&e->lock);
-        double now = seconds(e);
-        pass_troubles(e, now);
-        for (guint i = 0; i < e->cloud.machines->len; i++) {
-            struct lmn_emu_machine *m = e->cloud.machines->pdata[i];
-            bool lives = lmn_emu_machine_lives(m, now);
-            if (lives && !m->worker)
-                come_up(e, m);
-            if (!lives && m->worker)
-                go_down(e, m->worker);
-            if (m->worker)
-                pass_unit(e, m->worker, now);
+        pthread_mutex_lock(&emulation->lock);
+        double now = seconds(emulation);
+        pass_troubles(emulation, now);
+        for (guint i = 0; i < emulation->cloud.machines->len; i++) {
+            struct lmn_emu_machine *machine = emulation->cloud.machines->pdata[i];
+            bool lives = lmn_emu_machine_lives(machine, now);
+            if (lives && !machine->worker)
+                come_up(emulation, machine);
+            if (!lives && machine->worker)
+                go_down(emulation, machine->worker);
+            if (machine->worker)
+                pass_unit(emulation, machine->worker, now);
         }
-        lmn_emu_cloud_pass(&e->cloud, now);
-        pthread_mutex_unlock(&e->lock);
+        lmn_emu_cloud_pass(&emulation->cloud, now);
+        pthread_mutex_unlock(&emulation->lock);
         lmn_sleep(PASS_S);
     }
     return NULL;
@@ -275,7 +277,8 @@
 
 /* --- reports --- */
 
-static unsigned turn(const struct lmn_emulation *e, const GByteArray *in, unsigned now)
+static unsigned turn(const struct lmn_emulation *emulation, const GByteArray *in,
+                     unsigned now)
 {
     char name[LMN_NAME_SIZE] = "";
     struct lmn_cbor_document d;
@@ -285,84 +288,86 @@
                           sizeof name);
         lmn_cbor_free(&d);
     }
-    for (unsigned i = 0; i < e->o.worker.ncontrollers && *name; i++)
-        if (i != now && !strcmp(e->o.worker.controllers[i].name, name))
+    for (unsigned i = 0; i < emulation->o.worker.ncontrollers && *name; i++)
+        if (i != now && !strcmp(emulation->o.worker.controllers[i].name, name))
             return i;
     return now;
 }
 
 /* The connection that the unit reports over: its own, or its sender's. */
-static struct lmn_http_client *line(const struct lmn_emulation *e, struct unit *u,
-                                    struct lmn_http_client **h, unsigned to)
+static struct lmn_http_client *line(const struct lmn_emulation *emulation,
+                                    struct unit *unit, struct lmn_http_client **h,
+                                    unsigned to)
 {
-    if (u->w.knobs->own_connections < 0.5)
+    if (unit->w.knobs->own_connections < 0.5)
         return h[to];
-    if (u->http && u->http_to != to)
-        g_clear_pointer(&u->http, lmn_http_client_free);
-    if (!u->http)
-        u->http = lmn_http_client_new(e->o.worker.controllers[to].addr);
-    u->http_to = to;
-    return u->http;
+    if (unit->http && unit->http_to != to)
+        g_clear_pointer(&unit->http, lmn_http_client_free);
+    if (!unit->http)
+        unit->http = lmn_http_client_new(emulation->o.worker.controllers[to].addr);
+    unit->http_to = to;
+    return unit->http;
 }
 
 /* One report of the unit, and its answer. The lock is held, and let go while it is under
  * way. */
-static void report(struct lmn_emulation *e, struct unit *u, struct lmn_http_client **h,
-                   GByteArray *in)
+static void report(struct lmn_emulation *emulation, struct unit *unit,
+                   struct lmn_http_client **h, GByteArray *in)
 {
     GByteArray *out = g_byte_array_new();
-    uint64_t session = u->w.agent.session;
+    uint64_t session = unit->w.agent.session;
     struct timespec sent = lmn_now();
-    unsigned to = u->controller;
+    unsigned to = unit->controller;
 
-    lmn_agent_write_heartbeat(&u->w.agent, out, sent);
-    u->last = sent;
-    e->reports++;
-    struct lmn_http_client *http = line(e, u, h, to);
-    pthread_mutex_unlock(&e->lock);
+    lmn_agent_write_heartbeat(&unit->w.agent, out, sent);
+    unit->last = sent;
+    emulation->reports++;
+    struct lmn_http_client *http = line(emulation, unit, h, to);
+    pthread_mutex_unlock(&emulation->lock);
     int status =
         lmn_http_client_call(http, "POST", WIRE_PATH_HEARTBEAT, out, ANSWER_S, in);
     g_byte_array_unref(out);
-    pthread_mutex_lock(&e->lock);
-    u->busy = false;
-    double wait = e->o.worker.report_s * (0.75 + 0.5 * g_random_double());
+    pthread_mutex_lock(&emulation->lock);
+    unit->busy = false;
+    double wait = emulation->o.worker.report_s * (0.75 + 0.5 * g_random_double());
     if (status != 200) {
-        unsigned next = status == 421 ? turn(e, in, to) : to;
-        u->w.agent.changed = true;
+        unsigned next = status == 421 ? turn(emulation, in, to) : to;
+        unit->w.agent.changed = true;
         wait = next != to ? 0 : 1;
-        u->controller = next != to ? next : (to + 1) % e->o.worker.ncontrollers;
-        e->failed_reports++;
+        unit->controller =
+            next != to ? next : (to + 1) % emulation->o.worker.ncontrollers;
+        emulation->failed_reports++;
         if (!wait)
-            u->last = lmn_time_add(lmn_now(), -1);
-    } else if (u->m && !unheard(u, seconds(e))) {
-        lmn_agent_heartbeat_answered(&u->w.agent, session, sent, in->data, in->len,
+            unit->last = lmn_time_add(lmn_now(), -1);
+    } else if (unit->m && !unheard(unit, seconds(emulation))) {
+        lmn_agent_heartbeat_answered(&unit->w.agent, session, sent, in->data, in->len,
                                      lmn_now());
-        lmn_emu_worker_pass(&u->w, lmn_now());
-        ask_jobs(e, u);
+        lmn_emu_worker_pass(&unit->w, lmn_now());
+        ask_jobs(emulation, unit);
     }
-    u->next = lmn_time_add(lmn_now(), wait);
+    unit->next = lmn_time_add(lmn_now(), wait);
 }
 
 static void *sender(void *arg)
 {
-    struct lmn_emulation *e = arg;
+    struct lmn_emulation *emulation = arg;
     struct lmn_http_client *h[LMN_MAX_CONTROLLERS];
     GByteArray *in = g_byte_array_new();
 
-    for (unsigned i = 0; i < e->o.worker.ncontrollers; i++)
-        h[i] = lmn_http_client_new(e->o.worker.controllers[i].addr);
-    pthread_mutex_lock(&e->lock);
+    for (unsigned i = 0; i < emulation->o.worker.ncontrollers; i++)
+        h[i] = lmn_http_client_new(emulation->o.worker.controllers[i].addr);
+    pthread_mutex_lock(&emulation->lock);
     for (;;) {
-        while (!e->due.head)
-            pthread_cond_wait(&e->due_more, &e->lock);
-        struct unit *u = g_queue_pop_head(&e->due);
-        if (u->m && !u->w.agent.ending)
-            report(e, u, h, in);
+        while (!emulation->due.head)
+            pthread_cond_wait(&emulation->due_more, &emulation->lock);
+        struct unit *unit = g_queue_pop_head(&emulation->due);
+        if (unit->m && !unit->w.agent.ending)
+            report(emulation, unit, h, in);
         else
-            u->busy = false;
-        if (!u->m) {
-            lmn_emu_worker_clear(&u->w);
-            free_unit(u);
+            unit->busy = false;
+        if (!unit->m) {
+            lmn_emu_worker_clear(&unit->w);
+            free_unit(unit);
         }
     }
     return NULL;
@@ -377,28 +382,28 @@
 
 static void *asker(void *arg)
 {
-    struct lmn_emulation *e = arg;
-    struct lmn_http_client *h = lmn_http_client_new(e->o.worker.depot);
+    struct lmn_emulation *emulation = arg;
+    struct lmn_http_client *client = lmn_http_client_new(emulation->o.worker.depot);
 
     for (;;) {
         struct lmn_image_store_error err = {0};
         struct lmn_task_command work;
-        GByteArray *b = g_byte_array_new();
+        GByteArray *buffer = g_byte_array_new();
         char digest[LMN_DIGEST_SIZE];
         const char *what;
-        pthread_mutex_lock(&e->lock);
-        while (!e->asked.head)
-            pthread_cond_wait(&e->asked_more, &e->lock);
-        struct question *q = g_queue_pop_head(&e->asked);
-        bool known = g_hash_table_contains(e->specs, q->ref);
-        pthread_mutex_unlock(&e->lock);
+        pthread_mutex_lock(&emulation->lock);
+        while (!emulation->asked.head)
+            pthread_cond_wait(&emulation->asked_more, &emulation->lock);
+        struct question *q = g_queue_pop_head(&emulation->asked);
+        bool known = g_hash_table_contains(emulation->specs, q->ref);
+        pthread_mutex_unlock(&emulation->lock);
         struct lmn_job_spec *spec = NULL;
         bool sure = known;
         if (!known &&
-            lmn_image_store_lookup(h, LMN_IMAGE_STORE_KIND_JOB, q->ref, digest, &err) ==
-                0 &&
-            lmn_image_store_get(h, digest, b, &err) == 0 &&
-            lmn_task_command_decode(&work, b->data, b->len, &what) == 0) {
+            lmn_image_store_lookup(client, LMN_IMAGE_STORE_KIND_JOB, q->ref, digest,
+                                   &err) == 0 &&
+            lmn_image_store_get(client, digest, buffer, &err) == 0 &&
+            lmn_task_command_decode(&work, buffer->data, buffer->len, &what) == 0) {
             spec = g_new(struct lmn_job_spec, 1);
             *spec = work.spec;
             memset(&work.spec, 0, sizeof work.spec);
@@ -406,22 +411,22 @@
             sure = true;
         }
         sure = sure || err.status == 404;
-        g_byte_array_unref(b);
-        pthread_mutex_lock(&e->lock);
+        g_byte_array_unref(buffer);
+        pthread_mutex_lock(&emulation->lock);
         if (!known && spec) {
-            if (g_hash_table_size(e->specs) >= MAX_SPECS)
-                g_hash_table_remove_all(e->specs);
-            g_hash_table_replace(e->specs, g_strdup(q->ref), spec);
+            if (g_hash_table_size(emulation->specs) >= MAX_SPECS)
+                g_hash_table_remove_all(emulation->specs);
+            g_hash_table_replace(emulation->specs, g_strdup(q->ref), spec);
         }
-        struct unit *u = g_hash_table_lookup(e->units, &q->serial);
-        if (u && sure) {
-            spec = g_hash_table_lookup(e->specs, q->ref);
-            lmn_emu_worker_described(&u->w, q->id, spec, lmn_now());
-        } else if (u) {
-            g_queue_push_tail(&e->asked, q);
+        struct unit *unit = g_hash_table_lookup(emulation->units, &q->serial);
+        if (unit && sure) {
+            spec = g_hash_table_lookup(emulation->specs, q->ref);
+            lmn_emu_worker_described(&unit->w, q->id, spec, lmn_now());
+        } else if (unit) {
+            g_queue_push_tail(&emulation->asked, q);
             q = NULL;
         }
-        pthread_mutex_unlock(&e->lock);
+        pthread_mutex_unlock(&emulation->lock);
         if (!q)
             lmn_sleep(0.2);
         g_free(q);
@@ -431,37 +436,37 @@
 
 /* --- commands --- */
 
-static void route(void *arg, struct lmn_http_request *call)
+static void route(void *arg, struct lmn_http_request *request)
 {
-    struct lmn_emulation *e = arg;
-    int port = lmn_http_request_port(call);
-
-    pthread_mutex_lock(&e->lock);
-    struct unit *u = g_hash_table_lookup(e->ports, &port);
-    if (!u) {
-        lmn_http_request_respond(call, 503, NULL, 0);
-    } else if (unheard(u, seconds(e))) {
-        lmn_http_request_defer(call);
-        g_queue_push_tail(&u->held, call);
+    struct lmn_emulation *emulation = arg;
+    int port = lmn_http_request_port(request);
+
+    pthread_mutex_lock(&emulation->lock);
+    struct unit *unit = g_hash_table_lookup(emulation->ports, &port);
+    if (!unit) {
+        lmn_http_request_respond(request, 503, NULL, 0);
+    } else if (unheard(unit, seconds(emulation))) {
+        lmn_http_request_defer(request);
+        g_queue_push_tail(&unit->held, request);
     } else {
-        answer(u, call);
-        lmn_emu_worker_pass(&u->w, lmn_now());
-        ask_jobs(e, u);
+        answer(unit, request);
+        lmn_emu_worker_pass(&unit->w, lmn_now());
+        ask_jobs(emulation, unit);
     }
-    pthread_mutex_unlock(&e->lock);
+    pthread_mutex_unlock(&emulation->lock);
 }
 
 static void *acceptor(void *arg)
 {
-    struct lmn_emulation *e = arg;
+    struct lmn_emulation *emulation = arg;
     struct epoll_event ev[64];
 
     for (;;) {
-        int n = epoll_wait(e->epoll, ev, 64, -1);
+        int n = epoll_wait(emulation->epoll, ev, 64, -1);
         for (int i = 0; i < n; i++) {
             int fd = accept4(ev[i].data.fd, NULL, NULL, SOCK_CLOEXEC | SOCK_NONBLOCK);
             if (fd >= 0)
-                lmn_http_server_adopt(e->server, fd);
+                lmn_http_server_adopt(emulation->server, fd);
         }
     }
     return NULL;
@@ -469,124 +474,131 @@
 
 /* --- the cloud's side --- */
 
-static void types(void *arg, void (*each)(void *to, const struct lmn_machine_type *t),
+static void types(void *arg, void (*each)(void *to, const struct lmn_machine_type *type),
                   void *to)
 {
-    struct lmn_emulation *e = arg;
-    pthread_mutex_lock(&e->lock);
-    lmn_emu_cloud_types(&e->cloud, each, to, seconds(e));
-    pthread_mutex_unlock(&e->lock);
+    struct lmn_emulation *emulation = arg;
+    pthread_mutex_lock(&emulation->lock);
+    lmn_emu_cloud_types(&emulation->cloud, each, to, seconds(emulation));
+    pthread_mutex_unlock(&emulation->lock);
 }
 
 static int rent(void *arg, const struct lmn_rental_request *q, GPtrArray *names)
 {
-    struct lmn_emulation *e = arg;
-    pthread_mutex_lock(&e->lock);
-    int status = lmn_emu_cloud_rent(&e->cloud, q, names, seconds(e));
-    pthread_mutex_unlock(&e->lock);
+    struct lmn_emulation *emulation = arg;
+    pthread_mutex_lock(&emulation->lock);
+    int status = lmn_emu_cloud_rent(&emulation->cloud, q, names, seconds(emulation));
+    pthread_mutex_unlock(&emulation->lock);
     return status;
 }
 
 static int give_back(void *arg, char *const *names, unsigned n)
 {
-    struct lmn_emulation *e = arg;
+    struct lmn_emulation *emulation = arg;
     int status = 200;
 
-    pthread_mutex_lock(&e->lock);
-    double now = seconds(e);
-    if (e->cloud.knobs.outage >= 1)
+    pthread_mutex_lock(&emulation->lock);
+    double now = seconds(emulation);
+    if (emulation->cloud.knobs.outage >= 1)
         status = 503;
     for (unsigned i = 0; i < n && status == 200; i++) {
-        struct lmn_emu_machine *m = lmn_emu_cloud_machine(&e->cloud, names[i]);
-        lmn_emu_cloud_return(&e->cloud, names[i], now);
+        struct lmn_emu_machine *machine =
+            lmn_emu_cloud_machine(&emulation->cloud, names[i]);
+        lmn_emu_cloud_return(&emulation->cloud, names[i], now);
         /* By the answer, it and everything on it are gone. */
-        if (m && m->worker)
-            go_down(e, m->worker);
+        if (machine && machine->worker)
+            go_down(emulation, machine->worker);
     }
-    pthread_mutex_unlock(&e->lock);
+    pthread_mutex_unlock(&emulation->lock);
     return status;
 }
 
 static void list(void *arg, const char *after,
                  bool (*each)(void *to, const struct lmn_rented_machine *m), void *to)
 {
-    struct lmn_emulation *e = arg;
-    pthread_mutex_lock(&e->lock);
-    lmn_emu_cloud_list(&e->cloud, after, each, to, seconds(e));
-    pthread_mutex_unlock(&e->lock);
+    struct lmn_emulation *emulation = arg;
+    pthread_mutex_lock(&emulation->lock);
+    lmn_emu_cloud_list(&emulation->cloud, after, each, to, seconds(emulation));
+    pthread_mutex_unlock(&emulation->lock);
 }
 
 static void metrics(void *arg, GString *out)
 {
-    struct lmn_emulation *e = arg;
+    struct lmn_emulation *emulation = arg;
     uint64_t done = 0, failed = 0, lapses = 0;
     GHashTableIter it;
     gpointer v;
 
-    pthread_mutex_lock(&e->lock);
-    g_hash_table_iter_init(&it, e->units);
+    pthread_mutex_lock(&emulation->lock);
+    g_hash_table_iter_init(&it, emulation->units);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct unit *u = v;
-        done += u->w.done;
-        failed += u->w.failed;
-        lapses += u->w.agent.lapses;
+        const struct unit *unit = v;
+        done += unit->w.done;
+        failed += unit->w.failed;
+        lapses += unit->w.agent.lapses;
     }
     lmn_gauge(out, "lemonspar_emulated_up", "Emulated machines that are up",
-              g_hash_table_size(e->units));
-    lmn_counter(out, "lemonspar_emulated_rented", "Machines rented out", e->cloud.rented);
-    lmn_counter(out, "lemonspar_emulated_refused", "Rentals refused", e->cloud.refused);
+              g_hash_table_size(emulation->units));
+    lmn_counter(out, "lemonspar_emulated_rented", "Machines rented out",
+                emulation->cloud.rented);
+    lmn_counter(out, "lemonspar_emulated_refused", "Rentals refused",
+                emulation->cloud.refused);
     lmn_counter(out, "lemonspar_emulated_returned", "Machines returned",
-                e->cloud.returned);
-    lmn_counter(out, "lemonspar_emulated_taken", "Spot machines taken", e->cloud.taken);
-    lmn_counter(out, "lemonspar_emulated_died", "Machines that died", e->cloud.died);
+                emulation->cloud.returned);
+    lmn_counter(out, "lemonspar_emulated_taken", "Spot machines taken",
+                emulation->cloud.taken);
+    lmn_counter(out, "lemonspar_emulated_died", "Machines that died",
+                emulation->cloud.died);
     lmn_gauge(out, "lemonspar_emulated_spent", "Money spent on returned machines",
-              e->cloud.spent);
-    lmn_counter(out, "lemonspar_emulated_reports", "Reports sent", e->reports);
+              emulation->cloud.spent);
+    lmn_counter(out, "lemonspar_emulated_reports", "Reports sent", emulation->reports);
     lmn_counter(out, "lemonspar_emulated_turned_reports", "Reports that were turned away",
-                e->failed_reports);
+                emulation->failed_reports);
     lmn_gauge(out, "lemonspar_emulated_done", "Tasks done by machines that are up",
               (double)done);
     lmn_gauge(out, "lemonspar_emulated_failed", "Tasks failed on machines that are up",
               (double)failed);
-    lmn_counter(out, "lemonspar_emulated_starts", "Tasks begun", e->ledger.starts);
+    lmn_counter(out, "lemonspar_emulated_starts", "Tasks begun",
+                emulation->ledger.starts);
     lmn_counter(out, "lemonspar_emulated_twice",
                 "Tasks that began while they ran elsewhere (there should be none)",
-                e->ledger.twice);
+                emulation->ledger.twice);
     lmn_counter(out, "lemonspar_emulated_lapsed_tasks",
-                "Tasks that ended with their machine's lease", e->ledger.lapsed);
+                "Tasks that ended with their machine's lease", emulation->ledger.lapsed);
     lmn_gauge(out, "lemonspar_emulated_lapses", "Leases over on machines that are up",
               (double)lapses);
-    pthread_mutex_unlock(&e->lock);
+    pthread_mutex_unlock(&emulation->lock);
 }
 
-static void show_knobs(struct lmn_emulation *e, struct lmn_http_request *call)
+static void show_knobs(struct lmn_emulation *emulation, struct lmn_http_request *request)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     size_t n = 0;
 
     while (lmn_emulator_fault_name(n))
         n++;
-    lmn_cbor_put_map(b, n);
-    pthread_mutex_lock(&e->lock);
+    lmn_cbor_put_map(buffer, n);
+    pthread_mutex_lock(&emulation->lock);
     for (size_t i = 0; i < n; i++)
-        lmn_cbor_put_text(b, lmn_emulator_fault_name(i)),
-            lmn_cbor_put_number(b, lmn_emulator_fault_value(&e->cloud.knobs, i));
-    pthread_mutex_unlock(&e->lock);
-    lmn_http_request_respond(call, 200, b, 0);
+        lmn_cbor_put_text(buffer, lmn_emulator_fault_name(i)),
+            lmn_cbor_put_number(buffer,
+                                lmn_emulator_fault_value(&emulation->cloud.knobs, i));
+    pthread_mutex_unlock(&emulation->lock);
+    lmn_http_request_respond(request, 200, buffer, 0);
 }
 
-static bool troubles(void *arg, struct lmn_http_request *call)
+static bool troubles(void *arg, struct lmn_http_request *request)
 {
-    struct lmn_emulation *e = arg;
-    const GByteArray *body = lmn_http_request_body(call);
+    struct lmn_emulation *emulation = arg;
+    const GByteArray *body = lmn_http_request_body(request);
     struct lmn_emu_fault t = {0};
     char err[128] = "a map with Set and Value is expected";
     struct lmn_cbor_document d;
 
-    if (strcmp(lmn_http_request_path(call), "/troubles"))
+    if (strcmp(lmn_http_request_path(request), "/troubles"))
         return false;
-    if (lmn_http_request_method(call) == LMN_HTTP_GET) {
-        show_knobs(e, call);
+    if (lmn_http_request_method(request) == LMN_HTTP_GET) {
+        show_knobs(emulation, request);
         return true;
     }
     bool ok = lmn_cbor_parse(&d, body->data, body->len) == 0;
@@ -597,23 +609,24 @@
         lmn_cbor_get_number(lmn_cbor_get(&d, root, "For"), &t.lasts);
         lmn_cbor_free(&d);
     }
-    pthread_mutex_lock(&e->lock);
-    double now = seconds(e), old = 0;
+    pthread_mutex_lock(&emulation->lock);
+    double now = seconds(emulation), old = 0;
     for (size_t i = 0; lmn_emulator_fault_name(i); i++)
         if (!strcmp(lmn_emulator_fault_name(i), t.name))
-            old = lmn_emulator_fault_value(&e->cloud.knobs, i);
-    ok = ok && lmn_emu_cloud_set(&e->cloud, t.name, t.value, now, err, sizeof err) == 0;
+            old = lmn_emulator_fault_value(&emulation->cloud.knobs, i);
+    ok = ok &&
+         lmn_emu_cloud_set(&emulation->cloud, t.name, t.value, now, err, sizeof err) == 0;
     if (ok && t.lasts > 0 && !lmn_emulator_fault_is_event(t.name)) {
         struct lmn_emu_fault back = t;
         back.at = now + t.lasts;
         back.value = old;
-        g_array_append_val(e->ends, back);
+        g_array_append_val(emulation->ends, back);
     }
-    pthread_mutex_unlock(&e->lock);
+    pthread_mutex_unlock(&emulation->lock);
     if (ok)
-        lmn_http_request_respond(call, 200, NULL, 0);
+        lmn_http_request_respond(request, 200, NULL, 0);
     else
-        lmn_http_request_fail(call, 400, err);
+        lmn_http_request_fail(request, 400, err);
     return true;
 }
 
@@ -632,77 +645,79 @@
     return x->at < y->at ? -1 : x->at > y->at;
 }
 
-void lmn_emulation_read(struct lmn_config *c, struct lmn_emulation_options *o)
+void lmn_emulation_read(struct lmn_config *config, struct lmn_emulation_options *options)
 {
     char path[96], err[128];
 
-    o->knobs = lmn_emulator_faults_default;
-    o->script = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_fault));
-    o->seed = (uint32_t)lmn_config_number(c, "emulate.seed", 1, 0, 4294967295.0);
+    options->knobs = lmn_emulator_faults_default;
+    options->script = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_fault));
+    options->seed =
+        (uint32_t)lmn_config_number(config, "emulate.seed", 1, 0, 4294967295.0);
     for (size_t i = 0; lmn_emulator_fault_name(i); i++) {
         g_snprintf(path, sizeof path, "emulate.%s", lmn_emulator_fault_name(i));
-        if (!lmn_config_has(c, path))
+        if (!lmn_config_has(config, path))
             continue;
-        double v = lmn_config_number(c, path, 0, -1e9, 1e9);
-        if (lmn_emulator_fault_set(&o->knobs, lmn_emulator_fault_name(i), v, err,
+        double v = lmn_config_number(config, path, 0, -1e9, 1e9);
+        if (lmn_emulator_fault_set(&options->knobs, lmn_emulator_fault_name(i), v, err,
                                    sizeof err) != 0)
-            lmn_config_fail(c, path, "%s", err);
+            lmn_config_fail(config, path, "%s", err);
     }
-    guint n = lmn_config_count(c, "troubles");
+    guint n = lmn_config_count(config, "troubles");
     for (guint i = 0; i < n; i++) {
         struct lmn_emu_fault t = {0};
-        struct lmn_emulator_faults try = o->knobs;
+        struct lmn_emulator_faults try = options->knobs;
         g_snprintf(path, sizeof path, "troubles[%u].at", i);
-        t.at = lmn_config_number(c, path, 0, 0, 1e9);
+        t.at = lmn_config_number(config, path, 0, 0, 1e9);
         g_snprintf(path, sizeof path, "troubles[%u].value", i);
-        t.value = lmn_config_number(c, path, 1, 0, 1e9);
+        t.value = lmn_config_number(config, path, 1, 0, 1e9);
         g_snprintf(path, sizeof path, "troubles[%u].for", i);
-        t.lasts = lmn_config_number(c, path, 0, 0, 1e9);
+        t.lasts = lmn_config_number(config, path, 0, 0, 1e9);
         g_snprintf(path, sizeof path, "troubles[%u].set", i);
-        g_strlcpy(t.name, lmn_config_name(c, path, NULL), sizeof t.name);
+        g_strlcpy(t.name, lmn_config_name(config, path, NULL), sizeof t.name);
         if (lmn_emulator_fault_set(&try, t.name, t.value, err, sizeof err) != 0)
-            lmn_config_fail(c, path, "%s", err);
-        g_array_append_val(o->script, t);
+            lmn_config_fail(config, path, "%s", err);
+        g_array_append_val(options->script, t);
     }
-    g_array_sort(o->script, by_time);
+    g_array_sort(options->script, by_time);
 }
 
-struct lmn_emulation *lmn_emulation_start(const struct lmn_emulation_options *o,
+struct lmn_emulation *lmn_emulation_start(const struct lmn_emulation_options *options,
                                           char *err, size_t len)
 {
-    struct lmn_emulation *e = g_new0(struct lmn_emulation, 1);
+    struct lmn_emulation *emulation = g_new0(struct lmn_emulation, 1);
     const struct lmn_http_server_options h = {
-        .connections = 32768, .max_body = MAX_BODY, .route = route, .arg = e};
+        .connections = 32768, .max_body = MAX_BODY, .route = route, .arg = emulation};
 
-    e->o = *o;
-    e->begun = lmn_now();
+    emulation->o = *options;
+    emulation->begun = lmn_now();
     curl_global_init(CURL_GLOBAL_NOTHING);
-    lmn_emu_cloud_init(&e->cloud, o->inventory, o->seed);
-    e->cloud.knobs = o->knobs;
+    lmn_emu_cloud_init(&emulation->cloud, options->inventory, options->seed);
+    emulation->cloud.knobs = options->knobs;
     /* A name is never used twice, also not by the next process: ten a second are. */
-    e->cloud.number =
+    emulation->cloud.number =
         100000000 + (uint64_t)(lmn_time_seconds(lmn_wall_clock_now()) * 10) % 900000000;
-    pthread_mutex_init(&e->lock, NULL);
-    lmn_cond_init(&e->due_more);
-    lmn_cond_init(&e->asked_more);
-    lmn_emu_ledger_init(&e->ledger);
-    e->units = g_hash_table_new(g_int64_hash, g_int64_equal);
-    e->ports = g_hash_table_new(g_int_hash, g_int_equal);
-    e->specs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, forget_spec);
-    e->ends = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_fault));
-    e->epoll = epoll_create1(EPOLL_CLOEXEC);
-    e->server = lmn_http_server_start(&h);
-    if (e->epoll < 0 || !e->server) {
+    pthread_mutex_init(&emulation->lock, NULL);
+    lmn_cond_init(&emulation->due_more);
+    lmn_cond_init(&emulation->asked_more);
+    lmn_emu_ledger_init(&emulation->ledger);
+    emulation->units = g_hash_table_new(g_int64_hash, g_int64_equal);
+    emulation->ports = g_hash_table_new(g_int_hash, g_int_equal);
+    emulation->specs =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, forget_spec);
+    emulation->ends = g_array_new(FALSE, TRUE, sizeof(struct lmn_emu_fault));
+    emulation->epoll = epoll_create1(EPOLL_CLOEXEC);
+    emulation->server = lmn_http_server_start(&h);
+    if (emulation->epoll < 0 || !emulation->server) {
         g_snprintf(err, len, "the emulated machines can't be served: %s",
                    strerror(errno));
         return NULL;
     }
-    lmn_thread(passer, e);
-    lmn_thread(acceptor, e);
+    lmn_thread(passer, emulation);
+    lmn_thread(acceptor, emulation);
     for (int i = 0; i < SENDERS; i++)
-        lmn_thread(sender, e);
+        lmn_thread(sender, emulation);
     for (int i = 0; i < ASKERS; i++)
-        lmn_thread(asker, e);
-    lmn_info("emulation-start seed=%u troubles=%u", o->seed, o->script->len);
-    return e;
+        lmn_thread(asker, emulation);
+    lmn_info("emulation-start seed=%u troubles=%u", options->seed, options->script->len);
+    return emulation;
 }
--- a/src/emulator/emulator.h
+++ b/src/emulator/emulator.h
@@ -25,9 +25,9 @@
 };
 
 /* Reads [emulate] (knobs by name, seed) and [[troubles]] (at, set, value, for). */
-void lmn_emulation_read(struct lmn_config *c, struct lmn_emulation_options *o);
+void lmn_emulation_read(struct lmn_config *config, struct lmn_emulation_options *options);
 /* Starts it (threads); never freed. NULL with err. */
-struct lmn_emulation *lmn_emulation_start(const struct lmn_emulation_options *o,
+struct lmn_emulation *lmn_emulation_start(const struct lmn_emulation_options *options,
                                           char *err, size_t len);
 /* Also answers GET /troubles, the knobs, and POST /troubles {"Set", "Value", "For"}. arg:
  * struct lmn_emulation. */
--- a/src/emulator/ledger.h
+++ b/src/emulator/ledger.h
@@ -13,14 +13,14 @@
     uint64_t lapsed; /* ended with their machine's lease */
 };
 
-void lmn_emu_ledger_init(struct lmn_emu_ledger *l);
-void lmn_emu_ledger_clear(struct lmn_emu_ledger *l);
+void lmn_emu_ledger_init(struct lmn_emu_ledger *ledger);
+void lmn_emu_ledger_clear(struct lmn_emu_ledger *ledger);
 /* The task begins, or ends, on the machine: any pointer that tells it from others. */
-void lmn_emu_ledger_begin(struct lmn_emu_ledger *l, const char *ref, uint32_t index,
+void lmn_emu_ledger_begin(struct lmn_emu_ledger *ledger, const char *ref, uint32_t index,
                           gconstpointer machine);
-void lmn_emu_ledger_end(struct lmn_emu_ledger *l, const char *ref, uint32_t index,
+void lmn_emu_ledger_end(struct lmn_emu_ledger *ledger, const char *ref, uint32_t index,
                         gconstpointer machine);
 /* All of its tasks end; how many. */
-guint lmn_emu_ledger_empty(struct lmn_emu_ledger *l, gconstpointer machine);
+guint lmn_emu_ledger_empty(struct lmn_emu_ledger *ledger, gconstpointer machine);
 
 #endif
--- a/src/emulator/worker.h
+++ b/src/emulator/worker.h
@@ -31,13 +31,14 @@
     bool service;
 };
 
-void lmn_emu_worker_init(struct lmn_emu_worker *w, const struct lmn_emulator_faults *k,
-                         uint32_t seed, double lease_s, struct timespec now);
-void lmn_emu_worker_clear(struct lmn_emu_worker *w);
+void lmn_emu_worker_init(struct lmn_emu_worker *worker,
+                         const struct lmn_emulator_faults *k, uint32_t seed,
+                         double lease_s, struct timespec now);
+void lmn_emu_worker_clear(struct lmn_emu_worker *worker);
 /* The job of a run that asked; spec NULL: there is none. */
-void lmn_emu_worker_described(struct lmn_emu_worker *w, uint64_t id,
+void lmn_emu_worker_described(struct lmn_emu_worker *worker, uint64_t id,
                               const struct lmn_job_spec *spec, struct timespec now);
 /* Does what is due by now: ends, fetches, the lease. Not while it hangs. */
-void lmn_emu_worker_pass(struct lmn_emu_worker *w, struct timespec now);
+void lmn_emu_worker_pass(struct lmn_emu_worker *worker, struct timespec now);
 
 #endif
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -24,18 +24,21 @@
 };
 
 /* What the controllers say of a job: status, and its state. */
-static int ask(struct feeder *f, const char *method, const char *path,
-               const GByteArray *body, char *word, struct lmn_progress *p)
+static int ask(struct feeder *feeder, const char *method, const char *path,
+               const GByteArray *body, char *word, struct lmn_progress *progress)
 {
     struct lmn_cbor_document d;
     int status = LMN_HTTP_NOT_SENT;
     uint64_t done = 0, running = 0;
 
-    for (unsigned i = 0; i < f->g->o->ncontrollers && status == LMN_HTTP_NOT_SENT; i++)
-        status = lmn_http_client_call(f->controllers[f->turn++ % f->g->o->ncontrollers],
-                                      method, path, body, 4, f->in);
+    for (unsigned i = 0; i < feeder->g->o->ncontrollers && status == LMN_HTTP_NOT_SENT;
+         i++)
+        status = lmn_http_client_call(
+            feeder->controllers[feeder->turn++ % feeder->g->o->ncontrollers], method,
+            path, body, 4, feeder->in);
     *word = '\0';
-    if (status < 0 || !f->in->len || lmn_cbor_parse(&d, f->in->data, f->in->len) != 0)
+    if (status < 0 || !feeder->in->len ||
+        lmn_cbor_parse(&d, feeder->in->data, feeder->in->len) != 0)
         return status;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_STATE), word, 16);
@@ -43,9 +46,9 @@
     lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_RUNNING), &running);
     lmn_cbor_free(&d);
     /* Controllers know more and less of it; what is done stays done. */
-    p->done = MAX(p->done, (uint32_t)done);
-    p->running = (uint32_t)running;
-    p->known = lmn_now();
+    progress->done = MAX(progress->done, (uint32_t)done);
+    progress->running = (uint32_t)running;
+    progress->known = lmn_now();
     return status;
 }
 
@@ -67,45 +70,45 @@
 
 static GByteArray *body_of(const struct lmn_job_spec *spec, const char *local)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     struct lmn_job_spec s = *spec;
 
     g_strlcpy(s.ref, local, sizeof s.ref);
-    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
-    lmn_job_spec_write(b, &s);
-    return b;
+    lmn_cbor_put_map(buffer, lmn_job_spec_pair_count());
+    lmn_job_spec_write(buffer, &s);
+    return buffer;
 }
 
 /* The description of what a guest runs, under its name here: from the home's blob, which
  * the peer's thread has put into the depot. False: it is not there yet. */
-static bool describe(struct feeder *f, const char *digest, const char *local)
+static bool describe(struct feeder *feeder, const char *digest, const char *local)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     struct lmn_image_store_error e;
     struct lmn_task_command w;
     const char *what;
     char own[LMN_DIGEST_SIZE];
     bool ok = false;
 
-    if (lmn_image_store_get(f->depot, digest, b, &e) == 0 &&
-        lmn_task_command_decode(&w, b->data, b->len, &what) == 0) {
+    if (lmn_image_store_get(feeder->depot, digest, buffer, &e) == 0 &&
+        lmn_task_command_decode(&w, buffer->data, buffer->len, &what) == 0) {
         g_strlcpy(w.spec.ref, local, sizeof w.spec.ref);
         GByteArray *mine = lmn_task_command_encode(&w);
-        ok =
-            lmn_image_store_put(f->depot, mine, own, &e) == 0 &&
-            lmn_image_store_bind(f->depot, LMN_IMAGE_STORE_KIND_JOB, local, own, &e) == 0;
+        ok = lmn_image_store_put(feeder->depot, mine, own, &e) == 0 &&
+             lmn_image_store_bind(feeder->depot, LMN_IMAGE_STORE_KIND_JOB, local, own,
+                                  &e) == 0;
         g_byte_array_unref(mine);
         lmn_task_command_clear(&w);
     }
-    g_byte_array_unref(b);
+    g_byte_array_unref(buffer);
     return ok;
 }
 
 /* Ends the hand-over on this side. */
-static void conclude(struct feeder *f, const struct run *r,
+static void conclude(struct feeder *feeder, const struct run *r,
                      enum lmn_handover_outcome outcome)
 {
-    struct lmn_gateway_records *b = &f->g->book;
+    struct lmn_gateway_records *b = &feeder->g->book;
     struct lmn_record_write w = {0};
 
     pthread_mutex_lock(&b->lock);
@@ -127,48 +130,48 @@
     pthread_mutex_unlock(&b->lock);
     if (!change)
         return;
-    lmn_gateway_records_write(b, f->state, &w, 1);
+    lmn_gateway_records_write(b, feeder->state, &w, 1);
     pthread_mutex_lock(&b->lock);
     if (r->guest)
-        lmn_gateway_peer_wake(f->g, r->home);
+        lmn_gateway_peer_wake(feeder->g, r->home);
     pthread_mutex_unlock(&b->lock);
 }
 
-static void look_at(struct feeder *f, const struct run *r,
+static void look_at(struct feeder *feeder, const struct run *r,
                     const struct lmn_job_spec *spec, const char *digest,
-                    struct lmn_progress *p)
+                    struct lmn_progress *progress)
 {
     char path[96], word[16];
     int status;
 
     if (!r->handed) {
-        if (r->guest && *digest && !describe(f, digest, r->local))
+        if (r->guest && *digest && !describe(feeder, digest, r->local))
             return;
         GByteArray *body = body_of(spec, r->local);
-        status = ask(f, "POST", WIRE_PATH_JOBS, body, word, p);
+        status = ask(feeder, "POST", WIRE_PATH_JOBS, body, word, progress);
         g_byte_array_unref(body);
         if ((status == 422 || status == 400) && r->guest)
-            conclude(f, r, LMN_OUTCOME_RETURNED); /* it can't run here */
+            conclude(feeder, r, LMN_OUTCOME_RETURNED); /* it can't run here */
         if (status != 200 && status != 201)
             return;
-        pthread_mutex_lock(&f->g->book.lock);
+        pthread_mutex_lock(&feeder->g->book.lock);
         struct lmn_gateway_job *j =
-            r->guest ? NULL : g_hash_table_lookup(f->g->book.jobs, r->ref);
+            r->guest ? NULL : g_hash_table_lookup(feeder->g->book.jobs, r->ref);
         if (j)
             j->handed = true;
         char *key = g_strdup_printf("%s/%s", r->home, r->ref);
         struct lmn_remote_job *x =
-            r->guest ? g_hash_table_lookup(f->g->book.guests, key) : NULL;
+            r->guest ? g_hash_table_lookup(feeder->g->book.guests, key) : NULL;
         if (x && x->hand.epoch == r->epoch)
             x->handed = true;
         g_free(key);
-        pthread_mutex_unlock(&f->g->book.lock);
+        pthread_mutex_unlock(&feeder->g->book.lock);
     } else {
         g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s%s", r->local,
                    r->cancel ? WIRE_PATH_CANCEL : "");
-        status = ask(f, r->cancel ? "POST" : "GET", path, NULL, word, p);
+        status = ask(feeder, r->cancel ? "POST" : "GET", path, NULL, word, progress);
         if (status == 404 && r->cancel)
-            conclude(f, r,
+            conclude(feeder, r,
                      r->asked ? LMN_OUTCOME_CANCELLED
                               : LMN_OUTCOME_RETURNED); /* never accepted there: nothing of
                                                           it runs */
@@ -180,7 +183,7 @@
     if (o == LMN_OUTCOME_CANCELLED && r->guest && !r->asked)
         o = LMN_OUTCOME_RETURNED;
     if (o != LMN_OUTCOME_NONE)
-        conclude(f, r, o);
+        conclude(feeder, r, o);
 }
 
 static void add_run(GPtrArray *v, struct lmn_gateway_job *j, struct lmn_remote_job *x)
@@ -201,26 +204,27 @@
 }
 
 /* A guest on a leash stops when its home was not heard for so long. */
-static void check_leash(struct feeder *f, struct lmn_remote_job *x, struct timespec now)
+static void check_leash(struct feeder *feeder, struct lmn_remote_job *x,
+                        struct timespec now)
 {
     if (x->leash_s <= 0 || x->leashed)
         return;
-    const struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(f->g, x->home);
+    const struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(feeder->g, x->home);
     if (!p || lmn_time_diff_s(now, p->synced) <= x->leash_s)
         return;
     lmn_info("leash-over home=%s job=%s", x->home, x->ref);
     x->leashed = true; /* in memory: after a restart it is counted anew, which is later */
 }
 
-static GPtrArray *due_runs(struct feeder *f)
+static GPtrArray *due_runs(struct feeder *feeder)
 {
     GPtrArray *v = g_ptr_array_new_with_free_func(g_free);
     struct timespec now = lmn_now();
     GHashTableIter it;
     gpointer p;
 
-    pthread_mutex_lock(&f->g->book.lock);
-    g_hash_table_iter_init(&it, f->g->book.open_jobs);
+    pthread_mutex_lock(&feeder->g->book.lock);
+    g_hash_table_iter_init(&it, feeder->g->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         struct lmn_gateway_job *j = p;
         if (j->hand.state != LMN_ORIGIN_LOCAL || lmn_time_diff_s(now, j->polled) < POLL_S)
@@ -228,30 +232,31 @@
         j->polled = now;
         add_run(v, j, NULL);
     }
-    g_hash_table_iter_init(&it, f->g->book.open_guests);
+    g_hash_table_iter_init(&it, feeder->g->book.open_guests);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         struct lmn_remote_job *x = p;
         if (x->hand.state != LMN_EXECUTION_RUNNING ||
             lmn_time_diff_s(now, x->polled) < POLL_S)
             continue;
-        check_leash(f, x, now);
+        check_leash(feeder, x, now);
         x->polled = now;
         add_run(v, NULL, x);
     }
-    pthread_mutex_unlock(&f->g->book.lock);
+    pthread_mutex_unlock(&feeder->g->book.lock);
     return v;
 }
 
 /* The next that the own controllers get. */
-static void feed(struct feeder *f)
+static void feed(struct feeder *feeder)
 {
-    struct lmn_gateway_records *b = &f->g->book;
+    struct lmn_gateway_records *b = &feeder->g->book;
     GArray *w = g_array_new(FALSE, TRUE, sizeof(struct lmn_record_write));
 
     pthread_mutex_lock(&b->lock);
-    double cpus, handed, most = f->g->o->feed_s * f->g->o->cpus;
-    lmn_gateway_local_load(f->g, &cpus, &handed);
-    GPtrArray *v = handed < most ? lmn_gateway_waiting_jobs(f->g) : g_ptr_array_new();
+    double cpus, handed, most = feeder->g->o->feed_s * feeder->g->o->cpus;
+    lmn_gateway_local_load(feeder->g, &cpus, &handed);
+    GPtrArray *v =
+        handed < most ? lmn_gateway_waiting_jobs(feeder->g) : g_ptr_array_new();
     for (guint i = 0; i < v->len && handed < most; i++) {
         struct lmn_gateway_job *j = v->pdata[i];
         struct lmn_record_write x = {.job = j, .home = j->hand};
@@ -263,52 +268,53 @@
         g_array_append_val(w, x);
     }
     pthread_mutex_unlock(&b->lock);
-    lmn_gateway_records_write(b, f->state, (struct lmn_record_write *)(void *)w->data,
-                              w->len);
+    lmn_gateway_records_write(b, feeder->state,
+                              (struct lmn_record_write *)(void *)w->data, w->len);
     g_array_free(w, TRUE);
     g_ptr_array_free(v, TRUE);
 }
 
-static void pass(struct feeder *f)
+static void pass(struct feeder *feeder)
 {
-    GPtrArray *runs = due_runs(f);
+    GPtrArray *runs = due_runs(feeder);
 
     for (guint i = 0; i < runs->len; i++) {
         const struct run *r = runs->pdata[i];
         struct lmn_job_spec spec;
         struct lmn_progress p;
         char digest[65];
-        double wait = lmn_token_bucket_take(&f->polls, 1, lmn_now());
+        double wait = lmn_token_bucket_take(&feeder->polls, 1, lmn_now());
         if (wait > 0)
             lmn_sleep(wait);
         /* Records are never freed once they are written, and descriptions never change.
          */
         spec = r->job ? r->job->spec : r->guest->spec;
         g_strlcpy(digest, r->job ? r->job->digest : r->guest->digest, sizeof digest);
-        pthread_mutex_lock(&f->g->book.lock);
+        pthread_mutex_lock(&feeder->g->book.lock);
         p = r->job ? r->job->progress : r->guest->progress;
-        pthread_mutex_unlock(&f->g->book.lock);
-        look_at(f, r, &spec, digest, &p);
-        pthread_mutex_lock(&f->g->book.lock);
+        pthread_mutex_unlock(&feeder->g->book.lock);
+        look_at(feeder, r, &spec, digest, &p);
+        pthread_mutex_lock(&feeder->g->book.lock);
         if (r->job)
             r->job->progress = p;
         else if (r->guest->hand.epoch == r->epoch)
             r->guest->progress = p;
-        pthread_mutex_unlock(&f->g->book.lock);
+        pthread_mutex_unlock(&feeder->g->book.lock);
     }
     g_ptr_array_free(runs, TRUE);
 }
 
 void *lmn_cluster_client_thread(void *arg)
 {
-    struct lmn_gateway *g = arg;
-    struct feeder f = {.g = g, .in = g_byte_array_new()};
+    struct lmn_gateway *gateway = arg;
+    struct feeder f = {.g = gateway, .in = g_byte_array_new()};
 
-    for (unsigned i = 0; i < g->o->ncontrollers; i++)
-        f.controllers[i] = lmn_http_client_new(g->o->controllers[i]);
-    f.depot = lmn_http_client_new(g->o->depot);
-    f.state = lmn_http_client_new(g->o->state);
-    lmn_token_bucket_init(&f.polls, g->o->poll_rps, MAX(g->o->poll_rps, 1), lmn_now());
+    for (unsigned i = 0; i < gateway->o->ncontrollers; i++)
+        f.controllers[i] = lmn_http_client_new(gateway->o->controllers[i]);
+    f.depot = lmn_http_client_new(gateway->o->depot);
+    f.state = lmn_http_client_new(gateway->o->state);
+    lmn_token_bucket_init(&f.polls, gateway->o->poll_rps, MAX(gateway->o->poll_rps, 1),
+                          lmn_now());
     for (;;) {
         feed(&f);
         pass(&f);
--- a/src/gateway/execution.c
+++ b/src/gateway/execution.c
@@ -67,7 +67,7 @@
 }
 
 /* Brings what the guest's tasks run into the own depot; true if it is there. */
-static bool fetch_blob(struct host *k, const char *digest)
+static bool fetch_blob(struct host *host, const char *digest)
 {
     lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_BLOB};
     lmn_gateway_rpc_response r;
@@ -78,17 +78,17 @@
     q.lmn_gateway_rpc_request_u.digest = (char *)digest;
     if (!*digest)
         return true;
-    if (lmn_peer_connection_send_request(k->link, &q) != 0 ||
-        lmn_peer_connection_read_response(k->link, &r) != 0)
+    if (lmn_peer_connection_send_request(host->link, &q) != 0 ||
+        lmn_peer_connection_read_response(host->link, &r) != 0)
         return false;
     if (r.kind == LMN_GATEWAY_RPC_BLOB) {
-        GByteArray *b = g_byte_array_new();
-        g_byte_array_append(b, (guint8 *)r.lmn_gateway_rpc_response_u.blob.blob_val,
+        GByteArray *buffer = g_byte_array_new();
+        g_byte_array_append(buffer, (guint8 *)r.lmn_gateway_rpc_response_u.blob.blob_val,
                             r.lmn_gateway_rpc_response_u.blob.blob_len);
         /* Under its own digest it can be nothing else than it says. */
-        lmn_digest(b->data, b->len, is);
-        ok = !strcmp(is, digest) && lmn_image_store_put(k->depot, b, is, &e) == 0;
-        g_byte_array_unref(b);
+        lmn_digest(buffer->data, buffer->len, is);
+        ok = !strcmp(is, digest) && lmn_image_store_put(host->depot, buffer, is, &e) == 0;
+        g_byte_array_unref(buffer);
     }
     xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
     return ok;
@@ -105,15 +105,16 @@
 }
 
 /* A job that is offered: accepted, or refused for good, on the disk before it is said. */
-static void take_offer(struct host *k, const struct lmn_gateway_rpc_offer *o, bool room)
+static void take_offer(struct host *host, const struct lmn_gateway_rpc_offer *o,
+                       bool room)
 {
-    struct lmn_gateway *g = k->p->g;
+    struct lmn_gateway *gateway = host->p->g;
     struct lmn_record_write w = {0};
     struct lmn_job_spec spec = {0};
     enum lmn_handover_answer answer = LMN_HANDOVER_REJECTED;
     const char *what;
     struct lmn_cbor_document d;
-    bool old = false, ours = o->incarnation == g->book.incarnation;
+    bool old = false, ours = o->incarnation == gateway->book.incarnation;
 
     if (!lmn_job_id_is_valid(o->ref) ||
         lmn_cbor_parse(&d, o->spec.spec_val, o->spec.spec_len) != 0)
@@ -122,15 +123,15 @@
                 !strcmp(spec.ref, o->ref);
     lmn_cbor_free(&d);
     bool team = false;
-    for (unsigned i = 0; sane && i < g->o->nteams; i++)
-        team = team || !strcmp(g->o->teams[i], spec.team);
-    room = room && sane && team && fetch_blob(k, o->digest);
-    pthread_mutex_lock(&g->book.lock);
-    w.guest = lmn_gateway_records_take_remote_job(&g->book, lmn_gateway_peer_site(k->p),
-                                                  o->ref);
+    for (unsigned i = 0; sane && i < gateway->o->nteams; i++)
+        team = team || !strcmp(gateway->o->teams[i], spec.team);
+    room = room && sane && team && fetch_blob(host, o->digest);
+    pthread_mutex_lock(&gateway->book.lock);
+    w.guest = lmn_gateway_records_take_remote_job(&gateway->book,
+                                                  lmn_gateway_peer_site(host->p), o->ref);
     if (!w.guest && sane) {
-        w.guest = lmn_gateway_records_new_remote_job(&g->book,
-                                                     lmn_gateway_peer_site(k->p), o->ref);
+        w.guest = lmn_gateway_records_new_remote_job(
+            &gateway->book, lmn_gateway_peer_site(host->p), o->ref);
         if (w.guest) {
             w.guest->spec = spec;
             memset(&spec, 0, sizeof spec);
@@ -144,33 +145,33 @@
     bool change = w.guest && lmn_execution_handle_offer(&w.host, o->epoch, ours, room,
                                                         &answer, &old);
     if (w.guest && !change && w.guest->rev)
-        lmn_gateway_records_release_remote_job(&g->book, w.guest);
-    pthread_mutex_unlock(&g->book.lock);
+        lmn_gateway_records_release_remote_job(&gateway->book, w.guest);
+    pthread_mutex_unlock(&gateway->book.lock);
     if (w.guest && (change || !w.guest->rev))
-        lmn_gateway_records_write(&g->book, k->state, &w, 1);
+        lmn_gateway_records_write(&gateway->book, host->state, &w, 1);
     lmn_job_spec_clear(&spec);
-    pthread_mutex_lock(&g->book.lock);
+    pthread_mutex_lock(&gateway->book.lock);
     if (!full && (w.ok || (!change && !old))) {
         if (!sane || answer == LMN_HANDOVER_REJECTED)
-            refuse_later(k->p, o->ref, o->epoch);
+            refuse_later(host->p, o->ref, o->epoch);
         else
-            k->p->offers_in++;
-        k->p->news = true;
+            host->p->offers_in++;
+        host->p->news = true;
     }
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_unlock(&gateway->book.lock);
 }
 
-static void resolve(struct host *k, const struct lmn_gateway_rpc_item *i)
+static void resolve(struct host *host, const struct lmn_gateway_rpc_item *i)
 {
-    struct lmn_gateway *g = k->p->g;
+    struct lmn_gateway *gateway = host->p->g;
     struct lmn_record_write w = {0};
     enum lmn_handover_answer answer = LMN_HANDOVER_REJECTED;
     bool old = false;
 
-    pthread_mutex_lock(&g->book.lock);
+    pthread_mutex_lock(&gateway->book.lock);
     w.guest = lmn_job_id_is_valid(i->ref)
                   ? lmn_gateway_records_take_remote_job(
-                        &g->book, lmn_gateway_peer_site(k->p), i->ref)
+                        &gateway->book, lmn_gateway_peer_site(host->p), i->ref)
                   : NULL;
     if (!w.guest) {
         /* Never heard of. There is no record to refuse it in: one is made, by a
@@ -181,13 +182,13 @@
                                     .tasks = 1,
                                     .deadline_s = -1};
         if (!lmn_job_id_is_valid(i->ref)) {
-            pthread_mutex_unlock(&g->book.lock);
+            pthread_mutex_unlock(&gateway->book.lock);
             return;
         }
-        w.guest = lmn_gateway_records_new_remote_job(&g->book,
-                                                     lmn_gateway_peer_site(k->p), i->ref);
+        w.guest = lmn_gateway_records_new_remote_job(
+            &gateway->book, lmn_gateway_peer_site(host->p), i->ref);
         if (!w.guest) {
-            pthread_mutex_unlock(&g->book.lock);
+            pthread_mutex_unlock(&gateway->book.lock);
             return;
         }
         w.guest->spec = none;
@@ -198,31 +199,31 @@
     }
     w.host = w.guest->hand;
     bool change = lmn_execution_resolve(
-        &w.host, i->epoch, i->incarnation == g->book.incarnation, &answer, &old);
+        &w.host, i->epoch, i->incarnation == gateway->book.incarnation, &answer, &old);
     if (!change && w.guest->rev)
-        lmn_gateway_records_release_remote_job(&g->book, w.guest);
-    pthread_mutex_unlock(&g->book.lock);
+        lmn_gateway_records_release_remote_job(&gateway->book, w.guest);
+    pthread_mutex_unlock(&gateway->book.lock);
     if (change || !w.guest->rev)
-        lmn_gateway_records_write(&g->book, k->state, &w, 1);
-    pthread_mutex_lock(&g->book.lock);
+        lmn_gateway_records_write(&gateway->book, host->state, &w, 1);
+    pthread_mutex_lock(&gateway->book.lock);
     if ((w.ok || !change) && !old && answer == LMN_HANDOVER_REJECTED)
-        refuse_later(k->p, i->ref, i->epoch);
-    k->p->news = true;
-    pthread_mutex_unlock(&g->book.lock);
+        refuse_later(host->p, i->ref, i->epoch);
+    host->p->news = true;
+    pthread_mutex_unlock(&gateway->book.lock);
 }
 
-static void take_word(struct host *k, const struct lmn_gateway_rpc_item *i, bool cancel,
-                      GArray *writes)
+static void take_word(struct host *host, const struct lmn_gateway_rpc_item *i,
+                      bool cancel, GArray *writes)
 {
-    struct lmn_gateway *g = k->p->g;
+    struct lmn_gateway *gateway = host->p->g;
     struct lmn_record_write w = {0};
 
-    if (i->incarnation != g->book.incarnation ||
+    if (i->incarnation != gateway->book.incarnation ||
         lmn_record_write_contains(writes, i->ref))
         return;
-    pthread_mutex_lock(&g->book.lock);
-    w.guest = lmn_gateway_records_take_remote_job(&g->book, lmn_gateway_peer_site(k->p),
-                                                  i->ref);
+    pthread_mutex_lock(&gateway->book.lock);
+    w.guest = lmn_gateway_records_take_remote_job(&gateway->book,
+                                                  lmn_gateway_peer_site(host->p), i->ref);
     if (w.guest)
         w.host = w.guest->hand;
     bool recall = cancel && i->outcome == LMN_OUTCOME_RETURNED;
@@ -239,41 +240,41 @@
     if (change)
         g_array_append_val(writes, w);
     else if (w.guest)
-        lmn_gateway_records_release_remote_job(&g->book, w.guest);
-    k->p->outcomes_out += change && !cancel;
-    pthread_mutex_unlock(&g->book.lock);
+        lmn_gateway_records_release_remote_job(&gateway->book, w.guest);
+    host->p->outcomes_out += change && !cancel;
+    pthread_mutex_unlock(&gateway->book.lock);
 }
 
 /* The idle processors that are left, as offers take them. */
-static double room_now(struct lmn_gateway *g)
+static double room_now(struct lmn_gateway *gateway)
 {
     double cpus, work_s;
 
-    lmn_gateway_local_load(g, &cpus, &work_s);
-    return MAX(g->o->cpus * MAX(g->o->pull_at, 1) - cpus, 0);
+    lmn_gateway_local_load(gateway, &cpus, &work_s);
+    return MAX(gateway->o->cpus * MAX(gateway->o->pull_at, 1) - cpus, 0);
 }
 
-static bool sync_once(struct host *k)
+static bool sync_once(struct host *host)
 {
-    struct lmn_gateway *g = k->p->g;
+    struct lmn_gateway *gateway = host->p->g;
     lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_SYNC};
     lmn_gateway_rpc_response r;
     struct timespec sent = lmn_now();
 
-    pthread_mutex_lock(&g->book.lock);
-    GArray *says = collect(k->p);
-    unsigned pull = g->fenced ? 0 : k->p->pull;
-    k->p->pull = 0;
-    k->p->news = says->len >= LMN_GATEWAY_RPC_MAX_ITEMS;
-    double room = room_now(g);
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_lock(&gateway->book.lock);
+    GArray *says = collect(host->p);
+    unsigned pull = gateway->fenced ? 0 : host->p->pull;
+    host->p->pull = 0;
+    host->p->news = says->len >= LMN_GATEWAY_RPC_MAX_ITEMS;
+    double room = room_now(gateway);
+    pthread_mutex_unlock(&gateway->book.lock);
     q.lmn_gateway_rpc_request_u.sync.says.says_len = says->len;
     q.lmn_gateway_rpc_request_u.sync.says.says_val =
         (struct lmn_gateway_rpc_item *)(void *)says->data;
     q.lmn_gateway_rpc_request_u.sync.room_cpus = room;
     q.lmn_gateway_rpc_request_u.sync.most = pull;
-    bool ok = lmn_peer_connection_send_request(k->link, &q) == 0 &&
-              lmn_peer_connection_read_response(k->link, &r) == 0;
+    bool ok = lmn_peer_connection_send_request(host->link, &q) == 0 &&
+              lmn_peer_connection_read_response(host->link, &r) == 0;
     free_items(says);
     if (!ok)
         return false;
@@ -285,77 +286,80 @@
     bool late = lmn_time_diff_s(lmn_now(), sent) > LMN_OFFER_MAX_DELAY_S;
     GArray *writes = g_array_new(FALSE, TRUE, sizeof(struct lmn_record_write));
     for (u_int i = 0; i < y->heard.heard_len; i++)
-        take_word(k, &y->heard.heard_val[i], false, writes);
+        take_word(host, &y->heard.heard_val[i], false, writes);
     for (u_int i = 0; i < y->cancel.cancel_len; i++)
-        take_word(k, &y->cancel.cancel_val[i], true, writes);
-    lmn_gateway_records_write(
-        &g->book, k->state, (struct lmn_record_write *)(void *)writes->data, writes->len);
+        take_word(host, &y->cancel.cancel_val[i], true, writes);
+    lmn_gateway_records_write(&gateway->book, host->state,
+                              (struct lmn_record_write *)(void *)writes->data,
+                              writes->len);
     g_array_free(writes, TRUE);
     for (u_int i = 0; i < y->resolve.resolve_len; i++)
-        resolve(k, &y->resolve.resolve_val[i]);
-    pthread_mutex_lock(&g->book.lock);
-    bool evicted = lmn_gateway_records_is_evicted(&g->book, lmn_gateway_peer_site(k->p));
-    pthread_mutex_unlock(&g->book.lock);
+        resolve(host, &y->resolve.resolve_val[i]);
+    pthread_mutex_lock(&gateway->book.lock);
+    bool evicted =
+        lmn_gateway_records_is_evicted(&gateway->book, lmn_gateway_peer_site(host->p));
+    pthread_mutex_unlock(&gateway->book.lock);
     for (u_int i = 0; i < y->offers.offers_len && !late; i++)
-        take_offer(k, &y->offers.offers_val[i], !evicted);
-    pthread_mutex_lock(&g->book.lock);
-    k->p->heard = k->p->synced = sent;
-    k->p->messages++;
-    k->p->bytes = lmn_peer_connection_bytes(k->link);
-    k->p->queued_cpu_s = y->queued_cpu_s;
+        take_offer(host, &y->offers.offers_val[i], !evicted);
+    pthread_mutex_lock(&gateway->book.lock);
+    host->p->heard = host->p->synced = sent;
+    host->p->messages++;
+    host->p->bytes = lmn_peer_connection_bytes(host->link);
+    host->p->queued_cpu_s = y->queued_cpu_s;
     if (pull) {
-        g->pulls++;
-        g->empty_pulls += !y->offers.offers_len;
-        g->poll_s = lmn_route_interval(g->poll_s, y->offers.offers_len > 0);
-        g->next_pull = lmn_time_add(lmn_now(), g->poll_s);
+        gateway->pulls++;
+        gateway->empty_pulls += !y->offers.offers_len;
+        gateway->poll_s = lmn_route_interval(gateway->poll_s, y->offers.offers_len > 0);
+        gateway->next_pull = lmn_time_add(lmn_now(), gateway->poll_s);
     }
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_unlock(&gateway->book.lock);
     xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
     return true;
 }
 
-static bool greet(struct host *k)
+static bool greet(struct host *host)
 {
     lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_HELLO};
     lmn_gateway_rpc_response r;
     const char *wrong = "no hello";
 
-    lmn_gateway_hello_fill(k->p->g, &q.lmn_gateway_rpc_request_u.hello);
-    if (lmn_peer_connection_send_request(k->link, &q) != 0 ||
-        lmn_peer_connection_read_response(k->link, &r) != 0)
+    lmn_gateway_hello_fill(host->p->g, &q.lmn_gateway_rpc_request_u.hello);
+    if (lmn_peer_connection_send_request(host->link, &q) != 0 ||
+        lmn_peer_connection_read_response(host->link, &r) != 0)
         return false;
     if (r.kind == LMN_GATEWAY_RPC_HELLO)
-        wrong = lmn_gateway_hello_accept(k->p->g, lmn_gateway_peer_site(k->p),
+        wrong = lmn_gateway_hello_accept(host->p->g, lmn_gateway_peer_site(host->p),
                                          &r.lmn_gateway_rpc_response_u.hello);
     xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
     if (wrong)
-        lmn_error("hello-refused site=%s why=\"%s\"", lmn_gateway_peer_site(k->p), wrong);
+        lmn_error("hello-refused site=%s why=\"%s\"", lmn_gateway_peer_site(host->p),
+                  wrong);
     return !wrong;
 }
 
-static void drop(struct host *k, const char *why)
+static void drop(struct host *host, const char *why)
 {
-    pthread_mutex_lock(&k->p->g->book.lock);
-    if (k->p->up)
-        lmn_info("link-down site=%s why=\"%s\"", lmn_gateway_peer_site(k->p), why);
-    k->p->up = false;
-    k->p->failures++;
-    g_strlcpy(k->p->why, why, sizeof k->p->why);
-    pthread_mutex_unlock(&k->p->g->book.lock);
-    if (k->link)
-        lmn_peer_connection_close(k->link);
-    k->link = NULL;
-    k->wait_s = k->wait_s > 0 ? MIN(2 * k->wait_s, DIAL_CAP_S) : DIAL_FLOOR_S;
-    lmn_sleep(k->wait_s * (0.5 + g_random_double()));
+    pthread_mutex_lock(&host->p->g->book.lock);
+    if (host->p->up)
+        lmn_info("link-down site=%s why=\"%s\"", lmn_gateway_peer_site(host->p), why);
+    host->p->up = false;
+    host->p->failures++;
+    g_strlcpy(host->p->why, why, sizeof host->p->why);
+    pthread_mutex_unlock(&host->p->g->book.lock);
+    if (host->link)
+        lmn_peer_connection_close(host->link);
+    host->link = NULL;
+    host->wait_s = host->wait_s > 0 ? MIN(2 * host->wait_s, DIAL_CAP_S) : DIAL_FLOOR_S;
+    lmn_sleep(host->wait_s * (0.5 + g_random_double()));
 }
 
 void *lmn_execution_thread(void *arg)
 {
     struct lmn_gateway_peer *p = arg;
-    struct lmn_gateway *g = p->g;
+    struct lmn_gateway *gateway = p->g;
     struct host k = {.p = p,
-                     .state = lmn_http_client_new(g->o->state),
-                     .depot = lmn_http_client_new(g->o->depot)};
+                     .state = lmn_http_client_new(gateway->o->state),
+                     .depot = lmn_http_client_new(gateway->o->depot)};
     char err[256];
     unsigned turn = 0;
 
@@ -364,14 +368,14 @@
             p->dials++;
             /* Of a site's gateways one listens; which, shows the next try. */
             const char *addr =
-                g->o->addresses[p->index][turn % LMN_GATEWAY_MAX_ADDRESSES];
+                gateway->o->addresses[p->index][turn % LMN_GATEWAY_MAX_ADDRESSES];
             if (!*addr) {
                 turn = 0;
                 continue;
             }
             turn++;
             k.link =
-                lmn_peer_connection_open(g->tls, addr, lmn_gateway_peer_site(p),
+                lmn_peer_connection_open(gateway->tls, addr, lmn_gateway_peer_site(p),
                                          LMN_PEER_MESSAGE_TIMEOUT_S, err, sizeof err);
             if (!k.link) {
                 drop(&k, err);
@@ -388,56 +392,58 @@
             drop(&k, "no answer");
             continue;
         }
-        pthread_mutex_lock(&g->book.lock);
+        pthread_mutex_lock(&gateway->book.lock);
         if (!p->news && !p->pull)
-            lmn_cond_wait_for(&p->due, &g->book.lock, g->o->sync_s);
-        pthread_mutex_unlock(&g->book.lock);
+            lmn_cond_wait_for(&p->due, &gateway->book.lock, gateway->o->sync_s);
+        pthread_mutex_unlock(&gateway->book.lock);
         lmn_sleep(0.02); /* news come in flocks */
     }
     return NULL;
 }
 
 /* The lock is held. */
-static bool is_idle(const struct lmn_gateway *g)
+static bool is_idle(const struct lmn_gateway *gateway)
 {
     double cpus, work_s;
 
-    lmn_gateway_local_load(g, &cpus, &work_s);
-    return lmn_route_for_idle_site(g->o->cpus, cpus, lmn_gateway_queued_cpu_s(g),
-                                   g->o->pull_at);
+    lmn_gateway_local_load(gateway, &cpus, &work_s);
+    return lmn_route_for_idle_site(
+        gateway->o->cpus, cpus, lmn_gateway_queued_cpu_s(gateway), gateway->o->pull_at);
 }
 
 /* An idle site pulls: it looks at a fresh random sample of the others, the root of their
  * number, and asks the busiest for a share of what waits there (T 2.3). */
 void *lmn_gateway_pull_thread(void *arg)
 {
-    struct lmn_gateway *g = arg;
+    struct lmn_gateway *gateway = arg;
 
     for (;;) {
         lmn_sleep(0.05);
-        pthread_mutex_lock(&g->book.lock);
+        pthread_mutex_lock(&gateway->book.lock);
         struct timespec now = lmn_now();
-        if (g->fenced || !g->o->npeers || lmn_time_before(now, g->next_pull) ||
-            !is_idle(g)) {
-            pthread_mutex_unlock(&g->book.lock);
+        if (gateway->fenced || !gateway->o->npeers ||
+            lmn_time_before(now, gateway->next_pull) || !is_idle(gateway)) {
+            pthread_mutex_unlock(&gateway->book.lock);
             continue;
         }
         struct lmn_route_peer view[LMN_MAX_PEERS];
-        for (unsigned i = 0; i < g->o->npeers; i++)
+        for (unsigned i = 0; i < gateway->o->npeers; i++)
             view[i] = (struct lmn_route_peer){
-                g->peers[i].up && !lmn_gateway_records_is_evicted(
-                                      &g->book, lmn_gateway_peer_site(&g->peers[i])),
-                g->peers[i].queued_cpu_s};
-        int busiest = lmn_route_pick(g->rng, view, g->o->npeers);
+                gateway->peers[i].up &&
+                    !lmn_gateway_records_is_evicted(
+                        &gateway->book, lmn_gateway_peer_site(&gateway->peers[i])),
+                gateway->peers[i].queued_cpu_s};
+        int busiest = lmn_route_pick(gateway->rng, view, gateway->o->npeers);
         if (busiest >= 0) {
-            g->peers[busiest].pull = LMN_GATEWAY_RPC_MAX_OFFERS;
-            pthread_cond_signal(&g->peers[busiest].due);
-            g->next_pull = lmn_time_add(now, 1); /* until its answer says otherwise */
+            gateway->peers[busiest].pull = LMN_GATEWAY_RPC_MAX_OFFERS;
+            pthread_cond_signal(&gateway->peers[busiest].due);
+            gateway->next_pull =
+                lmn_time_add(now, 1); /* until its answer says otherwise */
         } else {
-            g->poll_s = lmn_route_interval(g->poll_s, false);
-            g->next_pull = lmn_time_add(now, g->poll_s);
+            gateway->poll_s = lmn_route_interval(gateway->poll_s, false);
+            gateway->next_pull = lmn_time_add(now, gateway->poll_s);
         }
-        pthread_mutex_unlock(&g->book.lock);
+        pthread_mutex_unlock(&gateway->book.lock);
     }
     return NULL;
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -42,9 +42,9 @@
 };
 
 /* Reads and checks the file; -1 with "file: line N: field: what". */
-int lmn_gateway_load(const char *path, struct lmn_gateway_options *o, char *err,
+int lmn_gateway_load(const char *path, struct lmn_gateway_options *options, char *err,
                      size_t len);
 /* Runs until the process ends; returns only if it can't start, with err. */
-int lmn_gateway_run(const struct lmn_gateway_options *o, char *err, size_t len);
+int lmn_gateway_run(const struct lmn_gateway_options *options, char *err, size_t len);
 
 #endif
--- a/src/gateway/gateway_internal.h
+++ b/src/gateway/gateway_internal.h
@@ -48,30 +48,31 @@
 };
 
 /* Processors that the job needs, all its tasks together. */
-double lmn_job_spec_total_cpus(const struct lmn_job_spec *s);
+double lmn_job_spec_total_cpus(const struct lmn_job_spec *spec);
 /* What was handed to the own controllers and has not ended, guests too: in processors,
  * and in processor seconds; the lock is held. */
-void lmn_gateway_local_load(const struct lmn_gateway *g, double *cpus, double *work_s);
+void lmn_gateway_local_load(const struct lmn_gateway *gateway, double *cpus,
+                            double *work_s);
 /* Processor seconds that wait at home; the lock is held. */
-double lmn_gateway_queued_cpu_s(const struct lmn_gateway *g);
+double lmn_gateway_queued_cpu_s(const struct lmn_gateway *gateway);
 /* The jobs that wait at home and that nobody holds, in the order in which the home starts
  * them: by urgency, then the oldest. The lock is held; the caller frees the array. */
-GPtrArray *lmn_gateway_waiting_jobs(const struct lmn_gateway *g);
+GPtrArray *lmn_gateway_waiting_jobs(const struct lmn_gateway *gateway);
 /* NULL: there is no such peer. */
-struct lmn_gateway_peer *lmn_gateway_peer_by_site(struct lmn_gateway *g,
+struct lmn_gateway_peer *lmn_gateway_peer_by_site(struct lmn_gateway *gateway,
                                                   const char *site);
 /* Tells the peer's thread that there is something to say; the lock is held. */
-void lmn_gateway_peer_wake(struct lmn_gateway *g, const char *site);
+void lmn_gateway_peer_wake(struct lmn_gateway *gateway, const char *site);
 
 /* --- users (front.c) --- */
-int lmn_gateway_http_start(struct lmn_gateway *g);
+int lmn_gateway_http_start(struct lmn_gateway *gateway);
 
 /* --- the own controllers (feed.c); for ever (threads) --- */
 void *lmn_cluster_client_thread(void *gateway);
 
 /* --- other sites (host.c, home.c) --- */
 void *lmn_execution_thread(void *peer); /* asks the peer, as the host of its jobs */
-int lmn_origin_start(struct lmn_gateway *g, char *err,
+int lmn_origin_start(struct lmn_gateway *gateway, char *err,
                      size_t len);             /* answers peers, as the home of jobs */
 void *lmn_gateway_pull_thread(void *gateway); /* decides whom to pull from */
 
--- a/src/gateway/gateway_process.c
+++ b/src/gateway/gateway_process.c
@@ -9,33 +9,35 @@
 #include <string.h>
 #include <unistd.h>
 
-double lmn_job_spec_total_cpus(const struct lmn_job_spec *s)
+double lmn_job_spec_total_cpus(const struct lmn_job_spec *spec)
 {
-    return s->tasks * MAX(s->cpus, 0.01);
+    return spec->tasks * MAX(spec->cpus, 0.01);
 }
 
-static void add_left(const struct lmn_job_spec *s, const struct lmn_progress *p,
+static void add_left(const struct lmn_job_spec *spec, const struct lmn_progress *progress,
                      double *cpus, double *work_s)
 {
-    double left = (s->tasks - MIN(p->done, s->tasks)) * MAX(s->cpus, 0.01);
+    double left =
+        (spec->tasks - MIN(progress->done, spec->tasks)) * MAX(spec->cpus, 0.01);
 
     *cpus += left;
-    *work_s += left * MAX(s->estimate_s, 0.1);
+    *work_s += left * MAX(spec->estimate_s, 0.1);
 }
 
-void lmn_gateway_local_load(const struct lmn_gateway *g, double *cpus, double *work_s)
+void lmn_gateway_local_load(const struct lmn_gateway *gateway, double *cpus,
+                            double *work_s)
 {
     GHashTableIter it;
     gpointer v;
 
     *cpus = *work_s = 0;
-    g_hash_table_iter_init(&it, g->book.open_jobs);
+    g_hash_table_iter_init(&it, gateway->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_gateway_job *j = v;
         if (j->hand.state == LMN_ORIGIN_LOCAL)
             add_left(&j->spec, &j->progress, cpus, work_s);
     }
-    g_hash_table_iter_init(&it, g->book.open_guests);
+    g_hash_table_iter_init(&it, gateway->book.open_guests);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_remote_job *x = v;
         if (x->hand.state == LMN_EXECUTION_RUNNING)
@@ -43,13 +45,13 @@
     }
 }
 
-double lmn_gateway_queued_cpu_s(const struct lmn_gateway *g)
+double lmn_gateway_queued_cpu_s(const struct lmn_gateway *gateway)
 {
     GHashTableIter it;
     gpointer v;
     double sum = 0;
 
-    g_hash_table_iter_init(&it, g->book.open_jobs);
+    g_hash_table_iter_init(&it, gateway->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_gateway_job *j = v;
         if (j->hand.state == LMN_ORIGIN_QUEUED && !j->busy)
@@ -68,13 +70,13 @@
     return x->at < y->at ? -1 : x->at > y->at;
 }
 
-GPtrArray *lmn_gateway_waiting_jobs(const struct lmn_gateway *g)
+GPtrArray *lmn_gateway_waiting_jobs(const struct lmn_gateway *gateway)
 {
     GPtrArray *v = g_ptr_array_new();
     GHashTableIter it;
     gpointer p;
 
-    g_hash_table_iter_init(&it, g->book.open_jobs);
+    g_hash_table_iter_init(&it, gateway->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         struct lmn_gateway_job *j = p;
         if (j->hand.state == LMN_ORIGIN_QUEUED && !j->busy)
@@ -84,17 +86,18 @@
     return v;
 }
 
-struct lmn_gateway_peer *lmn_gateway_peer_by_site(struct lmn_gateway *g, const char *site)
+struct lmn_gateway_peer *lmn_gateway_peer_by_site(struct lmn_gateway *gateway,
+                                                  const char *site)
 {
-    for (unsigned i = 0; i < g->o->npeers; i++)
-        if (!strcmp(g->o->peers[i].site, site))
-            return &g->peers[i];
+    for (unsigned i = 0; i < gateway->o->npeers; i++)
+        if (!strcmp(gateway->o->peers[i].site, site))
+            return &gateway->peers[i];
     return NULL;
 }
 
-void lmn_gateway_peer_wake(struct lmn_gateway *g, const char *site)
+void lmn_gateway_peer_wake(struct lmn_gateway *gateway, const char *site)
 {
-    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(g, site);
+    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(gateway, site);
 
     if (!p)
         return;
@@ -105,15 +108,15 @@
 /* --- after a restore --- */
 
 /* Everything whose fate may lie in what was lost: fenced here, stopped there. */
-static void fence(struct lmn_gateway *g)
+static void fence(struct lmn_gateway *gateway)
 {
-    struct lmn_http_client *h = lmn_http_client_new(g->o->state);
+    struct lmn_http_client *client = lmn_http_client_new(gateway->o->state);
     GArray *all = g_array_new(FALSE, TRUE, sizeof(struct lmn_record_write));
     GHashTableIter it;
     gpointer v;
 
-    pthread_mutex_lock(&g->book.lock);
-    g_hash_table_iter_init(&it, g->book.open_jobs);
+    pthread_mutex_lock(&gateway->book.lock);
+    g_hash_table_iter_init(&it, gateway->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_gateway_job *j = v;
         struct lmn_record_write w = {.job = j, .home = j->hand};
@@ -122,7 +125,7 @@
         j->busy = true;
         g_array_append_val(all, w);
     }
-    g_hash_table_iter_init(&it, g->book.guests);
+    g_hash_table_iter_init(&it, gateway->book.guests);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_remote_job *x = v;
         struct lmn_record_write w = {.guest = x, .host = x->hand};
@@ -131,174 +134,186 @@
         x->busy = true;
         g_array_append_val(all, w);
     }
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_unlock(&gateway->book.lock);
     lmn_error("state-restored fenced=%u mend=\"lemonspar gateway unfence, once it is "
               "known that "
               "nothing of them runs\"",
               all->len);
-    lmn_gateway_records_write(&g->book, h, (struct lmn_record_write *)(void *)all->data,
-                              all->len);
+    lmn_gateway_records_write(&gateway->book, client,
+                              (struct lmn_record_write *)(void *)all->data, all->len);
     g_array_free(all, TRUE);
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
 }
 
 /* A peer that is silent for too long is said once, and once more when it is heard again.
  */
-static void watch_peers(struct lmn_gateway *g)
+static void watch_peers(struct lmn_gateway *gateway)
 {
-    pthread_mutex_lock(&g->book.lock);
-    for (unsigned i = 0; i < g->o->npeers; i++) {
-        struct lmn_gateway_peer *p = &g->peers[i];
+    pthread_mutex_lock(&gateway->book.lock);
+    for (unsigned i = 0; i < gateway->o->npeers; i++) {
+        struct lmn_gateway_peer *p = &gateway->peers[i];
         double silent = lmn_time_diff_s(lmn_now(), p->heard);
-        if (!p->alarmed && silent > g->o->silent_s)
-            lmn_error("peer-silent site=%s seconds=%.0f why=\"%s\"", g->o->peers[i].site,
-                      silent, p->why);
-        else if (p->alarmed && silent <= g->o->silent_s)
-            lmn_info("peer-heard-again site=%s", g->o->peers[i].site);
-        p->alarmed = silent > g->o->silent_s;
+        if (!p->alarmed && silent > gateway->o->silent_s)
+            lmn_error("peer-silent site=%s seconds=%.0f why=\"%s\"",
+                      gateway->o->peers[i].site, silent, p->why);
+        else if (p->alarmed && silent <= gateway->o->silent_s)
+            lmn_info("peer-heard-again site=%s", gateway->o->peers[i].site);
+        p->alarmed = silent > gateway->o->silent_s;
     }
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_unlock(&gateway->book.lock);
 }
 
-int lmn_gateway_run(const struct lmn_gateway_options *o, char *err, size_t len)
+int lmn_gateway_run(const struct lmn_gateway_options *options, char *err, size_t len)
 {
-    struct lmn_gateway *g = g_new0(struct lmn_gateway, 1);
+    struct lmn_gateway *gateway = g_new0(struct lmn_gateway, 1);
     bool restored;
 
     signal(SIGPIPE, SIG_IGN);
     curl_global_init(CURL_GLOBAL_NOTHING);
-    g->o = o;
-    g->rng = g_rand_new();
-    g->tls = lmn_tls_new(o->keys, o->site, o->peers, &o->npeers, err, len);
-    if (!g->tls)
+    gateway->o = options;
+    gateway->rng = g_rand_new();
+    gateway->tls = lmn_tls_new(options->keys, options->site, options->peers,
+                               &options->npeers, err, len);
+    if (!gateway->tls)
         return -1;
-    lmn_info("gateway-start site=%s name=%s peers=%u", o->site, o->name, o->npeers);
-    lmn_gateway_records_open(&g->book, o->state, o->name, o->txn_ops, &restored);
+    lmn_info("gateway-start site=%s name=%s peers=%u", options->site, options->name,
+             options->npeers);
+    lmn_gateway_records_open(&gateway->book, options->state, options->name,
+                             options->txn_ops, &restored);
     if (restored)
-        fence(g);
-    lmn_cond_init(&g->calls_more);
-    for (unsigned i = 0; i < o->npeers; i++) {
-        struct lmn_gateway_peer *p = &g->peers[i];
-        p->g = g;
+        fence(gateway);
+    lmn_cond_init(&gateway->calls_more);
+    for (unsigned i = 0; i < options->npeers; i++) {
+        struct lmn_gateway_peer *p = &gateway->peers[i];
+        p->g = gateway;
         p->index = i;
         p->heard = p->synced = lmn_now();
         lmn_cond_init(&p->due);
         g_queue_init(&p->refusals);
     }
-    if (lmn_gateway_http_start(g) != 0) {
-        g_snprintf(err, len, "%s: can't listen", o->listen);
+    if (lmn_gateway_http_start(gateway) != 0) {
+        g_snprintf(err, len, "%s: can't listen", options->listen);
         return -1;
     }
-    if (lmn_origin_start(g, err, len) != 0)
+    if (lmn_origin_start(gateway, err, len) != 0)
         return -1;
-    for (unsigned i = 0; i < o->npeers; i++)
-        lmn_thread(lmn_execution_thread, &g->peers[i]);
-    lmn_thread(lmn_cluster_client_thread, g);
-    lmn_thread(lmn_gateway_pull_thread, g);
+    for (unsigned i = 0; i < options->npeers; i++)
+        lmn_thread(lmn_execution_thread, &gateway->peers[i]);
+    lmn_thread(lmn_cluster_client_thread, gateway);
+    lmn_thread(lmn_gateway_pull_thread, gateway);
     for (unsigned turn = 0;; turn++) {
         lmn_sleep(0.1);
         /* While the state service does not answer, users are told so, and when to come
          * back. */
-        lmn_http_server_expire_deferred(g->server);
+        lmn_http_server_expire_deferred(gateway->server);
         if (turn % 10 == 0)
-            watch_peers(g);
+            watch_peers(gateway);
     }
 }
 
 /* --- settings --- */
 
-static unsigned names(struct lmn_config *c, const char *path, unsigned most, bool addr,
-                      char *out, size_t each)
+static unsigned names(struct lmn_config *config, const char *path, unsigned most,
+                      bool addr, char *out, size_t each)
 {
-    guint n = lmn_config_count(c, path);
+    guint n = lmn_config_count(config, path);
     char p[96];
 
     if (n < 1 || n > most)
-        lmn_config_fail(c, path, "expected 1 to %u of them", most);
+        lmn_config_fail(config, path, "expected 1 to %u of them", most);
     for (guint i = 0; i < MIN(n, most); i++) {
         g_snprintf(p, sizeof p, "%s[%u]", path, i);
         g_strlcpy(out + i * each,
-                  addr ? lmn_config_address(c, p, NULL) : lmn_config_name(c, p, NULL),
+                  addr ? lmn_config_address(config, p, NULL)
+                       : lmn_config_name(config, p, NULL),
                   each);
     }
     return MIN(n, most);
 }
 
-static void read_peers(struct lmn_config *c, struct lmn_gateway_options *o)
+static void read_peers(struct lmn_config *config, struct lmn_gateway_options *options)
 {
-    guint n = lmn_config_count(c, "peers");
+    guint n = lmn_config_count(config, "peers");
     char p[96];
 
     if (n > LMN_MAX_PEERS)
-        lmn_config_fail(c, "peers", "expected at most %d", LMN_MAX_PEERS);
+        lmn_config_fail(config, "peers", "expected at most %d", LMN_MAX_PEERS);
     for (guint i = 0; i < MIN(n, LMN_MAX_PEERS); i++) {
-        struct lmn_peer_key *k = &o->peers[o->npeers];
+        struct lmn_peer_key *k = &options->peers[options->npeers];
         g_snprintf(p, sizeof p, "peers[%u].site", i);
-        g_strlcpy(k->site, lmn_config_name(c, p, NULL), sizeof k->site);
-        for (unsigned x = 0; x < o->npeers; x++)
-            if (!strcmp(o->peers[x].site, k->site))
-                lmn_config_fail(c, p, "named twice");
-        if (!strcmp(k->site, o->site))
-            lmn_config_fail(c, p, "names this site itself");
+        g_strlcpy(k->site, lmn_config_name(config, p, NULL), sizeof k->site);
+        for (unsigned x = 0; x < options->npeers; x++)
+            if (!strcmp(options->peers[x].site, k->site))
+                lmn_config_fail(config, p, "named twice");
+        if (!strcmp(k->site, options->site))
+            lmn_config_fail(config, p, "names this site itself");
         g_snprintf(p, sizeof p, "peers[%u].addresses", i);
-        guint gateways = lmn_config_count(c, p);
+        guint gateways = lmn_config_count(config, p);
         if (gateways > LMN_GATEWAY_MAX_ADDRESSES)
-            lmn_config_fail(c, p, "expected at most %d", LMN_GATEWAY_MAX_ADDRESSES);
+            lmn_config_fail(config, p, "expected at most %d", LMN_GATEWAY_MAX_ADDRESSES);
         for (guint a = 0; a < MIN(gateways, LMN_GATEWAY_MAX_ADDRESSES); a++) {
             g_snprintf(p, sizeof p, "peers[%u].addresses[%u]", i, a);
-            g_strlcpy(o->addresses[o->npeers][a], lmn_config_address(c, p, NULL),
-                      LMN_ADDRESS_SIZE);
+            g_strlcpy(options->addresses[options->npeers][a],
+                      lmn_config_address(config, p, NULL), LMN_ADDRESS_SIZE);
         }
         g_snprintf(p, sizeof p, "peers[%u].address", i);
         if (!gateways)
-            g_strlcpy(o->addresses[o->npeers][0], lmn_config_address(c, p, NULL),
-                      LMN_ADDRESS_SIZE);
+            g_strlcpy(options->addresses[options->npeers][0],
+                      lmn_config_address(config, p, NULL), LMN_ADDRESS_SIZE);
         g_snprintf(p, sizeof p, "peers[%u].fingerprint", i);
-        g_strlcpy(k->fingerprint, lmn_config_text(c, p, NULL), sizeof k->fingerprint);
+        g_strlcpy(k->fingerprint, lmn_config_text(config, p, NULL),
+                  sizeof k->fingerprint);
         if (strlen(k->fingerprint) != LMN_FINGERPRINT - 1 ||
             strspn(k->fingerprint, "0123456789abcdefABCDEF") != LMN_FINGERPRINT - 1)
             lmn_config_fail(
-                c, p,
+                config, p,
                 "expected 64 digits of hexadecimal: 'lemonspar key show' there "
                 "says them");
-        o->npeers++;
+        options->npeers++;
     }
 }
 
-int lmn_gateway_load(const char *path, struct lmn_gateway_options *o, char *err,
+int lmn_gateway_load(const char *path, struct lmn_gateway_options *options, char *err,
                      size_t len)
 {
-    struct lmn_config *c = lmn_config_load(path, err, len);
+    struct lmn_config *config = lmn_config_load(path, err, len);
 
-    memset(o, 0, sizeof *o);
-    if (!c)
+    memset(options, 0, sizeof *options);
+    if (!config)
         return -1;
-    g_strlcpy(o->site, lmn_config_name(c, "site", NULL), sizeof o->site);
-    g_strlcpy(o->name, lmn_config_name(c, "name", "gateway-0"), sizeof o->name);
-    g_strlcpy(o->listen, lmn_config_address(c, "listen", NULL), sizeof o->listen);
-    g_strlcpy(o->link_listen, lmn_config_address(c, "link_listen", NULL),
-              sizeof o->link_listen);
-    g_strlcpy(o->state, lmn_config_address(c, "state", NULL), sizeof o->state);
-    g_strlcpy(o->depot, lmn_config_address(c, "depot", NULL), sizeof o->depot);
-    g_strlcpy(o->keys, lmn_config_text(c, "keys", NULL), sizeof o->keys);
-    o->ncontrollers = names(c, "controllers", LMN_GATEWAY_MAX_CONTROLLERS, true,
-                            o->controllers[0], LMN_ADDRESS_SIZE);
-    o->teams =
-        g_malloc0_n(CLAMP(lmn_config_count(c, "teams"), 1, LMN_MAX_TEAMS), LMN_NAME_SIZE);
-    o->nteams = names(c, "teams", LMN_MAX_TEAMS, false, o->teams[0], LMN_NAME_SIZE);
-    read_peers(c, o);
-    o->cpus = lmn_config_number(c, "cpus", 1, 0.1, 1e7);
-    o->feed_s = lmn_config_number(c, "feed_s", 60, 0.1, 1e6);
-    o->pull_at = lmn_config_number(c, "pull_at", 0.7, 0, 100);
-    o->share = lmn_config_number(c, "share", 0.5, 0.01, 1);
-    o->most_transfers = (unsigned)lmn_config_number(c, "most_transfers", 4, 0, 1000);
-    o->most_transit = (unsigned)lmn_config_number(c, "most_transit", 64, 1, 10000);
-    o->sync_s = lmn_config_number(c, "sync_s", 1, 0.05, 60);
-    o->poll_rps = lmn_config_number(c, "poll_rps", 50, 1, 1e5);
-    o->silent_s = lmn_config_number(c, "silent_s", 60, 1, 1e6);
-    o->value_kb = lmn_config_number(c, "value_kb", 16, 1, 1e6);
-    o->txn_ops = (int)lmn_config_number(c, "txn_ops", 24, 2, 1000);
-    int rc = lmn_config_finish(c, err, len);
-    lmn_config_free(c);
+    g_strlcpy(options->site, lmn_config_name(config, "site", NULL), sizeof options->site);
+    g_strlcpy(options->name, lmn_config_name(config, "name", "gateway-0"),
+              sizeof options->name);
+    g_strlcpy(options->listen, lmn_config_address(config, "listen", NULL),
+              sizeof options->listen);
+    g_strlcpy(options->link_listen, lmn_config_address(config, "link_listen", NULL),
+              sizeof options->link_listen);
+    g_strlcpy(options->state, lmn_config_address(config, "state", NULL),
+              sizeof options->state);
+    g_strlcpy(options->depot, lmn_config_address(config, "depot", NULL),
+              sizeof options->depot);
+    g_strlcpy(options->keys, lmn_config_text(config, "keys", NULL), sizeof options->keys);
+    options->ncontrollers = names(config, "controllers", LMN_GATEWAY_MAX_CONTROLLERS,
+                                  true, options->controllers[0], LMN_ADDRESS_SIZE);
+    options->teams = g_malloc0_n(
+        CLAMP(lmn_config_count(config, "teams"), 1, LMN_MAX_TEAMS), LMN_NAME_SIZE);
+    options->nteams =
+        names(config, "teams", LMN_MAX_TEAMS, false, options->teams[0], LMN_NAME_SIZE);
+    read_peers(config, options);
+    options->cpus = lmn_config_number(config, "cpus", 1, 0.1, 1e7);
+    options->feed_s = lmn_config_number(config, "feed_s", 60, 0.1, 1e6);
+    options->pull_at = lmn_config_number(config, "pull_at", 0.7, 0, 100);
+    options->share = lmn_config_number(config, "share", 0.5, 0.01, 1);
+    options->most_transfers =
+        (unsigned)lmn_config_number(config, "most_transfers", 4, 0, 1000);
+    options->most_transit =
+        (unsigned)lmn_config_number(config, "most_transit", 64, 1, 10000);
+    options->sync_s = lmn_config_number(config, "sync_s", 1, 0.05, 60);
+    options->poll_rps = lmn_config_number(config, "poll_rps", 50, 1, 1e5);
+    options->silent_s = lmn_config_number(config, "silent_s", 60, 1, 1e6);
+    options->value_kb = lmn_config_number(config, "value_kb", 16, 1, 1e6);
+    options->txn_ops = (int)lmn_config_number(config, "txn_ops", 24, 2, 1000);
+    int rc = lmn_config_finish(config, err, len);
+    lmn_config_free(config);
     return rc;
 }
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -35,29 +35,32 @@
 }
 
 /* The lock is held. */
-static GByteArray *job_answer(const struct lmn_gateway *g,
+static GByteArray *job_answer(const struct lmn_gateway *gateway,
                               const struct lmn_gateway_job *j)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     bool final = j->hand.state == LMN_ORIGIN_FINAL, away = *j->hand.site && !final;
 
-    lmn_cbor_put_map(b, 10);
-    lmn_cbor_put_text(b, WIRE_JOB_ID), lmn_cbor_put_text(b, j->ref);
-    lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, word(j));
-    lmn_cbor_put_text(b, WIRE_DONE);
-    lmn_cbor_put_uint(b, final && j->hand.outcome == LMN_OUTCOME_DONE ? j->spec.tasks
-                                                                      : j->progress.done);
-    lmn_cbor_put_text(b, WIRE_RUNNING),
-        lmn_cbor_put_uint(b, final ? 0 : j->progress.running);
+    lmn_cbor_put_map(buffer, 10);
+    lmn_cbor_put_text(buffer, WIRE_JOB_ID), lmn_cbor_put_text(buffer, j->ref);
+    lmn_cbor_put_text(buffer, WIRE_STATE), lmn_cbor_put_text(buffer, word(j));
+    lmn_cbor_put_text(buffer, WIRE_DONE);
+    lmn_cbor_put_uint(buffer, final && j->hand.outcome == LMN_OUTCOME_DONE
+                                  ? j->spec.tasks
+                                  : j->progress.done);
+    lmn_cbor_put_text(buffer, WIRE_RUNNING),
+        lmn_cbor_put_uint(buffer, final ? 0 : j->progress.running);
     /* Where it is, and how old that knowledge is. */
-    lmn_cbor_put_text(b, "Site"), lmn_cbor_put_text(b, away ? j->hand.site : g->o->site);
-    lmn_cbor_put_text(b, "AgeS"),
-        lmn_cbor_put_number(b, final ? 0 : lmn_time_diff_s(lmn_now(), j->progress.known));
-    lmn_cbor_put_text(b, "Course"), lmn_cbor_put_text(b, states[j->hand.state]);
-    lmn_cbor_put_text(b, "Epoch"), lmn_cbor_put_uint(b, j->hand.epoch);
-    lmn_cbor_put_text(b, "Cancel"), lmn_cbor_put_bool(b, j->hand.cancel);
-    lmn_cbor_put_text(b, "Recall"), lmn_cbor_put_bool(b, j->hand.recall);
-    return b;
+    lmn_cbor_put_text(buffer, "Site"),
+        lmn_cbor_put_text(buffer, away ? j->hand.site : gateway->o->site);
+    lmn_cbor_put_text(buffer, "AgeS"),
+        lmn_cbor_put_number(buffer,
+                            final ? 0 : lmn_time_diff_s(lmn_now(), j->progress.known));
+    lmn_cbor_put_text(buffer, "Course"), lmn_cbor_put_text(buffer, states[j->hand.state]);
+    lmn_cbor_put_text(buffer, "Epoch"), lmn_cbor_put_uint(buffer, j->hand.epoch);
+    lmn_cbor_put_text(buffer, "Cancel"), lmn_cbor_put_bool(buffer, j->hand.cancel);
+    lmn_cbor_put_text(buffer, "Recall"), lmn_cbor_put_bool(buffer, j->hand.recall);
+    return buffer;
 }
 
 /* --- what writes --- */
@@ -70,10 +73,10 @@
         *digest = '\0';
 }
 
-static void submit(struct lmn_gateway *g, struct lmn_http_client *state,
-                   struct lmn_http_client *depot, struct lmn_http_request *call)
+static void submit(struct lmn_gateway *gateway, struct lmn_http_client *state,
+                   struct lmn_http_client *depot, struct lmn_http_request *request)
 {
-    const GByteArray *body = lmn_http_request_body(call);
+    const GByteArray *body = lmn_http_request_body(request);
     struct lmn_record_write w = {0};
     struct lmn_job_spec s;
     struct lmn_cbor_document d;
@@ -83,109 +86,112 @@
     bool team = false;
 
     if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
-        lmn_http_request_fail(call, 400, what);
+        lmn_http_request_fail(request, 400, what);
         return;
     }
     bool sane = lmn_job_spec_parse(&s, &d, lmn_cbor_root(&d), &what) == 0;
     /* The record holds it, and little more; what no value can hold would be 503 at each
      * try. */
-    if (sane &&
-        (double)lmn_cbor_json_size(&d, lmn_cbor_root(&d)) + 600 > g->o->value_kb * 1024) {
+    if (sane && (double)lmn_cbor_json_size(&d, lmn_cbor_root(&d)) + 600 >
+                    gateway->o->value_kb * 1024) {
         sane = false;
         what = "too large";
     }
     lmn_cbor_get_number(lmn_cbor_get(&d, lmn_cbor_root(&d), "LeashS"), &leash);
     lmn_cbor_free(&d);
-    for (unsigned i = 0; sane && i < g->o->nteams; i++)
-        team = team || !strcmp(g->o->teams[i], s.team);
+    for (unsigned i = 0; sane && i < gateway->o->nteams; i++)
+        team = team || !strcmp(gateway->o->teams[i], s.team);
     if (sane && team)
         find_digest(depot, s.ref, digest);
-    pthread_mutex_lock(&g->book.lock);
+    pthread_mutex_lock(&gateway->book.lock);
     struct lmn_gateway_job *j =
-        *s.ref ? lmn_gateway_records_take_job(&g->book, s.ref) : NULL;
-    GByteArray *known = j ? job_answer(g, j) : NULL;
+        *s.ref ? lmn_gateway_records_take_job(&gateway->book, s.ref) : NULL;
+    GByteArray *known = j ? job_answer(gateway, j) : NULL;
     if (j)
-        lmn_gateway_records_release_job(&g->book, j);
+        lmn_gateway_records_release_job(&gateway->book, j);
     else if (sane && team)
-        w.job = lmn_gateway_records_new_job(&g->book, &s);
+        w.job = lmn_gateway_records_new_job(&gateway->book, &s);
     if (w.job) {
         g_strlcpy(w.job->digest, digest, sizeof w.job->digest);
         w.job->leash_s = CLAMP(leash, 0, 1e7);
     }
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_unlock(&gateway->book.lock);
     lmn_job_spec_clear(&s);
     if (known) {
-        lmn_http_request_respond(call, 200, known, 0);
+        lmn_http_request_respond(request, 200, known, 0);
         return;
     }
     if (!w.job) {
-        lmn_http_request_fail(call, sane ? 422 : 400, sane ? "unknown team" : what);
+        lmn_http_request_fail(request, sane ? 422 : 400, sane ? "unknown team" : what);
         return;
     }
-    lmn_gateway_records_write(&g->book, state, &w, 1);
+    lmn_gateway_records_write(&gateway->book, state, &w, 1);
     if (!w.ok) {
-        lmn_http_request_respond(call, 503, NULL, 1);
+        lmn_http_request_respond(request, 503, NULL, 1);
         return;
     }
-    pthread_mutex_lock(&g->book.lock);
-    g->submitted++;
-    GByteArray *b = job_answer(g, w.job);
-    pthread_mutex_unlock(&g->book.lock);
-    lmn_http_request_respond(call, 201, b, 0);
+    pthread_mutex_lock(&gateway->book.lock);
+    gateway->submitted++;
+    GByteArray *buffer = job_answer(gateway, w.job);
+    pthread_mutex_unlock(&gateway->book.lock);
+    lmn_http_request_respond(request, 201, buffer, 0);
 }
 
 enum changed { UNKNOWN, AS_IT_WAS, CHANGED };
 
 /* Takes the job through the transition, on the disk before it returns. site: only if it
  * is there; NULL: wherever it is. */
-static enum changed change_job(struct lmn_gateway *g, struct lmn_http_client *state,
+static enum changed change_job(struct lmn_gateway *gateway, struct lmn_http_client *state,
                                const char *ref, const char *site,
                                bool (*transition)(struct lmn_origin_record *))
 {
     struct lmn_record_write w = {0};
 
-    pthread_mutex_lock(&g->book.lock);
-    w.job = lmn_gateway_records_take_job(&g->book, ref);
+    pthread_mutex_lock(&gateway->book.lock);
+    w.job = lmn_gateway_records_take_job(&gateway->book, ref);
     bool known = w.job, change = false;
     if (known) {
         w.home = w.job->hand;
         change = (!site || lmn_origin_is_at(&w.home, site)) && transition(&w.home);
         if (!change)
-            lmn_gateway_records_release_job(&g->book, w.job);
+            lmn_gateway_records_release_job(&gateway->book, w.job);
     }
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_unlock(&gateway->book.lock);
     if (change && transition == lmn_origin_revoke)
         lmn_info("recall job=%s site=%s", ref, w.home.site);
     if (change)
-        lmn_gateway_records_write(&g->book, state, &w, 1);
+        lmn_gateway_records_write(&gateway->book, state, &w, 1);
     return change ? CHANGED : known ? AS_IT_WAS : UNKNOWN;
 }
 
 /* What waits at home is withdrawn at once; what runs, when that is true: until then the
  * answer is honest, and says when to ask again. */
-static void cancel(struct lmn_gateway *g, struct lmn_http_client *state,
-                   struct lmn_http_request *call, const char *ref)
+static void cancel(struct lmn_gateway *gateway, struct lmn_http_client *state,
+                   struct lmn_http_request *request, const char *ref)
 {
-    enum changed change = change_job(g, state, ref, NULL, lmn_origin_cancel);
+    enum changed change = change_job(gateway, state, ref, NULL, lmn_origin_cancel);
 
     if (change == UNKNOWN) {
-        lmn_http_request_respond(call, 404, NULL, 0);
+        lmn_http_request_respond(request, 404, NULL, 0);
         return;
     }
-    pthread_mutex_lock(&g->book.lock);
-    const struct lmn_gateway_job *j = g_hash_table_lookup(g->book.jobs, ref);
+    pthread_mutex_lock(&gateway->book.lock);
+    const struct lmn_gateway_job *j = g_hash_table_lookup(gateway->book.jobs, ref);
     bool final = j->hand.state == LMN_ORIGIN_FINAL;
-    const struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(g, j->hand.site);
-    GByteArray *b = final ? job_answer(g, j) : NULL;
+    const struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(gateway, j->hand.site);
+    GByteArray *buffer = final ? job_answer(gateway, j) : NULL;
     bool reached = !p || p->up;
-    g->cancelled += change == CHANGED;
-    pthread_mutex_unlock(&g->book.lock);
-    lmn_http_request_respond(call, final ? 200 : 503, b, final ? 0 : reached ? 1 : 10);
+    gateway->cancelled += change == CHANGED;
+    pthread_mutex_unlock(&gateway->book.lock);
+    lmn_http_request_respond(request, final ? 200 : 503, buffer,
+                             final     ? 0
+                             : reached ? 1
+                                       : 10);
 }
 
 /* Takes every job without an outcome through the transition; how many were changed. One
  * that somebody holds is waited for. site: see change_job. */
-static uint64_t change_all(struct lmn_gateway *g, struct lmn_http_client *state,
+static uint64_t change_all(struct lmn_gateway *gateway, struct lmn_http_client *state,
                            const char *site,
                            bool (*transition)(struct lmn_origin_record *))
 {
@@ -194,8 +200,8 @@
     gpointer x;
     uint64_t n = 0;
 
-    pthread_mutex_lock(&g->book.lock);
-    g_hash_table_iter_init(&it, g->book.open_jobs);
+    pthread_mutex_lock(&gateway->book.lock);
+    g_hash_table_iter_init(&it, gateway->book.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
         const struct lmn_gateway_job *j = x;
         struct lmn_origin_record h = j->hand;
@@ -203,104 +209,104 @@
         if (j->busy || ((!site || lmn_origin_is_at(&h, site)) && transition(&h)))
             g_ptr_array_add(refs, g_strdup(j->ref));
     }
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_unlock(&gateway->book.lock);
     for (guint i = 0; i < refs->len; i++)
-        n += change_job(g, state, refs->pdata[i], site, transition) == CHANGED;
+        n += change_job(gateway, state, refs->pdata[i], site, transition) == CHANGED;
     g_ptr_array_free(refs, TRUE);
     return n;
 }
 
-static void answer_jobs(struct lmn_http_request *call, uint64_t n)
+static void answer_jobs(struct lmn_http_request *request, uint64_t n)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
 
-    lmn_cbor_put_map(b, 1);
-    lmn_cbor_put_text(b, "Jobs"), lmn_cbor_put_uint(b, n);
-    lmn_http_request_respond(call, 200, b, 0);
+    lmn_cbor_put_map(buffer, 1);
+    lmn_cbor_put_text(buffer, "Jobs"), lmn_cbor_put_uint(buffer, n);
+    lmn_http_request_respond(request, 200, buffer, 0);
 }
 
 /* An operator has found out that nothing of the fenced jobs runs: they wait at home
  * again. */
-static void unfence(struct lmn_gateway *g, struct lmn_http_client *state,
-                    struct lmn_http_request *call)
+static void unfence(struct lmn_gateway *gateway, struct lmn_http_client *state,
+                    struct lmn_http_request *request)
 {
-    uint64_t n = change_all(g, state, NULL, lmn_origin_unfence);
+    uint64_t n = change_all(gateway, state, NULL, lmn_origin_unfence);
 
     lmn_info("unfenced jobs=%" G_GUINT64_FORMAT, n);
-    answer_jobs(call, n);
+    answer_jobs(request, n);
 }
 
 /* An operator wants a job at home. It is answered with where it is now: it comes when
  * the other site has stopped it and says so. */
-static void recall(struct lmn_gateway *g, struct lmn_http_client *state,
-                   struct lmn_http_request *call, const char *ref)
+static void recall(struct lmn_gateway *gateway, struct lmn_http_client *state,
+                   struct lmn_http_request *request, const char *ref)
 {
-    if (change_job(g, state, ref, NULL, lmn_origin_revoke) == UNKNOWN) {
-        lmn_http_request_respond(call, 404, NULL, 0);
+    if (change_job(gateway, state, ref, NULL, lmn_origin_revoke) == UNKNOWN) {
+        lmn_http_request_respond(request, 404, NULL, 0);
         return;
     }
-    pthread_mutex_lock(&g->book.lock);
-    const struct lmn_gateway_job *j = g_hash_table_lookup(g->book.jobs, ref);
+    pthread_mutex_lock(&gateway->book.lock);
+    const struct lmn_gateway_job *j = g_hash_table_lookup(gateway->book.jobs, ref);
     bool ok = j->hand.recall || j->hand.state == LMN_ORIGIN_FINAL,
          fenced = j->hand.state == LMN_ORIGIN_FENCED;
-    GByteArray *b = ok && !fenced ? job_answer(g, j) : NULL;
-    pthread_mutex_unlock(&g->book.lock);
+    GByteArray *buffer = ok && !fenced ? job_answer(gateway, j) : NULL;
+    pthread_mutex_unlock(&gateway->book.lock);
     if (fenced)
-        lmn_http_request_fail(call, 409, "fenced: see unfence");
+        lmn_http_request_fail(request, 409, "fenced: see unfence");
     else
-        lmn_http_request_respond(call, ok ? 200 : 503, b, ok ? 0 : 1);
+        lmn_http_request_respond(request, ok ? 200 : 503, buffer, ok ? 0 : 1);
 }
 
 /* Nothing goes to the site or comes from it any more; what is there is called back. What
  * runs here for it ends here, and is told to it: its home waits for that. */
-static void evict(struct lmn_gateway *g, struct lmn_http_client *state,
-                  struct lmn_http_request *call, const char *site, bool out)
+static void evict(struct lmn_gateway *gateway, struct lmn_http_client *state,
+                  struct lmn_http_request *request, const char *site, bool out)
 {
-    if (!lmn_gateway_peer_by_site(g, site)) {
-        lmn_http_request_respond(call, 404, NULL, 0);
+    if (!lmn_gateway_peer_by_site(gateway, site)) {
+        lmn_http_request_respond(request, 404, NULL, 0);
         return;
     }
-    lmn_gateway_records_evict(&g->book, state, site, out);
-    pthread_mutex_lock(&g->book.lock);
-    bool ok = lmn_gateway_records_is_evicted(&g->book, site) == out;
-    pthread_mutex_unlock(&g->book.lock);
+    lmn_gateway_records_evict(&gateway->book, state, site, out);
+    pthread_mutex_lock(&gateway->book.lock);
+    bool ok = lmn_gateway_records_is_evicted(&gateway->book, site) == out;
+    pthread_mutex_unlock(&gateway->book.lock);
     if (!ok) {
-        lmn_http_request_respond(call, 503, NULL, 1);
+        lmn_http_request_respond(request, 503, NULL, 1);
         return;
     }
-    uint64_t n = out ? change_all(g, state, site, lmn_origin_revoke) : 0;
+    uint64_t n = out ? change_all(gateway, state, site, lmn_origin_revoke) : 0;
     lmn_info("%s site=%s called_back=%" G_GUINT64_FORMAT, out ? "evicted" : "admitted",
              site, n);
-    answer_jobs(call, n);
+    answer_jobs(request, n);
 }
 
 static void *hand(void *arg)
 {
-    struct lmn_gateway *g = arg;
-    struct lmn_http_client *state = lmn_http_client_new(g->o->state),
-                           *depot = lmn_http_client_new(g->o->depot);
+    struct lmn_gateway *gateway = arg;
+    struct lmn_http_client *state = lmn_http_client_new(gateway->o->state),
+                           *depot = lmn_http_client_new(gateway->o->depot);
 
     for (;;) {
-        pthread_mutex_lock(&g->book.lock);
-        while (!g->calls.head)
-            pthread_cond_wait(&g->calls_more, &g->book.lock);
-        struct lmn_http_request *call = g_queue_pop_head(&g->calls);
-        pthread_mutex_unlock(&g->book.lock);
-        const char *path = lmn_http_request_path(call);
+        pthread_mutex_lock(&gateway->book.lock);
+        while (!gateway->calls.head)
+            pthread_cond_wait(&gateway->calls_more, &gateway->book.lock);
+        struct lmn_http_request *request = g_queue_pop_head(&gateway->calls);
+        pthread_mutex_unlock(&gateway->book.lock);
+        const char *path = lmn_http_request_path(request);
         if (!strcmp(path, WIRE_PATH_JOBS)) {
-            submit(g, state, depot, call);
+            submit(gateway, state, depot, request);
         } else if (!strcmp(path, "/gateway/unfence")) {
-            unfence(g, state, call);
+            unfence(gateway, state, request);
         } else if (g_str_has_prefix(path, RECALL)) {
-            recall(g, state, call, path + strlen(RECALL));
+            recall(gateway, state, request, path + strlen(RECALL));
         } else if (g_str_has_prefix(path, EVICT)) {
-            evict(g, state, call, path + strlen(EVICT), true);
+            evict(gateway, state, request, path + strlen(EVICT), true);
         } else if (g_str_has_prefix(path, ADMIT)) {
-            evict(g, state, call, path + strlen(ADMIT), false);
+            evict(gateway, state, request, path + strlen(ADMIT), false);
         } else {
             char *ref = g_strdup(path + strlen(WIRE_PATH_JOBS "/"));
             ref[strlen(ref) - strlen(WIRE_PATH_CANCEL)] = '\0';
-            cancel(g, state, call, ref);
+            cancel(gateway, state, request, ref);
             g_free(ref);
         }
     }
@@ -309,21 +315,21 @@
 
 /* --- what only reads --- */
 
-static void poll_job(struct lmn_gateway *g, struct lmn_http_request *call,
+static void poll_job(struct lmn_gateway *gateway, struct lmn_http_request *request,
                      const char *ref)
 {
-    pthread_mutex_lock(&g->book.lock);
-    const struct lmn_gateway_job *j = g_hash_table_lookup(g->book.jobs, ref);
+    pthread_mutex_lock(&gateway->book.lock);
+    const struct lmn_gateway_job *j = g_hash_table_lookup(gateway->book.jobs, ref);
     /* One that is being written for the first time was never told to anybody. */
-    GByteArray *b = j && j->rev ? job_answer(g, j) : NULL;
-    pthread_mutex_unlock(&g->book.lock);
-    lmn_http_request_respond(call, b ? 200 : 404, b, 0);
+    GByteArray *buffer = j && j->rev ? job_answer(gateway, j) : NULL;
+    pthread_mutex_unlock(&gateway->book.lock);
+    lmn_http_request_respond(request, buffer ? 200 : 404, buffer, 0);
 }
 
 /* Jobs by their course; the lock is held. */
-static void count_courses(const struct lmn_gateway *g, uint64_t n[COURSES])
+static void count_courses(const struct lmn_gateway *gateway, uint64_t n[COURSES])
 {
-    const struct lmn_gateway_records *b = &g->book;
+    const struct lmn_gateway_records *b = &gateway->book;
     GHashTableIter it;
     gpointer x;
 
@@ -334,65 +340,70 @@
     n[LMN_ORIGIN_FINAL] = g_hash_table_size(b->jobs) - g_hash_table_size(b->open_jobs);
 }
 
-static void status(struct lmn_gateway *g, struct lmn_http_request *call)
+static void status(struct lmn_gateway *gateway, struct lmn_http_request *request)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     uint64_t n[COURSES], guests = 0, untold = 0;
     GHashTableIter it;
     gpointer x;
 
-    pthread_mutex_lock(&g->book.lock);
-    count_courses(g, n);
-    g_hash_table_iter_init(&it, g->book.open_guests);
+    pthread_mutex_lock(&gateway->book.lock);
+    count_courses(gateway, n);
+    g_hash_table_iter_init(&it, gateway->book.open_guests);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
         bool runs = ((struct lmn_remote_job *)x)->hand.state == LMN_EXECUTION_RUNNING;
         guests += runs;
         untold += !runs;
     }
-    lmn_cbor_put_map(b, 8);
-    lmn_cbor_put_text(b, "Site"), lmn_cbor_put_text(b, g->o->site);
-    lmn_cbor_put_text(b, "Gateway"), lmn_cbor_put_text(b, g->o->name);
-    lmn_cbor_put_text(b, "Jobs"), lmn_cbor_put_map(b, COURSES);
+    lmn_cbor_put_map(buffer, 8);
+    lmn_cbor_put_text(buffer, "Site"), lmn_cbor_put_text(buffer, gateway->o->site);
+    lmn_cbor_put_text(buffer, "Gateway"), lmn_cbor_put_text(buffer, gateway->o->name);
+    lmn_cbor_put_text(buffer, "Jobs"), lmn_cbor_put_map(buffer, COURSES);
     for (int i = 0; i < COURSES; i++)
-        lmn_cbor_put_text(b, states[i]), lmn_cbor_put_uint(b, n[i]);
-    lmn_cbor_put_text(b, "Guests"), lmn_cbor_put_uint(b, guests);
-    lmn_cbor_put_text(b, "OutcomesUntold"), lmn_cbor_put_uint(b, untold);
+        lmn_cbor_put_text(buffer, states[i]), lmn_cbor_put_uint(buffer, n[i]);
+    lmn_cbor_put_text(buffer, "Guests"), lmn_cbor_put_uint(buffer, guests);
+    lmn_cbor_put_text(buffer, "OutcomesUntold"), lmn_cbor_put_uint(buffer, untold);
     double cpus, work_s;
-    lmn_gateway_local_load(g, &cpus, &work_s);
-    lmn_cbor_put_text(b, "HandedCpus"), lmn_cbor_put_number(b, cpus);
-    lmn_cbor_put_text(b, "QueuedCpuS"),
-        lmn_cbor_put_number(b, lmn_gateway_queued_cpu_s(g));
-    lmn_cbor_put_text(b, "Peers"), lmn_cbor_put_array(b, g->o->npeers);
-    for (unsigned i = 0; i < g->o->npeers; i++) {
-        const struct lmn_gateway_peer *p = &g->peers[i];
-        lmn_cbor_put_map(b, 12);
-        lmn_cbor_put_text(b, "Site"), lmn_cbor_put_text(b, g->o->peers[i].site);
-        lmn_cbor_put_text(b, "Address"), lmn_cbor_put_text(b, g->o->addresses[i][0]);
-        lmn_cbor_put_text(b, "Up"), lmn_cbor_put_bool(b, p->up);
-        lmn_cbor_put_text(b, "SilentS"),
-            lmn_cbor_put_number(b, lmn_time_diff_s(lmn_now(), p->heard));
-        lmn_cbor_put_text(b, "Evicted");
-        lmn_cbor_put_bool(b,
-                          lmn_gateway_records_is_evicted(&g->book, g->o->peers[i].site));
-        lmn_cbor_put_text(b, "Alarm"), lmn_cbor_put_bool(b, p->alarmed);
-        lmn_cbor_put_text(b, "Why"), lmn_cbor_put_text(b, p->up ? "" : p->why);
-        lmn_cbor_put_text(b, "OffersOut"), lmn_cbor_put_uint(b, p->offers_out);
-        lmn_cbor_put_text(b, "OffersIn"), lmn_cbor_put_uint(b, p->offers_in);
-        lmn_cbor_put_text(b, "OutcomesOut"), lmn_cbor_put_uint(b, p->outcomes_out);
-        lmn_cbor_put_text(b, "OutcomesIn"), lmn_cbor_put_uint(b, p->outcomes_in);
-        lmn_cbor_put_text(b, "QueuedCpuS"), lmn_cbor_put_number(b, p->queued_cpu_s);
+    lmn_gateway_local_load(gateway, &cpus, &work_s);
+    lmn_cbor_put_text(buffer, "HandedCpus"), lmn_cbor_put_number(buffer, cpus);
+    lmn_cbor_put_text(buffer, "QueuedCpuS"),
+        lmn_cbor_put_number(buffer, lmn_gateway_queued_cpu_s(gateway));
+    lmn_cbor_put_text(buffer, "Peers"), lmn_cbor_put_array(buffer, gateway->o->npeers);
+    for (unsigned i = 0; i < gateway->o->npeers; i++) {
+        const struct lmn_gateway_peer *p = &gateway->peers[i];
+        lmn_cbor_put_map(buffer, 12);
+        lmn_cbor_put_text(buffer, "Site"),
+            lmn_cbor_put_text(buffer, gateway->o->peers[i].site);
+        lmn_cbor_put_text(buffer, "Address"),
+            lmn_cbor_put_text(buffer, gateway->o->addresses[i][0]);
+        lmn_cbor_put_text(buffer, "Up"), lmn_cbor_put_bool(buffer, p->up);
+        lmn_cbor_put_text(buffer, "SilentS"),
+            lmn_cbor_put_number(buffer, lmn_time_diff_s(lmn_now(), p->heard));
+        lmn_cbor_put_text(buffer, "Evicted");
+        lmn_cbor_put_bool(buffer, lmn_gateway_records_is_evicted(
+                                      &gateway->book, gateway->o->peers[i].site));
+        lmn_cbor_put_text(buffer, "Alarm"), lmn_cbor_put_bool(buffer, p->alarmed);
+        lmn_cbor_put_text(buffer, "Why"), lmn_cbor_put_text(buffer, p->up ? "" : p->why);
+        lmn_cbor_put_text(buffer, "OffersOut"), lmn_cbor_put_uint(buffer, p->offers_out);
+        lmn_cbor_put_text(buffer, "OffersIn"), lmn_cbor_put_uint(buffer, p->offers_in);
+        lmn_cbor_put_text(buffer, "OutcomesOut"),
+            lmn_cbor_put_uint(buffer, p->outcomes_out);
+        lmn_cbor_put_text(buffer, "OutcomesIn"),
+            lmn_cbor_put_uint(buffer, p->outcomes_in);
+        lmn_cbor_put_text(buffer, "QueuedCpuS"),
+            lmn_cbor_put_number(buffer, p->queued_cpu_s);
     }
-    pthread_mutex_unlock(&g->book.lock);
-    lmn_http_request_respond(call, 200, b, 0);
+    pthread_mutex_unlock(&gateway->book.lock);
+    lmn_http_request_respond(request, 200, buffer, 0);
 }
 
 static void metrics(void *arg, GString *out)
 {
-    struct lmn_gateway *g = arg;
+    struct lmn_gateway *gateway = arg;
     uint64_t n[COURSES];
 
-    pthread_mutex_lock(&g->book.lock);
-    count_courses(g, n);
+    pthread_mutex_lock(&gateway->book.lock);
+    count_courses(gateway, n);
     lmn_metric_head(out, "lemonspar_gateway_jobs", "gauge",
                     "Jobs of this home, by their course");
     for (int i = 0; i < COURSES; i++)
@@ -400,72 +411,72 @@
                           (double)n[i]);
     lmn_metric_head(out, "lemonspar_gateway_peer_silent_seconds", "gauge",
                     "Since a peer spoke");
-    for (unsigned i = 0; i < g->o->npeers; i++)
+    for (unsigned i = 0; i < gateway->o->npeers; i++)
         lmn_metric_sample(out, "lemonspar_gateway_peer_silent_seconds", "site",
-                          g->o->peers[i].site,
-                          lmn_time_diff_s(lmn_now(), g->peers[i].heard));
-    lmn_counter(out, "lemonspar_gateway_submitted", "Jobs accepted", g->submitted);
-    lmn_counter(out, "lemonspar_gateway_cancelled", "Cancellations", g->cancelled);
-    lmn_counter(out, "lemonspar_gateway_pulls", "Pulls answered", g->pulls);
+                          gateway->o->peers[i].site,
+                          lmn_time_diff_s(lmn_now(), gateway->peers[i].heard));
+    lmn_counter(out, "lemonspar_gateway_submitted", "Jobs accepted", gateway->submitted);
+    lmn_counter(out, "lemonspar_gateway_cancelled", "Cancellations", gateway->cancelled);
+    lmn_counter(out, "lemonspar_gateway_pulls", "Pulls answered", gateway->pulls);
     lmn_counter(out, "lemonspar_gateway_empty_pulls", "Pulls that brought nothing",
-                g->empty_pulls);
-    lmn_counter(out, "lemonspar_gateway_writes", "Records written", g->book.writes);
+                gateway->empty_pulls);
+    lmn_counter(out, "lemonspar_gateway_writes", "Records written", gateway->book.writes);
     lmn_counter(out, "lemonspar_gateway_conflicts", "Writes that were not taken",
-                g->book.conflicts);
-    pthread_mutex_unlock(&g->book.lock);
+                gateway->book.conflicts);
+    pthread_mutex_unlock(&gateway->book.lock);
 }
 
-static void queue_call(struct lmn_gateway *g, struct lmn_http_request *call)
+static void queue_call(struct lmn_gateway *gateway, struct lmn_http_request *request)
 {
-    pthread_mutex_lock(&g->book.lock);
-    bool full = g->calls.length >= MOST_CALLS;
+    pthread_mutex_lock(&gateway->book.lock);
+    bool full = gateway->calls.length >= MOST_CALLS;
     if (!full) {
-        lmn_http_request_defer(call);
-        g_queue_push_tail(&g->calls, call);
-        pthread_cond_signal(&g->calls_more);
+        lmn_http_request_defer(request);
+        g_queue_push_tail(&gateway->calls, request);
+        pthread_cond_signal(&gateway->calls_more);
     }
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_unlock(&gateway->book.lock);
     if (full)
-        lmn_http_request_respond(call, 503, NULL, 2);
+        lmn_http_request_respond(request, 503, NULL, 2);
 }
 
-static void route(void *arg, struct lmn_http_request *call)
+static void route(void *arg, struct lmn_http_request *request)
 {
-    struct lmn_gateway *g = arg;
-    const char *path = lmn_http_request_path(call);
-    bool get = lmn_http_request_method(call) == LMN_HTTP_GET,
-         post = lmn_http_request_method(call) == LMN_HTTP_POST;
+    struct lmn_gateway *gateway = arg;
+    const char *path = lmn_http_request_path(request);
+    bool get = lmn_http_request_method(request) == LMN_HTTP_GET,
+         post = lmn_http_request_method(request) == LMN_HTTP_POST;
     bool aborts = g_str_has_prefix(path, WIRE_PATH_JOBS "/") &&
                   g_str_has_suffix(path, WIRE_PATH_CANCEL);
 
     if (get && !strcmp(path, WIRE_PATH_READY))
-        lmn_http_request_respond(call, 200, NULL, 0);
+        lmn_http_request_respond(request, 200, NULL, 0);
     else if (get && !strcmp(path, "/metrics"))
-        lmn_metrics_answer(call, metrics, g);
+        lmn_metrics_answer(request, metrics, gateway);
     else if (get && !strcmp(path, "/gateway"))
-        status(g, call);
+        status(gateway, request);
     else if (get && g_str_has_prefix(path, WIRE_PATH_JOBS "/"))
-        poll_job(g, call, path + strlen(WIRE_PATH_JOBS "/"));
+        poll_job(gateway, request, path + strlen(WIRE_PATH_JOBS "/"));
     else if (post &&
              (!strcmp(path, WIRE_PATH_JOBS) || aborts ||
               !strcmp(path, "/gateway/unfence") || g_str_has_prefix(path, RECALL) ||
               g_str_has_prefix(path, EVICT) || g_str_has_prefix(path, ADMIT)))
-        queue_call(g, call);
+        queue_call(gateway, request);
     else
-        lmn_http_request_respond(call, 404, NULL, 0);
+        lmn_http_request_respond(request, 404, NULL, 0);
 }
 
-int lmn_gateway_http_start(struct lmn_gateway *g)
+int lmn_gateway_http_start(struct lmn_gateway *gateway)
 {
-    const struct lmn_http_server_options o = {.listen = g->o->listen,
+    const struct lmn_http_server_options o = {.listen = gateway->o->listen,
                                               .connections = 4096,
                                               .max_body = MAX_BODY,
                                               .patience_s = PATIENCE_S,
                                               .route = route,
-                                              .arg = g};
+                                              .arg = gateway};
 
     for (int i = 0; i < HANDS; i++)
-        lmn_thread(hand, g);
-    g->server = lmn_http_server_start(&o);
-    return g->server ? 0 : -1;
+        lmn_thread(hand, gateway);
+    gateway->server = lmn_http_server_start(&o);
+    return gateway->server ? 0 : -1;
 }
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -81,17 +81,18 @@
 /* How a job that waits looks to routing. */
 static struct lmn_route_job seen(const struct lmn_gateway_job *j, double wall)
 {
-    const struct lmn_job_spec *s = &j->spec;
-    double run = MAX(s->estimate_s, 0.1);
+    const struct lmn_job_spec *spec = &j->spec;
+    double run = MAX(spec->estimate_s, 0.1);
 
     return (struct lmn_route_job){
-        .cpus = lmn_job_spec_total_cpus(s),
-        .work_s = lmn_job_spec_total_cpus(s) * run,
+        .cpus = lmn_job_spec_total_cpus(spec),
+        .work_s = lmn_job_spec_total_cpus(spec) * run,
         .run_s = run,
-        .slack_s = s->deadline_s >= 0 ? j->at + s->deadline_s - run - wall : INFINITY,
+        .slack_s =
+            spec->deadline_s >= 0 ? j->at + spec->deadline_s - run - wall : INFINITY,
         /* A hand-over takes some messages; an image comes by no less than a gigabyte in
            two seconds. */
-        .fetch_s = 0.5 + 2 * s->image_gb,
+        .fetch_s = 0.5 + 2 * spec->image_gb,
     };
 }
 
@@ -99,9 +100,9 @@
 static void choose_offers(struct answering *a, const lmn_gateway_rpc_sync *q,
                           GArray *writes)
 {
-    struct lmn_gateway *g = a->g;
-    struct lmn_gateway_records *b = &g->book;
-    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(g, a->site);
+    struct lmn_gateway *gateway = a->g;
+    struct lmn_gateway_records *b = &gateway->book;
+    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(gateway, a->site);
     GHashTableIter it;
     gpointer x;
     unsigned transit = 0, picks[LMN_GATEWAY_RPC_MAX_OFFERS], n = 0;
@@ -112,23 +113,27 @@
         const struct lmn_gateway_job *j = x;
         transit += j->hand.state == LMN_ORIGIN_OFFERED && !strcmp(j->hand.site, a->site);
     }
-    GPtrArray *v = lmn_gateway_waiting_jobs(g);
+    GPtrArray *v = lmn_gateway_waiting_jobs(gateway);
     struct lmn_route_job *jobs = g_new(struct lmn_route_job, v->len + 1);
     double wall = lmn_time_seconds(lmn_wall_clock_now());
     for (guint i = 0; i < v->len; i++)
         jobs[i] = seen(v->pdata[i], wall);
     double cpus, work_s;
-    lmn_gateway_local_load(g, &cpus, &work_s);
+    lmn_gateway_local_load(gateway, &cpus, &work_s);
     const struct lmn_route_for_origin home = {
-        g->o->cpus, cpus, g->o->feed_s * g->o->cpus - work_s, g->o->share};
+        gateway->o->cpus, cpus, gateway->o->feed_s * gateway->o->cpus - work_s,
+        gateway->o->share};
     unsigned most = MIN(q->most, LMN_GATEWAY_RPC_MAX_OFFERS);
-    most = MIN(most, g->o->most_transit > transit ? g->o->most_transit - transit : 0);
-    if (!g->fenced && p->incarnation && !lmn_gateway_records_is_evicted(b, a->site))
+    most =
+        MIN(most,
+            gateway->o->most_transit > transit ? gateway->o->most_transit - transit : 0);
+    if (!gateway->fenced && p->incarnation && !lmn_gateway_records_is_evicted(b, a->site))
         n = lmn_route_choose(jobs, v->len, &home, q->room_cpus, most, picks);
     for (unsigned i = 0; i < n; i++) {
         struct lmn_gateway_job *j = v->pdata[picks[i]];
         struct lmn_record_write w = {.job = j, .home = j->hand};
-        if (!lmn_origin_offer(&w.home, a->site, p->incarnation, g->o->most_transfers))
+        if (!lmn_origin_offer(&w.home, a->site, p->incarnation,
+                              gateway->o->most_transfers))
             continue;
         j->busy = true;
         j->offered = lmn_now();
@@ -207,14 +212,14 @@
         struct lmn_gateway_rpc_offer *o = &y->offers.offers_val[y->offers.offers_len];
         if (!w->ok || !w->job)
             continue;
-        GByteArray *b = g_byte_array_new();
-        lmn_cbor_put_map(b, lmn_job_spec_pair_count());
-        lmn_job_spec_write(b, &w->job->spec);
+        GByteArray *buffer = g_byte_array_new();
+        lmn_cbor_put_map(buffer, lmn_job_spec_pair_count());
+        lmn_job_spec_write(buffer, &w->job->spec);
         o->ref = g_strdup(w->job->ref);
         o->epoch = w->home.epoch;
         o->incarnation = w->home.incarnation;
-        o->spec.spec_len = b->len;
-        o->spec.spec_val = (char *)g_byte_array_free(b, FALSE);
+        o->spec.spec_len = buffer->len;
+        o->spec.spec_val = (char *)g_byte_array_free(buffer, FALSE);
         o->digest = g_strdup(w->job->digest);
         o->leash_s = w->job->leash_s;
         y->offers.offers_len++;
@@ -275,20 +280,20 @@
 
 static int answer_blob(struct answering *a, const char *digest)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     struct lmn_image_store_error e;
     lmn_gateway_rpc_response r = {0};
 
-    if (may_have(a, digest) && lmn_image_store_get(a->depot, digest, b, &e) == 0 &&
-        b->len <= LMN_GATEWAY_RPC_MAX_BLOB_BYTES) {
+    if (may_have(a, digest) && lmn_image_store_get(a->depot, digest, buffer, &e) == 0 &&
+        buffer->len <= LMN_GATEWAY_RPC_MAX_BLOB_BYTES) {
         r.kind = LMN_GATEWAY_RPC_BLOB;
-        r.lmn_gateway_rpc_response_u.blob.blob_len = b->len;
-        r.lmn_gateway_rpc_response_u.blob.blob_val = (char *)b->data;
+        r.lmn_gateway_rpc_response_u.blob.blob_len = buffer->len;
+        r.lmn_gateway_rpc_response_u.blob.blob_val = (char *)buffer->data;
     } else {
         r.lmn_gateway_rpc_response_u.error = (char *)"no such blob";
     }
     int rc = lmn_peer_connection_send_response(a->link, &r);
-    g_byte_array_unref(b);
+    g_byte_array_unref(buffer);
     return rc;
 }
 
@@ -390,22 +395,22 @@
     return NULL;
 }
 
-int lmn_origin_start(struct lmn_gateway *g, char *err, size_t len)
+int lmn_origin_start(struct lmn_gateway *gateway, char *err, size_t len)
 {
     struct conn *l = g_new0(struct conn, 1);
     struct sockaddr_in a = {.sin_family = AF_INET};
     char host[LMN_ADDRESS_SIZE];
     int port, one = 1;
 
-    l->g = g;
+    l->g = gateway;
     l->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    lmn_address_split(g->o->link_listen, host, sizeof host, &port);
+    lmn_address_split(gateway->o->link_listen, host, sizeof host, &port);
     a.sin_port = htons((uint16_t)port);
     inet_pton(AF_INET, host, &a.sin_addr);
     setsockopt(l->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     if (l->fd < 0 || bind(l->fd, (struct sockaddr *)&a, sizeof a) != 0 ||
         listen(l->fd, 64) != 0) {
-        g_snprintf(err, len, "%s: can't listen: %s", g->o->link_listen,
+        g_snprintf(err, len, "%s: can't listen: %s", gateway->o->link_listen,
                    g_strerror(errno));
         return -1;
     }
--- a/src/gateway/peer_connection.c
+++ b/src/gateway/peer_connection.c
@@ -163,51 +163,51 @@
                             const struct lmn_peer_key *peers, const unsigned *npeers,
                             char *err, size_t len)
 {
-    struct lmn_tls *t = g_new0(struct lmn_tls, 1);
+    struct lmn_tls *tls = g_new0(struct lmn_tls, 1);
 
     if (tls_slot < 0)
         tls_slot = SSL_get_ex_new_index(0, NULL, NULL, NULL, NULL);
-    g_strlcpy(t->dir, dir, sizeof t->dir);
-    g_strlcpy(t->site, site, sizeof t->site);
-    t->peers = peers;
-    t->npeers = npeers;
-    pthread_mutex_init(&t->lock, NULL);
-    t->ctx = load(dir, &t->crl, &t->crl_len, err, len);
-    if (!t->ctx)
-        g_clear_pointer(&t, g_free);
-    return t;
+    g_strlcpy(tls->dir, dir, sizeof tls->dir);
+    g_strlcpy(tls->site, site, sizeof tls->site);
+    tls->peers = peers;
+    tls->npeers = npeers;
+    pthread_mutex_init(&tls->lock, NULL);
+    tls->ctx = load(dir, &tls->crl, &tls->crl_len, err, len);
+    if (!tls->ctx)
+        g_clear_pointer(&tls, g_free);
+    return tls;
 }
 
-int lmn_tls_reload(struct lmn_tls *t, char *err, size_t len)
+int lmn_tls_reload(struct lmn_tls *tls, char *err, size_t len)
 {
     unsigned char *crl = NULL;
     int crl_len = 0;
-    SSL_CTX *ctx = load(t->dir, &crl, &crl_len, err, len), *old = NULL;
+    SSL_CTX *ctx = load(tls->dir, &crl, &crl_len, err, len), *old = NULL;
 
     if (!ctx)
         return -1;
-    pthread_mutex_lock(&t->lock);
-    old = t->ctx;
-    t->ctx = ctx;
+    pthread_mutex_lock(&tls->lock);
+    old = tls->ctx;
+    tls->ctx = ctx;
     /* The old list is left: somebody may be sending it. It is small, and reloads are
      * rare. */
-    t->crl = crl;
-    t->crl_len = crl_len;
-    pthread_mutex_unlock(&t->lock);
+    tls->crl = crl;
+    tls->crl_len = crl_len;
+    pthread_mutex_unlock(&tls->lock);
     SSL_CTX_free(old);
     return 0;
 }
 
-const unsigned char *lmn_tls_crl(struct lmn_tls *t, size_t *len)
+const unsigned char *lmn_tls_crl(struct lmn_tls *tls, size_t *len)
 {
-    pthread_mutex_lock(&t->lock);
-    const unsigned char *crl = t->crl;
-    *len = (size_t)t->crl_len;
-    pthread_mutex_unlock(&t->lock);
+    pthread_mutex_lock(&tls->lock);
+    const unsigned char *crl = tls->crl;
+    *len = (size_t)tls->crl_len;
+    pthread_mutex_unlock(&tls->lock);
     return crl;
 }
 
-void lmn_tls_learn_crl(struct lmn_tls *t, const char *site, const unsigned char *der,
+void lmn_tls_learn_crl(struct lmn_tls *tls, const char *site, const unsigned char *der,
                        size_t len)
 {
     const unsigned char *p = der;
@@ -215,44 +215,44 @@
 
     if (!l)
         return;
-    pthread_mutex_lock(&t->lock);
-    for (unsigned i = 0; i < *t->npeers; i++) {
-        if (strcmp(t->peers[i].site, site))
+    pthread_mutex_lock(&tls->lock);
+    for (unsigned i = 0; i < *tls->npeers; i++) {
+        if (strcmp(tls->peers[i].site, site))
             continue;
         /* Its signature is verified whenever a certificate is checked against it. It
          * never shrinks: one with fewer entries is older. */
         STACK_OF(X509_REVOKED) *is = X509_CRL_get_REVOKED(l), *was = NULL;
-        if (t->theirs[i])
-            was = X509_CRL_get_REVOKED(t->theirs[i]);
-        if (t->theirs[i] && sk_X509_REVOKED_num(is) < sk_X509_REVOKED_num(was))
+        if (tls->theirs[i])
+            was = X509_CRL_get_REVOKED(tls->theirs[i]);
+        if (tls->theirs[i] && sk_X509_REVOKED_num(is) < sk_X509_REVOKED_num(was))
             break;
-        X509_CRL_free(t->theirs[i]);
-        t->theirs[i] = l;
+        X509_CRL_free(tls->theirs[i]);
+        tls->theirs[i] = l;
         l = NULL;
         break;
     }
-    pthread_mutex_unlock(&t->lock);
+    pthread_mutex_unlock(&tls->lock);
     X509_CRL_free(l);
 }
 
 /* --- links --- */
 
-static struct lmn_peer_connection *shake(struct lmn_tls *t, int fd, bool server,
+static struct lmn_peer_connection *shake(struct lmn_tls *tls, int fd, bool server,
                                          double seconds, char *err, size_t len)
 {
     struct timeval wait = {(time_t)seconds,
                            (suseconds_t)((seconds - (double)(time_t)seconds) * 1e6)};
     struct lmn_peer_connection *l = g_new0(struct lmn_peer_connection, 1);
-    struct verdict v = {.t = t};
+    struct verdict v = {.t = tls};
     int one = 1;
 
     setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
     setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &wait, sizeof wait);
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
     l->fd = fd;
-    pthread_mutex_lock(&t->lock);
-    l->ssl = SSL_new(t->ctx);
-    pthread_mutex_unlock(&t->lock);
+    pthread_mutex_lock(&tls->lock);
+    l->ssl = SSL_new(tls->ctx);
+    pthread_mutex_unlock(&tls->lock);
     SSL_set_ex_data(l->ssl, tls_slot, &v);
     SSL_set_fd(l->ssl, fd);
     errno = 0;
@@ -267,9 +267,10 @@
     return l;
 }
 
-struct lmn_peer_connection *lmn_peer_connection_open(struct lmn_tls *t, const char *addr,
-                                                     const char *site, double seconds,
-                                                     char *err, size_t len)
+struct lmn_peer_connection *lmn_peer_connection_open(struct lmn_tls *tls,
+                                                     const char *addr, const char *site,
+                                                     double seconds, char *err,
+                                                     size_t len)
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
     char host[LMN_ADDRESS_SIZE];
@@ -296,7 +297,7 @@
         }
     }
     fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) & ~O_NONBLOCK);
-    struct lmn_peer_connection *l = shake(t, fd, false, seconds, err, len);
+    struct lmn_peer_connection *l = shake(tls, fd, false, seconds, err, len);
     if (l && strcmp(l->site, site)) {
         g_snprintf(err, len, "%s: wrong name: '%s' answers, not '%s'", addr, l->site,
                    site);
@@ -306,11 +307,11 @@
     return l;
 }
 
-struct lmn_peer_connection *lmn_peer_connection_accept(struct lmn_tls *t, int fd,
+struct lmn_peer_connection *lmn_peer_connection_accept(struct lmn_tls *tls, int fd,
                                                        double seconds, char *err,
                                                        size_t len)
 {
-    return shake(t, fd, true, seconds, err, len);
+    return shake(tls, fd, true, seconds, err, len);
 }
 
 void lmn_peer_connection_close(struct lmn_peer_connection *l)
--- a/src/gateway/peer_connection.h
+++ b/src/gateway/peer_connection.h
@@ -24,21 +24,22 @@
                             char *err, size_t len);
 /* Takes up renewed keys and the list of revoked ones, while links are up: new links use
  * them. */
-int lmn_tls_reload(struct lmn_tls *t, char *err, size_t len);
+int lmn_tls_reload(struct lmn_tls *tls, char *err, size_t len);
 /* The own list of revoked certificates, DER; belongs to t until it is reloaded. */
-const unsigned char *lmn_tls_crl(struct lmn_tls *t, size_t *len);
+const unsigned char *lmn_tls_crl(struct lmn_tls *tls, size_t *len);
 /* A peer's list, as its hello brought it: taken if its authority has signed it and it is
  * no older. */
-void lmn_tls_learn_crl(struct lmn_tls *t, const char *site, const unsigned char *der,
+void lmn_tls_learn_crl(struct lmn_tls *tls, const char *site, const unsigned char *der,
                        size_t len);
 
 struct lmn_peer_connection;
 /* Dials; NULL with why in err. site: who must be there. */
-struct lmn_peer_connection *lmn_peer_connection_open(struct lmn_tls *t, const char *addr,
-                                                     const char *site, double seconds,
-                                                     char *err, size_t len);
+struct lmn_peer_connection *lmn_peer_connection_open(struct lmn_tls *tls,
+                                                     const char *addr, const char *site,
+                                                     double seconds, char *err,
+                                                     size_t len);
 /* The other side of an accepted socket, which is taken over; NULL with why in err. */
-struct lmn_peer_connection *lmn_peer_connection_accept(struct lmn_tls *t, int fd,
+struct lmn_peer_connection *lmn_peer_connection_accept(struct lmn_tls *tls, int fd,
                                                        double seconds, char *err,
                                                        size_t len);
 void lmn_peer_connection_close(struct lmn_peer_connection *l);
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -15,11 +15,11 @@
 /* --- the state service --- */
 
 /* A call that is repeated until it is answered for certain; the status. */
-static int insist(struct lmn_http_client *h, const char *method, const char *path,
+static int insist(struct lmn_http_client *client, const char *method, const char *path,
                   const GByteArray *body, GByteArray *in)
 {
     for (;;) {
-        int status = lmn_http_client_call(h, method, path, body, PATIENCE_S, in);
+        int status = lmn_http_client_call(client, method, path, body, PATIENCE_S, in);
         if (status == 200 || status == 404 || status == 409 || status == 400 ||
             status == 410)
             return status;
@@ -28,11 +28,11 @@
     }
 }
 
-static void put_cond(GByteArray *b, const char *key, uint64_t rev)
+static void put_cond(GByteArray *buffer, const char *key, uint64_t revision)
 {
-    lmn_cbor_put_map(b, 2);
-    lmn_cbor_put_text(b, WIRE_KEY), lmn_cbor_put_text(b, key);
-    lmn_cbor_put_text(b, WIRE_VERSION), lmn_cbor_put_uint(b, rev);
+    lmn_cbor_put_map(buffer, 2);
+    lmn_cbor_put_text(buffer, WIRE_KEY), lmn_cbor_put_text(buffer, key);
+    lmn_cbor_put_text(buffer, WIRE_VERSION), lmn_cbor_put_uint(buffer, revision);
 }
 
 /* --- records --- */
@@ -40,49 +40,51 @@
 static GByteArray *job_record(const struct lmn_gateway_job *j,
                               const struct lmn_origin_record *h)
 {
-    GByteArray *b = g_byte_array_new();
-
-    lmn_cbor_put_map(b, 10);
-    lmn_cbor_put_text(b, "spec"), lmn_cbor_put_map(b, lmn_job_spec_pair_count()),
-        lmn_job_spec_write(b, &j->spec);
-    lmn_cbor_put_text(b, "digest"), lmn_cbor_put_text(b, j->digest);
-    lmn_cbor_put_text(b, "at"), lmn_cbor_put_number(b, j->at);
-    lmn_cbor_put_text(b, "leash"), lmn_cbor_put_number(b, j->leash_s);
-    lmn_cbor_put_text(b, "state"), lmn_cbor_put_uint(b, h->state);
-    lmn_cbor_put_text(b, "epoch"), lmn_cbor_put_uint(b, h->epoch);
-    lmn_cbor_put_text(b, "site"), lmn_cbor_put_text(b, h->site);
-    lmn_cbor_put_text(b, "incarnation"), lmn_cbor_put_uint(b, h->incarnation);
-    lmn_cbor_put_text(b, "outcome"),
-        lmn_cbor_put_uint(b, (uint64_t)h->outcome | (uint64_t)h->cancel << 8 |
-                                 (uint64_t)h->recall << 9);
-    lmn_cbor_put_text(b, "transfers"), lmn_cbor_put_uint(b, h->transfers);
-    return b;
+    GByteArray *buffer = g_byte_array_new();
+
+    lmn_cbor_put_map(buffer, 10);
+    lmn_cbor_put_text(buffer, "spec"),
+        lmn_cbor_put_map(buffer, lmn_job_spec_pair_count()),
+        lmn_job_spec_write(buffer, &j->spec);
+    lmn_cbor_put_text(buffer, "digest"), lmn_cbor_put_text(buffer, j->digest);
+    lmn_cbor_put_text(buffer, "at"), lmn_cbor_put_number(buffer, j->at);
+    lmn_cbor_put_text(buffer, "leash"), lmn_cbor_put_number(buffer, j->leash_s);
+    lmn_cbor_put_text(buffer, "state"), lmn_cbor_put_uint(buffer, h->state);
+    lmn_cbor_put_text(buffer, "epoch"), lmn_cbor_put_uint(buffer, h->epoch);
+    lmn_cbor_put_text(buffer, "site"), lmn_cbor_put_text(buffer, h->site);
+    lmn_cbor_put_text(buffer, "incarnation"), lmn_cbor_put_uint(buffer, h->incarnation);
+    lmn_cbor_put_text(buffer, "outcome"),
+        lmn_cbor_put_uint(buffer, (uint64_t)h->outcome | (uint64_t)h->cancel << 8 |
+                                      (uint64_t)h->recall << 9);
+    lmn_cbor_put_text(buffer, "transfers"), lmn_cbor_put_uint(buffer, h->transfers);
+    return buffer;
 }
 
 static GByteArray *guest_record(const struct lmn_remote_job *g,
                                 const struct lmn_execution_record *f)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
 
-    lmn_cbor_put_map(b, 7);
-    lmn_cbor_put_text(b, "spec"), lmn_cbor_put_map(b, lmn_job_spec_pair_count()),
-        lmn_job_spec_write(b, &g->spec);
-    lmn_cbor_put_text(b, "digest"), lmn_cbor_put_text(b, g->digest);
-    lmn_cbor_put_text(b, "leash"), lmn_cbor_put_number(b, g->leash_s);
-    lmn_cbor_put_text(b, "state"), lmn_cbor_put_uint(b, f->state);
-    lmn_cbor_put_text(b, "epoch"), lmn_cbor_put_uint(b, f->epoch);
-    lmn_cbor_put_text(b, "floor"), lmn_cbor_put_uint(b, f->floor);
-    lmn_cbor_put_text(b, "outcome");
-    lmn_cbor_put_uint(b, (uint64_t)f->outcome | (uint64_t)f->cancel << 8 |
-                             (uint64_t)f->heard << 9);
-    return b;
+    lmn_cbor_put_map(buffer, 7);
+    lmn_cbor_put_text(buffer, "spec"),
+        lmn_cbor_put_map(buffer, lmn_job_spec_pair_count()),
+        lmn_job_spec_write(buffer, &g->spec);
+    lmn_cbor_put_text(buffer, "digest"), lmn_cbor_put_text(buffer, g->digest);
+    lmn_cbor_put_text(buffer, "leash"), lmn_cbor_put_number(buffer, g->leash_s);
+    lmn_cbor_put_text(buffer, "state"), lmn_cbor_put_uint(buffer, f->state);
+    lmn_cbor_put_text(buffer, "epoch"), lmn_cbor_put_uint(buffer, f->epoch);
+    lmn_cbor_put_text(buffer, "floor"), lmn_cbor_put_uint(buffer, f->floor);
+    lmn_cbor_put_text(buffer, "outcome");
+    lmn_cbor_put_uint(buffer, (uint64_t)f->outcome | (uint64_t)f->cancel << 8 |
+                                  (uint64_t)f->heard << 9);
+    return buffer;
 }
 
-static uint64_t count_of(const struct lmn_cbor_document *d,
-                         const struct lmn_cbor_value *m, const char *key)
+static uint64_t count_of(const struct lmn_cbor_document *document,
+                         const struct lmn_cbor_value *map, const char *key)
 {
     uint64_t v = 0;
-    lmn_cbor_get_uint(lmn_cbor_get(d, m, key), &v);
+    lmn_cbor_get_uint(lmn_cbor_get(document, map, key), &v);
     return v;
 }
 
@@ -105,45 +107,49 @@
 }
 
 static void read_job(struct lmn_gateway_records *b, const char *ref,
-                     const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                     uint64_t rev)
+                     const struct lmn_cbor_document *document,
+                     const struct lmn_cbor_value *value, uint64_t revision)
 {
     struct lmn_gateway_job *j = g_new0(struct lmn_gateway_job, 1);
-    uint64_t outcome = count_of(d, v, "outcome");
+    uint64_t outcome = count_of(document, value, "outcome");
     const char *what;
 
     g_strlcpy(j->ref, ref, sizeof j->ref);
-    if (lmn_job_spec_parse(&j->spec, d, lmn_cbor_get(d, v, "spec"), &what) != 0) {
+    if (lmn_job_spec_parse(&j->spec, document, lmn_cbor_get(document, value, "spec"),
+                           &what) != 0) {
         lmn_error("unreadable-record key=g/j/%s field=%s", ref, what);
         g_free(j);
         return;
     }
-    lmn_cbor_get_text(lmn_cbor_get(d, v, "digest"), j->digest, sizeof j->digest);
-    lmn_cbor_get_number(lmn_cbor_get(d, v, "at"), &j->at);
-    lmn_cbor_get_number(lmn_cbor_get(d, v, "leash"), &j->leash_s);
-    j->hand.state = (enum lmn_origin_state)count_of(d, v, "state");
-    j->hand.epoch = count_of(d, v, "epoch");
-    lmn_cbor_get_text(lmn_cbor_get(d, v, "site"), j->hand.site, sizeof j->hand.site);
-    j->hand.incarnation = count_of(d, v, "incarnation");
+    lmn_cbor_get_text(lmn_cbor_get(document, value, "digest"), j->digest,
+                      sizeof j->digest);
+    lmn_cbor_get_number(lmn_cbor_get(document, value, "at"), &j->at);
+    lmn_cbor_get_number(lmn_cbor_get(document, value, "leash"), &j->leash_s);
+    j->hand.state = (enum lmn_origin_state)count_of(document, value, "state");
+    j->hand.epoch = count_of(document, value, "epoch");
+    lmn_cbor_get_text(lmn_cbor_get(document, value, "site"), j->hand.site,
+                      sizeof j->hand.site);
+    j->hand.incarnation = count_of(document, value, "incarnation");
     j->hand.outcome = (enum lmn_handover_outcome)(outcome & 0xff);
     j->hand.cancel = outcome >> 8 & 1;
     j->hand.recall = outcome >> 9 & 1;
-    j->hand.transfers = (uint32_t)count_of(d, v, "transfers");
-    j->rev = rev;
+    j->hand.transfers = (uint32_t)count_of(document, value, "transfers");
+    j->rev = revision;
     g_hash_table_insert(b->jobs, j->ref, j);
     sort_job(b, j);
 }
 
 static void read_guest(struct lmn_gateway_records *b, const char *key,
-                       const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                       uint64_t rev)
+                       const struct lmn_cbor_document *document,
+                       const struct lmn_cbor_value *value, uint64_t revision)
 {
     struct lmn_remote_job *g = g_new0(struct lmn_remote_job, 1);
-    uint64_t outcome = count_of(d, v, "outcome");
+    uint64_t outcome = count_of(document, value, "outcome");
     const char *what, *slash = strchr(key, '/');
 
     if (!slash || (size_t)(slash - key) >= sizeof g->home ||
-        lmn_job_spec_parse(&g->spec, d, lmn_cbor_get(d, v, "spec"), &what) != 0) {
+        lmn_job_spec_parse(&g->spec, document, lmn_cbor_get(document, value, "spec"),
+                           &what) != 0) {
         lmn_error("unreadable-record key=g/f/%s", key);
         g_free(g);
         return;
@@ -151,21 +157,22 @@
     g->key = g_strdup(key);
     g_strlcpy(g->home, key, (gsize)(slash - key) + 1);
     g_strlcpy(g->ref, slash + 1, sizeof g->ref);
-    lmn_cbor_get_text(lmn_cbor_get(d, v, "digest"), g->digest, sizeof g->digest);
-    lmn_cbor_get_number(lmn_cbor_get(d, v, "leash"), &g->leash_s);
-    g->hand.state = (enum lmn_execution_state)count_of(d, v, "state");
-    g->hand.epoch = count_of(d, v, "epoch");
-    g->hand.floor = count_of(d, v, "floor");
+    lmn_cbor_get_text(lmn_cbor_get(document, value, "digest"), g->digest,
+                      sizeof g->digest);
+    lmn_cbor_get_number(lmn_cbor_get(document, value, "leash"), &g->leash_s);
+    g->hand.state = (enum lmn_execution_state)count_of(document, value, "state");
+    g->hand.epoch = count_of(document, value, "epoch");
+    g->hand.floor = count_of(document, value, "floor");
     g->hand.outcome = (enum lmn_handover_outcome)(outcome & 0xff);
     g->hand.cancel = outcome >> 8 & 1;
     g->hand.heard = outcome >> 9 & 1;
-    g->rev = rev;
+    g->rev = revision;
     lmn_remote_job_local_id(g->home, g->ref, g->hand.epoch, g->local);
     g_hash_table_insert(b->guests, g->key, g);
     sort_guest(b, g);
 }
 
-static void read_all(struct lmn_gateway_records *b, struct lmn_http_client *h)
+static void read_all(struct lmn_gateway_records *b, struct lmn_http_client *client)
 {
     GByteArray *in = g_byte_array_new();
     char after[256] = "", path[512];
@@ -175,24 +182,25 @@
         struct lmn_cbor_document d;
         g_snprintf(path, sizeof path, WIRE_PATH_STORE "?Under=g/%s%s&Limit=500",
                    *after ? "&After=" : "", after);
-        if (insist(h, "GET", path, NULL, in) != 200 ||
+        if (insist(client, "GET", path, NULL, in) != 200 ||
             lmn_cbor_parse(&d, in->data, in->len) != 0)
             continue;
         const struct lmn_cbor_value *root = lmn_cbor_root(&d),
                                     *items = lmn_cbor_get(&d, root, WIRE_ITEMS);
         more = false;
         lmn_cbor_get_bool(lmn_cbor_get(&d, root, WIRE_HAS_MORE), &more);
-        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, items); n;
-             n = lmn_cbor_next(&d, n)) {
-            const struct lmn_cbor_value *v = lmn_cbor_get(&d, n, WIRE_VALUE);
-            uint64_t rev = count_of(&d, n, WIRE_VERSION);
-            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_KEY), after, sizeof after) ||
-                !v)
+        for (const struct lmn_cbor_value *node = lmn_cbor_first_child(&d, items); node;
+             node = lmn_cbor_next(&d, node)) {
+            const struct lmn_cbor_value *value = lmn_cbor_get(&d, node, WIRE_VALUE);
+            uint64_t revision = count_of(&d, node, WIRE_VERSION);
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, node, WIRE_KEY), after,
+                                   sizeof after) ||
+                !value)
                 continue;
             if (g_str_has_prefix(after, "g/j/"))
-                read_job(b, after + 4, &d, v, rev);
+                read_job(b, after + 4, &d, value, revision);
             else if (g_str_has_prefix(after, "g/f/"))
-                read_guest(b, after + 4, &d, v, rev);
+                read_guest(b, after + 4, &d, value, revision);
             else if (g_str_has_prefix(after, "g/e/"))
                 g_hash_table_add(b->evicted, g_strdup(after + 4));
         }
@@ -206,14 +214,14 @@
 static void *keep_lease(void *arg)
 {
     struct lmn_gateway_records *b = arg;
-    struct lmn_http_client *h = lmn_http_client_new(b->state);
+    struct lmn_http_client *client = lmn_http_client_new(b->state);
     GByteArray *in = g_byte_array_new();
     char path[64];
 
     g_snprintf(path, sizeof path, WIRE_PATH_LEASES "/%" G_GUINT64_FORMAT WIRE_PATH_RENEW,
                b->lease);
     for (;;) {
-        if (lmn_http_client_call(h, "POST", path, NULL, 2, in) == 404) {
+        if (lmn_http_client_call(client, "POST", path, NULL, 2, in) == 404) {
             /* Another may lead by now. Nothing that this one writes is taken any more. */
             lmn_error("lead-lost");
             _exit(1);
@@ -223,7 +231,7 @@
     return NULL;
 }
 
-static uint64_t new_lease(struct lmn_http_client *h, GByteArray *in)
+static uint64_t new_lease(struct lmn_http_client *client, GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
     struct lmn_cbor_document d;
@@ -231,7 +239,7 @@
 
     lmn_cbor_put_map(q, 1);
     lmn_cbor_put_text(q, WIRE_TTL_MS), lmn_cbor_put_uint(q, (uint64_t)(TTL_S * 1000));
-    if (insist(h, "POST", WIRE_PATH_LEASES, q, in) == 200 &&
+    if (insist(client, "POST", WIRE_PATH_LEASES, q, in) == 200 &&
         lmn_cbor_parse(&d, in->data, in->len) == 0) {
         id = count_of(&d, lmn_cbor_root(&d), WIRE_LEASE);
         lmn_cbor_free(&d);
@@ -241,12 +249,12 @@
 }
 
 /* Puts the name at g/lead if nobody's stands there; the revision, 0: somebody leads. */
-static uint64_t try_lead(struct lmn_http_client *h, const char *gateway, uint64_t lease,
-                         GByteArray *in)
+static uint64_t try_lead(struct lmn_http_client *client, const char *gateway,
+                         uint64_t lease, GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
     struct lmn_cbor_document d;
-    uint64_t rev = 0;
+    uint64_t revision = 0;
 
     lmn_cbor_put_map(q, 2);
     lmn_cbor_put_text(q, WIRE_CONDITIONS), lmn_cbor_put_array(q, 1),
@@ -256,23 +264,23 @@
     lmn_cbor_put_text(q, WIRE_PUT), lmn_cbor_put_text(q, "g/lead");
     lmn_cbor_put_text(q, WIRE_VALUE), lmn_cbor_put_text(q, gateway);
     lmn_cbor_put_text(q, WIRE_LEASE), lmn_cbor_put_uint(q, lease);
-    int status = lmn_http_client_call(h, "POST", WIRE_PATH_TXN, q, PATIENCE_S, in);
+    int status = lmn_http_client_call(client, "POST", WIRE_PATH_TXN, q, PATIENCE_S, in);
     if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
-        rev = count_of(&d, lmn_cbor_root(&d), WIRE_REVISION);
+        revision = count_of(&d, lmn_cbor_root(&d), WIRE_REVISION);
         lmn_cbor_free(&d);
     }
     g_byte_array_unref(q);
-    return rev;
+    return revision;
 }
 
-static uint64_t read_number(struct lmn_http_client *h, const char *path,
+static uint64_t read_number(struct lmn_http_client *client, const char *path,
                             const char *field, uint64_t *rev, GByteArray *in)
 {
     struct lmn_cbor_document d;
     uint64_t v = 0;
 
     *rev = 0;
-    if (insist(h, "GET", path, NULL, in) != 200 ||
+    if (insist(client, "GET", path, NULL, in) != 200 ||
         lmn_cbor_parse(&d, in->data, in->len) != 0)
         return 0;
     lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), field), &v);
@@ -281,28 +289,29 @@
     return v;
 }
 
-static void note_incarnation(struct lmn_gateway_records *b, struct lmn_http_client *h,
-                             uint64_t rev, GByteArray *in)
+static void note_incarnation(struct lmn_gateway_records *b,
+                             struct lmn_http_client *client, uint64_t revision,
+                             GByteArray *in)
 {
     GByteArray *q = g_byte_array_new();
 
     lmn_cbor_put_map(q, 2);
     lmn_cbor_put_text(q, WIRE_CONDITIONS), lmn_cbor_put_array(q, 2);
-    put_cond(q, "g/lead", b->lead_rev), put_cond(q, "g/i", rev);
+    put_cond(q, "g/lead", b->lead_rev), put_cond(q, "g/i", revision);
     lmn_cbor_put_text(q, WIRE_OPERATIONS), lmn_cbor_put_array(q, 1),
         lmn_cbor_put_map(q, 2);
     lmn_cbor_put_text(q, WIRE_PUT), lmn_cbor_put_text(q, "g/i");
     lmn_cbor_put_text(q, WIRE_VALUE), lmn_cbor_put_uint(q, b->incarnation);
-    insist(h, "POST", WIRE_PATH_TXN, q, in);
+    insist(client, "POST", WIRE_PATH_TXN, q, in);
     g_byte_array_unref(q);
 }
 
 void lmn_gateway_records_open(struct lmn_gateway_records *b, const char *state,
                               const char *gateway, int txn_ops, bool *restored)
 {
-    struct lmn_http_client *h = lmn_http_client_new(state);
+    struct lmn_http_client *client = lmn_http_client_new(state);
     GByteArray *in = g_byte_array_new();
-    uint64_t rev, was;
+    uint64_t revision, was;
 
     memset(b, 0, sizeof *b);
     g_strlcpy(b->state, state, sizeof b->state);
@@ -315,25 +324,25 @@
     b->open_guests = g_hash_table_new(g_str_hash, g_str_equal);
     b->evicted = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     while (!b->lead_rev) {
-        b->lease = new_lease(h, in);
+        b->lease = new_lease(client, in);
         struct timespec begun = lmn_now();
         while (b->lease && !b->lead_rev &&
                lmn_time_diff_s(lmn_now(), begun) < TTL_S / 2) {
-            b->lead_rev = try_lead(h, gateway, b->lease, in);
+            b->lead_rev = try_lead(client, gateway, b->lease, in);
             if (!b->lead_rev)
                 lmn_sleep(0.3);
         }
     }
     lmn_thread(keep_lease, b);
-    b->incarnation = read_number(h, "/incarnation", "Incarnation", &rev, in);
-    was = read_number(h, WIRE_PATH_STORE "/g/i", WIRE_VALUE, &rev, in);
-    *restored = rev && was != b->incarnation;
-    read_all(b, h);
-    if (!rev)
-        note_incarnation(b, h, rev, in);
+    b->incarnation = read_number(client, "/incarnation", "Incarnation", &revision, in);
+    was = read_number(client, WIRE_PATH_STORE "/g/i", WIRE_VALUE, &revision, in);
+    *restored = revision && was != b->incarnation;
+    read_all(b, client);
+    if (!revision)
+        note_incarnation(b, client, revision, in);
     lmn_info("lead gateway=%s jobs=%u guests=%u restored=%d", gateway,
              g_hash_table_size(b->jobs), g_hash_table_size(b->guests), *restored);
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     g_byte_array_unref(in);
 }
 
@@ -366,14 +375,14 @@
     return g;
 }
 
-static void copy_spec(struct lmn_job_spec *to, const struct lmn_job_spec *from)
+static void copy_spec(struct lmn_job_spec *spec, const struct lmn_job_spec *from)
 {
-    *to = *from;
-    to->class_name = g_strdup(from->class_name);
-    to->team = g_strdup(from->team);
-    to->image = g_strdup(from->image);
-    to->zone = g_strdup(from->zone);
-    to->types = g_strdupv(from->types);
+    *spec = *from;
+    spec->class_name = g_strdup(from->class_name);
+    spec->team = g_strdup(from->team);
+    spec->image = g_strdup(from->image);
+    spec->zone = g_strdup(from->zone);
+    spec->types = g_strdupv(from->types);
 }
 
 struct lmn_gateway_job *lmn_gateway_records_new_job(struct lmn_gateway_records *b,
@@ -456,7 +465,7 @@
 }
 
 /* One transaction of them; the status. */
-static int send(struct lmn_gateway_records *b, struct lmn_http_client *h,
+static int send(struct lmn_gateway_records *b, struct lmn_http_client *client,
                 const struct lmn_record_write *w, unsigned n, uint64_t *rev,
                 GByteArray *in)
 {
@@ -481,7 +490,7 @@
         g_byte_array_unref(v);
         g_free(key);
     }
-    int status = insist(h, "POST", WIRE_PATH_TXN, q, in);
+    int status = insist(client, "POST", WIRE_PATH_TXN, q, in);
     if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
         *rev = count_of(&d, lmn_cbor_root(&d), WIRE_REVISION);
         lmn_cbor_free(&d);
@@ -492,7 +501,7 @@
 
 /* A conflict where only this gateway writes: an earlier try of the same, without an
  * answer, was applied. Whether it was shows the record. */
-static bool was_written(struct lmn_http_client *h, const struct lmn_record_write *w,
+static bool was_written(struct lmn_http_client *client, const struct lmn_record_write *w,
                         uint64_t *rev, GByteArray *in)
 {
     char *key = key_of(w), *path = g_strdup_printf(WIRE_PATH_STORE "/%s", key);
@@ -500,12 +509,13 @@
     struct lmn_cbor_document d;
     bool same = false;
 
-    if (insist(h, "GET", path, NULL, in) == 200 &&
+    if (insist(client, "GET", path, NULL, in) == 200 &&
         lmn_cbor_parse(&d, in->data, in->len) == 0) {
-        const struct lmn_cbor_value *n = lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_VALUE);
+        const struct lmn_cbor_value *node =
+            lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_VALUE);
         *rev = count_of(&d, lmn_cbor_root(&d), WIRE_VERSION);
-        if (n)
-            lmn_cbor_put_value(is, &d, n);
+        if (node)
+            lmn_cbor_put_value(is, &d, node);
         same = is->len == v->len && !memcmp(is->data, v->data, v->len);
         lmn_cbor_free(&d);
     }
@@ -517,13 +527,13 @@
 }
 
 static void install(struct lmn_gateway_records *b, struct lmn_record_write *w,
-                    uint64_t rev)
+                    uint64_t revision)
 {
     w->ok = true;
     if (w->job) {
         w->job->hand = w->home;
         sort_job(b, w->job);
-        w->job->rev = rev;
+        w->job->rev = revision;
     } else {
         if (w->host.epoch != w->guest->hand.epoch) {
             w->guest->handed = w->guest->leashed = false;
@@ -531,7 +541,7 @@
         }
         w->guest->hand = w->host;
         sort_guest(b, w->guest);
-        w->guest->rev = rev;
+        w->guest->rev = revision;
         lmn_remote_job_local_id(w->guest->home, w->guest->ref, w->host.epoch,
                                 w->guest->local);
     }
@@ -560,8 +570,9 @@
     }
 }
 
-void lmn_gateway_records_write(struct lmn_gateway_records *b, struct lmn_http_client *h,
-                               struct lmn_record_write *w, unsigned n)
+void lmn_gateway_records_write(struct lmn_gateway_records *b,
+                               struct lmn_http_client *client, struct lmn_record_write *w,
+                               unsigned n)
 {
     GByteArray *in = g_byte_array_new();
 
@@ -569,16 +580,16 @@
         /* Descriptions may be long: what goes together stays well below a transaction's
          * size. */
         unsigned k = MIN(n - at, (unsigned)MIN(b->txn_ops, 24));
-        uint64_t rev = 0;
-        int status = send(b, h, w + at, k, &rev, in);
+        uint64_t revision = 0;
+        int status = send(b, client, w + at, k, &revision, in);
         for (unsigned i = 0; i < k; i++) {
             struct lmn_record_write *x = &w[at + i];
-            uint64_t own = rev;
+            uint64_t own = revision;
             bool ok = status == 200;
             if (!ok && k > 1)
-                ok = send(b, h, x, 1, &own, in) == 200;
+                ok = send(b, client, x, 1, &own, in) == 200;
             if (!ok)
-                ok = was_written(h, x, &own, in);
+                ok = was_written(client, x, &own, in);
             pthread_mutex_lock(&b->lock);
             if (ok)
                 install(b, x, own);
@@ -594,8 +605,8 @@
 
 /* --- peers that are evicted --- */
 
-void lmn_gateway_records_evict(struct lmn_gateway_records *b, struct lmn_http_client *h,
-                               const char *site, bool out)
+void lmn_gateway_records_evict(struct lmn_gateway_records *b,
+                               struct lmn_http_client *client, const char *site, bool out)
 {
     GByteArray *q = g_byte_array_new(), *in = g_byte_array_new();
     char *key = g_strdup_printf("g/e/%s", site);
@@ -609,7 +620,7 @@
     if (out)
         lmn_cbor_put_text(q, WIRE_VALUE), lmn_cbor_put_bool(q, true);
     /* Said again, it is the same: an answer that was lost does no harm. */
-    if (insist(h, "POST", WIRE_PATH_TXN, q, in) == 200) {
+    if (insist(client, "POST", WIRE_PATH_TXN, q, in) == 200) {
         pthread_mutex_lock(&b->lock);
         if (out)
             g_hash_table_add(b->evicted, g_strdup(site));
--- a/src/gateway/records.h
+++ b/src/gateway/records.h
@@ -100,12 +100,14 @@
 };
 /* Writes them, the lock not held; those that are written are changed in memory, all are
  * put back. A new record that could not be written is forgotten. */
-void lmn_gateway_records_write(struct lmn_gateway_records *b, struct lmn_http_client *h,
-                               struct lmn_record_write *w, unsigned n);
+void lmn_gateway_records_write(struct lmn_gateway_records *b,
+                               struct lmn_http_client *client, struct lmn_record_write *w,
+                               unsigned n);
 /* Records that an operator has evicted the site, or that it is a peer again; in memory
  * only once it is on the disk. The lock is not held. */
-void lmn_gateway_records_evict(struct lmn_gateway_records *b, struct lmn_http_client *h,
-                               const char *site, bool out);
+void lmn_gateway_records_evict(struct lmn_gateway_records *b,
+                               struct lmn_http_client *client, const char *site,
+                               bool out);
 /* Whether it is evicted; the lock is held. */
 bool lmn_gateway_records_is_evicted(const struct lmn_gateway_records *b,
                                     const char *site);
--- a/src/gateway/sync.c
+++ b/src/gateway/sync.c
@@ -11,41 +11,41 @@
     return p->g->o->peers[p->index].site;
 }
 
-void lmn_gateway_hello_fill(struct lmn_gateway *g, lmn_gateway_rpc_hello *h)
+void lmn_gateway_hello_fill(struct lmn_gateway *gateway, lmn_gateway_rpc_hello *h)
 {
     static uint64_t serial;
     size_t n;
 
-    pthread_mutex_lock(&g->book.lock);
+    pthread_mutex_lock(&gateway->book.lock);
     serial = MAX(serial + 1, (uint64_t)g_get_real_time());
     h->serial = serial;
-    pthread_mutex_unlock(&g->book.lock);
-    h->site = (char *)g->o->site;
-    h->gateway = (char *)g->o->name;
+    pthread_mutex_unlock(&gateway->book.lock);
+    h->site = (char *)gateway->o->site;
+    h->gateway = (char *)gateway->o->name;
     h->protocol = PROTOCOL;
-    h->incarnation = g->book.incarnation;
-    h->crl.crl_val = (char *)lmn_tls_crl(g->tls, &n);
+    h->incarnation = gateway->book.incarnation;
+    h->crl.crl_val = (char *)lmn_tls_crl(gateway->tls, &n);
     h->crl.crl_len = (u_int)n;
 }
 
-const char *lmn_gateway_hello_accept(struct lmn_gateway *g, const char *site,
+const char *lmn_gateway_hello_accept(struct lmn_gateway *gateway, const char *site,
                                      const lmn_gateway_rpc_hello *h)
 {
-    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(g, site);
+    struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(gateway, site);
 
     if (strcmp(h->site, site))
         return "wrong name: the hello is another site's";
     if (h->protocol != PROTOCOL)
         return "another protocol";
-    lmn_tls_learn_crl(g->tls, site, (const unsigned char *)h->crl.crl_val,
+    lmn_tls_learn_crl(gateway->tls, site, (const unsigned char *)h->crl.crl_val,
                       h->crl.crl_len);
-    pthread_mutex_lock(&g->book.lock);
+    pthread_mutex_lock(&gateway->book.lock);
     if (p->incarnation && p->incarnation != h->incarnation)
         lmn_error("peer-restored site=%s", site);
     p->incarnation = h->incarnation;
     p->heard = lmn_now();
     p->up = true;
-    pthread_mutex_unlock(&g->book.lock);
+    pthread_mutex_unlock(&gateway->book.lock);
     return NULL;
 }
 
--- a/src/gateway/sync_internal.h
+++ b/src/gateway/sync_internal.h
@@ -10,9 +10,9 @@
 
 const char *lmn_gateway_peer_site(const struct lmn_gateway_peer *p);
 /* This gateway's hello; its strings belong to the gateway. */
-void lmn_gateway_hello_fill(struct lmn_gateway *g, lmn_gateway_rpc_hello *h);
+void lmn_gateway_hello_fill(struct lmn_gateway *gateway, lmn_gateway_rpc_hello *h);
 /* Takes a peer's hello; what is wrong with it, or NULL. */
-const char *lmn_gateway_hello_accept(struct lmn_gateway *g, const char *site,
+const char *lmn_gateway_hello_accept(struct lmn_gateway *gateway, const char *site,
                                      const lmn_gateway_rpc_hello *h);
 /* One more in an array of lmn_gateway_rpc_item, zero; belongs to the array, until that
  * grows. */
--- a/src/http/metrics.c
+++ b/src/http/metrics.c
@@ -39,26 +39,27 @@
 }
 
 void lmn_quantiles(GString *out, const char *name, const char *help,
-                   const struct lmn_latency *l)
+                   const struct lmn_latency *latency)
 {
     static const char *const shares[] = {"0.5", "0.95", "0.99"};
 
     lmn_metric_head(out, name, "summary", help);
     for (guint i = 0; i < G_N_ELEMENTS(shares); i++)
         lmn_metric_sample(out, name, "quantile", shares[i],
-                          lmn_latency_quantile(l, g_ascii_strtod(shares[i], NULL)));
-    g_string_append_printf(out, "%s_count %.0f\n", name, gsl_histogram_sum(l->h));
+                          lmn_latency_quantile(latency, g_ascii_strtod(shares[i], NULL)));
+    g_string_append_printf(out, "%s_count %.0f\n", name, gsl_histogram_sum(latency->h));
 }
 
-void lmn_metrics_answer(struct lmn_http_request *call,
+void lmn_metrics_answer(struct lmn_http_request *request,
                         void (*fill)(void *arg, GString *out), void *arg)
 {
-    GString *s = g_string_new(NULL);
+    GString *text = g_string_new(NULL);
 
-    fill(arg, s);
-    g_string_append(s, "# EOF\n");
-    gsize len = s->len;
-    GByteArray *b = g_byte_array_new_take((guint8 *)g_string_free(s, FALSE), len);
+    fill(arg, text);
+    g_string_append(text, "# EOF\n");
+    gsize len = text->len;
+    GByteArray *buffer = g_byte_array_new_take((guint8 *)g_string_free(text, FALSE), len);
     lmn_http_request_respond_as(
-        call, 200, "application/openmetrics-text; version=1.0.0; charset=utf-8", b);
+        request, 200, "application/openmetrics-text; version=1.0.0; charset=utf-8",
+        buffer);
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -57,13 +57,14 @@
 };
 
 /* NULL if it can't listen (errno tells). Serves until the process ends. */
-struct lmn_http_server *lmn_http_server_start(const struct lmn_http_server_options *o);
+struct lmn_http_server *
+lmn_http_server_start(const struct lmn_http_server_options *options);
 /* The port that it listens on: for an address with port 0. */
-int lmn_http_server_port(const struct lmn_http_server *h);
+int lmn_http_server_port(const struct lmn_http_server *server);
 /* Serves a connection that the caller has accepted; takes fd over. -1 if it can't. */
-int lmn_http_server_adopt(struct lmn_http_server *h, int fd);
+int lmn_http_server_adopt(struct lmn_http_server *server, int fd);
 /* Calls that have waited too long are answered 503 now. */
-void lmn_http_server_expire_deferred(struct lmn_http_server *h);
+void lmn_http_server_expire_deferred(struct lmn_http_server *server);
 
 /* Connections now, by kind, and how many answers closed theirs for want of sockets. From
  * any thread. */
@@ -72,30 +73,32 @@
     uint64_t closed[LMN_HTTP_CONNECTION_KINDS];
     uint64_t turned_away[LMN_HTTP_CONNECTION_KINDS]; /* not let in */
 };
-void lmn_http_server_load(const struct lmn_http_server *h,
+void lmn_http_server_load(const struct lmn_http_server *server,
                           struct lmn_http_server_load *load);
 
-enum lmn_http_method lmn_http_request_method(const struct lmn_http_request *call);
-const char *lmn_http_request_path(const struct lmn_http_request *call);
-const GByteArray *lmn_http_request_body(const struct lmn_http_request *call);
+enum lmn_http_method lmn_http_request_method(const struct lmn_http_request *request);
+const char *lmn_http_request_path(const struct lmn_http_request *request);
+const GByteArray *lmn_http_request_body(const struct lmn_http_request *request);
 /* A query's value; NULL if there is none. Valid until the call is answered; only on the
  * server's thread. */
-const char *lmn_http_request_query(const struct lmn_http_request *call, const char *name);
+const char *lmn_http_request_query(const struct lmn_http_request *request,
+                                   const char *name);
 /* Counts the call's connection among those of the kind from now on. Only on the server's
  * thread, before the call is answered or held. */
-void lmn_http_request_set_kind(struct lmn_http_request *call, unsigned kind);
+void lmn_http_request_set_kind(struct lmn_http_request *request, unsigned kind);
 /* The connection's local port, for servers of many addresses. */
-int lmn_http_request_port(const struct lmn_http_request *call);
+int lmn_http_request_port(const struct lmn_http_request *request);
 /* Answers it with CBOR; whoever comes first counts. retry_after in seconds, 0: none.
  * Takes over the body (NULL: none). Gives up the caller's hold. */
-void lmn_http_request_respond(struct lmn_http_request *call, int status, GByteArray *body,
-                              int retry_after);
+void lmn_http_request_respond(struct lmn_http_request *request, int status,
+                              GByteArray *body, int retry_after);
 /* The same with a body of another type, as in "text/plain". */
-void lmn_http_request_respond_as(struct lmn_http_request *call, int status,
+void lmn_http_request_respond_as(struct lmn_http_request *request, int status,
                                  const char *type, GByteArray *body);
 /* {"error": what} */
-void lmn_http_request_fail(struct lmn_http_request *call, int status, const char *what);
+void lmn_http_request_fail(struct lmn_http_request *request, int status,
+                           const char *what);
 /* The answer will come from another thread, which now holds the call. */
-void lmn_http_request_defer(struct lmn_http_request *call);
+void lmn_http_request_defer(struct lmn_http_request *request);
 
 #endif
