--- a/src/image_store/client.c
+++ b/src/image_store/client.c
@@ -24,8 +24,8 @@
     return -1;
 }
 
-int lmn_image_store_put(struct lmn_http_client *h, const GByteArray *blob, char *digest,
-                        struct lmn_image_store_error *e)
+int lmn_image_store_put(struct lmn_http_client *client, const GByteArray *blob,
+                        char *digest, struct lmn_image_store_error *e)
 {
     GByteArray *out = g_byte_array_new();
     char path[128], stat[160];
@@ -33,20 +33,20 @@
     lmn_digest(blob->data, blob->len, digest);
     g_snprintf(path, sizeof path, "/blobs/%s", digest);
     g_snprintf(stat, sizeof stat, "%s?Stat=1", path);
-    int status = lmn_http_client_call(h, "GET", stat, NULL, PATIENCE_S, out);
+    int status = lmn_http_client_call(client, "GET", stat, NULL, PATIENCE_S, out);
     if (status == 404)
-        status = lmn_http_client_call(h, "PUT", path, blob, PATIENCE_S, out);
+        status = lmn_http_client_call(client, "PUT", path, blob, PATIENCE_S, out);
     g_byte_array_unref(out);
     return status == 200 || status == 201 ? 0 : failed(e, status, path);
 }
 
-int lmn_image_store_get(struct lmn_http_client *h, const char *digest, GByteArray *blob,
-                        struct lmn_image_store_error *e)
+int lmn_image_store_get(struct lmn_http_client *client, const char *digest,
+                        GByteArray *blob, struct lmn_image_store_error *e)
 {
     char path[128], is[LMN_DIGEST_SIZE];
 
     g_snprintf(path, sizeof path, "/blobs/%s", digest);
-    int status = lmn_http_client_call(h, "GET", path, NULL, PATIENCE_S, blob);
+    int status = lmn_http_client_call(client, "GET", path, NULL, PATIENCE_S, blob);
     if (status != 200)
         return failed(e, status, path);
     lmn_digest(blob->data, blob->len, is);
@@ -57,28 +57,30 @@
     return -1;
 }
 
-int lmn_image_store_bind(struct lmn_http_client *h, const char *kind, const char *name,
-                         const char *digest, struct lmn_image_store_error *e)
+int lmn_image_store_bind(struct lmn_http_client *client, const char *kind,
+                         const char *name, const char *digest,
+                         struct lmn_image_store_error *e)
 {
     GByteArray *in = g_byte_array_new(), *out = g_byte_array_new();
     char path[256];
 
     g_snprintf(path, sizeof path, "/names/%s/%s", kind, name);
     g_byte_array_append(in, (const guint8 *)digest, (guint)strlen(digest));
-    int status = lmn_http_client_call(h, "PUT", path, in, PATIENCE_S, out);
+    int status = lmn_http_client_call(client, "PUT", path, in, PATIENCE_S, out);
     g_byte_array_unref(in);
     g_byte_array_unref(out);
     return status == 200 || status == 201 ? 0 : failed(e, status, path);
 }
 
-int lmn_image_store_lookup(struct lmn_http_client *h, const char *kind, const char *name,
-                           char *digest, struct lmn_image_store_error *e)
+int lmn_image_store_lookup(struct lmn_http_client *client, const char *kind,
+                           const char *name, char *digest,
+                           struct lmn_image_store_error *e)
 {
     GByteArray *out = g_byte_array_new();
     char path[256];
 
     g_snprintf(path, sizeof path, "/names/%s/%s", kind, name);
-    int status = lmn_http_client_call(h, "GET", path, NULL, PATIENCE_S, out);
+    int status = lmn_http_client_call(client, "GET", path, NULL, PATIENCE_S, out);
     bool ok = status == 200 && out->len == LMN_DIGEST_SIZE - 1;
     if (ok) {
         memcpy(digest, out->data, LMN_DIGEST_SIZE - 1);
--- a/src/image_store/image.c
+++ b/src/image_store/image.c
@@ -109,10 +109,10 @@
     return rc;
 }
 
-int lmn_image_put(struct lmn_http_client *h, const char *name, const char *dir,
+int lmn_image_put(struct lmn_http_client *client, const char *name, const char *dir,
                   uint64_t *bytes, struct lmn_image_store_error *e)
 {
-    struct walk w = {.http = h, .e = e, .files = g_byte_array_new()};
+    struct walk w = {.http = client, .e = e, .files = g_byte_array_new()};
     int rc = put_dir(&w, dir, "");
     GByteArray *list = g_byte_array_new();
     char digest[LMN_DIGEST_SIZE];
@@ -120,9 +120,9 @@
     lmn_cbor_put_array(list, w.n);
     g_byte_array_append(list, w.files->data, w.files->len);
     if (rc == 0)
-        rc = lmn_image_store_put(h, list, digest, e);
+        rc = lmn_image_store_put(client, list, digest, e);
     if (rc == 0)
-        rc = lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, e);
+        rc = lmn_image_store_bind(client, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, e);
     *bytes = w.bytes;
     g_byte_array_unref(w.files);
     g_byte_array_unref(list);
@@ -152,16 +152,18 @@
     uint64_t bytes;
 };
 
-static int get_file(struct fetch *f, const char *dir, const struct lmn_cbor_document *d,
-                    const struct lmn_cbor_value *n)
+static int get_file(struct fetch *f, const char *dir,
+                    const struct lmn_cbor_document *document,
+                    const struct lmn_cbor_value *node)
 {
     char path[1024], digest[LMN_DIGEST_SIZE];
     uint64_t mode = 0;
     GByteArray *piece = g_byte_array_new();
     int rc = 0;
 
-    if (!lmn_cbor_get_text(lmn_cbor_get(d, n, "Path"), path, sizeof path) ||
-        !path_ok(path) || !lmn_cbor_get_uint(lmn_cbor_get(d, n, "Mode"), &mode)) {
+    if (!lmn_cbor_get_text(lmn_cbor_get(document, node, "Path"), path, sizeof path) ||
+        !path_ok(path) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(document, node, "Mode"), &mode)) {
         g_byte_array_unref(piece);
         return wrong(f->e, "image", "its list of files can't be read");
     }
@@ -171,12 +173,12 @@
                   (mode_t)(mode & 0777));
     if (fd < 0)
         rc = wrong(f->e, to, strerror(errno));
-    const struct lmn_cbor_value *pieces = lmn_cbor_get(d, n, "Pieces");
-    for (const struct lmn_cbor_value *p = lmn_cbor_first_child(d, pieces); p && rc == 0;
-         p = lmn_cbor_next(d, p)) {
+    const struct lmn_cbor_value *pieces = lmn_cbor_get(document, node, "Pieces");
+    for (const struct lmn_cbor_value *pair = lmn_cbor_first_child(document, pieces);
+         pair && rc == 0; pair = lmn_cbor_next(document, pair)) {
         if (f->go_on && !f->go_on(f->arg))
             rc = wrong(f->e, path, "given up: no task waits for it");
-        else if (!lmn_cbor_get_text(p, digest, sizeof digest))
+        else if (!lmn_cbor_get_text(pair, digest, sizeof digest))
             rc = wrong(f->e, path, "its pieces can't be read");
         else
             rc = lmn_image_store_get(f->http, digest, piece, f->e);
@@ -197,29 +199,31 @@
     return rc;
 }
 
-int lmn_image_get(struct lmn_http_client *h, const char *name, const char *dir,
+int lmn_image_get(struct lmn_http_client *client, const char *name, const char *dir,
                   double bytes_per_s, bool (*go_on)(void *arg), void *arg,
                   uint64_t *bytes, struct lmn_image_store_error *e)
 {
-    struct fetch f = {h, e, bytes_per_s, go_on, arg, lmn_now(), 0};
+    struct fetch f = {client, e, bytes_per_s, go_on, arg, lmn_now(), 0};
     GByteArray *list = g_byte_array_new();
     char digest[LMN_DIGEST_SIZE], *part = g_strdup_printf("%s.part", dir);
     struct lmn_cbor_document d;
-    int rc = lmn_image_name_is_valid(name)
-                 ? lmn_image_store_lookup(h, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, e)
-                 : wrong(e, name, "can't be an image's name");
+    int rc =
+        lmn_image_name_is_valid(name)
+            ? lmn_image_store_lookup(client, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, e)
+            : wrong(e, name, "can't be an image's name");
 
     if (rc == 0)
-        rc = lmn_image_store_get(h, digest, list, e);
+        rc = lmn_image_store_get(client, digest, list, e);
     if (rc == 0 && lmn_cbor_parse(&d, list->data, list->len) != 0)
         rc = wrong(e, name, "its list of files can't be read");
     else if (rc == 0) {
         lmn_tree_remove(part);
         if (g_mkdir_with_parents(part, 0755) != 0)
             rc = wrong(e, part, strerror(errno));
-        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, lmn_cbor_root(&d));
-             n && rc == 0; n = lmn_cbor_next(&d, n))
-            rc = get_file(&f, part, &d, n);
+        for (const struct lmn_cbor_value *node =
+                 lmn_cbor_first_child(&d, lmn_cbor_root(&d));
+             node && rc == 0; node = lmn_cbor_next(&d, node))
+            rc = get_file(&f, part, &d, node);
         lmn_cbor_free(&d);
         if (rc == 0 && rename(part, dir) != 0)
             rc = wrong(e, dir, strerror(errno));
--- a/src/image_store/image.h
+++ b/src/image_store/image.h
@@ -11,11 +11,11 @@
 bool lmn_image_name_is_valid(const char *name);
 /* Uploads a directory under the name. bytes: its size. 0, or -1 with e. Files and
  * directories only: a link or a device is refused by name. */
-int lmn_image_put(struct lmn_http_client *h, const char *name, const char *dir,
+int lmn_image_put(struct lmn_http_client *client, const char *name, const char *dir,
                   uint64_t *bytes, struct lmn_image_store_error *e);
 /* Fetches the image into the directory, which must not exist: whole, or not there. At
  * most bytes_per_s (0: any). go_on, if given, is asked between pieces. */
-int lmn_image_get(struct lmn_http_client *h, const char *name, const char *dir,
+int lmn_image_get(struct lmn_http_client *client, const char *name, const char *dir,
                   double bytes_per_s, bool (*go_on)(void *arg), void *arg,
                   uint64_t *bytes, struct lmn_image_store_error *e);
 
--- a/src/image_store/image_store.h
+++ b/src/image_store/image_store.h
@@ -35,14 +35,16 @@
 };
 /* The hex SHA-256 of the bytes; digest: LMN_DIGEST_SIZE bytes. */
 void lmn_digest(const void *bytes, size_t len, char *digest);
-int lmn_image_store_put(struct lmn_http_client *h, const GByteArray *blob, char *digest,
-                        struct lmn_image_store_error *e);
+int lmn_image_store_put(struct lmn_http_client *client, const GByteArray *blob,
+                        char *digest, struct lmn_image_store_error *e);
 /* Checks what it got against the digest. */
-int lmn_image_store_get(struct lmn_http_client *h, const char *digest, GByteArray *blob,
-                        struct lmn_image_store_error *e);
-int lmn_image_store_bind(struct lmn_http_client *h, const char *kind, const char *name,
-                         const char *digest, struct lmn_image_store_error *e);
-int lmn_image_store_lookup(struct lmn_http_client *h, const char *kind, const char *name,
-                           char *digest, struct lmn_image_store_error *e);
+int lmn_image_store_get(struct lmn_http_client *client, const char *digest,
+                        GByteArray *blob, struct lmn_image_store_error *e);
+int lmn_image_store_bind(struct lmn_http_client *client, const char *kind,
+                         const char *name, const char *digest,
+                         struct lmn_image_store_error *e);
+int lmn_image_store_lookup(struct lmn_http_client *client, const char *kind,
+                           const char *name, char *digest,
+                           struct lmn_image_store_error *e);
 
 #endif
--- a/src/image_store/work.c
+++ b/src/image_store/work.c
@@ -4,41 +4,41 @@
 
 enum { MAX_TEXTS = 4096 };
 
-static void put_texts(GByteArray *b, const char *key, char **v)
+static void put_texts(GByteArray *buffer, const char *key, char **v)
 {
     guint n = v ? g_strv_length(v) : 0;
 
-    lmn_cbor_put_text(b, key), lmn_cbor_put_array(b, n);
+    lmn_cbor_put_text(buffer, key), lmn_cbor_put_array(buffer, n);
     for (guint i = 0; i < n; i++)
-        lmn_cbor_put_text(b, v[i]);
+        lmn_cbor_put_text(buffer, v[i]);
 }
 
 GByteArray *lmn_task_command_encode(const struct lmn_task_command *w)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
 
-    lmn_cbor_put_map(b, 3);
-    put_texts(b, "Command", w->argv);
-    put_texts(b, "Environment", w->env);
-    lmn_cbor_put_text(b, "Job"), lmn_cbor_put_map(b, lmn_job_spec_pair_count());
-    lmn_job_spec_write(b, &w->spec);
-    return b;
+    lmn_cbor_put_map(buffer, 3);
+    put_texts(buffer, "Command", w->argv);
+    put_texts(buffer, "Environment", w->env);
+    lmn_cbor_put_text(buffer, "Job"), lmn_cbor_put_map(buffer, lmn_job_spec_pair_count());
+    lmn_job_spec_write(buffer, &w->spec);
+    return buffer;
 }
 
-static char **read_texts(const struct lmn_cbor_document *d,
+static char **read_texts(const struct lmn_cbor_document *document,
                          const struct lmn_cbor_value *list)
 {
     if (!list || list->type != LMN_CBOR_ARRAY || list->len > MAX_TEXTS)
         return NULL;
     char **v = g_new0(char *, list->len + 1);
     guint k = 0;
-    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, list); n;
-         n = lmn_cbor_next(d, n)) {
-        if (n->type != LMN_CBOR_TEXT || memchr(n->s, '\0', n->len)) {
+    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, list); node;
+         node = lmn_cbor_next(document, node)) {
+        if (node->type != LMN_CBOR_TEXT || memchr(node->s, '\0', node->len)) {
             g_strfreev(v);
             return NULL;
         }
-        v[k++] = g_strndup(n->s, n->len);
+        v[k++] = g_strndup(node->s, node->len);
     }
     return v;
 }
--- a/src/inventory/inventory.h
+++ b/src/inventory/inventory.h
@@ -33,13 +33,14 @@
 
 /* Fills *v from the file; -1 with "file: line N: field: what" in err. lmn_inventory_clear
  * frees. */
-int lmn_inventory_load(const char *path, struct lmn_inventory *v, char *err, size_t len);
-int lmn_inventory_parse(const char *text, const char *name, struct lmn_inventory *v,
-                        char *err, size_t len);
-void lmn_inventory_clear(struct lmn_inventory *v);
+int lmn_inventory_load(const char *path, struct lmn_inventory *inventory, char *err,
+                       size_t len);
+int lmn_inventory_parse(const char *text, const char *name,
+                        struct lmn_inventory *inventory, char *err, size_t len);
+void lmn_inventory_clear(struct lmn_inventory *inventory);
 /* -1: there is none. */
-int lmn_inventory_type(const struct lmn_inventory *v, const char *name);
-const struct lmn_slot *lmn_inventory_slot(const struct lmn_inventory *v,
+int lmn_inventory_type(const struct lmn_inventory *inventory, const char *name);
+const struct lmn_slot *lmn_inventory_slot(const struct lmn_inventory *inventory,
                                           const char *name);
 
 #endif
--- a/src/job/job_spec.h
+++ b/src/job/job_spec.h
@@ -46,25 +46,27 @@
 bool lmn_job_id_is_valid(const char *ref);
 /* 0, or -1 if a field is missing or invalid; *what then says which. Frees nothing it took
  * on failure but what lmn_job_spec_clear frees. */
-int lmn_job_spec_parse(struct lmn_job_spec *s, const struct lmn_cbor_document *doc,
+int lmn_job_spec_parse(struct lmn_job_spec *spec, const struct lmn_cbor_document *doc,
                        const struct lmn_cbor_value *map, const char **what);
-void lmn_job_spec_clear(struct lmn_job_spec *s);
+void lmn_job_spec_clear(struct lmn_job_spec *spec);
 /* Appends the fields as pairs of an open map: as many as lmn_job_spec_pair_count says. */
-void lmn_job_spec_write(GByteArray *b, const struct lmn_job_spec *s);
+void lmn_job_spec_write(GByteArray *buffer, const struct lmn_job_spec *spec);
 size_t lmn_job_spec_pair_count(void);
 
-bool lmn_job_spec_allows(const struct lmn_job_spec *s, const struct lmn_machine_type *t,
-                         const char *zone, bool spot);
+bool lmn_job_spec_allows(const struct lmn_job_spec *spec,
+                         const struct lmn_machine_type *type, const char *zone,
+                         bool spot);
 /* Whether the job could ever run; *why says what is against it. */
-bool lmn_job_spec_is_feasible(const struct lmn_job_spec *s,
+bool lmn_job_spec_is_feasible(const struct lmn_job_spec *spec,
                               const struct lmn_settings *cfg,
                               const struct lmn_machine_types *types, const char **why);
 
 /* Whether the objective says when such a job should start or end. */
-bool lmn_objective_applies(const struct lmn_objective *o, const struct lmn_job_spec *s);
+bool lmn_objective_applies(const struct lmn_objective *objective,
+                           const struct lmn_job_spec *spec);
 /* Whether anything does, its deadline included. */
 bool lmn_job_spec_has_objective(const struct lmn_settings *cfg,
-                                const struct lmn_job_spec *s);
+                                const struct lmn_job_spec *spec);
 
 /* Sets of done tasks: one bit a task, as text of hexadecimal digits without closing
  * zeros. */
@@ -76,7 +78,7 @@
 {
     bits[i / 8] |= (uint8_t)(1u << (i % 8));
 }
-void lmn_bitset_write(GByteArray *b, const uint8_t *bits, uint32_t n);
+void lmn_bitset_write(GByteArray *buffer, const uint8_t *bits, uint32_t n);
 /* Reads such a text into bits (of n tasks); -1 if it names a task that there isn't. */
 int lmn_bitset_read(const struct lmn_cbor_value *text, uint8_t *bits, uint32_t n);
 uint32_t lmn_bitset_count(const uint8_t *bits, uint32_t n);
--- a/src/kv_client/kv_client.h
+++ b/src/kv_client/kv_client.h
@@ -33,52 +33,55 @@
 struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *cfg);
 /* Of one whose threads were never started; what was not sent counts as refused, so
  * whoever hears of that must still be there. */
-void lmn_kv_client_free(struct lmn_kv_client *s);
+void lmn_kv_client_free(struct lmn_kv_client *client);
 /* Starts the writers' threads. */
-void lmn_kv_client_start(struct lmn_kv_client *s);
+void lmn_kv_client_start(struct lmn_kv_client *client);
 
 /* A transaction: conditions, changes, and who hears of its outcome (once, on a writer's
  * thread, no lock held). */
-struct lmn_txn *lmn_txn_new(enum lmn_write_priority rank, lmn_txn_callback *done,
+struct lmn_txn *lmn_txn_new(enum lmn_write_priority priority, lmn_txn_callback *done,
                             void *arg);
-void lmn_txn_require_version(struct lmn_txn *t, const char *key, uint64_t version);
+void lmn_txn_require_version(struct lmn_txn *txn, const char *key, uint64_t version);
 /* Takes the value over. A lease of 0: none. */
-void lmn_txn_put(struct lmn_txn *t, const char *key, GByteArray *value, uint64_t lease);
+void lmn_txn_put(struct lmn_txn *txn, const char *key, GByteArray *value, uint64_t lease);
 /* As lmn_txn_put without a lease, ahead of the changes so far. */
-void lmn_txn_put_first(struct lmn_txn *t, const char *key, GByteArray *value);
-void lmn_txn_delete(struct lmn_txn *t, const char *key);
-void lmn_txn_free(struct lmn_txn *t);
+void lmn_txn_put_first(struct lmn_txn *txn, const char *key, GByteArray *value);
+void lmn_txn_delete(struct lmn_txn *txn, const char *key);
+void lmn_txn_free(struct lmn_txn *txn);
 /* The same transaction once more, to be sent beside or after it. */
-struct lmn_txn *lmn_txn_copy(const struct lmn_txn *t);
-guint lmn_txn_operation_count(const struct lmn_txn *t);
+struct lmn_txn *lmn_txn_copy(const struct lmn_txn *txn);
+guint lmn_txn_operation_count(const struct lmn_txn *txn);
 /* Calls f for each change: value NULL is a removal; lease: what the key hangs on, 0 if
  * nothing. */
-void lmn_txn_foreach_operation(const struct lmn_txn *t,
+void lmn_txn_foreach_operation(const struct lmn_txn *txn,
                                void (*f)(void *arg, const char *key,
                                          const GByteArray *value, uint64_t lease),
                                void *arg);
 
-void lmn_txn_foreach_condition(const struct lmn_txn *t,
+void lmn_txn_foreach_condition(const struct lmn_txn *txn,
                                void (*f)(void *arg, const char *key, uint64_t version),
                                void *arg);
 /* Without the writers' threads (in tests): takes the next transaction off the queues,
  * NULL if there is none, and tells its outcome. */
-struct lmn_txn *lmn_kv_client_dequeue(struct lmn_kv_client *s);
-void lmn_txn_complete(struct lmn_txn *t, enum lmn_txn_outcome outcome, uint64_t revision);
+struct lmn_txn *lmn_kv_client_dequeue(struct lmn_kv_client *client);
+void lmn_txn_complete(struct lmn_txn *txn, enum lmn_txn_outcome outcome,
+                      uint64_t revision);
 
-void lmn_kv_client_submit(struct lmn_kv_client *s, struct lmn_txn *t);
+void lmn_kv_client_submit(struct lmn_kv_client *client, struct lmn_txn *txn);
 /* Seconds that a new transaction of this rank would wait for its turn. */
-double lmn_kv_client_backlog_s(struct lmn_kv_client *s, enum lmn_write_priority rank);
+double lmn_kv_client_backlog_s(struct lmn_kv_client *client,
+                               enum lmn_write_priority priority);
 /* How many changes that can wait may be submitted now, so that they go out at once. */
-double lmn_kv_client_spare_writes(struct lmn_kv_client *s);
+double lmn_kv_client_spare_writes(struct lmn_kv_client *client);
 /* Copies the times that transactions took into *writing, which was set up; returns how
  * many changes wait. */
-double lmn_kv_client_statistics(struct lmn_kv_client *s, struct lmn_latency *writing);
+double lmn_kv_client_statistics(struct lmn_kv_client *client,
+                                struct lmn_latency *writing);
 /* Waits for leave to send one more request. */
-void lmn_kv_client_wait_for_token(struct lmn_kv_client *s);
+void lmn_kv_client_wait_for_token(struct lmn_kv_client *client);
 /* Sends a transaction now, on the calling thread, outside the batches. */
 enum lmn_txn_outcome lmn_kv_client_commit(struct lmn_kv_client *s,
-                                          struct lmn_http_client *h, struct lmn_txn *t,
+                                          struct lmn_http_client *h, struct lmn_txn *txn,
                                           uint64_t *revision, GPtrArray *conflicts);
 
 #endif
--- a/src/kv_store/db.h
+++ b/src/kv_store/db.h
@@ -28,7 +28,7 @@
 };
 
 /* NULL with what is wrong in err ("DIR: what; mend"). */
-struct lmn_db *lmn_db_open(const struct lmn_db_options *o, char *err, size_t len);
+struct lmn_db *lmn_db_open(const struct lmn_db_options *options, char *err, size_t len);
 void lmn_db_close(struct lmn_db *db);
 
 /* What the meta record says, as of the last commit or read. */
@@ -68,28 +68,28 @@
 /* Applies one, whole or not at all. LMN_DB_CONFLICT: keys whose condition failed are
  * added to failed (the caller's strings to free). LMN_DB_BROKEN: the batch can only be
  * given up. */
-enum lmn_db_outcome lmn_db_apply(struct lmn_db_batch *b, const struct lmn_db_txn *t,
+enum lmn_db_outcome lmn_db_apply(struct lmn_db_batch *batch, const struct lmn_db_txn *txn,
                                  uint64_t *rev, GPtrArray *failed);
 /* A new lease; 0 if the batch is broken. */
-uint64_t lmn_db_grant(struct lmn_db_batch *b, uint32_t ttl_ms);
+uint64_t lmn_db_grant(struct lmn_db_batch *batch, uint32_t ttl_ms);
 /* Ends a lease: removes what is attached to it. false: no such lease. */
-bool lmn_db_revoke(struct lmn_db_batch *b, uint64_t lease);
-uint64_t lmn_db_batch_revision(const struct lmn_db_batch *b);
+bool lmn_db_revoke(struct lmn_db_batch *batch, uint64_t lease);
+uint64_t lmn_db_batch_revision(const struct lmn_db_batch *batch);
 /* Ends the batch. 0: on the disk. -1: nothing of it was applied, err says why. -2:
  * whether it was can't be told, and the database takes no more: the process has to end
  * without answering. */
-int lmn_db_commit(struct lmn_db_batch *b, char *err, size_t len);
-void lmn_db_abort(struct lmn_db_batch *b);
+int lmn_db_commit(struct lmn_db_batch *batch, char *err, size_t len);
+void lmn_db_abort(struct lmn_db_batch *batch);
 
 /* --- reading: a consistent view, of the calling thread --- */
 
 struct lmn_db_reader;
 struct lmn_db_reader *lmn_db_reader_new(struct lmn_db *db);
-void lmn_db_reader_free(struct lmn_db_reader *r);
+void lmn_db_reader_free(struct lmn_db_reader *reader);
 /* Begins a view; pointers that it hands out hold until lmn_db_view_end. 0 or an
  * errno-like code. */
-int lmn_db_view(struct lmn_db_reader *r, struct lmn_db_meta *meta);
-void lmn_db_view_end(struct lmn_db_reader *r);
+int lmn_db_view(struct lmn_db_reader *reader, struct lmn_db_meta *meta);
+void lmn_db_view_end(struct lmn_db_reader *reader);
 
 struct lmn_db_item {
     char key[LMN_DB_KEY + 1];
@@ -97,15 +97,15 @@
     size_t len;
     uint64_t rev, lease;
 };
-bool lmn_db_get(struct lmn_db_reader *r, const char *key, struct lmn_db_item *item);
+bool lmn_db_get(struct lmn_db_reader *reader, const char *key, struct lmn_db_item *item);
 /* Calls f for each record under the prefix after the key (NULL: from the first), in key
  * order, until f returns false. */
-void lmn_db_list(struct lmn_db_reader *r, const char *prefix, const char *after,
+void lmn_db_list(struct lmn_db_reader *reader, const char *prefix, const char *after,
                  bool (*f)(void *arg, const struct lmn_db_item *item), void *arg);
 /* Calls f for each change after the revision, in order, whatever its key. */
-void lmn_db_changes(struct lmn_db_reader *r, uint64_t after,
+void lmn_db_changes(struct lmn_db_reader *reader, uint64_t after,
                     bool (*f)(void *arg, const struct lmn_db_item *item), void *arg);
-void lmn_db_leases(struct lmn_db_reader *r,
+void lmn_db_leases(struct lmn_db_reader *reader,
                    void (*f)(void *arg, uint64_t id, uint32_t ttl_ms), void *arg);
 
 /* --- care --- */
--- a/src/kv_store/db_maintenance.c
+++ b/src/kv_store/db_maintenance.c
@@ -58,14 +58,14 @@
 static bool indexed(struct check *c, uint64_t lease, const MDB_val *key)
 {
     uint64_t be = GUINT64_TO_BE(lease);
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     MDB_val k, v;
 
-    g_byte_array_append(b, (const guint8 *)&be, sizeof be);
-    g_byte_array_append(b, key->mv_data, (guint)key->mv_size);
-    k = (MDB_val){b->len, b->data};
+    g_byte_array_append(buffer, (const guint8 *)&be, sizeof be);
+    g_byte_array_append(buffer, key->mv_data, (guint)key->mv_size);
+    k = (MDB_val){buffer->len, buffer->data};
     int rc = mdb_get(c->txn, c->db->dbi[LMN_LEASED], &k, &v);
-    g_byte_array_unref(b);
+    g_byte_array_unref(buffer);
     return rc == 0;
 }
 
--- a/src/kv_store/db_read.c
+++ b/src/kv_store/db_read.c
@@ -12,34 +12,34 @@
 
 struct lmn_db_reader *lmn_db_reader_new(struct lmn_db *db)
 {
-    struct lmn_db_reader *r = g_new0(struct lmn_db_reader, 1);
-    r->db = db;
-    return r;
+    struct lmn_db_reader *reader = g_new0(struct lmn_db_reader, 1);
+    reader->db = db;
+    return reader;
 }
 
-void lmn_db_reader_free(struct lmn_db_reader *r)
+void lmn_db_reader_free(struct lmn_db_reader *reader)
 {
-    if (r->txn)
-        mdb_txn_abort(r->txn);
-    g_free(r);
+    if (reader->txn)
+        mdb_txn_abort(reader->txn);
+    g_free(reader);
 }
 
-int lmn_db_view(struct lmn_db_reader *r, struct lmn_db_meta *meta)
+int lmn_db_view(struct lmn_db_reader *reader, struct lmn_db_meta *meta)
 {
-    int rc = r->txn ? mdb_txn_renew(r->txn)
-                    : mdb_txn_begin(r->db->env, NULL, MDB_RDONLY, &r->txn);
+    int rc = reader->txn ? mdb_txn_renew(reader->txn)
+                         : mdb_txn_begin(reader->db->env, NULL, MDB_RDONLY, &reader->txn);
 
     if (rc)
         return rc;
-    rc = lmn_db_meta_read(r->txn, r->db, meta);
+    rc = lmn_db_meta_read(reader->txn, reader->db, meta);
     if (rc)
-        mdb_txn_reset(r->txn);
+        mdb_txn_reset(reader->txn);
     return rc;
 }
 
-void lmn_db_view_end(struct lmn_db_reader *r)
+void lmn_db_view_end(struct lmn_db_reader *reader)
 {
-    mdb_txn_reset(r->txn);
+    mdb_txn_reset(reader->txn);
 }
 
 static bool read_item(const MDB_val *k, const MDB_val *v, struct lmn_db_item *item)
@@ -58,15 +58,15 @@
     return true;
 }
 
-bool lmn_db_get(struct lmn_db_reader *r, const char *key, struct lmn_db_item *item)
+bool lmn_db_get(struct lmn_db_reader *reader, const char *key, struct lmn_db_item *item)
 {
     MDB_val k = {strlen(key), (void *)key}, v;
 
-    return k.mv_size && mdb_get(r->txn, r->db->dbi[LMN_DATA], &k, &v) == 0 &&
+    return k.mv_size && mdb_get(reader->txn, reader->db->dbi[LMN_DATA], &k, &v) == 0 &&
            read_item(&k, &v, item);
 }
 
-void lmn_db_list(struct lmn_db_reader *r, const char *prefix, const char *after,
+void lmn_db_list(struct lmn_db_reader *reader, const char *prefix, const char *after,
                  bool (*f)(void *arg, const struct lmn_db_item *item), void *arg)
 {
     size_t plen = strlen(prefix);
@@ -75,7 +75,7 @@
     struct lmn_db_item item;
     MDB_cursor *cur;
 
-    if (mdb_cursor_open(r->txn, r->db->dbi[LMN_DATA], &cur) != 0)
+    if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_DATA], &cur) != 0)
         return;
     int rc = mdb_cursor_get(cur, &k, &v, k.mv_size ? MDB_SET_RANGE : MDB_FIRST);
     for (; !rc; rc = mdb_cursor_get(cur, &k, &v, MDB_NEXT)) {
@@ -111,7 +111,7 @@
     return true;
 }
 
-void lmn_db_changes(struct lmn_db_reader *r, uint64_t after,
+void lmn_db_changes(struct lmn_db_reader *reader, uint64_t after,
                     bool (*f)(void *arg, const struct lmn_db_item *item), void *arg)
 {
     struct lmn_db_log_key lk = {GUINT64_TO_BE(after + 1), 0};
@@ -119,7 +119,7 @@
     struct lmn_db_item item;
     MDB_cursor *cur;
 
-    if (mdb_cursor_open(r->txn, r->db->dbi[LMN_LOG], &cur) != 0)
+    if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_LOG], &cur) != 0)
         return;
     for (int rc = mdb_cursor_get(cur, &k, &v, MDB_SET_RANGE); !rc;
          rc = mdb_cursor_get(cur, &k, &v, MDB_NEXT))
@@ -128,13 +128,13 @@
     mdb_cursor_close(cur);
 }
 
-void lmn_db_leases(struct lmn_db_reader *r,
+void lmn_db_leases(struct lmn_db_reader *reader,
                    void (*f)(void *arg, uint64_t id, uint32_t ttl_ms), void *arg)
 {
     MDB_cursor *cur;
     MDB_val k, v;
 
-    if (mdb_cursor_open(r->txn, r->db->dbi[LMN_LEASES], &cur) != 0)
+    if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_LEASES], &cur) != 0)
         return;
     for (int rc = mdb_cursor_get(cur, &k, &v, MDB_FIRST); !rc;
          rc = mdb_cursor_get(cur, &k, &v, MDB_NEXT)) {
--- a/src/kv_store/db_write.c
+++ b/src/kv_store/db_write.c
@@ -31,15 +31,15 @@
 }
 
 /* Writes a record: room for the head is at the front of b. */
-static int put(MDB_txn *txn, MDB_dbi dbi, MDB_val *key, GByteArray *b, uint64_t rev,
-               uint64_t lease, unsigned flags, uint64_t *sum)
+static int put(MDB_txn *txn, MDB_dbi dbi, MDB_val *key, GByteArray *buffer,
+               uint64_t revision, uint64_t lease, unsigned flags, uint64_t *sum)
 {
-    struct lmn_db_head h = {0, rev, lease};
-    MDB_val v = {b->len, b->data};
+    struct lmn_db_head h = {0, revision, lease};
+    MDB_val v = {buffer->len, buffer->data};
 
-    memcpy(b->data, &h, sizeof h);
-    h.sum = lmn_db_sum(key, b->data + sizeof h.sum, b->len - sizeof h.sum);
-    memcpy(b->data, &h, sizeof h);
+    memcpy(buffer->data, &h, sizeof h);
+    h.sum = lmn_db_sum(key, buffer->data + sizeof h.sum, buffer->len - sizeof h.sum);
+    memcpy(buffer->data, &h, sizeof h);
     if (sum)
         *sum = h.sum;
     return mdb_put(txn, dbi, key, &v, flags);
@@ -47,9 +47,9 @@
 
 static GByteArray *with_head(void)
 {
-    GByteArray *b = g_byte_array_new();
-    g_byte_array_set_size(b, sizeof(struct lmn_db_head));
-    return b;
+    GByteArray *buffer = g_byte_array_new();
+    g_byte_array_set_size(buffer, sizeof(struct lmn_db_head));
+    return buffer;
 }
 
 int lmn_db_meta_read(MDB_txn *txn, const struct lmn_db *db, struct lmn_db_meta *meta)
@@ -70,11 +70,11 @@
                       const struct lmn_db_meta *meta)
 {
     MDB_val key = {4, (void *)"meta"};
-    GByteArray *b = with_head();
+    GByteArray *buffer = with_head();
 
-    g_byte_array_append(b, (const guint8 *)meta, sizeof *meta);
-    int rc = put(txn, db->dbi[LMN_META], &key, b, meta->revision, 0, 0, NULL);
-    g_byte_array_unref(b);
+    g_byte_array_append(buffer, (const guint8 *)meta, sizeof *meta);
+    int rc = put(txn, db->dbi[LMN_META], &key, buffer, meta->revision, 0, 0, NULL);
+    g_byte_array_unref(buffer);
     return rc;
 }
 
@@ -170,43 +170,44 @@
     return mdb_txn_commit(txn);
 }
 
-struct lmn_db *lmn_db_open(const struct lmn_db_options *o, char *err, size_t len)
+struct lmn_db *lmn_db_open(const struct lmn_db_options *options, char *err, size_t len)
 {
     struct lmn_db *db = g_new0(struct lmn_db, 1);
-    char *file = g_build_filename(o->dir, "data.mdb", NULL);
-    unsigned flags = o->read_only ? MDB_RDONLY : 0;
+    char *file = g_build_filename(options->dir, "data.mdb", NULL);
+    unsigned flags = options->read_only ? MDB_RDONLY : 0;
     struct stat st;
     bool there = stat(file, &st) == 0 && st.st_size > 0;
     int rc = 0;
 
     *err = '\0';
-    db->dir = g_strdup(o->dir);
+    db->dir = g_strdup(options->dir);
     db->lock_fd = -1;
     g_free(file);
-    if (o->create && g_mkdir_with_parents(o->dir, 0755) != 0)
+    if (options->create && g_mkdir_with_parents(options->dir, 0755) != 0)
         rc = errno;
-    else if (!there && !o->create)
+    else if (!there && !options->create)
         rc = ENOENT;
-    if (!rc && !o->read_only && !lock_dir(db, err, len))
+    if (!rc && !options->read_only && !lock_dir(db, err, len))
         rc = EBUSY;
     if (!rc)
         rc = mdb_env_create(&db->env);
     if (!rc) {
         mdb_env_set_maxdbs(db->env, LMN_DBIS);
         mdb_env_set_maxreaders(db->env, 64);
-        mdb_env_set_mapsize(db->env,
-                            (size_t)((o->map_gb > 0 ? o->map_gb : 64) * (1u << 30)));
-        rc = mdb_env_open(db->env, o->dir, flags | MDB_NOTLS, 0644);
+        mdb_env_set_mapsize(
+            db->env, (size_t)((options->map_gb > 0 ? options->map_gb : 64) * (1u << 30)));
+        rc = mdb_env_open(db->env, options->dir, flags | MDB_NOTLS, 0644);
         /* A reader beside nobody, in a directory that takes no lock file. */
-        if (o->read_only && (rc == EROFS || rc == EACCES))
-            rc = mdb_env_open(db->env, o->dir, flags | MDB_NOTLS | MDB_NOLOCK, 0644);
+        if (options->read_only && (rc == EROFS || rc == EACCES))
+            rc =
+                mdb_env_open(db->env, options->dir, flags | MDB_NOTLS | MDB_NOLOCK, 0644);
     }
     if (!rc)
-        rc = prepare(db, !o->read_only, !there, err, len);
+        rc = prepare(db, !options->read_only, !there, err, len);
     if (!rc)
         return db;
     if (!*err)
-        snprintf(err, len, "%s: %s; %s", o->dir, mdb_strerror(rc), mend(rc));
+        snprintf(err, len, "%s: %s; %s", options->dir, mdb_strerror(rc), mend(rc));
     lmn_db_close(db);
     return NULL;
 }
@@ -233,40 +234,40 @@
 
 struct lmn_db_batch *lmn_db_begin(struct lmn_db *db, char *err, size_t len)
 {
-    struct lmn_db_batch *b = g_new0(struct lmn_db_batch, 1);
-    int rc = mdb_txn_begin(db->env, NULL, 0, &b->txn);
+    struct lmn_db_batch *batch = g_new0(struct lmn_db_batch, 1);
+    int rc = mdb_txn_begin(db->env, NULL, 0, &batch->txn);
 
-    b->db = db;
+    batch->db = db;
     if (!rc) {
-        rc = lmn_db_meta_read(b->txn, db, &b->meta);
+        rc = lmn_db_meta_read(batch->txn, db, &batch->meta);
         if (rc)
-            mdb_txn_abort(b->txn);
+            mdb_txn_abort(batch->txn);
     }
     if (!rc)
-        return b;
+        return batch;
     snprintf(err, len, "%s", mdb_strerror(rc));
-    g_free(b);
+    g_free(batch);
     return NULL;
 }
 
-static bool went(struct lmn_db_batch *b, int rc)
+static bool went(struct lmn_db_batch *batch, int rc)
 {
-    if (rc && !b->rc)
-        b->rc = rc;
+    if (rc && !batch->rc)
+        batch->rc = rc;
     return rc == 0;
 }
 
 /* The record's head; false if there is none. */
-static bool look(struct lmn_db_batch *b, const char *key, struct lmn_db_head *h)
+static bool look(struct lmn_db_batch *batch, const char *key, struct lmn_db_head *h)
 {
     MDB_val k = {strlen(key), (void *)key}, v;
-    int rc = mdb_get(b->txn, b->db->dbi[LMN_DATA], &k, &v);
+    int rc = mdb_get(batch->txn, batch->db->dbi[LMN_DATA], &k, &v);
 
     if (rc == MDB_NOTFOUND)
         return false;
     if (!rc && v.mv_size < sizeof *h)
         rc = MDB_CORRUPTED;
-    if (!went(b, rc))
+    if (!went(batch, rc))
         return false;
     memcpy(h, v.mv_data, sizeof *h);
     return true;
@@ -274,136 +275,139 @@
 
 static GByteArray *leased_key(uint64_t lease, const char *key)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     uint64_t be = GUINT64_TO_BE(lease);
 
-    g_byte_array_append(b, (const guint8 *)&be, sizeof be);
-    g_byte_array_append(b, (const guint8 *)key, (guint)strlen(key));
-    return b;
+    g_byte_array_append(buffer, (const guint8 *)&be, sizeof be);
+    g_byte_array_append(buffer, (const guint8 *)key, (guint)strlen(key));
+    return buffer;
 }
 
-static void index_lease(struct lmn_db_batch *b, uint64_t lease, const char *key, bool add)
+static void index_lease(struct lmn_db_batch *batch, uint64_t lease, const char *key,
+                        bool add)
 {
     GByteArray *bytes = leased_key(lease, key);
     MDB_val k = {bytes->len, bytes->data}, none = {0, (void *)""};
-    MDB_dbi dbi = b->db->dbi[LMN_LEASED];
+    MDB_dbi dbi = batch->db->dbi[LMN_LEASED];
 
-    went(b, add ? mdb_put(b->txn, dbi, &k, &none, 0) : mdb_del(b->txn, dbi, &k, NULL));
+    went(batch, add ? mdb_put(batch->txn, dbi, &k, &none, 0)
+                    : mdb_del(batch->txn, dbi, &k, NULL));
     g_byte_array_unref(bytes);
 }
 
-static void log_change(struct lmn_db_batch *b, const struct lmn_db_change *c)
+static void log_change(struct lmn_db_batch *batch, const struct lmn_db_change *c)
 {
-    struct lmn_db_log_key lk = {GUINT64_TO_BE(b->meta.revision), GUINT32_TO_BE(b->n)};
+    struct lmn_db_log_key lk = {GUINT64_TO_BE(batch->meta.revision),
+                                GUINT32_TO_BE(batch->n)};
     MDB_val k = {sizeof lk, &lk};
     GByteArray *v = with_head();
     guint8 kind = c->value != NULL, len = (guint8)strlen(c->key);
 
-    b->n++;
+    batch->n++;
     g_byte_array_append(v, &kind, 1);
     g_byte_array_append(v, &len, 1);
     g_byte_array_append(v, (const guint8 *)c->key, len);
     if (c->value)
         g_byte_array_append(v, c->value, (guint)c->len);
-    went(b, put(b->txn, b->db->dbi[LMN_LOG], &k, v, b->meta.revision, c->lease,
-                MDB_APPEND, NULL));
+    went(batch, put(batch->txn, batch->db->dbi[LMN_LOG], &k, v, batch->meta.revision,
+                    c->lease, MDB_APPEND, NULL));
     g_byte_array_unref(v);
 }
 
-static void change(struct lmn_db_batch *b, const struct lmn_db_change *c)
+static void change(struct lmn_db_batch *batch, const struct lmn_db_change *c)
 {
     struct lmn_db_head old;
-    bool there = look(b, c->key, &old);
+    bool there = look(batch, c->key, &old);
     MDB_val k = {strlen(c->key), (void *)c->key};
 
     if (there) {
-        b->meta.digest ^= old.sum;
-        b->meta.count--;
+        batch->meta.digest ^= old.sum;
+        batch->meta.count--;
         if (old.lease)
-            index_lease(b, old.lease, c->key, false);
+            index_lease(batch, old.lease, c->key, false);
     }
     if (c->value) {
         GByteArray *v = with_head();
         uint64_t sum = 0;
         g_byte_array_append(v, c->value, (guint)c->len);
-        went(b, put(b->txn, b->db->dbi[LMN_DATA], &k, v, b->meta.revision, c->lease, 0,
-                    &sum));
+        went(batch, put(batch->txn, batch->db->dbi[LMN_DATA], &k, v, batch->meta.revision,
+                        c->lease, 0, &sum));
         g_byte_array_unref(v);
-        b->meta.digest ^= sum;
-        b->meta.count++;
+        batch->meta.digest ^= sum;
+        batch->meta.count++;
         if (c->lease)
-            index_lease(b, c->lease, c->key, true);
+            index_lease(batch, c->lease, c->key, true);
     } else if (there) {
-        went(b, mdb_del(b->txn, b->db->dbi[LMN_DATA], &k, NULL));
+        went(batch, mdb_del(batch->txn, batch->db->dbi[LMN_DATA], &k, NULL));
     } else {
         return; /* nothing was there: nobody need hear of it */
     }
-    log_change(b, c);
+    log_change(batch, c);
 }
 
-static bool lease_there(struct lmn_db_batch *b, uint64_t lease)
+static bool lease_there(struct lmn_db_batch *batch, uint64_t lease)
 {
     uint64_t be = GUINT64_TO_BE(lease);
     MDB_val k = {sizeof be, &be}, v;
-    int rc = mdb_get(b->txn, b->db->dbi[LMN_LEASES], &k, &v);
+    int rc = mdb_get(batch->txn, batch->db->dbi[LMN_LEASES], &k, &v);
 
     if (rc && rc != MDB_NOTFOUND)
-        went(b, rc);
+        went(batch, rc);
     return rc == 0;
 }
 
-enum lmn_db_outcome lmn_db_apply(struct lmn_db_batch *b, const struct lmn_db_txn *t,
+enum lmn_db_outcome lmn_db_apply(struct lmn_db_batch *batch, const struct lmn_db_txn *txn,
                                  uint64_t *rev, GPtrArray *failed)
 {
     bool conflict = false;
 
-    *rev = b->meta.revision;
-    for (size_t i = 0; i < t->nchanges; i++)
-        if (t->changes[i].lease && !lease_there(b, t->changes[i].lease))
-            return b->rc ? LMN_DB_BROKEN : LMN_DB_NO_LEASE;
-    for (size_t i = 0; i < t->nconds; i++) {
+    *rev = batch->meta.revision;
+    for (size_t i = 0; i < txn->nchanges; i++)
+        if (txn->changes[i].lease && !lease_there(batch, txn->changes[i].lease))
+            return batch->rc ? LMN_DB_BROKEN : LMN_DB_NO_LEASE;
+    for (size_t i = 0; i < txn->nconds; i++) {
         struct lmn_db_head h = {0};
-        uint64_t at = look(b, t->conds[i].key, &h) ? h.rev : 0;
-        if (at == t->conds[i].rev)
+        uint64_t at = look(batch, txn->conds[i].key, &h) ? h.rev : 0;
+        if (at == txn->conds[i].rev)
             continue;
         conflict = true;
-        g_ptr_array_add(failed, g_strdup(t->conds[i].key));
+        g_ptr_array_add(failed, g_strdup(txn->conds[i].key));
     }
-    if (b->rc)
+    if (batch->rc)
         return LMN_DB_BROKEN;
     if (conflict)
         return LMN_DB_CONFLICT;
-    if (!t->nchanges)
+    if (!txn->nchanges)
         return LMN_DB_APPLIED;
-    b->meta.revision++;
-    b->n = 0;
-    for (size_t i = 0; i < t->nchanges && !b->rc; i++)
-        change(b, &t->changes[i]);
-    *rev = b->meta.revision;
-    return b->rc ? LMN_DB_BROKEN : LMN_DB_APPLIED;
+    batch->meta.revision++;
+    batch->n = 0;
+    for (size_t i = 0; i < txn->nchanges && !batch->rc; i++)
+        change(batch, &txn->changes[i]);
+    *rev = batch->meta.revision;
+    return batch->rc ? LMN_DB_BROKEN : LMN_DB_APPLIED;
 }
 
-uint64_t lmn_db_grant(struct lmn_db_batch *b, uint32_t ttl_ms)
+uint64_t lmn_db_grant(struct lmn_db_batch *batch, uint32_t ttl_ms)
 {
-    uint64_t id = b->meta.next_lease++, be = GUINT64_TO_BE(id);
+    uint64_t id = batch->meta.next_lease++, be = GUINT64_TO_BE(id);
     MDB_val k = {sizeof be, &be};
     GByteArray *v = with_head();
 
     g_byte_array_append(v, (const guint8 *)&ttl_ms, sizeof ttl_ms);
-    went(b, put(b->txn, b->db->dbi[LMN_LEASES], &k, v, 0, id, 0, NULL));
+    went(batch, put(batch->txn, batch->db->dbi[LMN_LEASES], &k, v, 0, id, 0, NULL));
     g_byte_array_unref(v);
-    return b->rc ? 0 : id;
+    return batch->rc ? 0 : id;
 }
 
-bool lmn_db_revoke(struct lmn_db_batch *b, uint64_t lease)
+bool lmn_db_revoke(struct lmn_db_batch *batch, uint64_t lease)
 {
     uint64_t be = GUINT64_TO_BE(lease);
     MDB_val k = {sizeof be, &be}, v;
     MDB_cursor *cur;
     GPtrArray *keys = g_ptr_array_new_with_free_func(g_free);
 
-    if (!lease_there(b, lease) ||
-        !went(b, mdb_cursor_open(b->txn, b->db->dbi[LMN_LEASED], &cur))) {
+    if (!lease_there(batch, lease) ||
+        !went(batch, mdb_cursor_open(batch->txn, batch->db->dbi[LMN_LEASED], &cur))) {
         g_ptr_array_free(keys, TRUE);
         return false;
     }
@@ -416,58 +420,58 @@
     }
     mdb_cursor_close(cur);
     if (keys->len) {
-        b->meta.revision++;
-        b->n = 0;
+        batch->meta.revision++;
+        batch->n = 0;
     }
     for (guint i = 0; i < keys->len; i++)
-        change(b, &(struct lmn_db_change){.key = keys->pdata[i]});
+        change(batch, &(struct lmn_db_change){.key = keys->pdata[i]});
     g_ptr_array_free(keys, TRUE);
     k = (MDB_val){sizeof be, &be};
-    return went(b, mdb_del(b->txn, b->db->dbi[LMN_LEASES], &k, NULL));
+    return went(batch, mdb_del(batch->txn, batch->db->dbi[LMN_LEASES], &k, NULL));
 }
 
-uint64_t lmn_db_batch_revision(const struct lmn_db_batch *b)
+uint64_t lmn_db_batch_revision(const struct lmn_db_batch *batch)
 {
-    return b->meta.revision;
+    return batch->meta.revision;
 }
 
 /* Drops the oldest changes beyond those that are kept. */
-static void prune(struct lmn_db_batch *b)
+static void prune(struct lmn_db_batch *batch)
 {
-    MDB_dbi dbi = b->db->dbi[LMN_LOG];
+    MDB_dbi dbi = batch->db->dbi[LMN_LOG];
     MDB_stat st;
     MDB_cursor *cur;
     MDB_val k, v;
 
-    if (!went(b, mdb_stat(b->txn, dbi, &st)) || st.ms_entries <= LMN_DB_CHANGES ||
-        !went(b, mdb_cursor_open(b->txn, dbi, &cur)))
+    if (!went(batch, mdb_stat(batch->txn, dbi, &st)) || st.ms_entries <= LMN_DB_CHANGES ||
+        !went(batch, mdb_cursor_open(batch->txn, dbi, &cur)))
         return;
-    for (size_t n = st.ms_entries - LMN_DB_CHANGES; n > 0 && !b->rc; n--) {
+    for (size_t n = st.ms_entries - LMN_DB_CHANGES; n > 0 && !batch->rc; n--) {
         struct lmn_db_log_key lk;
-        if (!went(b, mdb_cursor_get(cur, &k, &v, MDB_FIRST)))
+        if (!went(batch, mdb_cursor_get(cur, &k, &v, MDB_FIRST)))
             break;
         memcpy(&lk, k.mv_data, sizeof lk);
-        b->meta.floor = GUINT64_FROM_BE(lk.rev);
-        went(b, mdb_cursor_del(cur, 0));
+        batch->meta.floor = GUINT64_FROM_BE(lk.rev);
+        went(batch, mdb_cursor_del(cur, 0));
     }
     mdb_cursor_close(cur);
 }
 
-int lmn_db_commit(struct lmn_db_batch *b, char *err, size_t len)
+int lmn_db_commit(struct lmn_db_batch *batch, char *err, size_t len)
 {
-    struct lmn_db *db = b->db;
+    struct lmn_db *db = batch->db;
     int rc;
 
-    if (!b->rc)
-        prune(b);
-    if (!b->rc)
-        went(b, lmn_db_meta_write(b->txn, db, &b->meta));
-    rc = b->rc;
+    if (!batch->rc)
+        prune(batch);
+    if (!batch->rc)
+        went(batch, lmn_db_meta_write(batch->txn, db, &batch->meta));
+    rc = batch->rc;
     if (rc)
-        mdb_txn_abort(b->txn);
+        mdb_txn_abort(batch->txn);
     else
-        rc = mdb_txn_commit(b->txn);
-    g_free(b);
+        rc = mdb_txn_commit(batch->txn);
+    g_free(batch);
     if (!rc)
         return 0;
     snprintf(err, len, "%s; %s", mdb_strerror(rc), mend(rc));
@@ -482,8 +486,8 @@
     return -1;
 }
 
-void lmn_db_abort(struct lmn_db_batch *b)
+void lmn_db_abort(struct lmn_db_batch *batch)
 {
-    mdb_txn_abort(b->txn);
-    g_free(b);
+    mdb_txn_abort(batch->txn);
+    g_free(batch);
 }
--- a/src/kv_store/kv_store_internal.h
+++ b/src/kv_store/kv_store_internal.h
@@ -78,7 +78,7 @@
 /* Answers those who wait for changes, for ever (a thread). */
 void *lmn_kv_store_watch_thread(void *store);
 /* GET /changes, on the server's thread. */
-void lmn_kv_store_watch(struct lmn_kv_store *s, struct lmn_http_request *call);
-void lmn_kv_store_put_item(GByteArray *b, const struct lmn_db_item *item);
+void lmn_kv_store_watch(struct lmn_kv_store *s, struct lmn_http_request *request);
+void lmn_kv_store_put_item(GByteArray *buffer, const struct lmn_db_item *item);
 
 #endif
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -27,54 +27,55 @@
     return n >= 1 && n <= LMN_DB_KEY && !strchr(key, ' ');
 }
 
-static bool take(struct lmn_token_bucket *b, double n)
+static bool take(struct lmn_token_bucket *bucket, double n)
 {
-    return b->rate <= 0 || lmn_token_bucket_take(b, n, lmn_now()) <= 0;
+    return bucket->rate <= 0 || lmn_token_bucket_take(bucket, n, lmn_now()) <= 0;
 }
 
-static bool limited(struct lmn_kv_store *s, struct lmn_http_request *call,
-                    struct lmn_token_bucket *b, double n)
+static bool limited(struct lmn_kv_store *s, struct lmn_http_request *request,
+                    struct lmn_token_bucket *bucket, double n)
 {
-    if (take(b, n))
+    if (take(bucket, n))
         return false;
     pthread_mutex_lock(&s->lock);
     s->limited++;
     pthread_mutex_unlock(&s->lock);
-    lmn_http_request_respond(call, 429, NULL, 1);
+    lmn_http_request_respond(request, 429, NULL, 1);
     return true;
 }
 
-void lmn_kv_store_put_item(GByteArray *b, const struct lmn_db_item *item)
+void lmn_kv_store_put_item(GByteArray *buffer, const struct lmn_db_item *item)
 {
-    lmn_cbor_put_map(b, item->lease ? 4 : 3);
-    lmn_cbor_put_text(b, WIRE_KEY), lmn_cbor_put_text(b, item->key);
-    lmn_cbor_put_text(b, WIRE_VALUE),
-        g_byte_array_append(b, item->value, (guint)item->len);
-    lmn_cbor_put_text(b, WIRE_VERSION), lmn_cbor_put_uint(b, item->rev);
+    lmn_cbor_put_map(buffer, item->lease ? 4 : 3);
+    lmn_cbor_put_text(buffer, WIRE_KEY), lmn_cbor_put_text(buffer, item->key);
+    lmn_cbor_put_text(buffer, WIRE_VALUE),
+        g_byte_array_append(buffer, item->value, (guint)item->len);
+    lmn_cbor_put_text(buffer, WIRE_VERSION), lmn_cbor_put_uint(buffer, item->rev);
     if (item->lease)
-        lmn_cbor_put_text(b, WIRE_LEASE), lmn_cbor_put_uint(b, item->lease);
+        lmn_cbor_put_text(buffer, WIRE_LEASE), lmn_cbor_put_uint(buffer, item->lease);
 }
 
-static void get(struct lmn_kv_store *s, struct lmn_http_request *call, const char *key)
+static void get(struct lmn_kv_store *s, struct lmn_http_request *request, const char *key)
 {
     struct lmn_db_meta meta;
     struct lmn_db_item item;
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     int status = 200;
 
     if (!key_ok(key) || lmn_db_view(s->reader, &meta) != 0) {
-        lmn_http_request_respond(call, key_ok(key) ? 503 : 400, b, 0);
+        lmn_http_request_respond(request, key_ok(key) ? 503 : 400, buffer, 0);
         return;
     }
     if (lmn_db_get(s->reader, key, &item)) {
-        lmn_kv_store_put_item(b, &item);
+        lmn_kv_store_put_item(buffer, &item);
     } else {
         status = 404;
-        lmn_cbor_put_map(b, 1);
-        lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, meta.revision);
+        lmn_cbor_put_map(buffer, 1);
+        lmn_cbor_put_text(buffer, WIRE_REVISION),
+            lmn_cbor_put_uint(buffer, meta.revision);
     }
     lmn_db_view_end(s->reader);
-    lmn_http_request_respond(call, status, b, 0);
+    lmn_http_request_respond(request, status, buffer, 0);
 }
 
 struct listing {
@@ -96,44 +97,45 @@
     return true;
 }
 
-static void list(struct lmn_kv_store *s, struct lmn_http_request *call)
+static void list(struct lmn_kv_store *s, struct lmn_http_request *request)
 {
-    const char *prefix = lmn_http_request_query(call, WIRE_QUERY_PREFIX),
-               *after = lmn_http_request_query(call, WIRE_QUERY_AFTER);
-    const char *limit = lmn_http_request_query(call, WIRE_QUERY_LIMIT);
+    const char *prefix = lmn_http_request_query(request, WIRE_QUERY_PREFIX),
+               *after = lmn_http_request_query(request, WIRE_QUERY_AFTER);
+    const char *limit = lmn_http_request_query(request, WIRE_QUERY_LIMIT);
     struct listing l = {.most = limit ? (size_t)g_ascii_strtoull(limit, NULL, 10)
                                       : MAX_ITEMS};
     struct lmn_db_meta meta;
 
     if (l.most < 1 || l.most > MAX_ITEMS) {
-        lmn_http_request_fail(call, 400, WIRE_QUERY_LIMIT ": from 1 to 1000");
+        lmn_http_request_fail(request, 400, WIRE_QUERY_LIMIT ": from 1 to 1000");
         return;
     }
     if (lmn_db_view(s->reader, &meta) != 0) {
-        lmn_http_request_respond(call, 503, NULL, 1);
+        lmn_http_request_respond(request, 503, NULL, 1);
         return;
     }
     l.items = g_byte_array_new();
     lmn_db_list(s->reader, prefix ? prefix : "", after && *after ? after : NULL, list_one,
                 &l);
     lmn_db_view_end(s->reader);
-    GByteArray *b = g_byte_array_new();
-    lmn_cbor_put_map(b, 3);
-    lmn_cbor_put_text(b, WIRE_HAS_MORE), lmn_cbor_put_bool(b, l.more);
-    lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, meta.revision);
-    lmn_cbor_put_text(b, WIRE_ITEMS), lmn_cbor_put_array(b, l.n);
-    g_byte_array_append(b, l.items->data, l.items->len);
+    GByteArray *buffer = g_byte_array_new();
+    lmn_cbor_put_map(buffer, 3);
+    lmn_cbor_put_text(buffer, WIRE_HAS_MORE), lmn_cbor_put_bool(buffer, l.more);
+    lmn_cbor_put_text(buffer, WIRE_REVISION), lmn_cbor_put_uint(buffer, meta.revision);
+    lmn_cbor_put_text(buffer, WIRE_ITEMS), lmn_cbor_put_array(buffer, l.n);
+    g_byte_array_append(buffer, l.items->data, l.items->len);
     g_byte_array_unref(l.items);
-    lmn_http_request_respond(call, 200, b, 0);
+    lmn_http_request_respond(request, 200, buffer, 0);
 }
 
 /* --- transactions --- */
 
-static const char *keep(struct lmn_kv_store_operation *op, const struct lmn_cbor_value *n)
+static const char *keep(struct lmn_kv_store_operation *op,
+                        const struct lmn_cbor_value *node)
 {
     char key[LMN_DB_KEY + 2];
 
-    if (!lmn_cbor_get_text(n, key, sizeof key) || !key_ok(key))
+    if (!lmn_cbor_get_text(node, key, sizeof key) || !key_ok(key))
         return NULL;
     char *copy = g_strdup(key);
     g_ptr_array_add(op->bytes, copy);
@@ -141,43 +143,44 @@
 }
 
 static const char *read_cond(struct lmn_kv_store_operation *op,
-                             const struct lmn_cbor_document *d,
-                             const struct lmn_cbor_value *n)
+                             const struct lmn_cbor_document *document,
+                             const struct lmn_cbor_value *node)
 {
     struct lmn_db_cond *c = &op->txn.conds[op->txn.nconds++];
 
-    c->key = keep(op, lmn_cbor_get(d, n, WIRE_KEY));
+    c->key = keep(op, lmn_cbor_get(document, node, WIRE_KEY));
     if (!c->key)
         return WIRE_CONDITIONS ": a key of 1 to 200 bytes without spaces is missing";
-    return lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_VERSION), &c->rev) ? NULL
-                                                                        : WIRE_CONDITIONS
-               ": a version is missing";
+    return lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_VERSION), &c->rev)
+               ? NULL
+               : WIRE_CONDITIONS ": a version is missing";
 }
 
 static const char *read_change(const struct lmn_kv_store *s,
                                struct lmn_kv_store_operation *op,
-                               const struct lmn_cbor_document *d,
-                               const struct lmn_cbor_value *n)
+                               const struct lmn_cbor_document *document,
+                               const struct lmn_cbor_value *node)
 {
     struct lmn_db_change *c = &op->txn.changes[op->txn.nchanges++];
-    const struct lmn_cbor_value *put = lmn_cbor_get(d, n, WIRE_PUT), *v;
+    const struct lmn_cbor_value *put = lmn_cbor_get(document, node, WIRE_PUT), *value;
 
-    c->key = keep(op, put ? put : lmn_cbor_get(d, n, WIRE_DELETE));
+    c->key = keep(op, put ? put : lmn_cbor_get(document, node, WIRE_DELETE));
     if (!c->key)
         return WIRE_OPERATIONS ": a key of 1 to 200 bytes without spaces is missing";
     if (!put)
         return NULL;
-    v = lmn_cbor_get(d, n, WIRE_VALUE);
-    lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_LEASE), &c->lease);
-    if (s->o.value_kb > 0 && v && (double)lmn_cbor_json_size(d, v) > s->o.value_kb * 1024)
+    value = lmn_cbor_get(document, node, WIRE_VALUE);
+    lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_LEASE), &c->lease);
+    if (s->o.value_kb > 0 && value &&
+        (double)lmn_cbor_json_size(document, value) > s->o.value_kb * 1024)
         return WIRE_OPERATIONS ": a value is too large";
-    GByteArray *b = g_byte_array_new();
-    if (v)
-        lmn_cbor_put_value(b, d, v);
+    GByteArray *buffer = g_byte_array_new();
+    if (value)
+        lmn_cbor_put_value(buffer, document, value);
     else
-        lmn_cbor_put_null(b);
-    c->len = b->len;
-    c->value = g_byte_array_free(b, FALSE);
+        lmn_cbor_put_null(buffer);
+    c->len = buffer->len;
+    c->value = g_byte_array_free(buffer, FALSE);
     g_ptr_array_add(op->bytes, (gpointer)c->value);
     return NULL;
 }
@@ -185,44 +188,44 @@
 /* What is wrong with it; NULL: nothing. */
 static const char *read_txn(const struct lmn_kv_store *s,
                             struct lmn_kv_store_operation *op,
-                            const struct lmn_cbor_document *d)
+                            const struct lmn_cbor_document *document)
 {
-    const struct lmn_cbor_value *root = lmn_cbor_root(d),
-                                *conds = lmn_cbor_get(d, root, WIRE_CONDITIONS);
-    const struct lmn_cbor_value *changes = lmn_cbor_get(d, root, WIRE_OPERATIONS);
+    const struct lmn_cbor_value *root = lmn_cbor_root(document),
+                                *conds = lmn_cbor_get(document, root, WIRE_CONDITIONS);
+    const struct lmn_cbor_value *changes = lmn_cbor_get(document, root, WIRE_OPERATIONS);
     const char *bad = NULL;
 
     if (root->type != LMN_CBOR_MAP || (conds && conds->type != LMN_CBOR_ARRAY) ||
         (changes && changes->type != LMN_CBOR_ARRAY))
         return "a map with lists " WIRE_CONDITIONS " and " WIRE_OPERATIONS " is expected";
-    if (lmn_cbor_json_size(d, root) > MAX_BODY)
+    if (lmn_cbor_json_size(document, root) > MAX_BODY)
         return "more than 64 KiB";
     if (s->o.txn_ops > 0 && ((changes && changes->len > (uint32_t)s->o.txn_ops) ||
                              (conds && conds->len > 4 * (uint32_t)s->o.txn_ops)))
         return "too many changes or conditions";
     op->txn.conds = g_new0(struct lmn_db_cond, conds ? conds->len : 0);
     op->txn.changes = g_new0(struct lmn_db_change, changes ? changes->len : 0);
-    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, conds); n && !bad;
-         n = lmn_cbor_next(d, n))
-        bad = read_cond(op, d, n);
-    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, changes); n && !bad;
-         n = lmn_cbor_next(d, n))
-        bad = read_change(s, op, d, n);
+    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, conds);
+         node && !bad; node = lmn_cbor_next(document, node))
+        bad = read_cond(op, document, node);
+    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, changes);
+         node && !bad; node = lmn_cbor_next(document, node))
+        bad = read_change(s, op, document, node);
     return bad;
 }
 
-static void transact(struct lmn_kv_store *s, struct lmn_http_request *call,
-                     const struct lmn_cbor_document *d)
+static void transact(struct lmn_kv_store *s, struct lmn_http_request *request,
+                     const struct lmn_cbor_document *document)
 {
     struct lmn_kv_store_operation *op = g_new0(struct lmn_kv_store_operation, 1);
 
     op->kind = LMN_KV_STORE_TXN;
-    op->call = call;
+    op->call = request;
     op->bytes = g_ptr_array_new_with_free_func(g_free);
-    const char *bad = read_txn(s, op, d);
+    const char *bad = read_txn(s, op, document);
     if (bad)
-        lmn_http_request_fail(call, 400, bad);
-    if (bad || limited(s, call, &s->writes, (double)op->txn.nchanges))
+        lmn_http_request_fail(request, 400, bad);
+    if (bad || limited(s, request, &s->writes, (double)op->txn.nchanges))
         lmn_kv_store_operation_free(op);
     else
         lmn_kv_store_submit(s, op);
@@ -230,34 +233,35 @@
 
 /* --- leases --- */
 
-static void grant(struct lmn_kv_store *s, struct lmn_http_request *call,
-                  const struct lmn_cbor_document *d)
+static void grant(struct lmn_kv_store *s, struct lmn_http_request *request,
+                  const struct lmn_cbor_document *document)
 {
     uint64_t ttl = 0;
 
-    if (!lmn_cbor_get_uint(lmn_cbor_get(d, lmn_cbor_root(d), WIRE_TTL_MS), &ttl) ||
+    if (!lmn_cbor_get_uint(lmn_cbor_get(document, lmn_cbor_root(document), WIRE_TTL_MS),
+                           &ttl) ||
         ttl < 100 || ttl > 600000) {
-        lmn_http_request_fail(call, 400, WIRE_TTL_MS ": from 100 to 600000");
+        lmn_http_request_fail(request, 400, WIRE_TTL_MS ": from 100 to 600000");
         return;
     }
     struct lmn_kv_store_operation *op = g_new0(struct lmn_kv_store_operation, 1);
     op->kind = LMN_KV_STORE_GRANT;
-    op->call = call;
+    op->call = request;
     op->ttl_ms = (uint32_t)ttl;
     lmn_kv_store_submit(s, op);
 }
 
-static void lease_call(struct lmn_kv_store *s, struct lmn_http_request *call,
+static void lease_call(struct lmn_kv_store *s, struct lmn_http_request *request,
                        const char *rest)
 {
     char *end;
     uint64_t id = g_ascii_strtoull(rest, &end, 10);
-    bool renew =
-        lmn_http_request_method(call) == LMN_HTTP_POST && !strcmp(end, WIRE_PATH_RENEW);
+    bool renew = lmn_http_request_method(request) == LMN_HTTP_POST &&
+                 !strcmp(end, WIRE_PATH_RENEW);
     bool there = false;
 
-    if (!renew && !(lmn_http_request_method(call) == LMN_HTTP_DELETE && !*end)) {
-        lmn_http_request_respond(call, 404, NULL, 0);
+    if (!renew && !(lmn_http_request_method(request) == LMN_HTTP_DELETE && !*end)) {
+        lmn_http_request_respond(request, 404, NULL, 0);
         return;
     }
     pthread_mutex_lock(&s->lock);
@@ -271,14 +275,14 @@
     }
     pthread_mutex_unlock(&s->lock);
     if (!there || renew) {
-        GByteArray *b = g_byte_array_new();
-        lmn_cbor_put_map(b, 0);
-        lmn_http_request_respond(call, there ? 200 : 404, b, 0);
+        GByteArray *buffer = g_byte_array_new();
+        lmn_cbor_put_map(buffer, 0);
+        lmn_http_request_respond(request, there ? 200 : 404, buffer, 0);
         return;
     }
     struct lmn_kv_store_operation *op = g_new0(struct lmn_kv_store_operation, 1);
     op->kind = LMN_KV_STORE_REVOKE;
-    op->call = call;
+    op->call = request;
     op->lease = id;
     if (!lmn_kv_store_submit(s, op)) {
         pthread_mutex_lock(&s->lock);
@@ -289,81 +293,82 @@
     }
 }
 
-static void post(struct lmn_kv_store *s, struct lmn_http_request *call, const char *path)
+static void post(struct lmn_kv_store *s, struct lmn_http_request *request,
+                 const char *path)
 {
-    const GByteArray *body = lmn_http_request_body(call);
+    const GByteArray *body = lmn_http_request_body(request);
     struct lmn_cbor_document d;
 
     if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
-        lmn_http_request_fail(call, 400, "not CBOR");
+        lmn_http_request_fail(request, 400, "not CBOR");
         return;
     }
     if (!strcmp(path, WIRE_PATH_TXN))
-        transact(s, call, &d);
+        transact(s, request, &d);
     else
-        grant(s, call, &d);
+        grant(s, request, &d);
     lmn_cbor_free(&d);
 }
 
 /* Beyond the protocol: by it others see that this state was restored from a backup. */
-static void incarnation(struct lmn_kv_store *s, struct lmn_http_request *call)
+static void incarnation(struct lmn_kv_store *s, struct lmn_http_request *request)
 {
     struct lmn_db_meta meta;
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
 
     if (lmn_db_view(s->reader, &meta) != 0) {
-        lmn_http_request_respond(call, 503, b, 1);
+        lmn_http_request_respond(request, 503, buffer, 1);
         return;
     }
     lmn_db_view_end(s->reader);
-    lmn_cbor_put_map(b, 1);
-    lmn_cbor_put_text(b, "Incarnation"), lmn_cbor_put_uint(b, meta.incarnation);
-    lmn_http_request_respond(call, 200, b, 0);
+    lmn_cbor_put_map(buffer, 1);
+    lmn_cbor_put_text(buffer, "Incarnation"), lmn_cbor_put_uint(buffer, meta.incarnation);
+    lmn_http_request_respond(request, 200, buffer, 0);
 }
 
-static void route(void *arg, struct lmn_http_request *call)
+static void route(void *arg, struct lmn_http_request *request)
 {
     struct lmn_kv_store *s = arg;
-    const char *path = lmn_http_request_path(call);
-    enum lmn_http_method method = lmn_http_request_method(call);
+    const char *path = lmn_http_request_path(request);
+    enum lmn_http_method method = lmn_http_request_method(request);
 
     if (method == LMN_HTTP_GET && !strcmp(path, "/metrics")) {
-        lmn_metrics_answer(call, (void (*)(void *, GString *))lmn_kv_store_metrics, s);
+        lmn_metrics_answer(request, (void (*)(void *, GString *))lmn_kv_store_metrics, s);
         return;
     }
     if (method == LMN_HTTP_GET && !strcmp(path, WIRE_PATH_READY)) {
-        lmn_http_request_respond(call, 200, NULL, 0);
+        lmn_http_request_respond(request, 200, NULL, 0);
         return;
     }
-    if (limited(s, call, &s->requests, 1))
+    if (limited(s, request, &s->requests, 1))
         return;
     if (method == LMN_HTTP_GET && !strcmp(path, "/incarnation")) {
-        incarnation(s, call);
+        incarnation(s, request);
         return;
     }
     if (method == LMN_HTTP_POST &&
         (!strcmp(path, WIRE_PATH_TXN) || !strcmp(path, WIRE_PATH_LEASES)))
-        post(s, call, path);
+        post(s, request, path);
     else if (g_str_has_prefix(path, WIRE_PATH_LEASES "/"))
-        lease_call(s, call, path + strlen(WIRE_PATH_LEASES "/"));
+        lease_call(s, request, path + strlen(WIRE_PATH_LEASES "/"));
     else if (method == LMN_HTTP_GET && !strcmp(path, WIRE_PATH_WATCH))
-        lmn_kv_store_watch(s, call);
+        lmn_kv_store_watch(s, request);
     else if (method == LMN_HTTP_GET && !strcmp(path, WIRE_PATH_STORE))
-        list(s, call);
+        list(s, request);
     else if (method == LMN_HTTP_GET && g_str_has_prefix(path, WIRE_PATH_STORE "/"))
-        get(s, call, path + strlen(WIRE_PATH_STORE "/"));
+        get(s, request, path + strlen(WIRE_PATH_STORE "/"));
     else
-        lmn_http_request_respond(call, 404, NULL, 0);
+        lmn_http_request_respond(request, 404, NULL, 0);
 }
 
 void lmn_kv_store_metrics(struct lmn_kv_store *s, GString *out)
 {
     struct lmn_db_meta meta = {0};
-    struct lmn_db_reader *r = lmn_db_reader_new(s->db);
+    struct lmn_db_reader *reader = lmn_db_reader_new(s->db);
 
-    if (lmn_db_view(r, &meta) == 0)
-        lmn_db_view_end(r);
-    lmn_db_reader_free(r);
+    if (lmn_db_view(reader, &meta) == 0)
+        lmn_db_view_end(reader);
+    lmn_db_reader_free(reader);
     lmn_gauge(out, "lemonspar_state_revision", "Revision of the last commit",
               (double)meta.revision);
     lmn_gauge(out, "lemonspar_state_keys", "Keys in the database", (double)meta.count);
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -46,9 +46,9 @@
 /* The answer for a prefix: changes after the revision. NULL if there are none and some
  * are wanted. */
 static GByteArray *answer(const GPtrArray *events, const char *prefix, uint64_t after,
-                          uint64_t rev, bool even_if_none)
+                          uint64_t revision, bool even_if_none)
 {
-    GByteArray *b, *list = g_byte_array_new();
+    GByteArray *buffer, *list = g_byte_array_new();
     size_t n = 0;
 
     for (guint i = 0; i < events->len; i++) {
@@ -62,13 +62,13 @@
         g_byte_array_unref(list);
         return NULL;
     }
-    b = g_byte_array_new();
-    lmn_cbor_put_map(b, 2);
-    lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, rev);
-    lmn_cbor_put_text(b, WIRE_EVENTS), lmn_cbor_put_array(b, n);
-    g_byte_array_append(b, list->data, list->len);
+    buffer = g_byte_array_new();
+    lmn_cbor_put_map(buffer, 2);
+    lmn_cbor_put_text(buffer, WIRE_REVISION), lmn_cbor_put_uint(buffer, revision);
+    lmn_cbor_put_text(buffer, WIRE_EVENTS), lmn_cbor_put_array(buffer, n);
+    g_byte_array_append(buffer, list->data, list->len);
     g_byte_array_unref(list);
-    return b;
+    return buffer;
 }
 
 /* Waits from another database, or so old that changes are missing, can only be told to
@@ -78,100 +78,102 @@
     return after < meta->floor || after > meta->revision;
 }
 
-void lmn_kv_store_watch(struct lmn_kv_store *s, struct lmn_http_request *call)
+void lmn_kv_store_watch(struct lmn_kv_store *s, struct lmn_http_request *request)
 {
-    const char *prefix = lmn_http_request_query(call, WIRE_QUERY_PREFIX),
-               *a = lmn_http_request_query(call, WIRE_QUERY_AFTER);
-    const char *w = lmn_http_request_query(call, WIRE_QUERY_WAIT_MS);
+    const char *prefix = lmn_http_request_query(request, WIRE_QUERY_PREFIX),
+               *a = lmn_http_request_query(request, WIRE_QUERY_AFTER);
+    const char *w = lmn_http_request_query(request, WIRE_QUERY_WAIT_MS);
     uint64_t after = a ? g_ascii_strtoull(a, NULL, 10) : 0;
     uint64_t wait_ms = w ? g_ascii_strtoull(w, NULL, 10) : 0;
     struct lmn_db_meta meta;
 
     if (wait_ms > MAX_WAIT_MS) {
-        lmn_http_request_fail(call, 400, WIRE_QUERY_WAIT_MS ": at most 60000");
+        lmn_http_request_fail(request, 400, WIRE_QUERY_WAIT_MS ": at most 60000");
         return;
     }
     if (lmn_db_view(s->reader, &meta) != 0) {
-        lmn_http_request_respond(call, 503, NULL, 1);
+        lmn_http_request_respond(request, 503, NULL, 1);
         return;
     }
     if (too_old(&meta, after)) {
         lmn_db_view_end(s->reader);
-        lmn_http_request_respond(call, 410, NULL, 0);
+        lmn_http_request_respond(request, 410, NULL, 0);
         return;
     }
     GPtrArray *events = g_ptr_array_new_with_free_func(free_event);
     lmn_db_changes(s->reader, after, collect, events);
     lmn_db_view_end(s->reader);
-    GByteArray *b =
+    GByteArray *buffer =
         answer(events, prefix ? prefix : "", after, meta.revision, wait_ms == 0);
     g_ptr_array_free(events, TRUE);
-    if (b) {
-        lmn_http_request_respond(call, 200, b, 0);
+    if (buffer) {
+        lmn_http_request_respond(request, 200, buffer, 0);
         return;
     }
-    struct lmn_deferred_response *x = g_new0(struct lmn_deferred_response, 1);
-    x->call = call;
-    x->prefix = g_strdup(prefix ? prefix : "");
-    x->scanned = meta.revision;
-    x->until = lmn_time_add(lmn_now(), (double)wait_ms / 1000);
-    lmn_http_request_defer(call);
+    struct lmn_deferred_response *response = g_new0(struct lmn_deferred_response, 1);
+    response->call = request;
+    response->prefix = g_strdup(prefix ? prefix : "");
+    response->scanned = meta.revision;
+    response->until = lmn_time_add(lmn_now(), (double)wait_ms / 1000);
+    lmn_http_request_defer(request);
     pthread_mutex_lock(&s->watch_lock);
-    g_queue_push_tail(&s->waiters, x);
-    s->behind = s->behind || x->scanned < s->revision;
+    g_queue_push_tail(&s->waiters, response);
+    s->behind = s->behind || response->scanned < s->revision;
     pthread_cond_signal(&s->watch_more);
     pthread_mutex_unlock(&s->watch_lock);
 }
 
-static void finish(struct lmn_deferred_response *x, int status, GByteArray *b)
+static void finish(struct lmn_deferred_response *response, int status, GByteArray *buffer)
 {
-    lmn_http_request_respond(x->call, status, b, 0);
-    g_free(x->prefix);
-    g_free(x);
+    lmn_http_request_respond(response->call, status, buffer, 0);
+    g_free(response->prefix);
+    g_free(response);
 }
 
 /* Answers whom it can; the others stay in the queue. Many wait for the same: what goes to
  * them is made once. */
-static void serve(struct lmn_kv_store *s, struct lmn_db_reader *r, GQueue *waiters)
+static void serve(struct lmn_kv_store *s, struct lmn_db_reader *reader, GQueue *waiters)
 {
     struct timespec now = lmn_now();
     struct lmn_db_meta meta;
     uint64_t least = UINT64_MAX;
 
-    if (lmn_db_view(r, &meta) != 0)
+    if (lmn_db_view(reader, &meta) != 0)
         return;
     for (GList *l = waiters->head; l; l = l->next)
         least = MIN(least, ((struct lmn_deferred_response *)l->data)->scanned);
     GPtrArray *events = g_ptr_array_new_with_free_func(free_event);
     if (least < meta.revision && least >= meta.floor)
-        lmn_db_changes(r, least, collect, events);
-    lmn_db_view_end(r);
+        lmn_db_changes(reader, least, collect, events);
+    lmn_db_view_end(reader);
     GHashTable *made = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                              (GDestroyNotify)g_byte_array_unref);
     for (GList *l = waiters->head, *next; l; l = next) {
-        struct lmn_deferred_response *x = l->data;
-        bool over = !lmn_time_before(now, x->until);
+        struct lmn_deferred_response *response = l->data;
+        bool over = !lmn_time_before(now, response->until);
         next = l->next;
-        if (too_old(&meta, x->scanned)) {
-            finish(x, 410, NULL);
+        if (too_old(&meta, response->scanned)) {
+            finish(response, 410, NULL);
             g_queue_delete_link(waiters, l);
             continue;
         }
-        char *key = g_strdup_printf("%" G_GUINT64_FORMAT " %s", x->scanned, x->prefix);
-        GByteArray *b = over ? NULL : g_hash_table_lookup(made, key);
-        if (b)
-            g_byte_array_ref(b);
+        char *key = g_strdup_printf("%" G_GUINT64_FORMAT " %s", response->scanned,
+                                    response->prefix);
+        GByteArray *buffer = over ? NULL : g_hash_table_lookup(made, key);
+        if (buffer)
+            g_byte_array_ref(buffer);
         else
-            b = answer(events, x->prefix, x->scanned, meta.revision, over);
-        if (b && !over)
-            g_hash_table_insert(made, key, g_byte_array_ref(b));
+            buffer =
+                answer(events, response->prefix, response->scanned, meta.revision, over);
+        if (buffer && !over)
+            g_hash_table_insert(made, key, g_byte_array_ref(buffer));
         else
             g_free(key);
-        if (b) {
-            finish(x, 200, b);
+        if (buffer) {
+            finish(response, 200, buffer);
             g_queue_delete_link(waiters, l);
         } else {
-            x->scanned = meta.revision;
+            response->scanned = meta.revision;
         }
     }
     g_hash_table_destroy(made);
@@ -182,7 +184,7 @@
 void *lmn_kv_store_watch_thread(void *arg)
 {
     struct lmn_kv_store *s = arg;
-    struct lmn_db_reader *r = lmn_db_reader_new(s->db);
+    struct lmn_db_reader *reader = lmn_db_reader_new(s->db);
     uint64_t served = 0;
 
     for (;;) {
@@ -204,11 +206,11 @@
         served = s->revision;
         s->behind = false;
         pthread_mutex_unlock(&s->watch_lock);
-        serve(s, r, &mine);
+        serve(s, reader, &mine);
         pthread_mutex_lock(&s->watch_lock);
         while (mine.head) {
-            struct lmn_deferred_response *x = g_queue_pop_head(&mine);
-            g_queue_push_tail(&s->waiters, x);
+            struct lmn_deferred_response *response = g_queue_pop_head(&mine);
+            g_queue_push_tail(&s->waiters, response);
         }
         pthread_mutex_unlock(&s->watch_lock);
     }
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -42,12 +42,12 @@
 }
 
 /* Applies one; false if the batch is broken. */
-static bool apply(struct lmn_db_batch *b, struct lmn_kv_store_operation *op)
+static bool apply(struct lmn_db_batch *batch, struct lmn_kv_store_operation *op)
 {
     switch (op->kind) {
     case LMN_KV_STORE_TXN:
         op->failed = g_ptr_array_new_with_free_func(g_free);
-        switch (lmn_db_apply(b, &op->txn, &op->rev, op->failed)) {
+        switch (lmn_db_apply(batch, &op->txn, &op->rev, op->failed)) {
         case LMN_DB_APPLIED:
             op->status = 200;
             return true;
@@ -61,32 +61,33 @@
             return false;
         }
     case LMN_KV_STORE_GRANT:
-        op->lease = lmn_db_grant(b, op->ttl_ms);
+        op->lease = lmn_db_grant(batch, op->ttl_ms);
         op->status = 200;
         return op->lease != 0;
     default:
-        op->status = lmn_db_revoke(b, op->lease) ? 200 : 404;
+        op->status = lmn_db_revoke(batch, op->lease) ? 200 : 404;
         return true;
     }
 }
 
 static GByteArray *txn_answer(const struct lmn_kv_store_operation *op)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
 
     if (op->status == 400) {
-        lmn_cbor_put_map(b, 1);
-        lmn_cbor_put_text(b, "error"), lmn_cbor_put_text(b, "no such lease");
-        return b;
+        lmn_cbor_put_map(buffer, 1);
+        lmn_cbor_put_text(buffer, "error"), lmn_cbor_put_text(buffer, "no such lease");
+        return buffer;
     }
-    lmn_cbor_put_map(b, op->status == 409 ? 2 : 1);
+    lmn_cbor_put_map(buffer, op->status == 409 ? 2 : 1);
     if (op->status == 409) {
-        lmn_cbor_put_text(b, WIRE_CONFLICTS), lmn_cbor_put_array(b, op->failed->len);
+        lmn_cbor_put_text(buffer, WIRE_CONFLICTS),
+            lmn_cbor_put_array(buffer, op->failed->len);
         for (guint i = 0; i < op->failed->len; i++)
-            lmn_cbor_put_text(b, op->failed->pdata[i]);
+            lmn_cbor_put_text(buffer, op->failed->pdata[i]);
     }
-    lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, op->rev);
-    return b;
+    lmn_cbor_put_text(buffer, WIRE_REVISION), lmn_cbor_put_uint(buffer, op->rev);
+    return buffer;
 }
 
 /* After the commit: what it means to the leases in memory. The lock is held. */
@@ -106,19 +107,19 @@
 
 static void tell(struct lmn_kv_store_operation *op)
 {
-    GByteArray *b = NULL;
+    GByteArray *buffer = NULL;
 
     if (!op->call)
         return;
     if (op->kind == LMN_KV_STORE_TXN) {
-        b = txn_answer(op);
+        buffer = txn_answer(op);
     } else {
-        b = g_byte_array_new();
-        lmn_cbor_put_map(b, op->kind == LMN_KV_STORE_GRANT);
+        buffer = g_byte_array_new();
+        lmn_cbor_put_map(buffer, op->kind == LMN_KV_STORE_GRANT);
         if (op->kind == LMN_KV_STORE_GRANT)
-            lmn_cbor_put_text(b, WIRE_LEASE), lmn_cbor_put_uint(b, op->lease);
+            lmn_cbor_put_text(buffer, WIRE_LEASE), lmn_cbor_put_uint(buffer, op->lease);
     }
-    lmn_http_request_respond(op->call, op->status, b, 0);
+    lmn_http_request_respond(op->call, op->status, buffer, 0);
 }
 
 /* The batch was not applied: its calls are told so, and its leases live on. */
@@ -149,25 +150,25 @@
 static void commit(struct lmn_kv_store *s, GQueue *ops)
 {
     char err[256] = "";
-    struct lmn_db_batch *b = lmn_db_begin(s->db, err, sizeof err);
+    struct lmn_db_batch *batch = lmn_db_begin(s->db, err, sizeof err);
     struct timespec begun = lmn_now();
     struct lmn_kv_store_operation *op;
     uint64_t applied = 0, conflicts = 0;
 
-    if (!b) {
+    if (!batch) {
         give_up(s, ops, err);
         lmn_sleep(0.1);
         return;
     }
     for (GList *l = ops->head; l; l = l->next) {
         op = l->data;
-        if (!apply(b, op))
+        if (!apply(batch, op))
             break; /* the commit will say what is wrong */
         applied += op->kind == LMN_KV_STORE_TXN && op->status == 200;
         conflicts += op->kind == LMN_KV_STORE_TXN && op->status == 409;
     }
-    uint64_t rev = lmn_db_batch_revision(b);
-    int rc = lmn_db_commit(b, err, sizeof err);
+    uint64_t revision = lmn_db_batch_revision(batch);
+    int rc = lmn_db_commit(batch, err, sizeof err);
     if (rc == -2) {
         /* Callers must not be told anything: no answer means that it may have been
          * executed. */
@@ -189,13 +190,13 @@
     lmn_latency_add(&s->committing, lmn_time_diff_s(now, begun));
     pthread_mutex_unlock(&s->lock);
     lmn_debug("commit operations=%u revision=%" G_GUINT64_FORMAT " took=%.4f",
-              ops->length, rev, lmn_time_diff_s(now, begun));
+              ops->length, revision, lmn_time_diff_s(now, begun));
     while ((op = g_queue_pop_head(ops))) {
         tell(op);
         lmn_kv_store_operation_free(op);
     }
     pthread_mutex_lock(&s->watch_lock);
-    s->revision = MAX(s->revision, rev);
+    s->revision = MAX(s->revision, revision);
     pthread_cond_signal(&s->watch_more);
     pthread_mutex_unlock(&s->watch_lock);
 }
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -11,39 +11,43 @@
 
 static const double FIRST_WAIT_S = 0.25, LONGEST_WAIT_S = 30, GOOD_S = 30;
 
-void lmn_backoff_started(struct lmn_backoff *b, struct timespec now)
+void lmn_backoff_started(struct lmn_backoff *backoff, struct timespec now)
 {
-    b->started = now;
-    b->next = (struct timespec){0, 0};
+    backoff->started = now;
+    backoff->next = (struct timespec){0, 0};
 }
 
-bool lmn_backoff_due(struct lmn_backoff *b, struct timespec now)
+bool lmn_backoff_due(struct lmn_backoff *backoff, struct timespec now)
 {
-    if (!b->next.tv_sec) {
-        bool good = b->started.tv_sec && lmn_time_diff_s(now, b->started) > GOOD_S;
-        b->deaths = good ? 1 : b->deaths + 1;
-        b->wait_s =
-            good || b->wait_s <= 0 ? FIRST_WAIT_S : MIN(2 * b->wait_s, LONGEST_WAIT_S);
-        b->next = lmn_time_add(now, b->wait_s);
+    if (!backoff->next.tv_sec) {
+        bool good =
+            backoff->started.tv_sec && lmn_time_diff_s(now, backoff->started) > GOOD_S;
+        backoff->deaths = good ? 1 : backoff->deaths + 1;
+        backoff->wait_s = good || backoff->wait_s <= 0
+                              ? FIRST_WAIT_S
+                              : MIN(2 * backoff->wait_s, LONGEST_WAIT_S);
+        backoff->next = lmn_time_add(now, backoff->wait_s);
     }
-    return !lmn_time_before(now, b->next);
+    return !lmn_time_before(now, backoff->next);
 }
 
-void lmn_local_agent_options_read(struct lmn_config *c, struct lmn_local_agent_options *o)
+void lmn_local_agent_options_read(struct lmn_config *config,
+                                  struct lmn_local_agent_options *o)
 {
-    struct lmn_worker_options *w = &o->worker;
-
-    g_snprintf(w->listen, sizeof w->listen, "%s:0",
-               lmn_config_text(c, "address", "127.0.0.1"));
-    g_strlcpy(w->depot, lmn_config_address(c, "depot", NULL), sizeof w->depot);
-    g_strlcpy(w->checkpoints, lmn_config_text(c, "checkpoints", ""),
-              sizeof w->checkpoints);
-    w->report_s = lmn_config_number(c, "report_s", 1.5, 0.05, 600);
-    w->lease_s = lmn_config_number(c, "lease_s", 10, 0.1, 3600);
-    w->log_kb = lmn_config_number(c, "log_kb", 256, 1, 7 * 1024);
-    lmn_worker_controllers(c, w);
-    if (w->lease_s <= w->report_s)
-        lmn_config_fail(c, "lease_s", "must be longer than report_s");
+    struct lmn_worker_options *options = &o->worker;
+
+    g_snprintf(options->listen, sizeof options->listen, "%s:0",
+               lmn_config_text(config, "address", "127.0.0.1"));
+    g_strlcpy(options->depot, lmn_config_address(config, "depot", NULL),
+              sizeof options->depot);
+    g_strlcpy(options->checkpoints, lmn_config_text(config, "checkpoints", ""),
+              sizeof options->checkpoints);
+    options->report_s = lmn_config_number(config, "report_s", 1.5, 0.05, 600);
+    options->lease_s = lmn_config_number(config, "lease_s", 10, 0.1, 3600);
+    options->log_kb = lmn_config_number(config, "log_kb", 256, 1, 7 * 1024);
+    lmn_worker_controllers(config, options);
+    if (options->lease_s <= options->report_s)
+        lmn_config_fail(config, "lease_s", "must be longer than report_s");
 }
 
 static char *quoted(const char *s)
@@ -53,41 +57,43 @@
     return q;
 }
 
-static void put(GString *s, const char *key, const char *value)
+static void put(GString *text, const char *key, const char *value)
 {
     char *q = quoted(value);
-    g_string_append_printf(s, "%s = %s\n", key, q);
+    g_string_append_printf(text, "%s = %s\n", key, q);
     g_free(q);
 }
 
 static GString *settings(const struct lmn_local_agent_options *o, const char *dir,
-                         const char *name, const struct lmn_machine_type *t,
+                         const char *name, const struct lmn_machine_type *type,
                          const char *zone, bool spot)
 {
-    const struct lmn_worker_options *w = &o->worker;
-    GString *s = g_string_new("# Written by the fleet at each start of the machine.\n");
-
-    put(s, "name", name);
-    put(s, "zone", zone);
-    put(s, "listen", w->listen);
-    put(s, "depot", w->depot);
-    put(s, "data", dir);
-    if (*w->checkpoints)
-        put(s, "checkpoints", w->checkpoints);
-    g_string_append_printf(s, "spot = %s\nreport_s = %g\nlease_s = %g\nlog_kb = %g\n",
-                           spot ? "true" : "false", w->report_s, w->lease_s, w->log_kb);
-    for (unsigned i = 0; i < w->ncontrollers; i++) {
-        g_string_append(s, "[[controllers]]\n");
-        put(s, "name", w->controllers[i].name);
-        put(s, "address", w->controllers[i].addr);
+    const struct lmn_worker_options *options = &o->worker;
+    GString *text =
+        g_string_new("# Written by the fleet at each start of the machine.\n");
+
+    put(text, "name", name);
+    put(text, "zone", zone);
+    put(text, "listen", options->listen);
+    put(text, "depot", options->depot);
+    put(text, "data", dir);
+    if (*options->checkpoints)
+        put(text, "checkpoints", options->checkpoints);
+    g_string_append_printf(text, "spot = %s\nreport_s = %g\nlease_s = %g\nlog_kb = %g\n",
+                           spot ? "true" : "false", options->report_s, options->lease_s,
+                           options->log_kb);
+    for (unsigned i = 0; i < options->ncontrollers; i++) {
+        g_string_append(text, "[[controllers]]\n");
+        put(text, "name", options->controllers[i].name);
+        put(text, "address", options->controllers[i].addr);
     }
-    g_string_append(s, "[type]\n");
-    put(s, "name", t->name);
-    g_string_append_printf(s,
+    g_string_append(text, "[type]\n");
+    put(text, "name", type->name);
+    g_string_append_printf(text,
                            "cpus = %g\ngpus = %g\nmem_gb = %g\ncache_gb = %g\n"
                            "pull_gb_per_s = %g\n",
-                           t->cpus, t->gpus, t->mem, t->cache_gb, t->pull);
-    return s;
+                           type->cpus, type->gpus, type->mem, type->cache_gb, type->pull);
+    return text;
 }
 
 int lmn_local_agent_start(const struct lmn_local_agent_options *o, const char *name,
@@ -99,11 +105,12 @@
     char *log = g_build_filename(dir, "log", NULL);
     char *argv[] = {(char *)lmn_self_path(), (char *)"worker", (char *)"--config", file,
                     NULL};
-    GString *s = settings(o, dir, name, type, zone, spot);
+    GString *text = settings(o, dir, name, type, zone, spot);
     pid_t pid;
     int rc = 0;
 
-    if (g_mkdir_with_parents(dir, 0755) != 0 || lmn_file_put(file, s->str, s->len) != 0) {
+    if (g_mkdir_with_parents(dir, 0755) != 0 ||
+        lmn_file_put(file, text->str, text->len) != 0) {
         g_snprintf(err, len, "%s: %s", file, strerror(errno));
         rc = -1;
     } else {
@@ -113,7 +120,7 @@
             rc = -1;
         }
     }
-    g_string_free(s, TRUE);
+    g_string_free(text, TRUE);
     g_free(dir);
     g_free(file);
     g_free(log);
--- a/src/machine_provider/local_agents.h
+++ b/src/machine_provider/local_agents.h
@@ -14,7 +14,7 @@
 
 /* Reads what a fleet's or a slot's settings file says of its agents: depot, checkpoints,
  * report_s, lease_s, log_kb, address, controllers. */
-void lmn_local_agent_options_read(struct lmn_config *c,
+void lmn_local_agent_options_read(struct lmn_config *config,
                                   struct lmn_local_agent_options *o);
 
 /* Starts the machine's agent if none runs: writes its settings, spawns it. 0, or -1 with
@@ -38,8 +38,8 @@
     struct timespec started, next;
 };
 /* It has just been started. */
-void lmn_backoff_started(struct lmn_backoff *b, struct timespec now);
+void lmn_backoff_started(struct lmn_backoff *backoff, struct timespec now);
 /* It was found ended; true once it is time to start it. */
-bool lmn_backoff_due(struct lmn_backoff *b, struct timespec now);
+bool lmn_backoff_due(struct lmn_backoff *backoff, struct timespec now);
 
 #endif
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -11,26 +11,29 @@
 
 static const double ASK_S = 1, END_S = 10;
 
-int lmn_slot_load(const char *path, struct lmn_slot_options *o, char *err, size_t len)
+int lmn_slot_load(const char *path, struct lmn_slot_options *options, char *err,
+                  size_t len)
 {
-    struct lmn_config *c = lmn_config_load(path, err, len);
+    struct lmn_config *config = lmn_config_load(path, err, len);
 
-    memset(o, 0, sizeof *o);
-    if (!c)
+    memset(options, 0, sizeof *options);
+    if (!config)
         return -1;
-    g_strlcpy(o->name, lmn_config_name(c, "slot", NULL), sizeof o->name);
-    g_strlcpy(o->fleet, lmn_config_address(c, "fleet", NULL), sizeof o->fleet);
-    g_strlcpy(o->local.dir, lmn_config_text(c, "data", NULL), sizeof o->local.dir);
-    lmn_local_agent_options_read(c, &o->local);
-    int rc = lmn_config_finish(c, err, len);
-    lmn_config_free(c);
+    g_strlcpy(options->name, lmn_config_name(config, "slot", NULL), sizeof options->name);
+    g_strlcpy(options->fleet, lmn_config_address(config, "fleet", NULL),
+              sizeof options->fleet);
+    g_strlcpy(options->local.dir, lmn_config_text(config, "data", NULL),
+              sizeof options->local.dir);
+    lmn_local_agent_options_read(config, &options->local);
+    int rc = lmn_config_finish(config, err, len);
+    lmn_config_free(config);
     return rc;
 }
 
 /* The machine whose directory is there: at most one is. */
-static void held(const struct lmn_slot_options *o, char *name)
+static void held(const struct lmn_slot_options *options, char *name)
 {
-    GDir *d = g_dir_open(o->local.dir, 0, NULL);
+    GDir *d = g_dir_open(options->local.dir, 0, NULL);
     const char *entry;
 
     *name = '\0';
@@ -48,24 +51,24 @@
 };
 
 /* What it should be; false: the fleet did not say. */
-static bool ask(struct lmn_http_client *h, const struct lmn_slot_options *o,
+static bool ask(struct lmn_http_client *client, const struct lmn_slot_options *options,
                 const char *holds, const char *addr, struct rented_as *as)
 {
-    GByteArray *b = g_byte_array_new(), *in = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new(), *in = g_byte_array_new();
     static uint64_t seq; /* rises across restarts, too */
     struct lmn_cbor_document d;
 
     seq = MAX(seq + 1, (uint64_t)g_get_real_time());
 
     memset(as, 0, sizeof *as);
-    lmn_cbor_put_map(b, *holds ? 4 : 2);
-    lmn_cbor_put_text(b, "Slot"), lmn_cbor_put_text(b, o->name);
-    lmn_cbor_put_text(b, "Seq"), lmn_cbor_put_uint(b, seq);
+    lmn_cbor_put_map(buffer, *holds ? 4 : 2);
+    lmn_cbor_put_text(buffer, "Slot"), lmn_cbor_put_text(buffer, options->name);
+    lmn_cbor_put_text(buffer, "Seq"), lmn_cbor_put_uint(buffer, seq);
     if (*holds) {
-        lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, holds);
-        lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, addr);
+        lmn_cbor_put_text(buffer, WIRE_MACHINE), lmn_cbor_put_text(buffer, holds);
+        lmn_cbor_put_text(buffer, WIRE_ADDRESS), lmn_cbor_put_text(buffer, addr);
     }
-    int status = lmn_http_client_call(h, "POST", "/slots", b, 5, in);
+    int status = lmn_http_client_call(client, "POST", "/slots", buffer, 5, in);
     bool ok = status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0;
     if (ok) {
         const struct lmn_cbor_value *root = lmn_cbor_root(&d);
@@ -83,29 +86,29 @@
         lmn_cbor_free(&d);
     } else if (status == 404) {
         lmn_error("slot-unknown slot=%s mend=\"name it in the fleet's inventory\"",
-                  o->name);
+                  options->name);
     }
-    g_byte_array_unref(b);
+    g_byte_array_unref(buffer);
     g_byte_array_unref(in);
     return ok;
 }
 
-void lmn_slot_run(const struct lmn_slot_options *o)
+void lmn_slot_run(const struct lmn_slot_options *options)
 {
     struct lmn_backoff backoff = {0};
     char holds[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], err[256];
 
     curl_global_init(CURL_GLOBAL_NOTHING);
-    struct lmn_http_client *h = lmn_http_client_new(o->fleet);
-    lmn_info("slot-start slot=%s fleet=%s", o->name, o->fleet);
+    struct lmn_http_client *client = lmn_http_client_new(options->fleet);
+    lmn_info("slot-start slot=%s fleet=%s", options->name, options->fleet);
     for (;; lmn_sleep(ASK_S)) {
         struct rented_as as;
-        held(o, holds);
-        bool up = *holds && lmn_local_agent_is_up(&o->local, holds, addr);
-        if (!ask(h, o, holds, up ? addr : "", &as))
+        held(options, holds);
+        bool up = *holds && lmn_local_agent_is_up(&options->local, holds, addr);
+        if (!ask(client, options, holds, up ? addr : "", &as))
             continue; /* what it is, it stays: its lease watches over it */
         if (*holds && strcmp(holds, as.machine)) {
-            bool gone = lmn_local_agent_end(&o->local, holds, END_S);
+            bool gone = lmn_local_agent_end(&options->local, holds, END_S);
             lmn_info("slot-left machine=%s gone=%d", holds, gone);
             memset(&backoff, 0, sizeof backoff);
             continue; /* says so with the next question */
@@ -115,8 +118,8 @@
         if (*as.machine && !up && !young &&
             (!*holds || lmn_backoff_due(&backoff, lmn_now()))) {
             lmn_backoff_started(&backoff, lmn_now());
-            if (lmn_local_agent_start(&o->local, as.machine, &as.type, as.zone, as.spot,
-                                      err, sizeof err) != 0)
+            if (lmn_local_agent_start(&options->local, as.machine, &as.type, as.zone,
+                                      as.spot, err, sizeof err) != 0)
                 lmn_error("start-failed machine=%s why=\"%s\"", as.machine, err);
         }
     }
--- a/src/machine_provider/slot.h
+++ b/src/machine_provider/slot.h
@@ -11,8 +11,9 @@
     struct lmn_local_agent_options local;
 };
 
-int lmn_slot_load(const char *path, struct lmn_slot_options *o, char *err, size_t len);
+int lmn_slot_load(const char *path, struct lmn_slot_options *options, char *err,
+                  size_t len);
 /* Runs until the process ends. The agent it has started goes on without it. */
-void lmn_slot_run(const struct lmn_slot_options *o);
+void lmn_slot_run(const struct lmn_slot_options *options);
 
 #endif
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -56,17 +56,18 @@
 /* --- the database: machine/NAME, request/NAME, number --- */
 
 static GByteArray *machine_record(const struct lmn_static_provider *s,
-                                  const struct machine *m)
+                                  const struct machine *machine)
 {
-    GByteArray *b = g_byte_array_new();
-
-    lmn_cbor_put_map(b, 5);
-    lmn_cbor_put_text(b, "type"), lmn_cbor_put_text(b, s->v->types[m->type].name);
-    lmn_cbor_put_text(b, "zone"), lmn_cbor_put_text(b, m->zone);
-    lmn_cbor_put_text(b, "spot"), lmn_cbor_put_bool(b, m->spot);
-    lmn_cbor_put_text(b, "slot"), lmn_cbor_put_text(b, m->slot);
-    lmn_cbor_put_text(b, "at"), lmn_cbor_put_number(b, m->at);
-    return b;
+    GByteArray *buffer = g_byte_array_new();
+
+    lmn_cbor_put_map(buffer, 5);
+    lmn_cbor_put_text(buffer, "type"),
+        lmn_cbor_put_text(buffer, s->v->types[machine->type].name);
+    lmn_cbor_put_text(buffer, "zone"), lmn_cbor_put_text(buffer, machine->zone);
+    lmn_cbor_put_text(buffer, "spot"), lmn_cbor_put_bool(buffer, machine->spot);
+    lmn_cbor_put_text(buffer, "slot"), lmn_cbor_put_text(buffer, machine->slot);
+    lmn_cbor_put_text(buffer, "at"), lmn_cbor_put_number(buffer, machine->at);
+    return buffer;
 }
 
 struct write {
@@ -102,13 +103,13 @@
     const struct lmn_db_txn t = {NULL, (struct lmn_db_change *)(void *)w->changes->data,
                                  0, w->changes->len};
     char err[256];
-    uint64_t rev;
+    uint64_t revision;
     bool ok = false;
-    struct lmn_db_batch *b = lmn_db_begin(s->db, err, sizeof err);
+    struct lmn_db_batch *batch = lmn_db_begin(s->db, err, sizeof err);
 
-    if (b) {
-        lmn_db_apply(b, &t, &rev, NULL);
-        int rc = lmn_db_commit(b, err, sizeof err);
+    if (batch) {
+        lmn_db_apply(batch, &t, &revision, NULL);
+        int rc = lmn_db_commit(batch, err, sizeof err);
         if (rc == -2) {
             lmn_error("database-lost why=\"%s\"", err);
             _exit(1);
@@ -122,30 +123,32 @@
     return ok;
 }
 
-static bool read_machine(void *arg, const struct lmn_db_item *i)
+static bool read_machine(void *arg, const struct lmn_db_item *item)
 {
     struct lmn_static_provider *s = arg;
-    struct machine *m = g_new0(struct machine, 1);
+    struct machine *machine = g_new0(struct machine, 1);
     char type[LMN_NAME_SIZE] = "";
     struct lmn_cbor_document d;
 
-    g_strlcpy(m->name, i->key + strlen("machine/"), sizeof m->name);
-    if (lmn_cbor_parse(&d, i->value, i->len) == 0) {
+    g_strlcpy(machine->name, item->key + strlen("machine/"), sizeof machine->name);
+    if (lmn_cbor_parse(&d, item->value, item->len) == 0) {
         const struct lmn_cbor_value *root = lmn_cbor_root(&d);
         lmn_cbor_get_text(lmn_cbor_get(&d, root, "type"), type, sizeof type);
-        lmn_cbor_get_text(lmn_cbor_get(&d, root, "zone"), m->zone, sizeof m->zone);
-        lmn_cbor_get_bool(lmn_cbor_get(&d, root, "spot"), &m->spot);
-        lmn_cbor_get_text(lmn_cbor_get(&d, root, "slot"), m->slot, sizeof m->slot);
-        lmn_cbor_get_number(lmn_cbor_get(&d, root, "at"), &m->at);
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, "zone"), machine->zone,
+                          sizeof machine->zone);
+        lmn_cbor_get_bool(lmn_cbor_get(&d, root, "spot"), &machine->spot);
+        lmn_cbor_get_text(lmn_cbor_get(&d, root, "slot"), machine->slot,
+                          sizeof machine->slot);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, "at"), &machine->at);
         lmn_cbor_free(&d);
     }
-    m->type = lmn_inventory_type(s->v, type);
-    if (m->type < 0) {
-        lmn_error("machine-without-type machine=%s type=%s", m->name, type);
-        g_free(m);
+    machine->type = lmn_inventory_type(s->v, type);
+    if (machine->type < 0) {
+        lmn_error("machine-without-type machine=%s type=%s", machine->name, type);
+        g_free(machine);
         return true;
     }
-    g_tree_insert(s->machines, m->name, m);
+    g_tree_insert(s->machines, machine->name, machine);
     return true;
 }
 
@@ -153,7 +156,7 @@
 static bool old_request(struct lmn_static_provider *s, const char *request,
                         GPtrArray *names)
 {
-    struct lmn_db_reader *r = lmn_db_reader_new(s->db);
+    struct lmn_db_reader *reader = lmn_db_reader_new(s->db);
     char *escaped = g_uri_escape_string(request, NULL, FALSE);
     char *key = g_strconcat("request/", escaped, NULL), name[LMN_NAME_SIZE];
     struct lmn_db_meta meta;
@@ -161,19 +164,19 @@
     struct lmn_cbor_document d;
     bool found = false;
 
-    if (lmn_db_view(r, &meta) == 0) {
-        found = lmn_db_get(r, key, &i) && lmn_cbor_parse(&d, i.value, i.len) == 0;
+    if (lmn_db_view(reader, &meta) == 0) {
+        found = lmn_db_get(reader, key, &i) && lmn_cbor_parse(&d, i.value, i.len) == 0;
         if (found) {
-            for (const struct lmn_cbor_value *n =
+            for (const struct lmn_cbor_value *node =
                      lmn_cbor_first_child(&d, lmn_cbor_root(&d));
-                 n; n = lmn_cbor_next(&d, n))
-                if (lmn_cbor_get_text(n, name, sizeof name))
+                 node; node = lmn_cbor_next(&d, node))
+                if (lmn_cbor_get_text(node, name, sizeof name))
                     g_ptr_array_add(names, g_strdup(name));
             lmn_cbor_free(&d);
         }
-        lmn_db_view_end(r);
+        lmn_db_view_end(reader);
     }
-    lmn_db_reader_free(r);
+    lmn_db_reader_free(reader);
     g_free(escaped);
     g_free(key);
     return found;
@@ -190,11 +193,11 @@
 
 static gboolean count_one(gpointer key, gpointer v, gpointer arg)
 {
-    const struct machine *m = v;
+    const struct machine *machine = v;
     struct counting *c = arg;
     (void)key;
-    c->n += !*m->slot && m->type == c->type && m->spot == c->spot &&
-            !strcmp(m->zone, c->zone);
+    c->n += !*machine->slot && machine->type == c->type && machine->spot == c->spot &&
+            !strcmp(machine->zone, c->zone);
     return FALSE;
 }
 
@@ -224,15 +227,16 @@
                                    const struct lmn_rental_request *q, int type,
                                    const char *slot)
 {
-    struct machine *m = g_new0(struct machine, 1);
-
-    g_snprintf(m->name, sizeof m->name, "host-%06" G_GUINT64_FORMAT, s->number++);
-    g_strlcpy(m->zone, q->zone, sizeof m->zone);
-    g_strlcpy(m->slot, slot, sizeof m->slot);
-    m->type = type;
-    m->spot = q->spot;
-    m->at = lmn_time_seconds(lmn_wall_clock_now());
-    return m;
+    struct machine *machine = g_new0(struct machine, 1);
+
+    g_snprintf(machine->name, sizeof machine->name, "host-%06" G_GUINT64_FORMAT,
+               s->number++);
+    g_strlcpy(machine->zone, q->zone, sizeof machine->zone);
+    g_strlcpy(machine->slot, slot, sizeof machine->slot);
+    machine->type = type;
+    machine->spot = q->spot;
+    machine->at = lmn_time_seconds(lmn_wall_clock_now());
+    return machine;
 }
 
 /* What can be had of it, up to the count. */
@@ -246,9 +250,9 @@
 
     pthread_mutex_lock(&s->lock);
     for (unsigned i = 0; i < s->v->npools; i++) {
-        const struct lmn_pool *p = &s->v->pools[i];
-        if (p->type == type && p->spot == q->spot && !strcmp(p->zone, q->zone))
-            all += p->count;
+        const struct lmn_pool *pool = &s->v->pools[i];
+        if (pool->type == type && pool->spot == q->spot && !strcmp(pool->zone, q->zone))
+            all += pool->count;
     }
     g_tree_foreach(s->machines, count_one, &c);
     while (got->len < q->count && c.n + got->len < all)
@@ -275,9 +279,9 @@
     lmn_cbor_put_array(names, 1 + got->len);
     lmn_cbor_put_number(names, lmn_time_seconds(lmn_wall_clock_now()));
     for (guint i = 0; i < got->len; i++) {
-        const struct machine *m = got->pdata[i];
-        lmn_cbor_put_text(names, m->name);
-        write_add(&w, "machine/", m->name, machine_record(s, m));
+        const struct machine *machine = got->pdata[i];
+        lmn_cbor_put_text(names, machine->name);
+        write_add(&w, "machine/", machine->name, machine_record(s, machine));
     }
     write_add(&w, "request/", escaped, names);
     lmn_cbor_put_uint(number, s->number);
@@ -286,14 +290,14 @@
     return write_end(s, &w);
 }
 
-static void start(struct lmn_static_provider *s, struct machine *m)
+static void start(struct lmn_static_provider *s, struct machine *machine)
 {
     char err[256];
 
-    lmn_backoff_started(&m->backoff, lmn_now());
-    if (lmn_local_agent_start(s->o, m->name, &s->v->types[m->type], m->zone, m->spot, err,
-                              sizeof err) != 0)
-        lmn_error("start-failed machine=%s why=\"%s\"", m->name, err);
+    lmn_backoff_started(&machine->backoff, lmn_now());
+    if (lmn_local_agent_start(s->o, machine->name, &s->v->types[machine->type],
+                              machine->zone, machine->spot, err, sizeof err) != 0)
+        lmn_error("start-failed machine=%s why=\"%s\"", machine->name, err);
     s->starts++;
 }
 
@@ -309,18 +313,19 @@
         GPtrArray *got = choose(s, q, type);
         status = got->len && record_rental(s, q, got) ? 200 : 503;
         for (guint i = 0; i < got->len; i++) {
-            struct machine *m = got->pdata[i];
+            struct machine *machine = got->pdata[i];
             if (status != 200) {
-                g_free(m);
+                g_free(machine);
                 continue;
             }
-            g_ptr_array_add(names, g_strdup(m->name));
-            if (!*m->slot)
-                start(s, m);
-            lmn_info("machine-rented machine=%s type=%s zone=%s spot=%d slot=%s", m->name,
-                     q->type, q->zone, q->spot, *m->slot ? m->slot : "-");
+            g_ptr_array_add(names, g_strdup(machine->name));
+            if (!*machine->slot)
+                start(s, machine);
+            lmn_info("machine-rented machine=%s type=%s zone=%s spot=%d slot=%s",
+                     machine->name, q->type, q->zone, q->spot,
+                     *machine->slot ? machine->slot : "-");
             pthread_mutex_lock(&s->lock);
-            g_tree_insert(s->machines, m->name, m);
+            g_tree_insert(s->machines, machine->name, machine);
             s->rentals++;
             pthread_mutex_unlock(&s->lock);
         }
@@ -358,11 +363,11 @@
 static struct machine *mark_ending(struct lmn_static_provider *s, const char *name)
 {
     pthread_mutex_lock(&s->lock);
-    struct machine *m = g_tree_lookup(s->machines, name);
-    if (m)
-        m->ending = true;
+    struct machine *machine = g_tree_lookup(s->machines, name);
+    if (machine)
+        machine->ending = true;
     pthread_mutex_unlock(&s->lock);
-    return m;
+    return machine;
 }
 
 static int give_back(void *arg, char *const *names, unsigned n)
@@ -375,29 +380,29 @@
     pthread_mutex_lock(&s->order);
     write_begin(&w);
     for (unsigned i = 0; i < n; i++) {
-        struct machine *m = mark_ending(s, names[i]);
-        if (!m)
+        struct machine *machine = mark_ending(s, names[i]);
+        if (!machine)
             continue;
         /* Only this thread frees it, which holds the order. */
-        bool ok = *m->slot ? slot_gone(s, m->slot, m->name)
-                           : lmn_local_agent_end(s->o, m->name, END_S);
-        lmn_info("machine-returned machine=%s gone=%d", m->name, ok);
+        bool ok = *machine->slot ? slot_gone(s, machine->slot, machine->name)
+                                 : lmn_local_agent_end(s->o, machine->name, END_S);
+        lmn_info("machine-returned machine=%s gone=%d", machine->name, ok);
         if (!ok) {
             status = 503; /* it can't be told that it is gone */
             continue;
         }
-        write_add(&w, "machine/", m->name, NULL);
-        g_ptr_array_add(gone, m);
+        write_add(&w, "machine/", machine->name, NULL);
+        g_ptr_array_add(gone, machine);
     }
     if (!write_end(s, &w))
         status = 503; /* its slot is taken until the next try; nothing runs there */
     for (guint i = 0; i < gone->len && status == 200; i++) {
-        struct machine *m = gone->pdata[i];
+        struct machine *machine = gone->pdata[i];
         pthread_mutex_lock(&s->lock);
-        g_tree_remove(s->machines, m->name);
+        g_tree_remove(s->machines, machine->name);
         s->returns++;
         pthread_mutex_unlock(&s->lock);
-        g_free(m);
+        g_free(machine);
     }
     g_ptr_array_free(gone, TRUE);
     pthread_mutex_unlock(&s->order);
@@ -406,7 +411,7 @@
 
 /* --- looking --- */
 
-static void types(void *arg, void (*each)(void *to, const struct lmn_machine_type *t),
+static void types(void *arg, void (*each)(void *to, const struct lmn_machine_type *type),
                   void *to)
 {
     const struct lmn_static_provider *s = arg;
@@ -424,19 +429,20 @@
 
 static gboolean look_at(gpointer key, gpointer v, gpointer arg)
 {
-    const struct machine *m = v;
+    const struct machine *machine = v;
     struct look *l = arg;
-    struct lmn_rented_machine x = {.spot = m->spot, .age_s = MAX(l->now - m->at, 0)};
+    struct lmn_rented_machine x = {.spot = machine->spot,
+                                   .age_s = MAX(l->now - machine->at, 0)};
 
     if (strcmp(key, l->after) <= 0)
         return FALSE;
-    g_strlcpy(x.name, m->name, sizeof x.name);
-    g_strlcpy(x.addr, m->addr, sizeof x.addr);
-    g_strlcpy(x.type, l->s->v->types[m->type].name, sizeof x.type);
-    g_strlcpy(x.zone, m->zone, sizeof x.zone);
-    x.state = m->up                                ? WIRE_RUNNING
-              : m->backoff.deaths >= FAILED_DEATHS ? WIRE_BROKEN
-                                                   : WIRE_BOOTING;
+    g_strlcpy(x.name, machine->name, sizeof x.name);
+    g_strlcpy(x.addr, machine->addr, sizeof x.addr);
+    g_strlcpy(x.type, l->s->v->types[machine->type].name, sizeof x.type);
+    g_strlcpy(x.zone, machine->zone, sizeof x.zone);
+    x.state = machine->up                                ? WIRE_RUNNING
+              : machine->backoff.deaths >= FAILED_DEATHS ? WIRE_BROKEN
+                                                         : WIRE_BOOTING;
     return !l->each(l->to, &x);
 }
 
@@ -472,34 +478,34 @@
 
 static gboolean find_slot(gpointer key, gpointer v, gpointer arg)
 {
-    struct machine *m = v, **found = ((gpointer *)arg)[0];
+    struct machine *machine = v, **found = ((gpointer *)arg)[0];
     (void)key;
-    if (m->ending || strcmp(m->slot, ((gpointer *)arg)[1]))
+    if (machine->ending || strcmp(machine->slot, ((gpointer *)arg)[1]))
         return FALSE;
-    *found = m;
+    *found = machine;
     return TRUE;
 }
 
-static bool slots(void *arg, struct lmn_http_request *call)
+static bool slots(void *arg, struct lmn_http_request *request)
 {
     struct lmn_static_provider *s = arg;
-    const GByteArray *body = lmn_http_request_body(call);
+    const GByteArray *body = lmn_http_request_body(request);
     char name[LMN_NAME_SIZE] = "";
-    struct machine *m = NULL;
+    struct machine *machine = NULL;
     struct lmn_cbor_document d;
 
-    if (lmn_http_request_method(call) != LMN_HTTP_POST ||
-        strcmp(lmn_http_request_path(call), "/slots"))
+    if (lmn_http_request_method(request) != LMN_HTTP_POST ||
+        strcmp(lmn_http_request_path(request), "/slots"))
         return false;
     if (lmn_cbor_parse(&d, body->data, body->len) != 0) {
-        lmn_http_request_fail(call, 400, "not CBOR");
+        lmn_http_request_fail(request, 400, "not CBOR");
         return true;
     }
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     lmn_cbor_get_text(lmn_cbor_get(&d, root, "Slot"), name, sizeof name);
     const struct lmn_slot *slot = lmn_inventory_slot(s->v, name);
     if (!slot) {
-        lmn_http_request_fail(call, 404, "the inventory names no such machine");
+        lmn_http_request_fail(request, 404, "the inventory names no such machine");
         lmn_cbor_free(&d);
         return true;
     }
@@ -515,7 +521,7 @@
         /* It was given up long ago, and comes late: what it says is not so any more. */
         pthread_mutex_unlock(&s->lock);
         lmn_cbor_free(&d);
-        lmn_http_request_fail(call, 409, "out of order");
+        lmn_http_request_fail(request, 409, "out of order");
         return true;
     }
     seen->seq = seq;
@@ -526,34 +532,35 @@
                       sizeof seen->holds);
     lmn_cbor_get_text(lmn_cbor_get(&d, root, WIRE_ADDRESS), seen->addr,
                       sizeof seen->addr);
-    g_tree_foreach(s->machines, find_slot, (gpointer[]){&m, name});
-    if (m) {
-        m->up = !strcmp(seen->holds, m->name) && *seen->addr;
-        g_strlcpy(m->addr, seen->addr, sizeof m->addr);
+    g_tree_foreach(s->machines, find_slot, (gpointer[]){&machine, name});
+    if (machine) {
+        machine->up = !strcmp(seen->holds, machine->name) && *seen->addr;
+        g_strlcpy(machine->addr, seen->addr, sizeof machine->addr);
     }
     char wanted[LMN_NAME_SIZE] = "";
-    if (m)
-        g_strlcpy(wanted, m->name, sizeof wanted);
+    if (machine)
+        g_strlcpy(wanted, machine->name, sizeof wanted);
     pthread_cond_broadcast(&s->slot_said);
     pthread_mutex_unlock(&s->lock);
     lmn_cbor_free(&d);
-    const struct lmn_machine_type *t = &s->v->types[slot->type];
-    GByteArray *b = g_byte_array_new();
-    lmn_cbor_put_map(b, 9);
-    lmn_cbor_put_text(b, WIRE_MACHINE);
+    const struct lmn_machine_type *type = &s->v->types[slot->type];
+    GByteArray *buffer = g_byte_array_new();
+    lmn_cbor_put_map(buffer, 9);
+    lmn_cbor_put_text(buffer, WIRE_MACHINE);
     if (*wanted)
-        lmn_cbor_put_text(b, wanted);
+        lmn_cbor_put_text(buffer, wanted);
     else
-        lmn_cbor_put_null(b);
-    lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, slot->zone);
-    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, slot->spot);
-    lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, t->name);
-    lmn_cbor_put_text(b, WIRE_CPUS), lmn_cbor_put_number(b, t->cpus);
-    lmn_cbor_put_text(b, WIRE_GPUS), lmn_cbor_put_number(b, t->gpus);
-    lmn_cbor_put_text(b, WIRE_MEMORY_GB), lmn_cbor_put_number(b, t->mem);
-    lmn_cbor_put_text(b, WIRE_CACHE_GB), lmn_cbor_put_number(b, t->cache_gb);
-    lmn_cbor_put_text(b, WIRE_PULL_GB_PER_S), lmn_cbor_put_number(b, t->pull);
-    lmn_http_request_respond(call, 200, b, 0);
+        lmn_cbor_put_null(buffer);
+    lmn_cbor_put_text(buffer, WIRE_ZONE), lmn_cbor_put_text(buffer, slot->zone);
+    lmn_cbor_put_text(buffer, WIRE_SPOT), lmn_cbor_put_bool(buffer, slot->spot);
+    lmn_cbor_put_text(buffer, WIRE_MACHINE_TYPE), lmn_cbor_put_text(buffer, type->name);
+    lmn_cbor_put_text(buffer, WIRE_CPUS), lmn_cbor_put_number(buffer, type->cpus);
+    lmn_cbor_put_text(buffer, WIRE_GPUS), lmn_cbor_put_number(buffer, type->gpus);
+    lmn_cbor_put_text(buffer, WIRE_MEMORY_GB), lmn_cbor_put_number(buffer, type->mem);
+    lmn_cbor_put_text(buffer, WIRE_CACHE_GB), lmn_cbor_put_number(buffer, type->cache_gb);
+    lmn_cbor_put_text(buffer, WIRE_PULL_GB_PER_S),
+        lmn_cbor_put_number(buffer, type->pull);
+    lmn_http_request_respond(request, 200, buffer, 0);
     return true;
 }
 
@@ -570,10 +577,10 @@
 
 static gboolean take_local(gpointer key, gpointer v, gpointer arg)
 {
-    const struct machine *m = v;
+    const struct machine *machine = v;
     (void)key;
-    if (!*m->slot && !m->ending)
-        g_ptr_array_add(arg, g_strdup(m->name));
+    if (!*machine->slot && !machine->ending)
+        g_ptr_array_add(arg, g_strdup(machine->name));
     return FALSE;
 }
 
@@ -586,20 +593,21 @@
      * order. */
     pthread_mutex_lock(&s->order);
     pthread_mutex_lock(&s->lock);
-    struct machine *m = g_tree_lookup(s->machines, name);
-    if (m && !m->ending) {
-        if (m->up && !up)
-            lmn_info("agent-ended machine=%s deaths=%u", name, m->backoff.deaths + 1);
-        m->up = up;
-        g_strlcpy(m->addr, addr, sizeof m->addr);
+    struct machine *machine = g_tree_lookup(s->machines, name);
+    if (machine && !machine->ending) {
+        if (machine->up && !up)
+            lmn_info("agent-ended machine=%s deaths=%u", name,
+                     machine->backoff.deaths + 1);
+        machine->up = up;
+        g_strlcpy(machine->addr, addr, sizeof machine->addr);
         /* Just started, it needs a moment to take its lock. */
-        bool young = m->backoff.started.tv_sec &&
-                     lmn_time_diff_s(lmn_now(), m->backoff.started) < 2;
-        due = !up && !young && lmn_backoff_due(&m->backoff, lmn_now());
+        bool young = machine->backoff.started.tv_sec &&
+                     lmn_time_diff_s(lmn_now(), machine->backoff.started) < 2;
+        due = !up && !young && lmn_backoff_due(&machine->backoff, lmn_now());
     }
     pthread_mutex_unlock(&s->lock);
     if (due)
-        start(s, m);
+        start(s, machine);
     pthread_mutex_unlock(&s->order);
 }
 
@@ -620,28 +628,28 @@
     return NULL;
 }
 
-static bool old_enough(void *arg, const struct lmn_db_item *i)
+static bool old_enough(void *arg, const struct lmn_db_item *item)
 {
     GPtrArray *keys = arg;
     struct lmn_cbor_document d;
     double at = 0;
 
-    if (lmn_cbor_parse(&d, i->value, i->len) != 0)
+    if (lmn_cbor_parse(&d, item->value, item->len) != 0)
         return true;
     lmn_cbor_get_number(lmn_cbor_first_child(&d, lmn_cbor_root(&d)), &at);
     lmn_cbor_free(&d);
     if (lmn_time_seconds(lmn_wall_clock_now()) - at > REQUEST_KEPT_S)
-        g_ptr_array_add(keys, g_strdup(i->key));
+        g_ptr_array_add(keys, g_strdup(item->key));
     return true;
 }
 
 /* Requests that nobody will ask again. */
-static void forget_requests(struct lmn_static_provider *s, struct lmn_db_reader *r)
+static void forget_requests(struct lmn_static_provider *s, struct lmn_db_reader *reader)
 {
     GPtrArray *keys = g_ptr_array_new_with_free_func(g_free);
     struct write w;
 
-    lmn_db_list(r, "request/", NULL, old_enough, keys);
+    lmn_db_list(reader, "request/", NULL, old_enough, keys);
     write_begin(&w);
     for (guint i = 0; i < keys->len; i++)
         write_add(&w, keys->pdata[i], "", NULL);
@@ -650,7 +658,7 @@
 }
 
 struct lmn_static_provider *
-lmn_static_provider_new(const struct lmn_inventory *v,
+lmn_static_provider_new(const struct lmn_inventory *inventory,
                         const struct lmn_local_agent_options *o, const char *dir,
                         char *err, size_t len)
 {
@@ -663,7 +671,7 @@
     if (!db)
         return NULL;
     struct lmn_static_provider *s = g_new0(struct lmn_static_provider, 1);
-    s->v = v;
+    s->v = inventory;
     s->o = o;
     s->db = db;
     pthread_mutex_init(&s->order, NULL);
@@ -671,18 +679,19 @@
     lmn_cond_init(&s->slot_said);
     s->machines = g_tree_new_full(by_name, NULL, NULL, NULL);
     s->slots = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    struct lmn_db_reader *r = lmn_db_reader_new(db);
-    if (lmn_db_view(r, &meta) == 0) {
-        lmn_db_list(r, "machine/", NULL, read_machine, s);
-        if (lmn_db_get(r, "number", &i) && lmn_cbor_parse(&doc, i.value, i.len) == 0) {
+    struct lmn_db_reader *reader = lmn_db_reader_new(db);
+    if (lmn_db_view(reader, &meta) == 0) {
+        lmn_db_list(reader, "machine/", NULL, read_machine, s);
+        if (lmn_db_get(reader, "number", &i) &&
+            lmn_cbor_parse(&doc, i.value, i.len) == 0) {
             lmn_cbor_get_uint(lmn_cbor_root(&doc), &s->number);
             lmn_cbor_free(&doc);
         }
-        forget_requests(s, r);
-        lmn_db_view_end(r);
+        forget_requests(s, reader);
+        lmn_db_view_end(reader);
     }
-    lmn_db_reader_free(r);
-    lmn_info("fleet-start types=%u pools=%u slots=%u rented=%d", v->ntypes, v->npools,
-             v->nslots, g_tree_nnodes(s->machines));
+    lmn_db_reader_free(reader);
+    lmn_info("fleet-start types=%u pools=%u slots=%u rented=%d", inventory->ntypes,
+             inventory->npools, inventory->nslots, g_tree_nnodes(s->machines));
     return s;
 }
--- a/src/machine_provider/static_provider.h
+++ b/src/machine_provider/static_provider.h
@@ -13,7 +13,7 @@
 /* Opens the database in dir and takes up what it says: agents that run are left running.
  * NULL with err. The inventory and options must outlive it. */
 struct lmn_static_provider *
-lmn_static_provider_new(const struct lmn_inventory *v,
+lmn_static_provider_new(const struct lmn_inventory *inventory,
                         const struct lmn_local_agent_options *o, const char *dir,
                         char *err, size_t len);
 extern const struct lmn_machine_provider_ops
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -27,7 +27,7 @@
     double overdue_s;  /* a worker that is silent for so long was not heard */
 };
 void lmn_membership_timeouts_init(const struct lmn_settings *cfg,
-                                  struct lmn_membership_timeouts *t);
+                                  struct lmn_membership_timeouts *timeouts);
 
 /* What a member is suspected of. */
 enum lmn_suspicion_cause {
@@ -133,49 +133,52 @@
     } count;
 };
 
-void lmn_members_init(struct lmn_members *ms, const struct lmn_settings *cfg,
+void lmn_members_init(struct lmn_members *members, const struct lmn_settings *cfg,
                       struct timespec now);
-const char *lmn_member_name(const struct lmn_members *ms, int rank);
+const char *lmn_member_name(const struct lmn_members *members, int member_index);
 /* -1: no member of that name. */
-int lmn_member_index(const struct lmn_members *ms, const char *name);
+int lmn_member_index(const struct lmn_members *members, const char *name);
 
 /* --- what is observed --- */
 
 /* This node does its rounds; late_s: how late it is. Notices a stand-still. */
-void lmn_members_tick(struct lmn_members *ms, double late_s, struct timespec now);
+void lmn_members_tick(struct lmn_members *members, double late_s, struct timespec now);
 /* The mirror was asked at this time, and answered. The asking is what it proves. */
-void lmn_members_record_watch(struct lmn_members *ms, struct timespec asked);
+void lmn_members_record_watch(struct lmn_members *members, struct timespec asked);
 /* The record n/NODE; rev 0: it is gone. lease: the one that it hangs on. */
-void lmn_member_apply_record(struct lmn_members *ms, int rank, uint64_t rev,
-                             uint64_t lease, struct timespec now);
+void lmn_member_apply_record(struct lmn_members *members, int member_index,
+                             uint64_t revision, uint64_t lease, struct timespec now);
 /* The record u/NODE; rev 0: it is gone. */
-void lmn_member_apply_suspicion(struct lmn_members *ms, int rank, uint64_t rev,
-                                uint64_t inc, const char *by,
+void lmn_member_apply_suspicion(struct lmn_members *members, int member_index,
+                                uint64_t revision, uint64_t inc, const char *by,
                                 enum lmn_suspicion_cause why, struct timespec now);
 /* Its partition was taken, or given away: it earns its work back later. Where a suspicion
  * stands, that was the verdict, and it is out until its record is written anew. */
-void lmn_member_record_failure(struct lmn_members *ms, int rank, struct timespec now);
-/* A question to it was sent, and answered; or it asked us: then sent is now. */
-void lmn_member_record_contact(struct lmn_members *ms, int rank,
-                               const struct lmn_member_health *w, struct timespec sent,
+void lmn_member_record_failure(struct lmn_members *members, int member_index,
                                struct timespec now);
-void lmn_member_record_probe_reply(struct lmn_members *ms, int rank,
-                                   const struct lmn_member_health *w,
+/* A question to it was sent, and answered; or it asked us: then sent is now. */
+void lmn_member_record_contact(struct lmn_members *members, int member_index,
+                               const struct lmn_member_health *health,
+                               struct timespec sent, struct timespec now);
+void lmn_member_record_probe_reply(struct lmn_members *members, int member_index,
+                                   const struct lmn_member_health *health,
                                    struct timespec sent, struct timespec now);
-void lmn_member_record_probe_timeout(struct lmn_members *ms, int rank,
+void lmn_member_record_probe_timeout(struct lmn_members *members, int member_index,
                                      struct timespec sent, struct timespec now);
 /* What another says of a third. */
-void lmn_member_record_gossip(struct lmn_members *ms, int by,
-                              const struct lmn_gossip_statement *s, struct timespec now);
+void lmn_member_record_gossip(struct lmn_members *members, int by,
+                              const struct lmn_gossip_statement *statement,
+                              struct timespec now);
 /* Another asks about it: it is asked next, unless it was heard just now. */
-void lmn_member_request_probe(struct lmn_members *ms, int rank, struct timespec now);
+void lmn_member_request_probe(struct lmn_members *members, int member_index,
+                              struct timespec now);
 /* A worker of a partition that the member owns has come here, having given it up; by its
  * report of that session and number. */
-void lmn_member_record_redirected_worker(struct lmn_members *ms, int rank,
+void lmn_member_record_redirected_worker(struct lmn_members *members, int member_index,
                                          const char *worker, uint64_t session,
                                          uint64_t seq, struct timespec now);
 /* A worker of our own has reached us. */
-void lmn_members_record_own_worker(struct lmn_members *ms, struct timespec now);
+void lmn_members_record_own_worker(struct lmn_members *members, struct timespec now);
 
 /* --- questions --- */
 
@@ -185,15 +188,15 @@
     double patience_s;
 };
 /* The question that is due; false if none is, then *wait is for how long. */
-bool lmn_member_next_probe(struct lmn_members *ms, GRand *rng, struct timespec now,
-                           struct lmn_probe *q, double *wait);
+bool lmn_member_next_probe(struct lmn_members *members, GRand *rng, struct timespec now,
+                           struct lmn_probe *probe, double *wait);
 /* What to tell along with a question to, or an answer for, a member: about it itself,
  * about a third (-1: none), and what is suspicious. Returns their number. */
-unsigned lmn_member_gossip(struct lmn_members *ms, int to, int about, struct timespec now,
-                           struct lmn_gossip_statement *out);
+unsigned lmn_member_gossip(struct lmn_members *members, int to, int about,
+                           struct timespec now, struct lmn_gossip_statement *out);
 /* How many of its workers have come here lately. */
-unsigned lmn_member_redirected_workers(const struct lmn_members *ms, int rank,
-                                       struct timespec now);
+unsigned lmn_member_redirected_workers(const struct lmn_members *members,
+                                       int member_index, struct timespec now);
 
 /* --- what follows --- */
 
@@ -208,31 +211,34 @@
     unsigned sides;       /* independent sides against it, for the cause: */
     enum lmn_suspicion_cause cause;
 };
-void lmn_member_failure_evidence(const struct lmn_members *ms, int rank,
-                                 struct timespec now, struct lmn_failure_evidence *e);
+void lmn_member_failure_evidence(const struct lmn_members *members, int member_index,
+                                 struct timespec now,
+                                 struct lmn_failure_evidence *evidence);
 
 /* Suspicion: a record u/NODE should be written (it has none of this incarnation). */
-bool lmn_member_should_suspect(const struct lmn_members *ms, int rank,
-                               struct timespec now, struct lmn_failure_evidence *e);
+bool lmn_member_should_suspect(const struct lmn_members *members, int member_index,
+                               struct timespec now,
+                               struct lmn_failure_evidence *evidence);
 /* A suspicion of its incarnation stands. */
-bool lmn_member_is_suspected(const struct lmn_members *ms, int rank);
+bool lmn_member_is_suspected(const struct lmn_members *members, int member_index);
 /* It may be judged now: its partitions claimed on condition of its incarnation. */
-bool lmn_member_is_declared_failed(const struct lmn_members *ms, int rank,
+bool lmn_member_is_declared_failed(const struct lmn_members *members, int member_index,
                                    struct timespec now);
 /* Up and staying, not suspected, and fit by its own word. */
-bool lmn_member_is_trusted(const struct lmn_members *ms, int rank, struct timespec now);
+bool lmn_member_is_trusted(const struct lmn_members *members, int member_index,
+                           struct timespec now);
 /* Seconds until its work may be given back to it; 0: now. */
-double lmn_member_readmission_delay_s(const struct lmn_members *ms, int rank,
+double lmn_member_readmission_delay_s(const struct lmn_members *members, int member_index,
                                       struct timespec now);
 
 /* This node is suspected, untruly as far as it knows: it should write its record anew. */
-bool lmn_self_should_refute(const struct lmn_members *ms, struct timespec now);
+bool lmn_self_should_refute(const struct lmn_members *members, struct timespec now);
 /* It may answer workers: it has not stood still since the mirror was last asked. */
-bool lmn_self_may_reply(const struct lmn_members *ms, struct timespec now);
+bool lmn_self_may_reply(const struct lmn_members *members, struct timespec now);
 /* It may claim, and judge others. */
-bool lmn_self_may_claim(const struct lmn_members *ms, struct timespec now);
+bool lmn_self_may_claim(const struct lmn_members *members, struct timespec now);
 /* It hears less than half of its machines, which come to others: the rank of the member
  * to give its partitions to, -1: none. */
-int lmn_self_transfer_target(const struct lmn_members *ms, struct timespec now);
+int lmn_self_transfer_target(const struct lmn_members *members, struct timespec now);
 
 #endif
--- a/src/membership/phi_accrual.c
+++ b/src/membership/phi_accrual.c
@@ -6,29 +6,30 @@
 static const double LEAST_DEVIATION_S = 0.05, MOST_PHI = 16;
 static const unsigned MEMORY = 50;
 
-void lmn_phi_accrual_add(struct lmn_phi_accrual *a, double s)
+void lmn_phi_accrual_add(struct lmn_phi_accrual *accrual, double seconds)
 {
-    if (a->n < MEMORY)
-        a->n++;
-    double d = s - a->mean, w = 1.0 / a->n;
+    if (accrual->n < MEMORY)
+        accrual->n++;
+    double d = seconds - accrual->mean, w = 1.0 / accrual->n;
 
-    a->mean += w * d;
-    a->var = (1 - w) * (a->var + w * d * d);
+    accrual->mean += w * d;
+    accrual->var = (1 - w) * (accrual->var + w * d * d);
 }
 
-static double deviation(const struct lmn_phi_accrual *a)
+static double deviation(const struct lmn_phi_accrual *accrual)
 {
-    return fmax(sqrt(a->var), LEAST_DEVIATION_S);
+    return fmax(sqrt(accrual->var), LEAST_DEVIATION_S);
 }
 
-double lmn_phi_accrual_phi(const struct lmn_phi_accrual *a, double s)
+double lmn_phi_accrual_phi(const struct lmn_phi_accrual *accrual, double seconds)
 {
-    double q = gsl_cdf_gaussian_Q(s - a->mean, deviation(a));
+    double q = gsl_cdf_gaussian_Q(seconds - accrual->mean, deviation(accrual));
 
     return q > 0 ? fmin(-log10(q), MOST_PHI) : MOST_PHI;
 }
 
-double lmn_phi_accrual_timeout_s(const struct lmn_phi_accrual *a, double phi)
+double lmn_phi_accrual_timeout_s(const struct lmn_phi_accrual *accrual, double phi)
 {
-    return fmax(a->mean + gsl_cdf_gaussian_Qinv(pow(10, -phi), deviation(a)), 0);
+    return fmax(accrual->mean + gsl_cdf_gaussian_Qinv(pow(10, -phi), deviation(accrual)),
+                0);
 }
--- a/src/membership/phi_accrual.h
+++ b/src/membership/phi_accrual.h
@@ -13,11 +13,11 @@
 };
 
 /* An answer came after s. */
-void lmn_phi_accrual_add(struct lmn_phi_accrual *a, double s);
+void lmn_phi_accrual_add(struct lmn_phi_accrual *accrual, double seconds);
 /* How sure one may be that no answer is coming, after s without one: 0 to 16. Before the
  * first answer, and for tiny variances, a deviation of 50 ms is assumed. */
-double lmn_phi_accrual_phi(const struct lmn_phi_accrual *a, double s);
+double lmn_phi_accrual_phi(const struct lmn_phi_accrual *accrual, double seconds);
 /* The wait at which phi is reached. */
-double lmn_phi_accrual_timeout_s(const struct lmn_phi_accrual *a, double phi);
+double lmn_phi_accrual_timeout_s(const struct lmn_phi_accrual *accrual, double phi);
 
 #endif
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -14,122 +14,125 @@
  * drop less often: those harm nobody. */
 static const double ADD_S = 0.3, DROP_S = 3.0;
 
-static struct lmn_machine_block *block_at(struct lmn_partition *p, guint id)
+static struct lmn_machine_block *block_at(struct lmn_partition *partition, guint id)
 {
-    while (p->blocks->len <= id)
-        g_ptr_array_add(p->blocks, NULL);
-    if (!p->blocks->pdata[id]) {
-        struct lmn_machine_block *b = g_new0(struct lmn_machine_block, 1);
-        b->id = id;
-        b->machines = g_ptr_array_new();
-        p->blocks->pdata[id] = b;
+    while (partition->blocks->len <= id)
+        g_ptr_array_add(partition->blocks, NULL);
+    if (!partition->blocks->pdata[id]) {
+        struct lmn_machine_block *block = g_new0(struct lmn_machine_block, 1);
+        block->id = id;
+        block->machines = g_ptr_array_new();
+        partition->blocks->pdata[id] = block;
     }
-    return p->blocks->pdata[id];
+    return partition->blocks->pdata[id];
 }
 
-static void put_in(struct lmn_machine_block *b, struct lmn_machine *m)
+static void put_in(struct lmn_machine_block *block, struct lmn_machine *machine)
 {
-    m->block = b;
-    g_ptr_array_add(b->machines, m);
-    b->bytes += lmn_machine_record_size(m);
+    machine->block = block;
+    g_ptr_array_add(block->machines, machine);
+    block->bytes += lmn_machine_record_size(machine);
 }
 
 /* The machine's first block with room. It stays there: a write whose outcome is not known
  * may yet be applied, and must not find the machine recorded elsewhere meanwhile. */
-static void assign(const struct lmn_core *c, struct lmn_partition *p,
-                   struct lmn_machine *m)
+static void assign(const struct lmn_core *core, struct lmn_partition *partition,
+                   struct lmn_machine *machine)
 {
-    size_t most = MIN((size_t)(c->cfg->value_kb * 512), 16384);
+    size_t most = MIN((size_t)(core->cfg->value_kb * 512), 16384);
     guint id = 0;
 
-    while (id < p->blocks->len && p->blocks->pdata[id] &&
-           block_at(p, id)->bytes + lmn_machine_record_size(m) > most)
+    while (id < partition->blocks->len && partition->blocks->pdata[id] &&
+           block_at(partition, id)->bytes + lmn_machine_record_size(machine) > most)
         id++;
-    put_in(block_at(p, id), m);
+    put_in(block_at(partition, id), machine);
 }
 
-static void read_machine(struct lmn_partition *p, struct lmn_machine_block *b,
-                         const struct lmn_cbor_document *d,
-                         const struct lmn_cbor_value *n, uint64_t rev,
+static void read_machine(struct lmn_partition *partition, struct lmn_machine_block *block,
+                         const struct lmn_cbor_document *document,
+                         const struct lmn_cbor_value *node, uint64_t revision,
                          struct timespec now)
 {
     char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE] = "";
 
-    n = lmn_cbor_first_child(d, n);
-    if (!lmn_cbor_get_text(n, name, sizeof name))
+    node = lmn_cbor_first_child(document, node);
+    if (!lmn_cbor_get_text(node, name, sizeof name))
         return;
-    struct lmn_machine *m = g_hash_table_lookup(p->machines, name);
-    if (!m) {
-        m = lmn_machine_new(p, name);
-        m->first = now;
+    struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
+    if (!machine) {
+        machine = lmn_machine_new(partition, name);
+        machine->first = now;
     }
-    if (!m->rev) {
-        lmn_machine_leave_block(m);
-        n = lmn_cbor_next(d, n), lmn_cbor_get_text(n, addr, sizeof addr);
-        lmn_machine_set_address(m, addr);
-        n = lmn_cbor_next(d, n), lmn_cbor_get_text(n, m->type_name, sizeof m->type_name);
-        n = lmn_cbor_next(d, n), lmn_cbor_get_text(n, m->zone, sizeof m->zone);
-        n = lmn_cbor_next(d, n), lmn_cbor_get_bool(n, &m->spot);
-        put_in(b, m);
-        m->rev = rev;
+    if (!machine->rev) {
+        lmn_machine_leave_block(machine);
+        node = lmn_cbor_next(document, node), lmn_cbor_get_text(node, addr, sizeof addr);
+        lmn_machine_set_address(machine, addr);
+        node = lmn_cbor_next(document, node),
+        lmn_cbor_get_text(node, machine->type_name, sizeof machine->type_name);
+        node = lmn_cbor_next(document, node),
+        lmn_cbor_get_text(node, machine->zone, sizeof machine->zone);
+        node = lmn_cbor_next(document, node), lmn_cbor_get_bool(node, &machine->spot);
+        put_in(block, machine);
+        machine->rev = revision;
     }
-    m->block_rev = rev;
+    machine->block_rev = revision;
 }
 
 /* Machines that the record does not name any more, and those that were gone before they
  * were recorded. */
-static void drop_others(struct lmn_core *c, struct lmn_machine_block *b, uint64_t rev,
-                        struct timespec now)
+static void drop_others(struct lmn_core *core, struct lmn_machine_block *block,
+                        uint64_t revision, struct timespec now)
 {
-    for (guint i = b->machines->len; i-- > 0;) {
-        struct lmn_machine *m = b->machines->pdata[i];
-        if (m->block_rev == rev || (!m->rev && !m->is_gone))
+    for (guint i = block->machines->len; i-- > 0;) {
+        struct lmn_machine *machine = block->machines->pdata[i];
+        if (machine->block_rev == revision || (!machine->rev && !machine->is_gone))
             continue;
-        lmn_machine_requeue_tasks(c, m, "record removed", now);
-        g_hash_table_remove(m->part->machines, m->name);
+        lmn_machine_requeue_tasks(core, machine, "record removed", now);
+        g_hash_table_remove(machine->part->machines, machine->name);
     }
 }
 
-void lmn_machine_block_apply(struct lmn_core *c, struct lmn_partition *p,
-                             unsigned long id, const struct lmn_cbor_document *d,
-                             const struct lmn_cbor_value *v, uint64_t rev,
+void lmn_machine_block_apply(struct lmn_core *core, struct lmn_partition *partition,
+                             unsigned long id, const struct lmn_cbor_document *document,
+                             const struct lmn_cbor_value *value, uint64_t revision,
                              struct timespec now)
 {
     if (id >= LMN_MAX_BLOCKS)
         return;
-    struct lmn_machine_block *b = block_at(p, (guint)id);
-    b->gen = c->gen;
-    if (b->rev >= rev)
+    struct lmn_machine_block *block = block_at(partition, (guint)id);
+    block->gen = core->gen;
+    if (block->rev >= revision)
         return;
-    for (const struct lmn_cbor_value *n = v ? lmn_cbor_first_child(d, v) : NULL; n;
-         n = lmn_cbor_next(d, n))
-        read_machine(p, b, d, n, rev, now);
-    drop_others(c, b, rev, now);
-    b->rev = v ? rev : 0;
-    b->writing = false;
+    for (const struct lmn_cbor_value *node = value ? lmn_cbor_first_child(document, value)
+                                                   : NULL;
+         node; node = lmn_cbor_next(document, node))
+        read_machine(partition, block, document, node, revision, now);
+    drop_others(core, block, revision, now);
+    block->rev = value ? revision : 0;
+    block->writing = false;
 }
 
-void lmn_machine_block_sweep(struct lmn_core *c, struct lmn_partition *p,
+void lmn_machine_block_sweep(struct lmn_core *core, struct lmn_partition *partition,
                              struct timespec now)
 {
-    for (guint i = 0; i < p->blocks->len; i++) {
-        struct lmn_machine_block *b = p->blocks->pdata[i];
-        if (!b || b->gen == c->gen || !b->rev)
+    for (guint i = 0; i < partition->blocks->len; i++) {
+        struct lmn_machine_block *block = partition->blocks->pdata[i];
+        if (!block || block->gen == core->gen || !block->rev)
             continue;
-        b->rev = 0;
-        b->writing = false;
-        drop_others(c, b, UINT64_MAX, now);
+        block->rev = 0;
+        block->writing = false;
+        drop_others(core, block, UINT64_MAX, now);
     }
 }
 
-void lmn_machine_blocks_reset(struct lmn_partition *p)
+void lmn_machine_blocks_reset(struct lmn_partition *partition)
 {
-    for (guint i = 0; i < p->blocks->len; i++) {
-        struct lmn_machine_block *b = p->blocks->pdata[i];
-        if (b)
-            b->writing = false;
-        if (b)
-            b->retry = b->written = (struct timespec){0, 0};
+    for (guint i = 0; i < partition->blocks->len; i++) {
+        struct lmn_machine_block *block = partition->blocks->pdata[i];
+        if (block)
+            block->writing = false;
+        if (block)
+            block->retry = block->written = (struct timespec){0, 0};
     }
 }
 
@@ -139,83 +142,83 @@
     guint id;
 };
 
-static void block_written(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
-                          uint64_t rev)
+static void block_written(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
+                          uint64_t revision)
 {
     struct block_ref *w = arg;
-    (void)t;
-    (void)rev;
+    (void)txn;
+    (void)revision;
 
     pthread_mutex_lock(&w->c->lock);
-    struct lmn_machine_block *b = block_at(&w->c->parts[w->part], w->id);
+    struct lmn_machine_block *block = block_at(&w->c->parts[w->part], w->id);
     /* After a success it is the mirror that ends the write. */
     if (outcome != LMN_TXN_COMMITTED) {
-        b->writing = false;
-        b->retry = lmn_time_add(lmn_now(), 0.3);
+        block->writing = false;
+        block->retry = lmn_time_add(lmn_now(), 0.3);
     }
     pthread_mutex_unlock(&w->c->lock);
     g_free(w);
 }
 
-static void write_block(struct lmn_core *c, struct lmn_partition *p,
-                        struct lmn_machine_block *b, enum lmn_write_priority rank)
+static void write_block(struct lmn_core *core, struct lmn_partition *partition,
+                        struct lmn_machine_block *block, enum lmn_write_priority priority)
 {
     struct block_ref *w = g_new0(struct block_ref, 1);
     GByteArray *v = g_byte_array_new();
     char key[64];
     guint n = 0;
 
-    for (guint i = 0; i < b->machines->len; i++)
-        n += !((struct lmn_machine *)b->machines->pdata[i])->is_gone;
+    for (guint i = 0; i < block->machines->len; i++)
+        n += !((struct lmn_machine *)block->machines->pdata[i])->is_gone;
     lmn_cbor_put_array(v, n);
-    for (guint i = 0; i < b->machines->len; i++) {
-        const struct lmn_machine *m = b->machines->pdata[i];
-        if (m->is_gone)
+    for (guint i = 0; i < block->machines->len; i++) {
+        const struct lmn_machine *machine = block->machines->pdata[i];
+        if (machine->is_gone)
             continue;
         lmn_cbor_put_array(v, 5);
-        lmn_cbor_put_text(v, m->name);
-        lmn_cbor_put_text(v, m->addr);
-        lmn_cbor_put_text(v, m->type_name);
-        lmn_cbor_put_text(v, m->zone);
-        lmn_cbor_put_bool(v, m->spot);
+        lmn_cbor_put_text(v, machine->name);
+        lmn_cbor_put_text(v, machine->addr);
+        lmn_cbor_put_text(v, machine->type_name);
+        lmn_cbor_put_text(v, machine->zone);
+        lmn_cbor_put_bool(v, machine->spot);
     }
-    *w = (struct block_ref){c, p->id, b->id};
-    struct lmn_txn *t = lmn_txn_new(rank, block_written, w);
-    g_snprintf(key, sizeof key, "o/%d", p->id);
-    lmn_txn_require_version(t, key, p->my_rev);
-    g_snprintf(key, sizeof key, "m/%d/%u", p->id, b->id);
-    lmn_txn_require_version(t, key, b->rev);
-    lmn_txn_put(t, key, v, 0);
-    b->writing = true;
-    lmn_kv_client_submit(c->state, t);
+    *w = (struct block_ref){core, partition->id, block->id};
+    struct lmn_txn *txn = lmn_txn_new(priority, block_written, w);
+    g_snprintf(key, sizeof key, "o/%d", partition->id);
+    lmn_txn_require_version(txn, key, partition->my_rev);
+    g_snprintf(key, sizeof key, "m/%d/%u", partition->id, block->id);
+    lmn_txn_require_version(txn, key, block->rev);
+    lmn_txn_put(txn, key, v, 0);
+    block->writing = true;
+    lmn_kv_client_submit(core->state, txn);
 }
 
-void lmn_machine_blocks_flush(struct lmn_core *c, struct lmn_partition *p, bool lazy,
-                              struct timespec now)
+void lmn_machine_blocks_flush(struct lmn_core *core, struct lmn_partition *partition,
+                              bool lazy, struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, p->machines);
+    g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *m = v;
-        if (!m->block && !m->is_gone && m->heard && m->type)
-            assign(c, p, m);
+        struct lmn_machine *machine = v;
+        if (!machine->block && !machine->is_gone && machine->heard && machine->type)
+            assign(core, partition, machine);
     }
-    for (guint i = 0; i < p->blocks->len; i++) {
-        struct lmn_machine_block *b = p->blocks->pdata[i];
+    for (guint i = 0; i < partition->blocks->len; i++) {
+        struct lmn_machine_block *block = partition->blocks->pdata[i];
         guint add = 0, drop = 0;
-        if (!b || b->writing || lmn_time_before(now, b->retry))
+        if (!block || block->writing || lmn_time_before(now, block->retry))
             continue;
-        for (guint k = 0; k < b->machines->len; k++) {
-            const struct lmn_machine *m = b->machines->pdata[k];
-            add += !m->rev && !m->is_gone;
-            drop += m->rev && m->is_gone;
+        for (guint k = 0; k < block->machines->len; k++) {
+            const struct lmn_machine *machine = block->machines->pdata[k];
+            add += !machine->rev && !machine->is_gone;
+            drop += machine->rev && machine->is_gone;
         }
-        double since = lmn_time_diff_s(now, b->written);
+        double since = lmn_time_diff_s(now, block->written);
         if (!(add && since >= ADD_S) && !(drop && lazy && since >= DROP_S))
             continue;
-        b->written = now;
-        write_block(c, p, b, add ? LMN_WRITE_OWNER : LMN_WRITE_DEFERRABLE);
+        block->written = now;
+        write_block(core, partition, block, add ? LMN_WRITE_OWNER : LMN_WRITE_DEFERRABLE);
     }
 }
--- a/src/partition/maintenance.h
+++ b/src/partition/maintenance.h
@@ -6,9 +6,9 @@
 #include "state/model.h"
 
 /* Lapses, retirements, returns of idle machines; the lock is held. */
-void lmn_maintenance_run(struct lmn_core *c, struct timespec now);
+void lmn_maintenance_run(struct lmn_core *core, struct timespec now);
 /* The cloud has said that it is gone. */
-void lmn_machine_terminated(struct lmn_core *c, struct lmn_machine *m,
+void lmn_machine_terminated(struct lmn_core *core, struct lmn_machine *machine,
                             struct timespec now);
 
 #endif
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -11,13 +11,14 @@
 #include "state/task_ledger.h"
 #include "state/core.h"
 
-static void range_born(struct lmn_core *c, struct lmn_range *r, struct timespec now)
+static void range_born(struct lmn_core *core, struct lmn_range *range,
+                       struct timespec now)
 {
-    lmn_range_open(c, r);
-    if (!lmn_range_may_start(r))
+    lmn_range_open(core, range);
+    if (!lmn_range_may_start(range))
         return;
-    r->dealt = true;
-    lmn_assign_tasks(c, r, r->lo, r->hi, now);
+    range->dealt = true;
+    lmn_assign_tasks(core, range, range->lo, range->hi, now);
 }
 
 static const struct lmn_owner_ops ops = {
@@ -36,8 +37,8 @@
 struct lmn_core *lmn_core_new(const struct lmn_settings *cfg, struct lmn_kv_client *state,
                               uint32_t seed)
 {
-    struct lmn_core *c = lmn_core_alloc(cfg, state, seed);
+    struct lmn_core *core = lmn_core_alloc(cfg, state, seed);
 
-    c->owner = &ops;
-    return c;
+    core->owner = &ops;
+    return core;
 }
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -11,53 +11,53 @@
 
 #include <string.h>
 
-static char *record_key(const struct lmn_core *c, int team)
+static char *record_key(const struct lmn_core *core, int team)
 {
     /* Keys hold no spaces; names may. */
-    char *name = g_uri_escape_string(c->cfg->teams[team].name, NULL, FALSE);
+    char *name = g_uri_escape_string(core->cfg->teams[team].name, NULL, FALSE);
     char *key = g_strdup_printf("q/%s", name);
     g_free(name);
     return key;
 }
 
-void lmn_quota_record_apply(struct lmn_core *c, const char *key,
-                            const struct lmn_cbor_document *d,
-                            const struct lmn_cbor_value *v, uint64_t rev)
+void lmn_quota_record_apply(struct lmn_core *core, const char *key,
+                            const struct lmn_cbor_document *document,
+                            const struct lmn_cbor_value *value, uint64_t revision)
 {
     int team = -1;
 
-    for (size_t i = 0; i < c->cfg->nteams && team < 0; i++) {
-        char *own = record_key(c, (int)i);
+    for (size_t i = 0; i < core->cfg->nteams && team < 0; i++) {
+        char *own = record_key(core, (int)i);
         if (!strcmp(own, key))
             team = (int)i;
         g_free(own);
     }
-    if (team < 0 || !v || c->quota_rev[team] >= rev)
+    if (team < 0 || !value || core->quota_rev[team] >= revision)
         return;
     const struct lmn_cbor_value *cpus =
-        lmn_cbor_first_child(d, lmn_cbor_get(d, v, "cpus"));
+        lmn_cbor_first_child(document, lmn_cbor_get(document, value, "cpus"));
     const struct lmn_cbor_value *gpus =
-        lmn_cbor_first_child(d, lmn_cbor_get(d, v, "gpus"));
-    for (int i = 0; i < c->nparts; i++) {
-        struct lmn_partition *p = &c->parts[i];
-        p->quota_cpus[team] = p->quota_gpus[team] = 0;
+        lmn_cbor_first_child(document, lmn_cbor_get(document, value, "gpus"));
+    for (int i = 0; i < core->nparts; i++) {
+        struct lmn_partition *partition = &core->parts[i];
+        partition->quota_cpus[team] = partition->quota_gpus[team] = 0;
         if (cpus)
-            lmn_cbor_get_number(cpus, &p->quota_cpus[team]),
-                cpus = lmn_cbor_next(d, cpus);
+            lmn_cbor_get_number(cpus, &partition->quota_cpus[team]),
+                cpus = lmn_cbor_next(document, cpus);
         if (gpus)
-            lmn_cbor_get_number(gpus, &p->quota_gpus[team]),
-                gpus = lmn_cbor_next(d, gpus);
+            lmn_cbor_get_number(gpus, &partition->quota_gpus[team]),
+                gpus = lmn_cbor_next(document, gpus);
         /* Either our transfer was applied, or it can't be any more. */
-        if (p->transfer.team == team && rev > p->transfer.rev)
-            p->transfer.team = -1;
+        if (partition->transfer.team == team && revision > partition->transfer.rev)
+            partition->transfer.team = -1;
     }
-    c->quota_rev[team] = rev;
+    core->quota_rev[team] = revision;
     /* Parts of another limit, from settings before these, are no parts of this one. */
     double cpus_max = -1, gpus_max = -1;
-    lmn_cbor_get_number(lmn_cbor_get(d, v, "cpus_max"), &cpus_max);
-    lmn_cbor_get_number(lmn_cbor_get(d, v, "gpus_max"), &gpus_max);
-    c->quota_known[team] = cpus_max == c->cfg->teams[team].cpus_max &&
-                           gpus_max == c->cfg->teams[team].gpus_max;
+    lmn_cbor_get_number(lmn_cbor_get(document, value, "cpus_max"), &cpus_max);
+    lmn_cbor_get_number(lmn_cbor_get(document, value, "gpus_max"), &gpus_max);
+    core->quota_known[team] = cpus_max == core->cfg->teams[team].cpus_max &&
+                              gpus_max == core->cfg->teams[team].gpus_max;
 }
 
 struct transfer_ref {
@@ -66,123 +66,126 @@
     uint64_t serial;
 };
 
-static void submit(struct lmn_core *c, struct lmn_partition *p);
+static void submit(struct lmn_core *core, struct lmn_partition *partition);
 
-static void given(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
-                  uint64_t rev)
+static void given(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
+                  uint64_t revision)
 {
     struct transfer_ref *w = arg;
-    struct lmn_core *c = w->c;
-    struct lmn_partition *p = &c->parts[w->part];
-    (void)t;
-    (void)rev;
-
-    pthread_mutex_lock(&c->lock);
-    if (p->mine && p->transfer.team >= 0 && p->transfer.serial == w->serial) {
-        if (outcome == LMN_TXN_REJECTED && !p->transfer.unsure) {
-            p->transfer.team = -1; /* surely not applied, and never will be */
+    struct lmn_core *core = w->c;
+    struct lmn_partition *partition = &core->parts[w->part];
+    (void)txn;
+    (void)revision;
+
+    pthread_mutex_lock(&core->lock);
+    if (partition->mine && partition->transfer.team >= 0 &&
+        partition->transfer.serial == w->serial) {
+        if (outcome == LMN_TXN_REJECTED && !partition->transfer.unsure) {
+            partition->transfer.team = -1; /* surely not applied, and never will be */
         } else if (outcome == LMN_TXN_REJECTED || outcome == LMN_TXN_UNKNOWN) {
             /* Only the mirror can tell; the same write again makes it tell. */
-            p->transfer.unsure = true;
-            p->transfer.retry = lmn_time_add(lmn_now(), 0.5);
+            partition->transfer.unsure = true;
+            partition->transfer.retry = lmn_time_add(lmn_now(), 0.5);
         }
     }
-    pthread_mutex_unlock(&c->lock);
+    pthread_mutex_unlock(&core->lock);
     g_free(w);
 }
 
-static void submit(struct lmn_core *c, struct lmn_partition *p)
+static void submit(struct lmn_core *core, struct lmn_partition *partition)
 {
     struct transfer_ref *w = g_new0(struct transfer_ref, 1);
-    int team = p->transfer.team;
-    char *key = record_key(c, team), owner[32];
-    GByteArray *b = g_byte_array_new();
-
-    *w = (struct transfer_ref){c, p->id, p->transfer.serial};
-    struct lmn_txn *t = lmn_txn_new(LMN_WRITE_CLOSE, given, w);
-    g_snprintf(owner, sizeof owner, "o/%d", p->id);
-    lmn_txn_require_version(t, owner, p->my_rev);
-    lmn_txn_require_version(t, key, p->transfer.rev);
-    lmn_cbor_put_map(b, 4);
-    lmn_cbor_put_text(b, "cpus_max"),
-        lmn_cbor_put_number(b, c->cfg->teams[team].cpus_max);
-    lmn_cbor_put_text(b, "gpus_max"),
-        lmn_cbor_put_number(b, c->cfg->teams[team].gpus_max);
+    int team = partition->transfer.team;
+    char *key = record_key(core, team), owner[32];
+    GByteArray *buffer = g_byte_array_new();
+
+    *w = (struct transfer_ref){core, partition->id, partition->transfer.serial};
+    struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_CLOSE, given, w);
+    g_snprintf(owner, sizeof owner, "o/%d", partition->id);
+    lmn_txn_require_version(txn, owner, partition->my_rev);
+    lmn_txn_require_version(txn, key, partition->transfer.rev);
+    lmn_cbor_put_map(buffer, 4);
+    lmn_cbor_put_text(buffer, "cpus_max"),
+        lmn_cbor_put_number(buffer, core->cfg->teams[team].cpus_max);
+    lmn_cbor_put_text(buffer, "gpus_max"),
+        lmn_cbor_put_number(buffer, core->cfg->teams[team].gpus_max);
     for (int gpus = 0; gpus < 2; gpus++) {
-        lmn_cbor_put_text(b, gpus ? "gpus" : "cpus");
-        lmn_cbor_put_array(b, (size_t)c->nparts);
-        for (int i = 0; i < c->nparts; i++) {
+        lmn_cbor_put_text(buffer, gpus ? "gpus" : "cpus");
+        lmn_cbor_put_array(buffer, (size_t)core->nparts);
+        for (int i = 0; i < core->nparts; i++) {
             double x, y;
-            lmn_quota_even_share(c, team, &x, &y);
-            if (c->quota_known[team])
-                x = c->parts[i].quota_cpus[team], y = c->parts[i].quota_gpus[team];
-            double by = gpus ? p->transfer.gpus : p->transfer.cpus;
-            lmn_cbor_put_number(b, (gpus ? y : x) + (i == p->transfer.to ? by
-                                                     : i == p->id        ? -by
-                                                                         : 0));
+            lmn_quota_even_share(core, team, &x, &y);
+            if (core->quota_known[team])
+                x = core->parts[i].quota_cpus[team], y = core->parts[i].quota_gpus[team];
+            double by = gpus ? partition->transfer.gpus : partition->transfer.cpus;
+            lmn_cbor_put_number(buffer, (gpus ? y : x) + (i == partition->transfer.to ? by
+                                                          : i == partition->id ? -by
+                                                                               : 0));
         }
     }
-    lmn_txn_put(t, key, b, 0);
+    lmn_txn_put(txn, key, buffer, 0);
     g_free(key);
-    p->transfer.retry = (struct timespec){0, 0};
-    lmn_kv_client_submit(c->state, t);
+    partition->transfer.retry = (struct timespec){0, 0};
+    lmn_kv_client_submit(core->state, txn);
 }
 
-bool lmn_quota_transfer_begin(struct lmn_core *c, struct lmn_partition *p, int team,
-                              int to, double cpus, double gpus)
+bool lmn_quota_transfer_begin(struct lmn_core *core, struct lmn_partition *partition,
+                              int team, int to, double cpus, double gpus)
 {
     double have_cpus, have_gpus;
 
-    if (!p->mine || !p->ready || p->releasing || p->transfer.team >= 0 || to == p->id ||
-        to < 0 || to >= c->nparts || team < 0 || team >= (int)c->cfg->nteams ||
-        !lmn_team_has_limit(&c->cfg->teams[team]))
+    if (!partition->mine || !partition->ready || partition->releasing ||
+        partition->transfer.team >= 0 || to == partition->id || to < 0 ||
+        to >= core->nparts || team < 0 || team >= (int)core->cfg->nteams ||
+        !lmn_team_has_limit(&core->cfg->teams[team]))
         return false;
-    lmn_quota_share(c, p, team, &have_cpus, &have_gpus);
-    cpus = CLAMP(cpus, 0, MAX(have_cpus - p->used_cpus[team], 0));
-    gpus = CLAMP(gpus, 0, MAX(have_gpus - p->used_gpus[team], 0));
+    lmn_quota_share(core, partition, team, &have_cpus, &have_gpus);
+    cpus = CLAMP(cpus, 0, MAX(have_cpus - partition->used_cpus[team], 0));
+    gpus = CLAMP(gpus, 0, MAX(have_gpus - partition->used_gpus[team], 0));
     if (cpus < 1e-6 && gpus < 1e-6)
         return false;
-    p->transfer = (struct lmn_quota_transfer){.team = team,
-                                              .to = to,
-                                              .cpus = cpus,
-                                              .gpus = gpus,
-                                              .rev = c->quota_rev[team],
-                                              .serial = ++c->transfers};
+    partition->transfer = (struct lmn_quota_transfer){.team = team,
+                                                      .to = to,
+                                                      .cpus = cpus,
+                                                      .gpus = gpus,
+                                                      .rev = core->quota_rev[team],
+                                                      .serial = ++core->transfers};
     lmn_debug("quota-give team=%s partition=%d to=%d cpus=%.1f gpus=%.1f",
-              c->cfg->teams[team].name, p->id, to, cpus, gpus);
-    submit(c, p);
+              core->cfg->teams[team].name, partition->id, to, cpus, gpus);
+    submit(core, partition);
     return true;
 }
 
-void lmn_quota_transfer_flush(struct lmn_core *c, struct lmn_partition *p,
+void lmn_quota_transfer_flush(struct lmn_core *core, struct lmn_partition *partition,
                               struct timespec now)
 {
-    if (p->transfer.team >= 0 && p->transfer.retry.tv_sec &&
-        !lmn_time_before(now, p->transfer.retry) &&
-        c->quota_rev[p->transfer.team] == p->transfer.rev)
-        submit(c, p);
+    if (partition->transfer.team >= 0 && partition->transfer.retry.tv_sec &&
+        !lmn_time_before(now, partition->transfer.retry) &&
+        core->quota_rev[partition->transfer.team] == partition->transfer.rev)
+        submit(core, partition);
 }
 
-void lmn_quota_transfer_reset(struct lmn_partition *p)
+void lmn_quota_transfer_reset(struct lmn_partition *partition)
 {
-    p->transfer.team = -1;
+    partition->transfer.team = -1;
 }
 
-bool lmn_quota_request_handle(struct lmn_core *c, struct lmn_partition *p, int to,
-                              const struct lmn_quota_request *w, struct timespec now)
+bool lmn_quota_request_handle(struct lmn_core *core, struct lmn_partition *partition,
+                              int to, const struct lmn_quota_request *request,
+                              struct timespec now)
 {
     double cpus, gpus, have_cpus, have_gpus;
 
-    if (!p->mine || w->team < 0 || w->team >= (int)c->cfg->nteams)
+    if (!partition->mine || request->team < 0 || request->team >= (int)core->cfg->nteams)
         return false;
-    lmn_quota_spare(c, p, w, &cpus, &gpus);
+    lmn_quota_spare(core, partition, request, &cpus, &gpus);
     /* Small tasks take each piece of the part as it becomes free: a task larger than any
      * part waited for as long as they came. */
-    lmn_quota_share(c, p, w->team, &have_cpus, &have_gpus);
-    double lacks_cpus = MIN(w->least_cpus, have_cpus);
-    double lacks_gpus = MIN(w->least_gpus, have_gpus);
-    if (p->used_cpus[w->team] + lacks_cpus > have_cpus + 1e-6 ||
-        p->used_gpus[w->team] + lacks_gpus > have_gpus + 1e-6)
-        lmn_reserve_quota(p, w->team, lacks_cpus, lacks_gpus, now);
-    return lmn_quota_transfer_begin(c, p, w->team, to, cpus, gpus);
+    lmn_quota_share(core, partition, request->team, &have_cpus, &have_gpus);
+    double lacks_cpus = MIN(request->least_cpus, have_cpus);
+    double lacks_gpus = MIN(request->least_gpus, have_gpus);
+    if (partition->used_cpus[request->team] + lacks_cpus > have_cpus + 1e-6 ||
+        partition->used_gpus[request->team] + lacks_gpus > have_gpus + 1e-6)
+        lmn_reserve_quota(partition, request->team, lacks_cpus, lacks_gpus, now);
+    return lmn_quota_transfer_begin(core, partition, request->team, to, cpus, gpus);
 }
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -8,87 +8,88 @@
 #include <math.h>
 #include <string.h>
 
-void lmn_range_open(struct lmn_core *c, struct lmn_range *r)
+void lmn_range_open(struct lmn_core *core, struct lmn_range *range)
 {
-    uint32_t n = r->hi - r->lo;
-    (void)c;
+    uint32_t n = range->hi - range->lo;
+    (void)core;
 
-    g_free(r->st);
-    r->st = g_malloc0(n);
-    r->nstarted = 0;
-    r->nfinished = r->ndone;
-    r->writing = false;
-    r->written = 0;
-    r->move_to = -1;
-    r->move_unsure = false;
-    r->dealt = false;
+    g_free(range->st);
+    range->st = g_malloc0(n);
+    range->nstarted = 0;
+    range->nfinished = range->ndone;
+    range->writing = false;
+    range->written = 0;
+    range->move_to = -1;
+    range->move_unsure = false;
+    range->dealt = false;
     for (uint32_t i = 0; i < n; i++)
-        if (lmn_bitset_get(r->done, i))
-            r->st[i] = LMN_TASK_DONE;
+        if (lmn_bitset_get(range->done, i))
+            range->st[i] = LMN_TASK_DONE;
 }
 
-void lmn_range_forget(struct lmn_core *c, struct lmn_range *r)
+void lmn_range_forget(struct lmn_core *core, struct lmn_range *range)
 {
-    struct lmn_partition *p = r->part;
+    struct lmn_partition *partition = range->part;
     GHashTableIter it;
     gpointer v;
-    (void)c;
+    (void)core;
 
-    lmn_queue_remove_range(&p->unplaced, r);
-    g_hash_table_iter_init(&it, p->machines);
+    lmn_queue_remove_range(&partition->unplaced, range);
+    g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *m = v;
-        lmn_queue_remove_range(&m->queue, r);
-        for (guint i = 0; i < m->attempts->len; i++) {
-            struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
-            if (a->range == r)
-                a->range = NULL;
+        struct lmn_machine *machine = v;
+        lmn_queue_remove_range(&machine->queue, range);
+        for (guint i = 0; i < machine->attempts->len; i++) {
+            struct lmn_attempt *attempt =
+                &g_array_index(machine->attempts, struct lmn_attempt, i);
+            if (attempt->range == range)
+                attempt->range = NULL;
         }
     }
-    g_ptr_array_remove_fast(r->job->ranges, r);
+    g_ptr_array_remove_fast(range->job->ranges, range);
 }
 
-void lmn_task_requeue(struct lmn_core *c, struct lmn_range *r, uint32_t index,
+void lmn_task_requeue(struct lmn_core *core, struct lmn_range *range, uint32_t index,
                       struct timespec now)
 {
-    if (!r || !r->st || r->st[index - r->lo] != LMN_TASK_STARTED)
+    if (!range || !range->st || range->st[index - range->lo] != LMN_TASK_STARTED)
         return;
-    r->st[index - r->lo] = LMN_TASK_QUEUED;
-    r->nstarted--;
-    if (r->dealt && r->job->phase == LMN_JOB_ACTIVE)
-        lmn_assign_tasks(c, r, index, index + 1, now);
+    range->st[index - range->lo] = LMN_TASK_QUEUED;
+    range->nstarted--;
+    if (range->dealt && range->job->phase == LMN_JOB_ACTIVE)
+        lmn_assign_tasks(core, range, index, index + 1, now);
 }
 
-void lmn_task_finished(struct lmn_range *r, uint32_t index, struct timespec now)
+void lmn_task_finished(struct lmn_range *range, uint32_t index, struct timespec now)
 {
-    uint8_t *st = &r->st[index - r->lo];
+    uint8_t *st = &range->st[index - range->lo];
 
     if (*st == LMN_TASK_DONE)
         return;
     if (*st == LMN_TASK_STARTED)
-        r->nstarted--;
+        range->nstarted--;
     *st = LMN_TASK_DONE;
-    if (r->nfinished++ == r->ndone)
-        r->dirty = now;
+    if (range->nfinished++ == range->ndone)
+        range->dirty = now;
 }
 
-void lmn_machine_requeue_tasks(struct lmn_core *c, struct lmn_machine *m, const char *why,
-                               struct timespec now)
+void lmn_machine_requeue_tasks(struct lmn_core *core, struct lmn_machine *machine,
+                               const char *why, struct timespec now)
 {
-    GArray *old = m->attempts;
+    GArray *old = machine->attempts;
 
-    lmn_reassign_machine_queue(c, m, now);
-    m->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt));
+    lmn_reassign_machine_queue(core, machine, now);
+    machine->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt));
     for (guint i = 0; i < old->len; i++) {
-        struct lmn_attempt *a = &g_array_index(old, struct lmn_attempt, i);
-        lmn_attempt_uncount(m, a);
-        if (a->state != LMN_ATTEMPT_ENDED) {
+        struct lmn_attempt *attempt = &g_array_index(old, struct lmn_attempt, i);
+        lmn_attempt_uncount(machine, attempt);
+        if (attempt->state != LMN_ATTEMPT_ENDED) {
             lmn_debug("task-lost task=%s/%u attempt=%" G_GUINT64_FORMAT
                       " machine=%s why=\"%s\"",
-                      a->ref, a->index, a->number, m->name, why);
-            lmn_task_requeue(c, a->range, a->index, now);
+                      attempt->ref, attempt->index, attempt->number, machine->name, why);
+            lmn_task_requeue(core, attempt->range, attempt->index, now);
         }
     }
     g_array_free(old, TRUE);
-    lmn_machine_mark_unreplicated(m);
+    lmn_machine_mark_unreplicated(machine);
 }
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -14,145 +14,150 @@
     char ref[LMN_JOB_ID_SIZE];
 };
 
-static void range_written(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
-                          uint64_t rev)
+static void range_written(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
+                          uint64_t revision)
 {
     struct write_ref *w = arg;
-    struct lmn_core *c = w->c;
-    (void)t;
+    struct lmn_core *core = w->c;
+    (void)txn;
 
-    pthread_mutex_lock(&c->lock);
-    struct lmn_range *r = g_hash_table_lookup(c->parts[w->part].ranges, w->key);
-    struct lmn_job *j = g_hash_table_lookup(c->jobs, w->ref);
-    if (outcome != LMN_TXN_COMMITTED && j)
-        j->closing = 0;
-    if (r && r->writing) {
+    pthread_mutex_lock(&core->lock);
+    struct lmn_range *range = g_hash_table_lookup(core->parts[w->part].ranges, w->key);
+    struct lmn_job *job = g_hash_table_lookup(core->jobs, w->ref);
+    if (outcome != LMN_TXN_COMMITTED && job)
+        job->closing = 0;
+    if (range && range->writing) {
         if (outcome == LMN_TXN_COMMITTED) {
-            r->written = rev;
-            if (r->rev >= rev)
-                r->writing = false;
+            range->written = revision;
+            if (range->rev >= revision)
+                range->writing = false;
         } else {
             /* Nothing is lost by another try: each is conditional on what the mirror
              * shows. */
-            r->writing = false;
-            r->retry = lmn_time_add(lmn_now(), outcome == LMN_TXN_CONFLICT ? 0.1 : 0.4);
+            range->writing = false;
+            range->retry =
+                lmn_time_add(lmn_now(), outcome == LMN_TXN_CONFLICT ? 0.1 : 0.4);
             /* A move is off only if it surely was not, and never will be, applied. */
             if (outcome == LMN_TXN_UNKNOWN)
-                r->move_unsure = true;
-            else if (r->move_to >= 0 && !r->move_unsure)
-                lmn_range_cancel_move(c, r, lmn_now());
+                range->move_unsure = true;
+            else if (range->move_to >= 0 && !range->move_unsure)
+                lmn_range_cancel_move(core, range, lmn_now());
         }
     }
-    pthread_mutex_unlock(&c->lock);
+    pthread_mutex_unlock(&core->lock);
     g_free(w->key);
     g_free(w);
 }
 
-static struct lmn_txn *owner_txn(struct lmn_core *c, struct lmn_range *r,
-                                 enum lmn_write_priority rank)
+static struct lmn_txn *owner_txn(struct lmn_core *core, struct lmn_range *range,
+                                 enum lmn_write_priority priority)
 {
     char key[64];
     struct write_ref *w = g_new0(struct write_ref, 1);
 
-    w->c = c;
-    w->part = r->part->id;
-    w->key = g_strdup(r->key);
-    g_strlcpy(w->ref, r->job->spec.ref, sizeof w->ref);
-    struct lmn_txn *t = lmn_txn_new(rank, range_written, w);
-    g_snprintf(key, sizeof key, "o/%d", r->part->id);
-    lmn_txn_require_version(t, key, r->part->my_rev);
-    lmn_txn_require_version(t, r->key, r->rev);
-    r->writing = true;
-    r->written = 0;
-    return t;
+    w->c = core;
+    w->part = range->part->id;
+    w->key = g_strdup(range->key);
+    g_strlcpy(w->ref, range->job->spec.ref, sizeof w->ref);
+    struct lmn_txn *txn = lmn_txn_new(priority, range_written, w);
+    g_snprintf(key, sizeof key, "o/%d", range->part->id);
+    lmn_txn_require_version(txn, key, range->part->my_rev);
+    lmn_txn_require_version(txn, range->key, range->rev);
+    range->writing = true;
+    range->written = 0;
+    return txn;
 }
 
 /* Moves the tasks from move_at on: one write, conditional on this owner, the range and,
  * since a split opens one range more, the job. */
-static void move_range(struct lmn_core *c, struct lmn_range *r)
+static void move_range(struct lmn_core *core, struct lmn_range *range)
 {
-    const struct lmn_job *j = r->job;
-    struct lmn_range there = {.lo = r->move_at, .hi = r->hi};
-    uint8_t *bits = g_malloc0((r->hi - r->lo + 7) / 8);
-    struct lmn_txn *t = owner_txn(c, r, LMN_WRITE_CLOSE);
+    const struct lmn_job *job = range->job;
+    struct lmn_range there = {.lo = range->move_at, .hi = range->hi};
+    uint8_t *bits = g_malloc0((range->hi - range->lo + 7) / 8);
+    struct lmn_txn *txn = owner_txn(core, range, LMN_WRITE_CLOSE);
     char key[96];
 
-    g_snprintf(key, sizeof key, "r/%d/%s/%u", r->move_to, j->spec.ref, r->move_at);
-    lmn_txn_require_version(t, key, 0);
-    lmn_txn_put(t, key, lmn_range_record(&there, bits), 0);
-    if (r->move_at == r->lo) {
-        lmn_txn_delete(t, r->key);
+    g_snprintf(key, sizeof key, "r/%d/%s/%u", range->move_to, job->spec.ref,
+               range->move_at);
+    lmn_txn_require_version(txn, key, 0);
+    lmn_txn_put(txn, key, lmn_range_record(&there, bits), 0);
+    if (range->move_at == range->lo) {
+        lmn_txn_delete(txn, range->key);
     } else {
-        struct lmn_range here = {.lo = r->lo, .hi = r->move_at};
+        struct lmn_range here = {.lo = range->lo, .hi = range->move_at};
         for (uint32_t i = 0; i < here.hi - here.lo; i++)
-            if (r->st[i] == LMN_TASK_DONE)
+            if (range->st[i] == LMN_TASK_DONE)
                 lmn_bitset_set(bits, i);
-        lmn_txn_put(t, r->key, lmn_range_record(&here, bits), 0);
-        g_snprintf(key, sizeof key, "j/%s", j->spec.ref);
-        lmn_txn_require_version(t, key, j->rev);
-        lmn_txn_put(t, key, lmn_job_record(&j->spec, j->phase, j->open + 1, j->at), 0);
+        lmn_txn_put(txn, range->key, lmn_range_record(&here, bits), 0);
+        g_snprintf(key, sizeof key, "j/%s", job->spec.ref);
+        lmn_txn_require_version(txn, key, job->rev);
+        lmn_txn_put(txn, key,
+                    lmn_job_record(&job->spec, job->phase, job->open + 1, job->at), 0);
     }
     g_free(bits);
-    r->move_rev = r->rev;
-    lmn_kv_client_submit(c->state, t);
+    range->move_rev = range->rev;
+    lmn_kv_client_submit(core->state, txn);
 }
 
 /* Gathers in lazily what can wait. */
-static void flush_range(struct lmn_core *c, struct lmn_range *r, GPtrArray *lazy,
+static void flush_range(struct lmn_core *core, struct lmn_range *range, GPtrArray *lazy,
                         struct timespec now)
 {
-    struct lmn_job *j = r->job;
-    uint32_t n = r->hi - r->lo;
-    struct lmn_txn *t;
+    struct lmn_job *job = range->job;
+    uint32_t n = range->hi - range->lo;
+    struct lmn_txn *txn;
     char key[64];
 
-    if (r->writing || lmn_time_before(now, r->retry))
+    if (range->writing || lmn_time_before(now, range->retry))
         return;
-    if (r->move_to >= 0) {
-        move_range(c, r);
+    if (range->move_to >= 0) {
+        move_range(core, range);
         return;
     }
-    if (j->phase != LMN_JOB_ACTIVE) {
-        if (r->nstarted == 0)
-            g_ptr_array_add(lazy, r);
+    if (job->phase != LMN_JOB_ACTIVE) {
+        if (range->nstarted == 0)
+            g_ptr_array_add(lazy, range);
         return;
     }
-    if (r->nfinished == n) {
-        if (j->closing == j->rev)
+    if (range->nfinished == n) {
+        if (job->closing == job->rev)
             return; /* one range of a job at a time, or the job's record conflicts */
-        j->closing = j->rev;
-        t = owner_txn(c, r, LMN_WRITE_CLOSE);
-        g_snprintf(key, sizeof key, "j/%s", j->spec.ref);
-        lmn_txn_require_version(t, key, j->rev);
-        lmn_txn_delete(t, r->key);
-        lmn_txn_put(t, key,
-                    lmn_job_record(&j->spec, j->open <= 1 ? LMN_JOB_DONE : LMN_JOB_ACTIVE,
-                                   j->open - 1, j->at),
+        job->closing = job->rev;
+        txn = owner_txn(core, range, LMN_WRITE_CLOSE);
+        g_snprintf(key, sizeof key, "j/%s", job->spec.ref);
+        lmn_txn_require_version(txn, key, job->rev);
+        lmn_txn_delete(txn, range->key);
+        lmn_txn_put(txn, key,
+                    lmn_job_record(&job->spec,
+                                   job->open <= 1 ? LMN_JOB_DONE : LMN_JOB_ACTIVE,
+                                   job->open - 1, job->at),
                     0);
-        lmn_kv_client_submit(c->state, t);
+        lmn_kv_client_submit(core->state, txn);
         return;
     }
-    if (r->nfinished > r->ndone && lmn_time_diff_s(now, r->dirty) > 2.0)
-        g_ptr_array_add(lazy, r);
+    if (range->nfinished > range->ndone && lmn_time_diff_s(now, range->dirty) > 2.0)
+        g_ptr_array_add(lazy, range);
 }
 
-static void flush_lazily(struct lmn_core *c, struct lmn_range *r, struct timespec now)
+static void flush_lazily(struct lmn_core *core, struct lmn_range *range,
+                         struct timespec now)
 {
-    uint32_t n = r->hi - r->lo;
-    struct lmn_txn *t = owner_txn(c, r, LMN_WRITE_DEFERRABLE);
+    uint32_t n = range->hi - range->lo;
+    struct lmn_txn *txn = owner_txn(core, range, LMN_WRITE_DEFERRABLE);
 
-    if (r->job->phase != LMN_JOB_ACTIVE) {
-        lmn_txn_delete(t, r->key);
+    if (range->job->phase != LMN_JOB_ACTIVE) {
+        lmn_txn_delete(txn, range->key);
     } else {
         uint8_t *done = g_malloc0((n + 7) / 8);
         for (uint32_t i = 0; i < n; i++)
-            if (r->st[i] == LMN_TASK_DONE)
+            if (range->st[i] == LMN_TASK_DONE)
                 lmn_bitset_set(done, i);
-        lmn_txn_put(t, r->key, lmn_range_record(r, done), 0);
+        lmn_txn_put(txn, range->key, lmn_range_record(range, done), 0);
         g_free(done);
     }
-    r->dirty = now;
-    lmn_kv_client_submit(c->state, t);
+    range->dirty = now;
+    lmn_kv_client_submit(core->state, txn);
 }
 
 static gint by_dirty(gconstpointer a, gconstpointer b)
@@ -162,26 +167,26 @@
     return lmn_time_before(x->dirty, y->dirty) ? -1 : lmn_time_before(y->dirty, x->dirty);
 }
 
-void lmn_range_writer_flush(struct lmn_core *c, struct timespec now)
+void lmn_range_writer_flush(struct lmn_core *core, struct timespec now)
 {
-    double spare = lmn_kv_client_spare_writes(c->state);
+    double spare = lmn_kv_client_spare_writes(core->state);
     GPtrArray *lazy = g_ptr_array_new();
 
-    for (int i = 0; i < c->nparts; i++) {
-        struct lmn_partition *p = &c->parts[i];
+    for (int i = 0; i < core->nparts; i++) {
+        struct lmn_partition *partition = &core->parts[i];
         GHashTableIter it;
         gpointer v;
-        if (!p->mine || p->releasing)
+        if (!partition->mine || partition->releasing)
             continue;
-        g_hash_table_iter_init(&it, p->ranges);
+        g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            flush_range(c, v, lazy, now);
-        lmn_machine_blocks_flush(c, p, spare >= 1, now);
-        lmn_quota_transfer_flush(c, p, now);
+            flush_range(core, v, lazy, now);
+        lmn_machine_blocks_flush(core, partition, spare >= 1, now);
+        lmn_quota_transfer_flush(core, partition, now);
     }
     /* No more than can go out now: one that is queued holds up the close of its range. */
     g_ptr_array_sort(lazy, by_dirty);
     for (guint i = 0; i < lazy->len && i < spare; i++)
-        flush_lazily(c, lazy->pdata[i], now);
+        flush_lazily(core, lazy->pdata[i], now);
     g_ptr_array_free(lazy, TRUE);
 }
--- a/src/partition/range_writer.h
+++ b/src/partition/range_writer.h
@@ -6,6 +6,6 @@
 #include "state/model.h"
 
 /* Writes done sets and closes ranges that are due; the lock is held. */
-void lmn_range_writer_flush(struct lmn_core *c, struct timespec now);
+void lmn_range_writer_flush(struct lmn_core *core, struct timespec now);
 
 #endif
--- a/src/partition/worker_internal.h
+++ b/src/partition/worker_internal.h
@@ -16,24 +16,25 @@
 };
 
 /* NULL, or what is wrong with it. */
-const char *lmn_heartbeat_parse(struct lmn_heartbeat *r,
-                                const struct lmn_cbor_document *d);
+const char *lmn_heartbeat_parse(struct lmn_heartbeat *heartbeat,
+                                const struct lmn_cbor_document *document);
 /* Which attempt the entry of a report names, and its state; the rest of *a is 0. False:
  * malformed. */
-bool lmn_heartbeat_parse_task(struct lmn_attempt *a, const struct lmn_cbor_document *d,
-                              const struct lmn_cbor_value *n);
+bool lmn_heartbeat_parse_task(struct lmn_attempt *attempt,
+                              const struct lmn_cbor_document *document,
+                              const struct lmn_cbor_value *node);
 /* What the message says of each task. */
-void lmn_heartbeat_apply_tasks(struct lmn_core *c, struct lmn_machine *m,
-                               const struct lmn_cbor_document *d,
+void lmn_heartbeat_apply_tasks(struct lmn_core *core, struct lmn_machine *machine,
+                               const struct lmn_cbor_document *document,
                                const struct lmn_cbor_value *tasks, struct timespec now);
 /* The attempt at the place i is not there: out of the books, its task queued again. */
-void lmn_attempt_vanished(struct lmn_core *c, struct lmn_machine *m, guint i,
+void lmn_attempt_vanished(struct lmn_core *core, struct lmn_machine *machine, guint i,
                           struct timespec now);
 /* Appends a command; grace: seconds to save, negative: it has none. */
-void lmn_append_command(GByteArray *out, const char *op, const struct lmn_attempt *a,
-                        double grace);
+void lmn_append_command(GByteArray *out, const char *command,
+                        const struct lmn_attempt *attempt, double grace);
 /* Our last answer, or call, had no effect. */
-void lmn_machine_record_ignored_command(struct lmn_core *c, struct lmn_machine *m,
-                                        struct timespec now);
+void lmn_machine_record_ignored_command(struct lmn_core *core,
+                                        struct lmn_machine *machine, struct timespec now);
 
 #endif
--- a/src/protocol/cbor.c
+++ b/src/protocol/cbor.c
@@ -19,34 +19,34 @@
 
 static struct lmn_cbor_value *add(struct reader *r, enum lmn_cbor_type type)
 {
-    struct lmn_cbor_document *d = r->doc;
+    struct lmn_cbor_document *document = r->doc;
     static struct lmn_cbor_value sink;
 
     if (r->bad || r->whole) {
         r->bad = true;
         return &sink;
     }
-    if (d->n == d->cap) {
-        d->cap *= 2;
-        d->nodes = g_renew(struct lmn_cbor_value, d->nodes, d->cap);
+    if (document->n == document->cap) {
+        document->cap *= 2;
+        document->nodes = g_renew(struct lmn_cbor_value, document->nodes, document->cap);
     }
-    uint32_t at = d->n++;
-    struct lmn_cbor_value *n = &d->nodes[at];
-    memset(n, 0, sizeof *n);
-    n->type = (uint8_t)type;
+    uint32_t at = document->n++;
+    struct lmn_cbor_value *node = &document->nodes[at];
+    memset(node, 0, sizeof *node);
+    node->type = (uint8_t)type;
     if (r->depth > 0) {
         struct level *l = &r->stack[r->depth - 1];
-        struct lmn_cbor_value *parent = &d->nodes[l->node];
+        struct lmn_cbor_value *parent = &document->nodes[l->node];
         if (parent->type == LMN_CBOR_MAP && l->left % 2 == 0 && type != LMN_CBOR_TEXT)
             r->bad = true; /* keys are text */
         if (l->last)
-            d->nodes[l->last].next = at;
+            document->nodes[l->last].next = at;
         else
             parent->child = at;
         l->last = at;
         l->left--;
     }
-    return n;
+    return node;
 }
 
 /* Closes the containers that the item just read has filled. */
@@ -60,7 +60,7 @@
 
 static void open_level(struct reader *r, enum lmn_cbor_type type, uint64_t items)
 {
-    struct lmn_cbor_value *n = add(r, type);
+    struct lmn_cbor_value *node = add(r, type);
 
     /* Every item takes at least a byte, so a longer claim can't be honest. */
     if (items > r->remaining || (type == LMN_CBOR_MAP && items * 2 > r->remaining)) {
@@ -70,7 +70,7 @@
     if (r->bad)
         return;
     uint64_t children = type == LMN_CBOR_MAP ? items * 2 : items;
-    n->len = (uint32_t)children;
+    node->len = (uint32_t)children;
     if (children == 0) {
         settle(r);
         return;
@@ -127,9 +127,9 @@
 }
 static void on_text(void *c, cbor_data s, size_t len)
 {
-    struct lmn_cbor_value *n = add(c, LMN_CBOR_TEXT);
-    n->s = (const char *)s;
-    n->len = (uint32_t)len;
+    struct lmn_cbor_value *node = add(c, LMN_CBOR_TEXT);
+    node->s = (const char *)s;
+    node->len = (uint32_t)len;
     if (!g_utf8_validate((const char *)s, (gssize)len, NULL))
         ((struct reader *)c)->bad = true;
     settle(c);
@@ -233,15 +233,15 @@
 }
 
 const struct lmn_cbor_value *lmn_cbor_first_child(const struct lmn_cbor_document *doc,
-                                                  const struct lmn_cbor_value *of)
+                                                  const struct lmn_cbor_value *parent)
 {
-    return of && of->child ? &doc->nodes[of->child] : NULL;
+    return parent && parent->child ? &doc->nodes[parent->child] : NULL;
 }
 
 const struct lmn_cbor_value *lmn_cbor_next(const struct lmn_cbor_document *doc,
-                                           const struct lmn_cbor_value *n)
+                                           const struct lmn_cbor_value *node)
 {
-    return n && n->next ? &doc->nodes[n->next] : NULL;
+    return node && node->next ? &doc->nodes[node->next] : NULL;
 }
 
 const struct lmn_cbor_value *lmn_cbor_get(const struct lmn_cbor_document *doc,
@@ -251,186 +251,188 @@
     if (!map || map->type != LMN_CBOR_MAP)
         return NULL;
     for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, map); k;) {
-        const struct lmn_cbor_value *v = lmn_cbor_next(doc, k);
+        const struct lmn_cbor_value *value = lmn_cbor_next(doc, k);
         if (lmn_cbor_text_equals(k, key))
-            return v && v->type != LMN_CBOR_NULL ? v : NULL;
-        k = lmn_cbor_next(doc, v);
+            return value && value->type != LMN_CBOR_NULL ? value : NULL;
+        k = lmn_cbor_next(doc, value);
     }
     return NULL;
 }
 
-bool lmn_cbor_text_equals(const struct lmn_cbor_value *n, const char *text)
+bool lmn_cbor_text_equals(const struct lmn_cbor_value *node, const char *text)
 {
-    return n && n->type == LMN_CBOR_TEXT && n->len == strlen(text) &&
-           !memcmp(n->s, text, n->len);
+    return node && node->type == LMN_CBOR_TEXT && node->len == strlen(text) &&
+           !memcmp(node->s, text, node->len);
 }
 
-bool lmn_cbor_get_text(const struct lmn_cbor_value *n, char *out, size_t len)
+bool lmn_cbor_get_text(const struct lmn_cbor_value *node, char *out, size_t len)
 {
-    if (!n || n->type != LMN_CBOR_TEXT || n->len >= len || memchr(n->s, 0, n->len))
+    if (!node || node->type != LMN_CBOR_TEXT || node->len >= len ||
+        memchr(node->s, 0, node->len))
         return false;
-    memcpy(out, n->s, n->len);
-    out[n->len] = '\0';
+    memcpy(out, node->s, node->len);
+    out[node->len] = '\0';
     return true;
 }
 
-bool lmn_cbor_get_number(const struct lmn_cbor_value *n, double *out)
+bool lmn_cbor_get_number(const struct lmn_cbor_value *node, double *out)
 {
-    if (!n)
+    if (!node)
         return false;
-    if (n->type == LMN_CBOR_FLOAT)
-        *out = n->f;
-    else if (n->type == LMN_CBOR_UINT)
-        *out = (double)n->u;
-    else if (n->type == LMN_CBOR_NEGINT)
-        *out = -1.0 - (double)n->u;
+    if (node->type == LMN_CBOR_FLOAT)
+        *out = node->f;
+    else if (node->type == LMN_CBOR_UINT)
+        *out = (double)node->u;
+    else if (node->type == LMN_CBOR_NEGINT)
+        *out = -1.0 - (double)node->u;
     else
         return false;
     return isfinite(*out);
 }
 
-bool lmn_cbor_get_uint(const struct lmn_cbor_value *n, uint64_t *out)
+bool lmn_cbor_get_uint(const struct lmn_cbor_value *node, uint64_t *out)
 {
-    if (!n)
+    if (!node)
         return false;
-    if (n->type == LMN_CBOR_UINT) {
-        *out = n->u;
+    if (node->type == LMN_CBOR_UINT) {
+        *out = node->u;
         return true;
     }
-    if (n->type == LMN_CBOR_FLOAT && n->f >= 0 && n->f < 9e15 && n->f == floor(n->f)) {
-        *out = (uint64_t)n->f;
+    if (node->type == LMN_CBOR_FLOAT && node->f >= 0 && node->f < 9e15 &&
+        node->f == floor(node->f)) {
+        *out = (uint64_t)node->f;
         return true;
     }
     return false;
 }
 
-bool lmn_cbor_get_bool(const struct lmn_cbor_value *n, bool *out)
+bool lmn_cbor_get_bool(const struct lmn_cbor_value *node, bool *out)
 {
-    if (!n || n->type != LMN_CBOR_BOOL)
+    if (!node || node->type != LMN_CBOR_BOOL)
         return false;
-    *out = n->truth;
+    *out = node->truth;
     return true;
 }
 
-static void append(GByteArray *b, const unsigned char *p, size_t n)
+static void append(GByteArray *buffer, const unsigned char *p, size_t n)
 {
-    g_byte_array_append(b, p, (guint)n);
+    g_byte_array_append(buffer, p, (guint)n);
 }
 
-void lmn_cbor_put_map(GByteArray *b, size_t pairs)
+void lmn_cbor_put_map(GByteArray *buffer, size_t pairs)
 {
     unsigned char t[9];
-    append(b, t, cbor_encode_map_start(pairs, t, sizeof t));
+    append(buffer, t, cbor_encode_map_start(pairs, t, sizeof t));
 }
 
-void lmn_cbor_put_array(GByteArray *b, size_t items)
+void lmn_cbor_put_array(GByteArray *buffer, size_t items)
 {
     unsigned char t[9];
-    append(b, t, cbor_encode_array_start(items, t, sizeof t));
+    append(buffer, t, cbor_encode_array_start(items, t, sizeof t));
 }
 
-static void put_bytes(GByteArray *b, const char *s, size_t len)
+static void put_bytes(GByteArray *buffer, const char *s, size_t len)
 {
     unsigned char t[9];
-    append(b, t, cbor_encode_string_start(len, t, sizeof t));
-    append(b, (const unsigned char *)s, len);
+    append(buffer, t, cbor_encode_string_start(len, t, sizeof t));
+    append(buffer, (const unsigned char *)s, len);
 }
 
-void lmn_cbor_put_text(GByteArray *b, const char *s)
+void lmn_cbor_put_text(GByteArray *buffer, const char *s)
 {
-    put_bytes(b, s, strlen(s));
+    put_bytes(buffer, s, strlen(s));
 }
 
-void lmn_cbor_put_uint(GByteArray *b, uint64_t v)
+void lmn_cbor_put_uint(GByteArray *buffer, uint64_t v)
 {
     unsigned char t[9];
-    append(b, t, cbor_encode_uint(v, t, sizeof t));
+    append(buffer, t, cbor_encode_uint(v, t, sizeof t));
 }
 
-void lmn_cbor_put_number(GByteArray *b, double v)
+void lmn_cbor_put_number(GByteArray *buffer, double v)
 {
     unsigned char t[9];
-    append(b, t, cbor_encode_double(v, t, sizeof t));
+    append(buffer, t, cbor_encode_double(v, t, sizeof t));
 }
 
-void lmn_cbor_put_bool(GByteArray *b, bool v)
+void lmn_cbor_put_bool(GByteArray *buffer, bool v)
 {
     unsigned char t[1];
-    append(b, t, cbor_encode_bool(v, t, sizeof t));
+    append(buffer, t, cbor_encode_bool(v, t, sizeof t));
 }
 
-void lmn_cbor_put_null(GByteArray *b)
+void lmn_cbor_put_null(GByteArray *buffer)
 {
     unsigned char t[1];
-    append(b, t, cbor_encode_null(t, sizeof t));
+    append(buffer, t, cbor_encode_null(t, sizeof t));
 }
 
-void lmn_cbor_put_value(GByteArray *b, const struct lmn_cbor_document *doc,
-                        const struct lmn_cbor_value *n)
+void lmn_cbor_put_value(GByteArray *buffer, const struct lmn_cbor_document *doc,
+                        const struct lmn_cbor_value *node)
 {
     unsigned char t[9];
 
-    switch (n->type) {
+    switch (node->type) {
     case LMN_CBOR_BOOL:
-        lmn_cbor_put_bool(b, n->truth);
+        lmn_cbor_put_bool(buffer, node->truth);
         return;
     case LMN_CBOR_UINT:
-        lmn_cbor_put_uint(b, n->u);
+        lmn_cbor_put_uint(buffer, node->u);
         return;
     case LMN_CBOR_NEGINT:
-        append(b, t, cbor_encode_negint(n->u, t, sizeof t));
+        append(buffer, t, cbor_encode_negint(node->u, t, sizeof t));
         return;
     case LMN_CBOR_FLOAT:
-        lmn_cbor_put_number(b, n->f);
+        lmn_cbor_put_number(buffer, node->f);
         return;
     case LMN_CBOR_TEXT:
-        put_bytes(b, n->s, n->len);
+        put_bytes(buffer, node->s, node->len);
         return;
     case LMN_CBOR_ARRAY:
-        lmn_cbor_put_array(b, n->len);
+        lmn_cbor_put_array(buffer, node->len);
         break;
     case LMN_CBOR_MAP:
-        lmn_cbor_put_map(b, n->len / 2);
+        lmn_cbor_put_map(buffer, node->len / 2);
         break;
     default:
-        lmn_cbor_put_null(b);
+        lmn_cbor_put_null(buffer);
         return;
     }
-    for (const struct lmn_cbor_value *c = lmn_cbor_first_child(doc, n); c;
-         c = lmn_cbor_next(doc, c))
-        lmn_cbor_put_value(b, doc, c);
+    for (const struct lmn_cbor_value *child = lmn_cbor_first_child(doc, node); child;
+         child = lmn_cbor_next(doc, child))
+        lmn_cbor_put_value(buffer, doc, child);
 }
 
 size_t lmn_cbor_json_size(const struct lmn_cbor_document *doc,
-                          const struct lmn_cbor_value *n)
+                          const struct lmn_cbor_value *node)
 {
     char number[64];
     size_t size = 2;
 
-    switch (n->type) {
+    switch (node->type) {
     case LMN_CBOR_NULL:
         return 4;
     case LMN_CBOR_BOOL:
-        return n->truth ? 4 : 5;
+        return node->truth ? 4 : 5;
     case LMN_CBOR_UINT:
-        return (size_t)g_snprintf(number, sizeof number, "%" G_GUINT64_FORMAT, n->u);
+        return (size_t)g_snprintf(number, sizeof number, "%" G_GUINT64_FORMAT, node->u);
     case LMN_CBOR_NEGINT:
-        return 1 +
-               (size_t)g_snprintf(number, sizeof number, "%" G_GUINT64_FORMAT, n->u + 1);
+        return 1 + (size_t)g_snprintf(number, sizeof number, "%" G_GUINT64_FORMAT,
+                                      node->u + 1);
     case LMN_CBOR_FLOAT:
-        return strlen(g_ascii_dtostr(number, sizeof number, n->f)) +
-               (n->f == (double)(int64_t)n->f ? 2 : 0);
+        return strlen(g_ascii_dtostr(number, sizeof number, node->f)) +
+               (node->f == (double)(int64_t)node->f ? 2 : 0);
     case LMN_CBOR_TEXT:
-        for (uint32_t i = 0; i < n->len; i++) {
-            unsigned char c = (unsigned char)n->s[i];
+        for (uint32_t i = 0; i < node->len; i++) {
+            unsigned char c = (unsigned char)node->s[i];
             size += c == '"' || c == '\\' ? 2 : c < 0x20 ? 6 : 1;
         }
         return size;
     default:
         /* Brackets, a comma after all but the last, a colon after each key. */
-        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, n); k;
-             k = lmn_cbor_next(doc, k))
-            size += lmn_cbor_json_size(doc, k) + 1;
-        return n->len ? size - 1 : size;
+        for (const struct lmn_cbor_value *key = lmn_cbor_first_child(doc, node); key;
+             key = lmn_cbor_next(doc, key))
+            size += lmn_cbor_json_size(doc, key) + 1;
+        return node->len ? size - 1 : size;
     }
 }
--- a/src/protocol/cbor.h
+++ b/src/protocol/cbor.h
@@ -47,33 +47,33 @@
 
 const struct lmn_cbor_value *lmn_cbor_root(const struct lmn_cbor_document *doc);
 const struct lmn_cbor_value *lmn_cbor_first_child(const struct lmn_cbor_document *doc,
-                                                  const struct lmn_cbor_value *of);
+                                                  const struct lmn_cbor_value *parent);
 const struct lmn_cbor_value *lmn_cbor_next(const struct lmn_cbor_document *doc,
-                                           const struct lmn_cbor_value *n);
+                                           const struct lmn_cbor_value *node);
 /* The value of a map's key; NULL if absent or null, since the two mean the same. */
 const struct lmn_cbor_value *lmn_cbor_get(const struct lmn_cbor_document *doc,
                                           const struct lmn_cbor_value *map,
                                           const char *key);
-bool lmn_cbor_text_equals(const struct lmn_cbor_value *n, const char *text);
-bool lmn_cbor_get_text(const struct lmn_cbor_value *n, char *out, size_t len);
-bool lmn_cbor_get_number(const struct lmn_cbor_value *n, double *out);
-bool lmn_cbor_get_uint(const struct lmn_cbor_value *n, uint64_t *out);
-bool lmn_cbor_get_bool(const struct lmn_cbor_value *n, bool *out);
+bool lmn_cbor_text_equals(const struct lmn_cbor_value *node, const char *text);
+bool lmn_cbor_get_text(const struct lmn_cbor_value *node, char *out, size_t len);
+bool lmn_cbor_get_number(const struct lmn_cbor_value *node, double *out);
+bool lmn_cbor_get_uint(const struct lmn_cbor_value *node, uint64_t *out);
+bool lmn_cbor_get_bool(const struct lmn_cbor_value *node, bool *out);
 
-void lmn_cbor_put_map(GByteArray *b, size_t pairs);
-void lmn_cbor_put_array(GByteArray *b, size_t items);
-void lmn_cbor_put_text(GByteArray *b, const char *s);
-void lmn_cbor_put_uint(GByteArray *b, uint64_t v);
-void lmn_cbor_put_number(GByteArray *b, double v);
-void lmn_cbor_put_bool(GByteArray *b, bool v);
-void lmn_cbor_put_null(GByteArray *b);
+void lmn_cbor_put_map(GByteArray *buffer, size_t pairs);
+void lmn_cbor_put_array(GByteArray *buffer, size_t items);
+void lmn_cbor_put_text(GByteArray *buffer, const char *s);
+void lmn_cbor_put_uint(GByteArray *buffer, uint64_t v);
+void lmn_cbor_put_number(GByteArray *buffer, double v);
+void lmn_cbor_put_bool(GByteArray *buffer, bool v);
+void lmn_cbor_put_null(GByteArray *buffer);
 /* Copies a node as it was read. */
-void lmn_cbor_put_value(GByteArray *b, const struct lmn_cbor_document *doc,
-                        const struct lmn_cbor_value *n);
+void lmn_cbor_put_value(GByteArray *buffer, const struct lmn_cbor_document *doc,
+                        const struct lmn_cbor_value *node);
 
 /* Bytes that a node takes when written as compact JSON: the form in which limits are
  * counted. */
 size_t lmn_cbor_json_size(const struct lmn_cbor_document *doc,
-                          const struct lmn_cbor_value *n);
+                          const struct lmn_cbor_value *node);
 
 #endif
