--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -2,36 +2,37 @@
 
 #include <stdio.h>
 
-json_t *lmn_json_of(const struct lmn_cbor_document *doc, const struct lmn_cbor_value *n)
+json_t *lmn_json_of(const struct lmn_cbor_document *doc,
+                    const struct lmn_cbor_value *node)
 {
     json_t *j;
 
-    switch (n->type) {
+    switch (node->type) {
     case LMN_CBOR_BOOL:
-        return json_boolean(n->truth);
+        return json_boolean(node->truth);
     case LMN_CBOR_UINT:
-        return n->u <= INT64_MAX ? json_integer((json_int_t)n->u)
-                                 : json_real((double)n->u);
+        return node->u <= INT64_MAX ? json_integer((json_int_t)node->u)
+                                    : json_real((double)node->u);
     case LMN_CBOR_NEGINT:
-        return json_integer(-1 - (json_int_t)n->u);
+        return json_integer(-1 - (json_int_t)node->u);
     case LMN_CBOR_FLOAT:
-        return json_real(n->f);
+        return json_real(node->f);
     case LMN_CBOR_TEXT:
-        return json_stringn(n->s, n->len);
+        return json_stringn(node->s, node->len);
     case LMN_CBOR_ARRAY:
         j = json_array();
-        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, n); k;
+        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, node); k;
              k = lmn_cbor_next(doc, k))
             json_array_append_new(j, lmn_json_of(doc, k));
         return j;
     case LMN_CBOR_MAP:
         j = json_object();
-        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, n); k;) {
-            const struct lmn_cbor_value *v = lmn_cbor_next(doc, k);
+        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, node); k;) {
+            const struct lmn_cbor_value *value = lmn_cbor_next(doc, k);
             char *key = g_strndup(k->s, k->len);
-            json_object_set_new(j, key, lmn_json_of(doc, v));
+            json_object_set_new(j, key, lmn_json_of(doc, value));
             g_free(key);
-            k = lmn_cbor_next(doc, v);
+            k = lmn_cbor_next(doc, value);
         }
         return j;
     default:
@@ -50,7 +51,7 @@
     return j;
 }
 
-void lmn_json_put(GByteArray *b, json_t *j)
+void lmn_json_put(GByteArray *buffer, json_t *j)
 {
     const char *key;
     json_t *v;
@@ -58,35 +59,35 @@
 
     switch (json_typeof(j)) {
     case JSON_OBJECT:
-        lmn_cbor_put_map(b, json_object_size(j));
+        lmn_cbor_put_map(buffer, json_object_size(j));
         json_object_foreach(j, key, v)
         {
-            lmn_cbor_put_text(b, key);
-            lmn_json_put(b, v);
+            lmn_cbor_put_text(buffer, key);
+            lmn_json_put(buffer, v);
         }
         return;
     case JSON_ARRAY:
-        lmn_cbor_put_array(b, json_array_size(j));
-        json_array_foreach(j, i, v) lmn_json_put(b, v);
+        lmn_cbor_put_array(buffer, json_array_size(j));
+        json_array_foreach(j, i, v) lmn_json_put(buffer, v);
         return;
     case JSON_STRING:
-        lmn_cbor_put_text(b, json_string_value(j));
+        lmn_cbor_put_text(buffer, json_string_value(j));
         return;
     case JSON_INTEGER:
         if (json_integer_value(j) >= 0)
-            lmn_cbor_put_uint(b, (uint64_t)json_integer_value(j));
+            lmn_cbor_put_uint(buffer, (uint64_t)json_integer_value(j));
         else
-            lmn_cbor_put_number(b, (double)json_integer_value(j));
+            lmn_cbor_put_number(buffer, (double)json_integer_value(j));
         return;
     case JSON_REAL:
-        lmn_cbor_put_number(b, json_real_value(j));
+        lmn_cbor_put_number(buffer, json_real_value(j));
         return;
     case JSON_TRUE:
     case JSON_FALSE:
-        lmn_cbor_put_bool(b, json_is_true(j));
+        lmn_cbor_put_bool(buffer, json_is_true(j));
         return;
     default:
-        lmn_cbor_put_null(b);
+        lmn_cbor_put_null(buffer);
     }
 }
 
--- a/src/replication/batch.c
+++ b/src/replication/batch.c
@@ -4,73 +4,75 @@
 
 struct lmn_machine_snapshot *lmn_machine_snapshot_new(const char *name)
 {
-    struct lmn_machine_snapshot *t = g_new0(struct lmn_machine_snapshot, 1);
+    struct lmn_machine_snapshot *snapshot = g_new0(struct lmn_machine_snapshot, 1);
 
-    g_strlcpy(t->name, name, sizeof t->name);
-    t->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt_snapshot));
-    return t;
+    g_strlcpy(snapshot->name, name, sizeof snapshot->name);
+    snapshot->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt_snapshot));
+    return snapshot;
 }
 
-static GArray *images_of(const struct lmn_machine *m)
+static GArray *images_of(const struct lmn_machine *machine)
 {
     GArray *images = g_array_new(FALSE, FALSE, sizeof(struct lmn_image_snapshot));
 
-    for (guint i = 0; i < m->images->len; i++) {
-        const struct lmn_image *x = &g_array_index(m->images, struct lmn_image, i);
-        struct lmn_image_snapshot y = {.gb = x->gb, .there = !x->ready.tv_sec};
-        if (strlen(x->name) >= sizeof y.name)
+    for (guint i = 0; i < machine->images->len; i++) {
+        const struct lmn_image *image =
+            &g_array_index(machine->images, struct lmn_image, i);
+        struct lmn_image_snapshot y = {.gb = image->gb, .there = !image->ready.tv_sec};
+        if (strlen(image->name) >= sizeof y.name)
             continue;
-        g_strlcpy(y.name, x->name, sizeof y.name);
+        g_strlcpy(y.name, image->name, sizeof y.name);
         g_array_append_val(images, y);
     }
     return images;
 }
 
-struct lmn_machine_snapshot *lmn_machine_snapshot_take(const struct lmn_machine *m,
+struct lmn_machine_snapshot *lmn_machine_snapshot_take(const struct lmn_machine *machine,
                                                        bool images)
 {
-    struct lmn_machine_snapshot *t = lmn_machine_snapshot_new(m->name);
+    struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(machine->name);
 
-    t->session = m->session;
-    t->gone = m->is_gone;
-    for (guint i = 0; i < m->attempts->len; i++) {
-        const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
-        struct lmn_attempt_snapshot x = {.index = a->index,
-                                         .number = a->number,
-                                         .ended = a->state == LMN_ATTEMPT_ENDED,
-                                         .done = a->done};
-        g_strlcpy(x.ref, a->ref, sizeof x.ref);
-        g_array_append_val(t->attempts, x);
+    snapshot->session = machine->session;
+    snapshot->gone = machine->is_gone;
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct lmn_attempt *attempt =
+            &g_array_index(machine->attempts, struct lmn_attempt, i);
+        struct lmn_attempt_snapshot x = {.index = attempt->index,
+                                         .number = attempt->number,
+                                         .ended = attempt->state == LMN_ATTEMPT_ENDED,
+                                         .done = attempt->done};
+        g_strlcpy(x.ref, attempt->ref, sizeof x.ref);
+        g_array_append_val(snapshot->attempts, x);
     }
     if (images)
-        t->images = images_of(m);
-    return t;
+        snapshot->images = images_of(machine);
+    return snapshot;
 }
 
 void lmn_machine_snapshot_free(gpointer told)
 {
-    struct lmn_machine_snapshot *t = told;
+    struct lmn_machine_snapshot *snapshot = told;
 
-    if (!t)
+    if (!snapshot)
         return;
-    g_array_free(t->attempts, TRUE);
-    if (t->images)
-        g_array_free(t->images, TRUE);
-    g_free(t);
+    g_array_free(snapshot->attempts, TRUE);
+    if (snapshot->images)
+        g_array_free(snapshot->images, TRUE);
+    g_free(snapshot);
 }
 
 struct lmn_replication_batch *lmn_replication_batch_new(void)
 {
-    struct lmn_replication_batch *b = g_new0(struct lmn_replication_batch, 1);
+    struct lmn_replication_batch *batch = g_new0(struct lmn_replication_batch, 1);
 
-    b->machines = g_ptr_array_new_with_free_func(lmn_machine_snapshot_free);
-    return b;
+    batch->machines = g_ptr_array_new_with_free_func(lmn_machine_snapshot_free);
+    return batch;
 }
 
-void lmn_replication_batch_free(struct lmn_replication_batch *b)
+void lmn_replication_batch_free(struct lmn_replication_batch *batch)
 {
-    if (!b)
+    if (!batch)
         return;
-    g_ptr_array_free(b->machines, TRUE);
-    g_free(b);
+    g_ptr_array_free(batch->machines, TRUE);
+    g_free(batch);
 }
--- a/src/replication/batch.h
+++ b/src/replication/batch.h
@@ -39,10 +39,10 @@
 
 struct lmn_machine_snapshot *lmn_machine_snapshot_new(const char *name);
 /* What may be on the machine now, by its owner's state; with its images or without. */
-struct lmn_machine_snapshot *lmn_machine_snapshot_take(const struct lmn_machine *m,
+struct lmn_machine_snapshot *lmn_machine_snapshot_take(const struct lmn_machine *machine,
                                                        bool images);
 void lmn_machine_snapshot_free(gpointer told);
 struct lmn_replication_batch *lmn_replication_batch_new(void);
-void lmn_replication_batch_free(struct lmn_replication_batch *b);
+void lmn_replication_batch_free(struct lmn_replication_batch *batch);
 
 #endif
--- a/src/replication/replica.c
+++ b/src/replication/replica.c
@@ -10,98 +10,103 @@
     g_free(copy);
 }
 
-static struct lmn_replica *new_copy(uint64_t term, uint64_t stream)
+static struct lmn_replica *new_copy(uint64_t epoch, uint64_t stream)
 {
     struct lmn_replica *copy = g_new0(struct lmn_replica, 1);
 
-    copy->term = term;
+    copy->term = epoch;
     copy->stream = stream;
     copy->machines =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, lmn_machine_snapshot_free);
     return copy;
 }
 
-static void take_machine(struct lmn_replica *copy, struct lmn_machine_snapshot *t)
+static void take_machine(struct lmn_replica *copy, struct lmn_machine_snapshot *snapshot)
 {
-    struct lmn_machine_snapshot *was = g_hash_table_lookup(copy->machines, t->name);
+    struct lmn_machine_snapshot *was =
+        g_hash_table_lookup(copy->machines, snapshot->name);
 
-    if (t->forget) {
-        g_hash_table_remove(copy->machines, t->name);
-        lmn_machine_snapshot_free(t);
+    if (snapshot->forget) {
+        g_hash_table_remove(copy->machines, snapshot->name);
+        lmn_machine_snapshot_free(snapshot);
         return;
     }
-    if (!t->images && was) {
-        t->images = was->images;
+    if (!snapshot->images && was) {
+        snapshot->images = was->images;
         was->images = NULL;
     }
-    g_hash_table_replace(copy->machines, t->name, t);
+    g_hash_table_replace(copy->machines, snapshot->name, snapshot);
 }
 
-enum lmn_replica_result lmn_replica_apply(struct lmn_core *c,
-                                          struct lmn_replication_batch *b,
+enum lmn_replica_result lmn_replica_apply(struct lmn_core *core,
+                                          struct lmn_replication_batch *batch,
                                           struct timespec now)
 {
-    if (b->part < 0 || b->part >= c->nparts)
+    if (batch->part < 0 || batch->part >= core->nparts)
         return LMN_REPLICA_REJECTED;
-    struct lmn_partition *p = &c->parts[b->part];
-    struct lmn_replica *copy = p->copy;
+    struct lmn_partition *partition = &core->parts[batch->part];
+    struct lmn_replica *copy = partition->copy;
     /* Whoever owned it before the term that the mirror shows has been replaced. One that
      * is about to end follows nobody. */
-    if (p->mine || b->term < p->term || c->leaving)
+    if (partition->mine || batch->term < partition->term || core->leaving)
         return LMN_REPLICA_REJECTED;
-    if (copy && b->term == copy->term && b->stream == copy->stream &&
-        b->number <= copy->number) {
+    if (copy && batch->term == copy->term && batch->stream == copy->stream &&
+        batch->number <= copy->number) {
         copy->last = now;
         return LMN_REPLICA_APPLIED; /* a repeat, or a late twin */
     }
-    if (b->number == 0) {
+    if (batch->number == 0) {
         /* A late twin of an older stream must not take the place of a newer one. */
-        if (copy &&
-            (b->term < copy->term || (b->term == copy->term && b->stream < copy->stream)))
+        if (copy && (batch->term < copy->term ||
+                     (batch->term == copy->term && batch->stream < copy->stream)))
             return LMN_REPLICA_UNKNOWN_STREAM;
         lmn_replica_free(copy);
-        copy = p->copy = new_copy(b->term, b->stream);
-    } else if (!copy || b->term != copy->term || b->stream != copy->stream ||
-               b->number != copy->number + 1) {
+        copy = partition->copy = new_copy(batch->term, batch->stream);
+    } else if (!copy || batch->term != copy->term || batch->stream != copy->stream ||
+               batch->number != copy->number + 1) {
         return LMN_REPLICA_UNKNOWN_STREAM;
     }
-    copy->number = b->number;
+    copy->number = batch->number;
     copy->last = now;
-    for (guint i = 0; i < b->machines->len; i++) {
-        take_machine(copy, b->machines->pdata[i]);
-        b->machines->pdata[i] = NULL;
+    for (guint i = 0; i < batch->machines->len; i++) {
+        take_machine(copy, batch->machines->pdata[i]);
+        batch->machines->pdata[i] = NULL;
     }
     return LMN_REPLICA_APPLIED;
 }
 
-void lmn_replica_keep_own(struct lmn_partition *p)
+void lmn_replica_keep_own(struct lmn_partition *partition)
 {
     /* Before every machine was accounted for, a cold owner does not know what its
      * predecessors started. */
-    if (!p->ready && !p->warm)
+    if (!partition->ready && !partition->warm)
         return;
-    lmn_replica_free(p->copy);
-    p->copy = new_copy(p->my_term, 0);
-    p->copy->own = true;
-    for (guint i = 0; i < p->list->len; i++) {
-        struct lmn_machine_snapshot *t =
-            lmn_machine_snapshot_take(p->list->pdata[i], true);
-        g_hash_table_replace(p->copy->machines, t->name, t);
+    lmn_replica_free(partition->copy);
+    partition->copy = new_copy(partition->my_term, 0);
+    partition->copy->own = true;
+    for (guint i = 0; i < partition->list->len; i++) {
+        struct lmn_machine_snapshot *snapshot =
+            lmn_machine_snapshot_take(partition->list->pdata[i], true);
+        g_hash_table_replace(partition->copy->machines, snapshot->name, snapshot);
     }
 }
 
-bool lmn_replica_own_is_latest(const struct lmn_partition *p)
+bool lmn_replica_own_is_latest(const struct lmn_partition *partition)
 {
-    return p->copy && p->copy->own && p->copy->term == p->term;
+    return partition->copy && partition->copy->own &&
+           partition->copy->term == partition->term;
 }
 
-void lmn_replica_drop_outdated(const struct lmn_core *c, struct lmn_partition *p)
+void lmn_replica_drop_outdated(const struct lmn_core *core,
+                               struct lmn_partition *partition)
 {
-    if (p->mine || !p->copy || !p->copy->own || p->term <= p->copy->term)
+    if (partition->mine || !partition->copy || !partition->copy->own ||
+        partition->term <= partition->copy->term)
         return;
     /* Of the next term only our own claim may be on its way. */
-    if (p->term == p->copy->term + 1 && (!*p->owner || !strcmp(p->owner, c->cfg->node)))
+    if (partition->term == partition->copy->term + 1 &&
+        (!*partition->owner || !strcmp(partition->owner, core->cfg->node)))
         return;
-    lmn_replica_free(p->copy);
-    p->copy = NULL;
+    lmn_replica_free(partition->copy);
+    partition->copy = NULL;
 }
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -24,18 +24,19 @@
 
 /* Takes the batch over into the partition's copy; its machines may be moved out of it. A
  * batch that begins a stream takes the place of an older stream's copy. */
-enum lmn_replica_result lmn_replica_apply(struct lmn_core *c,
-                                          struct lmn_replication_batch *b,
+enum lmn_replica_result lmn_replica_apply(struct lmn_core *core,
+                                          struct lmn_replication_batch *batch,
                                           struct timespec now);
 void lmn_replica_free(struct lmn_replica *copy);
 /* The partition is about to be lost: keeps what its owner, this process, knows of it, if
  * that names every attempt that may be on a machine. A batch of another owner takes its
  * place. */
-void lmn_replica_keep_own(struct lmn_partition *p);
+void lmn_replica_keep_own(struct lmn_partition *partition);
 /* Whether this process was the partition's last owner, as far as the mirror shows, and
  * has kept what it knew. */
-bool lmn_replica_own_is_latest(const struct lmn_partition *p);
+bool lmn_replica_own_is_latest(const struct lmn_partition *partition);
 /* Frees what was kept once another has owned the partition: it is of no use any more. */
-void lmn_replica_drop_outdated(const struct lmn_core *c, struct lmn_partition *p);
+void lmn_replica_drop_outdated(const struct lmn_core *core,
+                               struct lmn_partition *partition);
 
 #endif
--- a/src/replication/replica_choice.c
+++ b/src/replication/replica_choice.c
@@ -3,24 +3,25 @@
 
 #include <string.h>
 
-static const char *zone_of(const struct lmn_core *c, int rank)
+static const char *zone_of(const struct lmn_core *core, int member_index)
 {
-    const char *name = lmn_member_name(&c->members, rank);
+    const char *name = lmn_member_name(&core->members, member_index);
 
-    for (size_t i = 0; i < c->cfg->nmembers; i++)
-        if (!strcmp(c->cfg->members[i].name, name))
-            return c->cfg->members[i].zone;
-    return c->cfg->zone;
+    for (size_t i = 0; i < core->cfg->nmembers; i++)
+        if (!strcmp(core->cfg->members[i].name, name))
+            return core->cfg->members[i].zone;
+    return core->cfg->zone;
 }
 
 /* Partitions that it owns or stands by for, this one aside. */
-static unsigned carries(const struct lmn_core *c, int rank, const struct lmn_partition *p)
+static unsigned carries(const struct lmn_core *core, int member_index,
+                        const struct lmn_partition *p)
 {
-    const char *name = lmn_member_name(&c->members, rank);
+    const char *name = lmn_member_name(&core->members, member_index);
     unsigned n = 0;
 
-    for (int i = 0; i < c->nparts; i++) {
-        const struct lmn_partition *o = &c->parts[i];
+    for (int i = 0; i < core->nparts; i++) {
+        const struct lmn_partition *o = &core->parts[i];
         if (o == p)
             continue;
         n += 2 * !strcmp(o->owner, name);
@@ -31,56 +32,62 @@
 
 /* The highest random weight: each partition has an order of members of its own, and one
  * that goes moves only what was its own. */
-static guint weight(const struct lmn_core *c, int rank, const struct lmn_partition *p)
+static guint weight(const struct lmn_core *core, int member_index,
+                    const struct lmn_partition *partition)
 {
     char text[LMN_NAME_SIZE + 16];
 
-    g_snprintf(text, sizeof text, "%s/%d", lmn_member_name(&c->members, rank), p->id);
+    g_snprintf(text, sizeof text, "%s/%d", lmn_member_name(&core->members, member_index),
+               partition->id);
     return g_str_hash(text) * 2654435761u; /* Knuth's multiplier: near names, far apart */
 }
 
-static bool able(const struct lmn_members *ms, int rank, struct timespec now)
+static bool able(const struct lmn_members *members, int member_index, struct timespec now)
 {
-    return lmn_member_is_trusted(ms, rank, now) &&
-           ms->v[rank].word.behind_s < LMN_STANDBY_SETTLE_S;
+    return lmn_member_is_trusted(members, member_index, now) &&
+           members->v[member_index].word.behind_s < LMN_STANDBY_SETTLE_S;
 }
 
-int lmn_standby_choose(const struct lmn_core *c, const struct lmn_partition *p,
+int lmn_standby_choose(const struct lmn_core *core, const struct lmn_partition *partition,
                        struct timespec now)
 {
-    const struct lmn_members *ms = &c->members;
-    int best = -1, holder = p->id % ms->n;
+    const struct lmn_members *members = &core->members;
+    int best = -1, holder = partition->id % members->n;
 
-    if (holder != ms->me && able(ms, holder, now))
+    if (holder != members->me && able(members, holder, now))
         return holder;
-    for (int k = 0; k < ms->n; k++) {
-        if (k == ms->me || !able(ms, k, now))
+    for (int k = 0; k < members->n; k++) {
+        if (k == members->me || !able(members, k, now))
             continue;
         if (best < 0) {
             best = k;
             continue;
         }
-        int far = !!strcmp(zone_of(c, k), c->cfg->zone);
-        int best_far = !!strcmp(zone_of(c, best), c->cfg->zone);
-        unsigned load = carries(c, k, p), best_load = carries(c, best, p);
-        if (far != best_far     ? far
-            : load != best_load ? load < best_load
-                                : weight(c, k, p) > weight(c, best, p))
+        int far = !!strcmp(zone_of(core, k), core->cfg->zone);
+        int best_far = !!strcmp(zone_of(core, best), core->cfg->zone);
+        unsigned load = carries(core, k, partition),
+                 best_load = carries(core, best, partition);
+        if (far != best_far ? far
+            : load != best_load
+                ? load < best_load
+                : weight(core, k, partition) > weight(core, best, partition))
             best = k;
     }
     return best;
 }
 
-int lmn_standby_named(const struct lmn_core *c, const struct lmn_partition *p,
+int lmn_standby_named(const struct lmn_core *core, const struct lmn_partition *partition,
                       struct timespec now)
 {
-    int rank = p->standby_stream && p->standby_term == p->term
-                   ? lmn_member_index(&c->members, p->standby)
-                   : -1;
+    int member_index =
+        partition->standby_stream && partition->standby_term == partition->term
+            ? lmn_member_index(&core->members, partition->standby)
+            : -1;
 
     /* Another life of it has no copy. */
-    if (rank < 0 || c->members.v[rank].lease != p->standby_lease ||
-        !lmn_member_is_trusted(&c->members, rank, now))
+    if (member_index < 0 ||
+        core->members.v[member_index].lease != partition->standby_lease ||
+        !lmn_member_is_trusted(&core->members, member_index, now))
         return -1;
-    return rank;
+    return member_index;
 }
--- a/src/scheduler/affinity.c
+++ b/src/scheduler/affinity.c
@@ -3,21 +3,21 @@
 
 #include <string.h>
 
-uint32_t lmn_zone_task_capacity(const struct lmn_job *j, const char *zone)
+uint32_t lmn_zone_task_capacity(const struct lmn_job *job, const char *zone)
 {
-    int here = 0, elsewhere = 0, most = (int)((j->spec.tasks + 1) / 2);
+    int here = 0, elsewhere = 0, most = (int)((job->spec.tasks + 1) / 2);
 
-    for (guint i = 0; j->zones && i < j->zones->len; i++) {
-        const struct lmn_zone_tasks *z =
-            &g_array_index(j->zones, struct lmn_zone_tasks, i);
-        if (!strcmp(z->zone, zone))
-            here += z->tasks;
+    for (guint i = 0; job->zones && i < job->zones->len; i++) {
+        const struct lmn_zone_tasks *zone_tasks =
+            &g_array_index(job->zones, struct lmn_zone_tasks, i);
+        if (!strcmp(zone_tasks->zone, zone))
+            here += zone_tasks->tasks;
         else
-            elsewhere += z->tasks;
+            elsewhere += zone_tasks->tasks;
     }
-    if (j->spec.one_zone && elsewhere > 0)
+    if (job->spec.one_zone && elsewhere > 0)
         return 0;
-    if (!j->spec.spread)
-        return j->spec.tasks;
+    if (!job->spec.spread)
+        return job->spec.tasks;
     return here < most ? (uint32_t)(most - here) : 0;
 }
--- a/src/scheduler/affinity.h
+++ b/src/scheduler/affinity.h
@@ -6,6 +6,6 @@
 #include "state/model.h"
 
 /* How many more of its tasks may be started in the zone. */
-uint32_t lmn_zone_task_capacity(const struct lmn_job *j, const char *zone);
+uint32_t lmn_zone_task_capacity(const struct lmn_job *job, const char *zone);
 
 #endif
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -37,21 +37,21 @@
     unsigned count;
 };
 
-void lmn_autoscaler_init(struct lmn_autoscaler *f);
+void lmn_autoscaler_init(struct lmn_autoscaler *autoscaler);
 /* A machine was first listed as running at that age. */
-void lmn_autoscaler_record_boot(struct lmn_autoscaler *f,
-                                const struct lmn_cloud_machine *m, double age_s);
+void lmn_autoscaler_record_boot(struct lmn_autoscaler *autoscaler,
+                                const struct lmn_cloud_machine *machine, double age_s);
 /* Seconds within which a machine of the type should be up: from what was seen of its
  * kind, and no less than is usual. From then on others are rented in its place, as long
  * as only some are late; after twice that it is returned. */
-double lmn_autoscaler_boot_timeout_s(const struct lmn_autoscaler *f,
-                                     const struct lmn_machine_type *t, const char *zone,
-                                     double lag_s);
+double lmn_autoscaler_boot_timeout_s(const struct lmn_autoscaler *autoscaler,
+                                     const struct lmn_machine_type *type,
+                                     const char *zone, double lag_s);
 /* Whether to rent, and what. The core's lock is held. */
-bool lmn_autoscaler_decide(struct lmn_core *c, struct lmn_autoscaler *f,
-                           struct lmn_provision_request *r, struct timespec now);
+bool lmn_autoscaler_decide(struct lmn_core *core, struct lmn_autoscaler *autoscaler,
+                           struct lmn_provision_request *request, struct timespec now);
 /* The cloud gave got of the machines asked for. */
-void lmn_autoscaler_record_result(struct lmn_autoscaler *f,
-                                  const struct lmn_provision_request *r, unsigned got,
-                                  struct timespec now);
+void lmn_autoscaler_record_result(struct lmn_autoscaler *autoscaler,
+                                  const struct lmn_provision_request *request,
+                                  unsigned got, struct timespec now);
 #endif
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -23,30 +23,33 @@
     double cpus, gpus, mem; /* free */
 };
 
-static bool steady(const struct lmn_core *c, const struct lmn_machine *m,
+static bool steady(const struct lmn_core *core, const struct lmn_machine *machine,
                    struct timespec now)
 {
-    return m->type && m->rev && m->accounted && !m->retiring && !m->noticed &&
-           !m->lapsed && !m->is_gone && !m->promised && !lmn_machine_is_silent(c, m, now);
+    return machine->type && machine->rev && machine->accounted && !machine->retiring &&
+           !machine->noticed && !machine->lapsed && !machine->is_gone &&
+           !machine->promised && !lmn_machine_is_silent(core, machine, now);
 }
 
-static bool holds_replica(const struct lmn_attempt *a)
+static bool holds_replica(const struct lmn_attempt *attempt)
 {
-    return a->counted && a->range && a->job && a->job->phase == LMN_JOB_ACTIVE &&
-           a->job->spec.kind == LMN_JOB_SERVICE;
+    return attempt->counted && attempt->range && attempt->job &&
+           attempt->job->phase == LMN_JOB_ACTIVE &&
+           attempt->job->spec.kind == LMN_JOB_SERVICE;
 }
 
 /* Whether the machine's replicas may be moved now; how many there are. */
-static guint movable(const struct lmn_machine *m, struct timespec now)
+static guint movable(const struct lmn_machine *machine, struct timespec now)
 {
     guint n = 0;
 
-    for (guint i = 0; i < m->attempts->len; i++) {
-        const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
-        if (!holds_replica(a))
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct lmn_attempt *attempt =
+            &g_array_index(machine->attempts, struct lmn_attempt, i);
+        if (!holds_replica(attempt))
             continue;
-        if (a->state != LMN_ATTEMPT_RUNNING || !a->listed || a->stop || a->direct ||
-            lmn_time_diff_s(now, a->since) < SETTLED_S)
+        if (attempt->state != LMN_ATTEMPT_RUNNING || !attempt->listed || attempt->stop ||
+            attempt->direct || lmn_time_diff_s(now, attempt->since) < SETTLED_S)
             return 0;
         n++;
     }
@@ -55,18 +58,18 @@
 
 /* The fullest of the targets that has room for the replica, and its image. */
 static struct target *target_for(GArray *targets, const struct lmn_machine *from,
-                                 const struct lmn_job *j)
+                                 const struct lmn_job *job)
 {
-    const struct lmn_job_spec *s = &j->spec;
+    const struct lmn_job_spec *spec = &job->spec;
     struct target *best = NULL;
 
     for (guint i = 0; i < targets->len; i++) {
         struct target *t = &g_array_index(targets, struct target, i);
-        if (t->m == from || t->cpus < s->cpus - 1e-6 || t->gpus < s->gpus - 1e-6 ||
-            t->mem < s->mem - 1e-6 || (best && t->cpus >= best->cpus))
+        if (t->m == from || t->cpus < spec->cpus - 1e-6 || t->gpus < spec->gpus - 1e-6 ||
+            t->mem < spec->mem - 1e-6 || (best && t->cpus >= best->cpus))
             continue;
-        if (!lmn_machine_can_run(t->m, j) || !lmn_machine_has_image(t->m, j) ||
-            (strcmp(t->m->zone, from->zone) && !lmn_zone_task_capacity(j, t->m->zone)))
+        if (!lmn_machine_can_run(t->m, job) || !lmn_machine_has_image(t->m, job) ||
+            (strcmp(t->m->zone, from->zone) && !lmn_zone_task_capacity(job, t->m->zone)))
             continue;
         best = t;
     }
@@ -74,22 +77,23 @@
 }
 
 /* Whether all replicas of the machine find room elsewhere. */
-static bool can_empty(const GArray *targets, const struct lmn_machine *m)
+static bool can_empty(const GArray *targets, const struct lmn_machine *machine)
 {
     GArray *left = g_array_sized_new(FALSE, FALSE, sizeof(struct target), targets->len);
     bool ok = true;
 
     g_array_append_vals(left, targets->data, targets->len);
-    for (guint i = 0; ok && i < m->attempts->len; i++) {
-        const struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, i);
-        if (!holds_replica(a))
+    for (guint i = 0; ok && i < machine->attempts->len; i++) {
+        const struct lmn_attempt *attempt =
+            &g_array_index(machine->attempts, struct lmn_attempt, i);
+        if (!holds_replica(attempt))
             continue;
-        struct target *t = target_for(left, m, a->job);
+        struct target *t = target_for(left, machine, attempt->job);
         ok = t != NULL;
         if (t) {
-            t->cpus -= a->job->spec.cpus;
-            t->gpus -= a->job->spec.gpus;
-            t->mem -= a->job->spec.mem;
+            t->cpus -= attempt->job->spec.cpus;
+            t->gpus -= attempt->job->spec.gpus;
+            t->mem -= attempt->job->spec.mem;
         }
     }
     g_array_free(left, TRUE);
@@ -105,31 +109,33 @@
     return strcmp(x->m->name, y->m->name);
 }
 
-void lmn_consolidate_replicas(struct lmn_core *c, struct lmn_partition *p,
+void lmn_consolidate_replicas(struct lmn_core *core, struct lmn_partition *partition,
                               struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
     double free_cpus = 0, all = 0;
-    bool waits = p->unplaced.tasks > 0;
+    bool waits = partition->unplaced.tasks > 0;
 
-    if (!p->mine || !p->ready || p->releasing || lmn_time_before(now, p->next_pack) ||
-        lmn_watch_cache_age_s(c, now) > LMN_MAX_CACHE_AGE_S)
+    if (!partition->mine || !partition->ready || partition->releasing ||
+        lmn_time_before(now, partition->next_pack) ||
+        lmn_watch_cache_age_s(core, now) > LMN_MAX_CACHE_AGE_S)
         return;
-    p->next_pack = lmn_time_add(now, EVERY_S);
+    partition->next_pack = lmn_time_add(now, EVERY_S);
     GArray *targets = g_array_new(FALSE, FALSE, sizeof(struct target));
-    g_hash_table_iter_init(&it, p->machines);
+    g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *m = v;
-        waits = waits || m->queue.tasks > 0;
-        if (!steady(c, m, now))
+        struct lmn_machine *machine = v;
+        waits = waits || machine->queue.tasks > 0;
+        if (!steady(core, machine, now))
             continue;
-        struct target t = {m, m->type->cpus - m->used_cpus, m->type->gpus - m->used_gpus,
-                           m->type->mem - m->used_mem};
+        struct target t = {machine, machine->type->cpus - machine->used_cpus,
+                           machine->type->gpus - machine->used_gpus,
+                           machine->type->mem - machine->used_mem};
         /* Spot machines hold other work, and go by themselves. */
-        if (m->spot || m->used_cpus <= 0)
+        if (machine->spot || machine->used_cpus <= 0)
             continue;
-        all += m->type->cpus;
+        all += machine->type->cpus;
         free_cpus += t.cpus;
         g_array_append_val(targets, t);
     }
@@ -137,25 +143,26 @@
     guint looked = 0;
     for (guint i = 0; !waits && i < targets->len && looked < LOOKED_AT; i++) {
         struct target *t = &g_array_index(targets, struct target, i);
-        struct lmn_machine *m = t->m;
+        struct lmn_machine *machine = t->m;
         /* What it would free elsewhere it takes away here. */
-        if (free_cpus - m->type->cpus < RESERVE * all)
+        if (free_cpus - machine->type->cpus < RESERVE * all)
             break;
-        if (!movable(m, now))
+        if (!movable(machine, now))
             continue;
         looked++;
-        if (!can_empty(targets, m))
+        if (!can_empty(targets, machine))
             continue;
-        for (guint k = 0; k < m->attempts->len; k++) {
-            struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, k);
-            if (!holds_replica(a))
+        for (guint k = 0; k < machine->attempts->len; k++) {
+            struct lmn_attempt *attempt =
+                &g_array_index(machine->attempts, struct lmn_attempt, k);
+            if (!holds_replica(attempt))
                 continue;
-            a->stop = true;
-            a->grace = a->job->spec.save_s + 1;
+            attempt->stop = true;
+            attempt->grace = attempt->job->spec.save_s + 1;
         }
-        lmn_machine_drain(c, m, false, "its replicas have room elsewhere", now);
-        lmn_machine_wake(m);
-        pthread_cond_broadcast(&c->poked);
+        lmn_machine_drain(core, machine, false, "its replicas have room elsewhere", now);
+        lmn_machine_wake(machine);
+        pthread_cond_broadcast(&core->poked);
         break;
     }
     g_array_free(targets, TRUE);
--- a/src/scheduler/consolidation.h
+++ b/src/scheduler/consolidation.h
@@ -5,7 +5,7 @@
 #include "state/model.h"
 
 /* Empties a machine whose replicas have room elsewhere. */
-void lmn_consolidate_replicas(struct lmn_core *c, struct lmn_partition *p,
+void lmn_consolidate_replicas(struct lmn_core *core, struct lmn_partition *partition,
                               struct timespec now);
 
 #endif
--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -9,10 +9,10 @@
  * so fills a gap on a machine that stays for others. */
 static const double LEFT = 2, GAP_S = 30;
 
-bool lmn_is_under_fair_share(const struct lmn_fair_share *f, double all_used,
+bool lmn_is_under_fair_share(const struct lmn_fair_share *share, double all_used,
                              unsigned kinds)
 {
-    return kinds > 1 && f->waiting > 0 && f->used < PART * all_used / kinds;
+    return kinds > 1 && share->waiting > 0 && share->used < PART * all_used / kinds;
 }
 
 static struct lmn_fair_share *find(GArray *v, const void *of)
@@ -20,51 +20,52 @@
     struct lmn_fair_share new = {.of = of};
 
     for (guint i = 0; i < v->len; i++) {
-        struct lmn_fair_share *f = &g_array_index(v, struct lmn_fair_share, i);
-        if (f->of == of)
-            return f;
+        struct lmn_fair_share *share = &g_array_index(v, struct lmn_fair_share, i);
+        if (share->of == of)
+            return share;
     }
     g_array_append_val(v, new);
     return &g_array_index(v, struct lmn_fair_share, v->len - 1);
 }
 
-static void count(struct lmn_fair_share *f, const struct lmn_range *r)
+static void count(struct lmn_fair_share *share, const struct lmn_range *range)
 {
-    uint32_t waiting = r->hi - r->lo - MIN(r->nfinished + r->nstarted, r->hi - r->lo);
+    uint32_t waiting = range->hi - range->lo -
+                       MIN(range->nfinished + range->nstarted, range->hi - range->lo);
 
     /* Of one that fails wherever it starts, nothing can. */
-    if (lmn_job_is_faulty(&r->job->failures))
+    if (lmn_job_is_faulty(&range->job->failures))
         waiting = 0;
-    f->used += r->nstarted * r->job->spec.cpus;
-    f->waiting += waiting * r->job->spec.cpus;
+    share->used += range->nstarted * range->job->spec.cpus;
+    share->waiting += waiting * range->job->spec.cpus;
 }
 
-static void add_up(const struct lmn_core *c, GArray *classes, GArray *teams)
+static void add_up(const struct lmn_core *core, GArray *classes, GArray *teams)
 {
-    for (int i = 0; i < c->nparts; i++) {
-        const struct lmn_partition *p = &c->parts[i];
+    for (int i = 0; i < core->nparts; i++) {
+        const struct lmn_partition *partition = &core->parts[i];
         GHashTableIter it;
         gpointer v;
-        if (!p->mine)
+        if (!partition->mine)
             continue;
-        g_hash_table_iter_init(&it, p->ranges);
+        g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            const struct lmn_range *r = v;
-            if (r->job->phase != LMN_JOB_ACTIVE || !r->st)
+            const struct lmn_range *range = v;
+            if (range->job->phase != LMN_JOB_ACTIVE || !range->st)
                 continue;
             if (classes)
-                count(find(classes, r->job->cls), r);
-            if (teams && r->job->team >= 0)
-                count(find(teams, &c->cfg->teams[r->job->team]), r);
+                count(find(classes, range->job->cls), range);
+            if (teams && range->job->team >= 0)
+                count(find(teams, &core->cfg->teams[range->job->team]), range);
         }
     }
 }
 
-GArray *lmn_fair_share_by_class(const struct lmn_core *c)
+GArray *lmn_fair_share_by_class(const struct lmn_core *core)
 {
     GArray *classes = g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share));
 
-    add_up(c, classes, NULL);
+    add_up(core, classes, NULL);
     return classes;
 }
 
@@ -74,9 +75,9 @@
 
     *used = 0;
     for (guint i = 0; i < v->len; i++) {
-        const struct lmn_fair_share *f = &g_array_index(v, struct lmn_fair_share, i);
-        *used += f->used;
-        kinds += f->waiting > 0;
+        const struct lmn_fair_share *share = &g_array_index(v, struct lmn_fair_share, i);
+        *used += share->used;
+        kinds += share->waiting > 0;
     }
     return kinds;
 }
@@ -102,68 +103,71 @@
     return false;
 }
 
-void lmn_update_fair_shares(struct lmn_core *c)
+void lmn_update_fair_shares(struct lmn_core *core)
 {
     GArray *classes = g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share));
     GArray *teams = g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share));
 
-    add_up(c, classes, teams);
+    add_up(core, classes, teams);
     bool any = keep_owed(classes);
     any = keep_owed(teams) || any;
-    for (int i = 0; i < c->nparts && (any || c->owing); i++) {
+    for (int i = 0; i < core->nparts && (any || core->owing); i++) {
         GHashTableIter it;
         gpointer v;
-        if (!c->parts[i].mine)
+        if (!core->parts[i].mine)
             continue;
-        g_hash_table_iter_init(&it, c->parts[i].ranges);
+        g_hash_table_iter_init(&it, core->parts[i].ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            struct lmn_job *j = ((struct lmn_range *)v)->job;
-            j->owed = among(classes, j->cls) ||
-                      (j->team >= 0 && among(teams, &c->cfg->teams[j->team]));
+            struct lmn_job *job = ((struct lmn_range *)v)->job;
+            job->owed = among(classes, job->cls) ||
+                        (job->team >= 0 && among(teams, &core->cfg->teams[job->team]));
         }
     }
-    c->owing = any;
+    core->owing = any;
     g_array_free(classes, TRUE);
     g_array_free(teams, TRUE);
 }
 
-bool lmn_is_spot_only(const struct lmn_settings *cfg, const struct lmn_job_spec *s,
-                      const struct lmn_machine_type *t)
+bool lmn_is_spot_only(const struct lmn_settings *cfg, const struct lmn_job_spec *spec,
+                      const struct lmn_machine_type *type)
 {
-    return s->urgency == LMN_PRIORITY_IDLE && s->spot && s->kind == LMN_JOB_BATCH &&
-           s->estimate_s > GAP_S && t->rate > LEFT * t->spot_rate &&
-           !lmn_job_spec_has_objective(cfg, s);
+    return spec->urgency == LMN_PRIORITY_IDLE && spec->spot &&
+           spec->kind == LMN_JOB_BATCH && spec->estimate_s > GAP_S &&
+           type->rate > LEFT * type->spot_rate && !lmn_job_spec_has_objective(cfg, spec);
 }
 
 /* Where no cheap machine could hold it, any will do. */
-static bool cheap_here(const struct lmn_partition *p, const struct lmn_job_spec *s)
+static bool cheap_here(const struct lmn_partition *partition,
+                       const struct lmn_job_spec *spec)
 {
-    for (guint k = 0; k < p->list->len; k++) {
-        const struct lmn_machine *m = p->list->pdata[k];
-        if (m->spot && m->type && m->accounted && !m->is_gone && !m->lapsed &&
-            lmn_job_spec_allows(s, m->type, m->zone, true))
+    for (guint k = 0; k < partition->list->len; k++) {
+        const struct lmn_machine *machine = partition->list->pdata[k];
+        if (machine->spot && machine->type && machine->accounted && !machine->is_gone &&
+            !machine->lapsed &&
+            lmn_job_spec_allows(spec, machine->type, machine->zone, true))
             return true;
     }
     return false;
 }
 
-void lmn_update_starvation(struct lmn_core *c, double wall)
+void lmn_update_starvation(struct lmn_core *core, double wall)
 {
-    for (int i = 0; i < c->nparts; i++) {
-        struct lmn_partition *p = &c->parts[i];
+    for (int i = 0; i < core->nparts; i++) {
+        struct lmn_partition *partition = &core->parts[i];
         GHashTableIter it;
         gpointer v;
-        if (!p->mine)
+        if (!partition->mine)
             continue;
-        g_hash_table_iter_init(&it, p->ranges);
+        g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            const struct lmn_range *r = v;
-            struct lmn_job *j = r->job;
-            if (j->phase != LMN_JOB_ACTIVE || !r->st)
+            const struct lmn_range *range = v;
+            struct lmn_job *job = range->job;
+            if (job->phase != LMN_JOB_ACTIVE || !range->st)
                 continue;
-            j->aged = wall - j->at > AGED_S && !r->nstarted && !r->nfinished &&
-                      !lmn_job_is_faulty(&j->failures);
-            j->cheap = j->spec.urgency == LMN_PRIORITY_IDLE && cheap_here(p, &j->spec);
+            job->aged = wall - job->at > AGED_S && !range->nstarted &&
+                        !range->nfinished && !lmn_job_is_faulty(&job->failures);
+            job->cheap = job->spec.urgency == LMN_PRIORITY_IDLE &&
+                         cheap_here(partition, &job->spec);
         }
     }
 }
--- a/src/scheduler/fair_share.h
+++ b/src/scheduler/fair_share.h
@@ -15,7 +15,7 @@
 
 /* Whether it is owed room: it has work waiting, and its tasks have less than a quarter of
  * an even part of all processors in use, even over those that have work waiting. Pure. */
-bool lmn_is_under_fair_share(const struct lmn_fair_share *f, double all_used,
+bool lmn_is_under_fair_share(const struct lmn_fair_share *share, double all_used,
                              unsigned kinds);
 
 /* Of an array of struct lmn_fair_share: how many have work waiting, and what all of them
@@ -24,22 +24,22 @@
 unsigned lmn_fair_share_sum(const GArray *v, double *used);
 
 /* Marks the jobs that are owed room by their class or their team. */
-void lmn_update_fair_shares(struct lmn_core *c);
+void lmn_update_fair_shares(struct lmn_core *core);
 
 /* Marks the jobs that have waited for so long by the time of day that their next task
  * goes first, as nothing of them has started here yet; and the idle ones that are to run
  * on cheap machines only (lmn_is_spot_only), as long as this node has any for them. */
-void lmn_update_starvation(struct lmn_core *c, double wall);
+void lmn_update_starvation(struct lmn_core *core, double wall);
 
 /* Whether idle work of that kind, of which nobody expects anything by a time, is worth
  * leaving rather than running on an ordinary machine of the type: work that is left in
  * the end costs twice its worth, and what runs for long keeps the machine from being
  * returned. Pure. */
-bool lmn_is_spot_only(const struct lmn_settings *cfg, const struct lmn_job_spec *s,
-                      const struct lmn_machine_type *t);
+bool lmn_is_spot_only(const struct lmn_settings *cfg, const struct lmn_job_spec *spec,
+                      const struct lmn_machine_type *type);
 
 /* What of each class this node's partitions have: an array of struct lmn_fair_share, `of`
  * the class's name; to be freed. */
-GArray *lmn_fair_share_by_class(const struct lmn_core *c);
+GArray *lmn_fair_share_by_class(const struct lmn_core *core);
 
 #endif
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -9,68 +9,68 @@
  * number. */
 static const double TRIAGE_S = 0.4;
 
-static void expect(struct lmn_job *j, double latest, double wall)
+static void expect(struct lmn_job *job, double latest, double wall)
 {
-    if (latest >= wall && (j->lost || latest < j->latest)) {
-        j->latest = latest;
-        j->lost = false;
+    if (latest >= wall && (job->lost || latest < job->latest)) {
+        job->latest = latest;
+        job->lost = false;
     }
 }
 
-void lmn_job_update_latest_start(const struct lmn_settings *cfg, struct lmn_job *j,
+void lmn_job_update_latest_start(const struct lmn_settings *cfg, struct lmn_job *job,
                                  double wall)
 {
-    const struct lmn_job_spec *s = &j->spec;
+    const struct lmn_job_spec *spec = &job->spec;
     bool any = false;
 
     /* Estimates are often wrong by half: a job is given up as late only when even a run
      * of half the estimate would come too late. */
-    double run = s->estimate_s * 0.5;
+    double run = spec->estimate_s * 0.5;
     /* A replica that does not run is missed every second anew, however late it is: once
      * counted as lost like work with an end, services waited behind every batch that
      * could still be in time. */
-    if (s->kind == LMN_JOB_SERVICE) {
-        j->lost = false;
-        j->latest = j->at;
+    if (spec->kind == LMN_JOB_SERVICE) {
+        job->lost = false;
+        job->latest = job->at;
         return;
     }
-    j->lost = true;
-    j->latest = 0;
+    job->lost = true;
+    job->latest = 0;
     for (size_t i = 0; i < cfg->nobjectives; i++) {
-        const struct lmn_objective *o = &cfg->objectives[i];
-        if (!lmn_objective_applies(o, s))
+        const struct lmn_objective *objective = &cfg->objectives[i];
+        if (!lmn_objective_applies(objective, spec))
             continue;
-        if (o->kind == LMN_OBJECTIVE_START)
-            expect(j, j->at + o->within_s, wall);
-        else if (o->kind == LMN_OBJECTIVE_FINISH)
-            expect(j, j->at + o->within_s - run, wall);
+        if (objective->kind == LMN_OBJECTIVE_START)
+            expect(job, job->at + objective->within_s, wall);
+        else if (objective->kind == LMN_OBJECTIVE_FINISH)
+            expect(job, job->at + objective->within_s - run, wall);
         else
-            expect(j, j->at + s->deadline_s * o->times - run, wall);
+            expect(job, job->at + spec->deadline_s * objective->times - run, wall);
         any = true;
     }
-    if (s->deadline_s >= 0) {
-        expect(j, j->at + s->deadline_s - run, wall);
+    if (spec->deadline_s >= 0) {
+        expect(job, job->at + spec->deadline_s - run, wall);
         any = true;
     }
     if (!any) {
-        j->lost = false;
-        j->latest = INFINITY;
+        job->lost = false;
+        job->latest = INFINITY;
     }
 }
 
 /* Processor seconds of the job's tasks in the partition that have not been started. */
-static double work_left(const struct lmn_job *j, const struct lmn_partition *p)
+static double work_left(const struct lmn_job *job, const struct lmn_partition *partition)
 {
     double tasks = 0;
 
-    for (guint i = 0; i < j->ranges->len; i++) {
-        const struct lmn_range *r = j->ranges->pdata[i];
-        if (r->part == p && r->st)
-            tasks += r->hi - r->lo - r->nfinished - r->nstarted;
+    for (guint i = 0; i < job->ranges->len; i++) {
+        const struct lmn_range *range = job->ranges->pdata[i];
+        if (range->part == partition && range->st)
+            tasks += range->hi - range->lo - range->nfinished - range->nstarted;
     }
-    if (lmn_job_is_faulty(&j->failures))
+    if (lmn_job_is_faulty(&job->failures))
         tasks = MIN(tasks, 1);
-    return MAX(tasks, 0) * MAX(j->spec.cpus, 0.01) * MAX(j->spec.estimate_s, 1);
+    return MAX(tasks, 0) * MAX(job->spec.cpus, 0.01) * MAX(job->spec.estimate_s, 1);
 }
 
 static gint by_latest(gconstpointer a, gconstpointer b)
@@ -125,30 +125,31 @@
     }
 }
 
-static void triage_partition(struct lmn_partition *p, double wall)
+static void triage_partition(struct lmn_partition *partition, double wall)
 {
     GPtrArray *v = g_ptr_array_new();
     double cpus = 0, ordinary = 0;
     GHashTableIter it;
     gpointer x;
 
-    g_hash_table_iter_init(&it, p->machines);
+    g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
-        const struct lmn_machine *m = x;
-        if (!m->type || !m->accounted || m->retiring || m->lapsed || m->is_gone)
+        const struct lmn_machine *machine = x;
+        if (!machine->type || !machine->accounted || machine->retiring ||
+            machine->lapsed || machine->is_gone)
             continue;
-        cpus += m->type->cpus;
-        ordinary += m->spot ? 0 : m->type->cpus;
+        cpus += machine->type->cpus;
+        ordinary += machine->spot ? 0 : machine->type->cpus;
     }
-    g_hash_table_iter_init(&it, p->ranges);
+    g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
-        struct lmn_job *j = ((struct lmn_range *)x)->job;
-        if (j->phase != LMN_JOB_ACTIVE || j->lost || j->ranked == p ||
-            j->spec.kind == LMN_JOB_SERVICE)
+        struct lmn_job *job = ((struct lmn_range *)x)->job;
+        if (job->phase != LMN_JOB_ACTIVE || job->lost || job->ranked == partition ||
+            job->spec.kind == LMN_JOB_SERVICE)
             continue;
-        j->ranked = p;
-        j->left = work_left(j, p);
-        g_ptr_array_add(v, j);
+        job->ranked = partition;
+        job->left = work_left(job, partition);
+        g_ptr_array_add(v, job);
     }
     lmn_overload_triage(v, wall, cpus, ordinary);
     for (guint i = 0; i < v->len; i++)
@@ -156,28 +157,28 @@
     g_ptr_array_free(v, TRUE);
 }
 
-void lmn_update_job_order(struct lmn_core *c, double wall)
+void lmn_update_job_order(struct lmn_core *core, double wall)
 {
     GHashTableIter it;
     gpointer v;
 
-    bool due = wall < c->triaged || wall - c->triaged > TRIAGE_S;
+    bool due = wall < core->triaged || wall - core->triaged > TRIAGE_S;
 
-    c->wall = wall;
+    core->wall = wall;
     if (due) {
-        c->triaged = wall;
-        lmn_update_fair_shares(c);
-        lmn_update_starvation(c, wall);
+        core->triaged = wall;
+        lmn_update_fair_shares(core);
+        lmn_update_starvation(core, wall);
     }
-    for (int i = 0; i < c->nparts; i++) {
-        struct lmn_partition *p = &c->parts[i];
-        if (!p->mine)
+    for (int i = 0; i < core->nparts; i++) {
+        struct lmn_partition *partition = &core->parts[i];
+        if (!partition->mine)
             continue;
-        g_hash_table_iter_init(&it, p->ranges);
+        g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            lmn_job_update_latest_start(c->cfg, ((struct lmn_range *)v)->job, wall);
+            lmn_job_update_latest_start(core->cfg, ((struct lmn_range *)v)->job, wall);
         if (due)
-            triage_partition(p, wall);
+            triage_partition(partition, wall);
     }
 }
 
@@ -185,12 +186,12 @@
  * work than room for long, the rest of the order leaves it nothing. So does the first
  * task of a job that has waited for long: a class's floor was used up by two of its six
  * jobs, while the others waited for six minutes. */
-static int group(const struct lmn_job *j)
+static int group(const struct lmn_job *job)
 {
-    return j->spec.urgency == LMN_PRIORITY_PRODUCTION && !j->lost ? 0
-           : j->aged                                              ? 1
-           : j->owed                                              ? 2
-                                                                  : 3;
+    return job->spec.urgency == LMN_PRIORITY_PRODUCTION && !job->lost ? 0
+           : job->aged                                                ? 1
+           : job->owed                                                ? 2
+                                                                      : 3;
 }
 
 int lmn_job_compare(const struct lmn_job *a, const struct lmn_job *b)
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -27,19 +27,20 @@
     uint32_t index;
 };
 
-static void collect(struct lmn_queue *q, struct lmn_machine *on, GArray *out,
+static void collect(struct lmn_queue *queue, struct lmn_machine *machine, GArray *out,
                     struct timespec now)
 {
-    uint32_t skip = on ? on->promised : 0;
+    uint32_t skip = machine ? machine->promised : 0;
 
-    for (guint i = 0; i < q->segs->len && out->len < HELPED_AT_ONCE; i++) {
-        const struct lmn_queue_segment *s = q->segs->pdata[i];
-        const struct lmn_job *j = s->job;
-        if (j->spec.urgency != LMN_PRIORITY_PRODUCTION || j->phase != LMN_JOB_ACTIVE ||
-            lmn_time_before(now, j->failures.hold))
+    for (guint i = 0; i < queue->segs->len && out->len < HELPED_AT_ONCE; i++) {
+        const struct lmn_queue_segment *segment = queue->segs->pdata[i];
+        const struct lmn_job *job = segment->job;
+        if (job->spec.urgency != LMN_PRIORITY_PRODUCTION ||
+            job->phase != LMN_JOB_ACTIVE || lmn_time_before(now, job->failures.hold))
             continue;
-        for (uint32_t k = s->lo; k < s->hi && out->len < HELPED_AT_ONCE; k++) {
-            struct waiting w = {q, on, s->range, k};
+        for (uint32_t k = segment->lo; k < segment->hi && out->len < HELPED_AT_ONCE;
+             k++) {
+            struct waiting w = {queue, machine, segment->range, k};
             if (skip > 0)
                 skip--;
             else
@@ -49,60 +50,65 @@
 }
 
 /* Whether the attempt may be stopped for a job of that urgency. */
-static bool lesser(const struct lmn_attempt *a, const struct lmn_job_spec *s)
+static bool lesser(const struct lmn_attempt *attempt, const struct lmn_job_spec *spec)
 {
-    return a->job && a->range && a->job->phase == LMN_JOB_ACTIVE && a->counted &&
-           !a->stop && !a->direct && a->listed && a->job->spec.urgency < s->urgency &&
-           (a->state == LMN_ATTEMPT_FETCHING || a->state == LMN_ATTEMPT_RUNNING);
+    return attempt->job && attempt->range && attempt->job->phase == LMN_JOB_ACTIVE &&
+           attempt->counted && !attempt->stop && !attempt->direct && attempt->listed &&
+           attempt->job->spec.urgency < spec->urgency &&
+           (attempt->state == LMN_ATTEMPT_FETCHING ||
+            attempt->state == LMN_ATTEMPT_RUNNING);
 }
 
 /* Seconds for which those who wait can wait for others to save: beyond that, and what it
  * takes to tell and to start, their own expectation of a start would be missed. */
-static double patience(const struct lmn_settings *cfg, const struct lmn_job_spec *s)
+static double patience(const struct lmn_settings *cfg, const struct lmn_job_spec *spec)
 {
     double least = INFINITY;
 
     for (size_t i = 0; i < cfg->nobjectives; i++) {
-        const struct lmn_objective *o = &cfg->objectives[i];
-        if (o->kind == LMN_OBJECTIVE_START &&
-            (!*o->class_name || !strcmp(o->class_name, s->class_name)))
-            least = MIN(least, o->within_s);
+        const struct lmn_objective *objective = &cfg->objectives[i];
+        if (objective->kind == LMN_OBJECTIVE_START &&
+            (!*objective->class_name || !strcmp(objective->class_name, spec->class_name)))
+            least = MIN(least, objective->within_s);
     }
     return least / 2;
 }
 
 /* Processor seconds that would be lost with it; saves: it is given the time. */
-static double loss(const struct lmn_attempt *a, bool saves, struct timespec now)
+static double loss(const struct lmn_attempt *attempt, bool saves, struct timespec now)
 {
-    const struct lmn_job_spec *s = &a->job->spec;
-    double ran = a->state == LMN_ATTEMPT_FETCHING ? 0 : lmn_time_diff_s(now, a->since);
-    double work = s->checkpoint_s <= 0 ? ran
-                  : saves              ? MIN(ran, s->save_s)
-                                       : MIN(ran, s->checkpoint_s / 2);
-    return s->cpus * (work + RESTART_S);
+    const struct lmn_job_spec *spec = &attempt->job->spec;
+    double ran =
+        attempt->state == LMN_ATTEMPT_FETCHING ? 0 : lmn_time_diff_s(now, attempt->since);
+    double work = spec->checkpoint_s <= 0 ? ran
+                  : saves                 ? MIN(ran, spec->save_s)
+                                          : MIN(ran, spec->checkpoint_s / 2);
+    return spec->cpus * (work + RESTART_S);
 }
 
 /* The cheapest way to make room for one more task on the machine: marks the victims if
  * mark is set. Returns the loss; infinity if there is none. */
-static double make_on(struct lmn_machine *m, const struct lmn_job_spec *s, double patient,
-                      bool mark, struct timespec now)
+static double make_on(struct lmn_machine *machine, const struct lmn_job_spec *spec,
+                      double patient, bool mark, struct timespec now)
 {
-    double cpus = m->type->cpus - m->used_cpus, gpus = m->type->gpus - m->used_gpus;
-    double mem = m->type->mem - m->used_mem, sum = 0;
+    double cpus = machine->type->cpus - machine->used_cpus,
+           gpus = machine->type->gpus - machine->used_gpus;
+    double mem = machine->type->mem - machine->used_mem, sum = 0;
     guint taken[64], n = 0;
 
-    while (cpus < s->cpus - 1e-6 || gpus < s->gpus - 1e-6 || mem < s->mem - 1e-6) {
+    while (cpus < spec->cpus - 1e-6 || gpus < spec->gpus - 1e-6 ||
+           mem < spec->mem - 1e-6) {
         int best = -1;
         double least = INFINITY;
-        for (guint i = 0; i < m->attempts->len; i++) {
-            const struct lmn_attempt *a =
-                &g_array_index(m->attempts, struct lmn_attempt, i);
+        for (guint i = 0; i < machine->attempts->len; i++) {
+            const struct lmn_attempt *attempt =
+                &g_array_index(machine->attempts, struct lmn_attempt, i);
             bool again = false;
             for (guint k = 0; k < n; k++)
                 again = again || taken[k] == i;
-            if (again || !lesser(a, s))
+            if (again || !lesser(attempt, spec))
                 continue;
-            double l = loss(a, a->job->spec.save_s <= patient, now);
+            double l = loss(attempt, attempt->job->spec.save_s <= patient, now);
             if (best < 0 || l < least) {
                 best = (int)i;
                 least = l;
@@ -110,108 +116,115 @@
         }
         if (best < 0 || n == G_N_ELEMENTS(taken))
             return INFINITY;
-        const struct lmn_attempt *a =
-            &g_array_index(m->attempts, struct lmn_attempt, (guint)best);
+        const struct lmn_attempt *attempt =
+            &g_array_index(machine->attempts, struct lmn_attempt, (guint)best);
         sum += least;
-        cpus += a->job->spec.cpus;
-        gpus += a->job->spec.gpus;
-        mem += a->job->spec.mem;
+        cpus += attempt->job->spec.cpus;
+        gpus += attempt->job->spec.gpus;
+        mem += attempt->job->spec.mem;
         taken[n++] = (guint)best;
     }
     for (guint k = 0; mark && k < n; k++) {
-        struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, taken[k]);
-        a->stop = true;
-        a->grace = a->job->spec.save_s <= patient ? a->job->spec.save_s + 1 : 0;
+        struct lmn_attempt *attempt =
+            &g_array_index(machine->attempts, struct lmn_attempt, taken[k]);
+        attempt->stop = true;
+        attempt->grace =
+            attempt->job->spec.save_s <= patient ? attempt->job->spec.save_s + 1 : 0;
         lmn_debug("task-preempt task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s",
-                  a->ref, a->index, a->number, m->name);
+                  attempt->ref, attempt->index, attempt->number, machine->name);
     }
     return sum;
 }
 
 /* Tasks of the job that room is being made for in the zone. */
-static uint32_t promised_in(const struct lmn_partition *p, const struct lmn_job *j,
-                            const char *zone)
+static uint32_t promised_in(const struct lmn_partition *partition,
+                            const struct lmn_job *job, const char *zone)
 {
     uint32_t n = 0;
     GHashTableIter it;
     gpointer v;
 
-    if (!j->spec.spread && !j->spec.one_zone)
+    if (!job->spec.spread && !job->spec.one_zone)
         return 0;
-    g_hash_table_iter_init(&it, p->machines);
+    g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine *m = v;
-        for (guint i = 0; m->promised && i < m->queue.segs->len; i++) {
-            const struct lmn_queue_segment *s = m->queue.segs->pdata[i];
-            if (s->job == j && !strcmp(m->zone, zone))
-                n += s->hi - s->lo;
+        const struct lmn_machine *machine = v;
+        for (guint i = 0; machine->promised && i < machine->queue.segs->len; i++) {
+            const struct lmn_queue_segment *segment = machine->queue.segs->pdata[i];
+            if (segment->job == job && !strcmp(machine->zone, zone))
+                n += segment->hi - segment->lo;
         }
     }
     return n;
 }
 
 /* Where the task would best go, and whether others have to be stopped for it. */
-static struct lmn_machine *place_for(struct lmn_core *c, struct lmn_partition *p,
-                                     const struct lmn_job *j, struct timespec now)
+static struct lmn_machine *place_for(struct lmn_core *core,
+                                     struct lmn_partition *partition,
+                                     const struct lmn_job *job, struct timespec now)
 {
     struct lmn_machine *best = NULL;
     double least = INFINITY;
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, p->machines);
+    g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *m = v;
+        struct lmn_machine *machine = v;
         /* One that does not report would keep the task waiting. */
-        if (m->promised || !lmn_machine_can_run(m, j) ||
-            !lmn_zone_task_capacity(j, m->zone) || lmn_machine_is_silent(c, m, now))
+        if (machine->promised || !lmn_machine_can_run(machine, job) ||
+            !lmn_zone_task_capacity(job, machine->zone) ||
+            lmn_machine_is_silent(core, machine, now))
             continue;
-        double cost = FETCH_WEIGHT * j->spec.cpus * lmn_image_fetch_s(m, j, now);
+        double cost =
+            FETCH_WEIGHT * job->spec.cpus * lmn_image_fetch_s(machine, job, now);
         if (cost < least)
-            cost += make_on(m, &j->spec, patience(c->cfg, &j->spec), false, now);
-        if (cost >= least ||
-            lmn_zone_task_capacity(j, m->zone) <= promised_in(p, j, m->zone))
+            cost +=
+                make_on(machine, &job->spec, patience(core->cfg, &job->spec), false, now);
+        if (cost >= least || lmn_zone_task_capacity(job, machine->zone) <=
+                                 promised_in(partition, job, machine->zone))
             continue;
         least = cost;
-        best = m;
+        best = machine;
     }
     return best;
 }
 
-void lmn_preempt_for_production(struct lmn_core *c, struct lmn_partition *p,
+void lmn_preempt_for_production(struct lmn_core *core, struct lmn_partition *partition,
                                 struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
 
-    if (!p->mine || p->releasing)
+    if (!partition->mine || partition->releasing)
         return;
     GArray *wait = g_array_new(FALSE, FALSE, sizeof(struct waiting));
-    g_hash_table_iter_init(&it, p->machines);
+    g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *m = v;
-        if (m->promised && lmn_time_before(m->promise_until, now))
-            m->promised = 0;
-        collect(&m->queue, m, wait, now);
+        struct lmn_machine *machine = v;
+        if (machine->promised && lmn_time_before(machine->promise_until, now))
+            machine->promised = 0;
+        collect(&machine->queue, machine, wait, now);
     }
-    collect(&p->unplaced, NULL, wait, now);
+    collect(&partition->unplaced, NULL, wait, now);
     for (guint i = 0; i < wait->len; i++) {
         struct waiting *w = &g_array_index(wait, struct waiting, i);
-        const struct lmn_job *j = w->range->job;
-        struct lmn_machine *m =
-            lmn_job_within_quota(c, p, j) ? place_for(c, p, j, now) : NULL;
-        if (!m)
+        const struct lmn_job *job = w->range->job;
+        struct lmn_machine *machine = lmn_job_within_quota(core, partition, job)
+                                          ? place_for(core, partition, job, now)
+                                          : NULL;
+        if (!machine)
             continue;
-        c->count.preempted +=
-            make_on(m, &j->spec, patience(c->cfg, &j->spec), true, now) > 0;
-        m->promised++;
-        m->promise_until = lmn_time_add(now, KEEP_S);
-        if (m != w->on) {
+        core->count.preempted +=
+            make_on(machine, &job->spec, patience(core->cfg, &job->spec), true, now) > 0;
+        machine->promised++;
+        machine->promise_until = lmn_time_add(now, KEEP_S);
+        if (machine != w->on) {
             lmn_queue_remove_task(w->queue, w->range, w->index);
-            lmn_queue_add(&m->queue, w->range, w->index, w->index + 1);
+            lmn_queue_add(&machine->queue, w->range, w->index, w->index + 1);
         }
-        lmn_machine_wake(m);
-        pthread_cond_broadcast(&c->poked);
+        lmn_machine_wake(machine);
+        pthread_cond_broadcast(&core->poked);
     }
     g_array_free(wait, TRUE);
 }
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -5,7 +5,7 @@
 #include "state/model.h"
 
 /* Finds room for tasks of production that wait, and makes it where there is none. */
-void lmn_preempt_for_production(struct lmn_core *c, struct lmn_partition *p,
+void lmn_preempt_for_production(struct lmn_core *core, struct lmn_partition *partition,
                                 struct timespec now);
 
 #endif
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -14,86 +14,92 @@
 /* What a second of fetching an image counts against a second of being late. */
 static const double FETCH_WEIGHT = 4;
 
-static int image_at(const struct lmn_machine *m, const char *name)
+static int image_at(const struct lmn_machine *machine, const char *name)
 {
-    for (guint i = 0; i < m->images->len; i++)
-        if (g_array_index(m->images, struct lmn_image, i).name == name)
+    for (guint i = 0; i < machine->images->len; i++)
+        if (g_array_index(machine->images, struct lmn_image, i).name == name)
             return (int)i;
     return -1;
 }
 
-bool lmn_machine_has_image(const struct lmn_machine *m, const struct lmn_job *j)
+bool lmn_machine_has_image(const struct lmn_machine *machine, const struct lmn_job *job)
 {
-    return image_at(m, j->image) >= 0;
+    return image_at(machine, job->image) >= 0;
 }
 
-static double whole_fetch_s(const struct lmn_machine *m, const struct lmn_job *j)
+static double whole_fetch_s(const struct lmn_machine *machine, const struct lmn_job *job)
 {
-    return m->type && m->type->pull > 0 ? j->spec.image_gb / m->type->pull : 0;
+    return machine->type && machine->type->pull > 0
+               ? job->spec.image_gb / machine->type->pull
+               : 0;
 }
 
-double lmn_image_fetch_s(const struct lmn_machine *m, const struct lmn_job *j,
+double lmn_image_fetch_s(const struct lmn_machine *machine, const struct lmn_job *job,
                          struct timespec now)
 {
-    int at = image_at(m, j->image);
+    int at = image_at(machine, job->image);
 
     if (at < 0)
-        return whole_fetch_s(m, j);
-    const struct lmn_image *x = &g_array_index(m->images, struct lmn_image, (guint)at);
-    return x->ready.tv_sec ? MAX(lmn_time_diff_s(x->ready, now), 0) : 0;
+        return whole_fetch_s(machine, job);
+    const struct lmn_image *image =
+        &g_array_index(machine->images, struct lmn_image, (guint)at);
+    return image->ready.tv_sec ? MAX(lmn_time_diff_s(image->ready, now), 0) : 0;
 }
 
 /* Fetches under way may share the machine's rate. */
-static guint fetches(const struct lmn_machine *m, struct timespec now)
+static guint fetches(const struct lmn_machine *machine, struct timespec now)
 {
     guint n = 0;
 
-    for (guint i = 0; i < m->images->len; i++) {
-        const struct lmn_image *x = &g_array_index(m->images, struct lmn_image, i);
-        n += x->ready.tv_sec && lmn_time_before(now, x->ready);
+    for (guint i = 0; i < machine->images->len; i++) {
+        const struct lmn_image *image =
+            &g_array_index(machine->images, struct lmn_image, i);
+        n += image->ready.tv_sec && lmn_time_before(now, image->ready);
     }
     return n;
 }
 
-void lmn_machine_record_image(struct lmn_machine *m, const struct lmn_job *j, bool there,
-                              struct timespec now)
+void lmn_machine_record_image(struct lmn_machine *machine, const struct lmn_job *job,
+                              bool there, struct timespec now)
 {
-    struct lmn_image new = {j->image, j->spec.image_gb, {0, 0}};
-    int at = image_at(m, j->image);
+    struct lmn_image new = {job->image, job->spec.image_gb, {0, 0}};
+    int at = image_at(machine, job->image);
     double gb = 0;
 
     if (at >= 0) {
-        new.ready = g_array_index(m->images, struct lmn_image, (guint)at).ready;
-        g_array_remove_index(m->images, (guint)at);
+        new.ready = g_array_index(machine->images, struct lmn_image, (guint)at).ready;
+        g_array_remove_index(machine->images, (guint)at);
     } else if (!there) {
-        new.ready = lmn_time_add(now, whole_fetch_s(m, j) * (1 + fetches(m, now)));
+        new.ready =
+            lmn_time_add(now, whole_fetch_s(machine, job) * (1 + fetches(machine, now)));
     }
     if (there)
         new.ready = (struct timespec){0, 0};
-    g_array_append_val(m->images, new);
+    g_array_append_val(machine->images, new);
     /* A worker drops the least recently used when its cache is full. */
-    for (guint i = 0; i < m->images->len; i++)
-        gb += g_array_index(m->images, struct lmn_image, i).gb;
-    while (m->images->len > 1 &&
-           ((m->type && gb > m->type->cache_gb) || m->images->len > 64)) {
-        gb -= g_array_index(m->images, struct lmn_image, 0).gb;
-        g_array_remove_index(m->images, 0);
+    for (guint i = 0; i < machine->images->len; i++)
+        gb += g_array_index(machine->images, struct lmn_image, i).gb;
+    while (machine->images->len > 1 && ((machine->type && gb > machine->type->cache_gb) ||
+                                        machine->images->len > 64)) {
+        gb -= g_array_index(machine->images, struct lmn_image, 0).gb;
+        g_array_remove_index(machine->images, 0);
     }
 }
 
 /* How badly a machine suits a job that it could hold: ordinary machines are dear, and
  * some work can run nowhere else; an image that is missing has to be fetched first. */
-static int unfit(const struct lmn_machine *m, const struct lmn_job *j)
+static int unfit(const struct lmn_machine *machine, const struct lmn_job *job)
 {
-    return (j->spec.spot && !m->spot ? 2 : 0) + !lmn_machine_has_image(m, j);
+    return (job->spec.spot && !machine->spot ? 2 : 0) +
+           !lmn_machine_has_image(machine, job);
 }
 
-static void deal_to(struct lmn_machine *m, struct lmn_range *r, uint32_t lo, uint32_t hi,
-                    struct timespec now)
+static void deal_to(struct lmn_machine *machine, struct lmn_range *range, uint32_t lo,
+                    uint32_t hi, struct timespec now)
 {
-    lmn_queue_add(&m->queue, r, lo, hi);
-    m->poll_s = 0; /* new work resets the interval */
-    m->next_steal = now;
+    lmn_queue_add(&machine->queue, range, lo, hi);
+    machine->poll_s = 0; /* new work resets the interval */
+    machine->next_steal = now;
 }
 
 /* A machine with room, as it compares with others. */
@@ -119,50 +125,52 @@
 /* One a turn, over the queues of the machines that have the image if there are enough of
  * them, or else of all: a machineful each would fetch the image less often, but wait for
  * one machine's tasks to end while others' do. */
-static void deal_round(struct lmn_partition *p, GPtrArray *able, struct lmn_range *r,
-                       uint32_t lo, uint32_t hi, struct timespec now)
+static void deal_round(struct lmn_partition *partition, GPtrArray *able,
+                       struct lmn_range *range, uint32_t lo, uint32_t hi,
+                       struct timespec now)
 {
     GPtrArray *near = g_ptr_array_new();
 
     for (guint i = 0; i < able->len; i++)
-        if (lmn_machine_has_image(able->pdata[i], r->job))
+        if (lmn_machine_has_image(able->pdata[i], range->job))
             g_ptr_array_add(near, able->pdata[i]);
     const GPtrArray *to = 2 * near->len >= hi - lo ? near : able;
-    p->rr++;
+    partition->rr++;
     for (guint i = 0; to->len && lo < hi; i++, lo++)
-        deal_to(to->pdata[(p->rr + i) % to->len], r, lo, lo + 1, now);
+        deal_to(to->pdata[(partition->rr + i) % to->len], range, lo, lo + 1, now);
     g_ptr_array_free(near, TRUE);
 }
 
-void lmn_assign_tasks(struct lmn_core *c, struct lmn_range *r, uint32_t lo, uint32_t hi,
-                      struct timespec now)
+void lmn_assign_tasks(struct lmn_core *core, struct lmn_range *range, uint32_t lo,
+                      uint32_t hi, struct timespec now)
 {
-    struct lmn_partition *p = r->part;
+    struct lmn_partition *partition = range->part;
     GHashTableIter it;
     gpointer v;
-    if (lmn_job_is_faulty(&r->job->failures)) {
+    if (lmn_job_is_faulty(&range->job->failures)) {
         /* It is tried with a task at a time: there it fills no machine's queue. */
-        lmn_queue_add(&p->unplaced, r, lo, hi);
+        lmn_queue_add(&partition->unplaced, range, lo, hi);
         return;
     }
     GPtrArray *able = g_ptr_array_new();
     GArray *roomy = g_array_new(FALSE, FALSE, sizeof(struct candidate));
 
-    g_hash_table_iter_init(&it, p->machines);
+    g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *m = v;
-        if (m->unheeded || !lmn_machine_can_run(m, r->job))
+        struct lmn_machine *machine = v;
+        if (machine->unheeded || !lmn_machine_can_run(machine, range->job))
             continue;
-        uint32_t has = lmn_machine_task_capacity(m, &r->job->spec);
-        if (has > m->queue.tasks) {
-            struct candidate x = {m, unfit(m, r->job), m->type->cpus - m->used_cpus,
-                                  has - m->queue.tasks, able->len};
+        uint32_t has = lmn_machine_task_capacity(machine, &range->job->spec);
+        if (has > machine->queue.tasks) {
+            struct candidate x = {machine, unfit(machine, range->job),
+                                  machine->type->cpus - machine->used_cpus,
+                                  has - machine->queue.tasks, able->len};
             g_array_append_val(roomy, x);
         }
-        g_ptr_array_add(able, m);
+        g_ptr_array_add(able, machine);
     }
     if (!able->len)
-        lmn_queue_add(&p->unplaced, r, lo, hi);
+        lmn_queue_add(&partition->unplaced, range, lo, hi);
     /* First what has room: the fittest kind of machine, and of these the fullest, so that
      * large tasks find whole machines and idle ones can go. Then round robin, one each a
      * turn. */
@@ -172,132 +180,134 @@
         struct candidate *x = &g_array_index(roomy, struct candidate, i);
         guint there = GPOINTER_TO_UINT(g_hash_table_lookup(dealt, x->m->zone));
         uint32_t n = MIN(x->room, hi - lo),
-                 may = lmn_zone_task_capacity(r->job, x->m->zone);
+                 may = lmn_zone_task_capacity(range->job, x->m->zone);
         /* Not where it could not start for the job's other tasks: a service whose
          * replicas were all dealt to the fullest machine waited there until others pulled
          * them. */
         n = MIN(n, may > there ? may - there : 0);
-        if (!n || (r->job->spec.one_zone && g_hash_table_size(dealt) && !there))
+        if (!n || (range->job->spec.one_zone && g_hash_table_size(dealt) && !there))
             continue;
         g_hash_table_insert(dealt, x->m->zone, GUINT_TO_POINTER(there + n));
-        deal_to(x->m, r, lo, lo + n, now);
+        deal_to(x->m, range, lo, lo + n, now);
         lmn_machine_wake(x->m);
         lo += n;
     }
     g_hash_table_destroy(dealt);
     if (roomy->len)
-        pthread_cond_broadcast(&c->poked);
+        pthread_cond_broadcast(&core->poked);
     g_array_free(roomy, TRUE);
-    deal_round(p, able, r, lo, hi, now);
+    deal_round(partition, able, range, lo, hi, now);
     g_ptr_array_free(able, TRUE);
 }
 
-void lmn_assign_range(struct lmn_core *c, struct lmn_range *r, struct timespec now)
+void lmn_assign_range(struct lmn_core *core, struct lmn_range *range, struct timespec now)
 {
-    uint32_t n = r->hi - r->lo;
+    uint32_t n = range->hi - range->lo;
 
     for (uint32_t i = 0; i < n;) {
         uint32_t k = i;
-        while (k < n && r->st[k] == LMN_TASK_QUEUED)
+        while (k < n && range->st[k] == LMN_TASK_QUEUED)
             k++;
         if (k > i)
-            lmn_assign_tasks(c, r, r->lo + i, r->lo + k, now);
+            lmn_assign_tasks(core, range, range->lo + i, range->lo + k, now);
         i = k + 1;
     }
 }
 
-void lmn_reassign_range(struct lmn_core *c, struct lmn_range *r, struct timespec now)
+void lmn_reassign_range(struct lmn_core *core, struct lmn_range *range,
+                        struct timespec now)
 {
     GHashTableIter it;
     gpointer v;
 
-    lmn_queue_remove_range(&r->part->unplaced, r);
-    g_hash_table_iter_init(&it, r->part->machines);
+    lmn_queue_remove_range(&range->part->unplaced, range);
+    g_hash_table_iter_init(&it, range->part->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
-        lmn_queue_remove_range(&((struct lmn_machine *)v)->queue, r);
-    lmn_assign_range(c, r, now);
+        lmn_queue_remove_range(&((struct lmn_machine *)v)->queue, range);
+    lmn_assign_range(core, range, now);
 }
 
-void lmn_reassign_job(struct lmn_core *c, struct lmn_job *j, struct timespec now)
+void lmn_reassign_job(struct lmn_core *core, struct lmn_job *job, struct timespec now)
 {
-    for (guint i = 0; i < j->ranges->len; i++) {
-        struct lmn_range *r = j->ranges->pdata[i];
-        if (r->part->mine && r->st && r->dealt)
-            lmn_reassign_range(c, r, now);
+    for (guint i = 0; i < job->ranges->len; i++) {
+        struct lmn_range *range = job->ranges->pdata[i];
+        if (range->part->mine && range->st && range->dealt)
+            lmn_reassign_range(core, range, now);
     }
 }
 
-void lmn_reassign_machine_queue(struct lmn_core *c, struct lmn_machine *m,
+void lmn_reassign_machine_queue(struct lmn_core *core, struct lmn_machine *machine,
                                 struct timespec now)
 {
-    struct lmn_queue old = m->queue;
+    struct lmn_queue old = machine->queue;
 
-    m->promised = 0;
-    lmn_queue_init(&m->queue);
+    machine->promised = 0;
+    lmn_queue_init(&machine->queue);
     for (guint i = 0; i < old.segs->len; i++) {
-        struct lmn_queue_segment *s = old.segs->pdata[i];
-        if (lmn_range_may_start(s->range))
-            lmn_assign_tasks(c, s->range, s->lo, s->hi, now);
+        struct lmn_queue_segment *segment = old.segs->pdata[i];
+        if (lmn_range_may_start(segment->range))
+            lmn_assign_tasks(core, segment->range, segment->lo, segment->hi, now);
     }
     lmn_queue_clear(&old);
     g_ptr_array_free(old.segs, TRUE);
 }
 
-void lmn_machine_drain(struct lmn_core *c, struct lmn_machine *m, bool force,
+void lmn_machine_drain(struct lmn_core *core, struct lmn_machine *machine, bool force,
                        const char *why, struct timespec now)
 {
-    m->force = m->force || force;
-    if (m->retiring)
+    machine->force = machine->force || force;
+    if (machine->retiring)
         return;
-    lmn_info("machine-retire machine=%s partition=%d force=%d why=\"%s\"", m->name,
-             m->part->id, force, why);
-    m->retiring = true;
-    m->retired_at = now;
-    lmn_reassign_machine_queue(c, m, now);
+    lmn_info("machine-retire machine=%s partition=%d force=%d why=\"%s\"", machine->name,
+             machine->part->id, force, why);
+    machine->retiring = true;
+    machine->retired_at = now;
+    lmn_reassign_machine_queue(core, machine, now);
 }
 
 /* A look over queues begins: for one machine, at one time. What is found out of a job is
  * kept for its length, since the same few jobs stand in most queues. */
-static void look_anew(struct lmn_core *c)
+static void look_anew(struct lmn_core *core)
 {
-    c->look++;
-    c->turn++;
+    core->look++;
+    core->turn++;
 }
 
-static void start(struct lmn_core *c, struct lmn_machine *m, struct lmn_queue_segment *s,
-                  GByteArray *out, struct timespec now)
+static void start(struct lmn_core *core, struct lmn_machine *machine,
+                  struct lmn_queue_segment *segment, GByteArray *out, struct timespec now)
 {
-    struct lmn_partition *p = m->part;
-    struct lmn_attempt a = {.job = s->job,
-                            .range = s->range,
-                            .index = s->lo,
+    struct lmn_partition *partition = machine->part;
+    struct lmn_attempt a = {.job = segment->job,
+                            .range = segment->range,
+                            .index = segment->lo,
                             .state = LMN_ATTEMPT_SENT,
                             .seen = true,
                             .since = now};
 
     /* Unique for ever without a write: no two owners share a term. */
-    a.number = p->my_term << 24 | (++p->attempts & 0xffffff);
+    a.number = partition->my_term << 24 | (++partition->attempts & 0xffffff);
     g_strlcpy(a.ref, a.job->spec.ref, sizeof a.ref);
-    a.mark = lmn_machine_log_start(m, now);
-    s->range->st[a.index - s->range->lo] = LMN_TASK_STARTED;
-    s->range->nstarted++;
-    lmn_attempt_count(m, &a);
-    if (!p->started)
+    a.mark = lmn_machine_log_start(machine, now);
+    segment->range->st[a.index - segment->range->lo] = LMN_TASK_STARTED;
+    segment->range->nstarted++;
+    lmn_attempt_count(machine, &a);
+    if (!partition->started)
         lmn_info("partition-start partition=%d term=%" G_GUINT64_FORMAT " after=%.2f",
-                 p->id, p->my_term, lmn_time_diff_s(now, p->since));
-    p->started = true;
-    c->turn++;
+                 partition->id, partition->my_term,
+                 lmn_time_diff_s(now, partition->since));
+    partition->started = true;
+    core->turn++;
     a.job->aged = false; /* it has begun */
     if (lmn_job_is_faulty(&a.job->failures))
         lmn_job_record_retry(&a.job->failures, now);
-    if (m->promised && a.job->spec.urgency == LMN_PRIORITY_PRODUCTION) {
-        m->promised--;
-        look_anew(c); /* lesser work may start again */
+    if (machine->promised && a.job->spec.urgency == LMN_PRIORITY_PRODUCTION) {
+        machine->promised--;
+        look_anew(core); /* lesser work may start again */
     }
-    lmn_machine_record_image(m, a.job, false, now);
-    g_array_append_val(m->attempts, a);
-    c->count.starts++;
-    lmn_latency_add(&c->starting, c->wall - a.job->at);
+    lmn_machine_record_image(machine, a.job, false, now);
+    g_array_append_val(machine->attempts, a);
+    core->count.starts++;
+    lmn_latency_add(&core->starting, core->wall - a.job->at);
     char task[LMN_JOB_ID_SIZE + 16];
     g_snprintf(task, sizeof task, "%s/%u", a.ref, a.index);
     lmn_cbor_put_map(out, 3);
@@ -306,36 +316,36 @@
     lmn_cbor_put_text(out, WIRE_ATTEMPT), lmn_cbor_put_uint(out, a.number);
     lmn_debug("task-start task=%s attempt=%" G_GUINT64_FORMAT
               " machine=%s term=%" G_GUINT64_FORMAT,
-              task, a.number, m->name, p->my_term);
-    s->lo++;
+              task, a.number, machine->name, partition->my_term);
+    segment->lo++;
 }
 
 /* Within a look, starts only take room away: who can't start stays so; who could is
  * looked at again after each. */
-static bool startable(const struct lmn_core *c, const struct lmn_machine *m,
-                      struct lmn_job *j, struct timespec now)
+static bool startable(const struct lmn_core *core, const struct lmn_machine *machine,
+                      struct lmn_job *job, struct timespec now)
 {
-    if (j->look_no == c->look)
+    if (job->look_no == core->look)
         return false;
-    if (j->look_yes == c->turn)
+    if (job->look_yes == core->turn)
         return true;
-    bool ok = lmn_job_wait_reason(c, m, j, now) == LMN_WAIT_NONE;
+    bool ok = lmn_job_wait_reason(core, machine, job, now) == LMN_WAIT_NONE;
     if (ok)
-        j->look_yes = c->turn;
+        job->look_yes = core->turn;
     else
-        j->look_no = c->look;
+        job->look_no = core->look;
     return ok;
 }
 
 /* lmn_image_fetch_s, remembered until the next start. */
-static double fetch_now(const struct lmn_core *c, const struct lmn_machine *m,
-                        struct lmn_job *j, struct timespec now)
+static double fetch_now(const struct lmn_core *core, const struct lmn_machine *machine,
+                        struct lmn_job *job, struct timespec now)
 {
-    if (j->look_fetch != c->turn) {
-        j->fetch_s = lmn_image_fetch_s(m, j, now);
-        j->look_fetch = c->turn;
+    if (job->look_fetch != core->turn) {
+        job->fetch_s = lmn_image_fetch_s(machine, job, now);
+        job->look_fetch = core->turn;
     }
-    return j->fetch_s;
+    return job->fetch_s;
 }
 
 /* How the machine should choose between the jobs: as lmn_job_compare, but a task whose
@@ -343,14 +353,16 @@
  * meanwhile. So do those that come after it while the fetch is under way: once it counted
  * as there from the first start on, whole machines waited side by side for one fetch,
  * with other work in their queues that lacked nothing. */
-static int order_on(const struct lmn_core *c, const struct lmn_machine *m,
+static int order_on(const struct lmn_core *core, const struct lmn_machine *machine,
                     struct lmn_job *a, struct lmn_job *b, struct timespec now)
 {
     if (a->guaranteed == b->guaranteed && a->owed == b->owed && a->aged == b->aged &&
         a->lost == b->lost && a->yields == b->yields &&
         a->spec.urgency == b->spec.urgency) {
-        double x = (a->lost ? 0 : a->latest) + FETCH_WEIGHT * fetch_now(c, m, a, now);
-        double y = (b->lost ? 0 : b->latest) + FETCH_WEIGHT * fetch_now(c, m, b, now);
+        double x =
+            (a->lost ? 0 : a->latest) + FETCH_WEIGHT * fetch_now(core, machine, a, now);
+        double y =
+            (b->lost ? 0 : b->latest) + FETCH_WEIGHT * fetch_now(core, machine, b, now);
         if (x != y)
             return x < y ? -1 : 1;
     }
@@ -359,18 +371,18 @@
 
 /* The most urgent stretch of a queue that the machine could start now; -1: none. The
  * order shifts with time, so it is looked for, not kept. */
-static int best_seg(const struct lmn_core *c, struct lmn_queue *q,
-                    const struct lmn_machine *m, struct timespec now)
+static int best_seg(const struct lmn_core *core, struct lmn_queue *queue,
+                    const struct lmn_machine *machine, struct timespec now)
 {
     int best = -1;
 
-    for (guint i = 0; i < q->segs->len; i++) {
-        const struct lmn_queue_segment *s = q->segs->pdata[i];
-        if (!startable(c, m, s->job, now))
+    for (guint i = 0; i < queue->segs->len; i++) {
+        const struct lmn_queue_segment *s = queue->segs->pdata[i];
+        if (!startable(core, machine, s->job, now))
             continue;
         if (best >= 0) {
-            const struct lmn_queue_segment *t = q->segs->pdata[best];
-            if (s->job == t->job || order_on(c, m, s->job, t->job, now) > 0)
+            const struct lmn_queue_segment *t = queue->segs->pdata[best];
+            if (s->job == t->job || order_on(core, machine, s->job, t->job, now) > 0)
                 continue;
         }
         best = (int)i;
@@ -380,10 +392,10 @@
 
 static void swap(struct lmn_machine **v, guint i, guint k)
 {
-    struct lmn_machine *t = v[i];
+    struct lmn_machine *machine = v[i];
 
     v[i] = v[k];
-    v[k] = t;
+    v[k] = machine;
     v[i]->at = i;
     v[k]->at = k;
 }
@@ -391,45 +403,45 @@
 /* A fresh random sample of the other machines' queues, and unplaced, which is no
  * machine's.
  */
-static GPtrArray *sample_queues(struct lmn_core *c, struct lmn_machine *m)
+static GPtrArray *sample_queues(struct lmn_core *core, struct lmn_machine *machine)
 {
-    struct lmn_partition *p = m->part;
+    struct lmn_partition *partition = machine->part;
     GPtrArray *queues = g_ptr_array_new();
-    struct lmn_machine **v = (struct lmn_machine **)p->list->pdata;
-    guint n = p->list->len - 1;
+    struct lmn_machine **v = (struct lmn_machine **)partition->list->pdata;
+    guint n = partition->list->len - 1;
 
-    guint sample = c->tuning.sample > 0 ? (guint)c->tuning.sample
-                                        : (guint)ceil(2 * sqrt((double)n + 1));
+    guint sample = core->tuning.sample > 0 ? (guint)core->tuning.sample
+                                           : (guint)ceil(2 * sqrt((double)n + 1));
     sample = MIN(sample, n);
     /* The first places of a partial shuffle, in the list itself, with the machine's own
      * place put last: what a sample costs does not grow with the partition. */
-    swap(v, m->at, n);
+    swap(v, machine->at, n);
     for (guint i = 0; i < sample; i++) {
-        swap(v, i, i + (guint)g_rand_int_range(c->rng, 0, (gint32)(n - i)));
+        swap(v, i, i + (guint)g_rand_int_range(core->rng, 0, (gint32)(n - i)));
         g_ptr_array_add(queues, &v[i]->queue);
     }
-    g_ptr_array_add(queues, &p->unplaced);
+    g_ptr_array_add(queues, &partition->unplaced);
     return queues;
 }
 
 /* Starts the first task of a queue's stretch on the machine; 0 if it need not start any
  * more. */
-static guint start_from(struct lmn_core *c, struct lmn_queue *q, int at,
-                        struct lmn_machine *m, GByteArray *out, struct timespec now)
+static guint start_from(struct lmn_core *core, struct lmn_queue *queue, int at,
+                        struct lmn_machine *machine, GByteArray *out, struct timespec now)
 {
-    struct lmn_queue_segment *s = q->segs->pdata[at];
+    struct lmn_queue_segment *segment = queue->segs->pdata[at];
     guint n = 0;
 
-    q->tasks--;
+    queue->tasks--;
     /* The books decide, not the queue: what is not queued there is not started. */
-    if (s->range->st[s->lo - s->range->lo] != LMN_TASK_QUEUED) {
-        s->lo++;
+    if (segment->range->st[segment->lo - segment->range->lo] != LMN_TASK_QUEUED) {
+        segment->lo++;
     } else {
-        start(c, m, s, out, now);
+        start(core, machine, segment, out, now);
         n = 1;
     }
-    if (s->lo == s->hi)
-        lmn_queue_remove_segment(q, (guint)at);
+    if (segment->lo == segment->hi)
+        lmn_queue_remove_segment(queue, (guint)at);
     return n;
 }
 
@@ -437,32 +449,32 @@
  * urgent, that first. Queues of busy machines run dry at different times, and the last
  * tasks of a job would wait in the slowest of them while others start what came much
  * later. */
-static guint start_own(struct lmn_core *c, struct lmn_machine *m, GByteArray *out,
-                       struct timespec now)
+static guint start_own(struct lmn_core *core, struct lmn_machine *machine,
+                       GByteArray *out, struct timespec now)
 {
     GPtrArray *queues = NULL;
     guint n = 0;
     int at;
 
-    while ((at = best_seg(c, &m->queue, m, now)) >= 0) {
-        struct lmn_queue *from = &m->queue;
+    while ((at = best_seg(core, &machine->queue, machine, now)) >= 0) {
+        struct lmn_queue *from = &machine->queue;
         struct lmn_job *best = ((struct lmn_queue_segment *)from->segs->pdata[at])->job;
         if (!queues)
-            queues = sample_queues(c, m);
+            queues = sample_queues(core, machine);
         for (guint i = 0; i < queues->len; i++) {
-            struct lmn_queue *q = queues->pdata[i];
-            int k = best_seg(c, q, m, now);
-            struct lmn_job *j =
-                k < 0 ? NULL : ((struct lmn_queue_segment *)q->segs->pdata[k])->job;
-            if (j && j != best && order_on(c, m, j, best, now) < 0) {
-                from = q;
+            struct lmn_queue *queue = queues->pdata[i];
+            int k = best_seg(core, queue, machine, now);
+            struct lmn_job *job =
+                k < 0 ? NULL : ((struct lmn_queue_segment *)queue->segs->pdata[k])->job;
+            if (job && job != best && order_on(core, machine, job, best, now) < 0) {
+                from = queue;
                 at = k;
-                best = j;
+                best = job;
             }
         }
-        c->count.steals += from != &m->queue;
-        n += start_from(c, from, at, m, out, now);
-        if (n && m->unheeded)
+        core->count.steals += from != &machine->queue;
+        n += start_from(core, from, at, machine, out, now);
+        if (n && machine->unheeded)
             break; /* a try whether it hears */
     }
     if (queues)
@@ -471,49 +483,50 @@
 }
 
 /* Queued tasks that the thief could start now. */
-static uint32_t load_for(const struct lmn_core *c, const struct lmn_queue *q,
+static uint32_t load_for(const struct lmn_core *core, const struct lmn_queue *queue,
                          const struct lmn_machine *thief, struct timespec now)
 {
     uint32_t n = 0;
-    for (guint i = 0; i < q->segs->len; i++) {
-        const struct lmn_queue_segment *s = q->segs->pdata[i];
-        if (startable(c, thief, s->job, now))
-            n += s->hi - s->lo;
+    for (guint i = 0; i < queue->segs->len; i++) {
+        const struct lmn_queue_segment *segment = queue->segs->pdata[i];
+        if (startable(core, thief, segment->job, now))
+            n += segment->hi - segment->lo;
     }
     return n;
 }
 
-static uint32_t take(struct lmn_core *c, struct lmn_queue *from, struct lmn_machine *m,
-                     uint32_t want, struct timespec now)
+static uint32_t take(struct lmn_core *core, struct lmn_queue *from,
+                     struct lmn_machine *machine, uint32_t want, struct timespec now)
 {
     uint32_t got = 0;
     int at;
 
-    while (got < want && (at = best_seg(c, from, m, now)) >= 0) {
-        struct lmn_queue_segment *s = from->segs->pdata[at];
-        uint32_t n = MIN(want - got, s->hi - s->lo);
-        lmn_queue_add(&m->queue, s->range, s->lo, s->lo + n);
-        s->lo += n;
+    while (got < want && (at = best_seg(core, from, machine, now)) >= 0) {
+        struct lmn_queue_segment *segment = from->segs->pdata[at];
+        uint32_t n = MIN(want - got, segment->hi - segment->lo);
+        lmn_queue_add(&machine->queue, segment->range, segment->lo, segment->lo + n);
+        segment->lo += n;
         from->tasks -= n;
         got += n;
-        if (s->lo == s->hi)
+        if (segment->lo == segment->hi)
             lmn_queue_remove_segment(from, (guint)at);
     }
     return got;
 }
 
-bool lmn_steal_for_machine(struct lmn_core *c, struct lmn_machine *m, struct timespec now)
+bool lmn_steal_for_machine(struct lmn_core *core, struct lmn_machine *machine,
+                           struct timespec now)
 {
     struct lmn_queue *best = NULL;
     uint32_t most = 0;
 
-    if (lmn_time_before(now, m->next_steal))
+    if (lmn_time_before(now, machine->next_steal))
         return false;
-    look_anew(c);
-    GPtrArray *queues = sample_queues(c, m);
-    c->count.steal_tries++;
+    look_anew(core);
+    GPtrArray *queues = sample_queues(core, machine);
+    core->count.steal_tries++;
     for (guint i = 0; i < queues->len; i++) {
-        uint32_t load = load_for(c, queues->pdata[i], m, now);
+        uint32_t load = load_for(core, queues->pdata[i], machine, now);
         if (load > most) {
             most = load;
             best = queues->pdata[i];
@@ -522,41 +535,44 @@
     g_ptr_array_free(queues, TRUE);
     uint32_t got = 0;
     if (best)
-        got = take(c, best, m,
-                   m->unheeded ? 1 : MAX((uint32_t)((double)most * c->tuning.share), 1),
-                   now);
+        got = take(
+            core, best, machine,
+            machine->unheeded ? 1 : MAX((uint32_t)((double)most * core->tuning.share), 1),
+            now);
     if (!got) {
-        m->poll_s = m->poll_s > 0 ? MIN(m->poll_s * 2, c->tuning.poll_cap_s)
-                                  : c->tuning.poll_floor_s;
-        m->next_steal = lmn_time_add(now, m->poll_s);
+        machine->poll_s = machine->poll_s > 0
+                              ? MIN(machine->poll_s * 2, core->tuning.poll_cap_s)
+                              : core->tuning.poll_floor_s;
+        machine->next_steal = lmn_time_add(now, machine->poll_s);
         return false;
     }
-    c->count.steals++;
-    c->count.stolen_tasks += got;
-    m->poll_s = 0;
-    m->next_steal = now;
-    lmn_debug("steal machine=%s tasks=%u of=%u", m->name, got, most);
+    core->count.steals++;
+    core->count.stolen_tasks += got;
+    machine->poll_s = 0;
+    machine->next_steal = now;
+    lmn_debug("steal machine=%s tasks=%u of=%u", machine->name, got, most);
     return true;
 }
 
-guint lmn_schedule_machine(struct lmn_core *c, struct lmn_machine *m, GByteArray *out,
-                           struct timespec now)
+guint lmn_schedule_machine(struct lmn_core *core, struct lmn_machine *machine,
+                           GByteArray *out, struct timespec now)
 {
     guint n;
 
-    m->hungry = false;
-    if (lmn_machine_wait_reason(m, now) != LMN_WAIT_NONE)
+    machine->hungry = false;
+    if (lmn_machine_wait_reason(machine, now) != LMN_WAIT_NONE)
         return 0;
-    look_anew(c);
-    n = start_own(c, m, out, now);
+    look_anew(core);
+    n = start_own(core, machine, out, now);
     /* Left with room and nothing of its own that fits: it pulls, until that brings
      * nothing. */
     for (int turn = 0; turn < 8; turn++) {
-        if ((m->unheeded && n) || load_for(c, &m->queue, m, now) ||
-            !lmn_steal_for_machine(c, m, now))
+        if ((machine->unheeded && n) || load_for(core, &machine->queue, machine, now) ||
+            !lmn_steal_for_machine(core, machine, now))
             break;
-        n += start_own(c, m, out, now);
+        n += start_own(core, machine, out, now);
     }
-    m->hungry = !m->unheeded && !load_for(c, &m->queue, m, now);
+    machine->hungry =
+        !machine->unheeded && !load_for(core, &machine->queue, machine, now);
     return n;
 }
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -4,120 +4,130 @@
 
 #include <string.h>
 
-bool lmn_team_has_limit(const struct lmn_team *t)
+bool lmn_team_has_limit(const struct lmn_team *team)
 {
-    return t->cpus_max > 0 || t->gpus_max > 0;
+    return team->cpus_max > 0 || team->gpus_max > 0;
 }
 
-void lmn_quota_even_share(const struct lmn_core *c, int team, double *cpus, double *gpus)
+void lmn_quota_even_share(const struct lmn_core *core, int team, double *cpus,
+                          double *gpus)
 {
-    *cpus = c->cfg->teams[team].cpus_max / c->nparts;
-    *gpus = c->cfg->teams[team].gpus_max / c->nparts;
+    *cpus = core->cfg->teams[team].cpus_max / core->nparts;
+    *gpus = core->cfg->teams[team].gpus_max / core->nparts;
 }
 
-void lmn_quota_share(const struct lmn_core *c, const struct lmn_partition *p, int team,
-                     double *cpus, double *gpus)
+void lmn_quota_share(const struct lmn_core *core, const struct lmn_partition *partition,
+                     int team, double *cpus, double *gpus)
 {
-    lmn_quota_even_share(c, team, cpus, gpus);
-    if (c->quota_known[team]) {
-        *cpus = p->quota_cpus[team];
-        *gpus = p->quota_gpus[team];
+    lmn_quota_even_share(core, team, cpus, gpus);
+    if (core->quota_known[team]) {
+        *cpus = partition->quota_cpus[team];
+        *gpus = partition->quota_gpus[team];
     }
-    if (p->transfer.team == team) {
-        *cpus -= p->transfer.cpus;
-        *gpus -= p->transfer.gpus;
+    if (partition->transfer.team == team) {
+        *cpus -= partition->transfer.cpus;
+        *gpus -= partition->transfer.gpus;
     }
 }
 
 /* What the team's queued tasks in the partition ask for, and the largest of them; returns
  * the processors of the smallest. */
-static double queued(const struct lmn_partition *p, int team, struct lmn_quota_request *w)
+static double queued(const struct lmn_partition *partition, int team,
+                     struct lmn_quota_request *request)
 {
     double smallest = 1e12;
     GHashTableIter it;
     gpointer v;
 
-    *w = (struct lmn_quota_request){.team = team};
-    g_hash_table_iter_init(&it, p->ranges);
+    *request = (struct lmn_quota_request){.team = team};
+    g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_range *r = v;
-        double n = r->st ? r->hi - r->lo - r->nfinished - r->nstarted : 0;
-        if (r->job->team != team || r->job->phase != LMN_JOB_ACTIVE || n <= 0)
+        const struct lmn_range *range = v;
+        double n =
+            range->st ? range->hi - range->lo - range->nfinished - range->nstarted : 0;
+        if (range->job->team != team || range->job->phase != LMN_JOB_ACTIVE || n <= 0)
             continue;
-        if (lmn_job_is_faulty(&r->job->failures))
+        if (lmn_job_is_faulty(&range->job->failures))
             n = 1; /* it is tried with a task at a time */
-        w->cpus += n * r->job->spec.cpus;
-        w->gpus += n * r->job->spec.gpus;
-        w->least_cpus = MAX(w->least_cpus, r->job->spec.cpus);
-        w->least_gpus = MAX(w->least_gpus, r->job->spec.gpus);
-        smallest = MIN(smallest, r->job->spec.cpus);
+        request->cpus += n * range->job->spec.cpus;
+        request->gpus += n * range->job->spec.gpus;
+        request->least_cpus = MAX(request->least_cpus, range->job->spec.cpus);
+        request->least_gpus = MAX(request->least_gpus, range->job->spec.gpus);
+        smallest = MIN(smallest, range->job->spec.cpus);
     }
     return smallest;
 }
 
 /* Processors that are free on the partition's machines, where a task of that size fits.
  */
-static double free_cpus(const struct lmn_partition *p, double task)
+static double free_cpus(const struct lmn_partition *partition, double task)
 {
     double sum = 0;
 
-    for (guint i = 0; i < p->list->len; i++) {
-        const struct lmn_machine *m = p->list->pdata[i];
-        if (!m->type || !m->accounted || m->retiring || m->noticed || m->lapsed ||
-            m->is_gone)
+    for (guint i = 0; i < partition->list->len; i++) {
+        const struct lmn_machine *machine = partition->list->pdata[i];
+        if (!machine->type || !machine->accounted || machine->retiring ||
+            machine->noticed || machine->lapsed || machine->is_gone)
             continue;
-        double left = m->type->cpus - m->used_cpus;
+        double left = machine->type->cpus - machine->used_cpus;
         sum += left + 1e-6 >= task ? left : 0;
     }
     return sum;
 }
 
-bool lmn_quota_shortfall(const struct lmn_core *c, const struct lmn_partition *p,
-                         int team, struct lmn_quota_request *w)
+bool lmn_quota_shortfall(const struct lmn_core *core,
+                         const struct lmn_partition *partition, int team,
+                         struct lmn_quota_request *request)
 {
     double cpus, gpus;
 
-    if (!p->mine || !p->ready || !lmn_team_has_limit(&c->cfg->teams[team]))
+    if (!partition->mine || !partition->ready ||
+        !lmn_team_has_limit(&core->cfg->teams[team]))
         return false;
-    double smallest = queued(p, team, w);
-    lmn_quota_share(c, p, team, &cpus, &gpus);
+    double smallest = queued(partition, team, request);
+    lmn_quota_share(core, partition, team, &cpus, &gpus);
     /* Only what its queue is short of; the least it needs is what a task needs beyond all
      * of the part, which waiting for others to end would never give it. */
-    bool short_cpus = p->used_cpus[team] + w->least_cpus > cpus + 1e-6;
-    bool short_gpus = p->used_gpus[team] + w->least_gpus > gpus + 1e-6;
-    w->cpus = short_cpus ? MAX(w->cpus - (cpus - p->used_cpus[team]), 0) : 0;
-    w->gpus = short_gpus ? MAX(w->gpus - (gpus - p->used_gpus[team]), 0) : 0;
-    w->least_cpus = MAX(w->least_cpus - cpus, 0);
-    w->least_gpus = MAX(w->least_gpus - gpus, 0);
+    bool short_cpus = partition->used_cpus[team] + request->least_cpus > cpus + 1e-6;
+    bool short_gpus = partition->used_gpus[team] + request->least_gpus > gpus + 1e-6;
+    request->cpus =
+        short_cpus ? MAX(request->cpus - (cpus - partition->used_cpus[team]), 0) : 0;
+    request->gpus =
+        short_gpus ? MAX(request->gpus - (gpus - partition->used_gpus[team]), 0) : 0;
+    request->least_cpus = MAX(request->least_cpus - cpus, 0);
+    request->least_gpus = MAX(request->least_gpus - gpus, 0);
     /* No more than it has machines for: what it took beyond that lay idle, while others
      * had room. */
-    double room = w->cpus > 0 || w->gpus > 0 ? free_cpus(p, smallest) : 0;
-    w->cpus = MIN(w->cpus, room);
-    w->gpus = room > 0 ? w->gpus : 0;
-    w->cpus = MAX(w->cpus, w->least_cpus);
-    w->gpus = MAX(w->gpus, w->least_gpus);
-    if (c->cfg->teams[team].cpus_max <= 0)
-        w->cpus = w->least_cpus = 0;
-    if (c->cfg->teams[team].gpus_max <= 0)
-        w->gpus = w->least_gpus = 0;
-    return w->cpus > 1e-6 || w->gpus > 1e-6;
+    double room =
+        request->cpus > 0 || request->gpus > 0 ? free_cpus(partition, smallest) : 0;
+    request->cpus = MIN(request->cpus, room);
+    request->gpus = room > 0 ? request->gpus : 0;
+    request->cpus = MAX(request->cpus, request->least_cpus);
+    request->gpus = MAX(request->gpus, request->least_gpus);
+    if (core->cfg->teams[team].cpus_max <= 0)
+        request->cpus = request->least_cpus = 0;
+    if (core->cfg->teams[team].gpus_max <= 0)
+        request->gpus = request->least_gpus = 0;
+    return request->cpus > 1e-6 || request->gpus > 1e-6;
 }
 
-void lmn_quota_spare(const struct lmn_core *c, const struct lmn_partition *p,
-                     const struct lmn_quota_request *w, double *cpus, double *gpus)
+void lmn_quota_spare(const struct lmn_core *core, const struct lmn_partition *partition,
+                     const struct lmn_quota_request *request, double *cpus, double *gpus)
 {
     struct lmn_quota_request own;
 
-    double smallest = queued(p, w->team, &own);
-    lmn_quota_share(c, p, w->team, cpus, gpus);
+    double smallest = queued(partition, request->team, &own);
+    lmn_quota_share(core, partition, request->team, cpus, gpus);
     /* What its own queue does not need, or has no room for: a partition whose machines
      * were full kept most of the limit, while another with room had none left. What is
      * kept for a job that waits for it (scheduler/reservation.h) stays. And whatever
      * another could else never start with. */
-    own.cpus = own.cpus > 0 ? MIN(own.cpus, free_cpus(p, smallest)) : 0;
-    own.cpus = MAX(own.cpus, p->keep[w->team].job ? p->keep[w->team].cpus : 0);
-    *cpus -= p->used_cpus[w->team] + own.cpus;
-    *gpus -= p->used_gpus[w->team] + own.gpus;
-    *cpus = MAX(MIN(w->cpus, *cpus), w->least_cpus);
-    *gpus = MAX(MIN(w->gpus, *gpus), w->least_gpus);
+    own.cpus = own.cpus > 0 ? MIN(own.cpus, free_cpus(partition, smallest)) : 0;
+    own.cpus =
+        MAX(own.cpus,
+            partition->keep[request->team].job ? partition->keep[request->team].cpus : 0);
+    *cpus -= partition->used_cpus[request->team] + own.cpus;
+    *gpus -= partition->used_gpus[request->team] + own.gpus;
+    *cpus = MAX(MIN(request->cpus, *cpus), request->least_cpus);
+    *gpus = MAX(MIN(request->gpus, *gpus), request->least_gpus);
 }
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -11,18 +11,20 @@
     double cpus, gpus, least_cpus, least_gpus;
 };
 
-bool lmn_team_has_limit(const struct lmn_team *t);
+bool lmn_team_has_limit(const struct lmn_team *team);
 /* The part that each partition has without a record. */
-void lmn_quota_even_share(const struct lmn_core *c, int team, double *cpus, double *gpus);
+void lmn_quota_even_share(const struct lmn_core *core, int team, double *cpus,
+                          double *gpus);
 /* What the partition could give to one that is short by w. */
-void lmn_quota_spare(const struct lmn_core *c, const struct lmn_partition *p,
-                     const struct lmn_quota_request *w, double *cpus, double *gpus);
+void lmn_quota_spare(const struct lmn_core *core, const struct lmn_partition *partition,
+                     const struct lmn_quota_request *request, double *cpus, double *gpus);
 
 /* What the team's tasks in the partition may use. */
-void lmn_quota_share(const struct lmn_core *c, const struct lmn_partition *p, int team,
-                     double *cpus, double *gpus);
+void lmn_quota_share(const struct lmn_core *core, const struct lmn_partition *partition,
+                     int team, double *cpus, double *gpus);
 /* Whether the partition is short of the team's quota, and by how much. */
-bool lmn_quota_shortfall(const struct lmn_core *c, const struct lmn_partition *p,
-                         int team, struct lmn_quota_request *w);
+bool lmn_quota_shortfall(const struct lmn_core *core,
+                         const struct lmn_partition *partition, int team,
+                         struct lmn_quota_request *request);
 
 #endif
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -17,153 +17,162 @@
  * times on a day with more work than room. */
 static const double WAITED_S = 120;
 
-static void let_go(struct lmn_machine *m)
+static void let_go(struct lmn_machine *machine)
 {
-    m->kept = NULL;
-    lmn_machine_wake(m);
+    machine->kept = NULL;
+    lmn_machine_wake(machine);
 }
 
-static void keep(struct lmn_quota_reservation *k, const struct lmn_job *j, double cpus,
-                 double gpus, struct timespec until)
+static void keep(struct lmn_quota_reservation *reservation, const struct lmn_job *job,
+                 double cpus, double gpus, struct timespec until)
 {
-    *k = (struct lmn_quota_reservation){j, cpus, gpus, until};
+    *reservation = (struct lmn_quota_reservation){job, cpus, gpus, until};
 }
 
-void lmn_reserve_quota(struct lmn_partition *p, int team, double cpus, double gpus,
-                       struct timespec now)
+void lmn_reserve_quota(struct lmn_partition *partition, int team, double cpus,
+                       double gpus, struct timespec now)
 {
-    struct lmn_quota_reservation *k = &p->keep[team];
+    struct lmn_quota_reservation *reservation = &partition->keep[team];
 
     /* Our own that waits comes first. */
-    if (!k->job || !lmn_time_before(now, k->until))
-        keep(k, NULL, cpus, gpus, lmn_time_add(now, ASKED_S));
+    if (!reservation->job || !lmn_time_before(now, reservation->until))
+        keep(reservation, NULL, cpus, gpus, lmn_time_add(now, ASKED_S));
 }
 
 /* The machine that could hold the job's task and has most of the room free already. */
-static struct lmn_machine *place(const struct lmn_partition *p, const struct lmn_job *j)
+static struct lmn_machine *place(const struct lmn_partition *partition,
+                                 const struct lmn_job *job)
 {
     struct lmn_machine *best = NULL;
 
-    for (guint i = 0; i < p->list->len; i++) {
-        struct lmn_machine *m = p->list->pdata[i];
-        if (m->kept || m->promised || m->unheeded || !lmn_machine_can_run(m, j) ||
-            m->type->cpus < j->spec.cpus || m->type->gpus < j->spec.gpus ||
-            m->type->mem < j->spec.mem)
+    for (guint i = 0; i < partition->list->len; i++) {
+        struct lmn_machine *machine = partition->list->pdata[i];
+        if (machine->kept || machine->promised || machine->unheeded ||
+            !lmn_machine_can_run(machine, job) || machine->type->cpus < job->spec.cpus ||
+            machine->type->gpus < job->spec.gpus || machine->type->mem < job->spec.mem)
             continue;
-        if (!best || m->type->cpus - m->used_cpus > best->type->cpus - best->used_cpus)
-            best = m;
+        if (!best ||
+            machine->type->cpus - machine->used_cpus > best->type->cpus - best->used_cpus)
+            best = machine;
     }
     return best;
 }
 
 /* Moves one of the range's queued tasks to the machine's own queue, so that it is found
  * there as soon as it fits. */
-static void bring(struct lmn_partition *p, const struct lmn_range *r,
-                  struct lmn_machine *m)
+static void bring(struct lmn_partition *partition, const struct lmn_range *r,
+                  struct lmn_machine *machine)
 {
-    struct lmn_queue *from = &p->unplaced;
+    struct lmn_queue *from = &partition->unplaced;
     uint32_t index = 0;
     bool found = false;
 
-    for (guint k = 0; k <= p->list->len && !found; k++) {
-        from = k ? &((struct lmn_machine *)p->list->pdata[k - 1])->queue : &p->unplaced;
+    for (guint k = 0; k <= partition->list->len && !found; k++) {
+        from = k ? &((struct lmn_machine *)partition->list->pdata[k - 1])->queue
+                 : &partition->unplaced;
         for (guint i = 0; i < from->segs->len && !found; i++) {
-            const struct lmn_queue_segment *s = from->segs->pdata[i];
-            found = s->range == r;
-            index = s->lo;
+            const struct lmn_queue_segment *segment = from->segs->pdata[i];
+            found = segment->range == r;
+            index = segment->lo;
         }
     }
-    if (!found || from == &m->queue)
+    if (!found || from == &machine->queue)
         return;
-    struct lmn_range *range = g_hash_table_lookup(p->ranges, r->key);
+    struct lmn_range *range = g_hash_table_lookup(partition->ranges, r->key);
     lmn_queue_remove_task(from, range, index);
-    lmn_queue_add(&m->queue, range, index, index + 1);
+    lmn_queue_add(&machine->queue, range, index, index + 1);
 }
 
 /* Whether a task of the job waits in the partition. */
-static bool waits_here(const struct lmn_partition *p, const struct lmn_job *j)
+static bool waits_here(const struct lmn_partition *partition, const struct lmn_job *job)
 {
-    for (guint i = 0; i < j->ranges->len; i++) {
-        const struct lmn_range *r = j->ranges->pdata[i];
-        if (r->part == p && r->st && r->nstarted + r->nfinished < r->hi - r->lo)
+    for (guint i = 0; i < job->ranges->len; i++) {
+        const struct lmn_range *range = job->ranges->pdata[i];
+        if (range->part == partition && range->st &&
+            range->nstarted + range->nfinished < range->hi - range->lo)
             return true;
     }
     return false;
 }
 
 /* Whether some machine could start it now, or one is kept for it. */
-static bool served(const struct lmn_partition *p, const struct lmn_job *j)
+static bool served(const struct lmn_partition *partition, const struct lmn_job *job)
 {
-    for (guint i = 0; i < p->list->len; i++) {
-        const struct lmn_machine *m = p->list->pdata[i];
-        if (m->kept == j || (!m->kept && !m->unheeded && lmn_machine_can_run(m, j) &&
-                             lmn_machine_task_capacity(m, &j->spec) > 0))
+    for (guint i = 0; i < partition->list->len; i++) {
+        const struct lmn_machine *machine = partition->list->pdata[i];
+        if (machine->kept == job ||
+            (!machine->kept && !machine->unheeded && lmn_machine_can_run(machine, job) &&
+             lmn_machine_task_capacity(machine, &job->spec) > 0))
             return true;
     }
     return false;
 }
 
-static void help(struct lmn_core *c, struct lmn_partition *p, const struct lmn_range *r,
-                 guint *kept, struct timespec now)
+static void help(struct lmn_core *core, struct lmn_partition *partition,
+                 const struct lmn_range *range, guint *kept, struct timespec now)
 {
-    struct lmn_job *j = r->job;
+    struct lmn_job *job = range->job;
 
-    if (!lmn_job_within_quota(c, p, j)) {
-        struct lmn_quota_reservation *k = &p->keep[j->team];
+    if (!lmn_job_within_quota(core, partition, job)) {
+        struct lmn_quota_reservation *reservation = &partition->keep[job->team];
         /* What is more than all of the part has to come from others
          * (partition/quota_transfer.c). */
-        if (!k->job || !lmn_time_before(now, k->until))
-            keep(k, j, j->spec.cpus, j->spec.gpus, lmn_time_add(now, KEPT_S));
+        if (!reservation->job || !lmn_time_before(now, reservation->until))
+            keep(reservation, job, job->spec.cpus, job->spec.gpus,
+                 lmn_time_add(now, KEPT_S));
         return;
     }
-    if (*kept == 0 || served(p, j))
+    if (*kept == 0 || served(partition, job))
         return;
-    struct lmn_machine *m = place(p, j);
-    if (!m)
+    struct lmn_machine *machine = place(partition, job);
+    if (!machine)
         return;
     --*kept;
-    m->kept = j;
-    m->kept_until = lmn_time_add(now, KEPT_S);
-    lmn_info("machine-kept machine=%s job=%s free=%.1f", m->name, j->spec.ref,
-             m->type->cpus - m->used_cpus);
-    bring(p, r, m);
+    machine->kept = job;
+    machine->kept_until = lmn_time_add(now, KEPT_S);
+    lmn_info("machine-kept machine=%s job=%s free=%.1f", machine->name, job->spec.ref,
+             machine->type->cpus - machine->used_cpus);
+    bring(partition, range, machine);
 }
 
-void lmn_update_reservations(struct lmn_core *c, struct lmn_partition *p,
+void lmn_update_reservations(struct lmn_core *core, struct lmn_partition *partition,
                              struct timespec now)
 {
-    guint kept = MAX(p->list->len / KEPT_OF, 1);
+    guint kept = MAX(partition->list->len / KEPT_OF, 1);
     GHashTableIter it;
     gpointer v;
 
-    if (!p->mine)
+    if (!partition->mine)
         return;
-    for (guint i = 0; i < p->list->len; i++) {
-        struct lmn_machine *m = p->list->pdata[i];
+    for (guint i = 0; i < partition->list->len; i++) {
+        struct lmn_machine *machine = partition->list->pdata[i];
         /* A job that was waiting here may have moved on, and wait elsewhere: a machine
          * was kept for it that nothing could start on. */
-        if (m->kept &&
-            (!m->kept->aged || !waits_here(p, m->kept) ||
-             m->kept->phase != LMN_JOB_ACTIVE || !lmn_time_before(now, m->kept_until) ||
-             !lmn_machine_can_run(m, m->kept)))
-            let_go(m);
-        kept -= m->kept && kept;
+        if (machine->kept &&
+            (!machine->kept->aged || !waits_here(partition, machine->kept) ||
+             machine->kept->phase != LMN_JOB_ACTIVE ||
+             !lmn_time_before(now, machine->kept_until) ||
+             !lmn_machine_can_run(machine, machine->kept)))
+            let_go(machine);
+        kept -= machine->kept && kept;
     }
-    for (size_t t = 0; t < c->cfg->nteams; t++) {
-        struct lmn_quota_reservation *k = &p->keep[t];
-        if (k->cpus + k->gpus > 0 &&
-            (!lmn_time_before(now, k->until) ||
-             (k->job && (!k->job->aged || k->job->phase != LMN_JOB_ACTIVE))))
-            memset(k, 0, sizeof *k);
+    for (size_t t = 0; t < core->cfg->nteams; t++) {
+        struct lmn_quota_reservation *reservation = &partition->keep[t];
+        if (reservation->cpus + reservation->gpus > 0 &&
+            (!lmn_time_before(now, reservation->until) ||
+             (reservation->job &&
+              (!reservation->job->aged || reservation->job->phase != LMN_JOB_ACTIVE))))
+            memset(reservation, 0, sizeof *reservation);
     }
-    if (!p->open || p->releasing)
+    if (!partition->open || partition->releasing)
         return;
-    g_hash_table_iter_init(&it, p->ranges);
+    g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_range *r = v;
-        if (r->job->aged && c->wall - r->job->at > WAITED_S &&
-            r->job->phase == LMN_JOB_ACTIVE && r->st && r->dealt && r->job->team >= 0 &&
-            !lmn_job_is_faulty(&r->job->failures) && lmn_range_may_start(r))
-            help(c, p, r, &kept, now);
+        const struct lmn_range *range = v;
+        if (range->job->aged && core->wall - range->job->at > WAITED_S &&
+            range->job->phase == LMN_JOB_ACTIVE && range->st && range->dealt &&
+            range->job->team >= 0 && !lmn_job_is_faulty(&range->job->failures) &&
+            lmn_range_may_start(range))
+            help(core, partition, range, &kept, now);
     }
 }
--- a/src/scheduler/reservation.h
+++ b/src/scheduler/reservation.h
@@ -10,11 +10,11 @@
 
 /* Looks at the partition's aged jobs (scheduler/fair_share.h): keeps what they lack, and
  * gives up what is not needed any more. */
-void lmn_update_reservations(struct lmn_core *c, struct lmn_partition *p,
+void lmn_update_reservations(struct lmn_core *core, struct lmn_partition *partition,
                              struct timespec now);
 /* Another partition lacks that much of the team's limit for one task: it is kept free
  * here until it can be given. */
-void lmn_reserve_quota(struct lmn_partition *p, int team, double cpus, double gpus,
-                       struct timespec now);
+void lmn_reserve_quota(struct lmn_partition *partition, int team, double cpus,
+                       double gpus, struct timespec now);
 
 #endif
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -36,121 +36,129 @@
     return names[reason];
 }
 
-bool lmn_machine_can_run(const struct lmn_machine *m, const struct lmn_job *j)
+bool lmn_machine_can_run(const struct lmn_machine *machine, const struct lmn_job *job)
 {
     /* One that was told, and has not spoken yet, is dealt work too, which it starts once
      * it has: dealt to the first few that speak, everything would stand in their queues.
      */
-    bool known = m->accounted || (m->part->warm && m->session);
+    bool known = machine->accounted || (machine->part->warm && machine->session);
 
-    return m->type && known && m->rev && !m->retiring && !m->noticed && !m->lapsed &&
-           !m->is_gone && lmn_job_spec_allows(&j->spec, m->type, m->zone, m->spot);
+    return machine->type && known && machine->rev && !machine->retiring &&
+           !machine->noticed && !machine->lapsed && !machine->is_gone &&
+           lmn_job_spec_allows(&job->spec, machine->type, machine->zone, machine->spot);
 }
 
-uint32_t lmn_machine_task_capacity(const struct lmn_machine *m,
-                                   const struct lmn_job_spec *s)
+uint32_t lmn_machine_task_capacity(const struct lmn_machine *machine,
+                                   const struct lmn_job_spec *spec)
 {
     const double slack = 1e-6;
     double n = 1e6;
 
-    if (s->cpus > 0)
-        n = MIN(n, floor((m->type->cpus - m->used_cpus) / s->cpus + slack));
-    if (s->gpus > 0)
-        n = MIN(n, floor((m->type->gpus - m->used_gpus) / s->gpus + slack));
-    if (s->mem > 0)
-        n = MIN(n, floor((m->type->mem - m->used_mem) / s->mem + slack));
+    if (spec->cpus > 0)
+        n = MIN(n,
+                floor((machine->type->cpus - machine->used_cpus) / spec->cpus + slack));
+    if (spec->gpus > 0)
+        n = MIN(n,
+                floor((machine->type->gpus - machine->used_gpus) / spec->gpus + slack));
+    if (spec->mem > 0)
+        n = MIN(n, floor((machine->type->mem - machine->used_mem) / spec->mem + slack));
     return n > 0 ? (uint32_t)n : 0;
 }
 
-bool lmn_job_within_quota(const struct lmn_core *c, const struct lmn_partition *p,
-                          const struct lmn_job *j)
+bool lmn_job_within_quota(const struct lmn_core *core,
+                          const struct lmn_partition *partition,
+                          const struct lmn_job *job)
 {
-    if (j->team < 0)
+    if (job->team < 0)
         return false;
-    const struct lmn_team *t = &c->cfg->teams[j->team];
+    const struct lmn_team *team = &core->cfg->teams[job->team];
     double cpus, gpus;
 
-    lmn_quota_share(c, p, j->team, &cpus, &gpus);
-    if (p->keep[j->team].job != j) {
-        cpus -= p->keep[j->team].cpus;
-        gpus -= p->keep[j->team].gpus;
+    lmn_quota_share(core, partition, job->team, &cpus, &gpus);
+    if (partition->keep[job->team].job != job) {
+        cpus -= partition->keep[job->team].cpus;
+        gpus -= partition->keep[job->team].gpus;
     }
 
     /* A machine that is not accounted for may be full of this team's tasks. As counted at
      * the last check: since then there are only fewer of them. */
-    if (!p->ready && !p->warm && (t->cpus_max > 0 || t->gpus_max > 0)) {
-        if (p->unheard_unknown)
+    if (!partition->ready && !partition->warm &&
+        (team->cpus_max > 0 || team->gpus_max > 0)) {
+        if (partition->unheard_unknown)
             return false;
-        cpus -= p->unheard_cpus;
-        gpus -= p->unheard_gpus;
+        cpus -= partition->unheard_cpus;
+        gpus -= partition->unheard_gpus;
     }
 
-    if (t->cpus_max > 0 && p->used_cpus[j->team] + j->spec.cpus > cpus + 1e-6)
+    if (team->cpus_max > 0 &&
+        partition->used_cpus[job->team] + job->spec.cpus > cpus + 1e-6)
         return false;
-    return !(t->gpus_max > 0 && p->used_gpus[j->team] + j->spec.gpus > gpus + 1e-6);
+    return !(team->gpus_max > 0 &&
+             partition->used_gpus[job->team] + job->spec.gpus > gpus + 1e-6);
 }
 
 /* Long idle work that found gaps on ordinary machines kept them rented for minutes after
  * everything else was done, and from work that may run nowhere else. */
-static bool too_dear(const struct lmn_core *c, const struct lmn_machine *m,
-                     const struct lmn_job *j)
+static bool too_dear(const struct lmn_core *core, const struct lmn_machine *machine,
+                     const struct lmn_job *job)
 {
-    return j->cheap && !m->spot && !j->aged &&
-           lmn_is_spot_only(c->cfg, &j->spec, m->type);
+    return job->cheap && !machine->spot && !job->aged &&
+           lmn_is_spot_only(core->cfg, &job->spec, machine->type);
 }
 
-enum lmn_wait_reason lmn_machine_wait_reason(const struct lmn_machine *m,
+enum lmn_wait_reason lmn_machine_wait_reason(const struct lmn_machine *machine,
                                              struct timespec now)
 {
-    if (m->part->releasing)
+    if (machine->part->releasing)
         return LMN_WAIT_TRANSFER;
-    if (!m->accounted)
+    if (!machine->accounted)
         return LMN_WAIT_UNACCOUNTED;
-    if (!m->rev)
+    if (!machine->rev)
         return LMN_WAIT_UNRECORDED;
-    if (m->retiring)
+    if (machine->retiring)
         return LMN_WAIT_DRAINING;
-    if (m->noticed)
+    if (machine->noticed)
         return LMN_WAIT_SPOT_NOTICE;
-    if (!m->type)
+    if (!machine->type)
         return LMN_WAIT_UNKNOWN_TYPE;
     /* Nobody acknowledges starts now: they would only be taken back. */
-    if (lmn_replication_is_stuck(m->part, now))
+    if (lmn_replication_is_stuck(machine->part, now))
         return LMN_WAIT_REPLICATION;
-    return lmn_time_before(now, m->hold) ? LMN_WAIT_QUARANTINED : LMN_WAIT_NONE;
+    return lmn_time_before(now, machine->hold) ? LMN_WAIT_QUARANTINED : LMN_WAIT_NONE;
 }
 
-enum lmn_wait_reason lmn_job_wait_reason(const struct lmn_core *c,
-                                         const struct lmn_machine *m,
-                                         const struct lmn_job *j, struct timespec now)
+enum lmn_wait_reason lmn_job_wait_reason(const struct lmn_core *core,
+                                         const struct lmn_machine *machine,
+                                         const struct lmn_job *job, struct timespec now)
 {
-    if (!lmn_job_may_run(c, j))
+    if (!lmn_job_may_run(core, job))
         return LMN_WAIT_JOB_OVER;
-    if (!lmn_machine_task_capacity(m, &j->spec))
+    if (!lmn_machine_task_capacity(machine, &job->spec))
         return LMN_WAIT_CAPACITY;
-    if (m->promised && j->spec.urgency != LMN_PRIORITY_PRODUCTION)
+    if (machine->promised && job->spec.urgency != LMN_PRIORITY_PRODUCTION)
         return LMN_WAIT_PREEMPTION_RESERVED;
-    if (m->kept && m->kept != j)
+    if (machine->kept && machine->kept != job)
         return LMN_WAIT_BACKFILL_RESERVED;
-    if (too_dear(c, m, j))
+    if (too_dear(core, machine, job))
         return LMN_WAIT_SPOT_ONLY;
-    if (lmn_time_before(now, j->failures.hold))
+    if (lmn_time_before(now, job->failures.hold))
         return LMN_WAIT_JOB_BACKOFF;
-    if (!lmn_machine_can_run(m, j))
+    if (!lmn_machine_can_run(machine, job))
         return LMN_WAIT_NOT_ALLOWED;
-    if (!lmn_job_within_quota(c, m->part, j))
+    if (!lmn_job_within_quota(core, machine->part, job))
         return LMN_WAIT_QUOTA;
-    return lmn_zone_task_capacity(j, m->zone) ? LMN_WAIT_NONE : LMN_WAIT_ZONE;
+    return lmn_zone_task_capacity(job, machine->zone) ? LMN_WAIT_NONE : LMN_WAIT_ZONE;
 }
 
-enum lmn_wait_reason lmn_wait_reason(const struct lmn_core *c,
-                                     const struct lmn_machine *m,
-                                     const struct lmn_range *r, struct timespec now)
+enum lmn_wait_reason lmn_wait_reason(const struct lmn_core *core,
+                                     const struct lmn_machine *machine,
+                                     const struct lmn_range *range, struct timespec now)
 {
-    if (r->part != m->part)
+    if (range->part != machine->part)
         return LMN_WAIT_OTHER_PARTITION;
-    if (!r->dealt || !lmn_range_may_start(r))
+    if (!range->dealt || !lmn_range_may_start(range))
         return LMN_WAIT_NOT_OPEN;
-    enum lmn_wait_reason reason = lmn_machine_wait_reason(m, now);
-    return reason != LMN_WAIT_NONE ? reason : lmn_job_wait_reason(c, m, r->job, now);
+    enum lmn_wait_reason reason = lmn_machine_wait_reason(machine, now);
+    return reason != LMN_WAIT_NONE ? reason
+                                   : lmn_job_wait_reason(core, machine, range->job, now);
 }
--- a/src/scheduler/wait_reason.h
+++ b/src/scheduler/wait_reason.h
@@ -37,25 +37,26 @@
 const char *lmn_wait_reason_name(enum lmn_wait_reason reason);
 
 /* Whether the job's team may use one task's processors more. */
-bool lmn_job_within_quota(const struct lmn_core *c, const struct lmn_partition *p,
-                          const struct lmn_job *j);
+bool lmn_job_within_quota(const struct lmn_core *core,
+                          const struct lmn_partition *partition,
+                          const struct lmn_job *job);
 /* How many tasks of the job have room on the machine now, its queue aside. */
-uint32_t lmn_machine_task_capacity(const struct lmn_machine *m,
-                                   const struct lmn_job_spec *s);
+uint32_t lmn_machine_task_capacity(const struct lmn_machine *machine,
+                                   const struct lmn_job_spec *spec);
 /* Whether the machine takes work now, and the job allows it. */
-bool lmn_machine_can_run(const struct lmn_machine *m, const struct lmn_job *j);
+bool lmn_machine_can_run(const struct lmn_machine *machine, const struct lmn_job *job);
 
 /* Why the machine may start nothing. */
-enum lmn_wait_reason lmn_machine_wait_reason(const struct lmn_machine *m,
+enum lmn_wait_reason lmn_machine_wait_reason(const struct lmn_machine *machine,
                                              struct timespec now);
 /* Why the machine, if it may start anything, may not start a task of the job. */
-enum lmn_wait_reason lmn_job_wait_reason(const struct lmn_core *c,
-                                         const struct lmn_machine *m,
-                                         const struct lmn_job *j, struct timespec now);
+enum lmn_wait_reason lmn_job_wait_reason(const struct lmn_core *core,
+                                         const struct lmn_machine *machine,
+                                         const struct lmn_job *job, struct timespec now);
 /* Why a queued task of the range does not start on the machine, of all that is in the way
  * the first. */
-enum lmn_wait_reason lmn_wait_reason(const struct lmn_core *c,
-                                     const struct lmn_machine *m,
-                                     const struct lmn_range *r, struct timespec now);
+enum lmn_wait_reason lmn_wait_reason(const struct lmn_core *core,
+                                     const struct lmn_machine *machine,
+                                     const struct lmn_range *range, struct timespec now);
 
 #endif
--- a/src/scheduler/work_stealing.h
+++ b/src/scheduler/work_stealing.h
@@ -16,22 +16,26 @@
     double *team_cpus, *team_gpus; /* by team: what its quota leaves */
 };
 /* Room for the teams of these settings; lmn_steal_request_clear. */
-void lmn_steal_request_init(struct lmn_steal_request *t, const struct lmn_settings *cfg);
-void lmn_steal_request_clear(struct lmn_steal_request *t);
+void lmn_steal_request_init(struct lmn_steal_request *request,
+                            const struct lmn_settings *cfg);
+void lmn_steal_request_clear(struct lmn_steal_request *request);
 /* Idle room of a partition of ours; false if there is none, or it is not yet time. */
-bool lmn_steal_request_fill(struct lmn_core *c, struct lmn_partition *p,
-                            struct lmn_steal_request *t, struct timespec now);
+bool lmn_steal_request_fill(struct lmn_core *core, struct lmn_partition *partition,
+                            struct lmn_steal_request *request, struct timespec now);
 /* Queued tasks of the partition that the thief could start. */
-uint32_t lmn_victim_load(const struct lmn_core *c, const struct lmn_partition *p,
-                         const struct lmn_steal_request *t);
+uint32_t lmn_victim_load(const struct lmn_core *core,
+                         const struct lmn_partition *partition,
+                         const struct lmn_steal_request *request);
 /* Sets a move going; returns how many tasks go. */
-uint32_t lmn_victim_transfer(struct lmn_core *c, struct lmn_partition *p,
-                             const struct lmn_steal_request *t, struct timespec now);
-void lmn_steal_record_result(struct lmn_core *c, struct lmn_partition *p, uint32_t got,
+uint32_t lmn_victim_transfer(struct lmn_core *core, struct lmn_partition *partition,
+                             const struct lmn_steal_request *request,
                              struct timespec now);
+void lmn_steal_record_result(struct lmn_core *core, struct lmn_partition *partition,
+                             uint32_t got, struct timespec now);
 /* The mirror shows the range cut at hi. */
-void lmn_range_truncate(struct lmn_core *c, struct lmn_range *r, uint32_t hi);
+void lmn_range_truncate(struct lmn_core *core, struct lmn_range *range, uint32_t hi);
 /* The move did not take place. */
-void lmn_range_cancel_move(struct lmn_core *c, struct lmn_range *r, struct timespec now);
+void lmn_range_cancel_move(struct lmn_core *core, struct lmn_range *range,
+                           struct timespec now);
 
 #endif
--- a/src/simulation/controller_group.c
+++ b/src/simulation/controller_group.c
@@ -58,111 +58,113 @@
     bool suspected[LMN_MAX_MEMBERS + 1], judged[LMN_MAX_MEMBERS + 1];
 };
 
-static struct timespec stamp(double s)
+static struct timespec stamp(double seconds)
 {
-    return lmn_time_add((struct timespec){1000, 0}, s);
+    return lmn_time_add((struct timespec){1000, 0}, seconds);
 }
 
-static double uniform(struct group *g, double most)
+static double uniform(struct group *group, double most)
 {
-    return most > 0 ? g_rand_double_range(g->rng, 0, most) : 0;
+    return most > 0 ? g_rand_double_range(group->rng, 0, most) : 0;
 }
 
 /* One way through the network: what is lost is sent again. */
-static double way(struct group *g)
+static double way(struct group *group)
 {
-    double s = 0.0005 + uniform(g, 0.0005), again = 0.2;
+    double seconds = 0.0005 + uniform(group, 0.0005), again = 0.2;
 
-    while (g->o->loss > 0 && g_rand_double(g->rng) < g->o->loss) {
-        s += again;
+    while (group->o->loss > 0 && g_rand_double(group->rng) < group->o->loss) {
+        seconds += again;
         again *= 2;
     }
-    return s;
+    return seconds;
 }
 
-static double of_state(struct group *g)
+static double of_state(struct group *group)
 {
-    return way(g) + g->o->state_s * g_rand_double_range(g->rng, 0.5, 2) + way(g);
+    return way(group) + group->o->state_s * g_rand_double_range(group->rng, 0.5, 2) +
+           way(group);
 }
 
-static bool runs(const struct group *g, int i)
+static bool runs(const struct group *group, int i)
 {
-    return !g->nodes[i].dead && g->now >= g->nodes[i].stalled;
+    return !group->nodes[i].dead && group->now >= group->nodes[i].stalled;
 }
 
-static void log_change(struct group *g, int of, bool doubt)
+static void log_change(struct group *group, int of, bool doubt)
 {
-    struct change c = {of, doubt, doubt ? g->doubt[of] : g->member[of], g->now};
+    struct change c = {of, doubt, doubt ? group->doubt[of] : group->member[of],
+                       group->now};
 
-    g_array_append_val(g->log, c);
+    g_array_append_val(group->log, c);
 }
 
 /* --- the state service --- */
 
-static void apply(struct group *g, const struct write *w)
+static void apply(struct group *group, const struct write *w)
 {
     if (w->verdict) {
         /* Conditional on the incarnation. */
-        if (g->member[w->of].rev != w->inc)
+        if (group->member[w->of].rev != w->inc)
             return;
-        if (!g->nodes[w->of].dead)
-            g->r->false_verdicts++;
-        g->judged[w->of] = true;
+        if (!group->nodes[w->of].dead)
+            group->r->false_verdicts++;
+        group->judged[w->of] = true;
         /* Whoever is judged and lives notices, and writes its record anew. */
-        if (!g->nodes[w->of].dead) {
-            g->member[w->of].rev = ++g->rev;
-            log_change(g, w->of, false);
+        if (!group->nodes[w->of].dead) {
+            group->member[w->of].rev = ++group->rev;
+            log_change(group, w->of, false);
         }
     } else if (w->doubt) {
-        if (g->doubt[w->of].rev != w->doubt_rev)
+        if (group->doubt[w->of].rev != w->doubt_rev)
             return;
-        g->doubt[w->of] = (struct record){++g->rev, w->by, w->inc, w->why};
-        g->r->suspicions++;
-        g->suspected[w->of] = true;
-        log_change(g, w->of, true);
+        group->doubt[w->of] = (struct record){++group->rev, w->by, w->inc, w->why};
+        group->r->suspicions++;
+        group->suspected[w->of] = true;
+        log_change(group, w->of, true);
     } else {
-        g->member[w->of].rev = ++g->rev;
-        g->r->refutations++;
-        log_change(g, w->of, false);
+        group->member[w->of].rev = ++group->rev;
+        group->r->refutations++;
+        log_change(group, w->of, false);
     }
 }
 
-static void service(struct group *g)
+static void service(struct group *group)
 {
-    for (guint i = 0; i < g->writes->len;) {
-        struct write w = g_array_index(g->writes, struct write, i);
-        if (w.at > g->now) {
+    for (guint i = 0; i < group->writes->len;) {
+        struct write w = g_array_index(group->writes, struct write, i);
+        if (w.at > group->now) {
             i++;
             continue;
         }
-        g_array_remove_index(g->writes, i);
-        apply(g, &w);
+        g_array_remove_index(group->writes, i);
+        apply(group, &w);
     }
 }
 
-static void send(struct group *g, struct write w)
+static void send(struct group *group, struct write w)
 {
-    w.at = g->now + of_state(g);
-    g_array_append_val(g->writes, w);
+    w.at = group->now + of_state(group);
+    g_array_append_val(group->writes, w);
 }
 
 /* --- a node --- */
 
-static void follow(struct group *g, struct node *n)
+static void follow(struct group *group, struct node *n)
 {
-    if (g->now < n->look_back)
+    if (group->now < n->look_back)
         return;
     if (n->look_back > 0) {
-        for (; n->seen < g->log->len; n->seen++) {
-            const struct change *c = &g_array_index(g->log, struct change, n->seen);
+        for (; n->seen < group->log->len; n->seen++) {
+            const struct change *c = &g_array_index(group->log, struct change, n->seen);
             if (c->at > n->look_back)
                 break;
             if (c->doubt)
                 lmn_member_apply_suspicion(&n->ms, c->of, c->r.rev, c->r.inc,
-                                           g->nodes[c->r.by].cfg.node, c->r.why,
-                                           stamp(g->now));
+                                           group->nodes[c->r.by].cfg.node, c->r.why,
+                                           stamp(group->now));
             else
-                lmn_member_apply_record(&n->ms, c->of, c->r.rev, 1, stamp(g->now));
+                lmn_member_apply_record(&n->ms, c->of, c->r.rev, 1, stamp(group->now));
             if (c->of == n->ms.me && !c->doubt)
                 n->refuting = false;
             if (c->doubt)
@@ -177,174 +179,178 @@
     for (int i = 0; i < n->ms.n; i++)
         if (lmn_member_is_suspected(&n->ms, i))
             wait = MIN(wait, 0.2);
-    n->look_sent = g->now + PAUSE_S;
-    n->look_back = n->look_sent + (n->seen < g->log->len ? 0 : wait) + of_state(g);
+    n->look_sent = group->now + PAUSE_S;
+    n->look_back =
+        n->look_sent + (n->seen < group->log->len ? 0 : wait) + of_state(group);
 }
 
 /* Changes cut a wait short. */
-static void awake_look(struct group *g, struct node *n)
+static void awake_look(struct group *group, struct node *n)
 {
-    if (n->seen < g->log->len && n->look_sent <= g->now) {
-        double c = g_array_index(g->log, struct change, n->seen).at;
-        double soon = MAX(c, n->look_sent) + of_state(g);
-        if (c + 0.5 > g->now)
-            n->look_back = MIN(n->look_back, MAX(soon, g->now));
+    if (n->seen < group->log->len && n->look_sent <= group->now) {
+        double c = g_array_index(group->log, struct change, n->seen).at;
+        double soon = MAX(c, n->look_sent) + of_state(group);
+        if (c + 0.5 > group->now)
+            n->look_back = MIN(n->look_back, MAX(soon, group->now));
     }
 }
 
-static bool refused(const struct group *g)
+static bool refused(const struct group *group)
 {
-    return g->o->refused_s > 0 && g->now < g->refused + REFUSED_FOR_S &&
-           g->now >= g->refused;
+    return group->o->refused_s > 0 && group->now < group->refused + REFUSED_FOR_S &&
+           group->now >= group->refused;
 }
 
-static void tell(struct group *g, struct node *from, struct node *to, int about)
+static void tell(struct group *group, struct node *from, struct node *to, int about)
 {
     struct lmn_gossip_statement s[LMN_MAX_GOSSIP_STATEMENTS];
-    unsigned n = lmn_member_gossip(&from->ms, to->ms.me, about, stamp(g->now), s);
+    unsigned n = lmn_member_gossip(&from->ms, to->ms.me, about, stamp(group->now), s);
 
     for (unsigned i = 0; i < n; i++)
-        lmn_member_record_gossip(&to->ms, from->ms.me, &s[i], stamp(g->now));
+        lmn_member_record_gossip(&to->ms, from->ms.me, &s[i], stamp(group->now));
 }
 
-static void ask(struct group *g, struct node *n)
+static void ask(struct group *group, struct node *n)
 {
     double wait;
 
     if (n->asking) {
-        struct node *o = &g->nodes[n->q.rank];
-        if (n->answer > 0 && g->now >= n->answer && n->answer <= n->give_up) {
+        struct node *o = &group->nodes[n->q.rank];
+        if (n->answer > 0 && group->now >= n->answer && n->answer <= n->give_up) {
             struct lmn_member_health w = o->ms.word;
             n->asking = false;
             lmn_member_record_probe_reply(&n->ms, n->q.rank, &w, stamp(n->sent),
-                                          stamp(g->now));
-            tell(g, o, n, n->q.about);
-        } else if (g->now >= n->give_up) {
+                                          stamp(group->now));
+            tell(group, o, n, n->q.about);
+        } else if (group->now >= n->give_up) {
             n->asking = false;
             lmn_member_record_probe_timeout(&n->ms, n->q.rank, stamp(n->sent),
-                                            stamp(g->now));
+                                            stamp(group->now));
         }
         return;
     }
-    if (!lmn_member_next_probe(&n->ms, g->rng, stamp(g->now), &n->q, &wait))
+    if (!lmn_member_next_probe(&n->ms, group->rng, stamp(group->now), &n->q, &wait))
         return;
-    g->r->questions++;
-    struct node *o = &g->nodes[n->q.rank];
+    group->r->questions++;
+    struct node *o = &group->nodes[n->q.rank];
     n->asking = true;
-    n->sent = g->now;
-    n->give_up = g->now + n->q.patience_s;
+    n->sent = group->now;
+    n->give_up = group->now + n->q.patience_s;
     n->answer = 0;
-    if (refused(g) || o->dead) {
-        n->give_up = g->now + STEP_S;
+    if (refused(group) || o->dead) {
+        n->give_up = group->now + STEP_S;
         return;
     }
-    double there = MAX(g->now + way(g), o->stalled) + uniform(g, g->o->late_s);
-    n->answer = there + way(g);
+    double there =
+        MAX(group->now + way(group), o->stalled) + uniform(group, group->o->late_s);
+    n->answer = there + way(group);
     if (there <= n->give_up) {
         struct lmn_member_health w = n->ms.word;
-        lmn_member_record_contact(&o->ms, n->ms.me, &w, stamp(g->now), stamp(g->now));
-        tell(g, n, o, n->q.about);
+        lmn_member_record_contact(&o->ms, n->ms.me, &w, stamp(group->now),
+                                  stamp(group->now));
+        tell(group, n, o, n->q.about);
         if (n->q.about >= 0)
-            lmn_member_request_probe(&o->ms, n->q.about, stamp(g->now));
+            lmn_member_request_probe(&o->ms, n->q.about, stamp(group->now));
     }
 }
 
 /* How a rule that knows no suspicion judges. */
-static bool plainly(const struct group *g, const struct node *n, int i)
+static bool plainly(const struct group *group, const struct node *n, int i)
 {
-    const struct lmn_member_view *m = &n->ms.v[i];
+    const struct lmn_member_view *member = &n->ms.v[i];
 
-    if (!m->ever || !m->unanswered.tv_sec)
+    if (!member->ever || !member->unanswered.tv_sec)
         return false;
-    double s = lmn_time_diff_s(stamp(g->now), m->unanswered);
-    return g->o->rule == LMN_GROUP_RULE_FIXED_TIMEOUT
-               ? s >= g->o->threshold
-               : lmn_phi_accrual_phi(&m->answers, s) >= g->o->threshold;
+    double seconds = lmn_time_diff_s(stamp(group->now), member->unanswered);
+    return group->o->rule == LMN_GROUP_RULE_FIXED_TIMEOUT
+               ? seconds >= group->o->threshold
+               : lmn_phi_accrual_phi(&member->answers, seconds) >= group->o->threshold;
 }
 
-static void hold(struct group *g, struct node *n)
+static void hold(struct group *group, struct node *n)
 {
-    struct timespec now = stamp(g->now);
+    struct timespec now = stamp(group->now);
     struct lmn_failure_evidence e;
 
     if (!n->refuting && lmn_self_should_refute(&n->ms, now)) {
         n->refuting = true;
-        send(g, (struct write){.of = n->ms.me, .by = n->ms.me});
+        send(group, (struct write){.of = n->ms.me, .by = n->ms.me});
     }
     for (int i = 0; i < n->ms.n; i++) {
         uint64_t inc = n->ms.v[i].inc;
         if (i == n->ms.me || n->judging[i])
             continue;
-        if (g->o->rule == LMN_GROUP_RULE_PRODUCT) {
+        if (group->o->rule == LMN_GROUP_RULE_PRODUCT) {
             if (!n->wrote_doubt[i] && lmn_member_should_suspect(&n->ms, i, now, &e)) {
                 n->wrote_doubt[i] = true;
-                send(g, (struct write){.of = i,
-                                       .by = n->ms.me,
-                                       .doubt = true,
-                                       .inc = inc,
-                                       .doubt_rev = n->ms.v[i].doubt_rev,
-                                       .why = e.cause});
+                send(group, (struct write){.of = i,
+                                           .by = n->ms.me,
+                                           .doubt = true,
+                                           .inc = inc,
+                                           .doubt_rev = n->ms.v[i].doubt_rev,
+                                           .why = e.cause});
             }
             if (!lmn_member_is_declared_failed(&n->ms, i, now))
                 continue;
-        } else if (!plainly(g, n, i)) {
+        } else if (!plainly(group, n, i)) {
             continue;
         }
         n->judging[i] = true;
-        send(g, (struct write){.of = i, .by = n->ms.me, .verdict = true, .inc = inc});
+        send(group, (struct write){.of = i, .by = n->ms.me, .verdict = true, .inc = inc});
     }
 }
 
-static void step(struct group *g, int i)
+static void step(struct group *group, int i)
 {
-    struct node *n = &g->nodes[i];
+    struct node *n = &group->nodes[i];
 
-    awake_look(g, n);
-    follow(g, n);
-    if (g->now >= n->next_tick) {
-        double late = MAX(g->now - n->last_tick - TICK_S, 0);
-        lmn_members_tick(&n->ms, late, stamp(g->now));
+    awake_look(group, n);
+    follow(group, n);
+    if (group->now >= n->next_tick) {
+        double late = MAX(group->now - n->last_tick - TICK_S, 0);
+        lmn_members_tick(&n->ms, late, stamp(group->now));
         n->ms.word.behind_s = MAX(late, n->ms.word.behind_s * 0.9);
-        n->last_tick = g->now;
-        n->next_tick = g->now + TICK_S + uniform(g, g->o->late_s);
+        n->last_tick = group->now;
+        n->next_tick = group->now + TICK_S + uniform(group, group->o->late_s);
     }
-    ask(g, n);
-    if (g->now >= n->next_holder) {
-        hold(g, n);
-        n->next_holder = g->now + n->ms.t.every_s / 4 + uniform(g, g->o->late_s);
+    ask(group, n);
+    if (group->now >= n->next_holder) {
+        hold(group, n);
+        n->next_holder =
+            group->now + n->ms.t.every_s / 4 + uniform(group, group->o->late_s);
     }
 }
 
-static void troubles(struct group *g)
+static void troubles(struct group *group)
 {
-    const struct lmn_controller_group_options *o = g->o;
+    const struct lmn_controller_group_options *o = group->o;
 
     for (int i = 0; i < o->members && o->stalls_s > 0; i++)
-        if (runs(g, i) && g_rand_double(g->rng) < STEP_S / o->stalls_s)
-            g->nodes[i].stalled = g->now + uniform(g, o->stall_s);
-    if (o->refused_s > 0 && g->now > g->refused + REFUSED_FOR_S &&
-        g_rand_double(g->rng) < STEP_S / o->refused_s)
-        g->refused = g->now;
-    for (int i = 0; i < o->dead && g->now >= o->dead_at; i++)
-        if (!g->nodes[i].dead)
-            g->nodes[i].dead = g->now;
+        if (runs(group, i) && g_rand_double(group->rng) < STEP_S / o->stalls_s)
+            group->nodes[i].stalled = group->now + uniform(group, o->stall_s);
+    if (o->refused_s > 0 && group->now > group->refused + REFUSED_FOR_S &&
+        g_rand_double(group->rng) < STEP_S / o->refused_s)
+        group->refused = group->now;
+    for (int i = 0; i < o->dead && group->now >= o->dead_at; i++)
+        if (!group->nodes[i].dead)
+            group->nodes[i].dead = group->now;
 }
 
-static void set_up(struct group *g, int i)
+static void set_up(struct group *group, int i)
 {
-    struct node *n = &g->nodes[i];
+    struct node *n = &group->nodes[i];
 
     g_snprintf(n->cfg.node, LMN_NAME_SIZE, "n%02d", i);
-    n->cfg.lease_s = g->o->lease_s;
-    n->cfg.report_s = g->o->report_s;
-    for (int k = 0; k < g->o->members; k++)
+    n->cfg.lease_s = group->o->lease_s;
+    n->cfg.report_s = group->o->report_s;
+    for (int k = 0; k < group->o->members; k++)
         if (k != i)
             g_snprintf(n->cfg.members[n->cfg.nmembers++].name, LMN_NAME_SIZE, "n%02d", k);
     lmn_members_init(&n->ms, &n->cfg, stamp(0));
-    n->next_tick = uniform(g, TICK_S);
-    n->next_holder = uniform(g, TICK_S);
-    g->member[i].rev = ++g->rev;
-    log_change(g, i, false);
+    n->next_tick = uniform(group, TICK_S);
+    n->next_holder = uniform(group, TICK_S);
+    group->member[i].rev = ++group->rev;
+    log_change(group, i, false);
 }
 
 static bool all(const bool *v, int n)
--- a/src/site/site.h
+++ b/src/site/site.h
@@ -41,22 +41,22 @@
 
 /* Reads and checks the file, and the inventory that it names; -1 with "file: line N:
  * field: what". */
-int lmn_site_load(const char *path, struct lmn_site *s, char *err, size_t len);
+int lmn_site_load(const char *path, struct lmn_site *site, char *err, size_t len);
 /* Writes the settings of all processes under data/run. -1 with err. */
-int lmn_site_write(const struct lmn_site *s, char *err, size_t len);
+int lmn_site_write(const struct lmn_site *site, char *err, size_t len);
 /* data/run/NAME.suffix. g_free. */
-char *lmn_site_path(const struct lmn_site *s, const char *name, const char *suffix);
+char *lmn_site_path(const struct lmn_site *site, const char *name, const char *suffix);
 
 /* --- supervision (site/supervise.c) --- */
 
 /* Starts and watches the processes until SIGTERM; then ends them, and the machines.
  * Returns an exit status. Processes of an earlier supervisor are taken up, not doubled.
  */
-int lmn_site_run(struct lmn_site *s);
+int lmn_site_run(struct lmn_site *site);
 /* Ends whatever runs of the site: its supervisor, processes, machines. False if something
  * lives on. */
-bool lmn_site_end(const struct lmn_site *s);
+bool lmn_site_end(const struct lmn_site *site);
 /* Whether the process runs now, under what number. */
-bool lmn_site_up(const struct lmn_site *s, const char *name, int *pid);
+bool lmn_site_up(const struct lmn_site *site, const char *name, int *pid);
 
 #endif
--- a/src/site/supervise.c
+++ b/src/site/supervise.c
@@ -39,9 +39,9 @@
     stopping = 1;
 }
 
-bool lmn_site_up(const struct lmn_site *s, const char *name, int *pid)
+bool lmn_site_up(const struct lmn_site *site, const char *name, int *pid)
 {
-    char *path = lmn_site_path(s, name, ".lock");
+    char *path = lmn_site_path(site, name, ".lock");
     pid_t holder;
     bool up = lmn_lock_held(path, &holder);
 
@@ -51,16 +51,16 @@
 }
 
 /* In the child: becomes the process. lock stays open. */
-static void become(const struct lmn_site *s, const struct lmn_site_process *p, int log,
-                   int lock)
+static void become(const struct lmn_site *site, const struct lmn_site_process *process,
+                   int log, int lock)
 {
     char fd[16];
     char *argv[8] = {(char *)lmn_self_path()};
     int in = open("/dev/null", O_RDONLY);
     sigset_t none;
 
-    for (int i = 0; i < 6 && p->argv[i]; i++)
-        argv[i + 1] = p->argv[i];
+    for (int i = 0; i < 6 && process->argv[i]; i++)
+        argv[i + 1] = process->argv[i];
     setsid();
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, NULL);
@@ -72,17 +72,17 @@
     /* It must hold the lock, and what it starts must not (lmn_cli_main). */
     g_snprintf(fd, sizeof fd, "%d", lock);
     setenv(LMN_LOCK_FD, fd, 1);
-    setenv("LOG_LEVEL", s->log_level, 1);
-    setenv("LOG_FORMAT", s->log_format, 1);
+    setenv("LOG_LEVEL", site->log_level, 1);
+    setenv("LOG_FORMAT", site->log_format, 1);
     execv(argv[0], argv);
     dprintf(2, "error exec-failed error=\"%s\"\n", strerror(errno));
     _exit(127);
 }
 
-static void start(const struct lmn_site *s, struct watched *w)
+static void start(const struct lmn_site *site, struct watched *w)
 {
-    char *path = lmn_site_path(s, w->p->name, ".lock"),
-         *log = lmn_site_path(s, w->p->name, ".log");
+    char *path = lmn_site_path(site, w->p->name, ".lock"),
+         *log = lmn_site_path(site, w->p->name, ".log");
     int fd = open(path, O_RDWR | O_CREAT, 0644),
         out = open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
     char pid[32];
@@ -93,7 +93,7 @@
     } else {
         w->pid = fork();
         if (w->pid == 0)
-            become(s, w->p, out, fd);
+            become(site, w->p, out, fd);
         int n = g_snprintf(pid, sizeof pid, "%ld\n", (long)w->pid);
         if (ftruncate(fd, 0) != 0 || pwrite(fd, pid, (size_t)n, 0) != n)
             lmn_error("lock-unwritten process=%s", w->p->name);
@@ -132,9 +132,9 @@
                 say_why(&v[i], status);
 }
 
-static void write_status(const struct lmn_site *s, const struct watched *v, unsigned n)
+static void write_status(const struct lmn_site *site, const struct watched *v, unsigned n)
 {
-    char *path = lmn_site_path(s, "status", "");
+    char *path = lmn_site_path(site, "status", "");
     GString *t = g_string_new(NULL);
 
     for (unsigned i = 0; i < n; i++)
@@ -145,11 +145,11 @@
 }
 
 /* Starts what does not run and is due. */
-static bool look_after(const struct lmn_site *s, struct watched *w)
+static bool look_after(const struct lmn_site *site, struct watched *w)
 {
     int pid;
 
-    if (lmn_site_up(s, w->p->name, &pid)) {
+    if (lmn_site_up(site, w->p->name, &pid)) {
         if (!w->known)
             lmn_info("process-taken-up process=%s pid=%d", w->p->name, pid);
         w->known = true;
@@ -159,13 +159,13 @@
         g_strlcpy(w->why, "unknown: it was an earlier supervisor's", sizeof w->why);
     if (w->known && !lmn_backoff_due(&w->backoff, lmn_now()))
         return false;
-    start(s, w);
+    start(site, w);
     return true;
 }
 
-static bool end_process(const struct lmn_site *s, const char *name)
+static bool end_process(const struct lmn_site *site, const char *name)
 {
-    char *path = lmn_site_path(s, name, ".lock");
+    char *path = lmn_site_path(site, name, ".lock");
     bool ended = true;
 
     /* SIGTERM would do for all of them: none has anything to save that is not saved. */
@@ -175,9 +175,9 @@
     return ended;
 }
 
-static bool end_machines(const struct lmn_site *s)
+static bool end_machines(const struct lmn_site *site)
 {
-    char *root = g_build_filename(s->data, "fleet", "machines", NULL);
+    char *root = g_build_filename(site->data, "fleet", "machines", NULL);
     GDir *d = g_dir_open(root, 0, NULL);
     const char *name;
     bool ok = true;
@@ -194,38 +194,38 @@
     return ok;
 }
 
-static bool end_all(const struct lmn_site *s)
+static bool end_all(const struct lmn_site *site)
 {
     bool ok = true;
 
     /* The fleet first, which would start machines again; the state service last. */
-    ok = end_process(s, "fleet") && ok;
-    for (unsigned i = s->nprocesses; i-- > 0;)
-        if (strcmp(s->processes[i].name, "state"))
-            ok = end_process(s, s->processes[i].name) && ok;
-    ok = end_machines(s) && ok;
-    return end_process(s, "state") && ok;
+    ok = end_process(site, "fleet") && ok;
+    for (unsigned i = site->nprocesses; i-- > 0;)
+        if (strcmp(site->processes[i].name, "state"))
+            ok = end_process(site, site->processes[i].name) && ok;
+    ok = end_machines(site) && ok;
+    return end_process(site, "state") && ok;
 }
 
-bool lmn_site_end(const struct lmn_site *s)
+bool lmn_site_end(const struct lmn_site *site)
 {
-    char *path = lmn_site_path(s, "supervisor", ".lock");
+    char *path = lmn_site_path(site, "supervisor", ".lock");
     bool ok = true;
 
     if (lmn_lock_signal(path, SIGTERM) && !lmn_lock_wait(path, 5 * END_S))
         ok = lmn_lock_signal(path, SIGKILL) && lmn_lock_wait(path, END_S);
     g_free(path);
-    return end_all(s) && ok;
+    return end_all(site) && ok;
 }
 
-int lmn_site_run(struct lmn_site *s)
+int lmn_site_run(struct lmn_site *site)
 {
     static struct watched v[LMN_SITE_PROCESSES];
-    char *path = lmn_site_path(s, "supervisor", ".lock"), err[512];
+    char *path = lmn_site_path(site, "supervisor", ".lock"), err[512];
     struct sigaction on = {.sa_handler = on_stop};
     pid_t other;
 
-    if (lmn_site_write(s, err, sizeof err) != 0) {
+    if (lmn_site_write(site, err, sizeof err) != 0) {
         lmn_error("settings-unwritten why=\"%s\"", err);
         return 1;
     }
@@ -237,17 +237,17 @@
     sigaction(SIGTERM, &on, NULL);
     sigaction(SIGINT, &on, NULL);
     signal(SIGHUP, SIG_IGN);
-    lmn_info("supervisor-start site=%s processes=%u", s->name, s->nprocesses);
-    for (unsigned i = 0; i < s->nprocesses; i++)
-        v[i].p = &s->processes[i];
+    lmn_info("supervisor-start site=%s processes=%u", site->name, site->nprocesses);
+    for (unsigned i = 0; i < site->nprocesses; i++)
+        v[i].p = &site->processes[i];
     while (!stopping) {
         bool any = false;
-        reap(v, s->nprocesses);
-        for (unsigned i = 0; i < s->nprocesses; i++)
-            any = look_after(s, &v[i]) || any;
-        write_status(s, v, s->nprocesses);
+        reap(v, site->nprocesses);
+        for (unsigned i = 0; i < site->nprocesses; i++)
+            any = look_after(site, &v[i]) || any;
+        write_status(site, v, site->nprocesses);
         lmn_sleep(any ? 0.05 : 0.2);
     }
     lmn_info("supervisor-stop");
-    return end_all(s) ? 0 : 1;
+    return end_all(site) ? 0 : 1;
 }
--- a/src/state/failures.c
+++ b/src/state/failures.c
@@ -14,89 +14,89 @@
  * does, three times. */
 static const double GUILTY = 1.5, UNPROVEN = 0.5;
 
-static void forget(struct lmn_job_failures *b)
+static void forget(struct lmn_job_failures *failures)
 {
-    b->places = b->rounds = 0;
-    b->hold = b->round = (struct timespec){0, 0};
+    failures->places = failures->rounds = 0;
+    failures->hold = failures->round = (struct timespec){0, 0};
 }
 
-static bool known(const struct lmn_job_failures *b, guint machine)
+static bool known(const struct lmn_job_failures *failures, guint machine)
 {
-    for (unsigned i = 0; i < b->places; i++)
-        if (b->on[i] == machine)
+    for (unsigned i = 0; i < failures->places; i++)
+        if (failures->on[i] == machine)
             return true;
     return false;
 }
 
-static void note(struct lmn_job_failures *b, guint machine, struct timespec now)
+static void note(struct lmn_job_failures *failures, guint machine, struct timespec now)
 {
-    if (b->places && lmn_time_diff_s(now, b->failed) > FORGET_S)
-        forget(b);
-    b->failed = now;
-    if (!known(b, machine) && b->places < LMN_MAX_FAILURE_MACHINES)
-        b->on[b->places++] = machine;
+    if (failures->places && lmn_time_diff_s(now, failures->failed) > FORGET_S)
+        forget(failures);
+    failures->failed = now;
+    if (!known(failures, machine) && failures->places < LMN_MAX_FAILURE_MACHINES)
+        failures->on[failures->places++] = machine;
 }
 
-bool lmn_job_is_faulty(const struct lmn_job_failures *b)
+bool lmn_job_is_faulty(const struct lmn_job_failures *failures)
 {
-    return b->places >= (b->proven ? TOO_MANY_PROVEN : TOO_MANY);
+    return failures->places >= (failures->proven ? TOO_MANY_PROVEN : TOO_MANY);
 }
 
-static double pause_s(const struct lmn_job_failures *b)
+static double pause_s(const struct lmn_job_failures *failures)
 {
-    double doubled = (double)(1u << MIN(b->rounds, 6u));
+    double doubled = (double)(1u << MIN(failures->rounds, 6u));
 
-    return lmn_job_is_faulty(b) ? MIN(ACCUSED_FIRST_S * doubled, ACCUSED_MOST_S)
-                                : MIN(FIRST_S * doubled, MOST_S);
+    return lmn_job_is_faulty(failures) ? MIN(ACCUSED_FIRST_S * doubled, ACCUSED_MOST_S)
+                                       : MIN(FIRST_S * doubled, MOST_S);
 }
 
-void lmn_job_record_failure(struct lmn_job_failures *b, guint machine,
+void lmn_job_record_failure(struct lmn_job_failures *failures, guint machine,
                             struct timespec started, struct timespec now)
 {
-    note(b, machine, now);
+    note(failures, machine, now);
     /* The tasks of a large job fail by the dozen: once each of them doubled the pause,
      * and a job whose first machine was faulty waited for a minute. */
-    if (!b->round.tv_sec || lmn_time_before(b->round, started)) {
-        b->rounds++;
-        b->round = now;
+    if (!failures->round.tv_sec || lmn_time_before(failures->round, started)) {
+        failures->rounds++;
+        failures->round = now;
     }
-    struct timespec hold = lmn_time_add(now, pause_s(b));
-    if (lmn_time_before(b->hold, hold))
-        b->hold = hold;
+    struct timespec hold = lmn_time_add(now, pause_s(failures));
+    if (lmn_time_before(failures->hold, hold))
+        failures->hold = hold;
 }
 
-void lmn_job_record_inherited_failure(struct lmn_job_failures *b, guint machine,
+void lmn_job_record_inherited_failure(struct lmn_job_failures *failures, guint machine,
                                       struct timespec now)
 {
-    note(b, machine, now);
-    if (lmn_job_is_faulty(b) && !b->rounds) {
-        b->rounds = 1;
-        b->round = now;
-        b->hold = lmn_time_add(now, pause_s(b));
+    note(failures, machine, now);
+    if (lmn_job_is_faulty(failures) && !failures->rounds) {
+        failures->rounds = 1;
+        failures->round = now;
+        failures->hold = lmn_time_add(now, pause_s(failures));
     }
 }
 
-void lmn_job_record_success(struct lmn_job_failures *b)
+void lmn_job_record_success(struct lmn_job_failures *failures)
 {
-    b->proven = true;
-    forget(b);
+    failures->proven = true;
+    forget(failures);
 }
 
-void lmn_job_record_retry(struct lmn_job_failures *b, struct timespec now)
+void lmn_job_record_retry(struct lmn_job_failures *failures, struct timespec now)
 {
-    b->hold = lmn_time_add(now, pause_s(b));
+    failures->hold = lmn_time_add(now, pause_s(failures));
 }
 
-double lmn_failure_weight(const struct lmn_job_failures *b, guint machine, unsigned times,
-                          struct timespec last, struct timespec now)
+double lmn_failure_weight(const struct lmn_job_failures *failures, guint machine,
+                          unsigned times, struct timespec last, struct timespec now)
 {
-    unsigned others = b->places - known(b, machine);
+    unsigned others = failures->places - known(failures, machine);
     double fades = exp2(-lmn_time_diff_s(now, last) / HALF_S);
 
     /* Whoever fails elsewhere, too, accuses itself. */
-    if (!times || others >= 2 || lmn_job_is_faulty(b))
+    if (!times || others >= 2 || lmn_job_is_faulty(failures))
         return 0;
-    double weight = b->proven ? times >= 3 ? GUILTY : 1 : UNPROVEN;
+    double weight = failures->proven ? times >= 3 ? GUILTY : 1 : UNPROVEN;
     return fades * weight / (1 + others);
 }
 
--- a/src/state/failures.h
+++ b/src/state/failures.h
@@ -24,24 +24,24 @@
 };
 
 /* A task of the job, started at that time, has failed on that machine. */
-void lmn_job_record_failure(struct lmn_job_failures *b, guint machine,
+void lmn_job_record_failure(struct lmn_job_failures *failures, guint machine,
                             struct timespec started, struct timespec now);
 /* A predecessor has kept such a failure in the machine's reports: it had accused the job
  * (lmn_job_is_faulty). Counts once a machine. */
-void lmn_job_record_inherited_failure(struct lmn_job_failures *b, guint machine,
+void lmn_job_record_inherited_failure(struct lmn_job_failures *failures, guint machine,
                                       struct timespec now);
-void lmn_job_record_success(struct lmn_job_failures *b);
+void lmn_job_record_success(struct lmn_job_failures *failures);
 /* Whether the job itself is at fault, as far as known: it has failed on so many machines
  * that they can't all be. Then it is tried with one task at a time, and says nothing
  * against machines. */
-bool lmn_job_is_faulty(const struct lmn_job_failures *b);
+bool lmn_job_is_faulty(const struct lmn_job_failures *failures);
 /* An accused job is tried once more: the next try waits. */
-void lmn_job_record_retry(struct lmn_job_failures *b, struct timespec now);
+void lmn_job_record_retry(struct lmn_job_failures *failures, struct timespec now);
 
 /* What failures of a job on a machine, so many times since anything succeeded there, and
  * the last at that time, say against the machine. */
-double lmn_failure_weight(const struct lmn_job_failures *b, guint machine, unsigned times,
-                          struct timespec last, struct timespec now);
+double lmn_failure_weight(const struct lmn_job_failures *failures, guint machine,
+                          unsigned times, struct timespec last, struct timespec now);
 /* Whether testimonies that add up to so much are enough to leave the machine. */
 bool lmn_machine_is_faulty(double sum);
 /* Seconds for which a machine starts nothing after a failure, with so much against it. */
--- a/src/state/records.h
+++ b/src/state/records.h
@@ -5,12 +5,12 @@
 
 #include "state/model.h"
 
-GByteArray *lmn_job_record(const struct lmn_job_spec *s, enum lmn_job_phase phase,
+GByteArray *lmn_job_record(const struct lmn_job_spec *spec, enum lmn_job_phase phase,
                            uint32_t open, double at);
 /* Reads a job's record; -1 if it is none. The spec is the caller's to clear. */
 int lmn_job_read(const struct lmn_cbor_document *doc, const struct lmn_cbor_value *value,
-                 struct lmn_job_spec *s, enum lmn_job_phase *phase, uint32_t *open,
+                 struct lmn_job_spec *spec, enum lmn_job_phase *phase, uint32_t *open,
                  double *at);
-GByteArray *lmn_range_record(const struct lmn_range *r, const uint8_t *done);
+GByteArray *lmn_range_record(const struct lmn_range *range, const uint8_t *done);
 
 #endif
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -9,65 +9,65 @@
 /* So many go together: to see what machines refer to takes a look at all of them. */
 enum { TOGETHER = 1000 };
 
-void lmn_retention_add(struct lmn_core *c, struct lmn_job *j, struct timespec now)
+void lmn_retention_add(struct lmn_core *core, struct lmn_job *job, struct timespec now)
 {
-    j->final_at = now;
-    g_queue_push_tail(&c->final_jobs, j);
+    job->final_at = now;
+    g_queue_push_tail(&core->final_jobs, job);
 }
 
 /* The jobs that attempts and blamed machines point at. */
-static GHashTable *referred(const struct lmn_core *c)
+static GHashTable *referred(const struct lmn_core *core)
 {
     GHashTable *set = g_hash_table_new(g_direct_hash, g_direct_equal);
 
-    for (int i = 0; i < c->nparts; i++) {
+    for (int i = 0; i < core->nparts; i++) {
         GHashTableIter it;
         gpointer v;
-        g_hash_table_iter_init(&it, c->parts[i].machines);
+        g_hash_table_iter_init(&it, core->parts[i].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            const struct lmn_machine *m = v;
-            for (guint k = 0; k < m->attempts->len; k++)
-                g_hash_table_add(set,
-                                 g_array_index(m->attempts, struct lmn_attempt, k).job);
-            for (guint k = 0; k < m->accusers->len; k++)
+            const struct lmn_machine *machine = v;
+            for (guint k = 0; k < machine->attempts->len; k++)
                 g_hash_table_add(
-                    set, g_array_index(m->accusers, struct lmn_failing_job, k).job);
+                    set, g_array_index(machine->attempts, struct lmn_attempt, k).job);
+            for (guint k = 0; k < machine->accusers->len; k++)
+                g_hash_table_add(
+                    set, g_array_index(machine->accusers, struct lmn_failing_job, k).job);
         }
     }
     return set;
 }
 
-static void free_job(struct lmn_core *c, struct lmn_job *j)
+static void free_job(struct lmn_core *core, struct lmn_job *job)
 {
-    g_hash_table_remove(c->jobs, j->spec.ref);
-    lmn_job_free(j);
+    g_hash_table_remove(core->jobs, job->spec.ref);
+    lmn_job_free(job);
 }
 
-guint lmn_retention_evict(struct lmn_core *c, struct timespec now)
+guint lmn_retention_evict(struct lmn_core *core, struct timespec now)
 {
-    const struct lmn_job *oldest = g_queue_peek_head(&c->final_jobs);
+    const struct lmn_job *oldest = g_queue_peek_head(&core->final_jobs);
     guint gone = 0;
 
-    if (c->final_jobs.length < c->retained_most + TOGETHER || !oldest ||
+    if (core->final_jobs.length < core->retained_most + TOGETHER || !oldest ||
         lmn_time_diff_s(now, oldest->final_at) < OLD_S)
         return 0;
-    GHashTable *set = referred(c);
-    guint most = c->final_jobs.length - c->retained_most;
+    GHashTable *set = referred(core);
+    guint most = core->final_jobs.length - core->retained_most;
     for (guint i = 0; i < most; i++) {
-        struct lmn_job *j = g_queue_peek_head(&c->final_jobs);
-        if (lmn_time_diff_s(now, j->final_at) < OLD_S)
+        struct lmn_job *job = g_queue_peek_head(&core->final_jobs);
+        if (lmn_time_diff_s(now, job->final_at) < OLD_S)
             break;
-        g_queue_pop_head(&c->final_jobs);
-        if (j->ranges->len || g_hash_table_contains(set, j)) {
-            j->final_at = now; /* looked at again, with those that come now */
-            g_queue_push_tail(&c->final_jobs, j);
+        g_queue_pop_head(&core->final_jobs);
+        if (job->ranges->len || g_hash_table_contains(set, job)) {
+            job->final_at = now; /* looked at again, with those that come now */
+            g_queue_push_tail(&core->final_jobs, job);
             continue;
         }
-        free_job(c, j);
+        free_job(core, job);
         gone++;
     }
     g_hash_table_destroy(set);
     if (gone)
-        lmn_info("final-jobs-evicted jobs=%u kept=%u", gone, c->final_jobs.length);
+        lmn_info("final-jobs-evicted jobs=%u kept=%u", gone, core->final_jobs.length);
     return gone;
 }
--- a/src/state/retention.h
+++ b/src/state/retention.h
@@ -7,8 +7,8 @@
 #include "state/model.h"
 
 /* The job has just become final, as the mirror shows it. */
-void lmn_retention_add(struct lmn_core *c, struct lmn_job *j, struct timespec now);
+void lmn_retention_add(struct lmn_core *core, struct lmn_job *job, struct timespec now);
 /* Lets go what can go, once enough has come together; how many went. */
-guint lmn_retention_evict(struct lmn_core *c, struct timespec now);
+guint lmn_retention_evict(struct lmn_core *core, struct timespec now);
 
 #endif
--- a/src/state/tombstone.c
+++ b/src/state/tombstone.c
@@ -2,25 +2,28 @@
 
 #include <glib.h>
 
-void lmn_tombstone_add(struct lmn_tombstones *t, const char *ref)
+void lmn_tombstone_add(struct lmn_tombstones *tombstones, const char *ref)
 {
-    g_strlcpy(t->ref[t->n++ % LMN_MAX_TOMBSTONES], ref, LMN_JOB_ID_SIZE);
+    g_strlcpy(tombstones->ref[tombstones->n++ % LMN_MAX_TOMBSTONES], ref,
+              LMN_JOB_ID_SIZE);
 }
 
-unsigned lmn_tombstones_pending(const struct lmn_tombstones *t, int rank,
+unsigned lmn_tombstones_pending(const struct lmn_tombstones *tombstones, int member_index,
                                 const char **refs, unsigned most, uint64_t *upto)
 {
-    uint64_t oldest = t->n > LMN_MAX_TOMBSTONES ? t->n - LMN_MAX_TOMBSTONES : 0;
-    uint64_t from = MAX(t->taken[rank], oldest);
-    unsigned n = (unsigned)MIN(t->n - from, most);
+    uint64_t oldest =
+        tombstones->n > LMN_MAX_TOMBSTONES ? tombstones->n - LMN_MAX_TOMBSTONES : 0;
+    uint64_t from = MAX(tombstones->taken[member_index], oldest);
+    unsigned n = (unsigned)MIN(tombstones->n - from, most);
 
     for (unsigned i = 0; i < n; i++)
-        refs[i] = t->ref[(from + i) % LMN_MAX_TOMBSTONES];
+        refs[i] = tombstones->ref[(from + i) % LMN_MAX_TOMBSTONES];
     *upto = from + n;
     return n;
 }
 
-void lmn_tombstones_acknowledge(struct lmn_tombstones *t, int rank, uint64_t upto)
+void lmn_tombstones_acknowledge(struct lmn_tombstones *tombstones, int member_index,
+                                uint64_t upto)
 {
-    t->taken[rank] = MAX(t->taken[rank], upto);
+    tombstones->taken[member_index] = MAX(tombstones->taken[member_index], upto);
 }
--- a/src/state/tombstone.h
+++ b/src/state/tombstone.h
@@ -27,10 +27,11 @@
     uint64_t taken[LMN_MAX_PARTITIONS]; /* by rank: all before this one */
 };
 
-void lmn_tombstone_add(struct lmn_tombstones *t, const char *ref);
+void lmn_tombstone_add(struct lmn_tombstones *tombstones, const char *ref);
 /* The oldest that the member has not taken, at most `most` of them; returns how many, and
  * in *upto what to say to lmn_tombstones_acknowledge once it has. */
-unsigned lmn_tombstones_pending(const struct lmn_tombstones *t, int rank,
+unsigned lmn_tombstones_pending(const struct lmn_tombstones *tombstones, int member_index,
                                 const char **refs, unsigned most, uint64_t *upto);
-void lmn_tombstones_acknowledge(struct lmn_tombstones *t, int rank, uint64_t upto);
+void lmn_tombstones_acknowledge(struct lmn_tombstones *tombstones, int member_index,
+                                uint64_t upto);
 #endif
