--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -27,427 +27,449 @@
 }
 
 /* Keeps what the team's active jobs ask for; by: 1 as a job comes, -1 as it ends. */
-static void ask_for(struct lmn_core *c, const struct lmn_job *j, int by)
+static void ask_for(struct lmn_core *core, const struct lmn_job *job, int by)
 {
-    if (j->team < 0)
+    if (job->team < 0)
         return;
-    c->asked_cpus[j->team] += by * j->spec.cpus * j->spec.tasks;
-    c->asked_gpus[j->team] += by * j->spec.gpus * j->spec.tasks;
+    core->asked_cpus[job->team] += by * job->spec.cpus * job->spec.tasks;
+    core->asked_gpus[job->team] += by * job->spec.gpus * job->spec.tasks;
 }
 
 /* Whether the job, which has just come, fits into its team's guarantee with all before
  * it. */
-static bool in_guarantee(const struct lmn_core *c, const struct lmn_job *j)
+static bool in_guarantee(const struct lmn_core *core, const struct lmn_job *job)
 {
-    if (j->team < 0)
+    if (job->team < 0)
         return false;
-    const struct lmn_team *t = &c->cfg->teams[j->team];
-    return t->cpus + t->gpus > 0 &&
-           (j->spec.cpus <= 0 || c->asked_cpus[j->team] <= t->cpus + 1e-6) &&
-           (j->spec.gpus <= 0 || c->asked_gpus[j->team] <= t->gpus + 1e-6);
+    const struct lmn_team *team = &core->cfg->teams[job->team];
+    return team->cpus + team->gpus > 0 &&
+           (job->spec.cpus <= 0 || core->asked_cpus[job->team] <= team->cpus + 1e-6) &&
+           (job->spec.gpus <= 0 || core->asked_gpus[job->team] <= team->gpus + 1e-6);
 }
 
 /* While everything is read: final jobs beyond those that are kept are passed over, unless
  * there are ranges of theirs. */
-static bool passed_over(struct lmn_core *c, const char *ref, enum lmn_job_phase phase)
+static bool passed_over(struct lmn_core *core, const char *ref, enum lmn_job_phase phase)
 {
-    if (!c->reading || phase == LMN_JOB_ACTIVE || c->final_jobs.length < c->retained_most)
+    if (!core->reading || phase == LMN_JOB_ACTIVE ||
+        core->final_jobs.length < core->retained_most)
         return false;
-    if (c->needed)
-        return !g_hash_table_contains(c->needed, ref);
-    c->crowded = true; /* read_all begins again, and finds out first which are needed */
+    if (core->needed)
+        return !g_hash_table_contains(core->needed, ref);
+    core->crowded =
+        true; /* read_all begins again, and finds out first which are needed */
     return true;
 }
 
-static void apply_job(struct lmn_core *c, const char *ref,
-                      const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                      uint64_t rev, struct timespec now)
+static void apply_job(struct lmn_core *core, const char *ref,
+                      const struct lmn_cbor_document *document,
+                      const struct lmn_cbor_value *value, uint64_t revision,
+                      struct timespec now)
 {
     struct lmn_job_spec spec;
     enum lmn_job_phase phase;
     uint32_t open;
     double at;
 
-    if (!v)
+    if (!value)
         return; /* jobs are kept for ever */
-    struct lmn_job *j = g_hash_table_lookup(c->jobs, ref);
-    if (j && j->rev >= rev) {
-        j->gen = c->gen;
+    struct lmn_job *job = g_hash_table_lookup(core->jobs, ref);
+    if (job && job->rev >= revision) {
+        job->gen = core->gen;
         return;
     }
-    if (lmn_job_read(d, v, &spec, &phase, &open, &at) != 0) {
+    if (lmn_job_read(document, value, &spec, &phase, &open, &at) != 0) {
         lmn_error("unreadable-record key=j/%s", ref);
         lmn_job_spec_clear(&spec);
         return;
     }
-    if (!j && passed_over(c, ref, phase)) {
+    if (!job && passed_over(core, ref, phase)) {
         lmn_job_spec_clear(&spec);
         return;
     }
-    if (!j) {
-        j = g_new0(struct lmn_job, 1);
-        j->spec = spec;
-        j->at = at;
-        j->ranges = g_ptr_array_new();
-        j->image = g_intern_string(j->spec.image);
-        j->cls = g_intern_string(j->spec.class_name);
-        j->team = team_index(c->cfg, j->spec.team);
-        g_hash_table_insert(c->jobs, j->spec.ref, j);
+    if (!job) {
+        job = g_new0(struct lmn_job, 1);
+        job->spec = spec;
+        job->at = at;
+        job->ranges = g_ptr_array_new();
+        job->image = g_intern_string(job->spec.image);
+        job->cls = g_intern_string(job->spec.class_name);
+        job->team = team_index(core->cfg, job->spec.team);
+        g_hash_table_insert(core->jobs, job->spec.ref, job);
         lmn_debug("job-known job=%s class=%s tasks=%u cpus=%.1f estimate=%.1f "
                   "deadline=%.1f image=%s",
-                  ref, j->spec.class_name, j->spec.tasks, j->spec.cpus,
-                  j->spec.estimate_s, j->spec.deadline_s, j->spec.image);
+                  ref, job->spec.class_name, job->spec.tasks, job->spec.cpus,
+                  job->spec.estimate_s, job->spec.deadline_s, job->spec.image);
     } else {
         lmn_job_spec_clear(&spec); /* a job's description never changes */
     }
-    if (!j->rev && phase == LMN_JOB_ACTIVE) {
-        ask_for(c, j, 1);
-        j->guaranteed = in_guarantee(c, j);
-    } else if (j->phase == LMN_JOB_ACTIVE && phase != LMN_JOB_ACTIVE && j->rev) {
-        ask_for(c, j, -1);
+    if (!job->rev && phase == LMN_JOB_ACTIVE) {
+        ask_for(core, job, 1);
+        job->guaranteed = in_guarantee(core, job);
+    } else if (job->phase == LMN_JOB_ACTIVE && phase != LMN_JOB_ACTIVE && job->rev) {
+        ask_for(core, job, -1);
     }
-    if (phase != j->phase)
+    if (phase != job->phase)
         lmn_debug("job-final job=%s phase=%d after=%.1f", ref, phase,
-                  lmn_time_seconds(lmn_wall_clock_now()) - j->at);
-    if (phase != LMN_JOB_ACTIVE && (j->phase == LMN_JOB_ACTIVE || !j->rev))
-        lmn_retention_add(c, j, now);
-    j->phase = phase;
-    j->open = open;
-    j->rev = rev;
-    j->gen = c->gen;
+                  lmn_time_seconds(lmn_wall_clock_now()) - job->at);
+    if (phase != LMN_JOB_ACTIVE && (job->phase == LMN_JOB_ACTIVE || !job->rev))
+        lmn_retention_add(core, job, now);
+    job->phase = phase;
+    job->open = open;
+    job->rev = revision;
+    job->gen = core->gen;
 }
 
-static void remove_range(struct lmn_core *c, struct lmn_range *r)
+static void remove_range(struct lmn_core *core, struct lmn_range *range)
 {
-    c->owner->range_forget(c, r);
-    g_hash_table_remove(r->part->ranges, r->key);
+    core->owner->range_forget(core, range);
+    g_hash_table_remove(range->part->ranges, range->key);
 }
 
-static void apply_range(struct lmn_core *c, const char *key, struct lmn_partition *p,
-                        const char *rest, const struct lmn_cbor_document *d,
-                        const struct lmn_cbor_value *v, uint64_t rev, struct timespec now)
+static void apply_range(struct lmn_core *core, const char *key,
+                        struct lmn_partition *partition, const char *rest,
+                        const struct lmn_cbor_document *document,
+                        const struct lmn_cbor_value *value, uint64_t revision,
+                        struct timespec now)
 {
-    struct lmn_range *r = g_hash_table_lookup(p->ranges, key);
+    struct lmn_range *range = g_hash_table_lookup(partition->ranges, key);
     const char *slash = strchr(rest, '/');
     char ref[LMN_JOB_ID_SIZE];
     uint64_t hi;
 
-    if (!v) {
-        if (r && r->rev < rev)
-            remove_range(c, r);
+    if (!value) {
+        if (range && range->rev < revision)
+            remove_range(core, range);
         return;
     }
-    if (r && r->rev >= rev) {
-        r->gen = c->gen;
+    if (range && range->rev >= revision) {
+        range->gen = core->gen;
         return;
     }
     if (!slash || (size_t)(slash - rest) >= sizeof ref ||
-        !lmn_cbor_get_uint(lmn_cbor_get(d, v, "hi"), &hi))
+        !lmn_cbor_get_uint(lmn_cbor_get(document, value, "hi"), &hi))
         return;
     g_strlcpy(ref, rest, (gsize)(slash - rest) + 1);
     uint32_t lo = (uint32_t)strtoul(slash + 1, NULL, 10);
-    struct lmn_job *j = g_hash_table_lookup(c->jobs, ref);
-    if (!j && c->needed)
-        c->reread = true; /* it became final between the two readings */
-    if (!j || hi <= lo || hi > j->spec.tasks) {
+    struct lmn_job *job = g_hash_table_lookup(core->jobs, ref);
+    if (!job && core->needed)
+        core->reread = true; /* it became final between the two readings */
+    if (!job || hi <= lo || hi > job->spec.tasks) {
         lmn_error("unreadable-record key=%s", key);
         return;
     }
-    bool fresh = !r;
-    if (!r) {
-        r = g_new0(struct lmn_range, 1);
-        r->key = g_strdup(key);
-        r->job = j;
-        r->part = p;
-        r->lo = lo;
-        r->hi = (uint32_t)hi;
-        r->done = g_malloc0((r->hi - r->lo + 7) / 8);
-        r->move_to = -1;
-        r->born = rev;
-        g_hash_table_insert(p->ranges, r->key, r);
-        g_ptr_array_add(j->ranges, r);
+    bool fresh = !range;
+    if (!range) {
+        range = g_new0(struct lmn_range, 1);
+        range->key = g_strdup(key);
+        range->job = job;
+        range->part = partition;
+        range->lo = lo;
+        range->hi = (uint32_t)hi;
+        range->done = g_malloc0((range->hi - range->lo + 7) / 8);
+        range->move_to = -1;
+        range->born = revision;
+        g_hash_table_insert(partition->ranges, range->key, range);
+        g_ptr_array_add(job->ranges, range);
     }
-    if (hi < r->hi)
-        c->owner->range_cut(c, r, (uint32_t)hi);
-    if (lmn_bitset_read(lmn_cbor_get(d, v, "done"), r->done, r->hi - r->lo) != 0)
+    if (hi < range->hi)
+        core->owner->range_cut(core, range, (uint32_t)hi);
+    if (lmn_bitset_read(lmn_cbor_get(document, value, "done"), range->done,
+                        range->hi - range->lo) != 0)
         lmn_error("unreadable-record key=%s", key);
-    r->ndone = lmn_bitset_count(r->done, r->hi - r->lo);
-    r->rev = rev;
-    r->gen = c->gen;
-    if (r->writing && r->written && rev >= r->written)
-        r->writing = false;
+    range->ndone = lmn_bitset_count(range->done, range->hi - range->lo);
+    range->rev = revision;
+    range->gen = core->gen;
+    if (range->writing && range->written && revision >= range->written)
+        range->writing = false;
     /* The range has changed by another write than the move: that one can't be applied any
      * more. */
-    if (r->move_to >= 0 && r->st && rev > r->move_rev && r->move_rev)
-        c->owner->move_undo(c, r, now);
-    if (fresh && p->mine)
-        c->owner->range_born(c, r, now);
+    if (range->move_to >= 0 && range->st && revision > range->move_rev && range->move_rev)
+        core->owner->move_undo(core, range, now);
+    if (fresh && partition->mine)
+        core->owner->range_born(core, range, now);
 }
 
 /* Who loses a partition has failed, unless it held the partition for another, who has it
  * back. */
-static void note_loss(struct lmn_core *c, const struct lmn_partition *p, const char *to,
-                      struct timespec now)
+static void note_loss(struct lmn_core *core, const struct lmn_partition *partition,
+                      const char *to, struct timespec now)
 {
-    int from = *p->owner ? lmn_member_index(&c->members, p->owner) : -1;
+    int from =
+        *partition->owner ? lmn_member_index(&core->members, partition->owner) : -1;
 
     /* Nor has one that gives its partitions away since it is asked to end. */
-    if (from < 0 || !strcmp(p->owner, to) || c->members.v[from].leaving ||
-        (*to && lmn_member_index(&c->members, to) == p->id % c->members.n))
+    if (from < 0 || !strcmp(partition->owner, to) || core->members.v[from].leaving ||
+        (*to && lmn_member_index(&core->members, to) == partition->id % core->members.n))
         return;
-    lmn_member_record_failure(&c->members, from, now);
+    lmn_member_record_failure(&core->members, from, now);
 }
 
-static void apply_owner(struct lmn_core *c, struct lmn_partition *p,
-                        const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                        uint64_t rev, struct timespec now)
+static void apply_owner(struct lmn_core *core, struct lmn_partition *partition,
+                        const struct lmn_cbor_document *document,
+                        const struct lmn_cbor_value *value, uint64_t revision,
+                        struct timespec now)
 {
     char owner[LMN_NAME_SIZE] = "";
-    uint64_t lease = 0, term = 0, stream = 0;
+    uint64_t lease = 0, epoch = 0, stream = 0;
 
-    p->owner_gen = c->gen;
-    if (p->owner_rev >= rev)
+    partition->owner_gen = core->gen;
+    if (partition->owner_rev >= revision)
         return;
-    if (v) {
-        lmn_cbor_get_text(lmn_cbor_get(d, v, "node"), owner, sizeof owner);
-        lmn_cbor_get_uint(lmn_cbor_get(d, v, "lease"), &lease);
-        lmn_cbor_get_uint(lmn_cbor_get(d, v, "term"), &term);
-        lmn_cbor_get_uint(lmn_cbor_get(d, v, "stream"), &stream);
+    if (value) {
+        lmn_cbor_get_text(lmn_cbor_get(document, value, "node"), owner, sizeof owner);
+        lmn_cbor_get_uint(lmn_cbor_get(document, value, "lease"), &lease);
+        lmn_cbor_get_uint(lmn_cbor_get(document, value, "term"), &epoch);
+        lmn_cbor_get_uint(lmn_cbor_get(document, value, "stream"), &stream);
     }
-    if (p->mine)
-        c->owner->partition_lose(c, p, v ? "taken" : "owner key gone");
-    note_loss(c, p, owner, now);
-    if (!v && p->owner_rev)
-        g_strlcpy(p->last_owner, p->owner, sizeof p->last_owner);
-    g_strlcpy(p->owner, owner, sizeof p->owner);
-    p->owner_lease = lease;
-    p->owner_term = term;
-    p->owner_stream = stream;
-    p->owner_rev = v ? rev : 0;
-    if (!v)
-        p->vacant = now;
-    pthread_cond_broadcast(&c->changed);
+    if (partition->mine)
+        core->owner->partition_lose(core, partition, value ? "taken" : "owner key gone");
+    note_loss(core, partition, owner, now);
+    if (!value && partition->owner_rev)
+        g_strlcpy(partition->last_owner, partition->owner, sizeof partition->last_owner);
+    g_strlcpy(partition->owner, owner, sizeof partition->owner);
+    partition->owner_lease = lease;
+    partition->owner_term = epoch;
+    partition->owner_stream = stream;
+    partition->owner_rev = value ? revision : 0;
+    if (!value)
+        partition->vacant = now;
+    pthread_cond_broadcast(&core->changed);
 }
 
-static void apply_standby(struct lmn_core *c, struct lmn_partition *p,
-                          const struct lmn_cbor_document *d,
-                          const struct lmn_cbor_value *v, uint64_t rev)
+static void apply_standby(struct lmn_core *core, struct lmn_partition *partition,
+                          const struct lmn_cbor_document *document,
+                          const struct lmn_cbor_value *value, uint64_t revision)
 {
-    if (p->standby_rev >= rev)
+    if (partition->standby_rev >= revision)
         return;
-    p->standby[0] = '\0';
-    p->standby_lease = p->standby_stream = p->standby_term = 0;
-    p->standby_rev = rev;
-    if (v) {
-        lmn_cbor_get_text(lmn_cbor_get(d, v, "node"), p->standby, sizeof p->standby);
-        lmn_cbor_get_uint(lmn_cbor_get(d, v, "lease"), &p->standby_lease);
-        lmn_cbor_get_uint(lmn_cbor_get(d, v, "stream"), &p->standby_stream);
-        lmn_cbor_get_uint(lmn_cbor_get(d, v, "term"), &p->standby_term);
+    partition->standby[0] = '\0';
+    partition->standby_lease = partition->standby_stream = partition->standby_term = 0;
+    partition->standby_rev = revision;
+    if (value) {
+        lmn_cbor_get_text(lmn_cbor_get(document, value, "node"), partition->standby,
+                          sizeof partition->standby);
+        lmn_cbor_get_uint(lmn_cbor_get(document, value, "lease"),
+                          &partition->standby_lease);
+        lmn_cbor_get_uint(lmn_cbor_get(document, value, "stream"),
+                          &partition->standby_stream);
+        lmn_cbor_get_uint(lmn_cbor_get(document, value, "term"),
+                          &partition->standby_term);
     }
-    pthread_cond_signal(&p->following);
-    pthread_cond_broadcast(&c->changed);
+    pthread_cond_signal(&partition->following);
+    pthread_cond_broadcast(&core->changed);
 }
 
-static void apply_node(struct lmn_core *c, const char *name,
-                       const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                       uint64_t rev, struct timespec now)
+static void apply_node(struct lmn_core *core, const char *name,
+                       const struct lmn_cbor_document *document,
+                       const struct lmn_cbor_value *value, uint64_t revision,
+                       struct timespec now)
 {
-    int rank = lmn_member_index(&c->members, name);
+    int member_index = lmn_member_index(&core->members, name);
     bool leaving = false;
     uint64_t lease = 0;
 
-    if (rank < 0)
+    if (member_index < 0)
         return;
-    struct lmn_member_view *m = &c->members.v[rank];
-    m->gen = c->gen;
-    if (m->rev >= rev)
+    struct lmn_member_view *member = &core->members.v[member_index];
+    member->gen = core->gen;
+    if (member->rev >= revision)
         return;
-    m->rev = rev;
+    member->rev = revision;
     /* Its lease; or, with that, that it is about to end. */
-    if (v && v->type == LMN_CBOR_MAP) {
-        lmn_cbor_get_uint(lmn_cbor_get(d, v, "lease"), &lease);
-        lmn_cbor_get_bool(lmn_cbor_get(d, v, "leaving"), &leaving);
-    } else if (v) {
-        lmn_cbor_get_uint(v, &lease);
+    if (value && value->type == LMN_CBOR_MAP) {
+        lmn_cbor_get_uint(lmn_cbor_get(document, value, "lease"), &lease);
+        lmn_cbor_get_bool(lmn_cbor_get(document, value, "leaving"), &leaving);
+    } else if (value) {
+        lmn_cbor_get_uint(value, &lease);
     }
-    if (leaving && !m->leaving)
-        lmn_info("member-leaving member=%s incarnation=%" G_GUINT64_FORMAT, name, rev);
-    m->leaving = leaving;
-    if (v && lmn_member_is_suspected(&c->members, rank))
+    if (leaving && !member->leaving)
+        lmn_info("member-leaving member=%s incarnation=%" G_GUINT64_FORMAT, name,
+                 revision);
+    member->leaving = leaving;
+    if (value && lmn_member_is_suspected(&core->members, member_index))
         lmn_info("member-refute member=%s incarnation=%" G_GUINT64_FORMAT
                  " was=%" G_GUINT64_FORMAT,
-                 name, rev, m->inc);
-    else if (v && !m->present && m->strikes)
+                 name, revision, member->inc);
+    else if (value && !member->present && member->strikes)
         lmn_info("member-back member=%s incarnation=%" G_GUINT64_FORMAT " failures=%u",
-                 name, rev, m->strikes);
-    else if (v && !m->present)
-        lmn_info("member-up member=%s incarnation=%" G_GUINT64_FORMAT, name, rev);
-    else if (!v && m->present)
-        lmn_info("member-gone member=%s incarnation=%" G_GUINT64_FORMAT, name, m->inc);
-    lmn_member_apply_record(&c->members, rank, v ? rev : 0, lease, now);
-    pthread_cond_broadcast(&c->changed);
+                 name, revision, member->strikes);
+    else if (value && !member->present)
+        lmn_info("member-up member=%s incarnation=%" G_GUINT64_FORMAT, name, revision);
+    else if (!value && member->present)
+        lmn_info("member-gone member=%s incarnation=%" G_GUINT64_FORMAT, name,
+                 member->inc);
+    lmn_member_apply_record(&core->members, member_index, value ? revision : 0, lease,
+                            now);
+    pthread_cond_broadcast(&core->changed);
 }
 
-static void apply_doubt(struct lmn_core *c, const char *name,
-                        const struct lmn_cbor_document *d, const struct lmn_cbor_value *v,
-                        uint64_t rev, struct timespec now)
+static void apply_doubt(struct lmn_core *core, const char *name,
+                        const struct lmn_cbor_document *document,
+                        const struct lmn_cbor_value *value, uint64_t revision,
+                        struct timespec now)
 {
-    int rank = lmn_member_index(&c->members, name);
+    int member_index = lmn_member_index(&core->members, name);
     char by[LMN_NAME_SIZE] = "";
     uint64_t inc = 0, why = 0;
 
-    if (rank < 0)
+    if (member_index < 0)
         return;
-    struct lmn_member_view *m = &c->members.v[rank];
-    m->doubt_gen = c->gen;
-    if (m->doubt_seen >= rev)
+    struct lmn_member_view *member = &core->members.v[member_index];
+    member->doubt_gen = core->gen;
+    if (member->doubt_seen >= revision)
         return;
-    m->doubt_seen = rev;
-    if (v) {
-        lmn_cbor_get_uint(lmn_cbor_get(d, v, "incarnation"), &inc);
-        lmn_cbor_get_uint(lmn_cbor_get(d, v, "why"), &why);
-        lmn_cbor_get_text(lmn_cbor_get(d, v, "by"), by, sizeof by);
+    member->doubt_seen = revision;
+    if (value) {
+        lmn_cbor_get_uint(lmn_cbor_get(document, value, "incarnation"), &inc);
+        lmn_cbor_get_uint(lmn_cbor_get(document, value, "why"), &why);
+        lmn_cbor_get_text(lmn_cbor_get(document, value, "by"), by, sizeof by);
     }
-    lmn_member_apply_suspicion(&c->members, rank, v ? rev : 0, inc, by,
-                               (enum lmn_suspicion_cause)MIN(why, LMN_SUSPICION_CAUSES),
-                               now);
-    if (lmn_member_is_suspected(&c->members, rank))
+    lmn_member_apply_suspicion(
+        &core->members, member_index, value ? revision : 0, inc, by,
+        (enum lmn_suspicion_cause)MIN(why, LMN_SUSPICION_CAUSES), now);
+    if (lmn_member_is_suspected(&core->members, member_index))
         lmn_info("member-suspected member=%s incarnation=%" G_GUINT64_FORMAT
                  " by=%s why=%s",
-                 name, inc, by, lmn_suspicion_cause_name(m->doubt_why));
-    pthread_cond_broadcast(&c->changed);
-    pthread_cond_broadcast(&c->asking);
+                 name, inc, by, lmn_suspicion_cause_name(member->doubt_why));
+    pthread_cond_broadcast(&core->changed);
+    pthread_cond_broadcast(&core->asking);
 }
 
-void lmn_watch_cache_apply(struct lmn_core *c, const char *key,
-                           const struct lmn_cbor_document *d,
-                           const struct lmn_cbor_value *v, uint64_t rev,
+void lmn_watch_cache_apply(struct lmn_core *core, const char *key,
+                           const struct lmn_cbor_document *document,
+                           const struct lmn_cbor_value *value, uint64_t revision,
                            struct timespec now)
 {
     char *rest;
 
     if (key[0] == 's' && key[1] == '\0') {
-        if (rev > c->tuning_rev) {
-            lmn_operator_settings_read(&c->tuning, d, v);
-            c->tuning_rev = rev;
+        if (revision > core->tuning_rev) {
+            lmn_operator_settings_read(&core->tuning, document, value);
+            core->tuning_rev = revision;
         }
         return;
     }
     if (!key[0] || key[1] != '/')
         return;
     if (key[0] == 'j') {
-        apply_job(c, key + 2, d, v, rev, now);
+        apply_job(core, key + 2, document, value, revision, now);
         return;
     }
     if (key[0] == 'q') {
-        c->owner->quota_apply(c, key, d, v, rev);
+        core->owner->quota_apply(core, key, document, value, revision);
         return;
     }
     if (key[0] == 'n') {
-        apply_node(c, key + 2, d, v, rev, now);
+        apply_node(core, key + 2, document, value, revision, now);
         return;
     }
     if (key[0] == 'u') {
-        apply_doubt(c, key + 2, d, v, rev, now);
+        apply_doubt(core, key + 2, document, value, revision, now);
         return;
     }
     unsigned long id = strtoul(key + 2, &rest, 10);
-    if (rest == key + 2 || id >= (unsigned long)c->nparts)
+    if (rest == key + 2 || id >= (unsigned long)core->nparts)
         return;
-    struct lmn_partition *p = &c->parts[id];
+    struct lmn_partition *partition = &core->parts[id];
     if (key[0] == 'o' && !*rest) {
-        apply_owner(c, p, d, v, rev, now);
+        apply_owner(core, partition, document, value, revision, now);
     } else if (key[0] == 'b' && !*rest) {
-        apply_standby(c, p, d, v, rev);
+        apply_standby(core, partition, document, value, revision);
     } else if (key[0] == 't' && !*rest) {
-        if (v && rev > p->term_rev && lmn_cbor_get_uint(v, &p->term))
-            p->term_rev = rev;
+        if (value && revision > partition->term_rev &&
+            lmn_cbor_get_uint(value, &partition->term))
+            partition->term_rev = revision;
     } else if (key[0] == 'r' && *rest == '/') {
-        apply_range(c, key, p, rest + 1, d, v, rev, now);
+        apply_range(core, key, partition, rest + 1, document, value, revision, now);
     } else if (key[0] == 'm' && *rest == '/') {
-        c->owner->block_apply(c, p, strtoul(rest + 1, NULL, 10), d, v, rev, now);
+        core->owner->block_apply(core, partition, strtoul(rest + 1, NULL, 10), document,
+                                 value, revision, now);
     }
 }
 
-void lmn_watch_cache_sweep(struct lmn_core *c, struct timespec now)
+void lmn_watch_cache_sweep(struct lmn_core *core, struct timespec now)
 {
-    for (int i = 0; i < c->nparts; i++) {
-        struct lmn_partition *p = &c->parts[i];
+    for (int i = 0; i < core->nparts; i++) {
+        struct lmn_partition *partition = &core->parts[i];
         GHashTableIter it;
         gpointer v;
         GPtrArray *drop = g_ptr_array_new();
 
-        g_hash_table_iter_init(&it, p->ranges);
+        g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            if (((struct lmn_range *)v)->gen != c->gen)
+            if (((struct lmn_range *)v)->gen != core->gen)
                 g_ptr_array_add(drop, v);
         for (guint k = 0; k < drop->len; k++)
-            remove_range(c, drop->pdata[k]);
+            remove_range(core, drop->pdata[k]);
         g_ptr_array_free(drop, TRUE);
-        c->owner->block_sweep(c, p, now);
-        if (p->owner_gen != c->gen && p->owner_rev) {
-            if (p->mine)
-                c->owner->partition_lose(c, p, "owner key gone");
-            note_loss(c, p, "", now);
-            g_strlcpy(p->last_owner, p->owner, sizeof p->last_owner);
-            p->owner[0] = '\0';
-            p->owner_lease = p->owner_rev = p->owner_stream = 0;
-            p->vacant = now;
+        core->owner->block_sweep(core, partition, now);
+        if (partition->owner_gen != core->gen && partition->owner_rev) {
+            if (partition->mine)
+                core->owner->partition_lose(core, partition, "owner key gone");
+            note_loss(core, partition, "", now);
+            g_strlcpy(partition->last_owner, partition->owner,
+                      sizeof partition->last_owner);
+            partition->owner[0] = '\0';
+            partition->owner_lease = partition->owner_rev = partition->owner_stream = 0;
+            partition->vacant = now;
         }
     }
-    for (int i = 0; i < c->members.n; i++) {
-        struct lmn_member_view *m = &c->members.v[i];
-        if (m->gen != c->gen && m->present)
-            lmn_member_apply_record(&c->members, i, 0, 0, now);
-        if (m->doubt_gen != c->gen && m->doubt_inc)
-            lmn_member_apply_suspicion(&c->members, i, 0, 0, "", LMN_CAUSE_UNRESPONSIVE,
-                                       now);
+    for (int i = 0; i < core->members.n; i++) {
+        struct lmn_member_view *member = &core->members.v[i];
+        if (member->gen != core->gen && member->present)
+            lmn_member_apply_record(&core->members, i, 0, 0, now);
+        if (member->doubt_gen != core->gen && member->doubt_inc)
+            lmn_member_apply_suspicion(&core->members, i, 0, 0, "",
+                                       LMN_CAUSE_UNRESPONSIVE, now);
     }
-    pthread_cond_broadcast(&c->changed);
+    pthread_cond_broadcast(&core->changed);
 }
 
 /* Ownership begins with the mirror, never with the answer to our own request: an answer
  * that was lost, or a transaction that was applied late, then makes no difference. */
-void lmn_watch_cache_begin_ownerships(struct lmn_core *c, struct timespec now)
+void lmn_watch_cache_begin_ownerships(struct lmn_core *core, struct timespec now)
 {
-    for (int i = 0; i < c->nparts; i++) {
-        struct lmn_partition *p = &c->parts[i];
-        if (!p->mine && p->owner_rev && c->lease && p->owner_lease == c->lease &&
-            !strcmp(p->owner, c->cfg->node))
-            c->owner->partition_own(c, p, now);
+    for (int i = 0; i < core->nparts; i++) {
+        struct lmn_partition *partition = &core->parts[i];
+        if (!partition->mine && partition->owner_rev && core->lease &&
+            partition->owner_lease == core->lease &&
+            !strcmp(partition->owner, core->cfg->node))
+            core->owner->partition_own(core, partition, now);
     }
 }
 
 /* A page of a listing, parsed; -1 if it could not be had. after: the last key, moved on.
  */
-static int read_page(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                     const char *prefix, const char *after, struct lmn_cbor_document *d)
+static int read_page(struct lmn_core *core, struct lmn_http_client *client,
+                     GByteArray *buf, const char *prefix, const char *after,
+                     struct lmn_cbor_document *document)
 {
     char path[512];
 
-    lmn_kv_client_wait_for_token(c->state);
+    lmn_kv_client_wait_for_token(core->state);
     g_snprintf(path, sizeof path,
                WIRE_PATH_STORE "?" WIRE_QUERY_PREFIX "=%s%s%s&" WIRE_QUERY_LIMIT "=500",
                prefix, *after ? "&" WIRE_QUERY_AFTER "=" : "", after);
-    int status = lmn_http_client_call(h, "GET", path, NULL, 3.0, buf);
-    if (status == 200 && lmn_cbor_parse(d, buf->data, buf->len) == 0)
+    int status = lmn_http_client_call(client, "GET", path, NULL, 3.0, buf);
+    if (status == 200 && lmn_cbor_parse(document, buf->data, buf->len) == 0)
         return 0;
     lmn_debug("list-failed status=%d", status);
     return -1;
 }
 
-static bool more_pages(const struct lmn_cbor_document *d)
+static bool more_pages(const struct lmn_cbor_document *document)
 {
-    const struct lmn_cbor_value *root = lmn_cbor_root(d),
-                                *items = lmn_cbor_get(d, root, WIRE_ITEMS);
+    const struct lmn_cbor_value *root = lmn_cbor_root(document),
+                                *items = lmn_cbor_get(document, root, WIRE_ITEMS);
     bool more = false;
 
-    lmn_cbor_get_bool(lmn_cbor_get(d, root, WIRE_HAS_MORE), &more);
+    lmn_cbor_get_bool(lmn_cbor_get(document, root, WIRE_HAS_MORE), &more);
     return more && items && items->len;
 }
 
 /* Which jobs have ranges: of those that are final, only they are needed. */
-static GHashTable *read_needed(struct lmn_core *c, struct lmn_http_client *h,
+static GHashTable *read_needed(struct lmn_core *core, struct lmn_http_client *client,
                                GByteArray *buf)
 {
     GHashTable *set = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -455,15 +477,15 @@
 
     for (bool more = true; more;) {
         struct lmn_cbor_document d;
-        if (read_page(c, h, buf, "r/", after, &d) != 0) {
+        if (read_page(core, client, buf, "r/", after, &d) != 0) {
             g_hash_table_destroy(set);
             return NULL;
         }
         const struct lmn_cbor_value *items =
             lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_ITEMS);
-        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, items); n;
-             n = lmn_cbor_next(&d, n)) {
-            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_KEY), after, sizeof after))
+        for (const struct lmn_cbor_value *node = lmn_cbor_first_child(&d, items); node;
+             node = lmn_cbor_next(&d, node)) {
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, node, WIRE_KEY), after, sizeof after))
                 continue;
             char **part = g_strsplit(after, "/", 4); /* r/P/REF/LO */
             if (g_strv_length(part) == 4)
@@ -476,8 +498,8 @@
     return set;
 }
 
-static int read_keys(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                     uint64_t *revision)
+static int read_keys(struct lmn_core *core, struct lmn_http_client *client,
+                     GByteArray *buf, uint64_t *revision)
 {
     char after[256] = "";
     bool first = true;
@@ -485,27 +507,28 @@
     for (bool more = true; more;) {
         struct lmn_cbor_document d;
         uint64_t rev = 0;
-        if (read_page(c, h, buf, "", after, &d) != 0)
+        if (read_page(core, client, buf, "", after, &d) != 0)
             return -1;
         const struct lmn_cbor_value *root = lmn_cbor_root(&d);
         lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_REVISION), &rev);
         if (first)
             *revision = rev;
         first = false;
-        pthread_mutex_lock(&c->lock);
+        pthread_mutex_lock(&core->lock);
         struct timespec now = lmn_now();
         const struct lmn_cbor_value *items = lmn_cbor_get(&d, root, WIRE_ITEMS);
-        for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, items); n;
-             n = lmn_cbor_next(&d, n)) {
+        for (const struct lmn_cbor_value *node = lmn_cbor_first_child(&d, items); node;
+             node = lmn_cbor_next(&d, node)) {
             uint64_t version = 0;
-            if (!lmn_cbor_get_text(lmn_cbor_get(&d, n, WIRE_KEY), after, sizeof after) ||
-                !lmn_cbor_get_uint(lmn_cbor_get(&d, n, WIRE_VERSION), &version))
+            if (!lmn_cbor_get_text(lmn_cbor_get(&d, node, WIRE_KEY), after,
+                                   sizeof after) ||
+                !lmn_cbor_get_uint(lmn_cbor_get(&d, node, WIRE_VERSION), &version))
                 continue;
-            lmn_watch_cache_apply(c, after, &d, lmn_cbor_get(&d, n, WIRE_VALUE), version,
-                                  now);
+            lmn_watch_cache_apply(core, after, &d, lmn_cbor_get(&d, node, WIRE_VALUE),
+                                  version, now);
         }
-        bool crowded = c->crowded;
-        pthread_mutex_unlock(&c->lock);
+        bool crowded = core->crowded;
+        pthread_mutex_unlock(&core->lock);
         more = more_pages(&d);
         lmn_cbor_free(&d);
         if (crowded)
@@ -515,54 +538,57 @@
 }
 
 /* Reads every key; 0 if the mirror then is whole as of *revision. */
-static int read_all(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
-                    uint64_t *revision)
+static int read_all(struct lmn_core *core, struct lmn_http_client *client,
+                    GByteArray *buf, uint64_t *revision)
 {
-    pthread_mutex_lock(&c->lock);
-    c->gen++;
-    c->reading = true;
-    c->crowded = c->reread = false;
-    pthread_mutex_unlock(&c->lock);
-    int rc = read_keys(c, h, buf, revision);
+    pthread_mutex_lock(&core->lock);
+    core->gen++;
+    core->reading = true;
+    core->crowded = core->reread = false;
+    pthread_mutex_unlock(&core->lock);
+    int rc = read_keys(core, client, buf, revision);
     if (rc == 1) {
         /* More final jobs than are kept in memory: which of them are needed is found out
          * first. */
-        GHashTable *needed = read_needed(c, h, buf);
-        pthread_mutex_lock(&c->lock);
-        c->needed = needed;
-        c->crowded = false;
-        pthread_mutex_unlock(&c->lock);
-        rc = needed ? read_keys(c, h, buf, revision) : -1;
+        GHashTable *needed = read_needed(core, client, buf);
+        pthread_mutex_lock(&core->lock);
+        core->needed = needed;
+        core->crowded = false;
+        pthread_mutex_unlock(&core->lock);
+        rc = needed ? read_keys(core, client, buf, revision) : -1;
     }
-    pthread_mutex_lock(&c->lock);
-    if (rc == 0 && !c->reread)
-        lmn_watch_cache_sweep(c, lmn_now());
+    pthread_mutex_lock(&core->lock);
+    if (rc == 0 && !core->reread)
+        lmn_watch_cache_sweep(core, lmn_now());
     else
         rc = -1;
-    g_clear_pointer(&c->needed, g_hash_table_destroy);
-    c->reading = false;
-    pthread_mutex_unlock(&c->lock);
+    g_clear_pointer(&core->needed, g_hash_table_destroy);
+    core->reading = false;
+    pthread_mutex_unlock(&core->lock);
     return rc;
 }
 
-static void apply_events(struct lmn_core *c, const struct lmn_cbor_document *d,
+static void apply_events(struct lmn_core *core, const struct lmn_cbor_document *document,
                          const struct lmn_cbor_value *events, struct timespec now)
 {
     char key[256];
 
-    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, events); n;
-         n = lmn_cbor_next(d, n)) {
-        uint64_t rev = 0;
-        lmn_cbor_get_uint(lmn_cbor_get(d, n, WIRE_VERSION), &rev);
-        if (lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_PUT), key, sizeof key))
-            lmn_watch_cache_apply(c, key, d, lmn_cbor_get(d, n, WIRE_VALUE), rev, now);
-        else if (lmn_cbor_get_text(lmn_cbor_get(d, n, WIRE_DELETE), key, sizeof key))
-            lmn_watch_cache_apply(c, key, d, NULL, rev, now);
+    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, events); node;
+         node = lmn_cbor_next(document, node)) {
+        uint64_t revision = 0;
+        lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_VERSION), &revision);
+        if (lmn_cbor_get_text(lmn_cbor_get(document, node, WIRE_PUT), key, sizeof key))
+            lmn_watch_cache_apply(core, key, document,
+                                  lmn_cbor_get(document, node, WIRE_VALUE), revision,
+                                  now);
+        else if (lmn_cbor_get_text(lmn_cbor_get(document, node, WIRE_DELETE), key,
+                                   sizeof key))
+            lmn_watch_cache_apply(core, key, document, NULL, revision, now);
     }
 }
 
 /* One wait for changes. Returns the status, or a negative one. */
-static int follow(struct lmn_core *c, struct lmn_http_client *h, GByteArray *buf,
+static int follow(struct lmn_core *core, struct lmn_http_client *client, GByteArray *buf,
                   uint64_t *revision, bool first)
 {
     char path[256];
@@ -571,18 +597,19 @@
 
     /* Whoever is suspected has to be able to refute, and a verdict needs a fresh mirror.
      */
-    pthread_mutex_lock(&c->lock);
-    for (int i = 0; i < c->members.n; i++)
-        if (lmn_member_is_suspected(&c->members, i))
+    pthread_mutex_lock(&core->lock);
+    for (int i = 0; i < core->members.n; i++)
+        if (lmn_member_is_suspected(&core->members, i))
             wait_ms = MIN(wait_ms, 200);
-    pthread_mutex_unlock(&c->lock);
-    lmn_kv_client_wait_for_token(c->state);
+    pthread_mutex_unlock(&core->lock);
+    lmn_kv_client_wait_for_token(core->state);
     struct timespec sent = lmn_now();
     g_snprintf(path, sizeof path,
                WIRE_PATH_WATCH "?" WIRE_QUERY_PREFIX "=&" WIRE_QUERY_AFTER
                                "=%" G_GUINT64_FORMAT "&" WIRE_QUERY_WAIT_MS "=%d",
                *revision, wait_ms);
-    int status = lmn_http_client_call(h, "GET", path, NULL, wait_ms / 1000.0 + 2.0, buf);
+    int status =
+        lmn_http_client_call(client, "GET", path, NULL, wait_ms / 1000.0 + 2.0, buf);
     if (status != 200)
         return status;
     if (lmn_cbor_parse(&d, buf->data, buf->len) != 0)
@@ -590,30 +617,30 @@
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
     uint64_t upto = *revision;
     lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_REVISION), &upto);
-    pthread_mutex_lock(&c->lock);
+    pthread_mutex_lock(&core->lock);
     struct timespec now = lmn_now();
-    apply_events(c, &d, lmn_cbor_get(&d, root, WIRE_EVENTS), now);
+    apply_events(core, &d, lmn_cbor_get(&d, root, WIRE_EVENTS), now);
     if (upto > *revision)
         *revision = upto;
     /* The answer may have been on its way for long: it proves only the time of asking. */
-    c->fresh = sent;
-    lmn_members_record_watch(&c->members, sent);
-    if (!c->synced) {
-        c->synced = true;
-        c->synced_at = now;
-        pthread_cond_broadcast(&c->changed);
+    core->fresh = sent;
+    lmn_members_record_watch(&core->members, sent);
+    if (!core->synced) {
+        core->synced = true;
+        core->synced_at = now;
+        pthread_cond_broadcast(&core->changed);
     }
-    lmn_watch_cache_begin_ownerships(c, now);
-    lmn_retention_evict(c, now);
-    pthread_mutex_unlock(&c->lock);
+    lmn_watch_cache_begin_ownerships(core, now);
+    lmn_retention_evict(core, now);
+    pthread_mutex_unlock(&core->lock);
     lmn_cbor_free(&d);
     return 200;
 }
 
 void *lmn_watch_cache_thread(void *arg)
 {
-    struct lmn_core *c = arg;
-    struct lmn_http_client *h = lmn_http_client_new(c->cfg->state);
+    struct lmn_core *core = arg;
+    struct lmn_http_client *client = lmn_http_client_new(core->cfg->state);
     GByteArray *buf = g_byte_array_new();
     uint64_t revision = 0;
     bool whole = false, first = true, trouble = false;
@@ -622,12 +649,12 @@
         struct timespec begun = lmn_now();
         int status = 200;
         if (!whole) {
-            whole = read_all(c, h, buf, &revision) == 0;
+            whole = read_all(core, client, buf, &revision) == 0;
             first = true;
             status = whole ? 200 : LMN_HTTP_NO_RESPONSE;
         }
         if (whole) {
-            status = follow(c, h, buf, &revision, first);
+            status = follow(core, client, buf, &revision, first);
             first = false;
             if (status == 410) {
                 lmn_info("mirror-too-old revision=%" G_GUINT64_FORMAT, revision);
--- a/src/state/watch_cache.h
+++ b/src/state/watch_cache.h
@@ -8,14 +8,14 @@
 #include "state/model.h"
 
 /* One change of the state service; value NULL: removed. The lock is held. */
-void lmn_watch_cache_apply(struct lmn_core *c, const char *key,
+void lmn_watch_cache_apply(struct lmn_core *core, const char *key,
                            const struct lmn_cbor_document *doc,
-                           const struct lmn_cbor_value *value, uint64_t rev,
+                           const struct lmn_cbor_value *value, uint64_t revision,
                            struct timespec now);
 /* After a full reading: what it did not name is gone. */
-void lmn_watch_cache_sweep(struct lmn_core *c, struct timespec now);
+void lmn_watch_cache_sweep(struct lmn_core *core, struct timespec now);
 /* After changes were applied: takes over what the mirror shows as this node's. */
-void lmn_watch_cache_begin_ownerships(struct lmn_core *c, struct timespec now);
+void lmn_watch_cache_begin_ownerships(struct lmn_core *core, struct timespec now);
 /* Follows the state service for ever (a thread). */
 void *lmn_watch_cache_thread(void *core);
 
--- a/src/util/in_flight.c
+++ b/src/util/in_flight.c
@@ -4,18 +4,18 @@
  * asked or written after it by a whole time-out. */
 static const double OVERTAKE_S = 0.1;
 
-double lmn_in_flight_wait(const struct lmn_in_flight *f, struct timespec now)
+double lmn_in_flight_wait(const struct lmn_in_flight *in_flight, struct timespec now)
 {
-    return f->in_flight ? OVERTAKE_S - lmn_time_diff_s(now, f->sent) : 0;
+    return in_flight->in_flight ? OVERTAKE_S - lmn_time_diff_s(now, in_flight->sent) : 0;
 }
 
-void lmn_in_flight_begin(struct lmn_in_flight *f, struct timespec now)
+void lmn_in_flight_begin(struct lmn_in_flight *in_flight, struct timespec now)
 {
-    f->in_flight++;
-    f->sent = now;
+    in_flight->in_flight++;
+    in_flight->sent = now;
 }
 
-void lmn_in_flight_end(struct lmn_in_flight *f)
+void lmn_in_flight_end(struct lmn_in_flight *in_flight)
 {
-    f->in_flight--;
+    in_flight->in_flight--;
 }
--- a/src/util/in_flight.h
+++ b/src/util/in_flight.h
@@ -12,8 +12,8 @@
 };
 
 /* Seconds until a further request may go out beside those in flight; 0 or less: now. */
-double lmn_in_flight_wait(const struct lmn_in_flight *f, struct timespec now);
-void lmn_in_flight_begin(struct lmn_in_flight *f, struct timespec now);
-void lmn_in_flight_end(struct lmn_in_flight *f);
+double lmn_in_flight_wait(const struct lmn_in_flight *in_flight, struct timespec now);
+void lmn_in_flight_begin(struct lmn_in_flight *in_flight, struct timespec now);
+void lmn_in_flight_end(struct lmn_in_flight *in_flight);
 
 #endif
--- a/src/util/latency.c
+++ b/src/util/latency.c
@@ -4,7 +4,7 @@
 
 enum { BINS = 60 };
 
-void lmn_latency_init(struct lmn_latency *l)
+void lmn_latency_init(struct lmn_latency *latency)
 {
     double edges[BINS + 1];
 
@@ -12,42 +12,42 @@
      */
     for (int i = 0; i <= BINS; i++)
         edges[i] = pow(10, -4 + i / 10.0);
-    l->h = gsl_histogram_alloc(BINS);
-    gsl_histogram_set_ranges(l->h, edges, BINS + 1);
-    l->max = 0;
+    latency->h = gsl_histogram_alloc(BINS);
+    gsl_histogram_set_ranges(latency->h, edges, BINS + 1);
+    latency->max = 0;
 }
 
-void lmn_latency_add(struct lmn_latency *l, double seconds)
+void lmn_latency_add(struct lmn_latency *latency, double seconds)
 {
     double in = fmin(fmax(seconds, 1.0001e-4), 99.99);
 
-    gsl_histogram_increment(l->h, in);
-    l->max = fmax(l->max, seconds);
+    gsl_histogram_increment(latency->h, in);
+    latency->max = fmax(latency->max, seconds);
 }
 
-double lmn_latency_quantile(const struct lmn_latency *l, double share)
+double lmn_latency_quantile(const struct lmn_latency *latency, double share)
 {
-    double sum = gsl_histogram_sum(l->h), below = 0, lower, upper = 0;
+    double sum = gsl_histogram_sum(latency->h), below = 0, lower, upper = 0;
 
     if (sum <= 0)
         return 0;
     for (int i = 0; i < BINS; i++) {
-        below += gsl_histogram_get(l->h, (size_t)i);
-        gsl_histogram_get_range(l->h, (size_t)i, &lower, &upper);
+        below += gsl_histogram_get(latency->h, (size_t)i);
+        gsl_histogram_get_range(latency->h, (size_t)i, &lower, &upper);
         if (below >= share * sum)
             break;
     }
     return upper;
 }
 
-void lmn_latency_copy(struct lmn_latency *to, const struct lmn_latency *from)
+void lmn_latency_copy(struct lmn_latency *latency, const struct lmn_latency *from)
 {
-    gsl_histogram_memcpy(to->h, from->h);
-    to->max = from->max;
+    gsl_histogram_memcpy(latency->h, from->h);
+    latency->max = from->max;
 }
 
-void lmn_latency_clear(struct lmn_latency *l)
+void lmn_latency_clear(struct lmn_latency *latency)
 {
-    gsl_histogram_free(l->h);
-    l->h = NULL;
+    gsl_histogram_free(latency->h);
+    latency->h = NULL;
 }
--- a/src/util/latency.h
+++ b/src/util/latency.h
@@ -9,12 +9,12 @@
     double max;
 };
 
-void lmn_latency_init(struct lmn_latency *l);
+void lmn_latency_init(struct lmn_latency *latency);
 /* Of one that was set up; the histogram is copied. */
-void lmn_latency_copy(struct lmn_latency *to, const struct lmn_latency *from);
-void lmn_latency_clear(struct lmn_latency *l);
-void lmn_latency_add(struct lmn_latency *l, double seconds);
+void lmn_latency_copy(struct lmn_latency *latency, const struct lmn_latency *from);
+void lmn_latency_clear(struct lmn_latency *latency);
+void lmn_latency_add(struct lmn_latency *latency, double seconds);
 /* The upper end of the bin that holds the given share of all; 0 if there are none. */
-double lmn_latency_quantile(const struct lmn_latency *l, double share);
+double lmn_latency_quantile(const struct lmn_latency *latency, double share);
 
 #endif
--- a/src/util/token_bucket.h
+++ b/src/util/token_bucket.h
@@ -9,38 +9,38 @@
     struct timespec at;
 };
 
-static inline void lmn_token_bucket_init(struct lmn_token_bucket *b, double rate,
+static inline void lmn_token_bucket_init(struct lmn_token_bucket *bucket, double rate,
                                          double burst, struct timespec now)
 {
-    *b = (struct lmn_token_bucket){
+    *bucket = (struct lmn_token_bucket){
         .rate = rate, .burst = burst, .level = burst, .at = now};
 }
 
-static inline void lmn_token_bucket_refill(struct lmn_token_bucket *b,
+static inline void lmn_token_bucket_refill(struct lmn_token_bucket *bucket,
                                            struct timespec now)
 {
-    double dt = lmn_time_diff_s(now, b->at);
+    double dt = lmn_time_diff_s(now, bucket->at);
     if (dt <= 0)
         return;
-    b->level += dt * b->rate;
-    if (b->level > b->burst)
-        b->level = b->burst;
-    b->at = now;
+    bucket->level += dt * bucket->rate;
+    if (bucket->level > bucket->burst)
+        bucket->level = bucket->burst;
+    bucket->at = now;
 }
 
 /* Seconds until n may be taken; 0 takes it. More than a burst is taken from a full
  * bucket. */
-static inline double lmn_token_bucket_take(struct lmn_token_bucket *b, double n,
+static inline double lmn_token_bucket_take(struct lmn_token_bucket *bucket, double n,
                                            struct timespec now)
 {
-    double need = n < b->burst ? n : b->burst;
+    double need = n < bucket->burst ? n : bucket->burst;
 
-    lmn_token_bucket_refill(b, now);
-    if (b->level >= need) {
-        b->level -= n;
+    lmn_token_bucket_refill(bucket, now);
+    if (bucket->level >= need) {
+        bucket->level -= n;
         return 0;
     }
-    return (need - b->level) / b->rate + 1e-3;
+    return (need - bucket->level) / bucket->rate + 1e-3;
 }
 
 #endif
--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -93,44 +93,45 @@
 };
 
 /* session: the first that it may report, above all that were. The ops outlive it. */
-void lmn_agent_init(struct lmn_agent *a, const struct lmn_agent_ops *ops, void *arg,
+void lmn_agent_init(struct lmn_agent *agent, const struct lmn_agent_ops *ops, void *arg,
                     uint64_t session, struct timespec now);
-void lmn_agent_clear(struct lmn_agent *a);
+void lmn_agent_clear(struct lmn_agent *agent);
 
 /* Appends a report, with the next number. Not while it is ending. */
-void lmn_agent_write_heartbeat(struct lmn_agent *a, GByteArray *out, struct timespec now);
+void lmn_agent_write_heartbeat(struct lmn_agent *agent, GByteArray *out,
+                               struct timespec now);
 /* A 200 to a report that was sent at the time, in the session. False: it had to be
  * dropped. */
-bool lmn_agent_heartbeat_answered(struct lmn_agent *a, uint64_t session,
+bool lmn_agent_heartbeat_answered(struct lmn_agent *agent, uint64_t session,
                                   struct timespec sent, const void *body, size_t len,
                                   struct timespec now);
 /* POST /do: returns the status, and the body. 503 while it is ending. */
-int lmn_agent_execute(struct lmn_agent *a, const void *body, size_t len, GByteArray *out,
-                      struct timespec now);
+int lmn_agent_execute(struct lmn_agent *agent, const void *body, size_t len,
+                      GByteArray *out, struct timespec now);
 /* GET /show. */
-int lmn_agent_show(struct lmn_agent *a, GByteArray *out, struct timespec now);
+int lmn_agent_show(struct lmn_agent *agent, GByteArray *out, struct timespec now);
 /* Ends the session if its lease is over. To be called often. */
-void lmn_agent_tick(struct lmn_agent *a, struct timespec now);
+void lmn_agent_tick(struct lmn_agent *agent, struct timespec now);
 /* The cloud takes the machine away at the time. */
-void lmn_agent_spot_notice(struct lmn_agent *a, struct timespec gone_at);
+void lmn_agent_spot_notice(struct lmn_agent *agent, struct timespec gone_at);
 
 /* --- what came of it --- */
 /* spec NULL: no such job. */
-void lmn_agent_described(struct lmn_agent *a, uint64_t id,
+void lmn_agent_described(struct lmn_agent *agent, uint64_t id,
                          const struct lmn_job_spec *spec, struct timespec now);
-void lmn_agent_fetched(struct lmn_agent *a, const char *image, bool ok,
+void lmn_agent_fetched(struct lmn_agent *agent, const char *image, bool ok,
                        struct timespec now);
 /* All its processes are gone. done: it has completed, and its result is kept; saved: it
  * was told to save, and says that it has. */
-void lmn_agent_exited(struct lmn_agent *a, uint64_t id, bool done, bool saved,
+void lmn_agent_exited(struct lmn_agent *agent, uint64_t id, bool done, bool saved,
                       struct timespec now);
 /* Nothing is left of the session: session is the next one's number. */
-void lmn_agent_incarnation_ended(struct lmn_agent *a, uint64_t session,
+void lmn_agent_incarnation_ended(struct lmn_agent *agent, uint64_t session,
                                  struct timespec now);
 /* Its processes were ended from without, as by the lease's own keeper: as if the lease
  * were over. */
-void lmn_agent_expire_lease(struct lmn_agent *a, const char *why);
+void lmn_agent_expire_lease(struct lmn_agent *agent, const char *why);
 /* The run of that number; NULL: forgotten. */
-struct lmn_task_run *lmn_agent_find_run(struct lmn_agent *a, uint64_t id);
+struct lmn_task_run *lmn_agent_find_run(struct lmn_agent *agent, uint64_t id);
 
 #endif
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -48,74 +48,74 @@
 
 /* --- what it says --- */
 
-static void tell(const struct keeper *k, enum lmn_executor_event event, uint64_t id,
-                 int status, const char *what)
+static void tell(const struct keeper *executor, enum lmn_executor_event event,
+                 uint64_t id, int status, const char *what)
 {
-    GByteArray *b = g_byte_array_new();
-
-    lmn_cbor_put_map(b, 4);
-    lmn_cbor_put_text(b, "event"), lmn_cbor_put_uint(b, event);
-    lmn_cbor_put_text(b, "id"), lmn_cbor_put_uint(b, id);
-    lmn_cbor_put_text(b, "status"), lmn_cbor_put_uint(b, (uint64_t)status);
-    lmn_cbor_put_text(b, "what"), lmn_cbor_put_text(b, what);
-    if (send(k->sock, b->data, b->len, MSG_NOSIGNAL) < 0)
+    GByteArray *buffer = g_byte_array_new();
+
+    lmn_cbor_put_map(buffer, 4);
+    lmn_cbor_put_text(buffer, "event"), lmn_cbor_put_uint(buffer, event);
+    lmn_cbor_put_text(buffer, "id"), lmn_cbor_put_uint(buffer, id);
+    lmn_cbor_put_text(buffer, "status"), lmn_cbor_put_uint(buffer, (uint64_t)status);
+    lmn_cbor_put_text(buffer, "what"), lmn_cbor_put_text(buffer, what);
+    if (send(executor->sock, buffer->data, buffer->len, MSG_NOSIGNAL) < 0)
         lmn_debug("keeper-unheard event=%d", event);
-    g_byte_array_unref(b);
+    g_byte_array_unref(buffer);
 }
 
 /* --- output --- */
 
-static void close_output(struct task *t, int i)
+static void close_output(struct task *task, int i)
 {
-    if (t->pipes[i] >= 0)
-        close(t->pipes[i]);
-    if (t->logs[i] >= 0)
-        close(t->logs[i]);
-    t->pipes[i] = t->logs[i] = -1;
+    if (task->pipes[i] >= 0)
+        close(task->pipes[i]);
+    if (task->logs[i] >= 0)
+        close(task->logs[i]);
+    task->pipes[i] = task->logs[i] = -1;
 }
 
-static void keep_output(struct task *t, int i, const char *bytes, size_t n)
+static void keep_output(struct task *task, int i, const char *bytes, size_t n)
 {
-    if (!t->room[i])
+    if (!task->room[i])
         return; /* read, so that the task isn't held up, and dropped */
-    size_t take = MIN(n, t->room[i]);
-    t->room[i] -= take;
-    if (write(t->logs[i], bytes, take) < 0)
-        t->room[i] = 0;
-    if (!t->room[i] && write(t->logs[i], DROPPED, sizeof DROPPED - 1) < 0)
+    size_t take = MIN(n, task->room[i]);
+    task->room[i] -= take;
+    if (write(task->logs[i], bytes, take) < 0)
+        task->room[i] = 0;
+    if (!task->room[i] && write(task->logs[i], DROPPED, sizeof DROPPED - 1) < 0)
         return;
 }
 
 /* Reads what is there; closes it at its end. */
-static void read_output(struct task *t, int i)
+static void read_output(struct task *task, int i)
 {
     char buf[16384];
     ssize_t n;
 
-    while (t->pipes[i] >= 0 && (n = read(t->pipes[i], buf, sizeof buf)) != 0) {
+    while (task->pipes[i] >= 0 && (n = read(task->pipes[i], buf, sizeof buf)) != 0) {
         if (n < 0 && errno == EINTR)
             continue;
         if (n < 0 && errno == EAGAIN)
             return;
         if (n < 0)
             break;
-        keep_output(t, i, buf, (size_t)n);
+        keep_output(task, i, buf, (size_t)n);
     }
-    if (t->pipes[i] >= 0)
-        close_output(t, i);
+    if (task->pipes[i] >= 0)
+        close_output(task, i);
 }
 
 /* --- starting --- */
 
-static char **texts(const struct lmn_cbor_document *d, const struct lmn_cbor_value *list,
-                    const char *also)
+static char **texts(const struct lmn_cbor_document *document,
+                    const struct lmn_cbor_value *list, const char *also)
 {
     GPtrArray *a = g_ptr_array_new();
 
-    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(d, list); n;
-         n = lmn_cbor_next(d, n))
-        if (n->type == LMN_CBOR_TEXT)
-            g_ptr_array_add(a, g_strndup(n->s, n->len));
+    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, list); node;
+         node = lmn_cbor_next(document, node))
+        if (node->type == LMN_CBOR_TEXT)
+            g_ptr_array_add(a, g_strndup(node->s, node->len));
     if (also)
         g_ptr_array_add(a, g_strdup(also));
     g_ptr_array_add(a, NULL);
@@ -160,29 +160,30 @@
     return fd;
 }
 
-static void start(struct keeper *k, const struct lmn_cbor_document *d, uint64_t id)
+static void start(struct keeper *executor, const struct lmn_cbor_document *document,
+                  uint64_t id)
 {
     static const char *const logs[] = {"stdout", "stderr"};
-    const struct lmn_cbor_value *root = lmn_cbor_root(d);
-    struct task *t = g_new0(struct task, 1);
+    const struct lmn_cbor_value *root = lmn_cbor_root(document);
+    struct task *task = g_new0(struct task, 1);
     int out[2] = {-1, -1}, fail[2] = {-1, -1}, error = 0;
-    char cwd[4096] = "", *mark = k->mark;
+    char cwd[4096] = "", *mark = executor->mark;
     uint64_t room = 0;
 
-    lmn_cbor_get_text(lmn_cbor_get(d, root, "cwd"), cwd, sizeof cwd);
-    lmn_cbor_get_uint(lmn_cbor_get(d, root, "log"), &room);
-    char **argv = texts(d, lmn_cbor_get(d, root, "argv"), NULL);
-    char **env = texts(d, lmn_cbor_get(d, root, "env"), mark);
-    t->id = id;
+    lmn_cbor_get_text(lmn_cbor_get(document, root, "cwd"), cwd, sizeof cwd);
+    lmn_cbor_get_uint(lmn_cbor_get(document, root, "log"), &room);
+    char **argv = texts(document, lmn_cbor_get(document, root, "argv"), NULL);
+    char **env = texts(document, lmn_cbor_get(document, root, "env"), mark);
+    task->id = id;
     for (int i = 0; i < 2; i++) {
         int p[2] = {-1, -1};
         if (pipe2(p, O_CLOEXEC | O_NONBLOCK) != 0)
             error = errno;
-        t->pipes[i] = p[0];
+        task->pipes[i] = p[0];
         out[i] = p[1];
-        t->logs[i] = open_log(cwd, logs[i]);
-        t->room[i] = room;
-        if (t->logs[i] < 0)
+        task->logs[i] = open_log(cwd, logs[i]);
+        task->room[i] = room;
+        if (task->logs[i] < 0)
             error = errno;
         /* Only this end must not block. */
         if (out[i] >= 0)
@@ -194,10 +195,10 @@
         error = errno;
     if (!error) {
         pid_t self = getpid();
-        t->pid = fork();
-        if (t->pid == 0)
+        task->pid = fork();
+        if (task->pid == 0)
             run_task(argv, env, cwd, out, fail[1], self);
-        error = t->pid < 0 ? errno : 0;
+        error = task->pid < 0 ? errno : 0;
     }
     if (fail[1] >= 0)
         close(fail[1]);
@@ -209,14 +210,14 @@
         if (out[i] >= 0)
             close(out[i]);
     if (error) {
-        tell(k, LMN_EXECUTOR_START_FAILED, id, 0, g_strerror(error));
-        if (t->pid > 0)
-            waitpid(t->pid, NULL, 0);
-        close_output(t, 0);
-        close_output(t, 1);
-        g_free(t);
+        tell(executor, LMN_EXECUTOR_START_FAILED, id, 0, g_strerror(error));
+        if (task->pid > 0)
+            waitpid(task->pid, NULL, 0);
+        close_output(task, 0);
+        close_output(task, 1);
+        g_free(task);
     } else {
-        g_ptr_array_add(k->tasks, t);
+        g_ptr_array_add(executor->tasks, task);
     }
     g_strfreev(argv);
     g_strfreev(env);
@@ -224,34 +225,34 @@
 
 /* --- ends --- */
 
-static struct task *find(const struct keeper *k, uint64_t id)
+static struct task *find(const struct keeper *executor, uint64_t id)
 {
-    for (guint i = 0; i < k->tasks->len; i++)
-        if (((struct task *)k->tasks->pdata[i])->id == id)
-            return k->tasks->pdata[i];
+    for (guint i = 0; i < executor->tasks->len; i++)
+        if (((struct task *)executor->tasks->pdata[i])->id == id)
+            return executor->tasks->pdata[i];
     return NULL;
 }
 
-static void reap(struct keeper *k)
+static void reap(struct keeper *executor)
 {
     pid_t pid;
     int status;
 
     while ((pid = waitpid(-1, &status, WNOHANG)) > 0)
-        for (guint i = 0; i < k->tasks->len; i++) {
-            struct task *t = k->tasks->pdata[i];
-            if (t->pid != pid || t->reaped)
+        for (guint i = 0; i < executor->tasks->len; i++) {
+            struct task *task = executor->tasks->pdata[i];
+            if (task->pid != pid || task->reaped)
                 continue;
-            t->reaped = true;
-            t->status = status;
+            task->reaped = true;
+            task->status = status;
         }
 }
 
-static bool in_living_session(const struct keeper *k, pid_t sid)
+static bool in_living_session(const struct keeper *executor, pid_t sid)
 {
-    for (guint i = 0; i < k->tasks->len; i++) {
-        const struct task *t = k->tasks->pdata[i];
-        if (!t->reaped && t->pid == sid)
+    for (guint i = 0; i < executor->tasks->len; i++) {
+        const struct task *task = executor->tasks->pdata[i];
+        if (!task->reaped && task->pid == sid)
             return true;
     }
     return false;
@@ -260,7 +261,7 @@
 /* Kills the children whose task has ended, or that have left their task's session and
  * lost their parent; all, if everything ends. How many are still there. Whoever dies
  * leaves its own children here, so calls go on until there are none. */
-static unsigned end_strays(struct keeper *k)
+static unsigned end_strays(struct keeper *executor)
 {
     char path[64], *text = NULL;
     unsigned n = 0;
@@ -270,7 +271,7 @@
         return 0;
     char *at = text, *end;
     for (pid_t pid; (pid = (pid_t)strtol(at, &end, 10)) > 0; at = end) {
-        if (!k->ending && in_living_session(k, getsid(pid)))
+        if (!executor->ending && in_living_session(executor, getsid(pid)))
             continue;
         kill(pid, SIGKILL);
         n++;
@@ -280,56 +281,57 @@
 }
 
 /* Says of the tasks that have ended, once nothing is left of them. */
-static void settle(struct keeper *k)
+static void settle(struct keeper *executor)
 {
     bool any = false;
 
-    reap(k);
-    for (guint i = 0; i < k->tasks->len; i++) {
-        struct task *t = k->tasks->pdata[i];
-        if (t->reaped)
-            kill(-t->pid, SIGKILL);
-        any = any || t->reaped;
+    reap(executor);
+    for (guint i = 0; i < executor->tasks->len; i++) {
+        struct task *task = executor->tasks->pdata[i];
+        if (task->reaped)
+            kill(-task->pid, SIGKILL);
+        any = any || task->reaped;
     }
-    unsigned strays = end_strays(k);
-    if (k->ending) {
+    unsigned strays = end_strays(executor);
+    if (executor->ending) {
         if (strays || (waitpid(-1, NULL, WNOHANG) == 0))
             return;
-        for (guint i = 0; i < k->tasks->len; i++) {
-            close_output(k->tasks->pdata[i], 0);
-            close_output(k->tasks->pdata[i], 1);
+        for (guint i = 0; i < executor->tasks->len; i++) {
+            close_output(executor->tasks->pdata[i], 0);
+            close_output(executor->tasks->pdata[i], 1);
         }
-        g_ptr_array_set_size(k->tasks, 0);
-        k->ending = false;
-        tell(k, k->lapsed ? LMN_EXECUTOR_LEASE_EXPIRED : LMN_EXECUTOR_EMPTY, 0, 0, "");
+        g_ptr_array_set_size(executor->tasks, 0);
+        executor->ending = false;
+        tell(executor, executor->lapsed ? LMN_EXECUTOR_LEASE_EXPIRED : LMN_EXECUTOR_EMPTY,
+             0, 0, "");
         return;
     }
     if (!any || strays)
         return;
-    for (guint i = k->tasks->len; i-- > 0;) {
-        struct task *t = k->tasks->pdata[i];
-        if (!t->reaped)
+    for (guint i = executor->tasks->len; i-- > 0;) {
+        struct task *task = executor->tasks->pdata[i];
+        if (!task->reaped)
             continue;
-        read_output(t, 0);
-        read_output(t, 1);
-        close_output(t, 0);
-        close_output(t, 1);
-        tell(k, LMN_EXECUTOR_EXITED, t->id, t->status, "");
-        g_ptr_array_remove_index_fast(k->tasks, i);
+        read_output(task, 0);
+        read_output(task, 1);
+        close_output(task, 0);
+        close_output(task, 1);
+        tell(executor, LMN_EXECUTOR_EXITED, task->id, task->status, "");
+        g_ptr_array_remove_index_fast(executor->tasks, i);
     }
 }
 
-static void end_all(struct keeper *k, bool lapsed)
+static void end_all(struct keeper *executor, bool lapsed)
 {
-    k->lapsed = lapsed;
-    k->ending = true;
-    k->leased = false;
-    for (guint i = 0; i < k->tasks->len; i++)
-        kill(-((struct task *)k->tasks->pdata[i])->pid, SIGKILL);
-    settle(k);
+    executor->lapsed = lapsed;
+    executor->ending = true;
+    executor->leased = false;
+    for (guint i = 0; i < executor->tasks->len; i++)
+        kill(-((struct task *)executor->tasks->pdata[i])->pid, SIGKILL);
+    settle(executor);
 }
 
-static void obey(struct keeper *k, const void *bytes, size_t len)
+static void obey(struct keeper *executor, const void *bytes, size_t len)
 {
     struct lmn_cbor_document d;
     uint64_t id = 0, s = 0, ns = 0;
@@ -338,96 +340,96 @@
     if (lmn_cbor_parse(&d, bytes, len) != 0)
         return;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d),
-                                *op = lmn_cbor_get(&d, root, "op");
+                                *command = lmn_cbor_get(&d, root, "op");
     lmn_cbor_get_uint(lmn_cbor_get(&d, root, "id"), &id);
-    struct task *t = find(k, id);
-    if (lmn_cbor_text_equals(op, "start") && !t) {
-        start(k, &d, id);
-    } else if (lmn_cbor_text_equals(op, "save") && t) {
+    struct task *task = find(executor, id);
+    if (lmn_cbor_text_equals(command, "start") && !task) {
+        start(executor, &d, id);
+    } else if (lmn_cbor_text_equals(command, "save") && task) {
         lmn_cbor_get_number(lmn_cbor_get(&d, root, "grace"), &grace);
-        t->kill_at = lmn_time_add(clock_now(), grace);
-        kill(-t->pid, SIGTERM);
-    } else if (lmn_cbor_text_equals(op, "kill") && t) {
-        kill(-t->pid, SIGKILL);
-    } else if (lmn_cbor_text_equals(op, "kill_all")) {
-        end_all(k, false);
-    } else if (lmn_cbor_text_equals(op, "until") &&
+        task->kill_at = lmn_time_add(clock_now(), grace);
+        kill(-task->pid, SIGTERM);
+    } else if (lmn_cbor_text_equals(command, "kill") && task) {
+        kill(-task->pid, SIGKILL);
+    } else if (lmn_cbor_text_equals(command, "kill_all")) {
+        end_all(executor, false);
+    } else if (lmn_cbor_text_equals(command, "until") &&
                lmn_cbor_get_uint(lmn_cbor_get(&d, root, "s"), &s) &&
                lmn_cbor_get_uint(lmn_cbor_get(&d, root, "ns"), &ns)) {
-        k->until = (struct timespec){(time_t)s, (long)ns};
-        k->leased = true;
+        executor->until = (struct timespec){(time_t)s, (long)ns};
+        executor->leased = true;
     }
     lmn_cbor_free(&d);
 }
 
 /* Seconds until something is due; -1: nothing. */
-static double due(struct keeper *k)
+static double due(struct keeper *executor)
 {
     struct timespec now = clock_now();
     double wait = -1;
 
-    if (k->ending)
+    if (executor->ending)
         wait = 0.005;
-    if (k->leased && !k->ending) {
-        if (lmn_time_before(k->until, now)) {
-            lmn_info("keeper-lapse tasks=%u", k->tasks->len);
-            end_all(k, true);
+    if (executor->leased && !executor->ending) {
+        if (lmn_time_before(executor->until, now)) {
+            lmn_info("keeper-lapse tasks=%u", executor->tasks->len);
+            end_all(executor, true);
             return 0.005;
         }
-        wait = lmn_time_diff_s(k->until, now);
+        wait = lmn_time_diff_s(executor->until, now);
     }
-    for (guint i = 0; i < k->tasks->len; i++) {
-        struct task *t = k->tasks->pdata[i];
-        if (t->reaped) {
+    for (guint i = 0; i < executor->tasks->len; i++) {
+        struct task *task = executor->tasks->pdata[i];
+        if (task->reaped) {
             wait = 0.005;
-        } else if (t->kill_at.tv_sec) {
-            if (lmn_time_before(t->kill_at, now))
-                kill(-t->pid, SIGKILL);
-            double left = MAX(lmn_time_diff_s(t->kill_at, now), 0.02);
+        } else if (task->kill_at.tv_sec) {
+            if (lmn_time_before(task->kill_at, now))
+                kill(-task->pid, SIGKILL);
+            double left = MAX(lmn_time_diff_s(task->kill_at, now), 0.02);
             wait = wait < 0 ? left : MIN(wait, left);
         }
     }
     return wait;
 }
 
-static void run(struct keeper *k)
+static void run(struct keeper *executor)
 {
     GArray *w = g_array_new(FALSE, TRUE, sizeof(struct pollfd));
     char *buf = g_malloc(MAX_MESSAGE);
 
     for (;;) {
-        double wait = due(k);
-        struct pollfd p = {k->sock, POLLIN, 0};
+        double wait = due(executor);
+        struct pollfd p = {executor->sock, POLLIN, 0};
         g_array_set_size(w, 0);
         g_array_append_val(w, p);
-        p.fd = k->signals;
+        p.fd = executor->signals;
         g_array_append_val(w, p);
-        for (guint i = 0; i < k->tasks->len; i++)
+        for (guint i = 0; i < executor->tasks->len; i++)
             for (int o = 0; o < 2; o++) {
-                p.fd = ((struct task *)k->tasks->pdata[i])->pipes[o];
+                p.fd = ((struct task *)executor->tasks->pdata[i])->pipes[o];
                 g_array_append_val(w, p);
             }
         poll((struct pollfd *)(void *)w->data, w->len,
              wait < 0 ? -1 : (int)(wait * 1000) + 1);
-        for (guint i = 0; i < k->tasks->len && 2 + 2 * i + 1 < w->len; i++)
+        for (guint i = 0; i < executor->tasks->len && 2 + 2 * i + 1 < w->len; i++)
             for (guint o = 0; o < 2; o++)
                 if (g_array_index(w, struct pollfd, 2 + 2 * i + o).revents)
-                    read_output(k->tasks->pdata[i], (int)o);
+                    read_output(executor->tasks->pdata[i], (int)o);
         if (g_array_index(w, struct pollfd, 1).revents) {
             struct signalfd_siginfo info[16];
-            if (read(k->signals, info, sizeof info) < 0 && errno != EAGAIN)
+            if (read(executor->signals, info, sizeof info) < 0 && errno != EAGAIN)
                 lmn_error("keeper-signals error=\"%s\"", strerror(errno));
         }
         if (g_array_index(w, struct pollfd, 0).revents) {
-            ssize_t n = recv(k->sock, buf, MAX_MESSAGE, 0);
+            ssize_t n = recv(executor->sock, buf, MAX_MESSAGE, 0);
             if (n == 0 || (n < 0 && errno != EINTR && errno != EAGAIN))
                 break; /* the agent is gone */
             if (n > 0)
-                obey(k, buf, (size_t)n);
+                obey(executor, buf, (size_t)n);
         }
-        settle(k);
+        settle(executor);
     }
-    for (end_all(k, false); k->ending; settle(k))
+    for (end_all(executor, false); executor->ending; settle(executor))
         usleep(2000);
 }
 
--- a/src/worker/executor_message.c
+++ b/src/worker/executor_message.c
@@ -3,53 +3,53 @@
 
 #include <string.h>
 
-static GByteArray *message(const char *op, size_t pairs)
+static GByteArray *message(const char *command, size_t pairs)
 {
-    GByteArray *b = g_byte_array_new();
-    lmn_cbor_put_map(b, 1 + pairs);
-    lmn_cbor_put_text(b, "op"), lmn_cbor_put_text(b, op);
-    return b;
+    GByteArray *buffer = g_byte_array_new();
+    lmn_cbor_put_map(buffer, 1 + pairs);
+    lmn_cbor_put_text(buffer, "op"), lmn_cbor_put_text(buffer, command);
+    return buffer;
 }
 
-static void put_texts(GByteArray *b, const char *key, char *const v[])
+static void put_texts(GByteArray *buffer, const char *key, char *const v[])
 {
     size_t n = 0;
 
     while (v[n])
         n++;
-    lmn_cbor_put_text(b, key), lmn_cbor_put_array(b, n);
+    lmn_cbor_put_text(buffer, key), lmn_cbor_put_array(buffer, n);
     for (size_t i = 0; i < n; i++)
-        lmn_cbor_put_text(b, v[i]);
+        lmn_cbor_put_text(buffer, v[i]);
 }
 
 GByteArray *lmn_executor_encode_start(uint64_t id, char *const argv[], char *const env[],
                                       const char *cwd, uint64_t log_bytes)
 {
-    GByteArray *b = message("start", 5);
+    GByteArray *buffer = message("start", 5);
 
-    lmn_cbor_put_text(b, "id"), lmn_cbor_put_uint(b, id);
-    put_texts(b, "argv", argv);
-    put_texts(b, "env", env);
-    lmn_cbor_put_text(b, "cwd"), lmn_cbor_put_text(b, cwd);
-    lmn_cbor_put_text(b, "log"), lmn_cbor_put_uint(b, log_bytes);
-    return b;
+    lmn_cbor_put_text(buffer, "id"), lmn_cbor_put_uint(buffer, id);
+    put_texts(buffer, "argv", argv);
+    put_texts(buffer, "env", env);
+    lmn_cbor_put_text(buffer, "cwd"), lmn_cbor_put_text(buffer, cwd);
+    lmn_cbor_put_text(buffer, "log"), lmn_cbor_put_uint(buffer, log_bytes);
+    return buffer;
 }
 
 GByteArray *lmn_executor_encode_save(uint64_t id, double grace_s)
 {
-    GByteArray *b = message("save", 2);
+    GByteArray *buffer = message("save", 2);
 
-    lmn_cbor_put_text(b, "id"), lmn_cbor_put_uint(b, id);
-    lmn_cbor_put_text(b, "grace"), lmn_cbor_put_number(b, grace_s);
-    return b;
+    lmn_cbor_put_text(buffer, "id"), lmn_cbor_put_uint(buffer, id);
+    lmn_cbor_put_text(buffer, "grace"), lmn_cbor_put_number(buffer, grace_s);
+    return buffer;
 }
 
 GByteArray *lmn_executor_encode_kill(uint64_t id)
 {
-    GByteArray *b = message("kill", 1);
+    GByteArray *buffer = message("kill", 1);
 
-    lmn_cbor_put_text(b, "id"), lmn_cbor_put_uint(b, id);
-    return b;
+    lmn_cbor_put_text(buffer, "id"), lmn_cbor_put_uint(buffer, id);
+    return buffer;
 }
 
 GByteArray *lmn_executor_encode_kill_all(void)
@@ -59,11 +59,11 @@
 
 GByteArray *lmn_executor_encode_lease(struct timespec at)
 {
-    GByteArray *b = message("until", 2);
+    GByteArray *buffer = message("until", 2);
 
-    lmn_cbor_put_text(b, "s"), lmn_cbor_put_uint(b, (uint64_t)at.tv_sec);
-    lmn_cbor_put_text(b, "ns"), lmn_cbor_put_uint(b, (uint64_t)at.tv_nsec);
-    return b;
+    lmn_cbor_put_text(buffer, "s"), lmn_cbor_put_uint(buffer, (uint64_t)at.tv_sec);
+    lmn_cbor_put_text(buffer, "ns"), lmn_cbor_put_uint(buffer, (uint64_t)at.tv_nsec);
+    return buffer;
 }
 
 int lmn_executor_event_decode(const void *bytes, size_t len,
--- a/src/worker/task_runner.c
+++ b/src/worker/task_runner.c
@@ -19,65 +19,66 @@
 
 /* --- what the state machine asks for: noted only --- */
 
-static void send(struct lmn_worker *w, GByteArray *msg, char *dir)
+static void send(struct lmn_worker *worker, GByteArray *msg, char *dir)
 {
     struct lmn_executor_request *o = g_new(struct lmn_executor_request, 1);
     *o = (struct lmn_executor_request){msg, dir};
-    g_queue_push_tail(&w->outbox, o);
+    g_queue_push_tail(&worker->outbox, o);
 }
 
 static void describe(void *arg, struct lmn_task_run *r)
 {
-    struct lmn_worker *w = arg;
+    struct lmn_worker *worker = arg;
     struct lmn_fetch_request *q = g_new0(struct lmn_fetch_request, 1);
 
     q->id = r->id;
     g_strlcpy(q->ref, r->ref, sizeof q->ref);
-    g_queue_push_tail(&w->pending, q);
+    g_queue_push_tail(&worker->pending, q);
 }
 
 static void fetch(void *arg, struct lmn_task_run *r)
 {
-    struct lmn_worker *w = arg;
+    struct lmn_worker *worker = arg;
     struct lmn_fetch_request *q = g_new0(struct lmn_fetch_request, 1);
-    const struct lmn_task_command *work = g_hash_table_lookup(w->works, r->ref);
+    const struct lmn_task_command *work = g_hash_table_lookup(worker->works, r->ref);
 
     q->image = true;
     q->name = r->image;
     q->gb = work ? work->spec.image_gb : 0;
-    if (w->given_up == q->name)
-        w->given_up = NULL;
-    g_queue_push_tail(&w->pending, q);
+    if (worker->given_up == q->name)
+        worker->given_up = NULL;
+    g_queue_push_tail(&worker->pending, q);
 }
 
 static void give_up(void *arg, const char *image)
 {
-    struct lmn_worker *w = arg;
+    struct lmn_worker *worker = arg;
 
-    w->given_up = g_intern_string(image);
+    worker->given_up = g_intern_string(image);
 }
 
 static bool has_result(void *arg, const char *ref, uint32_t index)
 {
-    struct lmn_worker *w = arg;
+    struct lmn_worker *worker = arg;
     char key[LMN_JOB_ID_SIZE + 16];
 
     g_snprintf(key, sizeof key, "%s/%u", ref, index);
-    return g_hash_table_contains(w->results, key);
+    return g_hash_table_contains(worker->results, key);
 }
 
-static char *run_dir(const struct lmn_worker *w, const struct lmn_task_run *r)
+static char *run_dir(const struct lmn_worker *worker, const struct lmn_task_run *r)
 {
-    return g_strdup_printf("%s/tasks/%s.%u.%" G_GUINT64_FORMAT, w->o->dir, r->ref,
+    return g_strdup_printf("%s/tasks/%s.%u.%" G_GUINT64_FORMAT, worker->o->dir, r->ref,
                            r->index, r->attempt);
 }
 
-static char *image_dir(const struct lmn_worker *w, const char *image)
+static char *image_dir(const struct lmn_worker *worker, const char *image)
 {
-    return g_strdup_printf("%s/images/%s", w->o->dir, image);
+    return g_strdup_printf("%s/images/%s", worker->o->dir, image);
 }
 
-static char **environment(const struct lmn_worker *w, const struct lmn_task_command *work,
+static char **environment(const struct lmn_worker *worker,
+                          const struct lmn_task_command *work,
                           const struct lmn_task_run *r)
 {
     GPtrArray *a = g_ptr_array_new();
@@ -89,25 +90,25 @@
     g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_TASKS=%u", work->spec.tasks));
     g_ptr_array_add(a,
                     g_strdup_printf("LEMONSPAR_ATTEMPT=%" G_GUINT64_FORMAT, r->attempt));
-    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_MACHINE=%s", w->o->name));
-    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_ZONE=%s", w->o->zone));
+    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_MACHINE=%s", worker->o->name));
+    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_ZONE=%s", worker->o->zone));
     if (strcmp(r->image, LMN_NO_IMAGE)) {
-        char *dir = image_dir(w, r->image);
+        char *dir = image_dir(worker, r->image);
         g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_IMAGE=%s", dir));
         g_free(dir);
     }
-    if (r->saves && *w->o->checkpoints)
+    if (r->saves && *worker->o->checkpoints)
         g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_CHECKPOINT=%s/%s/%u",
-                                           w->o->checkpoints, r->ref, r->index));
+                                           worker->o->checkpoints, r->ref, r->index));
     g_ptr_array_add(a, NULL);
     return (char **)g_ptr_array_free(a, FALSE);
 }
 
 static void start(void *arg, struct lmn_task_run *r)
 {
-    struct lmn_worker *w = arg;
-    const struct lmn_task_command *work = g_hash_table_lookup(w->works, r->ref);
-    char *dir = run_dir(w, r);
+    struct lmn_worker *worker = arg;
+    const struct lmn_task_command *work = g_hash_table_lookup(worker->works, r->ref);
+    char *dir = run_dir(worker, r);
 
     /* The description was there to know the image by; if it was dropped since, it comes
      * again. */
@@ -117,12 +118,13 @@
         g_free(dir);
         return;
     }
-    char **env = environment(w, work, r);
-    if (r->saves && *w->o->checkpoints)
-        send(w, NULL, g_strdup_printf("%s/%s/%u", w->o->checkpoints, r->ref, r->index));
-    send(w,
+    char **env = environment(worker, work, r);
+    if (r->saves && *worker->o->checkpoints)
+        send(worker, NULL,
+             g_strdup_printf("%s/%s/%u", worker->o->checkpoints, r->ref, r->index));
+    send(worker,
          lmn_executor_encode_start(r->id, work->argv, env, dir,
-                                   (uint64_t)(w->o->log_kb * 1024)),
+                                   (uint64_t)(worker->o->log_kb * 1024)),
          dir);
     g_strfreev(env);
     lmn_debug("task-start task=%s/%u attempt=%" G_GUINT64_FORMAT, r->ref, r->index,
@@ -163,39 +165,40 @@
 
 /* --- descriptions --- */
 
-static void free_unused(struct lmn_worker *w)
+static void free_unused(struct lmn_worker *worker)
 {
     GHashTableIter it;
     gpointer ref;
 
-    if (g_hash_table_size(w->works) < MAX_WORKS)
+    if (g_hash_table_size(worker->works) < MAX_WORKS)
         return;
-    g_hash_table_iter_init(&it, w->works);
+    g_hash_table_iter_init(&it, worker->works);
     while (g_hash_table_iter_next(&it, &ref, NULL)) {
         bool used = false;
-        for (guint i = 0; i < w->agent.runs->len && !used; i++)
-            used = !strcmp(((struct lmn_task_run *)w->agent.runs->pdata[i])->ref, ref);
+        for (guint i = 0; i < worker->agent.runs->len && !used; i++)
+            used =
+                !strcmp(((struct lmn_task_run *)worker->agent.runs->pdata[i])->ref, ref);
         if (!used)
             g_hash_table_iter_remove(&it);
     }
 }
 
 /* 1: there, 0: there is no such job, -1: the depot has to be asked again. */
-static int get_work(struct lmn_http_client *h, const char *ref,
+static int get_work(struct lmn_http_client *client, const char *ref,
                     struct lmn_task_command *work)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     char digest[LMN_DIGEST_SIZE];
     struct lmn_image_store_error e = {0};
     const char *what = "";
-    int rc = lmn_image_store_lookup(h, LMN_IMAGE_STORE_KIND_JOB, ref, digest, &e);
+    int rc = lmn_image_store_lookup(client, LMN_IMAGE_STORE_KIND_JOB, ref, digest, &e);
 
     if (rc == 0)
-        rc = lmn_image_store_get(h, digest, b, &e);
+        rc = lmn_image_store_get(client, digest, buffer, &e);
     if (rc != 0) {
         rc = e.status == 404 ? 0 : -1;
         lmn_info("description-missing job=%s why=\"%s\"", ref, e.what);
-    } else if (lmn_task_command_decode(work, b->data, b->len, &what) != 0 ||
+    } else if (lmn_task_command_decode(work, buffer->data, buffer->len, &what) != 0 ||
                strcmp(work->spec.ref, ref) ||
                !lmn_image_name_is_valid(work->spec.image)) {
         lmn_error("description-unreadable job=%s field=%s", ref, what);
@@ -203,44 +206,44 @@
     } else {
         rc = 1;
     }
-    g_byte_array_unref(b);
+    g_byte_array_unref(buffer);
     return rc;
 }
 
 void *lmn_describe_thread(void *arg)
 {
-    struct lmn_worker *w = arg;
-    struct lmn_http_client *h = lmn_http_client_new(w->o->depot);
+    struct lmn_worker *worker = arg;
+    struct lmn_http_client *client = lmn_http_client_new(worker->o->depot);
 
     for (;;) {
-        lmn_worker_lock(w);
-        while (!w->wishes.head)
-            pthread_cond_wait(&w->wishes_more, &w->lock);
-        struct lmn_fetch_request *q = g_queue_pop_head(&w->wishes);
-        bool wanted = lmn_agent_find_run(&w->agent, q->id) != NULL;
-        bool known = g_hash_table_contains(w->works, q->ref);
+        lmn_worker_lock(worker);
+        while (!worker->wishes.head)
+            pthread_cond_wait(&worker->wishes_more, &worker->lock);
+        struct lmn_fetch_request *q = g_queue_pop_head(&worker->wishes);
+        bool wanted = lmn_agent_find_run(&worker->agent, q->id) != NULL;
+        bool known = g_hash_table_contains(worker->works, q->ref);
         if (known && wanted)
-            g_queue_push_tail(&w->pending, q);
-        lmn_worker_unlock(w);
+            g_queue_push_tail(&worker->pending, q);
+        lmn_worker_unlock(worker);
         if (!wanted)
             g_free(q);
         if (!wanted || known)
             continue;
         struct lmn_task_command *work = g_new0(struct lmn_task_command, 1);
-        int rc = get_work(h, q->ref, work);
+        int rc = get_work(client, q->ref, work);
         if (rc < 0)
             lmn_sleep(0.3);
-        lmn_worker_lock(w);
+        lmn_worker_lock(worker);
         if (rc > 0) {
-            free_unused(w);
-            g_hash_table_replace(w->works, work->spec.ref, work);
-            g_queue_push_tail(&w->pending, q);
+            free_unused(worker);
+            g_hash_table_replace(worker->works, work->spec.ref, work);
+            g_queue_push_tail(&worker->pending, q);
         } else if (rc == 0) {
-            lmn_agent_described(&w->agent, q->id, NULL, lmn_worker_now());
+            lmn_agent_described(&worker->agent, q->id, NULL, lmn_worker_now());
         } else {
-            g_queue_push_tail(&w->wishes, q);
+            g_queue_push_tail(&worker->wishes, q);
         }
-        lmn_worker_unlock(w);
+        lmn_worker_unlock(worker);
         if (rc <= 0)
             g_free(work);
         if (rc == 0)
@@ -251,9 +254,9 @@
 
 /* --- images --- */
 
-void lmn_images_open(struct lmn_worker *w)
+void lmn_images_open(struct lmn_worker *worker)
 {
-    char *root = g_strdup_printf("%s/images", w->o->dir);
+    char *root = g_strdup_printf("%s/images", worker->o->dir);
     GDir *d;
     const char *name;
 
@@ -261,13 +264,13 @@
     d = g_dir_open(root, 0, NULL);
     while (d && (name = g_dir_read_name(d))) {
         char *path = g_build_filename(root, name, NULL);
-        char *note = g_strdup_printf("%s/sizes/%s", w->o->dir, name), *text = NULL;
+        char *note = g_strdup_printf("%s/sizes/%s", worker->o->dir, name), *text = NULL;
         /* Only what was fetched to its end has its size beside it. */
         if (g_file_get_contents(note, &text, NULL, NULL)) {
             guint64 *bytes = g_new(guint64, 1);
             *bytes = g_ascii_strtoull(text, NULL, 10);
-            g_hash_table_replace(w->here, (gpointer)g_intern_string(name), bytes);
-            g_queue_push_tail(&w->image_order, (gpointer)g_intern_string(name));
+            g_hash_table_replace(worker->here, (gpointer)g_intern_string(name), bytes);
+            g_queue_push_tail(&worker->image_order, (gpointer)g_intern_string(name));
         } else {
             lmn_tree_remove(path);
         }
@@ -280,10 +283,10 @@
     g_free(root);
 }
 
-static bool in_use(const struct lmn_worker *w, const char *image)
+static bool in_use(const struct lmn_worker *worker, const char *image)
 {
-    for (guint i = 0; i < w->agent.runs->len; i++) {
-        const struct lmn_task_run *r = w->agent.runs->pdata[i];
+    for (guint i = 0; i < worker->agent.runs->len; i++) {
+        const struct lmn_task_run *r = worker->agent.runs->pdata[i];
         if (r->state != LMN_RUN_ENDED && r->image && !strcmp(r->image, image))
             return true;
     }
@@ -292,32 +295,33 @@
 
 /* Takes the least recently used images that no task needs out of the books until so much
  * more fits; their directories go to drop. The lock is held. */
-static void make_room(struct lmn_worker *w, double bytes, GPtrArray *drop)
+static void make_room(struct lmn_worker *worker, double bytes, GPtrArray *drop)
 {
-    double all = bytes, most = w->o->type.cache_gb * 1e9;
+    double all = bytes, most = worker->o->type.cache_gb * 1e9;
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, w->here);
+    g_hash_table_iter_init(&it, worker->here);
     while (g_hash_table_iter_next(&it, NULL, &v))
         all += (double)*(guint64 *)v;
-    for (GList *l = w->image_order.head, *next; l && all > most; l = next) {
+    for (GList *l = worker->image_order.head, *next; l && all > most; l = next) {
         const char *name = l->data;
         next = l->next;
-        if (in_use(w, name))
+        if (in_use(worker, name))
             continue;
-        all -= (double)*(guint64 *)g_hash_table_lookup(w->here, name);
-        g_hash_table_remove(w->here, name);
-        g_queue_delete_link(&w->image_order, l);
+        all -= (double)*(guint64 *)g_hash_table_lookup(worker->here, name);
+        g_hash_table_remove(worker->here, name);
+        g_queue_delete_link(&worker->image_order, l);
         g_ptr_array_add(drop, (gpointer)name);
     }
 }
 
-static void drop_images(struct lmn_worker *w, GPtrArray *drop)
+static void drop_images(struct lmn_worker *worker, GPtrArray *drop)
 {
     for (guint i = 0; i < drop->len; i++) {
-        char *dir = image_dir(w, drop->pdata[i]);
-        char *note = g_strdup_printf("%s/sizes/%s", w->o->dir, (char *)drop->pdata[i]);
+        char *dir = image_dir(worker, drop->pdata[i]);
+        char *note =
+            g_strdup_printf("%s/sizes/%s", worker->o->dir, (char *)drop->pdata[i]);
         unlink(note); /* first: what has no size is fetched anew */
         lmn_tree_remove(dir);
         lmn_info("image-dropped image=%s", (char *)drop->pdata[i]);
@@ -342,18 +346,20 @@
     return on;
 }
 
-static bool get_image(struct lmn_worker *w, struct lmn_http_client *h, const char *name,
-                      uint64_t *bytes)
+static bool get_image(struct lmn_worker *worker, struct lmn_http_client *client,
+                      const char *name, uint64_t *bytes)
 {
-    char *dir = image_dir(w, name), *sizes = g_strdup_printf("%s/sizes", w->o->dir);
+    char *dir = image_dir(worker, name),
+         *sizes = g_strdup_printf("%s/sizes", worker->o->dir);
     char *note = g_build_filename(sizes, name, NULL), text[32];
-    struct going going = {w, name};
+    struct going going = {worker, name};
     struct lmn_image_store_error e = {0};
     struct timespec begun = lmn_now();
 
     g_mkdir_with_parents(sizes, 0755);
     lmn_tree_remove(dir);
-    int rc = lmn_image_get(h, name, dir, w->o->type.pull * 1e9, go_on, &going, bytes, &e);
+    int rc = lmn_image_get(client, name, dir, worker->o->type.pull * 1e9, go_on, &going,
+                           bytes, &e);
     if (rc == 0) {
         int n = g_snprintf(text, sizeof text, "%" G_GUINT64_FORMAT "\n", *bytes);
         rc = lmn_file_put(note, text, (size_t)n);
@@ -371,35 +377,35 @@
 
 void *lmn_image_thread(void *arg)
 {
-    struct lmn_worker *w = arg;
-    struct lmn_http_client *h = lmn_http_client_new(w->o->depot);
+    struct lmn_worker *worker = arg;
+    struct lmn_http_client *client = lmn_http_client_new(worker->o->depot);
     GPtrArray *drop = g_ptr_array_new();
 
     for (;;) {
         uint64_t bytes = 0;
-        lmn_worker_lock(w);
-        while (!w->images.head)
-            pthread_cond_wait(&w->images_more, &w->lock);
-        struct lmn_fetch_request *q = g_queue_pop_head(&w->images);
-        bool there = g_hash_table_contains(w->here, q->name);
-        bool wanted = in_use(w, q->name);
+        lmn_worker_lock(worker);
+        while (!worker->images.head)
+            pthread_cond_wait(&worker->images_more, &worker->lock);
+        struct lmn_fetch_request *q = g_queue_pop_head(&worker->images);
+        bool there = g_hash_table_contains(worker->here, q->name);
+        bool wanted = in_use(worker, q->name);
         if (!there && wanted)
-            make_room(w, q->gb * 1e9, drop);
-        lmn_worker_unlock(w);
-        drop_images(w, drop);
-        bool ok = there || (wanted && get_image(w, h, q->name, &bytes));
-        lmn_worker_lock(w);
+            make_room(worker, q->gb * 1e9, drop);
+        lmn_worker_unlock(worker);
+        drop_images(worker, drop);
+        bool ok = there || (wanted && get_image(worker, client, q->name, &bytes));
+        lmn_worker_lock(worker);
         if (ok && !there) {
             guint64 *n = g_new(guint64, 1);
             *n = bytes;
-            g_hash_table_replace(w->here, (gpointer)q->name, n);
-            g_queue_push_tail(&w->image_order, (gpointer)q->name);
-            w->fetched_bytes += bytes;
+            g_hash_table_replace(worker->here, (gpointer)q->name, n);
+            g_queue_push_tail(&worker->image_order, (gpointer)q->name);
+            worker->fetched_bytes += bytes;
         }
-        if (w->given_up == q->name)
-            w->given_up = NULL;
-        lmn_agent_fetched(&w->agent, q->name, ok, lmn_worker_now());
-        lmn_worker_unlock(w);
+        if (worker->given_up == q->name)
+            worker->given_up = NULL;
+        lmn_agent_fetched(&worker->agent, q->name, ok, lmn_worker_now());
+        lmn_worker_unlock(worker);
         g_free(q);
     }
     return NULL;
@@ -407,66 +413,68 @@
 
 /* --- results --- */
 
-int lmn_results_open(struct lmn_worker *w)
+int lmn_results_open(struct lmn_worker *worker)
 {
-    char *path = g_build_filename(w->o->dir, "results", NULL), *text = NULL;
+    char *path = g_build_filename(worker->o->dir, "results", NULL), *text = NULL;
     gsize n = 0, at = 0;
 
-    w->results = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    w->results_fd = open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-    if (w->results_fd >= 0 && g_file_get_contents(path, &text, &n, NULL)) {
+    worker->results = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    worker->results_fd = open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+    if (worker->results_fd >= 0 && g_file_get_contents(path, &text, &n, NULL)) {
         /* A line without its end was being written when the machine died: it says
          * nothing. */
         for (char *end; at < n && (end = memchr(text + at, '\n', n - at));
              at = (gsize)(end - text) + 1)
-            g_hash_table_add(w->results, g_strndup(text + at, (gsize)(end - text) - at));
-        if (at < n && ftruncate(w->results_fd, (off_t)at) != 0)
+            g_hash_table_add(worker->results,
+                             g_strndup(text + at, (gsize)(end - text) - at));
+        if (at < n && ftruncate(worker->results_fd, (off_t)at) != 0)
             lmn_error("results-uncut path=%s error=\"%s\"", path, strerror(errno));
         g_free(text);
     }
     g_free(path);
-    return w->results_fd < 0 ? -1 : 0;
+    return worker->results_fd < 0 ? -1 : 0;
 }
 
 /* Records all that have ended and waits, by one sync; only then are they told as done. */
 void *lmn_ended_thread(void *arg)
 {
-    struct lmn_worker *w = arg;
+    struct lmn_worker *worker = arg;
 
     for (;;) {
         GString *lines = g_string_new(NULL);
-        lmn_worker_lock(w);
-        while (!w->ended.head)
-            pthread_cond_wait(&w->ended_more, &w->lock);
-        GQueue mine = w->ended;
-        g_queue_init(&w->ended);
-        lmn_worker_unlock(w);
+        lmn_worker_lock(worker);
+        while (!worker->ended.head)
+            pthread_cond_wait(&worker->ended_more, &worker->lock);
+        GQueue mine = worker->ended;
+        g_queue_init(&worker->ended);
+        lmn_worker_unlock(worker);
         for (GList *l = mine.head; l; l = l->next) {
             const struct lmn_ended_attempt *e = l->data;
             if (e->done)
                 g_string_append_printf(lines, "%s/%u\n", e->ref, e->index);
         }
-        bool kept = !lines->len || (write(w->results_fd, lines->str, lines->len) ==
+        bool kept = !lines->len || (write(worker->results_fd, lines->str, lines->len) ==
                                         (ssize_t)lines->len &&
-                                    fdatasync(w->results_fd) == 0);
+                                    fdatasync(worker->results_fd) == 0);
         if (!kept)
             lmn_error("result-lost error=\"%s\"", strerror(errno));
-        lmn_worker_lock(w);
+        lmn_worker_lock(worker);
         for (struct lmn_ended_attempt *e; (e = g_queue_pop_head(&mine));) {
             if (e->done && kept)
-                g_hash_table_add(w->results, g_strdup_printf("%s/%u", e->ref, e->index));
-            lmn_agent_exited(&w->agent, e->id, e->done && kept, e->saved,
+                g_hash_table_add(worker->results,
+                                 g_strdup_printf("%s/%u", e->ref, e->index));
+            lmn_agent_exited(&worker->agent, e->id, e->done && kept, e->saved,
                              lmn_worker_now());
-            if (w->logs.length < MAX_LOGS) {
-                g_queue_push_tail(&w->logs, e);
-                pthread_cond_signal(&w->logs_more);
+            if (worker->logs.length < MAX_LOGS) {
+                g_queue_push_tail(&worker->logs, e);
+                pthread_cond_signal(&worker->logs_more);
             } else {
-                w->lost_logs++;
+                worker->lost_logs++;
                 g_free(e->dir);
                 g_free(e);
             }
         }
-        lmn_worker_unlock(w);
+        lmn_worker_unlock(worker);
         g_string_free(lines, TRUE);
     }
     return NULL;
@@ -474,7 +482,7 @@
 
 /* --- output --- */
 
-static bool upload(struct lmn_http_client *h, const struct lmn_ended_attempt *e,
+static bool upload(struct lmn_http_client *client, const struct lmn_ended_attempt *e,
                    const char *stream)
 {
     char *path = g_build_filename(e->dir, stream, NULL), *text = NULL, to[160];
@@ -483,11 +491,11 @@
     bool ok = true;
 
     if (g_file_get_contents(path, &text, &n, NULL) && n) {
-        GByteArray *b = g_byte_array_new_take((guint8 *)text, n);
+        GByteArray *buffer = g_byte_array_new_take((guint8 *)text, n);
         g_snprintf(to, sizeof to, "/logs/%s/%u.%" G_GUINT64_FORMAT ".%s", e->ref,
                    e->index, e->attempt, stream);
-        ok = lmn_http_client_call(h, "PUT", to, b, 30, out) == 200;
-        g_byte_array_unref(b);
+        ok = lmn_http_client_call(client, "PUT", to, buffer, 30, out) == 200;
+        g_byte_array_unref(buffer);
     } else {
         g_free(text);
     }
@@ -498,30 +506,30 @@
 
 void *lmn_logs_thread(void *arg)
 {
-    struct lmn_worker *w = arg;
-    struct lmn_http_client *h = lmn_http_client_new(w->o->depot);
+    struct lmn_worker *worker = arg;
+    struct lmn_http_client *client = lmn_http_client_new(worker->o->depot);
 
     for (;;) {
-        pthread_mutex_lock(&w->lock);
-        while (!w->logs.head)
-            pthread_cond_wait(&w->logs_more, &w->lock);
-        struct lmn_ended_attempt *e = g_queue_pop_head(&w->logs);
-        pthread_mutex_unlock(&w->lock);
-        bool ok = upload(h, e, "stdout") && upload(h, e, "stderr");
+        pthread_mutex_lock(&worker->lock);
+        while (!worker->logs.head)
+            pthread_cond_wait(&worker->logs_more, &worker->lock);
+        struct lmn_ended_attempt *e = g_queue_pop_head(&worker->logs);
+        pthread_mutex_unlock(&worker->lock);
+        bool ok = upload(client, e, "stdout") && upload(client, e, "stderr");
         if (!ok && ++e->tries < LOG_TRIES) {
             lmn_sleep(MIN(0.1 * (1 << MIN(e->tries, 6)), 5));
-            pthread_mutex_lock(&w->lock);
-            g_queue_push_tail(&w->logs, e);
-            pthread_mutex_unlock(&w->lock);
+            pthread_mutex_lock(&worker->lock);
+            g_queue_push_tail(&worker->logs, e);
+            pthread_mutex_unlock(&worker->lock);
             continue;
         }
         if (!ok)
             lmn_error("logs-lost task=%s/%u attempt=%" G_GUINT64_FORMAT, e->ref, e->index,
                       e->attempt);
-        pthread_mutex_lock(&w->lock);
-        w->uploads += ok;
-        w->lost_logs += !ok;
-        pthread_mutex_unlock(&w->lock);
+        pthread_mutex_lock(&worker->lock);
+        worker->uploads += ok;
+        worker->lost_logs += !ok;
+        pthread_mutex_unlock(&worker->lock);
         lmn_tree_remove(e->dir);
         g_free(e->dir);
         g_free(e);
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -29,11 +29,12 @@
 
 struct lmn_config;
 /* Reads [[controllers]]: name and address, 1 to LMN_MAX_CONTROLLERS of them. */
-void lmn_worker_controllers(struct lmn_config *c, struct lmn_worker_options *o);
+void lmn_worker_controllers(struct lmn_config *config,
+                            struct lmn_worker_options *options);
 /* Reads a worker's settings file; -1 with err. */
-int lmn_worker_load(const char *path, struct lmn_worker_options *o, char *err,
+int lmn_worker_load(const char *path, struct lmn_worker_options *options, char *err,
                     size_t len);
 /* Runs until the process ends; returns only if it can't start, with err. */
-int lmn_worker_run(const struct lmn_worker_options *o, char *err, size_t len);
+int lmn_worker_run(const struct lmn_worker_options *options, char *err, size_t len);
 
 #endif
--- a/src/worker/worker_internal.h
+++ b/src/worker/worker_internal.h
@@ -60,15 +60,15 @@
     uint64_t reports, redirects, uploads, fetched_bytes, lost_logs;
 };
 
-void lmn_worker_lock(struct lmn_worker *w);
-void lmn_worker_unlock(struct lmn_worker *w);
+void lmn_worker_lock(struct lmn_worker *worker);
+void lmn_worker_unlock(struct lmn_worker *worker);
 struct timespec lmn_worker_now(void);
 
 extern const struct lmn_agent_ops lmn_worker_agent_ops;
 /* Reads the results of earlier lives; -1 with errno. */
-int lmn_results_open(struct lmn_worker *w);
+int lmn_results_open(struct lmn_worker *worker);
 /* What is in the image directory from earlier lives. */
-void lmn_images_open(struct lmn_worker *w);
+void lmn_images_open(struct lmn_worker *worker);
 /* Threads, each for ever; worker: struct lmn_worker. */
 void *lmn_describe_thread(void *worker);
 void *lmn_image_thread(void *worker);
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -36,50 +36,50 @@
     g_strlcpy(settings.teams[0].name, "t", LMN_NAME_SIZE);
 }
 
-static void add_machine(struct lmn_partition *p, int i)
+static void add_machine(struct lmn_partition *partition, int i)
 {
     char name[16];
 
     g_snprintf(name, sizeof name, "m-%d", i);
-    struct lmn_machine *m = lmn_machine_new(p, name);
-    m->type = &core->types.v[0];
-    g_strlcpy(m->zone, i % 2 ? "a" : "b", sizeof m->zone);
-    m->spot = i % 3 == 0;
-    m->rev = 1;
-    m->heard = m->accounted = true;
+    struct lmn_machine *machine = lmn_machine_new(partition, name);
+    machine->type = &core->types.v[0];
+    g_strlcpy(machine->zone, i % 2 ? "a" : "b", sizeof machine->zone);
+    machine->spot = i % 3 == 0;
+    machine->rev = 1;
+    machine->heard = machine->accounted = true;
 }
 
-static void set_up_job(struct lmn_job *j, int i, GRand *r)
+static void set_up_job(struct lmn_job *job, int i, GRand *r)
 {
-    memset(j, 0, sizeof *j);
-    g_snprintf(j->spec.ref, sizeof j->spec.ref, "run-%06d", i);
-    j->spec.team = (char *)"t";
-    j->spec.image = (char *)"i";
-    j->image = g_intern_string("i");
-    j->spec.class_name = (char *)"c";
-    j->spec.zone = i % 4 == 1 ? (char *)"a" : NULL;
-    j->spec.spot = i % 2;
-    j->spec.urgency = (enum lmn_priority)(i % 4);
-    j->spec.tasks = 1 + (uint32_t)g_rand_int_range(r, 0, 40);
-    j->spec.cpus = 1 + i % 4;
-    j->spec.deadline_s = -1;
-    j->at = i;
-    j->latest = g_rand_int_range(r, 0, 5);
-    j->lost = i % 5 == 0;
-    j->ranges = g_ptr_array_new();
+    memset(job, 0, sizeof *job);
+    g_snprintf(job->spec.ref, sizeof job->spec.ref, "run-%06d", i);
+    job->spec.team = (char *)"t";
+    job->spec.image = (char *)"i";
+    job->image = g_intern_string("i");
+    job->spec.class_name = (char *)"c";
+    job->spec.zone = i % 4 == 1 ? (char *)"a" : NULL;
+    job->spec.spot = i % 2;
+    job->spec.urgency = (enum lmn_priority)(i % 4);
+    job->spec.tasks = 1 + (uint32_t)g_rand_int_range(r, 0, 40);
+    job->spec.cpus = 1 + i % 4;
+    job->spec.deadline_s = -1;
+    job->at = i;
+    job->latest = g_rand_int_range(r, 0, 5);
+    job->lost = i % 5 == 0;
+    job->ranges = g_ptr_array_new();
 }
 
-static void add_range(struct lmn_partition *p, struct lmn_job *j)
+static void add_range(struct lmn_partition *partition, struct lmn_job *job)
 {
     struct lmn_range *range = g_new0(struct lmn_range, 1);
 
-    range->job = j;
-    range->part = p;
-    range->hi = j->spec.tasks;
-    range->key = g_strdup(j->spec.ref);
+    range->job = job;
+    range->part = partition;
+    range->hi = job->spec.tasks;
+    range->key = g_strdup(job->spec.ref);
     range->done = g_malloc0(16);
-    g_hash_table_insert(p->ranges, range->key, range);
-    g_ptr_array_add(j->ranges, range);
+    g_hash_table_insert(partition->ranges, range->key, range);
+    g_ptr_array_add(job->ranges, range);
     lmn_range_open(core, range);
     range->dealt = true;
 }
@@ -92,19 +92,19 @@
     core = lmn_core_new(&settings, lmn_kv_client_new(&settings), seed);
     core->types.n = 1;
     core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
-    struct lmn_partition *p = &core->parts[0];
-    p->mine = p->ready = p->open = true;
-    p->my_term = 1;
+    struct lmn_partition *partition = &core->parts[0];
+    partition->mine = partition->ready = partition->open = true;
+    partition->my_term = 1;
     for (int i = 0; i < MACHINES; i++)
-        add_machine(p, i);
+        add_machine(partition, i);
     for (int i = 0; i < JOBS; i++) {
         set_up_job(&jobs[i], i, r);
-        add_range(p, &jobs[i]);
+        add_range(partition, &jobs[i]);
     }
     g_rand_free(r);
 }
 
-guint count_started(const struct lmn_job *j, bool spot)
+guint count_started(const struct lmn_job *job, bool spot)
 {
     GHashTableIter it;
     gpointer v;
@@ -112,9 +112,9 @@
 
     g_hash_table_iter_init(&it, core->parts[0].machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine *m = v;
-        for (guint i = 0; m->spot == spot && i < m->attempts->len; i++)
-            n += g_array_index(m->attempts, struct lmn_attempt, i).job == j;
+        const struct lmn_machine *machine = v;
+        for (guint i = 0; machine->spot == spot && i < machine->attempts->len; i++)
+            n += g_array_index(machine->attempts, struct lmn_attempt, i).job == job;
     }
     return n;
 }
@@ -139,19 +139,19 @@
 
 struct lmn_job *lone_job(enum lmn_priority urgency, double estimate)
 {
-    struct lmn_job *j = &jobs[0];
+    struct lmn_job *job = &jobs[0];
 
     fixture_begin(3);
     core->types.v[0].rate = 3;
     core->types.v[0].spot_rate = 1;
     for (int i = 1; i < JOBS; i++)
         jobs[i].phase = LMN_JOB_DONE;
-    j->spec.kind = LMN_JOB_BATCH;
-    j->spec.urgency = urgency;
-    j->spec.estimate_s = estimate;
-    j->spec.spot = true;
-    j->spec.zone = NULL;
-    j->spec.cpus = 8;
-    lmn_assign_range(core, j->ranges->pdata[0], now);
-    return j;
+    job->spec.kind = LMN_JOB_BATCH;
+    job->spec.urgency = urgency;
+    job->spec.estimate_s = estimate;
+    job->spec.spot = true;
+    job->spec.zone = NULL;
+    job->spec.cpus = 8;
+    lmn_assign_range(core, job->ranges->pdata[0], now);
+    return job;
 }
--- a/tests/queue/fixture.h
+++ b/tests/queue/fixture.h
@@ -25,7 +25,7 @@
  * of various sizes and urgencies, none of which is dealt yet. */
 void fixture_begin(uint32_t seed);
 /* How many tasks of the job are on spot or on ordinary machines. */
-guint count_started(const struct lmn_job *j, bool spot);
+guint count_started(const struct lmn_job *job, bool spot);
 /* Asks every machine what it starts, until none starts anything. */
 void start_all(void);
 /* Begins anew with one job alone, dealt; it may use cheap machines. */
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -59,18 +59,18 @@
 bool start_directly(int n)
 {
     struct node *node = &explored.nodes[n];
-    struct lmn_partition *p = node_partition(n);
+    struct lmn_partition *partition = node_partition(n);
     char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     int id;
 
     if (!free_command() || node->stalled || node->pending)
         return false;
-    for (guint k = 0; k < p->list->len; k++) {
-        struct lmn_machine *m = p->list->pdata[k];
-        if (explored.without == GUARD_RECORD && p->mine && !m->rev)
-            m->rev = 1;
-        if (p->mine && !m->in_call)
-            lmn_machine_wake(m);
+    for (guint k = 0; k < partition->list->len; k++) {
+        struct lmn_machine *machine = partition->list->pdata[k];
+        if (explored.without == GUARD_RECORD && partition->mine && !machine->rev)
+            machine->rev = 1;
+        if (partition->mine && !machine->in_call)
+            lmn_machine_wake(machine);
     }
     GByteArray *body = g_byte_array_new();
     if (!lmn_worker_client_next_push(node->core, 0, 1, name, addr, body, explored.now)) {
@@ -91,21 +91,21 @@
 
 static void keep_last(int k, GByteArray *body)
 {
-    struct machine *m = &explored.machines[k];
+    struct machine *machine = &explored.machines[k];
 
-    if (m->last_report)
-        g_byte_array_unref(m->last_report);
-    m->last_report = g_byte_array_ref(body);
+    if (machine->last_report)
+        g_byte_array_unref(machine->last_report);
+    machine->last_report = g_byte_array_ref(body);
 }
 
 /* Hands a report to the owner; returns its status, and the answer. */
 static int answer_report(int n, const GByteArray *body, GByteArray *answer)
 {
-    struct lmn_core *c = explored.nodes[n].core;
-    struct lmn_partition *p = node_partition(n);
+    struct lmn_core *core = explored.nodes[n].core;
+    struct lmn_partition *partition = node_partition(n);
     struct lmn_deferred_starts held;
     int status =
-        lmn_heartbeat_handle(c, body->data, body->len, answer, &held, explored.now);
+        lmn_heartbeat_handle(core, body->data, body->len, answer, &held, explored.now);
     digest_message("report", explored.now);
     digest_number((uint64_t)n);
     digest_array(body);
@@ -115,11 +115,12 @@
 
     if (status != 200 || !held.mark)
         return status;
-    while (explored.fair && !lmn_replication_covers(p, held.mark) &&
+    while (explored.fair && !lmn_replication_covers(partition, held.mark) &&
            replicate(n, DELIVERED))
         write_standby_record(n, true);
-    if (!lmn_replication_covers(p, held.mark) && explored.without != GUARD_ACKNOWLEDGED)
-        lmn_heartbeat_withhold_starts(c, &held, answer, explored.now);
+    if (!lmn_replication_covers(partition, held.mark) &&
+        explored.without != GUARD_ACKNOWLEDGED)
+        lmn_heartbeat_withhold_starts(core, &held, answer, explored.now);
     return status;
 }
 
@@ -139,13 +140,13 @@
 
 bool keep_copy(int k)
 {
-    struct machine *m = &explored.machines[k];
+    struct machine *machine = &explored.machines[k];
 
     if (explored.had.copies == explored.allowed.copies || explored.late_report ||
-        !m->last_report)
+        !machine->last_report)
         return false;
     explored.had.copies++;
-    explored.late_report = g_byte_array_ref(m->last_report);
+    explored.late_report = g_byte_array_ref(machine->last_report);
     explored.late_machine = k;
     return true;
 }
@@ -156,9 +157,10 @@
         return false;
     if (explored.without == GUARD_REPORT_ORDER) {
         const char *name = explored.machines[explored.late_machine].name;
-        struct lmn_machine *m = g_hash_table_lookup(node_partition(n)->machines, name);
-        if (m)
-            m->seq = m->report_seq = 0;
+        struct lmn_machine *machine =
+            g_hash_table_lookup(node_partition(n)->machines, name);
+        if (machine)
+            machine->seq = machine->report_seq = 0;
     }
     GByteArray *answer = g_byte_array_new();
     answer_report(n, explored.late_report, answer);
@@ -168,22 +170,23 @@
 
 bool probe(int n)
 {
-    struct lmn_core *c = explored.nodes[n].core;
+    struct lmn_core *core = explored.nodes[n].core;
     char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
-    uint64_t term;
+    uint64_t epoch;
 
-    if (!lmn_worker_client_next_probe(c, 0, 1, name, addr, &term, explored.now) || !term)
+    if (!lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, explored.now) ||
+        !epoch)
         return false;
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
     int k = machine_index(name);
     lmn_cbor_put_map(body, 3);
-    lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, term);
+    lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, epoch);
     lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
         lmn_cbor_put_uint(body, explored.machines[k].session);
     lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, 0);
     bool accepted = machine_accept(k, body, true);
     machine_report(k, answer);
-    lmn_worker_client_probe_done(c, name, term, accepted ? 200 : 409, answer,
+    lmn_worker_client_probe_done(core, name, epoch, accepted ? 200 : 409, answer,
                                  explored.now);
     g_byte_array_unref(body);
     g_byte_array_unref(answer);
--- a/tests/takeover/fair.c
+++ b/tests/takeover/fair.c
@@ -18,14 +18,14 @@
     release_pending(n);
 }
 
-static void commit_if_any(struct lmn_txn *t)
+static void commit_if_any(struct lmn_txn *txn)
 {
     uint64_t revision;
 
-    if (!t)
+    if (!txn)
         return;
-    store_commit(t, &revision);
-    lmn_txn_free(t);
+    store_commit(txn, &revision);
+    lmn_txn_free(txn);
 }
 
 /* A node whose lease ended loses its partition, and joins with a new one. */
@@ -44,20 +44,20 @@
 static void step_of_node(int n)
 {
     struct node *node = &explored.nodes[n];
-    struct lmn_core *c = node->core;
+    struct lmn_core *core = node->core;
     int successor;
 
     node_mirror(n);
-    commit_if_any(lmn_ownership_transfer(c, 0, &successor, explored.now));
+    commit_if_any(lmn_ownership_transfer(core, 0, &successor, explored.now));
     renew_lease(n);
-    struct lmn_txn *t = lmn_ownership_refutation(c, node->lease, explored.now);
-    commit_if_any(t ? t : lmn_ownership_claim(c, 0, node->lease, explored.now));
+    struct lmn_txn *txn = lmn_ownership_refutation(core, node->lease, explored.now);
+    commit_if_any(txn ? txn : lmn_ownership_claim(core, 0, node->lease, explored.now));
     node_mirror(n);
     probe(n);
     for (int k = 0; k < MACHINES; k++)
         report(n, k);
     flush(n, true);
-    lmn_maintenance_run(c, explored.now);
+    lmn_maintenance_run(core, explored.now);
     while (replicate(n, DELIVERED) && !node->standby_record)
         ;
     write_standby_record(n, true);
--- a/tests/takeover/machines.c
+++ b/tests/takeover/machines.c
@@ -17,51 +17,54 @@
 
 void machine_report(int k, GByteArray *body)
 {
-    struct machine *m = &explored.machines[k];
+    struct machine *machine = &explored.machines[k];
 
     lmn_cbor_put_map(body, 9);
-    lmn_cbor_put_text(body, WIRE_MACHINE), lmn_cbor_put_text(body, m->name);
+    lmn_cbor_put_text(body, WIRE_MACHINE), lmn_cbor_put_text(body, machine->name);
     lmn_cbor_put_text(body, WIRE_ADDRESS), lmn_cbor_put_text(body, "10.0.0.1:9000");
     lmn_cbor_put_text(body, WIRE_MACHINE_TYPE), lmn_cbor_put_text(body, "t");
     lmn_cbor_put_text(body, WIRE_ZONE), lmn_cbor_put_text(body, "z");
     lmn_cbor_put_text(body, WIRE_SPOT), lmn_cbor_put_bool(body, false);
-    lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(body, m->session);
-    lmn_cbor_put_text(body, WIRE_SEQUENCE), lmn_cbor_put_uint(body, ++m->seq);
-    lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, m->token);
-    lmn_cbor_put_text(body, WIRE_TASKS), lmn_cbor_put_array(body, (size_t)m->nattempts);
-    for (int i = 0; i < m->nattempts; i++)
-        put_attempt(&m->attempts[i], body);
+    lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
+        lmn_cbor_put_uint(body, machine->session);
+    lmn_cbor_put_text(body, WIRE_SEQUENCE), lmn_cbor_put_uint(body, ++machine->seq);
+    lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, machine->token);
+    lmn_cbor_put_text(body, WIRE_TASKS),
+        lmn_cbor_put_array(body, (size_t)machine->nattempts);
+    for (int i = 0; i < machine->nattempts; i++)
+        put_attempt(&machine->attempts[i], body);
 }
 
-static int find_attempt(const struct machine *m, uint64_t number)
+static int find_attempt(const struct machine *machine, uint64_t number)
 {
-    for (int i = 0; i < m->nattempts; i++)
-        if (m->attempts[i].number == number)
+    for (int i = 0; i < machine->nattempts; i++)
+        if (machine->attempts[i].number == number)
             return i;
     return -1;
 }
 
-static void carry_out(struct machine *m, const struct lmn_cbor_document *d,
-                      const struct lmn_cbor_value *c)
+static void carry_out(struct machine *machine, const struct lmn_cbor_document *document,
+                      const struct lmn_cbor_value *child)
 {
     uint64_t number = 0;
 
-    lmn_cbor_get_uint(lmn_cbor_get(d, c, WIRE_ATTEMPT), &number);
-    int at = find_attempt(m, number);
-    if (lmn_cbor_text_equals(lmn_cbor_get(d, c, WIRE_COMMAND), WIRE_START)) {
-        if (at < 0 && m->nattempts < TASKS)
-            m->attempts[m->nattempts++] = (struct attempt){number, true, false};
-    } else if (at >= 0 &&
-               lmn_cbor_text_equals(lmn_cbor_get(d, c, WIRE_COMMAND), WIRE_KILL)) {
-        m->attempts[at].running = false;
-    } else if (at >= 0 && !m->attempts[at].running) {
-        m->attempts[at] = m->attempts[--m->nattempts];
+    lmn_cbor_get_uint(lmn_cbor_get(document, child, WIRE_ATTEMPT), &number);
+    int at = find_attempt(machine, number);
+    if (lmn_cbor_text_equals(lmn_cbor_get(document, child, WIRE_COMMAND), WIRE_START)) {
+        if (at < 0 && machine->nattempts < TASKS)
+            machine->attempts[machine->nattempts++] =
+                (struct attempt){number, true, false};
+    } else if (at >= 0 && lmn_cbor_text_equals(
+                              lmn_cbor_get(document, child, WIRE_COMMAND), WIRE_KILL)) {
+        machine->attempts[at].running = false;
+    } else if (at >= 0 && !machine->attempts[at].running) {
+        machine->attempts[at] = machine->attempts[--machine->nattempts];
     }
 }
 
 bool machine_accept(int k, const GByteArray *body, bool direct)
 {
-    struct machine *m = &explored.machines[k];
+    struct machine *machine = &explored.machines[k];
     struct lmn_cbor_document d;
     uint64_t token = 0, session = 0;
 
@@ -69,15 +72,15 @@
     lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN), &token);
     lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_AGENT_INCARNATION),
                       &session);
-    bool accepted = (token >= m->token || explored.without == GUARD_TOKEN) &&
-                    (!direct || session == m->session);
+    bool accepted = (token >= machine->token || explored.without == GUARD_TOKEN) &&
+                    (!direct || session == machine->session);
     if (accepted) {
         const struct lmn_cbor_value *list =
             lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_COMMANDS);
-        m->token = MAX(m->token, token);
-        for (const struct lmn_cbor_value *c = lmn_cbor_first_child(&d, list); c;
-             c = lmn_cbor_next(&d, c))
-            carry_out(m, &d, c);
+        machine->token = MAX(machine->token, token);
+        for (const struct lmn_cbor_value *child = lmn_cbor_first_child(&d, list); child;
+             child = lmn_cbor_next(&d, child))
+            carry_out(machine, &d, child);
     }
     lmn_cbor_free(&d);
     digest_message(direct ? "command" : "answer", explored.now);
@@ -89,21 +92,21 @@
 
 void machine_complete(int k)
 {
-    struct machine *m = &explored.machines[k];
+    struct machine *machine = &explored.machines[k];
 
-    for (int i = 0; i < m->nattempts; i++)
-        if (m->attempts[i].running) {
-            m->attempts[i].running = false;
-            m->attempts[i].done = true;
+    for (int i = 0; i < machine->nattempts; i++)
+        if (machine->attempts[i].running) {
+            machine->attempts[i].running = false;
+            machine->attempts[i].done = true;
         }
 }
 
 bool machine_runs(int k)
 {
-    const struct machine *m = &explored.machines[k];
+    const struct machine *machine = &explored.machines[k];
 
-    for (int i = 0; i < m->nattempts; i++)
-        if (m->attempts[i].running)
+    for (int i = 0; i < machine->nattempts; i++)
+        if (machine->attempts[i].running)
             return true;
     return false;
 }
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -37,46 +37,46 @@
             lmn_members_tick(&explored.nodes[n].core->members, 0, explored.now);
 }
 
-static void apply_event(struct lmn_core *c, const struct entry *e)
+static void apply_event(struct lmn_core *core, const struct entry *e)
 {
     struct lmn_cbor_document d = {0};
 
     if (e->value)
         lmn_cbor_parse(&d, e->value->data, e->value->len);
-    lmn_watch_cache_apply(c, e->key, &d, e->value ? lmn_cbor_root(&d) : NULL, e->revision,
-                          explored.now);
+    lmn_watch_cache_apply(core, e->key, &d, e->value ? lmn_cbor_root(&d) : NULL,
+                          e->revision, explored.now);
     if (e->value)
         lmn_cbor_free(&d);
 }
 
 /* Makes up what the guards of a warm takeover would have found wrong. */
-static void remove_takeover_guard(struct lmn_core *c)
+static void remove_takeover_guard(struct lmn_core *core)
 {
-    struct lmn_partition *p = &c->parts[0];
+    struct lmn_partition *partition = &core->parts[0];
 
-    if (explored.without == GUARD_NAMED && p->owner_stream) {
-        p->standby_stream = p->owner_stream;
-        p->standby_term = p->owner_term - 1;
-        g_strlcpy(p->standby, c->cfg->node, LMN_NAME_SIZE);
+    if (explored.without == GUARD_NAMED && partition->owner_stream) {
+        partition->standby_stream = partition->owner_stream;
+        partition->standby_term = partition->owner_term - 1;
+        g_strlcpy(partition->standby, core->cfg->node, LMN_NAME_SIZE);
     }
-    if (explored.without == GUARD_TERM && p->copy && p->owner_stream)
-        p->copy->term = p->standby_term = p->owner_term - 1;
-    if (explored.without == GUARD_HELD && p->copy)
-        g_hash_table_remove_all(p->copy->machines);
+    if (explored.without == GUARD_TERM && partition->copy && partition->owner_stream)
+        partition->copy->term = partition->standby_term = partition->owner_term - 1;
+    if (explored.without == GUARD_HELD && partition->copy)
+        g_hash_table_remove_all(partition->copy->machines);
 }
 
 void node_mirror(int n)
 {
     struct node *node = &explored.nodes[n];
-    struct lmn_core *c = node->core;
+    struct lmn_core *core = node->core;
 
     while (node->seen < explored.nevents)
-        apply_event(c, &explored.events[node->seen++]);
-    remove_takeover_guard(c);
-    c->fresh = explored.now;
-    lmn_members_record_watch(&c->members, explored.now);
-    c->synced = true;
-    lmn_watch_cache_begin_ownerships(c, explored.now);
+        apply_event(core, &explored.events[node->seen++]);
+    remove_takeover_guard(core);
+    core->fresh = explored.now;
+    lmn_members_record_watch(&core->members, explored.now);
+    core->synced = true;
+    lmn_watch_cache_begin_ownerships(core, explored.now);
 }
 
 /* The record of a member hangs on its lease. */
@@ -104,29 +104,31 @@
 
 static struct lmn_team team; /* of all nodes: nothing alters it */
 
-static void set_up(struct lmn_settings *s, int n)
+static void set_up(struct lmn_settings *settings, int n)
 {
     static const char *const names[] = {"na", "nb", "nc"};
 
-    memset(s, 0, sizeof *s);
-    g_strlcpy(s->node, names[n], LMN_NAME_SIZE);
+    memset(settings, 0, sizeof *settings);
+    g_strlcpy(settings->node, names[n], LMN_NAME_SIZE);
     /* So that the two choose each other for a standby. */
-    g_strlcpy(s->zone, n == A ? "y" : "z", LMN_NAME_SIZE);
+    g_strlcpy(settings->zone, n == A ? "y" : "z", LMN_NAME_SIZE);
     for (int i = 0; i <= C; i++)
         if (i != n) {
-            g_strlcpy(s->members[s->nmembers].zone, i == B ? "z" : "y", LMN_NAME_SIZE);
-            g_strlcpy(s->members[s->nmembers++].name, names[i], LMN_NAME_SIZE);
+            g_strlcpy(settings->members[settings->nmembers].zone, i == B ? "z" : "y",
+                      LMN_NAME_SIZE);
+            g_strlcpy(settings->members[settings->nmembers++].name, names[i],
+                      LMN_NAME_SIZE);
         }
-    s->partitions = 1;
-    s->report_s = 1;
-    s->lease_s = 8;
-    s->cancel_s = 30;
-    s->state_rps = s->state_write_rps = 1e6;
-    s->value_kb = 16;
-    s->txn_ops = 12;
-    s->teams = &team;
-    g_strlcpy(s->teams[0].name, "x", LMN_NAME_SIZE);
-    s->nteams = 1;
+    settings->partitions = 1;
+    settings->report_s = 1;
+    settings->lease_s = 8;
+    settings->cancel_s = 30;
+    settings->state_rps = settings->state_write_rps = 1e6;
+    settings->value_kb = 16;
+    settings->txn_ops = 12;
+    settings->teams = &team;
+    g_strlcpy(settings->teams[0].name, "x", LMN_NAME_SIZE);
+    settings->nteams = 1;
 }
 
 void node_boot(int n)
@@ -135,15 +137,15 @@
     struct timespec long_ago = lmn_time_add(explored.now, -100);
 
     set_up(&node->settings, n);
-    struct lmn_core *c =
+    struct lmn_core *core =
         lmn_core_new(&node->settings, lmn_kv_client_new(&node->settings), 1);
-    c->types.n = 1;
-    c->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 1, .nzones = 1};
-    c->types_known = true;
-    c->booted = c->synced_at = long_ago;
-    c->members.synced = c->members.fresh = long_ago;
-    c->members.tick = explored.now;
-    node->core = c;
+    core->types.n = 1;
+    core->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 1, .nzones = 1};
+    core->types_known = true;
+    core->booted = core->synced_at = long_ago;
+    core->members.synced = core->members.fresh = long_ago;
+    core->members.tick = explored.now;
+    node->core = core;
     node->seen = 0;
     node->stalled = false;
 }
@@ -190,10 +192,10 @@
 {
     struct node *node = &explored.nodes[n];
     uint64_t revision;
-    struct lmn_txn *t = lmn_ownership_claim(node->core, 0, node->lease, explored.now);
+    struct lmn_txn *txn = lmn_ownership_claim(node->core, 0, node->lease, explored.now);
 
-    assert_int_equal(store_commit(t, &revision), LMN_TXN_COMMITTED);
-    lmn_txn_free(t);
+    assert_int_equal(store_commit(txn, &revision), LMN_TXN_COMMITTED);
+    lmn_txn_free(txn);
     node_mirror(n);
     assert_true(node_partition(n)->mine);
 }
@@ -203,9 +205,9 @@
 static void record_machines(void)
 {
     for (int k = 0; k < MACHINES; k++) {
-        struct machine *m = &explored.machines[k];
-        g_snprintf(m->name, sizeof m->name, "host-%d", k);
-        m->session = 1;
+        struct machine *machine = &explored.machines[k];
+        g_snprintf(machine->name, sizeof machine->name, "host-%d", k);
+        machine->session = 1;
     }
     report(A, 0);
     report(A, 0);
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -18,14 +18,14 @@
 }
 
 /* Carries the transaction out and frees it; false if there is none. */
-static bool commit_and_free(struct lmn_txn *t)
+static bool commit_and_free(struct lmn_txn *txn)
 {
     uint64_t revision;
 
-    if (!t)
+    if (!txn)
         return false;
-    store_commit(t, &revision);
-    lmn_txn_free(t);
+    store_commit(txn, &revision);
+    lmn_txn_free(txn);
     return true;
 }
 
@@ -53,12 +53,12 @@
 bool claim(int n)
 {
     struct node *node = &explored.nodes[n];
-    struct lmn_partition *p = node_partition(n);
+    struct lmn_partition *partition = node_partition(n);
 
     if (node->ownership)
         return false;
-    if (explored.without == GUARD_TERM && n == B && p->standby_stream)
-        p->standby_term = p->term;
+    if (explored.without == GUARD_TERM && n == B && partition->standby_stream)
+        partition->standby_term = partition->term;
     node->ownership = lmn_ownership_claim(node->core, 0, node->lease, explored.now);
     node->handover = false;
     return node->ownership != NULL;
@@ -100,23 +100,23 @@
 
 bool flush(int n, bool answered)
 {
-    struct lmn_core *c = explored.nodes[n].core;
-    struct lmn_txn *t;
+    struct lmn_core *core = explored.nodes[n].core;
+    struct lmn_txn *txn;
     bool any = false;
 
     if (explored.nodes[n].stalled || !node_partition(n)->mine)
         return false;
     if (!answered && explored.had.unanswered == explored.allowed.unanswered)
         return false;
-    lmn_range_writer_flush(c, explored.now);
-    while ((t = lmn_kv_client_dequeue(c->state))) {
+    lmn_range_writer_flush(core, explored.now);
+    while ((txn = lmn_kv_client_dequeue(core->state))) {
         uint64_t revision = 0;
-        enum lmn_txn_outcome outcome = store_commit(t, &revision);
+        enum lmn_txn_outcome outcome = store_commit(txn, &revision);
         if (!answered) {
             outcome = LMN_TXN_UNKNOWN;
             revision = 0;
         }
-        lmn_txn_complete(t, outcome, revision);
+        lmn_txn_complete(txn, outcome, revision);
         any = true;
     }
     explored.had.unanswered += any && !answered;
--- a/tests/takeover/replication.c
+++ b/tests/takeover/replication.c
@@ -20,41 +20,43 @@
 
 static void send_batch(int n, struct lmn_replication_batch *batch, enum delivery how)
 {
-    struct lmn_partition *p = node_partition(n);
+    struct lmn_partition *partition = node_partition(n);
     enum lmn_replica_result answer = LMN_REPLICA_APPLIED;
 
-    bool taken = how != BATCH_LOST && take_batch(p->stream.to, batch, &answer);
+    bool taken = how != BATCH_LOST && take_batch(partition->stream.to, batch, &answer);
     if (how == BATCH_LOST)
-        p->stream.failures = MANY_FAILURES;
-    digest_batch(n, p->stream.to, explored.now, batch, taken && how == DELIVERED, answer);
-    lmn_replication_batch_sent(explored.nodes[n].core, p, batch,
+        partition->stream.failures = MANY_FAILURES;
+    digest_batch(n, partition->stream.to, explored.now, batch, taken && how == DELIVERED,
+                 answer);
+    lmn_replication_batch_sent(explored.nodes[n].core, partition, batch,
                                taken && how == DELIVERED, answer, explored.now);
 }
 
 bool replicate(int n, enum delivery how)
 {
     struct node *node = &explored.nodes[n];
-    struct lmn_partition *p = node_partition(n);
+    struct lmn_partition *partition = node_partition(n);
     struct lmn_replication_batch *batch = NULL;
     struct lmn_txn *record = NULL;
     double wait;
 
-    if (!explored.with_standby || node->stalled || !p->mine)
+    if (!explored.with_standby || node->stalled || !partition->mine)
         return false;
     advance(0.004); /* starts are gathered for less */
-    enum lmn_replication_phase before = p->stream.phase;
-    enum lmn_replication_step step =
-        lmn_replication_next_step(node->core, p, explored.now, &batch, &record, &wait);
+    enum lmn_replication_phase before = partition->stream.phase;
+    enum lmn_replication_step step = lmn_replication_next_step(
+        node->core, partition, explored.now, &batch, &record, &wait);
     if (step == LMN_REPLICATION_WRITE) {
         if (node->standby_record)
             lmn_txn_free(node->standby_record);
         node->standby_record = record;
         return true;
     }
-    if (explored.without == GUARD_STRUCK_OFF && p->stream.phase == LMN_STREAM_REMOVING)
-        lmn_replication_reset(node->core, p);
+    if (explored.without == GUARD_STRUCK_OFF &&
+        partition->stream.phase == LMN_STREAM_REMOVING)
+        lmn_replication_reset(node->core, partition);
     if (step != LMN_REPLICATION_SEND)
-        return p->stream.phase != before;
+        return partition->stream.phase != before;
     send_batch(n, batch, how);
     return true;
 }
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -17,59 +17,62 @@
 static void add_replication(GString *s, int n)
 {
     const struct node *node = &explored.nodes[n];
-    const struct lmn_partition *p = node_partition(n);
-    const struct lmn_replication_stream *f = &p->stream;
+    const struct lmn_partition *partition = node_partition(n);
+    const struct lmn_replication_stream *stream = &partition->stream;
 
     g_string_append_printf(
-        s, "{%d%d%d%d%d%d%d%d%d %d}", f->phase, f->to, f->batch != NULL, f->number > 0,
-        f->acked<f->mark, f->failures> 0, p->untold->len, node->standby_record != NULL,
-        node->pending != NULL, p->standby_stream ? (int)p->standby_term : 0);
-    if (!p->copy)
+        s, "{%d%d%d%d%d%d%d%d%d %d}", stream->phase, stream->to, stream->batch != NULL,
+        stream->number > 0, stream->acked<stream->mark, stream->failures> 0,
+        partition->untold->len, node->standby_record != NULL, node->pending != NULL,
+        partition->standby_stream ? (int)partition->standby_term : 0);
+    if (!partition->copy)
         return;
-    g_string_append_printf(s, "[%d%d", (int)p->copy->term,
-                           p->copy->stream == p->standby_stream);
+    g_string_append_printf(s, "[%d%d", (int)partition->copy->term,
+                           partition->copy->stream == partition->standby_stream);
     for (int k = 0; k < MACHINES; k++) {
-        const struct lmn_machine_snapshot *t =
-            g_hash_table_lookup(p->copy->machines, explored.machines[k].name);
-        g_string_append_printf(s, ",%d", t ? (int)t->attempts->len : 9);
+        const struct lmn_machine_snapshot *snapshot =
+            g_hash_table_lookup(partition->copy->machines, explored.machines[k].name);
+        g_string_append_printf(s, ",%d", snapshot ? (int)snapshot->attempts->len : 9);
     }
 }
 
 static void add_ownership(GString *s, int n)
 {
     const struct node *node = &explored.nodes[n];
-    const struct lmn_partition *p = node_partition(n);
+    const struct lmn_partition *partition = node_partition(n);
     const struct lmn_members *members = &node->core->members;
 
     g_string_append_printf(
         s, "|%d%d%d%d %d %d %d%d%d %d%d %d", node->stalled, node->ownership != NULL,
-        p->mine, p->ready + 2 * p->open, (int)p->my_term,
+        partition->mine, partition->ready + 2 * partition->open, (int)partition->my_term,
         (int)(explored.nevents - node->seen), lmn_member_is_suspected(members, A),
         members->v[A].unanswered.tv_sec != 0,
-        lmn_member_is_declared_failed(members, A, explored.now), p->releasing,
-        lmn_self_may_reply(members, explored.now), (int)p->owner_term);
+        lmn_member_is_declared_failed(members, A, explored.now), partition->releasing,
+        lmn_self_may_reply(members, explored.now), (int)partition->owner_term);
 }
 
 static void add_tasks(GString *s, int n)
 {
-    const struct lmn_partition *p = node_partition(n);
+    const struct lmn_partition *partition = node_partition(n);
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, p->ranges);
+    g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_range *r = v;
-        g_string_append_printf(s, " r%d%d%d", r->st ? r->st[0] : 9, r->ndone, r->writing);
+        const struct lmn_range *range = v;
+        g_string_append_printf(s, " r%d%d%d", range->st ? range->st[0] : 9, range->ndone,
+                               range->writing);
     }
-    for (guint k = 0; k < p->list->len; k++) {
-        const struct lmn_machine *m = p->list->pdata[k];
-        g_string_append_printf(s, " %s%d%d%d%d", m->name + 5, m->accounted, m->inherited,
-                               m->rev != 0, m->heard);
-        for (guint i = 0; i < m->attempts->len; i++) {
-            const struct lmn_attempt *a =
-                &g_array_index(m->attempts, struct lmn_attempt, i);
-            g_string_append_printf(s, "a%d.%d.%d%d%d", term_of(a->number), a->state,
-                                   a->unsure, a->done, a->range != NULL);
+    for (guint k = 0; k < partition->list->len; k++) {
+        const struct lmn_machine *machine = partition->list->pdata[k];
+        g_string_append_printf(s, " %s%d%d%d%d", machine->name + 5, machine->accounted,
+                               machine->inherited, machine->rev != 0, machine->heard);
+        for (guint i = 0; i < machine->attempts->len; i++) {
+            const struct lmn_attempt *attempt =
+                &g_array_index(machine->attempts, struct lmn_attempt, i);
+            g_string_append_printf(s, "a%d.%d.%d%d%d", term_of(attempt->number),
+                                   attempt->state, attempt->unsure, attempt->done,
+                                   attempt->range != NULL);
         }
     }
 }
@@ -77,11 +80,12 @@
 static void add_machines(GString *s)
 {
     for (int k = 0; k < MACHINES; k++) {
-        const struct machine *m = &explored.machines[k];
-        g_string_append_printf(s, "|%d", (int)m->token);
-        for (int i = 0; i < m->nattempts; i++)
-            g_string_append_printf(s, " %d%d%d", term_of(m->attempts[i].number),
-                                   m->attempts[i].running, m->attempts[i].done);
+        const struct machine *machine = &explored.machines[k];
+        g_string_append_printf(s, "|%d", (int)machine->token);
+        for (int i = 0; i < machine->nattempts; i++)
+            g_string_append_printf(s, " %d%d%d", term_of(machine->attempts[i].number),
+                                   machine->attempts[i].running,
+                                   machine->attempts[i].done);
     }
 }
 
@@ -112,10 +116,10 @@
     if (!explored.late_report)
         return;
     const GByteArray *body = explored.late_report;
-    const struct machine *m = &explored.machines[explored.late_machine];
+    const struct machine *machine = &explored.machines[explored.late_machine];
     char *digest = g_compute_checksum_for_data(G_CHECKSUM_MD5, body->data, body->len);
-    g_string_append_printf(s, "|c%d%d%s", explored.late_machine, m->last_report == body,
-                           digest);
+    g_string_append_printf(s, "|c%d%d%s", explored.late_machine,
+                           machine->last_report == body, digest);
     g_free(digest);
 }
 
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -58,15 +58,15 @@
     char name[32];
 
     g_snprintf(name, sizeof name, "host-%06d", i);
-    struct lmn_machine *m = g_hash_table_lookup(owner->parts[0].machines, name);
-    if (!m)
-        m = lmn_machine_new(&owner->parts[0], name);
-    m->type = &owner->types.v[0];
-    g_strlcpy(m->type_name, "x", LMN_NAME_SIZE);
-    g_snprintf(m->addr, sizeof m->addr, "10.0.0.%d:9000", i % 250);
-    g_strlcpy(m->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
-    m->heard = m->accounted = true;
-    return m;
+    struct lmn_machine *machine = g_hash_table_lookup(owner->parts[0].machines, name);
+    if (!machine)
+        machine = lmn_machine_new(&owner->parts[0], name);
+    machine->type = &owner->types.v[0];
+    g_strlcpy(machine->type_name, "x", LMN_NAME_SIZE);
+    g_snprintf(machine->addr, sizeof machine->addr, "10.0.0.%d:9000", i % 250);
+    g_strlcpy(machine->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
+    machine->heard = machine->accounted = true;
+    return machine;
 }
 
 static void check(void *arg, const char *key, uint64_t version)
@@ -91,15 +91,15 @@
     lmn_cbor_free(&d);
 }
 
-static enum lmn_txn_outcome commit(const struct lmn_txn *t)
+static enum lmn_txn_outcome commit(const struct lmn_txn *txn)
 {
     bool ok = true;
 
-    lmn_txn_foreach_condition(t, check, &ok);
+    lmn_txn_foreach_condition(txn, check, &ok);
     if (!ok)
         return LMN_TXN_CONFLICT;
     rev++;
-    lmn_txn_foreach_operation(t, apply, NULL);
+    lmn_txn_foreach_operation(txn, apply, NULL);
     return LMN_TXN_COMMITTED;
 }
 
@@ -140,27 +140,27 @@
 /* One turn of the owner; r NULL: nothing fails. */
 static void turn(GRand *r)
 {
-    struct lmn_txn *t;
+    struct lmn_txn *txn;
 
     now = lmn_time_add(now, 4);
     if (!r || g_rand_double(r) < 0.3)
         arrive();
     lmn_range_writer_flush(owner, now);
-    while ((t = lmn_kv_client_dequeue(owner->state))) {
+    while ((txn = lmn_kv_client_dequeue(owner->state))) {
         double luck = r ? g_rand_double(r) : 1;
         enum lmn_txn_outcome o;
         if (luck < 0.15) {
             o = LMN_TXN_REJECTED;
         } else if (luck < 0.3 && !late.value) {
-            lmn_txn_foreach_condition(t, keep_condition, NULL);
-            lmn_txn_foreach_operation(t, keep_change, NULL);
+            lmn_txn_foreach_condition(txn, keep_condition, NULL);
+            lmn_txn_foreach_operation(txn, keep_change, NULL);
             o = LMN_TXN_UNKNOWN;
         } else {
-            o = commit(t);
+            o = commit(txn);
             if (luck < 0.45 && o == LMN_TXN_COMMITTED)
                 o = LMN_TXN_UNKNOWN; /* its answer was lost */
         }
-        lmn_txn_complete(t, o, rev);
+        lmn_txn_complete(txn, o, rev);
     }
 }
 
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -443,36 +443,37 @@
     server = lmn_image_store_start(root, "127.0.0.1:0", err, sizeof err);
     assert_non_null(server);
     g_snprintf(addr, sizeof addr, "127.0.0.1:%d", lmn_http_server_port(server));
-    struct lmn_http_client *h = lmn_http_client_new(addr);
+    struct lmn_http_client *client = lmn_http_client_new(addr);
     for (int i = 0; i < 2; i++) {
         g_byte_array_append(b, (const guint8 *)"some bytes", 10);
-        assert_int_equal(lmn_image_store_put(h, b, i ? other : digest, &e), 0);
-        assert_int_equal(lmn_image_store_put(h, b, back, &e),
+        assert_int_equal(lmn_image_store_put(client, b, i ? other : digest, &e), 0);
+        assert_int_equal(lmn_image_store_put(client, b, back, &e),
                          0); /* again changes nothing */
     }
-    assert_int_equal(lmn_image_store_get(h, digest, got, &e), 0);
+    assert_int_equal(lmn_image_store_get(client, digest, got, &e), 0);
     assert_int_equal(got->len, 10);
     /* Bytes under another digest, names without a blob, names that leave the directory.
      */
     char *path = g_strdup_printf("/blobs/%s", digest);
-    assert_int_equal(lmn_http_client_call(h, "PUT", path, b, 5, got), 400);
+    assert_int_equal(lmn_http_client_call(client, "PUT", path, b, 5, got), 400);
     g_free(path);
     lmn_digest("none", 4, back);
-    assert_int_equal(lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", back, &e),
-                     -1);
     assert_int_equal(
-        lmn_http_client_call(h, "GET", "/names/job/..%2F..%2Fetc", NULL, 5, got), 400);
-    assert_int_equal(lmn_http_client_call(h, "PUT", "/logs/.ssh/x", b, 5, got), 400);
+        lmn_image_store_bind(client, LMN_IMAGE_STORE_KIND_JOB, "run-1", back, &e), -1);
+    assert_int_equal(
+        lmn_http_client_call(client, "GET", "/names/job/..%2F..%2Fetc", NULL, 5, got),
+        400);
+    assert_int_equal(lmn_http_client_call(client, "PUT", "/logs/.ssh/x", b, 5, got), 400);
     /* A job's description is written once; an image's may change. */
     assert_int_equal(
-        lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", digest, &e), 0);
+        lmn_image_store_bind(client, LMN_IMAGE_STORE_KIND_JOB, "run-1", digest, &e), 0);
     assert_int_equal(
-        lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", digest, &e), 0);
+        lmn_image_store_bind(client, LMN_IMAGE_STORE_KIND_JOB, "run-1", digest, &e), 0);
     assert_int_equal(
-        lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", other, &e), -1);
+        lmn_image_store_bind(client, LMN_IMAGE_STORE_KIND_JOB, "run-1", other, &e), -1);
     assert_int_equal(e.status, 409);
     assert_int_equal(
-        lmn_image_store_lookup(h, LMN_IMAGE_STORE_KIND_JOB, "run-1", back, &e), 0);
+        lmn_image_store_lookup(client, LMN_IMAGE_STORE_KIND_JOB, "run-1", back, &e), 0);
     assert_string_equal(back, digest);
     /* A directory comes back as it was; one that holds more than files is refused by
      * name. */
@@ -482,18 +483,19 @@
     char *to = g_build_filename(dir, "image", NULL), *text;
     g_file_set_contents(file, "#!/bin/sh\n", -1, NULL);
     chmod(file, 0755);
-    assert_int_equal(lmn_image_put(h, "img-1", top, &bytes, &e), 0);
+    assert_int_equal(lmn_image_put(client, "img-1", top, &bytes, &e), 0);
     assert_int_equal(bytes, 10);
-    assert_int_equal(lmn_image_get(h, "img-1", to, 0, NULL, NULL, &bytes, &e), 0);
+    assert_int_equal(lmn_image_get(client, "img-1", to, 0, NULL, NULL, &bytes, &e), 0);
     char *copy = g_build_filename(to, "sub", "tool", NULL);
     assert_true(g_file_get_contents(copy, &text, NULL, NULL));
     assert_string_equal(text, "#!/bin/sh\n");
     assert_int_equal(access(copy, X_OK), 0);
     char *link = g_build_filename(src, "link", NULL);
     assert_int_equal(symlink("/etc/passwd", link), 0);
-    assert_int_equal(lmn_image_put(h, "img-2", top, &bytes, &e), -1);
+    assert_int_equal(lmn_image_put(client, "img-2", top, &bytes, &e), -1);
     assert_non_null(strstr(e.what, "link"));
-    assert_int_equal(lmn_image_get(h, "../img-1", to, 0, NULL, NULL, &bytes, &e), -1);
+    assert_int_equal(lmn_image_get(client, "../img-1", to, 0, NULL, NULL, &bytes, &e),
+                     -1);
     /* A list of files that leaves the image: nothing of it is made. */
     GByteArray *evil = g_byte_array_new();
     lmn_cbor_put_array(evil, 1);
@@ -502,16 +504,16 @@
     lmn_cbor_put_text(evil, "Mode"), lmn_cbor_put_uint(evil, 0644);
     lmn_cbor_put_text(evil, "Pieces"), lmn_cbor_put_array(evil, 1),
         lmn_cbor_put_text(evil, digest);
-    assert_int_equal(lmn_image_store_put(h, evil, back, &e), 0);
+    assert_int_equal(lmn_image_store_put(client, evil, back, &e), 0);
     assert_int_equal(
-        lmn_image_store_bind(h, LMN_IMAGE_STORE_KIND_IMAGE, "evil", back, &e), 0);
+        lmn_image_store_bind(client, LMN_IMAGE_STORE_KIND_IMAGE, "evil", back, &e), 0);
     char *there = g_build_filename(dir, "evil", NULL);
-    assert_int_equal(lmn_image_get(h, "evil", there, 0, NULL, NULL, &bytes, &e), -1);
+    assert_int_equal(lmn_image_get(client, "evil", there, 0, NULL, NULL, &bytes, &e), -1);
     assert_int_not_equal(access(there, F_OK), 0);
     g_byte_array_unref(evil);
     g_byte_array_unref(b);
     g_byte_array_unref(got);
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     char *all[] = {root, src, file, top, to, text, copy, link, there};
     for (guint i = 0; i < G_N_ELEMENTS(all); i++)
         g_free(all[i]);
@@ -521,16 +523,17 @@
 
 static bool check_listed(void *to, const struct lmn_rented_machine *m)
 {
-    const struct lmn_emu_cloud *c = ((gpointer *)to)[0];
+    const struct lmn_emu_cloud *cloud = ((gpointer *)to)[0];
     const double *now = ((gpointer *)to)[1];
-    const struct lmn_emu_machine *x = lmn_emu_cloud_machine(c, m->name);
+    const struct lmn_emu_machine *machine = lmn_emu_cloud_machine(cloud, m->name);
 
-    assert_non_null(x);
+    assert_non_null(machine);
     assert_true(m->age_s >= 0);
     /* Nothing that was gone for longer than the oldest list. */
-    assert_true(fmin(x->gone, x->taken) > *now - 2 * c->knobs.list_lag_s - 1e-6);
+    assert_true(fmin(machine->gone, machine->taken) >
+                *now - 2 * cloud->knobs.list_lag_s - 1e-6);
     if (!strcmp(m->state, WIRE_RUNNING))
-        assert_true(x->up <= *now);
+        assert_true(machine->up <= *now);
     return true;
 }
 
@@ -559,17 +562,17 @@
         int status = lmn_emu_cloud_rent(&c, &q, names, now);
         assert_true(!known || (status == 200 && c.rented == before));
         if (c.machines->len && g_rand_boolean(r)) {
-            const struct lmn_emu_machine *m =
+            const struct lmn_emu_machine *machine =
                 c.machines->pdata[g_rand_int_range(r, 0, (gint32)c.machines->len)];
-            lmn_emu_cloud_return(&c, m->name, now);
+            lmn_emu_cloud_return(&c, machine->name, now);
         }
         if (g_rand_int_range(r, 0, 50) == 0)
             lmn_emu_cloud_set(&c, "die", 0.3, now, err, sizeof err);
         lmn_emu_cloud_list(&c, "", check_listed, (gpointer[]){&c, &now}, now);
         lmn_emu_cloud_pass(&c, now);
         for (guint i = 0; i < c.machines->len; i++) {
-            const struct lmn_emu_machine *m = c.machines->pdata[i];
-            held += m->gone > now && m->dead > now && m->taken > now;
+            const struct lmn_emu_machine *machine = c.machines->pdata[i];
+            held += machine->gone > now && machine->dead > now && machine->taken > now;
         }
         assert_true(held <= 3);
         g_ptr_array_free(names, TRUE);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -48,15 +48,16 @@
     cfg.txn_ops = 12;
     cfg.teams = teams;
     cfg.nteams = G_N_ELEMENTS(teams);
-    struct lmn_core *c = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    c->types.n = 1;
-    c->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
-    c->types_known = c->synced = true;
-    c->lease = 77;
-    c->booted = c->synced_at = c->leased = lmn_time_add(now, -100);
-    c->members.synced = c->members.fresh = c->members.steady = lmn_time_add(now, -100);
-    c->fresh = now;
-    return c;
+    struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
+    core->types.n = 1;
+    core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
+    core->types_known = core->synced = true;
+    core->lease = 77;
+    core->booted = core->synced_at = core->leased = lmn_time_add(now, -100);
+    core->members.synced = core->members.fresh = core->members.steady =
+        lmn_time_add(now, -100);
+    core->fresh = now;
+    return core;
 }
 
 /* --- what a transaction writes --- */
@@ -81,13 +82,13 @@
 }
 
 /* The write to the key is the golden record, and hangs on the lease. */
-static void writes_record(const struct lmn_txn *t, const char *key, uint64_t lease,
+static void writes_record(const struct lmn_txn *txn, const char *key, uint64_t lease,
                           const char *name)
 {
     struct sought s = {.key = key};
 
-    assert_non_null(t);
-    lmn_txn_foreach_operation(t, seek, &s);
+    assert_non_null(txn);
+    lmn_txn_foreach_operation(txn, seek, &s);
     if (!s.value)
         fail_msg("nothing is written to %s", key);
     assert_int_equal(s.lease, lease);
@@ -95,22 +96,23 @@
     g_byte_array_unref(s.value);
 }
 
-static void take_record(struct lmn_core *c, const char *key, uint64_t lease,
+static void take_record(struct lmn_core *core, const char *key, uint64_t lease,
                         const char *name)
 {
-    struct lmn_txn *t = lmn_kv_client_dequeue(c->state);
+    struct lmn_txn *txn = lmn_kv_client_dequeue(core->state);
 
-    writes_record(t, key, lease, name);
-    lmn_txn_complete(t, LMN_TXN_REJECTED, 0);
+    writes_record(txn, key, lease, name);
+    lmn_txn_complete(txn, LMN_TXN_REJECTED, 0);
 }
 
-static void apply(struct lmn_core *c, const char *key, const char *name, uint64_t rev)
+static void apply(struct lmn_core *core, const char *key, const char *name,
+                  uint64_t revision)
 {
     GByteArray *b = golden_read(name);
     struct lmn_cbor_document d;
 
     assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-    lmn_watch_cache_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_watch_cache_apply(core, key, &d, lmn_cbor_root(&d), revision, now);
     lmn_cbor_free(&d);
     g_byte_array_unref(b);
 }
@@ -224,9 +226,9 @@
     struct lmn_job_reading r = {
         .status = 200, .rev = 5, .spec = plain(), .open = 1, .at = 1700000000.25};
     struct lmn_job_reply reply;
-    struct lmn_txn *t = lmn_cancellation_txn("run-000412", &r, 404, &reply);
-    writes_record(t, "j/run-000412", 0, "job_withdrawn");
-    lmn_txn_free(t);
+    struct lmn_txn *txn = lmn_cancellation_txn("run-000412", &r, 404, &reply);
+    writes_record(txn, "j/run-000412", 0, "job_withdrawn");
+    lmn_txn_free(txn);
 }
 
 static void job_record_of_a_finished_job_keeps_its_bytes(void **state)
@@ -244,27 +246,27 @@
 
 static void submission_writes_the_records_of_job_and_range(void **state)
 {
-    struct lmn_core *c = make();
+    struct lmn_core *core = make();
     struct lmn_job_spec s = plain();
     (void)state;
 
     s.one_zone = true; /* in one partition */
-    struct lmn_txn *t = lmn_submission_txn(c, &s, 1700000000.25, NULL, NULL);
-    assert_int_equal(lmn_txn_operation_count(t), 2);
-    writes_record(t, "j/run-000412", 0, "job_submitted");
+    struct lmn_txn *txn = lmn_submission_txn(core, &s, 1700000000.25, NULL, NULL);
+    assert_int_equal(lmn_txn_operation_count(txn), 2);
+    writes_record(txn, "j/run-000412", 0, "job_submitted");
     int part = (int)(g_str_hash(s.ref) % 2);
     char key[64];
     g_snprintf(key, sizeof key, "r/%d/run-000412/0", part);
-    writes_record(t, key, 0, "range_submitted");
-    lmn_txn_free(t);
-    apply(c, "j/run-000412", "job_submitted", 3);
-    apply(c, key, "range_submitted", 3);
-    const struct lmn_range *r = g_hash_table_lookup(c->parts[part].ranges, key);
-    assert_non_null(r);
-    assert_int_equal(r->lo, 0);
-    assert_int_equal(r->hi, 100);
-    assert_int_equal(r->ndone, 0);
-    assert_true(r->job->at == 1700000000.25);
+    writes_record(txn, key, 0, "range_submitted");
+    lmn_txn_free(txn);
+    apply(core, "j/run-000412", "job_submitted", 3);
+    apply(core, key, "range_submitted", 3);
+    const struct lmn_range *range = g_hash_table_lookup(core->parts[part].ranges, key);
+    assert_non_null(range);
+    assert_int_equal(range->lo, 0);
+    assert_int_equal(range->hi, 100);
+    assert_int_equal(range->ndone, 0);
+    assert_true(range->job->at == 1700000000.25);
 }
 
 /* --- ranges --- */
@@ -273,7 +275,7 @@
 {
     static const char key[] = "r/1/run-000412/20";
     uint8_t done[8] = {0};
-    struct lmn_core *c = make();
+    struct lmn_core *core = make();
     (void)state;
 
     for (uint32_t i = 0; i < 40; i += i % 3 + 1)
@@ -283,10 +285,10 @@
     golden_same("range_done", b->data, b->len);
     g_byte_array_unref(b);
 
-    c->parts[1].mine = c->parts[1].ready = true;
-    apply(c, "j/run-000412", "job_active", 3);
-    apply(c, key, "range_done", 4);
-    struct lmn_range *r = g_hash_table_lookup(c->parts[1].ranges, key);
+    core->parts[1].mine = core->parts[1].ready = true;
+    apply(core, "j/run-000412", "job_active", 3);
+    apply(core, key, "range_done", 4);
+    struct lmn_range *r = g_hash_table_lookup(core->parts[1].ranges, key);
     assert_non_null(r);
     assert_int_equal(r->lo, 20);
     assert_int_equal(r->hi, 80);
@@ -300,19 +302,19 @@
     r->st[59] = LMN_TASK_DONE;
     r->nfinished++;
     r->dirty = lmn_time_add(now, -10);
-    lmn_range_writer_flush(c, now);
-    take_record(c, key, 0, "range_done_last");
+    lmn_range_writer_flush(core, now);
+    take_record(core, key, 0, "range_done_last");
 
     /* Its job ends with it. */
     memset(r->st, LMN_TASK_DONE, 60);
     r->nfinished = 60;
-    lmn_range_writer_flush(c, lmn_time_add(now, 5));
-    struct lmn_txn *t = lmn_kv_client_dequeue(c->state);
+    lmn_range_writer_flush(core, lmn_time_add(now, 5));
+    struct lmn_txn *txn = lmn_kv_client_dequeue(core->state);
     struct sought removal = {.key = key};
-    writes_record(t, "j/run-000412", 0, "job_finished");
-    lmn_txn_foreach_operation(t, seek, &removal);
+    writes_record(txn, "j/run-000412", 0, "job_finished");
+    lmn_txn_foreach_operation(txn, seek, &removal);
     assert_true(removal.removed);
-    lmn_txn_complete(t, LMN_TXN_REJECTED, 0);
+    lmn_txn_complete(txn, LMN_TXN_REJECTED, 0);
 }
 
 /* --- machines --- */
@@ -322,198 +324,200 @@
     static const char *const names[] = {"host-1", "host-2", "host-3"};
     (void)state;
 
-    struct lmn_core *c = make();
-    struct lmn_partition *p = &c->parts[0];
-    p->mine = p->ready = true;
+    struct lmn_core *core = make();
+    struct lmn_partition *partition = &core->parts[0];
+    partition->mine = partition->ready = true;
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
-        struct lmn_machine *m = lmn_machine_new(p, names[i]);
-        m->type = &c->types.v[0];
-        g_strlcpy(m->type_name, "x", LMN_NAME_SIZE);
+        struct lmn_machine *machine = lmn_machine_new(partition, names[i]);
+        machine->type = &core->types.v[0];
+        g_strlcpy(machine->type_name, "x", LMN_NAME_SIZE);
         char addr[LMN_ADDRESS_SIZE];
         g_snprintf(addr, sizeof addr, "10.0.0.%u:9000", i + 1);
-        lmn_machine_set_address(m, addr);
-        g_strlcpy(m->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
-        m->spot = i == 2;
-        m->heard = m->accounted = true;
+        lmn_machine_set_address(machine, addr);
+        g_strlcpy(machine->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
+        machine->spot = i == 2;
+        machine->heard = machine->accounted = true;
         /* One after another: the order of a table is no part of the record. */
-        lmn_machine_blocks_flush(c, p, false, lmn_time_add(now, 10 * i));
-        struct lmn_txn *t;
-        while ((t = lmn_kv_client_dequeue(c->state))) {
+        lmn_machine_blocks_flush(core, partition, false, lmn_time_add(now, 10 * i));
+        struct lmn_txn *txn;
+        while ((txn = lmn_kv_client_dequeue(core->state))) {
             if (i == 2)
-                writes_record(t, "m/0/0", 0, "machines");
-            lmn_txn_complete(t, LMN_TXN_REJECTED, 0);
+                writes_record(txn, "m/0/0", 0, "machines");
+            lmn_txn_complete(txn, LMN_TXN_REJECTED, 0);
         }
-        ((struct lmn_machine_block *)p->blocks->pdata[0])->retry =
+        ((struct lmn_machine_block *)partition->blocks->pdata[0])->retry =
             (struct timespec){0, 0};
     }
 
     struct lmn_core *other = make();
     apply(other, "m/0/0", "machines", 9);
     assert_int_equal(other->parts[0].list->len, 3);
-    const struct lmn_machine *m = g_hash_table_lookup(other->parts[0].machines, "host-3");
-    assert_non_null(m);
-    assert_string_equal(m->addr, "10.0.0.3:9000");
-    assert_string_equal(m->type_name, "x");
-    assert_string_equal(m->zone, "b");
-    assert_true(m->spot);
-    m = g_hash_table_lookup(other->parts[0].machines, "host-2");
-    assert_string_equal(m->zone, "a");
-    assert_false(m->spot);
+    const struct lmn_machine *machine =
+        g_hash_table_lookup(other->parts[0].machines, "host-3");
+    assert_non_null(machine);
+    assert_string_equal(machine->addr, "10.0.0.3:9000");
+    assert_string_equal(machine->type_name, "x");
+    assert_string_equal(machine->zone, "b");
+    assert_true(machine->spot);
+    machine = g_hash_table_lookup(other->parts[0].machines, "host-2");
+    assert_string_equal(machine->zone, "a");
+    assert_false(machine->spot);
 }
 
 /* --- parts of limits --- */
 
 static void record_of_a_teams_parts_keeps_its_bytes(void **state)
 {
-    struct lmn_core *c = make();
+    struct lmn_core *core = make();
     (void)state;
 
-    c->parts[0].mine = c->parts[0].ready = true;
-    assert_true(lmn_quota_transfer_begin(c, &c->parts[0], 0, 1, 7.25, 2));
-    take_record(c, "q/ml%20train", 0, "team_parts");
-    apply(c, "q/ml%20train", "team_parts", 6);
-    assert_true(c->quota_known[0]);
-    assert_true(c->parts[0].quota_cpus[0] == 43);
-    assert_true(c->parts[1].quota_cpus[0] == 57.5);
-    assert_true(c->parts[0].quota_gpus[0] == 2);
-    assert_true(c->parts[1].quota_gpus[0] == 6);
+    core->parts[0].mine = core->parts[0].ready = true;
+    assert_true(lmn_quota_transfer_begin(core, &core->parts[0], 0, 1, 7.25, 2));
+    take_record(core, "q/ml%20train", 0, "team_parts");
+    apply(core, "q/ml%20train", "team_parts", 6);
+    assert_true(core->quota_known[0]);
+    assert_true(core->parts[0].quota_cpus[0] == 43);
+    assert_true(core->parts[1].quota_cpus[0] == 57.5);
+    assert_true(core->parts[0].quota_gpus[0] == 2);
+    assert_true(core->parts[1].quota_gpus[0] == 6);
 }
 
 /* --- ownership --- */
 
 static void records_of_owner_and_term_keep_their_bytes(void **state)
 {
-    struct lmn_core *c = make();
-    struct lmn_partition *p = &c->parts[1];
+    struct lmn_core *core = make();
+    struct lmn_partition *partition = &core->parts[1];
     (void)state;
 
-    p->term = 41;
-    struct lmn_txn *t = lmn_partition_claim(c, p, 77);
-    writes_record(t, "o/1", 77, "owner_claim");
-    writes_record(t, "t/1", 0, "term");
-    lmn_txn_free(t);
-    apply(c, "t/1", "term", 8);
-    apply(c, "o/1", "owner_claim", 8);
-    assert_int_equal(p->term, 42);
-    assert_string_equal(p->owner, "na");
-    assert_int_equal(p->owner_lease, 77);
-    assert_int_equal(p->owner_term, 42);
-    assert_int_equal(p->owner_stream, 0);
+    partition->term = 41;
+    struct lmn_txn *txn = lmn_partition_claim(core, partition, 77);
+    writes_record(txn, "o/1", 77, "owner_claim");
+    writes_record(txn, "t/1", 0, "term");
+    lmn_txn_free(txn);
+    apply(core, "t/1", "term", 8);
+    apply(core, "o/1", "owner_claim", 8);
+    assert_int_equal(partition->term, 42);
+    assert_string_equal(partition->owner, "na");
+    assert_int_equal(partition->owner_lease, 77);
+    assert_int_equal(partition->owner_term, 42);
+    assert_int_equal(partition->owner_stream, 0);
 
     /* To a standby in step. */
-    g_strlcpy(p->standby, "nb", LMN_NAME_SIZE);
-    p->standby_stream = (uint64_t)42 << 20 | 3;
-    p->standby_term = 42;
-    c->members.v[1].lease = 300;
-    t = lmn_partition_transfer(c, p, 1);
-    writes_record(t, "o/1", 300, "owner_handover");
-    lmn_txn_free(t);
-    apply(c, "o/1", "owner_handover", 9);
-    assert_string_equal(p->owner, "nb");
-    assert_int_equal(p->owner_lease, 300);
-    assert_int_equal(p->owner_term, 43);
-    assert_int_equal(p->owner_stream, (uint64_t)42 << 20 | 3);
+    g_strlcpy(partition->standby, "nb", LMN_NAME_SIZE);
+    partition->standby_stream = (uint64_t)42 << 20 | 3;
+    partition->standby_term = 42;
+    core->members.v[1].lease = 300;
+    txn = lmn_partition_transfer(core, partition, 1);
+    writes_record(txn, "o/1", 300, "owner_handover");
+    lmn_txn_free(txn);
+    apply(core, "o/1", "owner_handover", 9);
+    assert_string_equal(partition->owner, "nb");
+    assert_int_equal(partition->owner_lease, 300);
+    assert_int_equal(partition->owner_term, 43);
+    assert_int_equal(partition->owner_stream, (uint64_t)42 << 20 | 3);
 }
 
-static struct lmn_txn *standby_write(struct lmn_core *c, enum lmn_replication_phase phase)
+static struct lmn_txn *standby_write(struct lmn_core *core,
+                                     enum lmn_replication_phase phase)
 {
-    struct lmn_partition *p = &c->parts[1];
+    struct lmn_partition *partition = &core->parts[1];
     struct lmn_replication_batch *batch = NULL;
-    struct lmn_txn *t = NULL;
+    struct lmn_txn *txn = NULL;
     double wait;
 
-    p->mine = true;
-    p->my_term = 42;
-    p->my_rev = 8;
-    c->tuning.standby = 1;
-    lmn_member_apply_record(&c->members, 1, 5, 300, now);
-    p->stream.phase = phase;
-    p->stream.to = 1;
-    p->stream.to_lease = 300;
-    p->stream.id = (uint64_t)42 << 20 | 3;
-    assert_int_equal(lmn_replication_next_step(c, p, now, &batch, &t, &wait),
+    partition->mine = true;
+    partition->my_term = 42;
+    partition->my_rev = 8;
+    core->tuning.standby = 1;
+    lmn_member_apply_record(&core->members, 1, 5, 300, now);
+    partition->stream.phase = phase;
+    partition->stream.to = 1;
+    partition->stream.to_lease = 300;
+    partition->stream.id = (uint64_t)42 << 20 | 3;
+    assert_int_equal(lmn_replication_next_step(core, partition, now, &batch, &txn, &wait),
                      LMN_REPLICATION_WRITE);
-    return t;
+    return txn;
 }
 
 static void record_of_a_standby_keeps_its_bytes(void **state)
 {
-    struct lmn_core *c = make();
+    struct lmn_core *core = make();
     (void)state;
 
-    struct lmn_txn *t = standby_write(c, LMN_STREAM_JOINING);
-    writes_record(t, "b/1", 0, "standby_named");
-    lmn_txn_free(t);
-    apply(c, "b/1", "standby_named", 9);
-    assert_string_equal(c->parts[1].standby, "nb");
-    assert_int_equal(c->parts[1].standby_lease, 300);
-    assert_int_equal(c->parts[1].standby_stream, (uint64_t)42 << 20 | 3);
-    assert_int_equal(c->parts[1].standby_term, 42);
-
-    c = make();
-    t = standby_write(c, LMN_STREAM_REMOVING);
-    writes_record(t, "b/1", 0, "standby_struck");
-    lmn_txn_free(t);
-    apply(c, "b/1", "standby_struck", 10);
-    assert_string_equal(c->parts[1].standby, "");
-    assert_int_equal(c->parts[1].standby_lease, 0);
-    assert_int_equal(c->parts[1].standby_stream, 0);
-    assert_int_equal(c->parts[1].standby_term, 42);
+    struct lmn_txn *txn = standby_write(core, LMN_STREAM_JOINING);
+    writes_record(txn, "b/1", 0, "standby_named");
+    lmn_txn_free(txn);
+    apply(core, "b/1", "standby_named", 9);
+    assert_string_equal(core->parts[1].standby, "nb");
+    assert_int_equal(core->parts[1].standby_lease, 300);
+    assert_int_equal(core->parts[1].standby_stream, (uint64_t)42 << 20 | 3);
+    assert_int_equal(core->parts[1].standby_term, 42);
+
+    core = make();
+    txn = standby_write(core, LMN_STREAM_REMOVING);
+    writes_record(txn, "b/1", 0, "standby_struck");
+    lmn_txn_free(txn);
+    apply(core, "b/1", "standby_struck", 10);
+    assert_string_equal(core->parts[1].standby, "");
+    assert_int_equal(core->parts[1].standby_lease, 0);
+    assert_int_equal(core->parts[1].standby_stream, 0);
+    assert_int_equal(core->parts[1].standby_term, 42);
 }
 
 /* --- controllers --- */
 
 static void record_of_a_controller_keeps_its_bytes(void **state)
 {
-    struct lmn_core *c = make();
+    struct lmn_core *core = make();
     (void)state;
 
-    struct lmn_txn *t = lmn_ownership_announce(c, 77, now);
-    writes_record(t, "n/na", 77, "controller_up");
-    lmn_txn_free(t);
-    apply(c, "n/na", "controller_up", 5);
-    assert_true(c->members.v[0].present);
-    assert_false(c->members.v[0].leaving);
-    assert_int_equal(c->members.v[0].lease, 77);
-
-    c->leaving = true;
-    t = lmn_ownership_announce(c, 77, now);
-    writes_record(t, "n/na", 77, "controller_leaving");
-    lmn_txn_free(t);
-    apply(c, "n/na", "controller_leaving", 6);
-    assert_true(c->members.v[0].leaving);
-    assert_int_equal(c->members.v[0].lease, 77);
+    struct lmn_txn *txn = lmn_ownership_announce(core, 77, now);
+    writes_record(txn, "n/na", 77, "controller_up");
+    lmn_txn_free(txn);
+    apply(core, "n/na", "controller_up", 5);
+    assert_true(core->members.v[0].present);
+    assert_false(core->members.v[0].leaving);
+    assert_int_equal(core->members.v[0].lease, 77);
+
+    core->leaving = true;
+    txn = lmn_ownership_announce(core, 77, now);
+    writes_record(txn, "n/na", 77, "controller_leaving");
+    lmn_txn_free(txn);
+    apply(core, "n/na", "controller_leaving", 6);
+    assert_true(core->members.v[0].leaving);
+    assert_int_equal(core->members.v[0].lease, 77);
 }
 
 static void record_of_a_suspicion_keeps_its_bytes(void **state)
 {
-    struct lmn_core *c = make();
-    struct lmn_member_view *m = &c->members.v[1];
+    struct lmn_core *core = make();
+    struct lmn_member_view *member = &core->members.v[1];
     (void)state;
 
-    apply(c, "n/nb", "controller_up", 5);
-    m->ever = true;
-    m->heard = lmn_time_add(now, -60);
-    m->unanswered = lmn_time_add(now, -50);
-    m->failures = 9;
+    apply(core, "n/nb", "controller_up", 5);
+    member->ever = true;
+    member->heard = lmn_time_add(now, -60);
+    member->unanswered = lmn_time_add(now, -50);
+    member->failures = 9;
     for (double s = -5; s <= 0; s += 0.1)
-        lmn_members_tick(&c->members, 0, lmn_time_add(now, s));
-    c->members.steady = lmn_time_add(now, -100);
-    lmn_members_record_watch(&c->members, now);
-    struct lmn_txn *t = lmn_ownership_suspicion(c, 1, 77, now);
-    writes_record(t, "u/nb", 77, "suspicion");
-    lmn_txn_free(t);
-    apply(c, "u/nb", "suspicion", 7);
-    assert_int_equal(m->doubt_inc, 5);
-    assert_string_equal(m->doubt_by, "na");
-    assert_int_equal(m->doubt_why, LMN_CAUSE_UNRESPONSIVE);
+        lmn_members_tick(&core->members, 0, lmn_time_add(now, s));
+    core->members.steady = lmn_time_add(now, -100);
+    lmn_members_record_watch(&core->members, now);
+    struct lmn_txn *txn = lmn_ownership_suspicion(core, 1, 77, now);
+    writes_record(txn, "u/nb", 77, "suspicion");
+    lmn_txn_free(txn);
+    apply(core, "u/nb", "suspicion", 7);
+    assert_int_equal(member->doubt_inc, 5);
+    assert_string_equal(member->doubt_by, "na");
+    assert_int_equal(member->doubt_why, LMN_CAUSE_UNRESPONSIVE);
 }
 
 /* --- operators' settings --- */
 
 static void record_of_operators_settings_keeps_its_bytes(void **state)
 {
-    struct lmn_core *c = make();
+    struct lmn_core *core = make();
     struct lmn_operator_settings t = lmn_operator_settings_default;
     (void)state;
 
@@ -532,13 +536,13 @@
     b = lmn_operator_settings_record(&t);
     golden_same("settings_all_set", b->data, b->len);
     g_byte_array_unref(b);
-    apply(c, "s", "settings_all_set", 4);
-    assert_true(c->tuning.sample == 12 && c->tuning.share == 0.25);
-    assert_true(c->tuning.poll_floor_s == 0.002 && c->tuning.poll_cap_s == 2.5);
-    assert_true(c->tuning.idle_return_s == 60 && c->tuning.spare_cpus == 128);
-    assert_true(c->tuning.horizon_s == 45);
-    assert_true(c->tuning.spot == 0 && c->tuning.standby == 0);
-    b = lmn_operator_settings_record(&c->tuning);
+    apply(core, "s", "settings_all_set", 4);
+    assert_true(core->tuning.sample == 12 && core->tuning.share == 0.25);
+    assert_true(core->tuning.poll_floor_s == 0.002 && core->tuning.poll_cap_s == 2.5);
+    assert_true(core->tuning.idle_return_s == 60 && core->tuning.spare_cpus == 128);
+    assert_true(core->tuning.horizon_s == 45);
+    assert_true(core->tuning.spot == 0 && core->tuning.standby == 0);
+    b = lmn_operator_settings_record(&core->tuning);
     golden_same("settings_all_set", b->data, b->len);
     g_byte_array_unref(b);
 }
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -88,10 +88,10 @@
     assert_int_equal(r.seq, 17);
     assert_int_equal(r.token, 42);
     uint32_t i = 0;
-    for (const struct lmn_cbor_value *n = lmn_cbor_first_child(&d, r.tasks); n;
-         n = lmn_cbor_next(&d, n)) {
+    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(&d, r.tasks); node;
+         node = lmn_cbor_next(&d, node)) {
         struct lmn_attempt read;
-        assert_true(lmn_heartbeat_parse_task(&read, &d, n));
+        assert_true(lmn_heartbeat_parse_task(&read, &d, node));
         assert_string_equal(read.ref, "run-000412");
         assert_int_equal(read.index, i);
         assert_true(read.number == 0x2a00000001ULL + i);
@@ -103,12 +103,13 @@
     g_byte_array_unref(b);
 }
 
-static void put(struct lmn_core *c, const char *key, GByteArray *value, uint64_t rev)
+static void put(struct lmn_core *core, const char *key, GByteArray *value,
+                uint64_t revision)
 {
     struct lmn_cbor_document d;
 
     assert_int_equal(lmn_cbor_parse(&d, value->data, value->len), 0);
-    lmn_watch_cache_apply(c, key, &d, lmn_cbor_root(&d), rev, now);
+    lmn_watch_cache_apply(core, key, &d, lmn_cbor_root(&d), revision, now);
     lmn_cbor_free(&d);
     g_byte_array_unref(value);
 }
@@ -125,18 +126,18 @@
     cfg.report_s = 8;
     cfg.lease_s = 44;
     cfg.cancel_s = 64;
-    struct lmn_core *c = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    c->parts[0].mine = c->parts[0].ready = c->parts[0].open = true;
-    c->parts[0].my_term = 42;
-    c->parts[0].my_rev = 1;
-    c->parts[0].since = c->fresh = now;
-    c->synced = true;
-    c->members.tick = c->members.fresh = c->members.synced = now;
-    c->types.n = 1;
-    c->types.v[0] = (struct lmn_machine_type){
+    struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
+    core->parts[0].mine = core->parts[0].ready = core->parts[0].open = true;
+    core->parts[0].my_term = 42;
+    core->parts[0].my_rev = 1;
+    core->parts[0].since = core->fresh = now;
+    core->synced = true;
+    core->members.tick = core->members.fresh = core->members.synced = now;
+    core->types.n = 1;
+    core->types.v[0] = (struct lmn_machine_type){
         .name = "x", .cpus = 8, .gpus = 1, .mem = 64, .zones = {"a"}, .nzones = 1};
-    c->types_known = true;
-    return c;
+    core->types_known = true;
+    return core;
 }
 
 /* As workers send them, under the names of the protocol. */
@@ -164,12 +165,12 @@
     return b;
 }
 
-static void answers(struct lmn_core *c, GByteArray *body, const char *name)
+static void answers(struct lmn_core *core, GByteArray *body, const char *name)
 {
     GByteArray *out = g_byte_array_new();
     struct lmn_deferred_starts held;
 
-    assert_int_equal(lmn_heartbeat_handle(c, body->data, body->len, out, &held, now),
+    assert_int_equal(lmn_heartbeat_handle(core, body->data, body->len, out, &held, now),
                      200);
     g_byte_array_unref(body);
     same(name, out);
@@ -179,7 +180,7 @@
 {
     static const char *const tasks[] = {"run-9/0", "run-9/1"};
     static const char *const states[] = {"running", "ended"};
-    struct lmn_core *c = owner();
+    struct lmn_core *core = owner();
     struct lmn_job_spec spec = {.ref = "run-000412",
                                 .class_name = (char *)"etl",
                                 .team = (char *)"t",
@@ -194,14 +195,14 @@
     (void)state;
 
     /* It has not seen the term yet; then nothing has to be done. */
-    answers(c, report(1, 41, NULL, NULL, 0), "worker_answer_without_commands");
-    answers(c, report(2, 42, tasks, states, 2), "worker_answer_kill_and_clear");
-    put(c, "j/run-000412", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1e9), 3);
-    put(c, "r/0/run-000412/0", lmn_range_record(&range, &none), 3);
-    struct lmn_machine *m = c->parts[0].list->pdata[0];
-    m->rev = 1; /* recorded */
-    answers(c, report(3, 42, NULL, NULL, 0), "worker_answer_start");
-    assert_int_equal(m->attempts->len, 1);
+    answers(core, report(1, 41, NULL, NULL, 0), "worker_answer_without_commands");
+    answers(core, report(2, 42, tasks, states, 2), "worker_answer_kill_and_clear");
+    put(core, "j/run-000412", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1e9), 3);
+    put(core, "r/0/run-000412/0", lmn_range_record(&range, &none), 3);
+    struct lmn_machine *machine = core->parts[0].list->pdata[0];
+    machine->rev = 1; /* recorded */
+    answers(core, report(3, 42, NULL, NULL, 0), "worker_answer_start");
+    assert_int_equal(machine->attempts->len, 1);
 }
 
 static void answer_to_a_malformed_report_keeps_its_bytes(void **state)
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -72,17 +72,18 @@
     g_snprintf(addr, sizeof addr, "127.0.0.1:%d", ntohs(a.sin_port));
     lmn_thread(serve, NULL);
 
-    struct lmn_http_client *h = lmn_http_client_new(addr);
+    struct lmn_http_client *client = lmn_http_client_new(addr);
     g_byte_array_append(body, (const guint8 *)"{}", 2);
     for (int i = 0; i < 20; i++) {
         g_atomic_int_set(&executed, 0);
-        assert_int_equal(lmn_http_client_call(h, "POST", WIRE_PATH_TXN, body, 2, out),
-                         200);
-        assert_int_equal(lmn_http_client_call(h, "POST", WIRE_PATH_TXN, body, 2, out),
-                         LMN_HTTP_NO_RESPONSE);
+        assert_int_equal(
+            lmn_http_client_call(client, "POST", WIRE_PATH_TXN, body, 2, out), 200);
+        assert_int_equal(
+            lmn_http_client_call(client, "POST", WIRE_PATH_TXN, body, 2, out),
+            LMN_HTTP_NO_RESPONSE);
         assert_int_equal(g_atomic_int_get(&executed), 2);
     }
-    lmn_http_client_free(h);
+    lmn_http_client_free(client);
     g_byte_array_unref(body);
     g_byte_array_unref(out);
 }
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -11,29 +11,29 @@
 #include <math.h>
 #include <string.h>
 
-static void random_spec(GRand *r, struct lmn_job_spec *s)
+static void random_spec(GRand *r, struct lmn_job_spec *spec)
 {
-    memset(s, 0, sizeof *s);
-    g_snprintf(s->ref, sizeof s->ref, "run-%06d", g_rand_int_range(r, 0, 1000000));
-    s->class_name = g_strdup("c");
-    s->team = g_strdup("t");
-    s->image = g_strdup_printf("img-%d", g_rand_int_range(r, 0, 9));
-    s->zone = g_rand_boolean(r) ? g_strdup("a") : NULL;
-    s->types = g_rand_boolean(r) ? g_strsplit("x,y", ",", -1) : NULL;
-    s->kind = g_rand_boolean(r) ? LMN_JOB_BATCH : LMN_JOB_SERVICE;
-    s->urgency = (enum lmn_priority)g_rand_int_range(r, 0, 4);
-    s->tasks = (uint32_t)g_rand_int_range(r, 1, LMN_MAX_TASKS + 1);
-    s->cpus = g_rand_int_range(r, 0, 64) / 2.0;
-    s->mem = g_rand_double_range(r, 0, 100);
-    s->deadline_s = g_rand_boolean(r) ? g_rand_double_range(r, 0, 1000) : -1;
-    s->spot = g_rand_boolean(r);
+    memset(spec, 0, sizeof *spec);
+    g_snprintf(spec->ref, sizeof spec->ref, "run-%06d", g_rand_int_range(r, 0, 1000000));
+    spec->class_name = g_strdup("c");
+    spec->team = g_strdup("t");
+    spec->image = g_strdup_printf("img-%d", g_rand_int_range(r, 0, 9));
+    spec->zone = g_rand_boolean(r) ? g_strdup("a") : NULL;
+    spec->types = g_rand_boolean(r) ? g_strsplit("x,y", ",", -1) : NULL;
+    spec->kind = g_rand_boolean(r) ? LMN_JOB_BATCH : LMN_JOB_SERVICE;
+    spec->urgency = (enum lmn_priority)g_rand_int_range(r, 0, 4);
+    spec->tasks = (uint32_t)g_rand_int_range(r, 1, LMN_MAX_TASKS + 1);
+    spec->cpus = g_rand_int_range(r, 0, 64) / 2.0;
+    spec->mem = g_rand_double_range(r, 0, 100);
+    spec->deadline_s = g_rand_boolean(r) ? g_rand_double_range(r, 0, 1000) : -1;
+    spec->spot = g_rand_boolean(r);
 }
 
-static GByteArray *encode(const struct lmn_job_spec *s)
+static GByteArray *encode(const struct lmn_job_spec *spec)
 {
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, lmn_job_spec_pair_count());
-    lmn_job_spec_write(b, s);
+    lmn_job_spec_write(b, spec);
     return b;
 }
 
@@ -63,27 +63,27 @@
 }
 
 /* Writes the description once more with one field left out, or replaced. */
-static int parse_with(const struct lmn_job_spec *s, const char *field,
+static int parse_with(const struct lmn_job_spec *spec, const char *field,
                       const GByteArray *instead)
 {
-    GByteArray *x = encode(s), *y = g_byte_array_new();
+    GByteArray *x = encode(spec), *y = g_byte_array_new();
     struct lmn_cbor_document d, e;
     struct lmn_job_spec t;
     const char *what;
 
     assert_int_equal(lmn_cbor_parse(&d, x->data, x->len), 0);
     lmn_cbor_put_map(y, lmn_job_spec_pair_count() - (instead ? 0 : 1));
-    for (const struct lmn_cbor_value *k = lmn_cbor_first_child(&d, lmn_cbor_root(&d));
-         k;) {
-        const struct lmn_cbor_value *v = lmn_cbor_next(&d, k);
-        if (!lmn_cbor_text_equals(k, field)) {
-            lmn_cbor_put_value(y, &d, k);
-            lmn_cbor_put_value(y, &d, v);
+    for (const struct lmn_cbor_value *key = lmn_cbor_first_child(&d, lmn_cbor_root(&d));
+         key;) {
+        const struct lmn_cbor_value *value = lmn_cbor_next(&d, key);
+        if (!lmn_cbor_text_equals(key, field)) {
+            lmn_cbor_put_value(y, &d, key);
+            lmn_cbor_put_value(y, &d, value);
         } else if (instead) {
-            lmn_cbor_put_value(y, &d, k);
+            lmn_cbor_put_value(y, &d, key);
             g_byte_array_append(y, instead->data, instead->len);
         }
-        k = lmn_cbor_next(&d, v);
+        key = lmn_cbor_next(&d, value);
     }
     assert_int_equal(lmn_cbor_parse(&e, y->data, y->len), 0);
     int rc = lmn_job_spec_parse(&t, &e, lmn_cbor_root(&e), &what);
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -26,8 +26,8 @@
 
 /* Any number of workers and users that come in any order and are answered: what stands
  * never passes the limit, nor takes a floor. */
-static void crowd(GRand *rng, const struct lmn_connection_budget *p, unsigned workers,
-                  unsigned users)
+static void crowd(GRand *rng, const struct lmn_connection_budget *budget,
+                  unsigned workers, unsigned users)
 {
     unsigned open[LMN_CONNECTION_KINDS] = {0};
     unsigned want[LMN_CONNECTION_KINDS] = {0, users, workers};
@@ -39,18 +39,18 @@
             k = k == LMN_CONNECTION_USER ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER;
         want[k]--;
         open[k]++;
-        if (!lmn_connection_budget_keeps_open(p, open, k, false))
+        if (!lmn_connection_budget_keeps_open(budget, open, k, false))
             open[k]--;
         else if (g_rand_int_range(rng, 0, 20) == 0)
             open[k]--; /* it ends by itself */
         unsigned sum = open[LMN_CONNECTION_USER] + open[LMN_CONNECTION_WORKER];
-        assert_true(sum + p->floor[LMN_CONNECTION_UNIDENTIFIED] <= p->accepted);
+        assert_true(sum + budget->floor[LMN_CONNECTION_UNIDENTIFIED] <= budget->accepted);
     }
     /* Whoever else is there, a floor is had. */
     for (enum lmn_connection_kind k = LMN_CONNECTION_USER; k < LMN_CONNECTION_KINDS; k++)
-        if (open[k] < p->floor[k]) {
+        if (open[k] < budget->floor[k]) {
             open[k]++;
-            assert_true(lmn_connection_budget_keeps_open(p, open, k, false));
+            assert_true(lmn_connection_budget_keeps_open(budget, open, k, false));
             open[k]--;
         }
 }
@@ -132,12 +132,12 @@
     g_rand_free(rng);
 }
 
-static bool knows(struct lmn_worker_hosts *h, const char *host)
+static bool knows(struct lmn_worker_hosts *hosts, const char *host)
 {
     struct sockaddr_in a = {.sin_family = AF_INET};
 
     inet_pton(AF_INET, host, &a.sin_addr);
-    return lmn_worker_hosts_contain(h, (struct sockaddr *)&a);
+    return lmn_worker_hosts_contain(hosts, (struct sockaddr *)&a);
 }
 
 static void hosts(void **state)
@@ -211,13 +211,14 @@
 
 static struct lmn_connection_budget plan;
 
-static void answer(void *arg, struct lmn_http_request *call)
+static void answer(void *arg, struct lmn_http_request *request)
 {
-    bool worker = lmn_http_request_method(call) == LMN_HTTP_POST;
+    bool worker = lmn_http_request_method(request) == LMN_HTTP_POST;
     (void)arg;
 
-    lmn_http_request_set_kind(call, worker ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER);
-    lmn_http_request_respond(call, 200, NULL, 0);
+    lmn_http_request_set_kind(request,
+                              worker ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER);
+    lmn_http_request_respond(request, 200, NULL, 0);
 }
 
 static bool stands(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
@@ -267,10 +268,10 @@
                                               .max_body = 1024,
                                               .route = answer,
                                               .stands = stands};
-    struct lmn_http_server *h = lmn_http_server_start(&o);
-    assert_non_null(h);
+    struct lmn_http_server *server = lmn_http_server_start(&o);
+    assert_non_null(server);
     for (int i = 0; i < CROWD; i++) {
-        int r = report(lmn_http_server_port(h), &fds[i]);
+        int r = report(lmn_http_server_port(server), &fds[i]);
         assert_true(r >= 0);
         standing += r == 1;
         closed += r == 0;
@@ -284,7 +285,7 @@
     assert_int_equal(closed, CROWD - standing);
     /* The server learns of an end a moment after the peer. */
     do
-        lmn_http_server_load(h, &load);
+        lmn_http_server_load(server, &load);
     while (load.open[LMN_CONNECTION_WORKER] != (unsigned)standing);
     assert_int_equal(load.closed[LMN_CONNECTION_WORKER], closed);
     assert_int_equal(load.open[LMN_CONNECTION_WORKER], standing);
@@ -292,7 +293,7 @@
     struct lmn_http_client *users[3];
     GByteArray *in = g_byte_array_new();
     char addr[32];
-    g_snprintf(addr, sizeof addr, "127.0.0.1:%d", lmn_http_server_port(h));
+    g_snprintf(addr, sizeof addr, "127.0.0.1:%d", lmn_http_server_port(server));
     for (int i = 0; i < 3; i++) {
         users[i] = lmn_http_client_new(addr);
         for (int k = 0; k < 3; k++)
@@ -300,7 +301,7 @@
                 lmn_http_client_call(users[i], "GET", "/ready", NULL, 20, in), 200);
     }
     do
-        lmn_http_server_load(h, &load);
+        lmn_http_server_load(server, &load);
     while (load.open[LMN_CONNECTION_USER] != 3);
     assert_int_equal(load.closed[LMN_CONNECTION_USER], 0);
     for (int i = 0; i < 3; i++)
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -50,10 +50,11 @@
 
 static struct lmn_tls *tls_of(const char *site)
 {
-    struct lmn_tls *t = lmn_tls_new(dir_of(site), site, peers, &npeers, err, sizeof err);
-    if (!t)
+    struct lmn_tls *tls =
+        lmn_tls_new(dir_of(site), site, peers, &npeers, err, sizeof err);
+    if (!tls)
         fail_msg("%s", err);
-    return t;
+    return tls;
 }
 
 static int fresh(void **state)
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -64,10 +64,10 @@
     }
 }
 
-static void doubt(int rank, enum lmn_suspicion_cause why)
+static void doubt(int member_index, enum lmn_suspicion_cause why)
 {
-    lmn_member_apply_suspicion(&ms, rank, 1000 + (uint64_t)rank, ms.v[rank].inc, "n00",
-                               why, at(now));
+    lmn_member_apply_suspicion(&ms, member_index, 1000 + (uint64_t)member_index,
+                               ms.v[member_index].inc, "n00", why, at(now));
 }
 
 static void tells_how_unlikely_a_wait_is(void **state)
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -33,26 +33,26 @@
                                          .mem = 1,
                                          .deadline_s = -1};
 
-static void lose_the_first(void *arg, struct lmn_http_request *call)
+static void lose_the_first(void *arg, struct lmn_http_request *request)
 {
     (void)arg;
     if (g_atomic_int_add(&transactions, 1) == 0) {
-        lmn_http_request_defer(call);
+        lmn_http_request_defer(request);
         return;
     }
     GByteArray *b = g_byte_array_new();
     lmn_cbor_put_map(b, 1);
     lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, 7);
-    lmn_http_request_respond(call, 200, b, 0);
+    lmn_http_request_respond(request, 200, b, 0);
 }
 
-static void reply(struct lmn_http_request *call, const char *ref,
-                  const struct lmn_request_decision *d)
+static void reply(struct lmn_http_request *request, const char *ref,
+                  const struct lmn_request_decision *decision)
 {
-    (void)call;
+    (void)request;
     assert_string_equal(ref, spec.ref);
-    g_atomic_int_set(&step, (gint)d->step);
-    g_atomic_int_set(&status, d->reply.status);
+    g_atomic_int_set(&step, (gint)decision->step);
+    g_atomic_int_set(&status, decision->reply.status);
     g_atomic_int_inc(&replied);
 }
 
@@ -62,16 +62,16 @@
                                         .connections = 16,
                                         .max_body = 65536,
                                         .route = lose_the_first};
-    struct lmn_http_server *h = lmn_http_server_start(&o);
+    struct lmn_http_server *server = lmn_http_server_start(&o);
     (void)state;
 
-    assert_non_null(h);
+    assert_non_null(server);
     settings.partitions = 1;
     settings.state_rps = settings.state_write_rps = 1000;
     settings.value_kb = 16;
     settings.txn_ops = 12;
     g_snprintf(settings.state, sizeof settings.state, "127.0.0.1:%d",
-               lmn_http_server_port(h));
+               lmn_http_server_port(server));
     core = lmn_core_new(&settings, lmn_kv_client_new(&settings), 1);
     lmn_kv_client_start(core->state);
     lmn_pending_submission_start(core, reply);
--- a/tests/test_query_queue.c
+++ b/tests/test_query_queue.c
@@ -7,24 +7,24 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-static void put(struct lmn_read_batch *q, enum lmn_read_request_kind kind, int job,
+static void put(struct lmn_read_batch *batch, enum lmn_read_request_kind kind, int job,
                 struct timespec now)
 {
-    struct lmn_read_request *a = g_new0(struct lmn_read_request, 1);
+    struct lmn_read_request *read = g_new0(struct lmn_read_request, 1);
 
-    a->kind = kind;
-    a->since = now;
-    g_snprintf(a->ref, sizeof a->ref, "run-%06d", job);
-    lmn_read_batch_add(q, a);
+    read->kind = kind;
+    read->since = now;
+    g_snprintf(read->ref, sizeof read->ref, "run-%06d", job);
+    lmn_read_batch_add(batch, read);
 }
 
-static guint done(struct lmn_read_request *a)
+static guint done(struct lmn_read_request *read)
 {
     guint n = 0;
 
-    for (struct lmn_read_request *next; a; a = next, n++) {
-        next = a->next;
-        g_free(a);
+    for (struct lmn_read_request *next; read; read = next, n++) {
+        next = read->next;
+        g_free(read);
     }
     return n;
 }
@@ -55,8 +55,8 @@
             now = lmn_time_add(now, took);
             guint n = lmn_read_batch_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
             assert_true(n <= G_N_ELEMENTS(v));
-            for (struct lmn_read_request *a = late; a; a = a->next)
-                assert_true(lmn_time_diff_s(now, a->since) > LMN_QUERY_PATIENCE_S);
+            for (struct lmn_read_request *read = late; read; read = read->next)
+                assert_true(lmn_time_diff_s(now, read->since) > LMN_QUERY_PATIENCE_S);
             /* What the state service holds up is over with it. */
             assert_true(tick % 400 > 350 || tick % 400 < 20 || !late);
             told += done(late);
@@ -64,9 +64,11 @@
                 guint who = 0;
                 for (guint k = 0; k < i; k++)
                     assert_string_not_equal(v[i]->ref, v[k]->ref);
-                for (struct lmn_read_request *a = v[i]; a; a = a->next, who++) {
-                    assert_true(lmn_time_diff_s(now, a->since) <= LMN_QUERY_PATIENCE_S);
-                    assert_string_equal(a->ref, v[i]->ref);
+                for (struct lmn_read_request *read = v[i]; read;
+                     read = read->next, who++) {
+                    assert_true(lmn_time_diff_s(now, read->since) <=
+                                LMN_QUERY_PATIENCE_S);
+                    assert_string_equal(read->ref, v[i]->ref);
                 }
                 shared += who > 1;
             }
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -8,16 +8,16 @@
 #include <math.h>
 #include <string.h>
 
-static void count_queue(const struct lmn_queue *q, unsigned seen[JOBS][64])
+static void count_queue(const struct lmn_queue *queue, unsigned seen[JOBS][64])
 {
     uint32_t n = 0;
-    for (guint i = 0; i < q->segs->len; i++) {
-        const struct lmn_queue_segment *s = q->segs->pdata[i];
-        for (uint32_t k = s->lo; k < s->hi; k++)
-            seen[s->range->job - jobs][k]++;
-        n += s->hi - s->lo;
+    for (guint i = 0; i < queue->segs->len; i++) {
+        const struct lmn_queue_segment *segment = queue->segs->pdata[i];
+        for (uint32_t k = segment->lo; k < segment->hi; k++)
+            seen[segment->range->job - jobs][k]++;
+        n += segment->hi - segment->lo;
     }
-    assert_int_equal(n, q->tasks);
+    assert_int_equal(n, queue->tasks);
 }
 
 /* Every task is in one queue, or on one machine, and never in two. */
@@ -35,18 +35,19 @@
     count_queue(&core->parts[0].unplaced, seen);
     g_hash_table_iter_init(&it, core->parts[0].machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine *m = v;
+        const struct lmn_machine *machine = v;
         double cpus = 0;
-        count_queue(&m->queue, seen);
-        for (guint i = 0; i < m->attempts->len; i++) {
-            const struct lmn_attempt *a =
-                &g_array_index(m->attempts, struct lmn_attempt, i);
-            seen[a->job - jobs][a->index]++;
-            cpus += a->job->spec.cpus;
-            assert_true(lmn_job_spec_allows(&a->job->spec, m->type, m->zone, m->spot));
+        count_queue(&machine->queue, seen);
+        for (guint i = 0; i < machine->attempts->len; i++) {
+            const struct lmn_attempt *attempt =
+                &g_array_index(machine->attempts, struct lmn_attempt, i);
+            seen[attempt->job - jobs][attempt->index]++;
+            cpus += attempt->job->spec.cpus;
+            assert_true(lmn_job_spec_allows(&attempt->job->spec, machine->type,
+                                            machine->zone, machine->spot));
         }
-        assert_true(fabs(cpus - m->used_cpus) < 1e-6);
-        assert_true(cpus <= m->type->cpus + 1e-6);
+        assert_true(fabs(cpus - machine->used_cpus) < 1e-6);
+        assert_true(cpus <= machine->type->cpus + 1e-6);
     }
     for (int i = 0; i < JOBS; i++)
         for (uint32_t k = 0; k < jobs[i].spec.tasks; k++)
@@ -71,22 +72,22 @@
             lmn_assign_tasks(core, jobs[i].ranges->pdata[0], 0, jobs[i].spec.tasks, now);
         check_all();
         for (int step = 0; step < 120; step++) {
-            struct lmn_machine *m = some_machine(r);
+            struct lmn_machine *machine = some_machine(r);
             GByteArray *out = g_byte_array_new();
             now = lmn_time_add(now, 0.3);
             switch (g_rand_int_range(r, 0, 6)) {
             case 0:
-                lmn_steal_for_machine(core, m, now);
+                lmn_steal_for_machine(core, machine, now);
                 break;
             case 1:
-                lmn_machine_requeue_tasks(core, m, "test", now);
+                lmn_machine_requeue_tasks(core, machine, "test", now);
                 break;
             case 2:
-                m->noticed = !m->noticed;
-                lmn_reassign_machine_queue(core, m, now);
+                machine->noticed = !machine->noticed;
+                lmn_reassign_machine_queue(core, machine, now);
                 break;
             default:
-                lmn_schedule_machine(core, m, out, now);
+                lmn_schedule_machine(core, machine, out, now);
             }
             g_byte_array_unref(out);
             check_all();
@@ -103,21 +104,21 @@
     (void)state;
     for (uint32_t n = 1; n <= 9; n++) {
         fixture_begin(n);
-        struct lmn_job *j = &jobs[3];
-        struct lmn_range *r = j->ranges->pdata[0];
+        struct lmn_job *job = &jobs[3];
+        struct lmn_range *range = job->ranges->pdata[0];
         uint32_t zone[2] = {0, 0};
         GHashTableIter it;
         gpointer v;
-        j->spec.spread = j->spec.spot = true;
-        j->spec.cpus = 1;
-        j->spec.tasks = r->hi = n;
-        lmn_range_open(core, r);
-        r->dealt = true;
-        lmn_assign_tasks(core, r, 0, n, now);
+        job->spec.spread = job->spec.spot = true;
+        job->spec.cpus = 1;
+        job->spec.tasks = range->hi = n;
+        lmn_range_open(core, range);
+        range->dealt = true;
+        lmn_assign_tasks(core, range, 0, n, now);
         g_hash_table_iter_init(&it, core->parts[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            const struct lmn_machine *m = v;
-            zone[m->zone[0] - 'a'] += m->queue.tasks;
+            const struct lmn_machine *machine = v;
+            zone[machine->zone[0] - 'a'] += machine->queue.tasks;
         }
         assert_int_equal(zone[0] + zone[1], n);
         assert_true(MAX(zone[0], zone[1]) <= (n + 1) / 2);
@@ -151,8 +152,8 @@
         jobs[0].latest = 1000;
         jobs[1].latest = urgent ? 1100 : 1010;
         assert_int_equal(lmn_schedule_machine(core, m, out, now), 1);
-        struct lmn_attempt *a = &g_array_index(m->attempts, struct lmn_attempt, 0);
-        assert_ptr_equal(a->job, &jobs[urgent ? 0 : 1]);
+        struct lmn_attempt *attempt = &g_array_index(m->attempts, struct lmn_attempt, 0);
+        assert_ptr_equal(attempt->job, &jobs[urgent ? 0 : 1]);
         lmn_machine_requeue_tasks(core, m, "again", now);
         lmn_queue_clear(&m->queue);
         for (int i = 0; i < 2; i++)
@@ -185,24 +186,24 @@
  * and is tried with one task at a time; one success brings all of it back. */
 static void the_accused_are_set_aside(void **state)
 {
-    struct lmn_job *j = lone_job(LMN_PRIORITY_HIGH, 10);
-    struct lmn_range *r = j->ranges->pdata[0];
+    struct lmn_job *job = lone_job(LMN_PRIORITY_HIGH, 10);
+    struct lmn_range *range = job->ranges->pdata[0];
     (void)state;
 
-    j->spec.cpus = 1;
+    job->spec.cpus = 1;
     for (guint m = 1; m <= 3; m++)
-        lmn_job_record_failure(&j->failures, m, now, now);
-    lmn_reassign_job(core, j, now);
-    assert_int_equal(core->parts[0].unplaced.tasks, r->hi);
+        lmn_job_record_failure(&job->failures, m, now, now);
+    lmn_reassign_job(core, job, now);
+    assert_int_equal(core->parts[0].unplaced.tasks, range->hi);
     start_all();
-    assert_int_equal(r->nstarted, 0);
-    now = lmn_time_add(j->failures.hold, 0.1);
+    assert_int_equal(range->nstarted, 0);
+    now = lmn_time_add(job->failures.hold, 0.1);
     start_all();
-    assert_int_equal(r->nstarted, 1);
-    lmn_job_record_success(&j->failures);
-    lmn_reassign_job(core, j, now);
+    assert_int_equal(range->nstarted, 1);
+    lmn_job_record_success(&job->failures);
+    lmn_reassign_job(core, job, now);
     start_all();
-    assert_true(r->nstarted == MIN(r->hi, 8 * MACHINES));
+    assert_true(range->nstarted == MIN(range->hi, 8 * MACHINES));
 }
 
 int main(void)
