--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -23,13 +23,13 @@
            (talk((int)(from - w.nodes), (int)(to - w.nodes)) && w.now >= to->still_until);
 }
 
-static void add_statement(const struct lmn_gossip_statement *s)
+static void add_statement(const struct lmn_gossip_statement *statement)
 {
-    digest_number((uint64_t)s->of);
-    digest_number(s->inc);
-    digest_real(s->heard_s);
-    digest_real(s->unanswered_s);
-    digest_number(s->visitors);
+    digest_number((uint64_t)statement->of);
+    digest_number(statement->inc);
+    digest_real(statement->heard_s);
+    digest_real(statement->unanswered_s);
+    digest_number(statement->visitors);
 }
 
 static void digest_word(const char *kind, int from, int to,
@@ -58,271 +58,278 @@
     }
 }
 
-static void tell_tombstones(struct node *from, struct node *to, int rank)
+static void tell_tombstones(struct node *from, struct node *to, int member_index)
 {
     const char *refs[8];
     uint64_t upto;
-    unsigned n = lmn_tombstones_pending(&from->core->tombstones, rank, refs, 8, &upto);
+    unsigned n =
+        lmn_tombstones_pending(&from->core->tombstones, member_index, refs, 8, &upto);
 
     if (!w.helped)
         return;
     digest_message("tombstones", w.clock);
-    digest_number((uint64_t)rank);
+    digest_number((uint64_t)member_index);
     for (unsigned i = 0; i < n; i++)
         digest_text(refs[i]);
     for (unsigned i = 0; i < n; i++)
         w.tombstones += lmn_tombstone_receive(to->core, refs[i], w.clock);
     if (!world_trouble(0.05)) /* else the answer is lost, and they are told again */
-        lmn_tombstones_acknowledge(&from->core->tombstones, rank, upto);
+        lmn_tombstones_acknowledge(&from->core->tombstones, member_index, upto);
 }
 
 /* Ranks are places by name, as the nodes are numbered. */
-void node_ask(struct node *n, int me)
+void node_ask(struct node *node, int me)
 {
-    struct lmn_members *ms = &n->core->members;
+    struct lmn_members *members = &node->core->members;
     struct lmn_probe q;
     double wait;
 
-    lmn_members_tick(ms, 0, w.clock);
-    while (lmn_member_next_probe(ms, w.r, w.clock, &q, &wait)) {
+    lmn_members_tick(members, 0, w.clock);
+    while (lmn_member_next_probe(members, w.r, w.clock, &q, &wait)) {
         struct node *o = &w.nodes[q.rank];
-        struct lmn_member_health mine = node_word(n);
+        struct lmn_member_health mine = node_word(node);
         digest_word("question", me, q.rank, &mine);
         digest_number((uint64_t)q.about);
         digest_real(q.patience_s);
         if (!talk(me, q.rank) || w.now < o->still_until || world_trouble(0.05)) {
-            lmn_member_record_probe_timeout(ms, q.rank, w.clock, w.clock);
+            lmn_member_record_probe_timeout(members, q.rank, w.clock, w.clock);
             continue;
         }
         struct lmn_member_health its = node_word(o);
         lmn_member_record_contact(&o->core->members, me, &mine, w.clock, w.clock);
-        tell(n, o, q.about);
+        tell(node, o, q.about);
         if (q.about >= 0)
             lmn_member_request_probe(&o->core->members, q.about, w.clock);
         if (world_trouble(0.05)) { /* the answer is lost */
-            lmn_member_record_probe_timeout(ms, q.rank, w.clock, w.clock);
+            lmn_member_record_probe_timeout(members, q.rank, w.clock, w.clock);
             continue;
         }
         digest_word("word", q.rank, me, &its);
-        lmn_member_record_probe_reply(ms, q.rank, &its, w.clock, w.clock);
-        tell_tombstones(n, o, q.rank);
-        tell(o, n, q.about);
+        lmn_member_record_probe_reply(members, q.rank, &its, w.clock, w.clock);
+        tell_tombstones(node, o, q.rank);
+        tell(o, node, q.about);
     }
 }
 
 /* In step with nothing untold, a standby knows to the letter what the owner does. */
-static void compare(const struct node *n, const struct lmn_partition *p)
+static void compare(const struct node *node, const struct lmn_partition *partition)
 {
-    const struct lmn_replication_stream *s = &p->stream;
-    const struct lmn_core *c = w.nodes[s->to].core;
-    const struct lmn_replica *copy = c ? c->parts[p->id].copy : NULL;
+    const struct lmn_replication_stream *stream = &partition->stream;
+    const struct lmn_core *core = w.nodes[stream->to].core;
+    const struct lmn_replica *copy = core ? core->parts[partition->id].copy : NULL;
 
-    if (s->phase != LMN_STREAM_IN_SYNC || s->batch || p->untold->len ||
-        p->forgotten->len || !copy || copy->stream != s->id || copy->term != p->my_term)
+    if (stream->phase != LMN_STREAM_IN_SYNC || stream->batch || partition->untold->len ||
+        partition->forgotten->len || !copy || copy->stream != stream->id ||
+        copy->term != partition->my_term)
         return;
     w.compared++;
-    for (guint k = 0; k < p->list->len; k++) {
-        const struct lmn_machine *m = p->list->pdata[k];
-        const struct lmn_machine_snapshot *t =
-            g_hash_table_lookup(copy->machines, m->name);
-        guint known = t ? t->attempts->len : 0;
-        assert_int_equal(m->attempts->len, known);
+    for (guint k = 0; k < partition->list->len; k++) {
+        const struct lmn_machine *machine = partition->list->pdata[k];
+        const struct lmn_machine_snapshot *snapshot =
+            g_hash_table_lookup(copy->machines, machine->name);
+        guint known = snapshot ? snapshot->attempts->len : 0;
+        assert_int_equal(machine->attempts->len, known);
         for (guint i = 0; i < known; i++) {
             const struct lmn_attempt *a =
-                &g_array_index(m->attempts, struct lmn_attempt, i);
+                &g_array_index(machine->attempts, struct lmn_attempt, i);
             const struct lmn_attempt_snapshot *b =
-                &g_array_index(t->attempts, struct lmn_attempt_snapshot, i);
+                &g_array_index(snapshot->attempts, struct lmn_attempt_snapshot, i);
             assert_string_equal(a->ref, b->ref);
             assert_int_equal(a->index, b->index);
             assert_int_equal(a->number, b->number);
         }
     }
-    (void)n;
+    (void)node;
 }
 
-void node_tell(struct node *n, int me, bool cut)
+void node_tell(struct node *node, int me, bool cut)
 {
     for (int i = 0; i < w.layout.nodes; i++) {
-        struct lmn_partition *p = &n->core->parts[i];
+        struct lmn_partition *partition = &node->core->parts[i];
         enum lmn_replication_step step = LMN_REPLICATION_SEND;
         for (int k = 0; k < 6 && step != LMN_REPLICATION_WAIT; k++) {
             enum lmn_replica_result answer = LMN_REPLICA_UNKNOWN_STREAM;
-            struct lmn_replication_batch *b = NULL;
-            struct lmn_txn *t = NULL;
+            struct lmn_replication_batch *batch = NULL;
+            struct lmn_txn *txn = NULL;
             double wait;
-            step = lmn_replication_next_step(n->core, p, w.clock, &b, &t, &wait);
+            step = lmn_replication_next_step(node->core, partition, w.clock, &batch, &txn,
+                                             &wait);
             if (step == LMN_REPLICATION_WRITE && !cut)
-                node_send(n, t);
+                node_send(node, txn);
             else if (step == LMN_REPLICATION_WRITE)
-                lmn_txn_free(t);
+                lmn_txn_free(txn);
             if (step != LMN_REPLICATION_SEND)
                 continue;
-            struct node *o = &w.nodes[p->stream.to];
-            bool heard =
-                talk(me, p->stream.to) && w.now >= o->still_until && !world_trouble(0.02);
+            struct node *o = &w.nodes[partition->stream.to];
+            bool heard = talk(me, partition->stream.to) && w.now >= o->still_until &&
+                         !world_trouble(0.02);
             if (heard) {
-                struct lmn_replication_batch *same = batch_twin(b);
+                struct lmn_replication_batch *same = batch_twin(batch);
                 answer = lmn_replica_apply(o->core, same, w.clock);
                 lmn_replication_batch_free(same);
                 heard = !world_trouble(0.02);
             }
-            digest_batch(me, p->stream.to, w.clock, b, heard, answer);
-            lmn_replication_batch_sent(n->core, p, b, heard, answer, w.clock);
+            digest_batch(me, partition->stream.to, w.clock, batch, heard, answer);
+            lmn_replication_batch_sent(node->core, partition, batch, heard, answer,
+                                       w.clock);
         }
-        if (p->mine)
-            compare(n, p);
+        if (partition->mine)
+            compare(node, partition);
     }
 }
 
 /* The call gets no answer; but it is carried out so many seconds later. */
-static void call_late(struct machine *m, const GByteArray *body, double s)
+static void call_late(struct machine *machine, const GByteArray *body, double s)
 {
-    struct message *x = g_new0(struct message, 1);
+    struct message *message = g_new0(struct message, 1);
 
-    x->direct = true;
-    x->machine = (int)(m - w.machines);
-    x->life = m->life;
-    x->body = g_byte_array_new();
-    g_byte_array_append(x->body, body->data, body->len);
-    x->at = w.now + s;
-    g_ptr_array_add(w.mail, x);
+    message->direct = true;
+    message->machine = (int)(machine - w.machines);
+    message->life = machine->life;
+    message->body = g_byte_array_new();
+    g_byte_array_append(message->body, body->data, body->len);
+    message->at = w.now + s;
+    g_ptr_array_add(w.mail, message);
 }
 
 /* Whether the call is held up on its way, for 2 to 16 s. */
-static bool held_up(struct machine *m, const GByteArray *body)
+static bool held_up(struct machine *machine, const GByteArray *body)
 {
     if (w.now >= w.commands_until || world_chance(0.5))
         return false;
     w.late_commands++;
-    call_late(m, body, g_rand_double_range(w.r, 2, 16));
+    call_late(machine, body, g_rand_double_range(w.r, 2, 16));
     return true;
 }
 
 /* How the waiting of controller/replication_thread.c ends, and that of the lanes of
  * partition/worker_client.c. */
-void node_release(struct node *n)
+void node_release(struct node *node)
 {
-    for (guint i = 0; i < n->waiting->len;) {
-        struct waiter *x = n->waiting->pdata[i];
-        struct lmn_partition *p = &n->core->parts[x->held.part];
-        struct machine *m = &w.machines[x->machine];
-        bool ours = p->mine && p->my_term == x->held.term;
-        bool go = w.broken == G_TOLD || (ours && lmn_replication_covers(p, x->held.mark));
+    for (guint i = 0; i < node->waiting->len;) {
+        struct waiter *x = node->waiting->pdata[i];
+        struct lmn_partition *partition = &node->core->parts[x->held.part];
+        struct machine *machine = &w.machines[x->machine];
+        bool ours = partition->mine && partition->my_term == x->held.term;
+        bool go = w.broken == G_TOLD ||
+                  (ours && lmn_replication_covers(partition, x->held.mark));
         if (ours && !go && w.now - x->since <= LMN_REPLICATION_DEFER_S) {
             i++;
             continue;
         }
-        g_ptr_array_remove_index(n->waiting, i);
+        g_ptr_array_remove_index(node->waiting, i);
         w.withheld += !go;
-        bool there = x->life == m->life && !m->dead && w.now >= m->hang_until;
+        bool there =
+            x->life == machine->life && !machine->dead && w.now >= machine->hang_until;
         if (x->direct) {
             GByteArray *answer = g_byte_array_new();
             int status = LMN_HTTP_NOT_SENT;
             if (go)
-                status =
-                    there && machine_told((int)(n - w.nodes), m) && !held_up(m, x->body)
-                        ? machine_direct(m, x->body, answer)
-                        : LMN_HTTP_NO_RESPONSE;
-            lmn_worker_client_push_done(n->core, x->held.machine, status, answer,
+                status = there && machine_told((int)(node - w.nodes), machine) &&
+                                 !held_up(machine, x->body)
+                             ? machine_direct(machine, x->body, answer)
+                             : LMN_HTTP_NO_RESPONSE;
+            lmn_worker_client_push_done(node->core, x->held.machine, status, answer,
                                         w.clock);
             g_byte_array_unref(answer);
         } else if (ours) {
             if (!go)
-                lmn_heartbeat_withhold_starts(n->core, &x->held, x->body, w.clock);
+                lmn_heartbeat_withhold_starts(node->core, &x->held, x->body, w.clock);
             struct message answer = {
                 .body = x->body, .session = x->session, .seq = x->seq};
-            if (there && w.now >= m->unheard_until)
-                machine_answer(m, &answer);
+            if (there && w.now >= machine->unheard_until)
+                machine_answer(machine, &answer);
         }
         g_byte_array_unref(x->body);
         g_free(x);
     }
 }
 
-void node_hold_back(struct node *n, const struct lmn_deferred_starts *held,
-                    const struct message *x, struct machine *m, GByteArray *body)
+void node_hold_back(struct node *node, const struct lmn_deferred_starts *deferred,
+                    const struct message *message, struct machine *machine,
+                    GByteArray *body)
 {
     struct waiter *y = g_new0(struct waiter, 1);
 
-    *y = (struct waiter){.held = *held,
-                         .direct = !x,
-                         .machine = (int)(m - w.machines),
-                         .life = m->life,
+    *y = (struct waiter){.held = *deferred,
+                         .direct = !message,
+                         .machine = (int)(machine - w.machines),
+                         .life = machine->life,
                          .body = g_byte_array_ref(body),
-                         .session = x ? x->session : 0,
-                         .seq = x ? x->seq : 0,
+                         .session = message ? message->session : 0,
+                         .seq = message ? message->seq : 0,
                          .since = w.now};
-    g_ptr_array_add(n->waiting, y);
+    g_ptr_array_add(node->waiting, y);
 }
 
-void node_direct(struct node *n)
+void node_direct(struct node *node)
 {
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
     char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
-    uint64_t term;
-    int me = (int)(n - w.nodes);
+    uint64_t epoch;
+    int me = (int)(node - w.nodes);
 
-    while (lmn_worker_client_next_probe(n->core, 0, 1, name, addr, &term, w.clock)) {
+    while (lmn_worker_client_next_probe(node->core, 0, 1, name, addr, &epoch, w.clock)) {
         digest_message("probe", w.clock);
         digest_number((uint64_t)me);
         digest_text(name);
         digest_text(addr);
-        digest_number(term);
-        struct machine *m = machine_named(name);
-        if (!m || !machine_told(me, m) || world_chance(0.3)) {
-            lmn_worker_client_probe_done(n->core, name, term, LMN_HTTP_NO_RESPONSE,
+        digest_number(epoch);
+        struct machine *machine = machine_named(name);
+        if (!machine || !machine_told(me, machine) || world_chance(0.3)) {
+            lmn_worker_client_probe_done(node->core, name, epoch, LMN_HTTP_NO_RESPONSE,
                                          answer, w.clock);
             continue;
         }
         g_byte_array_set_size(body, 0);
         g_byte_array_set_size(answer, 0);
-        if (!term) { /* only whether it can be reached */
-            lmn_worker_client_probe_done(n->core, name, term, 200, answer, w.clock);
+        if (!epoch) { /* only whether it can be reached */
+            lmn_worker_client_probe_done(node->core, name, epoch, 200, answer, w.clock);
             continue;
         }
         lmn_cbor_put_map(body, 3);
-        lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, term);
+        lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, epoch);
         lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
-            lmn_cbor_put_uint(body, m->session);
+            lmn_cbor_put_uint(body, machine->session);
         lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, 0);
-        int status =
-            held_up(m, body) ? LMN_HTTP_NO_RESPONSE : machine_direct(m, body, answer);
-        lmn_worker_client_probe_done(n->core, name, term, status, answer, w.clock);
+        int status = held_up(machine, body) ? LMN_HTTP_NO_RESPONSE
+                                            : machine_direct(machine, body, answer);
+        lmn_worker_client_probe_done(node->core, name, epoch, status, answer, w.clock);
     }
-    while (lmn_worker_client_next_push(n->core, 0, 1, name, addr, body, w.clock)) {
+    while (lmn_worker_client_next_push(node->core, 0, 1, name, addr, body, w.clock)) {
         digest_message("direct", w.clock);
         digest_number((uint64_t)me);
         digest_text(name);
         digest_text(addr);
         digest_array(body);
-        struct machine *m = machine_named(name);
+        struct machine *machine = machine_named(name);
         double luck = g_rand_double(w.r);
         struct lmn_deferred_starts held = {0};
-        held.mark = lmn_worker_client_log_position(n->core, name, &held.part);
-        if (m && held.mark &&
-            !lmn_replication_covers(&n->core->parts[held.part], held.mark)) {
+        held.mark = lmn_worker_client_log_position(node->core, name, &held.part);
+        if (machine && held.mark &&
+            !lmn_replication_covers(&node->core->parts[held.part], held.mark)) {
             GByteArray *own = g_byte_array_new();
             g_byte_array_append(own, body->data, body->len);
-            held.term = n->core->parts[held.part].my_term;
+            held.term = node->core->parts[held.part].my_term;
             g_strlcpy(held.machine, name, LMN_NAME_SIZE);
-            node_hold_back(n, &held, NULL, m, own);
+            node_hold_back(node, &held, NULL, machine, own);
             g_byte_array_unref(own);
             continue;
         }
         g_byte_array_set_size(answer, 0);
-        if (!m || !machine_told(me, m) || luck < 0.25) {
+        if (!machine || !machine_told(me, machine) || luck < 0.25) {
             /* No answer: lost for good, or delivered up to half a minute later. */
-            if (m && !m->dead && world_chance(0.8))
-                call_late(m, body,
+            if (machine && !machine->dead && world_chance(0.8))
+                call_late(machine, body,
                           g_rand_double_range(w.r, 0.1, world_chance(0.5) ? 3 : 30));
-            lmn_worker_client_push_done(n->core, name, LMN_HTTP_NO_RESPONSE, answer,
+            lmn_worker_client_push_done(node->core, name, LMN_HTTP_NO_RESPONSE, answer,
                                         w.clock);
-        } else if (held_up(m, body)) {
-            lmn_worker_client_push_done(n->core, name, LMN_HTTP_NO_RESPONSE, answer,
+        } else if (held_up(machine, body)) {
+            lmn_worker_client_push_done(node->core, name, LMN_HTTP_NO_RESPONSE, answer,
                                         w.clock);
         } else {
-            int status = machine_direct(m, body, answer);
-            lmn_worker_client_push_done(n->core, name, status, answer, w.clock);
+            int status = machine_direct(machine, body, answer);
+            lmn_worker_client_push_done(node->core, name, status, answer, w.clock);
         }
     }
     g_byte_array_unref(body);
--- a/tests/world/requests.h
+++ b/tests/world/requests.h
@@ -28,7 +28,7 @@
 
 /* The job's record; NULL: there is none. */
 const struct item *world_record(const char *ref);
-void world_read_record(const char *ref, struct lmn_job_reading *r);
+void world_read_record(const char *ref, struct lmn_job_reading *reading);
 
 /* --- serving.c: what the controllers do with them --- */
 
@@ -41,7 +41,7 @@
 /* --- users.c --- */
 
 /* The first answer; the user hears no other. */
-void request_reply(struct request *q, const struct lmn_job_reply *r);
+void request_reply(struct request *q, const struct lmn_job_reply *reply);
 /* The controller has nothing more to do with it. */
 void request_over(struct request *q);
 
--- a/tests/world/scenario.c
+++ b/tests/world/scenario.c
@@ -80,8 +80,8 @@
 static bool all_answered(void)
 {
     for (int i = 0; i < w.njobs; i++) {
-        const struct job *j = &w.jobs[i];
-        if (!j->submitted || (j->cancelled_at < 0 && !j->told_done))
+        const struct job *job = &w.jobs[i];
+        if (!job->submitted || (job->cancelled_at < 0 && !job->told_done))
             return false;
     }
     return true;
@@ -92,12 +92,12 @@
 static void step(void)
 {
     for (int i = 0; i < w.njobs; i++) {
-        struct job *j = &w.jobs[i];
-        if (!j->submitted && !j->offered)
-            j->spec.tasks = MIN(j->spec.tasks, 6);
-        else if (scenario_is_over() && j->spec.kind == LMN_JOB_SERVICE &&
-                 j->cancelled_at < 0)
-            world_cancel(j);
+        struct job *job = &w.jobs[i];
+        if (!job->submitted && !job->offered)
+            job->spec.tasks = MIN(job->spec.tasks, 6);
+        else if (scenario_is_over() && job->spec.kind == LMN_JOB_SERVICE &&
+                 job->cancelled_at < 0)
+            world_cancel(job);
     }
     if (scenario_is_over()) {
         w.run_s = 3;
@@ -122,11 +122,12 @@
     unsigned n = 0;
 
     for (int i = 0; i < w.njobs; i++) {
-        const struct job *j = &w.jobs[i];
-        if ((!j->submitted && !j->offered) || j->cancelled_at >= 0 || j->told_done)
+        const struct job *job = &w.jobs[i];
+        if ((!job->submitted && !job->offered) || job->cancelled_at >= 0 ||
+            job->told_done)
             continue;
         n++;
-        *one = j;
+        *one = job;
     }
     return n;
 }
--- a/tests/world/served.c
+++ b/tests/world/served.c
@@ -27,11 +27,11 @@
     int zones[MOST_JOBS][8];    /* how many of them, by zone */
 };
 
-static int team_of(const struct job *j)
+static int team_of(const struct job *job)
 {
     int k = 0;
 
-    while (strcmp(world_team(k), j->spec.team))
+    while (strcmp(world_team(k), job->spec.team))
         k++;
     return k;
 }
@@ -40,16 +40,16 @@
 {
     memset(l, 0, sizeof *l);
     for (int i = 0; i < w.layout.machines; i++) {
-        const struct machine *m = &w.machines[i];
-        for (int k = 0; k < m->ntasks; k++) {
-            const struct task *t = &m->tasks[k];
-            const struct job *j = &w.jobs[t->job];
-            if (!world_active(m, t))
+        const struct machine *machine = &w.machines[i];
+        for (int k = 0; k < machine->ntasks; k++) {
+            const struct task *task = &machine->tasks[k];
+            const struct job *job = &w.jobs[task->job];
+            if (!world_active(machine, task))
                 continue;
-            l->team[team_of(j)] += j->spec.cpus;
-            l->machine[i] += j->spec.cpus;
-            l->placed[t->job] |= 1ull << t->index;
-            l->zones[t->job][m->zone[0] - 'a']++;
+            l->team[team_of(job)] += job->spec.cpus;
+            l->machine[i] += job->spec.cpus;
+            l->placed[task->job] |= 1ull << task->index;
+            l->zones[task->job][machine->zone[0] - 'a']++;
         }
     }
 }
@@ -76,10 +76,10 @@
 }
 
 /* Whether the zones of the job's other tasks allow one more there. */
-static bool zone_allows(const struct load *l, int job, const struct machine *m)
+static bool zone_allows(const struct load *l, int job, const struct machine *machine)
 {
     const struct job *j = &w.jobs[job];
-    int here = l->zones[job][m->zone[0] - 'a'], all = 0;
+    int here = l->zones[job][machine->zone[0] - 'a'], all = 0;
 
     for (int z = 0; z < 8; z++)
         all += l->zones[job][z];
@@ -107,16 +107,17 @@
     enum lmn_wait_reason said = LMN_WAIT_OTHER_PARTITION;
 
     for (int i = 0; i < w.layout.nodes; i++) {
-        const struct lmn_core *c = w.nodes[i].core;
-        const struct lmn_job *job = c ? g_hash_table_lookup(c->jobs, j->ref) : NULL;
-        for (int k = 0; job && k < c->nparts; k++) {
-            const struct lmn_partition *p = &c->parts[k];
-            const struct lmn_machine *m =
-                p->mine ? g_hash_table_lookup(p->machines, x->name) : NULL;
-            for (guint n = 0; m && n < job->ranges->len; n++) {
-                const struct lmn_range *r = job->ranges->pdata[n];
-                if (r->part == p && r->st)
-                    said = lmn_wait_reason(c, m, r, w.clock);
+        const struct lmn_core *core = w.nodes[i].core;
+        const struct lmn_job *job = core ? g_hash_table_lookup(core->jobs, j->ref) : NULL;
+        for (int k = 0; job && k < core->nparts; k++) {
+            const struct lmn_partition *partition = &core->parts[k];
+            const struct lmn_machine *machine =
+                partition->mine ? g_hash_table_lookup(partition->machines, x->name)
+                                : NULL;
+            for (guint n = 0; machine && n < job->ranges->len; n++) {
+                const struct lmn_range *range = job->ranges->pdata[n];
+                if (range->part == partition && range->st)
+                    said = lmn_wait_reason(core, machine, range, w.clock);
             }
         }
     }
@@ -136,9 +137,9 @@
                       reason(j, &w.machines[k]));
 }
 
-static void note(struct job *j, int machine, bool beside)
+static void note(struct job *job, int machine, bool beside)
 {
-    double *since = &j->beside[machine];
+    double *since = &job->beside[machine];
 
     if (!beside) {
         *since = 0;
@@ -148,8 +149,8 @@
         *since = w.now;
     w.longest_beside = MAX(w.longest_beside, w.now - *since);
     if (w.now - *since >= BESIDE_S)
-        world_unserved("%s has waited for %.0f s beside %s: %s", j->ref, w.now - *since,
-                       w.machines[machine].name, reason(j, &w.machines[machine]));
+        world_unserved("%s has waited for %.0f s beside %s: %s", job->ref, w.now - *since,
+                       w.machines[machine].name, reason(job, &w.machines[machine]));
 }
 
 void world_check_served(void)
@@ -162,12 +163,12 @@
     }
     count(&l);
     for (int i = 0; i < w.njobs; i++) {
-        struct job *j = &w.jobs[i];
+        struct job *job = &w.jobs[i];
         bool any = waits(&l, i);
         for (int k = 0; k < w.layout.machines; k++) {
-            if (j->beside[k] && j->beside[k] < w.quiet_from)
-                j->beside[k] = 0;
-            note(j, k, any && has_room(&l, i, k));
+            if (job->beside[k] && job->beside[k] < w.quiet_from)
+                job->beside[k] = 0;
+            note(job, k, any && has_room(&l, i, k));
         }
     }
 }
--- a/tests/world/serving.c
+++ b/tests/world/serving.c
@@ -46,29 +46,29 @@
 }
 
 /* How long the state service's answer takes: mostly nothing that a step would show. */
-static double on_the_way(const struct node *n)
+static double on_the_way(const struct node *node)
 {
-    if (w.now < n->slow_until)
+    if (w.now < node->slow_until)
         return g_rand_double_range(random_numbers, 0, 2);
     return chance(0.1) ? g_rand_double_range(random_numbers, 0, 0.4) : 0;
 }
 
 /* --- the thread that asks --- */
 
-static struct request *request_of(const struct lmn_read_request *a)
+static struct request *request_of(const struct lmn_read_request *read)
 {
-    return (struct request *)(void *)a->call;
+    return (struct request *)(void *)read->call;
 }
 
 /* The question joins one that is being confirmed already; false: there is none. */
-static bool join(struct asker *k, struct lmn_read_request *a)
+static bool join(struct asker *k, struct lmn_read_request *read)
 {
-    if (k->stage != CONFIRM_ENDS || a->kind != LMN_READ_STATUS)
+    if (k->stage != CONFIRM_ENDS || read->kind != LMN_READ_STATUS)
         return false;
     for (guint i = 0; i < k->n; i++)
-        if (!strcmp(k->batch[i]->ref, a->ref)) {
-            a->next = k->batch[i]->next;
-            k->batch[i]->next = a;
+        if (!strcmp(k->batch[i]->ref, read->ref)) {
+            read->next = k->batch[i]->next;
+            k->batch[i]->next = read;
             return true;
         }
     return false;
@@ -76,31 +76,31 @@
 
 static void enqueue(enum lmn_read_request_kind kind, struct request *q, int absent_status)
 {
-    struct lmn_read_request *a = g_new0(struct lmn_read_request, 1);
-
-    a->kind = kind;
-    a->call = (struct lmn_http_request *)(void *)q;
-    a->absent_status = absent_status;
-    a->since = w.clock;
-    g_strlcpy(a->ref, q->ref, sizeof a->ref);
-    if (w.broken != G_SHARE || !join(&askers[q->node], a))
-        lmn_read_batch_add(&askers[q->node].asks, a);
+    struct lmn_read_request *read = g_new0(struct lmn_read_request, 1);
+
+    read->kind = kind;
+    read->call = (struct lmn_http_request *)(void *)q;
+    read->absent_status = absent_status;
+    read->since = w.clock;
+    g_strlcpy(read->ref, q->ref, sizeof read->ref);
+    if (w.broken != G_SHARE || !join(&askers[q->node], read))
+        lmn_read_batch_add(&askers[q->node].asks, read);
 }
 
-static void answer(struct lmn_read_request *a, const struct lmn_job_reply *r)
+static void answer(struct lmn_read_request *read, const struct lmn_job_reply *reply)
 {
-    request_reply(request_of(a), r);
-    request_over(request_of(a));
-    g_free(a);
+    request_reply(request_of(read), reply);
+    request_over(request_of(read));
+    g_free(read);
 }
 
 static void answer_unavailable(struct lmn_read_request *list)
 {
     const struct lmn_job_reply r = lmn_job_reply_unavailable();
 
-    for (struct lmn_read_request *a = list, *next; a; a = next) {
-        next = a->next;
-        answer(a, &r);
+    for (struct lmn_read_request *read = list, *next; read; read = next) {
+        next = read->next;
+        answer(read, &r);
     }
 }
 
@@ -114,28 +114,28 @@
     answer_unavailable(late);
 }
 
-static void read_job(struct asker *k, const struct node *n, const char *ref)
+static void read_job(struct asker *k, const struct node *node, const char *ref)
 {
     lmn_job_reading_clear(&k->reading);
-    if (node_served(n) && !chance(0.02))
+    if (node_served(node) && !chance(0.02))
         world_read_record(ref, &k->reading);
     else
         k->reading.status = LMN_HTTP_NO_RESPONSE;
-    k->at = w.now + on_the_way(n);
+    k->at = w.now + on_the_way(node);
 }
 
-static void cancel_answered(struct asker *k, const struct lmn_job_reply *r)
+static void cancel_answered(struct asker *k, const struct lmn_job_reply *reply)
 {
-    answer(k->cancel, r);
+    answer(k->cancel, reply);
     k->cancel = NULL;
     k->stage = CONFIRM_ASKS;
 }
 
-static void cancel_writes(struct asker *k, struct node *n)
+static void cancel_writes(struct asker *k, struct node *node)
 {
     const char *ref = k->cancel->ref;
     struct lmn_job_reply r;
-    uint64_t rev = 0;
+    uint64_t revision = 0;
 
     if (w.broken == G_FINAL && k->reading.status == 200) {
         /* Written whatever the record has become. */
@@ -143,19 +143,20 @@
         world_read_record(ref, &k->reading);
         k->reading.phase = LMN_JOB_ACTIVE;
     }
-    struct lmn_txn *t =
+    struct lmn_txn *txn =
         lmn_cancellation_txn(ref, &k->reading, k->cancel->absent_status, &r);
-    if (!t) {
+    if (!txn) {
         cancel_answered(k, &r);
         return;
     }
-    k->outcome = node_served(n) ? world_send(n, t, g_rand_double(random_numbers), &rev)
-                                : LMN_TXN_REJECTED;
-    lmn_txn_free(t);
+    k->outcome = node_served(node)
+                     ? world_send(node, txn, g_rand_double(random_numbers), &revision)
+                     : LMN_TXN_REJECTED;
+    lmn_txn_free(txn);
     if (k->outcome == LMN_TXN_COMMITTED)
-        lmn_tombstone_add(&n->core->tombstones, ref);
+        lmn_tombstone_add(&node->core->tombstones, ref);
     k->stage = CANCEL_ENDS;
-    k->at = w.now + on_the_way(n);
+    k->at = w.now + on_the_way(node);
 }
 
 static void cancel_ends(struct asker *k)
@@ -168,24 +169,24 @@
         k->stage = CANCEL_READS;
 }
 
-static void confirm_asks(struct asker *k, const struct node *n)
+static void confirm_asks(struct asker *k, const struct node *node)
 {
     for (guint i = 0; i < k->n; i++)
-        lmn_job_view_take(n->core, k->batch[i]->ref, &k->views[i]);
-    struct lmn_txn *t = lmn_confirmation_txn(k->views, k->n);
-    k->outcome = world_confirm(t, k->failed);
-    lmn_txn_free(t);
-    if (!node_served(n))
+        lmn_job_view_take(node->core, k->batch[i]->ref, &k->views[i]);
+    struct lmn_txn *txn = lmn_confirmation_txn(k->views, k->n);
+    k->outcome = world_confirm(txn, k->failed);
+    lmn_txn_free(txn);
+    if (!node_served(node))
         k->outcome = LMN_TXN_REJECTED;
     else if (chance(w.now < w.lost_until ? 0.3 : 0.02))
         k->outcome = LMN_TXN_UNKNOWN;
     if (w.broken == G_CONFIRM)
         k->outcome = LMN_TXN_COMMITTED;
     k->stage = CONFIRM_ENDS;
-    k->at = w.now + on_the_way(n);
+    k->at = w.now + on_the_way(node);
 }
 
-static void confirm_ends(struct asker *k, const struct node *n)
+static void confirm_ends(struct asker *k, const struct node *node)
 {
     guint outdated = 0;
 
@@ -200,11 +201,11 @@
             answer_unavailable(k->batch[i]);
             continue;
         }
-        for (struct lmn_read_request *a = k->batch[i], *next; a; a = next) {
-            next = a->next;
+        for (struct lmn_read_request *read = k->batch[i], *next; read; read = next) {
+            next = read->next;
             struct lmn_job_reply r =
-                lmn_job_reply_confirmed(n->core, &k->views[i], a->absent_status);
-            answer(a, &r);
+                lmn_job_reply_confirmed(node->core, &k->views[i], read->absent_status);
+            answer(read, &r);
         }
     }
     k->n = outdated;
@@ -212,42 +213,42 @@
     k->stage = READ_ASKS;
 }
 
-static void read_ends(struct asker *k, const struct node *n)
+static void read_ends(struct asker *k, const struct node *node)
 {
-    for (struct lmn_read_request *a = k->batch[k->next], *next; a; a = next) {
-        next = a->next;
-        struct lmn_job_reply r =
-            lmn_job_reply_from_reading(n->core, a->ref, &k->reading, a->absent_status);
-        answer(a, &r);
+    for (struct lmn_read_request *read = k->batch[k->next], *next; read; read = next) {
+        next = read->next;
+        struct lmn_job_reply r = lmn_job_reply_from_reading(
+            node->core, read->ref, &k->reading, read->absent_status);
+        answer(read, &r);
     }
     k->next++;
     k->stage = READ_ASKS;
 }
 
-static void go_on(struct asker *k, struct node *n)
+static void go_on(struct asker *k, struct node *node)
 {
     switch (k->stage) {
     case IDLE:
         take(k);
         break;
     case CANCEL_READS:
-        read_job(k, n, k->cancel->ref);
+        read_job(k, node, k->cancel->ref);
         k->stage = CANCEL_WRITES;
         break;
     case CANCEL_WRITES:
-        cancel_writes(k, n);
+        cancel_writes(k, node);
         break;
     case CANCEL_ENDS:
         cancel_ends(k);
         break;
     case CONFIRM_ASKS:
         if (k->n)
-            confirm_asks(k, n);
+            confirm_asks(k, node);
         else
             k->stage = IDLE;
         break;
     case CONFIRM_ENDS:
-        confirm_ends(k, n);
+        confirm_ends(k, node);
         break;
     case READ_ASKS:
         if (k->next == k->n) {
@@ -255,20 +256,20 @@
             k->stage = IDLE;
             break;
         }
-        read_job(k, n, k->batch[k->next]->ref);
+        read_job(k, node, k->batch[k->next]->ref);
         k->stage = READ_ENDS;
         break;
     case READ_ENDS:
-        read_ends(k, n);
+        read_ends(k, node);
         break;
     }
 }
 
 static void free_list(struct lmn_read_request *list)
 {
-    for (struct lmn_read_request *a = list, *next; a; a = next) {
-        next = a->next;
-        g_free(a);
+    for (struct lmn_read_request *read = list, *next; read; read = next) {
+        next = read->next;
+        g_free(read);
     }
 }
 
@@ -299,25 +300,25 @@
 void serving_step(void)
 {
     for (int i = 0; i < w.layout.nodes; i++) {
-        struct node *n = &w.nodes[i];
+        struct node *node = &w.nodes[i];
         struct asker *k = &askers[i];
-        if (!node_up(n) || !n->core || n->core != k->life)
-            reset(k, n->core);
-        if (!node_up(n) || !n->core || w.now < n->still_until)
+        if (!node_up(node) || !node->core || node->core != k->life)
+            reset(k, node->core);
+        if (!node_up(node) || !node->core || w.now < node->still_until)
             continue;
         while (k->at <= w.now && (k->stage != IDLE || k->asks.order.length))
-            go_on(k, n);
+            go_on(k, node);
     }
 }
 
 /* --- requests --- */
 
-static void submitted(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
-                      uint64_t rev)
+static void submitted(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
+                      uint64_t revision)
 {
     struct request *q = arg;
-    (void)t;
-    (void)rev;
+    (void)txn;
+    (void)revision;
 
     if (w.broken == G_OUTCOME && outcome == LMN_TXN_UNKNOWN)
         outcome = LMN_TXN_COMMITTED;
@@ -345,21 +346,21 @@
     return b;
 }
 
-static struct lmn_request_decision decide(struct request *q, struct node *n)
+static struct lmn_request_decision decide(struct request *q, struct node *node)
 {
     if (q->kind == STATUS)
-        return lmn_decide_status(n->core, q->ref, w.clock);
+        return lmn_decide_status(node->core, q->ref, w.clock);
     if (q->kind == CANCELLATION)
-        return lmn_decide_cancel(n->core, q->ref);
+        return lmn_decide_cancel(node->core, q->ref);
     GByteArray *body = body_of(q);
-    lmn_submission_parse(&q->submission, &n->cfg, body->data, body->len);
+    lmn_submission_parse(&q->submission, &node->cfg, body->data, body->len);
     g_byte_array_unref(body);
-    return lmn_decide_submission(n->core, &q->submission, w.clock);
+    return lmn_decide_submission(node->core, &q->submission, w.clock);
 }
 
-static void carry_out(struct request *q, struct node *n)
+static void carry_out(struct request *q, struct node *node)
 {
-    struct lmn_request_decision d = decide(q, n);
+    struct lmn_request_decision d = decide(q, node);
 
     if (w.broken == G_REPEAT && q->form != SOUND && d.step == LMN_STEP_CONFIRM)
         d = (struct lmn_request_decision){.step = LMN_STEP_REPLY,
@@ -376,25 +377,26 @@
         enqueue(LMN_READ_CANCEL, q, d.absent_status);
         break;
     case LMN_STEP_COMMIT:
-        lmn_kv_client_submit(n->state, lmn_submission_txn(n->core, &q->submission.spec,
-                                                          w.now, submitted, q));
+        lmn_kv_client_submit(
+            node->state,
+            lmn_submission_txn(node->core, &q->submission.spec, w.now, submitted, q));
     }
 }
 
 void serving_arrive(struct request *q)
 {
-    struct node *n = &w.nodes[q->node];
+    struct node *node = &w.nodes[q->node];
 
-    if (!node_up(n) || !n->core || (q->arrived && q->life != n->core)) {
+    if (!node_up(node) || !node->core || (q->arrived && q->life != node->core)) {
         request_over(q); /* nobody answers */
         return;
     }
-    if (w.now < n->still_until)
+    if (w.now < node->still_until)
         return;
     if (!q->arrived) {
         q->arrived = true;
-        q->life = n->core;
-        carry_out(q, n);
+        q->life = node->core;
+        carry_out(q, node);
     } else if (!q->answered && w.now - q->sent > PATIENCE_S) {
         const struct lmn_job_reply r = lmn_job_reply_unavailable();
         request_reply(q, &r);
--- a/tests/world/store.c
+++ b/tests/world/store.c
@@ -76,40 +76,40 @@
     world_put(key, value, lease);
 }
 
-static enum lmn_txn_outcome carry_out(const struct lmn_txn *t, bool late, uint64_t *rev)
+static enum lmn_txn_outcome carry_out(const struct lmn_txn *txn, bool late, uint64_t *rev)
 {
     bool ok = true;
 
-    lmn_txn_foreach_operation(t, check_lease, &ok);
+    lmn_txn_foreach_operation(txn, check_lease, &ok);
     if (!ok)
         return LMN_TXN_REJECTED;
-    lmn_txn_foreach_condition(t, check_condition, &ok);
+    lmn_txn_foreach_condition(txn, check_condition, &ok);
     if (!ok && !(late && w.broken == G_LATE))
         return LMN_TXN_CONFLICT;
     *rev = ++w.rev;
-    lmn_txn_foreach_operation(t, apply_change, NULL);
+    lmn_txn_foreach_operation(txn, apply_change, NULL);
     return LMN_TXN_COMMITTED;
 }
 
-static enum lmn_txn_outcome commit(const struct lmn_txn *t, bool late, uint64_t *rev)
+static enum lmn_txn_outcome commit(const struct lmn_txn *txn, bool late, uint64_t *rev)
 {
-    enum lmn_txn_outcome outcome = carry_out(t, late, rev);
+    enum lmn_txn_outcome outcome = carry_out(txn, late, rev);
 
-    digest_transaction("transaction", w.clock, t);
+    digest_transaction("transaction", w.clock, txn);
     digest_outcome(outcome);
     return outcome;
 }
 
-enum lmn_txn_outcome world_commit(const struct lmn_txn *t, uint64_t *rev)
+enum lmn_txn_outcome world_commit(const struct lmn_txn *txn, uint64_t *rev)
 {
-    return commit(t, false, rev);
+    return commit(txn, false, rev);
 }
 
-enum lmn_txn_outcome world_confirm(const struct lmn_txn *t, GPtrArray *failed)
+enum lmn_txn_outcome world_confirm(const struct lmn_txn *txn, GPtrArray *failed)
 {
     g_ptr_array_set_size(failed, 0);
-    lmn_txn_foreach_condition(t, collect_failed, failed);
-    digest_transaction("confirmation", w.clock, t);
+    lmn_txn_foreach_condition(txn, collect_failed, failed);
+    digest_transaction("confirmation", w.clock, txn);
     for (guint i = 0; i < failed->len; i++)
         digest_text(failed->pdata[i]);
     return failed->len ? LMN_TXN_CONFLICT : LMN_TXN_COMMITTED;
@@ -135,12 +135,12 @@
         ((struct keys *)arg)->new_job = true;
 }
 
-enum txn_kind world_txn_kind(const struct lmn_txn *t)
+enum txn_kind world_txn_kind(const struct lmn_txn *txn)
 {
     struct keys k = {0};
 
-    lmn_txn_foreach_operation(t, note_key, &k);
-    lmn_txn_foreach_condition(t, note_new_job, &k);
+    lmn_txn_foreach_operation(txn, note_key, &k);
+    lmn_txn_foreach_condition(txn, note_new_job, &k);
     if (k.has['j'] && k.new_job)
         return TXN_ACCEPTANCE;
     return k.has['o']   ? TXN_CLAIM
@@ -162,56 +162,56 @@
     return names[k];
 }
 
-bool world_loses(const struct lmn_txn *t, double luck)
+bool world_loses(const struct lmn_txn *txn, double luck)
 {
     return w.now < w.lost_until && luck >= 0.4 && luck < 0.8 &&
-           (w.lost_kind == TXN_KINDS || w.lost_kind == (int)world_txn_kind(t));
+           (w.lost_kind == TXN_KINDS || w.lost_kind == (int)world_txn_kind(txn));
 }
 
-enum lmn_txn_outcome world_lose(struct node *n, const struct lmn_txn *t)
+enum lmn_txn_outcome world_lose(struct node *node, const struct lmn_txn *txn)
 {
-    uint64_t rev;
+    uint64_t revision;
 
-    if (world_commit(t, &rev) != LMN_TXN_COMMITTED)
+    if (world_commit(txn, &revision) != LMN_TXN_COMMITTED)
         return LMN_TXN_UNKNOWN;
-    w.lost[world_txn_kind(t)]++;
+    w.lost[world_txn_kind(txn)]++;
     if (w.lost_ends && world_chance(0.2))
-        n->ends = true;
+        node->ends = true;
     return w.broken == G_LOST ? LMN_TXN_CONFLICT : LMN_TXN_UNKNOWN;
 }
 
-enum lmn_txn_outcome world_send(struct node *n, const struct lmn_txn *t, double luck,
+enum lmn_txn_outcome world_send(struct node *node, const struct lmn_txn *txn, double luck,
                                 uint64_t *rev)
 {
-    digest_transaction("sending", w.clock, t);
+    digest_transaction("sending", w.clock, txn);
     digest_number((uint64_t)w.acting);
-    if (world_loses(t, luck))
-        return world_lose(n, t);
+    if (world_loses(txn, luck))
+        return world_lose(node, txn);
     if (w.now < w.late_until && luck < 0.3) {
-        world_late(t);
+        world_late(txn);
         return LMN_TXN_UNKNOWN;
     }
     if (luck < 0.04)
         return LMN_TXN_REJECTED;
     if (luck < 0.08) { /* applied, but the answer is lost */
-        world_commit(t, rev);
+        world_commit(txn, rev);
         return LMN_TXN_UNKNOWN;
     }
     if (luck < 0.10) { /* not applied, or late, and the answer is lost */
         if (luck < 0.09)
-            world_late(t);
+            world_late(txn);
         return LMN_TXN_UNKNOWN;
     }
-    return world_commit(t, rev);
+    return world_commit(txn, rev);
 }
 
 /* --- transactions that are late --- */
 
-void world_late(const struct lmn_txn *t)
+void world_late(const struct lmn_txn *txn)
 {
     struct late *l = g_new0(struct late, 1);
 
-    l->txn = lmn_txn_copy(t);
+    l->txn = lmn_txn_copy(txn);
     l->at = w.now + g_rand_double_range(w.r, 2, 12);
     l->writer = w.acting;
     l->life = w.nodes[w.acting].lives;
@@ -222,10 +222,10 @@
 {
     for (guint i = w.late->len; i-- > 0;) {
         struct late *l = w.late->pdata[i];
-        uint64_t rev;
+        uint64_t revision;
         if (l->at > w.now)
             continue;
-        bool done = commit(l->txn, true, &rev) == LMN_TXN_COMMITTED;
+        bool done = commit(l->txn, true, &revision) == LMN_TXN_COMMITTED;
         w.lates += done;
         w.ended_writers += w.nodes[l->writer].lives != l->life;
         lmn_txn_free(l->txn);
@@ -253,25 +253,25 @@
     }
 }
 
-enum lmn_job_phase world_read_job(const struct job *j, struct lmn_job_spec *s,
+enum lmn_job_phase world_read_job(const struct job *job, struct lmn_job_spec *spec,
                                   uint32_t *open, double *at)
 {
     char key[64];
     struct lmn_cbor_document d;
     enum lmn_job_phase phase;
 
-    g_snprintf(key, sizeof key, "j/%s", j->ref);
+    g_snprintf(key, sizeof key, "j/%s", job->ref);
     const struct item *it = g_hash_table_lookup(w.store, key);
     assert_int_equal(lmn_cbor_parse(&d, it->value->data, it->value->len), 0);
-    assert_int_equal(lmn_job_read(&d, lmn_cbor_root(&d), s, &phase, open, at), 0);
+    assert_int_equal(lmn_job_read(&d, lmn_cbor_root(&d), spec, &phase, open, at), 0);
     lmn_cbor_free(&d);
     return phase;
 }
 
-uint64_t world_job_revision(const struct job *j)
+uint64_t world_job_revision(const struct job *job)
 {
     char key[64];
 
-    g_snprintf(key, sizeof key, "j/%s", j->ref);
+    g_snprintf(key, sizeof key, "j/%s", job->ref);
     return ((const struct item *)g_hash_table_lookup(w.store, key))->rev;
 }
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -40,14 +40,14 @@
 
 uint64_t world_term(int part)
 {
-    uint64_t term = 0;
+    uint64_t epoch = 0;
 
     for (int i = 0; i < w.layout.nodes; i++) {
-        const struct lmn_core *c = w.nodes[i].core;
-        if (c && c->parts[part].mine)
-            term = MAX(term, c->parts[part].my_term);
+        const struct lmn_core *core = w.nodes[i].core;
+        if (core && core->parts[part].mine)
+            epoch = MAX(epoch, core->parts[part].my_term);
     }
-    return term;
+    return epoch;
 }
 
 int world_leader(void)
@@ -82,35 +82,35 @@
 
 static void on_nodes(enum trouble k, int who, double s)
 {
-    struct node *n = &w.nodes[who];
+    struct node *node = &w.nodes[who];
 
     switch (k) {
     case T_REFUSED:
-        later(&n->cut_until, s);
+        later(&node->cut_until, s);
         break;
     case T_ISOLATED:
-        later(&n->cut_until, s);
-        later(&n->mute_until, s);
+        later(&node->cut_until, s);
+        later(&node->mute_until, s);
         break;
     case T_SLOW_STATE:
-        later(&n->slow_until, s);
+        later(&node->slow_until, s);
         break;
     case T_CRASH:
-        if (n->core)
-            node_crash(n, s);
+        if (node->core)
+            node_crash(node, s);
         break;
     case T_FREEZE:
-        later(&n->still_until, s);
+        later(&node->still_until, s);
         break;
     case T_DEAF_NODE:
-        later(&n->deaf_until, s);
+        later(&node->deaf_until, s);
         break;
     case T_MUTE_NODE:
-        later(&n->mute_until, s);
+        later(&node->mute_until, s);
         break;
     case T_LEAVE:
-        if (n->core)
-            lmn_shutdown_begin(n->core, w.clock);
+        if (node->core)
+            lmn_shutdown_begin(node->core, w.clock);
         break;
     default:
         break;
@@ -121,38 +121,38 @@
 static void on_machines(enum trouble k, int who, double s)
 {
     for (int i = 0; i < w.layout.machines; i++) {
-        struct machine *m = &w.machines[i];
-        if (k == T_ZONE ? m->node != who : !world_chance(0.4))
+        struct machine *machine = &w.machines[i];
+        if (k == T_ZONE ? machine->node != who : !world_chance(0.4))
             continue;
         switch (k) {
         case T_ZONE:
-            m->island = who;
-            later(&m->island_until, s);
+            machine->island = who;
+            later(&machine->island_until, s);
             break;
         case T_HANG:
-            later(&m->hang_until, s);
+            later(&machine->hang_until, s);
             break;
         case T_DEAF_MACHINE:
-            later(&m->unheard_until, s);
+            later(&machine->unheard_until, s);
             break;
         case T_SHUT_DOOR:
-            later(&m->closed_until, s);
+            later(&machine->closed_until, s);
             break;
         case T_MUTE_MACHINE:
-            later(&m->mute_until, s);
+            later(&machine->mute_until, s);
             break;
         case T_MACHINE_DIES:
             if (world_chance(0.3)) {
-                m->dead = true;
-                m->ntasks = 0;
+                machine->dead = true;
+                machine->ntasks = 0;
             }
             break;
         case T_NEW_MACHINES:
-            if (m->dead)
+            if (machine->dead)
                 break;
-            m->dead = true;
-            m->ntasks = 0;
-            m->up_at = w.now + g_rand_double_range(w.r, 0.1, 2);
+            machine->dead = true;
+            machine->ntasks = 0;
+            machine->up_at = w.now + g_rand_double_range(w.r, 0.1, 2);
             break;
         default:
             break;
@@ -166,9 +166,9 @@
 static void old_reports_now(void)
 {
     for (int i = 0; i < w.layout.machines; i++) {
-        const struct message *x = machine_old_report(&w.machines[i]);
-        for (int k = 0; x && k < w.layout.nodes; k++)
-            mail_report(machine_report_copy(x), k, w.now);
+        const struct message *message = machine_old_report(&w.machines[i]);
+        for (int k = 0; message && k < w.layout.nodes; k++)
+            mail_report(machine_report_copy(message), k, w.now);
     }
 }
 
@@ -229,18 +229,18 @@
     last = MAX(last, w.keep_until);
     last = MAX(last, w.commands_until);
     for (int i = 0; i < w.layout.nodes; i++) {
-        const struct node *n = &w.nodes[i];
-        const double until[] = {n->cut_until,  n->mute_until,  n->slow_until,
-                                n->down_until, n->still_until, n->deaf_until,
-                                n->zone_until};
+        const struct node *node = &w.nodes[i];
+        const double until[] = {node->cut_until,  node->mute_until,  node->slow_until,
+                                node->down_until, node->still_until, node->deaf_until,
+                                node->zone_until};
         for (size_t k = 0; k < G_N_ELEMENTS(until); k++)
             last = MAX(last, until[k]);
     }
     for (int i = 0; i < w.layout.machines; i++) {
-        const struct machine *m = &w.machines[i];
-        last = MAX(last, MAX(m->island_until, m->hang_until));
-        last = MAX(last, MAX(m->unheard_until, m->closed_until));
-        last = MAX(last, m->mute_until);
+        const struct machine *machine = &w.machines[i];
+        last = MAX(last, MAX(machine->island_until, machine->hang_until));
+        last = MAX(last, MAX(machine->unheard_until, machine->closed_until));
+        last = MAX(last, machine->mute_until);
     }
     return last;
 }
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -40,112 +40,113 @@
     return it && it->value ? it : NULL;
 }
 
-void world_read_record(const char *ref, struct lmn_job_reading *r)
+void world_read_record(const char *ref, struct lmn_job_reading *reading)
 {
     const struct item *it = world_record(ref);
-    const struct job *j = &w.jobs[MAX(world_job(ref), 0)];
+    const struct job *job = &w.jobs[MAX(world_job(ref), 0)];
 
-    memset(r, 0, sizeof *r);
-    r->status = it ? 200 : 404;
+    memset(reading, 0, sizeof *reading);
+    reading->status = it ? 200 : 404;
     if (!it)
         return;
-    r->rev = it->rev;
-    r->phase = world_read_job(j, &r->spec, &r->open, &r->at);
+    reading->rev = it->rev;
+    reading->phase = world_read_job(job, &reading->spec, &reading->open, &reading->at);
 }
 
 /* --- checking --- */
 
-static void wrong(const struct request *q, enum rule rule, const struct lmn_job_reply *r)
+static void wrong(const struct request *q, enum rule rule,
+                  const struct lmn_job_reply *reply)
 {
     w.broke[rule]++;
     w.answers_back++;
     if (w.broken == G_NONE)
         print_message("%.1f: %s asked of n%02d (kind %d, form %d): %d, phase %d; the "
                       "record was %s, phase %d\n",
-                      w.now, q->ref, q->node, q->kind, q->form, r->status, r->phase,
-                      q->recorded ? "there" : "not there", q->phase);
+                      w.now, q->ref, q->node, q->kind, q->form, reply->status,
+                      reply->phase, q->recorded ? "there" : "not there", q->phase);
 }
 
 /* A state was told. */
-static void check_state(const struct request *q, const struct lmn_job_reply *r)
+static void check_state(const struct request *q, const struct lmn_job_reply *reply)
 {
-    struct job *j = q->job;
+    struct job *job = q->job;
 
-    if (!j || !j->offered) {
-        wrong(q, R_INVENTED, r);
+    if (!job || !job->offered) {
+        wrong(q, R_INVENTED, reply);
         return;
     }
-    if ((q->phase != LMN_JOB_ACTIVE && r->phase != q->phase) ||
-        (q->told != LMN_JOB_ACTIVE && r->phase != q->told) ||
-        (r->phase == LMN_JOB_CANCELLED && !j->cancel_asked) ||
-        (q->kind == CANCELLATION && r->phase == LMN_JOB_ACTIVE))
-        wrong(q, R_WENT_BACK, r);
-    for (uint32_t k = 0; r->phase == LMN_JOB_DONE && k < j->spec.tasks; k++)
-        if (!j->done[k]) {
-            wrong(q, R_NOT_DONE, r);
+    if ((q->phase != LMN_JOB_ACTIVE && reply->phase != q->phase) ||
+        (q->told != LMN_JOB_ACTIVE && reply->phase != q->told) ||
+        (reply->phase == LMN_JOB_CANCELLED && !job->cancel_asked) ||
+        (q->kind == CANCELLATION && reply->phase == LMN_JOB_ACTIVE))
+        wrong(q, R_WENT_BACK, reply);
+    for (uint32_t k = 0; reply->phase == LMN_JOB_DONE && k < job->spec.tasks; k++)
+        if (!job->done[k]) {
+            wrong(q, R_NOT_DONE, reply);
             break;
         }
-    j->accepted = true;
-    w.answers_overtaken += j->told != LMN_JOB_ACTIVE && r->phase == LMN_JOB_ACTIVE;
-    if (r->phase != LMN_JOB_ACTIVE)
-        j->told = r->phase;
-    if (r->phase == LMN_JOB_CANCELLED && j->cancelled_at < 0) {
-        j->cancelled_at = w.now;
+    job->accepted = true;
+    w.answers_overtaken += job->told != LMN_JOB_ACTIVE && reply->phase == LMN_JOB_ACTIVE;
+    if (reply->phase != LMN_JOB_ACTIVE)
+        job->told = reply->phase;
+    if (reply->phase == LMN_JOB_CANCELLED && job->cancelled_at < 0) {
+        job->cancelled_at = w.now;
         w.cancelled++;
     }
 }
 
 /* An answer has reached its user. */
-static void receive(const struct request *q, const struct lmn_job_reply *r)
+static void receive(const struct request *q, const struct lmn_job_reply *reply)
 {
-    struct job *j = q->job;
+    struct job *job = q->job;
 
-    if (!r->status) /* none */
+    if (!reply->status) /* none */
         return;
     w.answers++;
-    switch (r->status) {
+    switch (reply->status) {
     case 200:
     case 201:
-        check_state(q, r);
-        if (r->status == 201 && (q->recorded || q->form != SOUND))
-            wrong(q, R_INVENTED, r); /* it was known, or can't be accepted */
+        check_state(q, reply);
+        if (reply->status == 201 && (q->recorded || q->form != SOUND))
+            wrong(q, R_INVENTED, reply); /* it was known, or can't be accepted */
         break;
     case 404:
         if (q->recorded || q->accepted || q->kind == SUBMISSION)
-            wrong(q, R_FORGOTTEN, r);
-        w.answers_overtaken += j && j->accepted && !q->accepted;
+            wrong(q, R_FORGOTTEN, reply);
+        w.answers_overtaken += job && job->accepted && !q->accepted;
         break;
     case 400:
     case 422:
         if (q->recorded || q->accepted || q->kind != SUBMISSION ||
-            q->form != (r->status == 400 ? LACKS_FIELD : FITS_NOWHERE))
-            wrong(q, R_FORGOTTEN, r);
+            q->form != (reply->status == 400 ? LACKS_FIELD : FITS_NOWHERE))
+            wrong(q, R_FORGOTTEN, reply);
         break;
     default:
-        assert_int_equal(r->status, 503);
+        assert_int_equal(reply->status, 503);
         w.answers_none++;
     }
 }
 
 /* --- requests --- */
 
-static void digest_reply(const struct request *q, const struct lmn_job_reply *r)
+static void digest_reply(const struct request *q, const struct lmn_job_reply *reply)
 {
-    GByteArray *body = r->status ? lmn_job_reply_body(r, q->ref) : NULL;
+    GByteArray *body = reply->status ? lmn_job_reply_body(reply, q->ref) : NULL;
 
     digest_message("reply", w.clock);
     digest_number((uint64_t)q->kind);
     digest_number((uint64_t)q->form);
     digest_number((uint64_t)q->node);
     digest_text(q->ref);
-    digest_number((uint64_t)r->status);
-    digest_number((uint64_t)r->retry_after);
+    digest_number((uint64_t)reply->status);
+    digest_number((uint64_t)reply->retry_after);
     digest_array(body);
     if (body)
         g_byte_array_unref(body);
 }
 
-void request_reply(struct request *q, const struct lmn_job_reply *r)
+void request_reply(struct request *q, const struct lmn_job_reply *reply)
 {
     int i = q->job ? (int)(q->job - w.jobs) : -1;
 
@@ -153,8 +154,8 @@
         return;
     q->answered = true;
     if (digest_is_open())
-        digest_reply(q, r);
-    receive(q, r);
+        digest_reply(q, reply);
+    receive(q, reply);
     for (int k = 0; k < 2 && i >= 0; k++)
         if (users.pending[i][k] == q) {
             users.pending[i][k] = NULL;
@@ -221,60 +222,61 @@
     serving_begin(users.r);
 }
 
-void users_submit(struct job *j)
+void users_submit(struct job *job)
 {
-    j->offered = true;
+    job->offered = true;
 }
 
-void users_cancel(struct job *j)
+void users_cancel(struct job *job)
 {
-    j->cancel_wanted = true;
+    job->cancel_wanted = true;
 }
 
 /* Submissions and cancellations are repeated until they are answered. */
-static void insist(struct job *j, int i)
+static void insist(struct job *job, int i)
 {
-    if (j->offered && !j->accepted && !users.pending[i][0] && w.now >= users.retry[i][0])
-        send(SUBMISSION, SOUND, j->ref, any_node());
-    if (j->cancel_wanted && j->cancelled_at < 0 && !j->told_done &&
+    if (job->offered && !job->accepted && !users.pending[i][0] &&
+        w.now >= users.retry[i][0])
+        send(SUBMISSION, SOUND, job->ref, any_node());
+    if (job->cancel_wanted && job->cancelled_at < 0 && !job->told_done &&
         !users.pending[i][1] && w.now >= users.retry[i][1])
-        send(CANCELLATION, SOUND, j->ref, any_node());
+        send(CANCELLATION, SOUND, job->ref, any_node());
 }
 
 /* A job is looked at closely when its record has changed, and as its last task ends. */
-static void notice(struct job *j, int i)
+static void notice(struct job *job, int i)
 {
-    const struct item *it = world_record(j->ref);
-    bool all = j->submitted && j->spec.kind == LMN_JOB_BATCH;
+    const struct item *it = world_record(job->ref);
+    bool all = job->submitted && job->spec.kind == LMN_JOB_BATCH;
 
     if (it && it->rev != users.seen[i]) {
         users.seen[i] = it->rev;
         users.hot_until[i] = w.now + HOT_S;
     }
-    for (uint32_t k = 0; all && k < j->spec.tasks; k++)
-        all = j->done[k];
+    for (uint32_t k = 0; all && k < job->spec.tasks; k++)
+        all = job->done[k];
     if (!all || users.ending[i])
         return;
     users.ending[i] = true;
     users.hot_until[i] = w.now + HOT_S;
     if (w.now < w.cancel_at_end_until && chance(0.5))
-        j->cancel_wanted = true;
+        job->cancel_wanted = true;
 }
 
-static void look_closely(const struct job *j, int i)
+static void look_closely(const struct job *job, int i)
 {
     if (w.now >= w.looks_until || w.now >= users.hot_until[i])
         return;
     for (int k = 0; k < w.layout.nodes; k++) {
-        send(STATUS, SOUND, j->ref, k);
-        if (j->accepted && chance(0.3))
-            send(SUBMISSION, SOUND, j->ref, k);
-        if (j->cancel_wanted && chance(0.3))
-            send(CANCELLATION, SOUND, j->ref, k);
+        send(STATUS, SOUND, job->ref, k);
+        if (job->accepted && chance(0.3))
+            send(SUBMISSION, SOUND, job->ref, k);
+        if (job->cancel_wanted && chance(0.3))
+            send(CANCELLATION, SOUND, job->ref, k);
     }
 }
 
-static void ask_oddly(const struct job *j, int i)
+static void ask_oddly(const struct job *job, int i)
 {
     static const char *const strange[] = {"run-900001", "run-000000000001", "nonsense"};
     const char *nobodys = strange[g_rand_int_range(users.r, 0, 3)];
@@ -284,11 +286,11 @@
         return;
     for (int k = 0; k < w.layout.nodes; k++)
         for (enum form f = LACKS_FIELD; f < FORMS; f++)
-            send(SUBMISSION, f, j->ref, k);
-    if (j->accepted)
-        send(SUBMISSION, SOUND, j->ref, node);
-    if (j->told_done)
-        send(CANCELLATION, SOUND, j->ref, node);
+            send(SUBMISSION, f, job->ref, k);
+    if (job->accepted)
+        send(SUBMISSION, SOUND, job->ref, node);
+    if (job->told_done)
+        send(CANCELLATION, SOUND, job->ref, node);
     send(STATUS, SOUND, nobodys, node);
     send(CANCELLATION, SOUND, nobodys, node);
     if (lmn_job_id_is_valid(nobodys))
@@ -313,17 +315,17 @@
 void users_step(void)
 {
     for (int i = 0; i < JOBS; i++) {
-        struct job *j = &w.jobs[i];
-        if (!j->offered)
+        struct job *job = &w.jobs[i];
+        if (!job->offered)
             continue;
-        if (world_record(j->ref))
-            j->submitted = true;
-        notice(j, i);
-        insist(j, i);
-        look_closely(j, i);
-        ask_oddly(j, i);
+        if (world_record(job->ref))
+            job->submitted = true;
+        notice(job, i);
+        insist(job, i);
+        look_closely(job, i);
+        ask_oddly(job, i);
         if (chance(0.01))
-            send(STATUS, SOUND, j->ref, any_node());
+            send(STATUS, SOUND, job->ref, any_node());
     }
     go_on_with_requests();
 }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -287,23 +287,23 @@
 /* One change, at the revision that the caller has raised. */
 void world_put(const char *key, const GByteArray *value, uint64_t lease);
 /* The job's record as it stands; the description is to be cleared. */
-enum lmn_job_phase world_read_job(const struct job *j, struct lmn_job_spec *s,
+enum lmn_job_phase world_read_job(const struct job *job, struct lmn_job_spec *spec,
                                   uint32_t *open, double *at);
-uint64_t world_job_revision(const struct job *j);
-enum lmn_txn_outcome world_commit(const struct lmn_txn *t, uint64_t *rev);
+uint64_t world_job_revision(const struct job *job);
+enum lmn_txn_outcome world_commit(const struct lmn_txn *txn, uint64_t *rev);
 /* One of conditions alone; the keys whose condition did not hold are added to failed. */
-enum lmn_txn_outcome world_confirm(const struct lmn_txn *t, GPtrArray *failed);
-enum txn_kind world_txn_kind(const struct lmn_txn *t);
+enum lmn_txn_outcome world_confirm(const struct lmn_txn *txn, GPtrArray *failed);
+enum txn_kind world_txn_kind(const struct lmn_txn *txn);
 const char *world_txn_name(enum txn_kind k);
 /* Whether its answer is to be lost now, by luck (0 to 1). */
-bool world_loses(const struct lmn_txn *t, double luck);
+bool world_loses(const struct lmn_txn *txn, double luck);
 /* The transaction is carried out, and the node does not hear of it. */
-enum lmn_txn_outcome world_lose(struct node *n, const struct lmn_txn *t);
+enum lmn_txn_outcome world_lose(struct node *node, const struct lmn_txn *txn);
 /* A transaction of the node is carried out, refused, lost or late, by luck. */
-enum lmn_txn_outcome world_send(struct node *n, const struct lmn_txn *t, double luck,
+enum lmn_txn_outcome world_send(struct node *node, const struct lmn_txn *txn, double luck,
                                 uint64_t *rev);
 /* The same transaction, once more: to be carried out seconds later, after newer ones. */
-void world_late(const struct lmn_txn *t);
+void world_late(const struct lmn_txn *txn);
 bool world_lease_alive(uint64_t id);
 /* Leases that are over end, with what hangs on them; what is late is carried out. */
 void world_expire(void);
@@ -313,11 +313,11 @@
 int world_job(const char *ref); /* -1: there is none */
 /* Whether what the machine holds still counts. One that hangs past its lease has lost its
  * tasks, though it will notice only when it goes on. */
-bool world_holds(const struct machine *m);
+bool world_holds(const struct machine *machine);
 /* A task is on the machine, or on its way to run there. */
-bool world_active(const struct machine *m, const struct task *t);
+bool world_active(const struct machine *machine, const struct task *task);
 /* A task has started there. */
-void world_started(struct machine *m, const struct task *t);
+void world_started(struct machine *machine, const struct task *task);
 void world_check(void);
 
 /* --- served.c --- */
@@ -327,52 +327,53 @@
 /* Processors that the team's tasks use. */
 double world_team_use(int team);
 /* Prints what each machine's owner says of why the job does not start there. */
-void world_explain(const struct job *j);
+void world_explain(const struct job *job);
 /* No task waits beside room for longer than it may. */
 void world_check_served(void);
 
 /* --- machines.c --- */
 
 /* A place's machines have different names, of the same partition: none comes back. */
-void machine_name(struct machine *m);
+void machine_name(struct machine *machine);
 /* NULL: it is gone, and another has its place. */
 struct machine *machine_named(const char *name);
 /* Whether the machine's messages get to the node; and whether anything from there gets
  * back. */
-bool machine_reached(int node, const struct machine *m);
-bool machine_told(int node, const struct machine *m);
-void machine_answer(struct machine *m, const struct message *x);
-int machine_direct(struct machine *m, const GByteArray *body, GByteArray *report);
-void machine_step(struct machine *m);
+bool machine_reached(int node, const struct machine *machine);
+bool machine_told(int node, const struct machine *machine);
+void machine_answer(struct machine *machine, const struct message *message);
+int machine_direct(struct machine *machine, const GByteArray *body, GByteArray *report);
+void machine_step(struct machine *machine);
 /* A copy of a report, with its own body. */
-struct message *machine_report_copy(const struct message *x);
+struct message *machine_report_copy(const struct message *message);
 /* One of the machine's earlier reports; NULL: there is none. */
-const struct message *machine_old_report(const struct machine *m);
+const struct message *machine_old_report(const struct machine *machine);
 /* A machine of another name has the place, and is up at once. */
-void machine_replace(struct machine *m);
+void machine_replace(struct machine *machine);
 
 /* --- nodes.c: controllers --- */
 
-bool node_up(const struct node *n);
-struct lmn_member_health node_word(const struct node *n);
+bool node_up(const struct node *node);
+struct lmn_member_health node_word(const struct node *node);
 /* A write of the thread that holds the lease; what becomes of it is not always known. */
-enum lmn_txn_outcome node_send(struct node *n, struct lmn_txn *t);
-void node_step(struct node *n, int i);
+enum lmn_txn_outcome node_send(struct node *node, struct lmn_txn *txn);
+void node_step(struct node *node, int i);
 /* Its memory is gone, its lease runs on; it is back after so many seconds. */
-void node_crash(struct node *n, double down_s);
+void node_crash(struct node *node, double down_s);
 
 /* --- peers.c: what they send each other, and straight to workers --- */
 
 /* Whether a question gets there, and its answer back. */
 bool node_talks(const struct node *from, const struct node *to);
-void node_ask(struct node *n, int me);
-void node_tell(struct node *n, int me, bool cut);
-void node_release(struct node *n);
+void node_ask(struct node *node, int me);
+void node_tell(struct node *node, int me, bool cut);
+void node_release(struct node *node);
 /* Holds an answer to a report, or with x NULL a call, until a standby has acknowledged
  * it. */
-void node_hold_back(struct node *n, const struct lmn_deferred_starts *held,
-                    const struct message *x, struct machine *m, GByteArray *body);
-void node_direct(struct node *n);
+void node_hold_back(struct node *node, const struct lmn_deferred_starts *deferred,
+                    const struct message *message, struct machine *machine,
+                    GByteArray *body);
+void node_direct(struct node *node);
 
 /* --- troubles.c: what a schedule begins --- */
 
@@ -421,8 +422,8 @@
 /* The day's users; before its first step. */
 void users_begin(uint32_t seed);
 /* The job is submitted, or cancelled, however often its user has to ask. */
-void users_submit(struct job *j);
-void users_cancel(struct job *j);
+void users_submit(struct job *job);
+void users_cancel(struct job *job);
 /* What users do at this instant; several times a step. */
 void users_step(void);
 /* Each job is asked about at each node. */
@@ -434,11 +435,11 @@
 void mail_report(struct message *copy, int node, double at);
 /* The user cancels the job through a node that reaches the state service; not if there is
  * none. */
-void world_cancel(struct job *j);
+void world_cancel(struct job *job);
 /* Through that node; false if it does not serve users, or the job is over. */
-bool world_cancel_through(struct job *j, int node);
+bool world_cancel_through(struct job *job, int node);
 /* Whether the node reaches the state service now. */
-bool node_served(const struct node *n);
+bool node_served(const struct node *node);
 /* Once nothing goes wrong any more: no partition without an owner that is ready, nobody
  * suspected or judged for ever. */
 bool world_is_well(void);
