--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -82,7 +82,7 @@
                                      .cpus = 1,
                                      .estimate_s = 5,
                                      .deadline_s = -1};
-            g_snprintf(s.ref, sizeof s.ref, WIRE_JOB_ID_PREFIX "%09u", n);
+            g_snprintf(s.id, sizeof s.id, WIRE_JOB_ID_PREFIX "%09u", n);
             w[k] = (struct lmn_record_write){0};
             if (side == 0) {
                 w[k].job = lmn_gateway_records_new_job(&b, &s);
@@ -92,7 +92,7 @@
                                                        .transfers = 1,
                                                        .site = "host"};
             } else {
-                w[k].guest = lmn_gateway_records_new_remote_job(&b, "home", s.ref);
+                w[k].guest = lmn_gateway_records_new_remote_job(&b, "home", s.id);
                 w[k].guest->spec = s;
                 w[k].guest->spec.class_name = g_strdup("c");
                 w[k].guest->spec.team = g_strdup("t");
@@ -135,7 +135,7 @@
     GByteArray *b = g_byte_array_new(), *in = g_byte_array_new();
     struct timespec begun = lmn_now();
 
-    g_snprintf(s.ref, sizeof s.ref, WIRE_JOB_ID_PREFIX "9%09u", n);
+    g_snprintf(s.id, sizeof s.id, WIRE_JOB_ID_PREFIX "9%09u", n);
     lmn_cbor_put_map(b, lmn_job_spec_pair_count());
     lmn_job_spec_write(b, &s);
     int status = lmn_http_client_call(client, "POST", WIRE_PATH_JOBS, b, 10, in);
--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -213,14 +213,14 @@
 /* Returns false if the site broke instead of bending. */
 static bool size(int port, int sockets, double times, double *best)
 {
-    struct lmn_settings s = {.max_connections = sockets, .nmembers = NODES - 1};
+    struct lmn_settings s = {.max_connections = sockets, .member_count = NODES - 1};
     struct lmn_connection_budget p;
     char err[256], ref[LMN_JOB_ID_SIZE];
     int pid = 0;
 
     lmn_connection_budget_init(&s, &p);
-    unsigned each =
-        p.accepted - p.floor[LMN_CONNECTION_USER] - p.floor[LMN_CONNECTION_UNIDENTIFIED];
+    unsigned each = p.max_accepted - p.reserved[LMN_CONNECTION_USER] -
+                    p.reserved[LMN_CONNECTION_UNIDENTIFIED];
     unsigned workers = (unsigned)(times * NODES * each);
     describe_site(port, sockets, workers);
     if (bench_site("up", file) != 0 ||
--- a/bench/retention.c
+++ b/bench/retention.c
@@ -17,16 +17,16 @@
 int main(int argc, char **argv)
 {
     static struct lmn_team team = {.name = "t"};
-    static struct lmn_settings cfg = {.node = "n0",
-                                      .partitions = 1,
-                                      .state_rps = 100,
-                                      .state_write_rps = 100,
-                                      .value_kb = 16,
-                                      .txn_ops = 12,
-                                      .report_s = 1,
+    static struct lmn_settings cfg = {.node_name = "n0",
+                                      .partition_count = 1,
+                                      .state_requests_per_s = 100,
+                                      .state_writes_per_s = 100,
+                                      .max_value_kb = 16,
+                                      .max_txn_operations = 12,
+                                      .heartbeat_s = 1,
                                       .lease_s = 10,
                                       .cancel_s = 30,
-                                      .nteams = 1,
+                                      .team_count = 1,
                                       .teams = &team};
     struct timespec now = {1000, 0};
     unsigned long jobs = argc > 1 ? strtoul(argv[1], NULL, 10) : 1000000;
@@ -42,8 +42,8 @@
                                  .cpus = 1,
                                  .deadline_s = -1};
         char key[64];
-        g_snprintf(s.ref, sizeof s.ref, "run-%09lu", n);
-        g_snprintf(key, sizeof key, "j/%s", s.ref);
+        g_snprintf(s.id, sizeof s.id, "run-%09lu", n);
+        g_snprintf(key, sizeof key, "j/%s", s.id);
         for (int final = 0; final < 2; final++) {
             GByteArray *b =
                 lmn_job_record(&s, final ? LMN_JOB_DONE : LMN_JOB_ACTIVE, !final, 1);
--- a/bench/submit.h
+++ b/bench/submit.h
@@ -20,13 +20,13 @@
     w.spec = (struct lmn_job_spec){.class_name = (char *)"c",
                                    .team = (char *)"t",
                                    .image = (char *)LMN_NO_IMAGE,
-                                   .urgency = LMN_PRIORITY_NORMAL,
+                                   .priority = LMN_PRIORITY_NORMAL,
                                    .tasks = tasks,
                                    .cpus = 1,
-                                   .mem = 0.1,
+                                   .memory_gb = 0.1,
                                    .estimate_s = estimate_s,
                                    .deadline_s = -1};
-    g_strlcpy(w.spec.ref, ref, sizeof w.spec.ref);
+    g_strlcpy(w.spec.id, ref, sizeof w.spec.id);
     GByteArray *blob = lmn_task_command_encode(&w), *body = g_byte_array_new();
     while (lmn_image_store_put(depot, blob, digest, &e) != 0 ||
            lmn_image_store_bind(depot, LMN_IMAGE_STORE_KIND_JOB, ref, digest, &e) != 0)
--- a/src/admission/connection_budget.c
+++ b/src/admission/connection_budget.c
@@ -13,7 +13,7 @@
 
 static unsigned fixed(const struct lmn_settings *cfg)
 {
-    return FIXED + EACH_MEMBER * (unsigned)cfg->nmembers;
+    return FIXED + EACH_MEMBER * (unsigned)cfg->member_count;
 }
 
 unsigned lmn_connection_budget_minimum(const struct lmn_settings *cfg)
@@ -27,17 +27,18 @@
     unsigned all = (unsigned)cfg->max_connections;
 
     /* Each lane has one call under way at most, whatever it keeps open besides. */
-    budget->direct =
+    budget->worker_connections =
         most(lmn_settings_worker_connections(cfg), LMN_WORKER_CLIENT_THREADS);
-    budget->own = fixed(cfg) + budget->direct;
-    budget->accepted =
-        all > budget->own + LEAST_ACCEPTED ? all - budget->own : LEAST_ACCEPTED;
+    budget->own_connections = fixed(cfg) + budget->worker_connections;
+    budget->max_accepted = all > budget->own_connections + LEAST_ACCEPTED
+                               ? all - budget->own_connections
+                               : LEAST_ACCEPTED;
     /* An eighth is left to pass through, however many stand: a report needs a connection
      * for as long as its answer takes. A quarter each is users' and workers' own; the
      * rest is whose it is needed by. */
-    budget->floor[LMN_CONNECTION_UNIDENTIFIED] = most(budget->accepted / 8, 4);
-    budget->floor[LMN_CONNECTION_USER] = most(budget->accepted / 4, 4);
-    budget->floor[LMN_CONNECTION_WORKER] = most(budget->accepted / 4, 4);
+    budget->reserved[LMN_CONNECTION_UNIDENTIFIED] = most(budget->max_accepted / 8, 4);
+    budget->reserved[LMN_CONNECTION_USER] = most(budget->max_accepted / 4, 4);
+    budget->reserved[LMN_CONNECTION_WORKER] = most(budget->max_accepted / 4, 4);
 }
 
 double lmn_connection_budget_max_machines(const struct lmn_connection_budget *budget,
@@ -45,20 +46,21 @@
 {
     /* A few round trips between far zones, and the wait for its turn. */
     static const double held_s = 0.25;
-    double each = budget->accepted - budget->floor[LMN_CONNECTION_USER];
+    double each = budget->max_accepted - budget->reserved[LMN_CONNECTION_USER];
 
-    return each * (double)(cfg->nmembers + 1) * (cfg->report_s / held_s);
+    return each * (double)(cfg->member_count + 1) * (cfg->heartbeat_s / held_s);
 }
 
 bool lmn_connection_budget_admits(const struct lmn_connection_budget *budget,
                                   const unsigned open[LMN_CONNECTION_KINDS],
                                   enum lmn_connection_kind kind)
 {
-    unsigned users = most(budget->floor[LMN_CONNECTION_USER], open[LMN_CONNECTION_USER]);
+    unsigned users =
+        most(budget->reserved[LMN_CONNECTION_USER], open[LMN_CONNECTION_USER]);
 
     return kind != LMN_CONNECTION_WORKER ||
            open[LMN_CONNECTION_WORKER] + open[LMN_CONNECTION_UNIDENTIFIED] + users <
-               budget->accepted;
+               budget->max_accepted;
 }
 
 bool lmn_connection_budget_keeps_open(const struct lmn_connection_budget *budget,
@@ -74,6 +76,6 @@
         return false;
     for (int k = 0; k < LMN_CONNECTION_KINDS; k++)
         if (k != (int)kind)
-            others += most(budget->floor[k], open[k]);
-    return open[kind] + others <= budget->accepted;
+            others += most(budget->reserved[k], open[k]);
+    return open[kind] + others <= budget->max_accepted;
 }
--- a/src/admission/connection_budget.h
+++ b/src/admission/connection_budget.h
@@ -22,11 +22,11 @@
 enum { LMN_WORKER_CLIENT_THREADS = 16 };
 
 struct lmn_connection_budget {
-    unsigned own;      /* the node's own calls, and what it listens on */
-    unsigned direct;   /* of these, kept open to workers, over all lanes */
-    unsigned accepted; /* others' connections, at most */
-    unsigned
-        floor[LMN_CONNECTION_KINDS]; /* of the accepted, which other kinds can't take */
+    unsigned own_connections;    /* the node's own calls, and what it listens on */
+    unsigned worker_connections; /* of these, kept open to workers, over all lanes */
+    unsigned max_accepted;       /* others' connections, at most */
+    unsigned reserved[LMN_CONNECTION_KINDS]; /* of the accepted, which other kinds can't
+                                                take */
 };
 
 /* How the node's max_connections are parted. For any settings: own and accepted together
--- a/src/admission/load_shedding.c
+++ b/src/admission/load_shedding.c
@@ -10,10 +10,10 @@
 {
     double late = MAX(late_s, 0);
 
-    if (late > load->behind)
-        load->behind += (late - load->behind) / 2;
+    if (late > load->delay_s)
+        load->delay_s += (late - load->delay_s) / 2;
     else
-        load->behind += (late - load->behind) * (1 - exp(-MAX(dt_s, 0)));
+        load->delay_s += (late - load->delay_s) * (1 - exp(-MAX(dt_s, 0)));
 }
 
 double lmn_load_shed_share(double behind_s, enum lmn_shed_kind what)
@@ -23,10 +23,10 @@
 
 bool lmn_load_should_shed(struct lmn_load *load, enum lmn_shed_kind what, GRand *rng)
 {
-    double share = lmn_load_shed_share(load->behind, what);
+    double share = lmn_load_shed_share(load->delay_s, what);
     bool shed = share > 0 && g_rand_double(rng) < share;
 
-    load->shed[what] += shed;
+    load->shed_counts[what] += shed;
     return shed;
 }
 
--- a/src/admission/load_shedding.h
+++ b/src/admission/load_shedding.h
@@ -14,8 +14,8 @@
 enum lmn_shed_kind { LMN_SHED_POLL, LMN_SHED_SUBMISSION, LMN_SHED_START, LMN_SHED_KINDS };
 
 struct lmn_load {
-    double behind; /* seconds, smoothed: how late what was due is done */
-    guint64 shed[LMN_SHED_KINDS];
+    double delay_s; /* seconds, smoothed: how late what was due is done */
+    guint64 shed_counts[LMN_SHED_KINDS];
 };
 
 /* Something that was due is done so many seconds late, dt seconds after the last such
--- a/src/admission/worker_hosts.c
+++ b/src/admission/worker_hosts.c
@@ -16,20 +16,20 @@
         inet_pton(AF_INET, host, &a) != 1)
         return 0;
     guint32 n = ntohl(a.s_addr);
-    return n >> 24 == 127 || n == hosts->own ? 0 : n;
+    return n >> 24 == 127 || n == hosts->own_host ? 0 : n;
 }
 
 void lmn_worker_hosts_init(struct lmn_worker_hosts *hosts, const char *listen)
 {
     pthread_mutex_init(&hosts->lock, NULL);
-    hosts->count = g_hash_table_new(NULL, NULL);
-    hosts->own = 0;
-    hosts->own = host_of(hosts, listen);
+    hosts->machine_counts = g_hash_table_new(NULL, NULL);
+    hosts->own_host = 0;
+    hosts->own_host = host_of(hosts, listen);
 }
 
 void lmn_worker_hosts_clear(struct lmn_worker_hosts *hosts)
 {
-    g_hash_table_destroy(hosts->count);
+    g_hash_table_destroy(hosts->machine_counts);
     pthread_mutex_destroy(&hosts->lock);
 }
 
@@ -40,12 +40,14 @@
     if (!host)
         return;
     pthread_mutex_lock(&hosts->lock);
-    int n =
-        GPOINTER_TO_INT(g_hash_table_lookup(hosts->count, GUINT_TO_POINTER(host))) + by;
+    int n = GPOINTER_TO_INT(
+                g_hash_table_lookup(hosts->machine_counts, GUINT_TO_POINTER(host))) +
+            by;
     if (n > 0)
-        g_hash_table_insert(hosts->count, GUINT_TO_POINTER(host), GINT_TO_POINTER(n));
+        g_hash_table_insert(hosts->machine_counts, GUINT_TO_POINTER(host),
+                            GINT_TO_POINTER(n));
     else
-        g_hash_table_remove(hosts->count, GUINT_TO_POINTER(host));
+        g_hash_table_remove(hosts->machine_counts, GUINT_TO_POINTER(host));
     pthread_mutex_unlock(&hosts->lock);
 }
 
@@ -66,8 +68,8 @@
     if (!peer || peer->sa_family != AF_INET)
         return false;
     pthread_mutex_lock(&hosts->lock);
-    bool known =
-        g_hash_table_contains(hosts->count, GUINT_TO_POINTER(ntohl(a->sin_addr.s_addr)));
+    bool known = g_hash_table_contains(hosts->machine_counts,
+                                       GUINT_TO_POINTER(ntohl(a->sin_addr.s_addr)));
     pthread_mutex_unlock(&hosts->lock);
     return known;
 }
--- a/src/admission/worker_hosts.h
+++ b/src/admission/worker_hosts.h
@@ -10,8 +10,8 @@
 
 struct lmn_worker_hosts {
     pthread_mutex_t lock;
-    GHashTable *count; /* IPv4 address as a number -> machines there */
-    guint32 own;       /* the node's own */
+    GHashTable *machine_counts; /* IPv4 address as a number -> machines there */
+    guint32 own_host;           /* the node's own */
 };
 
 /* listen: the node's own "IPv4:port". Hosts that users may share are never counted: the
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -196,33 +196,33 @@
             return lmn_cli_fail(-1, "--env: '%s': expected NAME=VALUE", *e);
     memset(w, 0, sizeof *w);
     if (q->ref)
-        g_strlcpy(spec->ref, q->ref, sizeof spec->ref);
+        g_strlcpy(spec->id, q->ref, sizeof spec->id);
     else
-        g_snprintf(spec->ref, sizeof spec->ref, WIRE_JOB_ID_PREFIX "%09u%09u",
+        g_snprintf(spec->id, sizeof spec->id, WIRE_JOB_ID_PREFIX "%09u%09u",
                    g_random_int() % 1000000000u, g_random_int() % 1000000000u);
-    if (!lmn_job_id_is_valid(spec->ref))
+    if (!lmn_job_id_is_valid(spec->id))
         return lmn_cli_fail(
             -1, "--ref: '%s': expected " WIRE_JOB_ID_PREFIX " and up to 19 digits",
-            spec->ref);
+            spec->id);
     spec->class_name = g_strdup(q->class_name);
     spec->team = g_strdup(q->team);
     spec->image = g_strdup(q->image);
     spec->zone = g_strdup(q->zone);
-    spec->types = q->types ? g_strdupv(q->types) : NULL;
+    spec->machine_types = q->types ? g_strdupv(q->types) : NULL;
     spec->kind = (enum lmn_job_kind)kind;
-    spec->urgency = (enum lmn_priority)urgency;
+    spec->priority = (enum lmn_priority)urgency;
     spec->tasks = (uint32_t)q->tasks;
     spec->cpus = q->cpus;
     spec->gpus = q->gpus;
-    spec->mem = q->mem;
+    spec->memory_gb = q->mem;
     spec->image_gb = q->image_gb;
     spec->estimate_s = q->estimate;
     spec->checkpoint_s = q->checkpoint;
     spec->save_s = q->save;
     spec->deadline_s = q->deadline > 0 ? q->deadline : -1;
-    spec->one_zone = q->one_zone;
-    spec->spread = q->apart;
-    spec->spot = q->spot;
+    spec->requires_one_zone = q->one_zone;
+    spec->spreads_over_zones = q->apart;
+    spec->may_use_spot = q->spot;
     w->argv = g_strdupv(argv);
     w->env = q->env ? g_strdupv(q->env) : g_new0(char *, 1);
     return 0;
@@ -236,7 +236,7 @@
     char digest[LMN_DIGEST_SIZE];
 
     if (lmn_image_store_put(users->depot, blob, digest, &e) != 0 ||
-        lmn_image_store_bind(users->depot, LMN_IMAGE_STORE_KIND_JOB, w->spec.ref, digest,
+        lmn_image_store_bind(users->depot, LMN_IMAGE_STORE_KIND_JOB, w->spec.id, digest,
                              &e) != 0)
         return lmn_cli_fail(
             LMN_EXIT_FAILED, "%s%s", e.what,
@@ -251,15 +251,15 @@
             LMN_EXIT_FAILED,
             "%s: refused: no such team, no machine type that a task fits, or more "
             "than the team's limit",
-            w->spec.ref);
+            w->spec.id);
     if (status == 400)
-        return lmn_cli_fail(LMN_EXIT_FAILED, "%s: malformed: %s", w->spec.ref, s.state);
+        return lmn_cli_fail(LMN_EXIT_FAILED, "%s: malformed: %s", w->spec.id, s.state);
     if (status != 200 && status != 201)
-        return no_answer(w->spec.ref, status);
+        return no_answer(w->spec.id, status);
     if (json)
         lmn_json_print(state_json(&s, w->spec.tasks), false);
     else
-        printf("%s\n", w->spec.ref);
+        printf("%s\n", w->spec.id);
     fflush(stdout);
     return LMN_EXIT_OK;
 }
@@ -331,7 +331,7 @@
     if (!rc)
         rc = send_job(&u, &w);
     if (!rc && q.watch)
-        rc = watch_job(&u, w.spec.ref, 0);
+        rc = watch_job(&u, w.spec.id, 0);
     lmn_task_command_clear(&w);
     return rc;
 }
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -10,13 +10,13 @@
 {
     free(settings->teams);
     settings->teams = NULL;
-    settings->nteams = 0;
+    settings->team_count = 0;
 }
 
 const struct lmn_team *lmn_settings_team(const struct lmn_settings *settings,
                                          const char *name)
 {
-    for (size_t i = 0; i < settings->nteams; i++)
+    for (size_t i = 0; i < settings->team_count; i++)
         if (!strcmp(settings->teams[i].name, name))
             return &settings->teams[i];
     return NULL;
@@ -24,9 +24,9 @@
 
 int lmn_settings_member_index(const struct lmn_settings *settings, const char *node)
 {
-    int member_index = strcmp(settings->node, node) < 0;
+    int member_index = strcmp(settings->node_name, node) < 0;
 
-    for (size_t i = 0; i < settings->nmembers; i++)
+    for (size_t i = 0; i < settings->member_count; i++)
         if (strcmp(settings->members[i].name, node) < 0)
             member_index++;
     return member_index;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -17,7 +17,7 @@
 };
 
 struct lmn_member {
-    char name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
+    char name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE], address[LMN_ADDRESS_SIZE];
 };
 
 /* An amount of 0 means that there is no such guarantee or no such limit. */
@@ -41,20 +41,20 @@
 };
 
 struct lmn_settings {
-    char node[LMN_NAME_SIZE], zone[LMN_NAME_SIZE], listen[LMN_ADDRESS_SIZE],
-        peer_listen[LMN_ADDRESS_SIZE];
-    char cloud[LMN_ADDRESS_SIZE], state[LMN_ADDRESS_SIZE];
+    char node_name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE], client_listen[LMN_ADDRESS_SIZE],
+        internal_address[LMN_ADDRESS_SIZE];
+    char cloud_address[LMN_ADDRESS_SIZE], state_address[LMN_ADDRESS_SIZE];
     struct lmn_member members[LMN_MAX_MEMBERS];
-    size_t nmembers;
+    size_t member_count;
     struct lmn_team *teams; /* lmn_settings_free */
-    size_t nteams;
+    size_t team_count;
     struct lmn_objective objectives[LMN_MAX_OBJECTIVES];
-    size_t nobjectives;
-    int partitions; /* initial_size */
-    double report_s, lease_s, cancel_s;
-    double state_rps, state_write_rps, value_kb;
-    int txn_ops;
-    double cloud_rps, list_lag_s;
+    size_t objective_count;
+    int partition_count; /* initial_size */
+    double heartbeat_s, lease_s, cancel_s;
+    double state_requests_per_s, state_writes_per_s, max_value_kb;
+    int max_txn_operations;
+    double cloud_requests_per_s, list_lag_s;
     double cores, memory_mb;
     int max_connections;
 };
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -100,41 +100,42 @@
 
 lmn_team &add_team(lmn_settings &s)
 {
-    if (s.nteams == LMN_MAX_TEAMS)
+    if (s.team_count == LMN_MAX_TEAMS)
         throw wrong("params.teams: more than " + std::to_string(LMN_MAX_TEAMS));
-    void *grown = std::realloc(s.teams, (s.nteams + 1) * sizeof *s.teams);
+    void *grown = std::realloc(s.teams, (s.team_count + 1) * sizeof *s.teams);
     if (!grown)
         throw std::bad_alloc();
     s.teams = static_cast<lmn_team *>(grown);
-    s.teams[s.nteams] = {};
-    return s.teams[s.nteams++];
+    s.teams[s.team_count] = {};
+    return s.teams[s.team_count++];
 }
 
 void fill(const toml::table &t, lmn_settings &s)
 {
-    text(t, "", "host_name", s.node, sizeof s.node);
+    text(t, "", "host_name", s.node_name, sizeof s.node_name);
     text(t, "", "area", s.zone, sizeof s.zone);
-    addr(t, "", "client_listen", s.listen);
-    addr(t, "", "internal_addr", s.peer_listen);
+    addr(t, "", "client_listen", s.client_listen);
+    addr(t, "", "internal_addr", s.internal_address);
     each(t, "", "members", [&](const toml::table &m, const std::string &at) {
-        if (s.nmembers == LMN_MAX_MEMBERS)
+        if (s.member_count == LMN_MAX_MEMBERS)
             throw wrong("members: too many");
-        lmn_member &d = s.members[s.nmembers++];
+        lmn_member &d = s.members[s.member_count++];
         text(m, at, "host_name", d.name, sizeof d.name);
         text(m, at, "area", d.zone, sizeof d.zone, false);
-        addr(m, at, "address", d.addr);
-        for (size_t i = 0; i + 1 < s.nmembers; i++)
+        addr(m, at, "address", d.address);
+        for (size_t i = 0; i + 1 < s.member_count; i++)
             if (!std::strcmp(s.members[i].name, d.name))
                 throw wrong(at + "host_name: named twice");
-        if (!std::strcmp(s.node, d.name))
+        if (!std::strcmp(s.node_name, d.name))
             throw wrong(at + "host_name: names this node itself");
     });
     auto out = sub(t, "outside");
-    addr(out, "outside.", "cloud", s.cloud);
-    addr(out, "outside.", "state", s.state);
+    addr(out, "outside.", "cloud", s.cloud_address);
+    addr(out, "outside.", "state", s.state_address);
     auto p = sub(t, "params");
-    s.partitions = whole(p, "params.", "initial_size", static_cast<int>(s.nmembers) + 1,
-                         1, LMN_MAX_PARTITIONS);
+    s.partition_count =
+        whole(p, "params.", "initial_size", static_cast<int>(s.member_count) + 1, 1,
+              LMN_MAX_PARTITIONS);
     each(p, "params.", "teams", [&](const toml::table &m, const std::string &at) {
         lmn_team &d = add_team(s);
         text(m, at, "name", d.name, sizeof d.name);
@@ -146,7 +147,7 @@
             throw wrong(at + "cpus: more than cpus_max");
         if (d.gpus_max > 0 && d.gpus > d.gpus_max)
             throw wrong(at + "gpus: more than gpus_max");
-        for (size_t i = 0; i + 1 < s.nteams; i++)
+        for (size_t i = 0; i + 1 < s.team_count; i++)
             if (!std::strcmp(s.teams[i].name, d.name))
                 throw wrong(at + "name: named twice");
     });
@@ -160,26 +161,26 @@
         d.times = number(m, at, "times", 1, 0, 1e6);
         d.share = number(m, at, "share", 1, 0, 1);
         for (int k = 0; k < 4; k++)
-            if (!std::strcmp(kind, kinds[k]) && s.nobjectives < LMN_MAX_OBJECTIVES) {
+            if (!std::strcmp(kind, kinds[k]) && s.objective_count < LMN_MAX_OBJECTIVES) {
                 d.kind = static_cast<lmn_objective_kind>(k);
-                s.objectives[s.nobjectives++] = d;
+                s.objectives[s.objective_count++] = d;
             }
     });
     auto w = sub(p, "workers");
-    s.report_s = number(w, "params.workers.", "report_s", 2, 0.05, 600);
+    s.heartbeat_s = number(w, "params.workers.", "report_s", 2, 0.05, 600);
     s.lease_s = number(w, "params.workers.", "lease_s", 20, 0.1, 3600);
     s.cancel_s = number(w, "params.workers.", "cancel_s", 60, 0.1, 3600);
-    if (s.lease_s <= s.report_s)
+    if (s.lease_s <= s.heartbeat_s)
         throw wrong("params.workers.lease_s: must be longer than report_s");
     if (s.cancel_s <= s.lease_s)
         throw wrong("params.workers.cancel_s: must be longer than lease_s");
     auto st = sub(p, "state");
-    s.state_rps = number(st, "params.state.", "rps", 100, 1, 1e9);
-    s.state_write_rps = number(st, "params.state.", "write_rps", 50, 1, 1e9);
-    s.value_kb = number(st, "params.state.", "value_kb", 16, 1, 1e6);
-    s.txn_ops = whole(st, "params.state.", "txn_ops", 12, 4, 1000000);
+    s.state_requests_per_s = number(st, "params.state.", "rps", 100, 1, 1e9);
+    s.state_writes_per_s = number(st, "params.state.", "write_rps", 50, 1, 1e9);
+    s.max_value_kb = number(st, "params.state.", "value_kb", 16, 1, 1e6);
+    s.max_txn_operations = whole(st, "params.state.", "txn_ops", 12, 4, 1000000);
     auto c = sub(p, "cloud");
-    s.cloud_rps = number(c, "params.cloud.", "rps", 2, 0.01, 1e9);
+    s.cloud_requests_per_s = number(c, "params.cloud.", "rps", 2, 0.01, 1e9);
     s.list_lag_s = number(c, "params.cloud.", "list_lag_s", 5, 0, 3600);
     auto r = sub(p, "resources");
     s.cores = number(r, "params.resources.", "cores", 1, 0.001, 1e6);
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -48,11 +48,11 @@
     sigaction(SIGTERM, &end, NULL);
     /* Few arenas: memory is scarce, and so are the threads that allocate at once. */
     mallopt(M_ARENA_MAX, 2);
-    lmn_log_init(cfg->node);
+    lmn_log_init(cfg->node_name);
     if (curl_global_init(CURL_GLOBAL_NOTHING) != 0)
         return 1;
     lmn_info("start version=" LMN_VERSION " listen=%s partitions=%d members=%zu",
-             cfg->listen, cfg->partitions, cfg->nmembers + 1);
+             cfg->client_listen, cfg->partition_count, cfg->member_count + 1);
 
     char warning[512];
     if (lmn_settings_warning(cfg, warning, sizeof warning))
@@ -62,14 +62,14 @@
     struct lmn_core *core = lmn_core_new(cfg, state, g_random_int());
     struct lmn_http_server *server = lmn_http_routes_start(core);
     if (!server) {
-        lmn_error("listen-failed address=%s", cfg->listen);
+        lmn_error("listen-failed address=%s", cfg->client_listen);
         return 1;
     }
     pthread_mutex_lock(&core->lock);
-    core->server = server;
+    core->http_server = server;
     pthread_mutex_unlock(&core->lock);
     if (lmn_rpc_server_start(core) != 0) {
-        lmn_error("listen-failed address=%s", cfg->peer_listen);
+        lmn_error("listen-failed address=%s", cfg->internal_address);
         return 1;
     }
     lmn_kv_client_start(state);
@@ -78,7 +78,7 @@
     lmn_user_api_start(core);
     lmn_thread(lmn_provisioner_thread, core);
     lmn_thread(lmn_steal_thread, core);
-    if (cfg->nmembers) {
+    if (cfg->member_count) {
         lmn_thread(lmn_probe_thread, core);
         lmn_replication_start(core);
     }
@@ -98,22 +98,24 @@
             lmn_shutdown_begin(core, now);
         if (asked_to_end > 1 || lmn_shutdown_is_complete(core, now)) {
             lmn_info("leave-end after=%.2f given=%d",
-                     lmn_time_diff_s(now, core->leave_at), core->left);
+                     lmn_time_diff_s(now, core->shutdown_began_at),
+                     core->has_released_lease);
             /* Nothing is to be cleared away, and the other threads go on until then. */
-            _exit(core->left ? 0 : 1);
+            _exit(core->has_released_lease ? 0 : 1);
         }
         double since = lmn_time_diff_s(now, last);
         lmn_load_record_delay(&core->load, since - TICK_S, since);
         lmn_members_tick(&core->members, since - TICK_S, now);
-        core->members.word.behind_s = core->load.behind;
+        core->members.health.delay_s = core->load.delay_s;
         last = now;
         lmn_update_job_order(core, lmn_time_seconds(lmn_wall_clock_now()));
-        for (int i = 0; i < core->nparts && core->triaged == core->wall; i++)
-            lmn_update_reservations(core, &core->parts[i], now);
+        for (int i = 0;
+             i < core->partition_count && core->last_triage_s == core->wall_clock_s; i++)
+            lmn_update_reservations(core, &core->partitions[i], now);
         lmn_maintenance_run(core, now);
-        for (int i = 0; i < core->nparts; i++) {
-            lmn_preempt_for_production(core, &core->parts[i], now);
-            lmn_consolidate_replicas(core, &core->parts[i], now);
+        for (int i = 0; i < core->partition_count; i++) {
+            lmn_preempt_for_production(core, &core->partitions[i], now);
+            lmn_consolidate_replicas(core, &core->partitions[i], now);
         }
         lmn_range_writer_flush(core, now);
         pthread_mutex_unlock(&core->lock);
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -49,19 +49,20 @@
 
     /* Who comes again is to come to another. Read without the lock, which an answer need
      * not wait for: one more connection stands, or one fewer. */
-    if (__atomic_load_n(&core->leaving, __ATOMIC_RELAXED))
+    if (__atomic_load_n(&core->is_shutting_down, __ATOMIC_RELAXED))
         return false;
     return lmn_connection_budget_keeps_open(
-        &core->sockets, open, (enum lmn_connection_kind)kind,
-        __atomic_load_n(&core->odd_one, __ATOMIC_RELAXED));
+        &core->connection_budget, open, (enum lmn_connection_kind)kind,
+        __atomic_load_n(&core->is_isolated_view, __ATOMIC_RELAXED));
 }
 
 static unsigned kind_of(void *arg, const struct sockaddr *peer)
 {
     struct lmn_core *core = arg;
 
-    return lmn_worker_hosts_contain(&core->hosts, peer) ? LMN_CONNECTION_WORKER
-                                                        : LMN_CONNECTION_UNIDENTIFIED;
+    return lmn_worker_hosts_contain(&core->worker_hosts, peer)
+               ? LMN_CONNECTION_WORKER
+               : LMN_CONNECTION_UNIDENTIFIED;
 }
 
 static bool admits(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
@@ -69,7 +70,7 @@
 {
     const struct lmn_core *core = arg;
 
-    return lmn_connection_budget_admits(&core->sockets, open,
+    return lmn_connection_budget_admits(&core->connection_budget, open,
                                         (enum lmn_connection_kind)kind);
 }
 
@@ -88,7 +89,7 @@
         struct lmn_deferred_starts held;
         int status =
             lmn_heartbeat_handle(core, body->data, body->len, out, &held, lmn_now());
-        if (held.mark)
+        if (held.log_position)
             lmn_replication_defer_response(core, request, out, &held);
         else
             lmn_http_request_respond(request, status, out, 0);
@@ -109,13 +110,13 @@
 struct lmn_http_server *lmn_http_routes_start(struct lmn_core *core)
 {
     const struct lmn_http_server_options o = {
-        .listen = core->cfg->listen,
-        .connections = core->sockets.accepted,
+        .listen = core->settings->client_listen,
+        .connections = core->connection_budget.max_accepted,
         .max_body = MAX_BODY,
         .call_memory = 6144,
         .patience_s = PATIENCE_S,
         /* A machine that was silent for a lease holds no socket any more. */
-        .idle_s = (unsigned)CLAMP(core->cfg->lease_s, 20, 90),
+        .idle_s = (unsigned)CLAMP(core->settings->lease_s, 20, 90),
         .route = route,
         .stands = stands,
         .kind_of = kind_of,
--- a/src/controller/members_report.c
+++ b/src/controller/members_report.c
@@ -8,13 +8,13 @@
 static const char *standing(const struct lmn_members *members, int member_index,
                             struct timespec now)
 {
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
 
-    if (!member->present)
+    if (!member->is_present)
         return "gone";
-    if (member->leaving)
+    if (member->is_shutting_down)
         return "leaving";
-    if (member->judged)
+    if (member->is_declared_failed)
         return "judged";
     if (lmn_member_is_suspected(members, member_index))
         return "suspected";
@@ -27,43 +27,45 @@
 static json_t *member(const struct lmn_core *core, int member_index, struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
     const struct lmn_member_health *health =
-        member_index == members->me ? &members->word : &member->word;
+        member_index == members->self ? &members->health : &member->health;
     struct lmn_failure_evidence e;
     json_t *j = json_object();
 
     lmn_member_failure_evidence(members, member_index, now, &e);
     json_object_set_new(j, "member", json_string(lmn_member_name(members, member_index)));
-    json_object_set_new(j, "self", json_boolean(member_index == members->me));
+    json_object_set_new(j, "self", json_boolean(member_index == members->self));
     json_object_set_new(j, "standing", json_string(standing(members, member_index, now)));
-    json_object_set_new(j, "incarnation", json_integer((json_int_t)member->inc));
+    json_object_set_new(j, "incarnation", json_integer((json_int_t)member->incarnation));
     json_object_set_new(j, "partitions",
                         json_integer(lmn_member_owned_partitions(core, member_index)));
     json_object_set_new(j, "stands_by",
                         lmn_replication_standby_partitions(core, member_index));
     json_object_set_new(j, "heard_s",
-                        member->ever ? json_real(lmn_time_diff_s(now, member->heard))
-                                     : json_null());
-    json_object_set_new(j, "answers_s", json_real(member->answers.mean));
-    json_object_set_new(j, "behind_s", json_real(health->behind_s));
+                        member->ever_contacted
+                            ? json_real(lmn_time_diff_s(now, member->last_contact_at))
+                            : json_null());
+    json_object_set_new(j, "answers_s", json_real(member->reply_times.mean));
+    json_object_set_new(j, "behind_s", json_real(health->delay_s));
     json_object_set_new(j, "mirror_s",
-                        json_real(member_index == members->me
+                        json_real(member_index == members->self
                                       ? MIN(lmn_watch_cache_age_s(core, now), 1e6)
-                                      : health->stale_s));
-    json_object_set_new(j, "unheard_machines", json_real(health->deaf));
+                                      : health->cache_age_s));
+    json_object_set_new(j, "unheard_machines", json_real(health->silent_machine_share));
     if (lmn_member_is_suspected(members, member_index)) {
-        json_object_set_new(j, "suspected_by", json_string(member->doubt_by));
-        json_object_set_new(j, "suspected_of",
-                            json_string(lmn_suspicion_cause_name(member->doubt_why)));
+        json_object_set_new(j, "suspected_by", json_string(member->suspected_by));
+        json_object_set_new(
+            j, "suspected_of",
+            json_string(lmn_suspicion_cause_name(member->suspicion_cause)));
         json_object_set_new(j, "suspected_s",
-                            json_real(lmn_time_diff_s(now, member->doubted)));
+                            json_real(lmn_time_diff_s(now, member->suspected_since)));
     }
-    json_object_set_new(j, "asked_phi", json_real(e.asked));
-    json_object_set_new(j, "others_phi", json_real(e.others));
-    json_object_set_new(j, "against", json_integer(e.by));
-    json_object_set_new(j, "workers_here", json_integer(e.visitors));
-    json_object_set_new(j, "failures", json_integer(member->strikes));
+    json_object_set_new(j, "asked_phi", json_real(e.own_phi));
+    json_object_set_new(j, "others_phi", json_real(e.best_other_phi));
+    json_object_set_new(j, "against", json_integer(e.other_witnesses));
+    json_object_set_new(j, "workers_here", json_integer(e.redirected_workers));
+    json_object_set_new(j, "failures", json_integer(member->failures_declared));
     json_object_set_new(
         j, "back_in_s",
         json_real(lmn_member_readmission_delay_s(members, member_index, now)));
@@ -115,12 +117,13 @@
     size_t i;
 
     pthread_mutex_lock(&core->lock);
-    for (int k = 0; k < core->members.n; k++)
+    for (int k = 0; k < core->members.count; k++)
         json_array_append_new(all, member(core, k, now));
-    json_t *top = json_pack("{s:s, s:b, s:b, s:i, s:o}", "node", core->cfg->node, "awake",
-                            (int)lmn_self_may_reply(&core->members, now), "fit",
-                            (int)lmn_self_may_claim(&core->members, now), "health",
-                            (int)core->members.health, "members", all);
+    json_t *top =
+        json_pack("{s:s, s:b, s:b, s:i, s:o}", "node", core->settings->node_name, "awake",
+                  (int)lmn_self_may_reply(&core->members, now), "fit",
+                  (int)lmn_self_may_claim(&core->members, now), "health",
+                  (int)core->members.local_health, "members", all);
     pthread_mutex_unlock(&core->lock);
     char *text;
     if (json) {
@@ -139,32 +142,34 @@
 void lmn_members_metrics(const struct lmn_core *core, GString *out)
 {
     const struct lmn_members *members = &core->members;
-    const struct lmn_member_counts *n = &members->count;
+    const struct lmn_member_counts *n = &members->counters;
     struct timespec now = lmn_now();
 
     lmn_metric_head(out, "lemonspar_member_trusted", "gauge",
                     "1: up, not suspected, and fit by its own word");
-    for (int i = 0; i < members->n; i++)
+    for (int i = 0; i < members->count; i++)
         lmn_metric_sample(out, "lemonspar_member_trusted", "member",
                           lmn_member_name(members, i),
                           lmn_member_is_trusted(members, i, now));
     lmn_metric_head(out, "lemonspar_member_suspected", "gauge",
                     "1: a suspicion of it stands");
-    for (int i = 0; i < members->n; i++)
+    for (int i = 0; i < members->count; i++)
         lmn_metric_sample(out, "lemonspar_member_suspected", "member",
                           lmn_member_name(members, i),
                           lmn_member_is_suspected(members, i));
     lmn_gauge(out, "lemonspar_member_health",
-              "0: this node's clocks are well, to 8: late or not heard", members->health);
-    lmn_counter(out, "lemonspar_member_questions", "Questions to members", n->asked);
+              "0: this node's clocks are well, to 8: late or not heard",
+              members->local_health);
+    lmn_counter(out, "lemonspar_member_questions", "Questions to members",
+                n->probes_sent);
     lmn_counter(out, "lemonspar_member_unanswered", "Of these, not answered",
-                n->unanswered);
+                n->probes_unanswered);
     lmn_counter(out, "lemonspar_member_suspicions", "Suspicions that this node wrote",
                 n->suspicions);
     lmn_counter(out, "lemonspar_member_refutations", "Suspicions of it that it refuted",
                 n->refutations);
     lmn_counter(out, "lemonspar_member_verdicts",
-                "Partitions claimed from members that it judged", n->verdicts);
+                "Partitions claimed from members that it judged", n->failures_declared);
     lmn_counter(out, "lemonspar_member_gives", "Partitions that it gave to others",
-                n->gives);
+                n->transfers);
 }
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -12,13 +12,13 @@
 
 static void count_range(struct tasks *t, const struct lmn_range *range)
 {
-    if (range->job->phase != LMN_JOB_ACTIVE || !range->st)
+    if (range->job->phase != LMN_JOB_ACTIVE || !range->task_states)
         return;
-    for (uint32_t i = 0; i < range->hi - range->lo; i++) {
-        t->queued += range->st[i] == LMN_TASK_QUEUED;
-        t->started += range->st[i] == LMN_TASK_STARTED;
-        t->moving += range->st[i] == LMN_TASK_MOVING;
-        t->done += range->st[i] == LMN_TASK_DONE;
+    for (uint32_t i = 0; i < range->end - range->first; i++) {
+        t->queued += range->task_states[i] == LMN_TASK_QUEUED;
+        t->started += range->task_states[i] == LMN_TASK_STARTED;
+        t->moving += range->task_states[i] == LMN_TASK_MOVING;
+        t->done += range->task_states[i] == LMN_TASK_DONE;
     }
 }
 
@@ -35,20 +35,20 @@
     gpointer v;
 
     s->owned++;
-    s->ready += partition->ready;
-    s->unplaced += partition->unplaced.tasks;
+    s->ready += partition->is_ready;
+    s->unplaced += partition->unassigned.task_count;
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
-        s->machines += !machine->is_gone;
-        s->unaccounted += !machine->accounted;
-        s->retiring += machine->retiring;
-        s->queued += machine->queue.tasks;
+        s->machines += !machine->is_terminated;
+        s->unaccounted += !machine->is_accounted;
+        s->retiring += machine->is_draining;
+        s->queued += machine->queue.task_count;
     }
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v))
         count_range(&s->tasks, v);
-    for (size_t i = 0; i < core->cfg->nteams; i++)
+    for (size_t i = 0; i < core->settings->team_count; i++)
         s->used[i] += partition->used_cpus[i];
 }
 
@@ -60,27 +60,27 @@
     } all[] = {
         {"lemonspar_submissions", "Submissions", counters->submissions},
         {"lemonspar_refused", "Submissions answered 429 since too many wait",
-         counters->refused},
-        {"lemonspar_polls", "Polls and cancellations", counters->polls},
-        {"lemonspar_reports", "Workers' reports", counters->reports},
+         counters->refused_requests},
+        {"lemonspar_polls", "Polls and cancellations", counters->status_requests},
+        {"lemonspar_reports", "Workers' reports", counters->heartbeats},
         {"lemonspar_starts", "Start commands", counters->starts},
         {"lemonspar_kills", "Kill commands", counters->kills},
-        {"lemonspar_failures", "Tasks that ended with an error", counters->failures},
+        {"lemonspar_failures", "Tasks that ended with an error", counters->task_failures},
         {"lemonspar_jobs_accused", "Jobs found to fail wherever they start",
-         counters->accused},
+         counters->faulty_jobs},
         {"lemonspar_machines_accused",
          "Machines left because tasks fail on them that succeed elsewhere",
-         counters->faulty},
+         counters->faulty_machines},
         {"lemonspar_preempted", "Tasks stopped to make room", counters->preempted},
         {"lemonspar_steal_tries", "Looks at a sample of queues", counters->steal_tries},
         {"lemonspar_steals", "Steals inside partitions", counters->steals},
         {"lemonspar_stolen_tasks", "Tasks that they took", counters->stolen_tasks},
         {"lemonspar_moves", "Steals between partitions", counters->moves},
         {"lemonspar_moved_tasks", "Tasks that they took", counters->moved_tasks},
-        {"lemonspar_takeovers", "Partitions taken over", counters->takeovers},
+        {"lemonspar_takeovers", "Partitions taken over", counters->failovers},
         {"lemonspar_unqueued",
          "Queued tasks that stood in no queue (there should be none)",
-         counters->unqueued},
+         counters->reconciled_tasks},
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(all); i++)
@@ -99,7 +99,7 @@
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections", "of", kinds[i], load.open[i]);
     lmn_gauge(out, "lemonspar_connections_most", "Connections let in at a time",
-              core->sockets.accepted);
+              core->connection_budget.max_accepted);
     lmn_metric_head(out, "lemonspar_connections_closed", "counter",
                     "Connections closed with their answer, for want of sockets");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
@@ -115,34 +115,34 @@
 void lmn_controller_metrics(void *core, GString *out)
 {
     struct lmn_core *c = core;
-    struct sums s = {.used = g_new0(double, c->cfg->nteams)};
+    struct sums s = {.used = g_new0(double, c->settings->team_count)};
 
     pthread_mutex_lock(&c->lock);
-    for (int i = 0; i < c->nparts; i++)
-        if (c->parts[i].mine)
-            count_partition(c, &s, &c->parts[i]);
-    struct lmn_counters n = c->count;
+    for (int i = 0; i < c->partition_count; i++)
+        if (c->partitions[i].is_owned)
+            count_partition(c, &s, &c->partitions[i]);
+    struct lmn_counters n = c->counters;
     struct lmn_load load = c->load;
-    const struct lmn_http_server *server = c->server;
+    const struct lmn_http_server *server = c->http_server;
     double stale = lmn_watch_cache_age_s(c, lmn_now());
     guint jobs = g_hash_table_size(c->jobs), final_jobs = c->final_jobs.length;
     lmn_quantiles(out, "lemonspar_accepting_seconds", "From a submission to its commit",
-                  &c->accepting);
+                  &c->submission_latency);
     lmn_quantiles(out, "lemonspar_starting_seconds",
-                  "From a job's acceptance to a task's start", &c->starting);
+                  "From a job's acceptance to a task's start", &c->start_latency);
     GArray *classes = lmn_fair_share_by_class(c);
     lmn_metric_head(out, "lemonspar_class_cpus", "gauge",
                     "Processors that the tasks of a class use here");
     for (guint i = 0; i < classes->len; i++)
         lmn_metric_sample(out, "lemonspar_class_cpus", "class",
-                          g_array_index(classes, struct lmn_fair_share, i).of,
-                          g_array_index(classes, struct lmn_fair_share, i).used);
+                          g_array_index(classes, struct lmn_fair_share, i).subject,
+                          g_array_index(classes, struct lmn_fair_share, i).used_cpus);
     lmn_metric_head(out, "lemonspar_class_waiting_cpus", "gauge",
                     "Processors that its tasks that were not started ask for");
     for (guint i = 0; i < classes->len; i++)
         lmn_metric_sample(out, "lemonspar_class_waiting_cpus", "class",
-                          g_array_index(classes, struct lmn_fair_share, i).of,
-                          g_array_index(classes, struct lmn_fair_share, i).waiting);
+                          g_array_index(classes, struct lmn_fair_share, i).subject,
+                          g_array_index(classes, struct lmn_fair_share, i).waiting_cpus);
     g_array_free(classes, TRUE);
     lmn_members_metrics(c, out);
     lmn_replication_metrics(c, out, lmn_now());
@@ -170,24 +170,24 @@
     lmn_metric_sample(out, "lemonspar_tasks", "state", "done", s.tasks.done);
     lmn_metric_head(out, "lemonspar_team_cpus", "gauge",
                     "Processors that a team's tasks use here");
-    for (size_t i = 0; i < c->cfg->nteams; i++)
-        lmn_metric_sample(out, "lemonspar_team_cpus", "team", c->cfg->teams[i].name,
+    for (size_t i = 0; i < c->settings->team_count; i++)
+        lmn_metric_sample(out, "lemonspar_team_cpus", "team", c->settings->teams[i].name,
                           s.used[i]);
     g_free(s.used);
     counters(out, &n);
     static const char *const sheds[] = {"polls", "submissions", "starts"};
     lmn_gauge(out, "lemonspar_behind_seconds", "How late the node does what is due",
-              load.behind);
+              load.delay_s);
     lmn_metric_head(out, "lemonspar_shed", "counter",
                     "Requests answered at once since the node was behind");
     for (int i = 0; i < LMN_SHED_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_shed_total", "what", sheds[i],
-                          (double)load.shed[i]);
+                          (double)load.shed_counts[i]);
     if (server)
         sockets(out, c, server);
     struct lmn_latency writing;
     lmn_latency_init(&writing);
-    double waiting = lmn_kv_client_statistics(c->state, &writing);
+    double waiting = lmn_kv_client_statistics(c->kv_client, &writing);
     lmn_gauge(out, "lemonspar_state_waiting_changes",
               "Changes that wait for their budget", waiting);
     lmn_quantiles(out, "lemonspar_state_write_seconds",
--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -15,7 +15,7 @@
                  struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int holder = partition->id % members->n;
+    int holder = partition->id % members->count;
 
     if (owner < 0 || successor >= 0) {
         g_string_append_printf(text, " move=%s why=\"%s\"", name_or_none(core, successor),
@@ -23,8 +23,8 @@
     } else if (owner != holder) {
         double s_left = lmn_member_readmission_delay_s(members, holder, now);
         const char *why =
-            !members->v[holder].present                    ? "its usual holder is gone"
-            : members->v[holder].leaving                   ? "its usual holder leaves"
+            !members->views[holder].is_present             ? "its usual holder is gone"
+            : members->views[holder].is_shutting_down      ? "its usual holder leaves"
             : lmn_member_owned_partitions(core, owner) < 2 ? "its owner holds no other"
             : lmn_member_owned_partitions(core, holder) ? "its usual holder has another"
             : s_left > 0 ? "its usual holder has to stay up"
@@ -44,20 +44,20 @@
 
     pthread_mutex_lock(&core->lock);
     lmn_transfer_targets(core, now, successor);
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *partition = &core->parts[i];
-        int owner = partition->owner_rev
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
+        int owner = partition->owner_revision
                         ? lmn_member_index(&core->members, partition->owner)
                         : -1;
         g_string_append_printf(
             text, "partition %d owner=%s holder=%s standby=%s machines=%u", i,
-            name_or_none(core, owner), name_or_none(core, i % core->members.n),
+            name_or_none(core, owner), name_or_none(core, i % core->members.count),
             name_or_none(core, lmn_standby_named(core, partition, now)),
-            partition->list->len);
+            partition->machine_list->len);
         move(core, text, partition, owner, successor[i], now);
         g_string_append_c(text, '\n');
     }
-    if (core->leaving)
+    if (core->is_shutting_down)
         lmn_shutdown_describe(core, text, now);
     pthread_mutex_unlock(&core->lock);
     return g_string_free(text, FALSE);
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -46,7 +46,7 @@
 static void note_latency(struct lmn_core *core, double took)
 {
     pthread_mutex_lock(&core->lock);
-    lmn_latency_add(&core->accepting, took);
+    lmn_latency_add(&core->submission_latency, took);
     pthread_mutex_unlock(&core->lock);
 }
 
@@ -86,7 +86,7 @@
     pending->call = request;
     pending->since = lmn_now();
     pending->in_flight = 1;
-    g_strlcpy(pending->ref, spec->ref, sizeof pending->ref);
+    g_strlcpy(pending->ref, spec->id, sizeof pending->ref);
     pthread_mutex_lock(&core->lock);
     struct lmn_txn *txn = lmn_submission_txn(
         core, spec, lmn_time_seconds(lmn_wall_clock_now()), committed, pending);
@@ -96,7 +96,7 @@
     g_queue_push_tail(&pendings.list, pending);
     pthread_cond_signal(&pendings.more);
     pthread_mutex_unlock(&pendings.lock);
-    lmn_kv_client_submit(core->state, txn);
+    lmn_kv_client_submit(core->kv_client, txn);
 }
 
 /* Does what is due for the submission; the lock is held. Returns the call if its job's
@@ -118,7 +118,7 @@
         pending->twin = NULL;
         pending->in_flight++;
         lmn_debug("job-submitted-again job=%s", pending->ref);
-        lmn_kv_client_submit(core->state, twin);
+        lmn_kv_client_submit(core->kv_client, twin);
         return NULL;
     default:
         return NULL;
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -11,38 +11,38 @@
  * everybody stays. */
 static void look_around(struct lmn_core *core, struct timespec now)
 {
-    double stale = core->synced ? lmn_watch_cache_age_s(core, now) : 0;
-    bool odd = stale >= LMN_CACHE_STALLED_S && core->members.n > 1, anybody = false;
+    double stale = core->is_synced ? lmn_watch_cache_age_s(core, now) : 0;
+    bool odd = stale >= LMN_CACHE_STALLED_S && core->members.count > 1, anybody = false;
 
-    for (int i = 0; i < core->members.n && odd; i++) {
-        const struct lmn_member_view *member = &core->members.v[i];
-        if (i == core->members.me || !member->word_at.tv_sec ||
-            lmn_time_diff_s(now, member->word_at) > 2)
+    for (int i = 0; i < core->members.count && odd; i++) {
+        const struct lmn_member_view *member = &core->members.views[i];
+        if (i == core->members.self || !member->health_at.tv_sec ||
+            lmn_time_diff_s(now, member->health_at) > 2)
             continue;
         if (!anybody)
             odd = false;
         anybody = true;
-        if (member->word.stale_s < LMN_CACHE_STALLED_S) {
+        if (member->health.cache_age_s < LMN_CACHE_STALLED_S) {
             odd = true;
             break;
         }
     }
-    if (odd != core->odd_one)
+    if (odd != core->is_isolated_view)
         lmn_info("odd-one-out odd=%d stale=%.1f alone=%d", odd, stale, !anybody);
-    __atomic_store_n(&core->odd_one, odd,
+    __atomic_store_n(&core->is_isolated_view, odd,
                      __ATOMIC_RELAXED); /* controller/http_routes.c reads it */
     if (!odd || anybody)
-        core->isolated = (struct timespec){0, 0};
-    else if (!core->isolated.tv_sec)
-        core->isolated = now;
+        core->isolated_since = (struct timespec){0, 0};
+    else if (!core->isolated_since.tv_sec)
+        core->isolated_since = now;
 }
 
 static lmn_rpc_health own_word(const struct lmn_core *core, struct timespec now)
 {
-    const struct lmn_member_health *health = &core->members.word;
+    const struct lmn_member_health *health = &core->members.health;
 
-    return (lmn_rpc_health){health->behind_s, MIN(lmn_watch_cache_age_s(core, now), 1e6),
-                            health->deaf};
+    return (lmn_rpc_health){health->delay_s, MIN(lmn_watch_cache_age_s(core, now), 1e6),
+                            health->silent_machine_share};
 }
 
 static struct lmn_member_health word_of(const lmn_rpc_health *health)
@@ -58,9 +58,9 @@
     unsigned n = lmn_member_gossip(&core->members, to, about, now, s);
 
     for (unsigned i = 0; i < n; i++)
-        room->said[i] =
-            (lmn_rpc_gossip){(char *)lmn_member_name(&core->members, s[i].of), s[i].inc,
-                             s[i].heard_s, s[i].unanswered_s, s[i].visitors};
+        room->said[i] = (lmn_rpc_gossip){
+            (char *)lmn_member_name(&core->members, s[i].member), s[i].incarnation,
+            s[i].last_contact_age_s, s[i].unanswered_age_s, s[i].redirected_workers};
     return n;
 }
 
@@ -84,13 +84,13 @@
     pthread_mutex_lock(&core->lock);
     int from = lmn_member_index(&core->members, probe->from);
     int about = *probe->about ? lmn_member_index(&core->members, probe->about) : -1;
-    if (from >= 0 && from != core->members.me) {
+    if (from >= 0 && from != core->members.self) {
         lmn_member_record_contact(&core->members, from, &w, now, now);
         be_told(core, from, probe->said.said_len, probe->said.said_val, now);
     }
-    if (about >= 0 && about != core->members.me) {
+    if (about >= 0 && about != core->members.self) {
         lmn_member_request_probe(&core->members, about, now);
-        pthread_cond_signal(&core->asking);
+        pthread_cond_signal(&core->probe_due);
     }
     reply->word = own_word(core, now);
     reply->said.said_len = tell(core, from, about, now, room);
@@ -107,16 +107,16 @@
 static bool call(struct lmn_core *core, struct asked *peer, const struct lmn_probe *probe,
                  lmn_rpc_probe *x, lmn_rpc_probe_reply *reply)
 {
-    const char *name = lmn_member_name(&core->members, probe->rank), *addr = NULL;
+    const char *name = lmn_member_name(&core->members, probe->member), *addr = NULL;
     struct timeval wait = {
-        (time_t)probe->patience_s,
-        (suseconds_t)(1e6 * (probe->patience_s - (time_t)probe->patience_s))};
+        (time_t)probe->timeout_s,
+        (suseconds_t)(1e6 * (probe->timeout_s - (time_t)probe->timeout_s))};
 
-    for (size_t i = 0; i < core->cfg->nmembers; i++)
-        if (!strcmp(core->cfg->members[i].name, name))
-            addr = core->cfg->members[i].addr;
+    for (size_t i = 0; i < core->settings->member_count; i++)
+        if (!strcmp(core->settings->members[i].name, name))
+            addr = core->settings->members[i].address;
     if (!peer->client && addr)
-        peer->client = lmn_rpc_connect_within(addr, probe->patience_s);
+        peer->client = lmn_rpc_connect_within(addr, probe->timeout_s);
     if (!peer->client)
         return false;
     if (clnt_call(peer->client, LMN_RPC_PROBE, (xdrproc_t)xdr_lmn_rpc_probe, (char *)x,
@@ -135,7 +135,7 @@
     struct timespec now = lmn_now();
     for (u_int i = 0; i < tombstones->jobs.jobs_len; i++)
         n += lmn_tombstone_receive(core, tombstones->jobs.jobs_val[i].ref, now);
-    core->count.tombstones += n;
+    core->counters.tombstones += n;
     pthread_mutex_unlock(&core->lock);
     return n;
 }
@@ -182,7 +182,7 @@
 {
     struct lmn_members *members = &core->members;
     struct lmn_probe_reply_buffer room;
-    lmn_rpc_probe x = {.from = (char *)core->cfg->node, .about = (char *)""};
+    lmn_rpc_probe x = {.from = (char *)core->settings->node_name, .about = (char *)""};
     lmn_rpc_probe_reply a = {0};
 
     if (probe->about >= 0)
@@ -190,7 +190,7 @@
     pthread_mutex_lock(&core->lock);
     struct timespec sent = lmn_now();
     x.word = own_word(core, sent);
-    x.said.said_len = tell(core, probe->rank, probe->about, sent, &room);
+    x.said.said_len = tell(core, probe->member, probe->about, sent, &room);
     x.said.said_val = room.said;
     pthread_mutex_unlock(&core->lock);
     bool answered = call(core, peer, probe, &x, &a);
@@ -198,20 +198,20 @@
     struct timespec now = lmn_now();
     if (answered) {
         struct lmn_member_health w = word_of(&a.word);
-        lmn_member_record_probe_reply(members, probe->rank, &w, sent, now);
-        be_told(core, probe->rank, a.said.said_len, a.said.said_val, now);
+        lmn_member_record_probe_reply(members, probe->member, &w, sent, now);
+        be_told(core, probe->member, a.said.said_len, a.said.said_val, now);
     } else {
-        lmn_member_record_probe_timeout(members, probe->rank, sent, now);
+        lmn_member_record_probe_timeout(members, probe->member, sent, now);
         lmn_debug("member-unanswered member=%s after=%.2f times=%u",
-                  lmn_member_name(members, probe->rank), lmn_time_diff_s(now, sent),
-                  members->v[probe->rank].failures);
-        pthread_cond_broadcast(&core->changed);
+                  lmn_member_name(members, probe->member), lmn_time_diff_s(now, sent),
+                  members->views[probe->member].probe_failures);
+        pthread_cond_broadcast(&core->ownership_changed);
     }
     pthread_mutex_unlock(&core->lock);
     if (!answered)
         return;
     xdr_free((xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)&a);
-    tell_tombstones(core, peer, probe->rank);
+    tell_tombstones(core, peer, probe->member);
 }
 
 void *lmn_probe_thread(void *arg)
@@ -223,12 +223,13 @@
         struct lmn_probe q;
         double wait;
         pthread_mutex_lock(&core->lock);
-        while (!lmn_member_next_probe(&core->members, core->rng, lmn_now(), &q, &wait)) {
+        while (
+            !lmn_member_next_probe(&core->members, core->random, lmn_now(), &q, &wait)) {
             look_around(core, lmn_now());
-            lmn_cond_wait_for(&core->asking, &core->lock, wait);
+            lmn_cond_wait_for(&core->probe_due, &core->lock, wait);
         }
         pthread_mutex_unlock(&core->lock);
-        ask_one(core, &peers[q.rank], &q);
+        ask_one(core, &peers[q.member], &q);
     }
     return NULL;
 }
--- a/src/controller/read_batch.c
+++ b/src/controller/read_batch.c
@@ -14,7 +14,7 @@
 
     while ((read = g_queue_pop_head(&batch->order)))
         for (; read; read = next) {
-            next = read->next;
+            next = read->next_same_job;
             g_free(read);
         }
     g_hash_table_destroy(batch->jobs);
@@ -23,20 +23,20 @@
 void lmn_read_batch_add(struct lmn_read_batch *batch, struct lmn_read_request *read)
 {
     struct lmn_read_request *first = read->kind == LMN_READ_STATUS
-                                         ? g_hash_table_lookup(batch->jobs, read->ref)
+                                         ? g_hash_table_lookup(batch->jobs, read->job_id)
                                          : NULL;
 
     batch->waiting++;
-    read->next = NULL;
+    read->next_same_job = NULL;
     if (!first) {
         g_queue_push_tail(&batch->order, read);
         if (read->kind == LMN_READ_STATUS)
-            g_hash_table_insert(batch->jobs, read->ref, read);
+            g_hash_table_insert(batch->jobs, read->job_id, read);
         return;
     }
     /* The next is the latest: nobody needs them in their order. */
-    read->next = first->next;
-    first->next = read;
+    read->next_same_job = first->next_same_job;
+    first->next_same_job = read;
 }
 
 /* Splits the list: who still listens is returned, the others go before *late. */
@@ -48,9 +48,10 @@
 
     for (; read; read = next) {
         struct lmn_read_request **to =
-            lmn_time_diff_s(now, read->since) > LMN_QUERY_PATIENCE_S ? late : &still;
-        next = read->next;
-        read->next = *to;
+            lmn_time_diff_s(now, read->received_at) > LMN_QUERY_PATIENCE_S ? late
+                                                                           : &still;
+        next = read->next_same_job;
+        read->next_same_job = *to;
         *to = read;
     }
     return still;
@@ -72,8 +73,8 @@
             *cancel = a;
             batch->waiting--;
         } else {
-            g_hash_table_remove(batch->jobs, a->ref);
-            for (const struct lmn_read_request *x = a; x; x = x->next)
+            g_hash_table_remove(batch->jobs, a->job_id);
+            for (const struct lmn_read_request *x = a; x; x = x->next_same_job)
                 batch->waiting--;
             if ((a = listening(a, late, now)))
                 jobs[n++] = a;
--- a/src/controller/read_batch.h
+++ b/src/controller/read_batch.h
@@ -17,11 +17,11 @@
 
 struct lmn_read_request {
     enum lmn_read_request_kind kind;
-    struct lmn_http_request *call;
-    char ref[LMN_JOB_ID_SIZE];
+    struct lmn_http_request *request;
+    char job_id[LMN_JOB_ID_SIZE];
     int absent_status; /* the answer if there is no such job */
-    struct timespec since;
-    struct lmn_read_request *next; /* who asks the same */
+    struct timespec received_at;
+    struct lmn_read_request *next_same_job; /* who asks the same */
 };
 
 struct lmn_read_batch {
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -12,35 +12,37 @@
     guint machines;
     double seconds;
 
-    if (partition->mine) {
+    if (partition->is_owned) {
         lmn_replication_lag(partition, now, &machines, &starts, &seconds);
         g_string_append_printf(
             text,
             "  standby %s phase=%s untold=%u waiting=%" G_GUINT64_FORMAT " waits=%.3f",
             stream->phase == LMN_STREAM_NONE
                 ? "-"
-                : lmn_member_name(&core->members, stream->to),
+                : lmn_member_name(&core->members, stream->standby_index),
             lmn_replication_phase_name(stream->phase), machines, starts, seconds);
-        if (stream->phase == LMN_STREAM_NONE && stream->why)
-            g_string_append_printf(text, " last=\"%s\" again_in=%.1f", stream->why,
-                                   MAX(lmn_time_diff_s(stream->next, now), 0));
-        g_string_append_printf(
-            text,
-            " batches=%" G_GUINT64_FORMAT " machines=%" G_GUINT64_FORMAT
-            " strikes=%" G_GUINT64_FORMAT "\n",
-            stream->count.batches, stream->count.machines, stream->count.strikes);
-    } else if (partition->copy && partition->copy->own) {
+        if (stream->phase == LMN_STREAM_NONE && stream->last_failure_reason)
+            g_string_append_printf(text, " last=\"%s\" again_in=%.1f",
+                                   stream->last_failure_reason,
+                                   MAX(lmn_time_diff_s(stream->next_step_at, now), 0));
+        g_string_append_printf(text,
+                               " batches=%" G_GUINT64_FORMAT
+                               " machines=%" G_GUINT64_FORMAT
+                               " strikes=%" G_GUINT64_FORMAT "\n",
+                               stream->counters.batches, stream->counters.machines,
+                               stream->counters.removals);
+    } else if (partition->replica && partition->replica->own) {
         g_string_append_printf(text, "  own term=%" G_GUINT64_FORMAT " machines=%u\n",
-                               partition->copy->term,
-                               g_hash_table_size(partition->copy->machines));
-    } else if (partition->copy) {
+                               partition->replica->epoch,
+                               g_hash_table_size(partition->replica->machines));
+    } else if (partition->replica) {
         g_string_append_printf(
             text, "  copy term=%" G_GUINT64_FORMAT " machines=%u last=%.2f in_step=%d\n",
-            partition->copy->term, g_hash_table_size(partition->copy->machines),
-            lmn_time_diff_s(now, partition->copy->last),
-            partition->copy->stream == partition->standby_stream &&
-                partition->copy->term == partition->term &&
-                !strcmp(partition->standby, core->cfg->node));
+            partition->replica->epoch, g_hash_table_size(partition->replica->machines),
+            lmn_time_diff_s(now, partition->replica->last_batch_at),
+            partition->replica->stream == partition->standby_stream &&
+                partition->replica->epoch == partition->epoch &&
+                !strcmp(partition->standby, core->settings->node_name));
     }
 }
 
@@ -49,9 +51,9 @@
     const char *name = lmn_member_name(&core->members, member_index);
     json_t *all = json_array();
 
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *partition = &core->parts[i];
-        if (partition->standby_stream && partition->standby_term == partition->term &&
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
+        if (partition->standby_stream && partition->standby_epoch == partition->epoch &&
             !strcmp(partition->standby, name))
             json_array_append_new(all, json_integer(i));
     }
@@ -65,18 +67,18 @@
     struct lmn_replication_counters sum = {0};
     double waits = 0;
 
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *partition = &core->parts[i];
-        const struct lmn_replication_counters *n = &partition->stream.count;
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
+        const struct lmn_replication_counters *n = &partition->stream.counters;
         uint64_t starts;
         guint machines;
         double seconds;
         sum.batches += n->batches;
         sum.machines += n->machines;
         sum.streams += n->streams;
-        sum.strikes += n->strikes;
-        copies += partition->copy && !partition->copy->own;
-        if (!partition->mine)
+        sum.removals += n->removals;
+        copies += partition->replica && !partition->replica->own;
+        if (!partition->is_owned)
             continue;
         lmn_replication_lag(partition, now, &machines, &starts, &seconds);
         in_step += partition->stream.phase == LMN_STREAM_IN_SYNC;
@@ -95,19 +97,23 @@
     lmn_counter(out, "lemonspar_standby_machines", "Machines told in them", sum.machines);
     lmn_counter(out, "lemonspar_standby_streams", "Copies begun", sum.streams);
     lmn_counter(out, "lemonspar_standby_strikes", "Standbys struck off the record",
-                sum.strikes);
+                sum.removals);
     lmn_counter(
         out, "lemonspar_tombstones",
         "Withdrawals that another controller told of before the mirror showed them",
-        core->count.tombstones);
+        core->counters.tombstones);
     lmn_counter(out, "lemonspar_starts_withheld",
                 "Starts taken back since no standby acknowledged them",
-                core->count.withheld);
+                core->counters.withheld_starts);
     lmn_counter(out, "lemonspar_takeovers_warm",
-                "Takeovers with a standby's copy, or an owner's own", core->count.warm);
+                "Takeovers with a standby's copy, or an owner's own",
+                core->counters.warm_failovers);
     lmn_counter(out, "lemonspar_takeovers_own",
-                "Of those: by the last owner, with its own", core->count.own);
-    lmn_counter(out, "lemonspar_takeovers_cold", "Takeovers without", core->count.cold);
+                "Of those: by the last owner, with its own",
+                core->counters.own_state_failovers);
+    lmn_counter(out, "lemonspar_takeovers_cold", "Takeovers without",
+                core->counters.cold_failovers);
     lmn_quantiles(out, "lemonspar_standby_ack_seconds",
-                  "What starts wait for their acknowledgement", &core->telling);
+                  "What starts wait for their acknowledgement",
+                  &core->replication_latency);
 }
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -27,23 +27,23 @@
 {
     struct lmn_replication_batch *b = lmn_replication_batch_new();
 
-    b->part = x->part;
-    b->term = x->term;
+    b->partition = x->part;
+    b->epoch = x->term;
     b->stream = x->stream;
     b->number = x->number;
     for (u_int i = 0; i < x->machines.machines_len; i++) {
         const lmn_rpc_machine *machine = &x->machines.machines_val[i];
         struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(machine->name);
-        snapshot->session = machine->session;
-        snapshot->gone = machine->state & 1;
-        snapshot->forget = machine->state & 2;
+        snapshot->agent_incarnation = machine->session;
+        snapshot->is_terminated = machine->state & 1;
+        snapshot->is_forgotten = machine->state & 2;
         for (u_int k = 0; k < machine->attempts.attempts_len; k++) {
             const lmn_rpc_attempt *attempt = &machine->attempts.attempts_val[k];
             struct lmn_attempt_snapshot y = {.index = attempt->index,
                                              .number = attempt->number,
-                                             .ended = attempt->state & 1,
-                                             .done = attempt->state & 2};
-            g_strlcpy(y.ref, attempt->ref, sizeof y.ref);
+                                             .has_ended = attempt->state & 1,
+                                             .is_done = attempt->state & 2};
+            g_strlcpy(y.job_id, attempt->ref, sizeof y.job_id);
             g_array_append_val(snapshot->attempts, y);
         }
         if (machine->state & 4)
@@ -51,7 +51,7 @@
                 g_array_new(FALSE, FALSE, sizeof(struct lmn_image_snapshot));
         for (u_int k = 0; snapshot->images && k < machine->images.images_len; k++) {
             const lmn_rpc_image *a = &machine->images.images_val[k];
-            struct lmn_image_snapshot y = {.gb = a->gb, .there = a->there};
+            struct lmn_image_snapshot y = {.gb = a->gb, .is_present = a->there};
             g_strlcpy(y.name, a->name, sizeof y.name);
             g_array_append_val(snapshot->images, y);
         }
@@ -71,17 +71,17 @@
                          const struct lmn_machine_snapshot *snapshot)
 {
     machine->name = (char *)snapshot->name;
-    machine->session = snapshot->session;
-    machine->state =
-        snapshot->gone * 1u | snapshot->forget * 2u | (snapshot->images ? 4u : 0);
+    machine->session = snapshot->agent_incarnation;
+    machine->state = snapshot->is_terminated * 1u | snapshot->is_forgotten * 2u |
+                     (snapshot->images ? 4u : 0);
     machine->attempts.attempts_len = MIN(snapshot->attempts->len, LMN_RPC_MAX_ATTEMPTS);
     machine->attempts.attempts_val = g_new0(lmn_rpc_attempt, snapshot->attempts->len);
     for (u_int k = 0; k < machine->attempts.attempts_len; k++) {
         struct lmn_attempt_snapshot *attempt =
             &g_array_index(snapshot->attempts, struct lmn_attempt_snapshot, k);
         machine->attempts.attempts_val[k] =
-            (lmn_rpc_attempt){attempt->ref, attempt->index, attempt->number,
-                              attempt->ended * 1u | attempt->done * 2u};
+            (lmn_rpc_attempt){attempt->job_id, attempt->index, attempt->number,
+                              attempt->has_ended * 1u | attempt->is_done * 2u};
     }
     if (!snapshot->images)
         return;
@@ -91,7 +91,7 @@
         struct lmn_image_snapshot *image =
             &g_array_index(snapshot->images, struct lmn_image_snapshot, k);
         machine->images.images_val[k] =
-            (lmn_rpc_image){image->name, image->gb, image->there};
+            (lmn_rpc_image){image->name, image->gb, image->is_present};
     }
 }
 
@@ -107,9 +107,9 @@
 {
     const char *name = lmn_member_name(&core->members, member_index);
 
-    for (size_t i = 0; i < core->cfg->nmembers; i++)
-        if (!strcmp(core->cfg->members[i].name, name))
-            return core->cfg->members[i].addr;
+    for (size_t i = 0; i < core->settings->member_count; i++)
+        if (!strcmp(core->settings->members[i].name, name))
+            return core->settings->members[i].address;
     return NULL;
 }
 
@@ -141,8 +141,8 @@
                        const struct lmn_replication_batch *batch, u_int *answer)
 {
     lmn_rpc_machine machines[LMN_REPLICATION_BATCH_MACHINES] = {0};
-    lmn_rpc_replication_batch x = {batch->part,
-                                   batch->term,
+    lmn_rpc_replication_batch x = {batch->partition,
+                                   batch->epoch,
                                    batch->stream,
                                    batch->number,
                                    {batch->machines->len, machines}};
@@ -164,15 +164,15 @@
 static void settle(struct lmn_core *core, struct lmn_partition *partition, GQueue *out,
                    struct timespec now)
 {
-    GQueue *q = &partition->stream.waiting;
+    GQueue *q = &partition->stream.deferred_responses;
 
     for (GList *l = q->head, *next; l; l = next) {
         struct lmn_deferred_response *response = l->data;
         next = l->next;
-        if (!partition->mine || partition->my_term != response->held.term) {
+        if (!partition->is_owned || partition->owned_epoch != response->held.epoch) {
             response->status = 503;
             g_byte_array_set_size(response->out, 0);
-        } else if (lmn_replication_covers(partition, response->held.mark)) {
+        } else if (lmn_replication_covers(partition, response->held.log_position)) {
             response->status = 200;
         } else if (lmn_time_diff_s(now, response->since) > LMN_REPLICATION_DEFER_S) {
             response->status = 200;
@@ -200,19 +200,19 @@
                                     struct lmn_http_request *request, GByteArray *out,
                                     const struct lmn_deferred_starts *deferred)
 {
-    struct lmn_partition *partition = &core->parts[deferred->part];
+    struct lmn_partition *partition = &core->partitions[deferred->partition];
     int status = 0;
 
     pthread_mutex_lock(&core->lock);
-    if (!partition->mine || partition->my_term != deferred->term)
+    if (!partition->is_owned || partition->owned_epoch != deferred->epoch)
         status = 503;
-    else if (lmn_replication_covers(partition, deferred->mark))
+    else if (lmn_replication_covers(partition, deferred->log_position))
         status = 200;
     if (!status) {
         struct lmn_deferred_response *response = g_new0(struct lmn_deferred_response, 1);
         *response = (struct lmn_deferred_response){request, out, *deferred, lmn_now(), 0};
         lmn_http_request_defer(request);
-        g_queue_push_tail(&partition->stream.waiting, response);
+        g_queue_push_tail(&partition->stream.deferred_responses, response);
     }
     pthread_mutex_unlock(&core->lock);
     if (status == 503)
@@ -230,7 +230,7 @@
     struct lmn_partition *partition = f->p;
     GQueue done = G_QUEUE_INIT;
 
-    f->http = lmn_http_client_new(core->cfg->state);
+    f->http = lmn_http_client_new(core->settings->state_address);
     pthread_mutex_lock(&core->lock);
     for (;;) {
         struct lmn_replication_batch *batch = NULL;
@@ -238,10 +238,10 @@
         double wait;
         enum lmn_replication_step step =
             lmn_replication_next_step(core, partition, lmn_now(), &batch, &txn, &wait);
-        int to = partition->stream.to;
+        int to = partition->stream.standby_index;
         settle(core, partition, &done, lmn_now());
         if (step == LMN_REPLICATION_WAIT && g_queue_is_empty(&done)) {
-            lmn_cond_wait_for(&partition->following, &core->lock, wait);
+            lmn_cond_wait_for(&partition->replication_due, &core->lock, wait);
             continue;
         }
         pthread_mutex_unlock(&core->lock);
@@ -259,7 +259,7 @@
         if (step == LMN_REPLICATION_WRITE) {
             uint64_t revision;
             enum lmn_txn_outcome r =
-                lmn_kv_client_commit(core->state, f->http, txn, &revision, NULL);
+                lmn_kv_client_commit(core->kv_client, f->http, txn, &revision, NULL);
             lmn_debug("standby-write partition=%d outcome=%d", partition->id, r);
             lmn_txn_free(txn);
         }
@@ -270,10 +270,10 @@
 
 void lmn_replication_start(struct lmn_core *core)
 {
-    for (int i = 0; i < core->nparts; i++) {
+    for (int i = 0; i < core->partition_count; i++) {
         struct teller *f = g_new0(struct teller, 1);
         f->c = core;
-        f->p = &core->parts[i];
+        f->p = &core->partitions[i];
         lmn_thread(tell_thread, f);
     }
 }
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -82,8 +82,9 @@
     *running = 0;
     for (guint i = 0; i < job->ranges->len; i++) {
         const struct lmn_range *range = job->ranges->pdata[i];
-        left += range->hi - range->lo - (range->st ? range->nfinished : range->ndone);
-        *running += range->nstarted;
+        left += range->end - range->first -
+                (range->task_states ? range->finished_count : range->done_count);
+        *running += range->started_count;
     }
     *done = job->phase == LMN_JOB_DONE ? job->spec.tasks
                                        : job->spec.tasks - MIN(left, job->spec.tasks);
@@ -98,17 +99,17 @@
     uint32_t done, running;
 
     memset(view, 0, sizeof *view);
-    g_strlcpy(view->ref, ref, sizeof view->ref);
+    g_strlcpy(view->job_id, ref, sizeof view->job_id);
     if (!job)
         return;
     tally(job, &done, &running);
-    view->rev = job->rev;
+    view->revision = job->revision;
     view->reply = job_state(job->phase, done, running);
 }
 
 static bool is_final(const struct lmn_job_view *view)
 {
-    return view->rev && view->reply.phase != LMN_JOB_ACTIVE;
+    return view->revision && view->reply.phase != LMN_JOB_ACTIVE;
 }
 
 static void job_key(char *key, size_t len, const char *ref)
@@ -122,8 +123,8 @@
     char key[64];
 
     for (guint i = 0; i < n; i++) {
-        job_key(key, sizeof key, view[i].ref);
-        lmn_txn_require_version(txn, key, view[i].rev);
+        job_key(key, sizeof key, view[i].job_id);
+        lmn_txn_require_version(txn, key, view[i].revision);
     }
     return txn;
 }
@@ -139,7 +140,7 @@
     /* A conflict that names no key says nothing about any. */
     if (outcome != LMN_TXN_CONFLICT || !failed->len)
         return LMN_CONFIRMED_NOTHING;
-    job_key(key, sizeof key, view->ref);
+    job_key(key, sizeof key, view->job_id);
     for (guint i = 0; i < failed->len; i++)
         if (!strcmp(failed->pdata[i], key))
             return LMN_CONFIRMED_OUTDATED;
@@ -153,10 +154,10 @@
     struct lmn_job_view latest;
 
     /* A later revision in the mirror is of a later instant than the confirmation. */
-    lmn_job_view_take(core, view->ref, &latest);
-    if (latest.rev > view->rev)
+    lmn_job_view_take(core, view->job_id, &latest);
+    if (latest.revision > view->revision)
         return latest.reply;
-    return view->rev ? view->reply : absent(absent_status);
+    return view->revision ? view->reply : absent(absent_status);
 }
 
 /* --- first decisions --- */
@@ -189,7 +190,7 @@
         *reply = plain(404, 0);
         return true;
     }
-    core->count.polls++;
+    core->counters.status_requests++;
     lmn_job_view_take(core, ref, &v);
     *reply = v.reply;
     return is_final(&v);
@@ -202,10 +203,11 @@
 
     if (is_known_now(core, ref, &reply))
         return reply_now(reply);
-    if (lmn_load_should_shed(&core->load, LMN_SHED_POLL, core->rng))
-        return reply_now(plain(503, lmn_retry_after(2 * core->load.behind, core->rng)));
+    if (lmn_load_should_shed(&core->load, LMN_SHED_POLL, core->random))
+        return reply_now(
+            plain(503, lmn_retry_after(2 * core->load.delay_s, core->random)));
     if (is_blind(core, now))
-        return reply_now(plain(503, lmn_retry_after(1, core->rng)));
+        return reply_now(plain(503, lmn_retry_after(1, core->random)));
     return next_step(LMN_STEP_CONFIRM, 404);
 }
 
@@ -221,14 +223,15 @@
 /* A job that nobody is known to have submitted, and nothing is wrong with. */
 static struct lmn_request_decision decide_new(struct lmn_core *core)
 {
-    double wait = lmn_kv_client_backlog_s(core->state, LMN_WRITE_USER);
+    double wait = lmn_kv_client_backlog_s(core->kv_client, LMN_WRITE_USER);
 
     if (wait > 2.0) {
-        core->count.refused++;
-        return reply_now(plain(429, lmn_retry_after(wait, core->rng)));
+        core->counters.refused_requests++;
+        return reply_now(plain(429, lmn_retry_after(wait, core->random)));
     }
-    if (lmn_load_should_shed(&core->load, LMN_SHED_SUBMISSION, core->rng))
-        return reply_now(plain(429, lmn_retry_after(2 * core->load.behind, core->rng)));
+    if (lmn_load_should_shed(&core->load, LMN_SHED_SUBMISSION, core->random))
+        return reply_now(
+            plain(429, lmn_retry_after(2 * core->load.delay_s, core->random)));
     return next_step(LMN_STEP_COMMIT, 503);
 }
 
@@ -240,26 +243,27 @@
     struct lmn_job_view v;
 
     if (submission->fault == LMN_SUBMISSION_NO_ID)
-        return reply_now(fault(400, submission->what));
-    core->count.submissions++;
-    lmn_job_view_take(core, submission->spec.ref, &v);
+        return reply_now(fault(400, submission->field_at_fault));
+    core->counters.submissions++;
+    lmn_job_view_take(core, submission->spec.id, &v);
     if (is_final(&v))
         return reply_now(v.reply);
     /* An id that was accepted before is answered with its state, whatever is wrong with
      * what is sent now: so a refusal too has to be confirmed. */
     if (submission->fault == LMN_SUBMISSION_MALFORMED)
         return next_step(LMN_STEP_CONFIRM, 400);
-    if (v.rev)
+    if (v.revision)
         return next_step(LMN_STEP_CONFIRM, 503);
     /* No value can hold it: that would be 503 at each try, for ever. */
     if (submission->fault == LMN_SUBMISSION_TOO_LARGE)
         return next_step(LMN_STEP_CONFIRM, 400);
-    if (!core->synced || !core->types_known)
+    if (!core->is_synced || !core->machine_types_known)
         return reply_now(plain(503, 2));
     if (is_blind(core, now))
-        return reply_now(plain(503, lmn_retry_after(1, core->rng)));
-    if (!lmn_job_spec_is_feasible(&submission->spec, core->cfg, &core->types, &why)) {
-        lmn_debug("job-impossible job=%s why=\"%s\"", submission->spec.ref, why);
+        return reply_now(plain(503, lmn_retry_after(1, core->random)));
+    if (!lmn_job_spec_is_feasible(&submission->spec, core->settings, &core->machine_types,
+                                  &why)) {
+        lmn_debug("job-impossible job=%s why=\"%s\"", submission->spec.id, why);
         return next_step(LMN_STEP_CONFIRM, 422);
     }
     return decide_new(core);
@@ -315,9 +319,10 @@
     if (lmn_cbor_parse(&d, body, len) != 0)
         return;
     const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_VERSION), &reading->rev) &&
+    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_VERSION), &reading->revision) &&
         lmn_job_read(&d, lmn_cbor_get(&d, root, WIRE_VALUE), &reading->spec,
-                     &reading->phase, &reading->open, &reading->at) == 0)
+                     &reading->phase, &reading->open_ranges,
+                     &reading->accepted_at_s) == 0)
         reading->status = 200;
     lmn_cbor_free(&d);
 }
@@ -349,7 +354,7 @@
         return ended(reading);
     /* The mirror's counts will do for an active job; and it may have moved on. */
     lmn_job_view_take(core, ref, &latest);
-    if (latest.rev > reading->rev)
+    if (latest.revision > reading->revision)
         return latest.reply;
     return job_state(LMN_JOB_ACTIVE, latest.reply.done, latest.reply.running);
 }
@@ -371,10 +376,11 @@
         return NULL;
     txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     job_key(key, sizeof key, ref);
-    lmn_txn_require_version(txn, key, reading->rev);
-    lmn_txn_put(
-        txn, key,
-        lmn_job_record(&reading->spec, LMN_JOB_CANCELLED, reading->open, reading->at), 0);
+    lmn_txn_require_version(txn, key, reading->revision);
+    lmn_txn_put(txn, key,
+                lmn_job_record(&reading->spec, LMN_JOB_CANCELLED, reading->open_ranges,
+                               reading->accepted_at_s),
+                0);
     return txn;
 }
 
--- a/src/controller/request_decisions.h
+++ b/src/controller/request_decisions.h
@@ -66,8 +66,8 @@
 
 /* What the mirror shows of a job. */
 struct lmn_job_view {
-    char ref[LMN_JOB_ID_SIZE];
-    uint64_t rev; /* of the job's record; 0: there is none */
+    char job_id[LMN_JOB_ID_SIZE];
+    uint64_t revision; /* of the job's record; 0: there is none */
     struct lmn_job_reply reply;
 };
 
@@ -96,12 +96,12 @@
 
 /* A job's record as read from the state service. */
 struct lmn_job_reading {
-    int status;   /* 200: the record was read; 404: there is none; else: unknown */
-    uint64_t rev; /* all of this with 200 only */
+    int status;        /* 200: the record was read; 404: there is none; else: unknown */
+    uint64_t revision; /* all of this with 200 only */
     struct lmn_job_spec spec;
     enum lmn_job_phase phase;
-    uint32_t open;
-    double at;
+    uint32_t open_ranges;
+    double accepted_at_s;
 };
 
 /* Of an answer of the state service; to be cleared. */
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -33,14 +33,14 @@
 /* Settings are changed by compare-and-set on their one record. */
 static int tuning_set(const char *name, double value, char *err, size_t len)
 {
-    struct lmn_http_client *client = lmn_http_client_new(core->cfg->state);
+    struct lmn_http_client *client = lmn_http_client_new(core->settings->state_address);
     enum lmn_txn_outcome r = LMN_TXN_CONFLICT;
 
     for (int tries = 0; tries < 5 && r == LMN_TXN_CONFLICT; tries++) {
         uint64_t revision = 0;
         pthread_mutex_lock(&core->lock);
-        struct lmn_operator_settings t = core->tuning;
-        uint64_t seen = core->tuning_rev;
+        struct lmn_operator_settings t = core->operator_settings;
+        uint64_t seen = core->operator_settings_revision;
         pthread_mutex_unlock(&core->lock);
         if (lmn_operator_settings_set(&t, name, value, err, len) != 0) {
             lmn_http_client_free(client);
@@ -49,7 +49,7 @@
         struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
         lmn_txn_require_version(txn, "s", seen);
         lmn_txn_put(txn, "s", lmn_operator_settings_record(&t), 0);
-        r = lmn_kv_client_commit(core->state, client, txn, &revision, NULL);
+        r = lmn_kv_client_commit(core->kv_client, client, txn, &revision, NULL);
         lmn_txn_free(txn);
         if (r == LMN_TXN_CONFLICT)
             lmn_sleep(0.2);
@@ -67,15 +67,15 @@
 static int drain(const char *name, char *err, size_t len)
 {
     struct lmn_partition *partition =
-        &core->parts[lmn_partition_for_machine(name, core->nparts)];
+        &core->partitions[lmn_partition_for_machine(name, core->partition_count)];
     int rc = -1;
 
     pthread_mutex_lock(&core->lock);
     struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
-    if (partition->mine && machine) {
+    if (partition->is_owned && machine) {
         lmn_machine_drain(core, machine, false, "drained by an operator", lmn_now());
         rc = 0;
-    } else if (partition->mine) {
+    } else if (partition->is_owned) {
         snprintf(err, len, "%s: no such machine", name);
     } else {
         snprintf(err, len, "%s: ask its owner, %s", name,
@@ -91,32 +91,33 @@
     struct lmn_steal_request t;
     u_int n = 0;
 
-    if (request->victim < 0 || request->victim >= core->nparts || request->thief < 0 ||
-        request->thief >= core->nparts)
+    if (request->victim < 0 || request->victim >= core->partition_count ||
+        request->thief < 0 || request->thief >= core->partition_count)
         return 0;
-    lmn_steal_request_init(&t, core->cfg);
-    t.part = request->thief;
-    for (u_int i = 0; i < request->rooms.rooms_len && i < G_N_ELEMENTS(t.rooms); i++) {
+    lmn_steal_request_init(&t, core->settings);
+    t.partition = request->thief;
+    for (u_int i = 0; i < request->rooms.rooms_len && i < G_N_ELEMENTS(t.capacities);
+         i++) {
         const struct lmn_rpc_capacity *x = &request->rooms.rooms_val[i];
-        struct lmn_free_capacity *capacity = &t.rooms[t.nrooms++];
+        struct lmn_free_capacity *capacity = &t.capacities[t.capacity_count++];
         g_strlcpy(capacity->type, x->type, sizeof capacity->type);
         g_strlcpy(capacity->zone, x->zone, sizeof capacity->zone);
-        capacity->spot = x->spot;
+        capacity->is_spot = x->spot;
         capacity->cpus = x->cpus;
         capacity->gpus = x->gpus;
-        capacity->mem = x->mem;
+        capacity->memory_gb = x->mem;
     }
     for (u_int i = 0; i < request->teams.teams_len; i++) {
         const struct lmn_team *team =
-            lmn_settings_team(core->cfg, request->teams.teams_val[i].name);
+            lmn_settings_team(core->settings, request->teams.teams_val[i].name);
         if (!team)
             continue;
-        t.team_cpus[team - core->cfg->teams] = request->teams.teams_val[i].cpus;
-        t.team_gpus[team - core->cfg->teams] = request->teams.teams_val[i].gpus;
+        t.team_free_cpus[team - core->settings->teams] = request->teams.teams_val[i].cpus;
+        t.team_free_gpus[team - core->settings->teams] = request->teams.teams_val[i].gpus;
     }
     pthread_mutex_lock(&core->lock);
     struct timespec now = lmn_now();
-    struct lmn_partition *partition = &core->parts[request->victim];
+    struct lmn_partition *partition = &core->partitions[request->victim];
     if (give) {
         n = lmn_victim_transfer(core, partition, &t, now);
         lmn_range_writer_flush(core, now);
@@ -130,17 +131,17 @@
 
 static u_int asked_quota(const struct lmn_rpc_quota_request *request)
 {
-    const struct lmn_team *team = lmn_settings_team(core->cfg, request->team);
+    const struct lmn_team *team = lmn_settings_team(core->settings, request->team);
     bool given = false;
 
-    if (!team || request->victim < 0 || request->victim >= core->nparts)
+    if (!team || request->victim < 0 || request->victim >= core->partition_count)
         return 0;
-    struct lmn_quota_request w = {(int)(team - core->cfg->teams), request->cpus,
+    struct lmn_quota_request w = {(int)(team - core->settings->teams), request->cpus,
                                   request->gpus, request->least_cpus,
                                   request->least_gpus};
     pthread_mutex_lock(&core->lock);
-    given = lmn_quota_request_handle(core, &core->parts[request->victim], request->thief,
-                                     &w, lmn_now());
+    given = lmn_quota_request_handle(core, &core->partitions[request->victim],
+                                     request->thief, &w, lmn_now());
     pthread_mutex_unlock(&core->lock);
     return given;
 }
@@ -167,7 +168,7 @@
         pthread_mutex_lock(&core->lock);
         for (size_t i = 0; lmn_operator_settings_name(i) && i < LMN_RPC_MAX_ITEMS; i++) {
             items[i].name = (char *)lmn_operator_settings_name(i);
-            items[i].value = lmn_operator_settings_value(&core->tuning, i);
+            items[i].value = lmn_operator_settings_value(&core->operator_settings, i);
             l.items.items_len++;
         }
         pthread_mutex_unlock(&core->lock);
@@ -311,7 +312,8 @@
     int port, one = 1, fd = socket(AF_INET, SOCK_STREAM, 0);
 
     core = c;
-    if (fd < 0 || lmn_address_split(c->cfg->peer_listen, host, sizeof host, &port) != 0)
+    if (fd < 0 ||
+        lmn_address_split(c->settings->internal_address, host, sizeof host, &port) != 0)
         return -1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     a.sin_port = htons((uint16_t)port);
@@ -349,7 +351,7 @@
     if (!m->client) {
         if (lmn_time_before(now, m->retry))
             return false;
-        m->client = lmn_rpc_connect(m->cfg->addr);
+        m->client = lmn_rpc_connect(m->cfg->address);
         m->retry = lmn_time_add(now, 3.0);
     }
     if (!m->client)
@@ -370,9 +372,9 @@
     char owner[LMN_NAME_SIZE];
 
     pthread_mutex_lock(&core->lock);
-    g_strlcpy(owner, core->parts[part].owner, sizeof owner);
+    g_strlcpy(owner, core->partitions[part].owner, sizeof owner);
     pthread_mutex_unlock(&core->lock);
-    for (size_t i = 0; i < core->cfg->nmembers; i++)
+    for (size_t i = 0; i < core->settings->member_count; i++)
         /* Each was set up with its settings. */
         // NOLINTNEXTLINE(clang-analyzer-core.NonNullParamChecker)
         if (!strcmp(owner, members[i].cfg->name))
@@ -383,7 +385,7 @@
 static bool own(int part)
 {
     pthread_mutex_lock(&core->lock);
-    bool mine = core->parts[part].mine;
+    bool mine = core->partitions[part].is_owned;
     pthread_mutex_unlock(&core->lock);
     return mine;
 }
@@ -406,29 +408,32 @@
  * steals but no more than twice a second. */
 static void seek_quota(struct member *members, int part)
 {
-    struct lmn_quota_request *want = g_new(struct lmn_quota_request, core->cfg->nteams);
-    struct lmn_partition *partition = &core->parts[part];
+    struct lmn_quota_request *want =
+        g_new(struct lmn_quota_request, core->settings->team_count);
+    struct lmn_partition *partition = &core->partitions[part];
     struct timespec now = lmn_now();
     size_t n = 0;
     u_int got = 0;
 
     pthread_mutex_lock(&core->lock);
-    for (size_t i = 0;
-         i < core->cfg->nteams && !lmn_time_before(now, partition->next_quota); i++)
+    for (size_t i = 0; i < core->settings->team_count &&
+                       !lmn_time_before(now, partition->next_quota_request_at);
+         i++)
         n += lmn_quota_shortfall(core, partition, (int)i, &want[n]);
-    int first = g_rand_int_range(core->rng, 0, core->nparts);
+    int first = g_rand_int_range(core->random, 0, core->partition_count);
     pthread_mutex_unlock(&core->lock);
     for (size_t i = 0; i < n; i++) {
-        struct lmn_rpc_quota_request q = {part,
-                                          0,
-                                          (char *)core->cfg->teams[want[i].team].name,
-                                          want[i].cpus,
-                                          want[i].gpus,
-                                          want[i].least_cpus,
-                                          want[i].least_gpus};
-        for (int k = 0; k < core->nparts; k++) {
+        struct lmn_rpc_quota_request q = {
+            part,
+            0,
+            (char *)core->settings->teams[want[i].team].name,
+            want[i].cpus,
+            want[i].gpus,
+            want[i].least_cpus,
+            want[i].least_gpus};
+        for (int k = 0; k < core->partition_count; k++) {
             u_int one = 0;
-            q.victim = (first + k) % core->nparts;
+            q.victim = (first + k) % core->partition_count;
             if (q.victim == part)
                 continue;
             if (own(q.victim))
@@ -443,44 +448,47 @@
     if (!n)
         return;
     pthread_mutex_lock(&core->lock);
-    partition->quota_poll_s = got ? 0.5 : CLAMP(partition->quota_poll_s * 2, 0.5, 8);
-    partition->next_quota = lmn_time_add(now, partition->quota_poll_s);
+    partition->quota_request_interval_s =
+        got ? 0.5 : CLAMP(partition->quota_request_interval_s * 2, 0.5, 8);
+    partition->next_quota_request_at =
+        lmn_time_add(now, partition->quota_request_interval_s);
     pthread_mutex_unlock(&core->lock);
 }
 
 static void pull(struct member *members, const struct lmn_steal_request *request)
 {
-    struct lmn_rpc_capacity rooms[G_N_ELEMENTS(request->rooms)];
+    struct lmn_rpc_capacity rooms[G_N_ELEMENTS(request->capacities)];
     struct lmn_rpc_team_quota *teams =
-        g_new(struct lmn_rpc_team_quota, core->cfg->nteams);
-    struct lmn_rpc_steal_request q = {.thief = request->part};
+        g_new(struct lmn_rpc_team_quota, core->settings->team_count);
+    struct lmn_rpc_steal_request q = {.thief = request->partition};
     int others[LMN_MAX_PARTITIONS], n = 0, best = -1;
     u_int most = 0, got = 0;
 
-    for (guint i = 0; i < request->nrooms; i++)
+    for (guint i = 0; i < request->capacity_count; i++)
         rooms[i] = (struct lmn_rpc_capacity){
-            (char *)request->rooms[i].type, (char *)request->rooms[i].zone,
-            request->rooms[i].spot,         request->rooms[i].cpus,
-            request->rooms[i].gpus,         request->rooms[i].mem};
-    for (size_t i = 0; i < core->cfg->nteams; i++)
-        teams[i] =
-            (struct lmn_rpc_team_quota){(char *)core->cfg->teams[i].name,
-                                        request->team_cpus[i], request->team_gpus[i]};
-    q.rooms.rooms_len = request->nrooms;
+            (char *)request->capacities[i].type, (char *)request->capacities[i].zone,
+            request->capacities[i].is_spot,      request->capacities[i].cpus,
+            request->capacities[i].gpus,         request->capacities[i].memory_gb};
+    for (size_t i = 0; i < core->settings->team_count; i++)
+        teams[i] = (struct lmn_rpc_team_quota){(char *)core->settings->teams[i].name,
+                                               request->team_free_cpus[i],
+                                               request->team_free_gpus[i]};
+    q.rooms.rooms_len = request->capacity_count;
     q.rooms.rooms_val = rooms;
-    q.teams.teams_len = (u_int)core->cfg->nteams;
+    q.teams.teams_len = (u_int)core->settings->team_count;
     q.teams.teams_val = teams;
-    for (int i = 0; i < core->nparts; i++)
-        if (i != request->part)
+    for (int i = 0; i < core->partition_count; i++)
+        if (i != request->partition)
             others[n++] = i;
     pthread_mutex_lock(&core->lock);
-    int sample = core->tuning.sample > 0 ? (int)core->tuning.sample : (int)ceil(sqrt(n));
+    int sample = core->operator_settings.sample > 0 ? (int)core->operator_settings.sample
+                                                    : (int)ceil(sqrt(n));
     for (int i = 0; i < n; i++) {
-        int k = g_rand_int_range(core->rng, i, n), x = others[i];
+        int k = g_rand_int_range(core->random, i, n), x = others[i];
         others[i] = others[k];
         others[k] = x;
     }
-    core->count.steal_tries++;
+    core->counters.steal_tries++;
     pthread_mutex_unlock(&core->lock);
     for (int i = 0; i < MIN(sample, n); i++) {
         q.victim = others[i];
@@ -496,10 +504,10 @@
     }
     g_free(teams);
     pthread_mutex_lock(&core->lock);
-    lmn_steal_record_result(core, &core->parts[request->part], got, lmn_now());
+    lmn_steal_record_result(core, &core->partitions[request->partition], got, lmn_now());
     if (got) {
-        core->count.steals++;
-        core->count.stolen_tasks += got;
+        core->counters.steals++;
+        core->counters.stolen_tasks += got;
     }
     pthread_mutex_unlock(&core->lock);
 }
@@ -510,13 +518,13 @@
     struct lmn_steal_request t;
     (void)arg;
 
-    lmn_steal_request_init(&t, core->cfg);
-    for (size_t i = 0; i < core->cfg->nmembers; i++)
-        members[i].cfg = &core->cfg->members[i];
+    lmn_steal_request_init(&t, core->settings);
+    for (size_t i = 0; i < core->settings->member_count; i++)
+        members[i].cfg = &core->settings->members[i];
     for (;;) {
-        for (int i = 0; core->nparts > 1 && i < core->nparts; i++) {
+        for (int i = 0; core->partition_count > 1 && i < core->partition_count; i++) {
             pthread_mutex_lock(&core->lock);
-            bool go = lmn_steal_request_fill(core, &core->parts[i], &t, lmn_now());
+            bool go = lmn_steal_request_fill(core, &core->partitions[i], &t, lmn_now());
             pthread_mutex_unlock(&core->lock);
             if (go)
                 pull(members, &t);
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -15,30 +15,32 @@
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
-        queued += machine->queue.tasks;
+        queued += machine->queue.task_count;
         running += machine->attempts->len;
     }
     g_string_append_printf(
         text,
         "partition %d owner=%s term=%" G_GUINT64_FORMAT
         " mine=%d ready=%d machines=%u ranges=%u queued=%u unplaced=%u held=%u\n",
-        partition->id, *partition->owner ? partition->owner : "-", partition->owner_term,
-        partition->mine, partition->ready, g_hash_table_size(partition->machines),
-        g_hash_table_size(partition->ranges), queued, partition->unplaced.tasks, running);
+        partition->id, *partition->owner ? partition->owner : "-", partition->owner_epoch,
+        partition->is_owned, partition->is_ready, g_hash_table_size(partition->machines),
+        g_hash_table_size(partition->ranges), queued, partition->unassigned.task_count,
+        running);
     lmn_replication_describe(text, core, partition, lmn_now());
-    for (size_t i = 0; partition->mine && i < core->cfg->nteams; i++)
+    for (size_t i = 0; partition->is_owned && i < core->settings->team_count; i++)
         g_string_append_printf(text, "  team %s cpus=%.1f gpus=%.1f\n",
-                               core->cfg->teams[i].name, partition->used_cpus[i],
+                               core->settings->teams[i].name, partition->used_cpus[i],
                                partition->used_gpus[i]);
     g_hash_table_iter_init(&it, partition->machines);
-    while (partition->mine && g_hash_table_iter_next(&it, NULL, &v)) {
+    while (partition->is_owned && g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
         g_string_append_printf(
             text, "  machine %s type=%s zone=%s spot=%d cpus=%.1f queued=%u%s%s%s\n",
-            machine->name, machine->type_name, machine->zone, machine->spot,
-            machine->used_cpus, machine->queue.tasks,
-            machine->accounted ? "" : " unaccounted",
-            machine->retiring ? " retiring" : "", machine->lapsed ? " lapsed" : "");
+            machine->name, machine->type_name, machine->zone, machine->is_spot,
+            machine->used_cpus, machine->queue.task_count,
+            machine->is_accounted ? "" : " unaccounted",
+            machine->is_draining ? " retiring" : "",
+            machine->lease_expired ? " lapsed" : "");
     }
 }
 
@@ -52,7 +54,8 @@
     for (guint i = 0; i < v->len; i++) {
         const struct lmn_fair_share *share = &g_array_index(v, struct lmn_fair_share, i);
         g_string_append_printf(text, "class %s cpus=%.1f waiting=%.1f owed=%d\n",
-                               (const char *)share->of, share->used, share->waiting,
+                               (const char *)share->subject, share->used_cpus,
+                               share->waiting_cpus,
                                lmn_is_under_fair_share(share, used, kinds));
     }
     g_array_free(v, TRUE);
@@ -70,8 +73,8 @@
         if (job->phase == LMN_JOB_ACTIVE && lmn_job_is_faulty(&job->failures))
             g_string_append_printf(
                 text, "accused job=%s machines=%u rounds=%u next_try=%.1f\n",
-                job->spec.ref, job->failures.places, job->failures.rounds,
-                MAX(lmn_time_diff_s(job->failures.hold, lmn_now()), 0));
+                job->spec.id, job->failures.machine_count, job->failures.rounds,
+                MAX(lmn_time_diff_s(job->failures.backoff_until, lmn_now()), 0));
     }
 }
 
@@ -88,14 +91,14 @@
 {
     struct lmn_http_server_load l;
 
-    if (!core->server)
+    if (!core->http_server)
         return;
-    lmn_http_server_load(core->server, &l);
+    lmn_http_server_load(core->http_server, &l);
     g_string_append_printf(
         text,
         "sockets most=%u passing=%u users=%u workers=%u closed_users=%" G_GUINT64_FORMAT
         " closed_workers=%" G_GUINT64_FORMAT " turned_away=%" G_GUINT64_FORMAT "\n",
-        core->sockets.accepted, l.open[LMN_CONNECTION_UNIDENTIFIED],
+        core->connection_budget.max_accepted, l.open[LMN_CONNECTION_UNIDENTIFIED],
         l.open[LMN_CONNECTION_USER], l.open[LMN_CONNECTION_WORKER],
         l.closed[LMN_CONNECTION_USER], l.closed[LMN_CONNECTION_WORKER],
         l.turned_away[LMN_CONNECTION_WORKER]);
@@ -107,38 +110,38 @@
 
     pthread_mutex_lock(&core->lock);
     g_string_append_printf(
-        text, "node %s lease=%" G_GUINT64_FORMAT " stale=%.1f jobs=%u\n", core->cfg->node,
-        core->lease, lmn_watch_cache_age_s(core, lmn_now()),
+        text, "node %s lease=%" G_GUINT64_FORMAT " stale=%.1f jobs=%u\n",
+        core->settings->node_name, core->lease, lmn_watch_cache_age_s(core, lmn_now()),
         g_hash_table_size(core->jobs));
-    for (int i = 0; i < core->nparts; i++)
-        show_partition(text, core, &core->parts[i]);
+    for (int i = 0; i < core->partition_count; i++)
+        show_partition(text, core, &core->partitions[i]);
     show_classes(text, core);
     show_accused(text, core);
-    const struct lmn_counters *counters = &core->count;
-    g_string_append_printf(text,
-                           "counts submissions=%" G_GUINT64_FORMAT
-                           " polls=%" G_GUINT64_FORMAT " reports=%" G_GUINT64_FORMAT
-                           " starts=%" G_GUINT64_FORMAT " kills=%" G_GUINT64_FORMAT
-                           " steal_tries=%" G_GUINT64_FORMAT " steals=%" G_GUINT64_FORMAT
-                           " stolen=%" G_GUINT64_FORMAT " takeovers=%" G_GUINT64_FORMAT
-                           " warm=%" G_GUINT64_FORMAT " refused=%" G_GUINT64_FORMAT
-                           " moves=%" G_GUINT64_FORMAT " moved=%" G_GUINT64_FORMAT "\n",
-                           counters->submissions, counters->polls, counters->reports,
-                           counters->starts, counters->kills, counters->steal_tries,
-                           counters->steals, counters->stolen_tasks, counters->takeovers,
-                           counters->warm, counters->refused, counters->moves,
-                           counters->moved_tasks);
+    const struct lmn_counters *counters = &core->counters;
+    g_string_append_printf(
+        text,
+        "counts submissions=%" G_GUINT64_FORMAT " polls=%" G_GUINT64_FORMAT
+        " reports=%" G_GUINT64_FORMAT " starts=%" G_GUINT64_FORMAT
+        " kills=%" G_GUINT64_FORMAT " steal_tries=%" G_GUINT64_FORMAT
+        " steals=%" G_GUINT64_FORMAT " stolen=%" G_GUINT64_FORMAT
+        " takeovers=%" G_GUINT64_FORMAT " warm=%" G_GUINT64_FORMAT
+        " refused=%" G_GUINT64_FORMAT " moves=%" G_GUINT64_FORMAT
+        " moved=%" G_GUINT64_FORMAT "\n",
+        counters->submissions, counters->status_requests, counters->heartbeats,
+        counters->starts, counters->kills, counters->steal_tries, counters->steals,
+        counters->stolen_tasks, counters->failovers, counters->warm_failovers,
+        counters->refused_requests, counters->moves, counters->moved_tasks);
     const struct lmn_load *load = &core->load;
-    g_string_append_printf(text,
-                           "load behind=%.2f shed_polls=%" G_GUINT64_FORMAT
-                           " shed_submissions=%" G_GUINT64_FORMAT
-                           " shed_starts=%" G_GUINT64_FORMAT "\n",
-                           load->behind, load->shed[LMN_SHED_POLL],
-                           load->shed[LMN_SHED_SUBMISSION], load->shed[LMN_SHED_START]);
+    g_string_append_printf(
+        text,
+        "load behind=%.2f shed_polls=%" G_GUINT64_FORMAT
+        " shed_submissions=%" G_GUINT64_FORMAT " shed_starts=%" G_GUINT64_FORMAT "\n",
+        load->delay_s, load->shed_counts[LMN_SHED_POLL],
+        load->shed_counts[LMN_SHED_SUBMISSION], load->shed_counts[LMN_SHED_START]);
     show_sockets(text, core);
-    show_latency(text, "accepting", &core->accepting);
-    show_latency(text, "starting", &core->starting);
-    show_latency(text, "telling", &core->telling);
+    show_latency(text, "accepting", &core->submission_latency);
+    show_latency(text, "starting", &core->start_latency);
+    show_latency(text, "telling", &core->replication_latency);
     pthread_mutex_unlock(&core->lock);
     return g_string_free(text, FALSE);
 }
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -13,22 +13,22 @@
     gpointer v;
 
     *weight = *load = 0;
-    g_hash_table_iter_init(&it, core->parts[id].machines);
+    g_hash_table_iter_init(&it, core->partitions[id].machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
         if (!machine->type)
             machine->type = lmn_machine_type_by_name(core, machine->type_name);
-        if (machine->type && machine->rev && !machine->is_gone &&
-            lmn_job_spec_allows(spec, machine->type, machine->zone, machine->spot))
+        if (machine->type && machine->revision && !machine->is_terminated &&
+            lmn_job_spec_allows(spec, machine->type, machine->zone, machine->is_spot))
             *weight += machine->type->cpus + machine->type->gpus;
     }
     /* As recorded, for one's own partitions too: else they would look emptier than the
      * others. */
-    g_hash_table_iter_init(&it, core->parts[id].ranges);
+    g_hash_table_iter_init(&it, core->partitions[id].ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_range *range = v;
         if (range->job->phase == LMN_JOB_ACTIVE)
-            *load += (range->hi - range->lo - range->ndone) *
+            *load += (range->end - range->first - range->done_count) *
                      (range->job->spec.cpus + range->job->spec.gpus);
     }
 }
@@ -43,11 +43,11 @@
 static void shares(struct lmn_core *core, const struct lmn_job_spec *spec, uint32_t *n)
 {
     double weight[LMN_MAX_PARTITIONS] = {0}, load[LMN_MAX_PARTITIONS], sum = 0;
-    int parts = core->nparts, order[LMN_MAX_PARTITIONS] = {0}, able = 0;
-    int first = (int)(g_str_hash(spec->ref) % (guint)parts);
+    int parts = core->partition_count, order[LMN_MAX_PARTITIONS] = {0}, able = 0;
+    int first = (int)(g_str_hash(spec->id) % (guint)parts);
     uint32_t given = 0;
 
-    memset(n, 0, sizeof *n * (size_t)core->nparts);
+    memset(n, 0, sizeof *n * (size_t)core->partition_count);
     for (int i = 0; i < parts; i++) {
         weigh(core, i, spec, &weight[i], &load[i]);
         sum += weight[i];
@@ -59,8 +59,8 @@
     /* While writes have to wait, a job is not cut: steals will spread what one partition
      * can't start. And one owner must see all of a job whose tasks depend on each other's
      * places. */
-    if (spec->one_zone || spec->spread ||
-        lmn_kv_client_backlog_s(core->state, LMN_WRITE_CLOSE) > 0)
+    if (spec->requires_one_zone || spec->spreads_over_zones ||
+        lmn_kv_client_backlog_s(core->kv_client, LMN_WRITE_CLOSE) > 0)
         want = 1;
     for (int k = 0; k < parts; k++) {
         int i = (first + k) % parts, at = able;
@@ -75,7 +75,7 @@
         able++;
     }
     /* The job's record and each part are a change of one transaction. */
-    want = CLAMP(want, 1, MIN(able, MAX(core->cfg->txn_ops - 1, 1)));
+    want = CLAMP(want, 1, MIN(able, MAX(core->settings->max_txn_operations - 1, 1)));
     sum = 0;
     for (int k = 0; k < want; k++)
         sum += weight[order[k]];
@@ -96,19 +96,19 @@
     struct lmn_range r = {0};
     char key[96];
     /* One bit a task as hexadecimal text: so many that no value passes the limit. */
-    uint32_t most = (uint32_t)(core->cfg->value_kb * 1024 * 3);
+    uint32_t most = (uint32_t)(core->settings->max_value_kb * 1024 * 3);
 
     shares(core, spec, n);
-    g_snprintf(key, sizeof key, "j/%s", spec->ref);
+    g_snprintf(key, sizeof key, "j/%s", spec->id);
     lmn_txn_require_version(txn, key, 0);
     char *job_key = g_strdup(key);
-    for (int i = 0; i < core->nparts; i++)
+    for (int i = 0; i < core->partition_count; i++)
         while (n[i] > 0) {
             uint32_t k = MIN(n[i], most);
-            r.lo = at;
-            r.hi = at + k;
+            r.first = at;
+            r.end = at + k;
             uint8_t *none = g_malloc0((k + 7) / 8);
-            g_snprintf(key, sizeof key, "r/%d/%s/%u", i, spec->ref, at);
+            g_snprintf(key, sizeof key, "r/%d/%s/%u", i, spec->id, at);
             lmn_txn_put(txn, key, lmn_range_record(&r, none), 0);
             g_free(none);
             at += k;
@@ -126,10 +126,10 @@
 /* Whether the job's record is larger than a value may be, counted as JSON. */
 static bool too_large(const struct lmn_settings *cfg, const struct lmn_job_spec *spec)
 {
-    size_t most = (size_t)(cfg->value_kb * 1024), types = 0;
+    size_t most = (size_t)(cfg->max_value_kb * 1024), types = 0;
     struct lmn_cbor_document d;
 
-    for (char **t = spec->types; t && *t; t++)
+    for (char **t = spec->machine_types; t && *t; t++)
         types += strlen(*t) + 3;
     /* All else is bounded; few descriptions need a closer look. */
     if (types + 2048 < most)
@@ -148,15 +148,15 @@
     struct lmn_cbor_document d;
 
     memset(submission, 0, sizeof *submission);
-    submission->what = "not CBOR";
+    submission->field_at_fault = "not CBOR";
     submission->fault = LMN_SUBMISSION_NO_ID;
     if (lmn_cbor_parse(&d, body, len) != 0)
         return;
-    if (lmn_job_spec_parse(&submission->spec, &d, lmn_cbor_root(&d), &submission->what) ==
-        0)
+    if (lmn_job_spec_parse(&submission->spec, &d, lmn_cbor_root(&d),
+                           &submission->field_at_fault) == 0)
         submission->fault = too_large(cfg, &submission->spec) ? LMN_SUBMISSION_TOO_LARGE
                                                               : LMN_SUBMISSION_VALID;
-    else if (lmn_job_id_is_valid(submission->spec.ref))
+    else if (lmn_job_id_is_valid(submission->spec.id))
         submission->fault = LMN_SUBMISSION_MALFORMED;
     lmn_cbor_free(&d);
 }
--- a/src/controller/submission.h
+++ b/src/controller/submission.h
@@ -15,7 +15,7 @@
 struct lmn_submission {
     struct lmn_job_spec spec; /* MALFORMED: of this the id alone can be relied on */
     enum lmn_submission_fault fault;
-    const char *what; /* the field at fault */
+    const char *field_at_fault; /* the field at fault */
 };
 
 /* Reads a request's body. To be cleared, whatever its fault. */
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -33,10 +33,10 @@
     struct lmn_read_request *read = g_new0(struct lmn_read_request, 1);
 
     read->kind = kind;
-    read->call = request;
+    read->request = request;
     read->absent_status = absent_status;
-    read->since = lmn_now();
-    g_strlcpy(read->ref, ref, sizeof read->ref);
+    read->received_at = lmn_now();
+    g_strlcpy(read->job_id, ref, sizeof read->job_id);
     pthread_mutex_lock(&queries_lock);
     lmn_read_batch_add(&queries, read);
     pthread_cond_signal(&queries_more);
@@ -84,8 +84,9 @@
 {
     pthread_mutex_lock(&core->lock);
     double stale = lmn_watch_cache_age_s(core, lmn_now());
-    bool ready = core->synced && core->types_known && !core->leaving &&
-                 (stale < LMN_CACHE_STALLED_S || (!core->odd_one && stale < 30));
+    bool ready = core->is_synced && core->machine_types_known &&
+                 !core->is_shutting_down &&
+                 (stale < LMN_CACHE_STALLED_S || (!core->is_isolated_view && stale < 30));
     pthread_mutex_unlock(&core->lock);
     return ready;
 }
@@ -95,7 +96,7 @@
     const GByteArray *body = lmn_http_request_body(request);
     struct lmn_submission s;
 
-    lmn_submission_parse(&s, core->cfg, body->data, body->len);
+    lmn_submission_parse(&s, core->settings, body->data, body->len);
     pthread_mutex_lock(&core->lock);
     struct lmn_request_decision d = lmn_decide_submission(core, &s, lmn_now());
     pthread_mutex_unlock(&core->lock);
@@ -103,7 +104,7 @@
         lmn_http_request_defer(request);
         lmn_pending_submission_submit(core, request, &s.spec);
     } else {
-        carry_out(&d, request, s.spec.ref);
+        carry_out(&d, request, s.spec.id);
     }
     lmn_submission_clear(&s);
 }
@@ -117,7 +118,7 @@
     char path[96];
 
     g_snprintf(path, sizeof path, WIRE_PATH_STORE "/j/%s", ref);
-    lmn_kv_client_wait_for_token(core->state);
+    lmn_kv_client_wait_for_token(core->kv_client);
     int status = lmn_http_client_call(client, "GET", path, NULL, 1.5, buf);
     lmn_job_reading_parse(reading, status, buf->data, buf->len);
 }
@@ -128,8 +129,8 @@
     const struct lmn_job_reply r = lmn_job_reply_unavailable();
 
     for (struct lmn_read_request *read = list, *next; read; read = next) {
-        next = read->next;
-        answer(read->call, read->ref, &r);
+        next = read->next_same_job;
+        answer(read->request, read->job_id, &r);
         g_free(read);
     }
 }
@@ -139,7 +140,7 @@
 {
     pthread_mutex_lock(&queries_lock);
     for (struct lmn_read_request *read = list, *next; read; read = next) {
-        next = read->next;
+        next = read->next_same_job;
         lmn_read_batch_add(&queries, read);
     }
     pthread_mutex_unlock(&queries_lock);
@@ -150,11 +151,11 @@
                              struct lmn_read_request *list)
 {
     for (struct lmn_read_request *read = list, *next; read; read = next) {
-        next = read->next;
+        next = read->next_same_job;
         pthread_mutex_lock(&core->lock);
         struct lmn_job_reply r = lmn_job_reply_confirmed(core, view, read->absent_status);
         pthread_mutex_unlock(&core->lock);
-        answer(read->call, read->ref, &r);
+        answer(read->request, read->job_id, &r);
         g_free(read);
     }
 }
@@ -165,14 +166,14 @@
 {
     struct lmn_job_reading reading;
 
-    read_job(core, client, buf, list->ref, &reading);
+    read_job(core, client, buf, list->job_id, &reading);
     for (struct lmn_read_request *read = list, *next; read; read = next) {
-        next = read->next;
+        next = read->next_same_job;
         pthread_mutex_lock(&core->lock);
         struct lmn_job_reply r =
-            lmn_job_reply_from_reading(core, read->ref, &reading, read->absent_status);
+            lmn_job_reply_from_reading(core, read->job_id, &reading, read->absent_status);
         pthread_mutex_unlock(&core->lock);
-        answer(read->call, read->ref, &r);
+        answer(read->request, read->job_id, &r);
         g_free(read);
     }
     lmn_job_reading_clear(&reading);
@@ -183,7 +184,7 @@
 {
     lmn_debug("job-cancelled job=%s", ref);
     pthread_mutex_lock(&core->lock);
-    if (core->members.n > 1)
+    if (core->members.count > 1)
         lmn_tombstone_add(&core->tombstones, ref);
     pthread_mutex_unlock(&core->lock);
 }
@@ -198,20 +199,20 @@
         struct lmn_job_reading reading;
         uint64_t revision;
 
-        read_job(core, client, buf, read->ref, &reading);
+        read_job(core, client, buf, read->job_id, &reading);
         struct lmn_txn *txn =
-            lmn_cancellation_txn(read->ref, &reading, read->absent_status, &reply);
+            lmn_cancellation_txn(read->job_id, &reading, read->absent_status, &reply);
         lmn_job_reading_clear(&reading);
         if (!txn)
             break;
         enum lmn_txn_outcome outcome =
-            lmn_kv_client_commit(core->state, client, txn, &revision, NULL);
+            lmn_kv_client_commit(core->kv_client, client, txn, &revision, NULL);
         lmn_txn_free(txn);
         over = lmn_cancellation_is_settled(outcome, &reply);
         if (outcome == LMN_TXN_COMMITTED)
-            tell_others(core, read->ref);
+            tell_others(core, read->job_id);
     }
-    answer(read->call, read->ref, &reply);
+    answer(read->request, read->job_id, &reply);
 }
 
 /* Many jobs, one request: a transaction of conditions alone says which of the mirror's
@@ -225,11 +226,11 @@
 
     pthread_mutex_lock(&core->lock);
     for (guint i = 0; i < n; i++)
-        lmn_job_view_take(core, v[i]->ref, &views[i]);
+        lmn_job_view_take(core, v[i]->job_id, &views[i]);
     pthread_mutex_unlock(&core->lock);
     struct lmn_txn *txn = lmn_confirmation_txn(views, n);
     enum lmn_txn_outcome outcome =
-        lmn_kv_client_commit(core->state, client, txn, &revision, failed);
+        lmn_kv_client_commit(core->kv_client, client, txn, &revision, failed);
     lmn_txn_free(txn);
     /* First what is known: a reading takes its time, and an answer grows old. */
     for (guint i = 0; i < n; i++) {
@@ -276,9 +277,9 @@
 static void *query_thread(void *arg)
 {
     struct lmn_core *core = arg;
-    struct lmn_http_client *client = lmn_http_client_new(core->cfg->state);
+    struct lmn_http_client *client = lmn_http_client_new(core->settings->state_address);
     GByteArray *buf = g_byte_array_new();
-    guint max = (guint)MIN(4 * core->cfg->txn_ops, 100);
+    guint max = (guint)MIN(4 * core->settings->max_txn_operations, 100);
     struct lmn_read_request **v = g_new0(struct lmn_read_request *, max), *cancel, *late;
 
     for (;;) {
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -315,7 +315,7 @@
                    struct lmn_http_client **h, GByteArray *in)
 {
     GByteArray *out = g_byte_array_new();
-    uint64_t session = unit->w.agent.session;
+    uint64_t session = unit->w.agent.incarnation;
     struct timespec sent = lmn_now();
     unsigned to = unit->controller;
 
@@ -535,7 +535,7 @@
         const struct unit *unit = v;
         done += unit->w.done;
         failed += unit->w.failed;
-        lapses += unit->w.agent.lapses;
+        lapses += unit->w.agent.expired_leases;
     }
     lmn_gauge(out, "lemonspar_emulated_up", "Emulated machines that are up",
               g_hash_table_size(emulation->units));
--- a/src/emulator/worker.c
+++ b/src/emulator/worker.c
@@ -58,7 +58,8 @@
         if (t->kind == T_FETCH && t->image == r->image)
             return; /* it is on its way */
     }
-    double rate = worker->agent.type.pull > 0 ? worker->agent.type.pull : 1;
+    double rate =
+        worker->agent.type.pull_gb_per_s > 0 ? worker->agent.type.pull_gb_per_s : 1;
     double took = spec->image_gb / rate * (0.75 + 0.6 * g_rand_double(worker->rng));
     worker->image_fetches += spec->image_gb > 0;
     add(worker, T_FETCH, lmn_time_add(now_of_call, took), 0, r->image);
@@ -173,11 +174,11 @@
                               const struct lmn_job_spec *spec, struct timespec now)
 {
     now_of_call = now;
-    if (spec && !g_hash_table_contains(worker->specs, spec->ref)) {
+    if (spec && !g_hash_table_contains(worker->specs, spec->id)) {
         struct lmn_emu_spec *s = g_new0(struct lmn_emu_spec, 1);
         *s = (struct lmn_emu_spec){spec->estimate_s, spec->image_gb,
                                    spec->kind == LMN_JOB_SERVICE};
-        g_hash_table_insert(worker->specs, g_strdup(spec->ref), s);
+        g_hash_table_insert(worker->specs, g_strdup(spec->id), s);
     }
     lmn_agent_described(&worker->agent, id, spec, now);
 }
@@ -212,7 +213,7 @@
         lmn_agent_fetched(&worker->agent, t->image, true, now);
         return;
     case T_EMPTY:
-        lmn_agent_incarnation_ended(&worker->agent, worker->agent.session + 1, now);
+        lmn_agent_incarnation_ended(&worker->agent, worker->agent.incarnation + 1, now);
         return;
     case T_END:
         if (!r || (r->state != LMN_RUN_RUNNING && r->state != LMN_RUN_SAVING))
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -73,7 +73,7 @@
     GByteArray *buffer = g_byte_array_new();
     struct lmn_job_spec s = *spec;
 
-    g_strlcpy(s.ref, local, sizeof s.ref);
+    g_strlcpy(s.id, local, sizeof s.id);
     lmn_cbor_put_map(buffer, lmn_job_spec_pair_count());
     lmn_job_spec_write(buffer, &s);
     return buffer;
@@ -92,7 +92,7 @@
 
     if (lmn_image_store_get(feeder->depot, digest, buffer, &e) == 0 &&
         lmn_task_command_decode(&w, buffer->data, buffer->len, &what) == 0) {
-        g_strlcpy(w.spec.ref, local, sizeof w.spec.ref);
+        g_strlcpy(w.spec.id, local, sizeof w.spec.id);
         GByteArray *mine = lmn_task_command_encode(&w);
         ok = lmn_image_store_put(feeder->depot, mine, own, &e) == 0 &&
              lmn_image_store_bind(feeder->depot, LMN_IMAGE_STORE_KIND_JOB, local, own,
--- a/src/gateway/execution.c
+++ b/src/gateway/execution.c
@@ -120,7 +120,7 @@
         lmn_cbor_parse(&d, o->spec.spec_val, o->spec.spec_len) != 0)
         return; /* nobody can have such a job: there is nothing to answer for */
     bool sane = lmn_job_spec_parse(&spec, &d, lmn_cbor_root(&d), &what) == 0 &&
-                !strcmp(spec.ref, o->ref);
+                !strcmp(spec.id, o->ref);
     lmn_cbor_free(&d);
     bool team = false;
     for (unsigned i = 0; sane && i < gateway->o->nteams; i++)
@@ -192,7 +192,7 @@
             return;
         }
         w.guest->spec = none;
-        g_strlcpy(w.guest->spec.ref, i->ref, LMN_JOB_ID_SIZE);
+        g_strlcpy(w.guest->spec.id, i->ref, LMN_JOB_ID_SIZE);
         w.guest->spec.class_name = g_strdup("none");
         w.guest->spec.team = g_strdup("none");
         w.guest->spec.image = g_strdup("none");
--- a/src/gateway/gateway_process.c
+++ b/src/gateway/gateway_process.c
@@ -65,8 +65,8 @@
     const struct lmn_gateway_job *x = *(struct lmn_gateway_job *const *)a,
                                  *y = *(struct lmn_gateway_job *const *)b;
 
-    if (x->spec.urgency != y->spec.urgency)
-        return x->spec.urgency > y->spec.urgency ? -1 : 1;
+    if (x->spec.priority != y->spec.priority)
+        return x->spec.priority > y->spec.priority ? -1 : 1;
     return x->at < y->at ? -1 : x->at > y->at;
 }
 
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -102,10 +102,10 @@
     for (unsigned i = 0; sane && i < gateway->o->nteams; i++)
         team = team || !strcmp(gateway->o->teams[i], s.team);
     if (sane && team)
-        find_digest(depot, s.ref, digest);
+        find_digest(depot, s.id, digest);
     pthread_mutex_lock(&gateway->book.lock);
     struct lmn_gateway_job *j =
-        *s.ref ? lmn_gateway_records_take_job(&gateway->book, s.ref) : NULL;
+        *s.id ? lmn_gateway_records_take_job(&gateway->book, s.id) : NULL;
     GByteArray *known = j ? job_answer(gateway, j) : NULL;
     if (j)
         lmn_gateway_records_release_job(&gateway->book, j);
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -382,16 +382,16 @@
     spec->team = g_strdup(from->team);
     spec->image = g_strdup(from->image);
     spec->zone = g_strdup(from->zone);
-    spec->types = g_strdupv(from->types);
+    spec->machine_types = g_strdupv(from->machine_types);
 }
 
 struct lmn_gateway_job *lmn_gateway_records_new_job(struct lmn_gateway_records *b,
                                                     const struct lmn_job_spec *spec)
 {
-    if (g_hash_table_contains(b->jobs, spec->ref))
+    if (g_hash_table_contains(b->jobs, spec->id))
         return NULL;
     struct lmn_gateway_job *j = g_new0(struct lmn_gateway_job, 1);
-    g_strlcpy(j->ref, spec->ref, sizeof j->ref);
+    g_strlcpy(j->ref, spec->id, sizeof j->ref);
     copy_spec(&j->spec, spec);
     j->busy = true;
     j->at = lmn_time_seconds(lmn_wall_clock_now());
--- a/src/inventory/inventory.c
+++ b/src/inventory/inventory.c
@@ -38,9 +38,9 @@
         lmn_config_fail(config, p, "named twice");
     type->cpus = lmn_config_number(config, at(p, "types", i, "cpus"), 1, 0.01, 1e5);
     type->gpus = lmn_config_number(config, at(p, "types", i, "gpus"), 0, 0, 1e4);
-    type->mem = lmn_config_number(config, at(p, "types", i, "mem_gb"), 1, 0, 1e6);
+    type->memory_gb = lmn_config_number(config, at(p, "types", i, "mem_gb"), 1, 0, 1e6);
     type->cache_gb = lmn_config_number(config, at(p, "types", i, "cache_gb"), 10, 0, 1e6);
-    type->pull =
+    type->pull_gb_per_s =
         lmn_config_number(config, at(p, "types", i, "pull_gb_per_s"), 1, 1e-6, 1e4);
     type->rate = lmn_config_number(config, at(p, "types", i, "rate"), 1, 0, 1e6);
     type->spot_rate =
@@ -52,7 +52,7 @@
     for (guint k = 0; k < n && k < LMN_MAX_ZONES; k++) {
         char zone[160];
         g_snprintf(zone, sizeof zone, "types[%u].zones[%u]", i, k);
-        g_strlcpy(type->zones[type->nzones++], lmn_config_name(config, zone, NULL),
+        g_strlcpy(type->zones[type->zone_count++], lmn_config_name(config, zone, NULL),
                   LMN_NAME_SIZE);
     }
     inventory->ntypes++;
@@ -73,7 +73,7 @@
     g_strlcpy(zone,
               lmn_config_name(config, at(p, table, i, "zone"), t ? t->zones[0] : NULL),
               LMN_NAME_SIZE);
-    for (int k = 0; t && k < t->nzones; k++)
+    for (int k = 0; t && k < t->zone_count; k++)
         there = there || !strcmp(t->zones[k], zone);
     if (t && !there)
         lmn_config_fail(config, p, "type '%s' has no zone '%s'", t->name, zone);
--- a/src/job/job_spec.c
+++ b/src/job/job_spec.c
@@ -87,8 +87,8 @@
     } while (0)
     NEED("body", map && map->type == LMN_CBOR_MAP);
     NEED(WIRE_JOB_ID, lmn_cbor_get_text(lmn_cbor_get(document, map, WIRE_JOB_ID),
-                                        spec->ref, sizeof spec->ref) &&
-                          lmn_job_id_is_valid(spec->ref));
+                                        spec->id, sizeof spec->id) &&
+                          lmn_job_id_is_valid(spec->id));
     NEED(WIRE_CLASS, get_word(document, map, WIRE_CLASS, &spec->class_name));
     NEED(WIRE_TEAM, get_word(document, map, WIRE_TEAM, &spec->team));
     kind = get_one_of(lmn_cbor_get(document, map, WIRE_JOB_KIND), kinds);
@@ -96,26 +96,26 @@
     spec->kind = (enum lmn_job_kind)kind;
     urgency = get_one_of(lmn_cbor_get(document, map, WIRE_PRIORITY), urgencies);
     NEED(WIRE_PRIORITY, urgency >= 0);
-    spec->urgency = (enum lmn_priority)urgency;
+    spec->priority = (enum lmn_priority)urgency;
     NEED(WIRE_TASKS, lmn_cbor_get_uint(lmn_cbor_get(document, map, WIRE_TASKS), &tasks) &&
                          tasks > 0 && tasks <= LMN_MAX_TASKS);
     spec->tasks = (uint32_t)tasks;
     NEED(WIRE_CPUS, get_amount(document, map, WIRE_CPUS, &spec->cpus));
     NEED(WIRE_GPUS, get_amount(document, map, WIRE_GPUS, &spec->gpus));
-    NEED(WIRE_MEMORY_GB, get_amount(document, map, WIRE_MEMORY_GB, &spec->mem));
+    NEED(WIRE_MEMORY_GB, get_amount(document, map, WIRE_MEMORY_GB, &spec->memory_gb));
     NEED(WIRE_IMAGE, get_word(document, map, WIRE_IMAGE, &spec->image));
     NEED(WIRE_IMAGE_GB, get_amount(document, map, WIRE_IMAGE_GB, &spec->image_gb));
-    NEED(WIRE_MACHINE_TYPES, get_types(document, map, &spec->types));
+    NEED(WIRE_MACHINE_TYPES, get_types(document, map, &spec->machine_types));
     NEED(WIRE_ZONE, !lmn_cbor_get(document, map, WIRE_ZONE) ||
                         get_word(document, map, WIRE_ZONE, &spec->zone));
     NEED(WIRE_ZONE_AFFINITY,
          lmn_cbor_get_bool(lmn_cbor_get(document, map, WIRE_ZONE_AFFINITY),
-                           &spec->one_zone));
+                           &spec->requires_one_zone));
     NEED(WIRE_ZONE_ANTI_AFFINITY,
          lmn_cbor_get_bool(lmn_cbor_get(document, map, WIRE_ZONE_ANTI_AFFINITY),
-                           &spec->spread));
+                           &spec->spreads_over_zones));
     NEED(WIRE_SPOT,
-         lmn_cbor_get_bool(lmn_cbor_get(document, map, WIRE_SPOT), &spec->spot));
+         lmn_cbor_get_bool(lmn_cbor_get(document, map, WIRE_SPOT), &spec->may_use_spot));
     NEED(WIRE_ESTIMATE_S, get_amount(document, map, WIRE_ESTIMATE_S, &spec->estimate_s));
     NEED(WIRE_CHECKPOINT_S,
          get_amount(document, map, WIRE_CHECKPOINT_S, &spec->checkpoint_s));
@@ -134,7 +134,7 @@
     g_free(spec->team);
     g_free(spec->image);
     g_free(spec->zone);
-    g_strfreev(spec->types);
+    g_strfreev(spec->machine_types);
     memset(spec, 0, sizeof *spec);
 }
 
@@ -153,33 +153,34 @@
 
 void lmn_job_spec_write(GByteArray *buffer, const struct lmn_job_spec *spec)
 {
-    lmn_cbor_put_text(buffer, WIRE_JOB_ID), lmn_cbor_put_text(buffer, spec->ref);
+    lmn_cbor_put_text(buffer, WIRE_JOB_ID), lmn_cbor_put_text(buffer, spec->id);
     lmn_cbor_put_text(buffer, WIRE_CLASS), lmn_cbor_put_text(buffer, spec->class_name);
     lmn_cbor_put_text(buffer, WIRE_TEAM), lmn_cbor_put_text(buffer, spec->team);
     lmn_cbor_put_text(buffer, WIRE_JOB_KIND),
         lmn_cbor_put_text(buffer, kinds[spec->kind]);
     lmn_cbor_put_text(buffer, WIRE_PRIORITY),
-        lmn_cbor_put_text(buffer, urgencies[spec->urgency]);
+        lmn_cbor_put_text(buffer, urgencies[spec->priority]);
     lmn_cbor_put_text(buffer, WIRE_TASKS), lmn_cbor_put_uint(buffer, spec->tasks);
     lmn_cbor_put_text(buffer, WIRE_CPUS), lmn_cbor_put_number(buffer, spec->cpus);
     lmn_cbor_put_text(buffer, WIRE_GPUS), lmn_cbor_put_number(buffer, spec->gpus);
-    lmn_cbor_put_text(buffer, WIRE_MEMORY_GB), lmn_cbor_put_number(buffer, spec->mem);
+    lmn_cbor_put_text(buffer, WIRE_MEMORY_GB),
+        lmn_cbor_put_number(buffer, spec->memory_gb);
     lmn_cbor_put_text(buffer, WIRE_IMAGE), lmn_cbor_put_text(buffer, spec->image);
     lmn_cbor_put_text(buffer, WIRE_IMAGE_GB), lmn_cbor_put_number(buffer, spec->image_gb);
     lmn_cbor_put_text(buffer, WIRE_MACHINE_TYPES);
-    if (spec->types) {
-        lmn_cbor_put_array(buffer, g_strv_length(spec->types));
-        for (char **t = spec->types; *t; t++)
+    if (spec->machine_types) {
+        lmn_cbor_put_array(buffer, g_strv_length(spec->machine_types));
+        for (char **t = spec->machine_types; *t; t++)
             lmn_cbor_put_text(buffer, *t);
     } else {
         lmn_cbor_put_null(buffer);
     }
     lmn_cbor_put_text(buffer, WIRE_ZONE), put_or_null(buffer, spec->zone);
     lmn_cbor_put_text(buffer, WIRE_ZONE_AFFINITY),
-        lmn_cbor_put_bool(buffer, spec->one_zone);
+        lmn_cbor_put_bool(buffer, spec->requires_one_zone);
     lmn_cbor_put_text(buffer, WIRE_ZONE_ANTI_AFFINITY),
-        lmn_cbor_put_bool(buffer, spec->spread);
-    lmn_cbor_put_text(buffer, WIRE_SPOT), lmn_cbor_put_bool(buffer, spec->spot);
+        lmn_cbor_put_bool(buffer, spec->spreads_over_zones);
+    lmn_cbor_put_text(buffer, WIRE_SPOT), lmn_cbor_put_bool(buffer, spec->may_use_spot);
     lmn_cbor_put_text(buffer, WIRE_ESTIMATE_S),
         lmn_cbor_put_number(buffer, spec->estimate_s);
     lmn_cbor_put_text(buffer, WIRE_CHECKPOINT_S),
@@ -195,11 +196,13 @@
 bool lmn_job_spec_allows(const struct lmn_job_spec *spec,
                          const struct lmn_machine_type *type, const char *zone, bool spot)
 {
-    if ((spot && !spec->spot) || (spec->zone && strcmp(spec->zone, zone)))
+    if ((spot && !spec->may_use_spot) || (spec->zone && strcmp(spec->zone, zone)))
         return false;
-    if (spec->cpus > type->cpus || spec->gpus > type->gpus || spec->mem > type->mem)
+    if (spec->cpus > type->cpus || spec->gpus > type->gpus ||
+        spec->memory_gb > type->memory_gb)
         return false;
-    return !spec->types || g_strv_contains((const char *const *)spec->types, type->name);
+    return !spec->machine_types ||
+           g_strv_contains((const char *const *)spec->machine_types, type->name);
 }
 
 bool lmn_job_spec_is_feasible(const struct lmn_job_spec *spec,
@@ -220,7 +223,7 @@
         return false;
     }
     for (size_t i = 0; i < types->n && !fits; i++)
-        for (int z = 0; z < types->v[i].nzones && !fits; z++)
+        for (int z = 0; z < types->v[i].zone_count && !fits; z++)
             fits = lmn_job_spec_allows(spec, &types->v[i], types->v[i].zones[z], false);
     if (!fits)
         *why = "a task fits no allowed machine type";
@@ -281,7 +284,7 @@
 bool lmn_job_spec_has_objective(const struct lmn_settings *cfg,
                                 const struct lmn_job_spec *spec)
 {
-    for (size_t i = 0; i < cfg->nobjectives; i++)
+    for (size_t i = 0; i < cfg->objective_count; i++)
         if (lmn_objective_applies(&cfg->objectives[i], spec))
             return true;
     return spec->deadline_s >= 0;
--- a/src/job/job_spec.h
+++ b/src/job/job_spec.h
@@ -20,9 +20,9 @@
 
 struct lmn_machine_type {
     char name[LMN_NAME_SIZE];
-    double cpus, gpus, mem, cache_gb, pull, rate, spot_rate, ready_s;
+    double cpus, gpus, memory_gb, cache_gb, pull_gb_per_s, rate, spot_rate, ready_s;
     char zones[LMN_MAX_ZONES][LMN_NAME_SIZE];
-    int nzones;
+    int zone_count;
 };
 
 struct lmn_machine_types {
@@ -31,15 +31,15 @@
 };
 
 struct lmn_job_spec {
-    char ref[LMN_JOB_ID_SIZE];
+    char id[LMN_JOB_ID_SIZE];
     char *class_name, *team, *image, *zone;
-    char **types; /* NULL: any */
+    char **machine_types; /* NULL: any */
     enum lmn_job_kind kind;
-    enum lmn_priority urgency;
+    enum lmn_priority priority;
     uint32_t tasks;
-    double cpus, gpus, mem, image_gb, estimate_s, checkpoint_s, save_s;
+    double cpus, gpus, memory_gb, image_gb, estimate_s, checkpoint_s, save_s;
     double deadline_s; /* negative: none */
-    bool one_zone, spread, spot;
+    bool requires_one_zone, spreads_over_zones, may_use_spot;
 };
 
 /* The form of ids; everything else can never have been accepted. */
--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -30,7 +30,7 @@
 };
 
 struct lmn_txn {
-    enum lmn_write_priority rank;
+    enum lmn_write_priority priority;
     lmn_txn_callback *done;
     void *arg;
     GArray *conds, *changes;
@@ -55,7 +55,7 @@
                             void *arg)
 {
     struct lmn_txn *txn = g_new0(struct lmn_txn, 1);
-    txn->rank = priority;
+    txn->priority = priority;
     txn->done = done;
     txn->arg = arg;
     txn->conds = g_array_new(FALSE, FALSE, sizeof(struct cond));
@@ -112,7 +112,7 @@
 
 struct lmn_txn *lmn_txn_copy(const struct lmn_txn *txn)
 {
-    struct lmn_txn *twin = lmn_txn_new(txn->rank, txn->done, txn->arg);
+    struct lmn_txn *twin = lmn_txn_new(txn->priority, txn->done, txn->arg);
 
     for (guint i = 0; i < txn->conds->len; i++) {
         const struct cond *c = &g_array_index(txn->conds, struct cond, i);
@@ -164,7 +164,7 @@
 struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *cfg)
 {
     struct lmn_kv_client *client = g_new0(struct lmn_kv_client, 1);
-    double share = 1.0 / (double)(cfg->nmembers + 1);
+    double share = 1.0 / (double)(cfg->member_count + 1);
     struct timespec now = lmn_now();
 
     client->cfg = cfg;
@@ -173,10 +173,10 @@
     for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
         g_queue_init(&client->queue[i]);
     /* Each member keeps to its part, a little less for the service's own clock. */
-    lmn_token_bucket_init(&client->requests, cfg->state_rps * share * 0.95,
-                          MAX(cfg->state_rps * share * 0.5, 2), now);
-    lmn_token_bucket_init(&client->writes, cfg->state_write_rps * share * 0.95,
-                          MAX(cfg->state_write_rps * share * 0.9, 4), now);
+    lmn_token_bucket_init(&client->requests, cfg->state_requests_per_s * share * 0.95,
+                          MAX(cfg->state_requests_per_s * share * 0.5, 2), now);
+    lmn_token_bucket_init(&client->writes, cfg->state_writes_per_s * share * 0.95,
+                          MAX(cfg->state_writes_per_s * share * 0.9, 4), now);
     lmn_token_bucket_init(&client->lazy, 0.5 * client->writes.rate, client->writes.burst,
                           now);
     lmn_latency_init(&client->writing);
@@ -223,9 +223,9 @@
 {
     pthread_mutex_lock(&client->lock);
     txn->since = lmn_now();
-    g_queue_push_tail(&client->queue[txn->rank], txn);
-    client->queued_changes[txn->rank] += txn->changes->len;
-    if (txn->rank == LMN_WRITE_DEFERRABLE)
+    g_queue_push_tail(&client->queue[txn->priority], txn);
+    client->queued_changes[txn->priority] += txn->changes->len;
+    if (txn->priority == LMN_WRITE_DEFERRABLE)
         client->lazy.level -= txn->changes->len;
     pthread_cond_signal(&client->more);
     pthread_mutex_unlock(&client->lock);
@@ -442,10 +442,11 @@
         for (GList *l = client->queue[r].head; l && n < max;) {
             struct lmn_txn *txn = l->data;
             GList *next = l->next;
-            bool fits = affords(client, r, changes + txn->changes->len) &&
-                        changes + txn->changes->len <= (guint)client->cfg->txn_ops &&
-                        conds + txn->conds->len <= 4 * (guint)client->cfg->txn_ops &&
-                        bytes + txn->bytes <= TXN_BYTES;
+            bool fits =
+                affords(client, r, changes + txn->changes->len) &&
+                changes + txn->changes->len <= (guint)client->cfg->max_txn_operations &&
+                conds + txn->conds->len <= 4 * (guint)client->cfg->max_txn_operations &&
+                bytes + txn->bytes <= TXN_BYTES;
             for (guint i = 0; i < n && fits; i++)
                 fits = !collides(v[i], txn) && !collides(txn, v[i]);
             if (fits || (n == 0 && affords(client, r, txn->changes->len))) {
@@ -517,7 +518,7 @@
 static void *writer(void *arg)
 {
     struct lmn_kv_client *s = arg;
-    struct lmn_http_client *h = lmn_http_client_new(s->cfg->state);
+    struct lmn_http_client *h = lmn_http_client_new(s->cfg->state_address);
     struct lmn_txn *v[64];
 
     for (;;) {
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -92,7 +92,8 @@
     g_string_append_printf(text,
                            "cpus = %g\ngpus = %g\nmem_gb = %g\ncache_gb = %g\n"
                            "pull_gb_per_s = %g\n",
-                           type->cpus, type->gpus, type->mem, type->cache_gb, type->pull);
+                           type->cpus, type->gpus, type->memory_gb, type->cache_gb,
+                           type->pull_gb_per_s);
     return text;
 }
 
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -28,17 +28,18 @@
     lmn_cbor_put_text(buffer, WIRE_TYPE_NAME), lmn_cbor_put_text(buffer, type->name);
     lmn_cbor_put_text(buffer, WIRE_CPUS), lmn_cbor_put_number(buffer, type->cpus);
     lmn_cbor_put_text(buffer, WIRE_GPUS), lmn_cbor_put_number(buffer, type->gpus);
-    lmn_cbor_put_text(buffer, WIRE_MEMORY_GB), lmn_cbor_put_number(buffer, type->mem);
+    lmn_cbor_put_text(buffer, WIRE_MEMORY_GB),
+        lmn_cbor_put_number(buffer, type->memory_gb);
     lmn_cbor_put_text(buffer, WIRE_CACHE_GB), lmn_cbor_put_number(buffer, type->cache_gb);
     lmn_cbor_put_text(buffer, WIRE_PULL_GB_PER_S),
-        lmn_cbor_put_number(buffer, type->pull);
+        lmn_cbor_put_number(buffer, type->pull_gb_per_s);
     lmn_cbor_put_text(buffer, WIRE_PRICE), lmn_cbor_put_number(buffer, type->rate);
     lmn_cbor_put_text(buffer, WIRE_SPOT_PRICE),
         lmn_cbor_put_number(buffer, type->spot_rate);
     lmn_cbor_put_text(buffer, WIRE_BOOT_S), lmn_cbor_put_number(buffer, type->ready_s);
     lmn_cbor_put_text(buffer, WIRE_ZONES),
-        lmn_cbor_put_array(buffer, (size_t)type->nzones);
-    for (int i = 0; i < type->nzones; i++)
+        lmn_cbor_put_array(buffer, (size_t)type->zone_count);
+    for (int i = 0; i < type->zone_count; i++)
         lmn_cbor_put_text(buffer, type->zones[i]);
 }
 
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -80,9 +80,10 @@
                           sizeof as->type.name);
         lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_CPUS), &as->type.cpus);
         lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_GPUS), &as->type.gpus);
-        lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_MEMORY_GB), &as->type.mem);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_MEMORY_GB), &as->type.memory_gb);
         lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_CACHE_GB), &as->type.cache_gb);
-        lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_PULL_GB_PER_S), &as->type.pull);
+        lmn_cbor_get_number(lmn_cbor_get(&d, root, WIRE_PULL_GB_PER_S),
+                            &as->type.pull_gb_per_s);
         lmn_cbor_free(&d);
     } else if (status == 404) {
         lmn_error("slot-unknown slot=%s mend=\"name it in the fleet's inventory\"",
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -556,10 +556,11 @@
     lmn_cbor_put_text(buffer, WIRE_MACHINE_TYPE), lmn_cbor_put_text(buffer, type->name);
     lmn_cbor_put_text(buffer, WIRE_CPUS), lmn_cbor_put_number(buffer, type->cpus);
     lmn_cbor_put_text(buffer, WIRE_GPUS), lmn_cbor_put_number(buffer, type->gpus);
-    lmn_cbor_put_text(buffer, WIRE_MEMORY_GB), lmn_cbor_put_number(buffer, type->mem);
+    lmn_cbor_put_text(buffer, WIRE_MEMORY_GB),
+        lmn_cbor_put_number(buffer, type->memory_gb);
     lmn_cbor_put_text(buffer, WIRE_CACHE_GB), lmn_cbor_put_number(buffer, type->cache_gb);
     lmn_cbor_put_text(buffer, WIRE_PULL_GB_PER_S),
-        lmn_cbor_put_number(buffer, type->pull);
+        lmn_cbor_put_number(buffer, type->pull_gb_per_s);
     lmn_http_request_respond(request, 200, buffer, 0);
     return true;
 }
--- a/src/membership/failure_detector.c
+++ b/src/membership/failure_detector.c
@@ -24,15 +24,17 @@
 /* Enough of its workers for a side of their own: a twentieth of those recorded. */
 static unsigned enough(const struct lmn_member_view *member)
 {
-    return member->machines ? CLAMP(member->machines / 20, MIN(3, member->machines),
-                                    LMN_MAX_REDIRECTED_WORKERS / 2)
-                            : LMN_MAX_REDIRECTED_WORKERS + 1;
+    return member->machine_count
+               ? CLAMP(member->machine_count / 20, MIN(3, member->machine_count),
+                       LMN_MAX_REDIRECTED_WORKERS / 2)
+               : LMN_MAX_REDIRECTED_WORKERS + 1;
 }
 
 static bool deaf(const struct lmn_failure_evidence *evidence,
                  const struct lmn_member_view *member)
 {
-    return evidence->deaf > DEAF && evidence->visitors >= enough(member);
+    return evidence->silent_machine_share > DEAF &&
+           evidence->redirected_workers >= enough(member);
 }
 
 static void hear_witness(const struct lmn_members *members,
@@ -40,71 +42,79 @@
                          const struct lmn_gossip_record *record, struct timespec now,
                          struct lmn_failure_evidence *evidence)
 {
-    double age = lmn_time_diff_s(now, record->at);
+    double age = lmn_time_diff_s(now, record->received_at);
 
-    if (!record->at.tv_sec || age > TELLING_S)
+    if (!record->received_at.tv_sec || age > TELLING_S)
         return;
-    evidence->visitors = MAX(evidence->visitors, record->s.visitors);
-    if (record->s.unanswered_s <= 0) {
+    evidence->redirected_workers =
+        MAX(evidence->redirected_workers, record->statement.redirected_workers);
+    if (record->statement.unanswered_age_s <= 0) {
         /* Heard since our question, and lately: it is asked again at once when somebody
          * asks about it. */
-        double heard = record->s.heard_s + age;
-        evidence->alive =
-            evidence->alive || (record->s.heard_s >= 0 && member->unanswered.tv_sec &&
-                                heard < lmn_time_diff_s(now, member->unanswered) &&
-                                heard < members->t.patience_s + 2 * members->t.every_s);
+        double heard = record->statement.last_contact_age_s + age;
+        evidence->is_reached_by_others =
+            evidence->is_reached_by_others ||
+            (record->statement.last_contact_age_s >= 0 &&
+             member->unanswered_since.tv_sec &&
+             heard < lmn_time_diff_s(now, member->unanswered_since) &&
+             heard < members->timeouts.probe_timeout_s +
+                         2 * members->timeouts.probe_interval_s);
         return;
     }
-    double phi = lmn_phi_accrual_phi(&member->answers, (record->s.unanswered_s + age) /
-                                                           (1 + members->health));
-    evidence->others = MAX(evidence->others, phi);
-    evidence->by += record->s.inc == member->inc && phi >= AGAINST_PHI;
+    double phi = lmn_phi_accrual_phi(&member->reply_times,
+                                     (record->statement.unanswered_age_s + age) /
+                                         (1 + members->local_health));
+    evidence->best_other_phi = MAX(evidence->best_other_phi, phi);
+    evidence->other_witnesses +=
+        record->statement.incarnation == member->incarnation && phi >= AGAINST_PHI;
 }
 
 void lmn_member_failure_evidence(const struct lmn_members *members, int member_index,
                                  struct timespec now,
                                  struct lmn_failure_evidence *evidence)
 {
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
 
     memset(evidence, 0, sizeof *evidence);
-    if (member->unanswered.tv_sec && member->ever)
-        evidence->asked = lmn_phi_accrual_phi(&member->answers,
-                                              lmn_time_diff_s(now, member->unanswered) /
-                                                  (1 + members->health));
-    evidence->visitors = lmn_member_redirected_workers(members, member_index, now);
-    for (int k = 0; k < members->n; k++)
-        if (k != member_index && k != members->me)
-            hear_witness(members, member, &member->witness[k], now, evidence);
-    double age = lmn_time_diff_s(now, member->word_at);
-    if (member->word_at.tv_sec && age < TELLING_S) {
-        evidence->stale_s = member->word.stale_s;
-        evidence->deaf = member->word.deaf;
+    if (member->unanswered_since.tv_sec && member->ever_contacted)
+        evidence->own_phi = lmn_phi_accrual_phi(
+            &member->reply_times,
+            lmn_time_diff_s(now, member->unanswered_since) / (1 + members->local_health));
+    evidence->redirected_workers =
+        lmn_member_redirected_workers(members, member_index, now);
+    for (int k = 0; k < members->count; k++)
+        if (k != member_index && k != members->self)
+            hear_witness(members, member, &member->gossip[k], now, evidence);
+    double age = lmn_time_diff_s(now, member->health_at);
+    if (member->health_at.tv_sec && age < TELLING_S) {
+        evidence->cache_age_s = member->health.cache_age_s;
+        evidence->silent_machine_share = member->health.silent_machine_share;
     }
-    bool asked = evidence->asked >= AGAINST_PHI && !evidence->alive;
+    bool asked = evidence->own_phi >= AGAINST_PHI && !evidence->is_reached_by_others;
     /* Its mirror has stood still while ours moved all the time: when an outage ends, some
      * hear of it a moment before others. */
-    if (!asked && evidence->stale_s > BLIND_S &&
-        lmn_time_diff_s(now, member->inc_at) > BLIND_S &&
-        lmn_time_diff_s(now, members->steady) > evidence->stale_s + age &&
-        lmn_time_diff_s(now, members->fresh) < SEEING_S) {
+    if (!asked && evidence->cache_age_s > BLIND_S &&
+        lmn_time_diff_s(now, member->incarnation_seen_at) > BLIND_S &&
+        lmn_time_diff_s(now, members->cache_fresh_since) > evidence->cache_age_s + age &&
+        lmn_time_diff_s(now, members->cache_fresh_at) < SEEING_S) {
         evidence->cause = LMN_CAUSE_STALE_CACHE;
-        evidence->sides = 2; /* its own word, and our mirror */
+        evidence->independent_witnesses = 2; /* its own word, and our mirror */
     } else if (!asked && deaf(evidence, member)) {
         evidence->cause = LMN_CAUSE_NO_HEARTBEATS;
-        evidence->sides = 2; /* its own word, and its workers */
+        evidence->independent_witnesses = 2; /* its own word, and its workers */
     } else {
         evidence->cause = LMN_CAUSE_UNRESPONSIVE;
-        evidence->sides = asked + (asked && evidence->by) +
-                          (asked && evidence->visitors >= enough(member));
+        evidence->independent_witnesses =
+            asked + (asked && evidence->other_witnesses) +
+            (asked && evidence->redirected_workers >= enough(member));
     }
 }
 
 bool lmn_member_is_suspected(const struct lmn_members *members, int member_index)
 {
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
 
-    return member->present && member->doubt_inc == member->inc;
+    return member->is_present && member->suspected_incarnation == member->incarnation;
 }
 
 /* After a refutation the next suspicion waits, longer each time; it is forgotten as
@@ -112,19 +122,20 @@
 static bool refuted_lately(const struct lmn_members *members,
                            const struct lmn_member_view *member, struct timespec now)
 {
-    double since = lmn_time_diff_s(now, member->refuted);
-    unsigned n = member->refutes - MIN(member->refutes, (unsigned)(since / FORGIVE_S));
+    double since = lmn_time_diff_s(now, member->last_refutation_at);
+    unsigned n =
+        member->refutations - MIN(member->refutations, (unsigned)(since / FORGIVE_S));
 
-    return member->refuted.tv_sec && n &&
-           since <
-               MIN(members->t.every_s * (double)(1u << MIN(n, 10u)), members->t.lease_s);
+    return member->last_refutation_at.tv_sec && n &&
+           since < MIN(members->timeouts.probe_interval_s * (double)(1u << MIN(n, 10u)),
+                       members->timeouts.lease_s);
 }
 
 static bool others_to_ask(const struct lmn_members *members, int about)
 {
-    for (int i = 0; i < members->n; i++)
-        if (i != members->me && i != about && members->v[i].present &&
-            !members->v[i].unanswered.tv_sec)
+    for (int i = 0; i < members->count; i++)
+        if (i != members->self && i != about && members->views[i].is_present &&
+            !members->views[i].unanswered_since.tv_sec)
             return true;
     return false;
 }
@@ -132,22 +143,24 @@
 bool lmn_member_should_suspect(const struct lmn_members *members, int member_index,
                                struct timespec now, struct lmn_failure_evidence *evidence)
 {
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
 
     lmn_member_failure_evidence(members, member_index, now, evidence);
-    if (member_index == members->me || !member->present ||
+    if (member_index == members->self || !member->is_present ||
         lmn_member_is_suspected(members, member_index) ||
         !lmn_self_may_claim(members, now) ||
-        (refuted_lately(members, member, now) && evidence->visitors < enough(member)))
+        (refuted_lately(members, member, now) &&
+         evidence->redirected_workers < enough(member)))
         return false;
     if (evidence->cause != LMN_CAUSE_UNRESPONSIVE)
-        return evidence->sides >= 2;
+        return evidence->independent_witnesses >= 2;
     /* Another has had the time to say that it hears it, if there is one to ask. */
-    return evidence->sides >= 1 &&
-           (!others_to_ask(members, member_index) || evidence->by ||
-            lmn_time_before(member->unanswered, member->helped_at) ||
-            lmn_time_diff_s(now, member->unanswered) >
-                members->t.patience_s + 2 * members->t.every_s);
+    return evidence->independent_witnesses >= 1 &&
+           (!others_to_ask(members, member_index) || evidence->other_witnesses ||
+            lmn_time_before(member->unanswered_since, member->last_gossip_at) ||
+            lmn_time_diff_s(now, member->unanswered_since) >
+                members->timeouts.probe_timeout_s +
+                    2 * members->timeouts.probe_interval_s);
 }
 
 /* So many verdicts at a time as leave a majority of those that were up: if most seem
@@ -158,69 +171,74 @@
 {
     int up = 1, gone = 0;
 
-    for (int i = 0; i < members->n; i++) {
-        const struct lmn_member_view *o = &members->v[i];
-        if (i == members->me || !o->ever ||
-            (!o->present && lmn_time_diff_s(now, o->since) > LATELY_S))
+    for (int i = 0; i < members->count; i++) {
+        const struct lmn_member_view *o = &members->views[i];
+        if (i == members->self || !o->ever_contacted ||
+            (!o->is_present && lmn_time_diff_s(now, o->present_since) > LATELY_S))
             continue;
         up++;
         /* Itself is counted below: once a first partition of it was taken it counted
          * twice, and the others waited for its workers. */
-        gone += o != m && (!o->present || (o->judged && o->unanswered.tv_sec));
+        gone += o != m &&
+                (!o->is_present || (o->is_declared_failed && o->unanswered_since.tv_sec));
     }
     /* Of two, each may judge the other: there, the unanswered suspicion is what tells. */
-    return members->n <= 2 || evidence->visitors >= enough(m) || 2 * (up - gone - 1) > up;
+    return members->count <= 2 || evidence->redirected_workers >= enough(m) ||
+           2 * (up - gone - 1) > up;
 }
 
 bool lmn_member_is_declared_failed(const struct lmn_members *members, int member_index,
                                    struct timespec now)
 {
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
     struct lmn_failure_evidence e;
 
-    if (member_index == members->me || !lmn_member_is_suspected(members, member_index) ||
+    if (member_index == members->self ||
+        !lmn_member_is_suspected(members, member_index) ||
         !lmn_self_may_claim(members, now))
         return false;
     lmn_member_failure_evidence(members, member_index, now, &e);
-    double stands =
-        members->t.doubt_s * (1 + members->health) * (members->n <= 2 ? 2 : 1) +
-        MIN(2 * member->word.behind_s, members->t.lease_s);
-    return e.sides >= (members->n <= 2 ? 1u : 2u) &&
-           lmn_time_diff_s(members->fresh, member->doubted) >= stands &&
+    double stands = members->timeouts.suspicion_s * (1 + members->local_health) *
+                        (members->count <= 2 ? 2 : 1) +
+                    MIN(2 * member->health.delay_s, members->timeouts.lease_s);
+    return e.independent_witnesses >= (members->count <= 2 ? 1u : 2u) &&
+           lmn_time_diff_s(members->cache_fresh_at, member->suspected_since) >= stands &&
            in_bounds(members, member, &e, now);
 }
 
 bool lmn_member_is_trusted(const struct lmn_members *members, int member_index,
                            struct timespec now)
 {
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
     struct lmn_failure_evidence e;
 
-    if (member->leaving)
+    if (member->is_shutting_down)
         return false;
-    if (member_index == members->me)
+    if (member_index == members->self)
         return lmn_self_may_claim(members, now) &&
                !lmn_member_is_suspected(members, member_index);
-    if (!member->present || member->judged ||
+    if (!member->is_present || member->is_declared_failed ||
         lmn_member_is_suspected(members, member_index))
         return false;
     lmn_member_failure_evidence(members, member_index, now, &e);
-    return e.asked < AGAINST_PHI && e.stale_s <= BLIND_S && e.deaf <= DEAF;
+    return e.own_phi < AGAINST_PHI && e.cache_age_s <= BLIND_S &&
+           e.silent_machine_share <= DEAF;
 }
 
 double lmn_member_readmission_delay_s(const struct lmn_members *members, int member_index,
                                       struct timespec now)
 {
-    const struct lmn_member_view *member = &members->v[member_index];
-    unsigned forgiven = member->struck.tv_sec
-                            ? (unsigned)(lmn_time_diff_s(now, member->struck) / FORGIVE_S)
-                            : member->strikes;
-    unsigned n = member->strikes - MIN(member->strikes, forgiven);
+    const struct lmn_member_view *member = &members->views[member_index];
+    unsigned forgiven =
+        member->last_failure_at.tv_sec
+            ? (unsigned)(lmn_time_diff_s(now, member->last_failure_at) / FORGIVE_S)
+            : member->failures_declared;
+    unsigned n = member->failures_declared - MIN(member->failures_declared, forgiven);
     double least = BACK_S * (double)(1u << (n ? n - 1 : 0));
-    double up = lmn_time_diff_s(now, member->since);
+    double up = lmn_time_diff_s(now, member->present_since);
 
-    if (member->struck.tv_sec)
-        up = MIN(up, lmn_time_diff_s(now, member->struck));
+    if (member->last_failure_at.tv_sec)
+        up = MIN(up, lmn_time_diff_s(now, member->last_failure_at));
     return MAX(least - up, 0);
 }
 
@@ -228,37 +246,39 @@
 
 bool lmn_self_may_claim(const struct lmn_members *members, struct timespec now)
 {
-    return members->synced.tv_sec && lmn_time_diff_s(now, members->synced) >= SETTLE_S &&
-           lmn_self_may_reply(members, now) && !members->shut &&
-           lmn_time_diff_s(now, members->fresh) < BLIND_S;
+    return members->synced_at.tv_sec &&
+           lmn_time_diff_s(now, members->synced_at) >= SETTLE_S &&
+           lmn_self_may_reply(members, now) && !members->is_isolated_from_workers &&
+           lmn_time_diff_s(now, members->cache_fresh_at) < BLIND_S;
 }
 
 bool lmn_self_should_refute(const struct lmn_members *members, struct timespec now)
 {
-    const struct lmn_member_view *member = &members->v[members->me];
+    const struct lmn_member_view *member = &members->views[members->self];
 
-    return lmn_member_is_suspected(members, members->me) &&
+    return lmn_member_is_suspected(members, members->self) &&
            lmn_self_may_reply(members, now) &&
-           (member->doubt_why != LMN_CAUSE_NO_HEARTBEATS || members->word.deaf <= DEAF);
+           (member->suspicion_cause != LMN_CAUSE_NO_HEARTBEATS ||
+            members->health.silent_machine_share <= DEAF);
 }
 
 int lmn_self_transfer_target(const struct lmn_members *members, struct timespec now)
 {
-    const struct lmn_member_view *member = &members->v[members->me];
+    const struct lmn_member_view *member = &members->views[members->self];
     unsigned most = 0;
     int successor = -1;
 
-    if (members->word.deaf <= DEAF || !lmn_self_may_reply(members, now))
+    if (members->health.silent_machine_share <= DEAF || !lmn_self_may_reply(members, now))
         return -1;
-    for (int k = 0; k < members->n; k++) {
-        const struct lmn_gossip_record *record = &member->witness[k];
-        if (k == members->me || !record->at.tv_sec ||
-            lmn_time_diff_s(now, record->at) > TELLING_S ||
-            record->s.visitors < enough(member) ||
+    for (int k = 0; k < members->count; k++) {
+        const struct lmn_gossip_record *record = &member->gossip[k];
+        if (k == members->self || !record->received_at.tv_sec ||
+            lmn_time_diff_s(now, record->received_at) > TELLING_S ||
+            record->statement.redirected_workers < enough(member) ||
             !lmn_member_is_trusted(members, k, now))
             continue;
-        if (record->s.visitors > most) {
-            most = record->s.visitors;
+        if (record->statement.redirected_workers > most) {
+            most = record->statement.redirected_workers;
             successor = k;
         }
     }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -17,14 +17,14 @@
 
 /* What follows from the settings. */
 struct lmn_membership_timeouts {
-    double lease_s;    /* of a member's lease in the state service: 0.4 of the workers',
-                          2 to 8 */
-    double every_s;    /* between questions: a sixteenth of it */
-    double patience_s; /* for an answer at the least */
-    double doubt_s;    /* for which a suspicion stands before a verdict: a sixth of the
-                          lease, a second at least */
-    double jump_s;     /* a tick that comes later than this was a stand-still */
-    double overdue_s;  /* a worker that is silent for so long was not heard */
+    double lease_s; /* of a member's lease in the state service: 0.4 of the workers',
+                       2 to 8 */
+    double probe_interval_s; /* between questions: a sixteenth of it */
+    double probe_timeout_s;  /* for an answer at the least */
+    double suspicion_s; /* for which a suspicion stands before a verdict: a sixth of the
+                       lease, a second at least */
+    double stall_s;     /* a tick that comes later than this was a stand-still */
+    double heartbeat_overdue_s; /* a worker that is silent for so long was not heard */
 };
 void lmn_membership_timeouts_init(const struct lmn_settings *cfg,
                                   struct lmn_membership_timeouts *timeouts);
@@ -40,97 +40,104 @@
 
 /* A member's word of itself. */
 struct lmn_member_health {
-    double behind_s; /* how late it does what is due */
-    double stale_s;  /* the age of its mirror */
-    double deaf;     /* the part of its machines that it does not hear, 0 to 1 */
+    double delay_s;     /* how late it does what is due */
+    double cache_age_s; /* the age of its mirror */
+    double
+        silent_machine_share; /* the part of its machines that it does not hear, 0 to 1 */
 };
 
 /* What one member says of another; ages as of its telling. */
 struct lmn_gossip_statement {
-    int of;
-    uint64_t inc;        /* of the member as the teller's mirror shows it */
-    double heard_s;      /* since the last sign of life; negative: never */
-    double unanswered_s; /* since the first question that was not answered; 0: none */
-    unsigned visitors;   /* its workers that came to the teller lately */
+    int member;
+    uint64_t incarnation;      /* of the member as the teller's mirror shows it */
+    double last_contact_age_s; /* since the last sign of life; negative: never */
+    double unanswered_age_s; /* since the first question that was not answered; 0: none */
+    unsigned redirected_workers; /* its workers that came to the teller lately */
 };
 enum { LMN_MAX_GOSSIP_STATEMENTS = 8 }; /* at most so many go along with a question */
 
 struct lmn_gossip_record {
-    struct timespec at; /* when it was told; 0: never */
-    struct lmn_gossip_statement s;
+    struct timespec received_at; /* when it was told; 0: never */
+    struct lmn_gossip_statement statement;
 };
 
 enum { LMN_MAX_REDIRECTED_WORKERS = 64 };
 
 struct lmn_member_view {
     /* as the mirror shows it */
-    bool present;           /* it has a record, tied to its lease */
-    bool leaving;           /* which says that it is about to end */
-    uint64_t inc;           /* that record's revision: its incarnation */
-    uint64_t rev;           /* of the record's last change, its end included */
-    struct timespec inc_at; /* when the mirror showed this incarnation */
+    bool is_present;       /* it has a record, tied to its lease */
+    bool is_shutting_down; /* which says that it is about to end */
+    uint64_t incarnation;  /* that record's revision: its incarnation */
+    uint64_t revision;     /* of the record's last change, its end included */
+    struct timespec incarnation_seen_at; /* when the mirror showed this incarnation */
     uint64_t lease;
-    uint32_t gen;
-    struct timespec since; /* when present last changed */
+    uint32_t generation;
+    struct timespec present_since; /* when present last changed */
     /* a suspicion as recorded; it counts while it is about this incarnation */
-    uint64_t doubt_inc, doubt_rev, doubt_seen;
-    char doubt_by[LMN_NAME_SIZE];
-    enum lmn_suspicion_cause doubt_why;
-    uint32_t doubt_gen;
-    struct timespec doubted; /* since when it has stood, the mirror fresh all the while */
+    uint64_t suspected_incarnation, suspicion_revision, suspicion_seen_revision;
+    char suspected_by[LMN_NAME_SIZE];
+    enum lmn_suspicion_cause suspicion_cause;
+    uint32_t suspicion_generation;
+    struct timespec
+        suspected_since; /* since when it has stood, the mirror fresh all the while */
     /* our own questions */
-    bool ever;                  /* heard by this process */
-    struct timespec heard;      /* a time at which it surely lived */
-    struct timespec unanswered; /* when the first of the questions that it has not
+    bool ever_contacted;              /* heard by this process */
+    struct timespec last_contact_at;  /* a time at which it surely lived */
+    struct timespec unanswered_since; /* when the first of the questions that it has not
                                    answered since was sent; 0: none */
-    unsigned failures;          /* of them */
-    bool excused;               /* another has heard it meanwhile: the fault was here */
-    bool soon;                  /* to be asked next */
-    struct timespec next;       /* not to be asked before */
-    unsigned helped;            /* how many others were asked about it in this turn */
-    struct timespec help;       /* when the next of them may be asked */
-    struct timespec helped_at;  /* when somebody last spoke of it */
-    struct lmn_phi_accrual answers;
-    struct lmn_member_health word;
-    struct timespec word_at;
+    unsigned probe_failures;          /* of them */
+    bool reached_by_others; /* another has heard it meanwhile: the fault was here */
+    bool probe_next;        /* to be asked next */
+    struct timespec next_probe_at; /* not to be asked before */
+    unsigned indirect_probes;      /* how many others were asked about it in this turn */
+    struct timespec next_indirect_probe_at; /* when the next of them may be asked */
+    struct timespec last_gossip_at;         /* when somebody last spoke of it */
+    struct lmn_phi_accrual reply_times;
+    struct lmn_member_health health;
+    struct timespec health_at;
     struct lmn_gossip_record
-        witness[LMN_MAX_MEMBERS + 1]; /* what others say of it, by rank */
+        gossip[LMN_MAX_MEMBERS + 1]; /* what others say of it, by rank */
     /* its workers that came here, having given it up: distinct names (hashed) */
     struct {
         guint who;
         uint64_t session, seq; /* of its latest report here */
         struct timespec at;
-    } visitors[LMN_MAX_REDIRECTED_WORKERS];
-    guint machines; /* recorded of the partitions that it owns; the caller keeps it */
+    } redirected_workers[LMN_MAX_REDIRECTED_WORKERS];
+    guint
+        machine_count; /* recorded of the partitions that it owns; the caller keeps it */
     /* coming back */
-    unsigned strikes;
-    struct timespec struck;
-    unsigned refutes; /* lately */
-    struct timespec refuted;
-    bool judged;
+    unsigned failures_declared;
+    struct timespec last_failure_at;
+    unsigned refutations; /* lately */
+    struct timespec last_refutation_at;
+    bool is_declared_failed;
 };
 
 struct lmn_members {
-    const struct lmn_settings *cfg;
-    struct lmn_membership_timeouts t;
-    int n, me;                              /* all members, and this one's rank */
+    const struct lmn_settings *settings;
+    struct lmn_membership_timeouts timeouts;
+    int count, self;                        /* all members, and this one's rank */
     const char *names[LMN_MAX_MEMBERS + 1]; /* by rank, the settings' */
-    struct lmn_member_view v[LMN_MAX_MEMBERS + 1];
-    int order[LMN_MAX_MEMBERS + 1], at; /* of questions, shuffled each round */
-    int turn, told;                     /* where the next look over members begins */
-    struct timespec next, beyond;       /* the next question of the round is due, and
-                                           the next beyond it */
+    struct lmn_member_view views[LMN_MAX_MEMBERS + 1];
+    int probe_order[LMN_MAX_MEMBERS + 1],
+        probe_position;                 /* of questions, shuffled each round */
+    int indirect_cursor, gossip_cursor; /* where the next look over members begins */
+    struct timespec next_probe_at, next_extra_probe_at; /* the next question of the round
+                                     is due, and the next beyond it */
     /* of this node */
-    struct timespec tick, woke, synced, fresh;
-    struct timespec steady; /* since when the mirror has been fresh without a gap */
-    struct lmn_member_health word;
-    double late_s;   /* of the ticks, smoothed */
-    unsigned health; /* 0: well, to 8: its own clocks are not to be trusted */
-    bool shut;       /* it hears no workers: it owns nothing until one reaches it */
-    struct timespec heard_worker;
+    struct timespec last_tick_at, resumed_at, synced_at, cache_fresh_at;
+    struct timespec
+        cache_fresh_since; /* since when the mirror has been fresh without a gap */
+    struct lmn_member_health health;
+    double tick_delay_s;   /* of the ticks, smoothed */
+    unsigned local_health; /* 0: well, to 8: its own clocks are not to be trusted */
+    bool is_isolated_from_workers; /* it hears no workers: it owns nothing until one
+                                      reaches it */
+    struct timespec last_worker_contact_at;
     struct lmn_member_counts {
-        uint64_t asked, unanswered, suspicions, refutations, verdicts, returns, gives;
-    } count;
+        uint64_t probes_sent, probes_unanswered, suspicions, refutations,
+            failures_declared, readmissions, transfers;
+    } counters;
 };
 
 void lmn_members_init(struct lmn_members *members, const struct lmn_settings *cfg,
@@ -183,9 +190,9 @@
 /* --- questions --- */
 
 struct lmn_probe {
-    int rank;
+    int member;
     int about; /* -1: nobody in particular */
-    double patience_s;
+    double timeout_s;
 };
 /* The question that is due; false if none is, then *wait is for how long. */
 bool lmn_member_next_probe(struct lmn_members *members, GRand *rng, struct timespec now,
@@ -202,13 +209,15 @@
 
 /* What speaks against a member. */
 struct lmn_failure_evidence {
-    double asked;         /* phi of our questions */
-    double others;        /* the surest of the others' questions, phi */
-    unsigned by;          /* how many others' questions speak against it */
-    unsigned visitors;    /* the most of its workers that one node has seen lately */
-    double stale_s, deaf; /* its own word, if fresh; else 0 */
-    bool alive;           /* somebody has heard it since our first unanswered question */
-    unsigned sides;       /* independent sides against it, for the cause: */
+    double own_phi;           /* phi of our questions */
+    double best_other_phi;    /* the surest of the others' questions, phi */
+    unsigned other_witnesses; /* how many others' questions speak against it */
+    unsigned
+        redirected_workers; /* the most of its workers that one node has seen lately */
+    double cache_age_s, silent_machine_share; /* its own word, if fresh; else 0 */
+    bool is_reached_by_others;      /* somebody has heard it since our first unanswered
+                                       question */
+    unsigned independent_witnesses; /* independent sides against it, for the cause: */
     enum lmn_suspicion_cause cause;
 };
 void lmn_member_failure_evidence(const struct lmn_members *members, int member_index,
--- a/src/membership/phi_accrual.c
+++ b/src/membership/phi_accrual.c
@@ -8,17 +8,17 @@
 
 void lmn_phi_accrual_add(struct lmn_phi_accrual *accrual, double seconds)
 {
-    if (accrual->n < MEMORY)
-        accrual->n++;
-    double d = seconds - accrual->mean, w = 1.0 / accrual->n;
+    if (accrual->samples < MEMORY)
+        accrual->samples++;
+    double d = seconds - accrual->mean, w = 1.0 / accrual->samples;
 
     accrual->mean += w * d;
-    accrual->var = (1 - w) * (accrual->var + w * d * d);
+    accrual->variance = (1 - w) * (accrual->variance + w * d * d);
 }
 
 static double deviation(const struct lmn_phi_accrual *accrual)
 {
-    return fmax(sqrt(accrual->var), LEAST_DEVIATION_S);
+    return fmax(sqrt(accrual->variance), LEAST_DEVIATION_S);
 }
 
 double lmn_phi_accrual_phi(const struct lmn_phi_accrual *accrual, double seconds)
--- a/src/membership/phi_accrual.h
+++ b/src/membership/phi_accrual.h
@@ -8,8 +8,8 @@
 #define LMN_MEMBERSHIP_PHI_ACCRUAL_H
 
 struct lmn_phi_accrual {
-    double mean, var;
-    unsigned n;
+    double mean, variance;
+    unsigned samples;
 };
 
 /* An answer came after s. */
--- a/src/membership/probe_schedule.c
+++ b/src/membership/probe_schedule.c
@@ -14,19 +14,19 @@
 static double patience(const struct lmn_members *members,
                        const struct lmn_member_view *member)
 {
-    double seconds = lmn_phi_accrual_timeout_s(&member->answers, GIVE_UP_PHI);
+    double seconds = lmn_phi_accrual_timeout_s(&member->reply_times, GIVE_UP_PHI);
 
-    return CLAMP(seconds * (1 + members->health), members->t.patience_s,
-                 2 * members->t.patience_s);
+    return CLAMP(seconds * (1 + members->local_health), members->timeouts.probe_timeout_s,
+                 2 * members->timeouts.probe_timeout_s);
 }
 
 static bool ask(struct lmn_members *members, int member_index, int about,
                 struct lmn_probe *probe)
 {
-    probe->rank = member_index;
+    probe->member = member_index;
     probe->about = about;
-    probe->patience_s = patience(members, &members->v[member_index]);
-    members->count.asked++;
+    probe->timeout_s = patience(members, &members->views[member_index]);
+    members->counters.probes_sent++;
     return true;
 }
 
@@ -34,21 +34,22 @@
 static bool wants_help(const struct lmn_members *members, int member_index,
                        struct timespec now)
 {
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
 
-    return member_index != members->me && member->present && member->unanswered.tv_sec &&
-           !member->judged && !lmn_time_before(now, member->help);
+    return member_index != members->self && member->is_present &&
+           member->unanswered_since.tv_sec && !member->is_declared_failed &&
+           !lmn_time_before(now, member->next_indirect_probe_at);
 }
 
 static int helper(const struct lmn_members *members, int about, GRand *rng)
 {
-    int from = g_rand_int_range(rng, 0, members->n);
+    int from = g_rand_int_range(rng, 0, members->count);
 
-    for (int k = 0; k < members->n; k++) {
-        int i = (from + k) % members->n;
-        const struct lmn_member_view *member = &members->v[i];
-        if (i != members->me && i != about && member->present &&
-            !member->unanswered.tv_sec)
+    for (int k = 0; k < members->count; k++) {
+        int i = (from + k) % members->count;
+        const struct lmn_member_view *member = &members->views[i];
+        if (i != members->self && i != about && member->is_present &&
+            !member->unanswered_since.tv_sec)
             return i;
     }
     return -1;
@@ -58,13 +59,13 @@
 static bool once_more(struct lmn_members *members, struct timespec now,
                       struct lmn_probe *probe)
 {
-    for (int k = 0; k < members->n; k++) {
-        int i = (members->turn + k) % members->n;
-        struct lmn_member_view *member = &members->v[i];
-        if (i == members->me || !member->soon || !member->present ||
-            lmn_time_before(now, member->next))
+    for (int k = 0; k < members->count; k++) {
+        int i = (members->indirect_cursor + k) % members->count;
+        struct lmn_member_view *member = &members->views[i];
+        if (i == members->self || !member->probe_next || !member->is_present ||
+            lmn_time_before(now, member->next_probe_at))
             continue;
-        member->soon = false;
+        member->probe_next = false;
         return ask(members, i, -1, probe);
     }
     return false;
@@ -74,15 +75,18 @@
 static bool elsewhere(struct lmn_members *members, GRand *rng, struct timespec now,
                       struct lmn_probe *probe)
 {
-    for (int k = 0; k < members->n; k++) {
-        int i = (members->turn + k) % members->n;
-        struct lmn_member_view *member = &members->v[i];
+    for (int k = 0; k < members->count; k++) {
+        int i = (members->indirect_cursor + k) % members->count;
+        struct lmn_member_view *member = &members->views[i];
         if (!wants_help(members, i, now))
             continue;
         int h = helper(members, i, rng);
-        if (++member->helped >= MIN(HELPERS, (unsigned)MAX(members->n - 2, 0)) || h < 0) {
-            member->helped = 0;
-            member->help = lmn_time_add(now, members->t.every_s / 2);
+        if (++member->indirect_probes >=
+                MIN(HELPERS, (unsigned)MAX(members->count - 2, 0)) ||
+            h < 0) {
+            member->indirect_probes = 0;
+            member->next_indirect_probe_at =
+                lmn_time_add(now, members->timeouts.probe_interval_s / 2);
         }
         if (h >= 0)
             return ask(members, h, i, probe);
@@ -95,27 +99,28 @@
 static bool beyond_the_round(struct lmn_members *members, GRand *rng, struct timespec now,
                              struct lmn_probe *probe)
 {
-    members->turn = (members->turn + 1) % members->n;
-    if (members->turn % 2)
+    members->indirect_cursor = (members->indirect_cursor + 1) % members->count;
+    if (members->indirect_cursor % 2)
         return once_more(members, now, probe) || elsewhere(members, rng, now, probe);
     return elsewhere(members, rng, now, probe) || once_more(members, now, probe);
 }
 
 static bool of_the_round(struct lmn_members *members, GRand *rng, struct lmn_probe *probe)
 {
-    for (int tries = 0; tries < 2 * members->n; tries++) {
-        if (members->at >= members->n) {
-            members->at = 0;
-            for (int i = 0; i < members->n; i++) {
-                int k = g_rand_int_range(rng, i, members->n), x = members->order[i];
-                members->order[i] = members->order[k];
-                members->order[k] = x;
+    for (int tries = 0; tries < 2 * members->count; tries++) {
+        if (members->probe_position >= members->count) {
+            members->probe_position = 0;
+            for (int i = 0; i < members->count; i++) {
+                int k = g_rand_int_range(rng, i, members->count),
+                    x = members->probe_order[i];
+                members->probe_order[i] = members->probe_order[k];
+                members->probe_order[k] = x;
             }
         }
-        int member_index = members->order[members->at++];
+        int member_index = members->probe_order[members->probe_position++];
         /* Those without an answer are asked beyond the round. */
-        if (member_index != members->me && members->v[member_index].present &&
-            !members->v[member_index].unanswered.tv_sec)
+        if (member_index != members->self && members->views[member_index].is_present &&
+            !members->views[member_index].unanswered_since.tv_sec)
             return ask(members, member_index, -1, probe);
     }
     return false;
@@ -124,47 +129,52 @@
 bool lmn_member_next_probe(struct lmn_members *members, GRand *rng, struct timespec now,
                            struct lmn_probe *probe, double *wait)
 {
-    if (!lmn_time_before(now, members->beyond)) {
+    if (!lmn_time_before(now, members->next_extra_probe_at)) {
         /* Four to an interval at most, whatever is the matter. */
         if (beyond_the_round(members, rng, now, probe)) {
-            members->beyond = lmn_time_add(now, members->t.every_s / 4);
+            members->next_extra_probe_at =
+                lmn_time_add(now, members->timeouts.probe_interval_s / 4);
             return true;
         }
     }
-    if (!lmn_time_before(now, members->next)) {
-        members->next = lmn_time_add(now, members->t.every_s);
+    if (!lmn_time_before(now, members->next_probe_at)) {
+        members->next_probe_at = lmn_time_add(now, members->timeouts.probe_interval_s);
         if (of_the_round(members, rng, probe))
             return true;
     }
-    *wait = CLAMP(lmn_time_diff_s(members->next, now), 0.01, members->t.every_s / 4);
+    *wait = CLAMP(lmn_time_diff_s(members->next_probe_at, now), 0.01,
+                  members->timeouts.probe_interval_s / 4);
     return false;
 }
 
 unsigned lmn_member_redirected_workers(const struct lmn_members *members,
                                        int member_index, struct timespec now)
 {
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
     unsigned n = 0;
 
     /* A worker comes back at its next report at the latest. */
     for (guint i = 0; i < LMN_MAX_REDIRECTED_WORKERS; i++)
-        n += member->visitors[i].at.tv_sec &&
-             lmn_time_diff_s(now, member->visitors[i].at) < members->t.overdue_s + 5;
+        n += member->redirected_workers[i].at.tv_sec &&
+             lmn_time_diff_s(now, member->redirected_workers[i].at) <
+                 members->timeouts.heartbeat_overdue_s + 5;
     return n;
 }
 
 static void state_of(const struct lmn_members *members, int of, struct timespec now,
                      struct lmn_gossip_statement *statement)
 {
-    const struct lmn_member_view *member = &members->v[of];
+    const struct lmn_member_view *member = &members->views[of];
 
     *statement = (struct lmn_gossip_statement){
-        .of = of,
-        .inc = member->inc,
-        .heard_s = member->ever ? lmn_time_diff_s(now, member->heard) : -1,
-        .unanswered_s =
-            member->unanswered.tv_sec ? lmn_time_diff_s(now, member->unanswered) : 0,
-        .visitors = lmn_member_redirected_workers(members, of, now),
+        .member = of,
+        .incarnation = member->incarnation,
+        .last_contact_age_s =
+            member->ever_contacted ? lmn_time_diff_s(now, member->last_contact_at) : -1,
+        .unanswered_age_s = member->unanswered_since.tv_sec
+                                ? lmn_time_diff_s(now, member->unanswered_since)
+                                : 0,
+        .redirected_workers = lmn_member_redirected_workers(members, of, now),
     };
 }
 
@@ -173,18 +183,18 @@
 {
     unsigned n = 0;
 
-    if (to >= 0 && to != members->me)
+    if (to >= 0 && to != members->self)
         state_of(members, to, now, &out[n++]);
-    if (about >= 0 && about != members->me && about != to)
+    if (about >= 0 && about != members->self && about != to)
         state_of(members, about, now, &out[n++]);
-    members->told = (members->told + 1) % members->n;
-    for (int k = 0; k < members->n && n < LMN_MAX_GOSSIP_STATEMENTS; k++) {
-        int i = (members->told + k) % members->n;
-        const struct lmn_member_view *member = &members->v[i];
-        if (i == to || i == about || i == members->me || !member->present)
+    members->gossip_cursor = (members->gossip_cursor + 1) % members->count;
+    for (int k = 0; k < members->count && n < LMN_MAX_GOSSIP_STATEMENTS; k++) {
+        int i = (members->gossip_cursor + k) % members->count;
+        const struct lmn_member_view *member = &members->views[i];
+        if (i == to || i == about || i == members->self || !member->is_present)
             continue;
         state_of(members, i, now, &out[n]);
-        n += out[n].unanswered_s > 0 || out[n].visitors > 0 ||
+        n += out[n].unanswered_age_s > 0 || out[n].redirected_workers > 0 ||
              lmn_member_is_suspected(members, i);
     }
     return n;
