--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -39,7 +39,7 @@
         slash[1 + digits])
         return false;
     *slash = '\0';
-    g_strlcpy(attempt->ref, task, sizeof attempt->ref);
+    g_strlcpy(attempt->job_id, task, sizeof attempt->job_id);
     attempt->index = (uint32_t)strtoul(slash + 1, NULL, 10);
     attempt->state = attempt_state(lmn_cbor_get(document, node, WIRE_STATE));
     return true;
@@ -68,8 +68,8 @@
         !is_name(name))
         return WIRE_MACHINE ": expected a name";
     g_strlcpy(heartbeat->name, name, sizeof heartbeat->name);
-    if (!lmn_cbor_get_text(lmn_cbor_get(document, map, WIRE_ADDRESS), heartbeat->addr,
-                           sizeof heartbeat->addr))
+    if (!lmn_cbor_get_text(lmn_cbor_get(document, map, WIRE_ADDRESS), heartbeat->address,
+                           sizeof heartbeat->address))
         return WIRE_ADDRESS ": expected an address";
     if (!lmn_cbor_get_text(lmn_cbor_get(document, map, WIRE_MACHINE_TYPE),
                            heartbeat->type, sizeof heartbeat->type))
@@ -78,14 +78,16 @@
                            sizeof heartbeat->zone))
         return WIRE_ZONE ": expected a name";
     if (!lmn_cbor_get_uint(lmn_cbor_get(document, map, WIRE_AGENT_INCARNATION),
-                           &heartbeat->session) ||
-        !heartbeat->session)
+                           &heartbeat->agent_incarnation) ||
+        !heartbeat->agent_incarnation)
         return WIRE_AGENT_INCARNATION ": expected a count from 1 on";
-    if (!lmn_cbor_get_uint(lmn_cbor_get(document, map, WIRE_SEQUENCE), &heartbeat->seq))
+    if (!lmn_cbor_get_uint(lmn_cbor_get(document, map, WIRE_SEQUENCE),
+                           &heartbeat->sequence))
         return WIRE_SEQUENCE ": expected a count";
-    lmn_cbor_get_bool(lmn_cbor_get(document, map, WIRE_SPOT), &heartbeat->spot);
-    lmn_cbor_get_uint(lmn_cbor_get(document, map, WIRE_FENCING_TOKEN), &heartbeat->token);
-    heartbeat->noticed = lmn_cbor_get_number(
+    lmn_cbor_get_bool(lmn_cbor_get(document, map, WIRE_SPOT), &heartbeat->is_spot);
+    lmn_cbor_get_uint(lmn_cbor_get(document, map, WIRE_FENCING_TOKEN),
+                      &heartbeat->fencing_token);
+    heartbeat->has_spot_notice = lmn_cbor_get_number(
         lmn_cbor_get(document, map, WIRE_SPOT_NOTICE_S), &heartbeat->notice_s);
     heartbeat->tasks = lmn_cbor_get(document, map, WIRE_TASKS);
     if (heartbeat->tasks && heartbeat->tasks->type != LMN_CBOR_ARRAY)
@@ -107,7 +109,7 @@
         struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
         if (attempt->number == number && attempt->index == index &&
-            !strcmp(attempt->ref, ref))
+            !strcmp(attempt->job_id, ref))
             return attempt;
     }
     return NULL;
@@ -119,16 +121,16 @@
                                  enum lmn_attempt_state state, struct timespec now)
 {
     struct lmn_attempt a = {
-        .index = index, .number = number, .state = state, .since = now};
+        .index = index, .number = number, .state = state, .started_at = now};
 
-    g_strlcpy(a.ref, ref, sizeof a.ref);
+    g_strlcpy(a.job_id, ref, sizeof a.job_id);
     a.job = g_hash_table_lookup(core->jobs, ref);
-    a.range = lmn_partition_find_range(machine->part, a.job, index);
+    a.range = lmn_partition_find_range(machine->partition, a.job, index);
     if (state != LMN_ATTEMPT_ENDED) {
         lmn_attempt_count(machine, &a);
-        if (a.range && a.range->st[index - a.range->lo] == LMN_TASK_QUEUED) {
-            a.range->st[index - a.range->lo] = LMN_TASK_STARTED;
-            a.range->nstarted++;
+        if (a.range && a.range->task_states[index - a.range->first] == LMN_TASK_QUEUED) {
+            a.range->task_states[index - a.range->first] = LMN_TASK_STARTED;
+            a.range->started_count++;
         } else {
             a.range = NULL; /* done, closed or started elsewhere: it has to go */
         }
@@ -146,15 +148,15 @@
 {
     struct lmn_failing_job new = {.job = job};
 
-    for (guint i = 0; i < machine->accusers->len; i++) {
+    for (guint i = 0; i < machine->failing_jobs->len; i++) {
         struct lmn_failing_job *failing =
-            &g_array_index(machine->accusers, struct lmn_failing_job, i);
+            &g_array_index(machine->failing_jobs, struct lmn_failing_job, i);
         if (failing->job == job)
             return failing;
     }
-    g_array_append_val(machine->accusers, new);
-    return &g_array_index(machine->accusers, struct lmn_failing_job,
-                          machine->accusers->len - 1);
+    g_array_append_val(machine->failing_jobs, new);
+    return &g_array_index(machine->failing_jobs, struct lmn_failing_job,
+                          machine->failing_jobs->len - 1);
 }
 
 /* A task has failed: at the fault of its job, or of the machine. What its job says counts
@@ -166,32 +168,32 @@
     guint where = g_str_hash(machine->name);
     double sum = 0;
 
-    core->count.failures++;
+    core->counters.task_failures++;
     if (!job || job->phase != LMN_JOB_ACTIVE)
         return;
     bool was = lmn_job_is_faulty(&job->failures);
-    lmn_job_record_failure(&job->failures, where, attempt->since, now);
+    lmn_job_record_failure(&job->failures, where, attempt->started_at, now);
     if (!was && lmn_job_is_faulty(&job->failures)) {
-        core->count.accused++;
-        lmn_info("job-accused job=%s machines=%u proven=%d", job->spec.ref,
-                 job->failures.places, job->failures.proven);
+        core->counters.faulty_jobs++;
+        lmn_info("job-accused job=%s machines=%u proven=%d", job->spec.id,
+                 job->failures.machine_count, job->failures.has_succeeded);
         lmn_reassign_job(core, job, now);
     }
     struct lmn_failing_job *failing = accuser(machine, job);
-    failing->times++;
-    failing->last = now;
-    for (guint i = 0; i < machine->accusers->len; i++) {
-        failing = &g_array_index(machine->accusers, struct lmn_failing_job, i);
-        sum += lmn_failure_weight(&failing->job->failures, where, failing->times,
-                                  failing->last, now);
+    failing->failures++;
+    failing->last_failed_at = now;
+    for (guint i = 0; i < machine->failing_jobs->len; i++) {
+        failing = &g_array_index(machine->failing_jobs, struct lmn_failing_job, i);
+        sum += lmn_failure_weight(&failing->job->failures, where, failing->failures,
+                                  failing->last_failed_at, now);
     }
     /* One whose tasks fail at once has room at once: it would empty healthy queues into
      * failures. */
-    machine->hold = lmn_time_add(now, lmn_machine_quarantine_s(sum));
-    if (lmn_machine_is_faulty(sum) && !machine->retiring) {
-        core->count.faulty++;
+    machine->quarantined_until = lmn_time_add(now, lmn_machine_quarantine_s(sum));
+    if (lmn_machine_is_faulty(sum) && !machine->is_draining) {
+        core->counters.faulty_machines++;
         lmn_info("machine-accused machine=%s jobs=%u weight=%.2f", machine->name,
-                 machine->accusers->len, sum);
+                 machine->failing_jobs->len, sum);
         lmn_machine_drain(core, machine, false, "tasks fail on it that succeed elsewhere",
                           now);
     }
@@ -203,14 +205,14 @@
 {
     struct lmn_job *job = attempt->job;
 
-    attempt->failed = true;
+    attempt->has_failed = true;
     if (!job || job->phase != LMN_JOB_ACTIVE)
         return;
     bool was = lmn_job_is_faulty(&job->failures);
     lmn_job_record_inherited_failure(&job->failures, g_str_hash(machine->name), now);
     if (!was && lmn_job_is_faulty(&job->failures)) {
-        lmn_info("job-accused job=%s machines=%u by=predecessor", job->spec.ref,
-                 job->failures.places);
+        lmn_info("job-accused job=%s machines=%u by=predecessor", job->spec.id,
+                 job->failures.machine_count);
         lmn_reassign_job(core, job, now);
     }
 }
@@ -225,13 +227,13 @@
     lmn_attempt_uncount(machine, attempt);
     lmn_machine_mark_unreplicated(machine);
     attempt->state = LMN_ATTEMPT_ENDED;
-    attempt->done = lmn_cbor_text_equals(why, WIRE_DONE);
-    if (attempt->done) {
+    attempt->is_done = lmn_cbor_text_equals(why, WIRE_DONE);
+    if (attempt->is_done) {
         lmn_debug("task-done task=%s/%u attempt=%" G_GUINT64_FORMAT
                   " machine=%s after=%.1f",
-                  attempt->ref, attempt->index, attempt->number, machine->name,
-                  lmn_time_diff_s(now, attempt->since));
-        g_array_set_size(machine->accusers, 0);
+                  attempt->job_id, attempt->index, attempt->number, machine->name,
+                  lmn_time_diff_s(now, attempt->started_at));
+        g_array_set_size(machine->failing_jobs, 0);
         if (attempt->job) {
             bool was = lmn_job_is_faulty(&attempt->job->failures);
             lmn_job_record_success(&attempt->job->failures);
@@ -239,22 +241,22 @@
                 lmn_reassign_job(core, attempt->job, now);
         }
         if (!range)
-            range = attempt->range =
-                lmn_partition_find_range(machine->part, attempt->job, attempt->index);
+            range = attempt->range = lmn_partition_find_range(
+                machine->partition, attempt->job, attempt->index);
         if (range)
             lmn_task_finished(range, attempt->index, now);
         return;
     }
     lmn_debug("task-ended task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s why=%.*s",
-              attempt->ref, attempt->index, attempt->number, machine->name,
+              attempt->job_id, attempt->index, attempt->number, machine->name,
               why ? (int)why->len : 0, why ? why->s : "");
-    attempt->failed = lmn_cbor_text_equals(why, WIRE_ERROR);
+    attempt->has_failed = lmn_cbor_text_equals(why, WIRE_ERROR);
     attempt->range = NULL;
-    if (attempt->failed)
+    if (attempt->has_failed)
         attribute_failure(core, machine, attempt, now);
     else if (lmn_cbor_text_equals(why, WIRE_NO_SUCH_JOB) && attempt->job)
         lmn_job_record_failure(&attempt->job->failures, g_str_hash(machine->name),
-                               attempt->since, now);
+                               attempt->started_at, now);
     if (range)
         lmn_task_requeue(core, range, attempt->index, now);
 }
@@ -267,8 +269,9 @@
         bool live =
             attempt->job && attempt->job->phase == LMN_JOB_ACTIVE && attempt->range;
         if (attempt->state != LMN_ATTEMPT_ENDED ||
-            (attempt->done && live &&
-             !lmn_bitset_get(attempt->range->done, attempt->index - attempt->range->lo)))
+            (attempt->is_done && live &&
+             !lmn_bitset_get(attempt->range->done,
+                             attempt->index - attempt->range->first)))
             return false;
     }
     return true;
@@ -279,31 +282,31 @@
                                const struct lmn_cbor_value *tasks, struct timespec now)
 {
     for (guint i = 0; i < machine->attempts->len; i++)
-        g_array_index(machine->attempts, struct lmn_attempt, i).seen = false;
+        g_array_index(machine->attempts, struct lmn_attempt, i).in_last_heartbeat = false;
     for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, tasks); node;
          node = lmn_cbor_next(document, node)) {
         struct lmn_attempt x;
         if (!lmn_heartbeat_parse_task(&x, document, node))
             continue;
-        struct lmn_attempt *attempt = find(machine, x.ref, x.index, x.number);
+        struct lmn_attempt *attempt = find(machine, x.job_id, x.index, x.number);
         if (!attempt) {
-            attempt = adopt(core, machine, x.ref, x.index, x.number, x.state, now);
+            attempt = adopt(core, machine, x.job_id, x.index, x.number, x.state, now);
             if (x.state == LMN_ATTEMPT_ENDED &&
                 lmn_cbor_text_equals(lmn_cbor_get(document, node, WIRE_EXIT_REASON),
                                      WIRE_ERROR))
                 had_failed(core, machine, attempt, now);
         }
         /* It has taken an order of ours: the way there is open. */
-        if (!attempt->listed && attempt->state == LMN_ATTEMPT_SENT)
-            machine->unheeded = 0;
-        attempt->seen = attempt->listed = true;
-        attempt->told = false;
+        if (!attempt->was_reported && attempt->state == LMN_ATTEMPT_SENT)
+            machine->ignored_commands = 0;
+        attempt->in_last_heartbeat = attempt->was_reported = true;
+        attempt->from_replica = false;
         if (attempt->job && x.state != LMN_ATTEMPT_ENDED)
             lmn_machine_record_image(machine, attempt->job,
                                      x.state != LMN_ATTEMPT_FETCHING, now);
         if (x.state == LMN_ATTEMPT_ENDED) {
             if (attempt->state != LMN_ATTEMPT_ENDED ||
-                (!attempt->done &&
+                (!attempt->is_done &&
                  lmn_cbor_text_equals(lmn_cbor_get(document, node, WIRE_EXIT_REASON),
                                       WIRE_DONE)))
                 ended(core, machine, attempt, document, node, now);
@@ -311,8 +314,8 @@
             if (x.state == LMN_ATTEMPT_RUNNING && attempt->state != x.state)
                 lmn_debug("task-run task=%s/%u attempt=%" G_GUINT64_FORMAT
                           " machine=%s after=%.1f",
-                          attempt->ref, attempt->index, attempt->number, machine->name,
-                          lmn_time_diff_s(now, attempt->since));
+                          attempt->job_id, attempt->index, attempt->number, machine->name,
+                          lmn_time_diff_s(now, attempt->started_at));
             attempt->state = x.state;
         }
     }
@@ -330,7 +333,7 @@
     g_array_remove_index_fast(machine->attempts, i);
     if (gone.state != LMN_ATTEMPT_ENDED) {
         lmn_debug("task-vanished task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s",
-                  gone.ref, gone.index, gone.number, machine->name);
+                  gone.job_id, gone.index, gone.number, machine->name);
         lmn_task_requeue(core, gone.range, gone.index, now);
     }
 }
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -19,7 +19,7 @@
 {
     char task[LMN_JOB_ID_SIZE + 16];
 
-    g_snprintf(task, sizeof task, "%s/%u", attempt->ref, attempt->index);
+    g_snprintf(task, sizeof task, "%s/%u", attempt->job_id, attempt->index);
     lmn_cbor_put_map(out, grace >= 0 ? 4 : 3);
     lmn_cbor_put_text(out, WIRE_COMMAND), lmn_cbor_put_text(out, command);
     lmn_cbor_put_text(out, WIRE_TASK), lmn_cbor_put_text(out, task);
@@ -33,7 +33,7 @@
  * started the job's tasks all at once again. */
 static bool is_history(const struct lmn_machine *machine, const struct lmn_attempt *a)
 {
-    if (!a->failed || !a->job || a->job->phase != LMN_JOB_ACTIVE ||
+    if (!a->has_failed || !a->job || a->job->phase != LMN_JOB_ACTIVE ||
         !lmn_job_is_faulty(&a->job->failures))
         return false;
     for (guint i = 0; i < machine->attempts->len; i++) {
@@ -41,7 +41,7 @@
             &g_array_index(machine->attempts, struct lmn_attempt, i);
         if (b == a)
             return true;
-        if (b->failed && b->job == a->job)
+        if (b->has_failed && b->job == a->job)
             return false;
     }
     return false;
@@ -55,20 +55,21 @@
 void lmn_machine_record_ignored_command(struct lmn_core *core,
                                         struct lmn_machine *machine, struct timespec now)
 {
-    machine->unheeded++;
-    machine->hold = lmn_time_add(now, (double)(1u << MIN(machine->unheeded, 4u)));
-    if (machine->unheeded > 1)
+    machine->ignored_commands++;
+    machine->quarantined_until =
+        lmn_time_add(now, (double)(1u << MIN(machine->ignored_commands, 4u)));
+    if (machine->ignored_commands > 1)
         return;
     lmn_info("machine-unheeding machine=%s partition=%d", machine->name,
-             machine->part->id);
+             machine->partition->id);
     lmn_reassign_machine_queue(core, machine, now);
 }
 
 static guint kill_now(struct lmn_core *core, struct lmn_attempt *attempt, GByteArray *out)
 {
     lmn_append_command(out, WIRE_KILL, attempt, 0);
-    core->count.kills += !attempt->killed;
-    attempt->killed = true;
+    core->counters.kills += !attempt->kill_sent;
+    attempt->kill_sent = true;
     return 1;
 }
 
@@ -87,7 +88,7 @@
         struct lmn_attempt a;
         if (!lmn_heartbeat_parse_task(&a, document, task) ||
             a.state == LMN_ATTEMPT_ENDED ||
-            !(a.job = g_hash_table_lookup(core->jobs, a.ref)) ||
+            !(a.job = g_hash_table_lookup(core->jobs, a.job_id)) ||
             lmn_job_may_run(core, a.job))
             continue;
         n += kill_now(core, &a, out);
@@ -118,10 +119,10 @@
     for (guint i = machine->attempts->len; i-- > 0;) {
         const struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
-        if (!attempt->seen && !attempt->direct &&
-            !(attempt->unsure && !attempt->listed)) {
-            lost +=
-                attempt->state == LMN_ATTEMPT_SENT && !attempt->listed && !attempt->told;
+        if (!attempt->in_last_heartbeat && !attempt->push_in_flight &&
+            !(attempt->push_is_uncertain && !attempt->was_reported)) {
+            lost += attempt->state == LMN_ATTEMPT_SENT && !attempt->was_reported &&
+                    !attempt->from_replica;
             lmn_attempt_vanished(core, machine, i, now);
         }
     }
@@ -132,9 +133,10 @@
             &g_array_index(machine->attempts, struct lmn_attempt, i);
         bool live = attempt->job && attempt->job->phase == LMN_JOB_ACTIVE;
         bool wanted = attempt->job && lmn_job_may_run(core, attempt->job);
-        if (attempt->direct && wanted)
+        if (attempt->push_in_flight && wanted)
             continue;
-        if ((attempt->unsure || attempt->direct) && !attempt->listed) {
+        if ((attempt->push_is_uncertain || attempt->push_in_flight) &&
+            !attempt->was_reported) {
             /* The same start by the way that can't be late: then it is surely there, and
              * its late twin changes nothing. */
             lmn_append_command(out, WIRE_START, attempt, -1);
@@ -143,27 +145,28 @@
         if (attempt->state == LMN_ATTEMPT_ENDED) {
             /* A result may be forgotten only once it is recorded; and an attempt whose
              * start may still arrive must stay known, or that would start it anew. */
-            bool recorded =
-                !attempt->done || !live || !attempt->range ||
-                lmn_bitset_get(attempt->range->done, attempt->index - attempt->range->lo);
-            if (recorded && !attempt->unsure && !attempt->direct &&
+            bool recorded = !attempt->is_done || !live || !attempt->range ||
+                            lmn_bitset_get(attempt->range->done,
+                                           attempt->index - attempt->range->first);
+            if (recorded && !attempt->push_is_uncertain && !attempt->push_in_flight &&
                 !is_history(machine, attempt)) {
                 lmn_append_command(out, WIRE_CLEAR, attempt, -1);
                 commands++;
             }
         } else if (!wanted || !attempt->range) {
             commands += kill_now(core, attempt, out);
-        } else if (attempt->stop && attempt->state != LMN_ATTEMPT_SAVING) {
-            lmn_append_command(out, WIRE_KILL, attempt, attempt->grace);
+        } else if (attempt->must_stop && attempt->state != LMN_ATTEMPT_SAVING) {
+            lmn_append_command(out, WIRE_KILL, attempt, attempt->grace_s);
             commands++;
-        } else if (machine->noticed && attempt->state == LMN_ATTEMPT_RUNNING &&
-                   attempt->job->spec.checkpoint_s > 0 && !attempt->killed) {
-            double left = machine->notice_s - lmn_time_diff_s(now, machine->noticed_at);
-            if (left < attempt->job->spec.save_s + 2 * core->cfg->report_s + 1) {
+        } else if (machine->has_spot_notice && attempt->state == LMN_ATTEMPT_RUNNING &&
+                   attempt->job->spec.checkpoint_s > 0 && !attempt->kill_sent) {
+            double left =
+                machine->notice_s - lmn_time_diff_s(now, machine->spot_notice_at);
+            if (left < attempt->job->spec.save_s + 2 * core->settings->heartbeat_s + 1) {
                 lmn_append_command(out, WIRE_KILL, attempt,
                                    attempt->job->spec.save_s + 1);
                 commands++;
-                attempt->killed = true;
+                attempt->kill_sent = true;
             }
         }
     }
@@ -172,7 +175,7 @@
 
 static int redirect_to(const struct lmn_core *core, int member_index, GByteArray *out)
 {
-    if (member_index < 0 || member_index == core->members.me)
+    if (member_index < 0 || member_index == core->members.self)
         return 503;
     lmn_cbor_put_map(out, 1);
     lmn_cbor_put_text(out, WIRE_REDIRECT_TO);
@@ -200,12 +203,14 @@
                     struct timespec now)
 {
     /* If all others hang, it is back after so long, and must not have lost its lease. */
-    double round = (WORKER_WAITS_S + 1) * (core->members.n - 1) + 2 * core->cfg->report_s;
+    double round = (WORKER_WAITS_S + 1) * (core->members.count - 1) +
+                   2 * core->settings->heartbeat_s;
 
-    if (!core->isolated.tv_sec || !lmn_time_before(machine->sent_on, core->isolated) ||
-        round > 0.8 * core->cfg->lease_s)
+    if (!core->isolated_since.tv_sec ||
+        !lmn_time_before(machine->redirected_at, core->isolated_since) ||
+        round > 0.8 * core->settings->lease_s)
         return false;
-    machine->sent_on = now;
+    machine->redirected_at = now;
     return true;
 }
 
@@ -217,20 +222,21 @@
     int owner =
         *partition->owner ? lmn_member_index(&core->members, partition->owner) : -1;
 
-    if (owner >= 0 && owner != core->members.me && heartbeat->token &&
-        heartbeat->token == partition->owner_term)
+    if (owner >= 0 && owner != core->members.self && heartbeat->fencing_token &&
+        heartbeat->fencing_token == partition->owner_epoch)
         lmn_member_record_redirected_worker(&core->members, owner, heartbeat->name,
-                                            heartbeat->session, heartbeat->seq, now);
+                                            heartbeat->agent_incarnation,
+                                            heartbeat->sequence, now);
 }
 
 static int handle(struct lmn_core *core, const struct lmn_heartbeat *heartbeat,
                   const struct lmn_cbor_document *document, GByteArray *out,
                   struct lmn_deferred_starts *deferred, struct timespec now)
 {
-    struct lmn_partition *partition =
-        &core->parts[lmn_partition_for_machine(heartbeat->name, core->nparts)];
+    struct lmn_partition *partition = &core->partitions[lmn_partition_for_machine(
+        heartbeat->name, core->partition_count)];
 
-    core->count.reports++;
+    core->counters.heartbeats++;
     /* Whoever has stood still may have been replaced meanwhile: an answer would hold the
      * worker here while its lease runs out. */
     if (!lmn_self_may_reply(&core->members, now))
@@ -239,70 +245,74 @@
      * time: the last answer, a lease, and all of it within cancel_s. */
     if (lmn_watch_cache_is_too_stale(core, now))
         return 503;
-    if (!partition->mine) {
+    if (!partition->is_owned) {
         note_visitor(core, partition, heartbeat, now);
         return redirect(core, partition, out, now);
     }
-    if (heartbeat->token > partition->my_term ||
-        g_hash_table_contains(core->gone, heartbeat->name))
+    if (heartbeat->fencing_token > partition->owned_epoch ||
+        g_hash_table_contains(core->returned_machines, heartbeat->name))
         return 503; /* a successor is at work that the mirror doesn't show yet */
     struct lmn_machine *machine =
         g_hash_table_lookup(partition->machines, heartbeat->name);
     if (!machine) {
         machine = lmn_machine_new(partition, heartbeat->name);
-        machine->first = now;
+        machine->first_seen_at = now;
         lmn_info("machine-new machine=%s partition=%d type=%s zone=%s spot=%d",
                  heartbeat->name, partition->id, heartbeat->type, heartbeat->zone,
-                 heartbeat->spot);
+                 heartbeat->is_spot);
     }
-    if (machine->is_gone)
+    if (machine->is_terminated)
         return 503;
-    if (machine->heard && (heartbeat->session < machine->session ||
-                           (heartbeat->session == machine->session &&
-                            heartbeat->seq <= machine->report_seq)))
+    if (machine->has_reported &&
+        (heartbeat->agent_incarnation < machine->agent_incarnation ||
+         (heartbeat->agent_incarnation == machine->agent_incarnation &&
+          heartbeat->sequence <= machine->heartbeat_sequence)))
         return 503; /* it was overtaken on its way */
-    if (machine->lapsed && heartbeat->session == machine->session)
+    if (machine->lease_expired &&
+        heartbeat->agent_incarnation == machine->agent_incarnation)
         return 503; /* its tasks are given up: the session has to end */
     /* Overtaken by the answer to a direct command: it renews the lease, and says nothing
      * new. */
-    bool overtaken = machine->heard && heartbeat->session == machine->session &&
-                     heartbeat->seq <= machine->seq;
+    bool overtaken = machine->has_reported &&
+                     heartbeat->agent_incarnation == machine->agent_incarnation &&
+                     heartbeat->sequence <= machine->sequence;
     /* A copy that comes late is no sign that workers reach this node, nor is what was
      * overtaken: it may have been for minutes. One that nothing is known of may be one.
      */
-    if (machine->heard && !overtaken)
+    if (machine->has_reported && !overtaken)
         lmn_members_record_own_worker(&core->members, now);
     if (sent_on(core, machine, now))
         return redirect_to(core, lmn_partition_next_owner(core, partition, now), out);
     if (!machine->block) {
-        lmn_machine_set_address(machine, heartbeat->addr);
+        lmn_machine_set_address(machine, heartbeat->address);
         g_strlcpy(machine->type_name, heartbeat->type, sizeof machine->type_name);
         g_strlcpy(machine->zone, heartbeat->zone, sizeof machine->zone);
-        machine->spot = heartbeat->spot;
+        machine->is_spot = heartbeat->is_spot;
     }
     if (!machine->type)
         machine->type = lmn_machine_type_by_name(core, machine->type_name);
-    if (machine->heard && heartbeat->session != machine->session)
+    if (machine->has_reported &&
+        heartbeat->agent_incarnation != machine->agent_incarnation)
         /* Commands to the old session are refused from now on. */
         for (guint i = 0; i < machine->attempts->len; i++) {
             struct lmn_attempt *attempt =
                 &g_array_index(machine->attempts, struct lmn_attempt, i);
-            attempt->direct = attempt->unsure = false;
+            attempt->push_in_flight = attempt->push_is_uncertain = false;
         }
-    if (machine->session != heartbeat->session)
+    if (machine->agent_incarnation != heartbeat->agent_incarnation)
         lmn_machine_mark_unreplicated(machine);
-    machine->heard = true;
-    machine->session = heartbeat->session;
-    machine->report_seq = heartbeat->seq;
-    machine->seq = overtaken ? machine->seq : heartbeat->seq;
-    machine->last = now;
+    machine->has_reported = true;
+    machine->agent_incarnation = heartbeat->agent_incarnation;
+    machine->heartbeat_sequence = heartbeat->sequence;
+    machine->sequence = overtaken ? machine->sequence : heartbeat->sequence;
+    machine->last_heartbeat_at = now;
     /* Of an older term it may be a copy, or of one that does not hear us. */
-    if (heartbeat->token == partition->my_term)
-        machine->probes = 0;
-    machine->lapsed = false;
-    if (heartbeat->noticed && !machine->noticed) {
-        machine->noticed = true;
-        machine->noticed_at = now;
+    if (heartbeat->fencing_token == partition->owned_epoch)
+        machine->unanswered_probes = 0;
+    machine->lease_expired = false;
+    if (heartbeat->has_spot_notice && !machine->has_spot_notice) {
+        machine->has_spot_notice = true;
+        machine->spot_notice_at = now;
         machine->notice_s = heartbeat->notice_s;
         lmn_info("machine-notice machine=%s seconds=%.1f", machine->name,
                  heartbeat->notice_s);
@@ -314,40 +324,41 @@
     /* Only a report that was written after the worker had seen our term tells what is
      * there for good: an older one may have been overtaken by a predecessor's commands.
      */
-    uint64_t mark = partition->stream.mark;
-    if (heartbeat->token == partition->my_term && !overtaken) {
-        if (!machine->accounted) {
-            machine->accounted = true;
+    uint64_t mark = partition->stream.log_position;
+    if (heartbeat->fencing_token == partition->owned_epoch && !overtaken) {
+        if (!machine->is_accounted) {
+            machine->is_accounted = true;
             lmn_debug("machine-accounted machine=%s term=%" G_GUINT64_FORMAT,
-                      machine->name, partition->my_term);
+                      machine->name, partition->owned_epoch);
         }
         n += settle_tasks(core, machine, document, heartbeat->tasks, commands, now);
-        deferred->settled = n;
+        deferred->settled_commands = n;
         deferred->settled_bytes = commands->len;
         lmn_partition_check_ready(core, partition, now);
         /* Far behind, the node settles what was, and starts nothing. */
-        if (!lmn_load_should_shed(&core->load, LMN_SHED_START, core->rng))
+        if (!lmn_load_should_shed(&core->load, LMN_SHED_START, core->random))
             n += lmn_schedule_machine(core, machine, commands, now);
         lmn_machine_cancel_wake(machine);
         if (!lmn_machine_is_empty(machine))
-            machine->idle = (struct timespec){0, 0};
-        else if (!machine->idle.tv_sec)
-            machine->idle = now;
+            machine->idle_since = (struct timespec){0, 0};
+        else if (!machine->idle_since.tv_sec)
+            machine->idle_since = now;
     } else {
         n += kill_unwanted(core, machine, document, heartbeat->tasks, commands);
     }
     lmn_cbor_put_map(out, 2);
     lmn_cbor_put_text(out, WIRE_FENCING_TOKEN),
-        lmn_cbor_put_uint(out, partition->my_term);
+        lmn_cbor_put_uint(out, partition->owned_epoch);
     lmn_cbor_put_text(out, WIRE_COMMANDS), lmn_cbor_put_array(out, n);
-    deferred->commands = out->len;
+    deferred->commands_offset = out->len;
     g_byte_array_append(out, commands->data, commands->len);
     g_byte_array_unref(commands);
-    if (lmn_replication_gates_starts(partition) && partition->stream.mark > mark) {
-        deferred->part = partition->id;
-        deferred->term = partition->my_term;
-        deferred->from = mark;
-        deferred->mark = partition->stream.mark;
+    if (lmn_replication_gates_starts(partition) &&
+        partition->stream.log_position > mark) {
+        deferred->partition = partition->id;
+        deferred->epoch = partition->owned_epoch;
+        deferred->from_position = mark;
+        deferred->log_position = partition->stream.log_position;
         g_strlcpy(deferred->machine, machine->name, sizeof deferred->machine);
     }
     return 200;
@@ -358,12 +369,13 @@
 static void complain(struct lmn_core *core, const char *name, const char *what,
                      struct timespec now)
 {
-    core->count.malformed++;
-    if (core->complained.tv_sec && lmn_time_diff_s(now, core->complained) < 10)
+    core->counters.malformed_heartbeats++;
+    if (core->last_malformed_logged_at.tv_sec &&
+        lmn_time_diff_s(now, core->last_malformed_logged_at) < 10)
         return;
-    core->complained = now;
+    core->last_malformed_logged_at = now;
     lmn_error("report-malformed machine=%.32s what=\"%s\" so-far=%" G_GUINT64_FORMAT,
-              name, what, core->count.malformed);
+              name, what, core->counters.malformed_heartbeats);
 }
 
 int lmn_heartbeat_handle(struct lmn_core *core, const void *body, size_t len,
@@ -398,26 +410,29 @@
                                    const struct lmn_deferred_starts *deferred,
                                    GByteArray *out, struct timespec now)
 {
-    struct lmn_partition *partition = &core->parts[deferred->part];
+    struct lmn_partition *partition = &core->partitions[deferred->partition];
     struct lmn_machine *machine =
         g_hash_table_lookup(partition->machines, deferred->machine);
 
     for (guint i = machine ? machine->attempts->len : 0; i-- > 0;) {
         const struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
-        if (attempt->mark > deferred->from && attempt->mark <= deferred->mark) {
-            core->count.withheld++;
+        if (attempt->log_position > deferred->from_position &&
+            attempt->log_position <= deferred->log_position) {
+            core->counters.withheld_starts++;
             lmn_attempt_vanished(core, machine, i, now);
         }
     }
     /* Kills and clears stay: an answer without them renewed the lease of tasks that had
      * to end. */
     GByteArray *settled = g_byte_array_sized_new(deferred->settled_bytes);
-    g_byte_array_append(settled, out->data + deferred->commands, deferred->settled_bytes);
+    g_byte_array_append(settled, out->data + deferred->commands_offset,
+                        deferred->settled_bytes);
     g_byte_array_set_size(out, 0);
     lmn_cbor_put_map(out, 2);
-    lmn_cbor_put_text(out, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(out, deferred->term);
-    lmn_cbor_put_text(out, WIRE_COMMANDS), lmn_cbor_put_array(out, deferred->settled);
+    lmn_cbor_put_text(out, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(out, deferred->epoch);
+    lmn_cbor_put_text(out, WIRE_COMMANDS),
+        lmn_cbor_put_array(out, deferred->settled_commands);
     g_byte_array_append(out, settled->data, settled->len);
     g_byte_array_unref(settled);
 }
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -39,7 +39,7 @@
 static void assign(const struct lmn_core *core, struct lmn_partition *partition,
                    struct lmn_machine *machine)
 {
-    size_t most = MIN((size_t)(core->cfg->value_kb * 512), 16384);
+    size_t most = MIN((size_t)(core->settings->max_value_kb * 512), 16384);
     guint id = 0;
 
     while (id < partition->blocks->len && partition->blocks->pdata[id] &&
@@ -61,9 +61,9 @@
     struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
     if (!machine) {
         machine = lmn_machine_new(partition, name);
-        machine->first = now;
+        machine->first_seen_at = now;
     }
-    if (!machine->rev) {
+    if (!machine->revision) {
         lmn_machine_leave_block(machine);
         node = lmn_cbor_next(document, node), lmn_cbor_get_text(node, addr, sizeof addr);
         lmn_machine_set_address(machine, addr);
@@ -71,11 +71,11 @@
         lmn_cbor_get_text(node, machine->type_name, sizeof machine->type_name);
         node = lmn_cbor_next(document, node),
         lmn_cbor_get_text(node, machine->zone, sizeof machine->zone);
-        node = lmn_cbor_next(document, node), lmn_cbor_get_bool(node, &machine->spot);
+        node = lmn_cbor_next(document, node), lmn_cbor_get_bool(node, &machine->is_spot);
         put_in(block, machine);
-        machine->rev = revision;
+        machine->revision = revision;
     }
-    machine->block_rev = revision;
+    machine->block_revision = revision;
 }
 
 /* Machines that the record does not name any more, and those that were gone before they
@@ -85,10 +85,11 @@
 {
     for (guint i = block->machines->len; i-- > 0;) {
         struct lmn_machine *machine = block->machines->pdata[i];
-        if (machine->block_rev == revision || (!machine->rev && !machine->is_gone))
+        if (machine->block_revision == revision ||
+            (!machine->revision && !machine->is_terminated))
             continue;
         lmn_machine_requeue_tasks(core, machine, "record removed", now);
-        g_hash_table_remove(machine->part->machines, machine->name);
+        g_hash_table_remove(machine->partition->machines, machine->name);
     }
 }
 
@@ -100,16 +101,16 @@
     if (id >= LMN_MAX_BLOCKS)
         return;
     struct lmn_machine_block *block = block_at(partition, (guint)id);
-    block->gen = core->gen;
-    if (block->rev >= revision)
+    block->generation = core->generation;
+    if (block->revision >= revision)
         return;
     for (const struct lmn_cbor_value *node = value ? lmn_cbor_first_child(document, value)
                                                    : NULL;
          node; node = lmn_cbor_next(document, node))
         read_machine(partition, block, document, node, revision, now);
     drop_others(core, block, revision, now);
-    block->rev = value ? revision : 0;
-    block->writing = false;
+    block->revision = value ? revision : 0;
+    block->is_writing = false;
 }
 
 void lmn_machine_block_sweep(struct lmn_core *core, struct lmn_partition *partition,
@@ -117,10 +118,10 @@
 {
     for (guint i = 0; i < partition->blocks->len; i++) {
         struct lmn_machine_block *block = partition->blocks->pdata[i];
-        if (!block || block->gen == core->gen || !block->rev)
+        if (!block || block->generation == core->generation || !block->revision)
             continue;
-        block->rev = 0;
-        block->writing = false;
+        block->revision = 0;
+        block->is_writing = false;
         drop_others(core, block, UINT64_MAX, now);
     }
 }
@@ -130,9 +131,9 @@
     for (guint i = 0; i < partition->blocks->len; i++) {
         struct lmn_machine_block *block = partition->blocks->pdata[i];
         if (block)
-            block->writing = false;
+            block->is_writing = false;
         if (block)
-            block->retry = block->written = (struct timespec){0, 0};
+            block->retry_at = block->written_at = (struct timespec){0, 0};
     }
 }
 
@@ -150,11 +151,11 @@
     (void)revision;
 
     pthread_mutex_lock(&w->c->lock);
-    struct lmn_machine_block *block = block_at(&w->c->parts[w->part], w->id);
+    struct lmn_machine_block *block = block_at(&w->c->partitions[w->part], w->id);
     /* After a success it is the mirror that ends the write. */
     if (outcome != LMN_TXN_COMMITTED) {
-        block->writing = false;
-        block->retry = lmn_time_add(lmn_now(), 0.3);
+        block->is_writing = false;
+        block->retry_at = lmn_time_add(lmn_now(), 0.3);
     }
     pthread_mutex_unlock(&w->c->lock);
     g_free(w);
@@ -169,28 +170,28 @@
     guint n = 0;
 
     for (guint i = 0; i < block->machines->len; i++)
-        n += !((struct lmn_machine *)block->machines->pdata[i])->is_gone;
+        n += !((struct lmn_machine *)block->machines->pdata[i])->is_terminated;
     lmn_cbor_put_array(v, n);
     for (guint i = 0; i < block->machines->len; i++) {
         const struct lmn_machine *machine = block->machines->pdata[i];
-        if (machine->is_gone)
+        if (machine->is_terminated)
             continue;
         lmn_cbor_put_array(v, 5);
         lmn_cbor_put_text(v, machine->name);
-        lmn_cbor_put_text(v, machine->addr);
+        lmn_cbor_put_text(v, machine->address);
         lmn_cbor_put_text(v, machine->type_name);
         lmn_cbor_put_text(v, machine->zone);
-        lmn_cbor_put_bool(v, machine->spot);
+        lmn_cbor_put_bool(v, machine->is_spot);
     }
     *w = (struct block_ref){core, partition->id, block->id};
     struct lmn_txn *txn = lmn_txn_new(priority, block_written, w);
     g_snprintf(key, sizeof key, "o/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->my_rev);
+    lmn_txn_require_version(txn, key, partition->owned_revision);
     g_snprintf(key, sizeof key, "m/%d/%u", partition->id, block->id);
-    lmn_txn_require_version(txn, key, block->rev);
+    lmn_txn_require_version(txn, key, block->revision);
     lmn_txn_put(txn, key, v, 0);
-    block->writing = true;
-    lmn_kv_client_submit(core->state, txn);
+    block->is_writing = true;
+    lmn_kv_client_submit(core->kv_client, txn);
 }
 
 void lmn_machine_blocks_flush(struct lmn_core *core, struct lmn_partition *partition,
@@ -202,23 +203,24 @@
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
-        if (!machine->block && !machine->is_gone && machine->heard && machine->type)
+        if (!machine->block && !machine->is_terminated && machine->has_reported &&
+            machine->type)
             assign(core, partition, machine);
     }
     for (guint i = 0; i < partition->blocks->len; i++) {
         struct lmn_machine_block *block = partition->blocks->pdata[i];
         guint add = 0, drop = 0;
-        if (!block || block->writing || lmn_time_before(now, block->retry))
+        if (!block || block->is_writing || lmn_time_before(now, block->retry_at))
             continue;
         for (guint k = 0; k < block->machines->len; k++) {
             const struct lmn_machine *machine = block->machines->pdata[k];
-            add += !machine->rev && !machine->is_gone;
-            drop += machine->rev && machine->is_gone;
+            add += !machine->revision && !machine->is_terminated;
+            drop += machine->revision && machine->is_terminated;
         }
-        double since = lmn_time_diff_s(now, block->written);
+        double since = lmn_time_diff_s(now, block->written_at);
         if (!(add && since >= ADD_S) && !(drop && lazy && since >= DROP_S))
             continue;
-        block->written = now;
+        block->written_at = now;
         write_block(core, partition, block, add ? LMN_WRITE_OWNER : LMN_WRITE_DEFERRABLE);
     }
 }
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -15,14 +15,14 @@
 void lmn_machine_terminated(struct lmn_core *core, struct lmn_machine *machine,
                             struct timespec now)
 {
-    machine->is_gone = true;
-    machine->inherited = false;
-    machine->accounted = true;
+    machine->is_terminated = true;
+    machine->is_inherited = false;
+    machine->is_accounted = true;
     lmn_machine_requeue_tasks(core, machine, "machine gone", now);
-    g_hash_table_add(core->gone, g_strdup(machine->name));
-    lmn_partition_check_ready(core, machine->part, now);
+    g_hash_table_add(core->returned_machines, g_strdup(machine->name));
+    lmn_partition_check_ready(core, machine->partition, now);
     if (!machine->block)
-        g_hash_table_remove(machine->part->machines, machine->name);
+        g_hash_table_remove(machine->partition->machines, machine->name);
 }
 
 static guint busy(const struct lmn_machine *machine)
@@ -44,9 +44,11 @@
  * here, or had nobody to talk to, and says nothing about its link. */
 static struct timespec listening_since(const struct lmn_core *core)
 {
-    struct timespec woke = core->members.woke;
+    struct timespec woke = core->members.resumed_at;
 
-    return lmn_time_before(core->refused_until, woke) ? woke : core->refused_until;
+    return lmn_time_before(core->heartbeats_refused_until, woke)
+               ? woke
+               : core->heartbeats_refused_until;
 }
 
 /* Whether this node has answered reports for so long that each worker which reaches it
@@ -54,7 +56,7 @@
 static bool has_listened(const struct lmn_core *core, struct timespec now)
 {
     return lmn_time_diff_s(now, listening_since(core)) >
-           core->members.t.overdue_s + LATE_BACK_S;
+           core->members.timeouts.heartbeat_overdue_s + LATE_BACK_S;
 }
 
 /* Its link is in doubt: neither a report came nor, where it may just not have come back
@@ -62,11 +64,11 @@
 static bool unheard(const struct lmn_core *core, const struct lmn_machine *machine,
                     struct timespec now)
 {
-    if (!machine->accounted)
+    if (!machine->is_accounted)
         return true;
-    if (!machine->lapsed && !lmn_machine_is_silent(core, machine, now))
+    if (!machine->lease_expired && !lmn_machine_is_silent(core, machine, now))
         return false;
-    return machine->probes > 0 || has_listened(core, now);
+    return machine->unanswered_probes > 0 || has_listened(core, now);
 }
 
 /* How many of a partition's machines are silent, of those that should not be. */
@@ -82,10 +84,10 @@
     GArray *a = g_array_new(FALSE, TRUE, sizeof(struct silence));
 
     g_array_set_size(a, 1);
-    for (guint k = 0; k < partition->list->len; k++) {
-        const struct lmn_machine *machine = partition->list->pdata[k];
+    for (guint k = 0; k < partition->machine_list->len; k++) {
+        const struct lmn_machine *machine = partition->machine_list->pdata[k];
         guint i = 1;
-        if ((!machine->heard && !machine->inherited) || machine->is_gone)
+        if ((!machine->has_reported && !machine->is_inherited) || machine->is_terminated)
             continue;
         while (i < a->len &&
                strcmp(g_array_index(a, struct silence, i).zone, machine->zone))
@@ -112,10 +114,11 @@
 static bool has_to_ask(const struct lmn_core *core, const struct lmn_partition *partition,
                        struct timespec now)
 {
-    for (guint k = 0; k < partition->list->len; k++) {
-        const struct lmn_machine *machine = partition->list->pdata[k];
-        if (!machine->is_gone && ((machine->inherited && !machine->accounted) ||
-                                  lmn_machine_is_silent(core, machine, now)))
+    for (guint k = 0; k < partition->machine_list->len; k++) {
+        const struct lmn_machine *machine = partition->machine_list->pdata[k];
+        if (!machine->is_terminated &&
+            ((machine->is_inherited && !machine->is_accounted) ||
+             lmn_machine_is_silent(core, machine, now)))
             return true;
     }
     return false;
@@ -135,36 +138,36 @@
                       const GArray *a, struct timespec now)
 {
     /* Right after a takeover nobody has been heard yet. */
-    if (lmn_time_diff_s(now, partition->since) < HEARD_S)
+    if (lmn_time_diff_s(now, partition->owned_since) < HEARD_S)
         return;
     for (guint i = 1; i < a->len; i++) {
         const struct silence *s = &g_array_index(a, struct silence, i);
         struct lmn_zone_cut *cut = NULL;
         if (!most_of(s))
             continue;
-        for (guint k = 0; k < partition->cuts->len && !cut; k++)
-            if (!strcmp(g_array_index(partition->cuts, struct lmn_zone_cut, k).zone,
+        for (guint k = 0; k < partition->zone_cuts->len && !cut; k++)
+            if (!strcmp(g_array_index(partition->zone_cuts, struct lmn_zone_cut, k).zone,
                         s->zone))
-                cut = &g_array_index(partition->cuts, struct lmn_zone_cut, k);
+                cut = &g_array_index(partition->zone_cuts, struct lmn_zone_cut, k);
         if (!cut) {
             struct lmn_zone_cut new = {.zone = g_intern_string(s->zone)};
-            g_array_append_val(partition->cuts, new);
-            cut = &g_array_index(partition->cuts, struct lmn_zone_cut,
-                                 partition->cuts->len - 1);
+            g_array_append_val(partition->zone_cuts, new);
+            cut = &g_array_index(partition->zone_cuts, struct lmn_zone_cut,
+                                 partition->zone_cuts->len - 1);
         }
         if (lmn_time_before(cut->until, now))
             lmn_info("zone-silent partition=%d zone=%s silent=%u of=%u", partition->id,
                      s->zone, s->silent, s->all);
-        cut->until = lmn_time_add(now, core->cfg->report_s + 10);
+        cut->until = lmn_time_add(now, core->settings->heartbeat_s + 10);
     }
 }
 
 static bool is_cut(const struct lmn_partition *partition, const char *zone,
                    struct timespec now)
 {
-    for (guint i = 0; i < partition->cuts->len; i++) {
+    for (guint i = 0; i < partition->zone_cuts->len; i++) {
         const struct lmn_zone_cut *cut =
-            &g_array_index(partition->cuts, struct lmn_zone_cut, i);
+            &g_array_index(partition->zone_cuts, struct lmn_zone_cut, i);
         if (!strcmp(cut->zone, zone))
             return lmn_time_before(now, cut->until);
     }
@@ -177,12 +180,13 @@
 static void upkeep_machine(struct lmn_core *core, struct lmn_machine *machine,
                            const GArray *silence, struct timespec now)
 {
-    const struct lmn_settings *cfg = core->cfg;
-    struct lmn_partition *partition = machine->part;
-    double silent = machine->heard ? lmn_time_diff_s(now, machine->last)
-                                   : lmn_time_diff_s(now, partition->since);
+    const struct lmn_settings *cfg = core->settings;
+    struct lmn_partition *partition = machine->partition;
+    double silent = machine->has_reported
+                        ? lmn_time_diff_s(now, machine->last_heartbeat_at)
+                        : lmn_time_diff_s(now, partition->owned_since);
 
-    if (machine->is_gone)
+    if (machine->is_terminated)
         return;
     /* Counted from the last report that we may have answered, with the clocks' drift and
      * our own lateness allowed for: then the worker has ended everything by itself. Only
@@ -192,9 +196,9 @@
      * gave up the machines of the other zones, which its successor had kept alive, and
      * started their tasks once more on those of its own zone. */
     double lapse = cfg->lease_s * 1.002 + 1.5;
-    if (machine->accounted && !machine->lapsed && silent > lapse &&
-        lmn_time_diff_s(core->fresh, machine->last) > lapse) {
-        machine->lapsed = true;
+    if (machine->is_accounted && !machine->lease_expired && silent > lapse &&
+        lmn_time_diff_s(core->cache_fresh_at, machine->last_heartbeat_at) > lapse) {
+        machine->lease_expired = true;
         lmn_info("machine-lapsed machine=%s partition=%d tasks=%u", machine->name,
                  partition->id, busy(machine));
         lmn_machine_requeue_tasks(core, machine, "lease lapsed", now);
@@ -206,14 +210,15 @@
      * is cut off: returning its machines ended a third of all replicas at once, where
      * most would have run on, and left nothing to come back to. */
     bool few = !most_silent(silence), cut = is_cut(partition, machine->zone, now);
-    if (lmn_machine_is_silent(core, machine, now) && machine->probes >= 2 && few && !cut)
+    if (lmn_machine_is_silent(core, machine, now) && machine->unanswered_probes >= 2 &&
+        few && !cut)
         lmn_machine_drain(core, machine, true, "silent and unreachable", now);
-    if (machine->lapsed &&
+    if (machine->lease_expired &&
         silent > cfg->lease_s + LAPSED_BACK_S + (few && cut ? cfg->cancel_s : 0) &&
         lmn_time_diff_s(now, listening_since(core)) > LAPSED_BACK_S)
         lmn_machine_drain(core, machine, true, "silent", now);
-    if (machine->noticed &&
-        lmn_time_diff_s(now, machine->noticed_at) > machine->notice_s + 0.5)
+    if (machine->has_spot_notice &&
+        lmn_time_diff_s(now, machine->spot_notice_at) > machine->notice_s + 0.5)
         lmn_machine_drain(core, machine, true, "taken by the cloud", now);
     /* Neither its worker's reports nor our own questions got through. If that goes for
      * most of them, the fault is more likely on this side: then the leases have to run
@@ -229,37 +234,39 @@
      * machine that does not hear us. Once each of them put the return off, and the
      * partition's inherited work waited for as long as they came. One that was heard has
      * had an answer, and the time for another report. */
-    double waited =
-        lmn_time_diff_s(now, machine->inherited ? partition->since : machine->first);
-    if (machine->heard)
-        patience = MAX(patience, 1.25 * cfg->report_s + 4);
-    if (machine->inherited && !machine->accounted && waited > patience &&
-        (machine->probes >= 2 ||
-         (machine->probes && waited > 1.25 * cfg->report_s + patience) ||
+    double waited = lmn_time_diff_s(now, machine->is_inherited ? partition->owned_since
+                                                               : machine->first_seen_at);
+    if (machine->has_reported)
+        patience = MAX(patience, 1.25 * cfg->heartbeat_s + 4);
+    if (machine->is_inherited && !machine->is_accounted && waited > patience &&
+        (machine->unanswered_probes >= 2 ||
+         (machine->unanswered_probes && waited > 1.25 * cfg->heartbeat_s + patience) ||
          waited > cfg->lease_s))
         lmn_machine_drain(core, machine, true, "not heard under the new term", now);
     /* One that nobody recorded, and that was never heard under our term: a copy of a
      * report of a machine that is gone, or one that does not hear. */
-    if (!machine->inherited && !machine->accounted &&
-        waited > cfg->lease_s + 1.25 * cfg->report_s)
+    if (!machine->is_inherited && !machine->is_accounted &&
+        waited > cfg->lease_s + 1.25 * cfg->heartbeat_s)
         lmn_machine_drain(core, machine, true, "never heard under this term", now);
     /* While a partition's inherited work has to wait, its machines are idle for that
      * alone. */
-    if (machine->accounted && !machine->retiring && machine->idle.tv_sec &&
-        partition->ready &&
-        lmn_time_diff_s(now, machine->idle) > core->tuning.idle_return_s &&
-        lmn_time_diff_s(now, partition->ready_at) > core->tuning.idle_return_s &&
-        !machine->queue.tasks)
+    if (machine->is_accounted && !machine->is_draining && machine->idle_since.tv_sec &&
+        partition->is_ready &&
+        lmn_time_diff_s(now, machine->idle_since) >
+            core->operator_settings.idle_return_s &&
+        lmn_time_diff_s(now, partition->ready_at) >
+            core->operator_settings.idle_return_s &&
+        !machine->queue.task_count)
         lmn_machine_drain(core, machine, false, "idle", now);
 }
 
 static uint32_t in_queue(const struct lmn_queue *queue, const struct lmn_range *range)
 {
     uint32_t n = 0;
-    for (guint i = 0; i < queue->segs->len; i++) {
-        const struct lmn_queue_segment *segment = queue->segs->pdata[i];
+    for (guint i = 0; i < queue->segments->len; i++) {
+        const struct lmn_queue_segment *segment = queue->segments->pdata[i];
         if (segment->range == range)
-            n += segment->hi - segment->lo;
+            n += segment->end - segment->first;
     }
     return n;
 }
@@ -271,22 +278,22 @@
 {
     GList *ranges = g_hash_table_get_values(partition->ranges);
 
-    for (GList *l = ranges; l && partition->ready; l = l->next) {
+    for (GList *l = ranges; l && partition->is_ready; l = l->next) {
         struct lmn_range *range = l->data;
-        uint32_t n = range->hi - range->lo, queued = 0,
-                 found = in_queue(&partition->unplaced, range);
+        uint32_t n = range->end - range->first, queued = 0,
+                 found = in_queue(&partition->unassigned, range);
         GHashTableIter it;
         gpointer v;
-        if (!range->st || range->job->phase != LMN_JOB_ACTIVE)
+        if (!range->task_states || range->job->phase != LMN_JOB_ACTIVE)
             continue;
         for (uint32_t i = 0; i < n; i++)
-            queued += range->st[i] == LMN_TASK_QUEUED;
+            queued += range->task_states[i] == LMN_TASK_QUEUED;
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
             found += in_queue(&((struct lmn_machine *)v)->queue, range);
         if (found >= queued)
             continue;
-        core->count.unqueued++;
+        core->counters.reconciled_tasks++;
         lmn_error("tasks-unqueued range=%s queued=%u found=%u", range->key, queued,
                   found);
         lmn_reassign_range(core, range, now);
@@ -303,35 +310,35 @@
     guint overdue = 0, all = 0;
     bool listened = has_listened(core, now);
 
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *partition = &core->parts[i];
-        for (guint k = 0; partition->mine && k < partition->list->len; k++) {
-            const struct lmn_machine *machine = partition->list->pdata[k];
-            if (!machine->accounted || machine->is_gone)
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
+        for (guint k = 0; partition->is_owned && k < partition->machine_list->len; k++) {
+            const struct lmn_machine *machine = partition->machine_list->pdata[k];
+            if (!machine->is_accounted || machine->is_terminated)
                 continue;
             all++;
             /* Nor is one in command of whoever does not hear it. */
-            overdue += machine->unheeded > 1 ||
-                       (listened &&
-                        lmn_time_diff_s(now, machine->last) > core->members.t.overdue_s);
+            overdue += machine->ignored_commands > 1 ||
+                       (listened && lmn_time_diff_s(now, machine->last_heartbeat_at) >
+                                        core->members.timeouts.heartbeat_overdue_s);
         }
     }
-    core->members.word.deaf = core->members.shut ? 1
-                              : all > 2          ? overdue / (double)all
-                                                 : 0;
+    core->members.health.silent_machine_share = core->members.is_isolated_from_workers ? 1
+                                                : all > 2 ? overdue / (double)all
+                                                          : 0;
 }
 
 /* How many machines each member's partitions have. */
 static void note_machines(struct lmn_core *core)
 {
-    for (int i = 0; i < core->members.n; i++)
-        core->members.v[i].machines = 0;
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *partition = &core->parts[i];
+    for (int i = 0; i < core->members.count; i++)
+        core->members.views[i].machine_count = 0;
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
         int owner =
             *partition->owner ? lmn_member_index(&core->members, partition->owner) : -1;
         if (owner >= 0)
-            core->members.v[owner].machines += partition->list->len;
+            core->members.views[owner].machine_count += partition->machine_list->len;
     }
 }
 
@@ -341,35 +348,36 @@
 
 void lmn_maintenance_run(struct lmn_core *core, struct timespec now)
 {
-    bool due = lmn_time_diff_s(now, core->audited) > 5.0;
+    bool due = lmn_time_diff_s(now, core->last_reconciled_at) > 5.0;
     guint machines = 0;
 
-    for (int i = 0; i < core->nparts; i++)
-        machines += core->parts[i].mine ? core->parts[i].list->len : 0;
+    for (int i = 0; i < core->partition_count; i++)
+        machines +=
+            core->partitions[i].is_owned ? core->partitions[i].machine_list->len : 0;
     /* A look at each takes as long as there are machines; what it finds has waited for
      * seconds already. */
-    if (machines > FEW &&
-        lmn_time_diff_s(now, core->kept_up) < MIN(machines * EACH_S, LONGEST_S))
+    if (machines > FEW && lmn_time_diff_s(now, core->last_maintenance_at) <
+                              MIN(machines * EACH_S, LONGEST_S))
         return;
-    core->kept_up = now;
+    core->last_maintenance_at = now;
     if (lmn_watch_cache_is_too_stale(core, now) ||
         !lmn_self_may_reply(&core->members, now))
-        core->refused_until = now;
+        core->heartbeats_refused_until = now;
     note_deaf(core, now);
     note_machines(core);
     if (due)
-        core->audited = now;
-    for (int i = 0; i < core->nparts; i++) {
-        struct lmn_partition *partition = &core->parts[i];
+        core->last_reconciled_at = now;
+    for (int i = 0; i < core->partition_count; i++) {
+        struct lmn_partition *partition = &core->partitions[i];
         lmn_replica_drop_outdated(core, partition);
-        if (!partition->mine)
+        if (!partition->is_owned)
             continue;
         /* Once for all machines: a look at each from each takes their square. */
         GArray *silence = listen_to(core, partition, now);
         note_cuts(core, partition, silence, now);
-        partition->asking = has_to_ask(core, partition, now);
-        for (guint k = 0; k < partition->list->len; k++)
-            upkeep_machine(core, partition->list->pdata[k], silence, now);
+        partition->needs_probing = has_to_ask(core, partition, now);
+        for (guint k = 0; k < partition->machine_list->len; k++)
+            upkeep_machine(core, partition->machine_list->pdata[k], silence, now);
         g_array_free(silence, TRUE);
         lmn_partition_check_ready(core, partition, now);
         if (due)
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -17,8 +17,8 @@
     lmn_range_open(core, range);
     if (!lmn_range_may_start(range))
         return;
-    range->dealt = true;
-    lmn_assign_tasks(core, range, range->lo, range->hi, now);
+    range->is_assigned = true;
+    lmn_assign_tasks(core, range, range->first, range->end, now);
 }
 
 static const struct lmn_owner_ops ops = {
@@ -39,6 +39,6 @@
 {
     struct lmn_core *core = lmn_core_alloc(cfg, state, seed);
 
-    core->owner = &ops;
+    core->owner_ops = &ops;
     return core;
 }
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -23,9 +23,9 @@
     state->announced = false;
     pthread_mutex_lock(&state->c->lock);
     state->c->lease = 0;
-    for (int i = 0; i < state->c->nparts; i++)
-        if (state->c->parts[i].mine)
-            lmn_partition_lose(state->c, &state->c->parts[i], "lease ended");
+    for (int i = 0; i < state->c->partition_count; i++)
+        if (state->c->partitions[i].is_owned)
+            lmn_partition_lose(state->c, &state->c->partitions[i], "lease ended");
     pthread_mutex_unlock(&state->c->lock);
 }
 
@@ -61,7 +61,7 @@
             state->renewed = sent;
             pthread_mutex_lock(&core->lock);
             core->lease = state->lease;
-            core->leased = lmn_now();
+            core->leased_at = lmn_now();
             pthread_mutex_unlock(&core->lock);
             lmn_info("lease-new lease=%" G_GUINT64_FORMAT, state->lease);
         }
@@ -73,7 +73,7 @@
 {
     uint64_t revision;
     enum lmn_txn_outcome r =
-        lmn_kv_client_commit(state->c->state, state->http, txn, &revision, NULL);
+        lmn_kv_client_commit(state->c->kv_client, state->http, txn, &revision, NULL);
 
     lmn_txn_free(txn);
     return r;
@@ -87,12 +87,13 @@
 static struct lmn_txn *record(const struct lmn_core *core, uint64_t lease)
 {
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
-    char *key = g_strdup_printf("n/%s", core->cfg->node);
+    char *key = g_strdup_printf("n/%s", core->settings->node_name);
     GByteArray *v = g_byte_array_new();
 
-    if (core->synced)
-        lmn_txn_require_version(txn, key, core->members.v[core->members.me].inc);
-    if (core->leaving) {
+    if (core->is_synced)
+        lmn_txn_require_version(txn, key,
+                                core->members.views[core->members.self].incarnation);
+    if (core->is_shutting_down) {
         lmn_cbor_put_map(v, 2);
         lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, lease);
         lmn_cbor_put_text(v, "leaving"), lmn_cbor_put_bool(v, true);
@@ -106,10 +107,10 @@
 
 bool lmn_ownership_is_announced(const struct lmn_core *core, uint64_t lease)
 {
-    const struct lmn_member_view *member = &core->members.v[core->members.me];
+    const struct lmn_member_view *member = &core->members.views[core->members.self];
 
-    return core->synced && member->present && member->lease == lease &&
-           member->leaving == core->leaving;
+    return core->is_synced && member->is_present && member->lease == lease &&
+           member->is_shutting_down == core->is_shutting_down;
 }
 
 /* Until the mirror shows it, it is said again after this time. */
@@ -119,12 +120,13 @@
                                        struct timespec now)
 {
     if (!lease || lmn_ownership_is_announced(core, lease) ||
-        (core->announced_lease == lease && core->announced_leaving == core->leaving &&
-         lmn_time_diff_s(now, core->announced) < AGAIN_S))
+        (core->announced_lease == lease &&
+         core->announced_leaving == core->is_shutting_down &&
+         lmn_time_diff_s(now, core->announced_at) < AGAIN_S))
         return NULL;
     core->announced_lease = lease;
-    core->announced_leaving = core->leaving;
-    core->announced = now;
+    core->announced_leaving = core->is_shutting_down;
+    core->announced_at = now;
     return record(core, lease);
 }
 
@@ -145,7 +147,7 @@
                                         uint64_t lease, struct timespec now)
 {
     struct lmn_members *members = &core->members;
-    const struct lmn_member_view *member = &members->v[member_index];
+    const struct lmn_member_view *member = &members->views[member_index];
     struct lmn_failure_evidence e;
 
     if (!lmn_member_should_suspect(members, member_index, now, &e))
@@ -153,19 +155,20 @@
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     char *key = g_strdup_printf("u/%s", lmn_member_name(members, member_index));
     GByteArray *v = g_byte_array_new();
-    lmn_txn_require_version(txn, key, member->doubt_rev);
+    lmn_txn_require_version(txn, key, member->suspicion_revision);
     lmn_cbor_put_map(v, 3);
-    lmn_cbor_put_text(v, "incarnation"), lmn_cbor_put_uint(v, member->inc);
-    lmn_cbor_put_text(v, "by"), lmn_cbor_put_text(v, core->cfg->node);
+    lmn_cbor_put_text(v, "incarnation"), lmn_cbor_put_uint(v, member->incarnation);
+    lmn_cbor_put_text(v, "by"), lmn_cbor_put_text(v, core->settings->node_name);
     lmn_cbor_put_text(v, "why"), lmn_cbor_put_uint(v, e.cause);
     lmn_txn_put(txn, key, v, lease);
     g_free(key);
-    members->count.suspicions++;
+    members->counters.suspicions++;
     lmn_info("member-suspect member=%s incarnation=%" G_GUINT64_FORMAT
              " why=%s asked=%.1f others=%.1f by=%u workers=%u stale=%.1f deaf=%.2f",
-             lmn_member_name(members, member_index), member->inc,
-             lmn_suspicion_cause_name(e.cause), e.asked, e.others, e.by, e.visitors,
-             e.stale_s, e.deaf);
+             lmn_member_name(members, member_index), member->incarnation,
+             lmn_suspicion_cause_name(e.cause), e.own_phi, e.best_other_phi,
+             e.other_witnesses, e.redirected_workers, e.cache_age_s,
+             e.silent_machine_share);
     return txn;
 }
 
@@ -175,37 +178,40 @@
 struct lmn_txn *lmn_ownership_claim(struct lmn_core *core, int id, uint64_t lease,
                                     struct timespec now)
 {
-    const struct lmn_partition *partition = &core->parts[id];
+    const struct lmn_partition *partition = &core->partitions[id];
     struct lmn_members *members = &core->members;
     struct lmn_failure_evidence e;
 
-    if (!core->synced || partition->mine ||
+    if (!core->is_synced || partition->is_owned ||
         !lmn_partition_should_claim(core, partition, now))
         return NULL;
-    if (partition->owner_rev &&
-        lmn_member_index(members, partition->owner) == members->me &&
+    if (partition->owner_revision &&
+        lmn_member_index(members, partition->owner) == members->self &&
         !lmn_replica_own_is_latest(partition)) {
         /* Our last life held it. Who was in step with that one knows more than we do. */
         int named = lmn_standby_named(core, partition, now);
-        if (named >= 0 && named != members->me && members->v[named].ever) {
+        if (named >= 0 && named != members->self &&
+            members->views[named].ever_contacted) {
             lmn_info("partition-hand-on partition=%d to=%s", id,
                      lmn_member_name(members, named));
             return lmn_partition_transfer(core, partition, named);
         }
-        if (named >= 0 && named != members->me &&
+        if (named >= 0 && named != members->self &&
             lmn_time_diff_s(now, core->synced_at) < HEAR_S)
             return NULL;
     }
-    int judged = partition->owner_rev ? lmn_member_index(members, partition->owner) : -1;
-    if (judged >= 0 && judged != members->me) {
+    int judged =
+        partition->owner_revision ? lmn_member_index(members, partition->owner) : -1;
+    if (judged >= 0 && judged != members->self) {
         lmn_member_failure_evidence(members, judged, now, &e);
-        members->count.verdicts++;
+        members->counters.failures_declared++;
         lmn_info("member-verdict member=%s incarnation=%" G_GUINT64_FORMAT
                  " partition=%d why=%s sides=%u asked=%.1f others=%.1f by=%u "
                  "workers=%u suspected=%.2f",
-                 partition->owner, members->v[judged].inc, id,
-                 lmn_suspicion_cause_name(e.cause), e.sides, e.asked, e.others, e.by,
-                 e.visitors, lmn_time_diff_s(now, members->v[judged].doubted));
+                 partition->owner, members->views[judged].incarnation, id,
+                 lmn_suspicion_cause_name(e.cause), e.independent_witnesses, e.own_phi,
+                 e.best_other_phi, e.other_witnesses, e.redirected_workers,
+                 lmn_time_diff_s(now, members->views[judged].suspected_since));
     }
     return lmn_partition_claim(core, partition, lease);
 }
@@ -217,29 +223,30 @@
                  struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int holder = p->id % members->n, held = 0, theirs = 0;
+    int holder = p->id % members->count, held = 0, theirs = 0;
 
-    if (!p->mine)
+    if (!p->is_owned)
         return -1;
-    if (core->leaving)
+    if (core->is_shutting_down)
         return lmn_shutdown_transfer_target(core, p, now);
     int successor = lmn_self_transfer_target(members, now);
     if (successor >= 0)
         return successor;
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *o = &core->parts[i];
-        held += o->mine;
-        theirs += o->owner_rev && lmn_member_index(members, o->owner) == holder;
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *o = &core->partitions[i];
+        held += o->is_owned;
+        theirs += o->owner_revision && lmn_member_index(members, o->owner) == holder;
     }
-    if (!p->ready || held < 2 || theirs || holder == members->me ||
+    if (!p->is_ready || held < 2 || theirs || holder == members->self ||
         !lmn_member_is_trusted(members, holder, now) ||
         lmn_member_readmission_delay_s(members, holder, now) > 0 ||
-        lmn_time_diff_s(now, p->since) < 15.0)
+        lmn_time_diff_s(now, p->owned_since) < 15.0)
         return -1;
     /* It is told everything first, so that nothing stands still; if that does not come
      * about, it gets its work all the same. */
-    if (core->tuning.standby > 0 && lmn_standby_named(core, p, now) != holder &&
-        lmn_time_diff_s(now, p->since) < LATEST_BACK_S)
+    if (core->operator_settings.standby > 0 &&
+        lmn_standby_named(core, p, now) != holder &&
+        lmn_time_diff_s(now, p->owned_since) < LATEST_BACK_S)
         return -1;
     return holder;
 }
@@ -247,38 +254,40 @@
 struct lmn_txn *lmn_ownership_transfer(struct lmn_core *core, int id, int *successor,
                                        struct timespec now)
 {
-    struct lmn_partition *partition = &core->parts[id];
+    struct lmn_partition *partition = &core->partitions[id];
     struct lmn_members *members = &core->members;
 
     /* One whose outcome was not known, and that the mirror has not shown since. */
-    if (partition->mine && partition->releasing &&
-        lmn_time_before(partition->released, core->fresh))
-        partition->releasing = false;
-    *successor = partition->releasing ? -1 : gives(core, partition, now);
+    if (partition->is_owned && partition->is_transferring &&
+        lmn_time_before(partition->transfer_tried_at, core->cache_fresh_at))
+        partition->is_transferring = false;
+    *successor = partition->is_transferring ? -1 : gives(core, partition, now);
     if (*successor < 0)
         return NULL;
-    if (lmn_self_transfer_target(members, now) == *successor && !members->shut) {
-        lmn_info("member-deaf deaf=%.2f successor=%s", members->word.deaf,
+    if (lmn_self_transfer_target(members, now) == *successor &&
+        !members->is_isolated_from_workers) {
+        lmn_info("member-deaf deaf=%.2f successor=%s",
+                 members->health.silent_machine_share,
                  lmn_member_name(members, *successor));
-        members->shut = true;
+        members->is_isolated_from_workers = true;
     }
     lmn_info("partition-give partition=%d to=%s warm=%d", id,
              lmn_member_name(members, *successor),
              lmn_standby_named(core, partition, now) == *successor);
-    partition->releasing = true;
-    partition->released = now;
-    members->count.gives++;
+    partition->is_transferring = true;
+    partition->transfer_tried_at = now;
+    members->counters.transfers++;
     return lmn_partition_transfer(core, partition, *successor);
 }
 
 void lmn_ownership_transferred(struct lmn_core *core, int id, enum lmn_txn_outcome r,
                                struct timespec now)
 {
-    struct lmn_partition *partition = &core->parts[id];
+    struct lmn_partition *partition = &core->partitions[id];
 
-    partition->released = now;
+    partition->transfer_tried_at = now;
     if (r == LMN_TXN_REJECTED || r == LMN_TXN_CONFLICT)
-        partition->releasing = false;
+        partition->is_transferring = false;
 }
 
 /* --- the thread --- */
@@ -307,7 +316,7 @@
     char path[64];
 
     pthread_mutex_lock(&core->lock);
-    bool bare = lmn_shutdown_owns_nothing(core) && !core->left;
+    bool bare = lmn_shutdown_owns_nothing(core) && !core->has_released_lease;
     pthread_mutex_unlock(&core->lock);
     if (!bare)
         return;
@@ -323,15 +332,16 @@
     }
     pthread_mutex_lock(&core->lock);
     core->lease = 0;
-    core->left = true;
-    lmn_info("leave-given after=%.2f", lmn_time_diff_s(lmn_now(), core->leave_at));
+    core->has_released_lease = true;
+    lmn_info("leave-given after=%.2f",
+             lmn_time_diff_s(lmn_now(), core->shutdown_began_at));
     pthread_mutex_unlock(&core->lock);
 }
 
 static bool gone(struct holder *state)
 {
     pthread_mutex_lock(&state->c->lock);
-    bool left = state->c->left;
+    bool left = state->c->has_released_lease;
     pthread_mutex_unlock(&state->c->lock);
     return left;
 }
@@ -340,10 +350,10 @@
 {
     struct lmn_core *core = state->c;
 
-    for (int i = 0; i < core->members.n; i++) {
+    for (int i = 0; i < core->members.count; i++) {
         pthread_mutex_lock(&core->lock);
         struct lmn_txn *txn =
-            i == core->members.me
+            i == core->members.self
                 ? lmn_ownership_refutation(core, state->lease, lmn_now())
                 : lmn_ownership_suspicion(core, i, state->lease, lmn_now());
         pthread_mutex_unlock(&core->lock);
@@ -387,9 +397,9 @@
 void *lmn_ownership_thread(void *arg)
 {
     struct lmn_core *core = arg;
-    struct holder h = {.c = core, .ttl = core->members.t.lease_s};
+    struct holder h = {.c = core, .ttl = core->members.timeouts.lease_s};
 
-    h.http = lmn_http_client_new(core->cfg->state);
+    h.http = lmn_http_client_new(core->settings->state_address);
     h.buf = g_byte_array_new();
     for (;;) {
         struct timespec now = lmn_now();
@@ -405,12 +415,13 @@
         if (h.lease && h.announced)
             tell(&h);
         if (h.lease)
-            for (int i = 0; i < core->nparts; i++) {
+            for (int i = 0; i < core->partition_count; i++) {
                 claim(&h, i);
                 give(&h, i);
             }
         pthread_mutex_lock(&core->lock);
-        lmn_cond_wait_for(&core->changed, &core->lock, core->members.t.every_s / 4);
+        lmn_cond_wait_for(&core->ownership_changed, &core->lock,
+                          core->members.timeouts.probe_interval_s / 4);
         pthread_mutex_unlock(&core->lock);
     }
     return NULL;
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -37,20 +37,21 @@
         lmn_attempt_uncount(machine,
                             &g_array_index(machine->attempts, struct lmn_attempt, i));
     g_array_set_size(machine->attempts, 0);
-    g_array_set_size(machine->accusers, 0);
-    machine->hold = (struct timespec){0, 0};
+    g_array_set_size(machine->failing_jobs, 0);
+    machine->quarantined_until = (struct timespec){0, 0};
     lmn_machine_cancel_wake(machine);
-    machine->in_call = false;
-    machine->probes = machine->unheeded = 0;
-    machine->promised = 0;
-    machine->kept = NULL;
-    machine->next_probe = (struct timespec){0, 0};
-    machine->heard = machine->accounted = machine->lapsed = false;
-    machine->retiring = machine->force = machine->noticed = machine->is_gone = false;
-    machine->inherited = machine->rev != 0;
-    machine->session = machine->seq = machine->report_seq = 0;
-    machine->poll_s = 0;
-    machine->idle = machine->next_steal = (struct timespec){0, 0};
+    machine->has_push_in_flight = false;
+    machine->unanswered_probes = machine->ignored_commands = 0;
+    machine->preemption_reserved_tasks = 0;
+    machine->reserved_for = NULL;
+    machine->next_probe_at = (struct timespec){0, 0};
+    machine->has_reported = machine->is_accounted = machine->lease_expired = false;
+    machine->is_draining = machine->drain_at_once = machine->has_spot_notice =
+        machine->is_terminated = false;
+    machine->is_inherited = machine->revision != 0;
+    machine->agent_incarnation = machine->sequence = machine->heartbeat_sequence = 0;
+    machine->steal_interval_s = 0;
+    machine->idle_since = machine->next_steal_at = (struct timespec){0, 0};
 }
 
 /* With what a standby was told, or what this process knew as the last owner; else as one
@@ -60,23 +61,24 @@
 {
     const char *why = lmn_failover_cold_reason(core, partition);
 
-    partition->warm = !why;
-    if (partition->warm) {
+    partition->is_warm = !why;
+    if (partition->is_warm) {
         guint held = lmn_failover_restore(core, partition, now);
-        core->count.warm++;
-        core->count.own += partition->copy->own;
+        core->counters.warm_failovers++;
+        core->counters.own_state_failovers += partition->replica->own;
         lmn_info("takeover-warm partition=%d term=%" G_GUINT64_FORMAT
                  " machines=%u attempts=%u own=%d",
-                 partition->id, partition->my_term, partition->list->len, held,
-                 partition->copy->own);
-    } else if (partition->list->len) {
-        core->count.cold++;
+                 partition->id, partition->owned_epoch, partition->machine_list->len,
+                 held, partition->replica->own);
+    } else if (partition->machine_list->len) {
+        core->counters.cold_failovers++;
         lmn_info("takeover-cold partition=%d term=%" G_GUINT64_FORMAT
                  " machines=%u why=\"%s\"",
-                 partition->id, partition->my_term, partition->list->len, why);
+                 partition->id, partition->owned_epoch, partition->machine_list->len,
+                 why);
     }
-    lmn_replica_free(partition->copy);
-    partition->copy = NULL;
+    lmn_replica_free(partition->replica);
+    partition->replica = NULL;
 }
 
 void lmn_partition_own(struct lmn_core *core, struct lmn_partition *partition,
@@ -86,21 +88,24 @@
     gpointer v;
 
     lmn_replication_reset(core, partition);
-    partition->mine = true;
-    partition->ready = partition->releasing = partition->started = partition->warm =
-        partition->open = false;
-    partition->my_term = partition->owner_term;
-    partition->my_rev = partition->owner_rev;
-    partition->attempts = 0;
-    partition->since = now;
-    partition->asking = true;
-    memset(partition->used_cpus, 0, core->cfg->nteams * sizeof *partition->used_cpus);
-    memset(partition->used_gpus, 0, core->cfg->nteams * sizeof *partition->used_gpus);
-    core->count.takeovers++;
+    partition->is_owned = true;
+    partition->is_ready = partition->is_transferring = partition->has_started_task =
+        partition->is_warm = partition->inherited_may_start = false;
+    partition->owned_epoch = partition->owner_epoch;
+    partition->owned_revision = partition->owner_revision;
+    partition->next_attempt = 0;
+    partition->owned_since = now;
+    partition->needs_probing = true;
+    memset(partition->used_cpus, 0,
+           core->settings->team_count * sizeof *partition->used_cpus);
+    memset(partition->used_gpus, 0,
+           core->settings->team_count * sizeof *partition->used_gpus);
+    core->counters.failovers++;
     lmn_machine_blocks_reset(partition);
     /* Of an earlier term of ours: they would hold returns up that wait for no cut. */
-    g_array_set_size(partition->cuts, 0);
-    memset(partition->keep, 0, core->cfg->nteams * sizeof *partition->keep);
+    g_array_set_size(partition->zone_cuts, 0);
+    memset(partition->quota_reservations, 0,
+           core->settings->team_count * sizeof *partition->quota_reservations);
     lmn_quota_transfer_reset(partition);
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
@@ -108,13 +113,13 @@
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v))
         lmn_range_open(core, v);
-    lmn_info("partition-own partition=%d term=%" G_GUINT64_FORMAT
-             " machines=%u ranges=%u",
-             partition->id, partition->my_term, g_hash_table_size(partition->machines),
-             g_hash_table_size(partition->ranges));
+    lmn_info(
+        "partition-own partition=%d term=%" G_GUINT64_FORMAT " machines=%u ranges=%u",
+        partition->id, partition->owned_epoch, g_hash_table_size(partition->machines),
+        g_hash_table_size(partition->ranges));
     begin_warm(core, partition, now);
     lmn_partition_check_ready(core, partition, now);
-    pthread_cond_broadcast(&core->poked);
+    pthread_cond_broadcast(&core->machines_woken);
 }
 
 void lmn_partition_lose(struct lmn_core *core, struct lmn_partition *partition,
@@ -124,26 +129,26 @@
     gpointer v;
 
     lmn_info("partition-lose partition=%d term=%" G_GUINT64_FORMAT " why=\"%s\"",
-             partition->id, partition->my_term, why);
+             partition->id, partition->owned_epoch, why);
     lmn_replica_keep_own(partition);
-    partition->mine = partition->ready = partition->releasing = partition->warm =
-        partition->open = false;
+    partition->is_owned = partition->is_ready = partition->is_transferring =
+        partition->is_warm = partition->inherited_may_start = false;
     lmn_replication_reset(core, partition);
     lmn_quota_transfer_reset(partition);
-    lmn_queue_clear(&partition->unplaced);
+    lmn_queue_clear(&partition->unassigned);
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
         reset_machine(machine);
-        if (!machine->rev)
+        if (!machine->revision)
             g_hash_table_iter_remove(&it);
     }
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_range *range = v;
-        g_clear_pointer(&range->st, g_free);
-        range->nstarted = 0;
-        range->writing = false;
+        g_clear_pointer(&range->task_states, g_free);
+        range->started_count = 0;
+        range->is_writing = false;
     }
 }
 
@@ -159,10 +164,10 @@
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_range *range = v;
-        if (range->dealt || range->job->phase != LMN_JOB_ACTIVE ||
+        if (range->is_assigned || range->job->phase != LMN_JOB_ACTIVE ||
             !lmn_range_may_start(range))
             continue;
-        range->dealt = true;
+        range->is_assigned = true;
         lmn_assign_range(core, range, now);
     }
 }
@@ -173,31 +178,32 @@
     GHashTableIter it;
     gpointer v;
 
-    if (!partition->mine || partition->ready)
+    if (!partition->is_owned || partition->is_ready)
         return;
     guint unheard = 0;
-    partition->unheard_cpus = partition->unheard_gpus = 0;
-    partition->unheard_unknown = false;
+    partition->unaccounted_cpus = partition->unaccounted_gpus = 0;
+    partition->has_unaccounted_unknown = false;
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
-        if (!machine->inherited || machine->accounted)
+        if (!machine->is_inherited || machine->is_accounted)
             continue;
         /* It may hold any task that a predecessor started; if the takeover is warm, only
          * those that are in the books. */
         unheard++;
-        partition->unheard_unknown = partition->unheard_unknown || !machine->type;
-        partition->unheard_cpus += machine->type ? machine->type->cpus : 0;
-        partition->unheard_gpus += machine->type ? machine->type->gpus : 0;
+        partition->has_unaccounted_unknown =
+            partition->has_unaccounted_unknown || !machine->type;
+        partition->unaccounted_cpus += machine->type ? machine->type->cpus : 0;
+        partition->unaccounted_gpus += machine->type ? machine->type->gpus : 0;
     }
-    partition->ready = !unheard;
-    if (partition->ready) {
+    partition->is_ready = !unheard;
+    if (partition->is_ready) {
         partition->ready_at = now;
         lmn_info("partition-ready partition=%d term=%" G_GUINT64_FORMAT " after=%.2f",
-                 partition->id, partition->my_term,
-                 lmn_time_diff_s(now, partition->since));
+                 partition->id, partition->owned_epoch,
+                 lmn_time_diff_s(now, partition->owned_since));
     }
-    partition->open = partition->ready || partition->warm;
+    partition->inherited_may_start = partition->is_ready || partition->is_warm;
     deal_ranges(core, partition, now);
 }
 
@@ -205,13 +211,14 @@
                                     const struct lmn_partition *partition,
                                     const char *zone)
 {
-    int n = (int)core->cfg->nmembers + 1, holder = partition->id % n;
-
-    if (lmn_settings_member_index(core->cfg, core->cfg->node) == holder)
-        return !strcmp(core->cfg->zone, zone);
-    for (size_t i = 0; i < core->cfg->nmembers; i++)
-        if (lmn_settings_member_index(core->cfg, core->cfg->members[i].name) == holder)
-            return !strcmp(core->cfg->members[i].zone, zone);
+    int n = (int)core->settings->member_count + 1, holder = partition->id % n;
+
+    if (lmn_settings_member_index(core->settings, core->settings->node_name) == holder)
+        return !strcmp(core->settings->zone, zone);
+    for (size_t i = 0; i < core->settings->member_count; i++)
+        if (lmn_settings_member_index(core->settings, core->settings->members[i].name) ==
+            holder)
+            return !strcmp(core->settings->members[i].zone, zone);
     return false;
 }
 
@@ -222,8 +229,8 @@
 
     if (named >= 0)
         return named;
-    for (int k = 0; k < core->members.n; k++) {
-        int member_index = (partition->id + k) % core->members.n;
+    for (int k = 0; k < core->members.count; k++) {
+        int member_index = (partition->id + k) % core->members.count;
         if (lmn_member_is_trusted(&core->members, member_index, now))
             return member_index;
     }
@@ -243,12 +250,13 @@
     const struct lmn_members *members = &core->members;
     int last = lmn_member_index(members, partition->last_owner);
 
-    if (last < 0 || last == members->me ||
-        lmn_time_diff_s(now, partition->vacant) >= TAKE_BACK_S)
+    if (last < 0 || last == members->self ||
+        lmn_time_diff_s(now, partition->vacant_since) >= TAKE_BACK_S)
         return false;
-    const struct lmn_member_view *member = &members->v[last];
-    return member->ever && !member->unanswered.tv_sec && !member->judged &&
-           !member->leaving && !lmn_member_is_suspected(members, last);
+    const struct lmn_member_view *member = &members->views[last];
+    return member->ever_contacted && !member->unanswered_since.tv_sec &&
+           !member->is_declared_failed && !member->is_shutting_down &&
+           !lmn_member_is_suspected(members, last);
 }
 
 /* A process that starts, or gets a new lease, takes only its own for so long. */
@@ -259,40 +267,42 @@
                                 struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    struct timespec since = partition->vacant;
+    struct timespec since = partition->vacant_since;
     int successor[LMN_MAX_PARTITIONS], ahead = 1;
 
-    if (members->shut || core->leaving || !lmn_self_may_reply(members, now))
+    if (members->is_isolated_from_workers || core->is_shutting_down ||
+        !lmn_self_may_reply(members, now))
         return false; /* it could not serve it */
-    if (partition->owner_rev) {
+    if (partition->owner_revision) {
         int owner = lmn_member_index(members, partition->owner);
         /* Only one process runs for a member: what our last one held is ours. */
-        if (owner == members->me)
+        if (owner == members->self)
             return partition->owner_lease != core->lease;
         if (!lmn_partition_is_orphaned(core, partition, now))
             return false;
-        since = lmn_time_add(members->v[owner].doubted, members->t.doubt_s);
+        since = lmn_time_add(members->views[owner].suspected_since,
+                             members->timeouts.suspicion_s);
     } else if (lmn_replica_own_is_latest(partition)) {
         return true;
     } else if (left_to_last_owner(core, partition, now)) {
         return false;
-    } else if (partition->id % members->n == members->me) {
+    } else if (partition->id % members->count == members->self) {
         int named = lmn_standby_named(core, partition, now);
-        if (named < 0 || named == members->me)
+        if (named < 0 || named == members->self)
             return true;
     }
     /* Whoever is just back may be the first of many: after a cut of all controllers' zone
      * one took every partition, cold, 0.3 s before the others had their leases. */
     if (lmn_time_diff_s(now, core->synced_at) < FIRST_S ||
-        lmn_time_diff_s(now, core->leased) < FIRST_S)
+        lmn_time_diff_s(now, core->leased_at) < FIRST_S)
         return false;
     lmn_transfer_targets(core, now, successor);
-    if (successor[partition->id] == members->me)
+    if (successor[partition->id] == members->self)
         return true;
     /* Should that one not come, the others that are up, in their order. */
-    for (int k = 0; k < members->n; k++) {
-        int member_index = (partition->id + k) % members->n;
-        if (member_index == members->me)
+    for (int k = 0; k < members->count; k++) {
+        int member_index = (partition->id + k) % members->count;
+        if (member_index == members->self)
             break;
         ahead += member_index != successor[partition->id] &&
                  lmn_member_is_trusted(members, member_index, now);
@@ -306,7 +316,7 @@
                                 uint64_t lease, bool standby)
 {
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
-    uint64_t epoch = partition->term + 1;
+    uint64_t epoch = partition->epoch + 1;
     uint64_t stream = standby ? lmn_standby_condition(partition, to, txn) : 0;
     GByteArray *buffer = g_byte_array_new();
     char key[32];
@@ -317,10 +327,10 @@
     lmn_cbor_put_text(buffer, "term"), lmn_cbor_put_uint(buffer, epoch);
     lmn_cbor_put_text(buffer, "stream"), lmn_cbor_put_uint(buffer, stream);
     g_snprintf(key, sizeof key, "o/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->owner_rev);
+    lmn_txn_require_version(txn, key, partition->owner_revision);
     lmn_txn_put(txn, key, buffer, lease);
     g_snprintf(key, sizeof key, "t/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->term_rev);
+    lmn_txn_require_version(txn, key, partition->epoch_revision);
     GByteArray *v = g_byte_array_new();
     lmn_cbor_put_uint(v, epoch);
     lmn_txn_put(txn, key, v, 0);
@@ -332,22 +342,23 @@
 {
     char *key = g_strdup_printf("n/%s", lmn_member_name(&core->members, member_index));
 
-    lmn_txn_require_version(txn, key, core->members.v[member_index].inc);
+    lmn_txn_require_version(txn, key, core->members.views[member_index].incarnation);
     g_free(key);
 }
 
 struct lmn_txn *lmn_partition_claim(const struct lmn_core *core,
                                     const struct lmn_partition *partition, uint64_t lease)
 {
-    int owner =
-        partition->owner_rev ? lmn_member_index(&core->members, partition->owner) : -1;
+    int owner = partition->owner_revision
+                    ? lmn_member_index(&core->members, partition->owner)
+                    : -1;
     /* Conditional on the record only with its copy: without, that would be no help. */
-    bool warm = partition->copy && !partition->copy->own &&
-                partition->copy->stream == partition->standby_stream;
-    struct lmn_txn *txn = transfer(partition, core->cfg->node, lease, warm);
+    bool warm = partition->replica && !partition->replica->own &&
+                partition->replica->stream == partition->standby_stream;
+    struct lmn_txn *txn = transfer(partition, core->settings->node_name, lease, warm);
 
     /* A verdict: it does not hold against one that refutes it first. */
-    if (owner >= 0 && owner != core->members.me)
+    if (owner >= 0 && owner != core->members.self)
         if_incarnation(core, txn, owner);
     return txn;
 }
@@ -357,7 +368,7 @@
                                        int successor)
 {
     struct lmn_txn *txn = transfer(partition, lmn_member_name(&core->members, successor),
-                                   core->members.v[successor].lease, true);
+                                   core->members.views[successor].lease, true);
 
     if_incarnation(core, txn, successor);
     return txn;
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -43,17 +43,18 @@
 
     lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_CPUS), &type->cpus);
     lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_GPUS), &type->gpus);
-    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_MEMORY_GB), &type->mem);
+    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_MEMORY_GB), &type->memory_gb);
     lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_CACHE_GB), &type->cache_gb);
-    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_PULL_GB_PER_S), &type->pull);
+    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_PULL_GB_PER_S),
+                        &type->pull_gb_per_s);
     lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_PRICE), &type->rate);
     lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_SPOT_PRICE), &type->spot_rate);
     lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_BOOT_S), &type->ready_s);
-    type->nzones = 0;
+    type->zone_count = 0;
     for (const struct lmn_cbor_value *zone = lmn_cbor_first_child(document, zones);
-         zone && type->nzones < LMN_MAX_ZONES; zone = lmn_cbor_next(document, zone))
-        if (lmn_cbor_get_text(zone, type->zones[type->nzones], LMN_NAME_SIZE))
-            type->nzones++;
+         zone && type->zone_count < LMN_MAX_ZONES; zone = lmn_cbor_next(document, zone))
+        if (lmn_cbor_get_text(zone, type->zones[type->zone_count], LMN_NAME_SIZE))
+            type->zone_count++;
 }
 
 static void get_types(struct cloud *cloud)
@@ -74,19 +75,19 @@
         size_t i = 0;
         if (!lmn_cbor_get_text(lmn_cbor_get(&d, node, WIRE_TYPE_NAME), name, sizeof name))
             continue;
-        while (i < core->types.n && strcmp(core->types.v[i].name, name))
+        while (i < core->machine_types.n && strcmp(core->machine_types.v[i].name, name))
             i++;
         if (i == 256)
             break;
-        if (i == core->types.n) {
-            g_strlcpy(core->types.v[i].name, name, sizeof name);
-            core->types.n++;
+        if (i == core->machine_types.n) {
+            g_strlcpy(core->machine_types.v[i].name, name, sizeof name);
+            core->machine_types.n++;
         }
-        read_type(&core->types.v[i], &d, node);
+        read_type(&core->machine_types.v[i], &d, node);
     }
-    if (!core->types_known)
-        lmn_info("types-known count=%zu", core->types.n);
-    core->types_known = core->types.n > 0;
+    if (!core->machine_types_known)
+        lmn_info("types-known count=%zu", core->machine_types.n);
+    core->machine_types_known = core->machine_types.n > 0;
     pthread_mutex_unlock(&core->lock);
     cloud->typed = lmn_now();
     lmn_cbor_free(&d);
@@ -123,14 +124,15 @@
     gpointer v;
 
     pthread_mutex_lock(&core->lock);
-    for (int i = 0; i < core->nparts && names->len < 100; i++) {
-        if (!core->parts[i].mine)
+    for (int i = 0; i < core->partition_count && names->len < 100; i++) {
+        if (!core->partitions[i].is_owned)
             continue;
-        g_hash_table_iter_init(&it, core->parts[i].machines);
+        g_hash_table_iter_init(&it, core->partitions[i].machines);
         while (g_hash_table_iter_next(&it, NULL, &v) && names->len < 100) {
             struct lmn_machine *machine = v;
-            if (machine->retiring && !machine->is_gone &&
-                (machine->force || (lmn_machine_is_empty(machine) && !machine->in_call)))
+            if (machine->is_draining && !machine->is_terminated &&
+                (machine->drain_at_once ||
+                 (lmn_machine_is_empty(machine) && !machine->has_push_in_flight)))
                 g_ptr_array_add(names, g_strdup(machine->name));
         }
     }
@@ -142,14 +144,14 @@
         pthread_mutex_lock(&core->lock);
         struct timespec now = lmn_now();
         for (guint i = 0; i < names->len; i++) {
-            struct lmn_partition *partition =
-                &core->parts[lmn_partition_for_machine(names->pdata[i], core->nparts)];
+            struct lmn_partition *partition = &core->partitions[lmn_partition_for_machine(
+                names->pdata[i], core->partition_count)];
             struct lmn_machine *machine =
                 g_hash_table_lookup(partition->machines, names->pdata[i]);
-            if (machine && partition->mine)
+            if (machine && partition->is_owned)
                 lmn_machine_terminated(core, machine, now);
             else
-                g_hash_table_add(core->gone, g_strdup(names->pdata[i]));
+                g_hash_table_add(core->returned_machines, g_strdup(names->pdata[i]));
         }
         pthread_mutex_unlock(&core->lock);
         for (guint i = 0; i < names->len; i++)
@@ -204,7 +206,7 @@
                                    sizeof after))
                 continue;
             pthread_mutex_lock(&cloud->c->lock);
-            bool gone = g_hash_table_contains(cloud->c->gone, after);
+            bool gone = g_hash_table_contains(cloud->c->returned_machines, after);
             pthread_mutex_unlock(&cloud->c->lock);
             if (gone)
                 continue;
@@ -213,18 +215,18 @@
                               sizeof machine->type);
             lmn_cbor_get_text(lmn_cbor_get(&d, node, WIRE_ZONE), machine->zone,
                               sizeof machine->zone);
-            lmn_cbor_get_bool(lmn_cbor_get(&d, node, WIRE_SPOT), &machine->spot);
+            lmn_cbor_get_bool(lmn_cbor_get(&d, node, WIRE_SPOT), &machine->is_spot);
             lmn_cbor_get_number(lmn_cbor_get(&d, node, WIRE_AGE_S), &age);
             const struct lmn_cbor_value *state = lmn_cbor_get(&d, node, WIRE_STATE);
-            bool was = machine->booting;
-            machine->booting = lmn_cbor_text_equals(state, WIRE_BOOTING);
-            if (was && !machine->booting && !lmn_cbor_text_equals(state, WIRE_BROKEN))
+            bool was = machine->is_booting;
+            machine->is_booting = lmn_cbor_text_equals(state, WIRE_BOOTING);
+            if (was && !machine->is_booting && !lmn_cbor_text_equals(state, WIRE_BROKEN))
                 lmn_autoscaler_record_boot(&cloud->fleet, machine, age);
-            machine->broken = lmn_cbor_text_equals(state, WIRE_BROKEN);
-            if (!machine->listed)
-                machine->since = lmn_time_add(now, -age);
-            machine->listed = true;
-            machine->seen = now;
+            machine->is_broken = lmn_cbor_text_equals(state, WIRE_BROKEN);
+            if (!machine->is_listed)
+                machine->rented_at = lmn_time_add(now, -age);
+            machine->is_listed = true;
+            machine->last_listed_at = now;
         }
         more = false;
         lmn_cbor_get_bool(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_HAS_MORE), &more);
@@ -239,7 +241,7 @@
 static void prune(struct cloud *cloud)
 {
     struct lmn_core *core = cloud->c;
-    double lag = core->cfg->list_lag_s;
+    double lag = core->settings->list_lag_s;
     GPtrArray *bad = g_ptr_array_new_with_free_func(g_free);
     struct timespec now = lmn_now();
     GHashTableIter it;
@@ -251,9 +253,9 @@
         struct lmn_cloud_machine *machine = v;
         const struct lmn_machine_type *type =
             lmn_machine_type_by_name(core, machine->type);
-        double missing =
-            lmn_time_diff_s(now, machine->listed ? machine->seen : machine->since);
-        if (g_hash_table_contains(core->gone, machine->name) ||
+        double missing = lmn_time_diff_s(now, machine->is_listed ? machine->last_listed_at
+                                                                 : machine->rented_at);
+        if (g_hash_table_contains(core->returned_machines, machine->name) ||
             (lmn_time_diff_s(cloud->listed, now) > -lag && missing > 2 * lag + 4)) {
             g_hash_table_iter_remove(&it);
             continue;
@@ -263,8 +265,8 @@
                                                                    machine->zone, lag) +
                                      10
                                : 120;
-        if (machine->broken ||
-            (machine->booting && lmn_time_diff_s(now, machine->since) > patience))
+        if (machine->is_broken ||
+            (machine->is_booting && lmn_time_diff_s(now, machine->rented_at) > patience))
             g_ptr_array_add(bad, g_strdup(machine->name));
     }
     pthread_mutex_unlock(&core->lock);
@@ -273,14 +275,14 @@
     if (bad->len && pace(cloud) && give_back(cloud, bad)) {
         pthread_mutex_lock(&core->lock);
         for (guint i = 0; i < bad->len; i++) {
-            struct lmn_partition *partition =
-                &core->parts[lmn_partition_for_machine(bad->pdata[i], core->nparts)];
+            struct lmn_partition *partition = &core->partitions[lmn_partition_for_machine(
+                bad->pdata[i], core->partition_count)];
             struct lmn_machine *machine =
                 g_hash_table_lookup(partition->machines, bad->pdata[i]);
-            if (machine && partition->mine && !machine->is_gone)
+            if (machine && partition->is_owned && !machine->is_terminated)
                 lmn_machine_terminated(core, machine, now);
             else
-                g_hash_table_add(core->gone, g_strdup(bad->pdata[i]));
+                g_hash_table_add(core->returned_machines, g_strdup(bad->pdata[i]));
         }
         pthread_mutex_unlock(&core->lock);
         for (guint i = 0; i < bad->len; i++)
@@ -307,8 +309,8 @@
         /* The lease's number is the state service's and never comes again: neither this
          * node nor another can use the name for something else. */
         g_snprintf(cloud->request, sizeof cloud->request,
-                   "%s-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, core->cfg->node, lease,
-                   ++cloud->requests);
+                   "%s-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
+                   core->settings->node_name, lease, ++cloud->requests);
     }
     if (!pace(cloud))
         return;
@@ -317,7 +319,7 @@
     lmn_cbor_put_text(body, WIRE_REQUEST_ID), lmn_cbor_put_text(body, cloud->request);
     lmn_cbor_put_text(body, WIRE_MACHINE_TYPE), lmn_cbor_put_text(body, request->type);
     lmn_cbor_put_text(body, WIRE_ZONE), lmn_cbor_put_text(body, request->zone);
-    lmn_cbor_put_text(body, WIRE_SPOT), lmn_cbor_put_bool(body, request->spot);
+    lmn_cbor_put_text(body, WIRE_SPOT), lmn_cbor_put_bool(body, request->is_spot);
     lmn_cbor_put_text(body, WIRE_COUNT), lmn_cbor_put_uint(body, request->count);
     int status = lmn_http_client_call(cloud->http, "POST", WIRE_PATH_MACHINES, body, 4.0,
                                       cloud->buf);
@@ -334,9 +336,9 @@
             struct lmn_cloud_machine *machine = listed(cloud, name);
             g_strlcpy(machine->type, request->type, sizeof machine->type);
             g_strlcpy(machine->zone, request->zone, sizeof machine->zone);
-            machine->spot = request->spot;
-            machine->booting = true;
-            machine->since = machine->seen = now;
+            machine->is_spot = request->is_spot;
+            machine->is_booting = true;
+            machine->rented_at = machine->last_listed_at = now;
             got++;
         }
         lmn_cbor_free(&d);
@@ -353,8 +355,8 @@
         return; /* unknown: the same name again rents nothing twice */
     }
     lmn_info("machines-rent request=%s type=%s zone=%s spot=%d asked=%u got=%u status=%d",
-             cloud->request, request->type, request->zone, request->spot, request->count,
-             got, status);
+             cloud->request, request->type, request->zone, request->is_spot,
+             request->count, got, status);
     lmn_autoscaler_record_result(&cloud->fleet, request, got, now);
     cloud->request[0] = '\0';
 }
@@ -369,18 +371,19 @@
 {
     struct cloud k = {.c = arg};
     struct lmn_core *core = arg;
-    double share = OTHERS_SHARE / (double)MAX(core->cfg->nmembers, 1);
+    double share = OTHERS_SHARE / (double)MAX(core->settings->member_count, 1);
 
-    k.http = lmn_http_client_new(core->cfg->cloud);
+    k.http = lmn_http_client_new(core->settings->cloud_address);
     k.buf = g_byte_array_new();
     lmn_autoscaler_init(&k.fleet);
-    lmn_token_bucket_init(&k.budget, core->cfg->cloud_rps * share,
-                          MAX(core->cfg->cloud_rps, 1), lmn_now());
+    lmn_token_bucket_init(&k.budget, core->settings->cloud_requests_per_s * share,
+                          MAX(core->settings->cloud_requests_per_s, 1), lmn_now());
     for (;;) {
         struct timespec now = lmn_now();
         pthread_mutex_lock(&core->lock);
-        bool known = core->types_known;
-        bool role = core->parts[0].mine, first_term = core->parts[0].my_term <= 1;
+        bool known = core->machine_types_known;
+        bool role = core->partitions[0].is_owned,
+             first_term = core->partitions[0].owned_epoch <= 1;
         pthread_mutex_unlock(&core->lock);
         if ((!known || lmn_time_diff_s(now, k.typed) > 120) && pace(&k))
             get_types(&k);
@@ -396,20 +399,21 @@
         }
         if (role != k.had_role) {
             /* The holder of the role lists and rents; the others only return. */
-            double rps = core->cfg->cloud_rps *
-                         (role ? ROLE_SHARE : OTHERS_SHARE / MAX(core->cfg->nmembers, 1));
+            double rps =
+                core->settings->cloud_requests_per_s *
+                (role ? ROLE_SHARE : OTHERS_SHARE / MAX(core->settings->member_count, 1));
             k.budget.rate = rps;
-            k.budget.burst = role ? MAX(core->cfg->cloud_rps, 1) : 1;
+            k.budget.burst = role ? MAX(core->settings->cloud_requests_per_s, 1) : 1;
         }
         k.had_role = role;
         if (role && known && !blind) {
-            if (lmn_time_diff_s(now, k.listed) > MAX(core->cfg->list_lag_s, 3.0) &&
+            if (lmn_time_diff_s(now, k.listed) > MAX(core->settings->list_lag_s, 3.0) &&
                 read_list(&k))
                 prune(&k);
             /* A predecessor's last rentals show in the list only after its lag; that some
              * show later costs less than machines that are missed meanwhile. */
             if (k.listed.tv_sec && (first_term || lmn_time_diff_s(now, k.role_since) >
-                                                      core->cfg->list_lag_s))
+                                                      core->settings->list_lag_s))
                 rent(&k);
         }
         lmn_sleep(0.25);
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -14,7 +14,7 @@
 static char *record_key(const struct lmn_core *core, int team)
 {
     /* Keys hold no spaces; names may. */
-    char *name = g_uri_escape_string(core->cfg->teams[team].name, NULL, FALSE);
+    char *name = g_uri_escape_string(core->settings->teams[team].name, NULL, FALSE);
     char *key = g_strdup_printf("q/%s", name);
     g_free(name);
     return key;
@@ -26,20 +26,20 @@
 {
     int team = -1;
 
-    for (size_t i = 0; i < core->cfg->nteams && team < 0; i++) {
+    for (size_t i = 0; i < core->settings->team_count && team < 0; i++) {
         char *own = record_key(core, (int)i);
         if (!strcmp(own, key))
             team = (int)i;
         g_free(own);
     }
-    if (team < 0 || !value || core->quota_rev[team] >= revision)
+    if (team < 0 || !value || core->quota_revision[team] >= revision)
         return;
     const struct lmn_cbor_value *cpus =
         lmn_cbor_first_child(document, lmn_cbor_get(document, value, "cpus"));
     const struct lmn_cbor_value *gpus =
         lmn_cbor_first_child(document, lmn_cbor_get(document, value, "gpus"));
-    for (int i = 0; i < core->nparts; i++) {
-        struct lmn_partition *partition = &core->parts[i];
+    for (int i = 0; i < core->partition_count; i++) {
+        struct lmn_partition *partition = &core->partitions[i];
         partition->quota_cpus[team] = partition->quota_gpus[team] = 0;
         if (cpus)
             lmn_cbor_get_number(cpus, &partition->quota_cpus[team]),
@@ -48,16 +48,17 @@
             lmn_cbor_get_number(gpus, &partition->quota_gpus[team]),
                 gpus = lmn_cbor_next(document, gpus);
         /* Either our transfer was applied, or it can't be any more. */
-        if (partition->transfer.team == team && revision > partition->transfer.rev)
-            partition->transfer.team = -1;
+        if (partition->quota_transfer.team == team &&
+            revision > partition->quota_transfer.revision)
+            partition->quota_transfer.team = -1;
     }
-    core->quota_rev[team] = revision;
+    core->quota_revision[team] = revision;
     /* Parts of another limit, from settings before these, are no parts of this one. */
     double cpus_max = -1, gpus_max = -1;
     lmn_cbor_get_number(lmn_cbor_get(document, value, "cpus_max"), &cpus_max);
     lmn_cbor_get_number(lmn_cbor_get(document, value, "gpus_max"), &gpus_max);
-    core->quota_known[team] = cpus_max == core->cfg->teams[team].cpus_max &&
-                              gpus_max == core->cfg->teams[team].gpus_max;
+    core->has_quota_record[team] = cpus_max == core->settings->teams[team].cpus_max &&
+                                   gpus_max == core->settings->teams[team].gpus_max;
 }
 
 struct transfer_ref {
@@ -73,19 +74,20 @@
 {
     struct transfer_ref *w = arg;
     struct lmn_core *core = w->c;
-    struct lmn_partition *partition = &core->parts[w->part];
+    struct lmn_partition *partition = &core->partitions[w->part];
     (void)txn;
     (void)revision;
 
     pthread_mutex_lock(&core->lock);
-    if (partition->mine && partition->transfer.team >= 0 &&
-        partition->transfer.serial == w->serial) {
-        if (outcome == LMN_TXN_REJECTED && !partition->transfer.unsure) {
-            partition->transfer.team = -1; /* surely not applied, and never will be */
+    if (partition->is_owned && partition->quota_transfer.team >= 0 &&
+        partition->quota_transfer.serial == w->serial) {
+        if (outcome == LMN_TXN_REJECTED && !partition->quota_transfer.is_uncertain) {
+            partition->quota_transfer.team =
+                -1; /* surely not applied, and never will be */
         } else if (outcome == LMN_TXN_REJECTED || outcome == LMN_TXN_UNKNOWN) {
             /* Only the mirror can tell; the same write again makes it tell. */
-            partition->transfer.unsure = true;
-            partition->transfer.retry = lmn_time_add(lmn_now(), 0.5);
+            partition->quota_transfer.is_uncertain = true;
+            partition->quota_transfer.retry_at = lmn_time_add(lmn_now(), 0.5);
         }
     }
     pthread_mutex_unlock(&core->lock);
@@ -95,38 +97,41 @@
 static void submit(struct lmn_core *core, struct lmn_partition *partition)
 {
     struct transfer_ref *w = g_new0(struct transfer_ref, 1);
-    int team = partition->transfer.team;
+    int team = partition->quota_transfer.team;
     char *key = record_key(core, team), owner[32];
     GByteArray *buffer = g_byte_array_new();
 
-    *w = (struct transfer_ref){core, partition->id, partition->transfer.serial};
+    *w = (struct transfer_ref){core, partition->id, partition->quota_transfer.serial};
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_CLOSE, given, w);
     g_snprintf(owner, sizeof owner, "o/%d", partition->id);
-    lmn_txn_require_version(txn, owner, partition->my_rev);
-    lmn_txn_require_version(txn, key, partition->transfer.rev);
+    lmn_txn_require_version(txn, owner, partition->owned_revision);
+    lmn_txn_require_version(txn, key, partition->quota_transfer.revision);
     lmn_cbor_put_map(buffer, 4);
     lmn_cbor_put_text(buffer, "cpus_max"),
-        lmn_cbor_put_number(buffer, core->cfg->teams[team].cpus_max);
+        lmn_cbor_put_number(buffer, core->settings->teams[team].cpus_max);
     lmn_cbor_put_text(buffer, "gpus_max"),
-        lmn_cbor_put_number(buffer, core->cfg->teams[team].gpus_max);
+        lmn_cbor_put_number(buffer, core->settings->teams[team].gpus_max);
     for (int gpus = 0; gpus < 2; gpus++) {
         lmn_cbor_put_text(buffer, gpus ? "gpus" : "cpus");
-        lmn_cbor_put_array(buffer, (size_t)core->nparts);
-        for (int i = 0; i < core->nparts; i++) {
+        lmn_cbor_put_array(buffer, (size_t)core->partition_count);
+        for (int i = 0; i < core->partition_count; i++) {
             double x, y;
             lmn_quota_even_share(core, team, &x, &y);
-            if (core->quota_known[team])
-                x = core->parts[i].quota_cpus[team], y = core->parts[i].quota_gpus[team];
-            double by = gpus ? partition->transfer.gpus : partition->transfer.cpus;
-            lmn_cbor_put_number(buffer, (gpus ? y : x) + (i == partition->transfer.to ? by
-                                                          : i == partition->id ? -by
-                                                                               : 0));
+            if (core->has_quota_record[team])
+                x = core->partitions[i].quota_cpus[team],
+                y = core->partitions[i].quota_gpus[team];
+            double by =
+                gpus ? partition->quota_transfer.gpus : partition->quota_transfer.cpus;
+            lmn_cbor_put_number(
+                buffer, (gpus ? y : x) + (i == partition->quota_transfer.to_partition ? by
+                                          : i == partition->id ? -by
+                                                               : 0));
         }
     }
     lmn_txn_put(txn, key, buffer, 0);
     g_free(key);
-    partition->transfer.retry = (struct timespec){0, 0};
-    lmn_kv_client_submit(core->state, txn);
+    partition->quota_transfer.retry_at = (struct timespec){0, 0};
+    lmn_kv_client_submit(core->kv_client, txn);
 }
 
 bool lmn_quota_transfer_begin(struct lmn_core *core, struct lmn_partition *partition,
@@ -134,24 +139,26 @@
 {
     double have_cpus, have_gpus;
 
-    if (!partition->mine || !partition->ready || partition->releasing ||
-        partition->transfer.team >= 0 || to == partition->id || to < 0 ||
-        to >= core->nparts || team < 0 || team >= (int)core->cfg->nteams ||
-        !lmn_team_has_limit(&core->cfg->teams[team]))
+    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
+        partition->quota_transfer.team >= 0 || to == partition->id || to < 0 ||
+        to >= core->partition_count || team < 0 ||
+        team >= (int)core->settings->team_count ||
+        !lmn_team_has_limit(&core->settings->teams[team]))
         return false;
     lmn_quota_share(core, partition, team, &have_cpus, &have_gpus);
     cpus = CLAMP(cpus, 0, MAX(have_cpus - partition->used_cpus[team], 0));
     gpus = CLAMP(gpus, 0, MAX(have_gpus - partition->used_gpus[team], 0));
     if (cpus < 1e-6 && gpus < 1e-6)
         return false;
-    partition->transfer = (struct lmn_quota_transfer){.team = team,
-                                                      .to = to,
-                                                      .cpus = cpus,
-                                                      .gpus = gpus,
-                                                      .rev = core->quota_rev[team],
-                                                      .serial = ++core->transfers};
+    partition->quota_transfer =
+        (struct lmn_quota_transfer){.team = team,
+                                    .to_partition = to,
+                                    .cpus = cpus,
+                                    .gpus = gpus,
+                                    .revision = core->quota_revision[team],
+                                    .serial = ++core->transfer_count};
     lmn_debug("quota-give team=%s partition=%d to=%d cpus=%.1f gpus=%.1f",
-              core->cfg->teams[team].name, partition->id, to, cpus, gpus);
+              core->settings->teams[team].name, partition->id, to, cpus, gpus);
     submit(core, partition);
     return true;
 }
@@ -159,15 +166,17 @@
 void lmn_quota_transfer_flush(struct lmn_core *core, struct lmn_partition *partition,
                               struct timespec now)
 {
-    if (partition->transfer.team >= 0 && partition->transfer.retry.tv_sec &&
-        !lmn_time_before(now, partition->transfer.retry) &&
-        core->quota_rev[partition->transfer.team] == partition->transfer.rev)
+    if (partition->quota_transfer.team >= 0 &&
+        partition->quota_transfer.retry_at.tv_sec &&
+        !lmn_time_before(now, partition->quota_transfer.retry_at) &&
+        core->quota_revision[partition->quota_transfer.team] ==
+            partition->quota_transfer.revision)
         submit(core, partition);
 }
 
 void lmn_quota_transfer_reset(struct lmn_partition *partition)
 {
-    partition->transfer.team = -1;
+    partition->quota_transfer.team = -1;
 }
 
 bool lmn_quota_request_handle(struct lmn_core *core, struct lmn_partition *partition,
@@ -176,7 +185,8 @@
 {
     double cpus, gpus, have_cpus, have_gpus;
 
-    if (!partition->mine || request->team < 0 || request->team >= (int)core->cfg->nteams)
+    if (!partition->is_owned || request->team < 0 ||
+        request->team >= (int)core->settings->team_count)
         return false;
     lmn_quota_spare(core, partition, request, &cpus, &gpus);
     /* Small tasks take each piece of the part as it becomes free: a task larger than any
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -10,31 +10,31 @@
 
 void lmn_range_open(struct lmn_core *core, struct lmn_range *range)
 {
-    uint32_t n = range->hi - range->lo;
+    uint32_t n = range->end - range->first;
     (void)core;
 
-    g_free(range->st);
-    range->st = g_malloc0(n);
-    range->nstarted = 0;
-    range->nfinished = range->ndone;
-    range->writing = false;
-    range->written = 0;
+    g_free(range->task_states);
+    range->task_states = g_malloc0(n);
+    range->started_count = 0;
+    range->finished_count = range->done_count;
+    range->is_writing = false;
+    range->written_revision = 0;
     range->move_to = -1;
-    range->move_unsure = false;
-    range->dealt = false;
+    range->move_is_uncertain = false;
+    range->is_assigned = false;
     for (uint32_t i = 0; i < n; i++)
         if (lmn_bitset_get(range->done, i))
-            range->st[i] = LMN_TASK_DONE;
+            range->task_states[i] = LMN_TASK_DONE;
 }
 
 void lmn_range_forget(struct lmn_core *core, struct lmn_range *range)
 {
-    struct lmn_partition *partition = range->part;
+    struct lmn_partition *partition = range->partition;
     GHashTableIter it;
     gpointer v;
     (void)core;
 
-    lmn_queue_remove_range(&partition->unplaced, range);
+    lmn_queue_remove_range(&partition->unassigned, range);
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
@@ -52,25 +52,26 @@
 void lmn_task_requeue(struct lmn_core *core, struct lmn_range *range, uint32_t index,
                       struct timespec now)
 {
-    if (!range || !range->st || range->st[index - range->lo] != LMN_TASK_STARTED)
+    if (!range || !range->task_states ||
+        range->task_states[index - range->first] != LMN_TASK_STARTED)
         return;
-    range->st[index - range->lo] = LMN_TASK_QUEUED;
-    range->nstarted--;
-    if (range->dealt && range->job->phase == LMN_JOB_ACTIVE)
+    range->task_states[index - range->first] = LMN_TASK_QUEUED;
+    range->started_count--;
+    if (range->is_assigned && range->job->phase == LMN_JOB_ACTIVE)
         lmn_assign_tasks(core, range, index, index + 1, now);
 }
 
 void lmn_task_finished(struct lmn_range *range, uint32_t index, struct timespec now)
 {
-    uint8_t *st = &range->st[index - range->lo];
+    uint8_t *st = &range->task_states[index - range->first];
 
     if (*st == LMN_TASK_DONE)
         return;
     if (*st == LMN_TASK_STARTED)
-        range->nstarted--;
+        range->started_count--;
     *st = LMN_TASK_DONE;
-    if (range->nfinished++ == range->ndone)
-        range->dirty = now;
+    if (range->finished_count++ == range->done_count)
+        range->dirty_since = now;
 }
 
 void lmn_machine_requeue_tasks(struct lmn_core *core, struct lmn_machine *machine,
@@ -86,7 +87,8 @@
         if (attempt->state != LMN_ATTEMPT_ENDED) {
             lmn_debug("task-lost task=%s/%u attempt=%" G_GUINT64_FORMAT
                       " machine=%s why=\"%s\"",
-                      attempt->ref, attempt->index, attempt->number, machine->name, why);
+                      attempt->job_id, attempt->index, attempt->number, machine->name,
+                      why);
             lmn_task_requeue(core, attempt->range, attempt->index, now);
         }
     }
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -22,25 +22,26 @@
     (void)txn;
 
     pthread_mutex_lock(&core->lock);
-    struct lmn_range *range = g_hash_table_lookup(core->parts[w->part].ranges, w->key);
+    struct lmn_range *range =
+        g_hash_table_lookup(core->partitions[w->part].ranges, w->key);
     struct lmn_job *job = g_hash_table_lookup(core->jobs, w->ref);
     if (outcome != LMN_TXN_COMMITTED && job)
-        job->closing = 0;
-    if (range && range->writing) {
+        job->closing_revision = 0;
+    if (range && range->is_writing) {
         if (outcome == LMN_TXN_COMMITTED) {
-            range->written = revision;
-            if (range->rev >= revision)
-                range->writing = false;
+            range->written_revision = revision;
+            if (range->revision >= revision)
+                range->is_writing = false;
         } else {
             /* Nothing is lost by another try: each is conditional on what the mirror
              * shows. */
-            range->writing = false;
-            range->retry =
+            range->is_writing = false;
+            range->retry_at =
                 lmn_time_add(lmn_now(), outcome == LMN_TXN_CONFLICT ? 0.1 : 0.4);
             /* A move is off only if it surely was not, and never will be, applied. */
             if (outcome == LMN_TXN_UNKNOWN)
-                range->move_unsure = true;
-            else if (range->move_to >= 0 && !range->move_unsure)
+                range->move_is_uncertain = true;
+            else if (range->move_to >= 0 && !range->move_is_uncertain)
                 lmn_range_cancel_move(core, range, lmn_now());
         }
     }
@@ -56,15 +57,15 @@
     struct write_ref *w = g_new0(struct write_ref, 1);
 
     w->c = core;
-    w->part = range->part->id;
+    w->part = range->partition->id;
     w->key = g_strdup(range->key);
-    g_strlcpy(w->ref, range->job->spec.ref, sizeof w->ref);
+    g_strlcpy(w->ref, range->job->spec.id, sizeof w->ref);
     struct lmn_txn *txn = lmn_txn_new(priority, range_written, w);
-    g_snprintf(key, sizeof key, "o/%d", range->part->id);
-    lmn_txn_require_version(txn, key, range->part->my_rev);
-    lmn_txn_require_version(txn, range->key, range->rev);
-    range->writing = true;
-    range->written = 0;
+    g_snprintf(key, sizeof key, "o/%d", range->partition->id);
+    lmn_txn_require_version(txn, key, range->partition->owned_revision);
+    lmn_txn_require_version(txn, range->key, range->revision);
+    range->is_writing = true;
+    range->written_revision = 0;
     return txn;
 }
 
@@ -73,31 +74,33 @@
 static void move_range(struct lmn_core *core, struct lmn_range *range)
 {
     const struct lmn_job *job = range->job;
-    struct lmn_range there = {.lo = range->move_at, .hi = range->hi};
-    uint8_t *bits = g_malloc0((range->hi - range->lo + 7) / 8);
+    struct lmn_range there = {.first = range->move_at, .end = range->end};
+    uint8_t *bits = g_malloc0((range->end - range->first + 7) / 8);
     struct lmn_txn *txn = owner_txn(core, range, LMN_WRITE_CLOSE);
     char key[96];
 
-    g_snprintf(key, sizeof key, "r/%d/%s/%u", range->move_to, job->spec.ref,
+    g_snprintf(key, sizeof key, "r/%d/%s/%u", range->move_to, job->spec.id,
                range->move_at);
     lmn_txn_require_version(txn, key, 0);
     lmn_txn_put(txn, key, lmn_range_record(&there, bits), 0);
-    if (range->move_at == range->lo) {
+    if (range->move_at == range->first) {
         lmn_txn_delete(txn, range->key);
     } else {
-        struct lmn_range here = {.lo = range->lo, .hi = range->move_at};
-        for (uint32_t i = 0; i < here.hi - here.lo; i++)
-            if (range->st[i] == LMN_TASK_DONE)
+        struct lmn_range here = {.first = range->first, .end = range->move_at};
+        for (uint32_t i = 0; i < here.end - here.first; i++)
+            if (range->task_states[i] == LMN_TASK_DONE)
                 lmn_bitset_set(bits, i);
         lmn_txn_put(txn, range->key, lmn_range_record(&here, bits), 0);
-        g_snprintf(key, sizeof key, "j/%s", job->spec.ref);
-        lmn_txn_require_version(txn, key, job->rev);
+        g_snprintf(key, sizeof key, "j/%s", job->spec.id);
+        lmn_txn_require_version(txn, key, job->revision);
         lmn_txn_put(txn, key,
-                    lmn_job_record(&job->spec, job->phase, job->open + 1, job->at), 0);
+                    lmn_job_record(&job->spec, job->phase, job->open_ranges + 1,
+                                   job->accepted_at_s),
+                    0);
     }
     g_free(bits);
-    range->move_rev = range->rev;
-    lmn_kv_client_submit(core->state, txn);
+    range->move_revision = range->revision;
+    lmn_kv_client_submit(core->kv_client, txn);
 }
 
 /* Gathers in lazily what can wait. */
@@ -105,45 +108,46 @@
                         struct timespec now)
 {
     struct lmn_job *job = range->job;
-    uint32_t n = range->hi - range->lo;
+    uint32_t n = range->end - range->first;
     struct lmn_txn *txn;
     char key[64];
 
-    if (range->writing || lmn_time_before(now, range->retry))
+    if (range->is_writing || lmn_time_before(now, range->retry_at))
         return;
     if (range->move_to >= 0) {
         move_range(core, range);
         return;
     }
     if (job->phase != LMN_JOB_ACTIVE) {
-        if (range->nstarted == 0)
+        if (range->started_count == 0)
             g_ptr_array_add(lazy, range);
         return;
     }
-    if (range->nfinished == n) {
-        if (job->closing == job->rev)
+    if (range->finished_count == n) {
+        if (job->closing_revision == job->revision)
             return; /* one range of a job at a time, or the job's record conflicts */
-        job->closing = job->rev;
+        job->closing_revision = job->revision;
         txn = owner_txn(core, range, LMN_WRITE_CLOSE);
-        g_snprintf(key, sizeof key, "j/%s", job->spec.ref);
-        lmn_txn_require_version(txn, key, job->rev);
+        g_snprintf(key, sizeof key, "j/%s", job->spec.id);
+        lmn_txn_require_version(txn, key, job->revision);
         lmn_txn_delete(txn, range->key);
         lmn_txn_put(txn, key,
                     lmn_job_record(&job->spec,
-                                   job->open <= 1 ? LMN_JOB_DONE : LMN_JOB_ACTIVE,
-                                   job->open - 1, job->at),
+                                   job->open_ranges <= 1 ? LMN_JOB_DONE : LMN_JOB_ACTIVE,
+                                   job->open_ranges - 1, job->accepted_at_s),
                     0);
-        lmn_kv_client_submit(core->state, txn);
+        lmn_kv_client_submit(core->kv_client, txn);
         return;
     }
-    if (range->nfinished > range->ndone && lmn_time_diff_s(now, range->dirty) > 2.0)
+    if (range->finished_count > range->done_count &&
+        lmn_time_diff_s(now, range->dirty_since) > 2.0)
         g_ptr_array_add(lazy, range);
 }
 
 static void flush_lazily(struct lmn_core *core, struct lmn_range *range,
                          struct timespec now)
 {
-    uint32_t n = range->hi - range->lo;
+    uint32_t n = range->end - range->first;
     struct lmn_txn *txn = owner_txn(core, range, LMN_WRITE_DEFERRABLE);
 
     if (range->job->phase != LMN_JOB_ACTIVE) {
@@ -151,32 +155,34 @@
     } else {
         uint8_t *done = g_malloc0((n + 7) / 8);
         for (uint32_t i = 0; i < n; i++)
-            if (range->st[i] == LMN_TASK_DONE)
+            if (range->task_states[i] == LMN_TASK_DONE)
                 lmn_bitset_set(done, i);
         lmn_txn_put(txn, range->key, lmn_range_record(range, done), 0);
         g_free(done);
     }
-    range->dirty = now;
-    lmn_kv_client_submit(core->state, txn);
+    range->dirty_since = now;
+    lmn_kv_client_submit(core->kv_client, txn);
 }
 
 static gint by_dirty(gconstpointer a, gconstpointer b)
 {
     const struct lmn_range *x = *(struct lmn_range *const *)a;
     const struct lmn_range *y = *(struct lmn_range *const *)b;
-    return lmn_time_before(x->dirty, y->dirty) ? -1 : lmn_time_before(y->dirty, x->dirty);
+    return lmn_time_before(x->dirty_since, y->dirty_since)
+               ? -1
+               : lmn_time_before(y->dirty_since, x->dirty_since);
 }
 
 void lmn_range_writer_flush(struct lmn_core *core, struct timespec now)
 {
-    double spare = lmn_kv_client_spare_writes(core->state);
+    double spare = lmn_kv_client_spare_writes(core->kv_client);
     GPtrArray *lazy = g_ptr_array_new();
 
-    for (int i = 0; i < core->nparts; i++) {
-        struct lmn_partition *partition = &core->parts[i];
+    for (int i = 0; i < core->partition_count; i++) {
+        struct lmn_partition *partition = &core->partitions[i];
         GHashTableIter it;
         gpointer v;
-        if (!partition->mine || partition->releasing)
+        if (!partition->is_owned || partition->is_transferring)
             continue;
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -17,24 +17,24 @@
 
 void lmn_shutdown_begin(struct lmn_core *core, struct timespec now)
 {
-    if (core->leaving)
+    if (core->is_shutting_down)
         return;
-    __atomic_store_n(&core->leaving, true, __ATOMIC_RELAXED);
-    core->left = false;
-    core->leave_at = now;
+    __atomic_store_n(&core->is_shutting_down, true, __ATOMIC_RELAXED);
+    core->has_released_lease = false;
+    core->shutdown_began_at = now;
     lmn_info("leave-begin partitions=%u",
-             lmn_member_owned_partitions(core, core->members.me));
-    pthread_cond_broadcast(&core->changed);
+             lmn_member_owned_partitions(core, core->members.self));
+    pthread_cond_broadcast(&core->ownership_changed);
 }
 
 bool lmn_shutdown_cancel(struct lmn_core *core)
 {
-    if (core->left)
+    if (core->has_released_lease)
         return false;
-    if (core->leaving)
+    if (core->is_shutting_down)
         lmn_info("leave-undone");
-    __atomic_store_n(&core->leaving, false, __ATOMIC_RELAXED);
-    pthread_cond_broadcast(&core->changed);
+    __atomic_store_n(&core->is_shutting_down, false, __ATOMIC_RELAXED);
+    pthread_cond_broadcast(&core->ownership_changed);
     return true;
 }
 
@@ -44,53 +44,55 @@
 {
     int named = lmn_standby_named(core, partition, now);
 
-    if (named >= 0 && named != core->members.me)
+    if (named >= 0 && named != core->members.self)
         return named;
     /* One that is being taken over cold can't be given warm; somebody else would begin
      * anew. */
-    if (lmn_time_diff_s(now, core->leave_at) < COPY_S && core->tuning.standby > 0)
+    if (lmn_time_diff_s(now, core->shutdown_began_at) < COPY_S &&
+        core->operator_settings.standby > 0)
         return -1;
     return lmn_transfer_target(core, partition, now);
 }
 
 bool lmn_shutdown_owns_nothing(const struct lmn_core *core)
 {
-    if (!core->leaving)
+    if (!core->is_shutting_down)
         return false;
-    for (int i = 0; i < core->nparts; i++)
-        if (core->parts[i].mine ||
-            (core->parts[i].owner_rev && !strcmp(core->parts[i].owner, core->cfg->node)))
+    for (int i = 0; i < core->partition_count; i++)
+        if (core->partitions[i].is_owned ||
+            (core->partitions[i].owner_revision &&
+             !strcmp(core->partitions[i].owner, core->settings->node_name)))
             return false;
     return true;
 }
 
 double lmn_shutdown_remaining_s(const struct lmn_core *core, struct timespec now)
 {
-    double least = MAX(USERS_S - lmn_time_diff_s(now, core->leave_at), 0);
+    double least = MAX(USERS_S - lmn_time_diff_s(now, core->shutdown_began_at), 0);
 
     /* Alone there is nobody to send users to. */
-    if (core->left)
-        return core->members.n == 1 ? 0 : least;
-    return MAX(MOST_S - lmn_time_diff_s(now, core->leave_at), 0);
+    if (core->has_released_lease)
+        return core->members.count == 1 ? 0 : least;
+    return MAX(MOST_S - lmn_time_diff_s(now, core->shutdown_began_at), 0);
 }
 
 bool lmn_shutdown_is_complete(const struct lmn_core *core, struct timespec now)
 {
-    return core->leaving && lmn_shutdown_remaining_s(core, now) <= 0;
+    return core->is_shutting_down && lmn_shutdown_remaining_s(core, now) <= 0;
 }
 
 void lmn_shutdown_describe(const struct lmn_core *core, GString *text,
                            struct timespec now)
 {
-    if (!core->leaving) {
+    if (!core->is_shutting_down) {
         g_string_append(text, "not leaving\n");
         return;
     }
     g_string_append_printf(text,
                            "leaving for %.1f s: %u partitions left to give, lease %s, "
                            "ends within %.1f s\n",
-                           lmn_time_diff_s(now, core->leave_at),
-                           lmn_member_owned_partitions(core, core->members.me),
-                           core->left ? "gone" : "held",
+                           lmn_time_diff_s(now, core->shutdown_began_at),
+                           lmn_member_owned_partitions(core, core->members.self),
+                           core->has_released_lease ? "gone" : "held",
                            lmn_shutdown_remaining_s(core, now));
 }
--- a/src/partition/transfer_target.c
+++ b/src/partition/transfer_target.c
@@ -4,17 +4,18 @@
 /* What a partition weighs: its machines, and itself. */
 static unsigned weight(const struct lmn_partition *partition)
 {
-    return partition->list->len + 1;
+    return partition->machine_list->len + 1;
 }
 
 bool lmn_partition_is_orphaned(const struct lmn_core *core,
                                const struct lmn_partition *partition, struct timespec now)
 {
-    int owner =
-        partition->owner_rev ? lmn_member_index(&core->members, partition->owner) : -1;
+    int owner = partition->owner_revision
+                    ? lmn_member_index(&core->members, partition->owner)
+                    : -1;
 
-    return !partition->owner_rev ||
-           (owner >= 0 && owner != core->members.me &&
+    return !partition->owner_revision ||
+           (owner >= 0 && owner != core->members.self &&
             lmn_member_is_declared_failed(&core->members, owner, now));
 }
 
@@ -27,14 +28,14 @@
 {
     const struct lmn_members *members = &core->members;
 
-    for (int k = 0; k < members->n; k++) {
+    for (int k = 0; k < members->count; k++) {
         f->trusted[k] = lmn_member_is_trusted(members, k, now);
         f->load[k] = 0;
     }
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *partition = &core->parts[i];
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
         int owner =
-            partition->owner_rev ? lmn_member_index(members, partition->owner) : -1;
+            partition->owner_revision ? lmn_member_index(members, partition->owner) : -1;
         if (owner >= 0)
             f->load[owner] += weight(partition);
     }
@@ -44,7 +45,7 @@
 static int least(const struct lmn_core *core, const struct lmn_partition *partition,
                  const struct fleet *f, int but)
 {
-    int n = core->members.n, best = -1;
+    int n = core->members.count, best = -1;
 
     for (int k = 0; k < n; k++) {
         int member_index = (partition->id + k) % n;
@@ -59,7 +60,7 @@
                   const struct fleet *f, int but, struct timespec now)
 {
     int named = lmn_standby_named(core, partition, now),
-        holder = partition->id % core->members.n;
+        holder = partition->id % core->members.count;
 
     if (named >= 0 && named != but)
         return named;
@@ -74,8 +75,8 @@
     struct fleet f;
 
     weigh(core, now, &f);
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *partition = &core->parts[i];
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
         successor[i] = lmn_partition_is_orphaned(core, partition, now)
                            ? choose(core, partition, &f, -1, now)
                            : -1;
@@ -90,5 +91,5 @@
     struct fleet f;
 
     weigh(core, now, &f);
-    return choose(core, partition, &f, core->members.me, now);
+    return choose(core, partition, &f, core->members.self, now);
 }
--- a/src/partition/worker.h
+++ b/src/partition/worker.h
@@ -28,19 +28,19 @@
 void *lmn_worker_client_thread(void *lane);
 struct lmn_worker_client {
     struct lmn_core *core;
-    unsigned lane, lanes;
+    unsigned index, count;
 };
 /* An answer with starts that the partition's standby has to acknowledge first
  * (lmn_replication_covers). */
 struct lmn_deferred_starts {
-    int part;
-    uint64_t term;
-    uint64_t from, mark; /* its starts are those after from, up to mark; mark 0: it waits
-                            for nothing */
+    int partition;
+    uint64_t epoch;
+    uint64_t from_position, log_position; /* its starts are those after from, up to mark;
+                            mark 0: it waits for nothing */
     char machine[LMN_NAME_SIZE];
-    guint commands, settled_bytes; /* where the answer's commands begin, and how many
-                                      bytes of them are not its new starts, */
-    guint settled;                 /* and how many commands */
+    guint commands_offset, settled_bytes; /* where the answer's commands begin, and how
+                                      many bytes of them are not its new starts, */
+    guint settled_commands;               /* and how many commands */
 };
 /* Answers a report: returns the HTTP status, and a body in out if there is one. */
 int lmn_heartbeat_handle(struct lmn_core *core, const void *body, size_t len,
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -17,8 +17,8 @@
 static bool worth_asking(const struct lmn_core *core, const struct lmn_machine *machine,
                          struct timespec now)
 {
-    return !machine->is_gone && !lmn_time_before(now, machine->next_probe) &&
-           ((machine->inherited && !machine->accounted) ||
+    return !machine->is_terminated && !lmn_time_before(now, machine->next_probe_at) &&
+           ((machine->is_inherited && !machine->is_accounted) ||
             lmn_machine_is_silent(core, machine, now));
 }
 
@@ -27,17 +27,19 @@
 static bool reach_next(struct lmn_core *core, char *name, char *addr, uint64_t *term,
                        struct timespec now)
 {
-    if (!core->members.shut || lmn_time_before(now, core->next_reach))
+    if (!core->members.is_isolated_from_workers ||
+        lmn_time_before(now, core->next_reach_probe_at))
         return false;
-    core->next_reach = lmn_time_add(now, 2);
+    core->next_reach_probe_at = lmn_time_add(now, 2);
     const GPtrArray *list =
-        core->parts[g_rand_int_range(core->rng, 0, core->nparts)].list;
+        core->partitions[g_rand_int_range(core->random, 0, core->partition_count)]
+            .machine_list;
     if (!list->len)
         return false;
     const struct lmn_machine *machine =
-        list->pdata[g_rand_int_range(core->rng, 0, (gint32)list->len)];
+        list->pdata[g_rand_int_range(core->random, 0, (gint32)list->len)];
     g_strlcpy(name, machine->name, LMN_NAME_SIZE);
-    g_strlcpy(addr, machine->addr, LMN_ADDRESS_SIZE);
+    g_strlcpy(addr, machine->address, LMN_ADDRESS_SIZE);
     *term = 0;
     return *addr != 0;
 }
@@ -62,8 +64,8 @@
     bool other_own = g_str_hash(b->name) % lanes == lane;
 
     /* Those that have not answered come last: each holds its lane up for a second. */
-    if (a->probes != b->probes)
-        return a->probes < b->probes;
+    if (a->unanswered_probes != b->unanswered_probes)
+        return a->unanswered_probes < b->unanswered_probes;
     if (own != other_own)
         return own;
     /* Those with room first, since work can start there. */
@@ -80,14 +82,14 @@
 
     if (reach_next(core, name, addr, term, now))
         return true;
-    for (int i = 0; i < core->nparts; i++) {
-        if (!core->parts[i].mine || !core->parts[i].asking)
+    for (int i = 0; i < core->partition_count; i++) {
+        if (!core->partitions[i].is_owned || !core->partitions[i].needs_probing)
             continue;
-        g_hash_table_iter_init(&it, core->parts[i].machines);
+        g_hash_table_iter_init(&it, core->partitions[i].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *machine = v;
-            bool any = machine->probes > 0 ||
-                       lmn_time_diff_s(now, core->parts[i].since) > OWN_LANE_S;
+            bool any = machine->unanswered_probes > 0 ||
+                       lmn_time_diff_s(now, core->partitions[i].owned_since) > OWN_LANE_S;
             if (worth_asking(core, machine, now) &&
                 (any || g_str_hash(machine->name) % lanes == lane) &&
                 (!best || asked_before(machine, best, lane, lanes)))
@@ -96,11 +98,11 @@
     }
     if (!best)
         return false;
-    best->next_probe =
-        lmn_time_add(now, 2.5 + 0.5 * MIN(best->probes, 6u)); /* two calls of 1 s */
+    best->next_probe_at = lmn_time_add(
+        now, 2.5 + 0.5 * MIN(best->unanswered_probes, 6u)); /* two calls of 1 s */
     g_strlcpy(name, best->name, LMN_NAME_SIZE);
-    g_strlcpy(addr, best->addr, LMN_ADDRESS_SIZE);
-    *term = best->part->my_term;
+    g_strlcpy(addr, best->address, LMN_ADDRESS_SIZE);
+    *term = best->partition->owned_epoch;
     return true;
 }
 
@@ -115,13 +117,13 @@
     if (lmn_cbor_parse(&d, answer->data, answer->len) != 0)
         return false;
     bool newer = !lmn_heartbeat_parse(&r, &d) && !strcmp(r.name, machine->name) &&
-                 r.session > machine->session;
+                 r.agent_incarnation > machine->agent_incarnation;
     lmn_cbor_free(&d);
     if (!newer)
         return false;
-    machine->session = r.session;
-    machine->probes = 0; /* it has answered */
-    machine->next_probe = now;
+    machine->agent_incarnation = r.agent_incarnation;
+    machine->unanswered_probes = 0; /* it has answered */
+    machine->next_probe_at = now;
     return true;
 }
 
@@ -130,7 +132,7 @@
                                   struct timespec now)
 {
     struct lmn_partition *partition =
-        &core->parts[lmn_partition_for_machine(name, core->nparts)];
+        &core->partitions[lmn_partition_for_machine(name, core->partition_count)];
     struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
     struct lmn_cbor_document d;
     struct lmn_heartbeat r;
@@ -140,36 +142,39 @@
             lmn_members_record_own_worker(&core->members, now);
         return;
     }
-    if (!machine || !partition->mine || partition->my_term != epoch || machine->is_gone)
+    if (!machine || !partition->is_owned || partition->owned_epoch != epoch ||
+        machine->is_terminated)
         return;
-    machine->probes++;
-    if (machine->accounted) { /* only whether it is there */
+    machine->unanswered_probes++;
+    if (machine->is_accounted) { /* only whether it is there */
         if (status == 200 || status == 409)
-            machine->probes = 0;
+            machine->unanswered_probes = 0;
         return;
     }
-    if (status == 409 && !machine->heard) {
-        if (machine->session && learn_session(machine, answer, now))
+    if (status == 409 && !machine->has_reported) {
+        if (machine->agent_incarnation && learn_session(machine, answer, now))
             return;
-        machine->session = 0; /* not the one that we were told: it is asked for */
+        machine->agent_incarnation =
+            0; /* not the one that we were told: it is asked for */
     }
     /* Whatever it may hold waits for it: the second question follows at once. */
-    if (machine->probes == 1 && status != 200)
-        machine->next_probe = lmn_time_add(now, 0.2);
+    if (machine->unanswered_probes == 1 && status != 200)
+        machine->next_probe_at = lmn_time_add(now, 0.2);
     if (status != 200 || lmn_cbor_parse(&d, answer->data, answer->len) != 0)
         return;
     /* Written after the worker had taken our term: whatever a predecessor sends comes too
      * late. Its lease was renewed before now, if by anyone else. */
-    if (!lmn_heartbeat_parse(&r, &d) && r.token == epoch &&
+    if (!lmn_heartbeat_parse(&r, &d) && r.fencing_token == epoch &&
         !strcmp(r.name, machine->name) &&
-        !(machine->heard && (r.session < machine->session ||
-                             (r.session == machine->session && r.seq <= machine->seq)))) {
-        if (!machine->heard || r.session > machine->session)
-            machine->report_seq = 0;
-        machine->heard = machine->accounted = true;
-        machine->session = r.session;
-        machine->seq = r.seq;
-        machine->last = now;
+        !(machine->has_reported && (r.agent_incarnation < machine->agent_incarnation ||
+                                    (r.agent_incarnation == machine->agent_incarnation &&
+                                     r.sequence <= machine->sequence)))) {
+        if (!machine->has_reported || r.agent_incarnation > machine->agent_incarnation)
+            machine->heartbeat_sequence = 0;
+        machine->has_reported = machine->is_accounted = true;
+        machine->agent_incarnation = r.agent_incarnation;
+        machine->sequence = r.sequence;
+        machine->last_heartbeat_at = now;
         if (!machine->type)
             machine->type = lmn_machine_type_by_name(core, machine->type_name);
         lmn_debug("machine-accounted machine=%s term=%" G_GUINT64_FORMAT " by=probe",
@@ -178,12 +183,12 @@
         /* What we were told may be there, and is not, will not be: a command that is
          * still on its way is of an older term. */
         for (guint i = machine->attempts->len; i-- > 0;)
-            if (g_array_index(machine->attempts, struct lmn_attempt, i).told)
+            if (g_array_index(machine->attempts, struct lmn_attempt, i).from_replica)
                 lmn_attempt_vanished(core, machine, i, now);
         lmn_machine_mark_unreplicated(machine);
         lmn_partition_check_ready(core, partition, now);
         /* Its lane looks there next, on the connection that it has. */
-        if (partition->warm)
+        if (partition->is_warm)
             lmn_machine_wake(machine);
     }
     lmn_cbor_free(&d);
@@ -226,12 +231,12 @@
     for (guint i = 0; i < machine->attempts->len; i++) {
         struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
-        if (!attempt->stop || attempt->killed || attempt->state == LMN_ATTEMPT_ENDED ||
-            !attempt->range)
+        if (!attempt->must_stop || attempt->kill_sent ||
+            attempt->state == LMN_ATTEMPT_ENDED || !attempt->range)
             continue;
-        lmn_append_command(out, WIRE_KILL, attempt, attempt->grace);
-        attempt->killed = true;
-        core->count.kills++;
+        lmn_append_command(out, WIRE_KILL, attempt, attempt->grace_s);
+        attempt->kill_sent = true;
+        core->counters.kills++;
         n++;
     }
     return n;
@@ -241,17 +246,20 @@
                                  char *name, char *addr, GByteArray *body,
                                  struct timespec now)
 {
-    for (int i = 0; i < core->nparts; i++) {
-        GPtrArray *poked = core->parts[i].poked;
-        if (!core->parts[i].mine)
+    for (int i = 0; i < core->partition_count; i++) {
+        GPtrArray *poked = core->partitions[i].woken_machines;
+        if (!core->partitions[i].is_owned)
             continue;
         for (guint at = poked->len; at-- > 0;) {
             struct lmn_machine *machine = at < poked->len ? poked->pdata[at] : NULL;
-            if (!machine || machine->in_call || g_str_hash(machine->name) % lanes != lane)
+            if (!machine || machine->has_push_in_flight ||
+                g_str_hash(machine->name) % lanes != lane)
                 continue;
             lmn_machine_cancel_wake(machine);
-            if (!machine->accounted || machine->lapsed || machine->unheeded ||
-                lmn_time_diff_s(now, machine->last) > 0.6 * core->cfg->lease_s)
+            if (!machine->is_accounted || machine->lease_expired ||
+                machine->ignored_commands ||
+                lmn_time_diff_s(now, machine->last_heartbeat_at) >
+                    0.6 * core->settings->lease_s)
                 continue;
             GByteArray *commands = g_byte_array_new();
             guint n = stop_some(core, machine, commands);
@@ -261,17 +269,18 @@
                 n += lmn_schedule_machine(core, machine, commands, now);
             if (n) {
                 for (guint k = before; k < machine->attempts->len; k++)
-                    g_array_index(machine->attempts, struct lmn_attempt, k).direct = true;
-                machine->in_call = true;
-                machine->idle = (struct timespec){0, 0};
+                    g_array_index(machine->attempts, struct lmn_attempt, k)
+                        .push_in_flight = true;
+                machine->has_push_in_flight = true;
+                machine->idle_since = (struct timespec){0, 0};
                 g_strlcpy(name, machine->name, LMN_NAME_SIZE);
-                g_strlcpy(addr, machine->addr, LMN_ADDRESS_SIZE);
+                g_strlcpy(addr, machine->address, LMN_ADDRESS_SIZE);
                 g_byte_array_set_size(body, 0);
                 lmn_cbor_put_map(body, 3);
                 lmn_cbor_put_text(body, WIRE_FENCING_TOKEN),
-                    lmn_cbor_put_uint(body, core->parts[i].my_term);
+                    lmn_cbor_put_uint(body, core->partitions[i].owned_epoch);
                 lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
-                    lmn_cbor_put_uint(body, machine->session);
+                    lmn_cbor_put_uint(body, machine->agent_incarnation);
                 lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, n);
                 g_byte_array_append(body, commands->data, commands->len);
             }
@@ -287,21 +296,22 @@
                                  const GByteArray *answer, struct timespec now)
 {
     struct lmn_partition *partition =
-        &core->parts[lmn_partition_for_machine(name, core->nparts)];
+        &core->partitions[lmn_partition_for_machine(name, core->partition_count)];
     struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
     struct lmn_cbor_document d;
     struct lmn_heartbeat r;
     bool read = false, newer = false, lost = false;
 
-    if (!machine || !machine->in_call)
+    if (!machine || !machine->has_push_in_flight)
         return; /* the partition was lost meanwhile */
-    machine->in_call = false;
+    machine->has_push_in_flight = false;
     if ((status == 200 || status == 409) &&
         lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
-        read = !lmn_heartbeat_parse(&r, &d) && r.session == machine->session;
-        newer = read && r.seq > machine->seq;
+        read = !lmn_heartbeat_parse(&r, &d) &&
+               r.agent_incarnation == machine->agent_incarnation;
+        newer = read && r.sequence > machine->sequence;
         if (newer) {
-            machine->seq = r.seq;
+            machine->sequence = r.sequence;
             lmn_heartbeat_apply_tasks(core, machine, &d, r.tasks, now);
         }
         lmn_cbor_free(&d);
@@ -309,39 +319,40 @@
     for (guint i = machine->attempts->len; i-- > 0;) {
         struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
-        if (!attempt->direct)
+        if (!attempt->push_in_flight)
             continue;
-        attempt->direct = false;
+        attempt->push_in_flight = false;
         /* Only the call's own commands are judged by its answer: what a report's answer
          * started may be on its way still. */
-        if (status == LMN_HTTP_NOT_SENT || (status == 409 && newer && !attempt->seen))
+        if (status == LMN_HTTP_NOT_SENT ||
+            (status == 409 && newer && !attempt->in_last_heartbeat))
             lmn_attempt_vanished(core, machine, i, now);
-        else if (!read || (status == 200 && newer && !attempt->seen))
-            attempt->unsure = lost = true;
+        else if (!read || (status == 200 && newer && !attempt->in_last_heartbeat))
+            attempt->push_is_uncertain = lost = true;
     }
     /* Its answer may be late; a report that lists what was ordered settles it. */
     if (lost && !read)
         lmn_machine_record_ignored_command(core, machine, now);
     /* What made room has ended: the task it was made for goes there at once. */
-    if (machine->promised && read) {
+    if (machine->preemption_reserved_tasks && read) {
         lmn_machine_wake(machine);
-        pthread_cond_broadcast(&core->poked);
+        pthread_cond_broadcast(&core->machines_woken);
     }
 }
 
 uint64_t lmn_worker_client_log_position(const struct lmn_core *core, const char *name,
                                         int *part)
 {
-    *part = lmn_partition_for_machine(name, core->nparts);
+    *part = lmn_partition_for_machine(name, core->partition_count);
     const struct lmn_machine *machine =
-        g_hash_table_lookup(core->parts[*part].machines, name);
+        g_hash_table_lookup(core->partitions[*part].machines, name);
     uint64_t mark = 0;
 
     for (guint i = 0; machine && i < machine->attempts->len; i++) {
         const struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
-        if (attempt->direct)
-            mark = MAX(mark, attempt->mark);
+        if (attempt->push_in_flight)
+            mark = MAX(mark, attempt->log_position);
     }
     return mark;
 }
@@ -349,18 +360,18 @@
 /* Whether the starts may go out: waits until the standby has acknowledged them. */
 static bool told(struct lmn_core *core, int part, uint64_t epoch, uint64_t mark)
 {
-    struct lmn_partition *partition = &core->parts[part];
+    struct lmn_partition *partition = &core->partitions[part];
     struct timespec until = lmn_time_add(lmn_now(), LMN_REPLICATION_DEFER_S);
     double left;
 
-    while (partition->mine && partition->my_term == epoch &&
+    while (partition->is_owned && partition->owned_epoch == epoch &&
            !lmn_replication_covers(partition, mark) &&
            (left = lmn_time_diff_s(until, lmn_now())) > 0)
-        lmn_cond_wait_for(&core->told, &core->lock, left);
-    bool ok = partition->mine && partition->my_term == epoch &&
+        lmn_cond_wait_for(&core->replication_acknowledged, &core->lock, left);
+    bool ok = partition->is_owned && partition->owned_epoch == epoch &&
               lmn_replication_covers(partition, mark);
     if (!ok)
-        core->count.withheld++;
+        core->counters.withheld_starts++;
     return ok;
 }
 
@@ -368,10 +379,10 @@
 static uint64_t told_session(const struct lmn_core *core, const char *name)
 {
     const struct lmn_partition *partition =
-        &core->parts[lmn_partition_for_machine(name, core->nparts)];
+        &core->partitions[lmn_partition_for_machine(name, core->partition_count)];
     const struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
 
-    return machine && !machine->heard ? machine->session : 0;
+    return machine && !machine->has_reported ? machine->agent_incarnation : 0;
 }
 
 static void drop_any(GHashTable *clients)
@@ -402,20 +413,20 @@
         for (;;) {
             struct timespec now = lmn_now();
             probing = false;
-            if (lmn_worker_client_next_push(core, lane->lane, lane->lanes, name, addr,
+            if (lmn_worker_client_next_push(core, lane->index, lane->count, name, addr,
                                             body, now))
                 break;
-            probing = lmn_worker_client_next_probe(core, lane->lane, lane->lanes, name,
+            probing = lmn_worker_client_next_probe(core, lane->index, lane->count, name,
                                                    addr, &epoch, now);
             if (probing)
                 break;
-            lmn_cond_wait_for(&core->poked, &core->lock, 0.5);
+            lmn_cond_wait_for(&core->machines_woken, &core->lock, 0.5);
         }
         if (probing)
             session = epoch ? told_session(core, name) : 0;
         else
             mark = lmn_worker_client_log_position(core, name, &part);
-        if (mark && !told(core, part, core->parts[part].my_term, mark)) {
+        if (mark && !told(core, part, core->partitions[part].owned_epoch, mark)) {
             lmn_worker_client_push_done(core, name, LMN_HTTP_NOT_SENT, NULL, lmn_now());
             pthread_mutex_unlock(&core->lock);
             continue;
@@ -424,7 +435,8 @@
         struct lmn_http_client *client = g_hash_table_lookup(clients, addr);
         if (!client) {
             /* Connections are kept, but the sockets are the workers' and users' first. */
-            if (g_hash_table_size(clients) >= core->sockets.direct / lane->lanes)
+            if (g_hash_table_size(clients) >=
+                core->connection_budget.worker_connections / lane->count)
                 drop_any(clients);
             client = lmn_http_client_new(addr);
             g_hash_table_insert(clients, g_strdup(addr), client);
--- a/src/partition/worker_internal.h
+++ b/src/partition/worker_internal.h
@@ -7,10 +7,10 @@
 #include "state/model.h"
 
 struct lmn_heartbeat {
-    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], type[LMN_NAME_SIZE],
+    char name[LMN_NAME_SIZE], address[LMN_ADDRESS_SIZE], type[LMN_NAME_SIZE],
         zone[LMN_NAME_SIZE];
-    bool spot, noticed;
-    uint64_t session, seq, token;
+    bool is_spot, has_spot_notice;
+    uint64_t agent_incarnation, sequence, fencing_token;
     double notice_s;
     const struct lmn_cbor_value *tasks;
 };
--- a/src/replication/batch.c
+++ b/src/replication/batch.c
@@ -18,7 +18,8 @@
     for (guint i = 0; i < machine->images->len; i++) {
         const struct lmn_image *image =
             &g_array_index(machine->images, struct lmn_image, i);
-        struct lmn_image_snapshot y = {.gb = image->gb, .there = !image->ready.tv_sec};
+        struct lmn_image_snapshot y = {.gb = image->gb,
+                                       .is_present = !image->ready_at.tv_sec};
         if (strlen(image->name) >= sizeof y.name)
             continue;
         g_strlcpy(y.name, image->name, sizeof y.name);
@@ -32,16 +33,16 @@
 {
     struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(machine->name);
 
-    snapshot->session = machine->session;
-    snapshot->gone = machine->is_gone;
+    snapshot->agent_incarnation = machine->agent_incarnation;
+    snapshot->is_terminated = machine->is_terminated;
     for (guint i = 0; i < machine->attempts->len; i++) {
         const struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
         struct lmn_attempt_snapshot x = {.index = attempt->index,
                                          .number = attempt->number,
-                                         .ended = attempt->state == LMN_ATTEMPT_ENDED,
-                                         .done = attempt->done};
-        g_strlcpy(x.ref, attempt->ref, sizeof x.ref);
+                                         .has_ended = attempt->state == LMN_ATTEMPT_ENDED,
+                                         .is_done = attempt->is_done};
+        g_strlcpy(x.job_id, attempt->job_id, sizeof x.job_id);
         g_array_append_val(snapshot->attempts, x);
     }
     if (images)
--- a/src/replication/batch.h
+++ b/src/replication/batch.h
@@ -5,34 +5,34 @@
 #include "state/model.h"
 
 struct lmn_attempt_snapshot {
-    char ref[LMN_JOB_ID_SIZE];
+    char job_id[LMN_JOB_ID_SIZE];
     uint32_t index;
     uint64_t number;
-    bool ended, done; /* as the worker has said */
+    bool has_ended, is_done; /* as the worker has said */
 };
 
 struct lmn_image_snapshot {
     char name[LMN_NAME_SIZE * 2];
     double gb;
-    bool there; /* else it was being fetched */
+    bool is_present; /* else it was being fetched */
 };
 
 /* A machine, whole: it takes the place of what was told of it before. */
 struct lmn_machine_snapshot {
     char name[LMN_NAME_SIZE];
-    uint64_t session; /* 0: not known */
-    bool gone;        /* the cloud has said so */
-    bool forget;      /* no record names it any more */
-    GArray *attempts; /* struct lmn_attempt_snapshot */
-    GArray *images;   /* struct lmn_image_snapshot; NULL: as before */
+    uint64_t agent_incarnation; /* 0: not known */
+    bool is_terminated;         /* the cloud has said so */
+    bool is_forgotten;          /* no record names it any more */
+    GArray *attempts;           /* struct lmn_attempt_snapshot */
+    GArray *images;             /* struct lmn_image_snapshot; NULL: as before */
 };
 
 struct lmn_replication_batch {
-    int part;
-    uint64_t term, stream;
-    uint64_t number;     /* 0: the stream begins */
-    uint64_t mark;       /* acknowledged, all starts up to this are */
-    GPtrArray *machines; /* struct lmn_machine_snapshot */
+    int partition;
+    uint64_t epoch, stream;
+    uint64_t number;       /* 0: the stream begins */
+    uint64_t log_position; /* acknowledged, all starts up to this are */
+    GPtrArray *machines;   /* struct lmn_machine_snapshot */
 };
 
 enum { LMN_REPLICATION_BATCH_MACHINES = 32 };
--- a/src/replication/failover.c
+++ b/src/replication/failover.c
@@ -8,26 +8,28 @@
 const char *lmn_failover_cold_reason(const struct lmn_core *core,
                                      const struct lmn_partition *partition)
 {
-    const struct lmn_replica *copy = partition->copy;
+    const struct lmn_replica *copy = partition->replica;
 
     /* Each claim raises the term by one, conditional on the term before: nobody has owned
      * the partition since this process did. */
     if (copy && copy->own)
-        return copy->term + 1 == partition->owner_term ? NULL
-                                                       : "another has owned it meanwhile";
+        return copy->epoch + 1 == partition->owner_epoch
+                   ? NULL
+                   : "another has owned it meanwhile";
     /* The claim, or the giving, was conditional on a record that names us: until it was
      * applied no start went out that we had not acknowledged, and none can after it,
      * since the owner can strike us off no more. */
     if (!partition->owner_stream)
         return "nobody was in step";
     if (partition->owner_stream != partition->standby_stream ||
-        strcmp(partition->standby, core->cfg->node))
+        strcmp(partition->standby, core->settings->node_name))
         return "another was in step";
     if (!copy)
         return "no copy: another life was in step";
     if (copy->stream != partition->owner_stream)
         return "the copy is of another stream";
-    if (copy->term != partition->standby_term || copy->term + 1 != partition->owner_term)
+    if (copy->epoch != partition->standby_epoch ||
+        copy->epoch + 1 != partition->owner_epoch)
         return "the copy is of another term";
     return NULL;
 }
@@ -40,13 +42,13 @@
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, partition->copy->machines);
+    g_hash_table_iter_init(&it, partition->replica->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine_snapshot *snapshot = v;
         for (guint i = 0; i < snapshot->attempts->len; i++) {
             const struct lmn_attempt_snapshot *attempt =
                 &g_array_index(snapshot->attempts, struct lmn_attempt_snapshot, i);
-            char *task = g_strdup_printf("%s/%u", attempt->ref, attempt->index);
+            char *task = g_strdup_printf("%s/%u", attempt->job_id, attempt->index);
             const struct lmn_attempt_snapshot *was = g_hash_table_lookup(best, task);
             if (!was || was->number < attempt->number)
                 g_hash_table_replace(best, task, (gpointer)attempt);
@@ -63,22 +65,22 @@
     struct lmn_attempt a = {.index = told->index,
                             .number = told->number,
                             .state = LMN_ATTEMPT_RUNNING,
-                            .told = true,
-                            .since = now};
+                            .from_replica = true,
+                            .started_at = now};
 
-    g_strlcpy(a.ref, told->ref, sizeof a.ref);
-    a.job = g_hash_table_lookup(core->jobs, told->ref);
-    a.range = lmn_partition_find_range(machine->part, a.job, told->index);
+    g_strlcpy(a.job_id, told->job_id, sizeof a.job_id);
+    a.job = g_hash_table_lookup(core->jobs, told->job_id);
+    a.range = lmn_partition_find_range(machine->partition, a.job, told->index);
     /* One that has failed is not there, and its task was queued again. One that is done
      * is held until the worker says so, or is gone. */
-    if (told->ended && (!told->done || !a.range))
+    if (told->has_ended && (!told->is_done || !a.range))
         return false;
-    if (a.range && a.range->st[a.index - a.range->lo] == LMN_TASK_QUEUED) {
-        a.range->st[a.index - a.range->lo] = LMN_TASK_STARTED;
-        a.range->nstarted++;
+    if (a.range && a.range->task_states[a.index - a.range->first] == LMN_TASK_QUEUED) {
+        a.range->task_states[a.index - a.range->first] = LMN_TASK_STARTED;
+        a.range->started_count++;
     } else {
         a.range = NULL; /* recorded as done, or moved away */
-        if (told->ended)
+        if (told->has_ended)
             return false;
     }
     lmn_attempt_count(machine, &a);
@@ -95,10 +97,11 @@
         const struct lmn_image_snapshot *image =
             &g_array_index(snapshot->images, struct lmn_image_snapshot, i);
         struct lmn_image y = {g_intern_string(image->name), image->gb, {0, 0}};
-        if (!image->there)
-            y.ready = lmn_time_add(now, machine->type && machine->type->pull > 0
-                                            ? image->gb / machine->type->pull
-                                            : 0);
+        if (!image->is_present)
+            y.ready_at =
+                lmn_time_add(now, machine->type && machine->type->pull_gb_per_s > 0
+                                      ? image->gb / machine->type->pull_gb_per_s
+                                      : 0);
         g_array_append_val(machine->images, y);
     }
 }
@@ -109,34 +112,34 @@
     GHashTable *best = newest(partition);
     guint held = 0, named = 0;
 
-    for (guint k = 0; k < partition->list->len; k++) {
-        struct lmn_machine *machine = partition->list->pdata[k];
+    for (guint k = 0; k < partition->machine_list->len; k++) {
+        struct lmn_machine *machine = partition->machine_list->pdata[k];
         const struct lmn_machine_snapshot *snapshot =
-            g_hash_table_lookup(partition->copy->machines, machine->name);
+            g_hash_table_lookup(partition->replica->machines, machine->name);
         if (!snapshot)
             continue; /* nothing was started on it */
         named++;
-        if (snapshot->gone) {
-            machine->is_gone = machine->accounted = true;
-            machine->inherited = false;
-            g_hash_table_add(core->gone, g_strdup(machine->name));
+        if (snapshot->is_terminated) {
+            machine->is_terminated = machine->is_accounted = true;
+            machine->is_inherited = false;
+            g_hash_table_add(core->returned_machines, g_strdup(machine->name));
             continue;
         }
-        machine->session = snapshot->session;
+        machine->agent_incarnation = snapshot->agent_incarnation;
         if (!machine->type)
             machine->type = lmn_machine_type_by_name(core, machine->type_name);
         inherit_images(machine, snapshot, now);
         for (guint i = 0; i < snapshot->attempts->len; i++) {
             const struct lmn_attempt_snapshot *attempt =
                 &g_array_index(snapshot->attempts, struct lmn_attempt_snapshot, i);
-            char *task = g_strdup_printf("%s/%u", attempt->ref, attempt->index);
+            char *task = g_strdup_printf("%s/%u", attempt->job_id, attempt->index);
             if (g_hash_table_lookup(best, task) == attempt)
                 held += inherit(core, machine, attempt, now);
             g_free(task);
         }
     }
     lmn_debug("takeover-copy partition=%d machines=%u told=%u attempts=%u", partition->id,
-              partition->list->len, named, held);
+              partition->machine_list->len, named, held);
     g_hash_table_destroy(best);
     return held;
 }
--- a/src/replication/replica.c
+++ b/src/replication/replica.c
@@ -14,7 +14,7 @@
 {
     struct lmn_replica *copy = g_new0(struct lmn_replica, 1);
 
-    copy->term = epoch;
+    copy->epoch = epoch;
     copy->stream = stream;
     copy->machines =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, lmn_machine_snapshot_free);
@@ -26,7 +26,7 @@
     struct lmn_machine_snapshot *was =
         g_hash_table_lookup(copy->machines, snapshot->name);
 
-    if (snapshot->forget) {
+    if (snapshot->is_forgotten) {
         g_hash_table_remove(copy->machines, snapshot->name);
         lmn_machine_snapshot_free(snapshot);
         return;
@@ -42,32 +42,32 @@
                                           struct lmn_replication_batch *batch,
                                           struct timespec now)
 {
-    if (batch->part < 0 || batch->part >= core->nparts)
+    if (batch->partition < 0 || batch->partition >= core->partition_count)
         return LMN_REPLICA_REJECTED;
-    struct lmn_partition *partition = &core->parts[batch->part];
-    struct lmn_replica *copy = partition->copy;
+    struct lmn_partition *partition = &core->partitions[batch->partition];
+    struct lmn_replica *copy = partition->replica;
     /* Whoever owned it before the term that the mirror shows has been replaced. One that
      * is about to end follows nobody. */
-    if (partition->mine || batch->term < partition->term || core->leaving)
+    if (partition->is_owned || batch->epoch < partition->epoch || core->is_shutting_down)
         return LMN_REPLICA_REJECTED;
-    if (copy && batch->term == copy->term && batch->stream == copy->stream &&
+    if (copy && batch->epoch == copy->epoch && batch->stream == copy->stream &&
         batch->number <= copy->number) {
-        copy->last = now;
+        copy->last_batch_at = now;
         return LMN_REPLICA_APPLIED; /* a repeat, or a late twin */
     }
     if (batch->number == 0) {
         /* A late twin of an older stream must not take the place of a newer one. */
-        if (copy && (batch->term < copy->term ||
-                     (batch->term == copy->term && batch->stream < copy->stream)))
+        if (copy && (batch->epoch < copy->epoch ||
+                     (batch->epoch == copy->epoch && batch->stream < copy->stream)))
             return LMN_REPLICA_UNKNOWN_STREAM;
         lmn_replica_free(copy);
-        copy = partition->copy = new_copy(batch->term, batch->stream);
-    } else if (!copy || batch->term != copy->term || batch->stream != copy->stream ||
+        copy = partition->replica = new_copy(batch->epoch, batch->stream);
+    } else if (!copy || batch->epoch != copy->epoch || batch->stream != copy->stream ||
                batch->number != copy->number + 1) {
         return LMN_REPLICA_UNKNOWN_STREAM;
     }
     copy->number = batch->number;
-    copy->last = now;
+    copy->last_batch_at = now;
     for (guint i = 0; i < batch->machines->len; i++) {
         take_machine(copy, batch->machines->pdata[i]);
         batch->machines->pdata[i] = NULL;
@@ -79,34 +79,34 @@
 {
     /* Before every machine was accounted for, a cold owner does not know what its
      * predecessors started. */
-    if (!partition->ready && !partition->warm)
+    if (!partition->is_ready && !partition->is_warm)
         return;
-    lmn_replica_free(partition->copy);
-    partition->copy = new_copy(partition->my_term, 0);
-    partition->copy->own = true;
-    for (guint i = 0; i < partition->list->len; i++) {
+    lmn_replica_free(partition->replica);
+    partition->replica = new_copy(partition->owned_epoch, 0);
+    partition->replica->own = true;
+    for (guint i = 0; i < partition->machine_list->len; i++) {
         struct lmn_machine_snapshot *snapshot =
-            lmn_machine_snapshot_take(partition->list->pdata[i], true);
-        g_hash_table_replace(partition->copy->machines, snapshot->name, snapshot);
+            lmn_machine_snapshot_take(partition->machine_list->pdata[i], true);
+        g_hash_table_replace(partition->replica->machines, snapshot->name, snapshot);
     }
 }
 
 bool lmn_replica_own_is_latest(const struct lmn_partition *partition)
 {
-    return partition->copy && partition->copy->own &&
-           partition->copy->term == partition->term;
+    return partition->replica && partition->replica->own &&
+           partition->replica->epoch == partition->epoch;
 }
 
 void lmn_replica_drop_outdated(const struct lmn_core *core,
                                struct lmn_partition *partition)
 {
-    if (partition->mine || !partition->copy || !partition->copy->own ||
-        partition->term <= partition->copy->term)
+    if (partition->is_owned || !partition->replica || !partition->replica->own ||
+        partition->epoch <= partition->replica->epoch)
         return;
     /* Of the next term only our own claim may be on its way. */
-    if (partition->term == partition->copy->term + 1 &&
-        (!*partition->owner || !strcmp(partition->owner, core->cfg->node)))
+    if (partition->epoch == partition->replica->epoch + 1 &&
+        (!*partition->owner || !strcmp(partition->owner, core->settings->node_name)))
         return;
-    lmn_replica_free(partition->copy);
-    partition->copy = NULL;
+    lmn_replica_free(partition->replica);
+    partition->replica = NULL;
 }
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -7,10 +7,10 @@
 #include "replication/batch.h"
 
 struct lmn_replica {
-    uint64_t term, stream;
-    uint64_t number;      /* of the last batch taken */
-    GHashTable *machines; /* name -> struct lmn_machine_snapshot */
-    struct timespec last; /* when a batch came last, steady clock */
+    uint64_t epoch, stream;
+    uint64_t number;               /* of the last batch taken */
+    GHashTable *machines;          /* name -> struct lmn_machine_snapshot */
+    struct timespec last_batch_at; /* when a batch came last, steady clock */
     bool own; /* this process's own state at the end of that term; no stream */
 };
 
--- a/src/replication/replica_choice.c
+++ b/src/replication/replica_choice.c
@@ -7,10 +7,10 @@
 {
     const char *name = lmn_member_name(&core->members, member_index);
 
-    for (size_t i = 0; i < core->cfg->nmembers; i++)
-        if (!strcmp(core->cfg->members[i].name, name))
-            return core->cfg->members[i].zone;
-    return core->cfg->zone;
+    for (size_t i = 0; i < core->settings->member_count; i++)
+        if (!strcmp(core->settings->members[i].name, name))
+            return core->settings->members[i].zone;
+    return core->settings->zone;
 }
 
 /* Partitions that it owns or stands by for, this one aside. */
@@ -20,8 +20,8 @@
     const char *name = lmn_member_name(&core->members, member_index);
     unsigned n = 0;
 
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *o = &core->parts[i];
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *o = &core->partitions[i];
         if (o == p)
             continue;
         n += 2 * !strcmp(o->owner, name);
@@ -45,26 +45,26 @@
 static bool able(const struct lmn_members *members, int member_index, struct timespec now)
 {
     return lmn_member_is_trusted(members, member_index, now) &&
-           members->v[member_index].word.behind_s < LMN_STANDBY_SETTLE_S;
+           members->views[member_index].health.delay_s < LMN_STANDBY_SETTLE_S;
 }
 
 int lmn_standby_choose(const struct lmn_core *core, const struct lmn_partition *partition,
                        struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int best = -1, holder = partition->id % members->n;
+    int best = -1, holder = partition->id % members->count;
 
-    if (holder != members->me && able(members, holder, now))
+    if (holder != members->self && able(members, holder, now))
         return holder;
-    for (int k = 0; k < members->n; k++) {
-        if (k == members->me || !able(members, k, now))
+    for (int k = 0; k < members->count; k++) {
+        if (k == members->self || !able(members, k, now))
             continue;
         if (best < 0) {
             best = k;
             continue;
         }
-        int far = !!strcmp(zone_of(core, k), core->cfg->zone);
-        int best_far = !!strcmp(zone_of(core, best), core->cfg->zone);
+        int far = !!strcmp(zone_of(core, k), core->settings->zone);
+        int best_far = !!strcmp(zone_of(core, best), core->settings->zone);
         unsigned load = carries(core, k, partition),
                  best_load = carries(core, best, partition);
         if (far != best_far ? far
@@ -80,13 +80,13 @@
                       struct timespec now)
 {
     int member_index =
-        partition->standby_stream && partition->standby_term == partition->term
+        partition->standby_stream && partition->standby_epoch == partition->epoch
             ? lmn_member_index(&core->members, partition->standby)
             : -1;
 
     /* Another life of it has no copy. */
     if (member_index < 0 ||
-        core->members.v[member_index].lease != partition->standby_lease ||
+        core->members.views[member_index].lease != partition->standby_lease ||
         !lmn_member_is_trusted(&core->members, member_index, now))
         return -1;
     return member_index;
