--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -32,20 +32,22 @@
 
 bool lmn_replication_gates_starts(const struct lmn_partition *partition)
 {
-    return partition->mine && partition->stream.phase >= LMN_STREAM_CATCHING_UP;
+    return partition->is_owned && partition->stream.phase >= LMN_STREAM_CATCHING_UP;
 }
 
 bool lmn_replication_covers(const struct lmn_partition *partition, uint64_t mark)
 {
-    return !lmn_replication_gates_starts(partition) || partition->stream.acked >= mark;
+    return !lmn_replication_gates_starts(partition) ||
+           partition->stream.acknowledged_position >= mark;
 }
 
 bool lmn_replication_is_stuck(const struct lmn_partition *partition, struct timespec now)
 {
     const struct lmn_replication_stream *stream = &partition->stream;
 
-    return lmn_replication_gates_starts(partition) && stream->acked < stream->mark &&
-           lmn_time_diff_s(now, stream->waits) > LMN_REPLICATION_DEFER_S;
+    return lmn_replication_gates_starts(partition) &&
+           stream->acknowledged_position < stream->log_position &&
+           lmn_time_diff_s(now, stream->waiting_since) > LMN_REPLICATION_DEFER_S;
 }
 
 void lmn_replication_lag(const struct lmn_partition *partition, struct timespec now,
@@ -53,9 +55,11 @@
 {
     const struct lmn_replication_stream *stream = &partition->stream;
 
-    *machines = partition->untold->len;
-    *starts = lmn_replication_gates_starts(partition) ? stream->mark - stream->acked : 0;
-    *seconds = *starts ? lmn_time_diff_s(now, stream->waits) : 0;
+    *machines = partition->unreplicated_machines->len;
+    *starts = lmn_replication_gates_starts(partition)
+                  ? stream->log_position - stream->acknowledged_position
+                  : 0;
+    *seconds = *starts ? lmn_time_diff_s(now, stream->waiting_since) : 0;
 }
 
 /* --- the batches --- */
@@ -67,7 +71,7 @@
     for (guint i = 0; i < machine->images->len; i++) {
         const struct lmn_image *image =
             &g_array_index(machine->images, struct lmn_image, i);
-        h += g_str_hash(image->name) * (image->ready.tv_sec ? 3 : 7);
+        h += g_str_hash(image->name) * (image->ready_at.tv_sec ? 3 : 7);
     }
     return h;
 }
@@ -75,9 +79,9 @@
 static struct lmn_machine_snapshot *tell(struct lmn_machine *machine)
 {
     guint hash = images_hash(machine);
-    bool changed = hash != machine->told_images;
+    bool changed = hash != machine->replicated_images_hash;
 
-    machine->told_images = hash;
+    machine->replicated_images_hash = hash;
     return lmn_machine_snapshot_take(machine, changed);
 }
 
@@ -87,29 +91,31 @@
     struct lmn_replication_stream *stream = &partition->stream;
     struct lmn_replication_batch *batch = lmn_replication_batch_new();
 
-    batch->part = partition->id;
-    batch->term = partition->my_term;
+    batch->partition = partition->id;
+    batch->epoch = partition->owned_epoch;
     batch->stream = stream->id;
-    batch->number = stream->number;
-    while (partition->forgotten->len &&
+    batch->number = stream->next_batch_number;
+    while (partition->unreplicated_removals->len &&
            batch->machines->len < LMN_REPLICATION_BATCH_MACHINES) {
-        char *name = g_ptr_array_steal_index_fast(partition->forgotten,
-                                                  partition->forgotten->len - 1);
+        char *name = g_ptr_array_steal_index_fast(
+            partition->unreplicated_removals, partition->unreplicated_removals->len - 1);
         struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(name);
-        snapshot->forget = true;
+        snapshot->is_forgotten = true;
         g_ptr_array_add(batch->machines, snapshot);
         g_free(name);
     }
-    while (partition->untold->len &&
+    while (partition->unreplicated_machines->len &&
            batch->machines->len < LMN_REPLICATION_BATCH_MACHINES) {
-        struct lmn_machine *machine =
-            g_ptr_array_steal_index_fast(partition->untold, partition->untold->len - 1);
-        machine->untold = false;
+        struct lmn_machine *machine = g_ptr_array_steal_index_fast(
+            partition->unreplicated_machines, partition->unreplicated_machines->len - 1);
+        machine->is_unreplicated = false;
         g_ptr_array_add(batch->machines, tell(machine));
     }
     /* With machines left, some start may be on one of those. */
-    batch->mark = partition->untold->len ? stream->acked : stream->mark;
-    stream->told = now;
+    batch->log_position = partition->unreplicated_machines->len
+                              ? stream->acknowledged_position
+                              : stream->log_position;
+    stream->last_batch_at = now;
     return batch;
 }
 
@@ -121,30 +127,32 @@
 {
     struct lmn_replication_stream *stream = &partition->stream;
 
-    for (guint i = 0; i < partition->untold->len; i++)
-        ((struct lmn_machine *)partition->untold->pdata[i])->untold = false;
-    g_ptr_array_set_size(partition->untold, 0);
-    g_ptr_array_set_size(partition->forgotten, 0);
+    for (guint i = 0; i < partition->unreplicated_machines->len; i++)
+        ((struct lmn_machine *)partition->unreplicated_machines->pdata[i])
+            ->is_unreplicated = false;
+    g_ptr_array_set_size(partition->unreplicated_machines, 0);
+    g_ptr_array_set_size(partition->unreplicated_removals, 0);
     /* The thread that sends it frees it. */
-    if (!stream->sending)
+    if (!stream->is_sending)
         lmn_replication_batch_free(stream->batch);
     stream->batch = NULL;
-    stream->sending = false;
+    stream->is_sending = false;
     if (stream->phase != LMN_STREAM_NONE && why) {
-        stream->struck = lmn_time_diff_s(now, stream->began) > HELD_S
-                             ? 1
-                             : MIN(stream->struck + 1, 10);
-        stream->next = lmn_time_add(
-            now, MIN(AGAIN_S * (double)(1u << (stream->struck - 1)), LONGEST_S));
-        stream->why = why;
+        stream->consecutive_removals = lmn_time_diff_s(now, stream->began_at) > HELD_S
+                                           ? 1
+                                           : MIN(stream->consecutive_removals + 1, 10);
+        stream->next_step_at = lmn_time_add(
+            now,
+            MIN(AGAIN_S * (double)(1u << (stream->consecutive_removals - 1)), LONGEST_S));
+        stream->last_failure_reason = why;
         if (why == BACK) {
-            stream->struck = 0;
-            stream->next = now;
+            stream->consecutive_removals = 0;
+            stream->next_step_at = now;
         }
     }
     stream->phase = LMN_STREAM_NONE;
-    pthread_cond_broadcast(&core->told);
-    pthread_cond_signal(&partition->following);
+    pthread_cond_broadcast(&core->replication_acknowledged);
+    pthread_cond_signal(&partition->replication_due);
 }
 
 static void begin(struct lmn_core *core, struct lmn_partition *partition, int to,
@@ -153,23 +161,23 @@
     struct lmn_replication_stream *stream = &partition->stream;
 
     stream->phase = LMN_STREAM_SNAPSHOT;
-    stream->to = to;
-    stream->to_lease = core->members.v[to].lease;
+    stream->standby_index = to;
+    stream->standby_lease = core->members.views[to].lease;
     /* In order within the term, so that a late twin of an older one is known as that. */
-    stream->id = partition->my_term << 20 | (++stream->count.streams & 0xfffff);
-    stream->number = 0;
-    stream->failures = 0;
-    stream->began = now;
+    stream->id = partition->owned_epoch << 20 | (++stream->counters.streams & 0xfffff);
+    stream->next_batch_number = 0;
+    stream->send_failures = 0;
+    stream->began_at = now;
     /* What was acknowledged before, another has. */
-    stream->acked = 0;
-    stream->mark++;
-    for (guint i = 0; i < partition->list->len; i++) {
-        struct lmn_machine *machine = partition->list->pdata[i];
-        machine->told_images = 0;
+    stream->acknowledged_position = 0;
+    stream->log_position++;
+    for (guint i = 0; i < partition->machine_list->len; i++) {
+        struct lmn_machine *machine = partition->machine_list->pdata[i];
+        machine->replicated_images_hash = 0;
         lmn_machine_mark_unreplicated(machine);
     }
     lmn_debug("standby-copy partition=%d member=%s machines=%u", partition->id,
-              lmn_member_name(&core->members, to), partition->list->len);
+              lmn_member_name(&core->members, to), partition->machine_list->len);
 }
 
 /* It is the process that it was, and nobody suspects it. Its own word does not count: in
@@ -179,11 +187,11 @@
 static bool fit(const struct lmn_core *core, const struct lmn_partition *partition)
 {
     const struct lmn_replication_stream *stream = &partition->stream;
-    const struct lmn_member_view *member = &core->members.v[stream->to];
+    const struct lmn_member_view *member = &core->members.views[stream->standby_index];
 
-    return core->tuning.standby > 0 && member->present &&
-           member->lease == stream->to_lease &&
-           !lmn_member_is_suspected(&core->members, stream->to);
+    return core->operator_settings.standby > 0 && member->is_present &&
+           member->lease == stream->standby_lease &&
+           !lmn_member_is_suspected(&core->members, stream->standby_index);
 }
 
 /* Another follows, though the usual holder could, and is about to have its partition
@@ -193,9 +201,9 @@
                         const struct lmn_partition *partition, struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int holder = partition->id % members->n;
+    int holder = partition->id % members->count;
 
-    return holder != members->me && holder != partition->stream.to &&
+    return holder != members->self && holder != partition->stream.standby_index &&
            lmn_member_is_trusted(members, holder, now) &&
            lmn_member_readmission_delay_s(members, holder, now) < BEFORE_S;
 }
@@ -207,13 +215,13 @@
 
     lmn_info("standby-struck partition=%d member=%s phase=%s why=\"%s\" "
              "waiting=%" G_GUINT64_FORMAT,
-             partition->id, lmn_member_name(&core->members, stream->to),
+             partition->id, lmn_member_name(&core->members, stream->standby_index),
              lmn_replication_phase_name(stream->phase), why,
-             stream->mark - stream->acked);
+             stream->log_position - stream->acknowledged_position);
     stream->phase = LMN_STREAM_REMOVING;
-    stream->why = why;
-    stream->written = (struct timespec){0, 0};
-    stream->count.strikes++;
+    stream->last_failure_reason = why;
+    stream->record_written_at = (struct timespec){0, 0};
+    stream->counters.removals++;
 }
 
 static void fail(struct lmn_core *core, struct lmn_partition *partition, const char *why,
@@ -236,14 +244,16 @@
 
     lmn_cbor_put_map(v, 4);
     lmn_cbor_put_text(v, "node");
-    lmn_cbor_put_text(v, named ? lmn_member_name(&core->members, stream->to) : "");
-    lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, named ? stream->to_lease : 0);
+    lmn_cbor_put_text(v, named ? lmn_member_name(&core->members, stream->standby_index)
+                               : "");
+    lmn_cbor_put_text(v, "lease"),
+        lmn_cbor_put_uint(v, named ? stream->standby_lease : 0);
     lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, named ? stream->id : 0);
-    lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, partition->my_term);
+    lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, partition->owned_epoch);
     g_snprintf(key, sizeof key, "o/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->my_rev);
+    lmn_txn_require_version(txn, key, partition->owned_revision);
     g_snprintf(key, sizeof key, "b/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->standby_rev);
+    lmn_txn_require_version(txn, key, partition->standby_revision);
     lmn_txn_put(txn, key, v, 0);
     return txn;
 }
@@ -251,7 +261,7 @@
 static bool shown(const struct lmn_partition *partition)
 {
     return partition->standby_stream == partition->stream.id &&
-           partition->standby_term == partition->my_term;
+           partition->standby_epoch == partition->owned_epoch;
 }
 
 /* The phase follows from what is acknowledged and what the mirror shows. */
@@ -262,9 +272,10 @@
 
     if (stream->phase == LMN_STREAM_NONE) {
         int to = -1;
-        if ((partition->ready || partition->warm) && core->tuning.standby > 0 &&
-            !partition->releasing && core->load.behind < LMN_STANDBY_SETTLE_S &&
-            !lmn_time_before(now, stream->next))
+        if ((partition->is_ready || partition->is_warm) &&
+            core->operator_settings.standby > 0 && !partition->is_transferring &&
+            core->load.delay_s < LMN_STANDBY_SETTLE_S &&
+            !lmn_time_before(now, stream->next_step_at))
             to = lmn_standby_choose(core, partition, now);
         if (to >= 0)
             begin(core, partition, to, now);
@@ -272,47 +283,51 @@
     }
     if (stream->phase == LMN_STREAM_REMOVING) {
         /* A naming that is late can't be applied any more either. */
-        if (partition->standby_rev > stream->named_rev && !shown(partition))
-            end(core, partition, stream->why, now);
+        if (partition->standby_revision > stream->join_revision && !shown(partition))
+            end(core, partition, stream->last_failure_reason, now);
         return;
     }
-    bool waits = stream->phase >= LMN_STREAM_CATCHING_UP && stream->acked < stream->mark;
+    bool waits = stream->phase >= LMN_STREAM_CATCHING_UP &&
+                 stream->acknowledged_position < stream->log_position;
     if (!fit(core, partition)) {
         fail(core, partition, "suspected, or another life", now);
-    } else if (waits && lmn_time_diff_s(now, stream->waits) > LMN_REPLICATION_TIMEOUT_S) {
+    } else if (waits &&
+               lmn_time_diff_s(now, stream->waiting_since) > LMN_REPLICATION_TIMEOUT_S) {
         fail(core, partition, "no acknowledgement", now);
-    } else if (stream->failures >= TRIES) {
+    } else if (stream->send_failures >= TRIES) {
         fail(core, partition, "no answer", now);
     } else if (stream->phase == LMN_STREAM_IN_SYNC && passed_over(core, partition, now)) {
         strike(core, partition, BACK);
-    } else if (stream->phase == LMN_STREAM_SNAPSHOT && stream->number > 0 &&
+    } else if (stream->phase == LMN_STREAM_SNAPSHOT && stream->next_batch_number > 0 &&
                !stream->batch &&
-               partition->untold->len <= LMN_REPLICATION_BATCH_MACHINES / 2 &&
-               !partition->forgotten->len) {
+               partition->unreplicated_machines->len <=
+                   LMN_REPLICATION_BATCH_MACHINES / 2 &&
+               !partition->unreplicated_removals->len) {
         stream->phase = LMN_STREAM_CATCHING_UP;
-        stream->closing = stream->mark;
-        stream->waits = now;
+        stream->join_position = stream->log_position;
+        stream->waiting_since = now;
     } else if (stream->phase == LMN_STREAM_CATCHING_UP &&
-               stream->acked >= stream->closing) {
+               stream->acknowledged_position >= stream->join_position) {
         stream->phase = LMN_STREAM_JOINING;
-        stream->named_rev = partition->standby_rev;
-        stream->written = (struct timespec){0, 0};
+        stream->join_revision = partition->standby_revision;
+        stream->record_written_at = (struct timespec){0, 0};
     } else if (stream->phase == LMN_STREAM_JOINING && shown(partition)) {
         stream->phase = LMN_STREAM_IN_SYNC;
         lmn_info("standby-in-step partition=%d member=%s machines=%u after=%.2f",
-                 partition->id, lmn_member_name(&core->members, stream->to),
-                 partition->list->len, lmn_time_diff_s(now, stream->began));
+                 partition->id, lmn_member_name(&core->members, stream->standby_index),
+                 partition->machine_list->len, lmn_time_diff_s(now, stream->began_at));
     } else {
         return;
     }
-    pthread_cond_broadcast(&core->told);
+    pthread_cond_broadcast(&core->replication_acknowledged);
 }
 
 static bool writes(const struct lmn_replication_stream *stream, struct timespec now)
 {
     return (stream->phase == LMN_STREAM_JOINING ||
             stream->phase == LMN_STREAM_REMOVING) &&
-           (!stream->written.tv_sec || lmn_time_diff_s(now, stream->written) > WRITE_S);
+           (!stream->record_written_at.tv_sec ||
+            lmn_time_diff_s(now, stream->record_written_at) > WRITE_S);
 }
 
 /* Whether something is to be told now. */
@@ -321,16 +336,17 @@
     const struct lmn_replication_stream *stream = &partition->stream;
 
     if (stream->phase == LMN_STREAM_NONE || stream->phase == LMN_STREAM_REMOVING ||
-        stream->sending)
+        stream->is_sending)
         return false;
     if (stream->batch)
         return true; /* once more */
     if (stream->phase == LMN_STREAM_SNAPSHOT)
         return true;
-    if (stream->acked < stream->mark)
-        return lmn_time_diff_s(now, stream->waits) >= GATHER_S;
-    return (partition->untold->len || partition->forgotten->len) &&
-           lmn_time_diff_s(now, stream->told) > LAZY_S;
+    if (stream->acknowledged_position < stream->log_position)
+        return lmn_time_diff_s(now, stream->waiting_since) >= GATHER_S;
+    return (partition->unreplicated_machines->len ||
+            partition->unreplicated_removals->len) &&
+           lmn_time_diff_s(now, stream->last_batch_at) > LAZY_S;
 }
 
 enum lmn_replication_step lmn_replication_next_step(struct lmn_core *core,
@@ -342,25 +358,26 @@
     struct lmn_replication_stream *stream = &partition->stream;
 
     *wait = LAZY_S / 2;
-    if (!partition->mine)
+    if (!partition->is_owned)
         return LMN_REPLICATION_WAIT;
     advance(core, partition, now);
     if (writes(stream, now)) {
-        stream->written = now;
+        stream->record_written_at = now;
         *txn = record(core, partition, stream->phase == LMN_STREAM_JOINING);
         return LMN_REPLICATION_WRITE;
     }
     if (tells(partition, now)) {
         if (!stream->batch)
             stream->batch = build(partition, now);
-        stream->sending = true;
+        stream->is_sending = true;
         *batch = stream->batch;
         return LMN_REPLICATION_SEND;
     }
-    if (stream->phase != LMN_STREAM_NONE && stream->acked < stream->mark)
+    if (stream->phase != LMN_STREAM_NONE &&
+        stream->acknowledged_position < stream->log_position)
         *wait = stream->batch
                     ? 0.05
-                    : MAX(GATHER_S - lmn_time_diff_s(now, stream->waits), 0.0005);
+                    : MAX(GATHER_S - lmn_time_diff_s(now, stream->waiting_since), 0.0005);
     return LMN_REPLICATION_WAIT;
 }
 
@@ -371,17 +388,17 @@
     struct lmn_replication_stream *stream = &partition->stream;
 
     if (stream->batch != batch ||
-        !stream->sending) { /* of a stream that has ended meanwhile */
+        !stream->is_sending) { /* of a stream that has ended meanwhile */
         lmn_replication_batch_free(batch);
         return;
     }
-    stream->sending = false;
+    stream->is_sending = false;
     if (!answered) {
-        stream->failures++;
+        stream->send_failures++;
         return;
     }
     stream->batch = NULL;
-    stream->failures = 0;
+    stream->send_failures = 0;
     if (answer != LMN_REPLICA_APPLIED) {
         lmn_replication_batch_free(batch);
         if (stream->phase != LMN_STREAM_REMOVING)
@@ -391,28 +408,29 @@
                  now);
         return;
     }
-    stream->number++;
-    stream->count.batches++;
-    stream->count.machines += batch->machines->len;
-    if (batch->mark > stream->acked) {
+    stream->next_batch_number++;
+    stream->counters.batches++;
+    stream->counters.machines += batch->machines->len;
+    if (batch->log_position > stream->acknowledged_position) {
         /* While it is copied, no start waits. */
         if (stream->phase >= LMN_STREAM_CATCHING_UP)
-            lmn_latency_add(&core->telling, lmn_time_diff_s(now, stream->waits));
-        stream->acked = batch->mark;
-        stream->waits = now;
+            lmn_latency_add(&core->replication_latency,
+                            lmn_time_diff_s(now, stream->waiting_since));
+        stream->acknowledged_position = batch->log_position;
+        stream->waiting_since = now;
     }
     lmn_replication_batch_free(batch);
-    pthread_cond_broadcast(&core->told);
+    pthread_cond_broadcast(&core->replication_acknowledged);
 }
 
 void lmn_replication_reset(struct lmn_core *core, struct lmn_partition *partition)
 {
     struct lmn_replication_stream *stream = &partition->stream;
 
-    end(core, partition, NULL, stream->began);
-    stream->struck = 0;
-    stream->next = (struct timespec){0, 0};
-    stream->why = NULL;
+    end(core, partition, NULL, stream->began_at);
+    stream->consecutive_removals = 0;
+    stream->next_step_at = (struct timespec){0, 0};
+    stream->last_failure_reason = NULL;
 }
 
 uint64_t lmn_standby_condition(const struct lmn_partition *partition, const char *member,
@@ -420,11 +438,11 @@
 {
     char key[32];
 
-    if (!partition->standby_stream || partition->standby_term != partition->term ||
+    if (!partition->standby_stream || partition->standby_epoch != partition->epoch ||
         strcmp(partition->standby, member))
         return 0;
     g_snprintf(key, sizeof key, "b/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->standby_rev);
+    lmn_txn_require_version(txn, key, partition->standby_revision);
     return partition->standby_stream;
 }
 
@@ -432,6 +450,6 @@
 {
     lmn_replication_batch_free(partition->stream.batch);
     partition->stream.batch = NULL;
-    lmn_replica_free(partition->copy);
-    partition->copy = NULL;
+    lmn_replica_free(partition->replica);
+    partition->replica = NULL;
 }
--- a/src/scheduler/affinity.c
+++ b/src/scheduler/affinity.c
@@ -15,9 +15,9 @@
         else
             elsewhere += zone_tasks->tasks;
     }
-    if (job->spec.one_zone && elsewhere > 0)
+    if (job->spec.requires_one_zone && elsewhere > 0)
         return 0;
-    if (!job->spec.spread)
+    if (!job->spec.spreads_over_zones)
         return job->spec.tasks;
     return here < most ? (uint32_t)(most - here) : 0;
 }
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -9,8 +9,8 @@
 void lmn_autoscaler_init(struct lmn_autoscaler *autoscaler)
 {
     autoscaler->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    autoscaler->refusals = g_array_new(FALSE, FALSE, sizeof(struct lmn_capacity_backoff));
-    autoscaler->boots = g_array_new(FALSE, FALSE, sizeof(struct lmn_boot_time));
+    autoscaler->backoffs = g_array_new(FALSE, FALSE, sizeof(struct lmn_capacity_backoff));
+    autoscaler->boot_times = g_array_new(FALSE, FALSE, sizeof(struct lmn_boot_time));
 }
 
 /* Boots usually take up to 1.5 times what the type says (the protocol). */
@@ -21,9 +21,9 @@
 static struct lmn_boot_time *boots(const struct lmn_autoscaler *autoscaler,
                                    const char *type, const char *zone)
 {
-    for (guint i = 0; i < autoscaler->boots->len; i++) {
+    for (guint i = 0; i < autoscaler->boot_times->len; i++) {
         struct lmn_boot_time *boot_time =
-            &g_array_index(autoscaler->boots, struct lmn_boot_time, i);
+            &g_array_index(autoscaler->boot_times, struct lmn_boot_time, i);
         if (!strcmp(boot_time->type, type) && !strcmp(boot_time->zone, zone))
             return boot_time;
     }
@@ -34,15 +34,15 @@
                                 const struct lmn_cloud_machine *machine, double age_s)
 {
     struct lmn_boot_time *boot_time = boots(autoscaler, machine->type, machine->zone),
-                         new = {.typical = age_s};
+                         new = {.typical_s = age_s};
 
     if (boot_time) {
-        boot_time->typical += (age_s - boot_time->typical) * LAST;
+        boot_time->typical_s += (age_s - boot_time->typical_s) * LAST;
         return;
     }
     g_strlcpy(new.type, machine->type, sizeof new.type);
     g_strlcpy(new.zone, machine->zone, sizeof new.zone);
-    g_array_append_val(autoscaler->boots, new);
+    g_array_append_val(autoscaler->boot_times, new);
 }
 
 double lmn_autoscaler_boot_timeout_s(const struct lmn_autoscaler *autoscaler,
@@ -51,7 +51,7 @@
 {
     const struct lmn_boot_time *boot_time = boots(autoscaler, type->name, zone);
 
-    return USUAL * MAX(type->ready_s, boot_time ? boot_time->typical : 0) + 2 * lag_s;
+    return USUAL * MAX(type->ready_s, boot_time ? boot_time->typical_s : 0) + 2 * lag_s;
 }
 
 /* Machines of one type and zone. */
@@ -78,7 +78,7 @@
             const struct lmn_machine_type *type =
                 lmn_machine_type_by_name(core, machine->type);
             struct kind *k = NULL, new = {type, machine->zone, 0, 0};
-            if (!type || machine->broken)
+            if (!type || machine->is_broken)
                 continue;
             for (guint i = 0; i < kinds->len && !k; i++) {
                 struct kind *x = &g_array_index(kinds, struct kind, i);
@@ -88,16 +88,17 @@
                 g_array_append_val(kinds, new);
                 k = &g_array_index(kinds, struct kind, kinds->len - 1);
             }
-            bool is_late = machine->booting && lmn_time_diff_s(now, machine->since) >
-                                                   lmn_autoscaler_boot_timeout_s(
-                                                       autoscaler, type, machine->zone,
-                                                       core->cfg->list_lag_s);
+            bool is_late =
+                machine->is_booting &&
+                lmn_time_diff_s(now, machine->rented_at) >
+                    lmn_autoscaler_boot_timeout_s(autoscaler, type, machine->zone,
+                                                  core->settings->list_lag_s);
             if (!pass) {
                 k->all++;
                 k->late += is_late;
             } else if (is_late && 4 * k->late <= k->all) {
                 *late += type->cpus;
-                *late_ordinary += machine->spot ? 0 : type->cpus;
+                *late_ordinary += machine->is_spot ? 0 : type->cpus;
             }
         }
     }
@@ -118,8 +119,8 @@
  * here. */
 static void bound_by_limits(const struct lmn_core *core, GArray *a)
 {
-    double *cpus = g_new0(double, core->cfg->nteams);
-    double *gpus = g_new0(double, core->cfg->nteams);
+    double *cpus = g_new0(double, core->settings->team_count);
+    double *gpus = g_new0(double, core->settings->team_count);
 
     for (guint i = 0; i < a->len; i++) {
         const struct want *w = &g_array_index(a, struct want, i);
@@ -128,7 +129,7 @@
     }
     for (guint i = 0; i < a->len; i++) {
         struct want *w = &g_array_index(a, struct want, i);
-        const struct lmn_team *team = &core->cfg->teams[w->team];
+        const struct lmn_team *team = &core->settings->teams[w->team];
         double part = 1;
         if (team->cpus_max > 0 && cpus[w->team] > team->cpus_max)
             part = team->cpus_max / cpus[w->team];
@@ -144,10 +145,10 @@
 /* Whether no ordinary machine is worth renting for it. */
 static bool cheap_only(const struct lmn_core *core, const struct lmn_job_spec *spec)
 {
-    for (size_t i = 0; i < core->types.n; i++)
-        if (!lmn_is_spot_only(core->cfg, spec, &core->types.v[i]))
+    for (size_t i = 0; i < core->machine_types.n; i++)
+        if (!lmn_is_spot_only(core->settings, spec, &core->machine_types.v[i]))
             return false;
-    return core->types.n > 0;
+    return core->machine_types.n > 0;
 }
 
 /* Processors that each open range could use: all of a service's, and of an array as many
@@ -155,17 +156,18 @@
 static GArray *wants(const struct lmn_core *core, bool cheap)
 {
     GArray *a = g_array_new(FALSE, FALSE, sizeof(struct want));
-    double horizon = core->tuning.horizon_s;
+    double horizon = core->operator_settings.horizon_s;
     GHashTableIter it;
     gpointer v;
 
-    for (int i = 0; i < core->nparts; i++) {
-        g_hash_table_iter_init(&it, core->parts[i].ranges);
+    for (int i = 0; i < core->partition_count; i++) {
+        g_hash_table_iter_init(&it, core->partitions[i].ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_range *range = v;
             const struct lmn_job_spec *spec = &range->job->spec;
             double left =
-                range->hi - range->lo - (range->st ? range->nfinished : range->ndone);
+                range->end - range->first -
+                (range->task_states ? range->finished_count : range->done_count);
             if (range->job->phase != LMN_JOB_ACTIVE || left <= 0 || range->job->team < 0)
                 continue;
             if (spec->kind == LMN_JOB_BATCH)
@@ -177,7 +179,7 @@
                              cheap && cheap_only(core, spec),
                              left * spec->cpus,
                              left * spec->gpus,
-                             left * spec->mem};
+                             left * spec->memory_gb};
             g_array_append_val(a, w);
         }
     }
@@ -188,10 +190,10 @@
 static struct lmn_capacity_backoff *refusal(struct lmn_autoscaler *autoscaler,
                                             const char *type, const char *zone, bool spot)
 {
-    for (guint i = 0; i < autoscaler->refusals->len; i++) {
+    for (guint i = 0; i < autoscaler->backoffs->len; i++) {
         struct lmn_capacity_backoff *backoff =
-            &g_array_index(autoscaler->refusals, struct lmn_capacity_backoff, i);
-        if (backoff->spot == spot && !strcmp(backoff->type, type) &&
+            &g_array_index(autoscaler->backoffs, struct lmn_capacity_backoff, i);
+        if (backoff->is_spot == spot && !strcmp(backoff->type, type) &&
             !strcmp(backoff->zone, zone))
             return backoff;
     }
@@ -203,7 +205,7 @@
                                   unsigned got, struct timespec now)
 {
     struct lmn_capacity_backoff *old =
-        refusal(autoscaler, request->type, request->zone, request->spot);
+        refusal(autoscaler, request->type, request->zone, request->is_spot);
 
     if (got >= request->count) {
         if (old)
@@ -211,12 +213,12 @@
         return;
     }
     if (!old) {
-        struct lmn_capacity_backoff n = {.spot = request->spot};
+        struct lmn_capacity_backoff n = {.is_spot = request->is_spot};
         g_strlcpy(n.type, request->type, sizeof n.type);
         g_strlcpy(n.zone, request->zone, sizeof n.zone);
-        g_array_append_val(autoscaler->refusals, n);
-        old = &g_array_index(autoscaler->refusals, struct lmn_capacity_backoff,
-                             autoscaler->refusals->len - 1);
+        g_array_append_val(autoscaler->backoffs, n);
+        old = &g_array_index(autoscaler->backoffs, struct lmn_capacity_backoff,
+                             autoscaler->backoffs->len - 1);
     }
     old->wait_s = got ? 8 : CLAMP(old->wait_s * 2, 8, 32);
     old->until = lmn_time_add(now, old->wait_s);
@@ -230,10 +232,11 @@
 {
     double best = INFINITY;
 
-    for (size_t i = 0; i < core->types.n; i++)
-        for (int z = 0; z < core->types.v[i].nzones; z++)
-            for (int spot = 0; spot <= (any && core->tuning.spot >= 0.5); spot++) {
-                const struct lmn_machine_type *type = &core->types.v[i];
+    for (size_t i = 0; i < core->machine_types.n; i++)
+        for (int z = 0; z < core->machine_types.v[i].zone_count; z++)
+            for (int spot = 0; spot <= (any && core->operator_settings.spot >= 0.5);
+                 spot++) {
+                const struct lmn_machine_type *type = &core->machine_types.v[i];
                 const struct lmn_capacity_backoff *backoff =
                     refusal(autoscaler, type->name, type->zones[z], spot);
                 double cpus = 0, mem = 0;
@@ -254,7 +257,7 @@
                 if (most < 1)
                     continue;
                 double usable =
-                    MIN(type->cpus, mem > 0 ? type->mem * cpus / mem : type->cpus);
+                    MIN(type->cpus, mem > 0 ? type->memory_gb * cpus / mem : type->cpus);
                 double rate = spot ? type->spot_rate : type->rate;
                 /* Time lost to booting is paid for, and waited for. */
                 double cost = rate / usable * (1 + type->ready_s / 120);
@@ -263,7 +266,7 @@
                 best = cost;
                 g_strlcpy(out->type, type->name, sizeof out->type);
                 g_strlcpy(out->zone, type->zones[z], sizeof out->zone);
-                out->spot = spot;
+                out->is_spot = spot;
                 double n = most / usable;
                 out->count = (unsigned)CLAMP(first ? ceil(n) : floor(n + 0.5), 0, 50);
             }
@@ -276,9 +279,10 @@
 bool lmn_autoscaler_decide(struct lmn_core *core, struct lmn_autoscaler *autoscaler,
                            struct lmn_provision_request *out, struct timespec now)
 {
-    double need = core->tuning.spare_cpus, need_ordinary = 0, have = 0, have_ordinary = 0;
+    double need = core->operator_settings.spare_cpus, need_ordinary = 0, have = 0,
+           have_ordinary = 0;
     double best = INFINITY, machines = 0, need_cheap = 0;
-    bool refused = core->tuning.spot < 0.5;
+    bool refused = core->operator_settings.spot < 0.5;
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, autoscaler->machines);
@@ -287,34 +291,35 @@
         const struct lmn_machine_type *type =
             lmn_machine_type_by_name(core, machine->type);
         machines++;
-        if (machine->broken || !type)
+        if (machine->is_broken || !type)
             continue;
         have += type->cpus;
-        if (!machine->spot)
+        if (!machine->is_spot)
             have_ordinary += type->cpus;
     }
     double late = 0, late_ordinary = 0;
     count_late(core, autoscaler, &late, &late_ordinary, now);
     have -= late;
     have_ordinary -= late_ordinary;
-    for (guint i = 0; i < autoscaler->refusals->len; i++)
+    for (guint i = 0; i < autoscaler->backoffs->len; i++)
         refused =
             refused ||
-            g_array_index(autoscaler->refusals, struct lmn_capacity_backoff, i).spot;
+            g_array_index(autoscaler->backoffs, struct lmn_capacity_backoff, i).is_spot;
     /* Where no cheap machine can be had at all, idle work takes what there is. */
     GArray *w = wants(core, !refused || have > have_ordinary);
     for (guint i = 0; i < w->len; i++) {
         const struct want *x = &g_array_index(w, struct want, i);
         need += x->cpus;
         need_cheap += x->cheap ? x->cpus : 0;
-        if (!x->spec->spot)
+        if (!x->spec->may_use_spot)
             need_ordinary += x->cpus;
     }
     double heard =
-        lmn_connection_budget_max_machines(&core->sockets, core->cfg) - machines;
+        lmn_connection_budget_max_machines(&core->connection_budget, core->settings) -
+        machines;
     /* A machine that can't be heard runs nothing, and those that are heard have enough to
      * wait for while the node is behind. */
-    if (heard < 1 || core->load.behind > BEHIND_S) {
+    if (heard < 1 || core->load.delay_s > BEHIND_S) {
         g_array_free(w, TRUE);
         return false;
     }
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -7,14 +7,14 @@
 /* A machine as the cloud lists it, or as a rental of ours that it doesn't list yet. */
 struct lmn_cloud_machine {
     char name[LMN_NAME_SIZE], type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
-    bool spot, booting, broken, listed;
-    struct timespec since; /* of the rental */
-    struct timespec seen;  /* last in a list */
+    bool is_spot, is_booting, is_broken, is_listed;
+    struct timespec rented_at;      /* of the rental */
+    struct timespec last_listed_at; /* last in a list */
 };
 
 struct lmn_capacity_backoff {
     char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
-    bool spot;
+    bool is_spot;
     double wait_s;
     struct timespec until;
 };
@@ -22,18 +22,18 @@
 /* How long machines of a type take to boot in a zone, as far as seen; s. */
 struct lmn_boot_time {
     char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
-    double typical;
+    double typical_s;
 };
 
 struct lmn_autoscaler {
     GHashTable *machines; /* name -> lmn_cloud_machine */
-    GArray *refusals;
-    GArray *boots; /* struct lmn_boot_time */
+    GArray *backoffs;
+    GArray *boot_times; /* struct lmn_boot_time */
 };
 
 struct lmn_provision_request {
     char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
-    bool spot;
+    bool is_spot;
     unsigned count;
 };
 
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -26,14 +26,16 @@
 static bool steady(const struct lmn_core *core, const struct lmn_machine *machine,
                    struct timespec now)
 {
-    return machine->type && machine->rev && machine->accounted && !machine->retiring &&
-           !machine->noticed && !machine->lapsed && !machine->is_gone &&
-           !machine->promised && !lmn_machine_is_silent(core, machine, now);
+    return machine->type && machine->revision && machine->is_accounted &&
+           !machine->is_draining && !machine->has_spot_notice &&
+           !machine->lease_expired && !machine->is_terminated &&
+           !machine->preemption_reserved_tasks &&
+           !lmn_machine_is_silent(core, machine, now);
 }
 
 static bool holds_replica(const struct lmn_attempt *attempt)
 {
-    return attempt->counted && attempt->range && attempt->job &&
+    return attempt->holds_capacity && attempt->range && attempt->job &&
            attempt->job->phase == LMN_JOB_ACTIVE &&
            attempt->job->spec.kind == LMN_JOB_SERVICE;
 }
@@ -48,8 +50,9 @@
             &g_array_index(machine->attempts, struct lmn_attempt, i);
         if (!holds_replica(attempt))
             continue;
-        if (attempt->state != LMN_ATTEMPT_RUNNING || !attempt->listed || attempt->stop ||
-            attempt->direct || lmn_time_diff_s(now, attempt->since) < SETTLED_S)
+        if (attempt->state != LMN_ATTEMPT_RUNNING || !attempt->was_reported ||
+            attempt->must_stop || attempt->push_in_flight ||
+            lmn_time_diff_s(now, attempt->started_at) < SETTLED_S)
             return 0;
         n++;
     }
@@ -66,7 +69,7 @@
     for (guint i = 0; i < targets->len; i++) {
         struct target *t = &g_array_index(targets, struct target, i);
         if (t->m == from || t->cpus < spec->cpus - 1e-6 || t->gpus < spec->gpus - 1e-6 ||
-            t->mem < spec->mem - 1e-6 || (best && t->cpus >= best->cpus))
+            t->mem < spec->memory_gb - 1e-6 || (best && t->cpus >= best->cpus))
             continue;
         if (!lmn_machine_can_run(t->m, job) || !lmn_machine_has_image(t->m, job) ||
             (strcmp(t->m->zone, from->zone) && !lmn_zone_task_capacity(job, t->m->zone)))
@@ -93,7 +96,7 @@
         if (t) {
             t->cpus -= attempt->job->spec.cpus;
             t->gpus -= attempt->job->spec.gpus;
-            t->mem -= attempt->job->spec.mem;
+            t->mem -= attempt->job->spec.memory_gb;
         }
     }
     g_array_free(left, TRUE);
@@ -115,25 +118,25 @@
     GHashTableIter it;
     gpointer v;
     double free_cpus = 0, all = 0;
-    bool waits = partition->unplaced.tasks > 0;
+    bool waits = partition->unassigned.task_count > 0;
 
-    if (!partition->mine || !partition->ready || partition->releasing ||
-        lmn_time_before(now, partition->next_pack) ||
+    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
+        lmn_time_before(now, partition->next_consolidation_at) ||
         lmn_watch_cache_age_s(core, now) > LMN_MAX_CACHE_AGE_S)
         return;
-    partition->next_pack = lmn_time_add(now, EVERY_S);
+    partition->next_consolidation_at = lmn_time_add(now, EVERY_S);
     GArray *targets = g_array_new(FALSE, FALSE, sizeof(struct target));
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
-        waits = waits || machine->queue.tasks > 0;
+        waits = waits || machine->queue.task_count > 0;
         if (!steady(core, machine, now))
             continue;
         struct target t = {machine, machine->type->cpus - machine->used_cpus,
                            machine->type->gpus - machine->used_gpus,
-                           machine->type->mem - machine->used_mem};
+                           machine->type->memory_gb - machine->used_memory_gb};
         /* Spot machines hold other work, and go by themselves. */
-        if (machine->spot || machine->used_cpus <= 0)
+        if (machine->is_spot || machine->used_cpus <= 0)
             continue;
         all += machine->type->cpus;
         free_cpus += t.cpus;
@@ -157,12 +160,12 @@
                 &g_array_index(machine->attempts, struct lmn_attempt, k);
             if (!holds_replica(attempt))
                 continue;
-            attempt->stop = true;
-            attempt->grace = attempt->job->spec.save_s + 1;
+            attempt->must_stop = true;
+            attempt->grace_s = attempt->job->spec.save_s + 1;
         }
         lmn_machine_drain(core, machine, false, "its replicas have room elsewhere", now);
         lmn_machine_wake(machine);
-        pthread_cond_broadcast(&core->poked);
+        pthread_cond_broadcast(&core->machines_woken);
         break;
     }
     g_array_free(targets, TRUE);
--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -12,16 +12,17 @@
 bool lmn_is_under_fair_share(const struct lmn_fair_share *share, double all_used,
                              unsigned kinds)
 {
-    return kinds > 1 && share->waiting > 0 && share->used < PART * all_used / kinds;
+    return kinds > 1 && share->waiting_cpus > 0 &&
+           share->used_cpus < PART * all_used / kinds;
 }
 
 static struct lmn_fair_share *find(GArray *v, const void *of)
 {
-    struct lmn_fair_share new = {.of = of};
+    struct lmn_fair_share new = {.subject = of};
 
     for (guint i = 0; i < v->len; i++) {
         struct lmn_fair_share *share = &g_array_index(v, struct lmn_fair_share, i);
-        if (share->of == of)
+        if (share->subject == of)
             return share;
     }
     g_array_append_val(v, new);
@@ -30,33 +31,34 @@
 
 static void count(struct lmn_fair_share *share, const struct lmn_range *range)
 {
-    uint32_t waiting = range->hi - range->lo -
-                       MIN(range->nfinished + range->nstarted, range->hi - range->lo);
+    uint32_t waiting =
+        range->end - range->first -
+        MIN(range->finished_count + range->started_count, range->end - range->first);
 
     /* Of one that fails wherever it starts, nothing can. */
     if (lmn_job_is_faulty(&range->job->failures))
         waiting = 0;
-    share->used += range->nstarted * range->job->spec.cpus;
-    share->waiting += waiting * range->job->spec.cpus;
+    share->used_cpus += range->started_count * range->job->spec.cpus;
+    share->waiting_cpus += waiting * range->job->spec.cpus;
 }
 
 static void add_up(const struct lmn_core *core, GArray *classes, GArray *teams)
 {
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *partition = &core->parts[i];
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
         GHashTableIter it;
         gpointer v;
-        if (!partition->mine)
+        if (!partition->is_owned)
             continue;
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_range *range = v;
-            if (range->job->phase != LMN_JOB_ACTIVE || !range->st)
+            if (range->job->phase != LMN_JOB_ACTIVE || !range->task_states)
                 continue;
             if (classes)
-                count(find(classes, range->job->cls), range);
+                count(find(classes, range->job->class_name), range);
             if (teams && range->job->team >= 0)
-                count(find(teams, &core->cfg->teams[range->job->team]), range);
+                count(find(teams, &core->settings->teams[range->job->team]), range);
         }
     }
 }
@@ -76,8 +78,8 @@
     *used = 0;
     for (guint i = 0; i < v->len; i++) {
         const struct lmn_fair_share *share = &g_array_index(v, struct lmn_fair_share, i);
-        *used += share->used;
-        kinds += share->waiting > 0;
+        *used += share->used_cpus;
+        kinds += share->waiting_cpus > 0;
     }
     return kinds;
 }
@@ -98,7 +100,7 @@
 static bool among(const GArray *v, const void *of)
 {
     for (guint i = 0; i < v->len; i++)
-        if (g_array_index(v, struct lmn_fair_share, i).of == of)
+        if (g_array_index(v, struct lmn_fair_share, i).subject == of)
             return true;
     return false;
 }
@@ -111,19 +113,21 @@
     add_up(core, classes, teams);
     bool any = keep_owed(classes);
     any = keep_owed(teams) || any;
-    for (int i = 0; i < core->nparts && (any || core->owing); i++) {
+    for (int i = 0; i < core->partition_count && (any || core->has_underserved_share);
+         i++) {
         GHashTableIter it;
         gpointer v;
-        if (!core->parts[i].mine)
+        if (!core->partitions[i].is_owned)
             continue;
-        g_hash_table_iter_init(&it, core->parts[i].ranges);
+        g_hash_table_iter_init(&it, core->partitions[i].ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_job *job = ((struct lmn_range *)v)->job;
-            job->owed = among(classes, job->cls) ||
-                        (job->team >= 0 && among(teams, &core->cfg->teams[job->team]));
+            job->is_under_fair_share =
+                among(classes, job->class_name) ||
+                (job->team >= 0 && among(teams, &core->settings->teams[job->team]));
         }
     }
-    core->owing = any;
+    core->has_underserved_share = any;
     g_array_free(classes, TRUE);
     g_array_free(teams, TRUE);
 }
@@ -131,7 +135,7 @@
 bool lmn_is_spot_only(const struct lmn_settings *cfg, const struct lmn_job_spec *spec,
                       const struct lmn_machine_type *type)
 {
-    return spec->urgency == LMN_PRIORITY_IDLE && spec->spot &&
+    return spec->priority == LMN_PRIORITY_IDLE && spec->may_use_spot &&
            spec->kind == LMN_JOB_BATCH && spec->estimate_s > GAP_S &&
            type->rate > LEFT * type->spot_rate && !lmn_job_spec_has_objective(cfg, spec);
 }
@@ -140,10 +144,10 @@
 static bool cheap_here(const struct lmn_partition *partition,
                        const struct lmn_job_spec *spec)
 {
-    for (guint k = 0; k < partition->list->len; k++) {
-        const struct lmn_machine *machine = partition->list->pdata[k];
-        if (machine->spot && machine->type && machine->accounted && !machine->is_gone &&
-            !machine->lapsed &&
+    for (guint k = 0; k < partition->machine_list->len; k++) {
+        const struct lmn_machine *machine = partition->machine_list->pdata[k];
+        if (machine->is_spot && machine->type && machine->is_accounted &&
+            !machine->is_terminated && !machine->lease_expired &&
             lmn_job_spec_allows(spec, machine->type, machine->zone, true))
             return true;
     }
@@ -152,22 +156,23 @@
 
 void lmn_update_starvation(struct lmn_core *core, double wall)
 {
-    for (int i = 0; i < core->nparts; i++) {
-        struct lmn_partition *partition = &core->parts[i];
+    for (int i = 0; i < core->partition_count; i++) {
+        struct lmn_partition *partition = &core->partitions[i];
         GHashTableIter it;
         gpointer v;
-        if (!partition->mine)
+        if (!partition->is_owned)
             continue;
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_range *range = v;
             struct lmn_job *job = range->job;
-            if (job->phase != LMN_JOB_ACTIVE || !range->st)
+            if (job->phase != LMN_JOB_ACTIVE || !range->task_states)
                 continue;
-            job->aged = wall - job->at > AGED_S && !range->nstarted &&
-                        !range->nfinished && !lmn_job_is_faulty(&job->failures);
-            job->cheap = job->spec.urgency == LMN_PRIORITY_IDLE &&
-                         cheap_here(partition, &job->spec);
+            job->is_starving = wall - job->accepted_at_s > AGED_S &&
+                               !range->started_count && !range->finished_count &&
+                               !lmn_job_is_faulty(&job->failures);
+            job->is_spot_only = job->spec.priority == LMN_PRIORITY_IDLE &&
+                                cheap_here(partition, &job->spec);
         }
     }
 }
--- a/src/scheduler/fair_share.h
+++ b/src/scheduler/fair_share.h
@@ -8,9 +8,9 @@
 
 /* A class, or a team, over this node's partitions; processors. */
 struct lmn_fair_share {
-    const void *of;
-    double used;    /* by its tasks that were started */
-    double waiting; /* asked for by those that were not */
+    const void *subject;
+    double used_cpus;    /* by its tasks that were started */
+    double waiting_cpus; /* asked for by those that were not */
 };
 
 /* Whether it is owed room: it has work waiting, and its tasks have less than a quarter of
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -11,9 +11,9 @@
 
 static void expect(struct lmn_job *job, double latest, double wall)
 {
-    if (latest >= wall && (job->lost || latest < job->latest)) {
-        job->latest = latest;
-        job->lost = false;
+    if (latest >= wall && (job->has_missed_objective || latest < job->latest_start_s)) {
+        job->latest_start_s = latest;
+        job->has_missed_objective = false;
     }
 }
 
@@ -30,31 +30,32 @@
      * counted as lost like work with an end, services waited behind every batch that
      * could still be in time. */
     if (spec->kind == LMN_JOB_SERVICE) {
-        job->lost = false;
-        job->latest = job->at;
+        job->has_missed_objective = false;
+        job->latest_start_s = job->accepted_at_s;
         return;
     }
-    job->lost = true;
-    job->latest = 0;
-    for (size_t i = 0; i < cfg->nobjectives; i++) {
+    job->has_missed_objective = true;
+    job->latest_start_s = 0;
+    for (size_t i = 0; i < cfg->objective_count; i++) {
         const struct lmn_objective *objective = &cfg->objectives[i];
         if (!lmn_objective_applies(objective, spec))
             continue;
         if (objective->kind == LMN_OBJECTIVE_START)
-            expect(job, job->at + objective->within_s, wall);
+            expect(job, job->accepted_at_s + objective->within_s, wall);
         else if (objective->kind == LMN_OBJECTIVE_FINISH)
-            expect(job, job->at + objective->within_s - run, wall);
+            expect(job, job->accepted_at_s + objective->within_s - run, wall);
         else
-            expect(job, job->at + spec->deadline_s * objective->times - run, wall);
+            expect(job, job->accepted_at_s + spec->deadline_s * objective->times - run,
+                   wall);
         any = true;
     }
     if (spec->deadline_s >= 0) {
-        expect(job, job->at + spec->deadline_s - run, wall);
+        expect(job, job->accepted_at_s + spec->deadline_s - run, wall);
         any = true;
     }
     if (!any) {
-        job->lost = false;
-        job->latest = INFINITY;
+        job->has_missed_objective = false;
+        job->latest_start_s = INFINITY;
     }
 }
 
@@ -65,8 +66,9 @@
 
     for (guint i = 0; i < job->ranges->len; i++) {
         const struct lmn_range *range = job->ranges->pdata[i];
-        if (range->part == partition && range->st)
-            tasks += range->hi - range->lo - range->nfinished - range->nstarted;
+        if (range->partition == partition && range->task_states)
+            tasks +=
+                range->end - range->first - range->finished_count - range->started_count;
     }
     if (lmn_job_is_faulty(&job->failures))
         tasks = MIN(tasks, 1);
@@ -78,13 +80,13 @@
     const struct lmn_job *x = *(struct lmn_job *const *)a,
                          *y = *(struct lmn_job *const *)b;
 
-    if (x->guaranteed != y->guaranteed)
-        return x->guaranteed ? -1 : 1;
-    if (x->spec.urgency != y->spec.urgency)
-        return x->spec.urgency > y->spec.urgency ? -1 : 1;
-    if (x->latest != y->latest)
-        return x->latest < y->latest ? -1 : 1;
-    return strcmp(x->spec.ref, y->spec.ref);
+    if (x->is_within_guarantee != y->is_within_guarantee)
+        return x->is_within_guarantee ? -1 : 1;
+    if (x->spec.priority != y->spec.priority)
+        return x->spec.priority > y->spec.priority ? -1 : 1;
+    if (x->latest_start_s != y->latest_start_s)
+        return x->latest_start_s < y->latest_start_s ? -1 : 1;
+    return strcmp(x->spec.id, y->spec.id);
 }
 
 /* With more work than can be in time, the earliest first makes all late, one after the
@@ -98,29 +100,31 @@
     g_ptr_array_sort(v, by_latest);
     for (guint i = 0; i < v->len; i++) {
         struct lmn_job *j = v->pdata[i];
-        j->yields = false;
-        all += j->left;
-        if (!j->spec.spot)
-            ordinary += j->left;
+        j->is_deferred = false;
+        all += j->remaining_cpu_s;
+        if (!j->spec.may_use_spot)
+            ordinary += j->remaining_cpu_s;
         for (;;) {
-            double ends = wall + (j->spec.spot ? all / MAX(cpus, 1)
-                                               : ordinary / MAX(ordinary_cpus, 1));
+            double ends =
+                wall + (j->spec.may_use_spot ? all / MAX(cpus, 1)
+                                             : ordinary / MAX(ordinary_cpus, 1));
             struct lmn_job *most = NULL;
-            if (ends <= j->latest)
+            if (ends <= j->latest_start_s)
                 break;
             for (guint k = 0; k <= i; k++) {
                 struct lmn_job *o = v->pdata[k];
-                if (!o->yields && o->guaranteed == j->guaranteed &&
-                    o->spec.urgency == j->spec.urgency &&
-                    (j->spec.spot || !o->spec.spot) && (!most || o->left > most->left))
+                if (!o->is_deferred && o->is_within_guarantee == j->is_within_guarantee &&
+                    o->spec.priority == j->spec.priority &&
+                    (j->spec.may_use_spot || !o->spec.may_use_spot) &&
+                    (!most || o->remaining_cpu_s > most->remaining_cpu_s))
                     most = o;
             }
-            if (!most || most->left <= 0)
+            if (!most || most->remaining_cpu_s <= 0)
                 break;
-            most->yields = true;
-            all -= most->left;
-            if (!most->spec.spot)
-                ordinary -= most->left;
+            most->is_deferred = true;
+            all -= most->remaining_cpu_s;
+            if (!most->spec.may_use_spot)
+                ordinary -= most->remaining_cpu_s;
         }
     }
 }
@@ -135,25 +139,25 @@
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
         const struct lmn_machine *machine = x;
-        if (!machine->type || !machine->accounted || machine->retiring ||
-            machine->lapsed || machine->is_gone)
+        if (!machine->type || !machine->is_accounted || machine->is_draining ||
+            machine->lease_expired || machine->is_terminated)
             continue;
         cpus += machine->type->cpus;
-        ordinary += machine->spot ? 0 : machine->type->cpus;
+        ordinary += machine->is_spot ? 0 : machine->type->cpus;
     }
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
         struct lmn_job *job = ((struct lmn_range *)x)->job;
-        if (job->phase != LMN_JOB_ACTIVE || job->lost || job->ranked == partition ||
-            job->spec.kind == LMN_JOB_SERVICE)
+        if (job->phase != LMN_JOB_ACTIVE || job->has_missed_objective ||
+            job->triage_partition == partition || job->spec.kind == LMN_JOB_SERVICE)
             continue;
-        job->ranked = partition;
-        job->left = work_left(job, partition);
+        job->triage_partition = partition;
+        job->remaining_cpu_s = work_left(job, partition);
         g_ptr_array_add(v, job);
     }
     lmn_overload_triage(v, wall, cpus, ordinary);
     for (guint i = 0; i < v->len; i++)
-        ((struct lmn_job *)v->pdata[i])->ranked = NULL;
+        ((struct lmn_job *)v->pdata[i])->triage_partition = NULL;
     g_ptr_array_free(v, TRUE);
 }
 
@@ -162,21 +166,22 @@
     GHashTableIter it;
     gpointer v;
 
-    bool due = wall < core->triaged || wall - core->triaged > TRIAGE_S;
+    bool due = wall < core->last_triage_s || wall - core->last_triage_s > TRIAGE_S;
 
-    core->wall = wall;
+    core->wall_clock_s = wall;
     if (due) {
-        core->triaged = wall;
+        core->last_triage_s = wall;
         lmn_update_fair_shares(core);
         lmn_update_starvation(core, wall);
     }
-    for (int i = 0; i < core->nparts; i++) {
-        struct lmn_partition *partition = &core->parts[i];
-        if (!partition->mine)
+    for (int i = 0; i < core->partition_count; i++) {
+        struct lmn_partition *partition = &core->partitions[i];
+        if (!partition->is_owned)
             continue;
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            lmn_job_update_latest_start(core->cfg, ((struct lmn_range *)v)->job, wall);
+            lmn_job_update_latest_start(core->settings, ((struct lmn_range *)v)->job,
+                                        wall);
         if (due)
             triage_partition(partition, wall);
     }
@@ -188,29 +193,29 @@
  * jobs, while the others waited for six minutes. */
 static int group(const struct lmn_job *job)
 {
-    return job->spec.urgency == LMN_PRIORITY_PRODUCTION && !job->lost ? 0
-           : job->aged                                                ? 1
-           : job->owed                                                ? 2
-                                                                      : 3;
+    return job->spec.priority == LMN_PRIORITY_PRODUCTION && !job->has_missed_objective ? 0
+           : job->is_starving                                                          ? 1
+           : job->is_under_fair_share                                                  ? 2
+                                      : 3;
 }
 
 int lmn_job_compare(const struct lmn_job *a, const struct lmn_job *b)
 {
     /* A team need not wait for others as long as its work fits into its guarantee. */
-    if (a->guaranteed != b->guaranteed)
-        return a->guaranteed ? -1 : 1;
+    if (a->is_within_guarantee != b->is_within_guarantee)
+        return a->is_within_guarantee ? -1 : 1;
     if (group(a) != group(b))
         return group(a) - group(b);
     /* What can't be in time any more yields to what still can. */
-    if (a->lost != b->lost)
-        return a->lost ? 1 : -1;
-    if (a->spec.urgency != b->spec.urgency)
-        return a->spec.urgency > b->spec.urgency ? -1 : 1;
-    if (!a->lost && a->yields != b->yields)
-        return a->yields ? 1 : -1;
-    if (!a->lost && a->latest != b->latest)
-        return a->latest < b->latest ? -1 : 1;
-    if (a->at != b->at)
-        return a->at < b->at ? -1 : 1;
-    return strcmp(a->spec.ref, b->spec.ref);
+    if (a->has_missed_objective != b->has_missed_objective)
+        return a->has_missed_objective ? 1 : -1;
+    if (a->spec.priority != b->spec.priority)
+        return a->spec.priority > b->spec.priority ? -1 : 1;
+    if (!a->has_missed_objective && a->is_deferred != b->is_deferred)
+        return a->is_deferred ? 1 : -1;
+    if (!a->has_missed_objective && a->latest_start_s != b->latest_start_s)
+        return a->latest_start_s < b->latest_start_s ? -1 : 1;
+    if (a->accepted_at_s != b->accepted_at_s)
+        return a->accepted_at_s < b->accepted_at_s ? -1 : 1;
+    return strcmp(a->spec.id, b->spec.id);
 }
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -30,15 +30,16 @@
 static void collect(struct lmn_queue *queue, struct lmn_machine *machine, GArray *out,
                     struct timespec now)
 {
-    uint32_t skip = machine ? machine->promised : 0;
+    uint32_t skip = machine ? machine->preemption_reserved_tasks : 0;
 
-    for (guint i = 0; i < queue->segs->len && out->len < HELPED_AT_ONCE; i++) {
-        const struct lmn_queue_segment *segment = queue->segs->pdata[i];
+    for (guint i = 0; i < queue->segments->len && out->len < HELPED_AT_ONCE; i++) {
+        const struct lmn_queue_segment *segment = queue->segments->pdata[i];
         const struct lmn_job *job = segment->job;
-        if (job->spec.urgency != LMN_PRIORITY_PRODUCTION ||
-            job->phase != LMN_JOB_ACTIVE || lmn_time_before(now, job->failures.hold))
+        if (job->spec.priority != LMN_PRIORITY_PRODUCTION ||
+            job->phase != LMN_JOB_ACTIVE ||
+            lmn_time_before(now, job->failures.backoff_until))
             continue;
-        for (uint32_t k = segment->lo; k < segment->hi && out->len < HELPED_AT_ONCE;
+        for (uint32_t k = segment->first; k < segment->end && out->len < HELPED_AT_ONCE;
              k++) {
             struct waiting w = {queue, machine, segment->range, k};
             if (skip > 0)
@@ -53,8 +54,8 @@
 static bool lesser(const struct lmn_attempt *attempt, const struct lmn_job_spec *spec)
 {
     return attempt->job && attempt->range && attempt->job->phase == LMN_JOB_ACTIVE &&
-           attempt->counted && !attempt->stop && !attempt->direct && attempt->listed &&
-           attempt->job->spec.urgency < spec->urgency &&
+           attempt->holds_capacity && !attempt->must_stop && !attempt->push_in_flight &&
+           attempt->was_reported && attempt->job->spec.priority < spec->priority &&
            (attempt->state == LMN_ATTEMPT_FETCHING ||
             attempt->state == LMN_ATTEMPT_RUNNING);
 }
@@ -65,7 +66,7 @@
 {
     double least = INFINITY;
 
-    for (size_t i = 0; i < cfg->nobjectives; i++) {
+    for (size_t i = 0; i < cfg->objective_count; i++) {
         const struct lmn_objective *objective = &cfg->objectives[i];
         if (objective->kind == LMN_OBJECTIVE_START &&
             (!*objective->class_name || !strcmp(objective->class_name, spec->class_name)))
@@ -78,8 +79,9 @@
 static double loss(const struct lmn_attempt *attempt, bool saves, struct timespec now)
 {
     const struct lmn_job_spec *spec = &attempt->job->spec;
-    double ran =
-        attempt->state == LMN_ATTEMPT_FETCHING ? 0 : lmn_time_diff_s(now, attempt->since);
+    double ran = attempt->state == LMN_ATTEMPT_FETCHING
+                     ? 0
+                     : lmn_time_diff_s(now, attempt->started_at);
     double work = spec->checkpoint_s <= 0 ? ran
                   : saves                 ? MIN(ran, spec->save_s)
                                           : MIN(ran, spec->checkpoint_s / 2);
@@ -93,11 +95,11 @@
 {
     double cpus = machine->type->cpus - machine->used_cpus,
            gpus = machine->type->gpus - machine->used_gpus;
-    double mem = machine->type->mem - machine->used_mem, sum = 0;
+    double mem = machine->type->memory_gb - machine->used_memory_gb, sum = 0;
     guint taken[64], n = 0;
 
     while (cpus < spec->cpus - 1e-6 || gpus < spec->gpus - 1e-6 ||
-           mem < spec->mem - 1e-6) {
+           mem < spec->memory_gb - 1e-6) {
         int best = -1;
         double least = INFINITY;
         for (guint i = 0; i < machine->attempts->len; i++) {
@@ -121,17 +123,17 @@
         sum += least;
         cpus += attempt->job->spec.cpus;
         gpus += attempt->job->spec.gpus;
-        mem += attempt->job->spec.mem;
+        mem += attempt->job->spec.memory_gb;
         taken[n++] = (guint)best;
     }
     for (guint k = 0; mark && k < n; k++) {
         struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, taken[k]);
-        attempt->stop = true;
-        attempt->grace =
+        attempt->must_stop = true;
+        attempt->grace_s =
             attempt->job->spec.save_s <= patient ? attempt->job->spec.save_s + 1 : 0;
         lmn_debug("task-preempt task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s",
-                  attempt->ref, attempt->index, attempt->number, machine->name);
+                  attempt->job_id, attempt->index, attempt->number, machine->name);
     }
     return sum;
 }
@@ -144,15 +146,17 @@
     GHashTableIter it;
     gpointer v;
 
-    if (!job->spec.spread && !job->spec.one_zone)
+    if (!job->spec.spreads_over_zones && !job->spec.requires_one_zone)
         return 0;
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
-        for (guint i = 0; machine->promised && i < machine->queue.segs->len; i++) {
-            const struct lmn_queue_segment *segment = machine->queue.segs->pdata[i];
+        for (guint i = 0;
+             machine->preemption_reserved_tasks && i < machine->queue.segments->len;
+             i++) {
+            const struct lmn_queue_segment *segment = machine->queue.segments->pdata[i];
             if (segment->job == job && !strcmp(machine->zone, zone))
-                n += segment->hi - segment->lo;
+                n += segment->end - segment->first;
         }
     }
     return n;
@@ -172,15 +176,15 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
         /* One that does not report would keep the task waiting. */
-        if (machine->promised || !lmn_machine_can_run(machine, job) ||
+        if (machine->preemption_reserved_tasks || !lmn_machine_can_run(machine, job) ||
             !lmn_zone_task_capacity(job, machine->zone) ||
             lmn_machine_is_silent(core, machine, now))
             continue;
         double cost =
             FETCH_WEIGHT * job->spec.cpus * lmn_image_fetch_s(machine, job, now);
         if (cost < least)
-            cost +=
-                make_on(machine, &job->spec, patience(core->cfg, &job->spec), false, now);
+            cost += make_on(machine, &job->spec, patience(core->settings, &job->spec),
+                            false, now);
         if (cost >= least || lmn_zone_task_capacity(job, machine->zone) <=
                                  promised_in(partition, job, machine->zone))
             continue;
@@ -196,17 +200,18 @@
     GHashTableIter it;
     gpointer v;
 
-    if (!partition->mine || partition->releasing)
+    if (!partition->is_owned || partition->is_transferring)
         return;
     GArray *wait = g_array_new(FALSE, FALSE, sizeof(struct waiting));
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
-        if (machine->promised && lmn_time_before(machine->promise_until, now))
-            machine->promised = 0;
+        if (machine->preemption_reserved_tasks &&
+            lmn_time_before(machine->preemption_reserved_until, now))
+            machine->preemption_reserved_tasks = 0;
         collect(&machine->queue, machine, wait, now);
     }
-    collect(&partition->unplaced, NULL, wait, now);
+    collect(&partition->unassigned, NULL, wait, now);
     for (guint i = 0; i < wait->len; i++) {
         struct waiting *w = &g_array_index(wait, struct waiting, i);
         const struct lmn_job *job = w->range->job;
@@ -215,16 +220,17 @@
                                           : NULL;
         if (!machine)
             continue;
-        core->count.preempted +=
-            make_on(machine, &job->spec, patience(core->cfg, &job->spec), true, now) > 0;
-        machine->promised++;
-        machine->promise_until = lmn_time_add(now, KEEP_S);
+        core->counters.preempted +=
+            make_on(machine, &job->spec, patience(core->settings, &job->spec), true,
+                    now) > 0;
+        machine->preemption_reserved_tasks++;
+        machine->preemption_reserved_until = lmn_time_add(now, KEEP_S);
         if (machine != w->on) {
             lmn_queue_remove_task(w->queue, w->range, w->index);
             lmn_queue_add(&machine->queue, w->range, w->index, w->index + 1);
         }
         lmn_machine_wake(machine);
-        pthread_cond_broadcast(&core->poked);
+        pthread_cond_broadcast(&core->machines_woken);
     }
     g_array_free(wait, TRUE);
 }
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -29,8 +29,8 @@
 
 static double whole_fetch_s(const struct lmn_machine *machine, const struct lmn_job *job)
 {
-    return machine->type && machine->type->pull > 0
-               ? job->spec.image_gb / machine->type->pull
+    return machine->type && machine->type->pull_gb_per_s > 0
+               ? job->spec.image_gb / machine->type->pull_gb_per_s
                : 0;
 }
 
@@ -43,7 +43,7 @@
         return whole_fetch_s(machine, job);
     const struct lmn_image *image =
         &g_array_index(machine->images, struct lmn_image, (guint)at);
-    return image->ready.tv_sec ? MAX(lmn_time_diff_s(image->ready, now), 0) : 0;
+    return image->ready_at.tv_sec ? MAX(lmn_time_diff_s(image->ready_at, now), 0) : 0;
 }
 
 /* Fetches under way may share the machine's rate. */
@@ -54,7 +54,7 @@
     for (guint i = 0; i < machine->images->len; i++) {
         const struct lmn_image *image =
             &g_array_index(machine->images, struct lmn_image, i);
-        n += image->ready.tv_sec && lmn_time_before(now, image->ready);
+        n += image->ready_at.tv_sec && lmn_time_before(now, image->ready_at);
     }
     return n;
 }
@@ -67,14 +67,15 @@
     double gb = 0;
 
     if (at >= 0) {
-        new.ready = g_array_index(machine->images, struct lmn_image, (guint)at).ready;
+        new.ready_at =
+            g_array_index(machine->images, struct lmn_image, (guint)at).ready_at;
         g_array_remove_index(machine->images, (guint)at);
     } else if (!there) {
-        new.ready =
+        new.ready_at =
             lmn_time_add(now, whole_fetch_s(machine, job) * (1 + fetches(machine, now)));
     }
     if (there)
-        new.ready = (struct timespec){0, 0};
+        new.ready_at = (struct timespec){0, 0};
     g_array_append_val(machine->images, new);
     /* A worker drops the least recently used when its cache is full. */
     for (guint i = 0; i < machine->images->len; i++)
@@ -90,7 +91,7 @@
  * some work can run nowhere else; an image that is missing has to be fetched first. */
 static int unfit(const struct lmn_machine *machine, const struct lmn_job *job)
 {
-    return (job->spec.spot && !machine->spot ? 2 : 0) +
+    return (job->spec.may_use_spot && !machine->is_spot ? 2 : 0) +
            !lmn_machine_has_image(machine, job);
 }
 
@@ -98,8 +99,8 @@
                     uint32_t hi, struct timespec now)
 {
     lmn_queue_add(&machine->queue, range, lo, hi);
-    machine->poll_s = 0; /* new work resets the interval */
-    machine->next_steal = now;
+    machine->steal_interval_s = 0; /* new work resets the interval */
+    machine->next_steal_at = now;
 }
 
 /* A machine with room, as it compares with others. */
@@ -135,21 +136,22 @@
         if (lmn_machine_has_image(able->pdata[i], range->job))
             g_ptr_array_add(near, able->pdata[i]);
     const GPtrArray *to = 2 * near->len >= hi - lo ? near : able;
-    partition->rr++;
+    partition->round_robin_cursor++;
     for (guint i = 0; to->len && lo < hi; i++, lo++)
-        deal_to(to->pdata[(partition->rr + i) % to->len], range, lo, lo + 1, now);
+        deal_to(to->pdata[(partition->round_robin_cursor + i) % to->len], range, lo,
+                lo + 1, now);
     g_ptr_array_free(near, TRUE);
 }
 
 void lmn_assign_tasks(struct lmn_core *core, struct lmn_range *range, uint32_t lo,
                       uint32_t hi, struct timespec now)
 {
-    struct lmn_partition *partition = range->part;
+    struct lmn_partition *partition = range->partition;
     GHashTableIter it;
     gpointer v;
     if (lmn_job_is_faulty(&range->job->failures)) {
         /* It is tried with a task at a time: there it fills no machine's queue. */
-        lmn_queue_add(&partition->unplaced, range, lo, hi);
+        lmn_queue_add(&partition->unassigned, range, lo, hi);
         return;
     }
     GPtrArray *able = g_ptr_array_new();
@@ -158,19 +160,19 @@
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
-        if (machine->unheeded || !lmn_machine_can_run(machine, range->job))
+        if (machine->ignored_commands || !lmn_machine_can_run(machine, range->job))
             continue;
         uint32_t has = lmn_machine_task_capacity(machine, &range->job->spec);
-        if (has > machine->queue.tasks) {
+        if (has > machine->queue.task_count) {
             struct candidate x = {machine, unfit(machine, range->job),
                                   machine->type->cpus - machine->used_cpus,
-                                  has - machine->queue.tasks, able->len};
+                                  has - machine->queue.task_count, able->len};
             g_array_append_val(roomy, x);
         }
         g_ptr_array_add(able, machine);
     }
     if (!able->len)
-        lmn_queue_add(&partition->unplaced, range, lo, hi);
+        lmn_queue_add(&partition->unassigned, range, lo, hi);
     /* First what has room: the fittest kind of machine, and of these the fullest, so that
      * large tasks find whole machines and idle ones can go. Then round robin, one each a
      * turn. */
@@ -185,7 +187,8 @@
          * replicas were all dealt to the fullest machine waited there until others pulled
          * them. */
         n = MIN(n, may > there ? may - there : 0);
-        if (!n || (range->job->spec.one_zone && g_hash_table_size(dealt) && !there))
+        if (!n ||
+            (range->job->spec.requires_one_zone && g_hash_table_size(dealt) && !there))
             continue;
         g_hash_table_insert(dealt, x->m->zone, GUINT_TO_POINTER(there + n));
         deal_to(x->m, range, lo, lo + n, now);
@@ -194,7 +197,7 @@
     }
     g_hash_table_destroy(dealt);
     if (roomy->len)
-        pthread_cond_broadcast(&core->poked);
+        pthread_cond_broadcast(&core->machines_woken);
     g_array_free(roomy, TRUE);
     deal_round(partition, able, range, lo, hi, now);
     g_ptr_array_free(able, TRUE);
@@ -202,14 +205,14 @@
 
 void lmn_assign_range(struct lmn_core *core, struct lmn_range *range, struct timespec now)
 {
-    uint32_t n = range->hi - range->lo;
+    uint32_t n = range->end - range->first;
 
     for (uint32_t i = 0; i < n;) {
         uint32_t k = i;
-        while (k < n && range->st[k] == LMN_TASK_QUEUED)
+        while (k < n && range->task_states[k] == LMN_TASK_QUEUED)
             k++;
         if (k > i)
-            lmn_assign_tasks(core, range, range->lo + i, range->lo + k, now);
+            lmn_assign_tasks(core, range, range->first + i, range->first + k, now);
         i = k + 1;
     }
 }
@@ -220,8 +223,8 @@
     GHashTableIter it;
     gpointer v;
 
-    lmn_queue_remove_range(&range->part->unplaced, range);
-    g_hash_table_iter_init(&it, range->part->machines);
+    lmn_queue_remove_range(&range->partition->unassigned, range);
+    g_hash_table_iter_init(&it, range->partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         lmn_queue_remove_range(&((struct lmn_machine *)v)->queue, range);
     lmn_assign_range(core, range, now);
@@ -231,7 +234,7 @@
 {
     for (guint i = 0; i < job->ranges->len; i++) {
         struct lmn_range *range = job->ranges->pdata[i];
-        if (range->part->mine && range->st && range->dealt)
+        if (range->partition->is_owned && range->task_states && range->is_assigned)
             lmn_reassign_range(core, range, now);
     }
 }
@@ -241,27 +244,27 @@
 {
     struct lmn_queue old = machine->queue;
 
-    machine->promised = 0;
+    machine->preemption_reserved_tasks = 0;
     lmn_queue_init(&machine->queue);
-    for (guint i = 0; i < old.segs->len; i++) {
-        struct lmn_queue_segment *segment = old.segs->pdata[i];
+    for (guint i = 0; i < old.segments->len; i++) {
+        struct lmn_queue_segment *segment = old.segments->pdata[i];
         if (lmn_range_may_start(segment->range))
-            lmn_assign_tasks(core, segment->range, segment->lo, segment->hi, now);
+            lmn_assign_tasks(core, segment->range, segment->first, segment->end, now);
     }
     lmn_queue_clear(&old);
-    g_ptr_array_free(old.segs, TRUE);
+    g_ptr_array_free(old.segments, TRUE);
 }
 
 void lmn_machine_drain(struct lmn_core *core, struct lmn_machine *machine, bool force,
                        const char *why, struct timespec now)
 {
-    machine->force = machine->force || force;
-    if (machine->retiring)
+    machine->drain_at_once = machine->drain_at_once || force;
+    if (machine->is_draining)
         return;
     lmn_info("machine-retire machine=%s partition=%d force=%d why=\"%s\"", machine->name,
-             machine->part->id, force, why);
-    machine->retiring = true;
-    machine->retired_at = now;
+             machine->partition->id, force, why);
+    machine->is_draining = true;
+    machine->drain_began_at = now;
     lmn_reassign_machine_queue(core, machine, now);
 }
 
@@ -269,55 +272,56 @@
  * kept for its length, since the same few jobs stand in most queues. */
 static void look_anew(struct lmn_core *core)
 {
-    core->look++;
-    core->turn++;
+    core->scan_generation++;
+    core->start_generation++;
 }
 
 static void start(struct lmn_core *core, struct lmn_machine *machine,
                   struct lmn_queue_segment *segment, GByteArray *out, struct timespec now)
 {
-    struct lmn_partition *partition = machine->part;
+    struct lmn_partition *partition = machine->partition;
     struct lmn_attempt a = {.job = segment->job,
                             .range = segment->range,
-                            .index = segment->lo,
+                            .index = segment->first,
                             .state = LMN_ATTEMPT_SENT,
-                            .seen = true,
-                            .since = now};
+                            .in_last_heartbeat = true,
+                            .started_at = now};
 
     /* Unique for ever without a write: no two owners share a term. */
-    a.number = partition->my_term << 24 | (++partition->attempts & 0xffffff);
-    g_strlcpy(a.ref, a.job->spec.ref, sizeof a.ref);
-    a.mark = lmn_machine_log_start(machine, now);
-    segment->range->st[a.index - segment->range->lo] = LMN_TASK_STARTED;
-    segment->range->nstarted++;
+    a.number = partition->owned_epoch << 24 | (++partition->next_attempt & 0xffffff);
+    g_strlcpy(a.job_id, a.job->spec.id, sizeof a.job_id);
+    a.log_position = lmn_machine_log_start(machine, now);
+    segment->range->task_states[a.index - segment->range->first] = LMN_TASK_STARTED;
+    segment->range->started_count++;
     lmn_attempt_count(machine, &a);
-    if (!partition->started)
+    if (!partition->has_started_task)
         lmn_info("partition-start partition=%d term=%" G_GUINT64_FORMAT " after=%.2f",
-                 partition->id, partition->my_term,
-                 lmn_time_diff_s(now, partition->since));
-    partition->started = true;
-    core->turn++;
-    a.job->aged = false; /* it has begun */
+                 partition->id, partition->owned_epoch,
+                 lmn_time_diff_s(now, partition->owned_since));
+    partition->has_started_task = true;
+    core->start_generation++;
+    a.job->is_starving = false; /* it has begun */
     if (lmn_job_is_faulty(&a.job->failures))
         lmn_job_record_retry(&a.job->failures, now);
-    if (machine->promised && a.job->spec.urgency == LMN_PRIORITY_PRODUCTION) {
-        machine->promised--;
+    if (machine->preemption_reserved_tasks &&
+        a.job->spec.priority == LMN_PRIORITY_PRODUCTION) {
+        machine->preemption_reserved_tasks--;
         look_anew(core); /* lesser work may start again */
     }
     lmn_machine_record_image(machine, a.job, false, now);
     g_array_append_val(machine->attempts, a);
-    core->count.starts++;
-    lmn_latency_add(&core->starting, core->wall - a.job->at);
+    core->counters.starts++;
+    lmn_latency_add(&core->start_latency, core->wall_clock_s - a.job->accepted_at_s);
     char task[LMN_JOB_ID_SIZE + 16];
-    g_snprintf(task, sizeof task, "%s/%u", a.ref, a.index);
+    g_snprintf(task, sizeof task, "%s/%u", a.job_id, a.index);
     lmn_cbor_put_map(out, 3);
     lmn_cbor_put_text(out, WIRE_COMMAND), lmn_cbor_put_text(out, WIRE_START);
     lmn_cbor_put_text(out, WIRE_TASK), lmn_cbor_put_text(out, task);
     lmn_cbor_put_text(out, WIRE_ATTEMPT), lmn_cbor_put_uint(out, a.number);
     lmn_debug("task-start task=%s attempt=%" G_GUINT64_FORMAT
               " machine=%s term=%" G_GUINT64_FORMAT,
-              task, a.number, machine->name, partition->my_term);
-    segment->lo++;
+              task, a.number, machine->name, partition->owned_epoch);
+    segment->first++;
 }
 
 /* Within a look, starts only take room away: who can't start stays so; who could is
@@ -325,15 +329,15 @@
 static bool startable(const struct lmn_core *core, const struct lmn_machine *machine,
                       struct lmn_job *job, struct timespec now)
 {
-    if (job->look_no == core->look)
+    if (job->rejected_scan == core->scan_generation)
         return false;
-    if (job->look_yes == core->turn)
+    if (job->accepted_scan == core->start_generation)
         return true;
     bool ok = lmn_job_wait_reason(core, machine, job, now) == LMN_WAIT_NONE;
     if (ok)
-        job->look_yes = core->turn;
+        job->accepted_scan = core->start_generation;
     else
-        job->look_no = core->look;
+        job->rejected_scan = core->scan_generation;
     return ok;
 }
 
@@ -341,9 +345,9 @@
 static double fetch_now(const struct lmn_core *core, const struct lmn_machine *machine,
                         struct lmn_job *job, struct timespec now)
 {
-    if (job->look_fetch != core->turn) {
+    if (job->fetch_scan != core->start_generation) {
         job->fetch_s = lmn_image_fetch_s(machine, job, now);
-        job->look_fetch = core->turn;
+        job->fetch_scan = core->start_generation;
     }
     return job->fetch_s;
 }
@@ -356,13 +360,15 @@
 static int order_on(const struct lmn_core *core, const struct lmn_machine *machine,
                     struct lmn_job *a, struct lmn_job *b, struct timespec now)
 {
-    if (a->guaranteed == b->guaranteed && a->owed == b->owed && a->aged == b->aged &&
-        a->lost == b->lost && a->yields == b->yields &&
-        a->spec.urgency == b->spec.urgency) {
-        double x =
-            (a->lost ? 0 : a->latest) + FETCH_WEIGHT * fetch_now(core, machine, a, now);
-        double y =
-            (b->lost ? 0 : b->latest) + FETCH_WEIGHT * fetch_now(core, machine, b, now);
+    if (a->is_within_guarantee == b->is_within_guarantee &&
+        a->is_under_fair_share == b->is_under_fair_share &&
+        a->is_starving == b->is_starving &&
+        a->has_missed_objective == b->has_missed_objective &&
+        a->is_deferred == b->is_deferred && a->spec.priority == b->spec.priority) {
+        double x = (a->has_missed_objective ? 0 : a->latest_start_s) +
+                   FETCH_WEIGHT * fetch_now(core, machine, a, now);
+        double y = (b->has_missed_objective ? 0 : b->latest_start_s) +
+                   FETCH_WEIGHT * fetch_now(core, machine, b, now);
         if (x != y)
             return x < y ? -1 : 1;
     }
@@ -376,12 +382,12 @@
 {
     int best = -1;
 
-    for (guint i = 0; i < queue->segs->len; i++) {
-        const struct lmn_queue_segment *s = queue->segs->pdata[i];
+    for (guint i = 0; i < queue->segments->len; i++) {
+        const struct lmn_queue_segment *s = queue->segments->pdata[i];
         if (!startable(core, machine, s->job, now))
             continue;
         if (best >= 0) {
-            const struct lmn_queue_segment *t = queue->segs->pdata[best];
+            const struct lmn_queue_segment *t = queue->segments->pdata[best];
             if (s->job == t->job || order_on(core, machine, s->job, t->job, now) > 0)
                 continue;
         }
@@ -396,8 +402,8 @@
 
     v[i] = v[k];
     v[k] = machine;
-    v[i]->at = i;
-    v[k]->at = k;
+    v[i]->list_index = i;
+    v[k]->list_index = k;
 }
 
 /* A fresh random sample of the other machines' queues, and unplaced, which is no
@@ -405,22 +411,23 @@
  */
 static GPtrArray *sample_queues(struct lmn_core *core, struct lmn_machine *machine)
 {
-    struct lmn_partition *partition = machine->part;
+    struct lmn_partition *partition = machine->partition;
     GPtrArray *queues = g_ptr_array_new();
-    struct lmn_machine **v = (struct lmn_machine **)partition->list->pdata;
-    guint n = partition->list->len - 1;
+    struct lmn_machine **v = (struct lmn_machine **)partition->machine_list->pdata;
+    guint n = partition->machine_list->len - 1;
 
-    guint sample = core->tuning.sample > 0 ? (guint)core->tuning.sample
-                                           : (guint)ceil(2 * sqrt((double)n + 1));
+    guint sample = core->operator_settings.sample > 0
+                       ? (guint)core->operator_settings.sample
+                       : (guint)ceil(2 * sqrt((double)n + 1));
     sample = MIN(sample, n);
     /* The first places of a partial shuffle, in the list itself, with the machine's own
      * place put last: what a sample costs does not grow with the partition. */
-    swap(v, machine->at, n);
+    swap(v, machine->list_index, n);
     for (guint i = 0; i < sample; i++) {
-        swap(v, i, i + (guint)g_rand_int_range(core->rng, 0, (gint32)(n - i)));
+        swap(v, i, i + (guint)g_rand_int_range(core->random, 0, (gint32)(n - i)));
         g_ptr_array_add(queues, &v[i]->queue);
     }
-    g_ptr_array_add(queues, &partition->unplaced);
+    g_ptr_array_add(queues, &partition->unassigned);
     return queues;
 }
 
@@ -429,18 +436,19 @@
 static guint start_from(struct lmn_core *core, struct lmn_queue *queue, int at,
                         struct lmn_machine *machine, GByteArray *out, struct timespec now)
 {
-    struct lmn_queue_segment *segment = queue->segs->pdata[at];
+    struct lmn_queue_segment *segment = queue->segments->pdata[at];
     guint n = 0;
 
-    queue->tasks--;
+    queue->task_count--;
     /* The books decide, not the queue: what is not queued there is not started. */
-    if (segment->range->st[segment->lo - segment->range->lo] != LMN_TASK_QUEUED) {
-        segment->lo++;
+    if (segment->range->task_states[segment->first - segment->range->first] !=
+        LMN_TASK_QUEUED) {
+        segment->first++;
     } else {
         start(core, machine, segment, out, now);
         n = 1;
     }
-    if (segment->lo == segment->hi)
+    if (segment->first == segment->end)
         lmn_queue_remove_segment(queue, (guint)at);
     return n;
 }
@@ -458,23 +466,25 @@
 
     while ((at = best_seg(core, &machine->queue, machine, now)) >= 0) {
         struct lmn_queue *from = &machine->queue;
-        struct lmn_job *best = ((struct lmn_queue_segment *)from->segs->pdata[at])->job;
+        struct lmn_job *best =
+            ((struct lmn_queue_segment *)from->segments->pdata[at])->job;
         if (!queues)
             queues = sample_queues(core, machine);
         for (guint i = 0; i < queues->len; i++) {
             struct lmn_queue *queue = queues->pdata[i];
             int k = best_seg(core, queue, machine, now);
             struct lmn_job *job =
-                k < 0 ? NULL : ((struct lmn_queue_segment *)queue->segs->pdata[k])->job;
+                k < 0 ? NULL
+                      : ((struct lmn_queue_segment *)queue->segments->pdata[k])->job;
             if (job && job != best && order_on(core, machine, job, best, now) < 0) {
                 from = queue;
                 at = k;
                 best = job;
             }
         }
-        core->count.steals += from != &machine->queue;
+        core->counters.steals += from != &machine->queue;
         n += start_from(core, from, at, machine, out, now);
-        if (n && machine->unheeded)
+        if (n && machine->ignored_commands)
             break; /* a try whether it hears */
     }
     if (queues)
@@ -487,10 +497,10 @@
                          const struct lmn_machine *thief, struct timespec now)
 {
     uint32_t n = 0;
-    for (guint i = 0; i < queue->segs->len; i++) {
-        const struct lmn_queue_segment *segment = queue->segs->pdata[i];
+    for (guint i = 0; i < queue->segments->len; i++) {
+        const struct lmn_queue_segment *segment = queue->segments->pdata[i];
         if (startable(core, thief, segment->job, now))
-            n += segment->hi - segment->lo;
+            n += segment->end - segment->first;
     }
     return n;
 }
@@ -502,13 +512,14 @@
     int at;
 
     while (got < want && (at = best_seg(core, from, machine, now)) >= 0) {
-        struct lmn_queue_segment *segment = from->segs->pdata[at];
-        uint32_t n = MIN(want - got, segment->hi - segment->lo);
-        lmn_queue_add(&machine->queue, segment->range, segment->lo, segment->lo + n);
-        segment->lo += n;
-        from->tasks -= n;
+        struct lmn_queue_segment *segment = from->segments->pdata[at];
+        uint32_t n = MIN(want - got, segment->end - segment->first);
+        lmn_queue_add(&machine->queue, segment->range, segment->first,
+                      segment->first + n);
+        segment->first += n;
+        from->task_count -= n;
         got += n;
-        if (segment->lo == segment->hi)
+        if (segment->first == segment->end)
             lmn_queue_remove_segment(from, (guint)at);
     }
     return got;
@@ -520,11 +531,11 @@
     struct lmn_queue *best = NULL;
     uint32_t most = 0;
 
-    if (lmn_time_before(now, machine->next_steal))
+    if (lmn_time_before(now, machine->next_steal_at))
         return false;
     look_anew(core);
     GPtrArray *queues = sample_queues(core, machine);
-    core->count.steal_tries++;
+    core->counters.steal_tries++;
     for (guint i = 0; i < queues->len; i++) {
         uint32_t load = load_for(core, queues->pdata[i], machine, now);
         if (load > most) {
@@ -535,21 +546,23 @@
     g_ptr_array_free(queues, TRUE);
     uint32_t got = 0;
     if (best)
-        got = take(
-            core, best, machine,
-            machine->unheeded ? 1 : MAX((uint32_t)((double)most * core->tuning.share), 1),
-            now);
+        got = take(core, best, machine,
+                   machine->ignored_commands
+                       ? 1
+                       : MAX((uint32_t)((double)most * core->operator_settings.share), 1),
+                   now);
     if (!got) {
-        machine->poll_s = machine->poll_s > 0
-                              ? MIN(machine->poll_s * 2, core->tuning.poll_cap_s)
-                              : core->tuning.poll_floor_s;
-        machine->next_steal = lmn_time_add(now, machine->poll_s);
+        machine->steal_interval_s =
+            machine->steal_interval_s > 0
+                ? MIN(machine->steal_interval_s * 2, core->operator_settings.poll_cap_s)
+                : core->operator_settings.poll_floor_s;
+        machine->next_steal_at = lmn_time_add(now, machine->steal_interval_s);
         return false;
     }
-    core->count.steals++;
-    core->count.stolen_tasks += got;
-    machine->poll_s = 0;
-    machine->next_steal = now;
+    core->counters.steals++;
+    core->counters.stolen_tasks += got;
+    machine->steal_interval_s = 0;
+    machine->next_steal_at = now;
     lmn_debug("steal machine=%s tasks=%u of=%u", machine->name, got, most);
     return true;
 }
@@ -559,7 +572,7 @@
 {
     guint n;
 
-    machine->hungry = false;
+    machine->is_idle_with_capacity = false;
     if (lmn_machine_wait_reason(machine, now) != LMN_WAIT_NONE)
         return 0;
     look_anew(core);
@@ -567,12 +580,13 @@
     /* Left with room and nothing of its own that fits: it pulls, until that brings
      * nothing. */
     for (int turn = 0; turn < 8; turn++) {
-        if ((machine->unheeded && n) || load_for(core, &machine->queue, machine, now) ||
+        if ((machine->ignored_commands && n) ||
+            load_for(core, &machine->queue, machine, now) ||
             !lmn_steal_for_machine(core, machine, now))
             break;
         n += start_own(core, machine, out, now);
     }
-    machine->hungry =
-        !machine->unheeded && !load_for(core, &machine->queue, machine, now);
+    machine->is_idle_with_capacity =
+        !machine->ignored_commands && !load_for(core, &machine->queue, machine, now);
     return n;
 }
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -12,21 +12,21 @@
 void lmn_quota_even_share(const struct lmn_core *core, int team, double *cpus,
                           double *gpus)
 {
-    *cpus = core->cfg->teams[team].cpus_max / core->nparts;
-    *gpus = core->cfg->teams[team].gpus_max / core->nparts;
+    *cpus = core->settings->teams[team].cpus_max / core->partition_count;
+    *gpus = core->settings->teams[team].gpus_max / core->partition_count;
 }
 
 void lmn_quota_share(const struct lmn_core *core, const struct lmn_partition *partition,
                      int team, double *cpus, double *gpus)
 {
     lmn_quota_even_share(core, team, cpus, gpus);
-    if (core->quota_known[team]) {
+    if (core->has_quota_record[team]) {
         *cpus = partition->quota_cpus[team];
         *gpus = partition->quota_gpus[team];
     }
-    if (partition->transfer.team == team) {
-        *cpus -= partition->transfer.cpus;
-        *gpus -= partition->transfer.gpus;
+    if (partition->quota_transfer.team == team) {
+        *cpus -= partition->quota_transfer.cpus;
+        *gpus -= partition->quota_transfer.gpus;
     }
 }
 
@@ -43,8 +43,9 @@
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_range *range = v;
-        double n =
-            range->st ? range->hi - range->lo - range->nfinished - range->nstarted : 0;
+        double n = range->task_states ? range->end - range->first -
+                                            range->finished_count - range->started_count
+                                      : 0;
         if (range->job->team != team || range->job->phase != LMN_JOB_ACTIVE || n <= 0)
             continue;
         if (lmn_job_is_faulty(&range->job->failures))
@@ -64,10 +65,10 @@
 {
     double sum = 0;
 
-    for (guint i = 0; i < partition->list->len; i++) {
-        const struct lmn_machine *machine = partition->list->pdata[i];
-        if (!machine->type || !machine->accounted || machine->retiring ||
-            machine->noticed || machine->lapsed || machine->is_gone)
+    for (guint i = 0; i < partition->machine_list->len; i++) {
+        const struct lmn_machine *machine = partition->machine_list->pdata[i];
+        if (!machine->type || !machine->is_accounted || machine->is_draining ||
+            machine->has_spot_notice || machine->lease_expired || machine->is_terminated)
             continue;
         double left = machine->type->cpus - machine->used_cpus;
         sum += left + 1e-6 >= task ? left : 0;
@@ -81,8 +82,8 @@
 {
     double cpus, gpus;
 
-    if (!partition->mine || !partition->ready ||
-        !lmn_team_has_limit(&core->cfg->teams[team]))
+    if (!partition->is_owned || !partition->is_ready ||
+        !lmn_team_has_limit(&core->settings->teams[team]))
         return false;
     double smallest = queued(partition, team, request);
     lmn_quota_share(core, partition, team, &cpus, &gpus);
@@ -104,9 +105,9 @@
     request->gpus = room > 0 ? request->gpus : 0;
     request->cpus = MAX(request->cpus, request->least_cpus);
     request->gpus = MAX(request->gpus, request->least_gpus);
-    if (core->cfg->teams[team].cpus_max <= 0)
+    if (core->settings->teams[team].cpus_max <= 0)
         request->cpus = request->least_cpus = 0;
-    if (core->cfg->teams[team].gpus_max <= 0)
+    if (core->settings->teams[team].gpus_max <= 0)
         request->gpus = request->least_gpus = 0;
     return request->cpus > 1e-6 || request->gpus > 1e-6;
 }
@@ -123,9 +124,9 @@
      * kept for a job that waits for it (scheduler/reservation.h) stays. And whatever
      * another could else never start with. */
     own.cpus = own.cpus > 0 ? MIN(own.cpus, free_cpus(partition, smallest)) : 0;
-    own.cpus =
-        MAX(own.cpus,
-            partition->keep[request->team].job ? partition->keep[request->team].cpus : 0);
+    own.cpus = MAX(own.cpus, partition->quota_reservations[request->team].job
+                                 ? partition->quota_reservations[request->team].cpus
+                                 : 0);
     *cpus -= partition->used_cpus[request->team] + own.cpus;
     *gpus -= partition->used_gpus[request->team] + own.gpus;
     *cpus = MAX(MIN(request->cpus, *cpus), request->least_cpus);
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -19,7 +19,7 @@
 
 static void let_go(struct lmn_machine *machine)
 {
-    machine->kept = NULL;
+    machine->reserved_for = NULL;
     lmn_machine_wake(machine);
 }
 
@@ -32,7 +32,7 @@
 void lmn_reserve_quota(struct lmn_partition *partition, int team, double cpus,
                        double gpus, struct timespec now)
 {
-    struct lmn_quota_reservation *reservation = &partition->keep[team];
+    struct lmn_quota_reservation *reservation = &partition->quota_reservations[team];
 
     /* Our own that waits comes first. */
     if (!reservation->job || !lmn_time_before(now, reservation->until))
@@ -45,11 +45,13 @@
 {
     struct lmn_machine *best = NULL;
 
-    for (guint i = 0; i < partition->list->len; i++) {
-        struct lmn_machine *machine = partition->list->pdata[i];
-        if (machine->kept || machine->promised || machine->unheeded ||
-            !lmn_machine_can_run(machine, job) || machine->type->cpus < job->spec.cpus ||
-            machine->type->gpus < job->spec.gpus || machine->type->mem < job->spec.mem)
+    for (guint i = 0; i < partition->machine_list->len; i++) {
+        struct lmn_machine *machine = partition->machine_list->pdata[i];
+        if (machine->reserved_for || machine->preemption_reserved_tasks ||
+            machine->ignored_commands || !lmn_machine_can_run(machine, job) ||
+            machine->type->cpus < job->spec.cpus ||
+            machine->type->gpus < job->spec.gpus ||
+            machine->type->memory_gb < job->spec.memory_gb)
             continue;
         if (!best ||
             machine->type->cpus - machine->used_cpus > best->type->cpus - best->used_cpus)
@@ -63,17 +65,17 @@
 static void bring(struct lmn_partition *partition, const struct lmn_range *r,
                   struct lmn_machine *machine)
 {
-    struct lmn_queue *from = &partition->unplaced;
+    struct lmn_queue *from = &partition->unassigned;
     uint32_t index = 0;
     bool found = false;
 
-    for (guint k = 0; k <= partition->list->len && !found; k++) {
-        from = k ? &((struct lmn_machine *)partition->list->pdata[k - 1])->queue
-                 : &partition->unplaced;
-        for (guint i = 0; i < from->segs->len && !found; i++) {
-            const struct lmn_queue_segment *segment = from->segs->pdata[i];
+    for (guint k = 0; k <= partition->machine_list->len && !found; k++) {
+        from = k ? &((struct lmn_machine *)partition->machine_list->pdata[k - 1])->queue
+                 : &partition->unassigned;
+        for (guint i = 0; i < from->segments->len && !found; i++) {
+            const struct lmn_queue_segment *segment = from->segments->pdata[i];
             found = segment->range == r;
-            index = segment->lo;
+            index = segment->first;
         }
     }
     if (!found || from == &machine->queue)
@@ -88,8 +90,8 @@
 {
     for (guint i = 0; i < job->ranges->len; i++) {
         const struct lmn_range *range = job->ranges->pdata[i];
-        if (range->part == partition && range->st &&
-            range->nstarted + range->nfinished < range->hi - range->lo)
+        if (range->partition == partition && range->task_states &&
+            range->started_count + range->finished_count < range->end - range->first)
             return true;
     }
     return false;
@@ -98,10 +100,11 @@
 /* Whether some machine could start it now, or one is kept for it. */
 static bool served(const struct lmn_partition *partition, const struct lmn_job *job)
 {
-    for (guint i = 0; i < partition->list->len; i++) {
-        const struct lmn_machine *machine = partition->list->pdata[i];
-        if (machine->kept == job ||
-            (!machine->kept && !machine->unheeded && lmn_machine_can_run(machine, job) &&
+    for (guint i = 0; i < partition->machine_list->len; i++) {
+        const struct lmn_machine *machine = partition->machine_list->pdata[i];
+        if (machine->reserved_for == job ||
+            (!machine->reserved_for && !machine->ignored_commands &&
+             lmn_machine_can_run(machine, job) &&
              lmn_machine_task_capacity(machine, &job->spec) > 0))
             return true;
     }
@@ -114,7 +117,8 @@
     struct lmn_job *job = range->job;
 
     if (!lmn_job_within_quota(core, partition, job)) {
-        struct lmn_quota_reservation *reservation = &partition->keep[job->team];
+        struct lmn_quota_reservation *reservation =
+            &partition->quota_reservations[job->team];
         /* What is more than all of the part has to come from others
          * (partition/quota_transfer.c). */
         if (!reservation->job || !lmn_time_before(now, reservation->until))
@@ -128,9 +132,9 @@
     if (!machine)
         return;
     --*kept;
-    machine->kept = job;
-    machine->kept_until = lmn_time_add(now, KEPT_S);
-    lmn_info("machine-kept machine=%s job=%s free=%.1f", machine->name, job->spec.ref,
+    machine->reserved_for = job;
+    machine->reserved_until = lmn_time_add(now, KEPT_S);
+    lmn_info("machine-kept machine=%s job=%s free=%.1f", machine->name, job->spec.id,
              machine->type->cpus - machine->used_cpus);
     bring(partition, range, machine);
 }
@@ -138,41 +142,43 @@
 void lmn_update_reservations(struct lmn_core *core, struct lmn_partition *partition,
                              struct timespec now)
 {
-    guint kept = MAX(partition->list->len / KEPT_OF, 1);
+    guint kept = MAX(partition->machine_list->len / KEPT_OF, 1);
     GHashTableIter it;
     gpointer v;
 
-    if (!partition->mine)
+    if (!partition->is_owned)
         return;
-    for (guint i = 0; i < partition->list->len; i++) {
-        struct lmn_machine *machine = partition->list->pdata[i];
+    for (guint i = 0; i < partition->machine_list->len; i++) {
+        struct lmn_machine *machine = partition->machine_list->pdata[i];
         /* A job that was waiting here may have moved on, and wait elsewhere: a machine
          * was kept for it that nothing could start on. */
-        if (machine->kept &&
-            (!machine->kept->aged || !waits_here(partition, machine->kept) ||
-             machine->kept->phase != LMN_JOB_ACTIVE ||
-             !lmn_time_before(now, machine->kept_until) ||
-             !lmn_machine_can_run(machine, machine->kept)))
+        if (machine->reserved_for &&
+            (!machine->reserved_for->is_starving ||
+             !waits_here(partition, machine->reserved_for) ||
+             machine->reserved_for->phase != LMN_JOB_ACTIVE ||
+             !lmn_time_before(now, machine->reserved_until) ||
+             !lmn_machine_can_run(machine, machine->reserved_for)))
             let_go(machine);
-        kept -= machine->kept && kept;
+        kept -= machine->reserved_for && kept;
     }
-    for (size_t t = 0; t < core->cfg->nteams; t++) {
-        struct lmn_quota_reservation *reservation = &partition->keep[t];
+    for (size_t t = 0; t < core->settings->team_count; t++) {
+        struct lmn_quota_reservation *reservation = &partition->quota_reservations[t];
         if (reservation->cpus + reservation->gpus > 0 &&
             (!lmn_time_before(now, reservation->until) ||
-             (reservation->job &&
-              (!reservation->job->aged || reservation->job->phase != LMN_JOB_ACTIVE))))
+             (reservation->job && (!reservation->job->is_starving ||
+                                   reservation->job->phase != LMN_JOB_ACTIVE))))
             memset(reservation, 0, sizeof *reservation);
     }
-    if (!partition->open || partition->releasing)
+    if (!partition->inherited_may_start || partition->is_transferring)
         return;
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_range *range = v;
-        if (range->job->aged && core->wall - range->job->at > WAITED_S &&
-            range->job->phase == LMN_JOB_ACTIVE && range->st && range->dealt &&
-            range->job->team >= 0 && !lmn_job_is_faulty(&range->job->failures) &&
-            lmn_range_may_start(range))
+        if (range->job->is_starving &&
+            core->wall_clock_s - range->job->accepted_at_s > WAITED_S &&
+            range->job->phase == LMN_JOB_ACTIVE && range->task_states &&
+            range->is_assigned && range->job->team >= 0 &&
+            !lmn_job_is_faulty(&range->job->failures) && lmn_range_may_start(range))
             help(core, partition, range, &kept, now);
     }
 }
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -41,11 +41,14 @@
     /* One that was told, and has not spoken yet, is dealt work too, which it starts once
      * it has: dealt to the first few that speak, everything would stand in their queues.
      */
-    bool known = machine->accounted || (machine->part->warm && machine->session);
+    bool known = machine->is_accounted ||
+                 (machine->partition->is_warm && machine->agent_incarnation);
 
-    return machine->type && known && machine->rev && !machine->retiring &&
-           !machine->noticed && !machine->lapsed && !machine->is_gone &&
-           lmn_job_spec_allows(&job->spec, machine->type, machine->zone, machine->spot);
+    return machine->type && known && machine->revision && !machine->is_draining &&
+           !machine->has_spot_notice && !machine->lease_expired &&
+           !machine->is_terminated &&
+           lmn_job_spec_allows(&job->spec, machine->type, machine->zone,
+                               machine->is_spot);
 }
 
 uint32_t lmn_machine_task_capacity(const struct lmn_machine *machine,
@@ -60,8 +63,10 @@
     if (spec->gpus > 0)
         n = MIN(n,
                 floor((machine->type->gpus - machine->used_gpus) / spec->gpus + slack));
-    if (spec->mem > 0)
-        n = MIN(n, floor((machine->type->mem - machine->used_mem) / spec->mem + slack));
+    if (spec->memory_gb > 0)
+        n = MIN(n, floor((machine->type->memory_gb - machine->used_memory_gb) /
+                             spec->memory_gb +
+                         slack));
     return n > 0 ? (uint32_t)n : 0;
 }
 
@@ -71,23 +76,23 @@
 {
     if (job->team < 0)
         return false;
-    const struct lmn_team *team = &core->cfg->teams[job->team];
+    const struct lmn_team *team = &core->settings->teams[job->team];
     double cpus, gpus;
 
     lmn_quota_share(core, partition, job->team, &cpus, &gpus);
-    if (partition->keep[job->team].job != job) {
-        cpus -= partition->keep[job->team].cpus;
-        gpus -= partition->keep[job->team].gpus;
+    if (partition->quota_reservations[job->team].job != job) {
+        cpus -= partition->quota_reservations[job->team].cpus;
+        gpus -= partition->quota_reservations[job->team].gpus;
     }
 
     /* A machine that is not accounted for may be full of this team's tasks. As counted at
      * the last check: since then there are only fewer of them. */
-    if (!partition->ready && !partition->warm &&
+    if (!partition->is_ready && !partition->is_warm &&
         (team->cpus_max > 0 || team->gpus_max > 0)) {
-        if (partition->unheard_unknown)
+        if (partition->has_unaccounted_unknown)
             return false;
-        cpus -= partition->unheard_cpus;
-        gpus -= partition->unheard_gpus;
+        cpus -= partition->unaccounted_cpus;
+        gpus -= partition->unaccounted_gpus;
     }
 
     if (team->cpus_max > 0 &&
@@ -102,29 +107,30 @@
 static bool too_dear(const struct lmn_core *core, const struct lmn_machine *machine,
                      const struct lmn_job *job)
 {
-    return job->cheap && !machine->spot && !job->aged &&
-           lmn_is_spot_only(core->cfg, &job->spec, machine->type);
+    return job->is_spot_only && !machine->is_spot && !job->is_starving &&
+           lmn_is_spot_only(core->settings, &job->spec, machine->type);
 }
 
 enum lmn_wait_reason lmn_machine_wait_reason(const struct lmn_machine *machine,
                                              struct timespec now)
 {
-    if (machine->part->releasing)
+    if (machine->partition->is_transferring)
         return LMN_WAIT_TRANSFER;
-    if (!machine->accounted)
+    if (!machine->is_accounted)
         return LMN_WAIT_UNACCOUNTED;
-    if (!machine->rev)
+    if (!machine->revision)
         return LMN_WAIT_UNRECORDED;
-    if (machine->retiring)
+    if (machine->is_draining)
         return LMN_WAIT_DRAINING;
-    if (machine->noticed)
+    if (machine->has_spot_notice)
         return LMN_WAIT_SPOT_NOTICE;
     if (!machine->type)
         return LMN_WAIT_UNKNOWN_TYPE;
     /* Nobody acknowledges starts now: they would only be taken back. */
-    if (lmn_replication_is_stuck(machine->part, now))
+    if (lmn_replication_is_stuck(machine->partition, now))
         return LMN_WAIT_REPLICATION;
-    return lmn_time_before(now, machine->hold) ? LMN_WAIT_QUARANTINED : LMN_WAIT_NONE;
+    return lmn_time_before(now, machine->quarantined_until) ? LMN_WAIT_QUARANTINED
+                                                            : LMN_WAIT_NONE;
 }
 
 enum lmn_wait_reason lmn_job_wait_reason(const struct lmn_core *core,
@@ -135,17 +141,18 @@
         return LMN_WAIT_JOB_OVER;
     if (!lmn_machine_task_capacity(machine, &job->spec))
         return LMN_WAIT_CAPACITY;
-    if (machine->promised && job->spec.urgency != LMN_PRIORITY_PRODUCTION)
+    if (machine->preemption_reserved_tasks &&
+        job->spec.priority != LMN_PRIORITY_PRODUCTION)
         return LMN_WAIT_PREEMPTION_RESERVED;
-    if (machine->kept && machine->kept != job)
+    if (machine->reserved_for && machine->reserved_for != job)
         return LMN_WAIT_BACKFILL_RESERVED;
     if (too_dear(core, machine, job))
         return LMN_WAIT_SPOT_ONLY;
-    if (lmn_time_before(now, job->failures.hold))
+    if (lmn_time_before(now, job->failures.backoff_until))
         return LMN_WAIT_JOB_BACKOFF;
     if (!lmn_machine_can_run(machine, job))
         return LMN_WAIT_NOT_ALLOWED;
-    if (!lmn_job_within_quota(core, machine->part, job))
+    if (!lmn_job_within_quota(core, machine->partition, job))
         return LMN_WAIT_QUOTA;
     return lmn_zone_task_capacity(job, machine->zone) ? LMN_WAIT_NONE : LMN_WAIT_ZONE;
 }
@@ -154,9 +161,9 @@
                                      const struct lmn_machine *machine,
                                      const struct lmn_range *range, struct timespec now)
 {
-    if (range->part != machine->part)
+    if (range->partition != machine->partition)
         return LMN_WAIT_OTHER_PARTITION;
-    if (!range->dealt || !lmn_range_may_start(range))
+    if (!range->is_assigned || !lmn_range_may_start(range))
         return LMN_WAIT_NOT_OPEN;
     enum lmn_wait_reason reason = lmn_machine_wait_reason(machine, now);
     return reason != LMN_WAIT_NONE ? reason
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -17,14 +17,14 @@
                             const struct lmn_settings *cfg)
 {
     memset(request, 0, sizeof *request);
-    request->team_cpus = g_new0(double, cfg->nteams);
-    request->team_gpus = g_new0(double, cfg->nteams);
+    request->team_free_cpus = g_new0(double, cfg->team_count);
+    request->team_free_gpus = g_new0(double, cfg->team_count);
 }
 
 void lmn_steal_request_clear(struct lmn_steal_request *request)
 {
-    g_free(request->team_cpus);
-    g_free(request->team_gpus);
+    g_free(request->team_free_cpus);
+    g_free(request->team_free_gpus);
 }
 
 bool lmn_steal_request_fill(struct lmn_core *core, struct lmn_partition *partition,
@@ -33,37 +33,39 @@
     GHashTableIter it;
     gpointer v;
 
-    request->part = partition->id;
-    request->nrooms = 0;
-    if (!partition->mine || !partition->ready || partition->releasing ||
-        lmn_time_before(now, partition->next_steal))
+    request->partition = partition->id;
+    request->capacity_count = 0;
+    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
+        lmn_time_before(now, partition->next_steal_at))
         return false;
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v) &&
-           request->nrooms < G_N_ELEMENTS(request->rooms)) {
+           request->capacity_count < G_N_ELEMENTS(request->capacities)) {
         const struct lmn_machine *machine = v;
-        if (!machine->hungry || machine->queue.tasks || !machine->type || !machine->rev ||
-            machine->retiring || machine->noticed || machine->lapsed ||
-            machine->is_gone || machine->type->cpus - machine->used_cpus < 0.01)
+        if (!machine->is_idle_with_capacity || machine->queue.task_count ||
+            !machine->type || !machine->revision || machine->is_draining ||
+            machine->has_spot_notice || machine->lease_expired ||
+            machine->is_terminated || machine->type->cpus - machine->used_cpus < 0.01)
             continue;
-        struct lmn_free_capacity *capacity = &request->rooms[request->nrooms++];
+        struct lmn_free_capacity *capacity =
+            &request->capacities[request->capacity_count++];
         g_strlcpy(capacity->type, machine->type_name, sizeof capacity->type);
         g_strlcpy(capacity->zone, machine->zone, sizeof capacity->zone);
-        capacity->spot = machine->spot;
+        capacity->is_spot = machine->is_spot;
         capacity->cpus = machine->type->cpus - machine->used_cpus;
         capacity->gpus = machine->type->gpus - machine->used_gpus;
-        capacity->mem = machine->type->mem - machine->used_mem;
+        capacity->memory_gb = machine->type->memory_gb - machine->used_memory_gb;
     }
-    for (size_t i = 0; i < core->cfg->nteams; i++) {
-        const struct lmn_team *team = &core->cfg->teams[i];
+    for (size_t i = 0; i < core->settings->team_count; i++) {
+        const struct lmn_team *team = &core->settings->teams[i];
         double cpus, gpus;
         lmn_quota_share(core, partition, (int)i, &cpus, &gpus);
-        request->team_cpus[i] =
+        request->team_free_cpus[i] =
             team->cpus_max > 0 ? cpus - partition->used_cpus[i] : 1e12;
-        request->team_gpus[i] =
+        request->team_free_gpus[i] =
             team->gpus_max > 0 ? gpus - partition->used_gpus[i] : 1e12;
     }
-    return request->nrooms > 0;
+    return request->capacity_count > 0;
 }
 
 /* How many tasks of the job the thief has room and quota for. */
@@ -76,32 +78,32 @@
 
     if (job->team < 0)
         return 0;
-    for (guint i = 0; i < request->nrooms; i++) {
-        const struct lmn_free_capacity *capacity = &request->rooms[i];
+    for (guint i = 0; i < request->capacity_count; i++) {
+        const struct lmn_free_capacity *capacity = &request->capacities[i];
         const struct lmn_machine_type *type =
             lmn_machine_type_by_name(core, capacity->type);
         double k = 1e6;
-        if (!type || !lmn_job_spec_allows(spec, type, capacity->zone, capacity->spot))
+        if (!type || !lmn_job_spec_allows(spec, type, capacity->zone, capacity->is_spot))
             continue;
         if (spec->cpus > 0)
             k = MIN(k, floor(capacity->cpus / spec->cpus + 1e-6));
         if (spec->gpus > 0)
             k = MIN(k, floor(capacity->gpus / spec->gpus + 1e-6));
-        if (spec->mem > 0)
-            k = MIN(k, floor(capacity->mem / spec->mem + 1e-6));
+        if (spec->memory_gb > 0)
+            k = MIN(k, floor(capacity->memory_gb / spec->memory_gb + 1e-6));
         n += MAX(k, 0);
     }
     if (spec->cpus > 0)
-        quota = MIN(quota, floor(request->team_cpus[job->team] / spec->cpus + 1e-6));
+        quota = MIN(quota, floor(request->team_free_cpus[job->team] / spec->cpus + 1e-6));
     if (spec->gpus > 0)
-        quota = MIN(quota, floor(request->team_gpus[job->team] / spec->gpus + 1e-6));
+        quota = MIN(quota, floor(request->team_free_gpus[job->team] / spec->gpus + 1e-6));
     return (uint32_t)MAX(MIN(n, quota), 0);
 }
 
 /* Whether the job's tasks look at each other's places: one owner has to see them all. */
 static bool is_whole(const struct lmn_job *job)
 {
-    return job->spec.one_zone || job->spec.spread;
+    return job->spec.requires_one_zone || job->spec.spreads_over_zones;
 }
 
 /* Whether the range is all of its job, and nothing of it has begun, ended or may be on
@@ -113,23 +115,23 @@
 
     for (guint i = 0; job->zones && i < job->zones->len; i++)
         placed += g_array_index(job->zones, struct lmn_zone_tasks, i).tasks;
-    return range->lo == 0 && range->hi == job->spec.tasks && !range->nstarted &&
-           !range->nfinished && placed == 0;
+    return range->first == 0 && range->end == job->spec.tasks && !range->started_count &&
+           !range->finished_count && placed == 0;
 }
 
 /* Queued tasks at the end of a range: what a move can take. */
 static uint32_t tail(const struct lmn_range *range)
 {
-    uint32_t n = range->hi - range->lo, k = n;
+    uint32_t n = range->end - range->first, k = n;
 
-    if (!range->st || range->job->phase != LMN_JOB_ACTIVE || range->writing ||
+    if (!range->task_states || range->job->phase != LMN_JOB_ACTIVE || range->is_writing ||
         range->move_to >= 0)
         return 0;
     /* Those that fail wherever they start are not worth a change. */
     if ((is_whole(range->job) && !is_untouched(range)) ||
         lmn_job_is_faulty(&range->job->failures))
         return 0;
-    while (k > 0 && range->st[k - 1] == LMN_TASK_QUEUED)
+    while (k > 0 && range->task_states[k - 1] == LMN_TASK_QUEUED)
         k--;
     return n - k;
 }
@@ -155,8 +157,8 @@
     gpointer v;
     uint32_t n = 0;
 
-    if (!partition->mine || !partition->ready || partition->releasing ||
-        partition->id == request->part)
+    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
+        partition->id == request->partition)
         return 0;
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -187,8 +189,8 @@
     uint32_t most = 0;
     (void)now;
 
-    if (!partition->mine || !partition->ready || partition->releasing ||
-        partition->id == request->part)
+    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
+        partition->id == request->partition)
         return 0;
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -206,23 +208,24 @@
         return 0;
     /* The share of what is queued, but no more than can start there now; and all that
      * can, where no machine of the victim's own could ever take it. */
-    double share =
-        held_here(partition, best->job) && !is_whole(best->job) ? core->tuning.share : 1;
+    double share = held_here(partition, best->job) && !is_whole(best->job)
+                       ? core->operator_settings.share
+                       : 1;
     uint32_t n = MIN(most, MAX((uint32_t)ceil(tail(best) * share), 1));
-    best->move_at = best->hi - n;
-    best->move_to = request->part;
-    best->move_unsure = false;
-    best->move_rev = best->rev;
-    for (uint32_t i = best->move_at; i < best->hi; i++)
-        best->st[i - best->lo] = LMN_TASK_MOVING;
-    lmn_queue_remove_tail(&partition->unplaced, best, best->move_at);
+    best->move_at = best->end - n;
+    best->move_to = request->partition;
+    best->move_is_uncertain = false;
+    best->move_revision = best->revision;
+    for (uint32_t i = best->move_at; i < best->end; i++)
+        best->task_states[i - best->first] = LMN_TASK_MOVING;
+    lmn_queue_remove_tail(&partition->unassigned, best, best->move_at);
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         lmn_queue_remove_tail(&((struct lmn_machine *)v)->queue, best, best->move_at);
-    core->count.moves++;
-    core->count.moved_tasks += n;
-    lmn_debug("move job=%s from=%u tasks=%u partition=%d to=%d", best->job->spec.ref,
-              best->move_at, n, partition->id, request->part);
+    core->counters.moves++;
+    core->counters.moved_tasks += n;
+    lmn_debug("move job=%s from=%u tasks=%u partition=%d to=%d", best->job->spec.id,
+              best->move_at, n, partition->id, request->partition);
     return n;
 }
 
@@ -230,15 +233,16 @@
                              uint32_t got, struct timespec now)
 {
     if (got) {
-        partition->poll_s = 0;
+        partition->steal_interval_s = 0;
         /* What was won has to arrive before the next look makes sense. */
-        partition->next_steal = lmn_time_add(now, 0.25);
+        partition->next_steal_at = lmn_time_add(now, 0.25);
         return;
     }
-    partition->poll_s = partition->poll_s > 0
-                            ? MIN(partition->poll_s * 2, core->tuning.poll_cap_s)
-                            : MAX(core->tuning.poll_floor_s, 0.1);
-    partition->next_steal = lmn_time_add(now, partition->poll_s);
+    partition->steal_interval_s =
+        partition->steal_interval_s > 0
+            ? MIN(partition->steal_interval_s * 2, core->operator_settings.poll_cap_s)
+            : MAX(core->operator_settings.poll_floor_s, 0.1);
+    partition->next_steal_at = lmn_time_add(now, partition->steal_interval_s);
 }
 
 void lmn_range_truncate(struct lmn_core *core, struct lmn_range *range, uint32_t hi)
@@ -247,13 +251,13 @@
     gpointer v;
     (void)core;
 
-    lmn_queue_remove_tail(&range->part->unplaced, range, hi);
-    g_hash_table_iter_init(&it, range->part->machines);
+    lmn_queue_remove_tail(&range->partition->unassigned, range, hi);
+    g_hash_table_iter_init(&it, range->partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         lmn_queue_remove_tail(&((struct lmn_machine *)v)->queue, range, hi);
-    range->hi = hi;
+    range->end = hi;
     range->move_to = -1;
-    range->move_unsure = false;
+    range->move_is_uncertain = false;
 }
 
 void lmn_range_cancel_move(struct lmn_core *core, struct lmn_range *range,
@@ -262,12 +266,12 @@
     uint32_t at = range->move_at;
 
     range->move_to = -1;
-    range->move_unsure = false;
-    if (!range->st)
+    range->move_is_uncertain = false;
+    if (!range->task_states)
         return;
-    for (uint32_t i = at; i < range->hi; i++)
-        if (range->st[i - range->lo] == LMN_TASK_MOVING)
-            range->st[i - range->lo] = LMN_TASK_QUEUED;
-    if (range->part->ready && range->job->phase == LMN_JOB_ACTIVE)
-        lmn_assign_tasks(core, range, at, range->hi, now);
+    for (uint32_t i = at; i < range->end; i++)
+        if (range->task_states[i - range->first] == LMN_TASK_MOVING)
+            range->task_states[i - range->first] = LMN_TASK_QUEUED;
+    if (range->partition->is_ready && range->job->phase == LMN_JOB_ACTIVE)
+        lmn_assign_tasks(core, range, at, range->end, now);
 }
--- a/src/scheduler/work_stealing.h
+++ b/src/scheduler/work_stealing.h
@@ -6,14 +6,14 @@
 
 struct lmn_free_capacity {
     char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
-    bool spot;
-    double cpus, gpus, mem;
+    bool is_spot;
+    double cpus, gpus, memory_gb;
 };
 struct lmn_steal_request {
-    int part;
-    struct lmn_free_capacity rooms[64];
-    guint nrooms;
-    double *team_cpus, *team_gpus; /* by team: what its quota leaves */
+    int partition;
+    struct lmn_free_capacity capacities[64];
+    guint capacity_count;
+    double *team_free_cpus, *team_free_gpus; /* by team: what its quota leaves */
 };
 /* Room for the teams of these settings; lmn_steal_request_clear. */
 void lmn_steal_request_init(struct lmn_steal_request *request,
--- a/src/simulation/controller_group.c
+++ b/src/simulation/controller_group.c
@@ -161,11 +161,11 @@
                 break;
             if (c->doubt)
                 lmn_member_apply_suspicion(&n->ms, c->of, c->r.rev, c->r.inc,
-                                           group->nodes[c->r.by].cfg.node, c->r.why,
+                                           group->nodes[c->r.by].cfg.node_name, c->r.why,
                                            stamp(group->now));
             else
                 lmn_member_apply_record(&n->ms, c->of, c->r.rev, 1, stamp(group->now));
-            if (c->of == n->ms.me && !c->doubt)
+            if (c->of == n->ms.self && !c->doubt)
                 n->refuting = false;
             if (c->doubt)
                 n->wrote_doubt[c->of] = false;
@@ -176,7 +176,7 @@
     }
     /* The next look: as long as nothing changes, or until something does. */
     double wait = LOOK_S;
-    for (int i = 0; i < n->ms.n; i++)
+    for (int i = 0; i < n->ms.count; i++)
         if (lmn_member_is_suspected(&n->ms, i))
             wait = MIN(wait, 0.2);
     n->look_sent = group->now + PAUSE_S;
@@ -204,10 +204,10 @@
 static void tell(struct group *group, struct node *from, struct node *to, int about)
 {
     struct lmn_gossip_statement s[LMN_MAX_GOSSIP_STATEMENTS];
-    unsigned n = lmn_member_gossip(&from->ms, to->ms.me, about, stamp(group->now), s);
+    unsigned n = lmn_member_gossip(&from->ms, to->ms.self, about, stamp(group->now), s);
 
     for (unsigned i = 0; i < n; i++)
-        lmn_member_record_gossip(&to->ms, from->ms.me, &s[i], stamp(group->now));
+        lmn_member_record_gossip(&to->ms, from->ms.self, &s[i], stamp(group->now));
 }
 
 static void ask(struct group *group, struct node *n)
@@ -215,16 +215,16 @@
     double wait;
 
     if (n->asking) {
-        struct node *o = &group->nodes[n->q.rank];
+        struct node *o = &group->nodes[n->q.member];
         if (n->answer > 0 && group->now >= n->answer && n->answer <= n->give_up) {
-            struct lmn_member_health w = o->ms.word;
+            struct lmn_member_health w = o->ms.health;
             n->asking = false;
-            lmn_member_record_probe_reply(&n->ms, n->q.rank, &w, stamp(n->sent),
+            lmn_member_record_probe_reply(&n->ms, n->q.member, &w, stamp(n->sent),
                                           stamp(group->now));
             tell(group, o, n, n->q.about);
         } else if (group->now >= n->give_up) {
             n->asking = false;
-            lmn_member_record_probe_timeout(&n->ms, n->q.rank, stamp(n->sent),
+            lmn_member_record_probe_timeout(&n->ms, n->q.member, stamp(n->sent),
                                             stamp(group->now));
         }
         return;
@@ -232,10 +232,10 @@
     if (!lmn_member_next_probe(&n->ms, group->rng, stamp(group->now), &n->q, &wait))
         return;
     group->r->questions++;
-    struct node *o = &group->nodes[n->q.rank];
+    struct node *o = &group->nodes[n->q.member];
     n->asking = true;
     n->sent = group->now;
-    n->give_up = group->now + n->q.patience_s;
+    n->give_up = group->now + n->q.timeout_s;
     n->answer = 0;
     if (refused(group) || o->dead) {
         n->give_up = group->now + STEP_S;
@@ -245,8 +245,8 @@
         MAX(group->now + way(group), o->stalled) + uniform(group, group->o->late_s);
     n->answer = there + way(group);
     if (there <= n->give_up) {
-        struct lmn_member_health w = n->ms.word;
-        lmn_member_record_contact(&o->ms, n->ms.me, &w, stamp(group->now),
+        struct lmn_member_health w = n->ms.health;
+        lmn_member_record_contact(&o->ms, n->ms.self, &w, stamp(group->now),
                                   stamp(group->now));
         tell(group, n, o, n->q.about);
         if (n->q.about >= 0)
@@ -257,14 +257,15 @@
 /* How a rule that knows no suspicion judges. */
 static bool plainly(const struct group *group, const struct node *n, int i)
 {
-    const struct lmn_member_view *member = &n->ms.v[i];
+    const struct lmn_member_view *member = &n->ms.views[i];
 
-    if (!member->ever || !member->unanswered.tv_sec)
+    if (!member->ever_contacted || !member->unanswered_since.tv_sec)
         return false;
-    double seconds = lmn_time_diff_s(stamp(group->now), member->unanswered);
+    double seconds = lmn_time_diff_s(stamp(group->now), member->unanswered_since);
     return group->o->rule == LMN_GROUP_RULE_FIXED_TIMEOUT
                ? seconds >= group->o->threshold
-               : lmn_phi_accrual_phi(&member->answers, seconds) >= group->o->threshold;
+               : lmn_phi_accrual_phi(&member->reply_times, seconds) >=
+                     group->o->threshold;
 }
 
 static void hold(struct group *group, struct node *n)
@@ -274,20 +275,20 @@
 
     if (!n->refuting && lmn_self_should_refute(&n->ms, now)) {
         n->refuting = true;
-        send(group, (struct write){.of = n->ms.me, .by = n->ms.me});
+        send(group, (struct write){.of = n->ms.self, .by = n->ms.self});
     }
-    for (int i = 0; i < n->ms.n; i++) {
-        uint64_t inc = n->ms.v[i].inc;
-        if (i == n->ms.me || n->judging[i])
+    for (int i = 0; i < n->ms.count; i++) {
+        uint64_t inc = n->ms.views[i].incarnation;
+        if (i == n->ms.self || n->judging[i])
             continue;
         if (group->o->rule == LMN_GROUP_RULE_PRODUCT) {
             if (!n->wrote_doubt[i] && lmn_member_should_suspect(&n->ms, i, now, &e)) {
                 n->wrote_doubt[i] = true;
                 send(group, (struct write){.of = i,
-                                           .by = n->ms.me,
+                                           .by = n->ms.self,
                                            .doubt = true,
                                            .inc = inc,
-                                           .doubt_rev = n->ms.v[i].doubt_rev,
+                                           .doubt_rev = n->ms.views[i].suspicion_revision,
                                            .why = e.cause});
             }
             if (!lmn_member_is_declared_failed(&n->ms, i, now))
@@ -296,7 +297,8 @@
             continue;
         }
         n->judging[i] = true;
-        send(group, (struct write){.of = i, .by = n->ms.me, .verdict = true, .inc = inc});
+        send(group,
+             (struct write){.of = i, .by = n->ms.self, .verdict = true, .inc = inc});
     }
 }
 
@@ -309,15 +311,15 @@
     if (group->now >= n->next_tick) {
         double late = MAX(group->now - n->last_tick - TICK_S, 0);
         lmn_members_tick(&n->ms, late, stamp(group->now));
-        n->ms.word.behind_s = MAX(late, n->ms.word.behind_s * 0.9);
+        n->ms.health.delay_s = MAX(late, n->ms.health.delay_s * 0.9);
         n->last_tick = group->now;
         n->next_tick = group->now + TICK_S + uniform(group, group->o->late_s);
     }
     ask(group, n);
     if (group->now >= n->next_holder) {
         hold(group, n);
-        n->next_holder =
-            group->now + n->ms.t.every_s / 4 + uniform(group, group->o->late_s);
+        n->next_holder = group->now + n->ms.timeouts.probe_interval_s / 4 +
+                         uniform(group, group->o->late_s);
     }
 }
 
@@ -340,12 +342,13 @@
 {
     struct node *n = &group->nodes[i];
 
-    g_snprintf(n->cfg.node, LMN_NAME_SIZE, "n%02d", i);
+    g_snprintf(n->cfg.node_name, LMN_NAME_SIZE, "n%02d", i);
     n->cfg.lease_s = group->o->lease_s;
-    n->cfg.report_s = group->o->report_s;
+    n->cfg.heartbeat_s = group->o->report_s;
     for (int k = 0; k < group->o->members; k++)
         if (k != i)
-            g_snprintf(n->cfg.members[n->cfg.nmembers++].name, LMN_NAME_SIZE, "n%02d", k);
+            g_snprintf(n->cfg.members[n->cfg.member_count++].name, LMN_NAME_SIZE, "n%02d",
+                       k);
     lmn_members_init(&n->ms, &n->cfg, stamp(0));
     n->next_tick = uniform(group, TICK_S);
     n->next_holder = uniform(group, TICK_S);
--- a/src/state/failures.c
+++ b/src/state/failures.c
@@ -16,30 +16,32 @@
 
 static void forget(struct lmn_job_failures *failures)
 {
-    failures->places = failures->rounds = 0;
-    failures->hold = failures->round = (struct timespec){0, 0};
+    failures->machine_count = failures->rounds = 0;
+    failures->backoff_until = failures->round_started_at = (struct timespec){0, 0};
 }
 
 static bool known(const struct lmn_job_failures *failures, guint machine)
 {
-    for (unsigned i = 0; i < failures->places; i++)
-        if (failures->on[i] == machine)
+    for (unsigned i = 0; i < failures->machine_count; i++)
+        if (failures->machines[i] == machine)
             return true;
     return false;
 }
 
 static void note(struct lmn_job_failures *failures, guint machine, struct timespec now)
 {
-    if (failures->places && lmn_time_diff_s(now, failures->failed) > FORGET_S)
+    if (failures->machine_count &&
+        lmn_time_diff_s(now, failures->last_failed_at) > FORGET_S)
         forget(failures);
-    failures->failed = now;
-    if (!known(failures, machine) && failures->places < LMN_MAX_FAILURE_MACHINES)
-        failures->on[failures->places++] = machine;
+    failures->last_failed_at = now;
+    if (!known(failures, machine) && failures->machine_count < LMN_MAX_FAILURE_MACHINES)
+        failures->machines[failures->machine_count++] = machine;
 }
 
 bool lmn_job_is_faulty(const struct lmn_job_failures *failures)
 {
-    return failures->places >= (failures->proven ? TOO_MANY_PROVEN : TOO_MANY);
+    return failures->machine_count >=
+           (failures->has_succeeded ? TOO_MANY_PROVEN : TOO_MANY);
 }
 
 static double pause_s(const struct lmn_job_failures *failures)
@@ -56,13 +58,14 @@
     note(failures, machine, now);
     /* The tasks of a large job fail by the dozen: once each of them doubled the pause,
      * and a job whose first machine was faulty waited for a minute. */
-    if (!failures->round.tv_sec || lmn_time_before(failures->round, started)) {
+    if (!failures->round_started_at.tv_sec ||
+        lmn_time_before(failures->round_started_at, started)) {
         failures->rounds++;
-        failures->round = now;
+        failures->round_started_at = now;
     }
     struct timespec hold = lmn_time_add(now, pause_s(failures));
-    if (lmn_time_before(failures->hold, hold))
-        failures->hold = hold;
+    if (lmn_time_before(failures->backoff_until, hold))
+        failures->backoff_until = hold;
 }
 
 void lmn_job_record_inherited_failure(struct lmn_job_failures *failures, guint machine,
@@ -71,32 +74,32 @@
     note(failures, machine, now);
     if (lmn_job_is_faulty(failures) && !failures->rounds) {
         failures->rounds = 1;
-        failures->round = now;
-        failures->hold = lmn_time_add(now, pause_s(failures));
+        failures->round_started_at = now;
+        failures->backoff_until = lmn_time_add(now, pause_s(failures));
     }
 }
 
 void lmn_job_record_success(struct lmn_job_failures *failures)
 {
-    failures->proven = true;
+    failures->has_succeeded = true;
     forget(failures);
 }
 
 void lmn_job_record_retry(struct lmn_job_failures *failures, struct timespec now)
 {
-    failures->hold = lmn_time_add(now, pause_s(failures));
+    failures->backoff_until = lmn_time_add(now, pause_s(failures));
 }
 
 double lmn_failure_weight(const struct lmn_job_failures *failures, guint machine,
                           unsigned times, struct timespec last, struct timespec now)
 {
-    unsigned others = failures->places - known(failures, machine);
+    unsigned others = failures->machine_count - known(failures, machine);
     double fades = exp2(-lmn_time_diff_s(now, last) / HALF_S);
 
     /* Whoever fails elsewhere, too, accuses itself. */
     if (!times || others >= 2 || lmn_job_is_faulty(failures))
         return 0;
-    double weight = failures->proven ? times >= 3 ? GUILTY : 1 : UNPROVEN;
+    double weight = failures->has_succeeded ? times >= 3 ? GUILTY : 1 : UNPROVEN;
     return fades * weight / (1 + others);
 }
 
--- a/src/state/failures.h
+++ b/src/state/failures.h
@@ -14,13 +14,13 @@
 
 /* Of a job, in one controller's books. */
 struct lmn_job_failures {
-    guint on[LMN_MAX_FAILURE_MACHINES]; /* machines on which it has failed since it last
-                                   succeeded, as hashes of their names */
-    unsigned places;                    /* how many of them */
-    unsigned rounds; /* of failures in a row: many that started together are one */
-    bool proven;     /* some task of it has succeeded */
-    struct timespec round, failed;
-    struct timespec hold; /* it starts nothing before */
+    guint machines[LMN_MAX_FAILURE_MACHINES]; /* machines on which it has failed since it
+                                   last succeeded, as hashes of their names */
+    unsigned machine_count;                   /* how many of them */
+    unsigned rounds;    /* of failures in a row: many that started together are one */
+    bool has_succeeded; /* some task of it has succeeded */
+    struct timespec round_started_at, last_failed_at;
+    struct timespec backoff_until; /* it starts nothing before */
 };
 
 /* A task of the job, started at that time, has failed on that machine. */
--- a/src/state/records.c
+++ b/src/state/records.c
@@ -38,8 +38,8 @@
 {
     GByteArray *buffer = g_byte_array_new();
     lmn_cbor_put_map(buffer, 2);
-    lmn_cbor_put_text(buffer, "hi"), lmn_cbor_put_uint(buffer, range->hi);
+    lmn_cbor_put_text(buffer, "hi"), lmn_cbor_put_uint(buffer, range->end);
     lmn_cbor_put_text(buffer, "done"),
-        lmn_bitset_write(buffer, done, range->hi - range->lo);
+        lmn_bitset_write(buffer, done, range->end - range->first);
     return buffer;
 }
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -20,18 +20,19 @@
 {
     GHashTable *set = g_hash_table_new(g_direct_hash, g_direct_equal);
 
-    for (int i = 0; i < core->nparts; i++) {
+    for (int i = 0; i < core->partition_count; i++) {
         GHashTableIter it;
         gpointer v;
-        g_hash_table_iter_init(&it, core->parts[i].machines);
+        g_hash_table_iter_init(&it, core->partitions[i].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_machine *machine = v;
             for (guint k = 0; k < machine->attempts->len; k++)
                 g_hash_table_add(
                     set, g_array_index(machine->attempts, struct lmn_attempt, k).job);
-            for (guint k = 0; k < machine->accusers->len; k++)
+            for (guint k = 0; k < machine->failing_jobs->len; k++)
                 g_hash_table_add(
-                    set, g_array_index(machine->accusers, struct lmn_failing_job, k).job);
+                    set,
+                    g_array_index(machine->failing_jobs, struct lmn_failing_job, k).job);
         }
     }
     return set;
@@ -39,7 +40,7 @@
 
 static void free_job(struct lmn_core *core, struct lmn_job *job)
 {
-    g_hash_table_remove(core->jobs, job->spec.ref);
+    g_hash_table_remove(core->jobs, job->spec.id);
     lmn_job_free(job);
 }
 
@@ -48,11 +49,11 @@
     const struct lmn_job *oldest = g_queue_peek_head(&core->final_jobs);
     guint gone = 0;
 
-    if (core->final_jobs.length < core->retained_most + TOGETHER || !oldest ||
+    if (core->final_jobs.length < core->max_retained_jobs + TOGETHER || !oldest ||
         lmn_time_diff_s(now, oldest->final_at) < OLD_S)
         return 0;
     GHashTable *set = referred(core);
-    guint most = core->final_jobs.length - core->retained_most;
+    guint most = core->final_jobs.length - core->max_retained_jobs;
     for (guint i = 0; i < most; i++) {
         struct lmn_job *job = g_queue_peek_head(&core->final_jobs);
         if (lmn_time_diff_s(now, job->final_at) < OLD_S)
--- a/src/state/task_ledger.c
+++ b/src/state/task_ledger.c
@@ -5,61 +5,61 @@
 
 void lmn_queue_init(struct lmn_queue *queue)
 {
-    queue->segs = g_ptr_array_new();
-    queue->tasks = 0;
+    queue->segments = g_ptr_array_new();
+    queue->task_count = 0;
 }
 
 void lmn_queue_clear(struct lmn_queue *queue)
 {
-    for (guint i = 0; i < queue->segs->len; i++)
-        g_free(queue->segs->pdata[i]);
-    g_ptr_array_set_size(queue->segs, 0);
-    queue->tasks = 0;
+    for (guint i = 0; i < queue->segments->len; i++)
+        g_free(queue->segments->pdata[i]);
+    g_ptr_array_set_size(queue->segments, 0);
+    queue->task_count = 0;
 }
 
 void lmn_queue_add(struct lmn_queue *queue, struct lmn_range *range, uint32_t lo,
                    uint32_t hi)
 {
-    queue->tasks += hi - lo;
-    for (guint i = 0; i < queue->segs->len; i++) {
-        struct lmn_queue_segment *segment = queue->segs->pdata[i];
-        if (segment->range == range && segment->hi == lo) {
-            segment->hi = hi;
+    queue->task_count += hi - lo;
+    for (guint i = 0; i < queue->segments->len; i++) {
+        struct lmn_queue_segment *segment = queue->segments->pdata[i];
+        if (segment->range == range && segment->end == lo) {
+            segment->end = hi;
             return;
         }
     }
     struct lmn_queue_segment *segment = g_new(struct lmn_queue_segment, 1);
     *segment = (struct lmn_queue_segment){range, range->job, lo, hi};
-    g_ptr_array_add(queue->segs, segment);
+    g_ptr_array_add(queue->segments, segment);
 }
 
 void lmn_queue_remove_segment(struct lmn_queue *queue, guint at)
 {
-    struct lmn_queue_segment *segment = queue->segs->pdata[at];
-    queue->tasks -= segment->hi - segment->lo;
+    struct lmn_queue_segment *segment = queue->segments->pdata[at];
+    queue->task_count -= segment->end - segment->first;
     g_free(segment);
-    g_ptr_array_remove_index(queue->segs, at);
+    g_ptr_array_remove_index(queue->segments, at);
 }
 
 void lmn_queue_remove_range(struct lmn_queue *queue, const struct lmn_range *range)
 {
-    for (guint i = queue->segs->len; i-- > 0;)
-        if (((struct lmn_queue_segment *)queue->segs->pdata[i])->range == range)
+    for (guint i = queue->segments->len; i-- > 0;)
+        if (((struct lmn_queue_segment *)queue->segments->pdata[i])->range == range)
             lmn_queue_remove_segment(queue, i);
 }
 
 void lmn_queue_remove_task(struct lmn_queue *queue, const struct lmn_range *r,
                            uint32_t index)
 {
-    for (guint i = 0; i < queue->segs->len; i++) {
-        struct lmn_queue_segment *segment = queue->segs->pdata[i];
-        if (segment->range != r || index < segment->lo || index >= segment->hi)
+    for (guint i = 0; i < queue->segments->len; i++) {
+        struct lmn_queue_segment *segment = queue->segments->pdata[i];
+        if (segment->range != r || index < segment->first || index >= segment->end)
             continue;
-        uint32_t hi = segment->hi;
+        uint32_t hi = segment->end;
         struct lmn_range *range = segment->range;
-        queue->tasks -= hi - index;
-        segment->hi = index;
-        if (segment->lo == segment->hi)
+        queue->task_count -= hi - index;
+        segment->end = index;
+        if (segment->first == segment->end)
             lmn_queue_remove_segment(queue, i);
         if (index + 1 < hi)
             lmn_queue_add(queue, range, index + 1, hi);
@@ -70,22 +70,22 @@
 void lmn_queue_remove_tail(struct lmn_queue *queue, const struct lmn_range *range,
                            uint32_t lo)
 {
-    for (guint i = queue->segs->len; i-- > 0;) {
-        struct lmn_queue_segment *segment = queue->segs->pdata[i];
-        if (segment->range != range || segment->hi <= lo)
+    for (guint i = queue->segments->len; i-- > 0;) {
+        struct lmn_queue_segment *segment = queue->segments->pdata[i];
+        if (segment->range != range || segment->end <= lo)
             continue;
-        if (segment->lo >= lo) {
+        if (segment->first >= lo) {
             lmn_queue_remove_segment(queue, i);
         } else {
-            queue->tasks -= segment->hi - lo;
-            segment->hi = lo;
+            queue->task_count -= segment->end - lo;
+            segment->end = lo;
         }
     }
 }
 
 size_t lmn_machine_record_size(const struct lmn_machine *machine)
 {
-    return strlen(machine->name) + strlen(machine->addr) + strlen(machine->type_name) +
+    return strlen(machine->name) + strlen(machine->address) + strlen(machine->type_name) +
            strlen(machine->zone) + 24;
 }
 
@@ -105,7 +105,7 @@
 {
     struct lmn_zone_tasks *zone_tasks;
 
-    if (!job->spec.one_zone && !job->spec.spread)
+    if (!job->spec.requires_one_zone && !job->spec.spreads_over_zones)
         return;
     if (!job->zones)
         job->zones = g_array_new(FALSE, FALSE, sizeof(struct lmn_zone_tasks));
@@ -122,51 +122,51 @@
 
 void lmn_machine_wake(struct lmn_machine *machine)
 {
-    if (!machine->poke)
-        g_ptr_array_add(machine->part->poked, machine);
-    machine->poke = true;
+    if (!machine->is_woken)
+        g_ptr_array_add(machine->partition->woken_machines, machine);
+    machine->is_woken = true;
 }
 
 void lmn_machine_cancel_wake(struct lmn_machine *machine)
 {
-    if (machine->poke)
-        g_ptr_array_remove_fast(machine->part->poked, machine);
-    machine->poke = false;
+    if (machine->is_woken)
+        g_ptr_array_remove_fast(machine->partition->woken_machines, machine);
+    machine->is_woken = false;
 }
 
 void lmn_machine_mark_unreplicated(struct lmn_machine *machine)
 {
-    struct lmn_partition *partition = machine->part;
+    struct lmn_partition *partition = machine->partition;
 
-    if (!machine->untold && partition->stream.phase != LMN_STREAM_NONE)
-        g_ptr_array_add(partition->untold, machine);
-    machine->untold = partition->stream.phase != LMN_STREAM_NONE;
+    if (!machine->is_unreplicated && partition->stream.phase != LMN_STREAM_NONE)
+        g_ptr_array_add(partition->unreplicated_machines, machine);
+    machine->is_unreplicated = partition->stream.phase != LMN_STREAM_NONE;
 }
 
 uint64_t lmn_machine_log_start(struct lmn_machine *machine, struct timespec now)
 {
-    struct lmn_replication_stream *stream = &machine->part->stream;
+    struct lmn_replication_stream *stream = &machine->partition->stream;
 
     lmn_machine_mark_unreplicated(machine);
     if (stream->phase < LMN_STREAM_CATCHING_UP) {
         /* Nobody waits for it; but it has to be told before a record may be written. */
-        stream->mark++;
+        stream->log_position++;
         return 0;
     }
-    if (stream->acked == stream->mark)
-        stream->waits = now;
-    pthread_cond_signal(&machine->part->following);
-    return ++stream->mark;
+    if (stream->acknowledged_position == stream->log_position)
+        stream->waiting_since = now;
+    pthread_cond_signal(&machine->partition->replication_due);
+    return ++stream->log_position;
 }
 
 void lmn_machine_set_address(struct lmn_machine *machine, const char *addr)
 {
-    if (!strcmp(machine->addr, addr))
+    if (!strcmp(machine->address, addr))
         return;
-    if (*machine->addr)
-        lmn_worker_hosts_remove(machine->part->hosts, machine->addr);
-    g_strlcpy(machine->addr, addr, sizeof machine->addr);
-    lmn_worker_hosts_add(machine->part->hosts, machine->addr);
+    if (*machine->address)
+        lmn_worker_hosts_remove(machine->partition->worker_hosts, machine->address);
+    g_strlcpy(machine->address, addr, sizeof machine->address);
+    lmn_worker_hosts_add(machine->partition->worker_hosts, machine->address);
 }
 
 struct lmn_machine *lmn_machine_new(struct lmn_partition *partition, const char *name)
@@ -174,38 +174,39 @@
     struct lmn_machine *machine = g_new0(struct lmn_machine, 1);
 
     g_strlcpy(machine->name, name, sizeof machine->name);
-    machine->part = partition;
+    machine->partition = partition;
     machine->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt));
-    machine->accusers = g_array_new(FALSE, FALSE, sizeof(struct lmn_failing_job));
+    machine->failing_jobs = g_array_new(FALSE, FALSE, sizeof(struct lmn_failing_job));
     machine->images = g_array_new(FALSE, FALSE, sizeof(struct lmn_image));
     lmn_queue_init(&machine->queue);
     g_hash_table_insert(partition->machines, machine->name, machine);
-    machine->at = partition->list->len;
-    g_ptr_array_add(partition->list, machine);
+    machine->list_index = partition->machine_list->len;
+    g_ptr_array_add(partition->machine_list, machine);
     return machine;
 }
 
 void lmn_machine_free(struct lmn_machine *machine)
 {
-    GPtrArray *list = machine->part->list;
+    GPtrArray *list = machine->partition->machine_list;
     struct lmn_machine *last = list->pdata[list->len - 1];
 
     lmn_machine_cancel_wake(machine);
-    if (machine->untold)
-        g_ptr_array_remove_fast(machine->part->untold, machine);
-    if (machine->part->stream.phase != LMN_STREAM_NONE)
-        g_ptr_array_add(machine->part->forgotten, g_strdup(machine->name));
-    if (*machine->addr)
-        lmn_worker_hosts_remove(machine->part->hosts, machine->addr);
+    if (machine->is_unreplicated)
+        g_ptr_array_remove_fast(machine->partition->unreplicated_machines, machine);
+    if (machine->partition->stream.phase != LMN_STREAM_NONE)
+        g_ptr_array_add(machine->partition->unreplicated_removals,
+                        g_strdup(machine->name));
+    if (*machine->address)
+        lmn_worker_hosts_remove(machine->partition->worker_hosts, machine->address);
     lmn_machine_leave_block(machine);
     /* The last takes its place. */
-    list->pdata[machine->at] = last;
-    last->at = machine->at;
+    list->pdata[machine->list_index] = last;
+    last->list_index = machine->list_index;
     g_ptr_array_set_size(list, (gint)list->len - 1);
     lmn_queue_clear(&machine->queue);
-    g_ptr_array_free(machine->queue.segs, TRUE);
+    g_ptr_array_free(machine->queue.segments, TRUE);
     g_array_free(machine->attempts, TRUE);
-    g_array_free(machine->accusers, TRUE);
+    g_array_free(machine->failing_jobs, TRUE);
     g_array_free(machine->images, TRUE);
     g_free(machine);
 }
@@ -214,16 +215,16 @@
 {
     const struct lmn_job *job = attempt->job;
 
-    if (attempt->counted || !job)
+    if (attempt->holds_capacity || !job)
         return;
-    attempt->counted = true;
+    attempt->holds_capacity = true;
     machine->used_cpus += job->spec.cpus;
     machine->used_gpus += job->spec.gpus;
-    machine->used_mem += job->spec.mem;
+    machine->used_memory_gb += job->spec.memory_gb;
     lmn_job_add_zone_tasks(attempt->job, machine->zone, 1);
     if (job->team >= 0) {
-        machine->part->used_cpus[job->team] += job->spec.cpus;
-        machine->part->used_gpus[job->team] += job->spec.gpus;
+        machine->partition->used_cpus[job->team] += job->spec.cpus;
+        machine->partition->used_gpus[job->team] += job->spec.gpus;
     }
 }
 
@@ -231,16 +232,16 @@
 {
     const struct lmn_job *job = attempt->job;
 
-    if (!attempt->counted)
+    if (!attempt->holds_capacity)
         return;
-    attempt->counted = false;
+    attempt->holds_capacity = false;
     machine->used_cpus -= job->spec.cpus;
     machine->used_gpus -= job->spec.gpus;
-    machine->used_mem -= job->spec.mem;
+    machine->used_memory_gb -= job->spec.memory_gb;
     lmn_job_add_zone_tasks(attempt->job, machine->zone, -1);
     if (job->team >= 0) {
-        machine->part->used_cpus[job->team] -= job->spec.cpus;
-        machine->part->used_gpus[job->team] -= job->spec.gpus;
+        machine->partition->used_cpus[job->team] -= job->spec.cpus;
+        machine->partition->used_gpus[job->team] -= job->spec.gpus;
     }
 }
 
@@ -249,7 +250,7 @@
 {
     for (guint i = 0; job && i < job->ranges->len; i++) {
         struct lmn_range *range = job->ranges->pdata[i];
-        if (range->part == partition && index >= range->lo && index < range->hi)
+        if (range->partition == partition && index >= range->first && index < range->end)
             return range;
     }
     return NULL;
@@ -259,7 +260,7 @@
 {
     g_free(range->key);
     g_free(range->done);
-    g_free(range->st);
+    g_free(range->task_states);
     g_free(range);
 }
 
@@ -274,21 +275,21 @@
 
 bool lmn_range_may_start(const struct lmn_range *range)
 {
-    const struct lmn_partition *partition = range->part;
+    const struct lmn_partition *partition = range->partition;
 
-    if (partition->open)
+    if (partition->inherited_may_start)
         return true;
     /* A predecessor sees the changes in their order: before such a range it saw that it
      * had lost the partition. That goes for tasks that look at each other's places too,
      * since such a job lies whole in one partition, and is born as a whole. */
-    return range->born > partition->my_rev;
+    return range->created_revision > partition->owned_revision;
 }
 
 bool lmn_machine_is_silent(const struct lmn_core *core, const struct lmn_machine *machine,
                            struct timespec now)
 {
-    return machine->accounted && !machine->lapsed && !machine->retiring &&
-           !machine->is_gone &&
-           lmn_time_diff_s(now, machine->last) >
-               MIN(0.6 * core->cfg->lease_s, 1.25 * core->cfg->report_s + 2);
+    return machine->is_accounted && !machine->lease_expired && !machine->is_draining &&
+           !machine->is_terminated &&
+           lmn_time_diff_s(now, machine->last_heartbeat_at) >
+               MIN(0.6 * core->settings->lease_s, 1.25 * core->settings->heartbeat_s + 2);
 }
--- a/src/state/tombstone.c
+++ b/src/state/tombstone.c
@@ -4,20 +4,21 @@
 
 void lmn_tombstone_add(struct lmn_tombstones *tombstones, const char *ref)
 {
-    g_strlcpy(tombstones->ref[tombstones->n++ % LMN_MAX_TOMBSTONES], ref,
+    g_strlcpy(tombstones->job_ids[tombstones->count++ % LMN_MAX_TOMBSTONES], ref,
               LMN_JOB_ID_SIZE);
 }
 
 unsigned lmn_tombstones_pending(const struct lmn_tombstones *tombstones, int member_index,
                                 const char **refs, unsigned most, uint64_t *upto)
 {
-    uint64_t oldest =
-        tombstones->n > LMN_MAX_TOMBSTONES ? tombstones->n - LMN_MAX_TOMBSTONES : 0;
-    uint64_t from = MAX(tombstones->taken[member_index], oldest);
-    unsigned n = (unsigned)MIN(tombstones->n - from, most);
+    uint64_t oldest = tombstones->count > LMN_MAX_TOMBSTONES
+                          ? tombstones->count - LMN_MAX_TOMBSTONES
+                          : 0;
+    uint64_t from = MAX(tombstones->acknowledged[member_index], oldest);
+    unsigned n = (unsigned)MIN(tombstones->count - from, most);
 
     for (unsigned i = 0; i < n; i++)
-        refs[i] = tombstones->ref[(from + i) % LMN_MAX_TOMBSTONES];
+        refs[i] = tombstones->job_ids[(from + i) % LMN_MAX_TOMBSTONES];
     *upto = from + n;
     return n;
 }
@@ -25,5 +26,6 @@
 void lmn_tombstones_acknowledge(struct lmn_tombstones *tombstones, int member_index,
                                 uint64_t upto)
 {
-    tombstones->taken[member_index] = MAX(tombstones->taken[member_index], upto);
+    tombstones->acknowledged[member_index] =
+        MAX(tombstones->acknowledged[member_index], upto);
 }
--- a/src/state/tombstone.h
+++ b/src/state/tombstone.h
@@ -21,10 +21,10 @@
 enum { LMN_MAX_TOMBSTONES = 256 };
 
 struct lmn_tombstones {
-    char ref[LMN_MAX_TOMBSTONES]
-            [LMN_JOB_ID_SIZE]; /* the n-th stands at n modulo their number */
-    uint64_t n;
-    uint64_t taken[LMN_MAX_PARTITIONS]; /* by rank: all before this one */
+    char job_ids[LMN_MAX_TOMBSTONES]
+                [LMN_JOB_ID_SIZE]; /* the n-th stands at n modulo their number */
+    uint64_t count;
+    uint64_t acknowledged[LMN_MAX_PARTITIONS]; /* by rank: all before this one */
 };
 
 void lmn_tombstone_add(struct lmn_tombstones *tombstones, const char *ref);
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -31,8 +31,8 @@
 {
     if (job->team < 0)
         return;
-    core->asked_cpus[job->team] += by * job->spec.cpus * job->spec.tasks;
-    core->asked_gpus[job->team] += by * job->spec.gpus * job->spec.tasks;
+    core->demanded_cpus[job->team] += by * job->spec.cpus * job->spec.tasks;
+    core->demanded_gpus[job->team] += by * job->spec.gpus * job->spec.tasks;
 }
 
 /* Whether the job, which has just come, fits into its team's guarantee with all before
@@ -41,22 +41,22 @@
 {
     if (job->team < 0)
         return false;
-    const struct lmn_team *team = &core->cfg->teams[job->team];
+    const struct lmn_team *team = &core->settings->teams[job->team];
     return team->cpus + team->gpus > 0 &&
-           (job->spec.cpus <= 0 || core->asked_cpus[job->team] <= team->cpus + 1e-6) &&
-           (job->spec.gpus <= 0 || core->asked_gpus[job->team] <= team->gpus + 1e-6);
+           (job->spec.cpus <= 0 || core->demanded_cpus[job->team] <= team->cpus + 1e-6) &&
+           (job->spec.gpus <= 0 || core->demanded_gpus[job->team] <= team->gpus + 1e-6);
 }
 
 /* While everything is read: final jobs beyond those that are kept are passed over, unless
  * there are ranges of theirs. */
 static bool passed_over(struct lmn_core *core, const char *ref, enum lmn_job_phase phase)
 {
-    if (!core->reading || phase == LMN_JOB_ACTIVE ||
-        core->final_jobs.length < core->retained_most)
+    if (!core->is_listing || phase == LMN_JOB_ACTIVE ||
+        core->final_jobs.length < core->max_retained_jobs)
         return false;
-    if (core->needed)
-        return !g_hash_table_contains(core->needed, ref);
-    core->crowded =
+    if (core->needed_job_ids)
+        return !g_hash_table_contains(core->needed_job_ids, ref);
+    core->too_many_final_jobs =
         true; /* read_all begins again, and finds out first which are needed */
     return true;
 }
@@ -74,8 +74,8 @@
     if (!value)
         return; /* jobs are kept for ever */
     struct lmn_job *job = g_hash_table_lookup(core->jobs, ref);
-    if (job && job->rev >= revision) {
-        job->gen = core->gen;
+    if (job && job->revision >= revision) {
+        job->generation = core->generation;
         return;
     }
     if (lmn_job_read(document, value, &spec, &phase, &open, &at) != 0) {
@@ -90,12 +90,12 @@
     if (!job) {
         job = g_new0(struct lmn_job, 1);
         job->spec = spec;
-        job->at = at;
+        job->accepted_at_s = at;
         job->ranges = g_ptr_array_new();
         job->image = g_intern_string(job->spec.image);
-        job->cls = g_intern_string(job->spec.class_name);
-        job->team = team_index(core->cfg, job->spec.team);
-        g_hash_table_insert(core->jobs, job->spec.ref, job);
+        job->class_name = g_intern_string(job->spec.class_name);
+        job->team = team_index(core->settings, job->spec.team);
+        g_hash_table_insert(core->jobs, job->spec.id, job);
         lmn_debug("job-known job=%s class=%s tasks=%u cpus=%.1f estimate=%.1f "
                   "deadline=%.1f image=%s",
                   ref, job->spec.class_name, job->spec.tasks, job->spec.cpus,
@@ -103,27 +103,27 @@
     } else {
         lmn_job_spec_clear(&spec); /* a job's description never changes */
     }
-    if (!job->rev && phase == LMN_JOB_ACTIVE) {
+    if (!job->revision && phase == LMN_JOB_ACTIVE) {
         ask_for(core, job, 1);
-        job->guaranteed = in_guarantee(core, job);
-    } else if (job->phase == LMN_JOB_ACTIVE && phase != LMN_JOB_ACTIVE && job->rev) {
+        job->is_within_guarantee = in_guarantee(core, job);
+    } else if (job->phase == LMN_JOB_ACTIVE && phase != LMN_JOB_ACTIVE && job->revision) {
         ask_for(core, job, -1);
     }
     if (phase != job->phase)
         lmn_debug("job-final job=%s phase=%d after=%.1f", ref, phase,
-                  lmn_time_seconds(lmn_wall_clock_now()) - job->at);
-    if (phase != LMN_JOB_ACTIVE && (job->phase == LMN_JOB_ACTIVE || !job->rev))
+                  lmn_time_seconds(lmn_wall_clock_now()) - job->accepted_at_s);
+    if (phase != LMN_JOB_ACTIVE && (job->phase == LMN_JOB_ACTIVE || !job->revision))
         lmn_retention_add(core, job, now);
     job->phase = phase;
-    job->open = open;
-    job->rev = revision;
-    job->gen = core->gen;
+    job->open_ranges = open;
+    job->revision = revision;
+    job->generation = core->generation;
 }
 
 static void remove_range(struct lmn_core *core, struct lmn_range *range)
 {
-    core->owner->range_forget(core, range);
-    g_hash_table_remove(range->part->ranges, range->key);
+    core->owner_ops->range_forget(core, range);
+    g_hash_table_remove(range->partition->ranges, range->key);
 }
 
 static void apply_range(struct lmn_core *core, const char *key,
@@ -138,12 +138,12 @@
     uint64_t hi;
 
     if (!value) {
-        if (range && range->rev < revision)
+        if (range && range->revision < revision)
             remove_range(core, range);
         return;
     }
-    if (range && range->rev >= revision) {
-        range->gen = core->gen;
+    if (range && range->revision >= revision) {
+        range->generation = core->generation;
         return;
     }
     if (!slash || (size_t)(slash - rest) >= sizeof ref ||
@@ -152,8 +152,8 @@
     g_strlcpy(ref, rest, (gsize)(slash - rest) + 1);
     uint32_t lo = (uint32_t)strtoul(slash + 1, NULL, 10);
     struct lmn_job *job = g_hash_table_lookup(core->jobs, ref);
-    if (!job && core->needed)
-        core->reread = true; /* it became final between the two readings */
+    if (!job && core->needed_job_ids)
+        core->must_relist = true; /* it became final between the two readings */
     if (!job || hi <= lo || hi > job->spec.tasks) {
         lmn_error("unreadable-record key=%s", key);
         return;
@@ -163,31 +163,33 @@
         range = g_new0(struct lmn_range, 1);
         range->key = g_strdup(key);
         range->job = job;
-        range->part = partition;
-        range->lo = lo;
-        range->hi = (uint32_t)hi;
-        range->done = g_malloc0((range->hi - range->lo + 7) / 8);
+        range->partition = partition;
+        range->first = lo;
+        range->end = (uint32_t)hi;
+        range->done = g_malloc0((range->end - range->first + 7) / 8);
         range->move_to = -1;
-        range->born = revision;
+        range->created_revision = revision;
         g_hash_table_insert(partition->ranges, range->key, range);
         g_ptr_array_add(job->ranges, range);
     }
-    if (hi < range->hi)
-        core->owner->range_cut(core, range, (uint32_t)hi);
+    if (hi < range->end)
+        core->owner_ops->range_cut(core, range, (uint32_t)hi);
     if (lmn_bitset_read(lmn_cbor_get(document, value, "done"), range->done,
-                        range->hi - range->lo) != 0)
+                        range->end - range->first) != 0)
         lmn_error("unreadable-record key=%s", key);
-    range->ndone = lmn_bitset_count(range->done, range->hi - range->lo);
-    range->rev = revision;
-    range->gen = core->gen;
-    if (range->writing && range->written && revision >= range->written)
-        range->writing = false;
+    range->done_count = lmn_bitset_count(range->done, range->end - range->first);
+    range->revision = revision;
+    range->generation = core->generation;
+    if (range->is_writing && range->written_revision &&
+        revision >= range->written_revision)
+        range->is_writing = false;
     /* The range has changed by another write than the move: that one can't be applied any
      * more. */
-    if (range->move_to >= 0 && range->st && revision > range->move_rev && range->move_rev)
-        core->owner->move_undo(core, range, now);
-    if (fresh && partition->mine)
-        core->owner->range_born(core, range, now);
+    if (range->move_to >= 0 && range->task_states && revision > range->move_revision &&
+        range->move_revision)
+        core->owner_ops->move_undo(core, range, now);
+    if (fresh && partition->is_owned)
+        core->owner_ops->range_born(core, range, now);
 }
 
 /* Who loses a partition has failed, unless it held the partition for another, who has it
@@ -199,8 +201,10 @@
         *partition->owner ? lmn_member_index(&core->members, partition->owner) : -1;
 
     /* Nor has one that gives its partitions away since it is asked to end. */
-    if (from < 0 || !strcmp(partition->owner, to) || core->members.v[from].leaving ||
-        (*to && lmn_member_index(&core->members, to) == partition->id % core->members.n))
+    if (from < 0 || !strcmp(partition->owner, to) ||
+        core->members.views[from].is_shutting_down ||
+        (*to &&
+         lmn_member_index(&core->members, to) == partition->id % core->members.count))
         return;
     lmn_member_record_failure(&core->members, from, now);
 }
@@ -213,8 +217,8 @@
     char owner[LMN_NAME_SIZE] = "";
     uint64_t lease = 0, epoch = 0, stream = 0;
 
-    partition->owner_gen = core->gen;
-    if (partition->owner_rev >= revision)
+    partition->owner_generation = core->generation;
+    if (partition->owner_revision >= revision)
         return;
     if (value) {
         lmn_cbor_get_text(lmn_cbor_get(document, value, "node"), owner, sizeof owner);
@@ -222,30 +226,31 @@
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "term"), &epoch);
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "stream"), &stream);
     }
-    if (partition->mine)
-        core->owner->partition_lose(core, partition, value ? "taken" : "owner key gone");
+    if (partition->is_owned)
+        core->owner_ops->partition_lose(core, partition,
+                                        value ? "taken" : "owner key gone");
     note_loss(core, partition, owner, now);
-    if (!value && partition->owner_rev)
+    if (!value && partition->owner_revision)
         g_strlcpy(partition->last_owner, partition->owner, sizeof partition->last_owner);
     g_strlcpy(partition->owner, owner, sizeof partition->owner);
     partition->owner_lease = lease;
-    partition->owner_term = epoch;
+    partition->owner_epoch = epoch;
     partition->owner_stream = stream;
-    partition->owner_rev = value ? revision : 0;
+    partition->owner_revision = value ? revision : 0;
     if (!value)
-        partition->vacant = now;
-    pthread_cond_broadcast(&core->changed);
+        partition->vacant_since = now;
+    pthread_cond_broadcast(&core->ownership_changed);
 }
 
 static void apply_standby(struct lmn_core *core, struct lmn_partition *partition,
                           const struct lmn_cbor_document *document,
                           const struct lmn_cbor_value *value, uint64_t revision)
 {
-    if (partition->standby_rev >= revision)
+    if (partition->standby_revision >= revision)
         return;
     partition->standby[0] = '\0';
-    partition->standby_lease = partition->standby_stream = partition->standby_term = 0;
-    partition->standby_rev = revision;
+    partition->standby_lease = partition->standby_stream = partition->standby_epoch = 0;
+    partition->standby_revision = revision;
     if (value) {
         lmn_cbor_get_text(lmn_cbor_get(document, value, "node"), partition->standby,
                           sizeof partition->standby);
@@ -254,10 +259,10 @@
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "stream"),
                           &partition->standby_stream);
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "term"),
-                          &partition->standby_term);
+                          &partition->standby_epoch);
     }
-    pthread_cond_signal(&partition->following);
-    pthread_cond_broadcast(&core->changed);
+    pthread_cond_signal(&partition->replication_due);
+    pthread_cond_broadcast(&core->ownership_changed);
 }
 
 static void apply_node(struct lmn_core *core, const char *name,
@@ -271,11 +276,11 @@
 
     if (member_index < 0)
         return;
-    struct lmn_member_view *member = &core->members.v[member_index];
-    member->gen = core->gen;
-    if (member->rev >= revision)
+    struct lmn_member_view *member = &core->members.views[member_index];
+    member->generation = core->generation;
+    if (member->revision >= revision)
         return;
-    member->rev = revision;
+    member->revision = revision;
     /* Its lease; or, with that, that it is about to end. */
     if (value && value->type == LMN_CBOR_MAP) {
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "lease"), &lease);
@@ -283,25 +288,25 @@
     } else if (value) {
         lmn_cbor_get_uint(value, &lease);
     }
-    if (leaving && !member->leaving)
+    if (leaving && !member->is_shutting_down)
         lmn_info("member-leaving member=%s incarnation=%" G_GUINT64_FORMAT, name,
                  revision);
-    member->leaving = leaving;
+    member->is_shutting_down = leaving;
     if (value && lmn_member_is_suspected(&core->members, member_index))
         lmn_info("member-refute member=%s incarnation=%" G_GUINT64_FORMAT
                  " was=%" G_GUINT64_FORMAT,
-                 name, revision, member->inc);
-    else if (value && !member->present && member->strikes)
+                 name, revision, member->incarnation);
+    else if (value && !member->is_present && member->failures_declared)
         lmn_info("member-back member=%s incarnation=%" G_GUINT64_FORMAT " failures=%u",
-                 name, revision, member->strikes);
-    else if (value && !member->present)
+                 name, revision, member->failures_declared);
+    else if (value && !member->is_present)
         lmn_info("member-up member=%s incarnation=%" G_GUINT64_FORMAT, name, revision);
-    else if (!value && member->present)
+    else if (!value && member->is_present)
         lmn_info("member-gone member=%s incarnation=%" G_GUINT64_FORMAT, name,
-                 member->inc);
+                 member->incarnation);
     lmn_member_apply_record(&core->members, member_index, value ? revision : 0, lease,
                             now);
-    pthread_cond_broadcast(&core->changed);
+    pthread_cond_broadcast(&core->ownership_changed);
 }
 
 static void apply_doubt(struct lmn_core *core, const char *name,
@@ -315,11 +320,11 @@
 
     if (member_index < 0)
         return;
-    struct lmn_member_view *member = &core->members.v[member_index];
-    member->doubt_gen = core->gen;
-    if (member->doubt_seen >= revision)
+    struct lmn_member_view *member = &core->members.views[member_index];
+    member->suspicion_generation = core->generation;
+    if (member->suspicion_seen_revision >= revision)
         return;
-    member->doubt_seen = revision;
+    member->suspicion_seen_revision = revision;
     if (value) {
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "incarnation"), &inc);
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "why"), &why);
@@ -331,9 +336,9 @@
     if (lmn_member_is_suspected(&core->members, member_index))
         lmn_info("member-suspected member=%s incarnation=%" G_GUINT64_FORMAT
                  " by=%s why=%s",
-                 name, inc, by, lmn_suspicion_cause_name(member->doubt_why));
-    pthread_cond_broadcast(&core->changed);
-    pthread_cond_broadcast(&core->asking);
+                 name, inc, by, lmn_suspicion_cause_name(member->suspicion_cause));
+    pthread_cond_broadcast(&core->ownership_changed);
+    pthread_cond_broadcast(&core->probe_due);
 }
 
 void lmn_watch_cache_apply(struct lmn_core *core, const char *key,
@@ -344,9 +349,9 @@
     char *rest;
 
     if (key[0] == 's' && key[1] == '\0') {
-        if (revision > core->tuning_rev) {
-            lmn_operator_settings_read(&core->tuning, document, value);
-            core->tuning_rev = revision;
+        if (revision > core->operator_settings_revision) {
+            lmn_operator_settings_read(&core->operator_settings, document, value);
+            core->operator_settings_revision = revision;
         }
         return;
     }
@@ -357,7 +362,7 @@
         return;
     }
     if (key[0] == 'q') {
-        core->owner->quota_apply(core, key, document, value, revision);
+        core->owner_ops->quota_apply(core, key, document, value, revision);
         return;
     }
     if (key[0] == 'n') {
@@ -369,73 +374,76 @@
         return;
     }
     unsigned long id = strtoul(key + 2, &rest, 10);
-    if (rest == key + 2 || id >= (unsigned long)core->nparts)
+    if (rest == key + 2 || id >= (unsigned long)core->partition_count)
         return;
-    struct lmn_partition *partition = &core->parts[id];
+    struct lmn_partition *partition = &core->partitions[id];
     if (key[0] == 'o' && !*rest) {
         apply_owner(core, partition, document, value, revision, now);
     } else if (key[0] == 'b' && !*rest) {
         apply_standby(core, partition, document, value, revision);
     } else if (key[0] == 't' && !*rest) {
-        if (value && revision > partition->term_rev &&
-            lmn_cbor_get_uint(value, &partition->term))
-            partition->term_rev = revision;
+        if (value && revision > partition->epoch_revision &&
+            lmn_cbor_get_uint(value, &partition->epoch))
+            partition->epoch_revision = revision;
     } else if (key[0] == 'r' && *rest == '/') {
         apply_range(core, key, partition, rest + 1, document, value, revision, now);
     } else if (key[0] == 'm' && *rest == '/') {
-        core->owner->block_apply(core, partition, strtoul(rest + 1, NULL, 10), document,
-                                 value, revision, now);
+        core->owner_ops->block_apply(core, partition, strtoul(rest + 1, NULL, 10),
+                                     document, value, revision, now);
     }
 }
 
 void lmn_watch_cache_sweep(struct lmn_core *core, struct timespec now)
 {
-    for (int i = 0; i < core->nparts; i++) {
-        struct lmn_partition *partition = &core->parts[i];
+    for (int i = 0; i < core->partition_count; i++) {
+        struct lmn_partition *partition = &core->partitions[i];
         GHashTableIter it;
         gpointer v;
         GPtrArray *drop = g_ptr_array_new();
 
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            if (((struct lmn_range *)v)->gen != core->gen)
+            if (((struct lmn_range *)v)->generation != core->generation)
                 g_ptr_array_add(drop, v);
         for (guint k = 0; k < drop->len; k++)
             remove_range(core, drop->pdata[k]);
         g_ptr_array_free(drop, TRUE);
-        core->owner->block_sweep(core, partition, now);
-        if (partition->owner_gen != core->gen && partition->owner_rev) {
-            if (partition->mine)
-                core->owner->partition_lose(core, partition, "owner key gone");
+        core->owner_ops->block_sweep(core, partition, now);
+        if (partition->owner_generation != core->generation &&
+            partition->owner_revision) {
+            if (partition->is_owned)
+                core->owner_ops->partition_lose(core, partition, "owner key gone");
             note_loss(core, partition, "", now);
             g_strlcpy(partition->last_owner, partition->owner,
                       sizeof partition->last_owner);
             partition->owner[0] = '\0';
-            partition->owner_lease = partition->owner_rev = partition->owner_stream = 0;
-            partition->vacant = now;
+            partition->owner_lease = partition->owner_revision = partition->owner_stream =
+                0;
+            partition->vacant_since = now;
         }
     }
-    for (int i = 0; i < core->members.n; i++) {
-        struct lmn_member_view *member = &core->members.v[i];
-        if (member->gen != core->gen && member->present)
+    for (int i = 0; i < core->members.count; i++) {
+        struct lmn_member_view *member = &core->members.views[i];
+        if (member->generation != core->generation && member->is_present)
             lmn_member_apply_record(&core->members, i, 0, 0, now);
-        if (member->doubt_gen != core->gen && member->doubt_inc)
+        if (member->suspicion_generation != core->generation &&
+            member->suspected_incarnation)
             lmn_member_apply_suspicion(&core->members, i, 0, 0, "",
                                        LMN_CAUSE_UNRESPONSIVE, now);
     }
-    pthread_cond_broadcast(&core->changed);
+    pthread_cond_broadcast(&core->ownership_changed);
 }
 
 /* Ownership begins with the mirror, never with the answer to our own request: an answer
  * that was lost, or a transaction that was applied late, then makes no difference. */
 void lmn_watch_cache_begin_ownerships(struct lmn_core *core, struct timespec now)
 {
-    for (int i = 0; i < core->nparts; i++) {
-        struct lmn_partition *partition = &core->parts[i];
-        if (!partition->mine && partition->owner_rev && core->lease &&
+    for (int i = 0; i < core->partition_count; i++) {
+        struct lmn_partition *partition = &core->partitions[i];
+        if (!partition->is_owned && partition->owner_revision && core->lease &&
             partition->owner_lease == core->lease &&
-            !strcmp(partition->owner, core->cfg->node))
-            core->owner->partition_own(core, partition, now);
+            !strcmp(partition->owner, core->settings->node_name))
+            core->owner_ops->partition_own(core, partition, now);
     }
 }
 
@@ -447,7 +455,7 @@
 {
     char path[512];
 
-    lmn_kv_client_wait_for_token(core->state);
+    lmn_kv_client_wait_for_token(core->kv_client);
     g_snprintf(path, sizeof path,
                WIRE_PATH_STORE "?" WIRE_QUERY_PREFIX "=%s%s%s&" WIRE_QUERY_LIMIT "=500",
                prefix, *after ? "&" WIRE_QUERY_AFTER "=" : "", after);
@@ -527,7 +535,7 @@
             lmn_watch_cache_apply(core, after, &d, lmn_cbor_get(&d, node, WIRE_VALUE),
                                   version, now);
         }
-        bool crowded = core->crowded;
+        bool crowded = core->too_many_final_jobs;
         pthread_mutex_unlock(&core->lock);
         more = more_pages(&d);
         lmn_cbor_free(&d);
@@ -542,9 +550,9 @@
                     GByteArray *buf, uint64_t *revision)
 {
     pthread_mutex_lock(&core->lock);
-    core->gen++;
-    core->reading = true;
-    core->crowded = core->reread = false;
+    core->generation++;
+    core->is_listing = true;
+    core->too_many_final_jobs = core->must_relist = false;
     pthread_mutex_unlock(&core->lock);
     int rc = read_keys(core, client, buf, revision);
     if (rc == 1) {
@@ -552,18 +560,18 @@
          * first. */
         GHashTable *needed = read_needed(core, client, buf);
         pthread_mutex_lock(&core->lock);
-        core->needed = needed;
-        core->crowded = false;
+        core->needed_job_ids = needed;
+        core->too_many_final_jobs = false;
         pthread_mutex_unlock(&core->lock);
         rc = needed ? read_keys(core, client, buf, revision) : -1;
     }
     pthread_mutex_lock(&core->lock);
-    if (rc == 0 && !core->reread)
+    if (rc == 0 && !core->must_relist)
         lmn_watch_cache_sweep(core, lmn_now());
     else
         rc = -1;
-    g_clear_pointer(&core->needed, g_hash_table_destroy);
-    core->reading = false;
+    g_clear_pointer(&core->needed_job_ids, g_hash_table_destroy);
+    core->is_listing = false;
     pthread_mutex_unlock(&core->lock);
     return rc;
 }
@@ -598,11 +606,11 @@
     /* Whoever is suspected has to be able to refute, and a verdict needs a fresh mirror.
      */
     pthread_mutex_lock(&core->lock);
-    for (int i = 0; i < core->members.n; i++)
+    for (int i = 0; i < core->members.count; i++)
         if (lmn_member_is_suspected(&core->members, i))
             wait_ms = MIN(wait_ms, 200);
     pthread_mutex_unlock(&core->lock);
-    lmn_kv_client_wait_for_token(core->state);
+    lmn_kv_client_wait_for_token(core->kv_client);
     struct timespec sent = lmn_now();
     g_snprintf(path, sizeof path,
                WIRE_PATH_WATCH "?" WIRE_QUERY_PREFIX "=&" WIRE_QUERY_AFTER
@@ -623,12 +631,12 @@
     if (upto > *revision)
         *revision = upto;
     /* The answer may have been on its way for long: it proves only the time of asking. */
-    core->fresh = sent;
+    core->cache_fresh_at = sent;
     lmn_members_record_watch(&core->members, sent);
-    if (!core->synced) {
-        core->synced = true;
+    if (!core->is_synced) {
+        core->is_synced = true;
         core->synced_at = now;
-        pthread_cond_broadcast(&core->changed);
+        pthread_cond_broadcast(&core->ownership_changed);
     }
     lmn_watch_cache_begin_ownerships(core, now);
     lmn_retention_evict(core, now);
@@ -640,7 +648,7 @@
 void *lmn_watch_cache_thread(void *arg)
 {
     struct lmn_core *core = arg;
-    struct lmn_http_client *client = lmn_http_client_new(core->cfg->state);
+    struct lmn_http_client *client = lmn_http_client_new(core->settings->state_address);
     GByteArray *buf = g_byte_array_new();
     uint64_t revision = 0;
     bool whole = false, first = true, trouble = false;
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -14,12 +14,12 @@
 {
     agent->ops = ops;
     agent->arg = arg;
-    agent->session = session;
-    agent->seq = agent->token = agent->ids = 0;
+    agent->incarnation = session;
+    agent->sequence = agent->fencing_token = agent->ids = 0;
     agent->ending = agent->noticed = false;
     agent->changed = true;
     agent->lease_from = now;
-    agent->token_told = (struct timespec){0, 0};
+    agent->fencing_token_reported_at = (struct timespec){0, 0};
     agent->runs = g_ptr_array_new_with_free_func(g_free);
     ops->leased(arg, lmn_time_add(now, agent->lease_s));
 }
@@ -83,10 +83,11 @@
     lmn_cbor_put_text(buffer, WIRE_ZONE), lmn_cbor_put_text(buffer, agent->zone);
     lmn_cbor_put_text(buffer, WIRE_SPOT), lmn_cbor_put_bool(buffer, agent->spot);
     lmn_cbor_put_text(buffer, WIRE_AGENT_INCARNATION),
-        lmn_cbor_put_uint(buffer, agent->session);
-    lmn_cbor_put_text(buffer, WIRE_SEQUENCE), lmn_cbor_put_uint(buffer, ++agent->seq);
+        lmn_cbor_put_uint(buffer, agent->incarnation);
+    lmn_cbor_put_text(buffer, WIRE_SEQUENCE),
+        lmn_cbor_put_uint(buffer, ++agent->sequence);
     lmn_cbor_put_text(buffer, WIRE_FENCING_TOKEN),
-        lmn_cbor_put_uint(buffer, agent->token);
+        lmn_cbor_put_uint(buffer, agent->fencing_token);
     if (agent->noticed)
         lmn_cbor_put_text(buffer, WIRE_SPOT_NOTICE_S),
             lmn_cbor_put_number(buffer, MAX(lmn_time_diff_s(agent->gone_at, now), 0));
@@ -102,12 +103,12 @@
  * the claimants. */
 static void take_token(struct lmn_agent *agent, uint64_t token, struct timespec now)
 {
-    if (token > agent->token &&
-        lmn_time_diff_s(now, agent->token_told) > agent->lease_s / 2) {
+    if (token > agent->fencing_token &&
+        lmn_time_diff_s(now, agent->fencing_token_reported_at) > agent->lease_s / 2) {
         agent->changed = true;
-        agent->token_told = now;
+        agent->fencing_token_reported_at = now;
     }
-    agent->token = token;
+    agent->fencing_token = token;
 }
 
 static void end(struct lmn_agent *agent, struct lmn_task_run *r, enum lmn_exit_reason why)
@@ -137,7 +138,7 @@
         mem += o->mem;
     }
     return cpus <= agent->type.cpus + 1e-6 && gpus <= agent->type.gpus + 1e-6 &&
-           mem <= agent->type.mem + 1e-6;
+           mem <= agent->type.memory_gb + 1e-6;
 }
 
 static void begin(struct lmn_agent *agent, struct lmn_task_run *r, struct timespec now)
@@ -165,7 +166,7 @@
     }
     r->cpus = spec->cpus;
     r->gpus = spec->gpus;
-    r->mem = spec->mem;
+    r->mem = spec->memory_gb;
     r->save_s = spec->save_s;
     r->saves = spec->checkpoint_s > 0;
     r->image = (char *)g_intern_string(spec->image);
@@ -315,11 +316,12 @@
 
     /* What stood still, the clock aside, may find its lease over only here. */
     lmn_agent_tick(agent, now);
-    if (agent->ending || session != agent->session || lmn_cbor_parse(&d, body, len) != 0)
+    if (agent->ending || session != agent->incarnation ||
+        lmn_cbor_parse(&d, body, len) != 0)
         return false;
     bool good = lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN),
                                   &token) &&
-                token >= agent->token;
+                token >= agent->fencing_token;
     if (good) {
         take_token(agent, token, now);
         if (lmn_time_before(agent->lease_from, sent))
@@ -350,7 +352,7 @@
         lmn_cbor_free(&d);
         return 400;
     }
-    if (token < agent->token || session != agent->session) {
+    if (token < agent->fencing_token || session != agent->incarnation) {
         status = 409;
     } else {
         take_token(agent, token, now);
@@ -396,9 +398,9 @@
     if (agent->ending)
         return;
     lmn_info("session-ends session=%" G_GUINT64_FORMAT " tasks=%u why=\"%s\"",
-             agent->session, agent->runs->len, why);
+             agent->incarnation, agent->runs->len, why);
     agent->ending = true;
-    agent->lapses++;
+    agent->expired_leases++;
     g_ptr_array_set_size(agent->runs, 0);
     agent->ops->kill_all(agent->arg);
 }
@@ -415,7 +417,7 @@
     if (!agent->ending)
         return;
     agent->ending = false;
-    agent->session = session;
+    agent->incarnation = session;
     agent->lease_from = now;
     agent->changed = true;
     agent->ops->leased(agent->arg, lmn_time_add(now, agent->lease_s));
--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -81,15 +81,16 @@
     double lease_s;
     const struct lmn_agent_ops *ops;
     void *arg;
-    uint64_t session, seq, token, ids;
+    uint64_t incarnation, sequence, fencing_token, ids;
     bool ending; /* between sessions: it says nothing */
     bool noticed;
     struct timespec gone_at; /* if noticed */
     struct timespec lease_from;
-    struct timespec token_told; /* a higher token was last worth a report */
-    bool changed;               /* something that is worth a report at once */
+    struct timespec
+        fencing_token_reported_at; /* a higher token was last worth a report */
+    bool changed;                  /* something that is worth a report at once */
     GPtrArray *runs;
-    uint64_t starts, finished, refused, lapses;
+    uint64_t starts, finished, refused, expired_leases;
 };
 
 /* session: the first that it may report, above all that were. The ops outlive it. */
--- a/src/worker/task_runner.c
+++ b/src/worker/task_runner.c
@@ -199,8 +199,7 @@
         rc = e.status == 404 ? 0 : -1;
         lmn_info("description-missing job=%s why=\"%s\"", ref, e.what);
     } else if (lmn_task_command_decode(work, buffer->data, buffer->len, &what) != 0 ||
-               strcmp(work->spec.ref, ref) ||
-               !lmn_image_name_is_valid(work->spec.image)) {
+               strcmp(work->spec.id, ref) || !lmn_image_name_is_valid(work->spec.image)) {
         lmn_error("description-unreadable job=%s field=%s", ref, what);
         rc = 0;
     } else {
@@ -236,7 +235,7 @@
         lmn_worker_lock(worker);
         if (rc > 0) {
             free_unused(worker);
-            g_hash_table_replace(worker->works, work->spec.ref, work);
+            g_hash_table_replace(worker->works, work->spec.id, work);
             g_queue_push_tail(&worker->pending, q);
         } else if (rc == 0) {
             lmn_agent_described(&worker->agent, q->id, NULL, lmn_worker_now());
@@ -358,8 +357,8 @@
 
     g_mkdir_with_parents(sizes, 0755);
     lmn_tree_remove(dir);
-    int rc = lmn_image_get(client, name, dir, worker->o->type.pull * 1e9, go_on, &going,
-                           bytes, &e);
+    int rc = lmn_image_get(client, name, dir, worker->o->type.pull_gb_per_s * 1e9, go_on,
+                           &going, bytes, &e);
     if (rc == 0) {
         int n = g_snprintf(text, sizeof text, "%" G_GUINT64_FORMAT "\n", *bytes);
         rc = lmn_file_put(note, text, (size_t)n);
--- a/src/worker/worker_internal.h
+++ b/src/worker/worker_internal.h
@@ -44,7 +44,7 @@
     pthread_mutex_t lock, sending;
     pthread_cond_t report_due, wishes_more, images_more, ended_more, logs_more;
     struct lmn_agent agent;
-    uint64_t session;
+    uint64_t incarnation;
     GQueue outbox;        /* struct lmn_executor_request */
     GQueue pending;       /* struct lmn_fetch_request, not yet looked at */
     GQueue wishes;        /* descriptions to fetch */
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -115,7 +115,7 @@
 
     if (g_file_get_contents(path, &text, NULL, NULL))
         last = g_ascii_strtoull(text, NULL, 10);
-    last = MAX(last, worker->session) + 1;
+    last = MAX(last, worker->incarnation) + 1;
     int n = g_snprintf(line, sizeof line, "%" G_GUINT64_FORMAT "\n", last);
     if (lmn_file_put(path, line, (size_t)n) != 0) {
         /* A number that could be told twice must not be told at all. */
@@ -124,7 +124,7 @@
     }
     g_free(text);
     g_free(path);
-    worker->session = last;
+    worker->incarnation = last;
     return last;
 }
 
@@ -243,7 +243,7 @@
             g_byte_array_unref(out);
             continue;
         }
-        uint64_t session = worker->agent.session;
+        uint64_t session = worker->agent.incarnation;
         struct timespec sent = lmn_worker_now();
         lmn_agent_write_heartbeat(&worker->agent, out, sent);
         worker->reports++;
@@ -298,13 +298,14 @@
 
     pthread_mutex_lock(&worker->lock);
     const struct lmn_agent *agent = &worker->agent;
-    lmn_gauge(out, "lemonspar_worker_session", "Session", (double)agent->session);
+    lmn_gauge(out, "lemonspar_worker_session", "Session", (double)agent->incarnation);
     lmn_gauge(out, "lemonspar_worker_attempts", "Attempts on the machine",
               agent->runs->len);
     lmn_counter(out, "lemonspar_worker_starts", "Start commands", agent->starts);
     lmn_counter(out, "lemonspar_worker_done", "Tasks that completed", agent->finished);
     lmn_counter(out, "lemonspar_worker_refused", "Starts refused", agent->refused);
-    lmn_counter(out, "lemonspar_worker_lapses", "Leases that ran out", agent->lapses);
+    lmn_counter(out, "lemonspar_worker_lapses", "Leases that ran out",
+                agent->expired_leases);
     lmn_counter(out, "lemonspar_worker_reports", "Reports sent", worker->reports);
     lmn_counter(out, "lemonspar_worker_turned_reports", "Reports that were turned away",
                 worker->redirects);
@@ -418,7 +419,7 @@
         "worker-start machine=%s type=%s zone=%s address=%s session=%" G_GUINT64_FORMAT
         " results=%u",
         options->name, options->type.name, options->zone, worker->agent.addr,
-        worker->session, g_hash_table_size(worker->results));
+        worker->incarnation, g_hash_table_size(worker->results));
     char *address = g_build_filename(options->dir, "address", NULL),
          said[LMN_ADDRESS_SIZE + 1];
     int n = g_snprintf(said, sizeof said, "%s\n", worker->agent.addr);
@@ -487,9 +488,10 @@
               sizeof options->type.name);
     options->type.cpus = lmn_config_number(config, "type.cpus", 1, 0, 1e6);
     options->type.gpus = lmn_config_number(config, "type.gpus", 0, 0, 1e6);
-    options->type.mem = lmn_config_number(config, "type.mem_gb", 1, 0, 1e9);
+    options->type.memory_gb = lmn_config_number(config, "type.mem_gb", 1, 0, 1e9);
     options->type.cache_gb = lmn_config_number(config, "type.cache_gb", 10, 0, 1e9);
-    options->type.pull = lmn_config_number(config, "type.pull_gb_per_s", 1, 0, 1e6);
+    options->type.pull_gb_per_s =
+        lmn_config_number(config, "type.pull_gb_per_s", 1, 0, 1e6);
     lmn_worker_controllers(config, options);
     if (options->lease_s <= options->report_s)
         lmn_config_fail(config, "lease_s", "must be longer than report_s");
--- a/tests/digest/messages.c
+++ b/tests/digest/messages.c
@@ -52,26 +52,26 @@
 
 static void add_attempt(const struct lmn_attempt_snapshot *attempt)
 {
-    digest_text(attempt->ref);
+    digest_text(attempt->job_id);
     digest_number(attempt->index);
     digest_number(attempt->number);
-    digest_number(attempt->ended);
-    digest_number(attempt->done);
+    digest_number(attempt->has_ended);
+    digest_number(attempt->is_done);
 }
 
 static void add_image(const struct lmn_image_snapshot *image)
 {
     digest_text(image->name);
     digest_real(image->gb);
-    digest_number(image->there);
+    digest_number(image->is_present);
 }
 
 static void add_machine(const struct lmn_machine_snapshot *machine)
 {
     digest_text(machine->name);
-    digest_number(machine->session);
-    digest_number(machine->gone);
-    digest_number(machine->forget);
+    digest_number(machine->agent_incarnation);
+    digest_number(machine->is_terminated);
+    digest_number(machine->is_forgotten);
     digest_number(machine->attempts->len);
     for (guint i = 0; i < machine->attempts->len; i++)
         add_attempt(&g_array_index(machine->attempts, struct lmn_attempt_snapshot, i));
@@ -102,11 +102,11 @@
     digest_message("batch", now);
     digest_number((uint64_t)from);
     digest_number((uint64_t)to);
-    digest_number((uint64_t)batch->part);
-    digest_number(batch->term);
+    digest_number((uint64_t)batch->partition);
+    digest_number(batch->epoch);
     digest_number(batch->stream);
     digest_number(batch->number);
-    digest_number(batch->mark);
+    digest_number(batch->log_position);
     digest_number(batch->machines->len);
     for (guint i = 0; i < batch->machines->len; i++)
         add_machine(batch->machines->pdata[i]);
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -27,12 +27,12 @@
 {
     memset(&team, 0, sizeof team);
     memset(&settings, 0, sizeof settings);
-    settings.partitions = 1;
-    settings.state_rps = settings.state_write_rps = 1000;
-    settings.txn_ops = 12;
+    settings.partition_count = 1;
+    settings.state_requests_per_s = settings.state_writes_per_s = 1000;
+    settings.max_txn_operations = 12;
     settings.lease_s = 10;
     settings.teams = &team;
-    settings.nteams = 1;
+    settings.team_count = 1;
     g_strlcpy(settings.teams[0].name, "t", LMN_NAME_SIZE);
 }
 
@@ -42,30 +42,30 @@
 
     g_snprintf(name, sizeof name, "m-%d", i);
     struct lmn_machine *machine = lmn_machine_new(partition, name);
-    machine->type = &core->types.v[0];
+    machine->type = &core->machine_types.v[0];
     g_strlcpy(machine->zone, i % 2 ? "a" : "b", sizeof machine->zone);
-    machine->spot = i % 3 == 0;
-    machine->rev = 1;
-    machine->heard = machine->accounted = true;
+    machine->is_spot = i % 3 == 0;
+    machine->revision = 1;
+    machine->has_reported = machine->is_accounted = true;
 }
 
 static void set_up_job(struct lmn_job *job, int i, GRand *r)
 {
     memset(job, 0, sizeof *job);
-    g_snprintf(job->spec.ref, sizeof job->spec.ref, "run-%06d", i);
+    g_snprintf(job->spec.id, sizeof job->spec.id, "run-%06d", i);
     job->spec.team = (char *)"t";
     job->spec.image = (char *)"i";
     job->image = g_intern_string("i");
     job->spec.class_name = (char *)"c";
     job->spec.zone = i % 4 == 1 ? (char *)"a" : NULL;
-    job->spec.spot = i % 2;
-    job->spec.urgency = (enum lmn_priority)(i % 4);
+    job->spec.may_use_spot = i % 2;
+    job->spec.priority = (enum lmn_priority)(i % 4);
     job->spec.tasks = 1 + (uint32_t)g_rand_int_range(r, 0, 40);
     job->spec.cpus = 1 + i % 4;
     job->spec.deadline_s = -1;
-    job->at = i;
-    job->latest = g_rand_int_range(r, 0, 5);
-    job->lost = i % 5 == 0;
+    job->accepted_at_s = i;
+    job->latest_start_s = g_rand_int_range(r, 0, 5);
+    job->has_missed_objective = i % 5 == 0;
     job->ranges = g_ptr_array_new();
 }
 
@@ -74,14 +74,14 @@
     struct lmn_range *range = g_new0(struct lmn_range, 1);
 
     range->job = job;
-    range->part = partition;
-    range->hi = job->spec.tasks;
-    range->key = g_strdup(job->spec.ref);
+    range->partition = partition;
+    range->end = job->spec.tasks;
+    range->key = g_strdup(job->spec.id);
     range->done = g_malloc0(16);
     g_hash_table_insert(partition->ranges, range->key, range);
     g_ptr_array_add(job->ranges, range);
     lmn_range_open(core, range);
-    range->dealt = true;
+    range->is_assigned = true;
 }
 
 void fixture_begin(uint32_t seed)
@@ -90,11 +90,12 @@
 
     set_up_settings();
     core = lmn_core_new(&settings, lmn_kv_client_new(&settings), seed);
-    core->types.n = 1;
-    core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
-    struct lmn_partition *partition = &core->parts[0];
-    partition->mine = partition->ready = partition->open = true;
-    partition->my_term = 1;
+    core->machine_types.n = 1;
+    core->machine_types.v[0] =
+        (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
+    struct lmn_partition *partition = &core->partitions[0];
+    partition->is_owned = partition->is_ready = partition->inherited_may_start = true;
+    partition->owned_epoch = 1;
     for (int i = 0; i < MACHINES; i++)
         add_machine(partition, i);
     for (int i = 0; i < JOBS; i++) {
@@ -110,10 +111,10 @@
     gpointer v;
     guint n = 0;
 
-    g_hash_table_iter_init(&it, core->parts[0].machines);
+    g_hash_table_iter_init(&it, core->partitions[0].machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
-        for (guint i = 0; machine->spot == spot && i < machine->attempts->len; i++)
+        for (guint i = 0; machine->is_spot == spot && i < machine->attempts->len; i++)
             n += g_array_index(machine->attempts, struct lmn_attempt, i).job == job;
     }
     return n;
@@ -128,9 +129,9 @@
 
     do {
         n = 0;
-        g_hash_table_iter_init(&it, core->parts[0].machines);
+        g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            ((struct lmn_machine *)v)->next_steal = now;
+            ((struct lmn_machine *)v)->next_steal_at = now;
             n += lmn_schedule_machine(core, v, out, now);
         }
     } while (n);
@@ -142,14 +143,14 @@
     struct lmn_job *job = &jobs[0];
 
     fixture_begin(3);
-    core->types.v[0].rate = 3;
-    core->types.v[0].spot_rate = 1;
+    core->machine_types.v[0].rate = 3;
+    core->machine_types.v[0].spot_rate = 1;
     for (int i = 1; i < JOBS; i++)
         jobs[i].phase = LMN_JOB_DONE;
     job->spec.kind = LMN_JOB_BATCH;
-    job->spec.urgency = urgency;
+    job->spec.priority = urgency;
     job->spec.estimate_s = estimate;
-    job->spec.spot = true;
+    job->spec.may_use_spot = true;
     job->spec.zone = NULL;
     job->spec.cpus = 8;
     lmn_assign_range(core, job->ranges->pdata[0], now);
