--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -43,7 +43,7 @@
         return false;
     uint64_t mark = lmn_worker_client_log_position(node->core, node->pending_to, &id);
     bool covered =
-        node_partition(n)->mine && lmn_replication_covers(node_partition(n), mark);
+        node_partition(n)->is_owned && lmn_replication_covers(node_partition(n), mark);
     if (covered || explored.without == GUARD_ACKNOWLEDGED) {
         if (!send_directly(n, node->pending_to, node->pending))
             return false;
@@ -65,11 +65,11 @@
 
     if (!free_command() || node->stalled || node->pending)
         return false;
-    for (guint k = 0; k < partition->list->len; k++) {
-        struct lmn_machine *machine = partition->list->pdata[k];
-        if (explored.without == GUARD_RECORD && partition->mine && !machine->rev)
-            machine->rev = 1;
-        if (partition->mine && !machine->in_call)
+    for (guint k = 0; k < partition->machine_list->len; k++) {
+        struct lmn_machine *machine = partition->machine_list->pdata[k];
+        if (explored.without == GUARD_RECORD && partition->is_owned && !machine->revision)
+            machine->revision = 1;
+        if (partition->is_owned && !machine->has_push_in_flight)
             lmn_machine_wake(machine);
     }
     GByteArray *body = g_byte_array_new();
@@ -111,14 +111,14 @@
     digest_array(body);
     digest_number((uint64_t)status);
     digest_array(answer);
-    digest_number(status == 200 ? held.mark : 0);
+    digest_number(status == 200 ? held.log_position : 0);
 
-    if (status != 200 || !held.mark)
+    if (status != 200 || !held.log_position)
         return status;
-    while (explored.fair && !lmn_replication_covers(partition, held.mark) &&
+    while (explored.fair && !lmn_replication_covers(partition, held.log_position) &&
            replicate(n, DELIVERED))
         write_standby_record(n, true);
-    if (!lmn_replication_covers(partition, held.mark) &&
+    if (!lmn_replication_covers(partition, held.log_position) &&
         explored.without != GUARD_ACKNOWLEDGED)
         lmn_heartbeat_withhold_starts(core, &held, answer, explored.now);
     return status;
@@ -160,7 +160,7 @@
         struct lmn_machine *machine =
             g_hash_table_lookup(node_partition(n)->machines, name);
         if (machine)
-            machine->seq = machine->report_seq = 0;
+            machine->sequence = machine->heartbeat_sequence = 0;
     }
     GByteArray *answer = g_byte_array_new();
     answer_report(n, explored.late_report, answer);
--- a/tests/takeover/moves.c
+++ b/tests/takeover/moves.c
@@ -42,7 +42,7 @@
     if (explored.jumps >= MOST_JUMPS || !lmn_member_is_suspected(members, A))
         return false;
     explored.jumps++;
-    advance(members->t.doubt_s + 0.2);
+    advance(members->timeouts.suspicion_s + 0.2);
     node_mirror(B);
     speak_against_a();
     return true;
@@ -113,7 +113,7 @@
 static bool claim_again(void)
 {
     return explored.both_restart && !explored.nodes[A].stalled &&
-           !node_partition(A)->mine && claim(A);
+           !node_partition(A)->is_owned && claim(A);
 }
 
 static bool carry_out(enum move move)
@@ -135,7 +135,7 @@
         return report(A, move - REPORT_A_0);
     case REPORT_B_0:
     case REPORT_B_1:
-        return node_partition(B)->mine && report(B, move - REPORT_B_0);
+        return node_partition(B)->is_owned && report(B, move - REPORT_B_0);
     case PROBE_B:
         return probe(B);
     case SUSPECT:
@@ -215,7 +215,7 @@
         explored.broken_rule = TASK_RUNS_TWICE;
     if (explored.without != GUARD_ACCOUNTING)
         return;
-    const GPtrArray *machines = node_partition(B)->list;
+    const GPtrArray *machines = node_partition(B)->machine_list;
     for (guint k = 0; k < machines->len; k++)
-        ((struct lmn_machine *)machines->pdata[k])->inherited = false;
+        ((struct lmn_machine *)machines->pdata[k])->is_inherited = false;
 }
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -26,7 +26,7 @@
 
 struct lmn_partition *node_partition(int n)
 {
-    return &explored.nodes[n].core->parts[0];
+    return &explored.nodes[n].core->partitions[0];
 }
 
 void advance(double seconds)
@@ -52,17 +52,17 @@
 /* Makes up what the guards of a warm takeover would have found wrong. */
 static void remove_takeover_guard(struct lmn_core *core)
 {
-    struct lmn_partition *partition = &core->parts[0];
+    struct lmn_partition *partition = &core->partitions[0];
 
     if (explored.without == GUARD_NAMED && partition->owner_stream) {
         partition->standby_stream = partition->owner_stream;
-        partition->standby_term = partition->owner_term - 1;
-        g_strlcpy(partition->standby, core->cfg->node, LMN_NAME_SIZE);
+        partition->standby_epoch = partition->owner_epoch - 1;
+        g_strlcpy(partition->standby, core->settings->node_name, LMN_NAME_SIZE);
     }
-    if (explored.without == GUARD_TERM && partition->copy && partition->owner_stream)
-        partition->copy->term = partition->standby_term = partition->owner_term - 1;
-    if (explored.without == GUARD_HELD && partition->copy)
-        g_hash_table_remove_all(partition->copy->machines);
+    if (explored.without == GUARD_TERM && partition->replica && partition->owner_stream)
+        partition->replica->epoch = partition->standby_epoch = partition->owner_epoch - 1;
+    if (explored.without == GUARD_HELD && partition->replica)
+        g_hash_table_remove_all(partition->replica->machines);
 }
 
 void node_mirror(int n)
@@ -73,9 +73,9 @@
     while (node->seen < explored.nevents)
         apply_event(core, &explored.events[node->seen++]);
     remove_takeover_guard(core);
-    core->fresh = explored.now;
+    core->cache_fresh_at = explored.now;
     lmn_members_record_watch(&core->members, explored.now);
-    core->synced = true;
+    core->is_synced = true;
     lmn_watch_cache_begin_ownerships(core, explored.now);
 }
 
@@ -99,7 +99,7 @@
     struct node *node = &explored.nodes[n];
 
     node->lease = node->core->lease = ++explored.next_lease;
-    put_member(node->settings.node, node->lease);
+    put_member(node->settings.node_name, node->lease);
 }
 
 static struct lmn_team team; /* of all nodes: nothing alters it */
@@ -109,26 +109,26 @@
     static const char *const names[] = {"na", "nb", "nc"};
 
     memset(settings, 0, sizeof *settings);
-    g_strlcpy(settings->node, names[n], LMN_NAME_SIZE);
+    g_strlcpy(settings->node_name, names[n], LMN_NAME_SIZE);
     /* So that the two choose each other for a standby. */
     g_strlcpy(settings->zone, n == A ? "y" : "z", LMN_NAME_SIZE);
     for (int i = 0; i <= C; i++)
         if (i != n) {
-            g_strlcpy(settings->members[settings->nmembers].zone, i == B ? "z" : "y",
+            g_strlcpy(settings->members[settings->member_count].zone, i == B ? "z" : "y",
                       LMN_NAME_SIZE);
-            g_strlcpy(settings->members[settings->nmembers++].name, names[i],
+            g_strlcpy(settings->members[settings->member_count++].name, names[i],
                       LMN_NAME_SIZE);
         }
-    settings->partitions = 1;
-    settings->report_s = 1;
+    settings->partition_count = 1;
+    settings->heartbeat_s = 1;
     settings->lease_s = 8;
     settings->cancel_s = 30;
-    settings->state_rps = settings->state_write_rps = 1e6;
-    settings->value_kb = 16;
-    settings->txn_ops = 12;
+    settings->state_requests_per_s = settings->state_writes_per_s = 1e6;
+    settings->max_value_kb = 16;
+    settings->max_txn_operations = 12;
     settings->teams = &team;
     g_strlcpy(settings->teams[0].name, "x", LMN_NAME_SIZE);
-    settings->nteams = 1;
+    settings->team_count = 1;
 }
 
 void node_boot(int n)
@@ -139,12 +139,13 @@
     set_up(&node->settings, n);
     struct lmn_core *core =
         lmn_core_new(&node->settings, lmn_kv_client_new(&node->settings), 1);
-    core->types.n = 1;
-    core->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 1, .nzones = 1};
-    core->types_known = true;
-    core->booted = core->synced_at = long_ago;
-    core->members.synced = core->members.fresh = long_ago;
-    core->members.tick = explored.now;
+    core->machine_types.n = 1;
+    core->machine_types.v[0] =
+        (struct lmn_machine_type){.name = "t", .cpus = 1, .zone_count = 1};
+    core->machine_types_known = true;
+    core->booted_at = core->synced_at = long_ago;
+    core->members.synced_at = core->members.cache_fresh_at = long_ago;
+    core->members.last_tick_at = explored.now;
     node->core = core;
     node->seen = 0;
     node->stalled = false;
@@ -156,7 +157,7 @@
 
     if (!node->core)
         return;
-    lmn_kv_client_free(node->core->state);
+    lmn_kv_client_free(node->core->kv_client);
     lmn_core_free(node->core);
     if (node->ownership)
         lmn_txn_free(node->ownership);
@@ -197,7 +198,7 @@
     assert_int_equal(store_commit(txn, &revision), LMN_TXN_COMMITTED);
     lmn_txn_free(txn);
     node_mirror(n);
-    assert_true(node_partition(n)->mine);
+    assert_true(node_partition(n)->is_owned);
 }
 
 /* The first report makes a machine known, its record is written, and the next one finds
@@ -231,15 +232,15 @@
     struct lmn_job_spec spec = {.class_name = (char *)"c",
                                 .team = (char *)"x",
                                 .image = (char *)"img",
-                                .urgency = LMN_PRIORITY_NORMAL,
+                                .priority = LMN_PRIORITY_NORMAL,
                                 .tasks = 1,
                                 .cpus = 1,
                                 .estimate_s = 5,
                                 .deadline_s = -1};
-    struct lmn_range range = {.lo = 0, .hi = 1};
+    struct lmn_range range = {.first = 0, .end = 1};
     uint8_t none_done = 0;
 
-    g_strlcpy(spec.ref, "run-000001", sizeof spec.ref);
+    g_strlcpy(spec.id, "run-000001", sizeof spec.id);
     GByteArray *job = lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000);
     GByteArray *tasks = lmn_range_record(&range, &none_done);
     explored.revision++;
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -10,7 +10,7 @@
 void speak_against_a(void)
 {
     struct lmn_members *members = &explored.nodes[B].core->members;
-    struct lmn_gossip_statement says = {A, members->v[A].inc, 20, 10, 0};
+    struct lmn_gossip_statement says = {A, members->views[A].incarnation, 20, 10, 0};
 
     lmn_member_record_probe_timeout(members, A, lmn_time_add(explored.now, -10),
                                     explored.now);
@@ -58,7 +58,7 @@
     if (node->ownership)
         return false;
     if (explored.without == GUARD_TERM && n == B && partition->standby_stream)
-        partition->standby_term = partition->term;
+        partition->standby_epoch = partition->epoch;
     node->ownership = lmn_ownership_claim(node->core, 0, node->lease, explored.now);
     node->handover = false;
     return node->ownership != NULL;
@@ -68,19 +68,19 @@
 {
     struct node *a = &explored.nodes[A];
     struct lmn_members *members = &a->core->members;
-    struct lmn_gossip_statement says = {A, members->v[A].inc, 0.1, 0, 40};
+    struct lmn_gossip_statement says = {A, members->views[A].incarnation, 0.1, 0, 40};
     int successor;
 
-    if (a->stalled || a->ownership || !node_partition(A)->mine)
+    if (a->stalled || a->ownership || !node_partition(A)->is_owned)
         return false;
     /* It hears none of its machines, and B says that they come there. */
-    members->v[A].machines = MACHINES;
-    members->word.deaf = 1;
+    members->views[A].machine_count = MACHINES;
+    members->health.silent_machine_share = 1;
     lmn_member_record_gossip(members, B, &says, explored.now);
     a->ownership = lmn_ownership_transfer(a->core, 0, &successor, explored.now);
     a->handover = true;
-    members->word.deaf = 0;
-    members->shut = false;
+    members->health.silent_machine_share = 0;
+    members->is_isolated_from_workers = false;
     return a->ownership != NULL;
 }
 
@@ -104,12 +104,12 @@
     struct lmn_txn *txn;
     bool any = false;
 
-    if (explored.nodes[n].stalled || !node_partition(n)->mine)
+    if (explored.nodes[n].stalled || !node_partition(n)->is_owned)
         return false;
     if (!answered && explored.had.unanswered == explored.allowed.unanswered)
         return false;
     lmn_range_writer_flush(core, explored.now);
-    while ((txn = lmn_kv_client_dequeue(core->state))) {
+    while ((txn = lmn_kv_client_dequeue(core->kv_client))) {
         uint64_t revision = 0;
         enum lmn_txn_outcome outcome = store_commit(txn, &revision);
         if (!answered) {
--- a/tests/takeover/replication.c
+++ b/tests/takeover/replication.c
@@ -23,11 +23,12 @@
     struct lmn_partition *partition = node_partition(n);
     enum lmn_replica_result answer = LMN_REPLICA_APPLIED;
 
-    bool taken = how != BATCH_LOST && take_batch(partition->stream.to, batch, &answer);
+    bool taken =
+        how != BATCH_LOST && take_batch(partition->stream.standby_index, batch, &answer);
     if (how == BATCH_LOST)
-        partition->stream.failures = MANY_FAILURES;
-    digest_batch(n, partition->stream.to, explored.now, batch, taken && how == DELIVERED,
-                 answer);
+        partition->stream.send_failures = MANY_FAILURES;
+    digest_batch(n, partition->stream.standby_index, explored.now, batch,
+                 taken && how == DELIVERED, answer);
     lmn_replication_batch_sent(explored.nodes[n].core, partition, batch,
                                taken && how == DELIVERED, answer, explored.now);
 }
@@ -40,7 +41,7 @@
     struct lmn_txn *record = NULL;
     double wait;
 
-    if (!explored.with_standby || node->stalled || !partition->mine)
+    if (!explored.with_standby || node->stalled || !partition->is_owned)
         return false;
     advance(0.004); /* starts are gathered for less */
     enum lmn_replication_phase before = partition->stream.phase;
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -21,17 +21,19 @@
     const struct lmn_replication_stream *stream = &partition->stream;
 
     g_string_append_printf(
-        s, "{%d%d%d%d%d%d%d%d%d %d}", stream->phase, stream->to, stream->batch != NULL,
-        stream->number > 0, stream->acked<stream->mark, stream->failures> 0,
-        partition->untold->len, node->standby_record != NULL, node->pending != NULL,
-        partition->standby_stream ? (int)partition->standby_term : 0);
-    if (!partition->copy)
+        s, "{%d%d%d%d%d%d%d%d%d %d}", stream->phase, stream->standby_index,
+        stream->batch != NULL, stream->next_batch_number > 0,
+        stream->acknowledged_position<stream->log_position, stream->send_failures> 0,
+        partition->unreplicated_machines->len, node->standby_record != NULL,
+        node->pending != NULL,
+        partition->standby_stream ? (int)partition->standby_epoch : 0);
+    if (!partition->replica)
         return;
-    g_string_append_printf(s, "[%d%d", (int)partition->copy->term,
-                           partition->copy->stream == partition->standby_stream);
+    g_string_append_printf(s, "[%d%d", (int)partition->replica->epoch,
+                           partition->replica->stream == partition->standby_stream);
     for (int k = 0; k < MACHINES; k++) {
         const struct lmn_machine_snapshot *snapshot =
-            g_hash_table_lookup(partition->copy->machines, explored.machines[k].name);
+            g_hash_table_lookup(partition->replica->machines, explored.machines[k].name);
         g_string_append_printf(s, ",%d", snapshot ? (int)snapshot->attempts->len : 9);
     }
 }
@@ -44,11 +46,13 @@
 
     g_string_append_printf(
         s, "|%d%d%d%d %d %d %d%d%d %d%d %d", node->stalled, node->ownership != NULL,
-        partition->mine, partition->ready + 2 * partition->open, (int)partition->my_term,
-        (int)(explored.nevents - node->seen), lmn_member_is_suspected(members, A),
-        members->v[A].unanswered.tv_sec != 0,
-        lmn_member_is_declared_failed(members, A, explored.now), partition->releasing,
-        lmn_self_may_reply(members, explored.now), (int)partition->owner_term);
+        partition->is_owned, partition->is_ready + 2 * partition->inherited_may_start,
+        (int)partition->owned_epoch, (int)(explored.nevents - node->seen),
+        lmn_member_is_suspected(members, A),
+        members->views[A].unanswered_since.tv_sec != 0,
+        lmn_member_is_declared_failed(members, A, explored.now),
+        partition->is_transferring, lmn_self_may_reply(members, explored.now),
+        (int)partition->owner_epoch);
 }
 
 static void add_tasks(GString *s, int n)
@@ -60,19 +64,21 @@
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_range *range = v;
-        g_string_append_printf(s, " r%d%d%d", range->st ? range->st[0] : 9, range->ndone,
-                               range->writing);
+        g_string_append_printf(s, " r%d%d%d",
+                               range->task_states ? range->task_states[0] : 9,
+                               range->done_count, range->is_writing);
     }
-    for (guint k = 0; k < partition->list->len; k++) {
-        const struct lmn_machine *machine = partition->list->pdata[k];
-        g_string_append_printf(s, " %s%d%d%d%d", machine->name + 5, machine->accounted,
-                               machine->inherited, machine->rev != 0, machine->heard);
+    for (guint k = 0; k < partition->machine_list->len; k++) {
+        const struct lmn_machine *machine = partition->machine_list->pdata[k];
+        g_string_append_printf(s, " %s%d%d%d%d", machine->name + 5, machine->is_accounted,
+                               machine->is_inherited, machine->revision != 0,
+                               machine->has_reported);
         for (guint i = 0; i < machine->attempts->len; i++) {
             const struct lmn_attempt *attempt =
                 &g_array_index(machine->attempts, struct lmn_attempt, i);
             g_string_append_printf(s, "a%d.%d.%d%d%d", term_of(attempt->number),
-                                   attempt->state, attempt->unsure, attempt->done,
-                                   attempt->range != NULL);
+                                   attempt->state, attempt->push_is_uncertain,
+                                   attempt->is_done, attempt->range != NULL);
         }
     }
 }
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -168,10 +168,10 @@
         }
     }
     assert_true(cpus <= w.a.type.cpus + 1e-6);
-    assert_true(w.a.token >= w.token);
-    w.token = w.a.token;
-    assert_true(w.a.session >= w.session);
-    w.session = w.a.session;
+    assert_true(w.a.fencing_token >= w.token);
+    w.token = w.a.fencing_token;
+    assert_true(w.a.incarnation >= w.session);
+    w.session = w.a.incarnation;
     assert_int_equal(w.a.ending, w.emptying);
     if (w.emptying)
         assert_int_equal(w.a.runs->len, 0);
@@ -181,16 +181,16 @@
 
 static void command(void)
 {
-    uint64_t token = w.a.token + (uint64_t)some(3), session = w.a.session;
+    uint64_t token = w.a.fencing_token + (uint64_t)some(3), session = w.a.incarnation;
     bool old = some(5) == 0, late = some(6) == 0, direct = some(2);
     guint before = w.a.runs->len;
-    uint64_t starts = w.starts, seq = w.a.seq;
+    uint64_t starts = w.starts, seq = w.a.sequence;
 
     if (old)
         token = token > 3 ? token - 3 : 0;
     if (late)
         session = session > 1 ? session - 1 : 0;
-    bool drop = token < w.a.token || session != w.a.session;
+    bool drop = token < w.a.fencing_token || session != w.a.incarnation;
     GByteArray *b = orders(token, session), *out = g_byte_array_new();
     if (direct) {
         bool was = w.a.ending;
@@ -199,7 +199,7 @@
             assert_int_equal(status, 503);
         else
             assert_int_equal(status, drop ? 409 : 200);
-        assert_true(status == 503 || w.a.seq == seq + 1);
+        assert_true(status == 503 || w.a.sequence == seq + 1);
     } else {
         struct timespec sent = lmn_time_add(w.now, -0.1 * some(10));
         bool took =
@@ -259,7 +259,7 @@
 {
     GByteArray *b = g_byte_array_new();
     struct lmn_cbor_document d;
-    uint64_t seq = w.a.seq, told = 0;
+    uint64_t seq = w.a.sequence, told = 0;
 
     if (w.a.ending) {
         g_byte_array_unref(b);
@@ -274,8 +274,8 @@
     lmn_cbor_free(&d);
     if (some(5)) {
         /* It is answered, by whoever holds the highest token. */
-        GByteArray *o = orders(w.a.token + (some(30) == 0), w.a.session);
-        bool took = lmn_agent_heartbeat_answered(&w.a, w.a.session, w.now, o->data,
+        GByteArray *o = orders(w.a.fencing_token + (some(30) == 0), w.a.incarnation);
+        bool took = lmn_agent_heartbeat_answered(&w.a, w.a.incarnation, w.now, o->data,
                                                  o->len, w.now);
         assert_true(!took || lmn_time_diff_s(w.leased, w.now) > w.a.lease_s - 0.01);
         g_byte_array_unref(o);
@@ -317,7 +317,7 @@
             g_array_set_size(w.live, 0);
             w.emptying = false;
             uint64_t id = w.a.ids;
-            lmn_agent_incarnation_ended(&w.a, w.a.session + 1, w.now);
+            lmn_agent_incarnation_ended(&w.a, w.a.incarnation + 1, w.now);
             lmn_agent_exited(&w.a, id, true, false, w.now);
             assert_int_equal(w.a.runs->len, 0);
         }
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -37,17 +37,18 @@
 static void make(uint32_t seed)
 {
     memset(&cfg, 0, sizeof cfg);
-    cfg.partitions = 1;
-    cfg.state_rps = cfg.state_write_rps = 1000;
-    cfg.txn_ops = 12;
-    cfg.value_kb = 8;
+    cfg.partition_count = 1;
+    cfg.state_requests_per_s = cfg.state_writes_per_s = 1000;
+    cfg.max_txn_operations = 12;
+    cfg.max_value_kb = 8;
     cfg.lease_s = 10;
     owner = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), seed);
     other = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), seed);
-    owner->types.n = 1;
-    owner->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
-    owner->parts[0].mine = owner->parts[0].ready = true;
-    owner->parts[0].open = true;
+    owner->machine_types.n = 1;
+    owner->machine_types.v[0] =
+        (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
+    owner->partitions[0].is_owned = owner->partitions[0].is_ready = true;
+    owner->partitions[0].inherited_may_start = true;
     store = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     rev = 10;
     writes = 0;
@@ -58,14 +59,15 @@
     char name[32];
 
     g_snprintf(name, sizeof name, "host-%06d", i);
-    struct lmn_machine *machine = g_hash_table_lookup(owner->parts[0].machines, name);
+    struct lmn_machine *machine =
+        g_hash_table_lookup(owner->partitions[0].machines, name);
     if (!machine)
-        machine = lmn_machine_new(&owner->parts[0], name);
-    machine->type = &owner->types.v[0];
+        machine = lmn_machine_new(&owner->partitions[0], name);
+    machine->type = &owner->machine_types.v[0];
     g_strlcpy(machine->type_name, "x", LMN_NAME_SIZE);
-    g_snprintf(machine->addr, sizeof machine->addr, "10.0.0.%d:9000", i % 250);
+    g_snprintf(machine->address, sizeof machine->address, "10.0.0.%d:9000", i % 250);
     g_strlcpy(machine->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
-    machine->heard = machine->accounted = true;
+    machine->has_reported = machine->is_accounted = true;
     return machine;
 }
 
@@ -83,7 +85,7 @@
     (void)arg;
 
     writes++;
-    assert_true(value->len < cfg.value_kb * 1024);
+    assert_true(value->len < cfg.max_value_kb * 1024);
     g_hash_table_insert(store, g_strdup(key), GSIZE_TO_POINTER((size_t)rev));
     assert_int_equal(lmn_cbor_parse(&d, value->data, value->len), 0);
     lmn_watch_cache_apply(owner, key, &d, lmn_cbor_root(&d), rev, now);
@@ -146,7 +148,7 @@
     if (!r || g_rand_double(r) < 0.3)
         arrive();
     lmn_range_writer_flush(owner, now);
-    while ((txn = lmn_kv_client_dequeue(owner->state))) {
+    while ((txn = lmn_kv_client_dequeue(owner->kv_client))) {
         double luck = r ? g_rand_double(r) : 1;
         enum lmn_txn_outcome o;
         if (luck < 0.15) {
@@ -166,7 +168,8 @@
 
 static void same(void)
 {
-    GHashTable *here = owner->parts[0].machines, *there = other->parts[0].machines;
+    GHashTable *here = owner->partitions[0].machines,
+               *there = other->partitions[0].machines;
     GHashTableIter it;
     gpointer v;
     guint recorded = 0;
@@ -174,12 +177,12 @@
     g_hash_table_iter_init(&it, here);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *m = v;
-        if (!m->rev)
+        if (!m->revision)
             continue;
         recorded++;
         const struct lmn_machine *o = g_hash_table_lookup(there, m->name);
         assert_non_null(o);
-        assert_string_equal(o->addr, m->addr);
+        assert_string_equal(o->address, m->address);
         assert_string_equal(o->zone, m->zone);
     }
     assert_int_equal(g_hash_table_size(there), recorded);
@@ -195,7 +198,7 @@
     for (int k = 0; k < 3; k++)
         turn(NULL);
     same();
-    assert_int_equal(g_hash_table_size(other->parts[0].machines), 600);
+    assert_int_equal(g_hash_table_size(other->partitions[0].machines), 600);
     assert_true(writes <= 10);
     writes = 0;
     for (int i = 0; i < 300; i++)
@@ -203,7 +206,7 @@
     for (int k = 0; k < 3; k++)
         turn(NULL);
     same();
-    assert_int_equal(g_hash_table_size(other->parts[0].machines), 300);
+    assert_int_equal(g_hash_table_size(other->partitions[0].machines), 300);
     assert_true(writes <= 10);
 }
 
@@ -218,10 +221,10 @@
         for (int step = 0; step < 60; step++) {
             for (int n = g_rand_int_range(r, 0, 12); n > 0; n--)
                 machine(next++);
-            GList *all = g_hash_table_get_values(owner->parts[0].machines);
+            GList *all = g_hash_table_get_values(owner->partitions[0].machines);
             for (GList *l = all; l; l = l->next) {
                 struct lmn_machine *m = l->data;
-                if (!m->is_gone && g_rand_double(r) < 0.08)
+                if (!m->is_terminated && g_rand_double(r) < 0.08)
                     lmn_machine_terminated(owner, m, now);
             }
             g_list_free(all);
@@ -233,11 +236,11 @@
         same();
         GHashTableIter it;
         gpointer v;
-        g_hash_table_iter_init(&it, owner->parts[0].machines);
+        g_hash_table_iter_init(&it, owner->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_machine *m = v;
             /* What was never recorded may linger until its block is next written. */
-            assert_true(m->is_gone ? !m->rev : m->rev > 0);
+            assert_true(m->is_terminated ? !m->revision : m->revision > 0);
         }
         g_rand_free(r);
     }
@@ -249,9 +252,9 @@
 {
     (void)state;
     for (uint32_t kb = 1; kb <= 16; kb++) {
-        struct lmn_range r = {.lo = LMN_MAX_TASKS - 1,
-                              .hi = LMN_MAX_TASKS - 1 + kb * 1024 * 3};
-        uint32_t n = r.hi - r.lo;
+        struct lmn_range r = {.first = LMN_MAX_TASKS - 1,
+                              .end = LMN_MAX_TASKS - 1 + kb * 1024 * 3};
+        uint32_t n = r.end - r.first;
         uint8_t *done = g_malloc((n + 7) / 8);
         memset(done, 0xff, (n + 7) / 8);
         GByteArray *v = lmn_range_record(&r, done);
--- a/tests/test_failures.c
+++ b/tests/test_failures.c
@@ -66,8 +66,10 @@
             memset(d->jobs, 0, sizeof d->jobs);
             memset(d->times, 0, sizeof d->times);
             for (int j = 0; j < JOBS; j++)
-                for (unsigned k = 0; lmn_job_is_faulty(&old[j]) && k < old[j].places; k++)
-                    lmn_job_record_inherited_failure(&d->jobs[j], old[j].on[k], d->now);
+                for (unsigned k = 0;
+                     lmn_job_is_faulty(&old[j]) && k < old[j].machine_count; k++)
+                    lmn_job_record_inherited_failure(&d->jobs[j], old[j].machines[k],
+                                                     d->now);
             memcpy(d->before, d->failed, sizeof d->before);
         }
         for (guint i = d->n; i-- > 0;) {
@@ -89,7 +91,7 @@
             for (guint i = 0; i < d->n; i++)
                 here += d->v[i].machine == m;
             if (d->left[m] || here >= 8 || lmn_time_before(d->now, d->pause[m]) ||
-                lmn_time_before(d->now, d->jobs[j].hold))
+                lmn_time_before(d->now, d->jobs[j].backoff_until))
                 continue;
             if (lmn_job_is_faulty(&d->jobs[j]))
                 lmn_job_record_retry(&d->jobs[j], d->now);
@@ -121,7 +123,7 @@
              */
             if (d.broken[j])
                 assert_in_range(d.failed[j], 1, 60);
-            else if (!d.jobs[j].proven)
+            else if (!d.jobs[j].has_succeeded)
                 assert_false(lmn_job_is_faulty(&d.jobs[j]));
         }
     }
@@ -143,14 +145,14 @@
         lmn_job_record_failure(&b, 1, t, lmn_time_add(t, 1 + i * 0.01));
     assert_int_equal(b.rounds, 1);
     assert_false(lmn_job_is_faulty(&b));
-    assert_true(lmn_time_diff_s(b.hold, t) < 3);
+    assert_true(lmn_time_diff_s(b.backoff_until, t) < 3);
     /* The only machine of its type: tried again, more and more seldom, and never blamed
      * by this job alone. */
     for (int i = 0; i < 50; i++) {
-        t = b.hold;
+        t = b.backoff_until;
         lmn_job_record_failure(&b, 1, lmn_time_add(t, 0.1), lmn_time_add(t, 0.2));
         assert_false(lmn_job_is_faulty(&b));
-        assert_in_range((int)lmn_time_diff_s(b.hold, t), 0, 5);
+        assert_in_range((int)lmn_time_diff_s(b.backoff_until, t), 0, 5);
     }
     assert_false(lmn_machine_is_faulty(lmn_failure_weight(&b, 1, 50, t, t)));
     lmn_job_record_success(&b); /* elsewhere */
@@ -171,16 +173,17 @@
         lmn_job_record_failure(&b, m, t, t);
     assert_true(lmn_job_is_faulty(&b));
     while (lmn_time_before(t, end)) {
-        t = lmn_time_add(b.hold, 0.01);
+        t = lmn_time_add(b.backoff_until, 0.01);
         lmn_job_record_retry(&b, t);
-        assert_true(lmn_time_diff_s(b.hold, t) > 3.9 && lmn_time_diff_s(b.hold, t) < 61);
+        assert_true(lmn_time_diff_s(b.backoff_until, t) > 3.9 &&
+                    lmn_time_diff_s(b.backoff_until, t) < 61);
         lmn_job_record_failure(&b, 1 + tries % 20, t, lmn_time_add(t, 1));
         tries++;
     }
     assert_in_range(tries, 55, 70);
     lmn_job_record_success(&b);
     assert_false(lmn_job_is_faulty(&b));
-    assert_true(lmn_time_before(b.hold, t));
+    assert_true(lmn_time_before(b.backoff_until, t));
 }
 
 int main(void)
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -137,7 +137,7 @@
     char *text = with_line(good, 4, zones->str);
     if (lmn_inventory_parse(text, "inv.toml", &v, err, sizeof err) != 0)
         fail_msg("%s", err);
-    assert_int_equal(v.types[0].nzones, ZONES);
+    assert_int_equal(v.types[0].zone_count, ZONES);
     assert_string_equal(v.types[0].zones[ZONES - 1], "z17");
     lmn_inventory_clear(&v);
     g_free(text);
@@ -167,7 +167,7 @@
         lmn_site_write(&s, err, sizeof err) != 0 ||
         lmn_settings_load(mine, &settings, err, sizeof err) != 0)
         fail_msg("%s", err);
-    assert_int_equal(settings.nteams, TEAMS);
+    assert_int_equal(settings.team_count, TEAMS);
     assert_true(settings.teams[TEAMS - 1].cpus_max == TEAMS);
     lmn_settings_free(&settings);
     g_string_free(text, TRUE);
@@ -225,8 +225,8 @@
     assert_int_equal(lmn_site_write(&s, err, sizeof err), 0);
     if (lmn_settings_load(mine, &settings, err, sizeof err) != 0)
         fail_msg("%s", err);
-    assert_int_equal(settings.nmembers, 2);
-    assert_int_equal(settings.nobjectives, 1);
+    assert_int_equal(settings.member_count, 2);
+    assert_int_equal(settings.objective_count, 1);
     g_free(text);
     g_free(mine);
     g_free(file);
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -56,11 +56,11 @@
     g_strlcpy(a.addr, "10.0.0.1:9000", sizeof a.addr);
     g_strlcpy(a.zone, "a", sizeof a.zone);
     g_strlcpy(a.type.name, "x", sizeof a.type.name);
-    a.session = 5;
+    a.incarnation = 5;
     a.spot = a.noticed = true;
     a.gone_at = lmn_time_add(now, 30.5);
-    a.token = 42;
-    a.seq = 16;
+    a.fencing_token = 42;
+    a.sequence = 16;
     for (uint32_t i = 0; i < 4 + LMN_EXIT_NO_SUCH_JOB + 1; i++) {
         struct lmn_task_run *run = g_new0(struct lmn_task_run, 1);
         g_strlcpy(run->ref, "run-000412", sizeof run->ref);
@@ -80,19 +80,19 @@
     assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
     assert_null(lmn_heartbeat_parse(&r, &d));
     assert_string_equal(r.name, "host-000001");
-    assert_string_equal(r.addr, "10.0.0.1:9000");
+    assert_string_equal(r.address, "10.0.0.1:9000");
     assert_string_equal(r.type, "x");
     assert_string_equal(r.zone, "a");
-    assert_true(r.spot && r.noticed && r.notice_s == 30.5);
-    assert_int_equal(r.session, 5);
-    assert_int_equal(r.seq, 17);
-    assert_int_equal(r.token, 42);
+    assert_true(r.is_spot && r.has_spot_notice && r.notice_s == 30.5);
+    assert_int_equal(r.agent_incarnation, 5);
+    assert_int_equal(r.sequence, 17);
+    assert_int_equal(r.fencing_token, 42);
     uint32_t i = 0;
     for (const struct lmn_cbor_value *node = lmn_cbor_first_child(&d, r.tasks); node;
          node = lmn_cbor_next(&d, node)) {
         struct lmn_attempt read;
         assert_true(lmn_heartbeat_parse_task(&read, &d, node));
-        assert_string_equal(read.ref, "run-000412");
+        assert_string_equal(read.job_id, "run-000412");
         assert_int_equal(read.index, i);
         assert_true(read.number == 0x2a00000001ULL + i);
         assert_int_equal(read.state, i < 4 ? read_states[i] : LMN_ATTEMPT_ENDED);
@@ -118,25 +118,31 @@
 {
     memset(&cfg, 0, sizeof cfg);
     cfg.teams = &team;
-    cfg.nteams = 1;
-    cfg.partitions = 1;
-    cfg.state_rps = cfg.state_write_rps = 1000;
-    cfg.txn_ops = 12;
-    cfg.value_kb = 16;
-    cfg.report_s = 8;
+    cfg.team_count = 1;
+    cfg.partition_count = 1;
+    cfg.state_requests_per_s = cfg.state_writes_per_s = 1000;
+    cfg.max_txn_operations = 12;
+    cfg.max_value_kb = 16;
+    cfg.heartbeat_s = 8;
     cfg.lease_s = 44;
     cfg.cancel_s = 64;
     struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->parts[0].mine = core->parts[0].ready = core->parts[0].open = true;
-    core->parts[0].my_term = 42;
-    core->parts[0].my_rev = 1;
-    core->parts[0].since = core->fresh = now;
-    core->synced = true;
-    core->members.tick = core->members.fresh = core->members.synced = now;
-    core->types.n = 1;
-    core->types.v[0] = (struct lmn_machine_type){
-        .name = "x", .cpus = 8, .gpus = 1, .mem = 64, .zones = {"a"}, .nzones = 1};
-    core->types_known = true;
+    core->partitions[0].is_owned = core->partitions[0].is_ready =
+        core->partitions[0].inherited_may_start = true;
+    core->partitions[0].owned_epoch = 42;
+    core->partitions[0].owned_revision = 1;
+    core->partitions[0].owned_since = core->cache_fresh_at = now;
+    core->is_synced = true;
+    core->members.last_tick_at = core->members.cache_fresh_at = core->members.synced_at =
+        now;
+    core->machine_types.n = 1;
+    core->machine_types.v[0] = (struct lmn_machine_type){.name = "x",
+                                                         .cpus = 8,
+                                                         .gpus = 1,
+                                                         .memory_gb = 64,
+                                                         .zones = {"a"},
+                                                         .zone_count = 1};
+    core->machine_types_known = true;
     return core;
 }
 
@@ -181,16 +187,16 @@
     static const char *const tasks[] = {"run-9/0", "run-9/1"};
     static const char *const states[] = {"running", "ended"};
     struct lmn_core *core = owner();
-    struct lmn_job_spec spec = {.ref = "run-000412",
+    struct lmn_job_spec spec = {.id = "run-000412",
                                 .class_name = (char *)"etl",
                                 .team = (char *)"t",
                                 .image = (char *)"base:1",
-                                .urgency = LMN_PRIORITY_NORMAL,
+                                .priority = LMN_PRIORITY_NORMAL,
                                 .tasks = 1,
                                 .cpus = 2,
                                 .estimate_s = 60,
                                 .deadline_s = -1};
-    struct lmn_range range = {.lo = 0, .hi = 1};
+    struct lmn_range range = {.first = 0, .end = 1};
     uint8_t none = 0;
     (void)state;
 
@@ -199,8 +205,8 @@
     answers(core, report(2, 42, tasks, states, 2), "worker_answer_kill_and_clear");
     put(core, "j/run-000412", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1e9), 3);
     put(core, "r/0/run-000412/0", lmn_range_record(&range, &none), 3);
-    struct lmn_machine *machine = core->parts[0].list->pdata[0];
-    machine->rev = 1; /* recorded */
+    struct lmn_machine *machine = core->partitions[0].machine_list->pdata[0];
+    machine->revision = 1; /* recorded */
     answers(core, report(3, 42, NULL, NULL, 0), "worker_answer_start");
     assert_int_equal(machine->attempts->len, 1);
 }
@@ -217,7 +223,8 @@
 
 static void commands_to_workers_keep_their_bytes(void **state)
 {
-    struct lmn_attempt a = {.ref = "run-000412", .index = 7, .number = 0x2a00000001ULL};
+    struct lmn_attempt a = {
+        .job_id = "run-000412", .index = 7, .number = 0x2a00000001ULL};
     GByteArray *b = g_byte_array_new();
     (void)state;
 
--- a/tests/test_job.c
+++ b/tests/test_job.c
@@ -14,19 +14,19 @@
 static void random_spec(GRand *r, struct lmn_job_spec *spec)
 {
     memset(spec, 0, sizeof *spec);
-    g_snprintf(spec->ref, sizeof spec->ref, "run-%06d", g_rand_int_range(r, 0, 1000000));
+    g_snprintf(spec->id, sizeof spec->id, "run-%06d", g_rand_int_range(r, 0, 1000000));
     spec->class_name = g_strdup("c");
     spec->team = g_strdup("t");
     spec->image = g_strdup_printf("img-%d", g_rand_int_range(r, 0, 9));
     spec->zone = g_rand_boolean(r) ? g_strdup("a") : NULL;
-    spec->types = g_rand_boolean(r) ? g_strsplit("x,y", ",", -1) : NULL;
+    spec->machine_types = g_rand_boolean(r) ? g_strsplit("x,y", ",", -1) : NULL;
     spec->kind = g_rand_boolean(r) ? LMN_JOB_BATCH : LMN_JOB_SERVICE;
-    spec->urgency = (enum lmn_priority)g_rand_int_range(r, 0, 4);
+    spec->priority = (enum lmn_priority)g_rand_int_range(r, 0, 4);
     spec->tasks = (uint32_t)g_rand_int_range(r, 1, LMN_MAX_TASKS + 1);
     spec->cpus = g_rand_int_range(r, 0, 64) / 2.0;
-    spec->mem = g_rand_double_range(r, 0, 100);
+    spec->memory_gb = g_rand_double_range(r, 0, 100);
     spec->deadline_s = g_rand_boolean(r) ? g_rand_double_range(r, 0, 1000) : -1;
-    spec->spot = g_rand_boolean(r);
+    spec->may_use_spot = g_rand_boolean(r);
 }
 
 static GByteArray *encode(const struct lmn_job_spec *spec)
@@ -203,12 +203,13 @@
 static void what_can_never_run(void **state)
 {
     struct lmn_team teams[2] = {0};
-    struct lmn_settings cfg = {.teams = teams, .nteams = 2};
+    struct lmn_settings cfg = {.teams = teams, .team_count = 2};
     struct lmn_machine_type t = {
-        .name = "x", .cpus = 8, .mem = 16, .zones = {"a"}, .nzones = 1};
+        .name = "x", .cpus = 8, .memory_gb = 16, .zones = {"a"}, .zone_count = 1};
     struct lmn_machine_types types = {&t, 1};
     const char *why;
-    struct lmn_job_spec s = {.team = (char *)"free", .tasks = 10, .cpus = 4, .mem = 4};
+    struct lmn_job_spec s = {
+        .team = (char *)"free", .tasks = 10, .cpus = 4, .memory_gb = 4};
     (void)state;
 
     g_strlcpy(cfg.teams[0].name, "free", LMN_NAME_SIZE);
@@ -221,9 +222,9 @@
     assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
     s.tasks = 5;
     assert_true(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
-    s.mem = 17;
+    s.memory_gb = 17;
     assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
-    s.mem = 4;
+    s.memory_gb = 4;
     s.zone = (char *)"b";
     assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
     s.zone = NULL;
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -20,7 +20,7 @@
 
 static struct lmn_settings settings(int sockets, size_t members)
 {
-    struct lmn_settings s = {.max_connections = sockets, .nmembers = members};
+    struct lmn_settings s = {.max_connections = sockets, .member_count = members};
     return s;
 }
 
@@ -44,11 +44,12 @@
         else if (g_rand_int_range(rng, 0, 20) == 0)
             open[k]--; /* it ends by itself */
         unsigned sum = open[LMN_CONNECTION_USER] + open[LMN_CONNECTION_WORKER];
-        assert_true(sum + budget->floor[LMN_CONNECTION_UNIDENTIFIED] <= budget->accepted);
+        assert_true(sum + budget->reserved[LMN_CONNECTION_UNIDENTIFIED] <=
+                    budget->max_accepted);
     }
     /* Whoever else is there, a floor is had. */
     for (enum lmn_connection_kind k = LMN_CONNECTION_USER; k < LMN_CONNECTION_KINDS; k++)
-        if (open[k] < budget->floor[k]) {
+        if (open[k] < budget->reserved[k]) {
             open[k]++;
             assert_true(lmn_connection_budget_keeps_open(budget, open, k, false));
             open[k]--;
@@ -67,13 +68,14 @@
         unsigned floors = 0;
         lmn_connection_budget_init(&s, &p);
         for (int k = 0; k < LMN_CONNECTION_KINDS; k++)
-            floors += p.floor[k];
-        assert_true(floors <= p.accepted);
-        assert_true(p.direct >= 16);
-        if ((unsigned)sockets >= lmn_connection_budget_minimum(&s) && p.direct == 16)
-            assert_true(p.own + p.accepted <= (unsigned)sockets);
-        if (p.own + 16 <= (unsigned)sockets)
-            assert_int_equal(p.own + p.accepted, sockets);
+            floors += p.reserved[k];
+        assert_true(floors <= p.max_accepted);
+        assert_true(p.worker_connections >= 16);
+        if ((unsigned)sockets >= lmn_connection_budget_minimum(&s) &&
+            p.worker_connections == 16)
+            assert_true(p.own_connections + p.max_accepted <= (unsigned)sockets);
+        if (p.own_connections + 16 <= (unsigned)sockets)
+            assert_int_equal(p.own_connections + p.max_accepted, sockets);
         crowd(rng, &p, (unsigned)exp2(g_rand_double_range(rng, 0, 15.6)),
               (unsigned)exp2(g_rand_double_range(rng, 0, 13)));
     }
@@ -88,16 +90,16 @@
 
     lmn_connection_budget_init(&s, &p);
     /* Beyond a floor, what the other kind has no use for may be used: */
-    unsigned quiet[] = {0, 3, p.accepted / 2};
+    unsigned quiet[] = {0, 3, p.max_accepted / 2};
     assert_true(
         lmn_connection_budget_keeps_open(&p, quiet, LMN_CONNECTION_WORKER, false));
     /* and no more than that. */
-    unsigned full[] = {0, 3, p.accepted - p.floor[0] - p.floor[1] + 1};
+    unsigned full[] = {0, 3, p.max_accepted - p.reserved[0] - p.reserved[1] + 1};
     assert_false(
         lmn_connection_budget_keeps_open(&p, full, LMN_CONNECTION_WORKER, false));
     assert_true(lmn_connection_budget_keeps_open(&p, full, LMN_CONNECTION_USER, false));
     /* Many that pass make fewer stand. */
-    unsigned storm[] = {p.accepted / 2, 3, p.accepted / 2};
+    unsigned storm[] = {p.max_accepted / 2, 3, p.max_accepted / 2};
     assert_false(
         lmn_connection_budget_keeps_open(&p, storm, LMN_CONNECTION_WORKER, false));
     /* Users of a node that alone can't confirm anything go elsewhere; its workers stay.
@@ -120,12 +122,12 @@
         unsigned open[LMN_CONNECTION_KINDS] = {0};
         lmn_connection_budget_init(&s, &p);
         open[LMN_CONNECTION_USER] =
-            (unsigned)g_rand_int_range(rng, 0, (int)p.accepted / 2);
+            (unsigned)g_rand_int_range(rng, 0, (int)p.max_accepted / 2);
         while (lmn_connection_budget_admits(&p, open, LMN_CONNECTION_WORKER))
             open[g_rand_boolean(rng) ? LMN_CONNECTION_WORKER
                                      : LMN_CONNECTION_UNIDENTIFIED]++;
-        unsigned left = p.accepted - open[0] - open[1] - open[2];
-        assert_true(open[LMN_CONNECTION_USER] + left >= p.floor[LMN_CONNECTION_USER]);
+        unsigned left = p.max_accepted - open[0] - open[1] - open[2];
+        assert_true(open[LMN_CONNECTION_USER] + left >= p.reserved[LMN_CONNECTION_USER]);
         assert_true(lmn_connection_budget_admits(&p, open, LMN_CONNECTION_USER));
         assert_true(lmn_connection_budget_admits(&p, open, LMN_CONNECTION_UNIDENTIFIED));
     }
@@ -185,12 +187,12 @@
      */
     for (int i = 0; i < 4; i++)
         lmn_load_record_delay(&l, 3, 3);
-    assert_true(l.behind > 2.5);
+    assert_true(l.delay_s > 2.5);
     assert_true(lmn_load_should_shed(&l, LMN_SHED_POLL, rng));
-    assert_int_equal(l.shed[LMN_SHED_POLL], 1);
+    assert_int_equal(l.shed_counts[LMN_SHED_POLL], 1);
     for (int i = 0; i < 30; i++)
         lmn_load_record_delay(&l, 0, 0.15);
-    assert_true(l.behind < 0.1);
+    assert_true(l.delay_s < 0.1);
     assert_false(lmn_load_should_shed(&l, LMN_SHED_POLL, rng));
     /* Those sent away come back spread, never at once, never after the protocol's 30 s.
      */
@@ -264,7 +266,7 @@
 
     lmn_connection_budget_init(&s, &plan);
     const struct lmn_http_server_options o = {.listen = "127.0.0.1:0",
-                                              .connections = plan.accepted,
+                                              .connections = plan.max_accepted,
                                               .max_body = 1024,
                                               .route = answer,
                                               .stands = stands};
@@ -280,8 +282,9 @@
             fds[i] = -1;
         }
     }
-    assert_int_equal(standing, plan.accepted - plan.floor[LMN_CONNECTION_UNIDENTIFIED] -
-                                   plan.floor[LMN_CONNECTION_USER]);
+    assert_int_equal(standing, plan.max_accepted -
+                                   plan.reserved[LMN_CONNECTION_UNIDENTIFIED] -
+                                   plan.reserved[LMN_CONNECTION_USER]);
     assert_int_equal(closed, CROWD - standing);
     /* The server learns of an end a moment after the peer. */
     do
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -26,10 +26,10 @@
 {
     memset(&cfg, 0, sizeof cfg);
     cfg.lease_s = 31;
-    cfg.report_s = 6;
-    g_strlcpy(cfg.node, "n00", LMN_NAME_SIZE);
+    cfg.heartbeat_s = 6;
+    g_strlcpy(cfg.node_name, "n00", LMN_NAME_SIZE);
     for (int i = 1; i < n; i++)
-        g_snprintf(cfg.members[cfg.nmembers++].name, LMN_NAME_SIZE, "n%02d", i);
+        g_snprintf(cfg.members[cfg.member_count++].name, LMN_NAME_SIZE, "n%02d", i);
     now = 0;
     lmn_members_init(&ms, &cfg, at(0));
     for (int i = 0; i < n; i++)
@@ -49,15 +49,15 @@
     for (double end = now + s; now < end; now += 0.1) {
         lmn_members_record_watch(&ms, at(now));
         lmn_members_tick(&ms, 0, at(now));
-        for (int i = 1; i < ms.n; i++) {
+        for (int i = 1; i < ms.count; i++) {
             if (i >= silent) {
                 lmn_member_record_probe_timeout(&ms, i, at(now), at(now + 0.05));
                 continue;
             }
             lmn_member_record_probe_reply(&ms, i, &well, at(now), at(now + 0.002));
-            for (int k = silent; k < ms.n; k++) {
-                struct lmn_gossip_statement says = {k, ms.v[k].inc, others ? 5 : 0.1,
-                                                    others ? 1 : 0, 0};
+            for (int k = silent; k < ms.count; k++) {
+                struct lmn_gossip_statement says = {k, ms.views[k].incarnation,
+                                                    others ? 5 : 0.1, others ? 1 : 0, 0};
                 lmn_member_record_gossip(&ms, i, &says, at(now));
             }
         }
@@ -67,7 +67,7 @@
 static void doubt(int member_index, enum lmn_suspicion_cause why)
 {
     lmn_member_apply_suspicion(&ms, member_index, 1000 + (uint64_t)member_index,
-                               ms.v[member_index].inc, "n00", why, at(now));
+                               ms.views[member_index].incarnation, "n00", why, at(now));
 }
 
 static void tells_how_unlikely_a_wait_is(void **state)
@@ -96,7 +96,7 @@
 static void times_follow_from_the_settings(void **state)
 {
     struct lmn_membership_timeouts t;
-    struct lmn_settings s = {.report_s = 2};
+    struct lmn_settings s = {.heartbeat_s = 2};
     (void)state;
 
     for (s.lease_s = 3; s.lease_s < 120; s.lease_s += 1) {
@@ -104,8 +104,9 @@
         assert_true(t.lease_s >= 2 && t.lease_s <= 8);
         /* A failure is noticed, suspected and judged before the lease would end, where
          * the lease leaves the time for that. */
-        assert_true(t.lease_s < 3 || t.every_s + t.patience_s + t.doubt_s < t.lease_s);
-        assert_true(t.jump_s > t.doubt_s);
+        assert_true(t.lease_s < 3 ||
+                    t.probe_interval_s + t.probe_timeout_s + t.suspicion_s < t.lease_s);
+        assert_true(t.stall_s > t.suspicion_s);
     }
 }
 
@@ -119,14 +120,14 @@
     pass(0.5, 2, true);
     assert_true(lmn_member_should_suspect(&ms, 2, at(now), &e));
     assert_int_equal(e.cause, LMN_CAUSE_UNRESPONSIVE);
-    assert_int_equal(e.sides, 2);
+    assert_int_equal(e.independent_witnesses, 2);
     /* Never without a suspicion, nor before it has stood. */
     pass(5, 2, true);
     assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
     doubt(2, LMN_CAUSE_UNRESPONSIVE);
     assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
     assert_false(lmn_member_is_trusted(&ms, 2, at(now)));
-    pass(ms.t.doubt_s + 0.3, 2, true);
+    pass(ms.timeouts.suspicion_s + 0.3, 2, true);
     assert_true(lmn_member_is_declared_failed(&ms, 2, at(now)));
     /* For all of its partitions: after the first it is judged still. */
     lmn_member_record_failure(&ms, 2, at(now));
@@ -163,7 +164,7 @@
     meet(3);
     pass(5, 2, false);
     assert_false(lmn_member_should_suspect(&ms, 2, at(now), &e));
-    assert_true(e.alive);
+    assert_true(e.is_reached_by_others);
     doubt(2, LMN_CAUSE_UNRESPONSIVE);
     pass(10, 2, false);
     assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
@@ -174,7 +175,7 @@
     doubt(1, LMN_CAUSE_UNRESPONSIVE);
     pass(5, 1, true);
     assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
-    ms.v[2].machines = 400;
+    ms.views[2].machine_count = 400;
     for (int i = 0; i < 40; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "host-%d", i);
@@ -240,7 +241,7 @@
     /* After it, the suspicion stands anew. */
     pass(0.5, 2, true);
     assert_false(lmn_member_is_declared_failed(&ms, 2, at(now)));
-    pass(ms.t.doubt_s + 0.5, 2, true);
+    pass(ms.timeouts.suspicion_s + 0.5, 2, true);
     assert_true(lmn_member_is_declared_failed(&ms, 2, at(now)));
 }
 
@@ -267,7 +268,7 @@
     /* Its word alone is not enough, nor are workers that were turned away. */
     meet(3);
     pass(1, 3, true);
-    ms.v[2].machines = 10;
+    ms.views[2].machine_count = 10;
     lmn_member_record_probe_reply(&ms, 2, &deaf, at(now), at(now));
     assert_false(lmn_member_should_suspect(&ms, 2, at(now), &e));
     for (int i = 0; i < 3; i++)
@@ -292,7 +293,7 @@
     assert_false(lmn_self_should_refute(&ms, at(now)));
     doubt(0, LMN_CAUSE_NO_HEARTBEATS);
     assert_true(lmn_self_should_refute(&ms, at(now)));
-    ms.word.deaf = 0.9;
+    ms.health.silent_machine_share = 0.9;
     assert_false(lmn_self_should_refute(&ms, at(now)));
 }
 
@@ -302,8 +303,8 @@
     (void)state;
 
     meet(4);
-    ms.v[0].machines = 300;
-    ms.word.deaf = 0.8;
+    ms.views[0].machine_count = 300;
+    ms.health.silent_machine_share = 0.8;
     assert_int_equal(lmn_self_transfer_target(&ms, at(now)), -1);
     lmn_member_record_gossip(&ms, 1, &few, at(now));
     assert_int_equal(lmn_self_transfer_target(&ms, at(now)), -1);
@@ -315,7 +316,7 @@
     lmn_member_apply_record(&ms, 2, 3000, 102, at(now));
     assert_int_equal(lmn_self_transfer_target(&ms, at(now)), 2);
     assert_int_equal(lmn_self_transfer_target(&ms, at(now + 5)), -1);
-    ms.word.deaf = 0.2;
+    ms.health.silent_machine_share = 0.2;
     assert_int_equal(lmn_self_transfer_target(&ms, at(now)), -1);
 }
 
@@ -326,7 +327,7 @@
     meet(3);
     assert_true(lmn_self_may_reply(&ms, at(now)));
     /* No tick is needed for it. */
-    now += ms.t.jump_s + 0.3;
+    now += ms.timeouts.stall_s + 0.3;
     assert_false(lmn_self_may_reply(&ms, at(now)));
     lmn_members_tick(&ms, 3, at(now));
     assert_false(lmn_self_may_reply(&ms, at(now)));
@@ -383,20 +384,20 @@
         struct lmn_probe q;
         double wait;
         meet(sizes[k]);
-        ms.next = ms.beyond = at(now);
+        ms.next_probe_at = ms.next_extra_probe_at = at(now);
         for (double end = now + 200; now < end; now += 0.05) {
             lmn_members_record_watch(&ms, at(now));
             while (lmn_member_next_probe(&ms, r, at(now), &q, &wait)) {
-                assert_true(q.rank > 0 && q.rank < ms.n);
-                lmn_member_record_probe_reply(&ms, q.rank, &well, at(now), at(now));
-                asked[q.rank]++;
+                assert_true(q.member > 0 && q.member < ms.count);
+                lmn_member_record_probe_reply(&ms, q.member, &well, at(now), at(now));
+                asked[q.member]++;
                 all++;
             }
         }
         assert_in_range(all, 380, 402);
         /* In turns: none is asked much less than others. */
-        for (int i = 1; i < ms.n; i++)
-            assert_true(asked[i] + 2 >= all / (unsigned)(ms.n - 1));
+        for (int i = 1; i < ms.count; i++)
+            assert_true(asked[i] + 2 >= all / (unsigned)(ms.count - 1));
     }
     g_rand_free(r);
 }
--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -86,7 +86,8 @@
         steals += w.steals;
         preempted += w.preempted;
         for (int i = 0; i < w.layout.nodes; i++)
-            preempted += w.nodes[i].core ? (unsigned)w.nodes[i].core->count.preempted : 0;
+            preempted +=
+                w.nodes[i].core ? (unsigned)w.nodes[i].core->counters.preempted : 0;
     }
     /* The days were worth playing. */
     print_message("%u jobs done, %u takeovers, %u stolen, %u stopped for others\n",
@@ -121,7 +122,7 @@
             play_digested("flapping", &l, 900 + 10 * k + seed, G_NONE);
             flap = standbys = false;
             for (int i = 0; i < n; i++)
-                warm += (unsigned)w.nodes[i].core->count.warm;
+                warm += (unsigned)w.nodes[i].core->counters.warm_failovers;
             warm += w.warm;
             compared += w.compared;
             withheld += w.withheld;
--- a/tests/test_pending.c
+++ b/tests/test_pending.c
@@ -24,13 +24,13 @@
 static struct lmn_core *core;
 static gint transactions;          /* that the state service has got */
 static gint replied, step, status; /* of the submission's reply */
-static const struct lmn_job_spec spec = {.ref = "run-000001",
+static const struct lmn_job_spec spec = {.id = "run-000001",
                                          .class_name = (char *)"c",
                                          .team = (char *)"x",
                                          .image = (char *)"img",
                                          .tasks = 3,
                                          .cpus = 1,
-                                         .mem = 1,
+                                         .memory_gb = 1,
                                          .deadline_s = -1};
 
 static void lose_the_first(void *arg, struct lmn_http_request *request)
@@ -50,7 +50,7 @@
                   const struct lmn_request_decision *decision)
 {
     (void)request;
-    assert_string_equal(ref, spec.ref);
+    assert_string_equal(ref, spec.id);
     g_atomic_int_set(&step, (gint)decision->step);
     g_atomic_int_set(&status, decision->reply.status);
     g_atomic_int_inc(&replied);
@@ -66,14 +66,14 @@
     (void)state;
 
     assert_non_null(server);
-    settings.partitions = 1;
-    settings.state_rps = settings.state_write_rps = 1000;
-    settings.value_kb = 16;
-    settings.txn_ops = 12;
-    g_snprintf(settings.state, sizeof settings.state, "127.0.0.1:%d",
+    settings.partition_count = 1;
+    settings.state_requests_per_s = settings.state_writes_per_s = 1000;
+    settings.max_value_kb = 16;
+    settings.max_txn_operations = 12;
+    g_snprintf(settings.state_address, sizeof settings.state_address, "127.0.0.1:%d",
                lmn_http_server_port(server));
     core = lmn_core_new(&settings, lmn_kv_client_new(&settings), 1);
-    lmn_kv_client_start(core->state);
+    lmn_kv_client_start(core->kv_client);
     lmn_pending_submission_start(core, reply);
     return 0;
 }
--- a/tests/test_query_queue.c
+++ b/tests/test_query_queue.c
@@ -13,8 +13,8 @@
     struct lmn_read_request *read = g_new0(struct lmn_read_request, 1);
 
     read->kind = kind;
-    read->since = now;
-    g_snprintf(read->ref, sizeof read->ref, "run-%06d", job);
+    read->received_at = now;
+    g_snprintf(read->job_id, sizeof read->job_id, "run-%06d", job);
     lmn_read_batch_add(batch, read);
 }
 
@@ -23,7 +23,7 @@
     guint n = 0;
 
     for (struct lmn_read_request *next; read; read = next, n++) {
-        next = read->next;
+        next = read->next_same_job;
         g_free(read);
     }
     return n;
@@ -55,20 +55,21 @@
             now = lmn_time_add(now, took);
             guint n = lmn_read_batch_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
             assert_true(n <= G_N_ELEMENTS(v));
-            for (struct lmn_read_request *read = late; read; read = read->next)
-                assert_true(lmn_time_diff_s(now, read->since) > LMN_QUERY_PATIENCE_S);
+            for (struct lmn_read_request *read = late; read; read = read->next_same_job)
+                assert_true(lmn_time_diff_s(now, read->received_at) >
+                            LMN_QUERY_PATIENCE_S);
             /* What the state service holds up is over with it. */
             assert_true(tick % 400 > 350 || tick % 400 < 20 || !late);
             told += done(late);
             for (guint i = 0; i < n; i++) {
                 guint who = 0;
                 for (guint k = 0; k < i; k++)
-                    assert_string_not_equal(v[i]->ref, v[k]->ref);
+                    assert_string_not_equal(v[i]->job_id, v[k]->job_id);
                 for (struct lmn_read_request *read = v[i]; read;
-                     read = read->next, who++) {
-                    assert_true(lmn_time_diff_s(now, read->since) <=
+                     read = read->next_same_job, who++) {
+                    assert_true(lmn_time_diff_s(now, read->received_at) <=
                                 LMN_QUERY_PATIENCE_S);
-                    assert_string_equal(read->ref, v[i]->ref);
+                    assert_string_equal(read->job_id, v[i]->job_id);
                 }
                 shared += who > 1;
             }
@@ -110,7 +111,7 @@
     while (q.waiting) {
         guint n = lmn_read_batch_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
         for (guint i = 0; i < n; i++) {
-            if (g_str_has_suffix(v[i]->ref, "000099"))
+            if (g_str_has_suffix(v[i]->job_id, "000099"))
                 at = batches;
             assert_int_equal(done(v[i]), i + (guint)batches * 8 == 20 ? 1 : 40);
         }
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -11,13 +11,13 @@
 static void count_queue(const struct lmn_queue *queue, unsigned seen[JOBS][64])
 {
     uint32_t n = 0;
-    for (guint i = 0; i < queue->segs->len; i++) {
-        const struct lmn_queue_segment *segment = queue->segs->pdata[i];
-        for (uint32_t k = segment->lo; k < segment->hi; k++)
+    for (guint i = 0; i < queue->segments->len; i++) {
+        const struct lmn_queue_segment *segment = queue->segments->pdata[i];
+        for (uint32_t k = segment->first; k < segment->end; k++)
             seen[segment->range->job - jobs][k]++;
-        n += segment->hi - segment->lo;
+        n += segment->end - segment->first;
     }
-    assert_int_equal(n, queue->tasks);
+    assert_int_equal(n, queue->task_count);
 }
 
 /* Every task is in one queue, or on one machine, and never in two. */
@@ -28,12 +28,12 @@
     gpointer v;
 
     /* The list that samples are drawn from holds each machine once, at its place. */
-    const GPtrArray *list = core->parts[0].list;
-    assert_int_equal(list->len, g_hash_table_size(core->parts[0].machines));
+    const GPtrArray *list = core->partitions[0].machine_list;
+    assert_int_equal(list->len, g_hash_table_size(core->partitions[0].machines));
     for (guint i = 0; i < list->len; i++)
-        assert_int_equal(((struct lmn_machine *)list->pdata[i])->at, i);
-    count_queue(&core->parts[0].unplaced, seen);
-    g_hash_table_iter_init(&it, core->parts[0].machines);
+        assert_int_equal(((struct lmn_machine *)list->pdata[i])->list_index, i);
+    count_queue(&core->partitions[0].unassigned, seen);
+    g_hash_table_iter_init(&it, core->partitions[0].machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
         double cpus = 0;
@@ -44,7 +44,7 @@
             seen[attempt->job - jobs][attempt->index]++;
             cpus += attempt->job->spec.cpus;
             assert_true(lmn_job_spec_allows(&attempt->job->spec, machine->type,
-                                            machine->zone, machine->spot));
+                                            machine->zone, machine->is_spot));
         }
         assert_true(fabs(cpus - machine->used_cpus) < 1e-6);
         assert_true(cpus <= machine->type->cpus + 1e-6);
@@ -58,7 +58,7 @@
 {
     char name[16];
     g_snprintf(name, sizeof name, "m-%d", g_rand_int_range(r, 0, MACHINES));
-    return g_hash_table_lookup(core->parts[0].machines, name);
+    return g_hash_table_lookup(core->partitions[0].machines, name);
 }
 
 static void never_loses_or_doubles_a_task(void **state)
@@ -83,7 +83,7 @@
                 lmn_machine_requeue_tasks(core, machine, "test", now);
                 break;
             case 2:
-                machine->noticed = !machine->noticed;
+                machine->has_spot_notice = !machine->has_spot_notice;
                 lmn_reassign_machine_queue(core, machine, now);
                 break;
             default:
@@ -92,7 +92,7 @@
             g_byte_array_unref(out);
             check_all();
         }
-        assert_true(core->count.starts > 0 && core->count.steals > 0);
+        assert_true(core->counters.starts > 0 && core->counters.steals > 0);
         g_rand_free(r);
     }
 }
@@ -109,16 +109,16 @@
         uint32_t zone[2] = {0, 0};
         GHashTableIter it;
         gpointer v;
-        job->spec.spread = job->spec.spot = true;
+        job->spec.spreads_over_zones = job->spec.may_use_spot = true;
         job->spec.cpus = 1;
-        job->spec.tasks = range->hi = n;
+        job->spec.tasks = range->end = n;
         lmn_range_open(core, range);
-        range->dealt = true;
+        range->is_assigned = true;
         lmn_assign_tasks(core, range, 0, n, now);
-        g_hash_table_iter_init(&it, core->parts[0].machines);
+        g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_machine *machine = v;
-            zone[machine->zone[0] - 'a'] += machine->queue.tasks;
+            zone[machine->zone[0] - 'a'] += machine->queue.task_count;
         }
         assert_int_equal(zone[0] + zone[1], n);
         assert_true(MAX(zone[0], zone[1]) <= (n + 1) / 2);
@@ -131,16 +131,16 @@
 {
     (void)state;
     fixture_begin(3);
-    struct lmn_machine *m = g_hash_table_lookup(core->parts[0].machines, "m-0");
-    core->types.v[0].pull = 0.1;
-    core->types.v[0].cache_gb = 10;
+    struct lmn_machine *m = g_hash_table_lookup(core->partitions[0].machines, "m-0");
+    core->machine_types.v[0].pull_gb_per_s = 0.1;
+    core->machine_types.v[0].cache_gb = 10;
     for (int i = 0; i < 2; i++) {
-        jobs[i].spec.urgency = LMN_PRIORITY_NORMAL;
+        jobs[i].spec.priority = LMN_PRIORITY_NORMAL;
         jobs[i].spec.zone = NULL;
-        jobs[i].spec.spot = true;
+        jobs[i].spec.may_use_spot = true;
         jobs[i].spec.image_gb = 2;
         jobs[i].spec.cpus = 8;
-        jobs[i].lost = false;
+        jobs[i].has_missed_objective = false;
         jobs[i].image = g_intern_string(i ? "near" : "far");
         lmn_queue_add(&m->queue, jobs[i].ranges->pdata[0], 0, 1);
     }
@@ -149,8 +149,8 @@
     assert_true(fabs(lmn_image_fetch_s(m, &jobs[0], now) - 20) < 1e-9);
     for (int urgent = 0; urgent < 2; urgent++) {
         GByteArray *out = g_byte_array_new();
-        jobs[0].latest = 1000;
-        jobs[1].latest = urgent ? 1100 : 1010;
+        jobs[0].latest_start_s = 1000;
+        jobs[1].latest_start_s = urgent ? 1100 : 1010;
         assert_int_equal(lmn_schedule_machine(core, m, out, now), 1);
         struct lmn_attempt *attempt = &g_array_index(m->attempts, struct lmn_attempt, 0);
         assert_ptr_equal(attempt->job, &jobs[urgent ? 0 : 1]);
@@ -162,7 +162,7 @@
     }
     /* While one task's fetch is under way, others of its job wait for what is left of it.
      */
-    struct lmn_machine *o = g_hash_table_lookup(core->parts[0].machines, "m-1");
+    struct lmn_machine *o = g_hash_table_lookup(core->partitions[0].machines, "m-1");
     lmn_machine_record_image(o, &jobs[0], false, now);
     assert_true(lmn_machine_has_image(o, &jobs[0]));
     assert_true(fabs(lmn_image_fetch_s(o, &jobs[0], lmn_time_add(now, 5)) - 15) < 1e-6);
@@ -175,7 +175,7 @@
     /* The cache holds ten: the least recently used go. */
     for (int i = 2; i < 7; i++) {
         jobs[i].spec.image_gb = 2;
-        jobs[i].image = g_intern_string(jobs[i].spec.ref);
+        jobs[i].image = g_intern_string(jobs[i].spec.id);
         lmn_machine_record_image(m, &jobs[i], true, now);
     }
     assert_true(lmn_image_fetch_s(m, &jobs[6], now) == 0);
@@ -194,16 +194,16 @@
     for (guint m = 1; m <= 3; m++)
         lmn_job_record_failure(&job->failures, m, now, now);
     lmn_reassign_job(core, job, now);
-    assert_int_equal(core->parts[0].unplaced.tasks, range->hi);
+    assert_int_equal(core->partitions[0].unassigned.task_count, range->end);
     start_all();
-    assert_int_equal(range->nstarted, 0);
-    now = lmn_time_add(job->failures.hold, 0.1);
+    assert_int_equal(range->started_count, 0);
+    now = lmn_time_add(job->failures.backoff_until, 0.1);
     start_all();
-    assert_int_equal(range->nstarted, 1);
+    assert_int_equal(range->started_count, 1);
     lmn_job_record_success(&job->failures);
     lmn_reassign_job(core, job, now);
     start_all();
-    assert_true(range->nstarted == MIN(range->hi, 8 * MACHINES));
+    assert_true(range->started_count == MIN(range->end, 8 * MACHINES));
 }
 
 int main(void)
--- a/tests/test_queue_floor.c
+++ b/tests/test_queue_floor.c
@@ -21,46 +21,46 @@
 
     fixture_begin(11);
     now = (struct timespec){1000, 0};
-    partition = &core->parts[0];
+    partition = &core->partitions[0];
     settings.teams[0].cpus_max = limit ? 24 : 0;
     for (int i = 0; i < JOBS; i++)
         jobs[i].phase = i < 2 ? LMN_JOB_ACTIVE : LMN_JOB_DONE;
     for (int i = 0; i < 2; i++) {
         struct lmn_range *range = jobs[i].ranges->pdata[0];
         jobs[i].spec.zone = NULL;
-        jobs[i].spec.spot = true;
-        jobs[i].spec.urgency = i ? LMN_PRIORITY_HIGH : LMN_PRIORITY_NORMAL;
+        jobs[i].spec.may_use_spot = true;
+        jobs[i].spec.priority = i ? LMN_PRIORITY_HIGH : LMN_PRIORITY_NORMAL;
         jobs[i].spec.cpus = i ? 1 : 8;
-        jobs[i].spec.tasks = range->hi = i ? 3000 : 1;
-        jobs[i].lost = false;
-        jobs[i].at = 0;
+        jobs[i].spec.tasks = range->end = i ? 3000 : 1;
+        jobs[i].has_missed_objective = false;
+        jobs[i].accepted_at_s = 0;
         g_free(range->done);
         range->done = g_malloc0(3000 / 8);
         lmn_range_open(core, range);
-        range->dealt = true;
+        range->is_assigned = true;
     }
     lmn_assign_range(core, small->ranges->pdata[0], now);
     lmn_assign_range(core, large->ranges->pdata[0], now);
     for (; t < 600 && !count_started(large, true) && !count_started(large, false); t++) {
         now = lmn_time_add(now, 1);
-        core->wall = t;
+        core->wall_clock_s = t;
         lmn_update_starvation(core, t);
         lmn_update_reservations(core, partition, now);
-        for (guint k = 0; k < partition->list->len; k++) {
-            struct lmn_machine *machine = partition->list->pdata[k];
+        for (guint k = 0; k < partition->machine_list->len; k++) {
+            struct lmn_machine *machine = partition->machine_list->pdata[k];
             /* A tenth of the small tasks end each second, one after the other. */
             for (guint i = machine->attempts->len; i-- > 0;) {
                 struct lmn_attempt *attempt =
                     &g_array_index(machine->attempts, struct lmn_attempt, i);
-                if (attempt->job != small || g_rand_int_range(core->rng, 0, 10))
+                if (attempt->job != small || g_rand_int_range(core->random, 0, 10))
                     continue;
                 lmn_attempt_uncount(machine, attempt);
                 lmn_task_finished(attempt->range, attempt->index, now);
                 g_array_remove_index_fast(machine->attempts, i);
-                machine->next_steal = now;
+                machine->next_steal_at = now;
                 lmn_schedule_machine(core, machine, out, now);
             }
-            machine->next_steal = now;
+            machine->next_steal_at = now;
             lmn_schedule_machine(core, machine, out, now);
         }
     }
@@ -71,17 +71,17 @@
 /* A quarter of an even part of what is in use, over those with work waiting. */
 static void floors(void **state)
 {
-    struct lmn_fair_share f = {.used = 12, .waiting = 1};
+    struct lmn_fair_share f = {.used_cpus = 12, .waiting_cpus = 1};
     (void)state;
 
     assert_true(lmn_is_under_fair_share(&f, 100, 2));  /* of 12.5 */
     assert_false(lmn_is_under_fair_share(&f, 100, 3)); /* of 8.3 */
     assert_false(lmn_is_under_fair_share(&f, 100, 1)); /* nobody else waits */
-    f.used = 13;
+    f.used_cpus = 13;
     assert_false(lmn_is_under_fair_share(&f, 100, 2));
-    f.used = 0;
+    f.used_cpus = 0;
     assert_true(lmn_is_under_fair_share(&f, 1, 50));
-    f.waiting = 0;
+    f.waiting_cpus = 0;
     assert_false(lmn_is_under_fair_share(&f, 100, 2));
 }
 
@@ -89,19 +89,21 @@
  * each that ends: without the floor the lesser would never start. */
 static void the_lesser_class_gets_its_floor(void **state)
 {
-    struct lmn_job high = {.spec = {.urgency = LMN_PRIORITY_HIGH}, .latest = 10},
-                   low = {.spec = {.urgency = LMN_PRIORITY_NORMAL}, .lost = true};
-    struct lmn_job prod = {.spec = {.urgency = LMN_PRIORITY_PRODUCTION}, .latest = 99};
+    struct lmn_job high = {.spec = {.priority = LMN_PRIORITY_HIGH}, .latest_start_s = 10},
+                   low = {.spec = {.priority = LMN_PRIORITY_NORMAL},
+                          .has_missed_objective = true};
+    struct lmn_job prod = {.spec = {.priority = LMN_PRIORITY_PRODUCTION},
+                           .latest_start_s = 99};
     (void)state;
 
-    g_strlcpy(high.spec.ref, "run-000001", LMN_JOB_ID_SIZE);
-    g_strlcpy(low.spec.ref, "run-000002", LMN_JOB_ID_SIZE);
-    g_strlcpy(prod.spec.ref, "run-000003", LMN_JOB_ID_SIZE);
+    g_strlcpy(high.spec.id, "run-000001", LMN_JOB_ID_SIZE);
+    g_strlcpy(low.spec.id, "run-000002", LMN_JOB_ID_SIZE);
+    g_strlcpy(prod.spec.id, "run-000003", LMN_JOB_ID_SIZE);
     assert_true(lmn_job_compare(&high, &low) < 0);
-    low.owed = true;
+    low.is_under_fair_share = true;
     assert_true(lmn_job_compare(&low, &high) < 0);
     assert_true(lmn_job_compare(&prod, &low) < 0);
-    high.guaranteed = true;
+    high.is_within_guarantee = true;
     assert_true(lmn_job_compare(&high, &low) < 0);
 }
 
@@ -117,16 +119,16 @@
         GHashTableIter it;
         gpointer v;
         jobs[0].spec.tasks = 40;
-        g_hash_table_iter_init(&it, core->parts[0].machines);
+        g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (k == 3 && g_hash_table_iter_next(&it, NULL, &v))
-            ((struct lmn_machine *)v)->spot = false;
+            ((struct lmn_machine *)v)->is_spot = false;
         /* An archive that was expected within minutes missed it. */
         if (k == 4) {
-            settings.nobjectives = 1;
+            settings.objective_count = 1;
             settings.objectives[0] =
                 (struct lmn_objective){LMN_OBJECTIVE_FINISH, "c", 180, 1, 1};
         }
-        lmn_update_starvation(core, job->at);
+        lmn_update_starvation(core, job->accepted_at_s);
         start_all();
         assert_int_equal(count_started(job, true) > 0, k != 3);
         assert_int_equal(count_started(job, false) > 0, k != 0);
@@ -149,25 +151,25 @@
         struct lmn_range *range = jobs[i].ranges->pdata[0];
         jobs[i].spec.cpus = 8;
         jobs[i].spec.zone = NULL;
-        jobs[i].spec.spot = true;
-        jobs[i].spec.tasks = range->hi = 30;
+        jobs[i].spec.may_use_spot = true;
+        jobs[i].spec.tasks = range->end = 30;
         lmn_range_open(core, range);
-        range->dealt = true;
+        range->is_assigned = true;
     }
-    old->spec.urgency = LMN_PRIORITY_NORMAL;
-    urgent->spec.urgency = LMN_PRIORITY_HIGH;
-    old->lost = urgent->lost = false;
+    old->spec.priority = LMN_PRIORITY_NORMAL;
+    urgent->spec.priority = LMN_PRIORITY_HIGH;
+    old->has_missed_objective = urgent->has_missed_objective = false;
     lmn_assign_range(core, urgent->ranges->pdata[0], now);
     lmn_assign_range(core, old->ranges->pdata[0], now);
-    lmn_update_starvation(core, old->at + 50);
-    assert_false(old->aged);
-    lmn_update_starvation(core, old->at + 61);
-    assert_true(old->aged && lmn_job_compare(old, urgent) < 0);
-    urgent->aged = false;
+    lmn_update_starvation(core, old->accepted_at_s + 50);
+    assert_false(old->is_starving);
+    lmn_update_starvation(core, old->accepted_at_s + 61);
+    assert_true(old->is_starving && lmn_job_compare(old, urgent) < 0);
+    urgent->is_starving = false;
     start_all();
     assert_int_equal(count_started(old, true) + count_started(old, false), 1);
-    lmn_update_starvation(core, old->at + 100);
-    assert_false(old->aged);
+    lmn_update_starvation(core, old->accepted_at_s + 100);
+    assert_false(old->is_starving);
 }
 
 static void large_tasks_find_room_among_small_ones(void **state)
@@ -175,13 +177,14 @@
     (void)state;
     assert_in_range(wait_among_small(false), 120, 200);
     assert_in_range(wait_among_small(true), 120, 240);
-    assert_int_equal(core->parts[0].keep[0].job != NULL, true);
+    assert_int_equal(core->partitions[0].quota_reservations[0].job != NULL, true);
     /* And what was kept is given up once it has begun. */
     lmn_update_starvation(core, 601);
-    lmn_update_reservations(core, &core->parts[0], now);
-    assert_null(core->parts[0].keep[0].job);
-    for (guint k = 0; k < core->parts[0].list->len; k++)
-        assert_null(((struct lmn_machine *)core->parts[0].list->pdata[k])->kept);
+    lmn_update_reservations(core, &core->partitions[0], now);
+    assert_null(core->partitions[0].quota_reservations[0].job);
+    for (guint k = 0; k < core->partitions[0].machine_list->len; k++)
+        assert_null(((struct lmn_machine *)core->partitions[0].machine_list->pdata[k])
+                        ->reserved_for);
 }
 
 int main(void)
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -18,8 +18,8 @@
     for (int i = 0; i < n; i++) { /* v is in the order of the latest start */
         if (!(mask >> i & 1))
             continue;
-        work += job[i].left;
-        if (1000 + work / cpus > job[i].latest)
+        work += job[i].remaining_cpu_s;
+        if (1000 + work / cpus > job[i].latest_start_s)
             return 0;
         count++;
     }
@@ -32,9 +32,9 @@
     (void)state;
     fixture_begin(77);
     for (int a = 0; a < JOBS; a++) {
-        jobs[a].owed = a % 3 == 1;
-        jobs[a].lost = a % 4 == 2;
-        jobs[a].guaranteed = a % 5 == 0;
+        jobs[a].is_under_fair_share = a % 3 == 1;
+        jobs[a].has_missed_objective = a % 4 == 2;
+        jobs[a].is_within_guarantee = a % 5 == 0;
     }
     for (int a = 0; a < JOBS; a++)
         for (int b = 0; b < JOBS; b++) {
@@ -52,24 +52,24 @@
  * expectation takes the place of one that is past. */
 static void expectations(void **state)
 {
-    struct lmn_settings s = {.nobjectives = 3};
+    struct lmn_settings s = {.objective_count = 3};
     struct lmn_job j = {
         .spec = {.class_name = (char *)"c", .estimate_s = 10, .deadline_s = -1},
-        .at = 100};
+        .accepted_at_s = 100};
     (void)state;
 
     s.objectives[0] = (struct lmn_objective){LMN_OBJECTIVE_START, "c", 20, 1, 1};
     s.objectives[1] = (struct lmn_objective){LMN_OBJECTIVE_FINISH, "c", 60, 1, 1};
     s.objectives[2] = (struct lmn_objective){LMN_OBJECTIVE_START, "other", 1, 1, 1};
     lmn_job_update_latest_start(&s, &j, 110);
-    assert_true(!j.lost && j.latest == 120);
+    assert_true(!j.has_missed_objective && j.latest_start_s == 120);
     lmn_job_update_latest_start(&s, &j, 121);
-    assert_true(!j.lost && j.latest == 155);
+    assert_true(!j.has_missed_objective && j.latest_start_s == 155);
     lmn_job_update_latest_start(&s, &j, 156);
-    assert_true(j.lost);
+    assert_true(j.has_missed_objective);
     j.spec.class_name = (char *)"unheard-of";
     lmn_job_update_latest_start(&s, &j, 156);
-    assert_true(!j.lost && isinf(j.latest));
+    assert_true(!j.has_missed_objective && isinf(j.latest_start_s));
 }
 
 /* As many jobs as at all possible keep their place, and those are all in time. */
@@ -84,15 +84,16 @@
         unsigned best = 0, kept = 0;
         memset(v, 0, sizeof v);
         for (int i = 0; i < N; i++) {
-            g_snprintf(v[i].spec.ref, sizeof v[i].spec.ref, "run-%06d", i);
-            v[i].spec.spot = true;
-            v[i].left = g_rand_int_range(r, 1, 400);
-            v[i].latest = (i ? v[i - 1].latest : 1000) + g_rand_int_range(r, 0, 20);
+            g_snprintf(v[i].spec.id, sizeof v[i].spec.id, "run-%06d", i);
+            v[i].spec.may_use_spot = true;
+            v[i].remaining_cpu_s = g_rand_int_range(r, 1, 400);
+            v[i].latest_start_s =
+                (i ? v[i - 1].latest_start_s : 1000) + g_rand_int_range(r, 0, 20);
             g_ptr_array_add(list, &v[i]);
         }
         lmn_overload_triage(list, 1000, 10, 10);
         for (int i = 0; i < N; i++)
-            kept |= (unsigned)!v[i].yields << i;
+            kept |= (unsigned)!v[i].is_deferred << i;
         for (unsigned mask = 1; mask < 1u << N; mask++)
             best = MAX(best, in_time(v, N, mask, 10));
         assert_int_equal(kept ? in_time(v, N, kept, 10) : 0, best);
@@ -108,12 +109,12 @@
     static struct lmn_settings s;
     static struct lmn_team team;
     (void)state;
-    s = (struct lmn_settings){.partitions = 1,
-                              .state_rps = 10,
-                              .state_write_rps = 10,
-                              .txn_ops = 12,
+    s = (struct lmn_settings){.partition_count = 1,
+                              .state_requests_per_s = 10,
+                              .state_writes_per_s = 10,
+                              .max_txn_operations = 12,
                               .teams = &team,
-                              .nteams = 1};
+                              .team_count = 1};
     g_strlcpy(s.teams[0].name, "t", LMN_NAME_SIZE);
     s.teams[0].cpus = 10;
     struct lmn_core *core = lmn_core_new(&s, lmn_kv_client_new(&s), 1);
@@ -130,8 +131,8 @@
         char key[64];
         struct lmn_cbor_document d;
         for (int final = 0; final < (i == 1 ? 2 : 1); final++) {
-            g_snprintf(spec.ref, sizeof spec.ref, "run-%06d", i);
-            g_snprintf(key, sizeof key, "j/%s", spec.ref);
+            g_snprintf(spec.id, sizeof spec.id, "run-%06d", i);
+            g_snprintf(key, sizeof key, "j/%s", spec.id);
             GByteArray *b =
                 lmn_job_record(&spec, final ? LMN_JOB_DONE : LMN_JOB_ACTIVE, 1, i);
             assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
@@ -139,15 +140,15 @@
             lmn_cbor_free(&d);
             g_byte_array_free(b, TRUE);
         }
-        struct lmn_job *j = g_hash_table_lookup(core->jobs, spec.ref);
-        assert_int_equal(j->guaranteed, expected[i]);
+        struct lmn_job *j = g_hash_table_lookup(core->jobs, spec.id);
+        assert_int_equal(j->is_within_guarantee, expected[i]);
         spec.tasks = i ? 2 : 3;
     }
     /* A guaranteed job goes before one that is more urgent. */
     struct lmn_job *a = g_hash_table_lookup(core->jobs, "run-000002");
     struct lmn_job b = *a;
-    b.guaranteed = false;
-    b.spec.urgency = LMN_PRIORITY_PRODUCTION;
+    b.is_within_guarantee = false;
+    b.spec.priority = LMN_PRIORITY_PRODUCTION;
     assert_true(lmn_job_compare(a, &b) < 0);
 }
 
@@ -155,8 +156,8 @@
  * all batches that could still be in time. */
 static void services_are_never_lost(void **state)
 {
-    struct lmn_settings s = {.nobjectives = 2};
-    struct lmn_job service = {.at = 100}, batch = {.at = 500};
+    struct lmn_settings s = {.objective_count = 2};
+    struct lmn_job service = {.accepted_at_s = 100}, batch = {.accepted_at_s = 500};
     (void)state;
 
     s.objectives[0] = (struct lmn_objective){
@@ -165,16 +166,16 @@
         .kind = LMN_OBJECTIVE_FINISH, .class_name = "b", .within_s = 180};
     service.spec = (struct lmn_job_spec){.kind = LMN_JOB_SERVICE,
                                          .class_name = (char *)"s",
-                                         .urgency = LMN_PRIORITY_PRODUCTION,
+                                         .priority = LMN_PRIORITY_PRODUCTION,
                                          .deadline_s = -1};
     batch.spec = (struct lmn_job_spec){.kind = LMN_JOB_BATCH,
                                        .class_name = (char *)"b",
-                                       .urgency = LMN_PRIORITY_NORMAL,
+                                       .priority = LMN_PRIORITY_NORMAL,
                                        .deadline_s = -1};
     for (double wall = 500; wall < 5000; wall += 50) {
         lmn_job_update_latest_start(&s, &service, wall);
         lmn_job_update_latest_start(&s, &batch, wall);
-        assert_false(service.lost);
+        assert_false(service.has_missed_objective);
         assert_true(lmn_job_compare(&service, &batch) < 0);
     }
 }
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -16,12 +16,12 @@
                             .index = index,
                             .number = index + 1,
                             .state = LMN_ATTEMPT_RUNNING,
-                            .listed = true,
-                            .seen = true,
-                            .since = now};
+                            .was_reported = true,
+                            .in_last_heartbeat = true,
+                            .started_at = now};
 
-    range->st[index - range->lo] = LMN_TASK_STARTED;
-    range->nstarted++;
+    range->task_states[index - range->first] = LMN_TASK_STARTED;
+    range->started_count++;
     lmn_attempt_count(machine, &a);
     g_array_append_val(machine->attempts, a);
     return &g_array_index(machine->attempts, struct lmn_attempt,
@@ -36,35 +36,35 @@
     (void)state;
     for (uint32_t seed = 1; seed <= 20; seed++) {
         fixture_begin(seed);
-        struct lmn_partition *partition = &core->parts[0];
+        struct lmn_partition *partition = &core->partitions[0];
         GHashTableIter it;
         gpointer v;
         struct lmn_range *prod = jobs[3].ranges->pdata[0],
                          *low = jobs[4].ranges->pdata[0];
         struct lmn_range *peer = jobs[7].ranges->pdata[0];
         uint32_t at = 0, k = 0;
-        core->fresh = now;
-        jobs[4].spec.urgency = LMN_PRIORITY_NORMAL;
+        core->cache_fresh_at = now;
+        jobs[4].spec.priority = LMN_PRIORITY_NORMAL;
         jobs[4].spec.cpus = jobs[7].spec.cpus = 2;
         jobs[3].spec.cpus = 4;
-        jobs[3].spec.spot = true;
+        jobs[3].spec.may_use_spot = true;
         jobs[4].spec.tasks = jobs[7].spec.tasks = 200;
-        low->hi = peer->hi = 200;
+        low->end = peer->end = 200;
         low->done = g_malloc0(32);
         peer->done = g_malloc0(32);
         lmn_range_open(core, low);
         lmn_range_open(core, peer);
-        low->dealt = peer->dealt = prod->dealt = true;
+        low->is_assigned = peer->is_assigned = prod->is_assigned = true;
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *machine = v;
-            machine->last = now;
+            machine->last_heartbeat_at = now;
             /* Of each machine's eight processors two to six belong to an equal. */
             uint32_t equals = 1 + (seed + k++) % 3;
             for (uint32_t i = 0; i < 4; i++)
                 run(machine, i < equals ? peer : low, at++);
         }
-        lmn_queue_add(&partition->unplaced, prod, 0, 1);
+        lmn_queue_add(&partition->unassigned, prod, 0, 1);
         lmn_preempt_for_production(core, partition, now);
         guint stopped = 0;
         struct lmn_machine *where = NULL;
@@ -74,9 +74,9 @@
             for (guint i = 0; i < machine->attempts->len; i++) {
                 const struct lmn_attempt *attempt =
                     &g_array_index(machine->attempts, struct lmn_attempt, i);
-                assert_true(!attempt->stop || attempt->job == &jobs[4]);
-                stopped += attempt->stop;
-                where = attempt->stop ? machine : where;
+                assert_true(!attempt->must_stop || attempt->job == &jobs[4]);
+                stopped += attempt->must_stop;
+                where = attempt->must_stop ? machine : where;
             }
         }
         assert_int_equal(stopped, 2);
@@ -84,11 +84,11 @@
             fail_msg("no task is stopped on any machine");
             return;
         }
-        assert_int_equal(where->promised, 1);
-        assert_int_equal(partition->unplaced.tasks, 0);
+        assert_int_equal(where->preemption_reserved_tasks, 1);
+        assert_int_equal(partition->unassigned.task_count, 0);
         /* Again: it is helped already. */
         lmn_preempt_for_production(core, partition, lmn_time_add(now, 1));
-        assert_int_equal(core->count.preempted, 1);
+        assert_int_equal(core->counters.preempted, 1);
         /* One victim has ended: its piece stays free until the other has too. */
         lmn_queue_add(&where->queue, low, 199, 200);
         for (int gone = 0; gone < 2; gone++) {
@@ -96,7 +96,7 @@
             for (guint i = 0; i < where->attempts->len; i++) {
                 struct lmn_attempt *attempt =
                     &g_array_index(where->attempts, struct lmn_attempt, i);
-                if (!attempt->stop || attempt->state == LMN_ATTEMPT_ENDED)
+                if (!attempt->must_stop || attempt->state == LMN_ATTEMPT_ENDED)
                     continue;
                 lmn_attempt_uncount(where, attempt);
                 attempt->state = LMN_ATTEMPT_ENDED;
@@ -105,8 +105,8 @@
             assert_int_equal(lmn_schedule_machine(core, where, out, now), gone);
             g_byte_array_unref(out);
         }
-        assert_int_equal(prod->nstarted, 1);
-        assert_int_equal(where->promised, 0);
+        assert_int_equal(prod->started_count, 1);
+        assert_int_equal(where->preemption_reserved_tasks, 0);
     }
 }
 
@@ -117,42 +117,42 @@
     (void)state;
     for (int hurry = 0; hurry < 2; hurry++) {
         fixture_begin(1);
-        struct lmn_partition *partition = &core->parts[0];
+        struct lmn_partition *partition = &core->partitions[0];
         struct lmn_range *prod = jobs[3].ranges->pdata[0],
                          *low = jobs[4].ranges->pdata[0];
         GHashTableIter it;
         gpointer v;
         uint32_t at = 0;
         guint stopped = 0;
-        core->fresh = now;
-        core->synced = true;
+        core->cache_fresh_at = now;
+        core->is_synced = true;
         if (hurry) {
             settings.objectives[0] = (struct lmn_objective){
                 .kind = LMN_OBJECTIVE_START, .class_name = "c", .within_s = 5};
-            settings.nobjectives = 1;
+            settings.objective_count = 1;
         }
         jobs[3].spec.cpus = jobs[4].spec.cpus = 8;
-        jobs[3].spec.spot = true;
-        jobs[4].spec.urgency = LMN_PRIORITY_NORMAL;
+        jobs[3].spec.may_use_spot = true;
+        jobs[4].spec.priority = LMN_PRIORITY_NORMAL;
         jobs[4].spec.checkpoint_s = 15;
         jobs[4].spec.save_s = 3;
-        jobs[4].spec.tasks = low->hi = MACHINES;
+        jobs[4].spec.tasks = low->end = MACHINES;
         low->done = g_malloc0(8);
         lmn_range_open(core, low);
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            ((struct lmn_machine *)v)->last = now;
+            ((struct lmn_machine *)v)->last_heartbeat_at = now;
             run(v, low, at++);
         }
-        lmn_queue_add(&partition->unplaced, prod, 0, 1);
+        lmn_queue_add(&partition->unassigned, prod, 0, 1);
         lmn_preempt_for_production(core, partition, now);
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_attempt *attempt = &g_array_index(
                 ((struct lmn_machine *)v)->attempts, struct lmn_attempt, 0);
-            stopped += attempt->stop;
-            if (attempt->stop)
-                assert_true(attempt->grace == (hurry ? 0 : 4));
+            stopped += attempt->must_stop;
+            if (attempt->must_stop)
+                assert_true(attempt->grace_s == (hurry ? 0 : 4));
         }
         assert_int_equal(stopped, 1);
     }
@@ -166,24 +166,24 @@
     (void)state;
     for (uint32_t seed = 1; seed <= 20; seed++) {
         fixture_begin(seed);
-        struct lmn_partition *partition = &core->parts[0];
+        struct lmn_partition *partition = &core->partitions[0];
         struct lmn_range *range = jobs[3].ranges->pdata[0];
         struct timespec then = now;
         GHashTableIter it;
         gpointer v;
         uint32_t at = 0;
-        core->synced = true;
+        core->is_synced = true;
         jobs[3].spec.kind = LMN_JOB_SERVICE;
         jobs[3].spec.cpus = 2;
-        jobs[3].spec.tasks = range->hi = 40;
+        jobs[3].spec.tasks = range->end = 40;
         range->done = g_malloc0(8);
         lmn_range_open(core, range);
-        range->dealt = true;
-        settings.report_s = 1;
+        range->is_assigned = true;
+        settings.heartbeat_s = 1;
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *machine = v;
-            machine->spot = false;
+            machine->is_spot = false;
             lmn_machine_record_image(machine, &jobs[3], true, now);
             for (uint32_t i = 0, n = 1 + (seed + at) % 2; i < n; i++)
                 run(machine, range, at++);
@@ -191,29 +191,29 @@
         uint32_t all = at;
         for (int step = 0; step < 40; step++) {
             then = lmn_time_add(then, 5);
-            core->fresh = then;
+            core->cache_fresh_at = then;
             bool young = step < 6;
             guint before = 0, after = 0, stopped = 0;
             g_hash_table_iter_init(&it, partition->machines);
             while (g_hash_table_iter_next(&it, NULL, &v)) {
-                before += ((struct lmn_machine *)v)->retiring;
-                ((struct lmn_machine *)v)->last = then;
+                before += ((struct lmn_machine *)v)->is_draining;
+                ((struct lmn_machine *)v)->last_heartbeat_at = then;
             }
             if (step == 10)
-                lmn_queue_add(&partition->unplaced, jobs[5].ranges->pdata[0], 0, 1);
+                lmn_queue_add(&partition->unassigned, jobs[5].ranges->pdata[0], 0, 1);
             if (step == 11)
-                lmn_queue_clear(&partition->unplaced);
+                lmn_queue_clear(&partition->unassigned);
             lmn_consolidate_replicas(core, partition, then);
             g_hash_table_iter_init(&it, partition->machines);
             while (g_hash_table_iter_next(&it, NULL, &v)) {
                 struct lmn_machine *machine = v;
-                after += machine->retiring;
+                after += machine->is_draining;
                 for (guint i = machine->attempts->len; i-- > 0;) {
                     struct lmn_attempt *attempt =
                         &g_array_index(machine->attempts, struct lmn_attempt, i);
-                    if (!attempt->stop)
+                    if (!attempt->must_stop)
                         continue;
-                    assert_true(machine->retiring);
+                    assert_true(machine->is_draining);
                     uint32_t index = attempt->index;
                     stopped++;
                     lmn_attempt_uncount(machine, attempt);
@@ -236,15 +236,15 @@
                     struct lmn_attempt *attempt =
                         &g_array_index(machine->attempts, struct lmn_attempt, i);
                     attempt->state = LMN_ATTEMPT_RUNNING;
-                    attempt->listed = true;
+                    attempt->was_reported = true;
                 }
             }
-            assert_int_equal(range->nstarted, all);
+            assert_int_equal(range->started_count, all);
         }
         guint kept = 0;
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            kept += !((struct lmn_machine *)v)->retiring;
+            kept += !((struct lmn_machine *)v)->is_draining;
         assert_true(kept < MACHINES);
         assert_true(8 * kept >= 2 * all);
     }
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -14,27 +14,28 @@
 {
     (void)state;
     fixture_begin(5);
-    struct lmn_machine *m = g_hash_table_lookup(core->parts[0].machines, "m-1");
+    struct lmn_machine *m = g_hash_table_lookup(core->partitions[0].machines, "m-1");
     double last = 0;
 
     for (int i = 0; i < 20; i++) {
-        now = m->next_steal.tv_sec ? lmn_time_add(m->next_steal, 0.01) : now;
+        now = m->next_steal_at.tv_sec ? lmn_time_add(m->next_steal_at, 0.01) : now;
         assert_false(lmn_steal_for_machine(core, m, now));
-        assert_true(last == 0 || m->poll_s == fmin(last * 2, core->tuning.poll_cap_s));
-        last = m->poll_s;
+        assert_true(last == 0 || m->steal_interval_s ==
+                                     fmin(last * 2, core->operator_settings.poll_cap_s));
+        last = m->steal_interval_s;
     }
-    assert_true(last == core->tuning.poll_cap_s);
+    assert_true(last == core->operator_settings.poll_cap_s);
     lmn_assign_tasks(core, jobs[2].ranges->pdata[0], 0, jobs[2].spec.tasks, now);
     struct lmn_machine *dealt = NULL;
     for (int i = 0; i < MACHINES && !dealt; i++) {
         char name[16];
         g_snprintf(name, sizeof name, "m-%d", i);
-        struct lmn_machine *o = g_hash_table_lookup(core->parts[0].machines, name);
-        if (o->queue.tasks)
+        struct lmn_machine *o = g_hash_table_lookup(core->partitions[0].machines, name);
+        if (o->queue.task_count)
             dealt = o;
     }
     assert_non_null(dealt);
-    assert_true(dealt->poll_s == 0);
+    assert_true(dealt->steal_interval_s == 0);
 }
 
 /* Found so: the last tasks of nearly every job waited for minutes in the queue of a
@@ -44,38 +45,39 @@
 {
     (void)state;
     fixture_begin(4);
-    struct lmn_partition *partition = &core->parts[0];
+    struct lmn_partition *partition = &core->partitions[0];
     struct lmn_machine *busy = g_hash_table_lookup(partition->machines, "m-0");
     struct lmn_machine *machine = g_hash_table_lookup(partition->machines, "m-3");
     struct lmn_job *early = &jobs[0], *late = &jobs[1];
     GByteArray *out = g_byte_array_new();
 
-    core->tuning.sample = MACHINES;
+    core->operator_settings.sample = MACHINES;
     for (int i = 0; i < 2; i++) {
-        jobs[i].spec.urgency = LMN_PRIORITY_NORMAL;
+        jobs[i].spec.priority = LMN_PRIORITY_NORMAL;
         jobs[i].spec.zone = NULL;
-        jobs[i].spec.spot = true;
+        jobs[i].spec.may_use_spot = true;
         jobs[i].spec.cpus = 8;
         jobs[i].spec.tasks = 1;
-        jobs[i].lost = jobs[i].yields = jobs[i].guaranteed = false;
-        jobs[i].latest = 1000 + i;
+        jobs[i].has_missed_objective = jobs[i].is_deferred = jobs[i].is_within_guarantee =
+            false;
+        jobs[i].latest_start_s = 1000 + i;
     }
     lmn_queue_add(&busy->queue, early->ranges->pdata[0], 0, 1);
     lmn_queue_add(&machine->queue, late->ranges->pdata[0], 0, 1);
     assert_int_equal(lmn_schedule_machine(core, machine, out, now), 1);
     assert_ptr_equal(g_array_index(machine->attempts, struct lmn_attempt, 0).job, early);
-    assert_int_equal(busy->queue.tasks, 0);
-    assert_int_equal(machine->queue.tasks, 1);
+    assert_int_equal(busy->queue.task_count, 0);
+    assert_int_equal(machine->queue.task_count, 1);
     /* What is no more urgent stays where it was dealt. */
     lmn_machine_requeue_tasks(core, machine, "again", now);
     lmn_queue_clear(&busy->queue);
     lmn_queue_clear(&machine->queue);
-    late->latest = early->latest - 1;
+    late->latest_start_s = early->latest_start_s - 1;
     lmn_queue_add(&busy->queue, early->ranges->pdata[0], 0, 1);
     lmn_queue_add(&machine->queue, late->ranges->pdata[0], 0, 1);
     assert_int_equal(lmn_schedule_machine(core, machine, out, now), 1);
     assert_ptr_equal(g_array_index(machine->attempts, struct lmn_attempt, 0).job, late);
-    assert_int_equal(busy->queue.tasks, 1);
+    assert_int_equal(busy->queue.task_count, 1);
     g_byte_array_free(out, TRUE);
 }
 
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -55,11 +55,11 @@
 
 static void own(int i)
 {
-    struct lmn_partition *partition = &core[i]->parts[i];
+    struct lmn_partition *partition = &core[i]->partitions[i];
 
     owner_rev[i] = ++rev;
-    partition->owner_rev = owner_rev[i];
-    partition->owner_term++;
+    partition->owner_revision = owner_rev[i];
+    partition->owner_epoch++;
     lmn_partition_own(core[i], partition, now);
 }
 
@@ -67,12 +67,12 @@
 {
     nparts = parts;
     memset(&cfg, 0, sizeof cfg);
-    cfg.partitions = parts;
-    cfg.state_rps = cfg.state_write_rps = 1e6;
-    cfg.txn_ops = 12;
+    cfg.partition_count = parts;
+    cfg.state_requests_per_s = cfg.state_writes_per_s = 1e6;
+    cfg.max_txn_operations = 12;
     memset(teams, 0, sizeof teams);
     cfg.teams = teams;
-    cfg.nteams = (size_t)count;
+    cfg.team_count = (size_t)count;
     for (int t = 0; t < count; t++) {
         g_snprintf(teams[t].name, LMN_NAME_SIZE, "team %d", t);
         teams[t].cpus_max = LIMIT;
@@ -142,7 +142,7 @@
 static double part_of(int i, int team)
 {
     double cpus, gpus;
-    lmn_quota_share(core[i], &core[i]->parts[i], team, &cpus, &gpus);
+    lmn_quota_share(core[i], &core[i]->partitions[i], team, &cpus, &gpus);
     return cpus;
 }
 
@@ -162,9 +162,9 @@
 
 static void check(void)
 {
-    for (int t = 0; t < (int)cfg.nteams; t++) {
+    for (int t = 0; t < (int)cfg.team_count; t++) {
         for (int i = 0; i < nparts; i++)
-            assert_true(core[i]->parts[i].used_cpus[t] <= part_of(i, t) + 1e-6);
+            assert_true(core[i]->partitions[i].used_cpus[t] <= part_of(i, t) + 1e-6);
         assert_true(sum_of_parts(t) <= LIMIT + 1e-6);
     }
 }
@@ -174,7 +174,7 @@
     struct lmn_txn *txn;
 
     lmn_range_writer_flush(core[i], now);
-    while ((txn = lmn_kv_client_dequeue(core[i]->state))) {
+    while ((txn = lmn_kv_client_dequeue(core[i]->kv_client))) {
         struct letter l = {.part = i};
         double luck = r ? g_rand_double(r) : 1;
         enum lmn_txn_outcome o = LMN_TXN_UNKNOWN;
@@ -196,18 +196,18 @@
  * claim. */
 static void crash(int i)
 {
-    struct lmn_partition *partition = &core[i]->parts[i];
+    struct lmn_partition *partition = &core[i]->partitions[i];
 
     lmn_partition_lose(core[i], partition, "crash");
     follow(i, events->len);
     own(i);
-    memset(partition->used_cpus, 0, cfg.nteams * sizeof *partition->used_cpus);
+    memset(partition->used_cpus, 0, cfg.team_count * sizeof *partition->used_cpus);
 }
 
 /* Tasks start up to the part, and end. */
 static void use(GRand *r, int i, int team)
 {
-    double *used = &core[i]->parts[i].used_cpus[team];
+    double *used = &core[i]->partitions[i].used_cpus[team];
     double room = part_of(i, team) - *used;
 
     *used += room > 0 ? g_rand_double_range(r, 0, room + 1e-9) : 0;
@@ -226,8 +226,8 @@
         }
     }
     for (int i = 0; i < nparts; i++)
-        assert_int_equal(core[i]->parts[i].transfer.team, -1);
-    for (int t = 0; t < (int)cfg.nteams; t++)
+        assert_int_equal(core[i]->partitions[i].quota_transfer.team, -1);
+    for (int t = 0; t < (int)cfg.team_count; t++)
         assert_true(sum_of_parts(t) > LIMIT - 1e-6);
 }
 
@@ -235,10 +235,10 @@
 {
     for (int step = 0; step < steps; step++) {
         int i = g_rand_int_range(r, 0, nparts);
-        int team = g_rand_int_range(r, 0, (gint32)cfg.nteams);
+        int team = g_rand_int_range(r, 0, (gint32)cfg.team_count);
         now = lmn_time_add(now, 0.2);
         if (g_rand_double(r) < 0.4)
-            lmn_quota_transfer_begin(core[i], &core[i]->parts[i], team,
+            lmn_quota_transfer_begin(core[i], &core[i]->partitions[i], team,
                                      g_rand_int_range(r, 0, nparts),
                                      g_rand_double_range(r, 0, LIMIT), 0);
         write_out(r, i);
@@ -294,7 +294,7 @@
 {
     (void)state;
     make(1, 3, 1);
-    struct lmn_partition *partition = &core[0]->parts[0];
+    struct lmn_partition *partition = &core[0]->partitions[0];
     struct lmn_job *job = g_new0(struct lmn_job, 1);
     struct lmn_range *range = g_new0(struct lmn_range, 1);
     struct lmn_quota_request w;
@@ -302,8 +302,8 @@
     job->spec.cpus = 20; /* of 24, in three parts of 8 */
     job->ranges = g_ptr_array_new();
     range->job = job;
-    range->part = partition;
-    range->hi = 1;
+    range->partition = partition;
+    range->end = 1;
     range->key = g_strdup("r/0/x/0");
     range->done = g_malloc0(1);
     g_hash_table_insert(partition->ranges, range->key, range);
@@ -312,7 +312,7 @@
         for (int i = 1; i < nparts; i++) {
             if (!lmn_quota_shortfall(core[0], partition, 0, &w))
                 break;
-            lmn_quota_request_handle(core[i], &core[i]->parts[i], 0, &w, now);
+            lmn_quota_request_handle(core[i], &core[i]->partitions[i], 0, &w, now);
             write_out(NULL, i);
             for (int k = 0; k < nparts; k++)
                 follow(k, events->len);
@@ -329,7 +329,7 @@
 {
     (void)state;
     make(2, 3, 1);
-    struct lmn_partition *p = &core[0]->parts[0];
+    struct lmn_partition *p = &core[0]->partitions[0];
     struct lmn_quota_request w = {0};
     GRand *r = g_rand_new_with_seed(4);
     bool moved = false;
@@ -340,18 +340,18 @@
     large->ranges = g_ptr_array_new();
     struct lmn_range *range = g_new0(struct lmn_range, 1);
     range->job = large;
-    range->part = p;
-    range->hi = 1;
+    range->partition = p;
+    range->end = 1;
     range->key = g_strdup("r/0/x/0");
     range->done = g_malloc0(1);
     g_hash_table_insert(p->ranges, range->key, range);
     lmn_range_open(core[0], range);
     for (int i = 1; i < nparts; i++)
-        core[i]->parts[i].used_cpus[0] = 8;
+        core[i]->partitions[i].used_cpus[0] = 8;
     for (int turn = 0; turn < 200 && !moved; turn++) {
         now = lmn_time_add(now, 1);
         for (int i = 1; i < nparts; i++) {
-            struct lmn_partition *o = &core[i]->parts[i];
+            struct lmn_partition *o = &core[i]->partitions[i];
             /* One ends now and then, and another starts at once, if it may. */
             if (o->used_cpus[0] > 0 && g_rand_boolean(r))
                 o->used_cpus[0]--;
@@ -377,7 +377,7 @@
     (void)state;
     make(3, 3, 1);
     struct lmn_core *c = core[1];
-    struct lmn_partition *partition = &c->parts[1];
+    struct lmn_partition *partition = &c->partitions[1];
     struct lmn_job *job = g_new0(struct lmn_job, 1);
     struct lmn_range *range = g_new0(struct lmn_range, 1);
     struct lmn_machine_type type = {.name = "t", .cpus = 8};
@@ -387,13 +387,13 @@
 
     job->spec.cpus = 2;
     job->ranges = g_ptr_array_new();
-    *range = (struct lmn_range){.job = job, .part = partition, .hi = 20};
+    *range = (struct lmn_range){.job = job, .partition = partition, .end = 20};
     range->key = g_strdup("r/1/x/0");
     range->done = g_malloc0(3);
     g_hash_table_insert(partition->ranges, range->key, range);
     lmn_range_open(c, range);
     machine->type = &type;
-    machine->accounted = true;
+    machine->is_accounted = true;
     machine->used_cpus = 7; /* another team's, for the most part */
     partition->used_cpus[0] = 4;
     lmn_quota_spare(c, partition, &want, &cpus, &gpus);
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -23,17 +23,17 @@
 static struct lmn_machine_type types[] = {
     {.name = "small",
      .zones = {"a"},
-     .nzones = 1,
+     .zone_count = 1,
      .cpus = 8,
-     .mem = 64,
+     .memory_gb = 64,
      .rate = 1,
      .spot_rate = 0.4,
      .ready_s = 20},
     {.name = "large",
      .zones = {"a", "b"},
-     .nzones = 2,
+     .zone_count = 2,
      .cpus = 32,
-     .mem = 256,
+     .memory_gb = 256,
      .rate = 3.5,
      .spot_rate = 1.5,
      .ready_s = 40},
@@ -46,12 +46,12 @@
     struct lmn_core *core;
 
     memset(&cfg, 0, sizeof cfg);
-    cfg.partitions = 3;
+    cfg.partition_count = 3;
     memset(teams, 0, sizeof teams);
     cfg.teams = teams;
-    cfg.nteams = 3;
+    cfg.team_count = 3;
     cfg.max_connections = 20000;
-    cfg.report_s = 5;
+    cfg.heartbeat_s = 5;
     for (int i = 0; i < 3; i++) {
         g_snprintf(cfg.teams[i].name, LMN_NAME_SIZE, "team%d", i);
         /* One of the teams has no limit now and then. */
@@ -59,9 +59,9 @@
             g_rand_int_range(r, 0, 4) ? 100.0 * g_rand_int_range(r, 1, 30) : 0;
     }
     core = lmn_core_alloc(&cfg, NULL, 1);
-    memcpy(core->types.v, types, sizeof types);
-    core->types.n = G_N_ELEMENTS(types);
-    core->types_known = true;
+    memcpy(core->machine_types.v, types, sizeof types);
+    core->machine_types.n = G_N_ELEMENTS(types);
+    core->machine_types_known = true;
     for (int i = 0; i < njobs; i++) {
         struct lmn_job *job = &jobs[i];
         memset(job, 0, sizeof *job);
@@ -69,14 +69,14 @@
         job->phase = LMN_JOB_ACTIVE;
         job->spec.kind = LMN_JOB_BATCH;
         job->spec.cpus = 1 << g_rand_int_range(r, 0, 4);
-        job->spec.mem = 2 * job->spec.cpus;
+        job->spec.memory_gb = 2 * job->spec.cpus;
         job->spec.estimate_s = g_rand_int_range(r, 1, 200);
-        job->spec.spot = g_rand_boolean(r);
+        job->spec.may_use_spot = g_rand_boolean(r);
         job->spec.tasks = (uint32_t)g_rand_int_range(r, 1, 400);
-        ranges[i] = (struct lmn_range){.job = job, .hi = job->spec.tasks};
-        ranges[i].part = &core->parts[i % 3];
+        ranges[i] = (struct lmn_range){.job = job, .end = job->spec.tasks};
+        ranges[i].partition = &core->partitions[i % 3];
         ranges[i].key = g_strdup_printf("r/%d", i);
-        g_hash_table_insert(core->parts[i % 3].ranges, ranges[i].key, &ranges[i]);
+        g_hash_table_insert(core->partitions[i % 3].ranges, ranges[i].key, &ranges[i]);
     }
     return core;
 }
@@ -95,7 +95,7 @@
             if (jobs[i].team != t)
                 continue;
             all += n * spec->cpus;
-            if (!spec->spot)
+            if (!spec->may_use_spot)
                 bound += n * spec->cpus;
         }
         double limit = cfg.teams[t].cpus_max > 0 ? cfg.teams[t].cpus_max : 1e12;
@@ -130,14 +130,14 @@
                 struct lmn_cloud_machine *machine = g_new0(struct lmn_cloud_machine, 1);
                 g_snprintf(machine->name, LMN_NAME_SIZE, "m-%d-%u", calls, i);
                 g_strlcpy(machine->type, rental.type, LMN_NAME_SIZE);
-                machine->spot = rental.spot;
+                machine->is_spot = rental.is_spot;
                 g_hash_table_insert(f.machines, machine->name, machine);
                 have += type->cpus;
-                ordinary += rental.spot ? 0 : type->cpus;
+                ordinary += rental.is_spot ? 0 : type->cpus;
             }
         }
-        double most = usable(n, core->tuning.horizon_s, false);
-        double most_ordinary = usable(n, core->tuning.horizon_s, true);
+        double most = usable(n, core->operator_settings.horizon_s, false);
+        double most_ordinary = usable(n, core->operator_settings.horizon_s, true);
         /* No less than what can run, and no more than that by half a machine of each
          * kind. */
         assert_true(have <= MAX(most, most_ordinary) + 2 * 32);
@@ -161,15 +161,15 @@
         struct lmn_provision_request rental;
         double most;
         cfg.max_connections = 64 << g_rand_int_range(r, 0, 3);
-        cfg.report_s = g_rand_double_range(r, 0.2, 2);
+        cfg.heartbeat_s = g_rand_double_range(r, 0.2, 2);
         for (int i = 0; i < 3; i++)
             cfg.teams[i].cpus_max = 0;
-        lmn_connection_budget_init(&cfg, &core->sockets);
-        most = lmn_connection_budget_max_machines(&core->sockets, &cfg);
+        lmn_connection_budget_init(&cfg, &core->connection_budget);
+        most = lmn_connection_budget_max_machines(&core->connection_budget, &cfg);
         lmn_autoscaler_init(&f);
-        core->load.behind = 3;
+        core->load.delay_s = 3;
         assert_false(lmn_autoscaler_decide(core, &f, &rental, now));
-        core->load.behind = 0;
+        core->load.delay_s = 0;
         for (int calls = 0; lmn_autoscaler_decide(core, &f, &rental, now); calls++)
             for (unsigned i = 0; i < rental.count; i++) {
                 struct lmn_cloud_machine *machine = g_new0(struct lmn_cloud_machine, 1);
@@ -199,12 +199,12 @@
         for (int i = 0; i < 2; i++) {
             cfg.teams[jobs[i].team].cpus_max = 0;
             jobs[i].spec.cpus = 8;
-            jobs[i].spec.mem = 16;
+            jobs[i].spec.memory_gb = 16;
             jobs[i].spec.estimate_s = 300;
-            jobs[i].spec.spot = true;
+            jobs[i].spec.may_use_spot = true;
             jobs[i].spec.deadline_s = -1;
-            jobs[i].spec.tasks = ranges[i].hi = 40;
-            jobs[i].spec.urgency =
+            jobs[i].spec.tasks = ranges[i].end = 40;
+            jobs[i].spec.priority =
                 i == 1 && k == 1 ? LMN_PRIORITY_HIGH : LMN_PRIORITY_IDLE;
         }
         lmn_autoscaler_init(&f);
@@ -213,7 +213,7 @@
             now = lmn_time_add(now, 1);
             if (!lmn_autoscaler_decide(core, &f, &rental, now))
                 continue;
-            unsigned got = !rental.spot          ? rental.count
+            unsigned got = !rental.is_spot       ? rental.count
                            : k == 2 || spot >= 5 ? 0
                                                  : MIN(rental.count, 5 - spot);
             lmn_autoscaler_record_result(&f, &rental, got, now);
@@ -221,12 +221,12 @@
                 struct lmn_cloud_machine *machine = g_new0(struct lmn_cloud_machine, 1);
                 g_snprintf(machine->name, LMN_NAME_SIZE, "m-%d-%u", calls, i);
                 g_strlcpy(machine->type, rental.type, LMN_NAME_SIZE);
-                machine->spot = rental.spot;
+                machine->is_spot = rental.is_spot;
                 g_hash_table_insert(f.machines, machine->name, machine);
             }
-            spot += rental.spot ? got : 0;
+            spot += rental.is_spot ? got : 0;
             ordinary +=
-                rental.spot
+                rental.is_spot
                     ? 0
                     : got * (unsigned)lmn_machine_type_by_name(core, rental.type)->cpus;
         }
@@ -258,20 +258,20 @@
         cfg.teams[jobs[0].team].cpus_max = 0;
         cfg.list_lag_s = 4;
         jobs[0].spec.cpus = 8;
-        jobs[0].spec.mem = 16;
-        jobs[0].spec.spot = false;
+        jobs[0].spec.memory_gb = 16;
+        jobs[0].spec.may_use_spot = false;
         jobs[0].spec.estimate_s = 300;
-        jobs[0].spec.tasks = ranges[0].hi = 30;
-        g_strlcpy(core->types.v[0].zones[0], "a", LMN_NAME_SIZE);
-        core->types.n = 1;
+        jobs[0].spec.tasks = ranges[0].end = 30;
+        g_strlcpy(core->machine_types.v[0].zones[0], "a", LMN_NAME_SIZE);
+        core->machine_types.n = 1;
         lmn_autoscaler_init(&f);
         for (int i = 0; i < 30; i++) {
             struct lmn_cloud_machine *machine = g_new0(struct lmn_cloud_machine, 1);
             g_snprintf(machine->name, LMN_NAME_SIZE, "m-%d", i);
             g_strlcpy(machine->type, "small", LMN_NAME_SIZE);
             g_strlcpy(machine->zone, "a", LMN_NAME_SIZE);
-            machine->since = now;
-            machine->booting = i < late;
+            machine->rented_at = now;
+            machine->is_booting = i < late;
             g_hash_table_insert(f.machines, machine->name, machine);
         }
         for (int i = 0; k == 2 && i < 20; i++) /* they take long here */
@@ -285,17 +285,17 @@
                 g_snprintf(machine->name, LMN_NAME_SIZE, "n-%u", more);
                 g_strlcpy(machine->type, "small", LMN_NAME_SIZE);
                 g_strlcpy(machine->zone, "a", LMN_NAME_SIZE);
-                machine->since = now;
-                machine->booting = true;
+                machine->rented_at = now;
+                machine->is_booting = true;
                 g_hash_table_insert(f.machines, machine->name, machine);
             }
         assert_int_equal(more, k == 0 ? 3 : 0);
         /* They do come: what is too much goes back by itself. */
         g_hash_table_iter_init(&it, f.machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            ((struct lmn_cloud_machine *)v)->booting = false;
+            ((struct lmn_cloud_machine *)v)->is_booting = false;
         assert_false(lmn_autoscaler_decide(core, &f, &rental, now));
-        assert_true(lmn_autoscaler_boot_timeout_s(&f, &core->types.v[0], "a", 4) >
+        assert_true(lmn_autoscaler_boot_timeout_s(&f, &core->machine_types.v[0], "a", 4) >
                     (k == 2 ? 250 : 30));
     }
     g_rand_free(r);
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -23,15 +23,15 @@
 
 static struct lmn_settings settings(void)
 {
-    struct lmn_settings cfg = {.partitions = 1,
-                               .state_rps = 100,
-                               .state_write_rps = 100,
-                               .value_kb = 16,
-                               .txn_ops = 12,
+    struct lmn_settings cfg = {.partition_count = 1,
+                               .state_requests_per_s = 100,
+                               .state_writes_per_s = 100,
+                               .max_value_kb = 16,
+                               .max_txn_operations = 12,
                                .teams = team,
-                               .nteams = 1};
+                               .team_count = 1};
 
-    g_strlcpy(cfg.node, "n0", LMN_NAME_SIZE);
+    g_strlcpy(cfg.node_name, "n0", LMN_NAME_SIZE);
     g_strlcpy(cfg.teams[0].name, "t", LMN_NAME_SIZE);
     cfg.teams[0].cpus_max = 8;
     return cfg;
@@ -41,12 +41,12 @@
 {
     struct lmn_job *job = g_new0(struct lmn_job, 1);
 
-    g_strlcpy(job->spec.ref, refs[kind], LMN_JOB_ID_SIZE);
+    g_strlcpy(job->spec.id, refs[kind], LMN_JOB_ID_SIZE);
     job->spec.tasks = 3;
     job->phase = phase;
-    job->rev = 10 + (uint64_t)kind;
+    job->revision = 10 + (uint64_t)kind;
     job->ranges = g_ptr_array_new();
-    g_hash_table_insert(core->jobs, job->spec.ref, job);
+    g_hash_table_insert(core->jobs, job->spec.id, job);
 }
 
 static struct lmn_core *core_with(const struct lmn_settings *cfg, enum view view)
@@ -55,11 +55,12 @@
 
     if (view == JUST_STARTED)
         return core;
-    core->synced = core->types_known = true;
-    core->fresh = view == OLD_VIEW ? lmn_time_add(now, -LMN_CACHE_STALLED_S - 1) : now;
-    core->types.n = 1;
-    core->types.v[0] = (struct lmn_machine_type){
-        .name = "small", .cpus = 4, .mem = 16, .nzones = 1, .zones = {"a"}};
+    core->is_synced = core->machine_types_known = true;
+    core->cache_fresh_at =
+        view == OLD_VIEW ? lmn_time_add(now, -LMN_CACHE_STALLED_S - 1) : now;
+    core->machine_types.n = 1;
+    core->machine_types.v[0] = (struct lmn_machine_type){
+        .name = "small", .cpus = 4, .memory_gb = 16, .zone_count = 1, .zones = {"a"}};
     know(core, ACTIVE, LMN_JOB_ACTIVE);
     know(core, DONE, LMN_JOB_DONE);
     know(core, CANCELLED, LMN_JOB_CANCELLED);
@@ -68,7 +69,7 @@
 
 static void core_end(struct lmn_core *core)
 {
-    struct lmn_kv_client *client = core->state;
+    struct lmn_kv_client *client = core->kv_client;
 
     lmn_core_free(core);
     lmn_kv_client_free(client);
@@ -80,10 +81,10 @@
     struct lmn_job_spec s = {.class_name = (char *)(what == NO_FIELD ? "" : "c"),
                              .team = (char *)"t",
                              .image = (char *)"i",
-                             .urgency = LMN_PRIORITY_NORMAL,
+                             .priority = LMN_PRIORITY_NORMAL,
                              .tasks = 3,
                              .cpus = what == NO_ROOM ? 5 : 1,
-                             .mem = 1,
+                             .memory_gb = 1,
                              .estimate_s = 2,
                              .deadline_s = -1};
     char long_type[64], *types[251] = {NULL};
@@ -93,8 +94,8 @@
     for (int i = 0; i < 250; i++)
         types[i] = long_type;
     if (what == TOO_LARGE)
-        s.types = types;
-    g_strlcpy(s.ref, ref, sizeof s.ref);
+        s.machine_types = types;
+    g_strlcpy(s.id, ref, sizeof s.id);
     lmn_cbor_put_map(b, lmn_job_spec_pair_count());
     lmn_job_spec_write(b, &s);
     return b;
@@ -111,7 +112,7 @@
     if (what == CANCEL)
         return lmn_decide_cancel(core, ref);
     GByteArray *b = submission(ref, what);
-    lmn_submission_parse(&s, core->cfg, b->data, b->len);
+    lmn_submission_parse(&s, core->settings, b->data, b->len);
     d = lmn_decide_submission(core, &s, now);
     lmn_submission_clear(&s);
     g_byte_array_unref(b);
@@ -239,13 +240,13 @@
     struct lmn_job *job = g_hash_table_lookup(core->jobs, refs[ACTIVE]);
     assert_int_equal(lmn_job_reply_confirmed(core, &v, 404).phase, LMN_JOB_ACTIVE);
     job->phase = LMN_JOB_DONE;
-    job->rev++;
+    job->revision++;
     assert_int_equal(lmn_job_reply_confirmed(core, &v, 404).phase, LMN_JOB_DONE);
     struct lmn_job_reading reading = {
-        .status = 200, .rev = v.rev, .phase = LMN_JOB_ACTIVE, .spec.tasks = 3};
+        .status = 200, .revision = v.revision, .phase = LMN_JOB_ACTIVE, .spec.tasks = 3};
     assert_int_equal(lmn_job_reply_from_reading(core, refs[ACTIVE], &reading, 404).phase,
                      LMN_JOB_DONE);
-    reading.rev = job->rev + 1;
+    reading.revision = job->revision + 1;
     assert_int_equal(lmn_job_reply_from_reading(core, refs[ACTIVE], &reading, 404).phase,
                      LMN_JOB_ACTIVE);
     know(core, UNKNOWN, LMN_JOB_ACTIVE);
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -25,16 +25,16 @@
 enum { JOBS = 6000, KEPT = 1000 };
 
 static struct lmn_team team = {.name = "t"};
-static struct lmn_settings cfg = {.node = "n0",
-                                  .partitions = 1,
-                                  .state_rps = 1000,
-                                  .state_write_rps = 1000,
-                                  .value_kb = 16,
-                                  .txn_ops = 12,
-                                  .report_s = 1,
+static struct lmn_settings cfg = {.node_name = "n0",
+                                  .partition_count = 1,
+                                  .state_requests_per_s = 1000,
+                                  .state_writes_per_s = 1000,
+                                  .max_value_kb = 16,
+                                  .max_txn_operations = 12,
+                                  .heartbeat_s = 1,
                                   .lease_s = 10,
                                   .cancel_s = 30,
-                                  .nteams = 1,
+                                  .team_count = 1,
                                   .teams = &team};
 static uint64_t rev;
 static struct timespec now = {1000, 0};
@@ -58,14 +58,14 @@
                              .deadline_s = -1};
     char key[64];
 
-    g_snprintf(s.ref, sizeof s.ref, "run-%06d", n);
-    g_snprintf(key, sizeof key, "j/%s", s.ref);
+    g_snprintf(s.id, sizeof s.id, "run-%06d", n);
+    g_snprintf(key, sizeof key, "j/%s", s.id);
     apply(core, key, lmn_job_record(&s, phase, phase == LMN_JOB_ACTIVE, 1));
 }
 
 static void range(struct lmn_core *core, int n)
 {
-    const struct lmn_range r = {.lo = 0, .hi = 2};
+    const struct lmn_range r = {.first = 0, .end = 2};
     uint8_t none = 0;
     char key[64];
 
@@ -83,7 +83,7 @@
 static struct lmn_core *core(void)
 {
     struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->retained_most = KEPT;
+    core->max_retained_jobs = KEPT;
     rev = 0;
     return core;
 }
@@ -100,7 +100,7 @@
         if (n % 100 != 3)
             job(c, n, n % 2 ? LMN_JOB_CANCELLED : LMN_JOB_DONE);
     }
-    struct lmn_machine *machine = lmn_machine_new(&c->parts[0], "host-000000");
+    struct lmn_machine *machine = lmn_machine_new(&c->partitions[0], "host-000000");
     struct lmn_attempt a = {.job = g_hash_table_lookup(c->jobs, "run-000001")};
     g_array_append_val(machine->attempts, a);
     /* Nobody goes who was final only just now: whatever still runs of it counts for its
@@ -126,14 +126,15 @@
     struct lmn_core *c = core();
     (void)state;
 
-    c->reading = true;
-    for (int n = 0; n < JOBS && !c->crowded; n++)
+    c->is_listing = true;
+    for (int n = 0; n < JOBS && !c->too_many_final_jobs; n++)
         job(c, n, LMN_JOB_CANCELLED);
-    assert_true(c->crowded); /* the ranges are listed first, and it begins anew */
+    assert_true(
+        c->too_many_final_jobs); /* the ranges are listed first, and it begins anew */
     assert_int_equal(c->final_jobs.length, KEPT);
-    c->crowded = false;
-    c->needed = g_hash_table_new(g_str_hash, g_str_equal);
-    g_hash_table_add(c->needed, (gpointer) "run-005000");
+    c->too_many_final_jobs = false;
+    c->needed_job_ids = g_hash_table_new(g_str_hash, g_str_equal);
+    g_hash_table_add(c->needed_job_ids, (gpointer) "run-005000");
     for (int n = 0; n < JOBS; n++)
         job(c, n, n == 5500 ? LMN_JOB_ACTIVE : LMN_JOB_CANCELLED);
     assert_true(known(c, 5000));
@@ -141,11 +142,11 @@
     assert_false(known(c, 5501));
     assert_int_equal(g_hash_table_size(c->jobs), KEPT + 2);
     range(c, 5000);
-    assert_false(c->reread);
+    assert_false(c->must_relist);
     range(c, 5501); /* it became final between the two listings: all is read once more */
-    assert_true(c->reread);
-    g_hash_table_destroy(c->needed);
-    c->needed = NULL;
+    assert_true(c->must_relist);
+    g_hash_table_destroy(c->needed_job_ids);
+    c->needed_job_ids = NULL;
 }
 
 int main(void)
--- a/tests/test_scenarios_limits.c
+++ b/tests/test_scenarios_limits.c
@@ -148,16 +148,16 @@
     int owner = -1;
 
     for (int i = 0; i < w.layout.nodes; i++)
-        if (w.nodes[i].core && w.nodes[i].core->parts[part].mine &&
-            (owner < 0 || w.nodes[i].core->parts[part].my_term >
-                              w.nodes[owner].core->parts[part].my_term))
+        if (w.nodes[i].core && w.nodes[i].core->partitions[part].is_owned &&
+            (owner < 0 || w.nodes[i].core->partitions[part].owned_epoch >
+                              w.nodes[owner].core->partitions[part].owned_epoch))
             owner = i;
     if (owner < 0)
         return;
-    const struct lmn_partition *partition = &w.nodes[owner].core->parts[part];
+    const struct lmn_partition *partition = &w.nodes[owner].core->partitions[part];
     enum lmn_replication_phase phase = partition->stream.phase;
-    int other =
-        phase == LMN_STREAM_NONE ? (owner + 1) % w.layout.nodes : partition->stream.to;
+    int other = phase == LMN_STREAM_NONE ? (owner + 1) % w.layout.nodes
+                                         : partition->stream.standby_index;
     if (seen[part].owner != owner) {
         if (seen[part].owner >= 0)
             cancel_during(CLAIMED, seen[part].owner, owner);
@@ -171,14 +171,14 @@
             cancel_during(STRIKING, owner, other);
         seen[part].phase = phase;
     }
-    uint64_t batches = partition->stream.count.batches;
+    uint64_t batches = partition->stream.counters.batches;
     if (batches != seen[part].batches && phase != LMN_STREAM_JOINING &&
         world_chance(0.02))
         cancel_during(COPIED, owner, other);
     seen[part].batches = batches;
-    if (partition->releasing && !seen[part].releasing)
+    if (partition->is_transferring && !seen[part].releasing)
         cancel_during(HANDING, owner, other);
-    seen[part].releasing = partition->releasing;
+    seen[part].releasing = partition->is_transferring;
 }
 
 /* Partitions change hands in every way, while machines don't hear and writes are late. */
@@ -285,9 +285,9 @@
     job->spec.kind = LMN_JOB_BATCH;
     job->spec.tasks = 1;
     job->spec.cpus = 1;
-    job->spec.spread = false;
-    job->spec.spot = number % 4 != 1;
-    job->spec.urgency = LMN_PRIORITY_NORMAL;
+    job->spec.spreads_over_zones = false;
+    job->spec.may_use_spot = number % 4 != 1;
+    job->spec.priority = LMN_PRIORITY_NORMAL;
     job->spec.estimate_s = 2;
 }
 
@@ -345,11 +345,11 @@
 {
     static const char *const zones[] = {"a", "b", "c"};
 
-    job->spec.spread = number % 4 == 3;
-    job->spec.one_zone = number % 4 == 1 || number % 4 == 2;
+    job->spec.spreads_over_zones = number % 4 == 3;
+    job->spec.requires_one_zone = number % 4 == 1 || number % 4 == 2;
     job->spec.zone =
         number % 4 == 0 || number % 4 == 2 ? (char *)zones[number / 4 % 3] : NULL;
-    job->spec.spot = true;
+    job->spec.may_use_spot = true;
     job->spec.cpus = 1 + number % 3;
     if (number % 8 != 3)
         job->spec.kind = LMN_JOB_BATCH;
@@ -395,11 +395,11 @@
 
     job->spec.kind = LMN_JOB_BATCH;
     job->spec.class_name = (char *)classes[number % CLASSES];
-    job->spec.urgency = urgency[number % CLASSES];
+    job->spec.priority = urgency[number % CLASSES];
     job->spec.team = (char *)world_team(number / CLASSES % w.teams);
-    job->spec.spread = false;
+    job->spec.spreads_over_zones = false;
     job->spec.zone = NULL;
-    job->spec.spot = true;
+    job->spec.may_use_spot = true;
     job->spec.tasks = is_largest(number) ? 1 : 6;
     job->spec.cpus = is_largest(number) ? 6 : 3;
     job->spec.estimate_s = 8;
--- a/tests/test_scenarios_takeback.c
+++ b/tests/test_scenarios_takeback.c
@@ -7,7 +7,8 @@
 static void note_own(void)
 {
     for (int i = 0; scenario_at(w.layout.steps * STEP_S) && i < w.layout.nodes; i++)
-        own += w.nodes[i].core ? (unsigned)w.nodes[i].core->count.own : 0;
+        own +=
+            w.nodes[i].core ? (unsigned)w.nodes[i].core->counters.own_state_failovers : 0;
 }
 
 /* The state service is down for all, or all stand still, for longer than a lease; or they
--- a/tests/test_service.c
+++ b/tests/test_service.c
@@ -719,14 +719,14 @@
                              .team = (char *)"t",
                              .image = (char *)"i",
                              .kind = kind,
-                             .urgency = LMN_PRIORITY_NORMAL,
+                             .priority = LMN_PRIORITY_NORMAL,
                              .tasks = tasks,
                              .cpus = 1,
-                             .mem = 1,
+                             .memory_gb = 1,
                              .estimate_s = kind == LMN_JOB_BATCH ? 2 : 0,
                              .deadline_s = -1};
     GByteArray *b = g_byte_array_new();
-    g_strlcpy(s.ref, ref, sizeof s.ref);
+    g_strlcpy(s.id, ref, sizeof s.id);
     lmn_cbor_put_map(b, lmn_job_spec_pair_count());
     lmn_job_spec_write(b, &s);
     return b;
@@ -805,12 +805,12 @@
     struct lmn_job_spec large = {.class_name = (char *)"c",
                                  .team = (char *)"t",
                                  .image = (char *)"i",
-                                 .types = types,
-                                 .urgency = LMN_PRIORITY_NORMAL,
+                                 .machine_types = types,
+                                 .priority = LMN_PRIORITY_NORMAL,
                                  .tasks = 1,
                                  .cpus = 1,
                                  .deadline_s = -1,
-                                 .ref = "run-000201"};
+                                 .id = "run-000201"};
     b = g_byte_array_new();
     lmn_cbor_put_map(b, lmn_job_spec_pair_count());
     lmn_job_spec_write(b, &large);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -29,15 +29,16 @@
     (void)state;
 
     assert_int_equal(lmn_settings_parse(good, "f", &s, err, sizeof err), 0);
-    assert_string_equal(s.node, "n1");
-    assert_int_equal(s.nmembers, 2);
-    assert_int_equal(s.nteams, 1);
-    assert_int_equal(s.nobjectives, 1); /* a kind that it does not know is passed over */
+    assert_string_equal(s.node_name, "n1");
+    assert_int_equal(s.member_count, 2);
+    assert_int_equal(s.team_count, 1);
+    assert_int_equal(s.objective_count,
+                     1); /* a kind that it does not know is passed over */
     assert_true(s.teams[0].cpus_max == 0);
     assert_int_equal(lmn_settings_member_index(&s, "n0"), 0);
     assert_int_equal(lmn_settings_member_index(&s, "n1"), 1);
     assert_int_equal(lmn_settings_member_index(&s, "n2"), 2);
-    assert_int_equal(s.partitions, 3);
+    assert_int_equal(s.partition_count, 3);
     /* As many partitions as there can be controllers. */
     char *most = g_strdup(strstr(good, "initial_size")), *text;
     text = g_strdup_printf("%.*sinitial_size = %d%s",
@@ -45,7 +46,7 @@
                            LMN_MAX_PARTITIONS, strchr(most, '\n'));
     struct lmn_settings large;
     assert_int_equal(lmn_settings_parse(text, "f", &large, err, sizeof err), 0);
-    assert_int_equal(large.partitions, LMN_MAX_PARTITIONS);
+    assert_int_equal(large.partition_count, LMN_MAX_PARTITIONS);
     lmn_settings_free(&large);
     g_free(most);
     g_free(text);
@@ -80,7 +81,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(taken); i++) {
         if (parse_with_teams(taken[i], &s, err, sizeof err) != 0)
             fail_msg("%u teams: %s", taken[i], err);
-        assert_int_equal(s.nteams, taken[i]);
+        assert_int_equal(s.team_count, taken[i]);
         assert_string_equal(s.teams[0].name, "t");
         assert_true(s.teams[taken[i] - 1].cpus_max == taken[i] - 1);
         assert_ptr_equal(lmn_settings_team(&s, "team64"), &s.teams[64]);
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -27,31 +27,32 @@
 {
     (void)state;
     memset(&cfg, 0, sizeof cfg);
-    g_strlcpy(cfg.node, "na", LMN_NAME_SIZE);
+    g_strlcpy(cfg.node_name, "na", LMN_NAME_SIZE);
     g_strlcpy(cfg.members[0].name, "nb", LMN_NAME_SIZE);
-    cfg.nmembers = 1;
-    cfg.partitions = 1;
-    cfg.report_s = 1;
+    cfg.member_count = 1;
+    cfg.partition_count = 1;
+    cfg.heartbeat_s = 1;
     cfg.lease_s = 8;
     cfg.cancel_s = 30;
-    cfg.state_rps = cfg.state_write_rps = 1e6;
-    cfg.value_kb = 16;
-    cfg.txn_ops = 12;
+    cfg.state_requests_per_s = cfg.state_writes_per_s = 1e6;
+    cfg.max_value_kb = 16;
+    cfg.max_txn_operations = 12;
     cfg.teams = team;
     g_strlcpy(cfg.teams[0].name, "x", LMN_NAME_SIZE);
     cfg.teams[0].cpus_max = 4;
-    cfg.nteams = 1;
+    cfg.team_count = 1;
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->types.n = 1;
-    core->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 8, .nzones = 1};
-    core->types_known = true;
+    core->machine_types.n = 1;
+    core->machine_types.v[0] =
+        (struct lmn_machine_type){.name = "t", .cpus = 8, .zone_count = 1};
+    core->machine_types_known = true;
     return 0;
 }
 
 static int teardown(void **state)
 {
     (void)state;
-    lmn_kv_client_free(core->state);
+    lmn_kv_client_free(core->kv_client);
     lmn_core_free(core);
     return 0;
 }
@@ -62,7 +63,7 @@
     struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(name);
     struct lmn_attempt_snapshot a = {.index = index, .number = number};
 
-    g_strlcpy(a.ref, ref, sizeof a.ref);
+    g_strlcpy(a.job_id, ref, sizeof a.job_id);
     if (number)
         g_array_append_val(snapshot->attempts, a);
     return snapshot;
@@ -73,7 +74,7 @@
 {
     struct lmn_replication_batch *batch = lmn_replication_batch_new();
 
-    batch->term = epoch;
+    batch->epoch = epoch;
     batch->stream = stream;
     batch->number = number;
     if (snapshot)
@@ -122,7 +123,7 @@
                 assert_int_equal(give(1, stream - 1, 0, NULL),
                                  LMN_REPLICA_UNKNOWN_STREAM);
         }
-        const struct lmn_replica *copy = core->parts[0].copy;
+        const struct lmn_replica *copy = core->partitions[0].replica;
         assert_int_equal(copy->stream, stream);
         assert_int_equal(copy->number + 1, next);
         for (int i = 0; i < 4; i++) {
@@ -169,14 +170,14 @@
  * mirror then shows that the partition is ours, by a claim on the stream. */
 static void begin(uint64_t copied, uint64_t claimed)
 {
-    struct lmn_job_spec spec = {.ref = "run-000001",
+    struct lmn_job_spec spec = {.id = "run-000001",
                                 .class_name = (char *)"c",
                                 .team = (char *)"x",
                                 .image = (char *)"img",
                                 .tasks = 4,
                                 .cpus = 2,
                                 .deadline_s = -1};
-    struct lmn_range range = {.lo = 0, .hi = 4};
+    struct lmn_range range = {.first = 0, .end = 4};
     uint8_t done = 8; /* the last is recorded as done */
     GByteArray *b = g_byte_array_new();
 
@@ -197,19 +198,19 @@
     put("o/0", owner("na", 1, 2, claimed), 14);
     core->lease = 1;
     lmn_watch_cache_begin_ownerships(core, now);
-    assert_true(core->parts[0].mine);
+    assert_true(core->partitions[0].is_owned);
 }
 
 static struct lmn_range *range(void)
 {
-    return g_hash_table_lookup(core->parts[0].ranges, "r/0/run-000001/0");
+    return g_hash_table_lookup(core->partitions[0].ranges, "r/0/run-000001/0");
 }
 
 /* Tasks that were told are held, in their teams' limits too; of two attempts the newest;
  * what is recorded as done stays so; what was not told is free. */
 static void a_warm_takeover_holds_what_was_told(void **state)
 {
-    struct lmn_partition *partition = &core->parts[0];
+    struct lmn_partition *partition = &core->partitions[0];
     (void)state;
 
     give(1, 7, 0, told("host-0", "run-000001", 0, 5));
@@ -217,36 +218,36 @@
     give(1, 7, 2, told("host-2", "run-000001", 3, 7)); /* recorded as done */
     give(1, 7, 3, told("host-9", "run-000001", 1, 8)); /* no block names it: it is gone */
     struct lmn_machine_snapshot *gone = told("host-3", "run-000001", 2, 0);
-    gone->gone = true;
+    gone->is_terminated = true;
     give(1, 7, 4, gone);
     begin(7, 7);
-    assert_true(partition->warm && !partition->ready);
-    assert_int_equal(range()->st[0], LMN_TASK_STARTED);
-    assert_int_equal(range()->st[1], LMN_TASK_QUEUED);
-    assert_int_equal(range()->st[2], LMN_TASK_QUEUED);
-    assert_int_equal(range()->st[3], LMN_TASK_DONE);
+    assert_true(partition->is_warm && !partition->is_ready);
+    assert_int_equal(range()->task_states[0], LMN_TASK_STARTED);
+    assert_int_equal(range()->task_states[1], LMN_TASK_QUEUED);
+    assert_int_equal(range()->task_states[2], LMN_TASK_QUEUED);
+    assert_int_equal(range()->task_states[3], LMN_TASK_DONE);
     const struct lmn_machine *machine =
         g_hash_table_lookup(partition->machines, "host-1");
     assert_int_equal(machine->attempts->len, 1);
     machine = g_hash_table_lookup(partition->machines, "host-0");
     assert_int_equal(machine->attempts->len, 0);
     machine = g_hash_table_lookup(partition->machines, "host-3");
-    assert_true(machine->is_gone && machine->accounted);
+    assert_true(machine->is_terminated && machine->is_accounted);
     /* The one that is held, and the one on host-2 that has to go. */
     assert_true(partition->used_cpus[0] == 4);
-    assert_null(partition->copy);
+    assert_null(partition->replica);
 }
 
 static void each_check_before_the_first_decision(void **state)
 {
-    struct lmn_partition *partition = &core->parts[0];
+    struct lmn_partition *partition = &core->partitions[0];
     (void)state;
 
     /* Whole: NULL. Then each thing that may be otherwise, by itself. */
     give(1, 7, 0, NULL);
     partition->owner_stream = partition->standby_stream = 7;
-    partition->standby_term = 1;
-    partition->owner_term = 2;
+    partition->standby_epoch = 1;
+    partition->owner_epoch = 2;
     g_strlcpy(partition->standby, "na", LMN_NAME_SIZE);
     assert_null(lmn_failover_cold_reason(core, partition));
     partition->owner_stream = 0;
@@ -257,19 +258,19 @@
     g_strlcpy(partition->standby, "nb", LMN_NAME_SIZE);
     assert_string_equal(lmn_failover_cold_reason(core, partition), "another was in step");
     g_strlcpy(partition->standby, "na", LMN_NAME_SIZE);
-    partition->owner_term = 3;
+    partition->owner_epoch = 3;
     assert_string_equal(lmn_failover_cold_reason(core, partition),
                         "the copy is of another term");
-    partition->owner_term = 2;
-    partition->copy->stream = 8;
+    partition->owner_epoch = 2;
+    partition->replica->stream = 8;
     assert_string_equal(lmn_failover_cold_reason(core, partition),
                         "the copy is of another stream");
-    partition->copy->stream = 7;
-    struct lmn_replica *copy = partition->copy;
-    partition->copy = NULL;
+    partition->replica->stream = 7;
+    struct lmn_replica *copy = partition->replica;
+    partition->replica = NULL;
     assert_string_equal(lmn_failover_cold_reason(core, partition),
                         "no copy: another life was in step");
-    partition->copy = copy;
+    partition->replica = copy;
 }
 
 /* A batch of an owner that the mirror shows replaced, or of a partition of ours. */
@@ -277,12 +278,12 @@
 {
     (void)state;
     give(1, 7, 0, NULL);
-    core->parts[0].term = 2;
+    core->partitions[0].epoch = 2;
     assert_int_equal(give(1, 7, 1, NULL), LMN_REPLICA_REJECTED);
     assert_int_equal(give(2, 8, 0, NULL), LMN_REPLICA_APPLIED);
-    core->parts[0].mine = true;
+    core->partitions[0].is_owned = true;
     assert_int_equal(give(2, 8, 1, NULL), LMN_REPLICA_REJECTED);
-    core->parts[0].mine = false;
+    core->partitions[0].is_owned = false;
     assert_int_equal(give(9, 9, 0, NULL), LMN_REPLICA_APPLIED);
 }
 
@@ -290,7 +291,7 @@
  * decided on, until the mirror shows that it was struck off. */
 static void silence_stops_starts_until_the_record_is_empty(void **state)
 {
-    struct lmn_partition *partition = &core->parts[0];
+    struct lmn_partition *partition = &core->partitions[0];
     struct lmn_replication_stream *stream = &partition->stream;
     struct lmn_replication_batch *batch = NULL;
     struct lmn_txn *txn = NULL;
@@ -298,19 +299,19 @@
     (void)state;
 
     begin(0, 0);
-    for (guint k = 0; k < partition->list->len; k++)
-        ((struct lmn_machine *)partition->list->pdata[k])->accounted = true;
+    for (guint k = 0; k < partition->machine_list->len; k++)
+        ((struct lmn_machine *)partition->machine_list->pdata[k])->is_accounted = true;
     lmn_partition_check_ready(core, partition, now);
-    assert_true(partition->ready);
+    assert_true(partition->is_ready);
     int nb = lmn_member_index(&core->members, "nb");
     struct lmn_member_health well = {0, 0, 0};
     lmn_member_apply_record(&core->members, nb, 3, 2, now);
     lmn_member_record_probe_reply(&core->members, nb, &well, now, now);
     /* Not while either is behind. */
-    core->load.behind = 1;
+    core->load.delay_s = 1;
     lmn_replication_next_step(core, partition, now, &batch, &txn, &wait);
     assert_int_equal(stream->phase, LMN_STREAM_NONE);
-    core->load.behind = 0;
+    core->load.delay_s = 0;
     struct lmn_member_health late = {1, 0, 0};
     lmn_member_record_probe_reply(&core->members, nb, &late, now, now);
     lmn_replication_next_step(core, partition, now, &batch, &txn, &wait);
@@ -330,14 +331,14 @@
     assert_int_equal(stream->phase, LMN_STREAM_IN_SYNC);
     /* Found in a status: what was told before anything waited counted as waiting, from
      * the beginning of time on. */
-    assert_true(core->telling.max < 1);
+    assert_true(core->replication_latency.max < 1);
     /* In an outage of the state service its mirror stands still, as everybody's does. */
     struct lmn_member_health old = {0, 30, 0};
     lmn_member_record_probe_reply(&core->members, nb, &old, now, now);
     assert_false(lmn_member_is_trusted(&core->members, nb, now));
     lmn_replication_next_step(core, partition, now, &batch, &txn, &wait);
     assert_int_equal(stream->phase, LMN_STREAM_IN_SYNC);
-    uint64_t mark = lmn_machine_log_start(partition->list->pdata[0], now);
+    uint64_t mark = lmn_machine_log_start(partition->machine_list->pdata[0], now);
     assert_true(mark && !lmn_replication_covers(partition, mark) &&
                 !lmn_replication_is_stuck(partition, now));
     for (int k = 0; k < 3; k++) {
--- a/tests/test_state.c
+++ b/tests/test_state.c
@@ -34,9 +34,9 @@
 
 static struct lmn_kv_client *make(void)
 {
-    cfg.state_rps = 200;
-    cfg.state_write_rps = 25;
-    cfg.txn_ops = 48;
+    cfg.state_requests_per_s = 200;
+    cfg.state_writes_per_s = 25;
+    cfg.max_txn_operations = 48;
     lmn_test_clock = &now;
     for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
         told[i] = 0;
@@ -173,7 +173,8 @@
     lmn_test_clock = NULL;
     struct lmn_http_server *server = lmn_http_server_start(&o);
     assert_non_null(server);
-    g_snprintf(cfg.state, sizeof cfg.state, "127.0.0.1:%d", lmn_http_server_port(server));
+    g_snprintf(cfg.state_address, sizeof cfg.state_address, "127.0.0.1:%d",
+               lmn_http_server_port(server));
     struct lmn_kv_client *client = lmn_kv_client_new(&cfg);
     lmn_kv_client_start(client);
     submit(client, LMN_WRITE_USER, 1);
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -32,23 +32,23 @@
     char key[32];
 
     memset(cfg, 0, sizeof *cfg);
-    g_snprintf(cfg->node, LMN_NAME_SIZE, "n%02d", me);
+    g_snprintf(cfg->node_name, LMN_NAME_SIZE, "n%02d", me);
     for (int k = 0; k < n; k++)
         if (k != me)
-            g_snprintf(cfg->members[cfg->nmembers++].name, LMN_NAME_SIZE, "n%02d", k);
-    cfg->partitions = n;
-    cfg->report_s = 1;
+            g_snprintf(cfg->members[cfg->member_count++].name, LMN_NAME_SIZE, "n%02d", k);
+    cfg->partition_count = n;
+    cfg->heartbeat_s = 1;
     cfg->lease_s = 8;
     cfg->cancel_s = 30;
-    cfg->state_rps = cfg->state_write_rps = 1e6;
-    cfg->value_kb = 16;
-    cfg->txn_ops = 12;
+    cfg->state_requests_per_s = cfg->state_writes_per_s = 1e6;
+    cfg->max_value_kb = 16;
+    cfg->max_txn_operations = 12;
     struct lmn_core *core = lmn_core_new(cfg, lmn_kv_client_new(cfg), 1);
     lmn_members_record_watch(&core->members, now);
     lmn_members_tick(&core->members, 0, now);
-    core->members.synced = lmn_time_add(now, -100);
-    core->synced = true;
-    core->fresh = now;
+    core->members.synced_at = lmn_time_add(now, -100);
+    core->is_synced = true;
+    core->cache_fresh_at = now;
     for (int k = 0; k < n; k++) {
         struct lmn_member_health well = {0, 0, 0};
         if (gone[k])
@@ -81,7 +81,7 @@
 
 static void drop(struct lmn_core *core)
 {
-    struct lmn_kv_client *client = core->state;
+    struct lmn_kv_client *client = core->kv_client;
 
     lmn_core_free(core);
     lmn_kv_client_free(client);
@@ -159,7 +159,7 @@
     lmn_transfer_targets(core, now, successor);
     assert_int_equal(successor[1], 4);
     /* Not with another lease: that is another life, which has no copy. */
-    core->members.v[4].lease = 999;
+    core->members.views[4].lease = 999;
     lmn_transfer_targets(core, now, successor);
     assert_int_equal(successor[1], 2);
     drop(core);
@@ -172,12 +172,12 @@
     bool gone[3] = {0}, leaving[3] = {0};
     static struct lmn_settings cfg;
     struct lmn_core *core = view(&cfg, 3, 0, gone, leaving);
-    struct lmn_partition *partition = &core->parts[0];
+    struct lmn_partition *partition = &core->partitions[0];
     (void)state;
 
     core->lease = 100;
     lmn_watch_cache_begin_ownerships(core, now);
-    assert_true(partition->mine);
+    assert_true(partition->is_owned);
     lmn_shutdown_begin(core, now);
     assert_false(lmn_shutdown_owns_nothing(core) || lmn_shutdown_is_complete(core, now));
     /* Nobody is in step: for 2 s it waits for somebody. */
@@ -185,17 +185,17 @@
     assert_int_equal(
         lmn_shutdown_transfer_target(core, partition, lmn_time_add(now, 2.1)), 1);
     assert_true(lmn_shutdown_cancel(core));
-    assert_false(core->leaving);
+    assert_false(core->is_shutting_down);
     lmn_shutdown_begin(core, now);
-    core->owner->partition_lose(core, partition, "given");
+    core->owner_ops->partition_lose(core, partition, "given");
     partition->owner[0] = '\0';
-    partition->owner_rev = 0;
+    partition->owner_revision = 0;
     assert_true(lmn_shutdown_owns_nothing(core));
-    core->left = true;
+    core->has_released_lease = true;
     assert_false(lmn_shutdown_cancel(core));
     assert_false(lmn_shutdown_is_complete(core, lmn_time_add(now, 5.9)));
     assert_true(lmn_shutdown_is_complete(core, lmn_time_add(now, 6.1)));
-    core->left = false;
+    core->has_released_lease = false;
     assert_false(lmn_shutdown_is_complete(core, lmn_time_add(now, 9.9)));
     assert_true(lmn_shutdown_is_complete(core, lmn_time_add(now, 10.1)));
     drop(core);
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -33,31 +33,32 @@
 {
     (void)state;
     memset(&cfg, 0, sizeof cfg);
-    g_strlcpy(cfg.node, "nb", LMN_NAME_SIZE);
+    g_strlcpy(cfg.node_name, "nb", LMN_NAME_SIZE);
     g_strlcpy(cfg.members[0].name, "na", LMN_NAME_SIZE);
     g_strlcpy(cfg.members[1].name, "nc", LMN_NAME_SIZE);
-    cfg.nmembers = 2;
-    cfg.partitions = 3;
-    cfg.report_s = 1;
+    cfg.member_count = 2;
+    cfg.partition_count = 3;
+    cfg.heartbeat_s = 1;
     cfg.lease_s = 8;
     cfg.cancel_s = 30;
-    cfg.state_rps = cfg.state_write_rps = 1e6;
-    cfg.value_kb = 16;
-    cfg.txn_ops = 12;
+    cfg.state_requests_per_s = cfg.state_writes_per_s = 1e6;
+    cfg.max_value_kb = 16;
+    cfg.max_txn_operations = 12;
     cfg.teams = &team;
     g_strlcpy(cfg.teams[0].name, "x", LMN_NAME_SIZE);
     cfg.teams[0].cpus_max = 100;
-    cfg.nteams = 1;
+    cfg.team_count = 1;
     now = (struct timespec){1000, 0};
     rev = 0;
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->types.n = 1;
-    core->types.v[0] = (struct lmn_machine_type){.name = "t", .cpus = 8, .nzones = 1};
-    core->types_known = true;
-    core->synced = true;
-    core->fresh = now;
+    core->machine_types.n = 1;
+    core->machine_types.v[0] =
+        (struct lmn_machine_type){.name = "t", .cpus = 8, .zone_count = 1};
+    core->machine_types_known = true;
+    core->is_synced = true;
+    core->cache_fresh_at = now;
     core->lease = 1;
-    part = &core->parts[0];
+    part = &core->partitions[0];
     assert_int_equal(lmn_member_index(&core->members, "na"), HOLDER);
     assert_int_equal(lmn_member_index(&core->members, "nb"), ME);
     return 0;
@@ -65,7 +66,7 @@
 
 static int teardown(void **state)
 {
-    struct lmn_kv_client *client = core->state;
+    struct lmn_kv_client *client = core->kv_client;
 
     (void)state;
     lmn_core_free(core);
@@ -128,14 +129,14 @@
 /* The partition is ours, cold, by the term; its machines are recorded. */
 static void own_cold(uint64_t epoch)
 {
-    struct lmn_job_spec spec = {.ref = "run-000001",
+    struct lmn_job_spec spec = {.id = "run-000001",
                                 .class_name = (char *)"c",
                                 .team = (char *)"x",
                                 .image = (char *)"img",
                                 .tasks = TASKS,
                                 .cpus = 2,
                                 .deadline_s = -1};
-    struct lmn_range r = {.lo = 0, .hi = TASKS};
+    struct lmn_range r = {.first = 0, .end = TASKS};
     uint8_t done = 0;
     GByteArray *b = g_byte_array_new();
 
@@ -152,7 +153,7 @@
     put("j/run-000001", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000));
     put("r/0/run-000001/0", lmn_range_record(&r, &done));
     claimed("nb", 1, epoch);
-    assert_true(part->mine && !part->warm);
+    assert_true(part->is_owned && !part->is_warm);
 }
 
 /* All machines have spoken: starts are known from now on. */
@@ -160,25 +161,25 @@
 {
     for (int i = 0; i < MACHINES; i++) {
         struct lmn_machine *m = machine(i);
-        m->heard = m->accounted = true;
-        m->last = now;
-        m->session = 7;
-        m->type = &core->types.v[0];
+        m->has_reported = m->is_accounted = true;
+        m->last_heartbeat_at = now;
+        m->agent_incarnation = 7;
+        m->type = &core->machine_types.v[0];
     }
     lmn_partition_check_ready(core, part, now);
-    assert_true(part->ready);
+    assert_true(part->is_ready);
 }
 
 static struct lmn_attempt *start(struct lmn_machine *machine, uint32_t index,
                                  uint64_t number)
 {
-    struct lmn_attempt a = {.index = index, .number = number, .since = now};
+    struct lmn_attempt a = {.index = index, .number = number, .started_at = now};
 
-    g_strlcpy(a.ref, "run-000001", sizeof a.ref);
-    a.job = g_hash_table_lookup(core->jobs, a.ref);
+    g_strlcpy(a.job_id, "run-000001", sizeof a.job_id);
+    a.job = g_hash_table_lookup(core->jobs, a.job_id);
     a.range = g_hash_table_lookup(part->ranges, "r/0/run-000001/0");
-    a.range->st[index] = LMN_TASK_STARTED;
-    a.range->nstarted++;
+    a.range->task_states[index] = LMN_TASK_STARTED;
+    a.range->started_count++;
     lmn_attempt_count(machine, &a);
     g_array_append_val(machine->attempts, a);
     return &g_array_index(machine->attempts, struct lmn_attempt,
@@ -191,16 +192,16 @@
     own_cold(4);
     account();
     start(machine(0), 0, 100)->state = LMN_ATTEMPT_RUNNING;
-    start(machine(0), 1, 101)->direct = true; /* a call that is under way */
-    start(machine(1), 2, 102)->unsure = true; /* one without an answer */
-    start(machine(1), 3, 103)->mark = 9;      /* an answer that is held back */
+    start(machine(0), 1, 101)->push_in_flight = true;    /* a call that is under way */
+    start(machine(1), 2, 102)->push_is_uncertain = true; /* one without an answer */
+    start(machine(1), 3, 103)->log_position = 9;         /* an answer that is held back */
     struct lmn_attempt *attempt = start(machine(2), 4, 104); /* ended, not recorded yet */
     attempt->state = LMN_ATTEMPT_ENDED;
-    attempt->done = true;
-    machine(1)->in_call = true;
-    machine(3)->is_gone = true;
+    attempt->is_done = true;
+    machine(1)->has_push_in_flight = true;
+    machine(3)->is_terminated = true;
     put("o/0", NULL);
-    assert_false(part->mine);
+    assert_false(part->is_owned);
 }
 
 static void its_own_state_is_a_whole_copy(void **state)
@@ -211,18 +212,21 @@
     assert_int_equal(machine(0)->attempts->len, 0);
     core->lease = 2;
     claimed("nb", 2, 5);
-    assert_true(part->mine && part->warm && part->open && !part->ready);
-    assert_int_equal(core->count.warm, 1);
-    assert_null(part->copy);
+    assert_true(part->is_owned && part->is_warm && part->inherited_may_start &&
+                !part->is_ready);
+    assert_int_equal(core->counters.warm_failovers, 1);
+    assert_null(part->replica);
     for (int i = 0; i < TASKS; i++)
-        assert_int_equal(range()->st[i], i < 5 ? LMN_TASK_STARTED : LMN_TASK_QUEUED);
+        assert_int_equal(range()->task_states[i],
+                         i < 5 ? LMN_TASK_STARTED : LMN_TASK_QUEUED);
     for (int i = 0; i < 3; i++) {
-        assert_int_equal(machine(i)->session, 7);
-        assert_false(machine(i)->accounted);
+        assert_int_equal(machine(i)->agent_incarnation, 7);
+        assert_false(machine(i)->is_accounted);
         for (guint k = 0; k < machine(i)->attempts->len; k++)
-            assert_true(g_array_index(machine(i)->attempts, struct lmn_attempt, k).told);
+            assert_true(
+                g_array_index(machine(i)->attempts, struct lmn_attempt, k).from_replica);
     }
-    assert_true(machine(3)->is_gone);
+    assert_true(machine(3)->is_terminated);
     /* The team's limit counts each of them. */
     assert_true(part->used_cpus[0] == 10);
 }
@@ -234,7 +238,7 @@
 
     lmn_cbor_put_map(b, 9);
     lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, machine->name);
-    lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, machine->addr);
+    lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, machine->address);
     lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, "t");
     lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, "z");
     lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, false);
@@ -249,7 +253,8 @@
  * the attempts of the new term. */
 static void what_ends_late_gives_no_attempt_up(void **state)
 {
-    struct lmn_deferred_starts held = {.part = 0, .term = 4, .from = 8, .mark = 9};
+    struct lmn_deferred_starts held = {
+        .partition = 0, .epoch = 4, .from_position = 8, .log_position = 9};
     (void)state;
 
     lose_with_attempts();
@@ -263,7 +268,7 @@
     lmn_worker_client_probe_done(core, machine(1)->name, 4, 200, answer, now);
     assert_int_equal(machine(0)->attempts->len, 2);
     assert_int_equal(machine(1)->attempts->len, 2);
-    assert_false(machine(1)->accounted);
+    assert_false(machine(1)->is_accounted);
     g_byte_array_unref(out);
     g_byte_array_unref(answer);
 }
@@ -282,19 +287,19 @@
     struct lmn_machine *m = machine(1);
     GByteArray *refusal = report(m, 8, 4), *answer = report(m, 8, 5);
     lmn_worker_client_probe_done(core, m->name, 5, 409, refusal, now);
-    assert_int_equal(m->session, 8);
+    assert_int_equal(m->agent_incarnation, 8);
     assert_int_equal(m->attempts->len, 2);
-    assert_false(m->accounted);
+    assert_false(m->is_accounted);
     bool asked = false;
     while (lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, now))
         asked = asked || !strcmp(name, m->name);
     assert_true(asked);
     /* Refused in that session too: not at once, but by asking for it. */
     lmn_worker_client_probe_done(core, m->name, 5, 409, refusal, now);
-    assert_int_equal(m->session, 0);
-    assert_true(lmn_time_before(now, m->next_probe));
+    assert_int_equal(m->agent_incarnation, 0);
+    assert_true(lmn_time_before(now, m->next_probe_at));
     lmn_worker_client_probe_done(core, m->name, 5, 200, answer, now);
-    assert_true(m->accounted);
+    assert_true(m->is_accounted);
     assert_int_equal(m->attempts->len, 0);
     g_byte_array_unref(refusal);
     g_byte_array_unref(answer);
@@ -334,8 +339,8 @@
     put("o/0", NULL);
     core->lease = 3;
     claimed("nb", 3, 6);
-    assert_true(part->warm);
-    assert_int_equal(range()->nstarted, 5);
+    assert_true(part->is_warm);
+    assert_int_equal(range()->started_count, 5);
 }
 
 static void not_after_another_owner(void **state)
@@ -347,8 +352,8 @@
     put("o/0", NULL);
     core->lease = 2;
     claimed("nb", 2, 6);
-    assert_true(part->mine && !part->warm && !part->open);
-    assert_int_equal(range()->nstarted, 0);
+    assert_true(part->is_owned && !part->is_warm && !part->inherited_may_start);
+    assert_int_equal(range()->started_count, 0);
 }
 
 /* A claim of ours of an earlier lease, carried out when that was over, is a term too:
@@ -359,10 +364,10 @@
     lose_with_attempts();
     core->lease = 3;
     claimed("nb", 2, 5);
-    assert_false(part->mine);
+    assert_false(part->is_owned);
     put("o/0", NULL);
     claimed("nb", 3, 6);
-    assert_true(part->mine && !part->warm);
+    assert_true(part->is_owned && !part->is_warm);
 }
 
 /* Cold, and not all machines have spoken: a predecessor's starts are not known. */
@@ -371,10 +376,10 @@
     (void)state;
     own_cold(4);
     put("o/0", NULL);
-    assert_null(part->copy);
+    assert_null(part->replica);
     core->lease = 2;
     claimed("nb", 2, 5);
-    assert_true(part->mine && !part->warm);
+    assert_true(part->is_owned && !part->is_warm);
 }
 
 /* Controllers are small: what can be of no use any more is freed. */
@@ -383,10 +388,10 @@
     (void)state;
     lose_with_attempts();
     lmn_replica_drop_outdated(core, part);
-    assert_non_null(part->copy);
+    assert_non_null(part->replica);
     claimed("nc", 9, 5);
     lmn_replica_drop_outdated(core, part);
-    assert_null(part->copy);
+    assert_null(part->replica);
 }
 
 /* The new owner tells us what it knows: that takes the place of our own. */
@@ -397,10 +402,10 @@
 
     lose_with_attempts();
     claimed("nc", 9, 5);
-    batch->term = 5;
+    batch->epoch = 5;
     batch->stream = 5 << 20 | 1;
     assert_int_equal(lmn_replica_apply(core, batch, now), LMN_REPLICA_APPLIED);
-    assert_false(part->copy->own);
+    assert_false(part->replica->own);
     lmn_replication_batch_free(batch);
 }
 
@@ -412,17 +417,17 @@
     lose_with_attempts();
     /* Neither its usual holder, nor for long with its lease. */
     core->lease = 2;
-    core->leased = core->synced_at = now;
+    core->leased_at = core->synced_at = now;
     member_is_up(HOLDER);
     assert_true(lmn_partition_should_claim(core, part, now));
-    core->leaving = true;
+    core->is_shutting_down = true;
     assert_false(lmn_partition_should_claim(core, part, now));
 }
 
 /* This node's own partition, which nc holds until its key goes. */
 static struct lmn_partition *held_by_nc(void)
 {
-    struct lmn_partition *partition = &core->parts[ME];
+    struct lmn_partition *partition = &core->partitions[ME];
     GByteArray *b = g_byte_array_new();
 
     lmn_cbor_put_map(b, 2);
@@ -469,12 +474,12 @@
         now = lmn_time_add(now, 0.25);
         lmn_members_tick(&core->members, 0, now);
         if (!outage) {
-            core->fresh = now;
+            core->cache_fresh_at = now;
             lmn_members_record_watch(&core->members, now);
         }
         for (int i = 0;
              reports && i < MACHINES && !lmn_watch_cache_is_too_stale(core, now); i++)
-            machine(i)->last = now;
+            machine(i)->last_heartbeat_at = now;
         lmn_maintenance_run(core, now);
     }
 }
@@ -487,16 +492,16 @@
     account();
     pass(2 * cfg.cancel_s, true, true);
     pass(1, false, false);
-    assert_true(core->members.word.deaf < 0.1);
-    assert_int_equal(part->cuts->len, 0);
+    assert_true(core->members.health.silent_machine_share < 0.1);
+    assert_int_equal(part->zone_cuts->len, 0);
     for (int i = 0; i < MACHINES; i++) {
-        assert_true(machine(i)->lapsed); /* its lease has run out all the same */
-        assert_false(machine(i)->retiring);
+        assert_true(machine(i)->lease_expired); /* its lease has run out all the same */
+        assert_false(machine(i)->is_draining);
     }
     /* They had the time to come back, and did not. */
     pass(10, false, false);
-    assert_true(core->members.word.deaf > 0.9);
-    assert_int_equal(part->cuts->len, 1);
+    assert_true(core->members.health.silent_machine_share > 0.9);
+    assert_int_equal(part->zone_cuts->len, 1);
 }
 
 /* The process stood still: it comes to, and has heard nothing. */
@@ -509,10 +514,10 @@
     now = lmn_time_add(now, 6);
     pass(1, true, false);
     pass(0.5, false, false);
-    assert_true(core->members.word.deaf < 0.1);
-    assert_int_equal(part->cuts->len, 0);
+    assert_true(core->members.health.silent_machine_share < 0.1);
+    assert_int_equal(part->zone_cuts->len, 0);
     /* They are asked all the same: at once, as no answer may ever come. */
-    assert_true(part->asking);
+    assert_true(part->needs_probing);
 }
 
 /* A machine that leaves a direct question unanswered is silent at once. */
@@ -525,9 +530,9 @@
     now = lmn_time_add(now, 4);
     pass(0.5, true, false);
     for (int i = 0; i < MACHINES; i++)
-        machine(i)->probes = 1;
+        machine(i)->unanswered_probes = 1;
     pass(0.25, false, false);
-    assert_int_equal(part->cuts->len, 1);
+    assert_int_equal(part->zone_cuts->len, 1);
 }
 
 int main(void)
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -41,68 +41,69 @@
 {
     memset(&cfg, 0, sizeof cfg);
     memset(&job, 0, sizeof job);
-    cfg.partitions = 2;
-    cfg.state_rps = cfg.state_write_rps = 1000;
-    cfg.txn_ops = 12;
+    cfg.partition_count = 2;
+    cfg.state_requests_per_s = cfg.state_writes_per_s = 1000;
+    cfg.max_txn_operations = 12;
     cfg.lease_s = 10;
     cfg.teams = &team;
-    cfg.nteams = 1;
+    cfg.team_count = 1;
     g_strlcpy(cfg.teams[0].name, "t", LMN_NAME_SIZE);
     cfg.teams[0].cpus_max = 100;
     now = (struct timespec){1000, 0};
     lmn_test_clock = &now;
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->types.n = 1;
-    core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
-    struct lmn_partition *partition = &core->parts[0];
-    partition->mine = partition->ready = partition->open = true;
-    partition->my_term = 1;
+    core->machine_types.n = 1;
+    core->machine_types.v[0] =
+        (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
+    struct lmn_partition *partition = &core->partitions[0];
+    partition->is_owned = partition->is_ready = partition->inherited_may_start = true;
+    partition->owned_epoch = 1;
     machine = lmn_machine_new(partition, "m-1");
-    machine->type = &core->types.v[0];
+    machine->type = &core->machine_types.v[0];
     g_strlcpy(machine->zone, "a", sizeof machine->zone);
-    machine->rev = 1;
-    machine->heard = machine->accounted = true;
-    g_strlcpy(job.spec.ref, "run-000001", sizeof job.spec.ref);
+    machine->revision = 1;
+    machine->has_reported = machine->is_accounted = true;
+    g_strlcpy(job.spec.id, "run-000001", sizeof job.spec.id);
     job.spec.team = (char *)"t";
     job.spec.class_name = (char *)"c";
     job.spec.image = (char *)"i";
     job.image = g_intern_string("i");
     job.spec.tasks = TASKS;
     job.spec.cpus = 2;
-    job.spec.one_zone = true;
-    job.spec.urgency = LMN_PRIORITY_NORMAL;
+    job.spec.requires_one_zone = true;
+    job.spec.priority = LMN_PRIORITY_NORMAL;
     job.ranges = g_ptr_array_new();
     range = g_new0(struct lmn_range, 1);
-    *range =
-        (struct lmn_range){.job = &job, .part = partition, .hi = TASKS, .move_to = -1};
+    *range = (struct lmn_range){
+        .job = &job, .partition = partition, .end = TASKS, .move_to = -1};
     range->key = g_strdup("r/0/run-000001/0");
     range->done = g_malloc0(1);
     g_hash_table_insert(partition->ranges, range->key, range);
     g_ptr_array_add(job.ranges, range);
     lmn_range_open(core, range);
-    range->dealt = true;
+    range->is_assigned = true;
     lmn_queue_add(&machine->queue, range, 0, TASKS);
 }
 
 static void hand_over(void)
 {
-    machine->part->releasing = true;
+    machine->partition->is_transferring = true;
 }
 static void is_new(void)
 {
-    machine->accounted = false;
+    machine->is_accounted = false;
 }
 static void lacks_record(void)
 {
-    machine->rev = 0;
+    machine->revision = 0;
 }
 static void retires(void)
 {
-    machine->retiring = true;
+    machine->is_draining = true;
 }
 static void is_noticed(void)
 {
-    machine->noticed = true;
+    machine->has_spot_notice = true;
 }
 static void has_no_type(void)
 {
@@ -110,7 +111,7 @@
 }
 static void failed(void)
 {
-    machine->hold = lmn_time_add(now, 5);
+    machine->quarantined_until = lmn_time_add(now, 5);
 }
 static void job_is_over(void)
 {
@@ -122,15 +123,15 @@
 }
 static void is_promised(void)
 {
-    machine->promised = 1;
+    machine->preemption_reserved_tasks = 1;
 }
 static void is_kept(void)
 {
-    machine->kept = &other;
+    machine->reserved_for = &other;
 }
 static void job_fails(void)
 {
-    job.failures.hold = lmn_time_add(now, 5);
+    job.failures.backoff_until = lmn_time_add(now, 5);
 }
 static void forbids_zone(void)
 {
@@ -138,7 +139,7 @@
 }
 static void reaches_limit(void)
 {
-    machine->part->used_cpus[0] = 49;
+    machine->partition->used_cpus[0] = 49;
 }
 static void runs_elsewhere(void)
 {
@@ -146,7 +147,7 @@
 }
 static void is_not_open(void)
 {
-    machine->part->open = false;
+    machine->partition->inherited_may_start = false;
 }
 static void nothing(void)
 {
@@ -195,11 +196,12 @@
 }
 
 static double cpus_left[] = {8}, gpus_left[] = {1e12}; /* of the team's limit */
-static const struct lmn_steal_request thief = {.part = 1,
-                                               .rooms = {{"x", "b", false, 2, 0, 64}},
-                                               .nrooms = 1,
-                                               .team_cpus = cpus_left,
-                                               .team_gpus = gpus_left};
+static const struct lmn_steal_request thief = {
+    .partition = 1,
+    .capacities = {{"x", "b", false, 2, 0, 64}},
+    .capacity_count = 1,
+    .team_free_cpus = cpus_left,
+    .team_free_gpus = gpus_left};
 
 /* A job of one zone waited for ever in a partition without a machine there. */
 static void untouched_job_moves_whole(void **state)
@@ -207,10 +209,10 @@
     (void)state;
     make();
     forbids_zone();
-    assert_int_equal(lmn_victim_load(core, range->part, &thief), TASKS);
-    assert_int_equal(lmn_victim_transfer(core, range->part, &thief, now), TASKS);
+    assert_int_equal(lmn_victim_load(core, range->partition, &thief), TASKS);
+    assert_int_equal(lmn_victim_transfer(core, range->partition, &thief, now), TASKS);
     assert_int_equal(range->move_at, 0);
-    assert_int_equal(machine->queue.tasks, 0);
+    assert_int_equal(machine->queue.task_count, 0);
 }
 
 static void half_lies_elsewhere(void)
@@ -219,11 +221,11 @@
 }
 static void one_has_started(void)
 {
-    range->nstarted = 1;
+    range->started_count = 1;
 }
 static void one_has_ended(void)
 {
-    range->nfinished = 1;
+    range->finished_count = 1;
 }
 static void finds_no_room(void)
 {
@@ -240,8 +242,8 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         make();
         cases[i]();
-        assert_int_equal(lmn_victim_load(core, range->part, &thief), 0);
-        assert_int_equal(lmn_victim_transfer(core, range->part, &thief, now), 0);
+        assert_int_equal(lmn_victim_load(core, range->partition, &thief), 0);
+        assert_int_equal(lmn_victim_transfer(core, range->partition, &thief, now), 0);
     }
 }
 
@@ -250,15 +252,15 @@
 {
     (void)state;
     make();
-    job.aged = other.aged = true;
+    job.is_starving = other.is_starving = true;
     other.ranges = g_ptr_array_new();
-    machine->kept = &job;
-    machine->kept_until = lmn_time_add(now, 60);
-    lmn_update_reservations(core, machine->part, now);
-    assert_ptr_equal(machine->kept, &job);
-    machine->kept = &other;
-    lmn_update_reservations(core, machine->part, now);
-    assert_null(machine->kept);
+    machine->reserved_for = &job;
+    machine->reserved_until = lmn_time_add(now, 60);
+    lmn_update_reservations(core, machine->partition, now);
+    assert_ptr_equal(machine->reserved_for, &job);
+    machine->reserved_for = &other;
+    lmn_update_reservations(core, machine->partition, now);
+    assert_null(machine->reserved_for);
 }
 
 int main(void)
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -38,10 +38,10 @@
     char name[32];
 
     g_snprintf(name, sizeof name, "host-%06d", i);
-    struct lmn_machine *machine = lmn_machine_new(&core->parts[0], name);
-    machine->rev = 1;
-    machine->heard = machine->accounted = true;
-    machine->last = now;
+    struct lmn_machine *machine = lmn_machine_new(&core->partitions[0], name);
+    machine->revision = 1;
+    machine->has_reported = machine->is_accounted = true;
+    machine->last_heartbeat_at = now;
     return machine;
 }
 
@@ -50,19 +50,20 @@
     memset(&cfg, 0, sizeof cfg);
     g_strlcpy(team[0].name, "t", LMN_NAME_SIZE);
     cfg.teams = team;
-    cfg.nteams = 1;
-    cfg.partitions = 1;
-    cfg.state_rps = cfg.state_write_rps = 1000;
-    cfg.txn_ops = 12;
-    cfg.report_s = 8;
+    cfg.team_count = 1;
+    cfg.partition_count = 1;
+    cfg.state_requests_per_s = cfg.state_writes_per_s = 1000;
+    cfg.max_txn_operations = 12;
+    cfg.heartbeat_s = 8;
     cfg.lease_s = 44;
     cfg.cancel_s = 64;
     now = (struct timespec){1000, 0};
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->parts[0].mine = core->parts[0].ready = core->parts[0].open = true;
-    core->parts[0].my_term = 1;
-    core->parts[0].since = now;
-    core->synced = true;
+    core->partitions[0].is_owned = core->partitions[0].is_ready =
+        core->partitions[0].inherited_may_start = true;
+    core->partitions[0].owned_epoch = 1;
+    core->partitions[0].owned_since = now;
+    core->is_synced = true;
     for (int i = 0; i < machines; i++)
         add(i);
 }
@@ -78,11 +79,11 @@
 
     for (double t = 0; t < seconds; t += 0.25) {
         now = lmn_time_add(now, 0.25);
-        core->fresh = now;
-        g_hash_table_iter_init(&it, core->parts[0].machines);
+        core->cache_fresh_at = now;
+        g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
             if (v != silent)
-                ((struct lmn_machine *)v)->last = now;
+                ((struct lmn_machine *)v)->last_heartbeat_at = now;
         while (lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, now)) {
             assert_string_equal(name, silent->name);
             lmn_worker_client_probe_done(core, name, epoch, LMN_HTTP_NO_RESPONSE, NULL,
@@ -100,10 +101,11 @@
     make(9);
     struct lmn_machine *machine = add(100);
     pass(11, machine);
-    assert_int_equal(machine->probes, 0); /* its next report may still be on its way */
+    assert_int_equal(machine->unanswered_probes,
+                     0); /* its next report may still be on its way */
     pass(5, machine);
-    assert_true(machine->probes >= 2);
-    assert_true(machine->retiring && machine->force);
+    assert_true(machine->unanswered_probes >= 2);
+    assert_true(machine->is_draining && machine->drain_at_once);
 }
 
 /* Tasks on a machine that the cloud has announced to take are not waited for beyond that.
@@ -113,13 +115,13 @@
     (void)state;
     make(9);
     struct lmn_machine *machine = add(100);
-    machine->noticed = true;
-    machine->noticed_at = now;
+    machine->has_spot_notice = true;
+    machine->spot_notice_at = now;
     machine->notice_s = 6;
     pass(5, machine);
-    assert_false(machine->retiring);
+    assert_false(machine->is_draining);
     pass(2, machine);
-    assert_true(machine->retiring && machine->force);
+    assert_true(machine->is_draining && machine->drain_at_once);
 }
 
 /* A zone was cut off with its controller: that gave up the machines of the other zones
@@ -131,14 +133,14 @@
     (void)state;
     make(0);
     struct lmn_machine *machine = add(1);
-    core->fresh = lmn_time_add(
+    core->cache_fresh_at = lmn_time_add(
         now, cfg.lease_s - 1); /* the last that it heard of the state service */
     now = lmn_time_add(now, 2 * cfg.lease_s);
     lmn_maintenance_run(core, now);
-    assert_false(machine->lapsed);
-    core->fresh = now; /* heard again, and still the owner */
+    assert_false(machine->lease_expired);
+    core->cache_fresh_at = now; /* heard again, and still the owner */
     lmn_maintenance_run(core, now);
-    assert_true(machine->lapsed);
+    assert_true(machine->lease_expired);
 }
 
 /* With a zone that is cut off, its machines were once returned after some seconds, and
@@ -154,37 +156,37 @@
     for (int i = 0; i < 8; i++) {
         far[i] = add(200 + i);
         g_strlcpy(far[i]->zone, "b", sizeof far[i]->zone);
-        far[i]->probes = 2;
+        far[i]->unanswered_probes = 2;
     }
     for (int i = 0; i < 20; i++)
         g_strlcpy(((struct lmn_machine *)g_hash_table_lookup(
-                       core->parts[0].machines, g_strdup_printf("host-%06d", i)))
+                       core->partitions[0].machines, g_strdup_printf("host-%06d", i)))
                       ->zone,
                   "a", LMN_NAME_SIZE);
-    one->probes = 2;
+    one->unanswered_probes = 2;
     now = lmn_time_add(now, cfg.lease_s - 5);
-    core->fresh = now;
+    core->cache_fresh_at = now;
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, core->parts[0].machines);
+    g_hash_table_iter_init(&it, core->partitions[0].machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         if (v != one && strcmp(((struct lmn_machine *)v)->zone, "b"))
-            ((struct lmn_machine *)v)->last = now;
+            ((struct lmn_machine *)v)->last_heartbeat_at = now;
     lmn_maintenance_run(core, now);
-    assert_true(one->retiring);
+    assert_true(one->is_draining);
     for (int i = 0; i < 8; i++)
-        assert_false(far[i]->retiring);
+        assert_false(far[i]->is_draining);
     /* The cut is over and most are heard again: the others once were returned at that
      * moment. */
     for (int k = 0; k < 2; k++) {
-        core->fresh = now = lmn_time_add(now, k ? cfg.report_s + 11 : 1);
-        g_hash_table_iter_init(&it, core->parts[0].machines);
+        core->cache_fresh_at = now = lmn_time_add(now, k ? cfg.heartbeat_s + 11 : 1);
+        g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
             if (v != far[0] && v != far[1])
-                ((struct lmn_machine *)v)->last = now;
+                ((struct lmn_machine *)v)->last_heartbeat_at = now;
         lmn_maintenance_run(core, now);
         for (int i = 0; i < 2; i++)
-            assert_int_equal(far[i]->retiring, k);
+            assert_int_equal(far[i]->is_draining, k);
     }
 }
 
@@ -200,23 +202,23 @@
         g_strlcpy(cfg.zone, holder_in[k], sizeof cfg.zone);
         GHashTableIter it;
         gpointer v;
-        g_hash_table_iter_init(&it, core->parts[0].machines);
+        g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
             g_strlcpy(((struct lmn_machine *)v)->zone, "a", LMN_NAME_SIZE);
-        core->parts[0].ready = false;
+        core->partitions[0].is_ready = false;
         struct lmn_machine *far[8];
         for (int i = 0; i < 8; i++) {
             far[i] = add(200 + i);
             g_strlcpy(far[i]->zone, "b", sizeof far[i]->zone);
-            far[i]->inherited = true;
-            far[i]->heard = far[i]->accounted = false;
-            far[i]->probes = 2;
+            far[i]->is_inherited = true;
+            far[i]->has_reported = far[i]->is_accounted = false;
+            far[i]->unanswered_probes = 2;
         }
         now = lmn_time_add(now, 6);
-        core->fresh = now;
+        core->cache_fresh_at = now;
         lmn_maintenance_run(core, now);
         for (int i = 0; i < 8; i++)
-            assert_int_equal(far[i]->retiring, k == 0);
+            assert_int_equal(far[i]->is_draining, k == 0);
     }
 }
 
@@ -228,18 +230,19 @@
     uint64_t epoch;
     (void)state;
     make(0);
-    core->parts[0].ready = false;
-    core->parts[0].asking = true;
+    core->partitions[0].is_ready = false;
+    core->partitions[0].needs_probing = true;
     for (int i = 0; i < 20; i++) {
         struct lmn_machine *machine = add(i);
-        machine->inherited = true;
-        machine->accounted = false;
-        machine->probes = i % 2;
+        machine->is_inherited = true;
+        machine->is_accounted = false;
+        machine->unanswered_probes = i % 2;
     }
     for (int i = 0; i < 20; i++) {
         assert_true(lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, now));
-        struct lmn_machine *machine = g_hash_table_lookup(core->parts[0].machines, name);
-        assert_int_equal(machine->probes, i < 10 ? 0 : 1);
+        struct lmn_machine *machine =
+            g_hash_table_lookup(core->partitions[0].machines, name);
+        assert_int_equal(machine->unanswered_probes, i < 10 ? 0 : 1);
     }
     assert_false(lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, now));
 }
@@ -254,12 +257,12 @@
     struct lmn_machine *lost[12];
     (void)state;
     make(40);
-    core->parts[0].ready = false;
-    core->parts[0].asking = true;
+    core->partitions[0].is_ready = false;
+    core->partitions[0].needs_probing = true;
     for (int i = 0; i < 12; i++) {
         lost[i] = add(100 + i);
-        lost[i]->inherited = true;
-        lost[i]->heard = lost[i]->accounted = false;
+        lost[i]->is_inherited = true;
+        lost[i]->has_reported = lost[i]->is_accounted = false;
     }
     now = lmn_time_add(now, 3);
     for (unsigned lane = 0; lane < 12; lane++)
@@ -269,20 +272,20 @@
     for (int i = 0; i < 12; i++)
         lmn_worker_client_probe_done(core, lost[i]->name, 1, LMN_HTTP_NO_RESPONSE, NULL,
                                      now);
-    core->fresh = now = lmn_time_add(now, 2);
+    core->cache_fresh_at = now = lmn_time_add(now, 2);
     lmn_maintenance_run(core, now);
     for (int i = 0; i < 12; i++)
-        assert_false(lost[i]->retiring);
-    core->fresh = now = lmn_time_add(now, 1.25 * cfg.report_s);
+        assert_false(lost[i]->is_draining);
+    core->cache_fresh_at = now = lmn_time_add(now, 1.25 * cfg.heartbeat_s);
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, core->parts[0].machines);
+    g_hash_table_iter_init(&it, core->partitions[0].machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
-        if (!((struct lmn_machine *)v)->inherited)
-            ((struct lmn_machine *)v)->last = now;
+        if (!((struct lmn_machine *)v)->is_inherited)
+            ((struct lmn_machine *)v)->last_heartbeat_at = now;
     lmn_maintenance_run(core, now);
     for (int i = 0; i < 12; i++)
-        assert_true(lost[i]->retiring);
+        assert_true(lost[i]->is_draining);
 }
 
 /* Machines of a partition whose inherited work still waits were returned as idle, and
@@ -292,24 +295,24 @@
     (void)state;
     make(6);
     struct lmn_machine *machine = add(50);
-    core->parts[0].ready = false;
-    machine->idle = now;
+    core->partitions[0].is_ready = false;
+    machine->idle_since = now;
     struct lmn_machine *lost = add(51);
-    lost->inherited = true;
-    lost->heard = lost->accounted = false;
+    lost->is_inherited = true;
+    lost->has_reported = lost->is_accounted = false;
     for (int i = 0; i < 30; i++) {
-        core->fresh = machine->last = now = lmn_time_add(now, 1);
+        core->cache_fresh_at = machine->last_heartbeat_at = now = lmn_time_add(now, 1);
         lmn_maintenance_run(core, now);
-        assert_false(machine->retiring);
+        assert_false(machine->is_draining);
         if (i == 20)
             lmn_machine_terminated(core, lost, now);
     }
-    assert_true(core->parts[0].ready);
+    assert_true(core->partitions[0].is_ready);
     for (int i = 0; i < 10; i++) {
-        core->fresh = machine->last = now = lmn_time_add(now, 1);
+        core->cache_fresh_at = machine->last_heartbeat_at = now = lmn_time_add(now, 1);
         lmn_maintenance_run(core, now);
     }
-    assert_true(machine->retiring);
+    assert_true(machine->is_draining);
 }
 
 /* --- reports --- */
@@ -322,33 +325,35 @@
 {
     memset(&job, 0, sizeof job);
     memset(&range, 0, sizeof range);
-    g_strlcpy(job.spec.ref, "run-000001", LMN_JOB_ID_SIZE);
+    g_strlcpy(job.spec.id, "run-000001", LMN_JOB_ID_SIZE);
     job.spec.tasks = n;
     job.spec.cpus = 1;
     job.spec.image = (char *)"i";
     job.spec.deadline_s = -1;
     job.image = g_intern_string("i");
-    job.cls = g_intern_string("c");
-    job.rev = 1;
+    job.class_name = g_intern_string("c");
+    job.revision = 1;
     job.ranges = g_ptr_array_new();
     range.job = &job;
-    range.part = &core->parts[0];
-    range.hi = n;
+    range.partition = &core->partitions[0];
+    range.end = n;
     range.key = g_strdup("r/0/run-000001/0");
     range.done = g_malloc0((n + 7) / 8);
     g_ptr_array_add(job.ranges, &range);
-    g_hash_table_insert(core->parts[0].ranges, range.key, &range);
-    g_hash_table_insert(core->jobs, job.spec.ref, &job);
+    g_hash_table_insert(core->partitions[0].ranges, range.key, &range);
+    g_hash_table_insert(core->jobs, job.spec.id, &job);
     lmn_range_open(core, &range);
-    range.dealt = true;
+    range.is_assigned = true;
     lmn_assign_range(core, &range, now);
 }
 
 static void with_type(void)
 {
-    core->types.n = 1;
-    core->types.v[0] = (struct lmn_machine_type){.name = "x", .cpus = 8, .mem = 64};
-    core->members.fresh = core->members.tick = core->fresh = now;
+    core->machine_types.n = 1;
+    core->machine_types.v[0] =
+        (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
+    core->members.cache_fresh_at = core->members.last_tick_at = core->cache_fresh_at =
+        now;
 }
 
 /* A report that lists the tasks of the last answer if it was heard. Returns the status,
@@ -377,13 +382,14 @@
         const struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
         char task[64];
-        g_snprintf(task, sizeof task, "%s/%u", attempt->ref, attempt->index);
+        g_snprintf(task, sizeof task, "%s/%u", attempt->job_id, attempt->index);
         lmn_cbor_put_map(b, 3);
         lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, task);
         lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, attempt->number);
         lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, WIRE_FETCHING);
     }
-    core->members.fresh = core->members.tick = core->fresh = now;
+    core->members.cache_fresh_at = core->members.last_tick_at = core->cache_fresh_at =
+        now;
     int status = lmn_heartbeat_handle(core, b->data, b->len, out, &last_held, now);
     *orders = 0;
     if (status == 200 && lmn_cbor_parse(&d, out->data, out->len) == 0) {
@@ -409,8 +415,8 @@
     make(0);
     with_type();
     struct lmn_machine *machine = add(1);
-    machine->type = &core->types.v[0];
-    machine->last = now;
+    machine->type = &core->machine_types.v[0];
+    machine->last_heartbeat_at = now;
     queue_tasks(20);
     assert_int_equal(report(machine, machine->name, 1, ++seq, 1, true, &orders), 200);
     assert_int_equal(orders, 8);
@@ -419,22 +425,22 @@
         assert_int_equal(report(machine, machine->name, 1, ++seq, 1, false, &orders),
                          200);
         assert_true(orders <= 1);
-        assert_int_equal(machine->queue.tasks, 0);
+        assert_int_equal(machine->queue.task_count, 0);
         given += (unsigned)orders;
         tries++;
     }
     assert_in_range(given, 2, tries / 2);
-    assert_int_equal(range.nstarted, orders);
+    assert_int_equal(range.started_count, orders);
     now = lmn_time_add(now, 20);
     report(machine, machine->name, 1, ++seq, 1, false, &orders);
     assert_int_equal(orders, 1);
     now = lmn_time_add(now, 4);
     report(machine, machine->name, 1, ++seq, 1, true, &orders); /* it was heard */
-    assert_int_equal(machine->unheeded, 0);
+    assert_int_equal(machine->ignored_commands, 0);
     now = lmn_time_add(now, 20);
-    machine->next_steal = now;
+    machine->next_steal_at = now;
     report(machine, machine->name, 1, ++seq, 1, true, &orders);
-    assert_int_equal(range.nstarted, 8);
+    assert_int_equal(range.started_count, 8);
 }
 
 /* After a takeover the partition's inherited work waited for as long as copies of old
@@ -448,19 +454,20 @@
     for (int copies = 0; copies < 2; copies++) {
         make(9);
         with_type();
-        struct lmn_partition *partition = &core->parts[0];
-        partition->my_term = 5;
+        struct lmn_partition *partition = &core->partitions[0];
+        partition->owned_epoch = 5;
         struct lmn_machine *machine = add(100);
-        machine->heard = machine->accounted = false;
-        machine->inherited = true;
-        machine->probes = 2;
-        partition->ready = false;
+        machine->has_reported = machine->is_accounted = false;
+        machine->is_inherited = true;
+        machine->unanswered_probes = 2;
+        partition->is_ready = false;
         double waited = 0;
-        for (; !machine->retiring && waited < 60; waited += 2) {
+        for (; !machine->is_draining && waited < 60; waited += 2) {
             now = lmn_time_add(now, 2);
-            for (guint i = 0; i < partition->list->len; i++)
-                if (partition->list->pdata[i] != machine)
-                    ((struct lmn_machine *)partition->list->pdata[i])->last = now;
+            for (guint i = 0; i < partition->machine_list->len; i++)
+                if (partition->machine_list->pdata[i] != machine)
+                    ((struct lmn_machine *)partition->machine_list->pdata[i])
+                        ->last_heartbeat_at = now;
             if (copies) /* one and the same, again and again, and older ones */
                 report(machine, machine->name, 3, waited < 10 ? 40 : 7, 4, false,
                        &orders);
@@ -468,12 +475,13 @@
                 assert_int_equal(
                     report(machine, machine->name, 3, 40 + ++seq, 4, false, &orders),
                     200);
-            assert_false(machine->accounted);
-            core->fresh = now;
+            assert_false(machine->is_accounted);
+            core->cache_fresh_at = now;
             lmn_maintenance_run(core, now);
         }
-        assert_true(machine->retiring && machine->force);
-        assert_in_range((int)waited, 1.25 * cfg.report_s + 4, 1.25 * cfg.report_s + 8);
+        assert_true(machine->is_draining && machine->drain_at_once);
+        assert_in_range((int)waited, 1.25 * cfg.heartbeat_s + 4,
+                        1.25 * cfg.heartbeat_s + 8);
     }
 }
 
@@ -487,17 +495,17 @@
 
     make(9);
     with_type();
-    core->parts[0].my_term = 5;
+    core->partitions[0].owned_epoch = 5;
     assert_int_equal(report(NULL, "host-000900", 2, 70, 4, false, &orders), 200);
     struct lmn_machine *machine =
-        g_hash_table_lookup(core->parts[0].machines, "host-000900");
+        g_hash_table_lookup(core->partitions[0].machines, "host-000900");
     assert_non_null(machine);
-    assert_false(machine->accounted);
+    assert_false(machine->is_accounted);
     assert_int_equal(orders, 0);
     pass(cfg.lease_s, machine);
-    assert_false(machine->retiring);
-    pass(1.25 * cfg.report_s + 1, machine);
-    assert_true(machine->retiring && machine->force);
+    assert_false(machine->is_draining);
+    pass(1.25 * cfg.heartbeat_s + 1, machine);
+    assert_true(machine->is_draining && machine->drain_at_once);
     lmn_machine_terminated(core, machine, now);
     assert_int_equal(report(NULL, "host-000900", 2, 71, 4, false, &orders), 503);
 }
@@ -512,15 +520,15 @@
     make(9);
     with_type();
     struct lmn_machine *machine = add(100);
-    machine->type = &core->types.v[0];
+    machine->type = &core->machine_types.v[0];
     queue_tasks(4);
     report(machine, machine->name, 2, 10, 1, true, &orders);
     assert_int_equal(orders, 4);
     now = lmn_time_add(now, 2);
     report(machine, machine->name, 2, 12, 1, true, &orders);
-    struct timespec last = machine->last;
+    struct timespec last = machine->last_heartbeat_at;
     now = lmn_time_add(now, 2);
-    core->members.shut = true;
+    core->members.is_isolated_from_workers = true;
     for (uint64_t seq = 9; seq <= 12; seq++) {
         assert_int_equal(report(machine, machine->name, 2, seq, 1, false, &orders), 503);
         assert_int_equal(report(machine, machine->name, 1, 90 + seq, 1, false, &orders),
@@ -528,16 +536,16 @@
     }
     report(NULL, "host-000901", 1, 5, 1, false,
            &orders); /* of one that nothing is known of */
-    assert_true(core->members.shut);
-    assert_int_equal(range.nstarted, 4);
-    assert_int_equal(lmn_time_diff_s(machine->last, last), 0);
-    machine->seq = 20; /* a call's answer: a report from before it may have been on its
-                    way for minutes */
+    assert_true(core->members.is_isolated_from_workers);
+    assert_int_equal(range.started_count, 4);
+    assert_int_equal(lmn_time_diff_s(machine->last_heartbeat_at, last), 0);
+    machine->sequence = 20; /* a call's answer: a report from before it may have been on
+                    its way for minutes */
     assert_int_equal(report(machine, machine->name, 2, 13, 1, true, &orders), 200);
-    assert_true(core->members.shut);
+    assert_true(core->members.is_isolated_from_workers);
     assert_int_equal(report(machine, machine->name, 2, 21, 1, true, &orders), 200);
-    assert_false(core->members.shut);
-    assert_int_equal(range.nstarted, 4);
+    assert_false(core->members.is_isolated_from_workers);
+    assert_int_equal(range.started_count, 4);
 }
 
 /* Cut off from the state service and the other controllers, a node held its workers until
@@ -553,20 +561,20 @@
         with_type();
         cfg.lease_s = lease;
         struct lmn_machine *machine = add(100);
-        core->members.n = 3;
+        core->members.count = 3;
         core->members.names[1] = "poste-1";
         core->members.names[2] = "poste-2";
         for (int i = 1; i < 3; i++)
-            core->members.v[i].present = true;
+            core->members.views[i].is_present = true;
         assert_int_equal(report(machine, machine->name, 1, ++seq, 1, false, &orders),
                          200);
-        core->isolated = now;
+        core->isolated_since = now;
         now = lmn_time_add(now, 1);
         int first = report(machine, machine->name, 1, ++seq, 1, false, &orders);
         assert_int_equal(first == 200, lease == 10);
         assert_int_equal(report(machine, machine->name, 1, ++seq, 1, false, &orders),
                          200);
-        core->isolated = (struct timespec){0, 0};
+        core->isolated_since = (struct timespec){0, 0};
         assert_int_equal(report(machine, machine->name, 1, ++seq, 1, false, &orders),
                          200);
     }
@@ -598,7 +606,7 @@
     make(3);
     with_type();
     struct lmn_machine *machine = add(100);
-    machine->type = &core->types.v[0];
+    machine->type = &core->machine_types.v[0];
     queue_tasks(4);
     assert_int_equal(report(machine, machine->name, 2, ++*seq, 1, true, &orders), 200);
     assert_int_equal(orders, 4);
@@ -616,23 +624,23 @@
 
     for (int withdrawn = 0; withdrawn < 2; withdrawn++) {
         struct lmn_machine *machine = with_tasks(&seq),
-                           *names = lmn_machine_new(&core->parts[0], "x");
+                           *names = lmn_machine_new(&core->partitions[0], "x");
         g_array_append_vals(names->attempts, machine->attempts->data,
                             machine->attempts->len);
         if (withdrawn)
             job.phase = LMN_JOB_CANCELLED;
-        machine->seq = seq + 9; /* a call's answer was newer */
+        machine->sequence = seq + 9; /* a call's answer was newer */
         assert_int_equal(report(machine, machine->name, 2, ++seq, 1, true, &orders), 200);
         assert_int_equal(commands(answered, WIRE_KILL), withdrawn ? 4 + 4 : 0);
         assert_int_equal(orders, commands(answered, WIRE_KILL));
         /* Another has it from now on, and has heard nothing of the machine. */
         g_array_set_size(machine->attempts, 0);
-        machine->heard = machine->accounted = false;
-        core->parts[0].my_term = 2;
+        machine->has_reported = machine->is_accounted = false;
+        core->partitions[0].owned_epoch = 2;
         assert_int_equal(report(names, machine->name, 2, ++seq, 1, true, &orders), 200);
         assert_int_equal(commands(answered, WIRE_KILL), withdrawn ? 4 : 0);
         assert_int_equal(orders, commands(answered, WIRE_KILL));
-        assert_false(machine->accounted);
+        assert_false(machine->is_accounted);
     }
 }
 
@@ -649,20 +657,21 @@
         g_array_index(machine->attempts, struct lmn_attempt, i).job = &other;
     other.phase = LMN_JOB_CANCELLED;
     for (int i = 0; i < 4; i++)
-        range.st[i] = LMN_TASK_QUEUED;
-    range.nstarted = 0;
+        range.task_states[i] = LMN_TASK_QUEUED;
+    range.started_count = 0;
     lmn_assign_range(core, &range, now);
-    core->parts[0].stream.phase = LMN_STREAM_IN_SYNC;
-    core->parts[0].stream.acked = core->parts[0].stream.mark;
+    core->partitions[0].stream.phase = LMN_STREAM_IN_SYNC;
+    core->partitions[0].stream.acknowledged_position =
+        core->partitions[0].stream.log_position;
     now = lmn_time_add(now, 4);
     assert_int_equal(report(machine, machine->name, 2, ++seq, 1, true, &orders), 200);
-    assert_true(last_held.mark > 0);
+    assert_true(last_held.log_position > 0);
     assert_int_equal(commands(answered, WIRE_KILL), 4);
     assert_int_equal(commands(answered, WIRE_START), 4);
     lmn_heartbeat_withhold_starts(core, &last_held, answered, now);
     assert_int_equal(commands(answered, WIRE_KILL), 4);
     assert_int_equal(commands(answered, WIRE_START), 0);
-    assert_int_equal(range.nstarted, 0);
+    assert_int_equal(range.started_count, 0);
 }
 
 /* Who answers no worker any more starts nothing by the other way either. */
@@ -676,11 +685,11 @@
         make(0);
         with_type();
         struct lmn_machine *machine = add(1);
-        machine->type = &core->types.v[0];
+        machine->type = &core->machine_types.v[0];
         queue_tasks(4);
         now = lmn_time_add(now,
                            lmn_settings_max_cache_age_s(&cfg) + (stale ? 0.01 : -0.01));
-        machine->last = now;
+        machine->last_heartbeat_at = now;
         lmn_machine_wake(machine);
         assert_int_equal(lmn_worker_client_next_push(core, 0, 1, name, addr, body, now),
                          !stale);
@@ -701,7 +710,7 @@
     make(0);
     with_type();
     struct lmn_machine *machine = add(1);
-    machine->type = &core->types.v[0];
+    machine->type = &core->machine_types.v[0];
     queue_tasks(4);
     assert_int_equal(report(machine, machine->name, 2, ++seq, 1, true, &orders), 200);
     lmn_machine_requeue_tasks(core, machine, "to begin with", now);
@@ -739,11 +748,11 @@
     struct timespec heard = now;
     for (int late = 0; late < 2; late++) {
         /* The mirror stands still; a late twin of the tombstone changes nothing. */
-        core->fresh = lmn_time_add(heard, -1);
+        core->cache_fresh_at = lmn_time_add(heard, -1);
         assert_false(lmn_job_may_run(core, &job));
         assert_int_equal(job.phase, LMN_JOB_ACTIVE);
         lmn_range_writer_flush(core, now);
-        assert_null(lmn_kv_client_dequeue(core->state));
+        assert_null(lmn_kv_client_dequeue(core->kv_client));
         assert_true(lmn_tombstone_receive(core, "run-000001", heard));
     }
     /* report() has the mirror proven as of now: a tombstone of later than that. */
@@ -755,7 +764,7 @@
     now = lmn_time_add(now, 4); /* they are gone: queued again, and not started */
     assert_int_equal(report(machine, machine->name, 2, ++seq, 1, false, &orders), 200);
     assert_int_equal(orders, 0);
-    assert_int_equal(range.nstarted, 0);
+    assert_int_equal(range.started_count, 0);
     now = lmn_time_add(now, 30); /* it was wrong */
     assert_int_equal(report(machine, machine->name, 2, ++seq, 1, false, &orders), 200);
     assert_true(orders > 0);
@@ -814,9 +823,9 @@
     }
     assert_int_equal(report(machine, "host\n1", 2, seq + 1, 1, true, &orders), 400);
     assert_int_equal(report(machine, machine->name, 0, seq + 1, 1, true, &orders), 400);
-    assert_int_equal(core->count.malformed, G_N_ELEMENTS(bad) + 2);
+    assert_int_equal(core->counters.malformed_heartbeats, G_N_ELEMENTS(bad) + 2);
     assert_memory_equal(&old, machine, sizeof old);
-    assert_int_equal(range.nstarted, 4);
+    assert_int_equal(range.started_count, 4);
 }
 
 int main(void)
--- a/tests/twin.h
+++ b/tests/twin.h
@@ -16,9 +16,9 @@
     for (guint i = 0; i < b->machines->len; i++) {
         const struct lmn_machine_snapshot *t = b->machines->pdata[i];
         struct lmn_machine_snapshot *u = lmn_machine_snapshot_new(t->name);
-        u->session = t->session;
-        u->gone = t->gone;
-        u->forget = t->forget;
+        u->agent_incarnation = t->agent_incarnation;
+        u->is_terminated = t->is_terminated;
+        u->is_forgotten = t->is_forgotten;
         if (t->attempts->len)
             g_array_append_vals(u->attempts, t->attempts->data, t->attempts->len);
         g_ptr_array_add(machines, u);
