--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -108,7 +108,8 @@
 
     for (int i = 0; i < w.layout.nodes; i++) {
         const struct lmn_core *core = w.nodes[i].core;
-        if (core && core->parts[part].mine && core->parts[part].my_term == epoch)
+        if (core && core->partitions[part].is_owned &&
+            core->partitions[part].owned_epoch == epoch)
             return i;
     }
     return -1;
@@ -136,11 +137,11 @@
 static int take_report(struct node *node, struct message *message, GByteArray *out,
                        struct lmn_deferred_starts *deferred)
 {
-    const struct lmn_partition *partition = &node->core->parts[part_of(message)];
+    const struct lmn_partition *partition = &node->core->partitions[part_of(message)];
 
-    if (w.broken == G_REPORTED && partition->mine) {
+    if (w.broken == G_REPORTED && partition->is_owned) {
         g_byte_array_set_size(message->body, message->token_at);
-        lmn_cbor_put_uint(message->body, partition->my_term);
+        lmn_cbor_put_uint(message->body, partition->owned_epoch);
     }
     int status = lmn_heartbeat_handle(node->core, message->body->data, message->body->len,
                                       out, deferred, w.clock);
@@ -149,7 +150,7 @@
     digest_array(message->body);
     digest_number((uint64_t)status);
     digest_array(out);
-    digest_number(status == 200 ? deferred->mark : 0);
+    digest_number(status == 200 ? deferred->log_position : 0);
     return status;
 }
 
@@ -196,8 +197,9 @@
                 if (w.now < w.keep_until && world_chance(0.3))
                     keep_for_next(message);
                 int status = take_report(node, message, out, &held);
-                if (status == 200 && held.mark &&
-                    !lmn_replication_covers(&node->core->parts[held.part], held.mark)) {
+                if (status == 200 && held.log_position &&
+                    !lmn_replication_covers(&node->core->partitions[held.partition],
+                                            held.log_position)) {
                     node_hold_back(node, &held, message, machine, out);
                 } else if (w.now < machine->unheard_until) {
                     ; /* the answer is lost */
@@ -239,7 +241,7 @@
     }
     w.rev++;
     /* One owner sees all of a job whose tasks look at each other's zones. */
-    int whole = job->spec.spread || job->spec.one_zone
+    int whole = job->spec.spreads_over_zones || job->spec.requires_one_zone
                     ? (int)(job->spec.tasks % w.layout.nodes)
                     : -1;
     for (int i = 0; i < w.layout.nodes; i++)
@@ -249,15 +251,15 @@
     world_put(key, b, 0);
     g_byte_array_unref(b);
     for (int i = 0; i < w.layout.nodes; i++) {
-        struct lmn_range r = {.lo = at, .hi = part_end(job, whole, i)};
+        struct lmn_range r = {.first = at, .end = part_end(job, whole, i)};
         uint8_t none[8] = {0};
-        if (r.hi == r.lo)
+        if (r.end == r.first)
             continue;
         b = lmn_range_record(&r, none);
         g_snprintf(key, sizeof key, "r/%d/%s/%u", i, job->ref, at);
         world_put(key, b, 0);
         g_byte_array_unref(b);
-        at = r.hi;
+        at = r.end;
     }
     job->submitted = true;
     job->accepted_at = w.now;
@@ -335,8 +337,8 @@
         for (int k = 0; k < w.layout.nodes; k++) {
             if (!w.nodes[k].core)
                 return false;
-            const struct lmn_partition *partition = &w.nodes[k].core->parts[i];
-            owners += partition->mine && partition->ready;
+            const struct lmn_partition *partition = &w.nodes[k].core->partitions[i];
+            owners += partition->is_owned && partition->is_ready;
             if (!lmn_member_is_trusted(&core->members, k, w.clock))
                 return false;
         }
@@ -385,24 +387,24 @@
     for (int i = 0; i < w.njobs; i++) {
         struct job *job = &w.jobs[i];
         g_snprintf(job->ref, sizeof job->ref, "run-%06d", i);
-        g_strlcpy(job->spec.ref, job->ref, sizeof job->spec.ref);
+        g_strlcpy(job->spec.id, job->ref, sizeof job->spec.id);
         job->spec.class_name = (char *)"c";
         job->spec.team = (char *)world_team(i % w.teams);
         job->spec.image = (char *)"img";
         job->spec.zone = i % 5 == 4 ? (char *)"a" : NULL;
-        job->spec.urgency = i % 2 ? LMN_PRIORITY_HIGH : LMN_PRIORITY_NORMAL;
+        job->spec.priority = i % 2 ? LMN_PRIORITY_HIGH : LMN_PRIORITY_NORMAL;
         job->spec.tasks = 1 + (uint32_t)g_rand_int_range(w.r, 0, TASKS);
         job->spec.cpus = 1 + i % 3;
-        job->spec.mem = 1;
-        job->spec.spot = i % 2;
+        job->spec.memory_gb = 1;
+        job->spec.may_use_spot = i % 2;
         job->spec.estimate_s = 3;
         job->spec.deadline_s = -1;
         if (i % 4 == 3) { /* a service of few replicas, some spread over the zones */
             job->spec.kind = LMN_JOB_SERVICE;
             job->spec.tasks = 1 + (uint32_t)g_rand_int_range(w.r, 0, 4);
-            job->spec.spread = i % 8 == 3;
+            job->spec.spreads_over_zones = i % 8 == 3;
             job->spec.estimate_s = 0;
-            job->spec.urgency = LMN_PRIORITY_PRODUCTION;
+            job->spec.priority = LMN_PRIORITY_PRODUCTION;
         }
         job->cancelled_at = job->accepted_at = job->began_at = job->answered_at = -1;
         if (plan && plan->describe)
@@ -457,7 +459,8 @@
         /* Found so: a range that came between the claim and its noticing was never dealt.
          */
         for (int i = 0; i < w.layout.nodes && w.broken == G_NONE; i++)
-            assert_true(!w.nodes[i].core || w.nodes[i].core->count.unqueued == 0);
+            assert_true(!w.nodes[i].core ||
+                        w.nodes[i].core->counters.reconciled_tasks == 0);
         world_check();
         world_check_served();
     }
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -37,22 +37,22 @@
 static void node_boot(struct node *node, int i)
 {
     memset(&node->cfg, 0, sizeof node->cfg);
-    g_snprintf(node->cfg.node, sizeof node->cfg.node, "n%02d", i);
+    g_snprintf(node->cfg.node_name, sizeof node->cfg.node_name, "n%02d", i);
     for (int k = 0; k < w.layout.nodes; k++)
         if (k != i)
-            g_snprintf(node->cfg.members[node->cfg.nmembers++].name, LMN_NAME_SIZE,
+            g_snprintf(node->cfg.members[node->cfg.member_count++].name, LMN_NAME_SIZE,
                        "n%02d", k);
-    node->cfg.partitions = w.layout.nodes;
-    node->cfg.report_s = 1;
+    node->cfg.partition_count = w.layout.nodes;
+    node->cfg.heartbeat_s = 1;
     node->cfg.lease_s = w.broken == G_LEASE ? 0.3 * w.lease_s : w.lease_s;
     node->cfg.cancel_s = w.cancel_s;
-    node->cfg.state_rps = node->cfg.state_write_rps = 1e6;
+    node->cfg.state_requests_per_s = node->cfg.state_writes_per_s = 1e6;
     if (plan && plan->writes)
-        node->cfg.state_write_rps = plan->writes / STEP_S;
-    node->cfg.value_kb = 16;
-    node->cfg.txn_ops = 12;
+        node->cfg.state_writes_per_s = plan->writes / STEP_S;
+    node->cfg.max_value_kb = 16;
+    node->cfg.max_txn_operations = 12;
     node->cfg.teams = node->teams;
-    node->cfg.nteams = (size_t)w.teams;
+    node->cfg.team_count = (size_t)w.teams;
     for (int k = 0; k < w.teams; k++) {
         g_strlcpy(node->cfg.teams[k].name, world_team(k), LMN_NAME_SIZE);
         node->cfg.teams[k].cpus_max =
@@ -60,11 +60,11 @@
     }
     node->state = lmn_kv_client_new(&node->cfg);
     node->core = lmn_core_new(&node->cfg, node->state, g_rand_int(w.r));
-    node->core->types.n = 1;
-    node->core->types.v[0] = (struct lmn_machine_type){
-        .name = "t", .cpus = 6, .mem = 100, .nzones = 2, .zones = {"a", "b"}};
-    node->core->types_known = true;
-    node->core->tuning.standby = w.standbys;
+    node->core->machine_types.n = 1;
+    node->core->machine_types.v[0] = (struct lmn_machine_type){
+        .name = "t", .cpus = 6, .memory_gb = 100, .zone_count = 2, .zones = {"a", "b"}};
+    node->core->machine_types_known = true;
+    node->core->operator_settings.standby = w.standbys;
     node->waiting = g_ptr_array_new(); /* what waited went with the process */
     node->seen = 0;
     node->lease = 0;
@@ -95,11 +95,11 @@
 /* As if nobody had owned the partitions since. */
 static void trust_own_copies(struct lmn_core *core)
 {
-    for (int i = 0; i < core->nparts; i++) {
-        const struct lmn_partition *partition = &core->parts[i];
-        if (partition->copy && partition->copy->own)
-            partition->copy->term =
-                partition->owner_rev ? partition->owner_term - 1 : partition->term;
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
+        if (partition->replica && partition->replica->own)
+            partition->replica->epoch =
+                partition->owner_revision ? partition->owner_epoch - 1 : partition->epoch;
     }
 }
 
@@ -122,11 +122,11 @@
         if (e->value)
             lmn_cbor_free(&d);
     }
-    core->fresh = fresh;
+    core->cache_fresh_at = fresh;
     lmn_members_record_watch(&core->members, fresh);
-    if (!core->synced)
+    if (!core->is_synced)
         core->synced_at = w.clock;
-    core->synced = true;
+    core->is_synced = true;
     if (w.broken == G_OWN_TERM)
         trust_own_copies(core);
     lmn_watch_cache_begin_ownerships(core, w.clock);
@@ -134,8 +134,10 @@
 
 struct lmn_member_health node_word(const struct node *node)
 {
-    struct lmn_member_health word = node->core->members.word;
-    word.stale_s = node->core->synced ? lmn_time_diff_s(w.clock, node->core->fresh) : 1e6;
+    struct lmn_member_health word = node->core->members.health;
+    word.cache_age_s = node->core->is_synced
+                           ? lmn_time_diff_s(w.clock, node->core->cache_fresh_at)
+                           : 1e6;
     return word;
 }
 
@@ -168,8 +170,8 @@
     if (node->lease && !world_lease_alive(node->lease)) {
         node->lease = node->core->lease = 0;
         for (int i = 0; i < w.layout.nodes; i++)
-            if (node->core->parts[i].mine)
-                lmn_partition_lose(node->core, &node->core->parts[i], "lease ended");
+            if (node->core->partitions[i].is_owned)
+                lmn_partition_lose(node->core, &node->core->partitions[i], "lease ended");
     }
     if (!node->lease) {
         struct holder h = {++w.next_lease, w.now + 3};
@@ -204,17 +206,17 @@
     int successor;
 
     for (int i = 0; i < w.layout.nodes; i++) {
-        txn = i == core->members.me
+        txn = i == core->members.self
                   ? lmn_ownership_refutation(core, node->lease, w.clock)
                   : lmn_ownership_suspicion(core, i, node->lease, w.clock);
-        w.refutations += txn && i == core->members.me;
+        w.refutations += txn && i == core->members.self;
         if (txn)
             node_send(node, txn);
     }
     for (int i = 0; i < w.layout.nodes; i++) {
-        uint64_t before = core->members.count.verdicts;
+        uint64_t before = core->members.counters.failures_declared;
         if ((txn = lmn_ownership_claim(core, i, node->lease, w.clock))) {
-            bool verdict = core->members.count.verdicts > before;
+            bool verdict = core->members.counters.failures_declared > before;
             bool took = node_send(node, txn) == LMN_TXN_COMMITTED;
             w.takeovers += took;
             w.verdicts += took && verdict;
@@ -234,7 +236,7 @@
 {
     struct lmn_core *core = node->core;
 
-    if (!core->leaving)
+    if (!core->is_shutting_down)
         return false;
     bool bare = lmn_shutdown_owns_nothing(core);
     if (!bare && !lmn_shutdown_is_complete(core, w.clock))
@@ -283,7 +285,7 @@
     g_hash_table_iter_init(&it, core->jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_job *job = v;
-        job->aged = job->owed = false;
+        job->is_starving = job->is_under_fair_share = false;
     }
 }
 
@@ -293,22 +295,23 @@
     gpointer v;
 
     for (int i = 0; i < w.layout.nodes; i++) {
-        struct lmn_partition *partition = &node->core->parts[i];
-        if (!partition->mine)
+        struct lmn_partition *partition = &node->core->partitions[i];
+        if (!partition->is_owned)
             continue;
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *machine = v;
             if (w.broken == G_ACCOUNT || (w.broken == G_JUDGED && node->judged[i]))
-                machine->inherited = false;
+                machine->is_inherited = false;
             if (w.broken == G_ORDER)
-                machine->session = machine->seq = machine->report_seq = 0;
+                machine->agent_incarnation = machine->sequence =
+                    machine->heartbeat_sequence = 0;
             if (w.broken == G_PLACE)
-                machine->spot = false;
+                machine->is_spot = false;
             if (w.broken == G_SPREAD)
                 for (GList *l = g_hash_table_get_values(node->core->jobs); l; l = l->next)
-                    ((struct lmn_job *)l->data)->spec.spread =
-                        ((struct lmn_job *)l->data)->spec.one_zone = false;
+                    ((struct lmn_job *)l->data)->spec.spreads_over_zones =
+                        ((struct lmn_job *)l->data)->spec.requires_one_zone = false;
             for (guint k = 0; k < machine->attempts->len; k++) {
                 struct lmn_attempt *attempt =
                     &g_array_index(machine->attempts, struct lmn_attempt, k);
@@ -316,24 +319,24 @@
                     !lmn_job_may_run(node->core, attempt->job))
                     lmn_attempt_uncount(machine, attempt);
                 if (w.broken == G_UNSURE)
-                    attempt->unsure = attempt->direct = false;
+                    attempt->push_is_uncertain = attempt->push_in_flight = false;
                 if (w.broken == G_DONE && attempt->state == LMN_ATTEMPT_RUNNING &&
-                    attempt->range && attempt->range->st)
+                    attempt->range && attempt->range->task_states)
                     lmn_task_finished(attempt->range, attempt->index, w.clock);
             }
         }
         if (w.broken == G_ONE_WRITE) {
             g_hash_table_iter_init(&it, partition->ranges);
             while (g_hash_table_iter_next(&it, NULL, &v))
-                ((struct lmn_range *)v)->writing = false;
+                ((struct lmn_range *)v)->is_writing = false;
             g_hash_table_iter_init(&it, node->core->jobs);
             while (g_hash_table_iter_next(&it, NULL, &v))
-                ((struct lmn_job *)v)->closing = 0;
+                ((struct lmn_job *)v)->closing_revision = 0;
         }
         lmn_partition_check_ready(node->core, partition, w.clock);
     }
     if (w.broken == G_FENCE)
-        node->core->fresh = w.clock;
+        node->core->cache_fresh_at = w.clock;
 }
 
 /* A machine that no record names yet passes for recorded, but not where its record is
@@ -343,13 +346,13 @@
     static const uint64_t pretended = G_MAXUINT64;
 
     for (int i = 0; i < w.layout.nodes && w.broken == G_RECORDED; i++) {
-        const GPtrArray *list = node->core->parts[i].list;
+        const GPtrArray *list = node->core->partitions[i].machine_list;
         for (guint k = 0; k < list->len; k++) {
             struct lmn_machine *machine = list->pdata[k];
-            if (pass && !machine->rev && node->core->parts[i].mine)
-                machine->rev = pretended;
-            else if (!pass && machine->rev == pretended)
-                machine->rev = 0;
+            if (pass && !machine->revision && node->core->partitions[i].is_owned)
+                machine->revision = pretended;
+            else if (!pass && machine->revision == pretended)
+                machine->revision = 0;
         }
     }
 }
@@ -360,12 +363,13 @@
 
     for (int k = 0; k < w.layout.nodes && !got; k++) {
         struct node *o = &w.nodes[k];
-        if (node_up(o) && o->core && o->core->parts[victim].mine &&
-            lmn_victim_load(o->core, &o->core->parts[victim], request))
-            got = lmn_victim_transfer(o->core, &o->core->parts[victim], request, w.clock);
+        if (node_up(o) && o->core && o->core->partitions[victim].is_owned &&
+            lmn_victim_load(o->core, &o->core->partitions[victim], request))
+            got = lmn_victim_transfer(o->core, &o->core->partitions[victim], request,
+                                      w.clock);
     }
     digest_message("theft", w.clock);
-    digest_number((uint64_t)request->part);
+    digest_number((uint64_t)request->partition);
     digest_number((uint64_t)victim);
     digest_number(got);
     return got;
@@ -378,7 +382,8 @@
         struct lmn_steal_request t;
         uint32_t got = 0;
         lmn_steal_request_init(&t, &node->cfg);
-        if (!lmn_steal_request_fill(node->core, &node->core->parts[i], &t, w.clock)) {
+        if (!lmn_steal_request_fill(node->core, &node->core->partitions[i], &t,
+                                    w.clock)) {
             lmn_steal_request_clear(&t);
             continue;
         }
@@ -386,7 +391,7 @@
         int sample = w.calm ? (int)ceil(2 * sqrt(w.layout.nodes)) : 1;
         while (sample-- > 0 && !got)
             got = steal_from(g_rand_int_range(w.r, 0, w.layout.nodes), &t);
-        lmn_steal_record_result(node->core, &node->core->parts[i], got, w.clock);
+        lmn_steal_record_result(node->core, &node->core->partitions[i], got, w.clock);
         lmn_steal_request_clear(&t);
         w.steals += got;
     }
@@ -395,8 +400,8 @@
 static bool ask_for_limit(struct node *o, int victim, int part,
                           const struct lmn_quota_request *want)
 {
-    bool given =
-        lmn_quota_request_handle(o->core, &o->core->parts[victim], part, want, w.clock);
+    bool given = lmn_quota_request_handle(o->core, &o->core->partitions[victim], part,
+                                          want, w.clock);
 
     digest_message("limit", w.clock);
     digest_number((uint64_t)victim);
@@ -414,10 +419,11 @@
  * does. */
 static void seek_limits(struct node *node, int part)
 {
-    struct lmn_partition *partition = &node->core->parts[part];
+    struct lmn_partition *partition = &node->core->partitions[part];
     bool any = false, got = false;
 
-    for (int team = 0; team < w.teams && !lmn_time_before(w.clock, partition->next_quota);
+    for (int team = 0;
+         team < w.teams && !lmn_time_before(w.clock, partition->next_quota_request_at);
          team++) {
         struct lmn_quota_request want;
         if (!lmn_quota_shortfall(node->core, partition, team, &want))
@@ -427,14 +433,17 @@
         for (int i = 0; i < w.layout.nodes * w.layout.nodes; i++) {
             struct node *o = &w.nodes[i % w.layout.nodes];
             int victim = (first + i / w.layout.nodes) % w.layout.nodes;
-            if (victim != part && node_talks(node, o) && o->core->parts[victim].mine)
+            if (victim != part && node_talks(node, o) &&
+                o->core->partitions[victim].is_owned)
                 got |= ask_for_limit(o, victim, part, &want);
         }
     }
     if (!any)
         return;
-    partition->quota_poll_s = got ? 0.5 : CLAMP(partition->quota_poll_s * 2, 0.5, 8);
-    partition->next_quota = lmn_time_add(w.clock, partition->quota_poll_s);
+    partition->quota_request_interval_s =
+        got ? 0.5 : CLAMP(partition->quota_request_interval_s * 2, 0.5, 8);
+    partition->next_quota_request_at =
+        lmn_time_add(w.clock, partition->quota_request_interval_s);
 }
 
 /* Parts of the team's limit go to and fro, whatever is under way; on days of several
@@ -445,7 +454,7 @@
         if (plan || w.calm)
             seek_limits(node, i);
         if (w.teams == 1 && (plan || !w.calm) && world_chance(0.02))
-            lmn_quota_transfer_begin(node->core, &node->core->parts[i], 0,
+            lmn_quota_transfer_begin(node->core, &node->core->partitions[i], 0,
                                      g_rand_int_range(w.r, 0, w.layout.nodes),
                                      g_rand_double_range(w.r, 0, w.layout.limit), 0);
     }
@@ -458,14 +467,14 @@
     if (w.now < w.cloud_down_until)
         return;
     for (int i = 0; i < w.layout.nodes; i++) {
-        struct lmn_partition *partition = &node->core->parts[i];
-        if (!partition->mine)
+        struct lmn_partition *partition = &node->core->partitions[i];
+        if (!partition->is_owned)
             continue;
         GList *all = g_hash_table_get_values(partition->machines);
         for (GList *l = all; l; l = l->next) {
             struct lmn_machine *machine = l->data;
-            if (!machine->retiring || machine->is_gone ||
-                !(machine->force || lmn_machine_is_empty(machine)))
+            if (!machine->is_draining || machine->is_terminated ||
+                !(machine->drain_at_once || lmn_machine_is_empty(machine)))
                 continue;
             struct machine *x = machine_named(machine->name);
             if (x) {
@@ -482,8 +491,8 @@
 
 void node_crash(struct node *node, double down_s)
 {
-    w.preempted += (unsigned)node->core->count.preempted;
-    w.warm += (unsigned)node->core->count.warm;
+    w.preempted += (unsigned)node->core->counters.preempted;
+    w.warm += (unsigned)node->core->counters.warm_failovers;
     node->core = NULL; /* left behind: nothing of it is ever used again */
     node->down_until = w.now + down_s;
 }
@@ -540,7 +549,7 @@
     node_ask(node, i);
     if (!cut)
         node_announce(node);
-    if (!cut && node->core->synced)
+    if (!cut && node->core->is_synced)
         node_hold(node);
     if (w.standbys && world_trouble(0.0015))
         lmn_shutdown_begin(node->core, w.clock);
@@ -553,17 +562,19 @@
     lmn_update_job_order(node->core, wall);
     if (w.broken == G_FLOORS)
         drop_floors(node->core);
-    for (int i = 0; i < node->core->nparts && node->core->triaged == node->core->wall;
+    for (int i = 0; i < node->core->partition_count &&
+                    node->core->last_triage_s == node->core->wall_clock_s;
          i++)
-        lmn_update_reservations(node->core, &node->core->parts[i], w.clock);
+        lmn_update_reservations(node->core, &node->core->partitions[i], w.clock);
     lmn_maintenance_run(node->core, w.clock);
     for (int k = 0; k < w.layout.nodes && w.broken == G_UNHEARD; k++) {
-        node->core->parts[k].unheard_cpus = node->core->parts[k].unheard_gpus = 0;
-        node->core->parts[k].unheard_unknown = false;
+        node->core->partitions[k].unaccounted_cpus =
+            node->core->partitions[k].unaccounted_gpus = 0;
+        node->core->partitions[k].has_unaccounted_unknown = false;
     }
     for (int k = 0; k < w.layout.nodes; k++) {
-        lmn_preempt_for_production(node->core, &node->core->parts[k], w.clock);
-        lmn_consolidate_replicas(node->core, &node->core->parts[k], w.clock);
+        lmn_preempt_for_production(node->core, &node->core->partitions[k], w.clock);
+        lmn_consolidate_replicas(node->core, &node->core->partitions[k], w.clock);
     }
     pass_for_recorded(node, false);
     lmn_range_writer_flush(node->core, w.clock);
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -25,11 +25,11 @@
 
 static void add_statement(const struct lmn_gossip_statement *statement)
 {
-    digest_number((uint64_t)statement->of);
-    digest_number(statement->inc);
-    digest_real(statement->heard_s);
-    digest_real(statement->unanswered_s);
-    digest_number(statement->visitors);
+    digest_number((uint64_t)statement->member);
+    digest_number(statement->incarnation);
+    digest_real(statement->last_contact_age_s);
+    digest_real(statement->unanswered_age_s);
+    digest_number(statement->redirected_workers);
 }
 
 static void digest_word(const char *kind, int from, int to,
@@ -38,22 +38,22 @@
     digest_message(kind, w.clock);
     digest_number((uint64_t)from);
     digest_number((uint64_t)to);
-    digest_real(word->behind_s);
-    digest_real(word->stale_s);
-    digest_real(word->deaf);
+    digest_real(word->delay_s);
+    digest_real(word->cache_age_s);
+    digest_real(word->silent_machine_share);
 }
 
 static void tell(struct node *from, struct node *to, int about)
 {
     struct lmn_gossip_statement s[LMN_MAX_GOSSIP_STATEMENTS];
-    unsigned n =
-        lmn_member_gossip(&from->core->members, to->core->members.me, about, w.clock, s);
+    unsigned n = lmn_member_gossip(&from->core->members, to->core->members.self, about,
+                                   w.clock, s);
     digest_message("statements", w.clock);
-    digest_number((uint64_t)from->core->members.me);
-    digest_number((uint64_t)to->core->members.me);
+    digest_number((uint64_t)from->core->members.self);
+    digest_number((uint64_t)to->core->members.self);
     for (unsigned i = 0; i < n; i++) {
         add_statement(&s[i]);
-        lmn_member_record_gossip(&to->core->members, from->core->members.me, &s[i],
+        lmn_member_record_gossip(&to->core->members, from->core->members.self, &s[i],
                                  w.clock);
     }
 }
@@ -86,13 +86,13 @@
 
     lmn_members_tick(members, 0, w.clock);
     while (lmn_member_next_probe(members, w.r, w.clock, &q, &wait)) {
-        struct node *o = &w.nodes[q.rank];
+        struct node *o = &w.nodes[q.member];
         struct lmn_member_health mine = node_word(node);
-        digest_word("question", me, q.rank, &mine);
+        digest_word("question", me, q.member, &mine);
         digest_number((uint64_t)q.about);
-        digest_real(q.patience_s);
-        if (!talk(me, q.rank) || w.now < o->still_until || world_trouble(0.05)) {
-            lmn_member_record_probe_timeout(members, q.rank, w.clock, w.clock);
+        digest_real(q.timeout_s);
+        if (!talk(me, q.member) || w.now < o->still_until || world_trouble(0.05)) {
+            lmn_member_record_probe_timeout(members, q.member, w.clock, w.clock);
             continue;
         }
         struct lmn_member_health its = node_word(o);
@@ -101,12 +101,12 @@
         if (q.about >= 0)
             lmn_member_request_probe(&o->core->members, q.about, w.clock);
         if (world_trouble(0.05)) { /* the answer is lost */
-            lmn_member_record_probe_timeout(members, q.rank, w.clock, w.clock);
+            lmn_member_record_probe_timeout(members, q.member, w.clock, w.clock);
             continue;
         }
-        digest_word("word", q.rank, me, &its);
-        lmn_member_record_probe_reply(members, q.rank, &its, w.clock, w.clock);
-        tell_tombstones(node, o, q.rank);
+        digest_word("word", q.member, me, &its);
+        lmn_member_record_probe_reply(members, q.member, &its, w.clock, w.clock);
+        tell_tombstones(node, o, q.member);
         tell(o, node, q.about);
     }
 }
@@ -115,16 +115,17 @@
 static void compare(const struct node *node, const struct lmn_partition *partition)
 {
     const struct lmn_replication_stream *stream = &partition->stream;
-    const struct lmn_core *core = w.nodes[stream->to].core;
-    const struct lmn_replica *copy = core ? core->parts[partition->id].copy : NULL;
+    const struct lmn_core *core = w.nodes[stream->standby_index].core;
+    const struct lmn_replica *copy =
+        core ? core->partitions[partition->id].replica : NULL;
 
-    if (stream->phase != LMN_STREAM_IN_SYNC || stream->batch || partition->untold->len ||
-        partition->forgotten->len || !copy || copy->stream != stream->id ||
-        copy->term != partition->my_term)
+    if (stream->phase != LMN_STREAM_IN_SYNC || stream->batch ||
+        partition->unreplicated_machines->len || partition->unreplicated_removals->len ||
+        !copy || copy->stream != stream->id || copy->epoch != partition->owned_epoch)
         return;
     w.compared++;
-    for (guint k = 0; k < partition->list->len; k++) {
-        const struct lmn_machine *machine = partition->list->pdata[k];
+    for (guint k = 0; k < partition->machine_list->len; k++) {
+        const struct lmn_machine *machine = partition->machine_list->pdata[k];
         const struct lmn_machine_snapshot *snapshot =
             g_hash_table_lookup(copy->machines, machine->name);
         guint known = snapshot ? snapshot->attempts->len : 0;
@@ -134,7 +135,7 @@
                 &g_array_index(machine->attempts, struct lmn_attempt, i);
             const struct lmn_attempt_snapshot *b =
                 &g_array_index(snapshot->attempts, struct lmn_attempt_snapshot, i);
-            assert_string_equal(a->ref, b->ref);
+            assert_string_equal(a->job_id, b->job_id);
             assert_int_equal(a->index, b->index);
             assert_int_equal(a->number, b->number);
         }
@@ -145,7 +146,7 @@
 void node_tell(struct node *node, int me, bool cut)
 {
     for (int i = 0; i < w.layout.nodes; i++) {
-        struct lmn_partition *partition = &node->core->parts[i];
+        struct lmn_partition *partition = &node->core->partitions[i];
         enum lmn_replication_step step = LMN_REPLICATION_SEND;
         for (int k = 0; k < 6 && step != LMN_REPLICATION_WAIT; k++) {
             enum lmn_replica_result answer = LMN_REPLICA_UNKNOWN_STREAM;
@@ -160,20 +161,21 @@
                 lmn_txn_free(txn);
             if (step != LMN_REPLICATION_SEND)
                 continue;
-            struct node *o = &w.nodes[partition->stream.to];
-            bool heard = talk(me, partition->stream.to) && w.now >= o->still_until &&
-                         !world_trouble(0.02);
+            struct node *o = &w.nodes[partition->stream.standby_index];
+            bool heard = talk(me, partition->stream.standby_index) &&
+                         w.now >= o->still_until && !world_trouble(0.02);
             if (heard) {
                 struct lmn_replication_batch *same = batch_twin(batch);
                 answer = lmn_replica_apply(o->core, same, w.clock);
                 lmn_replication_batch_free(same);
                 heard = !world_trouble(0.02);
             }
-            digest_batch(me, partition->stream.to, w.clock, batch, heard, answer);
+            digest_batch(me, partition->stream.standby_index, w.clock, batch, heard,
+                         answer);
             lmn_replication_batch_sent(node->core, partition, batch, heard, answer,
                                        w.clock);
         }
-        if (partition->mine)
+        if (partition->is_owned)
             compare(node, partition);
     }
 }
@@ -208,11 +210,11 @@
 {
     for (guint i = 0; i < node->waiting->len;) {
         struct waiter *x = node->waiting->pdata[i];
-        struct lmn_partition *partition = &node->core->parts[x->held.part];
+        struct lmn_partition *partition = &node->core->partitions[x->held.partition];
         struct machine *machine = &w.machines[x->machine];
-        bool ours = partition->mine && partition->my_term == x->held.term;
+        bool ours = partition->is_owned && partition->owned_epoch == x->held.epoch;
         bool go = w.broken == G_TOLD ||
-                  (ours && lmn_replication_covers(partition, x->held.mark));
+                  (ours && lmn_replication_covers(partition, x->held.log_position));
         if (ours && !go && w.now - x->since <= LMN_REPLICATION_DEFER_S) {
             i++;
             continue;
@@ -305,12 +307,14 @@
         struct machine *machine = machine_named(name);
         double luck = g_rand_double(w.r);
         struct lmn_deferred_starts held = {0};
-        held.mark = lmn_worker_client_log_position(node->core, name, &held.part);
-        if (machine && held.mark &&
-            !lmn_replication_covers(&node->core->parts[held.part], held.mark)) {
+        held.log_position =
+            lmn_worker_client_log_position(node->core, name, &held.partition);
+        if (machine && held.log_position &&
+            !lmn_replication_covers(&node->core->partitions[held.partition],
+                                    held.log_position)) {
             GByteArray *own = g_byte_array_new();
             g_byte_array_append(own, body->data, body->len);
-            held.term = node->core->parts[held.part].my_term;
+            held.epoch = node->core->partitions[held.partition].owned_epoch;
             g_strlcpy(held.machine, name, LMN_NAME_SIZE);
             node_hold_back(node, &held, NULL, machine, own);
             g_byte_array_unref(own);
--- a/tests/world/rules.c
+++ b/tests/world/rules.c
@@ -51,12 +51,12 @@
         }
     if (cpus > w.layout.limit + 1e-6)
         w.broke[R_QUOTA]++;
-    if ((machine->spot && !job->spec.spot) ||
+    if ((machine->spot && !job->spec.may_use_spot) ||
         (job->spec.zone && strcmp(job->spec.zone, machine->zone)))
         w.broke[R_PLACE]++;
-    if (job->spec.spread && here > (job->spec.tasks + 1) / 2)
+    if (job->spec.spreads_over_zones && here > (job->spec.tasks + 1) / 2)
         w.broke[R_PLACE]++;
-    if (job->spec.one_zone && elsewhere)
+    if (job->spec.requires_one_zone && elsewhere)
         w.broke[R_PLACE]++;
     if (job->began_at < 0)
         job->began_at = w.now;
--- a/tests/world/served.c
+++ b/tests/world/served.c
@@ -83,9 +83,9 @@
 
     for (int z = 0; z < 8; z++)
         all += l->zones[job][z];
-    if (j->spec.one_zone && all > here)
+    if (j->spec.requires_one_zone && all > here)
         return false;
-    return !j->spec.spread || here < (int)(j->spec.tasks + 1) / 2;
+    return !j->spec.spreads_over_zones || here < (int)(j->spec.tasks + 1) / 2;
 }
 
 static bool has_room(const struct load *l, int job, int machine)
@@ -93,7 +93,7 @@
     const struct job *j = &w.jobs[job];
     const struct machine *m = &w.machines[machine];
 
-    return !m->dead && (j->spec.spot || !m->spot) &&
+    return !m->dead && (j->spec.may_use_spot || !m->spot) &&
            (!j->spec.zone || !strcmp(j->spec.zone, m->zone)) &&
            l->machine[machine] + j->spec.cpus <= MACHINE_CPUS + 1e-6 &&
            l->team[team_of(j)] + j->spec.cpus <= w.layout.limit + 1e-6 &&
@@ -109,14 +109,14 @@
     for (int i = 0; i < w.layout.nodes; i++) {
         const struct lmn_core *core = w.nodes[i].core;
         const struct lmn_job *job = core ? g_hash_table_lookup(core->jobs, j->ref) : NULL;
-        for (int k = 0; job && k < core->nparts; k++) {
-            const struct lmn_partition *partition = &core->parts[k];
+        for (int k = 0; job && k < core->partition_count; k++) {
+            const struct lmn_partition *partition = &core->partitions[k];
             const struct lmn_machine *machine =
-                partition->mine ? g_hash_table_lookup(partition->machines, x->name)
-                                : NULL;
+                partition->is_owned ? g_hash_table_lookup(partition->machines, x->name)
+                                    : NULL;
             for (guint n = 0; machine && n < job->ranges->len; n++) {
                 const struct lmn_range *range = job->ranges->pdata[n];
-                if (range->part == partition && range->st)
+                if (range->partition == partition && range->task_states)
                     said = lmn_wait_reason(core, machine, range, w.clock);
             }
         }
--- a/tests/world/serving.c
+++ b/tests/world/serving.c
@@ -57,7 +57,7 @@
 
 static struct request *request_of(const struct lmn_read_request *read)
 {
-    return (struct request *)(void *)read->call;
+    return (struct request *)(void *)read->request;
 }
 
 /* The question joins one that is being confirmed already; false: there is none. */
@@ -66,9 +66,9 @@
     if (k->stage != CONFIRM_ENDS || read->kind != LMN_READ_STATUS)
         return false;
     for (guint i = 0; i < k->n; i++)
-        if (!strcmp(k->batch[i]->ref, read->ref)) {
-            read->next = k->batch[i]->next;
-            k->batch[i]->next = read;
+        if (!strcmp(k->batch[i]->job_id, read->job_id)) {
+            read->next_same_job = k->batch[i]->next_same_job;
+            k->batch[i]->next_same_job = read;
             return true;
         }
     return false;
@@ -79,10 +79,10 @@
     struct lmn_read_request *read = g_new0(struct lmn_read_request, 1);
 
     read->kind = kind;
-    read->call = (struct lmn_http_request *)(void *)q;
+    read->request = (struct lmn_http_request *)(void *)q;
     read->absent_status = absent_status;
-    read->since = w.clock;
-    g_strlcpy(read->ref, q->ref, sizeof read->ref);
+    read->received_at = w.clock;
+    g_strlcpy(read->job_id, q->ref, sizeof read->job_id);
     if (w.broken != G_SHARE || !join(&askers[q->node], read))
         lmn_read_batch_add(&askers[q->node].asks, read);
 }
@@ -99,7 +99,7 @@
     const struct lmn_job_reply r = lmn_job_reply_unavailable();
 
     for (struct lmn_read_request *read = list, *next; read; read = next) {
-        next = read->next;
+        next = read->next_same_job;
         answer(read, &r);
     }
 }
@@ -133,7 +133,7 @@
 
 static void cancel_writes(struct asker *k, struct node *node)
 {
-    const char *ref = k->cancel->ref;
+    const char *ref = k->cancel->job_id;
     struct lmn_job_reply r;
     uint64_t revision = 0;
 
@@ -172,7 +172,7 @@
 static void confirm_asks(struct asker *k, const struct node *node)
 {
     for (guint i = 0; i < k->n; i++)
-        lmn_job_view_take(node->core, k->batch[i]->ref, &k->views[i]);
+        lmn_job_view_take(node->core, k->batch[i]->job_id, &k->views[i]);
     struct lmn_txn *txn = lmn_confirmation_txn(k->views, k->n);
     k->outcome = world_confirm(txn, k->failed);
     lmn_txn_free(txn);
@@ -202,7 +202,7 @@
             continue;
         }
         for (struct lmn_read_request *read = k->batch[i], *next; read; read = next) {
-            next = read->next;
+            next = read->next_same_job;
             struct lmn_job_reply r =
                 lmn_job_reply_confirmed(node->core, &k->views[i], read->absent_status);
             answer(read, &r);
@@ -216,9 +216,9 @@
 static void read_ends(struct asker *k, const struct node *node)
 {
     for (struct lmn_read_request *read = k->batch[k->next], *next; read; read = next) {
-        next = read->next;
+        next = read->next_same_job;
         struct lmn_job_reply r = lmn_job_reply_from_reading(
-            node->core, read->ref, &k->reading, read->absent_status);
+            node->core, read->job_id, &k->reading, read->absent_status);
         answer(read, &r);
     }
     k->next++;
@@ -232,7 +232,7 @@
         take(k);
         break;
     case CANCEL_READS:
-        read_job(k, node, k->cancel->ref);
+        read_job(k, node, k->cancel->job_id);
         k->stage = CANCEL_WRITES;
         break;
     case CANCEL_WRITES:
@@ -256,7 +256,7 @@
             k->stage = IDLE;
             break;
         }
-        read_job(k, node, k->batch[k->next]->ref);
+        read_job(k, node, k->batch[k->next]->job_id);
         k->stage = READ_ENDS;
         break;
     case READ_ENDS:
@@ -268,7 +268,7 @@
 static void free_list(struct lmn_read_request *list)
 {
     for (struct lmn_read_request *read = list, *next; read; read = next) {
-        next = read->next;
+        next = read->next_same_job;
         g_free(read);
     }
 }
@@ -336,7 +336,7 @@
     GByteArray *b = g_byte_array_new();
     struct lmn_job_spec s = q->job ? q->job->spec : w.jobs[0].spec;
 
-    g_strlcpy(s.ref, q->ref, sizeof s.ref);
+    g_strlcpy(s.id, q->ref, sizeof s.id);
     if (q->form == FITS_NOWHERE)
         s.cpus = 1000;
     if (q->form == LACKS_FIELD)
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -44,8 +44,8 @@
 
     for (int i = 0; i < w.layout.nodes; i++) {
         const struct lmn_core *core = w.nodes[i].core;
-        if (core && core->parts[part].mine)
-            epoch = MAX(epoch, core->parts[part].my_term);
+        if (core && core->partitions[part].is_owned)
+            epoch = MAX(epoch, core->partitions[part].owned_epoch);
     }
     return epoch;
 }
@@ -58,7 +58,9 @@
     for (int i = 0; i < w.layout.nodes; i++) {
         unsigned n = 0;
         for (int k = 0; k < w.layout.nodes && w.nodes[i].core; k++)
-            n += w.nodes[i].core->parts[k].mine ? w.nodes[i].core->parts[k].list->len : 0;
+            n += w.nodes[i].core->partitions[k].is_owned
+                     ? w.nodes[i].core->partitions[k].machine_list->len
+                     : 0;
         if (n > most) {
             most = n;
             best = i;
--- a/tests/world/users.c
+++ b/tests/world/users.c
@@ -49,8 +49,9 @@
     reading->status = it ? 200 : 404;
     if (!it)
         return;
-    reading->rev = it->rev;
-    reading->phase = world_read_job(job, &reading->spec, &reading->open, &reading->at);
+    reading->revision = it->rev;
+    reading->phase = world_read_job(job, &reading->spec, &reading->open_ranges,
+                                    &reading->accepted_at_s);
 }
 
 /* --- checking --- */
