--- a/bench/backlog.c
+++ b/bench/backlog.c
@@ -86,20 +86,21 @@
             w[k] = (struct lmn_record_write){0};
             if (side == 0) {
                 w[k].job = lmn_gateway_records_new_job(&b, &s);
-                w[k].home = (struct lmn_origin_record){.state = LMN_ORIGIN_REMOTE,
-                                                       .epoch = 1,
-                                                       .incarnation = host,
-                                                       .transfers = 1,
-                                                       .site = "host"};
+                w[k].origin = (struct lmn_origin_record){.state = LMN_ORIGIN_REMOTE,
+                                                         .epoch = 1,
+                                                         .incarnation = host,
+                                                         .transfers = 1,
+                                                         .site = "host"};
             } else {
-                w[k].guest = lmn_gateway_records_new_remote_job(&b, "home", s.id);
-                w[k].guest->spec = s;
-                w[k].guest->spec.class_name = g_strdup("c");
-                w[k].guest->spec.team = g_strdup("t");
-                w[k].guest->spec.image = g_strdup("none");
-                w[k].host = (struct lmn_execution_record){.state = LMN_EXECUTION_FINISHED,
-                                                          .epoch = 1,
-                                                          .outcome = LMN_OUTCOME_DONE};
+                w[k].remote_job = lmn_gateway_records_new_remote_job(&b, "home", s.id);
+                w[k].remote_job->spec = s;
+                w[k].remote_job->spec.class_name = g_strdup("c");
+                w[k].remote_job->spec.team = g_strdup("t");
+                w[k].remote_job->spec.image = g_strdup("none");
+                w[k].execution =
+                    (struct lmn_execution_record){.state = LMN_EXECUTION_FINISHED,
+                                                  .epoch = 1,
+                                                  .outcome = LMN_OUTCOME_DONE};
             }
         }
         pthread_mutex_unlock(&b.lock);
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -46,7 +46,7 @@
     if (o->emulated)
         lmn_emulation_read(config, &o->emulation);
     lmn_local_agent_options_read(config, &o->local);
-    g_snprintf(o->local.dir, sizeof o->local.dir, "%s/machines", o->data);
+    g_snprintf(o->local.directory, sizeof o->local.directory, "%s/machines", o->data);
     int rc = lmn_config_finish(config, err, len);
     lmn_config_free(config);
     return rc;
@@ -152,7 +152,7 @@
     signal(SIGPIPE, SIG_IGN);
     char *db = g_build_filename(o.data, "fleet", NULL),
          *depot = g_build_filename(o.data, "depot", NULL);
-    if (!lmn_image_store_start(depot, o.local.worker.depot, err, sizeof err))
+    if (!lmn_image_store_start(depot, o.local.worker.image_store, err, sizeof err))
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
     if (o.emulated)
         return serve_emulated(&o, &v);
--- a/src/emulator/cloud.c
+++ b/src/emulator/cloud.c
@@ -62,13 +62,14 @@
 
     for (unsigned i = 0; i < cloud->v->npools; i++) {
         const struct lmn_pool *pool = &cloud->v->pools[i];
-        if (pool->type == type && pool->spot == q->spot && !strcmp(pool->zone, q->zone))
+        if (pool->type == type && pool->spot == q->is_spot &&
+            !strcmp(pool->zone, q->zone))
             all += (unsigned)floor(pool->count * cloud->knobs.capacity);
     }
     for (guint i = 0; i < cloud->machines->len; i++) {
         const struct lmn_emu_machine *machine = cloud->machines->pdata[i];
-        used += held(machine, now) && machine->type == type && machine->spot == q->spot &&
-                !strcmp(machine->zone, q->zone);
+        used += held(machine, now) && machine->type == type &&
+                machine->spot == q->is_spot && !strcmp(machine->zone, q->zone);
     }
     return all > used ? all - used : 0;
 }
@@ -109,7 +110,7 @@
                    cloud->number++);
         g_strlcpy(machine->zone, q->zone, sizeof machine->zone);
         machine->type = type;
-        machine->spot = q->spot;
+        machine->spot = q->is_spot;
         machine->made = now;
         machine->up = now + boot_time(cloud, &cloud->v->types[type]);
         machine->gone = machine->dead = machine->taken = INFINITY;
@@ -150,13 +151,13 @@
 
     for (guint i = 0; i < cloud->machines->len; i++) {
         const struct lmn_emu_machine *machine = cloud->machines->pdata[i];
-        struct lmn_rented_machine x = {.spot = machine->spot,
+        struct lmn_rented_machine x = {.is_spot = machine->spot,
                                        .age_s = then - machine->made};
         if (strcmp(machine->name, after) <= 0 || machine->made > then ||
             machine->gone <= then || machine->taken <= then)
             continue;
         g_strlcpy(x.name, machine->name, sizeof x.name);
-        g_strlcpy(x.addr, machine->addr, sizeof x.addr);
+        g_strlcpy(x.address, machine->addr, sizeof x.address);
         g_strlcpy(x.type, cloud->v->types[machine->type].name, sizeof x.type);
         g_strlcpy(x.zone, machine->zone, sizeof x.zone);
         x.state = machine->dead + DEATH_SEEN_S <= then ? WIRE_BROKEN
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -111,15 +111,15 @@
     machine->worker = unit;
     g_snprintf(machine->addr, sizeof machine->addr, "%s:%d", host, unit->port);
     g_strlcpy(unit->w.agent.name, machine->name, LMN_NAME_SIZE);
-    g_strlcpy(unit->w.agent.addr, machine->addr, LMN_ADDRESS_SIZE);
+    g_strlcpy(unit->w.agent.address, machine->addr, LMN_ADDRESS_SIZE);
     g_strlcpy(unit->w.agent.zone, machine->zone, LMN_NAME_SIZE);
     unit->w.agent.type = emulation->o.inventory->types[machine->type];
-    unit->w.agent.spot = machine->spot;
+    unit->w.agent.is_spot = machine->spot;
     unit->w.ledger = &emulation->ledger;
     lmn_emu_worker_init(&unit->w, &emulation->cloud.knobs,
                         g_rand_int(emulation->cloud.rng), emulation->o.worker.lease_s,
                         lmn_now());
-    unit->controller = (unsigned)unit->serial % emulation->o.worker.ncontrollers;
+    unit->controller = (unsigned)unit->serial % emulation->o.worker.controller_count;
     unit->next = lmn_now();
     g_hash_table_insert(emulation->units, &unit->serial, unit);
     g_hash_table_insert(emulation->ports, &unit->port, unit);
@@ -180,14 +180,14 @@
         gpointer spec = NULL;
         if (!r)
             continue;
-        if (g_hash_table_lookup_extended(emulation->specs, r->ref, NULL, &spec)) {
+        if (g_hash_table_lookup_extended(emulation->specs, r->job_id, NULL, &spec)) {
             lmn_emu_worker_described(&unit->w, id, spec, lmn_now());
             continue;
         }
         struct question *q = g_new0(struct question, 1);
         q->serial = unit->serial;
         q->id = id;
-        g_strlcpy(q->ref, r->ref, sizeof q->ref);
+        g_strlcpy(q->ref, r->job_id, sizeof q->ref);
         g_queue_push_tail(&emulation->asked, q);
         pthread_cond_signal(&emulation->asked_more);
     }
@@ -211,8 +211,8 @@
     }
     lmn_emu_worker_pass(&unit->w, lmn_now());
     ask_jobs(emulation, unit);
-    bool soon = unit->w.agent.changed && lmn_time_diff_s(lmn_now(), unit->last) > 0.5;
-    if (!unit->busy && !unit->w.agent.ending && !machine->cut &&
+    bool soon = unit->w.agent.has_news && lmn_time_diff_s(lmn_now(), unit->last) > 0.5;
+    if (!unit->busy && !unit->w.agent.is_ending && !machine->cut &&
         (soon || !lmn_time_before(lmn_now(), unit->next))) {
         unit->busy = true;
         g_queue_push_tail(&emulation->due, unit);
@@ -288,7 +288,7 @@
                           sizeof name);
         lmn_cbor_free(&d);
     }
-    for (unsigned i = 0; i < emulation->o.worker.ncontrollers && *name; i++)
+    for (unsigned i = 0; i < emulation->o.worker.controller_count && *name; i++)
         if (i != now && !strcmp(emulation->o.worker.controllers[i].name, name))
             return i;
     return now;
@@ -329,13 +329,13 @@
     g_byte_array_unref(out);
     pthread_mutex_lock(&emulation->lock);
     unit->busy = false;
-    double wait = emulation->o.worker.report_s * (0.75 + 0.5 * g_random_double());
+    double wait = emulation->o.worker.heartbeat_s * (0.75 + 0.5 * g_random_double());
     if (status != 200) {
         unsigned next = status == 421 ? turn(emulation, in, to) : to;
-        unit->w.agent.changed = true;
+        unit->w.agent.has_news = true;
         wait = next != to ? 0 : 1;
         unit->controller =
-            next != to ? next : (to + 1) % emulation->o.worker.ncontrollers;
+            next != to ? next : (to + 1) % emulation->o.worker.controller_count;
         emulation->failed_reports++;
         if (!wait)
             unit->last = lmn_time_add(lmn_now(), -1);
@@ -354,14 +354,14 @@
     struct lmn_http_client *h[LMN_MAX_CONTROLLERS];
     GByteArray *in = g_byte_array_new();
 
-    for (unsigned i = 0; i < emulation->o.worker.ncontrollers; i++)
+    for (unsigned i = 0; i < emulation->o.worker.controller_count; i++)
         h[i] = lmn_http_client_new(emulation->o.worker.controllers[i].addr);
     pthread_mutex_lock(&emulation->lock);
     for (;;) {
         while (!emulation->due.head)
             pthread_cond_wait(&emulation->due_more, &emulation->lock);
         struct unit *unit = g_queue_pop_head(&emulation->due);
-        if (unit->m && !unit->w.agent.ending)
+        if (unit->m && !unit->w.agent.is_ending)
             report(emulation, unit, h, in);
         else
             unit->busy = false;
@@ -383,7 +383,7 @@
 static void *asker(void *arg)
 {
     struct lmn_emulation *emulation = arg;
-    struct lmn_http_client *client = lmn_http_client_new(emulation->o.worker.depot);
+    struct lmn_http_client *client = lmn_http_client_new(emulation->o.worker.image_store);
 
     for (;;) {
         struct lmn_image_store_error err = {0};
--- a/src/emulator/worker.c
+++ b/src/emulator/worker.c
@@ -37,7 +37,7 @@
                                           const struct lmn_task_run *r)
 {
     static const struct lmn_emu_spec none;
-    const struct lmn_emu_spec *spec = g_hash_table_lookup(worker->specs, r->ref);
+    const struct lmn_emu_spec *spec = g_hash_table_lookup(worker->specs, r->job_id);
     return spec ? spec : &none;
 }
 
@@ -95,7 +95,7 @@
     const struct lmn_emu_spec *spec = spec_of(worker, r);
 
     if (worker->ledger)
-        lmn_emu_ledger_begin(worker->ledger, r->ref, r->index, worker);
+        lmn_emu_ledger_begin(worker->ledger, r->job_id, r->index, worker);
     if (spec->service)
         return;
     double sigma = worker->knobs->noise;
@@ -198,7 +198,7 @@
                    bool saved, struct timespec now)
 {
     if (worker->ledger)
-        lmn_emu_ledger_end(worker->ledger, r->ref, r->index, worker);
+        lmn_emu_ledger_end(worker->ledger, r->job_id, r->index, worker);
     lmn_agent_exited(&worker->agent, r->id, done, saved, now);
 }
 
@@ -219,7 +219,8 @@
         if (!r || (r->state != LMN_RUN_RUNNING && r->state != LMN_RUN_SAVING))
             return;
         if (!worker->faulty)
-            g_hash_table_add(worker->results, g_strdup_printf("%s/%u", r->ref, r->index));
+            g_hash_table_add(worker->results,
+                             g_strdup_printf("%s/%u", r->job_id, r->index));
         worker->done += !worker->faulty;
         worker->failed += worker->faulty;
         exited(worker, r, !worker->faulty, false, now);
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -31,11 +31,11 @@
     int status = LMN_HTTP_NOT_SENT;
     uint64_t done = 0, running = 0;
 
-    for (unsigned i = 0; i < feeder->g->o->ncontrollers && status == LMN_HTTP_NOT_SENT;
-         i++)
+    for (unsigned i = 0;
+         i < feeder->g->options->controller_count && status == LMN_HTTP_NOT_SENT; i++)
         status = lmn_http_client_call(
-            feeder->controllers[feeder->turn++ % feeder->g->o->ncontrollers], method,
-            path, body, 4, feeder->in);
+            feeder->controllers[feeder->turn++ % feeder->g->options->controller_count],
+            method, path, body, 4, feeder->in);
     *word = '\0';
     if (status < 0 || !feeder->in->len ||
         lmn_cbor_parse(&d, feeder->in->data, feeder->in->len) != 0)
@@ -48,7 +48,7 @@
     /* Controllers know more and less of it; what is done stays done. */
     progress->done = MAX(progress->done, (uint32_t)done);
     progress->running = (uint32_t)running;
-    progress->known = lmn_now();
+    progress->known_at = lmn_now();
     return status;
 }
 
@@ -108,25 +108,26 @@
 static void conclude(struct feeder *feeder, const struct run *r,
                      enum lmn_handover_outcome outcome)
 {
-    struct lmn_gateway_records *b = &feeder->g->book;
+    struct lmn_gateway_records *b = &feeder->g->records;
     struct lmn_record_write w = {0};
 
     pthread_mutex_lock(&b->lock);
     w.job = r->guest ? NULL : lmn_gateway_records_take_job(b, r->ref);
-    w.guest = r->guest ? lmn_gateway_records_take_remote_job(b, r->home, r->ref) : NULL;
+    w.remote_job =
+        r->guest ? lmn_gateway_records_take_remote_job(b, r->home, r->ref) : NULL;
     if (w.job)
-        w.home = w.job->hand;
-    if (w.guest)
-        w.host = w.guest->hand;
+        w.origin = w.job->origin;
+    if (w.remote_job)
+        w.execution = w.remote_job->execution;
     /* What was looked at may be another epoch's by now. */
-    bool change =
-        w.job ? w.home.epoch == r->epoch && lmn_origin_local_finished(&w.home, outcome)
-              : w.guest && w.host.epoch == r->epoch &&
-                    lmn_execution_finished(&w.host, outcome);
+    bool change = w.job ? w.origin.epoch == r->epoch &&
+                              lmn_origin_local_finished(&w.origin, outcome)
+                        : w.remote_job && w.execution.epoch == r->epoch &&
+                              lmn_execution_finished(&w.execution, outcome);
     if (!change && w.job)
         lmn_gateway_records_release_job(b, w.job);
-    if (!change && w.guest)
-        lmn_gateway_records_release_remote_job(b, w.guest);
+    if (!change && w.remote_job)
+        lmn_gateway_records_release_remote_job(b, w.remote_job);
     pthread_mutex_unlock(&b->lock);
     if (!change)
         return;
@@ -154,18 +155,18 @@
             conclude(feeder, r, LMN_OUTCOME_RETURNED); /* it can't run here */
         if (status != 200 && status != 201)
             return;
-        pthread_mutex_lock(&feeder->g->book.lock);
+        pthread_mutex_lock(&feeder->g->records.lock);
         struct lmn_gateway_job *j =
-            r->guest ? NULL : g_hash_table_lookup(feeder->g->book.jobs, r->ref);
+            r->guest ? NULL : g_hash_table_lookup(feeder->g->records.jobs, r->ref);
         if (j)
-            j->handed = true;
+            j->is_submitted_locally = true;
         char *key = g_strdup_printf("%s/%s", r->home, r->ref);
         struct lmn_remote_job *x =
-            r->guest ? g_hash_table_lookup(feeder->g->book.guests, key) : NULL;
-        if (x && x->hand.epoch == r->epoch)
-            x->handed = true;
+            r->guest ? g_hash_table_lookup(feeder->g->records.remote_jobs, key) : NULL;
+        if (x && x->execution.epoch == r->epoch)
+            x->is_submitted_locally = true;
         g_free(key);
-        pthread_mutex_unlock(&feeder->g->book.lock);
+        pthread_mutex_unlock(&feeder->g->records.lock);
     } else {
         g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s%s", r->local,
                    r->cancel ? WIRE_PATH_CANCEL : "");
@@ -192,14 +193,14 @@
 
     r->job = j;
     r->guest = x;
-    g_strlcpy(r->ref, j ? j->ref : x->ref, sizeof r->ref);
-    g_strlcpy(r->local, j ? j->ref : x->local, sizeof r->local);
+    g_strlcpy(r->ref, j ? j->id : x->id, sizeof r->ref);
+    g_strlcpy(r->local, j ? j->id : x->local_id, sizeof r->local);
     if (x)
-        g_strlcpy(r->home, x->home, sizeof r->home);
-    r->handed = j ? j->handed : x->handed;
-    r->asked = j ? j->hand.cancel : x->hand.cancel;
-    r->cancel = r->asked || (x && x->leashed);
-    r->epoch = j ? j->hand.epoch : x->hand.epoch;
+        g_strlcpy(r->home, x->origin_site, sizeof r->home);
+    r->handed = j ? j->is_submitted_locally : x->is_submitted_locally;
+    r->asked = j ? j->origin.cancel_requested : x->execution.cancel_requested;
+    r->cancel = r->asked || (x && x->is_being_stopped);
+    r->epoch = j ? j->origin.epoch : x->execution.epoch;
     g_ptr_array_add(v, r);
 }
 
@@ -207,13 +208,15 @@
 static void check_leash(struct feeder *feeder, struct lmn_remote_job *x,
                         struct timespec now)
 {
-    if (x->leash_s <= 0 || x->leashed)
+    if (x->execution_lease_s <= 0 || x->is_being_stopped)
         return;
-    const struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(feeder->g, x->home);
-    if (!p || lmn_time_diff_s(now, p->synced) <= x->leash_s)
+    const struct lmn_gateway_peer *p =
+        lmn_gateway_peer_by_site(feeder->g, x->origin_site);
+    if (!p || lmn_time_diff_s(now, p->synced_at) <= x->execution_lease_s)
         return;
-    lmn_info("leash-over home=%s job=%s", x->home, x->ref);
-    x->leashed = true; /* in memory: after a restart it is counted anew, which is later */
+    lmn_info("leash-over home=%s job=%s", x->origin_site, x->id);
+    x->is_being_stopped =
+        true; /* in memory: after a restart it is counted anew, which is later */
 }
 
 static GPtrArray *due_runs(struct feeder *feeder)
@@ -223,47 +226,49 @@
     GHashTableIter it;
     gpointer p;
 
-    pthread_mutex_lock(&feeder->g->book.lock);
-    g_hash_table_iter_init(&it, feeder->g->book.open_jobs);
+    pthread_mutex_lock(&feeder->g->records.lock);
+    g_hash_table_iter_init(&it, feeder->g->records.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         struct lmn_gateway_job *j = p;
-        if (j->hand.state != LMN_ORIGIN_LOCAL || lmn_time_diff_s(now, j->polled) < POLL_S)
+        if (j->origin.state != LMN_ORIGIN_LOCAL ||
+            lmn_time_diff_s(now, j->polled_at) < POLL_S)
             continue;
-        j->polled = now;
+        j->polled_at = now;
         add_run(v, j, NULL);
     }
-    g_hash_table_iter_init(&it, feeder->g->book.open_guests);
+    g_hash_table_iter_init(&it, feeder->g->records.open_remote_jobs);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         struct lmn_remote_job *x = p;
-        if (x->hand.state != LMN_EXECUTION_RUNNING ||
-            lmn_time_diff_s(now, x->polled) < POLL_S)
+        if (x->execution.state != LMN_EXECUTION_RUNNING ||
+            lmn_time_diff_s(now, x->polled_at) < POLL_S)
             continue;
         check_leash(feeder, x, now);
-        x->polled = now;
+        x->polled_at = now;
         add_run(v, NULL, x);
     }
-    pthread_mutex_unlock(&feeder->g->book.lock);
+    pthread_mutex_unlock(&feeder->g->records.lock);
     return v;
 }
 
 /* The next that the own controllers get. */
 static void feed(struct feeder *feeder)
 {
-    struct lmn_gateway_records *b = &feeder->g->book;
+    struct lmn_gateway_records *b = &feeder->g->records;
     GArray *w = g_array_new(FALSE, TRUE, sizeof(struct lmn_record_write));
 
     pthread_mutex_lock(&b->lock);
-    double cpus, handed, most = feeder->g->o->feed_s * feeder->g->o->cpus;
+    double cpus, handed,
+        most = feeder->g->options->local_work_s * feeder->g->options->cpus;
     lmn_gateway_local_load(feeder->g, &cpus, &handed);
     GPtrArray *v =
         handed < most ? lmn_gateway_waiting_jobs(feeder->g) : g_ptr_array_new();
     for (guint i = 0; i < v->len && handed < most; i++) {
         struct lmn_gateway_job *j = v->pdata[i];
-        struct lmn_record_write x = {.job = j, .home = j->hand};
-        if (!lmn_origin_run_locally(&x.home))
+        struct lmn_record_write x = {.job = j, .origin = j->origin};
+        if (!lmn_origin_run_locally(&x.origin))
             continue;
-        j->busy = true;
-        j->handed = false;
+        j->is_taken = true;
+        j->is_submitted_locally = false;
         handed += lmn_job_spec_total_cpus(&j->spec) * MAX(j->spec.estimate_s, 0.1);
         g_array_append_val(w, x);
     }
@@ -290,16 +295,16 @@
          */
         spec = r->job ? r->job->spec : r->guest->spec;
         g_strlcpy(digest, r->job ? r->job->digest : r->guest->digest, sizeof digest);
-        pthread_mutex_lock(&feeder->g->book.lock);
+        pthread_mutex_lock(&feeder->g->records.lock);
         p = r->job ? r->job->progress : r->guest->progress;
-        pthread_mutex_unlock(&feeder->g->book.lock);
+        pthread_mutex_unlock(&feeder->g->records.lock);
         look_at(feeder, r, &spec, digest, &p);
-        pthread_mutex_lock(&feeder->g->book.lock);
+        pthread_mutex_lock(&feeder->g->records.lock);
         if (r->job)
             r->job->progress = p;
-        else if (r->guest->hand.epoch == r->epoch)
+        else if (r->guest->execution.epoch == r->epoch)
             r->guest->progress = p;
-        pthread_mutex_unlock(&feeder->g->book.lock);
+        pthread_mutex_unlock(&feeder->g->records.lock);
     }
     g_ptr_array_free(runs, TRUE);
 }
@@ -309,12 +314,12 @@
     struct lmn_gateway *gateway = arg;
     struct feeder f = {.g = gateway, .in = g_byte_array_new()};
 
-    for (unsigned i = 0; i < gateway->o->ncontrollers; i++)
-        f.controllers[i] = lmn_http_client_new(gateway->o->controllers[i]);
-    f.depot = lmn_http_client_new(gateway->o->depot);
-    f.state = lmn_http_client_new(gateway->o->state);
-    lmn_token_bucket_init(&f.polls, gateway->o->poll_rps, MAX(gateway->o->poll_rps, 1),
-                          lmn_now());
+    for (unsigned i = 0; i < gateway->options->controller_count; i++)
+        f.controllers[i] = lmn_http_client_new(gateway->options->controllers[i]);
+    f.depot = lmn_http_client_new(gateway->options->image_store);
+    f.state = lmn_http_client_new(gateway->options->state);
+    lmn_token_bucket_init(&f.polls, gateway->options->polls_per_s,
+                          MAX(gateway->options->polls_per_s, 1), lmn_now());
     for (;;) {
         feed(&f);
         pass(&f);
--- a/src/gateway/execution.c
+++ b/src/gateway/execution.c
@@ -30,28 +30,28 @@
     while (p->refusals.head && v->len < LMN_GATEWAY_RPC_MAX_ITEMS / 2) {
         struct lmn_gateway_rejection *s = g_queue_pop_head(&p->refusals);
         struct lmn_gateway_rpc_item *i = lmn_gateway_item_append(v);
-        i->ref = g_strdup(s->ref);
+        i->ref = g_strdup(s->job_id);
         i->epoch = s->epoch;
-        i->incarnation = p->g->book.incarnation;
+        i->incarnation = p->gateway->records.incarnation;
         i->word = LMN_HANDOVER_REJECTED;
         g_free(s);
     }
     /* Outcomes first: progress is only for display. */
     for (int outcomes = 1; outcomes >= 0; outcomes--) {
-        g_hash_table_iter_init(&it, p->g->book.open_guests);
+        g_hash_table_iter_init(&it, p->gateway->records.open_remote_jobs);
         while (g_hash_table_iter_next(&it, NULL, &x) &&
                v->len < LMN_GATEWAY_RPC_MAX_ITEMS) {
             const struct lmn_remote_job *guest = x;
-            bool over = guest->hand.state == LMN_EXECUTION_FINISHED;
-            if (strcmp(guest->home, lmn_gateway_peer_site(p)) || guest->busy ||
+            bool over = guest->execution.state == LMN_EXECUTION_FINISHED;
+            if (strcmp(guest->origin_site, lmn_gateway_peer_site(p)) || guest->is_taken ||
                 over != outcomes)
                 continue;
             struct lmn_gateway_rpc_item *i = lmn_gateway_item_append(v);
-            i->ref = g_strdup(guest->ref);
-            i->epoch = guest->hand.epoch;
-            i->incarnation = p->g->book.incarnation;
+            i->ref = g_strdup(guest->id);
+            i->epoch = guest->execution.epoch;
+            i->incarnation = p->gateway->records.incarnation;
             i->word = over ? LMN_HANDOVER_FINISHED : LMN_HANDOVER_ACCEPTED;
-            i->outcome = guest->hand.outcome;
+            i->outcome = guest->execution.outcome;
             i->done = guest->progress.done;
             i->running = guest->progress.running;
         }
@@ -98,23 +98,23 @@
 {
     struct lmn_gateway_rejection *s = g_new0(struct lmn_gateway_rejection, 1);
 
-    g_strlcpy(s->ref, ref, sizeof s->ref);
+    g_strlcpy(s->job_id, ref, sizeof s->job_id);
     s->epoch = epoch;
     g_queue_push_tail(&p->refusals, s);
-    p->news = true;
+    p->has_news = true;
 }
 
 /* A job that is offered: accepted, or refused for good, on the disk before it is said. */
 static void take_offer(struct host *host, const struct lmn_gateway_rpc_offer *o,
                        bool room)
 {
-    struct lmn_gateway *gateway = host->p->g;
+    struct lmn_gateway *gateway = host->p->gateway;
     struct lmn_record_write w = {0};
     struct lmn_job_spec spec = {0};
     enum lmn_handover_answer answer = LMN_HANDOVER_REJECTED;
     const char *what;
     struct lmn_cbor_document d;
-    bool old = false, ours = o->incarnation == gateway->book.incarnation;
+    bool old = false, ours = o->incarnation == gateway->records.incarnation;
 
     if (!lmn_job_id_is_valid(o->ref) ||
         lmn_cbor_parse(&d, o->spec.spec_val, o->spec.spec_len) != 0)
@@ -123,57 +123,57 @@
                 !strcmp(spec.id, o->ref);
     lmn_cbor_free(&d);
     bool team = false;
-    for (unsigned i = 0; sane && i < gateway->o->nteams; i++)
-        team = team || !strcmp(gateway->o->teams[i], spec.team);
+    for (unsigned i = 0; sane && i < gateway->options->team_count; i++)
+        team = team || !strcmp(gateway->options->teams[i], spec.team);
     room = room && sane && team && fetch_blob(host, o->digest);
-    pthread_mutex_lock(&gateway->book.lock);
-    w.guest = lmn_gateway_records_take_remote_job(&gateway->book,
-                                                  lmn_gateway_peer_site(host->p), o->ref);
-    if (!w.guest && sane) {
-        w.guest = lmn_gateway_records_new_remote_job(
-            &gateway->book, lmn_gateway_peer_site(host->p), o->ref);
-        if (w.guest) {
-            w.guest->spec = spec;
+    pthread_mutex_lock(&gateway->records.lock);
+    w.remote_job = lmn_gateway_records_take_remote_job(
+        &gateway->records, lmn_gateway_peer_site(host->p), o->ref);
+    if (!w.remote_job && sane) {
+        w.remote_job = lmn_gateway_records_new_remote_job(
+            &gateway->records, lmn_gateway_peer_site(host->p), o->ref);
+        if (w.remote_job) {
+            w.remote_job->spec = spec;
             memset(&spec, 0, sizeof spec);
-            g_strlcpy(w.guest->digest, o->digest, sizeof w.guest->digest);
-            w.guest->leash_s = o->leash_s;
+            g_strlcpy(w.remote_job->digest, o->digest, sizeof w.remote_job->digest);
+            w.remote_job->execution_lease_s = o->leash_s;
         }
     }
-    if (w.guest)
-        w.host = w.guest->hand;
-    bool full = sane && !w.guest; /* nothing is on the disk: nothing may be said */
-    bool change = w.guest && lmn_execution_handle_offer(&w.host, o->epoch, ours, room,
-                                                        &answer, &old);
-    if (w.guest && !change && w.guest->rev)
-        lmn_gateway_records_release_remote_job(&gateway->book, w.guest);
-    pthread_mutex_unlock(&gateway->book.lock);
-    if (w.guest && (change || !w.guest->rev))
-        lmn_gateway_records_write(&gateway->book, host->state, &w, 1);
+    if (w.remote_job)
+        w.execution = w.remote_job->execution;
+    bool full = sane && !w.remote_job; /* nothing is on the disk: nothing may be said */
+    bool change = w.remote_job && lmn_execution_handle_offer(&w.execution, o->epoch, ours,
+                                                             room, &answer, &old);
+    if (w.remote_job && !change && w.remote_job->revision)
+        lmn_gateway_records_release_remote_job(&gateway->records, w.remote_job);
+    pthread_mutex_unlock(&gateway->records.lock);
+    if (w.remote_job && (change || !w.remote_job->revision))
+        lmn_gateway_records_write(&gateway->records, host->state, &w, 1);
     lmn_job_spec_clear(&spec);
-    pthread_mutex_lock(&gateway->book.lock);
-    if (!full && (w.ok || (!change && !old))) {
+    pthread_mutex_lock(&gateway->records.lock);
+    if (!full && (w.is_written || (!change && !old))) {
         if (!sane || answer == LMN_HANDOVER_REJECTED)
             refuse_later(host->p, o->ref, o->epoch);
         else
             host->p->offers_in++;
-        host->p->news = true;
+        host->p->has_news = true;
     }
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
 }
 
 static void resolve(struct host *host, const struct lmn_gateway_rpc_item *i)
 {
-    struct lmn_gateway *gateway = host->p->g;
+    struct lmn_gateway *gateway = host->p->gateway;
     struct lmn_record_write w = {0};
     enum lmn_handover_answer answer = LMN_HANDOVER_REJECTED;
     bool old = false;
 
-    pthread_mutex_lock(&gateway->book.lock);
-    w.guest = lmn_job_id_is_valid(i->ref)
-                  ? lmn_gateway_records_take_remote_job(
-                        &gateway->book, lmn_gateway_peer_site(host->p), i->ref)
-                  : NULL;
-    if (!w.guest) {
+    pthread_mutex_lock(&gateway->records.lock);
+    w.remote_job = lmn_job_id_is_valid(i->ref)
+                       ? lmn_gateway_records_take_remote_job(
+                             &gateway->records, lmn_gateway_peer_site(host->p), i->ref)
+                       : NULL;
+    if (!w.remote_job) {
         /* Never heard of. There is no record to refuse it in: one is made, by a
          * description that says nothing but the name. */
         struct lmn_job_spec none = {.class_name = (char *)"none",
@@ -182,67 +182,69 @@
                                     .tasks = 1,
                                     .deadline_s = -1};
         if (!lmn_job_id_is_valid(i->ref)) {
-            pthread_mutex_unlock(&gateway->book.lock);
+            pthread_mutex_unlock(&gateway->records.lock);
             return;
         }
-        w.guest = lmn_gateway_records_new_remote_job(
-            &gateway->book, lmn_gateway_peer_site(host->p), i->ref);
-        if (!w.guest) {
-            pthread_mutex_unlock(&gateway->book.lock);
+        w.remote_job = lmn_gateway_records_new_remote_job(
+            &gateway->records, lmn_gateway_peer_site(host->p), i->ref);
+        if (!w.remote_job) {
+            pthread_mutex_unlock(&gateway->records.lock);
             return;
         }
-        w.guest->spec = none;
-        g_strlcpy(w.guest->spec.id, i->ref, LMN_JOB_ID_SIZE);
-        w.guest->spec.class_name = g_strdup("none");
-        w.guest->spec.team = g_strdup("none");
-        w.guest->spec.image = g_strdup("none");
+        w.remote_job->spec = none;
+        g_strlcpy(w.remote_job->spec.id, i->ref, LMN_JOB_ID_SIZE);
+        w.remote_job->spec.class_name = g_strdup("none");
+        w.remote_job->spec.team = g_strdup("none");
+        w.remote_job->spec.image = g_strdup("none");
     }
-    w.host = w.guest->hand;
-    bool change = lmn_execution_resolve(
-        &w.host, i->epoch, i->incarnation == gateway->book.incarnation, &answer, &old);
-    if (!change && w.guest->rev)
-        lmn_gateway_records_release_remote_job(&gateway->book, w.guest);
-    pthread_mutex_unlock(&gateway->book.lock);
-    if (change || !w.guest->rev)
-        lmn_gateway_records_write(&gateway->book, host->state, &w, 1);
-    pthread_mutex_lock(&gateway->book.lock);
-    if ((w.ok || !change) && !old && answer == LMN_HANDOVER_REJECTED)
+    w.execution = w.remote_job->execution;
+    bool change = lmn_execution_resolve(&w.execution, i->epoch,
+                                        i->incarnation == gateway->records.incarnation,
+                                        &answer, &old);
+    if (!change && w.remote_job->revision)
+        lmn_gateway_records_release_remote_job(&gateway->records, w.remote_job);
+    pthread_mutex_unlock(&gateway->records.lock);
+    if (change || !w.remote_job->revision)
+        lmn_gateway_records_write(&gateway->records, host->state, &w, 1);
+    pthread_mutex_lock(&gateway->records.lock);
+    if ((w.is_written || !change) && !old && answer == LMN_HANDOVER_REJECTED)
         refuse_later(host->p, i->ref, i->epoch);
-    host->p->news = true;
-    pthread_mutex_unlock(&gateway->book.lock);
+    host->p->has_news = true;
+    pthread_mutex_unlock(&gateway->records.lock);
 }
 
 static void take_word(struct host *host, const struct lmn_gateway_rpc_item *i,
                       bool cancel, GArray *writes)
 {
-    struct lmn_gateway *gateway = host->p->g;
+    struct lmn_gateway *gateway = host->p->gateway;
     struct lmn_record_write w = {0};
 
-    if (i->incarnation != gateway->book.incarnation ||
+    if (i->incarnation != gateway->records.incarnation ||
         lmn_record_write_contains(writes, i->ref))
         return;
-    pthread_mutex_lock(&gateway->book.lock);
-    w.guest = lmn_gateway_records_take_remote_job(&gateway->book,
-                                                  lmn_gateway_peer_site(host->p), i->ref);
-    if (w.guest)
-        w.host = w.guest->hand;
+    pthread_mutex_lock(&gateway->records.lock);
+    w.remote_job = lmn_gateway_records_take_remote_job(
+        &gateway->records, lmn_gateway_peer_site(host->p), i->ref);
+    if (w.remote_job)
+        w.execution = w.remote_job->execution;
     bool recall = cancel && i->outcome == LMN_OUTCOME_RETURNED;
     /* A job that is called back is stopped as one whose leash is over. In memory: its
      * home says so again until it has come. */
-    if (w.guest && recall && w.host.state == LMN_EXECUTION_RUNNING &&
-        w.host.epoch == i->epoch && !w.guest->leashed) {
-        lmn_info("called-back home=%s job=%s", w.guest->home, w.guest->ref);
-        w.guest->leashed = true;
+    if (w.remote_job && recall && w.execution.state == LMN_EXECUTION_RUNNING &&
+        w.execution.epoch == i->epoch && !w.remote_job->is_being_stopped) {
+        lmn_info("called-back home=%s job=%s", w.remote_job->origin_site,
+                 w.remote_job->id);
+        w.remote_job->is_being_stopped = true;
     }
-    bool change = w.guest && !recall &&
-                  (cancel ? lmn_execution_cancel(&w.host, i->epoch)
-                          : lmn_execution_acknowledged(&w.host, i->epoch));
+    bool change = w.remote_job && !recall &&
+                  (cancel ? lmn_execution_cancel(&w.execution, i->epoch)
+                          : lmn_execution_acknowledged(&w.execution, i->epoch));
     if (change)
         g_array_append_val(writes, w);
-    else if (w.guest)
-        lmn_gateway_records_release_remote_job(&gateway->book, w.guest);
+    else if (w.remote_job)
+        lmn_gateway_records_release_remote_job(&gateway->records, w.remote_job);
     host->p->outcomes_out += change && !cancel;
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
 }
 
 /* The idle processors that are left, as offers take them. */
@@ -251,23 +253,23 @@
     double cpus, work_s;
 
     lmn_gateway_local_load(gateway, &cpus, &work_s);
-    return MAX(gateway->o->cpus * MAX(gateway->o->pull_at, 1) - cpus, 0);
+    return MAX(gateway->options->cpus * MAX(gateway->options->pull_at, 1) - cpus, 0);
 }
 
 static bool sync_once(struct host *host)
 {
-    struct lmn_gateway *gateway = host->p->g;
+    struct lmn_gateway *gateway = host->p->gateway;
     lmn_gateway_rpc_request q = {.kind = LMN_GATEWAY_RPC_SYNC};
     lmn_gateway_rpc_response r;
     struct timespec sent = lmn_now();
 
-    pthread_mutex_lock(&gateway->book.lock);
+    pthread_mutex_lock(&gateway->records.lock);
     GArray *says = collect(host->p);
-    unsigned pull = gateway->fenced ? 0 : host->p->pull;
-    host->p->pull = 0;
-    host->p->news = says->len >= LMN_GATEWAY_RPC_MAX_ITEMS;
+    unsigned pull = gateway->is_fenced ? 0 : host->p->pull_count;
+    host->p->pull_count = 0;
+    host->p->has_news = says->len >= LMN_GATEWAY_RPC_MAX_ITEMS;
     double room = room_now(gateway);
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     q.lmn_gateway_rpc_request_u.sync.says.says_len = says->len;
     q.lmn_gateway_rpc_request_u.sync.says.says_val =
         (struct lmn_gateway_rpc_item *)(void *)says->data;
@@ -289,20 +291,20 @@
         take_word(host, &y->heard.heard_val[i], false, writes);
     for (u_int i = 0; i < y->cancel.cancel_len; i++)
         take_word(host, &y->cancel.cancel_val[i], true, writes);
-    lmn_gateway_records_write(&gateway->book, host->state,
+    lmn_gateway_records_write(&gateway->records, host->state,
                               (struct lmn_record_write *)(void *)writes->data,
                               writes->len);
     g_array_free(writes, TRUE);
     for (u_int i = 0; i < y->resolve.resolve_len; i++)
         resolve(host, &y->resolve.resolve_val[i]);
-    pthread_mutex_lock(&gateway->book.lock);
+    pthread_mutex_lock(&gateway->records.lock);
     bool evicted =
-        lmn_gateway_records_is_evicted(&gateway->book, lmn_gateway_peer_site(host->p));
-    pthread_mutex_unlock(&gateway->book.lock);
+        lmn_gateway_records_is_evicted(&gateway->records, lmn_gateway_peer_site(host->p));
+    pthread_mutex_unlock(&gateway->records.lock);
     for (u_int i = 0; i < y->offers.offers_len && !late; i++)
         take_offer(host, &y->offers.offers_val[i], !evicted);
-    pthread_mutex_lock(&gateway->book.lock);
-    host->p->heard = host->p->synced = sent;
+    pthread_mutex_lock(&gateway->records.lock);
+    host->p->last_contact_at = host->p->synced_at = sent;
     host->p->messages++;
     host->p->bytes = lmn_peer_connection_bytes(host->link);
     host->p->queued_cpu_s = y->queued_cpu_s;
@@ -310,9 +312,9 @@
         gateway->pulls++;
         gateway->empty_pulls += !y->offers.offers_len;
         gateway->poll_s = lmn_route_interval(gateway->poll_s, y->offers.offers_len > 0);
-        gateway->next_pull = lmn_time_add(lmn_now(), gateway->poll_s);
+        gateway->next_pull_at = lmn_time_add(lmn_now(), gateway->poll_s);
     }
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
     return true;
 }
@@ -323,12 +325,12 @@
     lmn_gateway_rpc_response r;
     const char *wrong = "no hello";
 
-    lmn_gateway_hello_fill(host->p->g, &q.lmn_gateway_rpc_request_u.hello);
+    lmn_gateway_hello_fill(host->p->gateway, &q.lmn_gateway_rpc_request_u.hello);
     if (lmn_peer_connection_send_request(host->link, &q) != 0 ||
         lmn_peer_connection_read_response(host->link, &r) != 0)
         return false;
     if (r.kind == LMN_GATEWAY_RPC_HELLO)
-        wrong = lmn_gateway_hello_accept(host->p->g, lmn_gateway_peer_site(host->p),
+        wrong = lmn_gateway_hello_accept(host->p->gateway, lmn_gateway_peer_site(host->p),
                                          &r.lmn_gateway_rpc_response_u.hello);
     xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
     if (wrong)
@@ -339,13 +341,13 @@
 
 static void drop(struct host *host, const char *why)
 {
-    pthread_mutex_lock(&host->p->g->book.lock);
-    if (host->p->up)
+    pthread_mutex_lock(&host->p->gateway->records.lock);
+    if (host->p->is_up)
         lmn_info("link-down site=%s why=\"%s\"", lmn_gateway_peer_site(host->p), why);
-    host->p->up = false;
+    host->p->is_up = false;
     host->p->failures++;
-    g_strlcpy(host->p->why, why, sizeof host->p->why);
-    pthread_mutex_unlock(&host->p->g->book.lock);
+    g_strlcpy(host->p->last_failure, why, sizeof host->p->last_failure);
+    pthread_mutex_unlock(&host->p->gateway->records.lock);
     if (host->link)
         lmn_peer_connection_close(host->link);
     host->link = NULL;
@@ -356,19 +358,19 @@
 void *lmn_execution_thread(void *arg)
 {
     struct lmn_gateway_peer *p = arg;
-    struct lmn_gateway *gateway = p->g;
+    struct lmn_gateway *gateway = p->gateway;
     struct host k = {.p = p,
-                     .state = lmn_http_client_new(gateway->o->state),
-                     .depot = lmn_http_client_new(gateway->o->depot)};
+                     .state = lmn_http_client_new(gateway->options->state),
+                     .depot = lmn_http_client_new(gateway->options->image_store)};
     char err[256];
     unsigned turn = 0;
 
     for (;;) {
         if (!k.link) {
-            p->dials++;
+            p->connects++;
             /* Of a site's gateways one listens; which, shows the next try. */
             const char *addr =
-                gateway->o->addresses[p->index][turn % LMN_GATEWAY_MAX_ADDRESSES];
+                gateway->options->addresses[p->index][turn % LMN_GATEWAY_MAX_ADDRESSES];
             if (!*addr) {
                 turn = 0;
                 continue;
@@ -392,10 +394,11 @@
             drop(&k, "no answer");
             continue;
         }
-        pthread_mutex_lock(&gateway->book.lock);
-        if (!p->news && !p->pull)
-            lmn_cond_wait_for(&p->due, &gateway->book.lock, gateway->o->sync_s);
-        pthread_mutex_unlock(&gateway->book.lock);
+        pthread_mutex_lock(&gateway->records.lock);
+        if (!p->has_news && !p->pull_count)
+            lmn_cond_wait_for(&p->sync_due, &gateway->records.lock,
+                              gateway->options->sync_s);
+        pthread_mutex_unlock(&gateway->records.lock);
         lmn_sleep(0.02); /* news come in flocks */
     }
     return NULL;
@@ -407,8 +410,9 @@
     double cpus, work_s;
 
     lmn_gateway_local_load(gateway, &cpus, &work_s);
-    return lmn_route_for_idle_site(
-        gateway->o->cpus, cpus, lmn_gateway_queued_cpu_s(gateway), gateway->o->pull_at);
+    return lmn_route_for_idle_site(gateway->options->cpus, cpus,
+                                   lmn_gateway_queued_cpu_s(gateway),
+                                   gateway->options->pull_at);
 }
 
 /* An idle site pulls: it looks at a fresh random sample of the others, the root of their
@@ -419,31 +423,31 @@
 
     for (;;) {
         lmn_sleep(0.05);
-        pthread_mutex_lock(&gateway->book.lock);
+        pthread_mutex_lock(&gateway->records.lock);
         struct timespec now = lmn_now();
-        if (gateway->fenced || !gateway->o->npeers ||
-            lmn_time_before(now, gateway->next_pull) || !is_idle(gateway)) {
-            pthread_mutex_unlock(&gateway->book.lock);
+        if (gateway->is_fenced || !gateway->options->peer_count ||
+            lmn_time_before(now, gateway->next_pull_at) || !is_idle(gateway)) {
+            pthread_mutex_unlock(&gateway->records.lock);
             continue;
         }
         struct lmn_route_peer view[LMN_MAX_PEERS];
-        for (unsigned i = 0; i < gateway->o->npeers; i++)
+        for (unsigned i = 0; i < gateway->options->peer_count; i++)
             view[i] = (struct lmn_route_peer){
-                gateway->peers[i].up &&
+                gateway->peers[i].is_up &&
                     !lmn_gateway_records_is_evicted(
-                        &gateway->book, lmn_gateway_peer_site(&gateway->peers[i])),
+                        &gateway->records, lmn_gateway_peer_site(&gateway->peers[i])),
                 gateway->peers[i].queued_cpu_s};
-        int busiest = lmn_route_pick(gateway->rng, view, gateway->o->npeers);
+        int busiest = lmn_route_pick(gateway->random, view, gateway->options->peer_count);
         if (busiest >= 0) {
-            gateway->peers[busiest].pull = LMN_GATEWAY_RPC_MAX_OFFERS;
-            pthread_cond_signal(&gateway->peers[busiest].due);
-            gateway->next_pull =
+            gateway->peers[busiest].pull_count = LMN_GATEWAY_RPC_MAX_OFFERS;
+            pthread_cond_signal(&gateway->peers[busiest].sync_due);
+            gateway->next_pull_at =
                 lmn_time_add(now, 1); /* until its answer says otherwise */
         } else {
             gateway->poll_s = lmn_route_interval(gateway->poll_s, false);
-            gateway->next_pull = lmn_time_add(now, gateway->poll_s);
+            gateway->next_pull_at = lmn_time_add(now, gateway->poll_s);
         }
-        pthread_mutex_unlock(&gateway->book.lock);
+        pthread_mutex_unlock(&gateway->records.lock);
     }
     return NULL;
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -17,28 +17,28 @@
     char site[LMN_NAME_SIZE], name[LMN_NAME_SIZE];
     char listen[LMN_ADDRESS_SIZE];      /* users, and the command line */
     char link_listen[LMN_ADDRESS_SIZE]; /* other sites' gateways */
-    char state[LMN_ADDRESS_SIZE], depot[LMN_ADDRESS_SIZE], keys[256];
+    char state[LMN_ADDRESS_SIZE], image_store[LMN_ADDRESS_SIZE], keys[256];
     char controllers[LMN_GATEWAY_MAX_CONTROLLERS][LMN_ADDRESS_SIZE];
-    unsigned ncontrollers;
+    unsigned controller_count;
     struct lmn_peer_key peers[LMN_MAX_PEERS];
     char addresses[LMN_MAX_PEERS][LMN_GATEWAY_MAX_ADDRESSES]
                   [LMN_ADDRESS_SIZE]; /* one of a peer's acts */
-    unsigned npeers;
+    unsigned peer_count;
     char (*teams)[LMN_NAME_SIZE]; /* kept for as long as the process runs */
-    unsigned nteams;
+    unsigned team_count;
     double cpus; /* what the site's machines have together, about */
     /* Work that the controllers have at a time, in seconds of all processors: what they
      * see decides how many machines they rent. */
-    double feed_s;
+    double local_work_s;
     double pull_at; /* it pulls while its controllers have less than this part of cpus */
     double share;   /* part of the busiest site's queue that a pull takes */
-    unsigned most_transfers; /* of one job; then it stays at home */
-    unsigned most_transit;   /* offers to one site without an answer */
-    double sync_s;           /* between two messages to a site that has nothing new */
-    double poll_rps;         /* requests a second to the own controllers */
-    double silent_s;         /* a peer that is silent for longer is an alarm */
-    int txn_ops;             /* of the state service, as is */
-    double value_kb;         /* of a value, counted as JSON */
+    unsigned max_transfers;        /* of one job; then it stays at home */
+    unsigned max_offers_in_flight; /* offers to one site without an answer */
+    double sync_s;              /* between two messages to a site that has nothing new */
+    double polls_per_s;         /* requests a second to the own controllers */
+    double unreachable_alarm_s; /* a peer that is silent for longer is an alarm */
+    int max_txn_operations;     /* of the state service, as is */
+    double max_value_kb;        /* of a value, counted as JSON */
 };
 
 /* Reads and checks the file; -1 with "file: line N: field: what". */
--- a/src/gateway/gateway_internal.h
+++ b/src/gateway/gateway_internal.h
@@ -9,41 +9,41 @@
 
 /* A peer as this site's gateway sees it. */
 struct lmn_gateway_peer {
-    struct lmn_gateway *g;
+    struct lmn_gateway *gateway;
     unsigned index;
-    struct timespec heard;  /* it last spoke, either way */
-    struct timespec synced; /* our last sync that it answered: leashes count from it */
-    double queued_cpu_s;    /* work that waits there, as it last said */
-    unsigned pull;          /* jobs to ask it for with the next sync */
-    bool up, alarmed;
-    char why[160]; /* the last failure */
-    uint64_t dials, failures, messages, bytes, offers_out, offers_in, outcomes_out,
+    struct timespec last_contact_at; /* it last spoke, either way */
+    struct timespec synced_at; /* our last sync that it answered: leashes count from it */
+    double queued_cpu_s;       /* work that waits there, as it last said */
+    unsigned pull_count;       /* jobs to ask it for with the next sync */
+    bool is_up, alarm_raised;
+    char last_failure[160]; /* the last failure */
+    uint64_t connects, failures, messages, bytes, offers_out, offers_in, outcomes_out,
         outcomes_in;
     uint64_t incarnation;
     GQueue refusals; /* struct lmn_gateway_rejection: to be told once; the peer asks again
                         if it was lost */
-    pthread_cond_t due; /* with the book's lock */
-    bool news;
+    pthread_cond_t sync_due; /* with the book's lock */
+    bool has_news;
 };
 
 struct lmn_gateway_rejection {
-    char ref[LMN_JOB_ID_SIZE];
+    char job_id[LMN_JOB_ID_SIZE];
     uint64_t epoch;
 };
 
 struct lmn_gateway {
-    const struct lmn_gateway_options *o;
-    struct lmn_gateway_records book;
+    const struct lmn_gateway_options *options;
+    struct lmn_gateway_records records;
     struct lmn_tls *tls;
     struct lmn_gateway_peer peers[LMN_MAX_PEERS]; /* guarded by the book's lock */
-    bool fenced; /* the state was restored: nothing goes out until an operator has said
+    bool is_fenced; /* the state was restored: nothing goes out until an operator has said
                     what is so */
-    GRand *rng;
+    GRand *random;
     double poll_s; /* interval of pulls, by the book's lock */
-    struct timespec next_pull;
-    GQueue calls; /* users' calls that write, for the hands */
-    pthread_cond_t calls_more;
-    struct lmn_http_server *server;
+    struct timespec next_pull_at;
+    GQueue requests; /* users' calls that write, for the hands */
+    pthread_cond_t request_queued;
+    struct lmn_http_server *http_server;
     uint64_t submitted, cancelled, pulls, empty_pulls;
 };
 
--- a/src/gateway/handover.c
+++ b/src/gateway/handover.c
@@ -16,7 +16,8 @@
 bool lmn_origin_offer(struct lmn_origin_record *h, const char *site, uint64_t incarnation,
                       uint32_t most)
 {
-    if (h->state != LMN_ORIGIN_QUEUED || h->cancel || h->recall || h->transfers >= most)
+    if (h->state != LMN_ORIGIN_QUEUED || h->cancel_requested || h->is_revoked ||
+        h->transfers >= most)
         return false;
     h->state = LMN_ORIGIN_OFFERED;
     h->epoch++;
@@ -28,7 +29,7 @@
 
 bool lmn_origin_run_locally(struct lmn_origin_record *h)
 {
-    if (h->state != LMN_ORIGIN_QUEUED || h->cancel)
+    if (h->state != LMN_ORIGIN_QUEUED || h->cancel_requested)
         return false;
     h->state = LMN_ORIGIN_LOCAL;
     h->epoch++;
@@ -46,7 +47,7 @@
  * runs. */
 static bool come_back(struct lmn_origin_record *h)
 {
-    if (h->cancel)
+    if (h->cancel_requested)
         return end(h, LMN_OUTCOME_CANCELLED);
     h->state = LMN_ORIGIN_QUEUED;
     h->site[0] = '\0';
@@ -98,9 +99,9 @@
 
 bool lmn_origin_cancel(struct lmn_origin_record *h)
 {
-    if (h->state == LMN_ORIGIN_FINAL || h->cancel)
+    if (h->state == LMN_ORIGIN_FINAL || h->cancel_requested)
         return false;
-    h->cancel = true;
+    h->cancel_requested = true;
     if (h->state == LMN_ORIGIN_QUEUED)
         end(h, LMN_OUTCOME_CANCELLED);
     return true;
@@ -108,9 +109,9 @@
 
 bool lmn_origin_revoke(struct lmn_origin_record *h)
 {
-    if (h->state == LMN_ORIGIN_FINAL || h->state == LMN_ORIGIN_FENCED || h->recall)
+    if (h->state == LMN_ORIGIN_FINAL || h->state == LMN_ORIGIN_FENCED || h->is_revoked)
         return false;
-    h->recall = true;
+    h->is_revoked = true;
     return true;
 }
 
@@ -118,7 +119,7 @@
 {
     if (!handed_over(h))
         return false;
-    if (!h->cancel && !may_run_again)
+    if (!h->cancel_requested && !may_run_again)
         return false;
     return come_back(h);
 }
@@ -145,7 +146,7 @@
 bool lmn_execution_handle_offer(struct lmn_execution_record *f, uint64_t epoch, bool ours,
                                 bool room, enum lmn_handover_answer *answer, bool *old)
 {
-    uint64_t known = MAX(f->floor, f->state == LMN_EXECUTION_NONE ? 0 : f->epoch);
+    uint64_t known = MAX(f->min_epoch, f->state == LMN_EXECUTION_NONE ? 0 : f->epoch);
 
     *old = ours && epoch < known;
     *answer = LMN_HANDOVER_REJECTED;
@@ -159,11 +160,11 @@
     /* A newer one: the home has an end of the older. One that still runs here contradicts
      * that. */
     if (f->state == LMN_EXECUTION_RUNNING || !room) {
-        f->floor = epoch;
+        f->min_epoch = epoch;
         return true;
     }
     *f = (struct lmn_execution_record){
-        .state = LMN_EXECUTION_RUNNING, .epoch = epoch, .floor = f->floor};
+        .state = LMN_EXECUTION_RUNNING, .epoch = epoch, .min_epoch = f->min_epoch};
     *answer = LMN_HANDOVER_ACCEPTED;
     return true;
 }
@@ -179,7 +180,7 @@
 {
     if (f->state == LMN_EXECUTION_NONE)
         return false;
-    f->floor = MAX(f->floor, f->epoch);
+    f->min_epoch = MAX(f->min_epoch, f->epoch);
     f->state = LMN_EXECUTION_NONE;
     return true;
 }
@@ -196,16 +197,16 @@
 
 bool lmn_execution_cancel(struct lmn_execution_record *f, uint64_t epoch)
 {
-    if (f->state != LMN_EXECUTION_RUNNING || f->epoch != epoch || f->cancel)
+    if (f->state != LMN_EXECUTION_RUNNING || f->epoch != epoch || f->cancel_requested)
         return false;
-    f->cancel = true;
+    f->cancel_requested = true;
     return true;
 }
 
 bool lmn_execution_acknowledged(struct lmn_execution_record *f, uint64_t epoch)
 {
-    if (f->state != LMN_EXECUTION_FINISHED || f->epoch != epoch || f->heard)
+    if (f->state != LMN_EXECUTION_FINISHED || f->epoch != epoch || f->is_acknowledged)
         return false;
-    f->heard = true;
+    f->is_acknowledged = true;
     return true;
 }
--- a/src/gateway/handover.h
+++ b/src/gateway/handover.h
@@ -47,8 +47,8 @@
     char site[LMN_NAME_SIZE];          /* OFFERED, AWAY, FENCED: which */
     uint64_t incarnation;              /* of that site's state, as it was at the offer */
     enum lmn_handover_outcome outcome; /* FINAL: done or withdrawn */
-    bool cancel;                       /* its user has asked */
-    bool recall; /* an operator wants it at home, and it stays there */
+    bool cancel_requested;             /* its user has asked */
+    bool is_revoked; /* an operator wants it at home, and it stays there */
     uint32_t transfers;
 };
 
@@ -103,11 +103,11 @@
 
 struct lmn_execution_record {
     enum lmn_execution_state state;
-    uint64_t epoch; /* RUNS, OVER: of which offer */
-    uint64_t floor; /* no offer up to this one is accepted any more */
+    uint64_t epoch;     /* RUNS, OVER: of which offer */
+    uint64_t min_epoch; /* no offer up to this one is accepted any more */
     enum lmn_handover_outcome outcome;
-    bool cancel; /* the home wants it stopped */
-    bool heard;  /* the home has recorded the outcome */
+    bool cancel_requested; /* the home wants it stopped */
+    bool is_acknowledged;  /* the home has recorded the outcome */
 };
 
 /* An offer: accepts it if there is room, and only if it is newer than all that is known.
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -29,8 +29,8 @@
 /* Queued, running, done or withdrawn, as the protocol says. */
 static const char *word(const struct lmn_gateway_job *j)
 {
-    if (j->hand.state == LMN_ORIGIN_FINAL)
-        return j->hand.outcome == LMN_OUTCOME_DONE ? WIRE_DONE : WIRE_CANCELLED;
+    if (j->origin.state == LMN_ORIGIN_FINAL)
+        return j->origin.outcome == LMN_OUTCOME_DONE ? WIRE_DONE : WIRE_CANCELLED;
     return j->progress.done || j->progress.running ? WIRE_RUNNING : WIRE_QUEUED;
 }
 
@@ -39,27 +39,29 @@
                               const struct lmn_gateway_job *j)
 {
     GByteArray *buffer = g_byte_array_new();
-    bool final = j->hand.state == LMN_ORIGIN_FINAL, away = *j->hand.site && !final;
+    bool final = j->origin.state == LMN_ORIGIN_FINAL, away = *j->origin.site && !final;
 
     lmn_cbor_put_map(buffer, 10);
-    lmn_cbor_put_text(buffer, WIRE_JOB_ID), lmn_cbor_put_text(buffer, j->ref);
+    lmn_cbor_put_text(buffer, WIRE_JOB_ID), lmn_cbor_put_text(buffer, j->id);
     lmn_cbor_put_text(buffer, WIRE_STATE), lmn_cbor_put_text(buffer, word(j));
     lmn_cbor_put_text(buffer, WIRE_DONE);
-    lmn_cbor_put_uint(buffer, final && j->hand.outcome == LMN_OUTCOME_DONE
+    lmn_cbor_put_uint(buffer, final && j->origin.outcome == LMN_OUTCOME_DONE
                                   ? j->spec.tasks
                                   : j->progress.done);
     lmn_cbor_put_text(buffer, WIRE_RUNNING),
         lmn_cbor_put_uint(buffer, final ? 0 : j->progress.running);
     /* Where it is, and how old that knowledge is. */
     lmn_cbor_put_text(buffer, "Site"),
-        lmn_cbor_put_text(buffer, away ? j->hand.site : gateway->o->site);
+        lmn_cbor_put_text(buffer, away ? j->origin.site : gateway->options->site);
     lmn_cbor_put_text(buffer, "AgeS"),
         lmn_cbor_put_number(buffer,
-                            final ? 0 : lmn_time_diff_s(lmn_now(), j->progress.known));
-    lmn_cbor_put_text(buffer, "Course"), lmn_cbor_put_text(buffer, states[j->hand.state]);
-    lmn_cbor_put_text(buffer, "Epoch"), lmn_cbor_put_uint(buffer, j->hand.epoch);
-    lmn_cbor_put_text(buffer, "Cancel"), lmn_cbor_put_bool(buffer, j->hand.cancel);
-    lmn_cbor_put_text(buffer, "Recall"), lmn_cbor_put_bool(buffer, j->hand.recall);
+                            final ? 0 : lmn_time_diff_s(lmn_now(), j->progress.known_at));
+    lmn_cbor_put_text(buffer, "Course"),
+        lmn_cbor_put_text(buffer, states[j->origin.state]);
+    lmn_cbor_put_text(buffer, "Epoch"), lmn_cbor_put_uint(buffer, j->origin.epoch);
+    lmn_cbor_put_text(buffer, "Cancel"),
+        lmn_cbor_put_bool(buffer, j->origin.cancel_requested);
+    lmn_cbor_put_text(buffer, "Recall"), lmn_cbor_put_bool(buffer, j->origin.is_revoked);
     return buffer;
 }
 
@@ -93,29 +95,29 @@
     /* The record holds it, and little more; what no value can hold would be 503 at each
      * try. */
     if (sane && (double)lmn_cbor_json_size(&d, lmn_cbor_root(&d)) + 600 >
-                    gateway->o->value_kb * 1024) {
+                    gateway->options->max_value_kb * 1024) {
         sane = false;
         what = "too large";
     }
     lmn_cbor_get_number(lmn_cbor_get(&d, lmn_cbor_root(&d), "LeashS"), &leash);
     lmn_cbor_free(&d);
-    for (unsigned i = 0; sane && i < gateway->o->nteams; i++)
-        team = team || !strcmp(gateway->o->teams[i], s.team);
+    for (unsigned i = 0; sane && i < gateway->options->team_count; i++)
+        team = team || !strcmp(gateway->options->teams[i], s.team);
     if (sane && team)
         find_digest(depot, s.id, digest);
-    pthread_mutex_lock(&gateway->book.lock);
+    pthread_mutex_lock(&gateway->records.lock);
     struct lmn_gateway_job *j =
-        *s.id ? lmn_gateway_records_take_job(&gateway->book, s.id) : NULL;
+        *s.id ? lmn_gateway_records_take_job(&gateway->records, s.id) : NULL;
     GByteArray *known = j ? job_answer(gateway, j) : NULL;
     if (j)
-        lmn_gateway_records_release_job(&gateway->book, j);
+        lmn_gateway_records_release_job(&gateway->records, j);
     else if (sane && team)
-        w.job = lmn_gateway_records_new_job(&gateway->book, &s);
+        w.job = lmn_gateway_records_new_job(&gateway->records, &s);
     if (w.job) {
         g_strlcpy(w.job->digest, digest, sizeof w.job->digest);
-        w.job->leash_s = CLAMP(leash, 0, 1e7);
+        w.job->execution_lease_s = CLAMP(leash, 0, 1e7);
     }
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     lmn_job_spec_clear(&s);
     if (known) {
         lmn_http_request_respond(request, 200, known, 0);
@@ -125,15 +127,15 @@
         lmn_http_request_fail(request, sane ? 422 : 400, sane ? "unknown team" : what);
         return;
     }
-    lmn_gateway_records_write(&gateway->book, state, &w, 1);
-    if (!w.ok) {
+    lmn_gateway_records_write(&gateway->records, state, &w, 1);
+    if (!w.is_written) {
         lmn_http_request_respond(request, 503, NULL, 1);
         return;
     }
-    pthread_mutex_lock(&gateway->book.lock);
+    pthread_mutex_lock(&gateway->records.lock);
     gateway->submitted++;
     GByteArray *buffer = job_answer(gateway, w.job);
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     lmn_http_request_respond(request, 201, buffer, 0);
 }
 
@@ -147,20 +149,20 @@
 {
     struct lmn_record_write w = {0};
 
-    pthread_mutex_lock(&gateway->book.lock);
-    w.job = lmn_gateway_records_take_job(&gateway->book, ref);
+    pthread_mutex_lock(&gateway->records.lock);
+    w.job = lmn_gateway_records_take_job(&gateway->records, ref);
     bool known = w.job, change = false;
     if (known) {
-        w.home = w.job->hand;
-        change = (!site || lmn_origin_is_at(&w.home, site)) && transition(&w.home);
+        w.origin = w.job->origin;
+        change = (!site || lmn_origin_is_at(&w.origin, site)) && transition(&w.origin);
         if (!change)
-            lmn_gateway_records_release_job(&gateway->book, w.job);
+            lmn_gateway_records_release_job(&gateway->records, w.job);
     }
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     if (change && transition == lmn_origin_revoke)
-        lmn_info("recall job=%s site=%s", ref, w.home.site);
+        lmn_info("recall job=%s site=%s", ref, w.origin.site);
     if (change)
-        lmn_gateway_records_write(&gateway->book, state, &w, 1);
+        lmn_gateway_records_write(&gateway->records, state, &w, 1);
     return change ? CHANGED : known ? AS_IT_WAS : UNKNOWN;
 }
 
@@ -175,14 +177,14 @@
         lmn_http_request_respond(request, 404, NULL, 0);
         return;
     }
-    pthread_mutex_lock(&gateway->book.lock);
-    const struct lmn_gateway_job *j = g_hash_table_lookup(gateway->book.jobs, ref);
-    bool final = j->hand.state == LMN_ORIGIN_FINAL;
-    const struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(gateway, j->hand.site);
+    pthread_mutex_lock(&gateway->records.lock);
+    const struct lmn_gateway_job *j = g_hash_table_lookup(gateway->records.jobs, ref);
+    bool final = j->origin.state == LMN_ORIGIN_FINAL;
+    const struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(gateway, j->origin.site);
     GByteArray *buffer = final ? job_answer(gateway, j) : NULL;
-    bool reached = !p || p->up;
+    bool reached = !p || p->is_up;
     gateway->cancelled += change == CHANGED;
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     lmn_http_request_respond(request, final ? 200 : 503, buffer,
                              final     ? 0
                              : reached ? 1
@@ -200,16 +202,16 @@
     gpointer x;
     uint64_t n = 0;
 
-    pthread_mutex_lock(&gateway->book.lock);
-    g_hash_table_iter_init(&it, gateway->book.open_jobs);
+    pthread_mutex_lock(&gateway->records.lock);
+    g_hash_table_iter_init(&it, gateway->records.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
         const struct lmn_gateway_job *j = x;
-        struct lmn_origin_record h = j->hand;
+        struct lmn_origin_record h = j->origin;
         /* What is being written may become so. */
-        if (j->busy || ((!site || lmn_origin_is_at(&h, site)) && transition(&h)))
-            g_ptr_array_add(refs, g_strdup(j->ref));
+        if (j->is_taken || ((!site || lmn_origin_is_at(&h, site)) && transition(&h)))
+            g_ptr_array_add(refs, g_strdup(j->id));
     }
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     for (guint i = 0; i < refs->len; i++)
         n += change_job(gateway, state, refs->pdata[i], site, transition) == CHANGED;
     g_ptr_array_free(refs, TRUE);
@@ -245,12 +247,12 @@
         lmn_http_request_respond(request, 404, NULL, 0);
         return;
     }
-    pthread_mutex_lock(&gateway->book.lock);
-    const struct lmn_gateway_job *j = g_hash_table_lookup(gateway->book.jobs, ref);
-    bool ok = j->hand.recall || j->hand.state == LMN_ORIGIN_FINAL,
-         fenced = j->hand.state == LMN_ORIGIN_FENCED;
+    pthread_mutex_lock(&gateway->records.lock);
+    const struct lmn_gateway_job *j = g_hash_table_lookup(gateway->records.jobs, ref);
+    bool ok = j->origin.is_revoked || j->origin.state == LMN_ORIGIN_FINAL,
+         fenced = j->origin.state == LMN_ORIGIN_FENCED;
     GByteArray *buffer = ok && !fenced ? job_answer(gateway, j) : NULL;
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     if (fenced)
         lmn_http_request_fail(request, 409, "fenced: see unfence");
     else
@@ -266,10 +268,10 @@
         lmn_http_request_respond(request, 404, NULL, 0);
         return;
     }
-    lmn_gateway_records_evict(&gateway->book, state, site, out);
-    pthread_mutex_lock(&gateway->book.lock);
-    bool ok = lmn_gateway_records_is_evicted(&gateway->book, site) == out;
-    pthread_mutex_unlock(&gateway->book.lock);
+    lmn_gateway_records_evict(&gateway->records, state, site, out);
+    pthread_mutex_lock(&gateway->records.lock);
+    bool ok = lmn_gateway_records_is_evicted(&gateway->records, site) == out;
+    pthread_mutex_unlock(&gateway->records.lock);
     if (!ok) {
         lmn_http_request_respond(request, 503, NULL, 1);
         return;
@@ -283,15 +285,15 @@
 static void *hand(void *arg)
 {
     struct lmn_gateway *gateway = arg;
-    struct lmn_http_client *state = lmn_http_client_new(gateway->o->state),
-                           *depot = lmn_http_client_new(gateway->o->depot);
+    struct lmn_http_client *state = lmn_http_client_new(gateway->options->state),
+                           *depot = lmn_http_client_new(gateway->options->image_store);
 
     for (;;) {
-        pthread_mutex_lock(&gateway->book.lock);
-        while (!gateway->calls.head)
-            pthread_cond_wait(&gateway->calls_more, &gateway->book.lock);
-        struct lmn_http_request *request = g_queue_pop_head(&gateway->calls);
-        pthread_mutex_unlock(&gateway->book.lock);
+        pthread_mutex_lock(&gateway->records.lock);
+        while (!gateway->requests.head)
+            pthread_cond_wait(&gateway->request_queued, &gateway->records.lock);
+        struct lmn_http_request *request = g_queue_pop_head(&gateway->requests);
+        pthread_mutex_unlock(&gateway->records.lock);
         const char *path = lmn_http_request_path(request);
         if (!strcmp(path, WIRE_PATH_JOBS)) {
             submit(gateway, state, depot, request);
@@ -318,25 +320,25 @@
 static void poll_job(struct lmn_gateway *gateway, struct lmn_http_request *request,
                      const char *ref)
 {
-    pthread_mutex_lock(&gateway->book.lock);
-    const struct lmn_gateway_job *j = g_hash_table_lookup(gateway->book.jobs, ref);
+    pthread_mutex_lock(&gateway->records.lock);
+    const struct lmn_gateway_job *j = g_hash_table_lookup(gateway->records.jobs, ref);
     /* One that is being written for the first time was never told to anybody. */
-    GByteArray *buffer = j && j->rev ? job_answer(gateway, j) : NULL;
-    pthread_mutex_unlock(&gateway->book.lock);
+    GByteArray *buffer = j && j->revision ? job_answer(gateway, j) : NULL;
+    pthread_mutex_unlock(&gateway->records.lock);
     lmn_http_request_respond(request, buffer ? 200 : 404, buffer, 0);
 }
 
 /* Jobs by their course; the lock is held. */
 static void count_courses(const struct lmn_gateway *gateway, uint64_t n[COURSES])
 {
-    const struct lmn_gateway_records *b = &gateway->book;
+    const struct lmn_gateway_records *b = &gateway->records;
     GHashTableIter it;
     gpointer x;
 
     memset(n, 0, COURSES * sizeof *n);
     g_hash_table_iter_init(&it, b->open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x))
-        n[((struct lmn_gateway_job *)x)->hand.state]++;
+        n[((struct lmn_gateway_job *)x)->origin.state]++;
     n[LMN_ORIGIN_FINAL] = g_hash_table_size(b->jobs) - g_hash_table_size(b->open_jobs);
 }
 
@@ -347,17 +349,19 @@
     GHashTableIter it;
     gpointer x;
 
-    pthread_mutex_lock(&gateway->book.lock);
+    pthread_mutex_lock(&gateway->records.lock);
     count_courses(gateway, n);
-    g_hash_table_iter_init(&it, gateway->book.open_guests);
+    g_hash_table_iter_init(&it, gateway->records.open_remote_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
-        bool runs = ((struct lmn_remote_job *)x)->hand.state == LMN_EXECUTION_RUNNING;
+        bool runs =
+            ((struct lmn_remote_job *)x)->execution.state == LMN_EXECUTION_RUNNING;
         guests += runs;
         untold += !runs;
     }
     lmn_cbor_put_map(buffer, 8);
-    lmn_cbor_put_text(buffer, "Site"), lmn_cbor_put_text(buffer, gateway->o->site);
-    lmn_cbor_put_text(buffer, "Gateway"), lmn_cbor_put_text(buffer, gateway->o->name);
+    lmn_cbor_put_text(buffer, "Site"), lmn_cbor_put_text(buffer, gateway->options->site);
+    lmn_cbor_put_text(buffer, "Gateway"),
+        lmn_cbor_put_text(buffer, gateway->options->name);
     lmn_cbor_put_text(buffer, "Jobs"), lmn_cbor_put_map(buffer, COURSES);
     for (int i = 0; i < COURSES; i++)
         lmn_cbor_put_text(buffer, states[i]), lmn_cbor_put_uint(buffer, n[i]);
@@ -368,22 +372,25 @@
     lmn_cbor_put_text(buffer, "HandedCpus"), lmn_cbor_put_number(buffer, cpus);
     lmn_cbor_put_text(buffer, "QueuedCpuS"),
         lmn_cbor_put_number(buffer, lmn_gateway_queued_cpu_s(gateway));
-    lmn_cbor_put_text(buffer, "Peers"), lmn_cbor_put_array(buffer, gateway->o->npeers);
-    for (unsigned i = 0; i < gateway->o->npeers; i++) {
+    lmn_cbor_put_text(buffer, "Peers"),
+        lmn_cbor_put_array(buffer, gateway->options->peer_count);
+    for (unsigned i = 0; i < gateway->options->peer_count; i++) {
         const struct lmn_gateway_peer *p = &gateway->peers[i];
         lmn_cbor_put_map(buffer, 12);
         lmn_cbor_put_text(buffer, "Site"),
-            lmn_cbor_put_text(buffer, gateway->o->peers[i].site);
+            lmn_cbor_put_text(buffer, gateway->options->peers[i].site);
         lmn_cbor_put_text(buffer, "Address"),
-            lmn_cbor_put_text(buffer, gateway->o->addresses[i][0]);
-        lmn_cbor_put_text(buffer, "Up"), lmn_cbor_put_bool(buffer, p->up);
+            lmn_cbor_put_text(buffer, gateway->options->addresses[i][0]);
+        lmn_cbor_put_text(buffer, "Up"), lmn_cbor_put_bool(buffer, p->is_up);
         lmn_cbor_put_text(buffer, "SilentS"),
-            lmn_cbor_put_number(buffer, lmn_time_diff_s(lmn_now(), p->heard));
+            lmn_cbor_put_number(buffer, lmn_time_diff_s(lmn_now(), p->last_contact_at));
         lmn_cbor_put_text(buffer, "Evicted");
-        lmn_cbor_put_bool(buffer, lmn_gateway_records_is_evicted(
-                                      &gateway->book, gateway->o->peers[i].site));
-        lmn_cbor_put_text(buffer, "Alarm"), lmn_cbor_put_bool(buffer, p->alarmed);
-        lmn_cbor_put_text(buffer, "Why"), lmn_cbor_put_text(buffer, p->up ? "" : p->why);
+        lmn_cbor_put_bool(
+            buffer, lmn_gateway_records_is_evicted(&gateway->records,
+                                                   gateway->options->peers[i].site));
+        lmn_cbor_put_text(buffer, "Alarm"), lmn_cbor_put_bool(buffer, p->alarm_raised);
+        lmn_cbor_put_text(buffer, "Why"),
+            lmn_cbor_put_text(buffer, p->is_up ? "" : p->last_failure);
         lmn_cbor_put_text(buffer, "OffersOut"), lmn_cbor_put_uint(buffer, p->offers_out);
         lmn_cbor_put_text(buffer, "OffersIn"), lmn_cbor_put_uint(buffer, p->offers_in);
         lmn_cbor_put_text(buffer, "OutcomesOut"),
@@ -393,7 +400,7 @@
         lmn_cbor_put_text(buffer, "QueuedCpuS"),
             lmn_cbor_put_number(buffer, p->queued_cpu_s);
     }
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     lmn_http_request_respond(request, 200, buffer, 0);
 }
 
@@ -402,7 +409,7 @@
     struct lmn_gateway *gateway = arg;
     uint64_t n[COURSES];
 
-    pthread_mutex_lock(&gateway->book.lock);
+    pthread_mutex_lock(&gateway->records.lock);
     count_courses(gateway, n);
     lmn_metric_head(out, "lemonspar_gateway_jobs", "gauge",
                     "Jobs of this home, by their course");
@@ -411,31 +418,32 @@
                           (double)n[i]);
     lmn_metric_head(out, "lemonspar_gateway_peer_silent_seconds", "gauge",
                     "Since a peer spoke");
-    for (unsigned i = 0; i < gateway->o->npeers; i++)
+    for (unsigned i = 0; i < gateway->options->peer_count; i++)
         lmn_metric_sample(out, "lemonspar_gateway_peer_silent_seconds", "site",
-                          gateway->o->peers[i].site,
-                          lmn_time_diff_s(lmn_now(), gateway->peers[i].heard));
+                          gateway->options->peers[i].site,
+                          lmn_time_diff_s(lmn_now(), gateway->peers[i].last_contact_at));
     lmn_counter(out, "lemonspar_gateway_submitted", "Jobs accepted", gateway->submitted);
     lmn_counter(out, "lemonspar_gateway_cancelled", "Cancellations", gateway->cancelled);
     lmn_counter(out, "lemonspar_gateway_pulls", "Pulls answered", gateway->pulls);
     lmn_counter(out, "lemonspar_gateway_empty_pulls", "Pulls that brought nothing",
                 gateway->empty_pulls);
-    lmn_counter(out, "lemonspar_gateway_writes", "Records written", gateway->book.writes);
+    lmn_counter(out, "lemonspar_gateway_writes", "Records written",
+                gateway->records.writes);
     lmn_counter(out, "lemonspar_gateway_conflicts", "Writes that were not taken",
-                gateway->book.conflicts);
-    pthread_mutex_unlock(&gateway->book.lock);
+                gateway->records.conflicts);
+    pthread_mutex_unlock(&gateway->records.lock);
 }
 
 static void queue_call(struct lmn_gateway *gateway, struct lmn_http_request *request)
 {
-    pthread_mutex_lock(&gateway->book.lock);
-    bool full = gateway->calls.length >= MOST_CALLS;
+    pthread_mutex_lock(&gateway->records.lock);
+    bool full = gateway->requests.length >= MOST_CALLS;
     if (!full) {
         lmn_http_request_defer(request);
-        g_queue_push_tail(&gateway->calls, request);
-        pthread_cond_signal(&gateway->calls_more);
+        g_queue_push_tail(&gateway->requests, request);
+        pthread_cond_signal(&gateway->request_queued);
     }
-    pthread_mutex_unlock(&gateway->book.lock);
+    pthread_mutex_unlock(&gateway->records.lock);
     if (full)
         lmn_http_request_respond(request, 503, NULL, 2);
 }
@@ -468,7 +476,7 @@
 
 int lmn_gateway_http_start(struct lmn_gateway *gateway)
 {
-    const struct lmn_http_server_options o = {.listen = gateway->o->listen,
+    const struct lmn_http_server_options o = {.listen = gateway->options->listen,
                                               .connections = 4096,
                                               .max_body = MAX_BODY,
                                               .patience_s = PATIENCE_S,
@@ -477,6 +485,6 @@
 
     for (int i = 0; i < HANDS; i++)
         lmn_thread(hand, gateway);
-    gateway->server = lmn_http_server_start(&o);
-    return gateway->server ? 0 : -1;
+    gateway->http_server = lmn_http_server_start(&o);
+    return gateway->http_server ? 0 : -1;
 }
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -38,7 +38,7 @@
 static void hear(struct answering *a, const struct lmn_gateway_rpc_item *i,
                  GArray *writes, GArray *heard)
 {
-    struct lmn_gateway_records *b = &a->g->book;
+    struct lmn_gateway_records *b = &a->g->records;
     struct lmn_record_write w = {0};
     bool done = false;
 
@@ -49,25 +49,26 @@
     pthread_mutex_lock(&b->lock);
     w.job = lmn_gateway_records_take_job(b, i->ref);
     if (w.job) {
-        w.home = w.job->hand;
-        bool change = lmn_origin_handle_answer(
-            &w.home, a->site, i->incarnation, i->epoch, (enum lmn_handover_answer)i->word,
-            (enum lmn_handover_outcome)i->outcome, &done);
-        if (w.home.state == LMN_ORIGIN_REMOTE && i->epoch == w.home.epoch) {
+        w.origin = w.job->origin;
+        bool change =
+            lmn_origin_handle_answer(&w.origin, a->site, i->incarnation, i->epoch,
+                                     (enum lmn_handover_answer)i->word,
+                                     (enum lmn_handover_outcome)i->outcome, &done);
+        if (w.origin.state == LMN_ORIGIN_REMOTE && i->epoch == w.origin.epoch) {
             w.job->progress.done =
                 MAX(w.job->progress.done, MIN(i->done, w.job->spec.tasks));
             w.job->progress.running = i->running;
-            w.job->progress.known = lmn_now();
+            w.job->progress.known_at = lmn_now();
         }
-        if (w.home.state == LMN_ORIGIN_FENCED && change)
+        if (w.origin.state == LMN_ORIGIN_FENCED && change)
             lmn_error("job-fenced job=%s site=%s why=\"that site was restored\"", i->ref,
                       a->site);
         if (change)
             g_array_append_val(writes, w);
         else
             lmn_gateway_records_release_job(b, w.job);
-        if (done && (!change || w.home.state == LMN_ORIGIN_FINAL ||
-                     w.home.state == LMN_ORIGIN_QUEUED)) {
+        if (done && (!change || w.origin.state == LMN_ORIGIN_FINAL ||
+                     w.origin.state == LMN_ORIGIN_QUEUED)) {
             struct lmn_gateway_rpc_item *h = lmn_gateway_item_append(heard);
             *h = *i;
             h->ref = g_strdup(i->ref);
@@ -88,8 +89,9 @@
         .cpus = lmn_job_spec_total_cpus(spec),
         .work_s = lmn_job_spec_total_cpus(spec) * run,
         .run_s = run,
-        .slack_s =
-            spec->deadline_s >= 0 ? j->at + spec->deadline_s - run - wall : INFINITY,
+        .slack_s = spec->deadline_s >= 0
+                       ? j->accepted_at_s + spec->deadline_s - run - wall
+                       : INFINITY,
         /* A hand-over takes some messages; an image comes by no less than a gigabyte in
            two seconds. */
         .fetch_s = 0.5 + 2 * spec->image_gb,
@@ -101,7 +103,7 @@
                           GArray *writes)
 {
     struct lmn_gateway *gateway = a->g;
-    struct lmn_gateway_records *b = &gateway->book;
+    struct lmn_gateway_records *b = &gateway->records;
     struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(gateway, a->site);
     GHashTableIter it;
     gpointer x;
@@ -111,7 +113,8 @@
     g_hash_table_iter_init(&it, b->open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
         const struct lmn_gateway_job *j = x;
-        transit += j->hand.state == LMN_ORIGIN_OFFERED && !strcmp(j->hand.site, a->site);
+        transit +=
+            j->origin.state == LMN_ORIGIN_OFFERED && !strcmp(j->origin.site, a->site);
     }
     GPtrArray *v = lmn_gateway_waiting_jobs(gateway);
     struct lmn_route_job *jobs = g_new(struct lmn_route_job, v->len + 1);
@@ -121,22 +124,24 @@
     double cpus, work_s;
     lmn_gateway_local_load(gateway, &cpus, &work_s);
     const struct lmn_route_for_origin home = {
-        gateway->o->cpus, cpus, gateway->o->feed_s * gateway->o->cpus - work_s,
-        gateway->o->share};
+        gateway->options->cpus, cpus,
+        gateway->options->local_work_s * gateway->options->cpus - work_s,
+        gateway->options->share};
     unsigned most = MIN(q->most, LMN_GATEWAY_RPC_MAX_OFFERS);
-    most =
-        MIN(most,
-            gateway->o->most_transit > transit ? gateway->o->most_transit - transit : 0);
-    if (!gateway->fenced && p->incarnation && !lmn_gateway_records_is_evicted(b, a->site))
+    most = MIN(most, gateway->options->max_offers_in_flight > transit
+                         ? gateway->options->max_offers_in_flight - transit
+                         : 0);
+    if (!gateway->is_fenced && p->incarnation &&
+        !lmn_gateway_records_is_evicted(b, a->site))
         n = lmn_route_choose(jobs, v->len, &home, q->room_cpus, most, picks);
     for (unsigned i = 0; i < n; i++) {
         struct lmn_gateway_job *j = v->pdata[picks[i]];
-        struct lmn_record_write w = {.job = j, .home = j->hand};
-        if (!lmn_origin_offer(&w.home, a->site, p->incarnation,
-                              gateway->o->most_transfers))
+        struct lmn_record_write w = {.job = j, .origin = j->origin};
+        if (!lmn_origin_offer(&w.origin, a->site, p->incarnation,
+                              gateway->options->max_transfers))
             continue;
-        j->busy = true;
-        j->offered = lmn_now();
+        j->is_taken = true;
+        j->offered_at = lmn_now();
         p->offers_out++;
         g_array_append_val(writes, w);
     }
@@ -151,26 +156,27 @@
     GHashTableIter it;
     gpointer x;
 
-    pthread_mutex_lock(&a->g->book.lock);
-    g_hash_table_iter_init(&it, a->g->book.open_jobs);
+    pthread_mutex_lock(&a->g->records.lock);
+    g_hash_table_iter_init(&it, a->g->records.open_jobs);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
         const struct lmn_gateway_job *j = x;
-        bool offered = j->hand.state == LMN_ORIGIN_OFFERED, away = !offered;
-        if (!lmn_origin_is_at(&j->hand, a->site))
+        bool offered = j->origin.state == LMN_ORIGIN_OFFERED, away = !offered;
+        if (!lmn_origin_is_at(&j->origin, a->site))
             continue;
-        GArray *to = offered && lmn_time_diff_s(lmn_now(), j->offered) > RESOLVE_S
-                         ? resolve
-                     : away && (j->hand.cancel || j->hand.recall) ? cancel
-                                                                  : NULL;
+        GArray *to =
+            offered && lmn_time_diff_s(lmn_now(), j->offered_at) > RESOLVE_S ? resolve
+            : away && (j->origin.cancel_requested || j->origin.is_revoked)   ? cancel
+                                                                             : NULL;
         if (!to || to->len >= LMN_GATEWAY_RPC_MAX_ITEMS)
             continue;
         struct lmn_gateway_rpc_item *i = lmn_gateway_item_append(to);
-        i->ref = g_strdup(j->ref);
-        i->epoch = j->hand.epoch;
-        i->incarnation = j->hand.incarnation;
-        i->outcome = j->hand.cancel ? LMN_OUTCOME_CANCELLED : LMN_OUTCOME_RETURNED;
+        i->ref = g_strdup(j->id);
+        i->epoch = j->origin.epoch;
+        i->incarnation = j->origin.incarnation;
+        i->outcome =
+            j->origin.cancel_requested ? LMN_OUTCOME_CANCELLED : LMN_OUTCOME_RETURNED;
     }
-    pthread_mutex_unlock(&a->g->book.lock);
+    pthread_mutex_unlock(&a->g->records.lock);
 }
 
 static void answer_sync(struct answering *a, const lmn_gateway_rpc_sync *q,
@@ -184,7 +190,7 @@
 
     for (u_int i = 0; i < q->says.says_len; i++)
         hear(a, &q->says.says_val[i], writes, heard);
-    lmn_gateway_records_write(&a->g->book, a->state,
+    lmn_gateway_records_write(&a->g->records, a->state,
                               (struct lmn_record_write *)(void *)writes->data,
                               writes->len);
     for (guint i = heard->len; i-- > 0;) {
@@ -192,7 +198,7 @@
             &g_array_index(heard, struct lmn_gateway_rpc_item, i);
         u_int at = h->running;
         h->running = 0;
-        if (at && !g_array_index(writes, struct lmn_record_write, at - 1).ok) {
+        if (at && !g_array_index(writes, struct lmn_record_write, at - 1).is_written) {
             g_free(h->ref);
             g_array_remove_index_fast(heard, i);
         }
@@ -200,7 +206,7 @@
     g_array_set_size(writes, 0);
     if (q->most)
         choose_offers(a, q, writes);
-    lmn_gateway_records_write(&a->g->book, a->state,
+    lmn_gateway_records_write(&a->g->records, a->state,
                               (struct lmn_record_write *)(void *)writes->data,
                               writes->len);
     remind(a, resolve, cancel);
@@ -210,26 +216,26 @@
         const struct lmn_record_write *w =
             &g_array_index(writes, struct lmn_record_write, i);
         struct lmn_gateway_rpc_offer *o = &y->offers.offers_val[y->offers.offers_len];
-        if (!w->ok || !w->job)
+        if (!w->is_written || !w->job)
             continue;
         GByteArray *buffer = g_byte_array_new();
         lmn_cbor_put_map(buffer, lmn_job_spec_pair_count());
         lmn_job_spec_write(buffer, &w->job->spec);
-        o->ref = g_strdup(w->job->ref);
-        o->epoch = w->home.epoch;
-        o->incarnation = w->home.incarnation;
+        o->ref = g_strdup(w->job->id);
+        o->epoch = w->origin.epoch;
+        o->incarnation = w->origin.incarnation;
         o->spec.spec_len = buffer->len;
         o->spec.spec_val = (char *)g_byte_array_free(buffer, FALSE);
         o->digest = g_strdup(w->job->digest);
-        o->leash_s = w->job->leash_s;
+        o->leash_s = w->job->execution_lease_s;
         y->offers.offers_len++;
     }
-    pthread_mutex_lock(&a->g->book.lock);
+    pthread_mutex_lock(&a->g->records.lock);
     struct lmn_gateway_peer *p = lmn_gateway_peer_by_site(a->g, a->site);
-    p->heard = lmn_now();
+    p->last_contact_at = lmn_now();
     p->outcomes_in += heard->len;
-    y->queued_cpu_s = a->g->fenced ? 0 : lmn_gateway_queued_cpu_s(a->g);
-    pthread_mutex_unlock(&a->g->book.lock);
+    y->queued_cpu_s = a->g->is_fenced ? 0 : lmn_gateway_queued_cpu_s(a->g);
+    pthread_mutex_unlock(&a->g->records.lock);
     y->heard.heard_len = heard->len;
     y->heard.heard_val =
         (struct lmn_gateway_rpc_item *)(void *)g_array_free(heard, FALSE);
@@ -268,13 +274,13 @@
     gpointer x;
     bool may = false;
 
-    pthread_mutex_lock(&a->g->book.lock);
-    g_hash_table_iter_init(&it, a->g->book.jobs);
+    pthread_mutex_lock(&a->g->records.lock);
+    g_hash_table_iter_init(&it, a->g->records.jobs);
     while (!may && g_hash_table_iter_next(&it, NULL, &x)) {
         const struct lmn_gateway_job *j = x;
-        may = !strcmp(j->digest, digest) && !strcmp(j->hand.site, a->site);
+        may = !strcmp(j->digest, digest) && !strcmp(j->origin.site, a->site);
     }
-    pthread_mutex_unlock(&a->g->book.lock);
+    pthread_mutex_unlock(&a->g->records.lock);
     return may;
 }
 
@@ -325,9 +331,9 @@
         return rc;
     case LMN_GATEWAY_RPC_LOAD:
         r.kind = LMN_GATEWAY_RPC_LOAD;
-        pthread_mutex_lock(&a->g->book.lock);
+        pthread_mutex_lock(&a->g->records.lock);
         r.lmn_gateway_rpc_response_u.queued_cpu_s = lmn_gateway_queued_cpu_s(a->g);
-        pthread_mutex_unlock(&a->g->book.lock);
+        pthread_mutex_unlock(&a->g->records.lock);
         return lmn_peer_connection_send_response(a->link, &r);
     case LMN_GATEWAY_RPC_BLOB:
         return answer_blob(a, q->lmn_gateway_rpc_request_u.digest);
@@ -349,14 +355,14 @@
 
     /* Longer than a peer's silence between two syncs. */
     a.link = lmn_peer_connection_accept(
-        c->g->tls, c->fd, MAX(LMN_PEER_MESSAGE_TIMEOUT_S, 3 * c->g->o->sync_s), err,
+        c->g->tls, c->fd, MAX(LMN_PEER_MESSAGE_TIMEOUT_S, 3 * c->g->options->sync_s), err,
         sizeof err);
     if (!a.link) {
         lmn_info("link-refused why=\"%s\"", err);
     } else {
         a.site = lmn_peer_connection_site(a.link);
-        a.state = lmn_http_client_new(c->g->o->state);
-        a.depot = lmn_http_client_new(c->g->o->depot);
+        a.state = lmn_http_client_new(c->g->options->state);
+        a.depot = lmn_http_client_new(c->g->options->image_store);
         while (lmn_peer_connection_read_request(a.link, &q) == 0) {
             int rc = answer_one(&a, &q, &greeted);
             xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_request, (char *)&q);
@@ -383,7 +389,8 @@
             continue;
         }
         /* A bound on what strangers, and peers that dial again and again, can take. */
-        if (g_atomic_int_add(&links, 1) >= MAX_LINKS + 2 * (int)l->g->o->npeers) {
+        if (g_atomic_int_add(&links, 1) >=
+            MAX_LINKS + 2 * (int)l->g->options->peer_count) {
             g_atomic_int_add(&links, -1);
             close(fd);
             continue;
@@ -404,13 +411,13 @@
 
     l->g = gateway;
     l->fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    lmn_address_split(gateway->o->link_listen, host, sizeof host, &port);
+    lmn_address_split(gateway->options->link_listen, host, sizeof host, &port);
     a.sin_port = htons((uint16_t)port);
     inet_pton(AF_INET, host, &a.sin_addr);
     setsockopt(l->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     if (l->fd < 0 || bind(l->fd, (struct sockaddr *)&a, sizeof a) != 0 ||
         listen(l->fd, 64) != 0) {
-        g_snprintf(err, len, "%s: can't listen: %s", gateway->o->link_listen,
+        g_snprintf(err, len, "%s: can't listen: %s", gateway->options->link_listen,
                    g_strerror(errno));
         return -1;
     }
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -47,15 +47,16 @@
         lmn_cbor_put_map(buffer, lmn_job_spec_pair_count()),
         lmn_job_spec_write(buffer, &j->spec);
     lmn_cbor_put_text(buffer, "digest"), lmn_cbor_put_text(buffer, j->digest);
-    lmn_cbor_put_text(buffer, "at"), lmn_cbor_put_number(buffer, j->at);
-    lmn_cbor_put_text(buffer, "leash"), lmn_cbor_put_number(buffer, j->leash_s);
+    lmn_cbor_put_text(buffer, "at"), lmn_cbor_put_number(buffer, j->accepted_at_s);
+    lmn_cbor_put_text(buffer, "leash"), lmn_cbor_put_number(buffer, j->execution_lease_s);
     lmn_cbor_put_text(buffer, "state"), lmn_cbor_put_uint(buffer, h->state);
     lmn_cbor_put_text(buffer, "epoch"), lmn_cbor_put_uint(buffer, h->epoch);
     lmn_cbor_put_text(buffer, "site"), lmn_cbor_put_text(buffer, h->site);
     lmn_cbor_put_text(buffer, "incarnation"), lmn_cbor_put_uint(buffer, h->incarnation);
     lmn_cbor_put_text(buffer, "outcome"),
-        lmn_cbor_put_uint(buffer, (uint64_t)h->outcome | (uint64_t)h->cancel << 8 |
-                                      (uint64_t)h->recall << 9);
+        lmn_cbor_put_uint(buffer, (uint64_t)h->outcome |
+                                      (uint64_t)h->cancel_requested << 8 |
+                                      (uint64_t)h->is_revoked << 9);
     lmn_cbor_put_text(buffer, "transfers"), lmn_cbor_put_uint(buffer, h->transfers);
     return buffer;
 }
@@ -70,13 +71,13 @@
         lmn_cbor_put_map(buffer, lmn_job_spec_pair_count()),
         lmn_job_spec_write(buffer, &g->spec);
     lmn_cbor_put_text(buffer, "digest"), lmn_cbor_put_text(buffer, g->digest);
-    lmn_cbor_put_text(buffer, "leash"), lmn_cbor_put_number(buffer, g->leash_s);
+    lmn_cbor_put_text(buffer, "leash"), lmn_cbor_put_number(buffer, g->execution_lease_s);
     lmn_cbor_put_text(buffer, "state"), lmn_cbor_put_uint(buffer, f->state);
     lmn_cbor_put_text(buffer, "epoch"), lmn_cbor_put_uint(buffer, f->epoch);
-    lmn_cbor_put_text(buffer, "floor"), lmn_cbor_put_uint(buffer, f->floor);
+    lmn_cbor_put_text(buffer, "floor"), lmn_cbor_put_uint(buffer, f->min_epoch);
     lmn_cbor_put_text(buffer, "outcome");
-    lmn_cbor_put_uint(buffer, (uint64_t)f->outcome | (uint64_t)f->cancel << 8 |
-                                  (uint64_t)f->heard << 9);
+    lmn_cbor_put_uint(buffer, (uint64_t)f->outcome | (uint64_t)f->cancel_requested << 8 |
+                                  (uint64_t)f->is_acknowledged << 9);
     return buffer;
 }
 
@@ -91,19 +92,19 @@
 /* Puts a record among those that are open, or takes it out. */
 static void sort_job(struct lmn_gateway_records *b, struct lmn_gateway_job *j)
 {
-    if (j->hand.state != LMN_ORIGIN_FINAL)
-        g_hash_table_insert(b->open_jobs, j->ref, j);
+    if (j->origin.state != LMN_ORIGIN_FINAL)
+        g_hash_table_insert(b->open_jobs, j->id, j);
     else
-        g_hash_table_remove(b->open_jobs, j->ref);
+        g_hash_table_remove(b->open_jobs, j->id);
 }
 
 static void sort_guest(struct lmn_gateway_records *b, struct lmn_remote_job *g)
 {
-    if (g->hand.state == LMN_EXECUTION_RUNNING ||
-        (g->hand.state == LMN_EXECUTION_FINISHED && !g->hand.heard))
-        g_hash_table_insert(b->open_guests, g->key, g);
+    if (g->execution.state == LMN_EXECUTION_RUNNING ||
+        (g->execution.state == LMN_EXECUTION_FINISHED && !g->execution.is_acknowledged))
+        g_hash_table_insert(b->open_remote_jobs, g->key, g);
     else
-        g_hash_table_remove(b->open_guests, g->key);
+        g_hash_table_remove(b->open_remote_jobs, g->key);
 }
 
 static void read_job(struct lmn_gateway_records *b, const char *ref,
@@ -114,7 +115,7 @@
     uint64_t outcome = count_of(document, value, "outcome");
     const char *what;
 
-    g_strlcpy(j->ref, ref, sizeof j->ref);
+    g_strlcpy(j->id, ref, sizeof j->id);
     if (lmn_job_spec_parse(&j->spec, document, lmn_cbor_get(document, value, "spec"),
                            &what) != 0) {
         lmn_error("unreadable-record key=g/j/%s field=%s", ref, what);
@@ -123,19 +124,19 @@
     }
     lmn_cbor_get_text(lmn_cbor_get(document, value, "digest"), j->digest,
                       sizeof j->digest);
-    lmn_cbor_get_number(lmn_cbor_get(document, value, "at"), &j->at);
-    lmn_cbor_get_number(lmn_cbor_get(document, value, "leash"), &j->leash_s);
-    j->hand.state = (enum lmn_origin_state)count_of(document, value, "state");
-    j->hand.epoch = count_of(document, value, "epoch");
-    lmn_cbor_get_text(lmn_cbor_get(document, value, "site"), j->hand.site,
-                      sizeof j->hand.site);
-    j->hand.incarnation = count_of(document, value, "incarnation");
-    j->hand.outcome = (enum lmn_handover_outcome)(outcome & 0xff);
-    j->hand.cancel = outcome >> 8 & 1;
-    j->hand.recall = outcome >> 9 & 1;
-    j->hand.transfers = (uint32_t)count_of(document, value, "transfers");
-    j->rev = revision;
-    g_hash_table_insert(b->jobs, j->ref, j);
+    lmn_cbor_get_number(lmn_cbor_get(document, value, "at"), &j->accepted_at_s);
+    lmn_cbor_get_number(lmn_cbor_get(document, value, "leash"), &j->execution_lease_s);
+    j->origin.state = (enum lmn_origin_state)count_of(document, value, "state");
+    j->origin.epoch = count_of(document, value, "epoch");
+    lmn_cbor_get_text(lmn_cbor_get(document, value, "site"), j->origin.site,
+                      sizeof j->origin.site);
+    j->origin.incarnation = count_of(document, value, "incarnation");
+    j->origin.outcome = (enum lmn_handover_outcome)(outcome & 0xff);
+    j->origin.cancel_requested = outcome >> 8 & 1;
+    j->origin.is_revoked = outcome >> 9 & 1;
+    j->origin.transfers = (uint32_t)count_of(document, value, "transfers");
+    j->revision = revision;
+    g_hash_table_insert(b->jobs, j->id, j);
     sort_job(b, j);
 }
 
@@ -147,7 +148,7 @@
     uint64_t outcome = count_of(document, value, "outcome");
     const char *what, *slash = strchr(key, '/');
 
-    if (!slash || (size_t)(slash - key) >= sizeof g->home ||
+    if (!slash || (size_t)(slash - key) >= sizeof g->origin_site ||
         lmn_job_spec_parse(&g->spec, document, lmn_cbor_get(document, value, "spec"),
                            &what) != 0) {
         lmn_error("unreadable-record key=g/f/%s", key);
@@ -155,20 +156,20 @@
         return;
     }
     g->key = g_strdup(key);
-    g_strlcpy(g->home, key, (gsize)(slash - key) + 1);
-    g_strlcpy(g->ref, slash + 1, sizeof g->ref);
+    g_strlcpy(g->origin_site, key, (gsize)(slash - key) + 1);
+    g_strlcpy(g->id, slash + 1, sizeof g->id);
     lmn_cbor_get_text(lmn_cbor_get(document, value, "digest"), g->digest,
                       sizeof g->digest);
-    lmn_cbor_get_number(lmn_cbor_get(document, value, "leash"), &g->leash_s);
-    g->hand.state = (enum lmn_execution_state)count_of(document, value, "state");
-    g->hand.epoch = count_of(document, value, "epoch");
-    g->hand.floor = count_of(document, value, "floor");
-    g->hand.outcome = (enum lmn_handover_outcome)(outcome & 0xff);
-    g->hand.cancel = outcome >> 8 & 1;
-    g->hand.heard = outcome >> 9 & 1;
-    g->rev = revision;
-    lmn_remote_job_local_id(g->home, g->ref, g->hand.epoch, g->local);
-    g_hash_table_insert(b->guests, g->key, g);
+    lmn_cbor_get_number(lmn_cbor_get(document, value, "leash"), &g->execution_lease_s);
+    g->execution.state = (enum lmn_execution_state)count_of(document, value, "state");
+    g->execution.epoch = count_of(document, value, "epoch");
+    g->execution.min_epoch = count_of(document, value, "floor");
+    g->execution.outcome = (enum lmn_handover_outcome)(outcome & 0xff);
+    g->execution.cancel_requested = outcome >> 8 & 1;
+    g->execution.is_acknowledged = outcome >> 9 & 1;
+    g->revision = revision;
+    lmn_remote_job_local_id(g->origin_site, g->id, g->execution.epoch, g->local_id);
+    g_hash_table_insert(b->remote_jobs, g->key, g);
     sort_guest(b, g);
 }
 
@@ -214,7 +215,7 @@
 static void *keep_lease(void *arg)
 {
     struct lmn_gateway_records *b = arg;
-    struct lmn_http_client *client = lmn_http_client_new(b->state);
+    struct lmn_http_client *client = lmn_http_client_new(b->state_address);
     GByteArray *in = g_byte_array_new();
     char path[64];
 
@@ -297,7 +298,7 @@
 
     lmn_cbor_put_map(q, 2);
     lmn_cbor_put_text(q, WIRE_CONDITIONS), lmn_cbor_put_array(q, 2);
-    put_cond(q, "g/lead", b->lead_rev), put_cond(q, "g/i", revision);
+    put_cond(q, "g/lead", b->lead_revision), put_cond(q, "g/i", revision);
     lmn_cbor_put_text(q, WIRE_OPERATIONS), lmn_cbor_put_array(q, 1),
         lmn_cbor_put_map(q, 2);
     lmn_cbor_put_text(q, WIRE_PUT), lmn_cbor_put_text(q, "g/i");
@@ -314,22 +315,22 @@
     uint64_t revision, was;
 
     memset(b, 0, sizeof *b);
-    g_strlcpy(b->state, state, sizeof b->state);
-    b->txn_ops = txn_ops;
+    g_strlcpy(b->state_address, state, sizeof b->state_address);
+    b->max_txn_operations = txn_ops;
     pthread_mutex_init(&b->lock, NULL);
-    lmn_cond_init(&b->idle);
+    lmn_cond_init(&b->record_released);
     b->jobs = g_hash_table_new(g_str_hash, g_str_equal);
-    b->guests = g_hash_table_new(g_str_hash, g_str_equal);
+    b->remote_jobs = g_hash_table_new(g_str_hash, g_str_equal);
     b->open_jobs = g_hash_table_new(g_str_hash, g_str_equal);
-    b->open_guests = g_hash_table_new(g_str_hash, g_str_equal);
+    b->open_remote_jobs = g_hash_table_new(g_str_hash, g_str_equal);
     b->evicted = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    while (!b->lead_rev) {
+    while (!b->lead_revision) {
         b->lease = new_lease(client, in);
         struct timespec begun = lmn_now();
-        while (b->lease && !b->lead_rev &&
+        while (b->lease && !b->lead_revision &&
                lmn_time_diff_s(lmn_now(), begun) < TTL_S / 2) {
-            b->lead_rev = try_lead(client, gateway, b->lease, in);
-            if (!b->lead_rev)
+            b->lead_revision = try_lead(client, gateway, b->lease, in);
+            if (!b->lead_revision)
                 lmn_sleep(0.3);
         }
     }
@@ -341,7 +342,7 @@
     if (!revision)
         note_incarnation(b, client, revision, in);
     lmn_info("lead gateway=%s jobs=%u guests=%u restored=%d", gateway,
-             g_hash_table_size(b->jobs), g_hash_table_size(b->guests), *restored);
+             g_hash_table_size(b->jobs), g_hash_table_size(b->remote_jobs), *restored);
     lmn_http_client_free(client);
     g_byte_array_unref(in);
 }
@@ -353,10 +354,10 @@
 {
     struct lmn_gateway_job *j;
 
-    while ((j = g_hash_table_lookup(b->jobs, ref)) && j->busy)
-        pthread_cond_wait(&b->idle, &b->lock);
+    while ((j = g_hash_table_lookup(b->jobs, ref)) && j->is_taken)
+        pthread_cond_wait(&b->record_released, &b->lock);
     if (j)
-        j->busy = true;
+        j->is_taken = true;
     return j;
 }
 
@@ -368,10 +369,10 @@
     struct lmn_remote_job *g;
 
     g_snprintf(key, sizeof key, "%s/%s", home, ref);
-    while ((g = g_hash_table_lookup(b->guests, key)) && g->busy)
-        pthread_cond_wait(&b->idle, &b->lock);
+    while ((g = g_hash_table_lookup(b->remote_jobs, key)) && g->is_taken)
+        pthread_cond_wait(&b->record_released, &b->lock);
     if (g)
-        g->busy = true;
+        g->is_taken = true;
     return g;
 }
 
@@ -391,12 +392,12 @@
     if (g_hash_table_contains(b->jobs, spec->id))
         return NULL;
     struct lmn_gateway_job *j = g_new0(struct lmn_gateway_job, 1);
-    g_strlcpy(j->ref, spec->id, sizeof j->ref);
+    g_strlcpy(j->id, spec->id, sizeof j->id);
     copy_spec(&j->spec, spec);
-    j->busy = true;
-    j->at = lmn_time_seconds(lmn_wall_clock_now());
-    j->progress.known = lmn_now();
-    g_hash_table_insert(b->jobs, j->ref, j);
+    j->is_taken = true;
+    j->accepted_at_s = lmn_time_seconds(lmn_wall_clock_now());
+    j->progress.known_at = lmn_now();
+    g_hash_table_insert(b->jobs, j->id, j);
     sort_job(b, j);
     return j;
 }
@@ -409,31 +410,31 @@
 
     g->key = g_strdup_printf("%s/%s", home, ref);
     /* A bound on what other sites can make this one remember. */
-    if (g_hash_table_size(b->guests) >= MOST_GUESTS ||
-        g_hash_table_contains(b->guests, g->key)) {
+    if (g_hash_table_size(b->remote_jobs) >= MOST_GUESTS ||
+        g_hash_table_contains(b->remote_jobs, g->key)) {
         g_free(g->key);
         g_free(g);
         return NULL;
     }
-    g_strlcpy(g->home, home, sizeof g->home);
-    g_strlcpy(g->ref, ref, sizeof g->ref);
-    g->busy = true;
-    g_hash_table_insert(b->guests, g->key, g);
+    g_strlcpy(g->origin_site, home, sizeof g->origin_site);
+    g_strlcpy(g->id, ref, sizeof g->id);
+    g->is_taken = true;
+    g_hash_table_insert(b->remote_jobs, g->key, g);
     return g;
 }
 
 void lmn_gateway_records_release_job(struct lmn_gateway_records *b,
                                      struct lmn_gateway_job *j)
 {
-    j->busy = false;
-    pthread_cond_broadcast(&b->idle);
+    j->is_taken = false;
+    pthread_cond_broadcast(&b->record_released);
 }
 
 void lmn_gateway_records_release_remote_job(struct lmn_gateway_records *b,
                                             struct lmn_remote_job *g)
 {
-    g->busy = false;
-    pthread_cond_broadcast(&b->idle);
+    g->is_taken = false;
+    pthread_cond_broadcast(&b->record_released);
 }
 
 void lmn_remote_job_local_id(const char *home, const char *ref, uint64_t epoch,
@@ -455,13 +456,14 @@
 
 static char *key_of(const struct lmn_record_write *w)
 {
-    return w->job ? g_strdup_printf("g/j/%s", w->job->ref)
-                  : g_strdup_printf("g/f/%s", w->guest->key);
+    return w->job ? g_strdup_printf("g/j/%s", w->job->id)
+                  : g_strdup_printf("g/f/%s", w->remote_job->key);
 }
 
 static GByteArray *value_of(const struct lmn_record_write *w)
 {
-    return w->job ? job_record(w->job, &w->home) : guest_record(w->guest, &w->host);
+    return w->job ? job_record(w->job, &w->origin)
+                  : guest_record(w->remote_job, &w->execution);
 }
 
 /* One transaction of them; the status. */
@@ -474,10 +476,10 @@
 
     lmn_cbor_put_map(q, 2);
     lmn_cbor_put_text(q, WIRE_CONDITIONS), lmn_cbor_put_array(q, n + 1);
-    put_cond(q, "g/lead", b->lead_rev);
+    put_cond(q, "g/lead", b->lead_revision);
     for (unsigned i = 0; i < n; i++) {
         char *key = key_of(&w[i]);
-        put_cond(q, key, w[i].job ? w[i].job->rev : w[i].guest->rev);
+        put_cond(q, key, w[i].job ? w[i].job->revision : w[i].remote_job->revision);
         g_free(key);
     }
     lmn_cbor_put_text(q, WIRE_OPERATIONS), lmn_cbor_put_array(q, n);
@@ -529,44 +531,44 @@
 static void install(struct lmn_gateway_records *b, struct lmn_record_write *w,
                     uint64_t revision)
 {
-    w->ok = true;
+    w->is_written = true;
     if (w->job) {
-        w->job->hand = w->home;
+        w->job->origin = w->origin;
         sort_job(b, w->job);
-        w->job->rev = revision;
+        w->job->revision = revision;
     } else {
-        if (w->host.epoch != w->guest->hand.epoch) {
-            w->guest->handed = w->guest->leashed = false;
-            w->guest->progress = (struct lmn_progress){0};
+        if (w->execution.epoch != w->remote_job->execution.epoch) {
+            w->remote_job->is_submitted_locally = w->remote_job->is_being_stopped = false;
+            w->remote_job->progress = (struct lmn_progress){0};
         }
-        w->guest->hand = w->host;
-        sort_guest(b, w->guest);
-        w->guest->rev = revision;
-        lmn_remote_job_local_id(w->guest->home, w->guest->ref, w->host.epoch,
-                                w->guest->local);
+        w->remote_job->execution = w->execution;
+        sort_guest(b, w->remote_job);
+        w->remote_job->revision = revision;
+        lmn_remote_job_local_id(w->remote_job->origin_site, w->remote_job->id,
+                                w->execution.epoch, w->remote_job->local_id);
     }
     b->writes++;
 }
 
 static void put_back(struct lmn_gateway_records *b, struct lmn_record_write *w)
 {
-    if (w->job && !w->job->rev) {
-        g_hash_table_remove(b->jobs, w->job->ref);
-        g_hash_table_remove(b->open_jobs, w->job->ref);
+    if (w->job && !w->job->revision) {
+        g_hash_table_remove(b->jobs, w->job->id);
+        g_hash_table_remove(b->open_jobs, w->job->id);
         lmn_job_spec_clear(&w->job->spec);
         g_clear_pointer(&w->job, g_free);
-        pthread_cond_broadcast(&b->idle);
-    } else if (w->guest && !w->guest->rev) {
-        g_hash_table_remove(b->guests, w->guest->key);
-        g_hash_table_remove(b->open_guests, w->guest->key);
-        lmn_job_spec_clear(&w->guest->spec);
-        g_free(w->guest->key);
-        g_clear_pointer(&w->guest, g_free);
-        pthread_cond_broadcast(&b->idle);
+        pthread_cond_broadcast(&b->record_released);
+    } else if (w->remote_job && !w->remote_job->revision) {
+        g_hash_table_remove(b->remote_jobs, w->remote_job->key);
+        g_hash_table_remove(b->open_remote_jobs, w->remote_job->key);
+        lmn_job_spec_clear(&w->remote_job->spec);
+        g_free(w->remote_job->key);
+        g_clear_pointer(&w->remote_job, g_free);
+        pthread_cond_broadcast(&b->record_released);
     } else if (w->job) {
         lmn_gateway_records_release_job(b, w->job);
     } else {
-        lmn_gateway_records_release_remote_job(b, w->guest);
+        lmn_gateway_records_release_remote_job(b, w->remote_job);
     }
 }
 
@@ -579,7 +581,7 @@
     for (unsigned at = 0; at < n;) {
         /* Descriptions may be long: what goes together stays well below a transaction's
          * size. */
-        unsigned k = MIN(n - at, (unsigned)MIN(b->txn_ops, 24));
+        unsigned k = MIN(n - at, (unsigned)MIN(b->max_txn_operations, 24));
         uint64_t revision = 0;
         int status = send(b, client, w + at, k, &revision, in);
         for (unsigned i = 0; i < k; i++) {
@@ -613,7 +615,7 @@
 
     lmn_cbor_put_map(q, 2);
     lmn_cbor_put_text(q, WIRE_CONDITIONS), lmn_cbor_put_array(q, 1),
-        put_cond(q, "g/lead", b->lead_rev);
+        put_cond(q, "g/lead", b->lead_revision);
     lmn_cbor_put_text(q, WIRE_OPERATIONS), lmn_cbor_put_array(q, 1),
         lmn_cbor_put_map(q, out ? 2 : 1);
     lmn_cbor_put_text(q, out ? WIRE_PUT : WIRE_DELETE), lmn_cbor_put_text(q, key);
--- a/src/gateway/records.h
+++ b/src/gateway/records.h
@@ -21,49 +21,50 @@
 /* What is known of a job's course, for display. */
 struct lmn_progress {
     uint32_t done, running;
-    struct timespec known; /* as of when */
+    struct timespec known_at; /* as of when */
 };
 
 struct lmn_gateway_job {
-    char ref[LMN_JOB_ID_SIZE];
-    struct lmn_origin_record hand;
+    char id[LMN_JOB_ID_SIZE];
+    struct lmn_origin_record origin;
     struct lmn_job_spec spec;
-    char digest[65]; /* of what its tasks run; empty: none */
-    double at;       /* time of day of its acceptance */
-    double leash_s;  /* 0: none */
-    uint64_t rev;
-    bool busy, handed; /* the own controllers have it */
+    char digest[65];          /* of what its tasks run; empty: none */
+    double accepted_at_s;     /* time of day of its acceptance */
+    double execution_lease_s; /* 0: none */
+    uint64_t revision;
+    bool is_taken, is_submitted_locally; /* the own controllers have it */
     struct lmn_progress progress;
-    struct timespec offered, polled;
+    struct timespec offered_at, polled_at;
 };
 
 struct lmn_remote_job {
-    char home[LMN_NAME_SIZE], ref[LMN_JOB_ID_SIZE],
-        local[LMN_JOB_ID_SIZE]; /* its name at the own controllers */
-    char *key;                  /* HOME/REF */
-    struct lmn_execution_record hand;
+    char origin_site[LMN_NAME_SIZE], id[LMN_JOB_ID_SIZE],
+        local_id[LMN_JOB_ID_SIZE]; /* its name at the own controllers */
+    char *key;                     /* HOME/REF */
+    struct lmn_execution_record execution;
     struct lmn_job_spec spec;
     char digest[65];
-    double leash_s;
-    uint64_t rev;
-    bool busy, handed;
-    bool leashed; /* its leash is over, or its home calls it back: it is being stopped */
+    double execution_lease_s;
+    uint64_t revision;
+    bool is_taken, is_submitted_locally;
+    bool is_being_stopped; /* its leash is over, or its home calls it back: it is being
+                              stopped */
     struct lmn_progress progress;
-    struct timespec polled;
+    struct timespec polled_at;
 };
 
 struct lmn_gateway_records {
-    char state[LMN_ADDRESS_SIZE];
-    int txn_ops;
-    uint64_t lead_rev, lease, incarnation;
-    pthread_mutex_t lock; /* of what follows */
-    pthread_cond_t idle;  /* a record is not busy any more */
-    GHashTable *jobs;     /* ref -> lmn_gateway_job */
-    GHashTable *guests;   /* HOME/REF -> lmn_remote_job */
+    char state_address[LMN_ADDRESS_SIZE];
+    int max_txn_operations;
+    uint64_t lead_revision, lease, incarnation;
+    pthread_mutex_t lock;           /* of what follows */
+    pthread_cond_t record_released; /* a record is not busy any more */
+    GHashTable *jobs;               /* ref -> lmn_gateway_job */
+    GHashTable *remote_jobs;        /* HOME/REF -> lmn_remote_job */
     /* Of those, what there may still be something to do for: jobs without an outcome,
      * guests that run here or whose outcome their home has not heard. Everything that
      * goes round looks at these alone: the rest grows for ever. */
-    GHashTable *open_jobs, *open_guests;
+    GHashTable *open_jobs, *open_remote_jobs;
     GHashTable *evicted; /* sites, as g/e/ has them */
     uint64_t writes, conflicts;
 };
@@ -93,10 +94,10 @@
  */
 struct lmn_record_write {
     struct lmn_gateway_job *job; /* one of the two, taken */
-    struct lmn_remote_job *guest;
-    struct lmn_origin_record home; /* as it should be */
-    struct lmn_execution_record host;
-    bool ok; /* it is so, on the disk */
+    struct lmn_remote_job *remote_job;
+    struct lmn_origin_record origin; /* as it should be */
+    struct lmn_execution_record execution;
+    bool is_written; /* it is so, on the disk */
 };
 /* Writes them, the lock not held; those that are written are changed in memory, all are
  * put back. A new record that could not be written is forgotten. */
--- a/src/gateway/sync.c
+++ b/src/gateway/sync.c
@@ -8,7 +8,7 @@
 
 const char *lmn_gateway_peer_site(const struct lmn_gateway_peer *p)
 {
-    return p->g->o->peers[p->index].site;
+    return p->gateway->options->peers[p->index].site;
 }
 
 void lmn_gateway_hello_fill(struct lmn_gateway *gateway, lmn_gateway_rpc_hello *h)
@@ -16,14 +16,14 @@
     static uint64_t serial;
     size_t n;
 
-    pthread_mutex_lock(&gateway->book.lock);
+    pthread_mutex_lock(&gateway->records.lock);
     serial = MAX(serial + 1, (uint64_t)g_get_real_time());
     h->serial = serial;
-    pthread_mutex_unlock(&gateway->book.lock);
-    h->site = (char *)gateway->o->site;
-    h->gateway = (char *)gateway->o->name;
+    pthread_mutex_unlock(&gateway->records.lock);
+    h->site = (char *)gateway->options->site;
+    h->gateway = (char *)gateway->options->name;
     h->protocol = PROTOCOL;
-    h->incarnation = gateway->book.incarnation;
+    h->incarnation = gateway->records.incarnation;
     h->crl.crl_val = (char *)lmn_tls_crl(gateway->tls, &n);
     h->crl.crl_len = (u_int)n;
 }
@@ -39,13 +39,13 @@
         return "another protocol";
     lmn_tls_learn_crl(gateway->tls, site, (const unsigned char *)h->crl.crl_val,
                       h->crl.crl_len);
-    pthread_mutex_lock(&gateway->book.lock);
+    pthread_mutex_lock(&gateway->records.lock);
     if (p->incarnation && p->incarnation != h->incarnation)
         lmn_error("peer-restored site=%s", site);
     p->incarnation = h->incarnation;
-    p->heard = lmn_now();
-    p->up = true;
-    pthread_mutex_unlock(&gateway->book.lock);
+    p->last_contact_at = lmn_now();
+    p->is_up = true;
+    pthread_mutex_unlock(&gateway->records.lock);
     return NULL;
 }
 
@@ -61,7 +61,7 @@
     for (guint i = 0; i < writes->len; i++) {
         const struct lmn_record_write *w =
             &g_array_index(writes, struct lmn_record_write, i);
-        if (!strcmp(w->job ? w->job->ref : w->guest->ref, ref))
+        if (!strcmp(w->job ? w->job->id : w->remote_job->id, ref))
             return true;
     }
     return false;
--- a/src/machine_provider/cloud_api.h
+++ b/src/machine_provider/cloud_api.h
@@ -12,14 +12,14 @@
 
 struct lmn_rental_request {
     char request[200], type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
-    bool spot;
+    bool is_spot;
     unsigned count;
 };
 
 struct lmn_rented_machine {
-    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], type[LMN_NAME_SIZE],
+    char name[LMN_NAME_SIZE], address[LMN_ADDRESS_SIZE], type[LMN_NAME_SIZE],
         zone[LMN_NAME_SIZE];
-    bool spot;
+    bool is_spot;
     const char *state; /* one of the protocol's words */
     double age_s;
 };
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -13,22 +13,22 @@
 
 void lmn_backoff_started(struct lmn_backoff *backoff, struct timespec now)
 {
-    backoff->started = now;
-    backoff->next = (struct timespec){0, 0};
+    backoff->started_at = now;
+    backoff->next_start_at = (struct timespec){0, 0};
 }
 
 bool lmn_backoff_due(struct lmn_backoff *backoff, struct timespec now)
 {
-    if (!backoff->next.tv_sec) {
-        bool good =
-            backoff->started.tv_sec && lmn_time_diff_s(now, backoff->started) > GOOD_S;
+    if (!backoff->next_start_at.tv_sec) {
+        bool good = backoff->started_at.tv_sec &&
+                    lmn_time_diff_s(now, backoff->started_at) > GOOD_S;
         backoff->deaths = good ? 1 : backoff->deaths + 1;
         backoff->wait_s = good || backoff->wait_s <= 0
                               ? FIRST_WAIT_S
                               : MIN(2 * backoff->wait_s, LONGEST_WAIT_S);
-        backoff->next = lmn_time_add(now, backoff->wait_s);
+        backoff->next_start_at = lmn_time_add(now, backoff->wait_s);
     }
-    return !lmn_time_before(now, backoff->next);
+    return !lmn_time_before(now, backoff->next_start_at);
 }
 
 void lmn_local_agent_options_read(struct lmn_config *config,
@@ -38,15 +38,15 @@
 
     g_snprintf(options->listen, sizeof options->listen, "%s:0",
                lmn_config_text(config, "address", "127.0.0.1"));
-    g_strlcpy(options->depot, lmn_config_address(config, "depot", NULL),
-              sizeof options->depot);
+    g_strlcpy(options->image_store, lmn_config_address(config, "depot", NULL),
+              sizeof options->image_store);
     g_strlcpy(options->checkpoints, lmn_config_text(config, "checkpoints", ""),
               sizeof options->checkpoints);
-    options->report_s = lmn_config_number(config, "report_s", 1.5, 0.05, 600);
+    options->heartbeat_s = lmn_config_number(config, "report_s", 1.5, 0.05, 600);
     options->lease_s = lmn_config_number(config, "lease_s", 10, 0.1, 3600);
     options->log_kb = lmn_config_number(config, "log_kb", 256, 1, 7 * 1024);
     lmn_worker_controllers(config, options);
-    if (options->lease_s <= options->report_s)
+    if (options->lease_s <= options->heartbeat_s)
         lmn_config_fail(config, "lease_s", "must be longer than report_s");
 }
 
@@ -75,14 +75,14 @@
     put(text, "name", name);
     put(text, "zone", zone);
     put(text, "listen", options->listen);
-    put(text, "depot", options->depot);
+    put(text, "depot", options->image_store);
     put(text, "data", dir);
     if (*options->checkpoints)
         put(text, "checkpoints", options->checkpoints);
     g_string_append_printf(text, "spot = %s\nreport_s = %g\nlease_s = %g\nlog_kb = %g\n",
-                           spot ? "true" : "false", options->report_s, options->lease_s,
-                           options->log_kb);
-    for (unsigned i = 0; i < options->ncontrollers; i++) {
+                           spot ? "true" : "false", options->heartbeat_s,
+                           options->lease_s, options->log_kb);
+    for (unsigned i = 0; i < options->controller_count; i++) {
         g_string_append(text, "[[controllers]]\n");
         put(text, "name", options->controllers[i].name);
         put(text, "address", options->controllers[i].addr);
@@ -101,7 +101,7 @@
                           const struct lmn_machine_type *type, const char *zone,
                           bool spot, char *err, size_t len)
 {
-    char *dir = g_build_filename(o->dir, name, NULL);
+    char *dir = g_build_filename(o->directory, name, NULL);
     char *file = g_build_filename(dir, "worker.toml", NULL);
     char *log = g_build_filename(dir, "log", NULL);
     char *argv[] = {(char *)lmn_self_path(), (char *)"worker", (char *)"--config", file,
@@ -131,8 +131,8 @@
 bool lmn_local_agent_is_up(const struct lmn_local_agent_options *o, const char *name,
                            char *addr)
 {
-    char *lock = g_build_filename(o->dir, name, "agent.lock", NULL);
-    char *file = g_build_filename(o->dir, name, "address", NULL), *text = NULL;
+    char *lock = g_build_filename(o->directory, name, "agent.lock", NULL);
+    char *file = g_build_filename(o->directory, name, "address", NULL), *text = NULL;
     pid_t pid;
     bool up = lmn_lock_held(lock, &pid);
 
@@ -148,7 +148,8 @@
 bool lmn_local_agent_end(const struct lmn_local_agent_options *o, const char *name,
                          double seconds)
 {
-    char *dir = g_build_filename(o->dir, name, NULL), *mark = lmn_executor_mark(dir);
+    char *dir = g_build_filename(o->directory, name, NULL),
+         *mark = lmn_executor_mark(dir);
     bool ok = lmn_executor_clear(dir, mark, seconds);
 
     if (ok && lmn_tree_remove(dir) != 0)
--- a/src/machine_provider/local_agents.h
+++ b/src/machine_provider/local_agents.h
@@ -8,8 +8,8 @@
 /* The settings that all agents of a host share. */
 struct lmn_local_agent_options {
     struct lmn_worker_options
-        worker;    /* name, zone, type, spot and dir are filled in for each */
-    char dir[512]; /* machines' directories lie in it */
+        worker;          /* name, zone, type, spot and dir are filled in for each */
+    char directory[512]; /* machines' directories lie in it */
 };
 
 /* Reads what a fleet's or a slot's settings file says of its agents: depot, checkpoints,
@@ -35,7 +35,7 @@
 struct lmn_backoff {
     double wait_s;
     unsigned deaths; /* in a row */
-    struct timespec started, next;
+    struct timespec started_at, next_start_at;
 };
 /* It has just been started. */
 void lmn_backoff_started(struct lmn_backoff *backoff, struct timespec now);
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -81,10 +81,10 @@
     c->n++;
     lmn_cbor_put_map(buffer, 7);
     lmn_cbor_put_text(buffer, WIRE_JOB_ID), lmn_cbor_put_text(buffer, m->name);
-    lmn_cbor_put_text(buffer, WIRE_ADDRESS), lmn_cbor_put_text(buffer, m->addr);
+    lmn_cbor_put_text(buffer, WIRE_ADDRESS), lmn_cbor_put_text(buffer, m->address);
     lmn_cbor_put_text(buffer, WIRE_MACHINE_TYPE), lmn_cbor_put_text(buffer, m->type);
     lmn_cbor_put_text(buffer, WIRE_ZONE), lmn_cbor_put_text(buffer, m->zone);
-    lmn_cbor_put_text(buffer, WIRE_SPOT), lmn_cbor_put_bool(buffer, m->spot);
+    lmn_cbor_put_text(buffer, WIRE_SPOT), lmn_cbor_put_bool(buffer, m->is_spot);
     lmn_cbor_put_text(buffer, WIRE_STATE), lmn_cbor_put_text(buffer, m->state);
     lmn_cbor_put_text(buffer, WIRE_AGE_S), lmn_cbor_put_number(buffer, m->age_s);
     return true;
@@ -128,7 +128,7 @@
                            sizeof q.type) ||
         !lmn_cbor_get_text(lmn_cbor_get(document, root, WIRE_ZONE), q.zone,
                            sizeof q.zone) ||
-        !lmn_cbor_get_bool(lmn_cbor_get(document, root, WIRE_SPOT), &q.spot) ||
+        !lmn_cbor_get_bool(lmn_cbor_get(document, root, WIRE_SPOT), &q.is_spot) ||
         !lmn_cbor_get_uint(lmn_cbor_get(document, root, WIRE_COUNT), &n) || n < 1 ||
         n > LMN_MAX_RENTAL_COUNT) {
         lmn_http_request_fail(request, 400, "malformed");
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -20,10 +20,10 @@
     if (!config)
         return -1;
     g_strlcpy(options->name, lmn_config_name(config, "slot", NULL), sizeof options->name);
-    g_strlcpy(options->fleet, lmn_config_address(config, "fleet", NULL),
-              sizeof options->fleet);
-    g_strlcpy(options->local.dir, lmn_config_text(config, "data", NULL),
-              sizeof options->local.dir);
+    g_strlcpy(options->provider_address, lmn_config_address(config, "fleet", NULL),
+              sizeof options->provider_address);
+    g_strlcpy(options->local.directory, lmn_config_text(config, "data", NULL),
+              sizeof options->local.directory);
     lmn_local_agent_options_read(config, &options->local);
     int rc = lmn_config_finish(config, err, len);
     lmn_config_free(config);
@@ -33,7 +33,7 @@
 /* The machine whose directory is there: at most one is. */
 static void held(const struct lmn_slot_options *options, char *name)
 {
-    GDir *d = g_dir_open(options->local.dir, 0, NULL);
+    GDir *d = g_dir_open(options->local.directory, 0, NULL);
     const char *entry;
 
     *name = '\0';
@@ -100,8 +100,8 @@
     char holds[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], err[256];
 
     curl_global_init(CURL_GLOBAL_NOTHING);
-    struct lmn_http_client *client = lmn_http_client_new(options->fleet);
-    lmn_info("slot-start slot=%s fleet=%s", options->name, options->fleet);
+    struct lmn_http_client *client = lmn_http_client_new(options->provider_address);
+    lmn_info("slot-start slot=%s fleet=%s", options->name, options->provider_address);
     for (;; lmn_sleep(ASK_S)) {
         struct rented_as as;
         held(options, holds);
@@ -114,8 +114,8 @@
             memset(&backoff, 0, sizeof backoff);
             continue; /* says so with the next question */
         }
-        bool young =
-            backoff.started.tv_sec && lmn_time_diff_s(lmn_now(), backoff.started) < 2;
+        bool young = backoff.started_at.tv_sec &&
+                     lmn_time_diff_s(lmn_now(), backoff.started_at) < 2;
         if (*as.machine && !up && !young &&
             (!*holds || lmn_backoff_due(&backoff, lmn_now()))) {
             lmn_backoff_started(&backoff, lmn_now());
--- a/src/machine_provider/slot.h
+++ b/src/machine_provider/slot.h
@@ -7,7 +7,7 @@
 #include "machine_provider/local_agents.h"
 
 struct lmn_slot_options {
-    char name[LMN_NAME_SIZE], fleet[LMN_ADDRESS_SIZE];
+    char name[LMN_NAME_SIZE], provider_address[LMN_ADDRESS_SIZE];
     struct lmn_local_agent_options local;
 };
 
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -234,7 +234,7 @@
     g_strlcpy(machine->zone, q->zone, sizeof machine->zone);
     g_strlcpy(machine->slot, slot, sizeof machine->slot);
     machine->type = type;
-    machine->spot = q->spot;
+    machine->spot = q->is_spot;
     machine->at = lmn_time_seconds(lmn_wall_clock_now());
     return machine;
 }
@@ -243,7 +243,7 @@
 static GPtrArray *choose(struct lmn_static_provider *s,
                          const struct lmn_rental_request *q, int type)
 {
-    struct counting c = {type, q->zone, q->spot, 0};
+    struct counting c = {type, q->zone, q->is_spot, 0};
     GPtrArray *got = g_ptr_array_new();
     struct timespec now = lmn_now();
     unsigned all = 0;
@@ -251,7 +251,8 @@
     pthread_mutex_lock(&s->lock);
     for (unsigned i = 0; i < s->v->npools; i++) {
         const struct lmn_pool *pool = &s->v->pools[i];
-        if (pool->type == type && pool->spot == q->spot && !strcmp(pool->zone, q->zone))
+        if (pool->type == type && pool->spot == q->is_spot &&
+            !strcmp(pool->zone, q->zone))
             all += pool->count;
     }
     g_tree_foreach(s->machines, count_one, &c);
@@ -259,8 +260,8 @@
         g_ptr_array_add(got, new_machine(s, q, type, ""));
     for (unsigned i = 0; i < s->v->nslots && got->len < q->count; i++) {
         const struct lmn_slot *slot = &s->v->slots[i];
-        if (slot->type == type && slot->spot == q->spot && !strcmp(slot->zone, q->zone) &&
-            slot_free(s, slot, now))
+        if (slot->type == type && slot->spot == q->is_spot &&
+            !strcmp(slot->zone, q->zone) && slot_free(s, slot, now))
             g_ptr_array_add(got, new_machine(s, q, type, slot->name));
     }
     s->refused += !got->len;
@@ -322,7 +323,7 @@
             if (!*machine->slot)
                 start(s, machine);
             lmn_info("machine-rented machine=%s type=%s zone=%s spot=%d slot=%s",
-                     machine->name, q->type, q->zone, q->spot,
+                     machine->name, q->type, q->zone, q->is_spot,
                      *machine->slot ? machine->slot : "-");
             pthread_mutex_lock(&s->lock);
             g_tree_insert(s->machines, machine->name, machine);
@@ -431,13 +432,13 @@
 {
     const struct machine *machine = v;
     struct look *l = arg;
-    struct lmn_rented_machine x = {.spot = machine->spot,
+    struct lmn_rented_machine x = {.is_spot = machine->spot,
                                    .age_s = MAX(l->now - machine->at, 0)};
 
     if (strcmp(key, l->after) <= 0)
         return FALSE;
     g_strlcpy(x.name, machine->name, sizeof x.name);
-    g_strlcpy(x.addr, machine->addr, sizeof x.addr);
+    g_strlcpy(x.address, machine->addr, sizeof x.address);
     g_strlcpy(x.type, l->s->v->types[machine->type].name, sizeof x.type);
     g_strlcpy(x.zone, machine->zone, sizeof x.zone);
     x.state = machine->up                                ? WIRE_RUNNING
@@ -602,8 +603,8 @@
         machine->up = up;
         g_strlcpy(machine->addr, addr, sizeof machine->addr);
         /* Just started, it needs a moment to take its lock. */
-        bool young = machine->backoff.started.tv_sec &&
-                     lmn_time_diff_s(lmn_now(), machine->backoff.started) < 2;
+        bool young = machine->backoff.started_at.tv_sec &&
+                     lmn_time_diff_s(lmn_now(), machine->backoff.started_at) < 2;
         due = !up && !young && lmn_backoff_due(&machine->backoff, lmn_now());
     }
     pthread_mutex_unlock(&s->lock);
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -15,9 +15,9 @@
     agent->ops = ops;
     agent->arg = arg;
     agent->incarnation = session;
-    agent->sequence = agent->fencing_token = agent->ids = 0;
-    agent->ending = agent->noticed = false;
-    agent->changed = true;
+    agent->sequence = agent->fencing_token = agent->next_run_id = 0;
+    agent->is_ending = agent->has_spot_notice = false;
+    agent->has_news = true;
     agent->lease_from = now;
     agent->fencing_token_reported_at = (struct timespec){0, 0};
     agent->runs = g_ptr_array_new_with_free_func(g_free);
@@ -43,7 +43,7 @@
 
 static const char *state_word(const struct lmn_task_run *r)
 {
-    switch (r->state == LMN_RUN_ENDING ? r->shown : r->state) {
+    switch (r->state == LMN_RUN_ENDING ? r->reported_state : r->state) {
     case LMN_RUN_RUNNING:
         return WIRE_RUNNING;
     case LMN_RUN_SAVING:
@@ -58,43 +58,44 @@
 static void put_run(GByteArray *buffer, const struct lmn_task_run *r)
 {
     char task[LMN_JOB_ID_SIZE + 16];
-    bool ended = r->state == LMN_RUN_ENDED, stopped = ended && r->why == LMN_EXIT_STOPPED;
+    bool ended = r->state == LMN_RUN_ENDED,
+         stopped = ended && r->exit_reason == LMN_EXIT_STOPPED;
 
-    g_snprintf(task, sizeof task, "%s/%u", r->ref, r->index);
+    g_snprintf(task, sizeof task, "%s/%u", r->job_id, r->index);
     lmn_cbor_put_map(buffer, 3 + ended + stopped);
     lmn_cbor_put_text(buffer, WIRE_TASK), lmn_cbor_put_text(buffer, task);
     lmn_cbor_put_text(buffer, WIRE_ATTEMPT), lmn_cbor_put_uint(buffer, r->attempt);
     lmn_cbor_put_text(buffer, WIRE_STATE), lmn_cbor_put_text(buffer, state_word(r));
     if (ended)
         lmn_cbor_put_text(buffer, WIRE_EXIT_REASON),
-            lmn_cbor_put_text(buffer, whys[r->why]);
+            lmn_cbor_put_text(buffer, whys[r->exit_reason]);
     if (stopped)
-        lmn_cbor_put_text(buffer, WIRE_SAVED), lmn_cbor_put_bool(buffer, r->saved);
+        lmn_cbor_put_text(buffer, WIRE_SAVED), lmn_cbor_put_bool(buffer, r->is_saved);
 }
 
 void lmn_agent_write_heartbeat(struct lmn_agent *agent, GByteArray *buffer,
                                struct timespec now)
 {
-    lmn_cbor_put_map(buffer, agent->noticed ? 10 : 9);
+    lmn_cbor_put_map(buffer, agent->has_spot_notice ? 10 : 9);
     lmn_cbor_put_text(buffer, WIRE_MACHINE), lmn_cbor_put_text(buffer, agent->name);
-    lmn_cbor_put_text(buffer, WIRE_ADDRESS), lmn_cbor_put_text(buffer, agent->addr);
+    lmn_cbor_put_text(buffer, WIRE_ADDRESS), lmn_cbor_put_text(buffer, agent->address);
     lmn_cbor_put_text(buffer, WIRE_MACHINE_TYPE),
         lmn_cbor_put_text(buffer, agent->type.name);
     lmn_cbor_put_text(buffer, WIRE_ZONE), lmn_cbor_put_text(buffer, agent->zone);
-    lmn_cbor_put_text(buffer, WIRE_SPOT), lmn_cbor_put_bool(buffer, agent->spot);
+    lmn_cbor_put_text(buffer, WIRE_SPOT), lmn_cbor_put_bool(buffer, agent->is_spot);
     lmn_cbor_put_text(buffer, WIRE_AGENT_INCARNATION),
         lmn_cbor_put_uint(buffer, agent->incarnation);
     lmn_cbor_put_text(buffer, WIRE_SEQUENCE),
         lmn_cbor_put_uint(buffer, ++agent->sequence);
     lmn_cbor_put_text(buffer, WIRE_FENCING_TOKEN),
         lmn_cbor_put_uint(buffer, agent->fencing_token);
-    if (agent->noticed)
+    if (agent->has_spot_notice)
         lmn_cbor_put_text(buffer, WIRE_SPOT_NOTICE_S),
             lmn_cbor_put_number(buffer, MAX(lmn_time_diff_s(agent->gone_at, now), 0));
     lmn_cbor_put_text(buffer, WIRE_TASKS), lmn_cbor_put_array(buffer, agent->runs->len);
     for (guint i = 0; i < agent->runs->len; i++)
         put_run(buffer, agent->runs->pdata[i]);
-    agent->changed = false;
+    agent->has_news = false;
 }
 
 /* --- commands --- */
@@ -105,7 +106,7 @@
 {
     if (token > agent->fencing_token &&
         lmn_time_diff_s(now, agent->fencing_token_reported_at) > agent->lease_s / 2) {
-        agent->changed = true;
+        agent->has_news = true;
         agent->fencing_token_reported_at = now;
     }
     agent->fencing_token = token;
@@ -114,20 +115,20 @@
 static void end(struct lmn_agent *agent, struct lmn_task_run *r, enum lmn_exit_reason why)
 {
     r->state = LMN_RUN_ENDED;
-    r->why = why;
+    r->exit_reason = why;
     agent->finished += why == LMN_EXIT_DONE;
     agent->refused += why > LMN_EXIT_ERROR;
-    agent->changed = true;
+    agent->has_news = true;
 }
 
 static bool holds_room(const struct lmn_task_run *r)
 {
-    return r->known && r->state != LMN_RUN_ENDED;
+    return r->is_described && r->state != LMN_RUN_ENDED;
 }
 
 static bool has_room(const struct lmn_agent *agent, const struct lmn_task_run *r)
 {
-    double cpus = r->cpus, gpus = r->gpus, mem = r->mem;
+    double cpus = r->cpus, gpus = r->gpus, mem = r->memory_gb;
 
     for (guint i = 0; i < agent->runs->len; i++) {
         const struct lmn_task_run *o = agent->runs->pdata[i];
@@ -135,7 +136,7 @@
             continue;
         cpus += o->cpus;
         gpus += o->gpus;
-        mem += o->mem;
+        mem += o->memory_gb;
     }
     return cpus <= agent->type.cpus + 1e-6 && gpus <= agent->type.gpus + 1e-6 &&
            mem <= agent->type.memory_gb + 1e-6;
@@ -144,8 +145,8 @@
 static void begin(struct lmn_agent *agent, struct lmn_task_run *r, struct timespec now)
 {
     r->since = now;
-    agent->changed = true;
-    if (agent->ops->has_result(agent->arg, r->ref, r->index)) {
+    agent->has_news = true;
+    if (agent->ops->has_result(agent->arg, r->job_id, r->index)) {
         end(agent, r, LMN_EXIT_DONE);
         return;
     }
@@ -166,15 +167,15 @@
     }
     r->cpus = spec->cpus;
     r->gpus = spec->gpus;
-    r->mem = spec->memory_gb;
+    r->memory_gb = spec->memory_gb;
     r->save_s = spec->save_s;
-    r->saves = spec->checkpoint_s > 0;
+    r->can_save = spec->checkpoint_s > 0;
     r->image = (char *)g_intern_string(spec->image);
     if (!has_room(agent, r)) {
         end(agent, r, LMN_EXIT_NO_CAPACITY);
         return;
     }
-    r->known = true;
+    r->is_described = true;
     r->state = LMN_RUN_FETCHING;
     r->since = now;
     agent->ops->fetch(agent->arg, r);
@@ -212,17 +213,17 @@
 
     for (guint i = 0; i < agent->runs->len; i++) {
         const struct lmn_task_run *o = agent->runs->pdata[i];
-        if (o->index == index && !strcmp(o->ref, ref) && o->state != LMN_RUN_ENDED)
+        if (o->index == index && !strcmp(o->job_id, ref) && o->state != LMN_RUN_ENDED)
             busy = true;
     }
-    r->id = ++agent->ids;
-    g_strlcpy(r->ref, ref, sizeof r->ref);
+    r->id = ++agent->next_run_id;
+    g_strlcpy(r->job_id, ref, sizeof r->job_id);
     r->index = index;
     r->attempt = attempt;
     r->since = now;
     g_ptr_array_add(agent->runs, r);
     agent->starts++;
-    agent->changed = true;
+    agent->has_news = true;
     if (busy)
         end(agent, r, LMN_EXIT_BUSY);
     else if (!lmn_job_id_is_valid(ref)) /* names become paths */
@@ -242,9 +243,9 @@
         give_up_image(agent, r->image);
         return;
     case LMN_RUN_RUNNING:
-        if (r->saves && grace >= r->save_s) {
+        if (r->can_save && grace >= r->save_s) {
             r->state = LMN_RUN_SAVING;
-            agent->changed = true;
+            agent->has_news = true;
             agent->ops->save(agent->arg, r, grace);
             return;
         }
@@ -256,7 +257,7 @@
     default:
         return;
     }
-    r->shown = r->state;
+    r->reported_state = r->state;
     r->state = LMN_RUN_ENDING;
     agent->ops->kill(agent->arg, r);
 }
@@ -278,7 +279,7 @@
     uint32_t index = (uint32_t)g_ascii_strtoull(slash + 1, NULL, 10);
     for (guint i = 0; i < agent->runs->len && !r; i++) {
         struct lmn_task_run *o = agent->runs->pdata[i];
-        if (o->attempt == attempt && o->index == index && !strcmp(o->ref, task))
+        if (o->attempt == attempt && o->index == index && !strcmp(o->job_id, task))
             r = o;
     }
     if (lmn_cbor_text_equals(command, WIRE_START)) {
@@ -290,7 +291,7 @@
     } else if (lmn_cbor_text_equals(command, WIRE_CLEAR) && r &&
                r->state == LMN_RUN_ENDED) {
         g_ptr_array_remove(agent->runs, r);
-        agent->changed = true;
+        agent->has_news = true;
     }
 }
 
@@ -316,7 +317,7 @@
 
     /* What stood still, the clock aside, may find its lease over only here. */
     lmn_agent_tick(agent, now);
-    if (agent->ending || session != agent->incarnation ||
+    if (agent->is_ending || session != agent->incarnation ||
         lmn_cbor_parse(&d, body, len) != 0)
         return false;
     bool good = lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN),
@@ -341,7 +342,7 @@
     int status = 200;
 
     lmn_agent_tick(agent, now);
-    if (agent->ending)
+    if (agent->is_ending)
         return 503;
     if (lmn_cbor_parse(&d, body, len) != 0)
         return 400;
@@ -361,20 +362,20 @@
     lmn_cbor_free(&d);
     /* The answer tells all; but the lease is renewed by reports alone, so one is due all
      * the same. */
-    bool changed = agent->changed;
+    bool changed = agent->has_news;
     lmn_agent_write_heartbeat(agent, out, now);
-    agent->changed = changed;
+    agent->has_news = changed;
     return status;
 }
 
 int lmn_agent_show(struct lmn_agent *agent, GByteArray *out, struct timespec now)
 {
     lmn_agent_tick(agent, now);
-    if (agent->ending)
+    if (agent->is_ending)
         return 503;
-    bool changed = agent->changed;
+    bool changed = agent->has_news;
     lmn_agent_write_heartbeat(agent, out, now);
-    agent->changed = changed;
+    agent->has_news = changed;
     return 200;
 }
 
@@ -386,20 +387,20 @@
     struct lmn_task_run *r = lmn_agent_find_run(agent, id);
     (void)now;
 
-    if (!r || r->state == LMN_RUN_ENDED || agent->ending)
+    if (!r || r->state == LMN_RUN_ENDED || agent->is_ending)
         return;
     bool told = r->state == LMN_RUN_SAVING || r->state == LMN_RUN_ENDING;
-    r->saved = told && saved && !done;
+    r->is_saved = told && saved && !done;
     end(agent, r, done ? LMN_EXIT_DONE : told ? LMN_EXIT_STOPPED : LMN_EXIT_ERROR);
 }
 
 void lmn_agent_expire_lease(struct lmn_agent *agent, const char *why)
 {
-    if (agent->ending)
+    if (agent->is_ending)
         return;
     lmn_info("session-ends session=%" G_GUINT64_FORMAT " tasks=%u why=\"%s\"",
              agent->incarnation, agent->runs->len, why);
-    agent->ending = true;
+    agent->is_ending = true;
     agent->expired_leases++;
     g_ptr_array_set_size(agent->runs, 0);
     agent->ops->kill_all(agent->arg);
@@ -407,25 +408,25 @@
 
 void lmn_agent_tick(struct lmn_agent *agent, struct timespec now)
 {
-    if (!agent->ending && lmn_time_diff_s(now, agent->lease_from) > agent->lease_s)
+    if (!agent->is_ending && lmn_time_diff_s(now, agent->lease_from) > agent->lease_s)
         lmn_agent_expire_lease(agent, "the lease is over");
 }
 
 void lmn_agent_incarnation_ended(struct lmn_agent *agent, uint64_t session,
                                  struct timespec now)
 {
-    if (!agent->ending)
+    if (!agent->is_ending)
         return;
-    agent->ending = false;
+    agent->is_ending = false;
     agent->incarnation = session;
     agent->lease_from = now;
-    agent->changed = true;
+    agent->has_news = true;
     agent->ops->leased(agent->arg, lmn_time_add(now, agent->lease_s));
 }
 
 void lmn_agent_spot_notice(struct lmn_agent *agent, struct timespec gone_at)
 {
-    agent->noticed = true;
+    agent->has_spot_notice = true;
     agent->gone_at = gone_at;
-    agent->changed = true;
+    agent->has_news = true;
 }
--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -37,16 +37,16 @@
 /* An attempt at a task on the machine. */
 struct lmn_task_run {
     uint64_t id; /* of the agent's own, never used twice in its life */
-    char ref[LMN_JOB_ID_SIZE];
+    char job_id[LMN_JOB_ID_SIZE];
     uint32_t index;
     uint64_t attempt;
     enum lmn_task_run_state state;
-    enum lmn_task_run_state shown; /* while LMN_RUN_ENDING */
-    enum lmn_exit_reason why;
-    bool saved;
-    bool known; /* the description has come: */
-    double cpus, gpus, mem, save_s;
-    bool saves;
+    enum lmn_task_run_state reported_state; /* while LMN_RUN_ENDING */
+    enum lmn_exit_reason exit_reason;
+    bool is_saved;
+    bool is_described; /* the description has come: */
+    double cpus, gpus, memory_gb, save_s;
+    bool can_save;
     char *image; /* interned */
     struct timespec since;
 };
@@ -75,20 +75,20 @@
 };
 
 struct lmn_agent {
-    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE], zone[LMN_NAME_SIZE];
+    char name[LMN_NAME_SIZE], address[LMN_ADDRESS_SIZE], zone[LMN_NAME_SIZE];
     struct lmn_machine_type type;
-    bool spot;
+    bool is_spot;
     double lease_s;
     const struct lmn_agent_ops *ops;
     void *arg;
-    uint64_t incarnation, sequence, fencing_token, ids;
-    bool ending; /* between sessions: it says nothing */
-    bool noticed;
+    uint64_t incarnation, sequence, fencing_token, next_run_id;
+    bool is_ending; /* between sessions: it says nothing */
+    bool has_spot_notice;
     struct timespec gone_at; /* if noticed */
     struct timespec lease_from;
     struct timespec
         fencing_token_reported_at; /* a higher token was last worth a report */
-    bool changed;                  /* something that is worth a report at once */
+    bool has_news;                 /* something that is worth a report at once */
     GPtrArray *runs;
     uint64_t starts, finished, refused, expired_leases;
 };
--- a/src/worker/task_runner.c
+++ b/src/worker/task_runner.c
@@ -32,7 +32,7 @@
     struct lmn_fetch_request *q = g_new0(struct lmn_fetch_request, 1);
 
     q->id = r->id;
-    g_strlcpy(q->ref, r->ref, sizeof q->ref);
+    g_strlcpy(q->job_id, r->job_id, sizeof q->job_id);
     g_queue_push_tail(&worker->pending, q);
 }
 
@@ -40,13 +40,14 @@
 {
     struct lmn_worker *worker = arg;
     struct lmn_fetch_request *q = g_new0(struct lmn_fetch_request, 1);
-    const struct lmn_task_command *work = g_hash_table_lookup(worker->works, r->ref);
+    const struct lmn_task_command *work =
+        g_hash_table_lookup(worker->task_commands, r->job_id);
 
-    q->image = true;
+    q->is_image = true;
     q->name = r->image;
     q->gb = work ? work->spec.image_gb : 0;
-    if (worker->given_up == q->name)
-        worker->given_up = NULL;
+    if (worker->cancelled_fetch == q->name)
+        worker->cancelled_fetch = NULL;
     g_queue_push_tail(&worker->pending, q);
 }
 
@@ -54,7 +55,7 @@
 {
     struct lmn_worker *worker = arg;
 
-    worker->given_up = g_intern_string(image);
+    worker->cancelled_fetch = g_intern_string(image);
 }
 
 static bool has_result(void *arg, const char *ref, uint32_t index)
@@ -68,13 +69,13 @@
 
 static char *run_dir(const struct lmn_worker *worker, const struct lmn_task_run *r)
 {
-    return g_strdup_printf("%s/tasks/%s.%u.%" G_GUINT64_FORMAT, worker->o->dir, r->ref,
-                           r->index, r->attempt);
+    return g_strdup_printf("%s/tasks/%s.%u.%" G_GUINT64_FORMAT,
+                           worker->options->directory, r->job_id, r->index, r->attempt);
 }
 
 static char *image_dir(const struct lmn_worker *worker, const char *image)
 {
-    return g_strdup_printf("%s/images/%s", worker->o->dir, image);
+    return g_strdup_printf("%s/images/%s", worker->options->directory, image);
 }
 
 static char **environment(const struct lmn_worker *worker,
@@ -85,21 +86,22 @@
 
     for (char **e = work->env; *e; e++)
         g_ptr_array_add(a, g_strdup(*e));
-    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_JOB=%s", r->ref));
+    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_JOB=%s", r->job_id));
     g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_TASK=%u", r->index));
     g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_TASKS=%u", work->spec.tasks));
     g_ptr_array_add(a,
                     g_strdup_printf("LEMONSPAR_ATTEMPT=%" G_GUINT64_FORMAT, r->attempt));
-    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_MACHINE=%s", worker->o->name));
-    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_ZONE=%s", worker->o->zone));
+    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_MACHINE=%s", worker->options->name));
+    g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_ZONE=%s", worker->options->zone));
     if (strcmp(r->image, LMN_NO_IMAGE)) {
         char *dir = image_dir(worker, r->image);
         g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_IMAGE=%s", dir));
         g_free(dir);
     }
-    if (r->saves && *worker->o->checkpoints)
+    if (r->can_save && *worker->options->checkpoints)
         g_ptr_array_add(a, g_strdup_printf("LEMONSPAR_CHECKPOINT=%s/%s/%u",
-                                           worker->o->checkpoints, r->ref, r->index));
+                                           worker->options->checkpoints, r->job_id,
+                                           r->index));
     g_ptr_array_add(a, NULL);
     return (char **)g_ptr_array_free(a, FALSE);
 }
@@ -107,7 +109,8 @@
 static void start(void *arg, struct lmn_task_run *r)
 {
     struct lmn_worker *worker = arg;
-    const struct lmn_task_command *work = g_hash_table_lookup(worker->works, r->ref);
+    const struct lmn_task_command *work =
+        g_hash_table_lookup(worker->task_commands, r->job_id);
     char *dir = run_dir(worker, r);
 
     /* The description was there to know the image by; if it was dropped since, it comes
@@ -119,15 +122,16 @@
         return;
     }
     char **env = environment(worker, work, r);
-    if (r->saves && *worker->o->checkpoints)
+    if (r->can_save && *worker->options->checkpoints)
         send(worker, NULL,
-             g_strdup_printf("%s/%s/%u", worker->o->checkpoints, r->ref, r->index));
+             g_strdup_printf("%s/%s/%u", worker->options->checkpoints, r->job_id,
+                             r->index));
     send(worker,
          lmn_executor_encode_start(r->id, work->argv, env, dir,
-                                   (uint64_t)(worker->o->log_kb * 1024)),
+                                   (uint64_t)(worker->options->log_kb * 1024)),
          dir);
     g_strfreev(env);
-    lmn_debug("task-start task=%s/%u attempt=%" G_GUINT64_FORMAT, r->ref, r->index,
+    lmn_debug("task-start task=%s/%u attempt=%" G_GUINT64_FORMAT, r->job_id, r->index,
               r->attempt);
 }
 
@@ -170,14 +174,14 @@
     GHashTableIter it;
     gpointer ref;
 
-    if (g_hash_table_size(worker->works) < MAX_WORKS)
+    if (g_hash_table_size(worker->task_commands) < MAX_WORKS)
         return;
-    g_hash_table_iter_init(&it, worker->works);
+    g_hash_table_iter_init(&it, worker->task_commands);
     while (g_hash_table_iter_next(&it, &ref, NULL)) {
         bool used = false;
         for (guint i = 0; i < worker->agent.runs->len && !used; i++)
-            used =
-                !strcmp(((struct lmn_task_run *)worker->agent.runs->pdata[i])->ref, ref);
+            used = !strcmp(((struct lmn_task_run *)worker->agent.runs->pdata[i])->job_id,
+                           ref);
         if (!used)
             g_hash_table_iter_remove(&it);
     }
@@ -212,15 +216,15 @@
 void *lmn_describe_thread(void *arg)
 {
     struct lmn_worker *worker = arg;
-    struct lmn_http_client *client = lmn_http_client_new(worker->o->depot);
+    struct lmn_http_client *client = lmn_http_client_new(worker->options->image_store);
 
     for (;;) {
         lmn_worker_lock(worker);
-        while (!worker->wishes.head)
-            pthread_cond_wait(&worker->wishes_more, &worker->lock);
-        struct lmn_fetch_request *q = g_queue_pop_head(&worker->wishes);
+        while (!worker->descriptions.head)
+            pthread_cond_wait(&worker->description_queued, &worker->lock);
+        struct lmn_fetch_request *q = g_queue_pop_head(&worker->descriptions);
         bool wanted = lmn_agent_find_run(&worker->agent, q->id) != NULL;
-        bool known = g_hash_table_contains(worker->works, q->ref);
+        bool known = g_hash_table_contains(worker->task_commands, q->job_id);
         if (known && wanted)
             g_queue_push_tail(&worker->pending, q);
         lmn_worker_unlock(worker);
@@ -229,18 +233,18 @@
         if (!wanted || known)
             continue;
         struct lmn_task_command *work = g_new0(struct lmn_task_command, 1);
-        int rc = get_work(client, q->ref, work);
+        int rc = get_work(client, q->job_id, work);
         if (rc < 0)
             lmn_sleep(0.3);
         lmn_worker_lock(worker);
         if (rc > 0) {
             free_unused(worker);
-            g_hash_table_replace(worker->works, work->spec.id, work);
+            g_hash_table_replace(worker->task_commands, work->spec.id, work);
             g_queue_push_tail(&worker->pending, q);
         } else if (rc == 0) {
             lmn_agent_described(&worker->agent, q->id, NULL, lmn_worker_now());
         } else {
-            g_queue_push_tail(&worker->wishes, q);
+            g_queue_push_tail(&worker->descriptions, q);
         }
         lmn_worker_unlock(worker);
         if (rc <= 0)
@@ -255,7 +259,7 @@
 
 void lmn_images_open(struct lmn_worker *worker)
 {
-    char *root = g_strdup_printf("%s/images", worker->o->dir);
+    char *root = g_strdup_printf("%s/images", worker->options->directory);
     GDir *d;
     const char *name;
 
@@ -263,12 +267,14 @@
     d = g_dir_open(root, 0, NULL);
     while (d && (name = g_dir_read_name(d))) {
         char *path = g_build_filename(root, name, NULL);
-        char *note = g_strdup_printf("%s/sizes/%s", worker->o->dir, name), *text = NULL;
+        char *note = g_strdup_printf("%s/sizes/%s", worker->options->directory, name),
+             *text = NULL;
         /* Only what was fetched to its end has its size beside it. */
         if (g_file_get_contents(note, &text, NULL, NULL)) {
             guint64 *bytes = g_new(guint64, 1);
             *bytes = g_ascii_strtoull(text, NULL, 10);
-            g_hash_table_replace(worker->here, (gpointer)g_intern_string(name), bytes);
+            g_hash_table_replace(worker->cached_images, (gpointer)g_intern_string(name),
+                                 bytes);
             g_queue_push_tail(&worker->image_order, (gpointer)g_intern_string(name));
         } else {
             lmn_tree_remove(path);
@@ -296,11 +302,11 @@
  * more fits; their directories go to drop. The lock is held. */
 static void make_room(struct lmn_worker *worker, double bytes, GPtrArray *drop)
 {
-    double all = bytes, most = worker->o->type.cache_gb * 1e9;
+    double all = bytes, most = worker->options->type.cache_gb * 1e9;
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, worker->here);
+    g_hash_table_iter_init(&it, worker->cached_images);
     while (g_hash_table_iter_next(&it, NULL, &v))
         all += (double)*(guint64 *)v;
     for (GList *l = worker->image_order.head, *next; l && all > most; l = next) {
@@ -308,8 +314,8 @@
         next = l->next;
         if (in_use(worker, name))
             continue;
-        all -= (double)*(guint64 *)g_hash_table_lookup(worker->here, name);
-        g_hash_table_remove(worker->here, name);
+        all -= (double)*(guint64 *)g_hash_table_lookup(worker->cached_images, name);
+        g_hash_table_remove(worker->cached_images, name);
         g_queue_delete_link(&worker->image_order, l);
         g_ptr_array_add(drop, (gpointer)name);
     }
@@ -319,8 +325,8 @@
 {
     for (guint i = 0; i < drop->len; i++) {
         char *dir = image_dir(worker, drop->pdata[i]);
-        char *note =
-            g_strdup_printf("%s/sizes/%s", worker->o->dir, (char *)drop->pdata[i]);
+        char *note = g_strdup_printf("%s/sizes/%s", worker->options->directory,
+                                     (char *)drop->pdata[i]);
         unlink(note); /* first: what has no size is fetched anew */
         lmn_tree_remove(dir);
         lmn_info("image-dropped image=%s", (char *)drop->pdata[i]);
@@ -340,7 +346,7 @@
     struct going *g = arg;
 
     pthread_mutex_lock(&g->w->lock);
-    bool on = g->w->given_up != g->image;
+    bool on = g->w->cancelled_fetch != g->image;
     pthread_mutex_unlock(&g->w->lock);
     return on;
 }
@@ -349,7 +355,7 @@
                       const char *name, uint64_t *bytes)
 {
     char *dir = image_dir(worker, name),
-         *sizes = g_strdup_printf("%s/sizes", worker->o->dir);
+         *sizes = g_strdup_printf("%s/sizes", worker->options->directory);
     char *note = g_build_filename(sizes, name, NULL), text[32];
     struct going going = {worker, name};
     struct lmn_image_store_error e = {0};
@@ -357,8 +363,8 @@
 
     g_mkdir_with_parents(sizes, 0755);
     lmn_tree_remove(dir);
-    int rc = lmn_image_get(client, name, dir, worker->o->type.pull_gb_per_s * 1e9, go_on,
-                           &going, bytes, &e);
+    int rc = lmn_image_get(client, name, dir, worker->options->type.pull_gb_per_s * 1e9,
+                           go_on, &going, bytes, &e);
     if (rc == 0) {
         int n = g_snprintf(text, sizeof text, "%" G_GUINT64_FORMAT "\n", *bytes);
         rc = lmn_file_put(note, text, (size_t)n);
@@ -377,16 +383,16 @@
 void *lmn_image_thread(void *arg)
 {
     struct lmn_worker *worker = arg;
-    struct lmn_http_client *client = lmn_http_client_new(worker->o->depot);
+    struct lmn_http_client *client = lmn_http_client_new(worker->options->image_store);
     GPtrArray *drop = g_ptr_array_new();
 
     for (;;) {
         uint64_t bytes = 0;
         lmn_worker_lock(worker);
         while (!worker->images.head)
-            pthread_cond_wait(&worker->images_more, &worker->lock);
+            pthread_cond_wait(&worker->image_queued, &worker->lock);
         struct lmn_fetch_request *q = g_queue_pop_head(&worker->images);
-        bool there = g_hash_table_contains(worker->here, q->name);
+        bool there = g_hash_table_contains(worker->cached_images, q->name);
         bool wanted = in_use(worker, q->name);
         if (!there && wanted)
             make_room(worker, q->gb * 1e9, drop);
@@ -397,12 +403,12 @@
         if (ok && !there) {
             guint64 *n = g_new(guint64, 1);
             *n = bytes;
-            g_hash_table_replace(worker->here, (gpointer)q->name, n);
+            g_hash_table_replace(worker->cached_images, (gpointer)q->name, n);
             g_queue_push_tail(&worker->image_order, (gpointer)q->name);
             worker->fetched_bytes += bytes;
         }
-        if (worker->given_up == q->name)
-            worker->given_up = NULL;
+        if (worker->cancelled_fetch == q->name)
+            worker->cancelled_fetch = NULL;
         lmn_agent_fetched(&worker->agent, q->name, ok, lmn_worker_now());
         lmn_worker_unlock(worker);
         g_free(q);
@@ -414,7 +420,8 @@
 
 int lmn_results_open(struct lmn_worker *worker)
 {
-    char *path = g_build_filename(worker->o->dir, "results", NULL), *text = NULL;
+    char *path = g_build_filename(worker->options->directory, "results", NULL),
+         *text = NULL;
     gsize n = 0, at = 0;
 
     worker->results = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -443,14 +450,14 @@
         GString *lines = g_string_new(NULL);
         lmn_worker_lock(worker);
         while (!worker->ended.head)
-            pthread_cond_wait(&worker->ended_more, &worker->lock);
+            pthread_cond_wait(&worker->attempt_ended, &worker->lock);
         GQueue mine = worker->ended;
         g_queue_init(&worker->ended);
         lmn_worker_unlock(worker);
         for (GList *l = mine.head; l; l = l->next) {
             const struct lmn_ended_attempt *e = l->data;
-            if (e->done)
-                g_string_append_printf(lines, "%s/%u\n", e->ref, e->index);
+            if (e->is_done)
+                g_string_append_printf(lines, "%s/%u\n", e->job_id, e->index);
         }
         bool kept = !lines->len || (write(worker->results_fd, lines->str, lines->len) ==
                                         (ssize_t)lines->len &&
@@ -459,17 +466,17 @@
             lmn_error("result-lost error=\"%s\"", strerror(errno));
         lmn_worker_lock(worker);
         for (struct lmn_ended_attempt *e; (e = g_queue_pop_head(&mine));) {
-            if (e->done && kept)
+            if (e->is_done && kept)
                 g_hash_table_add(worker->results,
-                                 g_strdup_printf("%s/%u", e->ref, e->index));
-            lmn_agent_exited(&worker->agent, e->id, e->done && kept, e->saved,
+                                 g_strdup_printf("%s/%u", e->job_id, e->index));
+            lmn_agent_exited(&worker->agent, e->id, e->is_done && kept, e->is_saved,
                              lmn_worker_now());
             if (worker->logs.length < MAX_LOGS) {
                 g_queue_push_tail(&worker->logs, e);
-                pthread_cond_signal(&worker->logs_more);
+                pthread_cond_signal(&worker->log_queued);
             } else {
                 worker->lost_logs++;
-                g_free(e->dir);
+                g_free(e->directory);
                 g_free(e);
             }
         }
@@ -484,14 +491,14 @@
 static bool upload(struct lmn_http_client *client, const struct lmn_ended_attempt *e,
                    const char *stream)
 {
-    char *path = g_build_filename(e->dir, stream, NULL), *text = NULL, to[160];
+    char *path = g_build_filename(e->directory, stream, NULL), *text = NULL, to[160];
     GByteArray *out = g_byte_array_new();
     gsize n = 0;
     bool ok = true;
 
     if (g_file_get_contents(path, &text, &n, NULL) && n) {
         GByteArray *buffer = g_byte_array_new_take((guint8 *)text, n);
-        g_snprintf(to, sizeof to, "/logs/%s/%u.%" G_GUINT64_FORMAT ".%s", e->ref,
+        g_snprintf(to, sizeof to, "/logs/%s/%u.%" G_GUINT64_FORMAT ".%s", e->job_id,
                    e->index, e->attempt, stream);
         ok = lmn_http_client_call(client, "PUT", to, buffer, 30, out) == 200;
         g_byte_array_unref(buffer);
@@ -506,12 +513,12 @@
 void *lmn_logs_thread(void *arg)
 {
     struct lmn_worker *worker = arg;
-    struct lmn_http_client *client = lmn_http_client_new(worker->o->depot);
+    struct lmn_http_client *client = lmn_http_client_new(worker->options->image_store);
 
     for (;;) {
         pthread_mutex_lock(&worker->lock);
         while (!worker->logs.head)
-            pthread_cond_wait(&worker->logs_more, &worker->lock);
+            pthread_cond_wait(&worker->log_queued, &worker->lock);
         struct lmn_ended_attempt *e = g_queue_pop_head(&worker->logs);
         pthread_mutex_unlock(&worker->lock);
         bool ok = upload(client, e, "stdout") && upload(client, e, "stderr");
@@ -523,14 +530,14 @@
             continue;
         }
         if (!ok)
-            lmn_error("logs-lost task=%s/%u attempt=%" G_GUINT64_FORMAT, e->ref, e->index,
-                      e->attempt);
+            lmn_error("logs-lost task=%s/%u attempt=%" G_GUINT64_FORMAT, e->job_id,
+                      e->index, e->attempt);
         pthread_mutex_lock(&worker->lock);
         worker->uploads += ok;
         worker->lost_logs += !ok;
         pthread_mutex_unlock(&worker->lock);
-        lmn_tree_remove(e->dir);
-        g_free(e->dir);
+        lmn_tree_remove(e->directory);
+        g_free(e->directory);
         g_free(e);
     }
     return NULL;
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -13,18 +13,18 @@
 struct lmn_worker_options {
     char name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     char listen[LMN_ADDRESS_SIZE]; /* "IPv4:port", port 0: one that is free */
-    char depot[LMN_ADDRESS_SIZE];
+    char image_store[LMN_ADDRESS_SIZE];
     struct lmn_machine_type type;
-    bool spot;
-    char dir[512]; /* the machine's own files */
+    bool is_spot;
+    char directory[512]; /* the machine's own files */
     char
         checkpoints[512]; /* shared by all machines: a directory for each task below it */
-    double report_s, lease_s;
+    double heartbeat_s, lease_s;
     double log_kb; /* kept of each of an attempt's two streams */
     struct {
         char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
     } controllers[LMN_MAX_CONTROLLERS];
-    unsigned ncontrollers;
+    unsigned controller_count;
 };
 
 struct lmn_config;
--- a/src/worker/worker_internal.h
+++ b/src/worker/worker_internal.h
@@ -14,15 +14,15 @@
 
 /* A message to the keeper; dir: to be made before. */
 struct lmn_executor_request {
-    GByteArray *msg;
-    char *dir;
+    GByteArray *message;
+    char *directory;
 };
 
 /* Something to be asked of the depot, or told to the state machine. */
 struct lmn_fetch_request {
-    bool image;
+    bool is_image;
     uint64_t id; /* of the run whose job is to be described */
-    char ref[LMN_JOB_ID_SIZE];
+    char job_id[LMN_JOB_ID_SIZE];
     const char *name; /* of the image, interned */
     double gb;
 };
@@ -30,34 +30,37 @@
 /* An attempt that has ended. */
 struct lmn_ended_attempt {
     uint64_t id, attempt;
-    char ref[LMN_JOB_ID_SIZE];
+    char job_id[LMN_JOB_ID_SIZE];
     uint32_t index;
-    bool done, saved;
-    char *dir;
+    bool is_done, is_saved;
+    char *directory;
     int tries;
 };
 
 struct lmn_worker {
-    const struct lmn_worker_options *o;
-    char addr[LMN_ADDRESS_SIZE], *mark;
-    int keeper;
+    const struct lmn_worker_options *options;
+    char address[LMN_ADDRESS_SIZE], *mark;
+    int executor_fd;
     pthread_mutex_t lock, sending;
-    pthread_cond_t report_due, wishes_more, images_more, ended_more, logs_more;
+    pthread_cond_t heartbeat_due, description_queued, image_queued, attempt_ended,
+        log_queued;
     struct lmn_agent agent;
     uint64_t incarnation;
-    GQueue outbox;        /* struct lmn_executor_request */
-    GQueue pending;       /* struct lmn_fetch_request, not yet looked at */
-    GQueue wishes;        /* descriptions to fetch */
-    GQueue images;        /* images to fetch */
-    const char *given_up; /* the image being fetched that nobody waits for any more */
-    GHashTable *works;    /* ref -> struct lmn_task_command */
-    GHashTable *here;     /* images that are there: interned name -> bytes (guint64 *) */
-    GQueue image_order;   /* interned names, the least recently used first */
-    GHashTable *results;  /* "ref/index": done */
+    GQueue outbox;       /* struct lmn_executor_request */
+    GQueue pending;      /* struct lmn_fetch_request, not yet looked at */
+    GQueue descriptions; /* descriptions to fetch */
+    GQueue images;       /* images to fetch */
+    const char
+        *cancelled_fetch; /* the image being fetched that nobody waits for any more */
+    GHashTable *task_commands; /* ref -> struct lmn_task_command */
+    GHashTable
+        *cached_images;  /* images that are there: interned name -> bytes (guint64 *) */
+    GQueue image_order;  /* interned names, the least recently used first */
+    GHashTable *results; /* "ref/index": done */
     int results_fd;
     GQueue ended; /* to be recorded */
     GQueue logs;  /* to be uploaded */
-    uint64_t reports, redirects, uploads, fetched_bytes, lost_logs;
+    uint64_t heartbeats, redirects, uploads, fetched_bytes, lost_logs;
 };
 
 void lmn_worker_lock(struct lmn_worker *worker);
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -47,11 +47,12 @@
     while ((q = g_queue_pop_head(&worker->pending))) {
         struct timespec now = lmn_worker_now();
         const struct lmn_task_command *work =
-            q->image ? NULL : g_hash_table_lookup(worker->works, q->ref);
+            q->is_image ? NULL : g_hash_table_lookup(worker->task_commands, q->job_id);
         if (work) {
             lmn_agent_described(&worker->agent, q->id, &work->spec, now);
-        } else if (q->image && (!strcmp(q->name, LMN_NO_IMAGE) ||
-                                g_hash_table_contains(worker->here, q->name))) {
+        } else if (q->is_image &&
+                   (!strcmp(q->name, LMN_NO_IMAGE) ||
+                    g_hash_table_contains(worker->cached_images, q->name))) {
             GList *l = g_queue_find(&worker->image_order, q->name);
             if (l) {
                 g_queue_unlink(&worker->image_order, l);
@@ -59,14 +60,15 @@
             }
             lmn_agent_fetched(&worker->agent, q->name, true, now);
         } else {
-            g_queue_push_tail(q->image ? &worker->images : &worker->wishes, q);
-            pthread_cond_signal(q->image ? &worker->images_more : &worker->wishes_more);
+            g_queue_push_tail(q->is_image ? &worker->images : &worker->descriptions, q);
+            pthread_cond_signal(q->is_image ? &worker->image_queued
+                                            : &worker->description_queued);
             continue;
         }
         g_free(q);
     }
-    if (worker->agent.changed)
-        pthread_cond_signal(&worker->report_due);
+    if (worker->agent.has_news)
+        pthread_cond_signal(&worker->heartbeat_due);
 }
 
 static void flush(struct lmn_worker *worker)
@@ -79,13 +81,14 @@
     g_queue_init(&worker->outbox);
     pthread_mutex_unlock(&worker->lock);
     for (struct lmn_executor_request *o; (o = g_queue_pop_head(&mine));) {
-        if (o->dir && g_mkdir_with_parents(o->dir, 0755) != 0)
-            lmn_error("no-directory path=%s error=\"%s\"", o->dir, strerror(errno));
-        if (o->msg && send(worker->keeper, o->msg->data, o->msg->len, MSG_NOSIGNAL) < 0)
+        if (o->directory && g_mkdir_with_parents(o->directory, 0755) != 0)
+            lmn_error("no-directory path=%s error=\"%s\"", o->directory, strerror(errno));
+        if (o->message && send(worker->executor_fd, o->message->data, o->message->len,
+                               MSG_NOSIGNAL) < 0)
             lmn_error("keeper-unheard error=\"%s\"", strerror(errno));
-        if (o->msg)
-            g_byte_array_unref(o->msg);
-        g_free(o->dir);
+        if (o->message)
+            g_byte_array_unref(o->message);
+        g_free(o->directory);
         g_free(o);
     }
     pthread_mutex_unlock(&worker->sending);
@@ -104,7 +107,7 @@
 
 static char *session_file(const struct lmn_worker *worker)
 {
-    return g_build_filename(worker->o->dir, "session", NULL);
+    return g_build_filename(worker->options->directory, "session", NULL);
 }
 
 /* The next session's number, on the disk before it is told to anybody. */
@@ -138,19 +141,21 @@
         bool exited = m->event == LMN_EXECUTOR_EXITED && WIFEXITED(m->status);
         e->id = r->id;
         e->attempt = r->attempt;
-        g_strlcpy(e->ref, r->ref, sizeof e->ref);
+        g_strlcpy(e->job_id, r->job_id, sizeof e->job_id);
         e->index = r->index;
-        e->done = exited && WEXITSTATUS(m->status) == 0;
-        e->saved = exited && WEXITSTATUS(m->status) == EXIT_SAVED;
-        e->dir = g_strdup_printf("%s/tasks/%s.%u.%" G_GUINT64_FORMAT, worker->o->dir,
-                                 r->ref, r->index, r->attempt);
+        e->is_done = exited && WEXITSTATUS(m->status) == 0;
+        e->is_saved = exited && WEXITSTATUS(m->status) == EXIT_SAVED;
+        e->directory =
+            g_strdup_printf("%s/tasks/%s.%u.%" G_GUINT64_FORMAT,
+                            worker->options->directory, r->job_id, r->index, r->attempt);
         lmn_debug("task-exit task=%s/%u attempt=%" G_GUINT64_FORMAT
                   " status=%d what=\"%s\"",
-                  r->ref, r->index, r->attempt, m->status, m->what);
+                  r->job_id, r->index, r->attempt, m->status, m->what);
         if (m->event == LMN_EXECUTOR_START_FAILED)
-            lmn_info("task-unstarted task=%s/%u why=\"%s\"", r->ref, r->index, m->what);
+            lmn_info("task-unstarted task=%s/%u why=\"%s\"", r->job_id, r->index,
+                     m->what);
         g_queue_push_tail(&worker->ended, e);
-        pthread_cond_signal(&worker->ended_more);
+        pthread_cond_signal(&worker->attempt_ended);
     }
     lmn_worker_unlock(worker);
 }
@@ -162,7 +167,7 @@
 
     for (;;) {
         struct lmn_executor_event_message m;
-        ssize_t n = recv(worker->keeper, buf, sizeof buf, 0);
+        ssize_t n = recv(worker->executor_fd, buf, sizeof buf, 0);
         if (n < 0 && errno == EINTR)
             continue;
         if (n <= 0) {
@@ -200,8 +205,8 @@
                           sizeof name);
         lmn_cbor_free(&d);
     }
-    for (unsigned i = 0; i < worker->o->ncontrollers && *name; i++)
-        if (i != now && !strcmp(worker->o->controllers[i].name, name))
+    for (unsigned i = 0; i < worker->options->controller_count && *name; i++)
+        if (i != now && !strcmp(worker->options->controllers[i].name, name))
             return i;
     return now;
 }
@@ -210,16 +215,16 @@
  * every half second. */
 static void wait_for_report(struct lmn_worker *worker, struct timespec last)
 {
-    double interval = worker->o->report_s * (0.75 + 0.5 * g_random_double());
+    double interval = worker->options->heartbeat_s * (0.75 + 0.5 * g_random_double());
 
     pthread_mutex_lock(&worker->lock);
     for (;;) {
         double since = lmn_time_diff_s(lmn_now(), last);
         double wait =
-            worker->agent.changed ? MIN(0.5, interval) - since : interval - since;
-        if (wait <= 0 && !worker->agent.ending)
+            worker->agent.has_news ? MIN(0.5, interval) - since : interval - since;
+        if (wait <= 0 && !worker->agent.is_ending)
             break;
-        lmn_cond_wait_for(&worker->report_due, &worker->lock, MAX(wait, 0.01));
+        lmn_cond_wait_for(&worker->heartbeat_due, &worker->lock, MAX(wait, 0.01));
     }
     pthread_mutex_unlock(&worker->lock);
 }
@@ -229,16 +234,16 @@
     struct lmn_worker *worker = arg;
     struct lmn_http_client *h[LMN_MAX_CONTROLLERS] = {NULL};
     GByteArray *in = g_byte_array_new();
-    unsigned to = g_str_hash(worker->o->name) % worker->o->ncontrollers;
+    unsigned to = g_str_hash(worker->options->name) % worker->options->controller_count;
     struct timespec last = {0, 0};
 
-    for (unsigned i = 0; i < worker->o->ncontrollers; i++)
-        h[i] = lmn_http_client_new(worker->o->controllers[i].addr);
+    for (unsigned i = 0; i < worker->options->controller_count; i++)
+        h[i] = lmn_http_client_new(worker->options->controllers[i].addr);
     for (;;) {
         GByteArray *out = g_byte_array_new();
         wait_for_report(worker, last);
         lmn_worker_lock(worker);
-        if (worker->agent.ending) {
+        if (worker->agent.is_ending) {
             lmn_worker_unlock(worker);
             g_byte_array_unref(out);
             continue;
@@ -246,7 +251,7 @@
         uint64_t session = worker->agent.incarnation;
         struct timespec sent = lmn_worker_now();
         lmn_agent_write_heartbeat(&worker->agent, out, sent);
-        worker->reports++;
+        worker->heartbeats++;
         lmn_worker_unlock(worker);
         last = lmn_now();
         int status =
@@ -261,15 +266,15 @@
         }
         unsigned next = status == 421 ? controller_named(worker, in, to) : to;
         lmn_debug("report-turned status=%d to=%s", status,
-                  worker->o->controllers[next].name);
+                  worker->options->controllers[next].name);
         pthread_mutex_lock(&worker->lock);
-        worker->agent.changed = true; /* what was not heard is still news */
+        worker->agent.has_news = true; /* what was not heard is still news */
         worker->redirects++;
         pthread_mutex_unlock(&worker->lock);
         if (next != to) {
             last = lmn_time_add(lmn_now(), -1);
         } else {
-            next = (to + 1) % worker->o->ncontrollers;
+            next = (to + 1) % worker->options->controller_count;
             lmn_sleep(1);
         }
         to = next;
@@ -306,7 +311,7 @@
     lmn_counter(out, "lemonspar_worker_refused", "Starts refused", agent->refused);
     lmn_counter(out, "lemonspar_worker_lapses", "Leases that ran out",
                 agent->expired_leases);
-    lmn_counter(out, "lemonspar_worker_reports", "Reports sent", worker->reports);
+    lmn_counter(out, "lemonspar_worker_reports", "Reports sent", worker->heartbeats);
     lmn_counter(out, "lemonspar_worker_turned_reports", "Reports that were turned away",
                 worker->redirects);
     lmn_counter(out, "lemonspar_worker_image_bytes", "Bytes of images fetched",
@@ -349,47 +354,48 @@
 
 static void init(struct lmn_worker *worker)
 {
-    pthread_cond_t *const conds[] = {&worker->report_due, &worker->wishes_more,
-                                     &worker->images_more, &worker->ended_more,
-                                     &worker->logs_more};
+    pthread_cond_t *const conds[] = {&worker->heartbeat_due, &worker->description_queued,
+                                     &worker->image_queued, &worker->attempt_ended,
+                                     &worker->log_queued};
 
     pthread_mutex_init(&worker->lock, NULL);
     pthread_mutex_init(&worker->sending, NULL);
     for (guint i = 0; i < G_N_ELEMENTS(conds); i++)
         lmn_cond_init(conds[i]);
-    worker->works = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_work);
-    worker->here = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+    worker->task_commands =
+        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_work);
+    worker->cached_images = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 }
 
 int lmn_worker_run(const struct lmn_worker_options *options, char *err, size_t len)
 {
     struct lmn_worker *worker = g_new0(struct lmn_worker, 1);
-    char *lock = g_build_filename(options->dir, "agent.lock", NULL),
+    char *lock = g_build_filename(options->directory, "agent.lock", NULL),
          host[LMN_ADDRESS_SIZE];
-    char *tasks = g_build_filename(options->dir, "tasks", NULL);
+    char *tasks = g_build_filename(options->directory, "tasks", NULL);
     pid_t other = 0;
 
-    worker->o = options;
+    worker->options = options;
     signal(SIGPIPE, SIG_IGN);
-    if (g_mkdir_with_parents(options->dir, 0755) != 0 ||
+    if (g_mkdir_with_parents(options->directory, 0755) != 0 ||
         lmn_lock_file(lock, &other) < 0) {
         if (other)
-            g_snprintf(err, len, "%s: process %ld is this machine's agent", options->dir,
-                       (long)other);
+            g_snprintf(err, len, "%s: process %ld is this machine's agent",
+                       options->directory, (long)other);
         else
-            g_snprintf(err, len, "%s: %s", options->dir, strerror(errno));
+            g_snprintf(err, len, "%s: %s", options->directory, strerror(errno));
         return -1;
     }
-    worker->mark = lmn_executor_mark(options->dir);
-    worker->keeper = lmn_executor_start(options->dir, worker->mark, err, len);
-    if (worker->keeper < 0)
+    worker->mark = lmn_executor_mark(options->directory);
+    worker->executor_fd = lmn_executor_start(options->directory, worker->mark, err, len);
+    if (worker->executor_fd < 0)
         return -1;
     /* Nothing of an earlier session runs any more: only now is there a next one. */
     lmn_tree_remove(tasks);
     init(worker);
     lmn_images_open(worker);
     if (lmn_results_open(worker) != 0) {
-        g_snprintf(err, len, "%s: results: %s", options->dir, strerror(errno));
+        g_snprintf(err, len, "%s: results: %s", options->directory, strerror(errno));
         return -1;
     }
     curl_global_init(CURL_GLOBAL_NOTHING);
@@ -401,7 +407,7 @@
     g_strlcpy(worker->agent.name, options->name, sizeof worker->agent.name);
     g_strlcpy(worker->agent.zone, options->zone, sizeof worker->agent.zone);
     worker->agent.type = options->type;
-    worker->agent.spot = options->spot;
+    worker->agent.is_spot = options->is_spot;
     worker->agent.lease_s = options->lease_s;
     lmn_agent_init(&worker->agent, &lmn_worker_agent_ops, worker, next_session(worker),
                    lmn_worker_now());
@@ -413,16 +419,16 @@
     g_strlcpy(host, options->listen, sizeof host);
     *strrchr(host, ':') = '\0';
     pthread_mutex_lock(&worker->lock);
-    g_snprintf(worker->agent.addr, sizeof worker->agent.addr, "%s:%d", host,
+    g_snprintf(worker->agent.address, sizeof worker->agent.address, "%s:%d", host,
                lmn_http_server_port(server));
     lmn_info(
         "worker-start machine=%s type=%s zone=%s address=%s session=%" G_GUINT64_FORMAT
         " results=%u",
-        options->name, options->type.name, options->zone, worker->agent.addr,
+        options->name, options->type.name, options->zone, worker->agent.address,
         worker->incarnation, g_hash_table_size(worker->results));
-    char *address = g_build_filename(options->dir, "address", NULL),
+    char *address = g_build_filename(options->directory, "address", NULL),
          said[LMN_ADDRESS_SIZE + 1];
-    int n = g_snprintf(said, sizeof said, "%s\n", worker->agent.addr);
+    int n = g_snprintf(said, sizeof said, "%s\n", worker->agent.address);
     lmn_worker_unlock(worker);
     /* For the fleet's list. */
     lmn_file_put(address, said, (size_t)n);
@@ -455,7 +461,7 @@
         g_snprintf(path, sizeof path, "controllers[%u].address", i);
         g_strlcpy(options->controllers[i].addr, lmn_config_address(config, path, NULL),
                   LMN_ADDRESS_SIZE);
-        options->ncontrollers++;
+        options->controller_count++;
     }
 }
 
@@ -474,14 +480,15 @@
     if (!strchr(options->listen, ':'))
         lmn_config_fail(config, "listen",
                         "expected an IPv4 address and a port (0: one that is free)");
-    g_strlcpy(options->depot, lmn_config_address(config, "depot", NULL),
-              sizeof options->depot);
-    g_strlcpy(options->dir, lmn_config_text(config, "data", NULL), sizeof options->dir);
+    g_strlcpy(options->image_store, lmn_config_address(config, "depot", NULL),
+              sizeof options->image_store);
+    g_strlcpy(options->directory, lmn_config_text(config, "data", NULL),
+              sizeof options->directory);
     if (lmn_config_has(config, "checkpoints"))
         g_strlcpy(options->checkpoints, lmn_config_text(config, "checkpoints", NULL),
                   sizeof options->checkpoints);
-    options->spot = lmn_config_bool(config, "spot", false);
-    options->report_s = lmn_config_number(config, "report_s", 1.5, 0.05, 600);
+    options->is_spot = lmn_config_bool(config, "spot", false);
+    options->heartbeat_s = lmn_config_number(config, "report_s", 1.5, 0.05, 600);
     options->lease_s = lmn_config_number(config, "lease_s", 10, 0.1, 3600);
     options->log_kb = lmn_config_number(config, "log_kb", 256, 1, 7 * 1024);
     g_strlcpy(options->type.name, lmn_config_name(config, "type.name", NULL),
@@ -493,7 +500,7 @@
     options->type.pull_gb_per_s =
         lmn_config_number(config, "type.pull_gb_per_s", 1, 0, 1e6);
     lmn_worker_controllers(config, options);
-    if (options->lease_s <= options->report_s)
+    if (options->lease_s <= options->heartbeat_s)
         lmn_config_fail(config, "lease_s", "must be longer than report_s");
     int rc = lmn_config_finish(config, err, len);
     lmn_config_free(config);
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -82,7 +82,7 @@
     for (guint i = 0; i < w.live->len; i++) {
         const struct lmn_task_run *o =
             lmn_agent_find_run(&w.a, g_array_index(w.live, uint64_t, i));
-        assert_false(o && o->index == r->index && !strcmp(o->ref, r->ref));
+        assert_false(o && o->index == r->index && !strcmp(o->job_id, r->job_id));
     }
     g_array_append_val(w.live, r->id);
     w.starts++;
@@ -91,7 +91,7 @@
 static void save(void *arg, struct lmn_task_run *r, double grace)
 {
     (void)arg;
-    assert_true(r->saves && grace >= r->save_s);
+    assert_true(r->can_save && grace >= r->save_s);
     w.saves++;
 }
 
@@ -137,7 +137,7 @@
         /* Often about something that is there. */
         if (w.a.runs->len && some(3)) {
             const struct lmn_task_run *r = w.a.runs->pdata[some((int)w.a.runs->len)];
-            ref = r->ref[strlen(r->ref) - 1] - '0';
+            ref = r->job_id[strlen(r->job_id) - 1] - '0';
             index = (int)r->index;
             attempt = (int)r->attempt;
         }
@@ -157,11 +157,11 @@
 
     for (guint i = 0; i < w.a.runs->len; i++) {
         const struct lmn_task_run *r = w.a.runs->pdata[i];
-        if (r->known && r->state != LMN_RUN_ENDED)
+        if (r->is_described && r->state != LMN_RUN_ENDED)
             cpus += r->cpus;
         for (guint k = 0; k < i; k++) {
             const struct lmn_task_run *o = w.a.runs->pdata[k];
-            bool same = o->index == r->index && !strcmp(o->ref, r->ref);
+            bool same = o->index == r->index && !strcmp(o->job_id, r->job_id);
             /* One attempt of a task at a time, and each attempt once. */
             assert_false(same && o->state != LMN_RUN_ENDED && r->state != LMN_RUN_ENDED);
             assert_false(same && o->attempt == r->attempt);
@@ -172,7 +172,7 @@
     w.token = w.a.fencing_token;
     assert_true(w.a.incarnation >= w.session);
     w.session = w.a.incarnation;
-    assert_int_equal(w.a.ending, w.emptying);
+    assert_int_equal(w.a.is_ending, w.emptying);
     if (w.emptying)
         assert_int_equal(w.a.runs->len, 0);
     else
@@ -193,9 +193,9 @@
     bool drop = token < w.a.fencing_token || session != w.a.incarnation;
     GByteArray *b = orders(token, session), *out = g_byte_array_new();
     if (direct) {
-        bool was = w.a.ending;
+        bool was = w.a.is_ending;
         int status = lmn_agent_execute(&w.a, b->data, b->len, out, w.now);
-        if (was || w.a.ending)
+        if (was || w.a.is_ending)
             assert_int_equal(status, 503);
         else
             assert_int_equal(status, drop ? 409 : 200);
@@ -208,7 +208,7 @@
     }
     if (drop) {
         assert_int_equal(w.starts, starts);
-        assert_true(w.a.runs->len == before || w.a.ending);
+        assert_true(w.a.runs->len == before || w.a.is_ending);
     }
     g_byte_array_unref(b);
     g_byte_array_unref(out);
@@ -225,7 +225,7 @@
             uint64_t id = g_array_index(w.asked, uint64_t, some((int)w.asked->len));
             const struct lmn_task_run *r = lmn_agent_find_run(&w.a, id);
             drop_id(w.asked, id);
-            int job = r ? r->ref[strlen(r->ref) - 1] - '0' : 0;
+            int job = r ? r->job_id[strlen(r->job_id) - 1] - '0' : 0;
             lmn_agent_described(&w.a, id, some(20) ? &w.specs[job] : NULL, w.now);
         }
         return;
@@ -243,14 +243,15 @@
             bool done = some(2);
             assert_non_null(r); /* what runs is known until its session ends */
             if (done) {
-                g_hash_table_add(w.results, g_strdup_printf("%s/%u", r->ref, r->index));
+                g_hash_table_add(w.results,
+                                 g_strdup_printf("%s/%u", r->job_id, r->index));
                 w.done++;
             }
             drop_id(w.live, id);
             lmn_agent_exited(&w.a, id, done, some(2), w.now);
             r = lmn_agent_find_run(&w.a, id);
             assert_int_equal(r->state, LMN_RUN_ENDED);
-            assert_int_equal(r->why == LMN_EXIT_DONE, done);
+            assert_int_equal(r->exit_reason == LMN_EXIT_DONE, done);
         }
     }
 }
@@ -261,7 +262,7 @@
     struct lmn_cbor_document d;
     uint64_t seq = w.a.sequence, told = 0;
 
-    if (w.a.ending) {
+    if (w.a.is_ending) {
         g_byte_array_unref(b);
         return;
     }
@@ -316,7 +317,7 @@
             /* Everything is dead: what comes of it now is of no session. */
             g_array_set_size(w.live, 0);
             w.emptying = false;
-            uint64_t id = w.a.ids;
+            uint64_t id = w.a.next_run_id;
             lmn_agent_incarnation_ended(&w.a, w.a.incarnation + 1, w.now);
             lmn_agent_exited(&w.a, id, true, false, w.now);
             assert_int_equal(w.a.runs->len, 0);
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -309,9 +309,9 @@
 
     assert_int_equal(lmn_inventory_parse(good, "inv.toml", &inventory, err, sizeof err),
                      0);
-    g_snprintf(local.dir, sizeof local.dir, "%s/machines", dir);
+    g_snprintf(local.directory, sizeof local.directory, "%s/machines", dir);
     g_strlcpy(local.worker.listen, "127.0.0.1:0", LMN_ADDRESS_SIZE);
-    g_strlcpy(local.worker.depot, "127.0.0.1:1", LMN_ADDRESS_SIZE);
+    g_strlcpy(local.worker.image_store, "127.0.0.1:1", LMN_ADDRESS_SIZE);
     /* Two, and of five the one that is left. */
     char *said = rent_and_die();
     assert_string_equal(said, "200 200 2 1 host-000000 host-000001");
@@ -328,7 +328,7 @@
     /* An agent that dies is started again; one that is returned is not, with all that it
      * has. */
     lmn_thread(lmn_static_provider_thread, s);
-    char *lock = g_build_filename(local.dir, "host-000000", "agent.lock", NULL);
+    char *lock = g_build_filename(local.directory, "host-000000", "agent.lock", NULL);
     pid_t first;
     assert_true(lmn_lock_held(lock, &first));
     assert_true(lmn_lock_signal(lock, SIGKILL));
@@ -339,7 +339,7 @@
     }
     char *back[] = {(char *)"host-000000", (char *)"host-000001", (char *)"host-000002",
                     (char *)"host-999999"};
-    char *machine = g_build_filename(local.dir, "host-000001", NULL);
+    char *machine = g_build_filename(local.directory, "host-000001", NULL);
     char *mark = lmn_executor_mark(machine);
     assert_int_equal(lmn_static_provider_ops.give_back(s, back, 4), 200);
     assert_false(lmn_lock_held(lock, &pid));
@@ -381,9 +381,10 @@
         lmn_machine_provider_serve("127.0.0.1:0", 0, &lmn_static_provider_ops, s);
     assert_non_null(server);
     o.local = local;
-    g_snprintf(o.local.dir, sizeof o.local.dir, "%s/slot", dir);
+    g_snprintf(o.local.directory, sizeof o.local.directory, "%s/slot", dir);
     g_strlcpy(o.name, "rack-1", sizeof o.name);
-    g_snprintf(o.fleet, sizeof o.fleet, "127.0.0.1:%d", lmn_http_server_port(server));
+    g_snprintf(o.provider_address, sizeof o.provider_address, "127.0.0.1:%d",
+               lmn_http_server_port(server));
     lmn_thread(run_slot, &o);
     for (int round = 0; round < 2; round++) {
         GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -53,22 +53,22 @@
 
     lmn_agent_init(&a, &ops, NULL, 5, now);
     g_strlcpy(a.name, "host-000001", sizeof a.name);
-    g_strlcpy(a.addr, "10.0.0.1:9000", sizeof a.addr);
+    g_strlcpy(a.address, "10.0.0.1:9000", sizeof a.address);
     g_strlcpy(a.zone, "a", sizeof a.zone);
     g_strlcpy(a.type.name, "x", sizeof a.type.name);
     a.incarnation = 5;
-    a.spot = a.noticed = true;
+    a.is_spot = a.has_spot_notice = true;
     a.gone_at = lmn_time_add(now, 30.5);
     a.fencing_token = 42;
     a.sequence = 16;
     for (uint32_t i = 0; i < 4 + LMN_EXIT_NO_SUCH_JOB + 1; i++) {
         struct lmn_task_run *run = g_new0(struct lmn_task_run, 1);
-        g_strlcpy(run->ref, "run-000412", sizeof run->ref);
+        g_strlcpy(run->job_id, "run-000412", sizeof run->job_id);
         run->index = i;
         run->attempt = 0x2a00000001ULL + i;
         run->state = i < 4 ? states[i] : LMN_RUN_ENDED;
-        run->why = i < 4 ? LMN_EXIT_DONE : (enum lmn_exit_reason)(i - 4);
-        run->saved = run->why == LMN_EXIT_STOPPED;
+        run->exit_reason = i < 4 ? LMN_EXIT_DONE : (enum lmn_exit_reason)(i - 4);
+        run->is_saved = run->exit_reason == LMN_EXIT_STOPPED;
         g_ptr_array_add(a.runs, run);
     }
     GByteArray *b = g_byte_array_new();
--- a/tests/test_hand.c
+++ b/tests/test_hand.c
@@ -70,12 +70,12 @@
     GString *s = g_string_new(NULL);
 
     g_string_append_printf(s, "%d %d %d %d %d %d %d|", h->state, (int)h->epoch,
-                           *h->site != 0, (int)h->incarnation, h->outcome, h->cancel,
-                           h->recall);
+                           *h->site != 0, (int)h->incarnation, h->outcome,
+                           h->cancel_requested, h->is_revoked);
     for (int i = 0; i < 2; i++)
         g_string_append_printf(s, "%d %d %d %d %d %d|", f[i]->state, (int)f[i]->epoch,
-                               (int)f[i]->floor, f[i]->outcome, f[i]->cancel,
-                               f[i]->heard);
+                               (int)f[i]->min_epoch, f[i]->outcome,
+                               f[i]->cancel_requested, f[i]->is_acknowledged);
     g_string_append_printf(s, "%" G_GINT64_MODIFIER "x %d%d%d %d %d", w->flight,
                            w->at_home, w->at_host, w->done, w->inc, w->backed_up);
     return g_string_free(s, FALSE);
@@ -173,14 +173,15 @@
         }
         return true;
     case 3: /* a cancelled one is stopped at home */
-        if (w->at_home && w->home.cancel &&
+        if (w->at_home && w->home.cancel_requested &&
             lmn_origin_local_finished(&w->home, LMN_OUTCOME_CANCELLED))
             w->at_home = false;
         return true;
     case 4:
         if (w->home.state == LMN_ORIGIN_OFFERED || w->home.state == LMN_ORIGIN_REMOTE)
             send(w,
-                 w->home.cancel && w->home.state == LMN_ORIGIN_REMOTE ? CANCEL : RESOLVE,
+                 w->home.cancel_requested && w->home.state == LMN_ORIGIN_REMOTE ? CANCEL
+                                                                                : RESOLVE,
                  w->home.epoch);
         return true;
     case 5:
@@ -193,7 +194,7 @@
     case 6: /* it completes there, */
     case 7: /* is stopped for its cancellation, */
     case 8: /* or for the leash, or to make room */
-        if (w->at_host && (n != 7 || w->host.cancel)) {
+        if (w->at_host && (n != 7 || w->host.cancel_requested)) {
             lmn_execution_finished(&w->host, n == 6   ? LMN_OUTCOME_DONE
                                              : n == 7 ? LMN_OUTCOME_CANCELLED
                                                       : LMN_OUTCOME_RETURNED);
@@ -205,7 +206,7 @@
     case 9: /* it says what it has, until it was heard */
         if (w->host.state == LMN_EXECUTION_RUNNING)
             send(w, SAY_RUNS, w->host.epoch);
-        if (w->host.state == LMN_EXECUTION_FINISHED && !w->host.heard)
+        if (w->host.state == LMN_EXECUTION_FINISHED && !w->host.is_acknowledged)
             send(w, saying(LMN_HANDOVER_FINISHED, w->host.outcome), w->host.epoch);
         return true;
     case 10: /* the leash is over: the host surely runs nothing */
