--- a/bench/failover.c
+++ b/bench/failover.c
@@ -57,7 +57,7 @@
 struct event {
     struct timespec at;
     int node, partition;
-    char what[24], line[200];
+    char what[48], line[200];
 };
 static struct {
     pthread_mutex_t lock;
@@ -73,19 +73,19 @@
 
     if (!what || !(what = strchr(what + 1, ' ')))
         return;
-    sscanf(what + 1, "%23s", e.what);
-    if (!g_str_has_prefix(e.what, "partition-") && !g_str_has_prefix(e.what, "member-") &&
-        !g_str_has_prefix(e.what, "takeover-") && !g_str_has_prefix(e.what, "leave-"))
+    sscanf(what + 1, "%47s", e.what);
+    if (!g_str_has_prefix(e.what, "partition_") && !g_str_has_prefix(e.what, "member_") &&
+        !g_str_has_prefix(e.what, "failover_") && !g_str_has_prefix(e.what, "shutdown_"))
         return;
     if (part)
         e.partition = atoi(part + strlen(" partition="));
     g_strlcpy(e.line, what + 1, sizeof e.line);
     pthread_mutex_lock(&seen.lock);
-    if (e.partition >= 0 && !strcmp(e.what, "partition-own")) {
+    if (e.partition >= 0 && !strcmp(e.what, "partition_acquired")) {
         seen.owner[e.partition] = node;
         seen.ready[e.partition] = false;
     }
-    if (e.partition >= 0 && !strcmp(e.what, "partition-ready") &&
+    if (e.partition >= 0 && !strcmp(e.what, "partition_ready") &&
         seen.owner[e.partition] == node)
         seen.ready[e.partition] = true;
     g_array_append_val(seen.v, e);
@@ -418,13 +418,13 @@
     /* Until its work goes on elsewhere; where it should stay, for as long as a lease. */
     double patience = moves ? PATIENCE_S : 10;
     while (lmn_time_diff_s(lmn_now(), then) < patience &&
-           (!moves || first(then, "partition-start", partition, node) < 0 ||
-            first(then, "partition-ready", partition, node) < 0))
+           (!moves || first(then, "partition_first_start", partition, node) < 0 ||
+            first(then, "partition_ready", partition, node) < 0))
         lmn_sleep(0.02);
-    double doubt = first(then, "member-suspect", -1, node);
-    double own = first(then, "partition-own", partition, node);
-    double rdy = first(then, "partition-ready", partition, node);
-    double went = first(then, "partition-start", partition, node);
+    double doubt = first(then, "member_suspicion_written", -1, node);
+    double own = first(then, "partition_acquired", partition, node);
+    double rdy = first(then, "partition_ready", partition, node);
+    double went = first(then, "partition_first_start", partition, node);
     end(t, node);
     if (t == KILL)
         ready(site.users[node], 20);
@@ -447,7 +447,7 @@
         lmn_latency_add(&started, went);
     }
     /* A partition may still go back to whom an earlier trouble took it from. */
-    bool ok = moves ? went >= 0 : first(then, "member-verdict", -1, -1) < 0;
+    bool ok = moves ? went >= 0 : first(then, "member_declared_failed", -1, -1) < 0;
     /* Workers report every 6 s, wait 4 s for an answer, and turn to another a second
      * later: so long it takes until that is seen. */
     if (timed && moves && (own > (t == WORKERS ? 12 : 6) || lapsed > 0))
@@ -503,16 +503,16 @@
     struct timespec then = lmn_now();
     finish(controller(node), SIGKILL);
     while (lmn_time_diff_s(lmn_now(), then) < PATIENCE_S &&
-           (first(then, "partition-start", partition, node) < 0 ||
-            first(then, "partition-ready", partition, node) < 0))
+           (first(then, "partition_first_start", partition, node) < 0 ||
+            first(then, "partition_ready", partition, node) < 0))
         lmn_sleep(0.01);
-    double own = first(then, "partition-own", partition, node);
-    double went = first(then, "partition-start", partition, node);
-    double how = first(then, warm ? "takeover-warm" : "takeover-cold", partition, node);
+    double own = first(then, "partition_acquired", partition, node);
+    double went = first(then, "partition_first_start", partition, node);
+    double how = first(then, warm ? "failover_warm" : "failover_cold", partition, node);
     start(controller(node));
     ready(site.users[node], 20);
     printf("%s: owned after %.2f s, ready %.2f s, first start %.2f s%s\n",
-           warm ? "warm" : "cold", own, first(then, "partition-ready", partition, node),
+           warm ? "warm" : "cold", own, first(then, "partition_ready", partition, node),
            went, how < 0 ? " (the other way)" : "");
     if (own < 0 || went < 0)
         return false;
@@ -548,9 +548,9 @@
     for (int i = 0; i < nodes; i++) {
         if (!held[i])
             continue;
-        double begun = first(then, "partition-give", i, -1);
-        double went = first(then, "partition-start", i, node);
-        bool warm = first(then, "takeover-warm", i, node) >= 0;
+        double begun = first(then, "partition_transfer_started", i, -1);
+        double went = first(then, "partition_first_start", i, node);
+        bool warm = first(then, "failover_warm", i, node) >= 0;
         printf("controller %d, partition %d: stood still for %.2f s, %s\n", node, i,
                went - begun, warm ? "warm" : "cold");
         ok = ok && begun >= 0 && went >= 0;
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -51,25 +51,26 @@
     lmn_log_init(cfg->node_name);
     if (curl_global_init(CURL_GLOBAL_NOTHING) != 0)
         return 1;
-    lmn_info("start version=" LMN_VERSION " listen=%s partitions=%d members=%zu",
+    lmn_info("controller_started version=" LMN_VERSION
+             " listen=%s partitions=%d members=%zu",
              cfg->client_listen, cfg->partition_count, cfg->member_count + 1);
 
     char warning[512];
     if (lmn_settings_warning(cfg, warning, sizeof warning))
-        lmn_error("settings-tight why=\"%s\"", warning);
+        lmn_error("settings_warning why=\"%s\"", warning);
 
     struct lmn_kv_client *state = lmn_kv_client_new(cfg);
     struct lmn_core *core = lmn_core_new(cfg, state, g_random_int());
     struct lmn_http_server *server = lmn_http_routes_start(core);
     if (!server) {
-        lmn_error("listen-failed address=%s", cfg->client_listen);
+        lmn_error("listen_failed address=%s", cfg->client_listen);
         return 1;
     }
     pthread_mutex_lock(&core->lock);
     core->http_server = server;
     pthread_mutex_unlock(&core->lock);
     if (lmn_rpc_server_start(core) != 0) {
-        lmn_error("listen-failed address=%s", cfg->internal_address);
+        lmn_error("listen_failed address=%s", cfg->internal_address);
         return 1;
     }
     lmn_kv_client_start(state);
@@ -97,7 +98,7 @@
         if (asked_to_end)
             lmn_shutdown_begin(core, now);
         if (asked_to_end > 1 || lmn_shutdown_is_complete(core, now)) {
-            lmn_info("leave-end after=%.2f given=%d",
+            lmn_info("shutdown_finished after=%.2f given=%d",
                      lmn_time_diff_s(now, core->shutdown_began_at),
                      core->has_released_lease);
             /* Nothing is to be cleared away, and the other threads go on until then. */
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -61,7 +61,7 @@
     (void)txn;
     (void)revision;
 
-    lmn_debug("job-submitted job=%s outcome=%d took=%.3f", pending->ref, outcome, took);
+    lmn_debug("job_submitted job=%s outcome=%d took=%.3f", pending->ref, outcome, took);
     if (outcome == LMN_TXN_COMMITTED)
         note_latency(pending->core, took);
     pthread_mutex_lock(&pendings.lock);
@@ -117,7 +117,7 @@
         twin = pending->twin;
         pending->twin = NULL;
         pending->in_flight++;
-        lmn_debug("job-submitted-again job=%s", pending->ref);
+        lmn_debug("job_submission_duplicate job=%s", pending->ref);
         lmn_kv_client_submit(core->kv_client, twin);
         return NULL;
     default:
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -28,7 +28,8 @@
         }
     }
     if (odd != core->is_isolated_view)
-        lmn_info("odd-one-out odd=%d stale=%.1f alone=%d", odd, stale, !anybody);
+        lmn_info("isolated_view_changed odd=%d stale=%.1f alone=%d", odd, stale,
+                 !anybody);
     __atomic_store_n(&core->is_isolated_view, odd,
                      __ATOMIC_RELAXED); /* controller/http_routes.c reads it */
     if (!odd || anybody)
@@ -202,7 +203,7 @@
         be_told(core, probe->member, a.said.said_len, a.said.said_val, now);
     } else {
         lmn_member_record_probe_timeout(members, probe->member, sent, now);
-        lmn_debug("member-unanswered member=%s after=%.2f times=%u",
+        lmn_debug("member_probe_timeout member=%s after=%.2f times=%u",
                   lmn_member_name(members, probe->member), lmn_time_diff_s(now, sent),
                   members->views[probe->member].probe_failures);
         pthread_cond_broadcast(&core->ownership_changed);
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -260,7 +260,7 @@
             uint64_t revision;
             enum lmn_txn_outcome r =
                 lmn_kv_client_commit(core->kv_client, f->http, txn, &revision, NULL);
-            lmn_debug("standby-write partition=%d outcome=%d", partition->id, r);
+            lmn_debug("replica_record_written partition=%d outcome=%d", partition->id, r);
             lmn_txn_free(txn);
         }
         pthread_mutex_lock(&core->lock);
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -263,7 +263,7 @@
         return reply_now(plain(503, lmn_retry_after(1, core->random)));
     if (!lmn_job_spec_is_feasible(&submission->spec, core->settings, &core->machine_types,
                                   &why)) {
-        lmn_debug("job-impossible job=%s why=\"%s\"", submission->spec.id, why);
+        lmn_debug("job_infeasible job=%s why=\"%s\"", submission->spec.id, why);
         return next_step(LMN_STEP_CONFIRM, 422);
     }
     return decide_new(core);
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -301,7 +301,7 @@
 {
     (void)arg;
     svc_run();
-    lmn_error("peer-server-ended");
+    lmn_error("rpc_server_ended");
     return NULL;
 }
 
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -182,7 +182,7 @@
 /* A cancellation has been committed. */
 static void tell_others(struct lmn_core *core, const char *ref)
 {
-    lmn_debug("job-cancelled job=%s", ref);
+    lmn_debug("job_cancelled job=%s", ref);
     pthread_mutex_lock(&core->lock);
     if (core->members.count > 1)
         lmn_tombstone_add(&core->tombstones, ref);
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -85,7 +85,7 @@
     inet_pton(AF_INET, host, &a.sin_addr);
     if (fd < 0 || bind(fd, (struct sockaddr *)&a, sizeof a) != 0 || listen(fd, 64) != 0 ||
         getsockname(fd, (struct sockaddr *)&a, &len) != 0) {
-        lmn_error("no-socket error=\"%s\"", strerror(errno));
+        lmn_error("socket_failed error=\"%s\"", strerror(errno));
         if (fd >= 0)
             close(fd);
         return -1;
@@ -230,7 +230,7 @@
         if (t->at > now)
             break;
         emulation->next_trouble++;
-        lmn_info("trouble set=%s value=%g for=%g", t->name, t->value, t->lasts);
+        lmn_info("fault_injected set=%s value=%g for=%g", t->name, t->value, t->lasts);
         lmn_emu_cloud_set(&emulation->cloud, t->name, t->value, now, err, sizeof err);
         if (t->lasts > 0) {
             struct lmn_emu_fault back = {.at = now + t->lasts};
@@ -718,6 +718,7 @@
         lmn_thread(sender, emulation);
     for (int i = 0; i < ASKERS; i++)
         lmn_thread(asker, emulation);
-    lmn_info("emulation-start seed=%u troubles=%u", options->seed, options->script->len);
+    lmn_info("emulation_started seed=%u troubles=%u", options->seed,
+             options->script->len);
     return emulation;
 }
--- a/src/gateway/cluster_client.c
+++ b/src/gateway/cluster_client.c
@@ -214,7 +214,7 @@
         lmn_gateway_peer_by_site(feeder->g, x->origin_site);
     if (!p || lmn_time_diff_s(now, p->synced_at) <= x->execution_lease_s)
         return;
-    lmn_info("leash-over home=%s job=%s", x->origin_site, x->id);
+    lmn_info("execution_lease_expired home=%s job=%s", x->origin_site, x->id);
     x->is_being_stopped =
         true; /* in memory: after a restart it is counted anew, which is later */
 }
--- a/src/gateway/execution.c
+++ b/src/gateway/execution.c
@@ -232,7 +232,7 @@
      * home says so again until it has come. */
     if (w.remote_job && recall && w.execution.state == LMN_EXECUTION_RUNNING &&
         w.execution.epoch == i->epoch && !w.remote_job->is_being_stopped) {
-        lmn_info("called-back home=%s job=%s", w.remote_job->origin_site,
+        lmn_info("remote_job_revoked home=%s job=%s", w.remote_job->origin_site,
                  w.remote_job->id);
         w.remote_job->is_being_stopped = true;
     }
@@ -334,8 +334,8 @@
                                          &r.lmn_gateway_rpc_response_u.hello);
     xdr_free((xdrproc_t)xdr_lmn_gateway_rpc_response, (char *)&r);
     if (wrong)
-        lmn_error("hello-refused site=%s why=\"%s\"", lmn_gateway_peer_site(host->p),
-                  wrong);
+        lmn_error("peer_hello_rejected site=%s why=\"%s\"",
+                  lmn_gateway_peer_site(host->p), wrong);
     return !wrong;
 }
 
@@ -343,7 +343,8 @@
 {
     pthread_mutex_lock(&host->p->gateway->records.lock);
     if (host->p->is_up)
-        lmn_info("link-down site=%s why=\"%s\"", lmn_gateway_peer_site(host->p), why);
+        lmn_info("peer_connection_lost site=%s why=\"%s\"",
+                 lmn_gateway_peer_site(host->p), why);
     host->p->is_up = false;
     host->p->failures++;
     g_strlcpy(host->p->last_failure, why, sizeof host->p->last_failure);
@@ -387,7 +388,7 @@
                 drop(&k, "no hello");
                 continue;
             }
-            lmn_info("link-up site=%s", lmn_gateway_peer_site(p));
+            lmn_info("peer_connection_established site=%s", lmn_gateway_peer_site(p));
             k.wait_s = 0;
         }
         if (!sync_once(&k)) {
--- a/src/gateway/gateway_process.c
+++ b/src/gateway/gateway_process.c
@@ -135,10 +135,11 @@
         g_array_append_val(all, w);
     }
     pthread_mutex_unlock(&gateway->records.lock);
-    lmn_error("state-restored fenced=%u mend=\"lemonspar gateway unfence, once it is "
-              "known that "
-              "nothing of them runs\"",
-              all->len);
+    lmn_error(
+        "gateway_state_restored fenced=%u mend=\"lemonspar gateway unfence, once it is "
+        "known that "
+        "nothing of them runs\"",
+        all->len);
     lmn_gateway_records_write(&gateway->records, client,
                               (struct lmn_record_write *)(void *)all->data, all->len);
     g_array_free(all, TRUE);
@@ -154,10 +155,10 @@
         struct lmn_gateway_peer *p = &gateway->peers[i];
         double silent = lmn_time_diff_s(lmn_now(), p->last_contact_at);
         if (!p->alarm_raised && silent > gateway->options->unreachable_alarm_s)
-            lmn_error("peer-silent site=%s seconds=%.0f why=\"%s\"",
+            lmn_error("peer_unreachable site=%s seconds=%.0f why=\"%s\"",
                       gateway->options->peers[i].site, silent, p->last_failure);
         else if (p->alarm_raised && silent <= gateway->options->unreachable_alarm_s)
-            lmn_info("peer-heard-again site=%s", gateway->options->peers[i].site);
+            lmn_info("peer_reachable site=%s", gateway->options->peers[i].site);
         p->alarm_raised = silent > gateway->options->unreachable_alarm_s;
     }
     pthread_mutex_unlock(&gateway->records.lock);
@@ -176,7 +177,7 @@
                                &options->peer_count, err, len);
     if (!gateway->tls)
         return -1;
-    lmn_info("gateway-start site=%s name=%s peers=%u", options->site, options->name,
+    lmn_info("gateway_started site=%s name=%s peers=%u", options->site, options->name,
              options->peer_count);
     lmn_gateway_records_open(&gateway->records, options->state, options->name,
                              options->max_txn_operations, &restored);
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -160,7 +160,7 @@
     }
     pthread_mutex_unlock(&gateway->records.lock);
     if (change && transition == lmn_origin_revoke)
-        lmn_info("recall job=%s site=%s", ref, w.origin.site);
+        lmn_info("job_revoked job=%s site=%s", ref, w.origin.site);
     if (change)
         lmn_gateway_records_write(&gateway->records, state, &w, 1);
     return change ? CHANGED : known ? AS_IT_WAS : UNKNOWN;
@@ -234,7 +234,7 @@
 {
     uint64_t n = change_all(gateway, state, NULL, lmn_origin_unfence);
 
-    lmn_info("unfenced jobs=%" G_GUINT64_FORMAT, n);
+    lmn_info("jobs_unfenced jobs=%" G_GUINT64_FORMAT, n);
     answer_jobs(request, n);
 }
 
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -61,7 +61,7 @@
             w.job->progress.known_at = lmn_now();
         }
         if (w.origin.state == LMN_ORIGIN_FENCED && change)
-            lmn_error("job-fenced job=%s site=%s why=\"that site was restored\"", i->ref,
+            lmn_error("job_fenced job=%s site=%s why=\"that site was restored\"", i->ref,
                       a->site);
         if (change)
             g_array_append_val(writes, w);
@@ -314,7 +314,7 @@
             lmn_gateway_hello_accept(a->g, a->site, &q->lmn_gateway_rpc_request_u.hello);
         *greeted = !wrong;
         if (wrong) {
-            lmn_error("hello-refused site=%s why=\"%s\"", a->site, wrong);
+            lmn_error("peer_hello_rejected site=%s why=\"%s\"", a->site, wrong);
             return -1;
         }
         r.kind = LMN_GATEWAY_RPC_HELLO;
@@ -358,7 +358,7 @@
         c->g->tls, c->fd, MAX(LMN_PEER_MESSAGE_TIMEOUT_S, 3 * c->g->options->sync_s), err,
         sizeof err);
     if (!a.link) {
-        lmn_info("link-refused why=\"%s\"", err);
+        lmn_info("peer_connection_rejected why=\"%s\"", err);
     } else {
         a.site = lmn_peer_connection_site(a.link);
         a.state = lmn_http_client_new(c->g->options->state);
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -118,7 +118,7 @@
     g_strlcpy(j->id, ref, sizeof j->id);
     if (lmn_job_spec_parse(&j->spec, document, lmn_cbor_get(document, value, "spec"),
                            &what) != 0) {
-        lmn_error("unreadable-record key=g/j/%s field=%s", ref, what);
+        lmn_error("record_unreadable key=g/j/%s field=%s", ref, what);
         g_free(j);
         return;
     }
@@ -151,7 +151,7 @@
     if (!slash || (size_t)(slash - key) >= sizeof g->origin_site ||
         lmn_job_spec_parse(&g->spec, document, lmn_cbor_get(document, value, "spec"),
                            &what) != 0) {
-        lmn_error("unreadable-record key=g/f/%s", key);
+        lmn_error("record_unreadable key=g/f/%s", key);
         g_free(g);
         return;
     }
@@ -224,7 +224,7 @@
     for (;;) {
         if (lmn_http_client_call(client, "POST", path, NULL, 2, in) == 404) {
             /* Another may lead by now. Nothing that this one writes is taken any more. */
-            lmn_error("lead-lost");
+            lmn_error("gateway_lead_lost");
             _exit(1);
         }
         lmn_sleep(TTL_S / 4);
@@ -341,7 +341,7 @@
     read_all(b, client);
     if (!revision)
         note_incarnation(b, client, revision, in);
-    lmn_info("lead gateway=%s jobs=%u guests=%u restored=%d", gateway,
+    lmn_info("gateway_leading gateway=%s jobs=%u guests=%u restored=%d", gateway,
              g_hash_table_size(b->jobs), g_hash_table_size(b->remote_jobs), *restored);
     lmn_http_client_free(client);
     g_byte_array_unref(in);
--- a/src/gateway/sync.c
+++ b/src/gateway/sync.c
@@ -41,7 +41,7 @@
                       h->crl.crl_len);
     pthread_mutex_lock(&gateway->records.lock);
     if (p->incarnation && p->incarnation != h->incarnation)
-        lmn_error("peer-restored site=%s", site);
+        lmn_error("peer_restored site=%s", site);
     p->incarnation = h->incarnation;
     p->last_contact_at = lmn_now();
     p->is_up = true;
--- a/src/image_store/server.c
+++ b/src/image_store/server.c
@@ -39,7 +39,7 @@
         lmn_http_request_respond(request, status, NULL, 0);
         return;
     }
-    lmn_error("depot-write-failed error=\"%s\"", strerror(errno));
+    lmn_error("image_store_write_failed error=\"%s\"", strerror(errno));
     lmn_http_request_respond(request, 503, NULL, 2);
 }
 
--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -388,7 +388,7 @@
     struct timespec sent = lmn_now();
     *status =
         lmn_http_client_call(client, "POST", WIRE_PATH_TXN, body, timeout_s, answer);
-    lmn_debug("state-write transactions=%u status=%d took=%.3f", n, *status,
+    lmn_debug("kv_batch_sent transactions=%u status=%d took=%.3f", n, *status,
               lmn_time_diff_s(lmn_now(), sent));
     enum lmn_txn_outcome r = judge(*status, answer, revision, conflicts);
     g_byte_array_unref(body);
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -450,7 +450,7 @@
         snprintf(err, len, "%s: can't listen: %s", o->listen, strerror(errno));
         return NULL;
     }
-    lmn_info("state-start listen=%s data=%s revision=%" G_GUINT64_FORMAT
+    lmn_info("kv_store_started listen=%s data=%s revision=%" G_GUINT64_FORMAT
              " keys=%" G_GUINT64_FORMAT " leases=%u incarnation=%016" G_GINT64_MODIFIER
              "x",
              o->listen, o->dir, meta.revision, meta.count, g_hash_table_size(s->leases),
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -127,7 +127,7 @@
 {
     struct lmn_kv_store_operation *op;
 
-    lmn_error("commit-failed operations=%u why=\"%s\"", ops->length, why);
+    lmn_error("kv_commit_failed operations=%u why=\"%s\"", ops->length, why);
     pthread_mutex_lock(&s->lock);
     s->failures++;
     for (GList *l = ops->head; l; l = l->next) {
@@ -172,7 +172,7 @@
     if (rc == -2) {
         /* Callers must not be told anything: no answer means that it may have been
          * executed. */
-        lmn_error("database-lost why=\"%s\"", err);
+        lmn_error("database_failed why=\"%s\"", err);
         _exit(1);
     }
     if (rc != 0) {
@@ -189,7 +189,7 @@
     s->largest = MAX(s->largest, ops->length);
     lmn_latency_add(&s->committing, lmn_time_diff_s(now, begun));
     pthread_mutex_unlock(&s->lock);
-    lmn_debug("commit operations=%u revision=%" G_GUINT64_FORMAT " took=%.4f",
+    lmn_debug("kv_commit operations=%u revision=%" G_GUINT64_FORMAT " took=%.4f",
               ops->length, revision, lmn_time_diff_s(now, begun));
     while ((op = g_queue_pop_head(ops))) {
         tell(op);
@@ -261,7 +261,8 @@
         struct timespec now = lmn_now();
         bool stalled = lmn_time_diff_s(now, last) > STALL_S;
         if (stalled)
-            lmn_info("stalled seconds=%.1f leases=renewed", lmn_time_diff_s(now, last));
+            lmn_info("kv_store_stalled seconds=%.1f leases=renewed",
+                     lmn_time_diff_s(now, last));
         last = now;
         expire(arg, now, stalled);
     }
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -153,7 +153,7 @@
     bool ok = lmn_executor_clear(dir, mark, seconds);
 
     if (ok && lmn_tree_remove(dir) != 0)
-        lmn_error("directory-left path=%s error=\"%s\"", dir, strerror(errno));
+        lmn_error("directory_not_removed path=%s error=\"%s\"", dir, strerror(errno));
     g_free(dir);
     g_free(mark);
     return ok;
--- a/src/machine_provider/slot.c
+++ b/src/machine_provider/slot.c
@@ -86,7 +86,7 @@
                             &as->type.pull_gb_per_s);
         lmn_cbor_free(&d);
     } else if (status == 404) {
-        lmn_error("slot-unknown slot=%s mend=\"name it in the fleet's inventory\"",
+        lmn_error("slot_unknown slot=%s mend=\"name it in the fleet's inventory\"",
                   options->name);
     }
     g_byte_array_unref(buffer);
@@ -101,7 +101,7 @@
 
     curl_global_init(CURL_GLOBAL_NOTHING);
     struct lmn_http_client *client = lmn_http_client_new(options->provider_address);
-    lmn_info("slot-start slot=%s fleet=%s", options->name, options->provider_address);
+    lmn_info("slot_started slot=%s fleet=%s", options->name, options->provider_address);
     for (;; lmn_sleep(ASK_S)) {
         struct rented_as as;
         held(options, holds);
@@ -110,7 +110,7 @@
             continue; /* what it is, it stays: its lease watches over it */
         if (*holds && strcmp(holds, as.machine)) {
             bool gone = lmn_local_agent_end(&options->local, holds, END_S);
-            lmn_info("slot-left machine=%s gone=%d", holds, gone);
+            lmn_info("slot_released machine=%s gone=%d", holds, gone);
             memset(&backoff, 0, sizeof backoff);
             continue; /* says so with the next question */
         }
@@ -121,7 +121,7 @@
             lmn_backoff_started(&backoff, lmn_now());
             if (lmn_local_agent_start(&options->local, as.machine, &as.type, as.zone,
                                       as.spot, err, sizeof err) != 0)
-                lmn_error("start-failed machine=%s why=\"%s\"", as.machine, err);
+                lmn_error("start_failed machine=%s why=\"%s\"", as.machine, err);
         }
     }
 }
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -111,13 +111,13 @@
         lmn_db_apply(batch, &t, &revision, NULL);
         int rc = lmn_db_commit(batch, err, sizeof err);
         if (rc == -2) {
-            lmn_error("database-lost why=\"%s\"", err);
+            lmn_error("database_failed why=\"%s\"", err);
             _exit(1);
         }
         ok = rc == 0;
     }
     if (!ok)
-        lmn_error("not-recorded why=\"%s\"", err);
+        lmn_error("record_write_failed why=\"%s\"", err);
     g_array_free(w->changes, TRUE);
     g_ptr_array_free(w->bytes, TRUE);
     return ok;
@@ -144,7 +144,7 @@
     }
     machine->type = lmn_inventory_type(s->v, type);
     if (machine->type < 0) {
-        lmn_error("machine-without-type machine=%s type=%s", machine->name, type);
+        lmn_error("machine_type_unknown machine=%s type=%s", machine->name, type);
         g_free(machine);
         return true;
     }
@@ -298,7 +298,7 @@
     lmn_backoff_started(&machine->backoff, lmn_now());
     if (lmn_local_agent_start(s->o, machine->name, &s->v->types[machine->type],
                               machine->zone, machine->spot, err, sizeof err) != 0)
-        lmn_error("start-failed machine=%s why=\"%s\"", machine->name, err);
+        lmn_error("start_failed machine=%s why=\"%s\"", machine->name, err);
     s->starts++;
 }
 
@@ -322,7 +322,7 @@
             g_ptr_array_add(names, g_strdup(machine->name));
             if (!*machine->slot)
                 start(s, machine);
-            lmn_info("machine-rented machine=%s type=%s zone=%s spot=%d slot=%s",
+            lmn_info("machine_provisioned machine=%s type=%s zone=%s spot=%d slot=%s",
                      machine->name, q->type, q->zone, q->is_spot,
                      *machine->slot ? machine->slot : "-");
             pthread_mutex_lock(&s->lock);
@@ -387,7 +387,7 @@
         /* Only this thread frees it, which holds the order. */
         bool ok = *machine->slot ? slot_gone(s, machine->slot, machine->name)
                                  : lmn_local_agent_end(s->o, machine->name, END_S);
-        lmn_info("machine-returned machine=%s gone=%d", machine->name, ok);
+        lmn_info("machine_returned machine=%s gone=%d", machine->name, ok);
         if (!ok) {
             status = 503; /* it can't be told that it is gone */
             continue;
@@ -598,7 +598,7 @@
     struct machine *machine = g_tree_lookup(s->machines, name);
     if (machine && !machine->ending) {
         if (machine->up && !up)
-            lmn_info("agent-ended machine=%s deaths=%u", name,
+            lmn_info("agent_exited machine=%s deaths=%u", name,
                      machine->backoff.deaths + 1);
         machine->up = up;
         g_strlcpy(machine->addr, addr, sizeof machine->addr);
@@ -693,7 +693,8 @@
         lmn_db_view_end(reader);
     }
     lmn_db_reader_free(reader);
-    lmn_info("fleet-start types=%u pools=%u slots=%u rented=%d", inventory->ntypes,
-             inventory->npools, inventory->nslots, g_tree_nnodes(s->machines));
+    lmn_info("machine_provider_started types=%u pools=%u slots=%u rented=%d",
+             inventory->ntypes, inventory->npools, inventory->nslots,
+             g_tree_nnodes(s->machines));
     return s;
 }
--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -134,7 +134,7 @@
         } else {
             a.range = NULL; /* done, closed or started elsewhere: it has to go */
         }
-        lmn_debug("task-adopt task=%s/%u attempt=%" G_GUINT64_FORMAT
+        lmn_debug("task_adopted task=%s/%u attempt=%" G_GUINT64_FORMAT
                   " machine=%s known=%d",
                   ref, index, number, machine->name, a.range != NULL);
     }
@@ -175,7 +175,7 @@
     lmn_job_record_failure(&job->failures, where, attempt->started_at, now);
     if (!was && lmn_job_is_faulty(&job->failures)) {
         core->counters.faulty_jobs++;
-        lmn_info("job-accused job=%s machines=%u proven=%d", job->spec.id,
+        lmn_info("job_declared_faulty job=%s machines=%u proven=%d", job->spec.id,
                  job->failures.machine_count, job->failures.has_succeeded);
         lmn_reassign_job(core, job, now);
     }
@@ -192,7 +192,7 @@
     machine->quarantined_until = lmn_time_add(now, lmn_machine_quarantine_s(sum));
     if (lmn_machine_is_faulty(sum) && !machine->is_draining) {
         core->counters.faulty_machines++;
-        lmn_info("machine-accused machine=%s jobs=%u weight=%.2f", machine->name,
+        lmn_info("machine_declared_faulty machine=%s jobs=%u weight=%.2f", machine->name,
                  machine->failing_jobs->len, sum);
         lmn_machine_drain(core, machine, false, "tasks fail on it that succeed elsewhere",
                           now);
@@ -211,7 +211,7 @@
     bool was = lmn_job_is_faulty(&job->failures);
     lmn_job_record_inherited_failure(&job->failures, g_str_hash(machine->name), now);
     if (!was && lmn_job_is_faulty(&job->failures)) {
-        lmn_info("job-accused job=%s machines=%u by=predecessor", job->spec.id,
+        lmn_info("job_declared_faulty job=%s machines=%u by=predecessor", job->spec.id,
                  job->failures.machine_count);
         lmn_reassign_job(core, job, now);
     }
@@ -229,7 +229,7 @@
     attempt->state = LMN_ATTEMPT_ENDED;
     attempt->is_done = lmn_cbor_text_equals(why, WIRE_DONE);
     if (attempt->is_done) {
-        lmn_debug("task-done task=%s/%u attempt=%" G_GUINT64_FORMAT
+        lmn_debug("task_done task=%s/%u attempt=%" G_GUINT64_FORMAT
                   " machine=%s after=%.1f",
                   attempt->job_id, attempt->index, attempt->number, machine->name,
                   lmn_time_diff_s(now, attempt->started_at));
@@ -247,7 +247,7 @@
             lmn_task_finished(range, attempt->index, now);
         return;
     }
-    lmn_debug("task-ended task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s why=%.*s",
+    lmn_debug("task_ended task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s why=%.*s",
               attempt->job_id, attempt->index, attempt->number, machine->name,
               why ? (int)why->len : 0, why ? why->s : "");
     attempt->has_failed = lmn_cbor_text_equals(why, WIRE_ERROR);
@@ -312,7 +312,7 @@
                 ended(core, machine, attempt, document, node, now);
         } else {
             if (x.state == LMN_ATTEMPT_RUNNING && attempt->state != x.state)
-                lmn_debug("task-run task=%s/%u attempt=%" G_GUINT64_FORMAT
+                lmn_debug("task_run_reported task=%s/%u attempt=%" G_GUINT64_FORMAT
                           " machine=%s after=%.1f",
                           attempt->job_id, attempt->index, attempt->number, machine->name,
                           lmn_time_diff_s(now, attempt->started_at));
@@ -332,7 +332,7 @@
     lmn_machine_mark_unreplicated(machine);
     g_array_remove_index_fast(machine->attempts, i);
     if (gone.state != LMN_ATTEMPT_ENDED) {
-        lmn_debug("task-vanished task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s",
+        lmn_debug("task_vanished task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s",
                   gone.job_id, gone.index, gone.number, machine->name);
         lmn_task_requeue(core, gone.range, gone.index, now);
     }
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -60,7 +60,7 @@
         lmn_time_add(now, (double)(1u << MIN(machine->ignored_commands, 4u)));
     if (machine->ignored_commands > 1)
         return;
-    lmn_info("machine-unheeding machine=%s partition=%d", machine->name,
+    lmn_info("machine_commands_ignored machine=%s partition=%d", machine->name,
              machine->partition->id);
     lmn_reassign_machine_queue(core, machine, now);
 }
@@ -257,7 +257,7 @@
     if (!machine) {
         machine = lmn_machine_new(partition, heartbeat->name);
         machine->first_seen_at = now;
-        lmn_info("machine-new machine=%s partition=%d type=%s zone=%s spot=%d",
+        lmn_info("machine_discovered machine=%s partition=%d type=%s zone=%s spot=%d",
                  heartbeat->name, partition->id, heartbeat->type, heartbeat->zone,
                  heartbeat->is_spot);
     }
@@ -314,7 +314,7 @@
         machine->has_spot_notice = true;
         machine->spot_notice_at = now;
         machine->notice_s = heartbeat->notice_s;
-        lmn_info("machine-notice machine=%s seconds=%.1f", machine->name,
+        lmn_info("machine_spot_notice machine=%s seconds=%.1f", machine->name,
                  heartbeat->notice_s);
         lmn_reassign_machine_queue(core, machine, now);
     }
@@ -328,7 +328,7 @@
     if (heartbeat->fencing_token == partition->owned_epoch && !overtaken) {
         if (!machine->is_accounted) {
             machine->is_accounted = true;
-            lmn_debug("machine-accounted machine=%s term=%" G_GUINT64_FORMAT,
+            lmn_debug("machine_accounted machine=%s epoch=%" G_GUINT64_FORMAT,
                       machine->name, partition->owned_epoch);
         }
         n += settle_tasks(core, machine, document, heartbeat->tasks, commands, now);
@@ -374,7 +374,7 @@
         lmn_time_diff_s(now, core->last_malformed_logged_at) < 10)
         return;
     core->last_malformed_logged_at = now;
-    lmn_error("report-malformed machine=%.32s what=\"%s\" so-far=%" G_GUINT64_FORMAT,
+    lmn_error("heartbeat_malformed machine=%.32s what=\"%s\" so-far=%" G_GUINT64_FORMAT,
               name, what, core->counters.malformed_heartbeats);
 }
 
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -156,7 +156,7 @@
                                  partition->zone_cuts->len - 1);
         }
         if (lmn_time_before(cut->until, now))
-            lmn_info("zone-silent partition=%d zone=%s silent=%u of=%u", partition->id,
+            lmn_info("zone_silent partition=%d zone=%s silent=%u of=%u", partition->id,
                      s->zone, s->silent, s->all);
         cut->until = lmn_time_add(now, core->settings->heartbeat_s + 10);
     }
@@ -199,7 +199,7 @@
     if (machine->is_accounted && !machine->lease_expired && silent > lapse &&
         lmn_time_diff_s(core->cache_fresh_at, machine->last_heartbeat_at) > lapse) {
         machine->lease_expired = true;
-        lmn_info("machine-lapsed machine=%s partition=%d tasks=%u", machine->name,
+        lmn_info("machine_lease_expired machine=%s partition=%d tasks=%u", machine->name,
                  partition->id, busy(machine));
         lmn_machine_requeue_tasks(core, machine, "lease lapsed", now);
     }
@@ -294,8 +294,8 @@
         if (found >= queued)
             continue;
         core->counters.reconciled_tasks++;
-        lmn_error("tasks-unqueued range=%s queued=%u found=%u", range->key, queued,
-                  found);
+        lmn_error("reconciliation_requeued_tasks range=%s queued=%u found=%u", range->key,
+                  queued, found);
         lmn_reassign_range(core, range, now);
     }
     g_list_free(ranges);
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -18,7 +18,7 @@
 
 static void drop_lease(struct holder *state, const char *why)
 {
-    lmn_info("lease-lost lease=%" G_GUINT64_FORMAT " why=\"%s\"", state->lease, why);
+    lmn_info("lease_lost lease=%" G_GUINT64_FORMAT " why=\"%s\"", state->lease, why);
     state->lease = 0;
     state->announced = false;
     pthread_mutex_lock(&state->c->lock);
@@ -63,7 +63,7 @@
             core->lease = state->lease;
             core->leased_at = lmn_now();
             pthread_mutex_unlock(&core->lock);
-            lmn_info("lease-new lease=%" G_GUINT64_FORMAT, state->lease);
+            lmn_info("lease_acquired lease=%" G_GUINT64_FORMAT, state->lease);
         }
         lmn_cbor_free(&d);
     }
@@ -163,7 +163,7 @@
     lmn_txn_put(txn, key, v, lease);
     g_free(key);
     members->counters.suspicions++;
-    lmn_info("member-suspect member=%s incarnation=%" G_GUINT64_FORMAT
+    lmn_info("member_suspicion_written member=%s incarnation=%" G_GUINT64_FORMAT
              " why=%s asked=%.1f others=%.1f by=%u workers=%u stale=%.1f deaf=%.2f",
              lmn_member_name(members, member_index), member->incarnation,
              lmn_suspicion_cause_name(e.cause), e.own_phi, e.best_other_phi,
@@ -192,7 +192,7 @@
         int named = lmn_standby_named(core, partition, now);
         if (named >= 0 && named != members->self &&
             members->views[named].ever_contacted) {
-            lmn_info("partition-hand-on partition=%d to=%s", id,
+            lmn_info("partition_passed_to_standby partition=%d to=%s", id,
                      lmn_member_name(members, named));
             return lmn_partition_transfer(core, partition, named);
         }
@@ -205,7 +205,7 @@
     if (judged >= 0 && judged != members->self) {
         lmn_member_failure_evidence(members, judged, now, &e);
         members->counters.failures_declared++;
-        lmn_info("member-verdict member=%s incarnation=%" G_GUINT64_FORMAT
+        lmn_info("member_declared_failed member=%s incarnation=%" G_GUINT64_FORMAT
                  " partition=%d why=%s sides=%u asked=%.1f others=%.1f by=%u "
                  "workers=%u suspected=%.2f",
                  partition->owner, members->views[judged].incarnation, id,
@@ -266,12 +266,12 @@
         return NULL;
     if (lmn_self_transfer_target(members, now) == *successor &&
         !members->is_isolated_from_workers) {
-        lmn_info("member-deaf deaf=%.2f successor=%s",
+        lmn_info("member_heartbeats_missing deaf=%.2f successor=%s",
                  members->health.silent_machine_share,
                  lmn_member_name(members, *successor));
         members->is_isolated_from_workers = true;
     }
-    lmn_info("partition-give partition=%d to=%s warm=%d", id,
+    lmn_info("partition_transfer_started partition=%d to=%s warm=%d", id,
              lmn_member_name(members, *successor),
              lmn_standby_named(core, partition, now) == *successor);
     partition->is_transferring = true;
@@ -333,7 +333,7 @@
     pthread_mutex_lock(&core->lock);
     core->lease = 0;
     core->has_released_lease = true;
-    lmn_info("leave-given after=%.2f",
+    lmn_info("shutdown_partitions_transferred after=%.2f",
              lmn_time_diff_s(lmn_now(), core->shutdown_began_at));
     pthread_mutex_unlock(&core->lock);
 }
@@ -373,7 +373,7 @@
         return;
     /* Not in the log line: that does nothing at a lower level. */
     enum lmn_txn_outcome r = send(state, txn);
-    lmn_info("partition-claim partition=%d outcome=%d", id, r);
+    lmn_info("partition_claim_tried partition=%d outcome=%d", id, r);
 }
 
 static void give(struct holder *state, int id)
@@ -387,7 +387,7 @@
     if (!txn)
         return;
     enum lmn_txn_outcome r = send(state, txn);
-    lmn_info("partition-hand-over partition=%d to=%s outcome=%d", id,
+    lmn_info("partition_transfer_tried partition=%d to=%s outcome=%d", id,
              lmn_member_name(&core->members, successor), r);
     pthread_mutex_lock(&core->lock);
     lmn_ownership_transferred(core, id, r, lmn_now());
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -66,13 +66,13 @@
         guint held = lmn_failover_restore(core, partition, now);
         core->counters.warm_failovers++;
         core->counters.own_state_failovers += partition->replica->own;
-        lmn_info("takeover-warm partition=%d term=%" G_GUINT64_FORMAT
+        lmn_info("failover_warm partition=%d epoch=%" G_GUINT64_FORMAT
                  " machines=%u attempts=%u own=%d",
                  partition->id, partition->owned_epoch, partition->machine_list->len,
                  held, partition->replica->own);
     } else if (partition->machine_list->len) {
         core->counters.cold_failovers++;
-        lmn_info("takeover-cold partition=%d term=%" G_GUINT64_FORMAT
+        lmn_info("failover_cold partition=%d epoch=%" G_GUINT64_FORMAT
                  " machines=%u why=\"%s\"",
                  partition->id, partition->owned_epoch, partition->machine_list->len,
                  why);
@@ -113,10 +113,11 @@
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v))
         lmn_range_open(core, v);
-    lmn_info(
-        "partition-own partition=%d term=%" G_GUINT64_FORMAT " machines=%u ranges=%u",
-        partition->id, partition->owned_epoch, g_hash_table_size(partition->machines),
-        g_hash_table_size(partition->ranges));
+    lmn_info("partition_acquired partition=%d epoch=%" G_GUINT64_FORMAT
+             " machines=%u ranges=%u",
+             partition->id, partition->owned_epoch,
+             g_hash_table_size(partition->machines),
+             g_hash_table_size(partition->ranges));
     begin_warm(core, partition, now);
     lmn_partition_check_ready(core, partition, now);
     pthread_cond_broadcast(&core->machines_woken);
@@ -128,7 +129,7 @@
     GHashTableIter it;
     gpointer v;
 
-    lmn_info("partition-lose partition=%d term=%" G_GUINT64_FORMAT " why=\"%s\"",
+    lmn_info("partition_lost partition=%d epoch=%" G_GUINT64_FORMAT " why=\"%s\"",
              partition->id, partition->owned_epoch, why);
     lmn_replica_keep_own(partition);
     partition->is_owned = partition->is_ready = partition->is_transferring =
@@ -199,7 +200,7 @@
     partition->is_ready = !unheard;
     if (partition->is_ready) {
         partition->ready_at = now;
-        lmn_info("partition-ready partition=%d term=%" G_GUINT64_FORMAT " after=%.2f",
+        lmn_info("partition_ready partition=%d epoch=%" G_GUINT64_FORMAT " after=%.2f",
                  partition->id, partition->owned_epoch,
                  lmn_time_diff_s(now, partition->owned_since));
     }
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -86,7 +86,7 @@
         read_type(&core->machine_types.v[i], &d, node);
     }
     if (!core->machine_types_known)
-        lmn_info("types-known count=%zu", core->machine_types.n);
+        lmn_info("machine_types_received count=%zu", core->machine_types.n);
     core->machine_types_known = core->machine_types.n > 0;
     pthread_mutex_unlock(&core->lock);
     cloud->typed = lmn_now();
@@ -106,7 +106,7 @@
     int status = lmn_http_client_call(cloud->http, "POST", WIRE_PATH_RETURN, body, 5.0,
                                       cloud->buf);
     g_byte_array_unref(body);
-    lmn_info("machines-return count=%u first=%s status=%d", names->len,
+    lmn_info("machines_released count=%u first=%s status=%d", names->len,
              (const char *)names->pdata[0], status);
     return status == 200;
 }
@@ -354,9 +354,10 @@
     } else {
         return; /* unknown: the same name again rents nothing twice */
     }
-    lmn_info("machines-rent request=%s type=%s zone=%s spot=%d asked=%u got=%u status=%d",
-             cloud->request, request->type, request->zone, request->is_spot,
-             request->count, got, status);
+    lmn_info(
+        "machines_requested request=%s type=%s zone=%s spot=%d asked=%u got=%u status=%d",
+        cloud->request, request->type, request->zone, request->is_spot, request->count,
+        got, status);
     lmn_autoscaler_record_result(&cloud->fleet, request, got, now);
     cloud->request[0] = '\0';
 }
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -157,7 +157,7 @@
                                     .gpus = gpus,
                                     .revision = core->quota_revision[team],
                                     .serial = ++core->transfer_count};
-    lmn_debug("quota-give team=%s partition=%d to=%d cpus=%.1f gpus=%.1f",
+    lmn_debug("quota_transfer_started team=%s partition=%d to=%d cpus=%.1f gpus=%.1f",
               core->settings->teams[team].name, partition->id, to, cpus, gpus);
     submit(core, partition);
     return true;
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -85,7 +85,7 @@
         struct lmn_attempt *attempt = &g_array_index(old, struct lmn_attempt, i);
         lmn_attempt_uncount(machine, attempt);
         if (attempt->state != LMN_ATTEMPT_ENDED) {
-            lmn_debug("task-lost task=%s/%u attempt=%" G_GUINT64_FORMAT
+            lmn_debug("task_lost task=%s/%u attempt=%" G_GUINT64_FORMAT
                       " machine=%s why=\"%s\"",
                       attempt->job_id, attempt->index, attempt->number, machine->name,
                       why);
--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -22,7 +22,7 @@
     __atomic_store_n(&core->is_shutting_down, true, __ATOMIC_RELAXED);
     core->has_released_lease = false;
     core->shutdown_began_at = now;
-    lmn_info("leave-begin partitions=%u",
+    lmn_info("shutdown_started partitions=%u",
              lmn_member_owned_partitions(core, core->members.self));
     pthread_cond_broadcast(&core->ownership_changed);
 }
@@ -32,7 +32,7 @@
     if (core->has_released_lease)
         return false;
     if (core->is_shutting_down)
-        lmn_info("leave-undone");
+        lmn_info("shutdown_cancelled");
     __atomic_store_n(&core->is_shutting_down, false, __ATOMIC_RELAXED);
     pthread_cond_broadcast(&core->ownership_changed);
     return true;
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -177,7 +177,7 @@
         machine->last_heartbeat_at = now;
         if (!machine->type)
             machine->type = lmn_machine_type_by_name(core, machine->type_name);
-        lmn_debug("machine-accounted machine=%s term=%" G_GUINT64_FORMAT " by=probe",
+        lmn_debug("machine_accounted machine=%s epoch=%" G_GUINT64_FORMAT " by=probe",
                   machine->name, epoch);
         lmn_heartbeat_apply_tasks(core, machine, &d, r.tasks, now);
         /* What we were told may be there, and is not, will not be: a command that is
@@ -444,7 +444,7 @@
         int status = probing ? probe(client, epoch, session, body, answer)
                              : lmn_http_client_call(client, "POST", WIRE_PATH_COMMANDS,
                                                     body, 1.5, answer);
-        lmn_debug("direct machine=%s probe=%d status=%d", name, probing, status);
+        lmn_debug("worker_push machine=%s probe=%d status=%d", name, probing, status);
         pthread_mutex_lock(&core->lock);
         if (probing)
             lmn_worker_client_probe_done(core, name, epoch, status, answer, lmn_now());
--- a/src/replication/failover.c
+++ b/src/replication/failover.c
@@ -138,8 +138,8 @@
             g_free(task);
         }
     }
-    lmn_debug("takeover-copy partition=%d machines=%u told=%u attempts=%u", partition->id,
-              partition->machine_list->len, named, held);
+    lmn_debug("failover_replica_restored partition=%d machines=%u told=%u attempts=%u",
+              partition->id, partition->machine_list->len, named, held);
     g_hash_table_destroy(best);
     return held;
 }
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -176,8 +176,9 @@
         machine->replicated_images_hash = 0;
         lmn_machine_mark_unreplicated(machine);
     }
-    lmn_debug("standby-copy partition=%d member=%s machines=%u", partition->id,
-              lmn_member_name(&core->members, to), partition->machine_list->len);
+    lmn_debug("replica_snapshot_started partition=%d member=%s machines=%u",
+              partition->id, lmn_member_name(&core->members, to),
+              partition->machine_list->len);
 }
 
 /* It is the process that it was, and nobody suspects it. Its own word does not count: in
@@ -213,7 +214,7 @@
 {
     struct lmn_replication_stream *stream = &partition->stream;
 
-    lmn_info("standby-struck partition=%d member=%s phase=%s why=\"%s\" "
+    lmn_info("replica_removed partition=%d member=%s phase=%s why=\"%s\" "
              "waiting=%" G_GUINT64_FORMAT,
              partition->id, lmn_member_name(&core->members, stream->standby_index),
              lmn_replication_phase_name(stream->phase), why,
@@ -313,7 +314,7 @@
         stream->record_written_at = (struct timespec){0, 0};
     } else if (stream->phase == LMN_STREAM_JOINING && shown(partition)) {
         stream->phase = LMN_STREAM_IN_SYNC;
-        lmn_info("standby-in-step partition=%d member=%s machines=%u after=%.2f",
+        lmn_info("replica_in_sync partition=%d member=%s machines=%u after=%.2f",
                  partition->id, lmn_member_name(&core->members, stream->standby_index),
                  partition->machine_list->len, lmn_time_diff_s(now, stream->began_at));
     } else {
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -132,7 +132,7 @@
         attempt->must_stop = true;
         attempt->grace_s =
             attempt->job->spec.save_s <= patient ? attempt->job->spec.save_s + 1 : 0;
-        lmn_debug("task-preempt task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s",
+        lmn_debug("task_preempted task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s",
                   attempt->job_id, attempt->index, attempt->number, machine->name);
     }
     return sum;
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -261,8 +261,8 @@
     machine->drain_at_once = machine->drain_at_once || force;
     if (machine->is_draining)
         return;
-    lmn_info("machine-retire machine=%s partition=%d force=%d why=\"%s\"", machine->name,
-             machine->partition->id, force, why);
+    lmn_info("machine_drain_started machine=%s partition=%d force=%d why=\"%s\"",
+             machine->name, machine->partition->id, force, why);
     machine->is_draining = true;
     machine->drain_began_at = now;
     lmn_reassign_machine_queue(core, machine, now);
@@ -295,7 +295,8 @@
     segment->range->started_count++;
     lmn_attempt_count(machine, &a);
     if (!partition->has_started_task)
-        lmn_info("partition-start partition=%d term=%" G_GUINT64_FORMAT " after=%.2f",
+        lmn_info("partition_first_start partition=%d epoch=%" G_GUINT64_FORMAT
+                 " after=%.2f",
                  partition->id, partition->owned_epoch,
                  lmn_time_diff_s(now, partition->owned_since));
     partition->has_started_task = true;
@@ -318,7 +319,7 @@
     lmn_cbor_put_text(out, WIRE_COMMAND), lmn_cbor_put_text(out, WIRE_START);
     lmn_cbor_put_text(out, WIRE_TASK), lmn_cbor_put_text(out, task);
     lmn_cbor_put_text(out, WIRE_ATTEMPT), lmn_cbor_put_uint(out, a.number);
-    lmn_debug("task-start task=%s attempt=%" G_GUINT64_FORMAT
+    lmn_debug("task_started task=%s attempt=%" G_GUINT64_FORMAT
               " machine=%s term=%" G_GUINT64_FORMAT,
               task, a.number, machine->name, partition->owned_epoch);
     segment->first++;
@@ -563,7 +564,7 @@
     core->counters.stolen_tasks += got;
     machine->steal_interval_s = 0;
     machine->next_steal_at = now;
-    lmn_debug("steal machine=%s tasks=%u of=%u", machine->name, got, most);
+    lmn_debug("steal_completed machine=%s tasks=%u of=%u", machine->name, got, most);
     return true;
 }
 
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -134,7 +134,7 @@
     --*kept;
     machine->reserved_for = job;
     machine->reserved_until = lmn_time_add(now, KEPT_S);
-    lmn_info("machine-kept machine=%s job=%s free=%.1f", machine->name, job->spec.id,
+    lmn_info("machine_reserved machine=%s job=%s free=%.1f", machine->name, job->spec.id,
              machine->type->cpus - machine->used_cpus);
     bring(partition, range, machine);
 }
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -224,8 +224,8 @@
         lmn_queue_remove_tail(&((struct lmn_machine *)v)->queue, best, best->move_at);
     core->counters.moves++;
     core->counters.moved_tasks += n;
-    lmn_debug("move job=%s from=%u tasks=%u partition=%d to=%d", best->job->spec.id,
-              best->move_at, n, partition->id, request->partition);
+    lmn_debug("range_move_started job=%s from=%u tasks=%u partition=%d to=%d",
+              best->job->spec.id, best->move_at, n, partition->id, request->partition);
     return n;
 }
 
--- a/src/site/supervise.c
+++ b/src/site/supervise.c
@@ -89,17 +89,17 @@
 
     lmn_backoff_started(&w->backoff, lmn_now());
     if (fd < 0 || out < 0 || flock(fd, LOCK_EX | LOCK_NB) != 0) {
-        lmn_error("start-failed process=%s error=\"%s\"", w->p->name, strerror(errno));
+        lmn_error("start_failed process=%s error=\"%s\"", w->p->name, strerror(errno));
     } else {
         w->pid = fork();
         if (w->pid == 0)
             become(site, w->p, out, fd);
         int n = g_snprintf(pid, sizeof pid, "%ld\n", (long)w->pid);
         if (ftruncate(fd, 0) != 0 || pwrite(fd, pid, (size_t)n, 0) != n)
-            lmn_error("lock-unwritten process=%s", w->p->name);
+            lmn_error("process_lock_write_failed process=%s", w->p->name);
         w->starts++;
         w->known = true;
-        lmn_info("process-start process=%s pid=%ld", w->p->name, (long)w->pid);
+        lmn_info("process_started process=%s pid=%ld", w->p->name, (long)w->pid);
     }
     if (fd >= 0)
         close(fd); /* the process has it */
@@ -116,7 +116,7 @@
                    strsignal(WTERMSIG(status)));
     else
         g_snprintf(w->why, sizeof w->why, "exit status %d", WEXITSTATUS(status));
-    lmn_info("process-end process=%s pid=%ld why=\"%s\"", w->p->name, (long)w->pid,
+    lmn_info("process_exited process=%s pid=%ld why=\"%s\"", w->p->name, (long)w->pid,
              w->why);
     w->pid = 0;
 }
@@ -151,7 +151,7 @@
 
     if (lmn_site_up(site, w->p->name, &pid)) {
         if (!w->known)
-            lmn_info("process-taken-up process=%s pid=%d", w->p->name, pid);
+            lmn_info("process_adopted process=%s pid=%d", w->p->name, pid);
         w->known = true;
         return false;
     }
@@ -226,18 +226,18 @@
     pid_t other;
 
     if (lmn_site_write(site, err, sizeof err) != 0) {
-        lmn_error("settings-unwritten why=\"%s\"", err);
+        lmn_error("settings_write_failed why=\"%s\"", err);
         return 1;
     }
     if (lmn_lock_file(path, &other) < 0) {
-        lmn_error("already-supervised pid=%ld", (long)other);
+        lmn_error("supervisor_already_running pid=%ld", (long)other);
         return 1;
     }
     g_free(path);
     sigaction(SIGTERM, &on, NULL);
     sigaction(SIGINT, &on, NULL);
     signal(SIGHUP, SIG_IGN);
-    lmn_info("supervisor-start site=%s processes=%u", site->name, site->nprocesses);
+    lmn_info("supervisor_started site=%s processes=%u", site->name, site->nprocesses);
     for (unsigned i = 0; i < site->nprocesses; i++)
         v[i].p = &site->processes[i];
     while (!stopping) {
@@ -248,6 +248,6 @@
         write_status(site, v, site->nprocesses);
         lmn_sleep(any ? 0.05 : 0.2);
     }
-    lmn_info("supervisor-stop");
+    lmn_info("supervisor_stopped");
     return end_all(site) ? 0 : 1;
 }
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -187,7 +187,7 @@
     if (!job || job->phase != LMN_JOB_ACTIVE)
         return false;
     if (!job->tombstone_at.tv_sec)
-        lmn_debug("job-tombstone job=%s", ref);
+        lmn_debug("job_tombstone_received job=%s", ref);
     job->tombstone_at = now;
     return true;
 }
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -69,6 +69,6 @@
     }
     g_hash_table_destroy(set);
     if (gone)
-        lmn_info("final-jobs-evicted jobs=%u kept=%u", gone, core->final_jobs.length);
+        lmn_info("final_jobs_evicted jobs=%u kept=%u", gone, core->final_jobs.length);
     return gone;
 }
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -79,7 +79,7 @@
         return;
     }
     if (lmn_job_read(document, value, &spec, &phase, &open, &at) != 0) {
-        lmn_error("unreadable-record key=j/%s", ref);
+        lmn_error("record_unreadable key=j/%s", ref);
         lmn_job_spec_clear(&spec);
         return;
     }
@@ -96,7 +96,7 @@
         job->class_name = g_intern_string(job->spec.class_name);
         job->team = team_index(core->settings, job->spec.team);
         g_hash_table_insert(core->jobs, job->spec.id, job);
-        lmn_debug("job-known job=%s class=%s tasks=%u cpus=%.1f estimate=%.1f "
+        lmn_debug("job_added job=%s class=%s tasks=%u cpus=%.1f estimate=%.1f "
                   "deadline=%.1f image=%s",
                   ref, job->spec.class_name, job->spec.tasks, job->spec.cpus,
                   job->spec.estimate_s, job->spec.deadline_s, job->spec.image);
@@ -110,7 +110,7 @@
         ask_for(core, job, -1);
     }
     if (phase != job->phase)
-        lmn_debug("job-final job=%s phase=%d after=%.1f", ref, phase,
+        lmn_debug("job_finished job=%s phase=%d after=%.1f", ref, phase,
                   lmn_time_seconds(lmn_wall_clock_now()) - job->accepted_at_s);
     if (phase != LMN_JOB_ACTIVE && (job->phase == LMN_JOB_ACTIVE || !job->revision))
         lmn_retention_add(core, job, now);
@@ -155,7 +155,7 @@
     if (!job && core->needed_job_ids)
         core->must_relist = true; /* it became final between the two readings */
     if (!job || hi <= lo || hi > job->spec.tasks) {
-        lmn_error("unreadable-record key=%s", key);
+        lmn_error("record_unreadable key=%s", key);
         return;
     }
     bool fresh = !range;
@@ -176,7 +176,7 @@
         core->owner_ops->range_cut(core, range, (uint32_t)hi);
     if (lmn_bitset_read(lmn_cbor_get(document, value, "done"), range->done,
                         range->end - range->first) != 0)
-        lmn_error("unreadable-record key=%s", key);
+        lmn_error("record_unreadable key=%s", key);
     range->done_count = lmn_bitset_count(range->done, range->end - range->first);
     range->revision = revision;
     range->generation = core->generation;
@@ -289,20 +289,22 @@
         lmn_cbor_get_uint(value, &lease);
     }
     if (leaving && !member->is_shutting_down)
-        lmn_info("member-leaving member=%s incarnation=%" G_GUINT64_FORMAT, name,
+        lmn_info("member_shutting_down member=%s incarnation=%" G_GUINT64_FORMAT, name,
                  revision);
     member->is_shutting_down = leaving;
     if (value && lmn_member_is_suspected(&core->members, member_index))
-        lmn_info("member-refute member=%s incarnation=%" G_GUINT64_FORMAT
+        lmn_info("member_refuted member=%s incarnation=%" G_GUINT64_FORMAT
                  " was=%" G_GUINT64_FORMAT,
                  name, revision, member->incarnation);
     else if (value && !member->is_present && member->failures_declared)
-        lmn_info("member-back member=%s incarnation=%" G_GUINT64_FORMAT " failures=%u",
+        lmn_info("member_rejoined member=%s incarnation=%" G_GUINT64_FORMAT
+                 " failures=%u",
                  name, revision, member->failures_declared);
     else if (value && !member->is_present)
-        lmn_info("member-up member=%s incarnation=%" G_GUINT64_FORMAT, name, revision);
+        lmn_info("member_joined member=%s incarnation=%" G_GUINT64_FORMAT, name,
+                 revision);
     else if (!value && member->is_present)
-        lmn_info("member-gone member=%s incarnation=%" G_GUINT64_FORMAT, name,
+        lmn_info("member_left member=%s incarnation=%" G_GUINT64_FORMAT, name,
                  member->incarnation);
     lmn_member_apply_record(&core->members, member_index, value ? revision : 0, lease,
                             now);
@@ -334,7 +336,7 @@
         &core->members, member_index, value ? revision : 0, inc, by,
         (enum lmn_suspicion_cause)MIN(why, LMN_SUSPICION_CAUSES), now);
     if (lmn_member_is_suspected(&core->members, member_index))
-        lmn_info("member-suspected member=%s incarnation=%" G_GUINT64_FORMAT
+        lmn_info("member_suspected member=%s incarnation=%" G_GUINT64_FORMAT
                  " by=%s why=%s",
                  name, inc, by, lmn_suspicion_cause_name(member->suspicion_cause));
     pthread_cond_broadcast(&core->ownership_changed);
@@ -462,7 +464,7 @@
     int status = lmn_http_client_call(client, "GET", path, NULL, 3.0, buf);
     if (status == 200 && lmn_cbor_parse(document, buf->data, buf->len) == 0)
         return 0;
-    lmn_debug("list-failed status=%d", status);
+    lmn_debug("watch_list_failed status=%d", status);
     return -1;
 }
 
@@ -665,14 +667,15 @@
             status = follow(core, client, buf, &revision, first);
             first = false;
             if (status == 410) {
-                lmn_info("mirror-too-old revision=%" G_GUINT64_FORMAT, revision);
+                lmn_info("watch_compacted revision=%" G_GUINT64_FORMAT, revision);
                 whole = false;
                 continue;
             }
         }
         if ((status != 200) != trouble) {
             trouble = status != 200;
-            lmn_info("state-%s status=%d", trouble ? "trouble" : "back", status);
+            lmn_info("kv_store_%s status=%d", trouble ? "unavailable" : "available",
+                     status);
         }
         if (status != 200) {
             lmn_sleep(0.15 + g_random_double() * 0.15);
--- a/src/util/thread.c
+++ b/src/util/thread.c
@@ -18,7 +18,7 @@
     int rc = pthread_create(&t, &a, f, arg);
     pthread_attr_destroy(&a);
     if (rc) {
-        lmn_error("thread-failed error=\"%s\"", strerror(rc));
+        lmn_error("thread_start_failed error=\"%s\"", strerror(rc));
         abort();
     }
 }
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -398,7 +398,7 @@
 {
     if (agent->is_ending)
         return;
-    lmn_info("session-ends session=%" G_GUINT64_FORMAT " tasks=%u why=\"%s\"",
+    lmn_info("agent_incarnation_ended session=%" G_GUINT64_FORMAT " tasks=%u why=\"%s\"",
              agent->incarnation, agent->runs->len, why);
     agent->is_ending = true;
     agent->expired_leases++;
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -59,7 +59,7 @@
     lmn_cbor_put_text(buffer, "status"), lmn_cbor_put_uint(buffer, (uint64_t)status);
     lmn_cbor_put_text(buffer, "what"), lmn_cbor_put_text(buffer, what);
     if (send(executor->sock, buffer->data, buffer->len, MSG_NOSIGNAL) < 0)
-        lmn_debug("keeper-unheard event=%d", event);
+        lmn_debug("executor_message_invalid event=%d", event);
     g_byte_array_unref(buffer);
 }
 
@@ -372,7 +372,7 @@
         wait = 0.005;
     if (executor->leased && !executor->ending) {
         if (lmn_time_before(executor->until, now)) {
-            lmn_info("keeper-lapse tasks=%u", executor->tasks->len);
+            lmn_info("executor_lease_expired tasks=%u", executor->tasks->len);
             end_all(executor, true);
             return 0.005;
         }
@@ -418,7 +418,7 @@
         if (g_array_index(w, struct pollfd, 1).revents) {
             struct signalfd_siginfo info[16];
             if (read(executor->signals, info, sizeof info) < 0 && errno != EAGAIN)
-                lmn_error("keeper-signals error=\"%s\"", strerror(errno));
+                lmn_error("executor_signals_failed error=\"%s\"", strerror(errno));
         }
         if (g_array_index(w, struct pollfd, 0).revents) {
             ssize_t n = recv(executor->sock, buf, MAX_MESSAGE, 0);
--- a/src/worker/task_runner.c
+++ b/src/worker/task_runner.c
@@ -131,7 +131,7 @@
                                    (uint64_t)(worker->options->log_kb * 1024)),
          dir);
     g_strfreev(env);
-    lmn_debug("task-start task=%s/%u attempt=%" G_GUINT64_FORMAT, r->job_id, r->index,
+    lmn_debug("task_started task=%s/%u attempt=%" G_GUINT64_FORMAT, r->job_id, r->index,
               r->attempt);
 }
 
@@ -201,10 +201,10 @@
         rc = lmn_image_store_get(client, digest, buffer, &e);
     if (rc != 0) {
         rc = e.status == 404 ? 0 : -1;
-        lmn_info("description-missing job=%s why=\"%s\"", ref, e.what);
+        lmn_info("job_description_missing job=%s why=\"%s\"", ref, e.what);
     } else if (lmn_task_command_decode(work, buffer->data, buffer->len, &what) != 0 ||
                strcmp(work->spec.id, ref) || !lmn_image_name_is_valid(work->spec.image)) {
-        lmn_error("description-unreadable job=%s field=%s", ref, what);
+        lmn_error("job_description_unreadable job=%s field=%s", ref, what);
         rc = 0;
     } else {
         rc = 1;
@@ -329,7 +329,7 @@
                                      (char *)drop->pdata[i]);
         unlink(note); /* first: what has no size is fetched anew */
         lmn_tree_remove(dir);
-        lmn_info("image-dropped image=%s", (char *)drop->pdata[i]);
+        lmn_info("image_evicted image=%s", (char *)drop->pdata[i]);
         g_free(dir);
         g_free(note);
     }
@@ -370,10 +370,10 @@
         rc = lmn_file_put(note, text, (size_t)n);
     }
     if (rc == 0)
-        lmn_info("image-fetched image=%s bytes=%" G_GUINT64_FORMAT " took=%.2f", name,
+        lmn_info("image_fetched image=%s bytes=%" G_GUINT64_FORMAT " took=%.2f", name,
                  *bytes, lmn_time_diff_s(lmn_now(), begun));
     else
-        lmn_error("image-failed image=%s why=\"%s\"", name, e.what);
+        lmn_error("image_fetch_failed image=%s why=\"%s\"", name, e.what);
     g_free(dir);
     g_free(sizes);
     g_free(note);
@@ -434,7 +434,8 @@
             g_hash_table_add(worker->results,
                              g_strndup(text + at, (gsize)(end - text) - at));
         if (at < n && ftruncate(worker->results_fd, (off_t)at) != 0)
-            lmn_error("results-uncut path=%s error=\"%s\"", path, strerror(errno));
+            lmn_error("task_results_truncate_failed path=%s error=\"%s\"", path,
+                      strerror(errno));
         g_free(text);
     }
     g_free(path);
@@ -463,7 +464,7 @@
                                         (ssize_t)lines->len &&
                                     fdatasync(worker->results_fd) == 0);
         if (!kept)
-            lmn_error("result-lost error=\"%s\"", strerror(errno));
+            lmn_error("task_result_lost error=\"%s\"", strerror(errno));
         lmn_worker_lock(worker);
         for (struct lmn_ended_attempt *e; (e = g_queue_pop_head(&mine));) {
             if (e->is_done && kept)
@@ -530,7 +531,7 @@
             continue;
         }
         if (!ok)
-            lmn_error("logs-lost task=%s/%u attempt=%" G_GUINT64_FORMAT, e->job_id,
+            lmn_error("task_logs_lost task=%s/%u attempt=%" G_GUINT64_FORMAT, e->job_id,
                       e->index, e->attempt);
         pthread_mutex_lock(&worker->lock);
         worker->uploads += ok;
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -82,10 +82,11 @@
     pthread_mutex_unlock(&worker->lock);
     for (struct lmn_executor_request *o; (o = g_queue_pop_head(&mine));) {
         if (o->directory && g_mkdir_with_parents(o->directory, 0755) != 0)
-            lmn_error("no-directory path=%s error=\"%s\"", o->directory, strerror(errno));
+            lmn_error("directory_create_failed path=%s error=\"%s\"", o->directory,
+                      strerror(errno));
         if (o->message && send(worker->executor_fd, o->message->data, o->message->len,
                                MSG_NOSIGNAL) < 0)
-            lmn_error("keeper-unheard error=\"%s\"", strerror(errno));
+            lmn_error("executor_message_invalid error=\"%s\"", strerror(errno));
         if (o->message)
             g_byte_array_unref(o->message);
         g_free(o->directory);
@@ -122,7 +123,8 @@
     int n = g_snprintf(line, sizeof line, "%" G_GUINT64_FORMAT "\n", last);
     if (lmn_file_put(path, line, (size_t)n) != 0) {
         /* A number that could be told twice must not be told at all. */
-        lmn_error("session-unrecorded path=%s error=\"%s\"", path, strerror(errno));
+        lmn_error("agent_incarnation_write_failed path=%s error=\"%s\"", path,
+                  strerror(errno));
         _exit(1);
     }
     g_free(text);
@@ -148,11 +150,11 @@
         e->directory =
             g_strdup_printf("%s/tasks/%s.%u.%" G_GUINT64_FORMAT,
                             worker->options->directory, r->job_id, r->index, r->attempt);
-        lmn_debug("task-exit task=%s/%u attempt=%" G_GUINT64_FORMAT
+        lmn_debug("task_exited task=%s/%u attempt=%" G_GUINT64_FORMAT
                   " status=%d what=\"%s\"",
                   r->job_id, r->index, r->attempt, m->status, m->what);
         if (m->event == LMN_EXECUTOR_START_FAILED)
-            lmn_info("task-unstarted task=%s/%u why=\"%s\"", r->job_id, r->index,
+            lmn_info("task_start_failed task=%s/%u why=\"%s\"", r->job_id, r->index,
                      m->what);
         g_queue_push_tail(&worker->ended, e);
         pthread_cond_signal(&worker->attempt_ended);
@@ -172,7 +174,7 @@
             continue;
         if (n <= 0) {
             /* Nobody answers for the tasks any more. The next life ends what is left. */
-            lmn_error("keeper-gone");
+            lmn_error("executor_exited");
             _exit(1);
         }
         if (lmn_executor_event_decode(buf, (size_t)n, &m) != 0)
@@ -265,7 +267,7 @@
             continue;
         }
         unsigned next = status == 421 ? controller_named(worker, in, to) : to;
-        lmn_debug("report-turned status=%d to=%s", status,
+        lmn_debug("heartbeat_redirected status=%d to=%s", status,
                   worker->options->controllers[next].name);
         pthread_mutex_lock(&worker->lock);
         worker->agent.has_news = true; /* what was not heard is still news */
@@ -422,7 +424,7 @@
     g_snprintf(worker->agent.address, sizeof worker->agent.address, "%s:%d", host,
                lmn_http_server_port(server));
     lmn_info(
-        "worker-start machine=%s type=%s zone=%s address=%s session=%" G_GUINT64_FORMAT
+        "worker_started machine=%s type=%s zone=%s address=%s session=%" G_GUINT64_FORMAT
         " results=%u",
         options->name, options->type.name, options->zone, worker->agent.address,
         worker->incarnation, g_hash_table_size(worker->results));
