--- a/bench/retention.c
+++ b/bench/retention.c
@@ -61,7 +61,7 @@
             if (first <= 0)
                 first = last;
             printf("jobs=%lu in_memory=%u resident=%.1f MB\n", n + 1,
-                   g_hash_table_size(core->jobs), last);
+                   g_hash_table_size(core->cache.jobs), last);
         }
     }
     printf("%s after a tenth %.1f MB, at the end %.1f MB\n",
--- a/src/admission/connection_budget.c
+++ b/src/admission/connection_budget.c
@@ -11,25 +11,25 @@
     return a > b ? a : b;
 }
 
-static unsigned fixed(const struct lmn_settings *cfg)
+static unsigned fixed(const struct lmn_settings *settings)
 {
-    return FIXED + EACH_MEMBER * (unsigned)cfg->member_count;
+    return FIXED + EACH_MEMBER * (unsigned)settings->member_count;
 }
 
-unsigned lmn_connection_budget_minimum(const struct lmn_settings *cfg)
+unsigned lmn_connection_budget_minimum(const struct lmn_settings *settings)
 {
-    return fixed(cfg) + LMN_WORKER_CLIENT_THREADS + LEAST_ACCEPTED;
+    return fixed(settings) + LMN_WORKER_CLIENT_THREADS + LEAST_ACCEPTED;
 }
 
-void lmn_connection_budget_init(const struct lmn_settings *cfg,
+void lmn_connection_budget_init(const struct lmn_settings *settings,
                                 struct lmn_connection_budget *budget)
 {
-    unsigned all = (unsigned)cfg->max_connections;
+    unsigned all = (unsigned)settings->max_connections;
 
     /* Each lane has one call under way at most, whatever it keeps open besides. */
     budget->worker_connections =
-        most(lmn_settings_worker_connections(cfg), LMN_WORKER_CLIENT_THREADS);
-    budget->own_connections = fixed(cfg) + budget->worker_connections;
+        most(lmn_settings_worker_connections(settings), LMN_WORKER_CLIENT_THREADS);
+    budget->own_connections = fixed(settings) + budget->worker_connections;
     budget->max_accepted = all > budget->own_connections + LEAST_ACCEPTED
                                ? all - budget->own_connections
                                : LEAST_ACCEPTED;
@@ -42,13 +42,13 @@
 }
 
 double lmn_connection_budget_max_machines(const struct lmn_connection_budget *budget,
-                                          const struct lmn_settings *cfg)
+                                          const struct lmn_settings *settings)
 {
     /* A few round trips between far zones, and the wait for its turn. */
     static const double held_s = 0.25;
     double each = budget->max_accepted - budget->reserved[LMN_CONNECTION_USER];
 
-    return each * (double)(cfg->member_count + 1) * (cfg->heartbeat_s / held_s);
+    return each * (double)(settings->member_count + 1) * (settings->heartbeat_s / held_s);
 }
 
 bool lmn_connection_budget_admits(const struct lmn_connection_budget *budget,
--- a/src/admission/connection_budget.h
+++ b/src/admission/connection_budget.h
@@ -33,17 +33,17 @@
  * are no more than max_connections, as long as that is at least
  * lmn_connection_budget_minimum; below, accepted is 16 and something will be
  * refused. */
-void lmn_connection_budget_init(const struct lmn_settings *cfg,
+void lmn_connection_budget_init(const struct lmn_settings *settings,
                                 struct lmn_connection_budget *budget);
 
 /* The fewest max_connections that a node with so many members can serve with. */
-unsigned lmn_connection_budget_minimum(const struct lmn_settings *cfg);
+unsigned lmn_connection_budget_minimum(const struct lmn_settings *settings);
 
 /* How many machines the site's controllers can hear: all members' connections but users'
  * part, each held for a quarter of a second by a report that comes every report_s. No
  * more than that are rented. */
 double lmn_connection_budget_max_machines(const struct lmn_connection_budget *budget,
-                                          const struct lmn_settings *cfg);
+                                          const struct lmn_settings *settings);
 
 /* Whether a new connection is let in at all, with so many open: a worker's is not once
  * workers and those whose purpose is not known yet have everything but users' part. It is
--- a/src/config/operator_settings.c
+++ b/src/config/operator_settings.c
@@ -72,7 +72,7 @@
 }
 
 void lmn_operator_settings_read(struct lmn_operator_settings *settings,
-                                const struct lmn_cbor_document *doc,
+                                const struct lmn_cbor_document *document,
                                 const struct lmn_cbor_value *value)
 {
     char err[128];
@@ -80,6 +80,6 @@
 
     *settings = lmn_operator_settings_default;
     for (size_t i = 0; value && i < G_N_ELEMENTS(fields); i++)
-        if (lmn_cbor_get_number(lmn_cbor_get(doc, value, fields[i].name), &v))
+        if (lmn_cbor_get_number(lmn_cbor_get(document, value, fields[i].name), &v))
             lmn_operator_settings_set(settings, fields[i].name, v, err, sizeof err);
 }
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -27,7 +27,7 @@
                                    size_t i);
 GByteArray *lmn_operator_settings_record(const struct lmn_operator_settings *settings);
 void lmn_operator_settings_read(struct lmn_operator_settings *settings,
-                                const struct lmn_cbor_document *doc,
+                                const struct lmn_cbor_document *document,
                                 const struct lmn_cbor_value *value);
 
 #endif
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -21,7 +21,7 @@
 #include "controller/rpc_server.h"
 #include "controller/http_routes.h"
 #include "state/watch_cache.h"
-#include "state/model.h"
+#include "state/core_state.h"
 #include "kv_client/kv_client.h"
 
 #include <curl/curl.h>
@@ -40,7 +40,7 @@
     asked_to_end++;
 }
 
-int lmn_controller_run(const struct lmn_settings *cfg)
+int lmn_controller_run(const struct lmn_settings *settings)
 {
     struct sigaction end = {.sa_handler = on_term};
 
@@ -48,29 +48,29 @@
     sigaction(SIGTERM, &end, NULL);
     /* Few arenas: memory is scarce, and so are the threads that allocate at once. */
     mallopt(M_ARENA_MAX, 2);
-    lmn_log_init(cfg->node_name);
+    lmn_log_init(settings->node_name);
     if (curl_global_init(CURL_GLOBAL_NOTHING) != 0)
         return 1;
-    lmn_info("controller_started version=" LMN_VERSION
-             " listen=%s partitions=%d members=%zu",
-             cfg->client_listen, cfg->partition_count, cfg->member_count + 1);
+    lmn_info(
+        "controller_started version=" LMN_VERSION " listen=%s partitions=%d members=%zu",
+        settings->client_listen, settings->partition_count, settings->member_count + 1);
 
     char warning[512];
-    if (lmn_settings_warning(cfg, warning, sizeof warning))
+    if (lmn_settings_warning(settings, warning, sizeof warning))
         lmn_error("settings_warning why=\"%s\"", warning);
 
-    struct lmn_kv_client *state = lmn_kv_client_new(cfg);
-    struct lmn_core *core = lmn_core_new(cfg, state, g_random_int());
+    struct lmn_kv_client *state = lmn_kv_client_new(settings);
+    struct lmn_core *core = lmn_core_new(settings, state, g_random_int());
     struct lmn_http_server *server = lmn_http_routes_start(core);
     if (!server) {
-        lmn_error("listen_failed address=%s", cfg->client_listen);
+        lmn_error("listen_failed address=%s", settings->client_listen);
         return 1;
     }
     pthread_mutex_lock(&core->lock);
     core->http_server = server;
     pthread_mutex_unlock(&core->lock);
     if (lmn_rpc_server_start(core) != 0) {
-        lmn_error("listen_failed address=%s", cfg->internal_address);
+        lmn_error("listen_failed address=%s", settings->internal_address);
         return 1;
     }
     lmn_kv_client_start(state);
@@ -79,7 +79,7 @@
     lmn_user_api_start(core);
     lmn_thread(lmn_provisioner_thread, core);
     lmn_thread(lmn_steal_thread, core);
-    if (cfg->member_count) {
+    if (settings->member_count) {
         lmn_thread(lmn_probe_thread, core);
         lmn_replication_start(core);
     }
@@ -99,10 +99,10 @@
             lmn_shutdown_begin(core, now);
         if (asked_to_end > 1 || lmn_shutdown_is_complete(core, now)) {
             lmn_info("shutdown_finished after=%.2f given=%d",
-                     lmn_time_diff_s(now, core->shutdown_began_at),
-                     core->has_released_lease);
+                     lmn_time_diff_s(now, core->shutdown.began_at),
+                     core->shutdown.has_released_lease);
             /* Nothing is to be cleared away, and the other threads go on until then. */
-            _exit(core->has_released_lease ? 0 : 1);
+            _exit(core->shutdown.has_released_lease ? 0 : 1);
         }
         double since = lmn_time_diff_s(now, last);
         lmn_load_record_delay(&core->load, since - TICK_S, since);
@@ -110,8 +110,9 @@
         core->members.health.delay_s = core->load.delay_s;
         last = now;
         lmn_update_job_order(core, lmn_time_seconds(lmn_wall_clock_now()));
-        for (int i = 0;
-             i < core->partition_count && core->last_triage_s == core->wall_clock_s; i++)
+        for (int i = 0; i < core->partition_count &&
+                        core->scheduling.last_triage_s == core->scheduling.wall_clock_s;
+             i++)
             lmn_update_reservations(core, &core->partitions[i], now);
         lmn_maintenance_run(core, now);
         for (int i = 0; i < core->partition_count; i++) {
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -5,6 +5,6 @@
 #include "config/settings.h"
 
 /* Runs until the process is ended; returns only if it could not start. */
-int lmn_controller_run(const struct lmn_settings *cfg);
+int lmn_controller_run(const struct lmn_settings *settings);
 
 #endif
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -49,11 +49,11 @@
 
     /* Who comes again is to come to another. Read without the lock, which an answer need
      * not wait for: one more connection stands, or one fewer. */
-    if (__atomic_load_n(&core->is_shutting_down, __ATOMIC_RELAXED))
+    if (__atomic_load_n(&core->shutdown.is_requested, __ATOMIC_RELAXED))
         return false;
     return lmn_connection_budget_keeps_open(
         &core->connection_budget, open, (enum lmn_connection_kind)kind,
-        __atomic_load_n(&core->is_isolated_view, __ATOMIC_RELAXED));
+        __atomic_load_n(&core->cache.is_isolated_view, __ATOMIC_RELAXED));
 }
 
 static unsigned kind_of(void *arg, const struct sockaddr *peer)
--- a/src/controller/members_report.h
+++ b/src/controller/members_report.h
@@ -2,7 +2,7 @@
 #ifndef LMN_CONTROLLER_MEMBERS_REPORT_H
 #define LMN_CONTROLLER_MEMBERS_REPORT_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* A line a member, or one JSON object; to be freed. Takes the lock. */
 char *lmn_members_report(struct lmn_core *core, bool json);
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -35,21 +35,21 @@
     gpointer v;
 
     s->owned++;
-    s->ready += partition->is_ready;
-    s->unplaced += partition->unassigned.task_count;
+    s->ready += partition->ownership.is_ready;
+    s->unplaced += partition->scheduling.unassigned.task_count;
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
-        s->machines += !machine->is_terminated;
-        s->unaccounted += !machine->is_accounted;
-        s->retiring += machine->is_draining;
+        s->machines += !machine->lifecycle.is_terminated;
+        s->unaccounted += !machine->lifecycle.is_accounted;
+        s->retiring += machine->lifecycle.is_draining;
         s->queued += machine->queue.task_count;
     }
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v))
         count_range(&s->tasks, v);
     for (size_t i = 0; i < core->settings->team_count; i++)
-        s->used[i] += partition->used_cpus[i];
+        s->used[i] += partition->quota.used_cpus[i];
 }
 
 static void counters(GString *out, const struct lmn_counters *counters)
@@ -119,17 +119,18 @@
 
     pthread_mutex_lock(&c->lock);
     for (int i = 0; i < c->partition_count; i++)
-        if (c->partitions[i].is_owned)
+        if (c->partitions[i].ownership.is_owned)
             count_partition(c, &s, &c->partitions[i]);
     struct lmn_counters n = c->counters;
     struct lmn_load load = c->load;
     const struct lmn_http_server *server = c->http_server;
     double stale = lmn_watch_cache_age_s(c, lmn_now());
-    guint jobs = g_hash_table_size(c->jobs), final_jobs = c->final_jobs.length;
+    guint jobs = g_hash_table_size(c->cache.jobs),
+          final_jobs = c->cache.final_jobs.length;
     lmn_quantiles(out, "lemonspar_accepting_seconds", "From a submission to its commit",
-                  &c->submission_latency);
+                  &c->latencies.submission);
     lmn_quantiles(out, "lemonspar_starting_seconds",
-                  "From a job's acceptance to a task's start", &c->start_latency);
+                  "From a job's acceptance to a task's start", &c->latencies.start);
     GArray *classes = lmn_fair_share_by_class(c);
     lmn_metric_head(out, "lemonspar_class_cpus", "gauge",
                     "Processors that the tasks of a class use here");
--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -46,8 +46,8 @@
     lmn_transfer_targets(core, now, successor);
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        int owner = partition->owner_revision
-                        ? lmn_member_index(&core->members, partition->owner)
+        int owner = partition->record.owner_revision
+                        ? lmn_member_index(&core->members, partition->record.owner)
                         : -1;
         g_string_append_printf(
             text, "partition %d owner=%s holder=%s standby=%s machines=%u", i,
@@ -57,7 +57,7 @@
         move(core, text, partition, owner, successor[i], now);
         g_string_append_c(text, '\n');
     }
-    if (core->is_shutting_down)
+    if (core->shutdown.is_requested)
         lmn_shutdown_describe(core, text, now);
     pthread_mutex_unlock(&core->lock);
     return g_string_free(text, FALSE);
--- a/src/controller/ownership_report.h
+++ b/src/controller/ownership_report.h
@@ -2,7 +2,7 @@
 #ifndef LMN_CONTROLLER_OWNERSHIP_REPORT_H
 #define LMN_CONTROLLER_OWNERSHIP_REPORT_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* A line for each partition: its owner, its usual holder, who is in step, and what is
  * going to move, when, and why not yet. To be freed with g_free. */
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -46,7 +46,7 @@
 static void note_latency(struct lmn_core *core, double took)
 {
     pthread_mutex_lock(&core->lock);
-    lmn_latency_add(&core->submission_latency, took);
+    lmn_latency_add(&core->latencies.submission, took);
     pthread_mutex_unlock(&core->lock);
 }
 
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -11,7 +11,7 @@
  * everybody stays. */
 static void look_around(struct lmn_core *core, struct timespec now)
 {
-    double stale = core->is_synced ? lmn_watch_cache_age_s(core, now) : 0;
+    double stale = core->cache.is_synced ? lmn_watch_cache_age_s(core, now) : 0;
     bool odd = stale >= LMN_CACHE_STALLED_S && core->members.count > 1, anybody = false;
 
     for (int i = 0; i < core->members.count && odd; i++) {
@@ -27,15 +27,15 @@
             break;
         }
     }
-    if (odd != core->is_isolated_view)
+    if (odd != core->cache.is_isolated_view)
         lmn_info("isolated_view_changed odd=%d stale=%.1f alone=%d", odd, stale,
                  !anybody);
-    __atomic_store_n(&core->is_isolated_view, odd,
+    __atomic_store_n(&core->cache.is_isolated_view, odd,
                      __ATOMIC_RELAXED); /* controller/http_routes.c reads it */
     if (!odd || anybody)
-        core->isolated_since = (struct timespec){0, 0};
-    else if (!core->isolated_since.tv_sec)
-        core->isolated_since = now;
+        core->cache.isolated_since = (struct timespec){0, 0};
+    else if (!core->cache.isolated_since.tv_sec)
+        core->cache.isolated_since = now;
 }
 
 static lmn_rpc_health own_word(const struct lmn_core *core, struct timespec now)
@@ -155,7 +155,7 @@
     uint64_t upto;
 
     pthread_mutex_lock(&core->lock);
-    x.jobs.jobs_len = lmn_tombstones_pending(&core->tombstones, member_index, refs,
+    x.jobs.jobs_len = lmn_tombstones_pending(&core->cache.tombstones, member_index, refs,
                                              G_N_ELEMENTS(refs), &upto);
     for (u_int i = 0; i < x.jobs.jobs_len; i++) {
         g_strlcpy(ref[i], refs[i], LMN_JOB_ID_SIZE);
@@ -170,7 +170,7 @@
     if (r == RPC_SUCCESS ||
         r == RPC_PROCUNAVAIL) { /* an older program has no use for them */
         pthread_mutex_lock(&core->lock);
-        lmn_tombstones_acknowledge(&core->tombstones, member_index, upto);
+        lmn_tombstones_acknowledge(&core->cache.tombstones, member_index, upto);
         pthread_mutex_unlock(&core->lock);
         return;
     }
--- a/src/controller/probe_client.h
+++ b/src/controller/probe_client.h
@@ -3,7 +3,7 @@
 #ifndef LMN_CONTROLLER_PROBE_CLIENT_H
 #define LMN_CONTROLLER_PROBE_CLIENT_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 #include "controller_rpc.h"
 
 /* What a question or an answer carries, with room for its names. */
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -7,12 +7,12 @@
 void lmn_replication_describe(GString *text, const struct lmn_core *core,
                               const struct lmn_partition *partition, struct timespec now)
 {
-    const struct lmn_replication_stream *stream = &partition->stream;
+    const struct lmn_replication_stream *stream = &partition->replication.stream;
     uint64_t starts;
     guint machines;
     double seconds;
 
-    if (partition->is_owned) {
+    if (partition->ownership.is_owned) {
         lmn_replication_lag(partition, now, &machines, &starts, &seconds);
         g_string_append_printf(
             text,
@@ -31,18 +31,20 @@
                                " strikes=%" G_GUINT64_FORMAT "\n",
                                stream->counters.batches, stream->counters.machines,
                                stream->counters.removals);
-    } else if (partition->replica && partition->replica->own) {
-        g_string_append_printf(text, "  own term=%" G_GUINT64_FORMAT " machines=%u\n",
-                               partition->replica->epoch,
-                               g_hash_table_size(partition->replica->machines));
-    } else if (partition->replica) {
+    } else if (partition->replication.replica && partition->replication.replica->own) {
+        g_string_append_printf(
+            text, "  own term=%" G_GUINT64_FORMAT " machines=%u\n",
+            partition->replication.replica->epoch,
+            g_hash_table_size(partition->replication.replica->machines));
+    } else if (partition->replication.replica) {
         g_string_append_printf(
             text, "  copy term=%" G_GUINT64_FORMAT " machines=%u last=%.2f in_step=%d\n",
-            partition->replica->epoch, g_hash_table_size(partition->replica->machines),
-            lmn_time_diff_s(now, partition->replica->last_batch_at),
-            partition->replica->stream == partition->standby_stream &&
-                partition->replica->epoch == partition->epoch &&
-                !strcmp(partition->standby, core->settings->node_name));
+            partition->replication.replica->epoch,
+            g_hash_table_size(partition->replication.replica->machines),
+            lmn_time_diff_s(now, partition->replication.replica->last_batch_at),
+            partition->replication.replica->stream == partition->record.standby_stream &&
+                partition->replication.replica->epoch == partition->record.epoch &&
+                !strcmp(partition->record.standby, core->settings->node_name));
     }
 }
 
@@ -53,8 +55,9 @@
 
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        if (partition->standby_stream && partition->standby_epoch == partition->epoch &&
-            !strcmp(partition->standby, name))
+        if (partition->record.standby_stream &&
+            partition->record.standby_epoch == partition->record.epoch &&
+            !strcmp(partition->record.standby, name))
             json_array_append_new(all, json_integer(i));
     }
     return all;
@@ -69,7 +72,8 @@
 
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        const struct lmn_replication_counters *n = &partition->stream.counters;
+        const struct lmn_replication_counters *n =
+            &partition->replication.stream.counters;
         uint64_t starts;
         guint machines;
         double seconds;
@@ -77,11 +81,11 @@
         sum.machines += n->machines;
         sum.streams += n->streams;
         sum.removals += n->removals;
-        copies += partition->replica && !partition->replica->own;
-        if (!partition->is_owned)
+        copies += partition->replication.replica && !partition->replication.replica->own;
+        if (!partition->ownership.is_owned)
             continue;
         lmn_replication_lag(partition, now, &machines, &starts, &seconds);
-        in_step += partition->stream.phase == LMN_STREAM_IN_SYNC;
+        in_step += partition->replication.stream.phase == LMN_STREAM_IN_SYNC;
         untold += machines;
         waits = MAX(waits, seconds);
     }
@@ -115,5 +119,5 @@
                 core->counters.cold_failovers);
     lmn_quantiles(out, "lemonspar_standby_ack_seconds",
                   "What starts wait for their acknowledgement",
-                  &core->replication_latency);
+                  &core->latencies.replication);
 }
--- a/src/controller/replication_report.h
+++ b/src/controller/replication_report.h
@@ -3,7 +3,7 @@
 #ifndef LMN_CONTROLLER_REPLICATION_REPORT_H
 #define LMN_CONTROLLER_REPLICATION_REPORT_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 #include <jansson.h>
 
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -164,12 +164,13 @@
 static void settle(struct lmn_core *core, struct lmn_partition *partition, GQueue *out,
                    struct timespec now)
 {
-    GQueue *q = &partition->stream.deferred_responses;
+    GQueue *q = &partition->replication.stream.deferred_responses;
 
     for (GList *l = q->head, *next; l; l = next) {
         struct lmn_deferred_response *response = l->data;
         next = l->next;
-        if (!partition->is_owned || partition->owned_epoch != response->held.epoch) {
+        if (!partition->ownership.is_owned ||
+            partition->ownership.epoch != response->held.epoch) {
             response->status = 503;
             g_byte_array_set_size(response->out, 0);
         } else if (lmn_replication_covers(partition, response->held.log_position)) {
@@ -204,7 +205,7 @@
     int status = 0;
 
     pthread_mutex_lock(&core->lock);
-    if (!partition->is_owned || partition->owned_epoch != deferred->epoch)
+    if (!partition->ownership.is_owned || partition->ownership.epoch != deferred->epoch)
         status = 503;
     else if (lmn_replication_covers(partition, deferred->log_position))
         status = 200;
@@ -212,7 +213,7 @@
         struct lmn_deferred_response *response = g_new0(struct lmn_deferred_response, 1);
         *response = (struct lmn_deferred_response){request, out, *deferred, lmn_now(), 0};
         lmn_http_request_defer(request);
-        g_queue_push_tail(&partition->stream.deferred_responses, response);
+        g_queue_push_tail(&partition->replication.stream.deferred_responses, response);
     }
     pthread_mutex_unlock(&core->lock);
     if (status == 503)
@@ -238,10 +239,10 @@
         double wait;
         enum lmn_replication_step step =
             lmn_replication_next_step(core, partition, lmn_now(), &batch, &txn, &wait);
-        int to = partition->stream.standby_index;
+        int to = partition->replication.stream.standby_index;
         settle(core, partition, &done, lmn_now());
         if (step == LMN_REPLICATION_WAIT && g_queue_is_empty(&done)) {
-            lmn_cond_wait_for(&partition->replication_due, &core->lock, wait);
+            lmn_cond_wait_for(&partition->replication.due, &core->lock, wait);
             continue;
         }
         pthread_mutex_unlock(&core->lock);
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -95,7 +95,7 @@
 void lmn_job_view_take(const struct lmn_core *core, const char *ref,
                        struct lmn_job_view *view)
 {
-    const struct lmn_job *job = g_hash_table_lookup(core->jobs, ref);
+    const struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, ref);
     uint32_t done, running;
 
     memset(view, 0, sizeof *view);
@@ -257,12 +257,12 @@
     /* No value can hold it: that would be 503 at each try, for ever. */
     if (submission->fault == LMN_SUBMISSION_TOO_LARGE)
         return next_step(LMN_STEP_CONFIRM, 400);
-    if (!core->is_synced || !core->machine_types_known)
+    if (!core->cache.is_synced || !core->cloud.machine_types_known)
         return reply_now(plain(503, 2));
     if (is_blind(core, now))
         return reply_now(plain(503, lmn_retry_after(1, core->random)));
-    if (!lmn_job_spec_is_feasible(&submission->spec, core->settings, &core->machine_types,
-                                  &why)) {
+    if (!lmn_job_spec_is_feasible(&submission->spec, core->settings,
+                                  &core->cloud.machine_types, &why)) {
         lmn_debug("job_infeasible job=%s why=\"%s\"", submission->spec.id, why);
         return next_step(LMN_STEP_CONFIRM, 422);
     }
@@ -299,7 +299,7 @@
         return LMN_PENDING_WAIT;
     /* Not answered from the mirror: the job may have been cancelled since, and another
      * node may have said so. */
-    if (g_hash_table_contains(core->jobs, ref))
+    if (g_hash_table_contains(core->cache.jobs, ref))
         return LMN_PENDING_CONFIRM;
     return waited >= RESEND_S && !resent ? LMN_PENDING_RESEND : LMN_PENDING_WAIT;
 }
--- a/src/controller/request_decisions.h
+++ b/src/controller/request_decisions.h
@@ -11,7 +11,7 @@
 #define LMN_CONTROLLER_REQUEST_DECISIONS_H
 
 #include "controller/submission.h"
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* What is to be done about a request. */
 enum lmn_request_step {
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -39,8 +39,8 @@
     for (int tries = 0; tries < 5 && r == LMN_TXN_CONFLICT; tries++) {
         uint64_t revision = 0;
         pthread_mutex_lock(&core->lock);
-        struct lmn_operator_settings t = core->operator_settings;
-        uint64_t seen = core->operator_settings_revision;
+        struct lmn_operator_settings t = core->cache.operator_settings;
+        uint64_t seen = core->cache.operator_settings_revision;
         pthread_mutex_unlock(&core->lock);
         if (lmn_operator_settings_set(&t, name, value, err, len) != 0) {
             lmn_http_client_free(client);
@@ -72,14 +72,14 @@
 
     pthread_mutex_lock(&core->lock);
     struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
-    if (partition->is_owned && machine) {
+    if (partition->ownership.is_owned && machine) {
         lmn_machine_drain(core, machine, false, "drained by an operator", lmn_now());
         rc = 0;
-    } else if (partition->is_owned) {
+    } else if (partition->ownership.is_owned) {
         snprintf(err, len, "%s: no such machine", name);
     } else {
         snprintf(err, len, "%s: ask its owner, %s", name,
-                 *partition->owner ? partition->owner : "nobody now");
+                 *partition->record.owner ? partition->record.owner : "nobody now");
     }
     pthread_mutex_unlock(&core->lock);
     return rc;
@@ -168,7 +168,8 @@
         pthread_mutex_lock(&core->lock);
         for (size_t i = 0; lmn_operator_settings_name(i) && i < LMN_RPC_MAX_ITEMS; i++) {
             items[i].name = (char *)lmn_operator_settings_name(i);
-            items[i].value = lmn_operator_settings_value(&core->operator_settings, i);
+            items[i].value =
+                lmn_operator_settings_value(&core->cache.operator_settings, i);
             l.items.items_len++;
         }
         pthread_mutex_unlock(&core->lock);
@@ -372,7 +373,7 @@
     char owner[LMN_NAME_SIZE];
 
     pthread_mutex_lock(&core->lock);
-    g_strlcpy(owner, core->partitions[part].owner, sizeof owner);
+    g_strlcpy(owner, core->partitions[part].record.owner, sizeof owner);
     pthread_mutex_unlock(&core->lock);
     for (size_t i = 0; i < core->settings->member_count; i++)
         /* Each was set up with its settings. */
@@ -385,7 +386,7 @@
 static bool own(int part)
 {
     pthread_mutex_lock(&core->lock);
-    bool mine = core->partitions[part].is_owned;
+    bool mine = core->partitions[part].ownership.is_owned;
     pthread_mutex_unlock(&core->lock);
     return mine;
 }
@@ -417,7 +418,7 @@
 
     pthread_mutex_lock(&core->lock);
     for (size_t i = 0; i < core->settings->team_count &&
-                       !lmn_time_before(now, partition->next_quota_request_at);
+                       !lmn_time_before(now, partition->quota.next_request_at);
          i++)
         n += lmn_quota_shortfall(core, partition, (int)i, &want[n]);
     int first = g_rand_int_range(core->random, 0, core->partition_count);
@@ -448,10 +449,10 @@
     if (!n)
         return;
     pthread_mutex_lock(&core->lock);
-    partition->quota_request_interval_s =
-        got ? 0.5 : CLAMP(partition->quota_request_interval_s * 2, 0.5, 8);
-    partition->next_quota_request_at =
-        lmn_time_add(now, partition->quota_request_interval_s);
+    partition->quota.request_interval_s =
+        got ? 0.5 : CLAMP(partition->quota.request_interval_s * 2, 0.5, 8);
+    partition->quota.next_request_at =
+        lmn_time_add(now, partition->quota.request_interval_s);
     pthread_mutex_unlock(&core->lock);
 }
 
@@ -481,8 +482,9 @@
         if (i != request->partition)
             others[n++] = i;
     pthread_mutex_lock(&core->lock);
-    int sample = core->operator_settings.sample > 0 ? (int)core->operator_settings.sample
-                                                    : (int)ceil(sqrt(n));
+    int sample = core->cache.operator_settings.sample > 0
+                     ? (int)core->cache.operator_settings.sample
+                     : (int)ceil(sqrt(n));
     for (int i = 0; i < n; i++) {
         int k = g_rand_int_range(core->random, i, n), x = others[i];
         others[i] = others[k];
--- a/src/controller/rpc_server.h
+++ b/src/controller/rpc_server.h
@@ -2,7 +2,7 @@
 #ifndef LMN_CONTROLLER_RPC_SERVER_H
 #define LMN_CONTROLLER_RPC_SERVER_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Serves internal_addr (a thread). -1 if it can't listen. */
 int lmn_rpc_server_start(struct lmn_core *core);
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -22,25 +22,27 @@
         text,
         "partition %d owner=%s term=%" G_GUINT64_FORMAT
         " mine=%d ready=%d machines=%u ranges=%u queued=%u unplaced=%u held=%u\n",
-        partition->id, *partition->owner ? partition->owner : "-", partition->owner_epoch,
-        partition->is_owned, partition->is_ready, g_hash_table_size(partition->machines),
-        g_hash_table_size(partition->ranges), queued, partition->unassigned.task_count,
-        running);
+        partition->id, *partition->record.owner ? partition->record.owner : "-",
+        partition->record.owner_epoch, partition->ownership.is_owned,
+        partition->ownership.is_ready, g_hash_table_size(partition->machines),
+        g_hash_table_size(partition->ranges), queued,
+        partition->scheduling.unassigned.task_count, running);
     lmn_replication_describe(text, core, partition, lmn_now());
-    for (size_t i = 0; partition->is_owned && i < core->settings->team_count; i++)
-        g_string_append_printf(text, "  team %s cpus=%.1f gpus=%.1f\n",
-                               core->settings->teams[i].name, partition->used_cpus[i],
-                               partition->used_gpus[i]);
+    for (size_t i = 0; partition->ownership.is_owned && i < core->settings->team_count;
+         i++)
+        g_string_append_printf(
+            text, "  team %s cpus=%.1f gpus=%.1f\n", core->settings->teams[i].name,
+            partition->quota.used_cpus[i], partition->quota.used_gpus[i]);
     g_hash_table_iter_init(&it, partition->machines);
-    while (partition->is_owned && g_hash_table_iter_next(&it, NULL, &v)) {
+    while (partition->ownership.is_owned && g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
         g_string_append_printf(
             text, "  machine %s type=%s zone=%s spot=%d cpus=%.1f queued=%u%s%s%s\n",
             machine->name, machine->type_name, machine->zone, machine->is_spot,
-            machine->used_cpus, machine->queue.task_count,
-            machine->is_accounted ? "" : " unaccounted",
-            machine->is_draining ? " retiring" : "",
-            machine->lease_expired ? " lapsed" : "");
+            machine->used.cpus, machine->queue.task_count,
+            machine->lifecycle.is_accounted ? "" : " unaccounted",
+            machine->lifecycle.is_draining ? " retiring" : "",
+            machine->agent.lease_expired ? " lapsed" : "");
     }
 }
 
@@ -67,7 +69,7 @@
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, core->jobs);
+    g_hash_table_iter_init(&it, core->cache.jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_job *job = v;
         if (job->phase == LMN_JOB_ACTIVE && lmn_job_is_faulty(&job->failures))
@@ -111,8 +113,8 @@
     pthread_mutex_lock(&core->lock);
     g_string_append_printf(
         text, "node %s lease=%" G_GUINT64_FORMAT " stale=%.1f jobs=%u\n",
-        core->settings->node_name, core->lease, lmn_watch_cache_age_s(core, lmn_now()),
-        g_hash_table_size(core->jobs));
+        core->settings->node_name, core->lease.id, lmn_watch_cache_age_s(core, lmn_now()),
+        g_hash_table_size(core->cache.jobs));
     for (int i = 0; i < core->partition_count; i++)
         show_partition(text, core, &core->partitions[i]);
     show_classes(text, core);
@@ -139,9 +141,9 @@
         load->delay_s, load->shed_counts[LMN_SHED_POLL],
         load->shed_counts[LMN_SHED_SUBMISSION], load->shed_counts[LMN_SHED_START]);
     show_sockets(text, core);
-    show_latency(text, "accepting", &core->submission_latency);
-    show_latency(text, "starting", &core->start_latency);
-    show_latency(text, "telling", &core->replication_latency);
+    show_latency(text, "accepting", &core->latencies.submission);
+    show_latency(text, "starting", &core->latencies.start);
+    show_latency(text, "telling", &core->latencies.replication);
     pthread_mutex_unlock(&core->lock);
     return g_string_free(text, FALSE);
 }
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -18,7 +18,8 @@
         struct lmn_machine *machine = v;
         if (!machine->type)
             machine->type = lmn_machine_type_by_name(core, machine->type_name);
-        if (machine->type && machine->revision && !machine->is_terminated &&
+        if (machine->type && machine->record.revision &&
+            !machine->lifecycle.is_terminated &&
             lmn_job_spec_allows(spec, machine->type, machine->zone, machine->is_spot))
             *weight += machine->type->cpus + machine->type->gpus;
     }
@@ -124,9 +125,10 @@
 }
 
 /* Whether the job's record is larger than a value may be, counted as JSON. */
-static bool too_large(const struct lmn_settings *cfg, const struct lmn_job_spec *spec)
+static bool too_large(const struct lmn_settings *settings,
+                      const struct lmn_job_spec *spec)
 {
-    size_t most = (size_t)(cfg->max_value_kb * 1024), types = 0;
+    size_t most = (size_t)(settings->max_value_kb * 1024), types = 0;
     struct lmn_cbor_document d;
 
     for (char **t = spec->machine_types; t && *t; t++)
@@ -143,7 +145,8 @@
 }
 
 void lmn_submission_parse(struct lmn_submission *submission,
-                          const struct lmn_settings *cfg, const guint8 *body, size_t len)
+                          const struct lmn_settings *settings, const guint8 *body,
+                          size_t len)
 {
     struct lmn_cbor_document d;
 
@@ -154,8 +157,9 @@
         return;
     if (lmn_job_spec_parse(&submission->spec, &d, lmn_cbor_root(&d),
                            &submission->field_at_fault) == 0)
-        submission->fault = too_large(cfg, &submission->spec) ? LMN_SUBMISSION_TOO_LARGE
-                                                              : LMN_SUBMISSION_VALID;
+        submission->fault = too_large(settings, &submission->spec)
+                                ? LMN_SUBMISSION_TOO_LARGE
+                                : LMN_SUBMISSION_VALID;
     else if (lmn_job_id_is_valid(submission->spec.id))
         submission->fault = LMN_SUBMISSION_MALFORMED;
     lmn_cbor_free(&d);
--- a/src/controller/submission.h
+++ b/src/controller/submission.h
@@ -3,7 +3,7 @@
 #ifndef LMN_CONTROLLER_SUBMISSION_H
 #define LMN_CONTROLLER_SUBMISSION_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 enum lmn_submission_fault {
     LMN_SUBMISSION_VALID,
@@ -20,7 +20,8 @@
 
 /* Reads a request's body. To be cleared, whatever its fault. */
 void lmn_submission_parse(struct lmn_submission *submission,
-                          const struct lmn_settings *cfg, const guint8 *body, size_t len);
+                          const struct lmn_settings *settings, const guint8 *body,
+                          size_t len);
 void lmn_submission_clear(struct lmn_submission *submission);
 
 /* The transaction that accepts the job, conditional on its id being unknown: the job's
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -84,9 +84,10 @@
 {
     pthread_mutex_lock(&core->lock);
     double stale = lmn_watch_cache_age_s(core, lmn_now());
-    bool ready = core->is_synced && core->machine_types_known &&
-                 !core->is_shutting_down &&
-                 (stale < LMN_CACHE_STALLED_S || (!core->is_isolated_view && stale < 30));
+    bool ready =
+        core->cache.is_synced && core->cloud.machine_types_known &&
+        !core->shutdown.is_requested &&
+        (stale < LMN_CACHE_STALLED_S || (!core->cache.is_isolated_view && stale < 30));
     pthread_mutex_unlock(&core->lock);
     return ready;
 }
@@ -185,7 +186,7 @@
     lmn_debug("job_cancelled job=%s", ref);
     pthread_mutex_lock(&core->lock);
     if (core->members.count > 1)
-        lmn_tombstone_add(&core->tombstones, ref);
+        lmn_tombstone_add(&core->cache.tombstones, ref);
     pthread_mutex_unlock(&core->lock);
 }
 
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -4,7 +4,7 @@
 #define LMN_CONTROLLER_USER_API_H
 
 #include "http/server.h"
-#include "state/model.h"
+#include "state/core_state.h"
 
 void lmn_user_api_submit(struct lmn_core *core, struct lmn_http_request *request);
 void lmn_user_api_status(struct lmn_core *core, struct lmn_http_request *request,
--- a/src/job/job_spec.c
+++ b/src/job/job_spec.c
@@ -206,10 +206,10 @@
 }
 
 bool lmn_job_spec_is_feasible(const struct lmn_job_spec *spec,
-                              const struct lmn_settings *cfg,
+                              const struct lmn_settings *settings,
                               const struct lmn_machine_types *types, const char **why)
 {
-    const struct lmn_team *team = lmn_settings_team(cfg, spec->team);
+    const struct lmn_team *team = lmn_settings_team(settings, spec->team);
     double n = spec->kind == LMN_JOB_SERVICE ? spec->tasks : 1;
     bool fits = false;
 
@@ -281,11 +281,11 @@
             (objective->kind == LMN_OBJECTIVE_DEADLINE && spec->deadline_s >= 0));
 }
 
-bool lmn_job_spec_has_objective(const struct lmn_settings *cfg,
+bool lmn_job_spec_has_objective(const struct lmn_settings *settings,
                                 const struct lmn_job_spec *spec)
 {
-    for (size_t i = 0; i < cfg->objective_count; i++)
-        if (lmn_objective_applies(&cfg->objectives[i], spec))
+    for (size_t i = 0; i < settings->objective_count; i++)
+        if (lmn_objective_applies(&settings->objectives[i], spec))
             return true;
     return spec->deadline_s >= 0;
 }
--- a/src/job/job_spec.h
+++ b/src/job/job_spec.h
@@ -46,7 +46,8 @@
 bool lmn_job_id_is_valid(const char *ref);
 /* 0, or -1 if a field is missing or invalid; *what then says which. Frees nothing it took
  * on failure but what lmn_job_spec_clear frees. */
-int lmn_job_spec_parse(struct lmn_job_spec *spec, const struct lmn_cbor_document *doc,
+int lmn_job_spec_parse(struct lmn_job_spec *spec,
+                       const struct lmn_cbor_document *document,
                        const struct lmn_cbor_value *map, const char **what);
 void lmn_job_spec_clear(struct lmn_job_spec *spec);
 /* Appends the fields as pairs of an open map: as many as lmn_job_spec_pair_count says. */
@@ -58,14 +59,14 @@
                          bool spot);
 /* Whether the job could ever run; *why says what is against it. */
 bool lmn_job_spec_is_feasible(const struct lmn_job_spec *spec,
-                              const struct lmn_settings *cfg,
+                              const struct lmn_settings *settings,
                               const struct lmn_machine_types *types, const char **why);
 
 /* Whether the objective says when such a job should start or end. */
 bool lmn_objective_applies(const struct lmn_objective *objective,
                            const struct lmn_job_spec *spec);
 /* Whether anything does, its deadline included. */
-bool lmn_job_spec_has_objective(const struct lmn_settings *cfg,
+bool lmn_job_spec_has_objective(const struct lmn_settings *settings,
                                 const struct lmn_job_spec *spec);
 
 /* Sets of done tasks: one bit a task, as text of hexadecimal digits without closing
--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -161,22 +161,23 @@
     lmn_txn_free(txn);
 }
 
-struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *cfg)
+struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *settings)
 {
     struct lmn_kv_client *client = g_new0(struct lmn_kv_client, 1);
-    double share = 1.0 / (double)(cfg->member_count + 1);
+    double share = 1.0 / (double)(settings->member_count + 1);
     struct timespec now = lmn_now();
 
-    client->cfg = cfg;
+    client->cfg = settings;
     pthread_mutex_init(&client->lock, NULL);
     lmn_cond_init(&client->more);
     for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
         g_queue_init(&client->queue[i]);
     /* Each member keeps to its part, a little less for the service's own clock. */
-    lmn_token_bucket_init(&client->requests, cfg->state_requests_per_s * share * 0.95,
-                          MAX(cfg->state_requests_per_s * share * 0.5, 2), now);
-    lmn_token_bucket_init(&client->writes, cfg->state_writes_per_s * share * 0.95,
-                          MAX(cfg->state_writes_per_s * share * 0.9, 4), now);
+    lmn_token_bucket_init(&client->requests,
+                          settings->state_requests_per_s * share * 0.95,
+                          MAX(settings->state_requests_per_s * share * 0.5, 2), now);
+    lmn_token_bucket_init(&client->writes, settings->state_writes_per_s * share * 0.95,
+                          MAX(settings->state_writes_per_s * share * 0.9, 4), now);
     lmn_token_bucket_init(&client->lazy, 0.5 * client->writes.rate, client->writes.burst,
                           now);
     lmn_latency_init(&client->writing);
--- a/src/kv_client/kv_client.h
+++ b/src/kv_client/kv_client.h
@@ -30,7 +30,7 @@
 typedef void lmn_txn_callback(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
                               uint64_t revision);
 
-struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *cfg);
+struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *settings);
 /* Of one whose threads were never started; what was not sent counts as refused, so
  * whoever hears of that must still be there. */
 void lmn_kv_client_free(struct lmn_kv_client *client);
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -8,17 +8,17 @@
 static const double GAP_S = 1.6;
 enum { WORST = 8 };
 
-void lmn_membership_timeouts_init(const struct lmn_settings *cfg,
+void lmn_membership_timeouts_init(const struct lmn_settings *settings,
                                   struct lmn_membership_timeouts *timeouts)
 {
     /* Short enough that a successor answers a crashed owner's workers within their lease,
      * long enough for the stalls of a small share of a core. */
-    timeouts->lease_s = CLAMP(0.4 * cfg->lease_s, 2.0, 8.0);
+    timeouts->lease_s = CLAMP(0.4 * settings->lease_s, 2.0, 8.0);
     timeouts->probe_interval_s = timeouts->lease_s / 16;
     timeouts->probe_timeout_s = MAX(timeouts->probe_interval_s, 0.4);
     timeouts->suspicion_s = MAX(timeouts->lease_s / 6, 1);
     timeouts->stall_s = timeouts->suspicion_s + timeouts->probe_interval_s;
-    timeouts->heartbeat_overdue_s = 1.25 * cfg->heartbeat_s + 0.5;
+    timeouts->heartbeat_overdue_s = 1.25 * settings->heartbeat_s + 0.5;
 }
 
 const char *lmn_suspicion_cause_name(enum lmn_suspicion_cause c)
@@ -28,18 +28,18 @@
     return c < LMN_SUSPICION_CAUSES ? names[c] : "unknown";
 }
 
-void lmn_members_init(struct lmn_members *members, const struct lmn_settings *cfg,
+void lmn_members_init(struct lmn_members *members, const struct lmn_settings *settings,
                       struct timespec now)
 {
     memset(members, 0, sizeof *members);
-    members->settings = cfg;
-    lmn_membership_timeouts_init(cfg, &members->timeouts);
-    members->count = (int)cfg->member_count + 1;
-    members->self = lmn_settings_member_index(cfg, cfg->node_name);
-    members->names[members->self] = cfg->node_name;
-    for (size_t i = 0; i < cfg->member_count; i++)
-        members->names[lmn_settings_member_index(cfg, cfg->members[i].name)] =
-            cfg->members[i].name;
+    members->settings = settings;
+    lmn_membership_timeouts_init(settings, &members->timeouts);
+    members->count = (int)settings->member_count + 1;
+    members->self = lmn_settings_member_index(settings, settings->node_name);
+    members->names[members->self] = settings->node_name;
+    for (size_t i = 0; i < settings->member_count; i++)
+        members->names[lmn_settings_member_index(settings, settings->members[i].name)] =
+            settings->members[i].name;
     for (int i = 0; i < members->count; i++) {
         members->probe_order[i] = i;
         members->views[i].present_since = now;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -26,7 +26,7 @@
     double stall_s;     /* a tick that comes later than this was a stand-still */
     double heartbeat_overdue_s; /* a worker that is silent for so long was not heard */
 };
-void lmn_membership_timeouts_init(const struct lmn_settings *cfg,
+void lmn_membership_timeouts_init(const struct lmn_settings *settings,
                                   struct lmn_membership_timeouts *timeouts);
 
 /* What a member is suspected of. */
@@ -140,7 +140,7 @@
     } counters;
 };
 
-void lmn_members_init(struct lmn_members *members, const struct lmn_settings *cfg,
+void lmn_members_init(struct lmn_members *members, const struct lmn_settings *settings,
                       struct timespec now);
 const char *lmn_member_name(const struct lmn_members *members, int member_index);
 /* -1: no member of that name. */
--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -124,7 +124,7 @@
         .index = index, .number = number, .state = state, .started_at = now};
 
     g_strlcpy(a.job_id, ref, sizeof a.job_id);
-    a.job = g_hash_table_lookup(core->jobs, ref);
+    a.job = g_hash_table_lookup(core->cache.jobs, ref);
     a.range = lmn_partition_find_range(machine->partition, a.job, index);
     if (state != LMN_ATTEMPT_ENDED) {
         lmn_attempt_count(machine, &a);
@@ -148,15 +148,15 @@
 {
     struct lmn_failing_job new = {.job = job};
 
-    for (guint i = 0; i < machine->failing_jobs->len; i++) {
+    for (guint i = 0; i < machine->failures.jobs->len; i++) {
         struct lmn_failing_job *failing =
-            &g_array_index(machine->failing_jobs, struct lmn_failing_job, i);
+            &g_array_index(machine->failures.jobs, struct lmn_failing_job, i);
         if (failing->job == job)
             return failing;
     }
-    g_array_append_val(machine->failing_jobs, new);
-    return &g_array_index(machine->failing_jobs, struct lmn_failing_job,
-                          machine->failing_jobs->len - 1);
+    g_array_append_val(machine->failures.jobs, new);
+    return &g_array_index(machine->failures.jobs, struct lmn_failing_job,
+                          machine->failures.jobs->len - 1);
 }
 
 /* A task has failed: at the fault of its job, or of the machine. What its job says counts
@@ -182,18 +182,19 @@
     struct lmn_failing_job *failing = accuser(machine, job);
     failing->failures++;
     failing->last_failed_at = now;
-    for (guint i = 0; i < machine->failing_jobs->len; i++) {
-        failing = &g_array_index(machine->failing_jobs, struct lmn_failing_job, i);
+    for (guint i = 0; i < machine->failures.jobs->len; i++) {
+        failing = &g_array_index(machine->failures.jobs, struct lmn_failing_job, i);
         sum += lmn_failure_weight(&failing->job->failures, where, failing->failures,
                                   failing->last_failed_at, now);
     }
     /* One whose tasks fail at once has room at once: it would empty healthy queues into
      * failures. */
-    machine->quarantined_until = lmn_time_add(now, lmn_machine_quarantine_s(sum));
-    if (lmn_machine_is_faulty(sum) && !machine->is_draining) {
+    machine->failures.quarantined_until =
+        lmn_time_add(now, lmn_machine_quarantine_s(sum));
+    if (lmn_machine_is_faulty(sum) && !machine->lifecycle.is_draining) {
         core->counters.faulty_machines++;
         lmn_info("machine_declared_faulty machine=%s jobs=%u weight=%.2f", machine->name,
-                 machine->failing_jobs->len, sum);
+                 machine->failures.jobs->len, sum);
         lmn_machine_drain(core, machine, false, "tasks fail on it that succeed elsewhere",
                           now);
     }
@@ -233,7 +234,7 @@
                   " machine=%s after=%.1f",
                   attempt->job_id, attempt->index, attempt->number, machine->name,
                   lmn_time_diff_s(now, attempt->started_at));
-        g_array_set_size(machine->failing_jobs, 0);
+        g_array_set_size(machine->failures.jobs, 0);
         if (attempt->job) {
             bool was = lmn_job_is_faulty(&attempt->job->failures);
             lmn_job_record_success(&attempt->job->failures);
@@ -298,7 +299,7 @@
         }
         /* It has taken an order of ours: the way there is open. */
         if (!attempt->was_reported && attempt->state == LMN_ATTEMPT_SENT)
-            machine->ignored_commands = 0;
+            machine->agent.ignored_commands = 0;
         attempt->in_last_heartbeat = attempt->was_reported = true;
         attempt->from_replica = false;
         if (attempt->job && x.state != LMN_ATTEMPT_ENDED)
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -55,10 +55,10 @@
 void lmn_machine_record_ignored_command(struct lmn_core *core,
                                         struct lmn_machine *machine, struct timespec now)
 {
-    machine->ignored_commands++;
-    machine->quarantined_until =
-        lmn_time_add(now, (double)(1u << MIN(machine->ignored_commands, 4u)));
-    if (machine->ignored_commands > 1)
+    machine->agent.ignored_commands++;
+    machine->failures.quarantined_until =
+        lmn_time_add(now, (double)(1u << MIN(machine->agent.ignored_commands, 4u)));
+    if (machine->agent.ignored_commands > 1)
         return;
     lmn_info("machine_commands_ignored machine=%s partition=%d", machine->name,
              machine->partition->id);
@@ -88,7 +88,7 @@
         struct lmn_attempt a;
         if (!lmn_heartbeat_parse_task(&a, document, task) ||
             a.state == LMN_ATTEMPT_ENDED ||
-            !(a.job = g_hash_table_lookup(core->jobs, a.job_id)) ||
+            !(a.job = g_hash_table_lookup(core->cache.jobs, a.job_id)) ||
             lmn_job_may_run(core, a.job))
             continue;
         n += kill_now(core, &a, out);
@@ -158,10 +158,11 @@
         } else if (attempt->must_stop && attempt->state != LMN_ATTEMPT_SAVING) {
             lmn_append_command(out, WIRE_KILL, attempt, attempt->grace_s);
             commands++;
-        } else if (machine->has_spot_notice && attempt->state == LMN_ATTEMPT_RUNNING &&
+        } else if (machine->lifecycle.has_spot_notice &&
+                   attempt->state == LMN_ATTEMPT_RUNNING &&
                    attempt->job->spec.checkpoint_s > 0 && !attempt->kill_sent) {
-            double left =
-                machine->notice_s - lmn_time_diff_s(now, machine->spot_notice_at);
+            double left = machine->lifecycle.spot_notice_s -
+                          lmn_time_diff_s(now, machine->lifecycle.spot_notice_at);
             if (left < attempt->job->spec.save_s + 2 * core->settings->heartbeat_s + 1) {
                 lmn_append_command(out, WIRE_KILL, attempt,
                                    attempt->job->spec.save_s + 1);
@@ -188,8 +189,9 @@
 static int redirect(const struct lmn_core *core, const struct lmn_partition *partition,
                     GByteArray *out, struct timespec now)
 {
-    int owner =
-        *partition->owner ? lmn_member_index(&core->members, partition->owner) : -1;
+    int owner = *partition->record.owner
+                    ? lmn_member_index(&core->members, partition->record.owner)
+                    : -1;
 
     if (owner >= 0 && lmn_member_is_suspected(&core->members, owner))
         owner = lmn_partition_next_owner(core, partition, now);
@@ -206,11 +208,11 @@
     double round = (WORKER_WAITS_S + 1) * (core->members.count - 1) +
                    2 * core->settings->heartbeat_s;
 
-    if (!core->isolated_since.tv_sec ||
-        !lmn_time_before(machine->redirected_at, core->isolated_since) ||
+    if (!core->cache.isolated_since.tv_sec ||
+        !lmn_time_before(machine->agent.redirected_at, core->cache.isolated_since) ||
         round > 0.8 * core->settings->lease_s)
         return false;
-    machine->redirected_at = now;
+    machine->agent.redirected_at = now;
     return true;
 }
 
@@ -219,11 +221,12 @@
 static void note_visitor(struct lmn_core *core, const struct lmn_partition *partition,
                          const struct lmn_heartbeat *heartbeat, struct timespec now)
 {
-    int owner =
-        *partition->owner ? lmn_member_index(&core->members, partition->owner) : -1;
+    int owner = *partition->record.owner
+                    ? lmn_member_index(&core->members, partition->record.owner)
+                    : -1;
 
     if (owner >= 0 && owner != core->members.self && heartbeat->fencing_token &&
-        heartbeat->fencing_token == partition->owner_epoch)
+        heartbeat->fencing_token == partition->record.owner_epoch)
         lmn_member_record_redirected_worker(&core->members, owner, heartbeat->name,
                                             heartbeat->agent_incarnation,
                                             heartbeat->sequence, now);
@@ -245,45 +248,45 @@
      * time: the last answer, a lease, and all of it within cancel_s. */
     if (lmn_watch_cache_is_too_stale(core, now))
         return 503;
-    if (!partition->is_owned) {
+    if (!partition->ownership.is_owned) {
         note_visitor(core, partition, heartbeat, now);
         return redirect(core, partition, out, now);
     }
-    if (heartbeat->fencing_token > partition->owned_epoch ||
-        g_hash_table_contains(core->returned_machines, heartbeat->name))
+    if (heartbeat->fencing_token > partition->ownership.epoch ||
+        g_hash_table_contains(core->cloud.returned_machines, heartbeat->name))
         return 503; /* a successor is at work that the mirror doesn't show yet */
     struct lmn_machine *machine =
         g_hash_table_lookup(partition->machines, heartbeat->name);
     if (!machine) {
         machine = lmn_machine_new(partition, heartbeat->name);
-        machine->first_seen_at = now;
+        machine->agent.first_seen_at = now;
         lmn_info("machine_discovered machine=%s partition=%d type=%s zone=%s spot=%d",
                  heartbeat->name, partition->id, heartbeat->type, heartbeat->zone,
                  heartbeat->is_spot);
     }
-    if (machine->is_terminated)
+    if (machine->lifecycle.is_terminated)
         return 503;
-    if (machine->has_reported &&
-        (heartbeat->agent_incarnation < machine->agent_incarnation ||
-         (heartbeat->agent_incarnation == machine->agent_incarnation &&
-          heartbeat->sequence <= machine->heartbeat_sequence)))
+    if (machine->agent.has_reported &&
+        (heartbeat->agent_incarnation < machine->agent.incarnation ||
+         (heartbeat->agent_incarnation == machine->agent.incarnation &&
+          heartbeat->sequence <= machine->agent.heartbeat_sequence)))
         return 503; /* it was overtaken on its way */
-    if (machine->lease_expired &&
-        heartbeat->agent_incarnation == machine->agent_incarnation)
+    if (machine->agent.lease_expired &&
+        heartbeat->agent_incarnation == machine->agent.incarnation)
         return 503; /* its tasks are given up: the session has to end */
     /* Overtaken by the answer to a direct command: it renews the lease, and says nothing
      * new. */
-    bool overtaken = machine->has_reported &&
-                     heartbeat->agent_incarnation == machine->agent_incarnation &&
-                     heartbeat->sequence <= machine->sequence;
+    bool overtaken = machine->agent.has_reported &&
+                     heartbeat->agent_incarnation == machine->agent.incarnation &&
+                     heartbeat->sequence <= machine->agent.sequence;
     /* A copy that comes late is no sign that workers reach this node, nor is what was
      * overtaken: it may have been for minutes. One that nothing is known of may be one.
      */
-    if (machine->has_reported && !overtaken)
+    if (machine->agent.has_reported && !overtaken)
         lmn_members_record_own_worker(&core->members, now);
     if (sent_on(core, machine, now))
         return redirect_to(core, lmn_partition_next_owner(core, partition, now), out);
-    if (!machine->block) {
+    if (!machine->record.block) {
         lmn_machine_set_address(machine, heartbeat->address);
         g_strlcpy(machine->type_name, heartbeat->type, sizeof machine->type_name);
         g_strlcpy(machine->zone, heartbeat->zone, sizeof machine->zone);
@@ -291,29 +294,29 @@
     }
     if (!machine->type)
         machine->type = lmn_machine_type_by_name(core, machine->type_name);
-    if (machine->has_reported &&
-        heartbeat->agent_incarnation != machine->agent_incarnation)
+    if (machine->agent.has_reported &&
+        heartbeat->agent_incarnation != machine->agent.incarnation)
         /* Commands to the old session are refused from now on. */
         for (guint i = 0; i < machine->attempts->len; i++) {
             struct lmn_attempt *attempt =
                 &g_array_index(machine->attempts, struct lmn_attempt, i);
             attempt->push_in_flight = attempt->push_is_uncertain = false;
         }
-    if (machine->agent_incarnation != heartbeat->agent_incarnation)
+    if (machine->agent.incarnation != heartbeat->agent_incarnation)
         lmn_machine_mark_unreplicated(machine);
-    machine->has_reported = true;
-    machine->agent_incarnation = heartbeat->agent_incarnation;
-    machine->heartbeat_sequence = heartbeat->sequence;
-    machine->sequence = overtaken ? machine->sequence : heartbeat->sequence;
-    machine->last_heartbeat_at = now;
+    machine->agent.has_reported = true;
+    machine->agent.incarnation = heartbeat->agent_incarnation;
+    machine->agent.heartbeat_sequence = heartbeat->sequence;
+    machine->agent.sequence = overtaken ? machine->agent.sequence : heartbeat->sequence;
+    machine->agent.last_heartbeat_at = now;
     /* Of an older term it may be a copy, or of one that does not hear us. */
-    if (heartbeat->fencing_token == partition->owned_epoch)
-        machine->unanswered_probes = 0;
-    machine->lease_expired = false;
-    if (heartbeat->has_spot_notice && !machine->has_spot_notice) {
-        machine->has_spot_notice = true;
-        machine->spot_notice_at = now;
-        machine->notice_s = heartbeat->notice_s;
+    if (heartbeat->fencing_token == partition->ownership.epoch)
+        machine->agent.unanswered_probes = 0;
+    machine->agent.lease_expired = false;
+    if (heartbeat->has_spot_notice && !machine->lifecycle.has_spot_notice) {
+        machine->lifecycle.has_spot_notice = true;
+        machine->lifecycle.spot_notice_at = now;
+        machine->lifecycle.spot_notice_s = heartbeat->notice_s;
         lmn_info("machine_spot_notice machine=%s seconds=%.1f", machine->name,
                  heartbeat->notice_s);
         lmn_reassign_machine_queue(core, machine, now);
@@ -324,12 +327,12 @@
     /* Only a report that was written after the worker had seen our term tells what is
      * there for good: an older one may have been overtaken by a predecessor's commands.
      */
-    uint64_t mark = partition->stream.log_position;
-    if (heartbeat->fencing_token == partition->owned_epoch && !overtaken) {
-        if (!machine->is_accounted) {
-            machine->is_accounted = true;
+    uint64_t mark = partition->replication.stream.log_position;
+    if (heartbeat->fencing_token == partition->ownership.epoch && !overtaken) {
+        if (!machine->lifecycle.is_accounted) {
+            machine->lifecycle.is_accounted = true;
             lmn_debug("machine_accounted machine=%s epoch=%" G_GUINT64_FORMAT,
-                      machine->name, partition->owned_epoch);
+                      machine->name, partition->ownership.epoch);
         }
         n += settle_tasks(core, machine, document, heartbeat->tasks, commands, now);
         deferred->settled_commands = n;
@@ -340,25 +343,25 @@
             n += lmn_schedule_machine(core, machine, commands, now);
         lmn_machine_cancel_wake(machine);
         if (!lmn_machine_is_empty(machine))
-            machine->idle_since = (struct timespec){0, 0};
-        else if (!machine->idle_since.tv_sec)
-            machine->idle_since = now;
+            machine->lifecycle.idle_since = (struct timespec){0, 0};
+        else if (!machine->lifecycle.idle_since.tv_sec)
+            machine->lifecycle.idle_since = now;
     } else {
         n += kill_unwanted(core, machine, document, heartbeat->tasks, commands);
     }
     lmn_cbor_put_map(out, 2);
     lmn_cbor_put_text(out, WIRE_FENCING_TOKEN),
-        lmn_cbor_put_uint(out, partition->owned_epoch);
+        lmn_cbor_put_uint(out, partition->ownership.epoch);
     lmn_cbor_put_text(out, WIRE_COMMANDS), lmn_cbor_put_array(out, n);
     deferred->commands_offset = out->len;
     g_byte_array_append(out, commands->data, commands->len);
     g_byte_array_unref(commands);
     if (lmn_replication_gates_starts(partition) &&
-        partition->stream.log_position > mark) {
+        partition->replication.stream.log_position > mark) {
         deferred->partition = partition->id;
-        deferred->epoch = partition->owned_epoch;
+        deferred->epoch = partition->ownership.epoch;
         deferred->from_position = mark;
-        deferred->log_position = partition->stream.log_position;
+        deferred->log_position = partition->replication.stream.log_position;
         g_strlcpy(deferred->machine, machine->name, sizeof deferred->machine);
     }
     return 200;
@@ -370,10 +373,10 @@
                      struct timespec now)
 {
     core->counters.malformed_heartbeats++;
-    if (core->last_malformed_logged_at.tv_sec &&
-        lmn_time_diff_s(now, core->last_malformed_logged_at) < 10)
+    if (core->maintenance.last_malformed_logged_at.tv_sec &&
+        lmn_time_diff_s(now, core->maintenance.last_malformed_logged_at) < 10)
         return;
-    core->last_malformed_logged_at = now;
+    core->maintenance.last_malformed_logged_at = now;
     lmn_error("heartbeat_malformed machine=%.32s what=\"%s\" so-far=%" G_GUINT64_FORMAT,
               name, what, core->counters.malformed_heartbeats);
 }
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -29,7 +29,7 @@
 
 static void put_in(struct lmn_machine_block *block, struct lmn_machine *machine)
 {
-    machine->block = block;
+    machine->record.block = block;
     g_ptr_array_add(block->machines, machine);
     block->bytes += lmn_machine_record_size(machine);
 }
@@ -61,9 +61,9 @@
     struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
     if (!machine) {
         machine = lmn_machine_new(partition, name);
-        machine->first_seen_at = now;
+        machine->agent.first_seen_at = now;
     }
-    if (!machine->revision) {
+    if (!machine->record.revision) {
         lmn_machine_leave_block(machine);
         node = lmn_cbor_next(document, node), lmn_cbor_get_text(node, addr, sizeof addr);
         lmn_machine_set_address(machine, addr);
@@ -73,9 +73,9 @@
         lmn_cbor_get_text(node, machine->zone, sizeof machine->zone);
         node = lmn_cbor_next(document, node), lmn_cbor_get_bool(node, &machine->is_spot);
         put_in(block, machine);
-        machine->revision = revision;
+        machine->record.revision = revision;
     }
-    machine->block_revision = revision;
+    machine->record.block_revision = revision;
 }
 
 /* Machines that the record does not name any more, and those that were gone before they
@@ -85,8 +85,8 @@
 {
     for (guint i = block->machines->len; i-- > 0;) {
         struct lmn_machine *machine = block->machines->pdata[i];
-        if (machine->block_revision == revision ||
-            (!machine->revision && !machine->is_terminated))
+        if (machine->record.block_revision == revision ||
+            (!machine->record.revision && !machine->lifecycle.is_terminated))
             continue;
         lmn_machine_requeue_tasks(core, machine, "record removed", now);
         g_hash_table_remove(machine->partition->machines, machine->name);
@@ -101,7 +101,7 @@
     if (id >= LMN_MAX_BLOCKS)
         return;
     struct lmn_machine_block *block = block_at(partition, (guint)id);
-    block->generation = core->generation;
+    block->generation = core->cache.generation;
     if (block->revision >= revision)
         return;
     for (const struct lmn_cbor_value *node = value ? lmn_cbor_first_child(document, value)
@@ -118,7 +118,7 @@
 {
     for (guint i = 0; i < partition->blocks->len; i++) {
         struct lmn_machine_block *block = partition->blocks->pdata[i];
-        if (!block || block->generation == core->generation || !block->revision)
+        if (!block || block->generation == core->cache.generation || !block->revision)
             continue;
         block->revision = 0;
         block->is_writing = false;
@@ -170,11 +170,11 @@
     guint n = 0;
 
     for (guint i = 0; i < block->machines->len; i++)
-        n += !((struct lmn_machine *)block->machines->pdata[i])->is_terminated;
+        n += !((struct lmn_machine *)block->machines->pdata[i])->lifecycle.is_terminated;
     lmn_cbor_put_array(v, n);
     for (guint i = 0; i < block->machines->len; i++) {
         const struct lmn_machine *machine = block->machines->pdata[i];
-        if (machine->is_terminated)
+        if (machine->lifecycle.is_terminated)
             continue;
         lmn_cbor_put_array(v, 5);
         lmn_cbor_put_text(v, machine->name);
@@ -186,7 +186,7 @@
     *w = (struct block_ref){core, partition->id, block->id};
     struct lmn_txn *txn = lmn_txn_new(priority, block_written, w);
     g_snprintf(key, sizeof key, "o/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->owned_revision);
+    lmn_txn_require_version(txn, key, partition->ownership.revision);
     g_snprintf(key, sizeof key, "m/%d/%u", partition->id, block->id);
     lmn_txn_require_version(txn, key, block->revision);
     lmn_txn_put(txn, key, v, 0);
@@ -203,8 +203,8 @@
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
-        if (!machine->block && !machine->is_terminated && machine->has_reported &&
-            machine->type)
+        if (!machine->record.block && !machine->lifecycle.is_terminated &&
+            machine->agent.has_reported && machine->type)
             assign(core, partition, machine);
     }
     for (guint i = 0; i < partition->blocks->len; i++) {
@@ -214,8 +214,8 @@
             continue;
         for (guint k = 0; k < block->machines->len; k++) {
             const struct lmn_machine *machine = block->machines->pdata[k];
-            add += !machine->revision && !machine->is_terminated;
-            drop += machine->revision && machine->is_terminated;
+            add += !machine->record.revision && !machine->lifecycle.is_terminated;
+            drop += machine->record.revision && machine->lifecycle.is_terminated;
         }
         double since = lmn_time_diff_s(now, block->written_at);
         if (!(add && since >= ADD_S) && !(drop && lazy && since >= DROP_S))
--- a/src/partition/machine_block.h
+++ b/src/partition/machine_block.h
@@ -2,7 +2,7 @@
 #ifndef LMN_PARTITION_MACHINE_BLOCK_H
 #define LMN_PARTITION_MACHINE_BLOCK_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* A block's record as the mirror shows it; v NULL: removed. */
 void lmn_machine_block_apply(struct lmn_core *core, struct lmn_partition *partition,
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -15,13 +15,13 @@
 void lmn_machine_terminated(struct lmn_core *core, struct lmn_machine *machine,
                             struct timespec now)
 {
-    machine->is_terminated = true;
-    machine->is_inherited = false;
-    machine->is_accounted = true;
+    machine->lifecycle.is_terminated = true;
+    machine->lifecycle.is_inherited = false;
+    machine->lifecycle.is_accounted = true;
     lmn_machine_requeue_tasks(core, machine, "machine gone", now);
-    g_hash_table_add(core->returned_machines, g_strdup(machine->name));
+    g_hash_table_add(core->cloud.returned_machines, g_strdup(machine->name));
     lmn_partition_check_ready(core, machine->partition, now);
-    if (!machine->block)
+    if (!machine->record.block)
         g_hash_table_remove(machine->partition->machines, machine->name);
 }
 
@@ -46,9 +46,9 @@
 {
     struct timespec woke = core->members.resumed_at;
 
-    return lmn_time_before(core->heartbeats_refused_until, woke)
+    return lmn_time_before(core->maintenance.heartbeats_refused_until, woke)
                ? woke
-               : core->heartbeats_refused_until;
+               : core->maintenance.heartbeats_refused_until;
 }
 
 /* Whether this node has answered reports for so long that each worker which reaches it
@@ -64,11 +64,11 @@
 static bool unheard(const struct lmn_core *core, const struct lmn_machine *machine,
                     struct timespec now)
 {
-    if (!machine->is_accounted)
+    if (!machine->lifecycle.is_accounted)
         return true;
-    if (!machine->lease_expired && !lmn_machine_is_silent(core, machine, now))
+    if (!machine->agent.lease_expired && !lmn_machine_is_silent(core, machine, now))
         return false;
-    return machine->unanswered_probes > 0 || has_listened(core, now);
+    return machine->agent.unanswered_probes > 0 || has_listened(core, now);
 }
 
 /* How many of a partition's machines are silent, of those that should not be. */
@@ -87,7 +87,8 @@
     for (guint k = 0; k < partition->machine_list->len; k++) {
         const struct lmn_machine *machine = partition->machine_list->pdata[k];
         guint i = 1;
-        if ((!machine->has_reported && !machine->is_inherited) || machine->is_terminated)
+        if ((!machine->agent.has_reported && !machine->lifecycle.is_inherited) ||
+            machine->lifecycle.is_terminated)
             continue;
         while (i < a->len &&
                strcmp(g_array_index(a, struct silence, i).zone, machine->zone))
@@ -116,8 +117,8 @@
 {
     for (guint k = 0; k < partition->machine_list->len; k++) {
         const struct lmn_machine *machine = partition->machine_list->pdata[k];
-        if (!machine->is_terminated &&
-            ((machine->is_inherited && !machine->is_accounted) ||
+        if (!machine->lifecycle.is_terminated &&
+            ((machine->lifecycle.is_inherited && !machine->lifecycle.is_accounted) ||
              lmn_machine_is_silent(core, machine, now)))
             return true;
     }
@@ -138,7 +139,7 @@
                       const GArray *a, struct timespec now)
 {
     /* Right after a takeover nobody has been heard yet. */
-    if (lmn_time_diff_s(now, partition->owned_since) < HEARD_S)
+    if (lmn_time_diff_s(now, partition->ownership.since) < HEARD_S)
         return;
     for (guint i = 1; i < a->len; i++) {
         const struct silence *s = &g_array_index(a, struct silence, i);
@@ -180,13 +181,13 @@
 static void upkeep_machine(struct lmn_core *core, struct lmn_machine *machine,
                            const GArray *silence, struct timespec now)
 {
-    const struct lmn_settings *cfg = core->settings;
+    const struct lmn_settings *settings = core->settings;
     struct lmn_partition *partition = machine->partition;
-    double silent = machine->has_reported
-                        ? lmn_time_diff_s(now, machine->last_heartbeat_at)
-                        : lmn_time_diff_s(now, partition->owned_since);
+    double silent = machine->agent.has_reported
+                        ? lmn_time_diff_s(now, machine->agent.last_heartbeat_at)
+                        : lmn_time_diff_s(now, partition->ownership.since);
 
-    if (machine->is_terminated)
+    if (machine->lifecycle.is_terminated)
         return;
     /* Counted from the last report that we may have answered, with the clocks' drift and
      * our own lateness allowed for: then the worker has ended everything by itself. Only
@@ -195,10 +196,11 @@
      * ours when the lease was over. Found when a zone was cut off with its controller: it
      * gave up the machines of the other zones, which its successor had kept alive, and
      * started their tasks once more on those of its own zone. */
-    double lapse = cfg->lease_s * 1.002 + 1.5;
-    if (machine->is_accounted && !machine->lease_expired && silent > lapse &&
-        lmn_time_diff_s(core->cache_fresh_at, machine->last_heartbeat_at) > lapse) {
-        machine->lease_expired = true;
+    double lapse = settings->lease_s * 1.002 + 1.5;
+    if (machine->lifecycle.is_accounted && !machine->agent.lease_expired &&
+        silent > lapse &&
+        lmn_time_diff_s(core->cache.fresh_at, machine->agent.last_heartbeat_at) > lapse) {
+        machine->agent.lease_expired = true;
         lmn_info("machine_lease_expired machine=%s partition=%d tasks=%u", machine->name,
                  partition->id, busy(machine));
         lmn_machine_requeue_tasks(core, machine, "lease lapsed", now);
@@ -210,15 +212,17 @@
      * is cut off: returning its machines ended a third of all replicas at once, where
      * most would have run on, and left nothing to come back to. */
     bool few = !most_silent(silence), cut = is_cut(partition, machine->zone, now);
-    if (lmn_machine_is_silent(core, machine, now) && machine->unanswered_probes >= 2 &&
-        few && !cut)
+    if (lmn_machine_is_silent(core, machine, now) &&
+        machine->agent.unanswered_probes >= 2 && few && !cut)
         lmn_machine_drain(core, machine, true, "silent and unreachable", now);
-    if (machine->lease_expired &&
-        silent > cfg->lease_s + LAPSED_BACK_S + (few && cut ? cfg->cancel_s : 0) &&
+    if (machine->agent.lease_expired &&
+        silent >
+            settings->lease_s + LAPSED_BACK_S + (few && cut ? settings->cancel_s : 0) &&
         lmn_time_diff_s(now, listening_since(core)) > LAPSED_BACK_S)
         lmn_machine_drain(core, machine, true, "silent", now);
-    if (machine->has_spot_notice &&
-        lmn_time_diff_s(now, machine->spot_notice_at) > machine->notice_s + 0.5)
+    if (machine->lifecycle.has_spot_notice &&
+        lmn_time_diff_s(now, machine->lifecycle.spot_notice_at) >
+            machine->lifecycle.spot_notice_s + 0.5)
         lmn_machine_drain(core, machine, true, "taken by the cloud", now);
     /* Neither its worker's reports nor our own questions got through. If that goes for
      * most of them, the fault is more likely on this side: then the leases have to run
@@ -226,36 +230,39 @@
      * long as its view is not too old, and their leases run out after that. If it stands
      * elsewhere, nobody answers them, and the partition's queued work need not wait. */
     double patience =
-        !few ? cfg->lease_s + 8
+        !few ? settings->lease_s + 8
         : cut && lmn_preferred_owner_is_in_zone(core, partition, machine->zone)
-            ? cfg->cancel_s + 4
+            ? settings->cancel_s + 4
             : 2.5;
     /* Heard or not: reports of an older term may be copies that come late, or come from a
      * machine that does not hear us. Once each of them put the return off, and the
      * partition's inherited work waited for as long as they came. One that was heard has
      * had an answer, and the time for another report. */
-    double waited = lmn_time_diff_s(now, machine->is_inherited ? partition->owned_since
-                                                               : machine->first_seen_at);
-    if (machine->has_reported)
-        patience = MAX(patience, 1.25 * cfg->heartbeat_s + 4);
-    if (machine->is_inherited && !machine->is_accounted && waited > patience &&
-        (machine->unanswered_probes >= 2 ||
-         (machine->unanswered_probes && waited > 1.25 * cfg->heartbeat_s + patience) ||
-         waited > cfg->lease_s))
+    double waited = lmn_time_diff_s(now, machine->lifecycle.is_inherited
+                                             ? partition->ownership.since
+                                             : machine->agent.first_seen_at);
+    if (machine->agent.has_reported)
+        patience = MAX(patience, 1.25 * settings->heartbeat_s + 4);
+    if (machine->lifecycle.is_inherited && !machine->lifecycle.is_accounted &&
+        waited > patience &&
+        (machine->agent.unanswered_probes >= 2 ||
+         (machine->agent.unanswered_probes &&
+          waited > 1.25 * settings->heartbeat_s + patience) ||
+         waited > settings->lease_s))
         lmn_machine_drain(core, machine, true, "not heard under the new term", now);
     /* One that nobody recorded, and that was never heard under our term: a copy of a
      * report of a machine that is gone, or one that does not hear. */
-    if (!machine->is_inherited && !machine->is_accounted &&
-        waited > cfg->lease_s + 1.25 * cfg->heartbeat_s)
+    if (!machine->lifecycle.is_inherited && !machine->lifecycle.is_accounted &&
+        waited > settings->lease_s + 1.25 * settings->heartbeat_s)
         lmn_machine_drain(core, machine, true, "never heard under this term", now);
     /* While a partition's inherited work has to wait, its machines are idle for that
      * alone. */
-    if (machine->is_accounted && !machine->is_draining && machine->idle_since.tv_sec &&
-        partition->is_ready &&
-        lmn_time_diff_s(now, machine->idle_since) >
-            core->operator_settings.idle_return_s &&
-        lmn_time_diff_s(now, partition->ready_at) >
-            core->operator_settings.idle_return_s &&
+    if (machine->lifecycle.is_accounted && !machine->lifecycle.is_draining &&
+        machine->lifecycle.idle_since.tv_sec && partition->ownership.is_ready &&
+        lmn_time_diff_s(now, machine->lifecycle.idle_since) >
+            core->cache.operator_settings.idle_return_s &&
+        lmn_time_diff_s(now, partition->ownership.ready_at) >
+            core->cache.operator_settings.idle_return_s &&
         !machine->queue.task_count)
         lmn_machine_drain(core, machine, false, "idle", now);
 }
@@ -278,10 +285,10 @@
 {
     GList *ranges = g_hash_table_get_values(partition->ranges);
 
-    for (GList *l = ranges; l && partition->is_ready; l = l->next) {
+    for (GList *l = ranges; l && partition->ownership.is_ready; l = l->next) {
         struct lmn_range *range = l->data;
         uint32_t n = range->end - range->first, queued = 0,
-                 found = in_queue(&partition->unassigned, range);
+                 found = in_queue(&partition->scheduling.unassigned, range);
         GHashTableIter it;
         gpointer v;
         if (!range->task_states || range->job->phase != LMN_JOB_ACTIVE)
@@ -312,15 +319,17 @@
 
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        for (guint k = 0; partition->is_owned && k < partition->machine_list->len; k++) {
+        for (guint k = 0;
+             partition->ownership.is_owned && k < partition->machine_list->len; k++) {
             const struct lmn_machine *machine = partition->machine_list->pdata[k];
-            if (!machine->is_accounted || machine->is_terminated)
+            if (!machine->lifecycle.is_accounted || machine->lifecycle.is_terminated)
                 continue;
             all++;
             /* Nor is one in command of whoever does not hear it. */
-            overdue += machine->ignored_commands > 1 ||
-                       (listened && lmn_time_diff_s(now, machine->last_heartbeat_at) >
-                                        core->members.timeouts.heartbeat_overdue_s);
+            overdue +=
+                machine->agent.ignored_commands > 1 ||
+                (listened && lmn_time_diff_s(now, machine->agent.last_heartbeat_at) >
+                                 core->members.timeouts.heartbeat_overdue_s);
         }
     }
     core->members.health.silent_machine_share = core->members.is_isolated_from_workers ? 1
@@ -335,8 +344,9 @@
         core->members.views[i].machine_count = 0;
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        int owner =
-            *partition->owner ? lmn_member_index(&core->members, partition->owner) : -1;
+        int owner = *partition->record.owner
+                        ? lmn_member_index(&core->members, partition->record.owner)
+                        : -1;
         if (owner >= 0)
             core->members.views[owner].machine_count += partition->machine_list->len;
     }
@@ -348,34 +358,35 @@
 
 void lmn_maintenance_run(struct lmn_core *core, struct timespec now)
 {
-    bool due = lmn_time_diff_s(now, core->last_reconciled_at) > 5.0;
+    bool due = lmn_time_diff_s(now, core->maintenance.last_reconciled_at) > 5.0;
     guint machines = 0;
 
     for (int i = 0; i < core->partition_count; i++)
-        machines +=
-            core->partitions[i].is_owned ? core->partitions[i].machine_list->len : 0;
+        machines += core->partitions[i].ownership.is_owned
+                        ? core->partitions[i].machine_list->len
+                        : 0;
     /* A look at each takes as long as there are machines; what it finds has waited for
      * seconds already. */
-    if (machines > FEW && lmn_time_diff_s(now, core->last_maintenance_at) <
+    if (machines > FEW && lmn_time_diff_s(now, core->maintenance.last_run_at) <
                               MIN(machines * EACH_S, LONGEST_S))
         return;
-    core->last_maintenance_at = now;
+    core->maintenance.last_run_at = now;
     if (lmn_watch_cache_is_too_stale(core, now) ||
         !lmn_self_may_reply(&core->members, now))
-        core->heartbeats_refused_until = now;
+        core->maintenance.heartbeats_refused_until = now;
     note_deaf(core, now);
     note_machines(core);
     if (due)
-        core->last_reconciled_at = now;
+        core->maintenance.last_reconciled_at = now;
     for (int i = 0; i < core->partition_count; i++) {
         struct lmn_partition *partition = &core->partitions[i];
         lmn_replica_drop_outdated(core, partition);
-        if (!partition->is_owned)
+        if (!partition->ownership.is_owned)
             continue;
         /* Once for all machines: a look at each from each takes their square. */
         GArray *silence = listen_to(core, partition, now);
         note_cuts(core, partition, silence, now);
-        partition->needs_probing = has_to_ask(core, partition, now);
+        partition->ownership.needs_probing = has_to_ask(core, partition, now);
         for (guint k = 0; k < partition->machine_list->len; k++)
             upkeep_machine(core, partition->machine_list->pdata[k], silence, now);
         g_array_free(silence, TRUE);
--- a/src/partition/maintenance.h
+++ b/src/partition/maintenance.h
@@ -3,7 +3,7 @@
 #ifndef LMN_PARTITION_MAINTENANCE_H
 #define LMN_PARTITION_MAINTENANCE_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Lapses, retirements, returns of idle machines; the lock is held. */
 void lmn_maintenance_run(struct lmn_core *core, struct timespec now);
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -22,22 +22,22 @@
 }
 
 static const struct lmn_owner_ops ops = {
-    .range_born = range_born,
-    .range_cut = lmn_range_truncate,
-    .move_undo = lmn_range_cancel_move,
-    .range_forget = lmn_range_forget,
-    .partition_own = lmn_partition_own,
-    .partition_lose = lmn_partition_lose,
-    .block_apply = lmn_machine_block_apply,
-    .block_sweep = lmn_machine_block_sweep,
-    .quota_apply = lmn_quota_record_apply,
-    .partition_free = lmn_standby_forget,
+    .range_created = range_born,
+    .range_truncated = lmn_range_truncate,
+    .move_cancelled = lmn_range_cancel_move,
+    .range_removed = lmn_range_forget,
+    .partition_acquired = lmn_partition_own,
+    .partition_lost = lmn_partition_lose,
+    .block_changed = lmn_machine_block_apply,
+    .blocks_listed = lmn_machine_block_sweep,
+    .quota_changed = lmn_quota_record_apply,
+    .partition_freed = lmn_standby_forget,
 };
 
-struct lmn_core *lmn_core_new(const struct lmn_settings *cfg, struct lmn_kv_client *state,
-                              uint32_t seed)
+struct lmn_core *lmn_core_new(const struct lmn_settings *settings,
+                              struct lmn_kv_client *state, uint32_t seed)
 {
-    struct lmn_core *core = lmn_core_alloc(cfg, state, seed);
+    struct lmn_core *core = lmn_core_alloc(settings, state, seed);
 
     core->owner_ops = &ops;
     return core;
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -22,9 +22,9 @@
     state->lease = 0;
     state->announced = false;
     pthread_mutex_lock(&state->c->lock);
-    state->c->lease = 0;
+    state->c->lease.id = 0;
     for (int i = 0; i < state->c->partition_count; i++)
-        if (state->c->partitions[i].is_owned)
+        if (state->c->partitions[i].ownership.is_owned)
             lmn_partition_lose(state->c, &state->c->partitions[i], "lease ended");
     pthread_mutex_unlock(&state->c->lock);
 }
@@ -60,8 +60,8 @@
                               &state->lease)) {
             state->renewed = sent;
             pthread_mutex_lock(&core->lock);
-            core->lease = state->lease;
-            core->leased_at = lmn_now();
+            core->lease.id = state->lease;
+            core->lease.acquired_at = lmn_now();
             pthread_mutex_unlock(&core->lock);
             lmn_info("lease_acquired lease=%" G_GUINT64_FORMAT, state->lease);
         }
@@ -90,10 +90,10 @@
     char *key = g_strdup_printf("n/%s", core->settings->node_name);
     GByteArray *v = g_byte_array_new();
 
-    if (core->is_synced)
+    if (core->cache.is_synced)
         lmn_txn_require_version(txn, key,
                                 core->members.views[core->members.self].incarnation);
-    if (core->is_shutting_down) {
+    if (core->shutdown.is_requested) {
         lmn_cbor_put_map(v, 2);
         lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, lease);
         lmn_cbor_put_text(v, "leaving"), lmn_cbor_put_bool(v, true);
@@ -109,8 +109,8 @@
 {
     const struct lmn_member_view *member = &core->members.views[core->members.self];
 
-    return core->is_synced && member->is_present && member->lease == lease &&
-           member->is_shutting_down == core->is_shutting_down;
+    return core->cache.is_synced && member->is_present && member->lease == lease &&
+           member->is_shutting_down == core->shutdown.is_requested;
 }
 
 /* Until the mirror shows it, it is said again after this time. */
@@ -120,13 +120,13 @@
                                        struct timespec now)
 {
     if (!lease || lmn_ownership_is_announced(core, lease) ||
-        (core->announced_lease == lease &&
-         core->announced_leaving == core->is_shutting_down &&
-         lmn_time_diff_s(now, core->announced_at) < AGAIN_S))
+        (core->lease.announced == lease &&
+         core->lease.announced_shutdown == core->shutdown.is_requested &&
+         lmn_time_diff_s(now, core->lease.announced_at) < AGAIN_S))
         return NULL;
-    core->announced_lease = lease;
-    core->announced_leaving = core->is_shutting_down;
-    core->announced_at = now;
+    core->lease.announced = lease;
+    core->lease.announced_shutdown = core->shutdown.is_requested;
+    core->lease.announced_at = now;
     return record(core, lease);
 }
 
@@ -134,7 +134,7 @@
 {
     /* The mirror was a little behind: no need to wait. */
     if (r == LMN_TXN_CONFLICT)
-        core->announced_lease = 0;
+        core->lease.announced = 0;
 }
 
 struct lmn_txn *lmn_ownership_refutation(const struct lmn_core *core, uint64_t lease,
@@ -182,11 +182,11 @@
     struct lmn_members *members = &core->members;
     struct lmn_failure_evidence e;
 
-    if (!core->is_synced || partition->is_owned ||
+    if (!core->cache.is_synced || partition->ownership.is_owned ||
         !lmn_partition_should_claim(core, partition, now))
         return NULL;
-    if (partition->owner_revision &&
-        lmn_member_index(members, partition->owner) == members->self &&
+    if (partition->record.owner_revision &&
+        lmn_member_index(members, partition->record.owner) == members->self &&
         !lmn_replica_own_is_latest(partition)) {
         /* Our last life held it. Who was in step with that one knows more than we do. */
         int named = lmn_standby_named(core, partition, now);
@@ -197,18 +197,19 @@
             return lmn_partition_transfer(core, partition, named);
         }
         if (named >= 0 && named != members->self &&
-            lmn_time_diff_s(now, core->synced_at) < HEAR_S)
+            lmn_time_diff_s(now, core->cache.synced_at) < HEAR_S)
             return NULL;
     }
-    int judged =
-        partition->owner_revision ? lmn_member_index(members, partition->owner) : -1;
+    int judged = partition->record.owner_revision
+                     ? lmn_member_index(members, partition->record.owner)
+                     : -1;
     if (judged >= 0 && judged != members->self) {
         lmn_member_failure_evidence(members, judged, now, &e);
         members->counters.failures_declared++;
         lmn_info("member_declared_failed member=%s incarnation=%" G_GUINT64_FORMAT
                  " partition=%d why=%s sides=%u asked=%.1f others=%.1f by=%u "
                  "workers=%u suspected=%.2f",
-                 partition->owner, members->views[judged].incarnation, id,
+                 partition->record.owner, members->views[judged].incarnation, id,
                  lmn_suspicion_cause_name(e.cause), e.independent_witnesses, e.own_phi,
                  e.best_other_phi, e.other_witnesses, e.redirected_workers,
                  lmn_time_diff_s(now, members->views[judged].suspected_since));
@@ -225,28 +226,29 @@
     const struct lmn_members *members = &core->members;
     int holder = p->id % members->count, held = 0, theirs = 0;
 
-    if (!p->is_owned)
+    if (!p->ownership.is_owned)
         return -1;
-    if (core->is_shutting_down)
+    if (core->shutdown.is_requested)
         return lmn_shutdown_transfer_target(core, p, now);
     int successor = lmn_self_transfer_target(members, now);
     if (successor >= 0)
         return successor;
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *o = &core->partitions[i];
-        held += o->is_owned;
-        theirs += o->owner_revision && lmn_member_index(members, o->owner) == holder;
+        held += o->ownership.is_owned;
+        theirs += o->record.owner_revision &&
+                  lmn_member_index(members, o->record.owner) == holder;
     }
-    if (!p->is_ready || held < 2 || theirs || holder == members->self ||
+    if (!p->ownership.is_ready || held < 2 || theirs || holder == members->self ||
         !lmn_member_is_trusted(members, holder, now) ||
         lmn_member_readmission_delay_s(members, holder, now) > 0 ||
-        lmn_time_diff_s(now, p->owned_since) < 15.0)
+        lmn_time_diff_s(now, p->ownership.since) < 15.0)
         return -1;
     /* It is told everything first, so that nothing stands still; if that does not come
      * about, it gets its work all the same. */
-    if (core->operator_settings.standby > 0 &&
+    if (core->cache.operator_settings.standby > 0 &&
         lmn_standby_named(core, p, now) != holder &&
-        lmn_time_diff_s(now, p->owned_since) < LATEST_BACK_S)
+        lmn_time_diff_s(now, p->ownership.since) < LATEST_BACK_S)
         return -1;
     return holder;
 }
@@ -258,10 +260,10 @@
     struct lmn_members *members = &core->members;
 
     /* One whose outcome was not known, and that the mirror has not shown since. */
-    if (partition->is_owned && partition->is_transferring &&
-        lmn_time_before(partition->transfer_tried_at, core->cache_fresh_at))
-        partition->is_transferring = false;
-    *successor = partition->is_transferring ? -1 : gives(core, partition, now);
+    if (partition->ownership.is_owned && partition->ownership.is_transferring &&
+        lmn_time_before(partition->ownership.transfer_tried_at, core->cache.fresh_at))
+        partition->ownership.is_transferring = false;
+    *successor = partition->ownership.is_transferring ? -1 : gives(core, partition, now);
     if (*successor < 0)
         return NULL;
     if (lmn_self_transfer_target(members, now) == *successor &&
@@ -274,8 +276,8 @@
     lmn_info("partition_transfer_started partition=%d to=%s warm=%d", id,
              lmn_member_name(members, *successor),
              lmn_standby_named(core, partition, now) == *successor);
-    partition->is_transferring = true;
-    partition->transfer_tried_at = now;
+    partition->ownership.is_transferring = true;
+    partition->ownership.transfer_tried_at = now;
     members->counters.transfers++;
     return lmn_partition_transfer(core, partition, *successor);
 }
@@ -285,9 +287,9 @@
 {
     struct lmn_partition *partition = &core->partitions[id];
 
-    partition->transfer_tried_at = now;
+    partition->ownership.transfer_tried_at = now;
     if (r == LMN_TXN_REJECTED || r == LMN_TXN_CONFLICT)
-        partition->is_transferring = false;
+        partition->ownership.is_transferring = false;
 }
 
 /* --- the thread --- */
@@ -316,7 +318,7 @@
     char path[64];
 
     pthread_mutex_lock(&core->lock);
-    bool bare = lmn_shutdown_owns_nothing(core) && !core->has_released_lease;
+    bool bare = lmn_shutdown_owns_nothing(core) && !core->shutdown.has_released_lease;
     pthread_mutex_unlock(&core->lock);
     if (!bare)
         return;
@@ -331,17 +333,17 @@
         state->announced = false;
     }
     pthread_mutex_lock(&core->lock);
-    core->lease = 0;
-    core->has_released_lease = true;
+    core->lease.id = 0;
+    core->shutdown.has_released_lease = true;
     lmn_info("shutdown_partitions_transferred after=%.2f",
-             lmn_time_diff_s(lmn_now(), core->shutdown_began_at));
+             lmn_time_diff_s(lmn_now(), core->shutdown.began_at));
     pthread_mutex_unlock(&core->lock);
 }
 
 static bool gone(struct holder *state)
 {
     pthread_mutex_lock(&state->c->lock);
-    bool left = state->c->has_released_lease;
+    bool left = state->c->shutdown.has_released_lease;
     pthread_mutex_unlock(&state->c->lock);
     return left;
 }
--- a/src/partition/ownership.h
+++ b/src/partition/ownership.h
@@ -3,7 +3,7 @@
 #ifndef LMN_PARTITION_OWNERSHIP_H
 #define LMN_PARTITION_OWNERSHIP_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Each returns the transaction that is due, to be freed by the caller, or NULL. The lock
  * is held; the lease is this node's. They write events to the log. */
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -37,21 +37,23 @@
         lmn_attempt_uncount(machine,
                             &g_array_index(machine->attempts, struct lmn_attempt, i));
     g_array_set_size(machine->attempts, 0);
-    g_array_set_size(machine->failing_jobs, 0);
-    machine->quarantined_until = (struct timespec){0, 0};
+    g_array_set_size(machine->failures.jobs, 0);
+    machine->failures.quarantined_until = (struct timespec){0, 0};
     lmn_machine_cancel_wake(machine);
-    machine->has_push_in_flight = false;
-    machine->unanswered_probes = machine->ignored_commands = 0;
-    machine->preemption_reserved_tasks = 0;
-    machine->reserved_for = NULL;
-    machine->next_probe_at = (struct timespec){0, 0};
-    machine->has_reported = machine->is_accounted = machine->lease_expired = false;
-    machine->is_draining = machine->drain_at_once = machine->has_spot_notice =
-        machine->is_terminated = false;
-    machine->is_inherited = machine->revision != 0;
-    machine->agent_incarnation = machine->sequence = machine->heartbeat_sequence = 0;
-    machine->steal_interval_s = 0;
-    machine->idle_since = machine->next_steal_at = (struct timespec){0, 0};
+    machine->push.is_in_flight = false;
+    machine->agent.unanswered_probes = machine->agent.ignored_commands = 0;
+    machine->reservation.preemption_tasks = 0;
+    machine->reservation.job = NULL;
+    machine->agent.next_probe_at = (struct timespec){0, 0};
+    machine->agent.has_reported = machine->lifecycle.is_accounted =
+        machine->agent.lease_expired = false;
+    machine->lifecycle.is_draining = machine->lifecycle.drain_at_once =
+        machine->lifecycle.has_spot_notice = machine->lifecycle.is_terminated = false;
+    machine->lifecycle.is_inherited = machine->record.revision != 0;
+    machine->agent.incarnation = machine->agent.sequence =
+        machine->agent.heartbeat_sequence = 0;
+    machine->stealing.interval_s = 0;
+    machine->lifecycle.idle_since = machine->stealing.next_at = (struct timespec){0, 0};
 }
 
 /* With what a standby was told, or what this process knew as the last owner; else as one
@@ -61,24 +63,24 @@
 {
     const char *why = lmn_failover_cold_reason(core, partition);
 
-    partition->is_warm = !why;
-    if (partition->is_warm) {
+    partition->ownership.is_warm = !why;
+    if (partition->ownership.is_warm) {
         guint held = lmn_failover_restore(core, partition, now);
         core->counters.warm_failovers++;
-        core->counters.own_state_failovers += partition->replica->own;
+        core->counters.own_state_failovers += partition->replication.replica->own;
         lmn_info("failover_warm partition=%d epoch=%" G_GUINT64_FORMAT
                  " machines=%u attempts=%u own=%d",
-                 partition->id, partition->owned_epoch, partition->machine_list->len,
-                 held, partition->replica->own);
+                 partition->id, partition->ownership.epoch, partition->machine_list->len,
+                 held, partition->replication.replica->own);
     } else if (partition->machine_list->len) {
         core->counters.cold_failovers++;
         lmn_info("failover_cold partition=%d epoch=%" G_GUINT64_FORMAT
                  " machines=%u why=\"%s\"",
-                 partition->id, partition->owned_epoch, partition->machine_list->len,
+                 partition->id, partition->ownership.epoch, partition->machine_list->len,
                  why);
     }
-    lmn_replica_free(partition->replica);
-    partition->replica = NULL;
+    lmn_replica_free(partition->replication.replica);
+    partition->replication.replica = NULL;
 }
 
 void lmn_partition_own(struct lmn_core *core, struct lmn_partition *partition,
@@ -88,24 +90,25 @@
     gpointer v;
 
     lmn_replication_reset(core, partition);
-    partition->is_owned = true;
-    partition->is_ready = partition->is_transferring = partition->has_started_task =
-        partition->is_warm = partition->inherited_may_start = false;
-    partition->owned_epoch = partition->owner_epoch;
-    partition->owned_revision = partition->owner_revision;
-    partition->next_attempt = 0;
-    partition->owned_since = now;
-    partition->needs_probing = true;
-    memset(partition->used_cpus, 0,
-           core->settings->team_count * sizeof *partition->used_cpus);
-    memset(partition->used_gpus, 0,
-           core->settings->team_count * sizeof *partition->used_gpus);
+    partition->ownership.is_owned = true;
+    partition->ownership.is_ready = partition->ownership.is_transferring =
+        partition->ownership.has_started_task = partition->ownership.is_warm =
+            partition->ownership.inherited_may_start = false;
+    partition->ownership.epoch = partition->record.owner_epoch;
+    partition->ownership.revision = partition->record.owner_revision;
+    partition->ownership.last_attempt = 0;
+    partition->ownership.since = now;
+    partition->ownership.needs_probing = true;
+    memset(partition->quota.used_cpus, 0,
+           core->settings->team_count * sizeof *partition->quota.used_cpus);
+    memset(partition->quota.used_gpus, 0,
+           core->settings->team_count * sizeof *partition->quota.used_gpus);
     core->counters.failovers++;
     lmn_machine_blocks_reset(partition);
     /* Of an earlier term of ours: they would hold returns up that wait for no cut. */
     g_array_set_size(partition->zone_cuts, 0);
-    memset(partition->quota_reservations, 0,
-           core->settings->team_count * sizeof *partition->quota_reservations);
+    memset(partition->quota.reservations, 0,
+           core->settings->team_count * sizeof *partition->quota.reservations);
     lmn_quota_transfer_reset(partition);
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
@@ -115,7 +118,7 @@
         lmn_range_open(core, v);
     lmn_info("partition_acquired partition=%d epoch=%" G_GUINT64_FORMAT
              " machines=%u ranges=%u",
-             partition->id, partition->owned_epoch,
+             partition->id, partition->ownership.epoch,
              g_hash_table_size(partition->machines),
              g_hash_table_size(partition->ranges));
     begin_warm(core, partition, now);
@@ -130,18 +133,19 @@
     gpointer v;
 
     lmn_info("partition_lost partition=%d epoch=%" G_GUINT64_FORMAT " why=\"%s\"",
-             partition->id, partition->owned_epoch, why);
+             partition->id, partition->ownership.epoch, why);
     lmn_replica_keep_own(partition);
-    partition->is_owned = partition->is_ready = partition->is_transferring =
-        partition->is_warm = partition->inherited_may_start = false;
+    partition->ownership.is_owned = partition->ownership.is_ready =
+        partition->ownership.is_transferring = partition->ownership.is_warm =
+            partition->ownership.inherited_may_start = false;
     lmn_replication_reset(core, partition);
     lmn_quota_transfer_reset(partition);
-    lmn_queue_clear(&partition->unassigned);
+    lmn_queue_clear(&partition->scheduling.unassigned);
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
         reset_machine(machine);
-        if (!machine->revision)
+        if (!machine->record.revision)
             g_hash_table_iter_remove(&it);
     }
     g_hash_table_iter_init(&it, partition->ranges);
@@ -179,32 +183,33 @@
     GHashTableIter it;
     gpointer v;
 
-    if (!partition->is_owned || partition->is_ready)
+    if (!partition->ownership.is_owned || partition->ownership.is_ready)
         return;
     guint unheard = 0;
-    partition->unaccounted_cpus = partition->unaccounted_gpus = 0;
-    partition->has_unaccounted_unknown = false;
+    partition->ownership.unaccounted_cpus = partition->ownership.unaccounted_gpus = 0;
+    partition->ownership.has_unaccounted_unknown = false;
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
-        if (!machine->is_inherited || machine->is_accounted)
+        if (!machine->lifecycle.is_inherited || machine->lifecycle.is_accounted)
             continue;
         /* It may hold any task that a predecessor started; if the takeover is warm, only
          * those that are in the books. */
         unheard++;
-        partition->has_unaccounted_unknown =
-            partition->has_unaccounted_unknown || !machine->type;
-        partition->unaccounted_cpus += machine->type ? machine->type->cpus : 0;
-        partition->unaccounted_gpus += machine->type ? machine->type->gpus : 0;
+        partition->ownership.has_unaccounted_unknown =
+            partition->ownership.has_unaccounted_unknown || !machine->type;
+        partition->ownership.unaccounted_cpus += machine->type ? machine->type->cpus : 0;
+        partition->ownership.unaccounted_gpus += machine->type ? machine->type->gpus : 0;
     }
-    partition->is_ready = !unheard;
-    if (partition->is_ready) {
-        partition->ready_at = now;
+    partition->ownership.is_ready = !unheard;
+    if (partition->ownership.is_ready) {
+        partition->ownership.ready_at = now;
         lmn_info("partition_ready partition=%d epoch=%" G_GUINT64_FORMAT " after=%.2f",
-                 partition->id, partition->owned_epoch,
-                 lmn_time_diff_s(now, partition->owned_since));
+                 partition->id, partition->ownership.epoch,
+                 lmn_time_diff_s(now, partition->ownership.since));
     }
-    partition->inherited_may_start = partition->is_ready || partition->is_warm;
+    partition->ownership.inherited_may_start =
+        partition->ownership.is_ready || partition->ownership.is_warm;
     deal_ranges(core, partition, now);
 }
 
@@ -249,10 +254,10 @@
                                const struct lmn_partition *partition, struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int last = lmn_member_index(members, partition->last_owner);
+    int last = lmn_member_index(members, partition->record.last_owner);
 
     if (last < 0 || last == members->self ||
-        lmn_time_diff_s(now, partition->vacant_since) >= TAKE_BACK_S)
+        lmn_time_diff_s(now, partition->record.vacant_since) >= TAKE_BACK_S)
         return false;
     const struct lmn_member_view *member = &members->views[last];
     return member->ever_contacted && !member->unanswered_since.tv_sec &&
@@ -268,17 +273,17 @@
                                 struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    struct timespec since = partition->vacant_since;
+    struct timespec since = partition->record.vacant_since;
     int successor[LMN_MAX_PARTITIONS], ahead = 1;
 
-    if (members->is_isolated_from_workers || core->is_shutting_down ||
+    if (members->is_isolated_from_workers || core->shutdown.is_requested ||
         !lmn_self_may_reply(members, now))
         return false; /* it could not serve it */
-    if (partition->owner_revision) {
-        int owner = lmn_member_index(members, partition->owner);
+    if (partition->record.owner_revision) {
+        int owner = lmn_member_index(members, partition->record.owner);
         /* Only one process runs for a member: what our last one held is ours. */
         if (owner == members->self)
-            return partition->owner_lease != core->lease;
+            return partition->record.owner_lease != core->lease.id;
         if (!lmn_partition_is_orphaned(core, partition, now))
             return false;
         since = lmn_time_add(members->views[owner].suspected_since,
@@ -294,8 +299,8 @@
     }
     /* Whoever is just back may be the first of many: after a cut of all controllers' zone
      * one took every partition, cold, 0.3 s before the others had their leases. */
-    if (lmn_time_diff_s(now, core->synced_at) < FIRST_S ||
-        lmn_time_diff_s(now, core->leased_at) < FIRST_S)
+    if (lmn_time_diff_s(now, core->cache.synced_at) < FIRST_S ||
+        lmn_time_diff_s(now, core->lease.acquired_at) < FIRST_S)
         return false;
     lmn_transfer_targets(core, now, successor);
     if (successor[partition->id] == members->self)
@@ -317,7 +322,7 @@
                                 uint64_t lease, bool standby)
 {
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
-    uint64_t epoch = partition->epoch + 1;
+    uint64_t epoch = partition->record.epoch + 1;
     uint64_t stream = standby ? lmn_standby_condition(partition, to, txn) : 0;
     GByteArray *buffer = g_byte_array_new();
     char key[32];
@@ -328,10 +333,10 @@
     lmn_cbor_put_text(buffer, "term"), lmn_cbor_put_uint(buffer, epoch);
     lmn_cbor_put_text(buffer, "stream"), lmn_cbor_put_uint(buffer, stream);
     g_snprintf(key, sizeof key, "o/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->owner_revision);
+    lmn_txn_require_version(txn, key, partition->record.owner_revision);
     lmn_txn_put(txn, key, buffer, lease);
     g_snprintf(key, sizeof key, "t/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->epoch_revision);
+    lmn_txn_require_version(txn, key, partition->record.epoch_revision);
     GByteArray *v = g_byte_array_new();
     lmn_cbor_put_uint(v, epoch);
     lmn_txn_put(txn, key, v, 0);
@@ -350,12 +355,13 @@
 struct lmn_txn *lmn_partition_claim(const struct lmn_core *core,
                                     const struct lmn_partition *partition, uint64_t lease)
 {
-    int owner = partition->owner_revision
-                    ? lmn_member_index(&core->members, partition->owner)
+    int owner = partition->record.owner_revision
+                    ? lmn_member_index(&core->members, partition->record.owner)
                     : -1;
     /* Conditional on the record only with its copy: without, that would be no help. */
-    bool warm = partition->replica && !partition->replica->own &&
-                partition->replica->stream == partition->standby_stream;
+    bool warm =
+        partition->replication.replica && !partition->replication.replica->own &&
+        partition->replication.replica->stream == partition->record.standby_stream;
     struct lmn_txn *txn = transfer(partition, core->settings->node_name, lease, warm);
 
     /* A verdict: it does not hold against one that refutes it first. */
--- a/src/partition/partition.h
+++ b/src/partition/partition.h
@@ -2,7 +2,7 @@
 #ifndef LMN_PARTITION_PARTITION_H
 #define LMN_PARTITION_PARTITION_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 int lmn_partition_for_machine(const char *machine, int nparts);
 void lmn_partition_own(struct lmn_core *core, struct lmn_partition *partition,
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -13,7 +13,7 @@
 #include "partition/maintenance.h"
 #include "partition/worker.h"
 #include "state/core.h"
-#include "state/model.h"
+#include "state/core_state.h"
 
 #include <string.h>
 
@@ -75,19 +75,20 @@
         size_t i = 0;
         if (!lmn_cbor_get_text(lmn_cbor_get(&d, node, WIRE_TYPE_NAME), name, sizeof name))
             continue;
-        while (i < core->machine_types.n && strcmp(core->machine_types.v[i].name, name))
+        while (i < core->cloud.machine_types.n &&
+               strcmp(core->cloud.machine_types.v[i].name, name))
             i++;
         if (i == 256)
             break;
-        if (i == core->machine_types.n) {
-            g_strlcpy(core->machine_types.v[i].name, name, sizeof name);
-            core->machine_types.n++;
+        if (i == core->cloud.machine_types.n) {
+            g_strlcpy(core->cloud.machine_types.v[i].name, name, sizeof name);
+            core->cloud.machine_types.n++;
         }
-        read_type(&core->machine_types.v[i], &d, node);
+        read_type(&core->cloud.machine_types.v[i], &d, node);
     }
-    if (!core->machine_types_known)
-        lmn_info("machine_types_received count=%zu", core->machine_types.n);
-    core->machine_types_known = core->machine_types.n > 0;
+    if (!core->cloud.machine_types_known)
+        lmn_info("machine_types_received count=%zu", core->cloud.machine_types.n);
+    core->cloud.machine_types_known = core->cloud.machine_types.n > 0;
     pthread_mutex_unlock(&core->lock);
     cloud->typed = lmn_now();
     lmn_cbor_free(&d);
@@ -125,14 +126,14 @@
 
     pthread_mutex_lock(&core->lock);
     for (int i = 0; i < core->partition_count && names->len < 100; i++) {
-        if (!core->partitions[i].is_owned)
+        if (!core->partitions[i].ownership.is_owned)
             continue;
         g_hash_table_iter_init(&it, core->partitions[i].machines);
         while (g_hash_table_iter_next(&it, NULL, &v) && names->len < 100) {
             struct lmn_machine *machine = v;
-            if (machine->is_draining && !machine->is_terminated &&
-                (machine->drain_at_once ||
-                 (lmn_machine_is_empty(machine) && !machine->has_push_in_flight)))
+            if (machine->lifecycle.is_draining && !machine->lifecycle.is_terminated &&
+                (machine->lifecycle.drain_at_once ||
+                 (lmn_machine_is_empty(machine) && !machine->push.is_in_flight)))
                 g_ptr_array_add(names, g_strdup(machine->name));
         }
     }
@@ -148,10 +149,11 @@
                 names->pdata[i], core->partition_count)];
             struct lmn_machine *machine =
                 g_hash_table_lookup(partition->machines, names->pdata[i]);
-            if (machine && partition->is_owned)
+            if (machine && partition->ownership.is_owned)
                 lmn_machine_terminated(core, machine, now);
             else
-                g_hash_table_add(core->returned_machines, g_strdup(names->pdata[i]));
+                g_hash_table_add(core->cloud.returned_machines,
+                                 g_strdup(names->pdata[i]));
         }
         pthread_mutex_unlock(&core->lock);
         for (guint i = 0; i < names->len; i++)
@@ -206,7 +208,7 @@
                                    sizeof after))
                 continue;
             pthread_mutex_lock(&cloud->c->lock);
-            bool gone = g_hash_table_contains(cloud->c->returned_machines, after);
+            bool gone = g_hash_table_contains(cloud->c->cloud.returned_machines, after);
             pthread_mutex_unlock(&cloud->c->lock);
             if (gone)
                 continue;
@@ -255,7 +257,7 @@
             lmn_machine_type_by_name(core, machine->type);
         double missing = lmn_time_diff_s(now, machine->is_listed ? machine->last_listed_at
                                                                  : machine->rented_at);
-        if (g_hash_table_contains(core->returned_machines, machine->name) ||
+        if (g_hash_table_contains(core->cloud.returned_machines, machine->name) ||
             (lmn_time_diff_s(cloud->listed, now) > -lag && missing > 2 * lag + 4)) {
             g_hash_table_iter_remove(&it);
             continue;
@@ -279,10 +281,11 @@
                 bad->pdata[i], core->partition_count)];
             struct lmn_machine *machine =
                 g_hash_table_lookup(partition->machines, bad->pdata[i]);
-            if (machine && partition->is_owned && !machine->is_terminated)
+            if (machine && partition->ownership.is_owned &&
+                !machine->lifecycle.is_terminated)
                 lmn_machine_terminated(core, machine, now);
             else
-                g_hash_table_add(core->returned_machines, g_strdup(bad->pdata[i]));
+                g_hash_table_add(core->cloud.returned_machines, g_strdup(bad->pdata[i]));
         }
         pthread_mutex_unlock(&core->lock);
         for (guint i = 0; i < bad->len; i++)
@@ -300,9 +303,9 @@
 
     if (!*cloud->request) {
         pthread_mutex_lock(&core->lock);
-        bool go =
-            core->lease && lmn_autoscaler_decide(core, &cloud->fleet, request, lmn_now());
-        uint64_t lease = core->lease;
+        bool go = core->lease.id &&
+                  lmn_autoscaler_decide(core, &cloud->fleet, request, lmn_now());
+        uint64_t lease = core->lease.id;
         pthread_mutex_unlock(&core->lock);
         if (!go)
             return;
@@ -382,9 +385,9 @@
     for (;;) {
         struct timespec now = lmn_now();
         pthread_mutex_lock(&core->lock);
-        bool known = core->machine_types_known;
-        bool role = core->partitions[0].is_owned,
-             first_term = core->partitions[0].owned_epoch <= 1;
+        bool known = core->cloud.machine_types_known;
+        bool role = core->partitions[0].ownership.is_owned,
+             first_term = core->partitions[0].ownership.epoch <= 1;
         pthread_mutex_unlock(&core->lock);
         if ((!known || lmn_time_diff_s(now, k.typed) > 120) && pace(&k))
             get_types(&k);
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -32,7 +32,7 @@
             team = (int)i;
         g_free(own);
     }
-    if (team < 0 || !value || core->quota_revision[team] >= revision)
+    if (team < 0 || !value || core->quota.revision[team] >= revision)
         return;
     const struct lmn_cbor_value *cpus =
         lmn_cbor_first_child(document, lmn_cbor_get(document, value, "cpus"));
@@ -40,24 +40,24 @@
         lmn_cbor_first_child(document, lmn_cbor_get(document, value, "gpus"));
     for (int i = 0; i < core->partition_count; i++) {
         struct lmn_partition *partition = &core->partitions[i];
-        partition->quota_cpus[team] = partition->quota_gpus[team] = 0;
+        partition->quota.cpus[team] = partition->quota.gpus[team] = 0;
         if (cpus)
-            lmn_cbor_get_number(cpus, &partition->quota_cpus[team]),
+            lmn_cbor_get_number(cpus, &partition->quota.cpus[team]),
                 cpus = lmn_cbor_next(document, cpus);
         if (gpus)
-            lmn_cbor_get_number(gpus, &partition->quota_gpus[team]),
+            lmn_cbor_get_number(gpus, &partition->quota.gpus[team]),
                 gpus = lmn_cbor_next(document, gpus);
         /* Either our transfer was applied, or it can't be any more. */
-        if (partition->quota_transfer.team == team &&
-            revision > partition->quota_transfer.revision)
-            partition->quota_transfer.team = -1;
+        if (partition->quota.transfer.team == team &&
+            revision > partition->quota.transfer.revision)
+            partition->quota.transfer.team = -1;
     }
-    core->quota_revision[team] = revision;
+    core->quota.revision[team] = revision;
     /* Parts of another limit, from settings before these, are no parts of this one. */
     double cpus_max = -1, gpus_max = -1;
     lmn_cbor_get_number(lmn_cbor_get(document, value, "cpus_max"), &cpus_max);
     lmn_cbor_get_number(lmn_cbor_get(document, value, "gpus_max"), &gpus_max);
-    core->has_quota_record[team] = cpus_max == core->settings->teams[team].cpus_max &&
+    core->quota.has_record[team] = cpus_max == core->settings->teams[team].cpus_max &&
                                    gpus_max == core->settings->teams[team].gpus_max;
 }
 
@@ -79,15 +79,15 @@
     (void)revision;
 
     pthread_mutex_lock(&core->lock);
-    if (partition->is_owned && partition->quota_transfer.team >= 0 &&
-        partition->quota_transfer.serial == w->serial) {
-        if (outcome == LMN_TXN_REJECTED && !partition->quota_transfer.is_uncertain) {
-            partition->quota_transfer.team =
+    if (partition->ownership.is_owned && partition->quota.transfer.team >= 0 &&
+        partition->quota.transfer.serial == w->serial) {
+        if (outcome == LMN_TXN_REJECTED && !partition->quota.transfer.is_uncertain) {
+            partition->quota.transfer.team =
                 -1; /* surely not applied, and never will be */
         } else if (outcome == LMN_TXN_REJECTED || outcome == LMN_TXN_UNKNOWN) {
             /* Only the mirror can tell; the same write again makes it tell. */
-            partition->quota_transfer.is_uncertain = true;
-            partition->quota_transfer.retry_at = lmn_time_add(lmn_now(), 0.5);
+            partition->quota.transfer.is_uncertain = true;
+            partition->quota.transfer.retry_at = lmn_time_add(lmn_now(), 0.5);
         }
     }
     pthread_mutex_unlock(&core->lock);
@@ -97,15 +97,15 @@
 static void submit(struct lmn_core *core, struct lmn_partition *partition)
 {
     struct transfer_ref *w = g_new0(struct transfer_ref, 1);
-    int team = partition->quota_transfer.team;
+    int team = partition->quota.transfer.team;
     char *key = record_key(core, team), owner[32];
     GByteArray *buffer = g_byte_array_new();
 
-    *w = (struct transfer_ref){core, partition->id, partition->quota_transfer.serial};
+    *w = (struct transfer_ref){core, partition->id, partition->quota.transfer.serial};
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_CLOSE, given, w);
     g_snprintf(owner, sizeof owner, "o/%d", partition->id);
-    lmn_txn_require_version(txn, owner, partition->owned_revision);
-    lmn_txn_require_version(txn, key, partition->quota_transfer.revision);
+    lmn_txn_require_version(txn, owner, partition->ownership.revision);
+    lmn_txn_require_version(txn, key, partition->quota.transfer.revision);
     lmn_cbor_put_map(buffer, 4);
     lmn_cbor_put_text(buffer, "cpus_max"),
         lmn_cbor_put_number(buffer, core->settings->teams[team].cpus_max);
@@ -117,20 +117,20 @@
         for (int i = 0; i < core->partition_count; i++) {
             double x, y;
             lmn_quota_even_share(core, team, &x, &y);
-            if (core->has_quota_record[team])
-                x = core->partitions[i].quota_cpus[team],
-                y = core->partitions[i].quota_gpus[team];
+            if (core->quota.has_record[team])
+                x = core->partitions[i].quota.cpus[team],
+                y = core->partitions[i].quota.gpus[team];
             double by =
-                gpus ? partition->quota_transfer.gpus : partition->quota_transfer.cpus;
+                gpus ? partition->quota.transfer.gpus : partition->quota.transfer.cpus;
             lmn_cbor_put_number(
-                buffer, (gpus ? y : x) + (i == partition->quota_transfer.to_partition ? by
+                buffer, (gpus ? y : x) + (i == partition->quota.transfer.to_partition ? by
                                           : i == partition->id ? -by
                                                                : 0));
         }
     }
     lmn_txn_put(txn, key, buffer, 0);
     g_free(key);
-    partition->quota_transfer.retry_at = (struct timespec){0, 0};
+    partition->quota.transfer.retry_at = (struct timespec){0, 0};
     lmn_kv_client_submit(core->kv_client, txn);
 }
 
@@ -139,24 +139,24 @@
 {
     double have_cpus, have_gpus;
 
-    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
-        partition->quota_transfer.team >= 0 || to == partition->id || to < 0 ||
-        to >= core->partition_count || team < 0 ||
+    if (!partition->ownership.is_owned || !partition->ownership.is_ready ||
+        partition->ownership.is_transferring || partition->quota.transfer.team >= 0 ||
+        to == partition->id || to < 0 || to >= core->partition_count || team < 0 ||
         team >= (int)core->settings->team_count ||
         !lmn_team_has_limit(&core->settings->teams[team]))
         return false;
     lmn_quota_share(core, partition, team, &have_cpus, &have_gpus);
-    cpus = CLAMP(cpus, 0, MAX(have_cpus - partition->used_cpus[team], 0));
-    gpus = CLAMP(gpus, 0, MAX(have_gpus - partition->used_gpus[team], 0));
+    cpus = CLAMP(cpus, 0, MAX(have_cpus - partition->quota.used_cpus[team], 0));
+    gpus = CLAMP(gpus, 0, MAX(have_gpus - partition->quota.used_gpus[team], 0));
     if (cpus < 1e-6 && gpus < 1e-6)
         return false;
-    partition->quota_transfer =
+    partition->quota.transfer =
         (struct lmn_quota_transfer){.team = team,
                                     .to_partition = to,
                                     .cpus = cpus,
                                     .gpus = gpus,
-                                    .revision = core->quota_revision[team],
-                                    .serial = ++core->transfer_count};
+                                    .revision = core->quota.revision[team],
+                                    .serial = ++core->quota.transfer_count};
     lmn_debug("quota_transfer_started team=%s partition=%d to=%d cpus=%.1f gpus=%.1f",
               core->settings->teams[team].name, partition->id, to, cpus, gpus);
     submit(core, partition);
@@ -166,17 +166,17 @@
 void lmn_quota_transfer_flush(struct lmn_core *core, struct lmn_partition *partition,
                               struct timespec now)
 {
-    if (partition->quota_transfer.team >= 0 &&
-        partition->quota_transfer.retry_at.tv_sec &&
-        !lmn_time_before(now, partition->quota_transfer.retry_at) &&
-        core->quota_revision[partition->quota_transfer.team] ==
-            partition->quota_transfer.revision)
+    if (partition->quota.transfer.team >= 0 &&
+        partition->quota.transfer.retry_at.tv_sec &&
+        !lmn_time_before(now, partition->quota.transfer.retry_at) &&
+        core->quota.revision[partition->quota.transfer.team] ==
+            partition->quota.transfer.revision)
         submit(core, partition);
 }
 
 void lmn_quota_transfer_reset(struct lmn_partition *partition)
 {
-    partition->quota_transfer.team = -1;
+    partition->quota.transfer.team = -1;
 }
 
 bool lmn_quota_request_handle(struct lmn_core *core, struct lmn_partition *partition,
@@ -185,7 +185,7 @@
 {
     double cpus, gpus, have_cpus, have_gpus;
 
-    if (!partition->is_owned || request->team < 0 ||
+    if (!partition->ownership.is_owned || request->team < 0 ||
         request->team >= (int)core->settings->team_count)
         return false;
     lmn_quota_spare(core, partition, request, &cpus, &gpus);
@@ -194,8 +194,8 @@
     lmn_quota_share(core, partition, request->team, &have_cpus, &have_gpus);
     double lacks_cpus = MIN(request->least_cpus, have_cpus);
     double lacks_gpus = MIN(request->least_gpus, have_gpus);
-    if (partition->used_cpus[request->team] + lacks_cpus > have_cpus + 1e-6 ||
-        partition->used_gpus[request->team] + lacks_gpus > have_gpus + 1e-6)
+    if (partition->quota.used_cpus[request->team] + lacks_cpus > have_cpus + 1e-6 ||
+        partition->quota.used_gpus[request->team] + lacks_gpus > have_gpus + 1e-6)
         lmn_reserve_quota(partition, request->team, lacks_cpus, lacks_gpus, now);
     return lmn_quota_transfer_begin(core, partition, request->team, to, cpus, gpus);
 }
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -34,7 +34,7 @@
     gpointer v;
     (void)core;
 
-    lmn_queue_remove_range(&partition->unassigned, range);
+    lmn_queue_remove_range(&partition->scheduling.unassigned, range);
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
--- a/src/partition/range.h
+++ b/src/partition/range.h
@@ -3,7 +3,7 @@
 #ifndef LMN_PARTITION_RANGE_H
 #define LMN_PARTITION_RANGE_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Takes a range into the owner's books. */
 void lmn_range_open(struct lmn_core *core, struct lmn_range *range);
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -24,7 +24,7 @@
     pthread_mutex_lock(&core->lock);
     struct lmn_range *range =
         g_hash_table_lookup(core->partitions[w->part].ranges, w->key);
-    struct lmn_job *job = g_hash_table_lookup(core->jobs, w->ref);
+    struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, w->ref);
     if (outcome != LMN_TXN_COMMITTED && job)
         job->closing_revision = 0;
     if (range && range->is_writing) {
@@ -62,7 +62,7 @@
     g_strlcpy(w->ref, range->job->spec.id, sizeof w->ref);
     struct lmn_txn *txn = lmn_txn_new(priority, range_written, w);
     g_snprintf(key, sizeof key, "o/%d", range->partition->id);
-    lmn_txn_require_version(txn, key, range->partition->owned_revision);
+    lmn_txn_require_version(txn, key, range->partition->ownership.revision);
     lmn_txn_require_version(txn, range->key, range->revision);
     range->is_writing = true;
     range->written_revision = 0;
@@ -182,7 +182,7 @@
         struct lmn_partition *partition = &core->partitions[i];
         GHashTableIter it;
         gpointer v;
-        if (!partition->is_owned || partition->is_transferring)
+        if (!partition->ownership.is_owned || partition->ownership.is_transferring)
             continue;
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -17,11 +17,11 @@
 
 void lmn_shutdown_begin(struct lmn_core *core, struct timespec now)
 {
-    if (core->is_shutting_down)
+    if (core->shutdown.is_requested)
         return;
-    __atomic_store_n(&core->is_shutting_down, true, __ATOMIC_RELAXED);
-    core->has_released_lease = false;
-    core->shutdown_began_at = now;
+    __atomic_store_n(&core->shutdown.is_requested, true, __ATOMIC_RELAXED);
+    core->shutdown.has_released_lease = false;
+    core->shutdown.began_at = now;
     lmn_info("shutdown_started partitions=%u",
              lmn_member_owned_partitions(core, core->members.self));
     pthread_cond_broadcast(&core->ownership_changed);
@@ -29,11 +29,11 @@
 
 bool lmn_shutdown_cancel(struct lmn_core *core)
 {
-    if (core->has_released_lease)
+    if (core->shutdown.has_released_lease)
         return false;
-    if (core->is_shutting_down)
+    if (core->shutdown.is_requested)
         lmn_info("shutdown_cancelled");
-    __atomic_store_n(&core->is_shutting_down, false, __ATOMIC_RELAXED);
+    __atomic_store_n(&core->shutdown.is_requested, false, __ATOMIC_RELAXED);
     pthread_cond_broadcast(&core->ownership_changed);
     return true;
 }
@@ -48,51 +48,51 @@
         return named;
     /* One that is being taken over cold can't be given warm; somebody else would begin
      * anew. */
-    if (lmn_time_diff_s(now, core->shutdown_began_at) < COPY_S &&
-        core->operator_settings.standby > 0)
+    if (lmn_time_diff_s(now, core->shutdown.began_at) < COPY_S &&
+        core->cache.operator_settings.standby > 0)
         return -1;
     return lmn_transfer_target(core, partition, now);
 }
 
 bool lmn_shutdown_owns_nothing(const struct lmn_core *core)
 {
-    if (!core->is_shutting_down)
+    if (!core->shutdown.is_requested)
         return false;
     for (int i = 0; i < core->partition_count; i++)
-        if (core->partitions[i].is_owned ||
-            (core->partitions[i].owner_revision &&
-             !strcmp(core->partitions[i].owner, core->settings->node_name)))
+        if (core->partitions[i].ownership.is_owned ||
+            (core->partitions[i].record.owner_revision &&
+             !strcmp(core->partitions[i].record.owner, core->settings->node_name)))
             return false;
     return true;
 }
 
 double lmn_shutdown_remaining_s(const struct lmn_core *core, struct timespec now)
 {
-    double least = MAX(USERS_S - lmn_time_diff_s(now, core->shutdown_began_at), 0);
+    double least = MAX(USERS_S - lmn_time_diff_s(now, core->shutdown.began_at), 0);
 
     /* Alone there is nobody to send users to. */
-    if (core->has_released_lease)
+    if (core->shutdown.has_released_lease)
         return core->members.count == 1 ? 0 : least;
-    return MAX(MOST_S - lmn_time_diff_s(now, core->shutdown_began_at), 0);
+    return MAX(MOST_S - lmn_time_diff_s(now, core->shutdown.began_at), 0);
 }
 
 bool lmn_shutdown_is_complete(const struct lmn_core *core, struct timespec now)
 {
-    return core->is_shutting_down && lmn_shutdown_remaining_s(core, now) <= 0;
+    return core->shutdown.is_requested && lmn_shutdown_remaining_s(core, now) <= 0;
 }
 
 void lmn_shutdown_describe(const struct lmn_core *core, GString *text,
                            struct timespec now)
 {
-    if (!core->is_shutting_down) {
+    if (!core->shutdown.is_requested) {
         g_string_append(text, "not leaving\n");
         return;
     }
     g_string_append_printf(text,
                            "leaving for %.1f s: %u partitions left to give, lease %s, "
                            "ends within %.1f s\n",
-                           lmn_time_diff_s(now, core->shutdown_began_at),
+                           lmn_time_diff_s(now, core->shutdown.began_at),
                            lmn_member_owned_partitions(core, core->members.self),
-                           core->has_released_lease ? "gone" : "held",
+                           core->shutdown.has_released_lease ? "gone" : "held",
                            lmn_shutdown_remaining_s(core, now));
 }
--- a/src/partition/shutdown.h
+++ b/src/partition/shutdown.h
@@ -4,7 +4,7 @@
 #ifndef LMN_PARTITION_SHUTDOWN_H
 #define LMN_PARTITION_SHUTDOWN_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Idempotent. */
 void lmn_shutdown_begin(struct lmn_core *core, struct timespec now);
--- a/src/partition/transfer_target.c
+++ b/src/partition/transfer_target.c
@@ -10,11 +10,11 @@
 bool lmn_partition_is_orphaned(const struct lmn_core *core,
                                const struct lmn_partition *partition, struct timespec now)
 {
-    int owner = partition->owner_revision
-                    ? lmn_member_index(&core->members, partition->owner)
+    int owner = partition->record.owner_revision
+                    ? lmn_member_index(&core->members, partition->record.owner)
                     : -1;
 
-    return !partition->owner_revision ||
+    return !partition->record.owner_revision ||
            (owner >= 0 && owner != core->members.self &&
             lmn_member_is_declared_failed(&core->members, owner, now));
 }
@@ -34,8 +34,9 @@
     }
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        int owner =
-            partition->owner_revision ? lmn_member_index(members, partition->owner) : -1;
+        int owner = partition->record.owner_revision
+                        ? lmn_member_index(members, partition->record.owner)
+                        : -1;
         if (owner >= 0)
             f->load[owner] += weight(partition);
     }
--- a/src/partition/transfer_target.h
+++ b/src/partition/transfer_target.h
@@ -5,7 +5,7 @@
 #ifndef LMN_PARTITION_TRANSFER_TARGET_H
 #define LMN_PARTITION_TRANSFER_TARGET_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Nobody owns it, or who does is judged. */
 bool lmn_partition_is_orphaned(const struct lmn_core *core,
--- a/src/partition/worker.h
+++ b/src/partition/worker.h
@@ -3,7 +3,7 @@
 #ifndef LMN_PARTITION_WORKER_H
 #define LMN_PARTITION_WORKER_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Nothing on it that would be lost with it. */
 bool lmn_machine_is_empty(const struct lmn_machine *machine);
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -17,8 +17,9 @@
 static bool worth_asking(const struct lmn_core *core, const struct lmn_machine *machine,
                          struct timespec now)
 {
-    return !machine->is_terminated && !lmn_time_before(now, machine->next_probe_at) &&
-           ((machine->is_inherited && !machine->is_accounted) ||
+    return !machine->lifecycle.is_terminated &&
+           !lmn_time_before(now, machine->agent.next_probe_at) &&
+           ((machine->lifecycle.is_inherited && !machine->lifecycle.is_accounted) ||
             lmn_machine_is_silent(core, machine, now));
 }
 
@@ -28,9 +29,9 @@
                        struct timespec now)
 {
     if (!core->members.is_isolated_from_workers ||
-        lmn_time_before(now, core->next_reach_probe_at))
+        lmn_time_before(now, core->maintenance.next_reach_probe_at))
         return false;
-    core->next_reach_probe_at = lmn_time_add(now, 2);
+    core->maintenance.next_reach_probe_at = lmn_time_add(now, 2);
     const GPtrArray *list =
         core->partitions[g_rand_int_range(core->random, 0, core->partition_count)]
             .machine_list;
@@ -47,7 +48,7 @@
 /* Where a question unblocks most: processors that are free, as far as was told. */
 static double room(const struct lmn_machine *machine)
 {
-    return machine->type ? machine->type->cpus - machine->used_cpus : 0;
+    return machine->type ? machine->type->cpus - machine->used.cpus : 0;
 }
 
 /* For so long after a takeover a machine that was not asked yet is left to its own lane,
@@ -64,8 +65,8 @@
     bool other_own = g_str_hash(b->name) % lanes == lane;
 
     /* Those that have not answered come last: each holds its lane up for a second. */
-    if (a->unanswered_probes != b->unanswered_probes)
-        return a->unanswered_probes < b->unanswered_probes;
+    if (a->agent.unanswered_probes != b->agent.unanswered_probes)
+        return a->agent.unanswered_probes < b->agent.unanswered_probes;
     if (own != other_own)
         return own;
     /* Those with room first, since work can start there. */
@@ -83,13 +84,15 @@
     if (reach_next(core, name, addr, term, now))
         return true;
     for (int i = 0; i < core->partition_count; i++) {
-        if (!core->partitions[i].is_owned || !core->partitions[i].needs_probing)
+        if (!core->partitions[i].ownership.is_owned ||
+            !core->partitions[i].ownership.needs_probing)
             continue;
         g_hash_table_iter_init(&it, core->partitions[i].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *machine = v;
-            bool any = machine->unanswered_probes > 0 ||
-                       lmn_time_diff_s(now, core->partitions[i].owned_since) > OWN_LANE_S;
+            bool any =
+                machine->agent.unanswered_probes > 0 ||
+                lmn_time_diff_s(now, core->partitions[i].ownership.since) > OWN_LANE_S;
             if (worth_asking(core, machine, now) &&
                 (any || g_str_hash(machine->name) % lanes == lane) &&
                 (!best || asked_before(machine, best, lane, lanes)))
@@ -98,11 +101,11 @@
     }
     if (!best)
         return false;
-    best->next_probe_at = lmn_time_add(
-        now, 2.5 + 0.5 * MIN(best->unanswered_probes, 6u)); /* two calls of 1 s */
+    best->agent.next_probe_at = lmn_time_add(
+        now, 2.5 + 0.5 * MIN(best->agent.unanswered_probes, 6u)); /* two calls of 1 s */
     g_strlcpy(name, best->name, LMN_NAME_SIZE);
     g_strlcpy(addr, best->address, LMN_ADDRESS_SIZE);
-    *term = best->partition->owned_epoch;
+    *term = best->partition->ownership.epoch;
     return true;
 }
 
@@ -117,13 +120,13 @@
     if (lmn_cbor_parse(&d, answer->data, answer->len) != 0)
         return false;
     bool newer = !lmn_heartbeat_parse(&r, &d) && !strcmp(r.name, machine->name) &&
-                 r.agent_incarnation > machine->agent_incarnation;
+                 r.agent_incarnation > machine->agent.incarnation;
     lmn_cbor_free(&d);
     if (!newer)
         return false;
-    machine->agent_incarnation = r.agent_incarnation;
-    machine->unanswered_probes = 0; /* it has answered */
-    machine->next_probe_at = now;
+    machine->agent.incarnation = r.agent_incarnation;
+    machine->agent.unanswered_probes = 0; /* it has answered */
+    machine->agent.next_probe_at = now;
     return true;
 }
 
@@ -142,39 +145,41 @@
             lmn_members_record_own_worker(&core->members, now);
         return;
     }
-    if (!machine || !partition->is_owned || partition->owned_epoch != epoch ||
-        machine->is_terminated)
+    if (!machine || !partition->ownership.is_owned ||
+        partition->ownership.epoch != epoch || machine->lifecycle.is_terminated)
         return;
-    machine->unanswered_probes++;
-    if (machine->is_accounted) { /* only whether it is there */
+    machine->agent.unanswered_probes++;
+    if (machine->lifecycle.is_accounted) { /* only whether it is there */
         if (status == 200 || status == 409)
-            machine->unanswered_probes = 0;
+            machine->agent.unanswered_probes = 0;
         return;
     }
-    if (status == 409 && !machine->has_reported) {
-        if (machine->agent_incarnation && learn_session(machine, answer, now))
+    if (status == 409 && !machine->agent.has_reported) {
+        if (machine->agent.incarnation && learn_session(machine, answer, now))
             return;
-        machine->agent_incarnation =
+        machine->agent.incarnation =
             0; /* not the one that we were told: it is asked for */
     }
     /* Whatever it may hold waits for it: the second question follows at once. */
-    if (machine->unanswered_probes == 1 && status != 200)
-        machine->next_probe_at = lmn_time_add(now, 0.2);
+    if (machine->agent.unanswered_probes == 1 && status != 200)
+        machine->agent.next_probe_at = lmn_time_add(now, 0.2);
     if (status != 200 || lmn_cbor_parse(&d, answer->data, answer->len) != 0)
         return;
     /* Written after the worker had taken our term: whatever a predecessor sends comes too
      * late. Its lease was renewed before now, if by anyone else. */
     if (!lmn_heartbeat_parse(&r, &d) && r.fencing_token == epoch &&
         !strcmp(r.name, machine->name) &&
-        !(machine->has_reported && (r.agent_incarnation < machine->agent_incarnation ||
-                                    (r.agent_incarnation == machine->agent_incarnation &&
-                                     r.sequence <= machine->sequence)))) {
-        if (!machine->has_reported || r.agent_incarnation > machine->agent_incarnation)
-            machine->heartbeat_sequence = 0;
-        machine->has_reported = machine->is_accounted = true;
-        machine->agent_incarnation = r.agent_incarnation;
-        machine->sequence = r.sequence;
-        machine->last_heartbeat_at = now;
+        !(machine->agent.has_reported &&
+          (r.agent_incarnation < machine->agent.incarnation ||
+           (r.agent_incarnation == machine->agent.incarnation &&
+            r.sequence <= machine->agent.sequence)))) {
+        if (!machine->agent.has_reported ||
+            r.agent_incarnation > machine->agent.incarnation)
+            machine->agent.heartbeat_sequence = 0;
+        machine->agent.has_reported = machine->lifecycle.is_accounted = true;
+        machine->agent.incarnation = r.agent_incarnation;
+        machine->agent.sequence = r.sequence;
+        machine->agent.last_heartbeat_at = now;
         if (!machine->type)
             machine->type = lmn_machine_type_by_name(core, machine->type_name);
         lmn_debug("machine_accounted machine=%s epoch=%" G_GUINT64_FORMAT " by=probe",
@@ -188,7 +193,7 @@
         lmn_machine_mark_unreplicated(machine);
         lmn_partition_check_ready(core, partition, now);
         /* Its lane looks there next, on the connection that it has. */
-        if (partition->is_warm)
+        if (partition->ownership.is_warm)
             lmn_machine_wake(machine);
     }
     lmn_cbor_free(&d);
@@ -247,18 +252,18 @@
                                  struct timespec now)
 {
     for (int i = 0; i < core->partition_count; i++) {
-        GPtrArray *poked = core->partitions[i].woken_machines;
-        if (!core->partitions[i].is_owned)
+        GPtrArray *poked = core->partitions[i].scheduling.woken_machines;
+        if (!core->partitions[i].ownership.is_owned)
             continue;
         for (guint at = poked->len; at-- > 0;) {
             struct lmn_machine *machine = at < poked->len ? poked->pdata[at] : NULL;
-            if (!machine || machine->has_push_in_flight ||
+            if (!machine || machine->push.is_in_flight ||
                 g_str_hash(machine->name) % lanes != lane)
                 continue;
             lmn_machine_cancel_wake(machine);
-            if (!machine->is_accounted || machine->lease_expired ||
-                machine->ignored_commands ||
-                lmn_time_diff_s(now, machine->last_heartbeat_at) >
+            if (!machine->lifecycle.is_accounted || machine->agent.lease_expired ||
+                machine->agent.ignored_commands ||
+                lmn_time_diff_s(now, machine->agent.last_heartbeat_at) >
                     0.6 * core->settings->lease_s)
                 continue;
             GByteArray *commands = g_byte_array_new();
@@ -271,16 +276,16 @@
                 for (guint k = before; k < machine->attempts->len; k++)
                     g_array_index(machine->attempts, struct lmn_attempt, k)
                         .push_in_flight = true;
-                machine->has_push_in_flight = true;
-                machine->idle_since = (struct timespec){0, 0};
+                machine->push.is_in_flight = true;
+                machine->lifecycle.idle_since = (struct timespec){0, 0};
                 g_strlcpy(name, machine->name, LMN_NAME_SIZE);
                 g_strlcpy(addr, machine->address, LMN_ADDRESS_SIZE);
                 g_byte_array_set_size(body, 0);
                 lmn_cbor_put_map(body, 3);
                 lmn_cbor_put_text(body, WIRE_FENCING_TOKEN),
-                    lmn_cbor_put_uint(body, core->partitions[i].owned_epoch);
+                    lmn_cbor_put_uint(body, core->partitions[i].ownership.epoch);
                 lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
-                    lmn_cbor_put_uint(body, machine->agent_incarnation);
+                    lmn_cbor_put_uint(body, machine->agent.incarnation);
                 lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, n);
                 g_byte_array_append(body, commands->data, commands->len);
             }
@@ -302,16 +307,16 @@
     struct lmn_heartbeat r;
     bool read = false, newer = false, lost = false;
 
-    if (!machine || !machine->has_push_in_flight)
+    if (!machine || !machine->push.is_in_flight)
         return; /* the partition was lost meanwhile */
-    machine->has_push_in_flight = false;
+    machine->push.is_in_flight = false;
     if ((status == 200 || status == 409) &&
         lmn_cbor_parse(&d, answer->data, answer->len) == 0) {
         read = !lmn_heartbeat_parse(&r, &d) &&
-               r.agent_incarnation == machine->agent_incarnation;
-        newer = read && r.sequence > machine->sequence;
+               r.agent_incarnation == machine->agent.incarnation;
+        newer = read && r.sequence > machine->agent.sequence;
         if (newer) {
-            machine->sequence = r.sequence;
+            machine->agent.sequence = r.sequence;
             lmn_heartbeat_apply_tasks(core, machine, &d, r.tasks, now);
         }
         lmn_cbor_free(&d);
@@ -334,7 +339,7 @@
     if (lost && !read)
         lmn_machine_record_ignored_command(core, machine, now);
     /* What made room has ended: the task it was made for goes there at once. */
-    if (machine->preemption_reserved_tasks && read) {
+    if (machine->reservation.preemption_tasks && read) {
         lmn_machine_wake(machine);
         pthread_cond_broadcast(&core->machines_woken);
     }
@@ -364,11 +369,11 @@
     struct timespec until = lmn_time_add(lmn_now(), LMN_REPLICATION_DEFER_S);
     double left;
 
-    while (partition->is_owned && partition->owned_epoch == epoch &&
+    while (partition->ownership.is_owned && partition->ownership.epoch == epoch &&
            !lmn_replication_covers(partition, mark) &&
            (left = lmn_time_diff_s(until, lmn_now())) > 0)
         lmn_cond_wait_for(&core->replication_acknowledged, &core->lock, left);
-    bool ok = partition->is_owned && partition->owned_epoch == epoch &&
+    bool ok = partition->ownership.is_owned && partition->ownership.epoch == epoch &&
               lmn_replication_covers(partition, mark);
     if (!ok)
         core->counters.withheld_starts++;
@@ -382,7 +387,7 @@
         &core->partitions[lmn_partition_for_machine(name, core->partition_count)];
     const struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
 
-    return machine && !machine->has_reported ? machine->agent_incarnation : 0;
+    return machine && !machine->agent.has_reported ? machine->agent.incarnation : 0;
 }
 
 static void drop_any(GHashTable *clients)
@@ -426,7 +431,7 @@
             session = epoch ? told_session(core, name) : 0;
         else
             mark = lmn_worker_client_log_position(core, name, &part);
-        if (mark && !told(core, part, core->partitions[part].owned_epoch, mark)) {
+        if (mark && !told(core, part, core->partitions[part].ownership.epoch, mark)) {
             lmn_worker_client_push_done(core, name, LMN_HTTP_NOT_SENT, NULL, lmn_now());
             pthread_mutex_unlock(&core->lock);
             continue;
--- a/src/partition/worker_internal.h
+++ b/src/partition/worker_internal.h
@@ -4,7 +4,7 @@
 #define LMN_PARTITION_WORKER_INTERNAL_H
 
 #include "protocol/cbor.h"
-#include "state/model.h"
+#include "state/core_state.h"
 
 struct lmn_heartbeat {
     char name[LMN_NAME_SIZE], address[LMN_ADDRESS_SIZE], type[LMN_NAME_SIZE],
--- a/src/protocol/cbor.c
+++ b/src/protocol/cbor.c
@@ -195,14 +195,14 @@
     .indef_break = refuse,
 };
 
-int lmn_cbor_parse(struct lmn_cbor_document *doc, const void *bytes, size_t len)
+int lmn_cbor_parse(struct lmn_cbor_document *document, const void *bytes, size_t len)
 {
-    struct reader r = {.doc = doc};
+    struct reader r = {.doc = document};
     const unsigned char *p = bytes;
 
-    doc->cap = 32;
-    doc->n = 1;
-    doc->nodes = g_new0(struct lmn_cbor_value, doc->cap);
+    document->cap = 32;
+    document->n = 1;
+    document->nodes = g_new0(struct lmn_cbor_value, document->cap);
     while (!r.whole && !r.bad) {
         r.remaining = len;
         struct cbor_decoder_result res = cbor_stream_decode(p, len, &callbacks, &r);
@@ -214,47 +214,48 @@
         len -= res.read;
     }
     if (r.bad || len != 0) {
-        lmn_cbor_free(doc);
+        lmn_cbor_free(document);
         return -1;
     }
     return 0;
 }
 
-void lmn_cbor_free(struct lmn_cbor_document *doc)
+void lmn_cbor_free(struct lmn_cbor_document *document)
 {
-    g_free(doc->nodes);
-    doc->nodes = NULL;
-    doc->n = 0;
+    g_free(document->nodes);
+    document->nodes = NULL;
+    document->n = 0;
 }
 
-const struct lmn_cbor_value *lmn_cbor_root(const struct lmn_cbor_document *doc)
+const struct lmn_cbor_value *lmn_cbor_root(const struct lmn_cbor_document *document)
 {
-    return doc->n > 1 ? &doc->nodes[1] : NULL;
+    return document->n > 1 ? &document->nodes[1] : NULL;
 }
 
-const struct lmn_cbor_value *lmn_cbor_first_child(const struct lmn_cbor_document *doc,
-                                                  const struct lmn_cbor_value *parent)
+const struct lmn_cbor_value *
+lmn_cbor_first_child(const struct lmn_cbor_document *document,
+                     const struct lmn_cbor_value *parent)
 {
-    return parent && parent->child ? &doc->nodes[parent->child] : NULL;
+    return parent && parent->child ? &document->nodes[parent->child] : NULL;
 }
 
-const struct lmn_cbor_value *lmn_cbor_next(const struct lmn_cbor_document *doc,
+const struct lmn_cbor_value *lmn_cbor_next(const struct lmn_cbor_document *document,
                                            const struct lmn_cbor_value *node)
 {
-    return node && node->next ? &doc->nodes[node->next] : NULL;
+    return node && node->next ? &document->nodes[node->next] : NULL;
 }
 
-const struct lmn_cbor_value *lmn_cbor_get(const struct lmn_cbor_document *doc,
+const struct lmn_cbor_value *lmn_cbor_get(const struct lmn_cbor_document *document,
                                           const struct lmn_cbor_value *map,
                                           const char *key)
 {
     if (!map || map->type != LMN_CBOR_MAP)
         return NULL;
-    for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, map); k;) {
-        const struct lmn_cbor_value *value = lmn_cbor_next(doc, k);
+    for (const struct lmn_cbor_value *k = lmn_cbor_first_child(document, map); k;) {
+        const struct lmn_cbor_value *value = lmn_cbor_next(document, k);
         if (lmn_cbor_text_equals(k, key))
             return value && value->type != LMN_CBOR_NULL ? value : NULL;
-        k = lmn_cbor_next(doc, value);
+        k = lmn_cbor_next(document, value);
     }
     return NULL;
 }
@@ -367,7 +368,7 @@
     append(buffer, t, cbor_encode_null(t, sizeof t));
 }
 
-void lmn_cbor_put_value(GByteArray *buffer, const struct lmn_cbor_document *doc,
+void lmn_cbor_put_value(GByteArray *buffer, const struct lmn_cbor_document *document,
                         const struct lmn_cbor_value *node)
 {
     unsigned char t[9];
@@ -398,12 +399,12 @@
         lmn_cbor_put_null(buffer);
         return;
     }
-    for (const struct lmn_cbor_value *child = lmn_cbor_first_child(doc, node); child;
-         child = lmn_cbor_next(doc, child))
-        lmn_cbor_put_value(buffer, doc, child);
+    for (const struct lmn_cbor_value *child = lmn_cbor_first_child(document, node); child;
+         child = lmn_cbor_next(document, child))
+        lmn_cbor_put_value(buffer, document, child);
 }
 
-size_t lmn_cbor_json_size(const struct lmn_cbor_document *doc,
+size_t lmn_cbor_json_size(const struct lmn_cbor_document *document,
                           const struct lmn_cbor_value *node)
 {
     char number[64];
@@ -430,9 +431,9 @@
         return size;
     default:
         /* Brackets, a comma after all but the last, a colon after each key. */
-        for (const struct lmn_cbor_value *key = lmn_cbor_first_child(doc, node); key;
-             key = lmn_cbor_next(doc, key))
-            size += lmn_cbor_json_size(doc, key) + 1;
+        for (const struct lmn_cbor_value *key = lmn_cbor_first_child(document, node); key;
+             key = lmn_cbor_next(document, key))
+            size += lmn_cbor_json_size(document, key) + 1;
         return node->len ? size - 1 : size;
     }
 }
--- a/src/protocol/cbor.h
+++ b/src/protocol/cbor.h
@@ -42,16 +42,17 @@
 };
 
 /* 0 if the bytes are exactly one well-formed item of the kinds that the protocol uses. */
-int lmn_cbor_parse(struct lmn_cbor_document *doc, const void *bytes, size_t len);
-void lmn_cbor_free(struct lmn_cbor_document *doc);
+int lmn_cbor_parse(struct lmn_cbor_document *document, const void *bytes, size_t len);
+void lmn_cbor_free(struct lmn_cbor_document *document);
 
-const struct lmn_cbor_value *lmn_cbor_root(const struct lmn_cbor_document *doc);
-const struct lmn_cbor_value *lmn_cbor_first_child(const struct lmn_cbor_document *doc,
-                                                  const struct lmn_cbor_value *parent);
-const struct lmn_cbor_value *lmn_cbor_next(const struct lmn_cbor_document *doc,
+const struct lmn_cbor_value *lmn_cbor_root(const struct lmn_cbor_document *document);
+const struct lmn_cbor_value *
+lmn_cbor_first_child(const struct lmn_cbor_document *document,
+                     const struct lmn_cbor_value *parent);
+const struct lmn_cbor_value *lmn_cbor_next(const struct lmn_cbor_document *document,
                                            const struct lmn_cbor_value *node);
 /* The value of a map's key; NULL if absent or null, since the two mean the same. */
-const struct lmn_cbor_value *lmn_cbor_get(const struct lmn_cbor_document *doc,
+const struct lmn_cbor_value *lmn_cbor_get(const struct lmn_cbor_document *document,
                                           const struct lmn_cbor_value *map,
                                           const char *key);
 bool lmn_cbor_text_equals(const struct lmn_cbor_value *node, const char *text);
@@ -68,12 +69,12 @@
 void lmn_cbor_put_bool(GByteArray *buffer, bool v);
 void lmn_cbor_put_null(GByteArray *buffer);
 /* Copies a node as it was read. */
-void lmn_cbor_put_value(GByteArray *buffer, const struct lmn_cbor_document *doc,
+void lmn_cbor_put_value(GByteArray *buffer, const struct lmn_cbor_document *document,
                         const struct lmn_cbor_value *node);
 
 /* Bytes that a node takes when written as compact JSON: the form in which limits are
  * counted. */
-size_t lmn_cbor_json_size(const struct lmn_cbor_document *doc,
+size_t lmn_cbor_json_size(const struct lmn_cbor_document *document,
                           const struct lmn_cbor_value *node);
 
 #endif
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -2,7 +2,7 @@
 
 #include <stdio.h>
 
-json_t *lmn_json_of(const struct lmn_cbor_document *doc,
+json_t *lmn_json_of(const struct lmn_cbor_document *document,
                     const struct lmn_cbor_value *node)
 {
     json_t *j;
@@ -21,18 +21,18 @@
         return json_stringn(node->s, node->len);
     case LMN_CBOR_ARRAY:
         j = json_array();
-        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, node); k;
-             k = lmn_cbor_next(doc, k))
-            json_array_append_new(j, lmn_json_of(doc, k));
+        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(document, node); k;
+             k = lmn_cbor_next(document, k))
+            json_array_append_new(j, lmn_json_of(document, k));
         return j;
     case LMN_CBOR_MAP:
         j = json_object();
-        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(doc, node); k;) {
-            const struct lmn_cbor_value *value = lmn_cbor_next(doc, k);
+        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(document, node); k;) {
+            const struct lmn_cbor_value *value = lmn_cbor_next(document, k);
             char *key = g_strndup(k->s, k->len);
-            json_object_set_new(j, key, lmn_json_of(doc, value));
+            json_object_set_new(j, key, lmn_json_of(document, value));
             g_free(key);
-            k = lmn_cbor_next(doc, value);
+            k = lmn_cbor_next(document, value);
         }
         return j;
     default:
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -7,7 +7,7 @@
 #include <jansson.h>
 
 /* A new reference; NULL if the text in it is not UTF-8. */
-json_t *lmn_json_of(const struct lmn_cbor_document *doc,
+json_t *lmn_json_of(const struct lmn_cbor_document *document,
                     const struct lmn_cbor_value *node);
 /* The bytes of one CBOR item; NULL if they are none. */
 json_t *lmn_json_of_bytes(const void *bytes, size_t len);
--- a/src/replication/batch.c
+++ b/src/replication/batch.c
@@ -33,8 +33,8 @@
 {
     struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(machine->name);
 
-    snapshot->agent_incarnation = machine->agent_incarnation;
-    snapshot->is_terminated = machine->is_terminated;
+    snapshot->agent_incarnation = machine->agent.incarnation;
+    snapshot->is_terminated = machine->lifecycle.is_terminated;
     for (guint i = 0; i < machine->attempts->len; i++) {
         const struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
--- a/src/replication/batch.h
+++ b/src/replication/batch.h
@@ -2,7 +2,7 @@
 #ifndef LMN_REPLICATION_BATCH_H
 #define LMN_REPLICATION_BATCH_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 struct lmn_attempt_snapshot {
     char job_id[LMN_JOB_ID_SIZE];
--- a/src/replication/failover.c
+++ b/src/replication/failover.c
@@ -8,28 +8,28 @@
 const char *lmn_failover_cold_reason(const struct lmn_core *core,
                                      const struct lmn_partition *partition)
 {
-    const struct lmn_replica *copy = partition->replica;
+    const struct lmn_replica *copy = partition->replication.replica;
 
     /* Each claim raises the term by one, conditional on the term before: nobody has owned
      * the partition since this process did. */
     if (copy && copy->own)
-        return copy->epoch + 1 == partition->owner_epoch
+        return copy->epoch + 1 == partition->record.owner_epoch
                    ? NULL
                    : "another has owned it meanwhile";
     /* The claim, or the giving, was conditional on a record that names us: until it was
      * applied no start went out that we had not acknowledged, and none can after it,
      * since the owner can strike us off no more. */
-    if (!partition->owner_stream)
+    if (!partition->record.owner_stream)
         return "nobody was in step";
-    if (partition->owner_stream != partition->standby_stream ||
-        strcmp(partition->standby, core->settings->node_name))
+    if (partition->record.owner_stream != partition->record.standby_stream ||
+        strcmp(partition->record.standby, core->settings->node_name))
         return "another was in step";
     if (!copy)
         return "no copy: another life was in step";
-    if (copy->stream != partition->owner_stream)
+    if (copy->stream != partition->record.owner_stream)
         return "the copy is of another stream";
-    if (copy->epoch != partition->standby_epoch ||
-        copy->epoch + 1 != partition->owner_epoch)
+    if (copy->epoch != partition->record.standby_epoch ||
+        copy->epoch + 1 != partition->record.owner_epoch)
         return "the copy is of another term";
     return NULL;
 }
@@ -42,7 +42,7 @@
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, partition->replica->machines);
+    g_hash_table_iter_init(&it, partition->replication.replica->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine_snapshot *snapshot = v;
         for (guint i = 0; i < snapshot->attempts->len; i++) {
@@ -69,7 +69,7 @@
                             .started_at = now};
 
     g_strlcpy(a.job_id, told->job_id, sizeof a.job_id);
-    a.job = g_hash_table_lookup(core->jobs, told->job_id);
+    a.job = g_hash_table_lookup(core->cache.jobs, told->job_id);
     a.range = lmn_partition_find_range(machine->partition, a.job, told->index);
     /* One that has failed is not there, and its task was queued again. One that is done
      * is held until the worker says so, or is gone. */
@@ -115,17 +115,17 @@
     for (guint k = 0; k < partition->machine_list->len; k++) {
         struct lmn_machine *machine = partition->machine_list->pdata[k];
         const struct lmn_machine_snapshot *snapshot =
-            g_hash_table_lookup(partition->replica->machines, machine->name);
+            g_hash_table_lookup(partition->replication.replica->machines, machine->name);
         if (!snapshot)
             continue; /* nothing was started on it */
         named++;
         if (snapshot->is_terminated) {
-            machine->is_terminated = machine->is_accounted = true;
-            machine->is_inherited = false;
-            g_hash_table_add(core->returned_machines, g_strdup(machine->name));
+            machine->lifecycle.is_terminated = machine->lifecycle.is_accounted = true;
+            machine->lifecycle.is_inherited = false;
+            g_hash_table_add(core->cloud.returned_machines, g_strdup(machine->name));
             continue;
         }
-        machine->agent_incarnation = snapshot->agent_incarnation;
+        machine->agent.incarnation = snapshot->agent_incarnation;
         if (!machine->type)
             machine->type = lmn_machine_type_by_name(core, machine->type_name);
         inherit_images(machine, snapshot, now);
--- a/src/replication/replica.c
+++ b/src/replication/replica.c
@@ -45,10 +45,11 @@
     if (batch->partition < 0 || batch->partition >= core->partition_count)
         return LMN_REPLICA_REJECTED;
     struct lmn_partition *partition = &core->partitions[batch->partition];
-    struct lmn_replica *copy = partition->replica;
+    struct lmn_replica *copy = partition->replication.replica;
     /* Whoever owned it before the term that the mirror shows has been replaced. One that
      * is about to end follows nobody. */
-    if (partition->is_owned || batch->epoch < partition->epoch || core->is_shutting_down)
+    if (partition->ownership.is_owned || batch->epoch < partition->record.epoch ||
+        core->shutdown.is_requested)
         return LMN_REPLICA_REJECTED;
     if (copy && batch->epoch == copy->epoch && batch->stream == copy->stream &&
         batch->number <= copy->number) {
@@ -61,7 +62,7 @@
                      (batch->epoch == copy->epoch && batch->stream < copy->stream)))
             return LMN_REPLICA_UNKNOWN_STREAM;
         lmn_replica_free(copy);
-        copy = partition->replica = new_copy(batch->epoch, batch->stream);
+        copy = partition->replication.replica = new_copy(batch->epoch, batch->stream);
     } else if (!copy || batch->epoch != copy->epoch || batch->stream != copy->stream ||
                batch->number != copy->number + 1) {
         return LMN_REPLICA_UNKNOWN_STREAM;
@@ -79,34 +80,37 @@
 {
     /* Before every machine was accounted for, a cold owner does not know what its
      * predecessors started. */
-    if (!partition->is_ready && !partition->is_warm)
+    if (!partition->ownership.is_ready && !partition->ownership.is_warm)
         return;
-    lmn_replica_free(partition->replica);
-    partition->replica = new_copy(partition->owned_epoch, 0);
-    partition->replica->own = true;
+    lmn_replica_free(partition->replication.replica);
+    partition->replication.replica = new_copy(partition->ownership.epoch, 0);
+    partition->replication.replica->own = true;
     for (guint i = 0; i < partition->machine_list->len; i++) {
         struct lmn_machine_snapshot *snapshot =
             lmn_machine_snapshot_take(partition->machine_list->pdata[i], true);
-        g_hash_table_replace(partition->replica->machines, snapshot->name, snapshot);
+        g_hash_table_replace(partition->replication.replica->machines, snapshot->name,
+                             snapshot);
     }
 }
 
 bool lmn_replica_own_is_latest(const struct lmn_partition *partition)
 {
-    return partition->replica && partition->replica->own &&
-           partition->replica->epoch == partition->epoch;
+    return partition->replication.replica && partition->replication.replica->own &&
+           partition->replication.replica->epoch == partition->record.epoch;
 }
 
 void lmn_replica_drop_outdated(const struct lmn_core *core,
                                struct lmn_partition *partition)
 {
-    if (partition->is_owned || !partition->replica || !partition->replica->own ||
-        partition->epoch <= partition->replica->epoch)
+    if (partition->ownership.is_owned || !partition->replication.replica ||
+        !partition->replication.replica->own ||
+        partition->record.epoch <= partition->replication.replica->epoch)
         return;
     /* Of the next term only our own claim may be on its way. */
-    if (partition->epoch == partition->replica->epoch + 1 &&
-        (!*partition->owner || !strcmp(partition->owner, core->settings->node_name)))
+    if (partition->record.epoch == partition->replication.replica->epoch + 1 &&
+        (!*partition->record.owner ||
+         !strcmp(partition->record.owner, core->settings->node_name)))
         return;
-    lmn_replica_free(partition->replica);
-    partition->replica = NULL;
+    lmn_replica_free(partition->replication.replica);
+    partition->replication.replica = NULL;
 }
--- a/src/replication/replica_choice.c
+++ b/src/replication/replica_choice.c
@@ -24,8 +24,8 @@
         const struct lmn_partition *o = &core->partitions[i];
         if (o == p)
             continue;
-        n += 2 * !strcmp(o->owner, name);
-        n += o->standby_stream && !strcmp(o->standby, name);
+        n += 2 * !strcmp(o->record.owner, name);
+        n += o->record.standby_stream && !strcmp(o->record.standby, name);
     }
     return n;
 }
@@ -79,14 +79,14 @@
 int lmn_standby_named(const struct lmn_core *core, const struct lmn_partition *partition,
                       struct timespec now)
 {
-    int member_index =
-        partition->standby_stream && partition->standby_epoch == partition->epoch
-            ? lmn_member_index(&core->members, partition->standby)
-            : -1;
+    int member_index = partition->record.standby_stream &&
+                               partition->record.standby_epoch == partition->record.epoch
+                           ? lmn_member_index(&core->members, partition->record.standby)
+                           : -1;
 
     /* Another life of it has no copy. */
     if (member_index < 0 ||
-        core->members.views[member_index].lease != partition->standby_lease ||
+        core->members.views[member_index].lease != partition->record.standby_lease ||
         !lmn_member_is_trusted(&core->members, member_index, now))
         return -1;
     return member_index;
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -32,18 +32,19 @@
 
 bool lmn_replication_gates_starts(const struct lmn_partition *partition)
 {
-    return partition->is_owned && partition->stream.phase >= LMN_STREAM_CATCHING_UP;
+    return partition->ownership.is_owned &&
+           partition->replication.stream.phase >= LMN_STREAM_CATCHING_UP;
 }
 
 bool lmn_replication_covers(const struct lmn_partition *partition, uint64_t mark)
 {
     return !lmn_replication_gates_starts(partition) ||
-           partition->stream.acknowledged_position >= mark;
+           partition->replication.stream.acknowledged_position >= mark;
 }
 
 bool lmn_replication_is_stuck(const struct lmn_partition *partition, struct timespec now)
 {
-    const struct lmn_replication_stream *stream = &partition->stream;
+    const struct lmn_replication_stream *stream = &partition->replication.stream;
 
     return lmn_replication_gates_starts(partition) &&
            stream->acknowledged_position < stream->log_position &&
@@ -53,9 +54,9 @@
 void lmn_replication_lag(const struct lmn_partition *partition, struct timespec now,
                          guint *machines, uint64_t *starts, double *seconds)
 {
-    const struct lmn_replication_stream *stream = &partition->stream;
+    const struct lmn_replication_stream *stream = &partition->replication.stream;
 
-    *machines = partition->unreplicated_machines->len;
+    *machines = partition->replication.pending_machines->len;
     *starts = lmn_replication_gates_starts(partition)
                   ? stream->log_position - stream->acknowledged_position
                   : 0;
@@ -79,40 +80,42 @@
 static struct lmn_machine_snapshot *tell(struct lmn_machine *machine)
 {
     guint hash = images_hash(machine);
-    bool changed = hash != machine->replicated_images_hash;
+    bool changed = hash != machine->replication.images_hash;
 
-    machine->replicated_images_hash = hash;
+    machine->replication.images_hash = hash;
     return lmn_machine_snapshot_take(machine, changed);
 }
 
 static struct lmn_replication_batch *build(struct lmn_partition *partition,
                                            struct timespec now)
 {
-    struct lmn_replication_stream *stream = &partition->stream;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
     struct lmn_replication_batch *batch = lmn_replication_batch_new();
 
     batch->partition = partition->id;
-    batch->epoch = partition->owned_epoch;
+    batch->epoch = partition->ownership.epoch;
     batch->stream = stream->id;
     batch->number = stream->next_batch_number;
-    while (partition->unreplicated_removals->len &&
+    while (partition->replication.pending_removals->len &&
            batch->machines->len < LMN_REPLICATION_BATCH_MACHINES) {
         char *name = g_ptr_array_steal_index_fast(
-            partition->unreplicated_removals, partition->unreplicated_removals->len - 1);
+            partition->replication.pending_removals,
+            partition->replication.pending_removals->len - 1);
         struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(name);
         snapshot->is_forgotten = true;
         g_ptr_array_add(batch->machines, snapshot);
         g_free(name);
     }
-    while (partition->unreplicated_machines->len &&
+    while (partition->replication.pending_machines->len &&
            batch->machines->len < LMN_REPLICATION_BATCH_MACHINES) {
         struct lmn_machine *machine = g_ptr_array_steal_index_fast(
-            partition->unreplicated_machines, partition->unreplicated_machines->len - 1);
-        machine->is_unreplicated = false;
+            partition->replication.pending_machines,
+            partition->replication.pending_machines->len - 1);
+        machine->replication.is_pending = false;
         g_ptr_array_add(batch->machines, tell(machine));
     }
     /* With machines left, some start may be on one of those. */
-    batch->log_position = partition->unreplicated_machines->len
+    batch->log_position = partition->replication.pending_machines->len
                               ? stream->acknowledged_position
                               : stream->log_position;
     stream->last_batch_at = now;
@@ -125,13 +128,13 @@
 static void end(struct lmn_core *core, struct lmn_partition *partition, const char *why,
                 struct timespec now)
 {
-    struct lmn_replication_stream *stream = &partition->stream;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
 
-    for (guint i = 0; i < partition->unreplicated_machines->len; i++)
-        ((struct lmn_machine *)partition->unreplicated_machines->pdata[i])
-            ->is_unreplicated = false;
-    g_ptr_array_set_size(partition->unreplicated_machines, 0);
-    g_ptr_array_set_size(partition->unreplicated_removals, 0);
+    for (guint i = 0; i < partition->replication.pending_machines->len; i++)
+        ((struct lmn_machine *)partition->replication.pending_machines->pdata[i])
+            ->replication.is_pending = false;
+    g_ptr_array_set_size(partition->replication.pending_machines, 0);
+    g_ptr_array_set_size(partition->replication.pending_removals, 0);
     /* The thread that sends it frees it. */
     if (!stream->is_sending)
         lmn_replication_batch_free(stream->batch);
@@ -152,19 +155,20 @@
     }
     stream->phase = LMN_STREAM_NONE;
     pthread_cond_broadcast(&core->replication_acknowledged);
-    pthread_cond_signal(&partition->replication_due);
+    pthread_cond_signal(&partition->replication.due);
 }
 
 static void begin(struct lmn_core *core, struct lmn_partition *partition, int to,
                   struct timespec now)
 {
-    struct lmn_replication_stream *stream = &partition->stream;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
 
     stream->phase = LMN_STREAM_SNAPSHOT;
     stream->standby_index = to;
     stream->standby_lease = core->members.views[to].lease;
     /* In order within the term, so that a late twin of an older one is known as that. */
-    stream->id = partition->owned_epoch << 20 | (++stream->counters.streams & 0xfffff);
+    stream->id =
+        partition->ownership.epoch << 20 | (++stream->counters.streams & 0xfffff);
     stream->next_batch_number = 0;
     stream->send_failures = 0;
     stream->began_at = now;
@@ -173,7 +177,7 @@
     stream->log_position++;
     for (guint i = 0; i < partition->machine_list->len; i++) {
         struct lmn_machine *machine = partition->machine_list->pdata[i];
-        machine->replicated_images_hash = 0;
+        machine->replication.images_hash = 0;
         lmn_machine_mark_unreplicated(machine);
     }
     lmn_debug("replica_snapshot_started partition=%d member=%s machines=%u",
@@ -187,10 +191,10 @@
  * shows by itself. */
 static bool fit(const struct lmn_core *core, const struct lmn_partition *partition)
 {
-    const struct lmn_replication_stream *stream = &partition->stream;
+    const struct lmn_replication_stream *stream = &partition->replication.stream;
     const struct lmn_member_view *member = &core->members.views[stream->standby_index];
 
-    return core->operator_settings.standby > 0 && member->is_present &&
+    return core->cache.operator_settings.standby > 0 && member->is_present &&
            member->lease == stream->standby_lease &&
            !lmn_member_is_suspected(&core->members, stream->standby_index);
 }
@@ -204,7 +208,8 @@
     const struct lmn_members *members = &core->members;
     int holder = partition->id % members->count;
 
-    return holder != members->self && holder != partition->stream.standby_index &&
+    return holder != members->self &&
+           holder != partition->replication.stream.standby_index &&
            lmn_member_is_trusted(members, holder, now) &&
            lmn_member_readmission_delay_s(members, holder, now) < BEFORE_S;
 }
@@ -212,7 +217,7 @@
 static void strike(struct lmn_core *core, struct lmn_partition *partition,
                    const char *why)
 {
-    struct lmn_replication_stream *stream = &partition->stream;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
 
     lmn_info("replica_removed partition=%d member=%s phase=%s why=\"%s\" "
              "waiting=%" G_GUINT64_FORMAT,
@@ -228,7 +233,7 @@
 static void fail(struct lmn_core *core, struct lmn_partition *partition, const char *why,
                  struct timespec now)
 {
-    if (partition->stream.phase >= LMN_STREAM_JOINING)
+    if (partition->replication.stream.phase >= LMN_STREAM_JOINING)
         strike(core, partition, why);
     else
         end(core, partition, why, now);
@@ -238,7 +243,7 @@
 static struct lmn_txn *record(const struct lmn_core *core,
                               const struct lmn_partition *partition, bool named)
 {
-    const struct lmn_replication_stream *stream = &partition->stream;
+    const struct lmn_replication_stream *stream = &partition->replication.stream;
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     GByteArray *v = g_byte_array_new();
     char key[32];
@@ -250,31 +255,32 @@
     lmn_cbor_put_text(v, "lease"),
         lmn_cbor_put_uint(v, named ? stream->standby_lease : 0);
     lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, named ? stream->id : 0);
-    lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, partition->owned_epoch);
+    lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, partition->ownership.epoch);
     g_snprintf(key, sizeof key, "o/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->owned_revision);
+    lmn_txn_require_version(txn, key, partition->ownership.revision);
     g_snprintf(key, sizeof key, "b/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->standby_revision);
+    lmn_txn_require_version(txn, key, partition->record.standby_revision);
     lmn_txn_put(txn, key, v, 0);
     return txn;
 }
 
 static bool shown(const struct lmn_partition *partition)
 {
-    return partition->standby_stream == partition->stream.id &&
-           partition->standby_epoch == partition->owned_epoch;
+    return partition->record.standby_stream == partition->replication.stream.id &&
+           partition->record.standby_epoch == partition->ownership.epoch;
 }
 
 /* The phase follows from what is acknowledged and what the mirror shows. */
 static void advance(struct lmn_core *core, struct lmn_partition *partition,
                     struct timespec now)
 {
-    struct lmn_replication_stream *stream = &partition->stream;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
 
     if (stream->phase == LMN_STREAM_NONE) {
         int to = -1;
-        if ((partition->is_ready || partition->is_warm) &&
-            core->operator_settings.standby > 0 && !partition->is_transferring &&
+        if ((partition->ownership.is_ready || partition->ownership.is_warm) &&
+            core->cache.operator_settings.standby > 0 &&
+            !partition->ownership.is_transferring &&
             core->load.delay_s < LMN_STANDBY_SETTLE_S &&
             !lmn_time_before(now, stream->next_step_at))
             to = lmn_standby_choose(core, partition, now);
@@ -284,7 +290,8 @@
     }
     if (stream->phase == LMN_STREAM_REMOVING) {
         /* A naming that is late can't be applied any more either. */
-        if (partition->standby_revision > stream->join_revision && !shown(partition))
+        if (partition->record.standby_revision > stream->join_revision &&
+            !shown(partition))
             end(core, partition, stream->last_failure_reason, now);
         return;
     }
@@ -301,16 +308,16 @@
         strike(core, partition, BACK);
     } else if (stream->phase == LMN_STREAM_SNAPSHOT && stream->next_batch_number > 0 &&
                !stream->batch &&
-               partition->unreplicated_machines->len <=
+               partition->replication.pending_machines->len <=
                    LMN_REPLICATION_BATCH_MACHINES / 2 &&
-               !partition->unreplicated_removals->len) {
+               !partition->replication.pending_removals->len) {
         stream->phase = LMN_STREAM_CATCHING_UP;
         stream->join_position = stream->log_position;
         stream->waiting_since = now;
     } else if (stream->phase == LMN_STREAM_CATCHING_UP &&
                stream->acknowledged_position >= stream->join_position) {
         stream->phase = LMN_STREAM_JOINING;
-        stream->join_revision = partition->standby_revision;
+        stream->join_revision = partition->record.standby_revision;
         stream->record_written_at = (struct timespec){0, 0};
     } else if (stream->phase == LMN_STREAM_JOINING && shown(partition)) {
         stream->phase = LMN_STREAM_IN_SYNC;
@@ -334,7 +341,7 @@
 /* Whether something is to be told now. */
 static bool tells(const struct lmn_partition *partition, struct timespec now)
 {
-    const struct lmn_replication_stream *stream = &partition->stream;
+    const struct lmn_replication_stream *stream = &partition->replication.stream;
 
     if (stream->phase == LMN_STREAM_NONE || stream->phase == LMN_STREAM_REMOVING ||
         stream->is_sending)
@@ -345,8 +352,8 @@
         return true;
     if (stream->acknowledged_position < stream->log_position)
         return lmn_time_diff_s(now, stream->waiting_since) >= GATHER_S;
-    return (partition->unreplicated_machines->len ||
-            partition->unreplicated_removals->len) &&
+    return (partition->replication.pending_machines->len ||
+            partition->replication.pending_removals->len) &&
            lmn_time_diff_s(now, stream->last_batch_at) > LAZY_S;
 }
 
@@ -356,10 +363,10 @@
                                                     struct lmn_replication_batch **batch,
                                                     struct lmn_txn **txn, double *wait)
 {
-    struct lmn_replication_stream *stream = &partition->stream;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
 
     *wait = LAZY_S / 2;
-    if (!partition->is_owned)
+    if (!partition->ownership.is_owned)
         return LMN_REPLICATION_WAIT;
     advance(core, partition, now);
     if (writes(stream, now)) {
@@ -386,7 +393,7 @@
                                 struct lmn_replication_batch *batch, bool answered,
                                 enum lmn_replica_result answer, struct timespec now)
 {
-    struct lmn_replication_stream *stream = &partition->stream;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
 
     if (stream->batch != batch ||
         !stream->is_sending) { /* of a stream that has ended meanwhile */
@@ -415,7 +422,7 @@
     if (batch->log_position > stream->acknowledged_position) {
         /* While it is copied, no start waits. */
         if (stream->phase >= LMN_STREAM_CATCHING_UP)
-            lmn_latency_add(&core->replication_latency,
+            lmn_latency_add(&core->latencies.replication,
                             lmn_time_diff_s(now, stream->waiting_since));
         stream->acknowledged_position = batch->log_position;
         stream->waiting_since = now;
@@ -426,7 +433,7 @@
 
 void lmn_replication_reset(struct lmn_core *core, struct lmn_partition *partition)
 {
-    struct lmn_replication_stream *stream = &partition->stream;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
 
     end(core, partition, NULL, stream->began_at);
     stream->consecutive_removals = 0;
@@ -439,18 +446,19 @@
 {
     char key[32];
 
-    if (!partition->standby_stream || partition->standby_epoch != partition->epoch ||
-        strcmp(partition->standby, member))
+    if (!partition->record.standby_stream ||
+        partition->record.standby_epoch != partition->record.epoch ||
+        strcmp(partition->record.standby, member))
         return 0;
     g_snprintf(key, sizeof key, "b/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->standby_revision);
-    return partition->standby_stream;
+    lmn_txn_require_version(txn, key, partition->record.standby_revision);
+    return partition->record.standby_stream;
 }
 
 void lmn_standby_forget(struct lmn_partition *partition)
 {
-    lmn_replication_batch_free(partition->stream.batch);
-    partition->stream.batch = NULL;
-    lmn_replica_free(partition->replica);
-    partition->replica = NULL;
+    lmn_replication_batch_free(partition->replication.stream.batch);
+    partition->replication.stream.batch = NULL;
+    lmn_replica_free(partition->replication.replica);
+    partition->replication.replica = NULL;
 }
--- a/src/scheduler/affinity.h
+++ b/src/scheduler/affinity.h
@@ -3,7 +3,7 @@
 #ifndef LMN_SCHEDULER_AFFINITY_H
 #define LMN_SCHEDULER_AFFINITY_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* How many more of its tasks may be started in the zone. */
 uint32_t lmn_zone_task_capacity(const struct lmn_job *job, const char *zone);
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -145,10 +145,10 @@
 /* Whether no ordinary machine is worth renting for it. */
 static bool cheap_only(const struct lmn_core *core, const struct lmn_job_spec *spec)
 {
-    for (size_t i = 0; i < core->machine_types.n; i++)
-        if (!lmn_is_spot_only(core->settings, spec, &core->machine_types.v[i]))
+    for (size_t i = 0; i < core->cloud.machine_types.n; i++)
+        if (!lmn_is_spot_only(core->settings, spec, &core->cloud.machine_types.v[i]))
             return false;
-    return core->machine_types.n > 0;
+    return core->cloud.machine_types.n > 0;
 }
 
 /* Processors that each open range could use: all of a service's, and of an array as many
@@ -156,7 +156,7 @@
 static GArray *wants(const struct lmn_core *core, bool cheap)
 {
     GArray *a = g_array_new(FALSE, FALSE, sizeof(struct want));
-    double horizon = core->operator_settings.horizon_s;
+    double horizon = core->cache.operator_settings.horizon_s;
     GHashTableIter it;
     gpointer v;
 
@@ -232,11 +232,11 @@
 {
     double best = INFINITY;
 
-    for (size_t i = 0; i < core->machine_types.n; i++)
-        for (int z = 0; z < core->machine_types.v[i].zone_count; z++)
-            for (int spot = 0; spot <= (any && core->operator_settings.spot >= 0.5);
+    for (size_t i = 0; i < core->cloud.machine_types.n; i++)
+        for (int z = 0; z < core->cloud.machine_types.v[i].zone_count; z++)
+            for (int spot = 0; spot <= (any && core->cache.operator_settings.spot >= 0.5);
                  spot++) {
-                const struct lmn_machine_type *type = &core->machine_types.v[i];
+                const struct lmn_machine_type *type = &core->cloud.machine_types.v[i];
                 const struct lmn_capacity_backoff *backoff =
                     refusal(autoscaler, type->name, type->zones[z], spot);
                 double cpus = 0, mem = 0;
@@ -279,10 +279,10 @@
 bool lmn_autoscaler_decide(struct lmn_core *core, struct lmn_autoscaler *autoscaler,
                            struct lmn_provision_request *out, struct timespec now)
 {
-    double need = core->operator_settings.spare_cpus, need_ordinary = 0, have = 0,
+    double need = core->cache.operator_settings.spare_cpus, need_ordinary = 0, have = 0,
            have_ordinary = 0;
     double best = INFINITY, machines = 0, need_cheap = 0;
-    bool refused = core->operator_settings.spot < 0.5;
+    bool refused = core->cache.operator_settings.spot < 0.5;
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, autoscaler->machines);
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -2,7 +2,7 @@
 #ifndef LMN_SCHEDULER_AUTOSCALER_H
 #define LMN_SCHEDULER_AUTOSCALER_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* A machine as the cloud lists it, or as a rental of ours that it doesn't list yet. */
 struct lmn_cloud_machine {
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -26,10 +26,10 @@
 static bool steady(const struct lmn_core *core, const struct lmn_machine *machine,
                    struct timespec now)
 {
-    return machine->type && machine->revision && machine->is_accounted &&
-           !machine->is_draining && !machine->has_spot_notice &&
-           !machine->lease_expired && !machine->is_terminated &&
-           !machine->preemption_reserved_tasks &&
+    return machine->type && machine->record.revision && machine->lifecycle.is_accounted &&
+           !machine->lifecycle.is_draining && !machine->lifecycle.has_spot_notice &&
+           !machine->agent.lease_expired && !machine->lifecycle.is_terminated &&
+           !machine->reservation.preemption_tasks &&
            !lmn_machine_is_silent(core, machine, now);
 }
 
@@ -118,13 +118,14 @@
     GHashTableIter it;
     gpointer v;
     double free_cpus = 0, all = 0;
-    bool waits = partition->unassigned.task_count > 0;
+    bool waits = partition->scheduling.unassigned.task_count > 0;
 
-    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
-        lmn_time_before(now, partition->next_consolidation_at) ||
+    if (!partition->ownership.is_owned || !partition->ownership.is_ready ||
+        partition->ownership.is_transferring ||
+        lmn_time_before(now, partition->scheduling.next_consolidation_at) ||
         lmn_watch_cache_age_s(core, now) > LMN_MAX_CACHE_AGE_S)
         return;
-    partition->next_consolidation_at = lmn_time_add(now, EVERY_S);
+    partition->scheduling.next_consolidation_at = lmn_time_add(now, EVERY_S);
     GArray *targets = g_array_new(FALSE, FALSE, sizeof(struct target));
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -132,11 +133,11 @@
         waits = waits || machine->queue.task_count > 0;
         if (!steady(core, machine, now))
             continue;
-        struct target t = {machine, machine->type->cpus - machine->used_cpus,
-                           machine->type->gpus - machine->used_gpus,
-                           machine->type->memory_gb - machine->used_memory_gb};
+        struct target t = {machine, machine->type->cpus - machine->used.cpus,
+                           machine->type->gpus - machine->used.gpus,
+                           machine->type->memory_gb - machine->used.memory_gb};
         /* Spot machines hold other work, and go by themselves. */
-        if (machine->is_spot || machine->used_cpus <= 0)
+        if (machine->is_spot || machine->used.cpus <= 0)
             continue;
         all += machine->type->cpus;
         free_cpus += t.cpus;
--- a/src/scheduler/consolidation.h
+++ b/src/scheduler/consolidation.h
@@ -2,7 +2,7 @@
 #ifndef LMN_SCHEDULER_CONSOLIDATION_H
 #define LMN_SCHEDULER_CONSOLIDATION_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Empties a machine whose replicas have room elsewhere. */
 void lmn_consolidate_replicas(struct lmn_core *core, struct lmn_partition *partition,
--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -48,7 +48,7 @@
         const struct lmn_partition *partition = &core->partitions[i];
         GHashTableIter it;
         gpointer v;
-        if (!partition->is_owned)
+        if (!partition->ownership.is_owned)
             continue;
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -113,11 +113,12 @@
     add_up(core, classes, teams);
     bool any = keep_owed(classes);
     any = keep_owed(teams) || any;
-    for (int i = 0; i < core->partition_count && (any || core->has_underserved_share);
+    for (int i = 0;
+         i < core->partition_count && (any || core->scheduling.has_underserved_share);
          i++) {
         GHashTableIter it;
         gpointer v;
-        if (!core->partitions[i].is_owned)
+        if (!core->partitions[i].ownership.is_owned)
             continue;
         g_hash_table_iter_init(&it, core->partitions[i].ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -127,17 +128,19 @@
                 (job->team >= 0 && among(teams, &core->settings->teams[job->team]));
         }
     }
-    core->has_underserved_share = any;
+    core->scheduling.has_underserved_share = any;
     g_array_free(classes, TRUE);
     g_array_free(teams, TRUE);
 }
 
-bool lmn_is_spot_only(const struct lmn_settings *cfg, const struct lmn_job_spec *spec,
+bool lmn_is_spot_only(const struct lmn_settings *settings,
+                      const struct lmn_job_spec *spec,
                       const struct lmn_machine_type *type)
 {
     return spec->priority == LMN_PRIORITY_IDLE && spec->may_use_spot &&
            spec->kind == LMN_JOB_BATCH && spec->estimate_s > GAP_S &&
-           type->rate > LEFT * type->spot_rate && !lmn_job_spec_has_objective(cfg, spec);
+           type->rate > LEFT * type->spot_rate &&
+           !lmn_job_spec_has_objective(settings, spec);
 }
 
 /* Where no cheap machine could hold it, any will do. */
@@ -146,8 +149,8 @@
 {
     for (guint k = 0; k < partition->machine_list->len; k++) {
         const struct lmn_machine *machine = partition->machine_list->pdata[k];
-        if (machine->is_spot && machine->type && machine->is_accounted &&
-            !machine->is_terminated && !machine->lease_expired &&
+        if (machine->is_spot && machine->type && machine->lifecycle.is_accounted &&
+            !machine->lifecycle.is_terminated && !machine->agent.lease_expired &&
             lmn_job_spec_allows(spec, machine->type, machine->zone, true))
             return true;
     }
@@ -160,7 +163,7 @@
         struct lmn_partition *partition = &core->partitions[i];
         GHashTableIter it;
         gpointer v;
-        if (!partition->is_owned)
+        if (!partition->ownership.is_owned)
             continue;
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
--- a/src/scheduler/fair_share.h
+++ b/src/scheduler/fair_share.h
@@ -4,7 +4,7 @@
 #ifndef LMN_SCHEDULER_FAIR_SHARE_H
 #define LMN_SCHEDULER_FAIR_SHARE_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* A class, or a team, over this node's partitions; processors. */
 struct lmn_fair_share {
@@ -35,7 +35,8 @@
  * leaving rather than running on an ordinary machine of the type: work that is left in
  * the end costs twice its worth, and what runs for long keeps the machine from being
  * returned. Pure. */
-bool lmn_is_spot_only(const struct lmn_settings *cfg, const struct lmn_job_spec *spec,
+bool lmn_is_spot_only(const struct lmn_settings *settings,
+                      const struct lmn_job_spec *spec,
                       const struct lmn_machine_type *type);
 
 /* What of each class this node's partitions have: an array of struct lmn_fair_share, `of`
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -17,7 +17,7 @@
     }
 }
 
-void lmn_job_update_latest_start(const struct lmn_settings *cfg, struct lmn_job *job,
+void lmn_job_update_latest_start(const struct lmn_settings *settings, struct lmn_job *job,
                                  double wall)
 {
     const struct lmn_job_spec *spec = &job->spec;
@@ -36,8 +36,8 @@
     }
     job->has_missed_objective = true;
     job->latest_start_s = 0;
-    for (size_t i = 0; i < cfg->objective_count; i++) {
-        const struct lmn_objective *objective = &cfg->objectives[i];
+    for (size_t i = 0; i < settings->objective_count; i++) {
+        const struct lmn_objective *objective = &settings->objectives[i];
         if (!lmn_objective_applies(objective, spec))
             continue;
         if (objective->kind == LMN_OBJECTIVE_START)
@@ -139,8 +139,9 @@
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &x)) {
         const struct lmn_machine *machine = x;
-        if (!machine->type || !machine->is_accounted || machine->is_draining ||
-            machine->lease_expired || machine->is_terminated)
+        if (!machine->type || !machine->lifecycle.is_accounted ||
+            machine->lifecycle.is_draining || machine->agent.lease_expired ||
+            machine->lifecycle.is_terminated)
             continue;
         cpus += machine->type->cpus;
         ordinary += machine->is_spot ? 0 : machine->type->cpus;
@@ -166,17 +167,18 @@
     GHashTableIter it;
     gpointer v;
 
-    bool due = wall < core->last_triage_s || wall - core->last_triage_s > TRIAGE_S;
+    bool due = wall < core->scheduling.last_triage_s ||
+               wall - core->scheduling.last_triage_s > TRIAGE_S;
 
-    core->wall_clock_s = wall;
+    core->scheduling.wall_clock_s = wall;
     if (due) {
-        core->last_triage_s = wall;
+        core->scheduling.last_triage_s = wall;
         lmn_update_fair_shares(core);
         lmn_update_starvation(core, wall);
     }
     for (int i = 0; i < core->partition_count; i++) {
         struct lmn_partition *partition = &core->partitions[i];
-        if (!partition->is_owned)
+        if (!partition->ownership.is_owned)
             continue;
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
