--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -30,7 +30,7 @@
 static void collect(struct lmn_queue *queue, struct lmn_machine *machine, GArray *out,
                     struct timespec now)
 {
-    uint32_t skip = machine ? machine->preemption_reserved_tasks : 0;
+    uint32_t skip = machine ? machine->reservation.preemption_tasks : 0;
 
     for (guint i = 0; i < queue->segments->len && out->len < HELPED_AT_ONCE; i++) {
         const struct lmn_queue_segment *segment = queue->segments->pdata[i];
@@ -62,12 +62,13 @@
 
 /* Seconds for which those who wait can wait for others to save: beyond that, and what it
  * takes to tell and to start, their own expectation of a start would be missed. */
-static double patience(const struct lmn_settings *cfg, const struct lmn_job_spec *spec)
+static double patience(const struct lmn_settings *settings,
+                       const struct lmn_job_spec *spec)
 {
     double least = INFINITY;
 
-    for (size_t i = 0; i < cfg->objective_count; i++) {
-        const struct lmn_objective *objective = &cfg->objectives[i];
+    for (size_t i = 0; i < settings->objective_count; i++) {
+        const struct lmn_objective *objective = &settings->objectives[i];
         if (objective->kind == LMN_OBJECTIVE_START &&
             (!*objective->class_name || !strcmp(objective->class_name, spec->class_name)))
             least = MIN(least, objective->within_s);
@@ -93,9 +94,9 @@
 static double make_on(struct lmn_machine *machine, const struct lmn_job_spec *spec,
                       double patient, bool mark, struct timespec now)
 {
-    double cpus = machine->type->cpus - machine->used_cpus,
-           gpus = machine->type->gpus - machine->used_gpus;
-    double mem = machine->type->memory_gb - machine->used_memory_gb, sum = 0;
+    double cpus = machine->type->cpus - machine->used.cpus,
+           gpus = machine->type->gpus - machine->used.gpus;
+    double mem = machine->type->memory_gb - machine->used.memory_gb, sum = 0;
     guint taken[64], n = 0;
 
     while (cpus < spec->cpus - 1e-6 || gpus < spec->gpus - 1e-6 ||
@@ -152,7 +153,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
         for (guint i = 0;
-             machine->preemption_reserved_tasks && i < machine->queue.segments->len;
+             machine->reservation.preemption_tasks && i < machine->queue.segments->len;
              i++) {
             const struct lmn_queue_segment *segment = machine->queue.segments->pdata[i];
             if (segment->job == job && !strcmp(machine->zone, zone))
@@ -176,7 +177,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
         /* One that does not report would keep the task waiting. */
-        if (machine->preemption_reserved_tasks || !lmn_machine_can_run(machine, job) ||
+        if (machine->reservation.preemption_tasks || !lmn_machine_can_run(machine, job) ||
             !lmn_zone_task_capacity(job, machine->zone) ||
             lmn_machine_is_silent(core, machine, now))
             continue;
@@ -200,18 +201,18 @@
     GHashTableIter it;
     gpointer v;
 
-    if (!partition->is_owned || partition->is_transferring)
+    if (!partition->ownership.is_owned || partition->ownership.is_transferring)
         return;
     GArray *wait = g_array_new(FALSE, FALSE, sizeof(struct waiting));
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
-        if (machine->preemption_reserved_tasks &&
-            lmn_time_before(machine->preemption_reserved_until, now))
-            machine->preemption_reserved_tasks = 0;
+        if (machine->reservation.preemption_tasks &&
+            lmn_time_before(machine->reservation.preemption_until, now))
+            machine->reservation.preemption_tasks = 0;
         collect(&machine->queue, machine, wait, now);
     }
-    collect(&partition->unassigned, NULL, wait, now);
+    collect(&partition->scheduling.unassigned, NULL, wait, now);
     for (guint i = 0; i < wait->len; i++) {
         struct waiting *w = &g_array_index(wait, struct waiting, i);
         const struct lmn_job *job = w->range->job;
@@ -223,8 +224,8 @@
         core->counters.preempted +=
             make_on(machine, &job->spec, patience(core->settings, &job->spec), true,
                     now) > 0;
-        machine->preemption_reserved_tasks++;
-        machine->preemption_reserved_until = lmn_time_add(now, KEEP_S);
+        machine->reservation.preemption_tasks++;
+        machine->reservation.preemption_until = lmn_time_add(now, KEEP_S);
         if (machine != w->on) {
             lmn_queue_remove_task(w->queue, w->range, w->index);
             lmn_queue_add(&machine->queue, w->range, w->index, w->index + 1);
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -99,8 +99,8 @@
                     uint32_t hi, struct timespec now)
 {
     lmn_queue_add(&machine->queue, range, lo, hi);
-    machine->steal_interval_s = 0; /* new work resets the interval */
-    machine->next_steal_at = now;
+    machine->stealing.interval_s = 0; /* new work resets the interval */
+    machine->stealing.next_at = now;
 }
 
 /* A machine with room, as it compares with others. */
@@ -136,10 +136,10 @@
         if (lmn_machine_has_image(able->pdata[i], range->job))
             g_ptr_array_add(near, able->pdata[i]);
     const GPtrArray *to = 2 * near->len >= hi - lo ? near : able;
-    partition->round_robin_cursor++;
+    partition->scheduling.round_robin_cursor++;
     for (guint i = 0; to->len && lo < hi; i++, lo++)
-        deal_to(to->pdata[(partition->round_robin_cursor + i) % to->len], range, lo,
-                lo + 1, now);
+        deal_to(to->pdata[(partition->scheduling.round_robin_cursor + i) % to->len],
+                range, lo, lo + 1, now);
     g_ptr_array_free(near, TRUE);
 }
 
@@ -151,7 +151,7 @@
     gpointer v;
     if (lmn_job_is_faulty(&range->job->failures)) {
         /* It is tried with a task at a time: there it fills no machine's queue. */
-        lmn_queue_add(&partition->unassigned, range, lo, hi);
+        lmn_queue_add(&partition->scheduling.unassigned, range, lo, hi);
         return;
     }
     GPtrArray *able = g_ptr_array_new();
@@ -160,19 +160,19 @@
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_machine *machine = v;
-        if (machine->ignored_commands || !lmn_machine_can_run(machine, range->job))
+        if (machine->agent.ignored_commands || !lmn_machine_can_run(machine, range->job))
             continue;
         uint32_t has = lmn_machine_task_capacity(machine, &range->job->spec);
         if (has > machine->queue.task_count) {
             struct candidate x = {machine, unfit(machine, range->job),
-                                  machine->type->cpus - machine->used_cpus,
+                                  machine->type->cpus - machine->used.cpus,
                                   has - machine->queue.task_count, able->len};
             g_array_append_val(roomy, x);
         }
         g_ptr_array_add(able, machine);
     }
     if (!able->len)
-        lmn_queue_add(&partition->unassigned, range, lo, hi);
+        lmn_queue_add(&partition->scheduling.unassigned, range, lo, hi);
     /* First what has room: the fittest kind of machine, and of these the fullest, so that
      * large tasks find whole machines and idle ones can go. Then round robin, one each a
      * turn. */
@@ -223,7 +223,7 @@
     GHashTableIter it;
     gpointer v;
 
-    lmn_queue_remove_range(&range->partition->unassigned, range);
+    lmn_queue_remove_range(&range->partition->scheduling.unassigned, range);
     g_hash_table_iter_init(&it, range->partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         lmn_queue_remove_range(&((struct lmn_machine *)v)->queue, range);
@@ -234,7 +234,8 @@
 {
     for (guint i = 0; i < job->ranges->len; i++) {
         struct lmn_range *range = job->ranges->pdata[i];
-        if (range->partition->is_owned && range->task_states && range->is_assigned)
+        if (range->partition->ownership.is_owned && range->task_states &&
+            range->is_assigned)
             lmn_reassign_range(core, range, now);
     }
 }
@@ -244,7 +245,7 @@
 {
     struct lmn_queue old = machine->queue;
 
-    machine->preemption_reserved_tasks = 0;
+    machine->reservation.preemption_tasks = 0;
     lmn_queue_init(&machine->queue);
     for (guint i = 0; i < old.segments->len; i++) {
         struct lmn_queue_segment *segment = old.segments->pdata[i];
@@ -258,13 +259,13 @@
 void lmn_machine_drain(struct lmn_core *core, struct lmn_machine *machine, bool force,
                        const char *why, struct timespec now)
 {
-    machine->drain_at_once = machine->drain_at_once || force;
-    if (machine->is_draining)
+    machine->lifecycle.drain_at_once = machine->lifecycle.drain_at_once || force;
+    if (machine->lifecycle.is_draining)
         return;
     lmn_info("machine_drain_started machine=%s partition=%d force=%d why=\"%s\"",
              machine->name, machine->partition->id, force, why);
-    machine->is_draining = true;
-    machine->drain_began_at = now;
+    machine->lifecycle.is_draining = true;
+    machine->lifecycle.drain_began_at = now;
     lmn_reassign_machine_queue(core, machine, now);
 }
 
@@ -272,8 +273,8 @@
  * kept for its length, since the same few jobs stand in most queues. */
 static void look_anew(struct lmn_core *core)
 {
-    core->scan_generation++;
-    core->start_generation++;
+    core->scheduling.scan_generation++;
+    core->scheduling.start_generation++;
 }
 
 static void start(struct lmn_core *core, struct lmn_machine *machine,
@@ -288,31 +289,33 @@
                             .started_at = now};
 
     /* Unique for ever without a write: no two owners share a term. */
-    a.number = partition->owned_epoch << 24 | (++partition->next_attempt & 0xffffff);
+    a.number = partition->ownership.epoch << 24 |
+               (++partition->ownership.last_attempt & 0xffffff);
     g_strlcpy(a.job_id, a.job->spec.id, sizeof a.job_id);
     a.log_position = lmn_machine_log_start(machine, now);
     segment->range->task_states[a.index - segment->range->first] = LMN_TASK_STARTED;
     segment->range->started_count++;
     lmn_attempt_count(machine, &a);
-    if (!partition->has_started_task)
+    if (!partition->ownership.has_started_task)
         lmn_info("partition_first_start partition=%d epoch=%" G_GUINT64_FORMAT
                  " after=%.2f",
-                 partition->id, partition->owned_epoch,
-                 lmn_time_diff_s(now, partition->owned_since));
-    partition->has_started_task = true;
-    core->start_generation++;
+                 partition->id, partition->ownership.epoch,
+                 lmn_time_diff_s(now, partition->ownership.since));
+    partition->ownership.has_started_task = true;
+    core->scheduling.start_generation++;
     a.job->is_starving = false; /* it has begun */
     if (lmn_job_is_faulty(&a.job->failures))
         lmn_job_record_retry(&a.job->failures, now);
-    if (machine->preemption_reserved_tasks &&
+    if (machine->reservation.preemption_tasks &&
         a.job->spec.priority == LMN_PRIORITY_PRODUCTION) {
-        machine->preemption_reserved_tasks--;
+        machine->reservation.preemption_tasks--;
         look_anew(core); /* lesser work may start again */
     }
     lmn_machine_record_image(machine, a.job, false, now);
     g_array_append_val(machine->attempts, a);
     core->counters.starts++;
-    lmn_latency_add(&core->start_latency, core->wall_clock_s - a.job->accepted_at_s);
+    lmn_latency_add(&core->latencies.start,
+                    core->scheduling.wall_clock_s - a.job->accepted_at_s);
     char task[LMN_JOB_ID_SIZE + 16];
     g_snprintf(task, sizeof task, "%s/%u", a.job_id, a.index);
     lmn_cbor_put_map(out, 3);
@@ -321,7 +324,7 @@
     lmn_cbor_put_text(out, WIRE_ATTEMPT), lmn_cbor_put_uint(out, a.number);
     lmn_debug("task_started task=%s attempt=%" G_GUINT64_FORMAT
               " machine=%s term=%" G_GUINT64_FORMAT,
-              task, a.number, machine->name, partition->owned_epoch);
+              task, a.number, machine->name, partition->ownership.epoch);
     segment->first++;
 }
 
@@ -330,15 +333,15 @@
 static bool startable(const struct lmn_core *core, const struct lmn_machine *machine,
                       struct lmn_job *job, struct timespec now)
 {
-    if (job->rejected_scan == core->scan_generation)
+    if (job->rejected_scan == core->scheduling.scan_generation)
         return false;
-    if (job->accepted_scan == core->start_generation)
+    if (job->accepted_scan == core->scheduling.start_generation)
         return true;
     bool ok = lmn_job_wait_reason(core, machine, job, now) == LMN_WAIT_NONE;
     if (ok)
-        job->accepted_scan = core->start_generation;
+        job->accepted_scan = core->scheduling.start_generation;
     else
-        job->rejected_scan = core->scan_generation;
+        job->rejected_scan = core->scheduling.scan_generation;
     return ok;
 }
 
@@ -346,9 +349,9 @@
 static double fetch_now(const struct lmn_core *core, const struct lmn_machine *machine,
                         struct lmn_job *job, struct timespec now)
 {
-    if (job->fetch_scan != core->start_generation) {
+    if (job->fetch_scan != core->scheduling.start_generation) {
         job->fetch_s = lmn_image_fetch_s(machine, job, now);
-        job->fetch_scan = core->start_generation;
+        job->fetch_scan = core->scheduling.start_generation;
     }
     return job->fetch_s;
 }
@@ -417,8 +420,8 @@
     struct lmn_machine **v = (struct lmn_machine **)partition->machine_list->pdata;
     guint n = partition->machine_list->len - 1;
 
-    guint sample = core->operator_settings.sample > 0
-                       ? (guint)core->operator_settings.sample
+    guint sample = core->cache.operator_settings.sample > 0
+                       ? (guint)core->cache.operator_settings.sample
                        : (guint)ceil(2 * sqrt((double)n + 1));
     sample = MIN(sample, n);
     /* The first places of a partial shuffle, in the list itself, with the machine's own
@@ -428,7 +431,7 @@
         swap(v, i, i + (guint)g_rand_int_range(core->random, 0, (gint32)(n - i)));
         g_ptr_array_add(queues, &v[i]->queue);
     }
-    g_ptr_array_add(queues, &partition->unassigned);
+    g_ptr_array_add(queues, &partition->scheduling.unassigned);
     return queues;
 }
 
@@ -485,7 +488,7 @@
         }
         core->counters.steals += from != &machine->queue;
         n += start_from(core, from, at, machine, out, now);
-        if (n && machine->ignored_commands)
+        if (n && machine->agent.ignored_commands)
             break; /* a try whether it hears */
     }
     if (queues)
@@ -532,7 +535,7 @@
     struct lmn_queue *best = NULL;
     uint32_t most = 0;
 
-    if (lmn_time_before(now, machine->next_steal_at))
+    if (lmn_time_before(now, machine->stealing.next_at))
         return false;
     look_anew(core);
     GPtrArray *queues = sample_queues(core, machine);
@@ -547,23 +550,24 @@
     g_ptr_array_free(queues, TRUE);
     uint32_t got = 0;
     if (best)
-        got = take(core, best, machine,
-                   machine->ignored_commands
-                       ? 1
-                       : MAX((uint32_t)((double)most * core->operator_settings.share), 1),
-                   now);
+        got = take(
+            core, best, machine,
+            machine->agent.ignored_commands
+                ? 1
+                : MAX((uint32_t)((double)most * core->cache.operator_settings.share), 1),
+            now);
     if (!got) {
-        machine->steal_interval_s =
-            machine->steal_interval_s > 0
-                ? MIN(machine->steal_interval_s * 2, core->operator_settings.poll_cap_s)
-                : core->operator_settings.poll_floor_s;
-        machine->next_steal_at = lmn_time_add(now, machine->steal_interval_s);
+        machine->stealing.interval_s = machine->stealing.interval_s > 0
+                                           ? MIN(machine->stealing.interval_s * 2,
+                                                 core->cache.operator_settings.poll_cap_s)
+                                           : core->cache.operator_settings.poll_floor_s;
+        machine->stealing.next_at = lmn_time_add(now, machine->stealing.interval_s);
         return false;
     }
     core->counters.steals++;
     core->counters.stolen_tasks += got;
-    machine->steal_interval_s = 0;
-    machine->next_steal_at = now;
+    machine->stealing.interval_s = 0;
+    machine->stealing.next_at = now;
     lmn_debug("steal_completed machine=%s tasks=%u of=%u", machine->name, got, most);
     return true;
 }
@@ -573,7 +577,7 @@
 {
     guint n;
 
-    machine->is_idle_with_capacity = false;
+    machine->stealing.is_idle_with_capacity = false;
     if (lmn_machine_wait_reason(machine, now) != LMN_WAIT_NONE)
         return 0;
     look_anew(core);
@@ -581,13 +585,14 @@
     /* Left with room and nothing of its own that fits: it pulls, until that brings
      * nothing. */
     for (int turn = 0; turn < 8; turn++) {
-        if ((machine->ignored_commands && n) ||
+        if ((machine->agent.ignored_commands && n) ||
             load_for(core, &machine->queue, machine, now) ||
             !lmn_steal_for_machine(core, machine, now))
             break;
         n += start_own(core, machine, out, now);
     }
-    machine->is_idle_with_capacity =
-        !machine->ignored_commands && !load_for(core, &machine->queue, machine, now);
+    machine->stealing.is_idle_with_capacity =
+        !machine->agent.ignored_commands &&
+        !load_for(core, &machine->queue, machine, now);
     return n;
 }
--- a/src/scheduler/queue.h
+++ b/src/scheduler/queue.h
@@ -4,7 +4,7 @@
 #define LMN_SCHEDULER_QUEUE_H
 
 #include "scheduler/wait_reason.h"
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Cuts the range's queued tasks over the queues of the machines that could hold them. */
 void lmn_assign_tasks(struct lmn_core *core, struct lmn_range *range, uint32_t lo,
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -20,13 +20,13 @@
                      int team, double *cpus, double *gpus)
 {
     lmn_quota_even_share(core, team, cpus, gpus);
-    if (core->has_quota_record[team]) {
-        *cpus = partition->quota_cpus[team];
-        *gpus = partition->quota_gpus[team];
+    if (core->quota.has_record[team]) {
+        *cpus = partition->quota.cpus[team];
+        *gpus = partition->quota.gpus[team];
     }
-    if (partition->quota_transfer.team == team) {
-        *cpus -= partition->quota_transfer.cpus;
-        *gpus -= partition->quota_transfer.gpus;
+    if (partition->quota.transfer.team == team) {
+        *cpus -= partition->quota.transfer.cpus;
+        *gpus -= partition->quota.transfer.gpus;
     }
 }
 
@@ -67,10 +67,11 @@
 
     for (guint i = 0; i < partition->machine_list->len; i++) {
         const struct lmn_machine *machine = partition->machine_list->pdata[i];
-        if (!machine->type || !machine->is_accounted || machine->is_draining ||
-            machine->has_spot_notice || machine->lease_expired || machine->is_terminated)
+        if (!machine->type || !machine->lifecycle.is_accounted ||
+            machine->lifecycle.is_draining || machine->lifecycle.has_spot_notice ||
+            machine->agent.lease_expired || machine->lifecycle.is_terminated)
             continue;
-        double left = machine->type->cpus - machine->used_cpus;
+        double left = machine->type->cpus - machine->used.cpus;
         sum += left + 1e-6 >= task ? left : 0;
     }
     return sum;
@@ -82,19 +83,23 @@
 {
     double cpus, gpus;
 
-    if (!partition->is_owned || !partition->is_ready ||
+    if (!partition->ownership.is_owned || !partition->ownership.is_ready ||
         !lmn_team_has_limit(&core->settings->teams[team]))
         return false;
     double smallest = queued(partition, team, request);
     lmn_quota_share(core, partition, team, &cpus, &gpus);
     /* Only what its queue is short of; the least it needs is what a task needs beyond all
      * of the part, which waiting for others to end would never give it. */
-    bool short_cpus = partition->used_cpus[team] + request->least_cpus > cpus + 1e-6;
-    bool short_gpus = partition->used_gpus[team] + request->least_gpus > gpus + 1e-6;
+    bool short_cpus =
+        partition->quota.used_cpus[team] + request->least_cpus > cpus + 1e-6;
+    bool short_gpus =
+        partition->quota.used_gpus[team] + request->least_gpus > gpus + 1e-6;
     request->cpus =
-        short_cpus ? MAX(request->cpus - (cpus - partition->used_cpus[team]), 0) : 0;
+        short_cpus ? MAX(request->cpus - (cpus - partition->quota.used_cpus[team]), 0)
+                   : 0;
     request->gpus =
-        short_gpus ? MAX(request->gpus - (gpus - partition->used_gpus[team]), 0) : 0;
+        short_gpus ? MAX(request->gpus - (gpus - partition->quota.used_gpus[team]), 0)
+                   : 0;
     request->least_cpus = MAX(request->least_cpus - cpus, 0);
     request->least_gpus = MAX(request->least_gpus - gpus, 0);
     /* No more than it has machines for: what it took beyond that lay idle, while others
@@ -124,11 +129,11 @@
      * kept for a job that waits for it (scheduler/reservation.h) stays. And whatever
      * another could else never start with. */
     own.cpus = own.cpus > 0 ? MIN(own.cpus, free_cpus(partition, smallest)) : 0;
-    own.cpus = MAX(own.cpus, partition->quota_reservations[request->team].job
-                                 ? partition->quota_reservations[request->team].cpus
+    own.cpus = MAX(own.cpus, partition->quota.reservations[request->team].job
+                                 ? partition->quota.reservations[request->team].cpus
                                  : 0);
-    *cpus -= partition->used_cpus[request->team] + own.cpus;
-    *gpus -= partition->used_gpus[request->team] + own.gpus;
+    *cpus -= partition->quota.used_cpus[request->team] + own.cpus;
+    *gpus -= partition->quota.used_gpus[request->team] + own.gpus;
     *cpus = MAX(MIN(request->cpus, *cpus), request->least_cpus);
     *gpus = MAX(MIN(request->gpus, *gpus), request->least_gpus);
 }
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -3,7 +3,7 @@
 #ifndef LMN_SCHEDULER_QUOTA_H
 #define LMN_SCHEDULER_QUOTA_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* What a partition is short of for a team: at best, and at least for one task. */
 struct lmn_quota_request {
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -19,7 +19,7 @@
 
 static void let_go(struct lmn_machine *machine)
 {
-    machine->reserved_for = NULL;
+    machine->reservation.job = NULL;
     lmn_machine_wake(machine);
 }
 
@@ -32,7 +32,7 @@
 void lmn_reserve_quota(struct lmn_partition *partition, int team, double cpus,
                        double gpus, struct timespec now)
 {
-    struct lmn_quota_reservation *reservation = &partition->quota_reservations[team];
+    struct lmn_quota_reservation *reservation = &partition->quota.reservations[team];
 
     /* Our own that waits comes first. */
     if (!reservation->job || !lmn_time_before(now, reservation->until))
@@ -47,14 +47,14 @@
 
     for (guint i = 0; i < partition->machine_list->len; i++) {
         struct lmn_machine *machine = partition->machine_list->pdata[i];
-        if (machine->reserved_for || machine->preemption_reserved_tasks ||
-            machine->ignored_commands || !lmn_machine_can_run(machine, job) ||
+        if (machine->reservation.job || machine->reservation.preemption_tasks ||
+            machine->agent.ignored_commands || !lmn_machine_can_run(machine, job) ||
             machine->type->cpus < job->spec.cpus ||
             machine->type->gpus < job->spec.gpus ||
             machine->type->memory_gb < job->spec.memory_gb)
             continue;
         if (!best ||
-            machine->type->cpus - machine->used_cpus > best->type->cpus - best->used_cpus)
+            machine->type->cpus - machine->used.cpus > best->type->cpus - best->used.cpus)
             best = machine;
     }
     return best;
@@ -65,13 +65,13 @@
 static void bring(struct lmn_partition *partition, const struct lmn_range *r,
                   struct lmn_machine *machine)
 {
-    struct lmn_queue *from = &partition->unassigned;
+    struct lmn_queue *from = &partition->scheduling.unassigned;
     uint32_t index = 0;
     bool found = false;
 
     for (guint k = 0; k <= partition->machine_list->len && !found; k++) {
         from = k ? &((struct lmn_machine *)partition->machine_list->pdata[k - 1])->queue
-                 : &partition->unassigned;
+                 : &partition->scheduling.unassigned;
         for (guint i = 0; i < from->segments->len && !found; i++) {
             const struct lmn_queue_segment *segment = from->segments->pdata[i];
             found = segment->range == r;
@@ -102,8 +102,8 @@
 {
     for (guint i = 0; i < partition->machine_list->len; i++) {
         const struct lmn_machine *machine = partition->machine_list->pdata[i];
-        if (machine->reserved_for == job ||
-            (!machine->reserved_for && !machine->ignored_commands &&
+        if (machine->reservation.job == job ||
+            (!machine->reservation.job && !machine->agent.ignored_commands &&
              lmn_machine_can_run(machine, job) &&
              lmn_machine_task_capacity(machine, &job->spec) > 0))
             return true;
@@ -118,7 +118,7 @@
 
     if (!lmn_job_within_quota(core, partition, job)) {
         struct lmn_quota_reservation *reservation =
-            &partition->quota_reservations[job->team];
+            &partition->quota.reservations[job->team];
         /* What is more than all of the part has to come from others
          * (partition/quota_transfer.c). */
         if (!reservation->job || !lmn_time_before(now, reservation->until))
@@ -132,10 +132,10 @@
     if (!machine)
         return;
     --*kept;
-    machine->reserved_for = job;
-    machine->reserved_until = lmn_time_add(now, KEPT_S);
+    machine->reservation.job = job;
+    machine->reservation.until = lmn_time_add(now, KEPT_S);
     lmn_info("machine_reserved machine=%s job=%s free=%.1f", machine->name, job->spec.id,
-             machine->type->cpus - machine->used_cpus);
+             machine->type->cpus - machine->used.cpus);
     bring(partition, range, machine);
 }
 
@@ -146,36 +146,36 @@
     GHashTableIter it;
     gpointer v;
 
-    if (!partition->is_owned)
+    if (!partition->ownership.is_owned)
         return;
     for (guint i = 0; i < partition->machine_list->len; i++) {
         struct lmn_machine *machine = partition->machine_list->pdata[i];
         /* A job that was waiting here may have moved on, and wait elsewhere: a machine
          * was kept for it that nothing could start on. */
-        if (machine->reserved_for &&
-            (!machine->reserved_for->is_starving ||
-             !waits_here(partition, machine->reserved_for) ||
-             machine->reserved_for->phase != LMN_JOB_ACTIVE ||
-             !lmn_time_before(now, machine->reserved_until) ||
-             !lmn_machine_can_run(machine, machine->reserved_for)))
+        if (machine->reservation.job &&
+            (!machine->reservation.job->is_starving ||
+             !waits_here(partition, machine->reservation.job) ||
+             machine->reservation.job->phase != LMN_JOB_ACTIVE ||
+             !lmn_time_before(now, machine->reservation.until) ||
+             !lmn_machine_can_run(machine, machine->reservation.job)))
             let_go(machine);
-        kept -= machine->reserved_for && kept;
+        kept -= machine->reservation.job && kept;
     }
     for (size_t t = 0; t < core->settings->team_count; t++) {
-        struct lmn_quota_reservation *reservation = &partition->quota_reservations[t];
+        struct lmn_quota_reservation *reservation = &partition->quota.reservations[t];
         if (reservation->cpus + reservation->gpus > 0 &&
             (!lmn_time_before(now, reservation->until) ||
              (reservation->job && (!reservation->job->is_starving ||
                                    reservation->job->phase != LMN_JOB_ACTIVE))))
             memset(reservation, 0, sizeof *reservation);
     }
-    if (!partition->inherited_may_start || partition->is_transferring)
+    if (!partition->ownership.inherited_may_start || partition->ownership.is_transferring)
         return;
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_range *range = v;
         if (range->job->is_starving &&
-            core->wall_clock_s - range->job->accepted_at_s > WAITED_S &&
+            core->scheduling.wall_clock_s - range->job->accepted_at_s > WAITED_S &&
             range->job->phase == LMN_JOB_ACTIVE && range->task_states &&
             range->is_assigned && range->job->team >= 0 &&
             !lmn_job_is_faulty(&range->job->failures) && lmn_range_may_start(range))
--- a/src/scheduler/reservation.h
+++ b/src/scheduler/reservation.h
@@ -6,7 +6,7 @@
 #ifndef LMN_SCHEDULER_RESERVATION_H
 #define LMN_SCHEDULER_RESERVATION_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Looks at the partition's aged jobs (scheduler/fair_share.h): keeps what they lack, and
  * gives up what is not needed any more. */
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -41,12 +41,12 @@
     /* One that was told, and has not spoken yet, is dealt work too, which it starts once
      * it has: dealt to the first few that speak, everything would stand in their queues.
      */
-    bool known = machine->is_accounted ||
-                 (machine->partition->is_warm && machine->agent_incarnation);
+    bool known = machine->lifecycle.is_accounted ||
+                 (machine->partition->ownership.is_warm && machine->agent.incarnation);
 
-    return machine->type && known && machine->revision && !machine->is_draining &&
-           !machine->has_spot_notice && !machine->lease_expired &&
-           !machine->is_terminated &&
+    return machine->type && known && machine->record.revision &&
+           !machine->lifecycle.is_draining && !machine->lifecycle.has_spot_notice &&
+           !machine->agent.lease_expired && !machine->lifecycle.is_terminated &&
            lmn_job_spec_allows(&job->spec, machine->type, machine->zone,
                                machine->is_spot);
 }
@@ -59,12 +59,12 @@
 
     if (spec->cpus > 0)
         n = MIN(n,
-                floor((machine->type->cpus - machine->used_cpus) / spec->cpus + slack));
+                floor((machine->type->cpus - machine->used.cpus) / spec->cpus + slack));
     if (spec->gpus > 0)
         n = MIN(n,
-                floor((machine->type->gpus - machine->used_gpus) / spec->gpus + slack));
+                floor((machine->type->gpus - machine->used.gpus) / spec->gpus + slack));
     if (spec->memory_gb > 0)
-        n = MIN(n, floor((machine->type->memory_gb - machine->used_memory_gb) /
+        n = MIN(n, floor((machine->type->memory_gb - machine->used.memory_gb) /
                              spec->memory_gb +
                          slack));
     return n > 0 ? (uint32_t)n : 0;
@@ -80,26 +80,26 @@
     double cpus, gpus;
 
     lmn_quota_share(core, partition, job->team, &cpus, &gpus);
-    if (partition->quota_reservations[job->team].job != job) {
-        cpus -= partition->quota_reservations[job->team].cpus;
-        gpus -= partition->quota_reservations[job->team].gpus;
+    if (partition->quota.reservations[job->team].job != job) {
+        cpus -= partition->quota.reservations[job->team].cpus;
+        gpus -= partition->quota.reservations[job->team].gpus;
     }
 
     /* A machine that is not accounted for may be full of this team's tasks. As counted at
      * the last check: since then there are only fewer of them. */
-    if (!partition->is_ready && !partition->is_warm &&
+    if (!partition->ownership.is_ready && !partition->ownership.is_warm &&
         (team->cpus_max > 0 || team->gpus_max > 0)) {
-        if (partition->has_unaccounted_unknown)
+        if (partition->ownership.has_unaccounted_unknown)
             return false;
-        cpus -= partition->unaccounted_cpus;
-        gpus -= partition->unaccounted_gpus;
+        cpus -= partition->ownership.unaccounted_cpus;
+        gpus -= partition->ownership.unaccounted_gpus;
     }
 
     if (team->cpus_max > 0 &&
-        partition->used_cpus[job->team] + job->spec.cpus > cpus + 1e-6)
+        partition->quota.used_cpus[job->team] + job->spec.cpus > cpus + 1e-6)
         return false;
     return !(team->gpus_max > 0 &&
-             partition->used_gpus[job->team] + job->spec.gpus > gpus + 1e-6);
+             partition->quota.used_gpus[job->team] + job->spec.gpus > gpus + 1e-6);
 }
 
 /* Long idle work that found gaps on ordinary machines kept them rented for minutes after
@@ -114,23 +114,24 @@
 enum lmn_wait_reason lmn_machine_wait_reason(const struct lmn_machine *machine,
                                              struct timespec now)
 {
-    if (machine->partition->is_transferring)
+    if (machine->partition->ownership.is_transferring)
         return LMN_WAIT_TRANSFER;
-    if (!machine->is_accounted)
+    if (!machine->lifecycle.is_accounted)
         return LMN_WAIT_UNACCOUNTED;
-    if (!machine->revision)
+    if (!machine->record.revision)
         return LMN_WAIT_UNRECORDED;
-    if (machine->is_draining)
+    if (machine->lifecycle.is_draining)
         return LMN_WAIT_DRAINING;
-    if (machine->has_spot_notice)
+    if (machine->lifecycle.has_spot_notice)
         return LMN_WAIT_SPOT_NOTICE;
     if (!machine->type)
         return LMN_WAIT_UNKNOWN_TYPE;
     /* Nobody acknowledges starts now: they would only be taken back. */
     if (lmn_replication_is_stuck(machine->partition, now))
         return LMN_WAIT_REPLICATION;
-    return lmn_time_before(now, machine->quarantined_until) ? LMN_WAIT_QUARANTINED
-                                                            : LMN_WAIT_NONE;
+    return lmn_time_before(now, machine->failures.quarantined_until)
+               ? LMN_WAIT_QUARANTINED
+               : LMN_WAIT_NONE;
 }
 
 enum lmn_wait_reason lmn_job_wait_reason(const struct lmn_core *core,
@@ -141,10 +142,10 @@
         return LMN_WAIT_JOB_OVER;
     if (!lmn_machine_task_capacity(machine, &job->spec))
         return LMN_WAIT_CAPACITY;
-    if (machine->preemption_reserved_tasks &&
+    if (machine->reservation.preemption_tasks &&
         job->spec.priority != LMN_PRIORITY_PRODUCTION)
         return LMN_WAIT_PREEMPTION_RESERVED;
-    if (machine->reserved_for && machine->reserved_for != job)
+    if (machine->reservation.job && machine->reservation.job != job)
         return LMN_WAIT_BACKFILL_RESERVED;
     if (too_dear(core, machine, job))
         return LMN_WAIT_SPOT_ONLY;
--- a/src/scheduler/wait_reason.h
+++ b/src/scheduler/wait_reason.h
@@ -5,7 +5,7 @@
 #ifndef LMN_SCHEDULER_WAIT_REASON_H
 #define LMN_SCHEDULER_WAIT_REASON_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 enum lmn_wait_reason {
     LMN_WAIT_NONE, /* nothing is in the way */
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -14,11 +14,11 @@
 #include <string.h>
 
 void lmn_steal_request_init(struct lmn_steal_request *request,
-                            const struct lmn_settings *cfg)
+                            const struct lmn_settings *settings)
 {
     memset(request, 0, sizeof *request);
-    request->team_free_cpus = g_new0(double, cfg->team_count);
-    request->team_free_gpus = g_new0(double, cfg->team_count);
+    request->team_free_cpus = g_new0(double, settings->team_count);
+    request->team_free_gpus = g_new0(double, settings->team_count);
 }
 
 void lmn_steal_request_clear(struct lmn_steal_request *request)
@@ -35,35 +35,37 @@
 
     request->partition = partition->id;
     request->capacity_count = 0;
-    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
-        lmn_time_before(now, partition->next_steal_at))
+    if (!partition->ownership.is_owned || !partition->ownership.is_ready ||
+        partition->ownership.is_transferring ||
+        lmn_time_before(now, partition->scheduling.next_steal_at))
         return false;
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v) &&
            request->capacity_count < G_N_ELEMENTS(request->capacities)) {
         const struct lmn_machine *machine = v;
-        if (!machine->is_idle_with_capacity || machine->queue.task_count ||
-            !machine->type || !machine->revision || machine->is_draining ||
-            machine->has_spot_notice || machine->lease_expired ||
-            machine->is_terminated || machine->type->cpus - machine->used_cpus < 0.01)
+        if (!machine->stealing.is_idle_with_capacity || machine->queue.task_count ||
+            !machine->type || !machine->record.revision ||
+            machine->lifecycle.is_draining || machine->lifecycle.has_spot_notice ||
+            machine->agent.lease_expired || machine->lifecycle.is_terminated ||
+            machine->type->cpus - machine->used.cpus < 0.01)
             continue;
         struct lmn_free_capacity *capacity =
             &request->capacities[request->capacity_count++];
         g_strlcpy(capacity->type, machine->type_name, sizeof capacity->type);
         g_strlcpy(capacity->zone, machine->zone, sizeof capacity->zone);
         capacity->is_spot = machine->is_spot;
-        capacity->cpus = machine->type->cpus - machine->used_cpus;
-        capacity->gpus = machine->type->gpus - machine->used_gpus;
-        capacity->memory_gb = machine->type->memory_gb - machine->used_memory_gb;
+        capacity->cpus = machine->type->cpus - machine->used.cpus;
+        capacity->gpus = machine->type->gpus - machine->used.gpus;
+        capacity->memory_gb = machine->type->memory_gb - machine->used.memory_gb;
     }
     for (size_t i = 0; i < core->settings->team_count; i++) {
         const struct lmn_team *team = &core->settings->teams[i];
         double cpus, gpus;
         lmn_quota_share(core, partition, (int)i, &cpus, &gpus);
         request->team_free_cpus[i] =
-            team->cpus_max > 0 ? cpus - partition->used_cpus[i] : 1e12;
+            team->cpus_max > 0 ? cpus - partition->quota.used_cpus[i] : 1e12;
         request->team_free_gpus[i] =
-            team->gpus_max > 0 ? gpus - partition->used_gpus[i] : 1e12;
+            team->gpus_max > 0 ? gpus - partition->quota.used_gpus[i] : 1e12;
     }
     return request->capacity_count > 0;
 }
@@ -157,8 +159,8 @@
     gpointer v;
     uint32_t n = 0;
 
-    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
-        partition->id == request->partition)
+    if (!partition->ownership.is_owned || !partition->ownership.is_ready ||
+        partition->ownership.is_transferring || partition->id == request->partition)
         return 0;
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -189,8 +191,8 @@
     uint32_t most = 0;
     (void)now;
 
-    if (!partition->is_owned || !partition->is_ready || partition->is_transferring ||
-        partition->id == request->partition)
+    if (!partition->ownership.is_owned || !partition->ownership.is_ready ||
+        partition->ownership.is_transferring || partition->id == request->partition)
         return 0;
     g_hash_table_iter_init(&it, partition->ranges);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -209,7 +211,7 @@
     /* The share of what is queued, but no more than can start there now; and all that
      * can, where no machine of the victim's own could ever take it. */
     double share = held_here(partition, best->job) && !is_whole(best->job)
-                       ? core->operator_settings.share
+                       ? core->cache.operator_settings.share
                        : 1;
     uint32_t n = MIN(most, MAX((uint32_t)ceil(tail(best) * share), 1));
     best->move_at = best->end - n;
@@ -218,7 +220,7 @@
     best->move_revision = best->revision;
     for (uint32_t i = best->move_at; i < best->end; i++)
         best->task_states[i - best->first] = LMN_TASK_MOVING;
-    lmn_queue_remove_tail(&partition->unassigned, best, best->move_at);
+    lmn_queue_remove_tail(&partition->scheduling.unassigned, best, best->move_at);
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         lmn_queue_remove_tail(&((struct lmn_machine *)v)->queue, best, best->move_at);
@@ -233,16 +235,18 @@
                              uint32_t got, struct timespec now)
 {
     if (got) {
-        partition->steal_interval_s = 0;
+        partition->scheduling.steal_interval_s = 0;
         /* What was won has to arrive before the next look makes sense. */
-        partition->next_steal_at = lmn_time_add(now, 0.25);
+        partition->scheduling.next_steal_at = lmn_time_add(now, 0.25);
         return;
     }
-    partition->steal_interval_s =
-        partition->steal_interval_s > 0
-            ? MIN(partition->steal_interval_s * 2, core->operator_settings.poll_cap_s)
-            : MAX(core->operator_settings.poll_floor_s, 0.1);
-    partition->next_steal_at = lmn_time_add(now, partition->steal_interval_s);
+    partition->scheduling.steal_interval_s =
+        partition->scheduling.steal_interval_s > 0
+            ? MIN(partition->scheduling.steal_interval_s * 2,
+                  core->cache.operator_settings.poll_cap_s)
+            : MAX(core->cache.operator_settings.poll_floor_s, 0.1);
+    partition->scheduling.next_steal_at =
+        lmn_time_add(now, partition->scheduling.steal_interval_s);
 }
 
 void lmn_range_truncate(struct lmn_core *core, struct lmn_range *range, uint32_t hi)
@@ -251,7 +255,7 @@
     gpointer v;
     (void)core;
 
-    lmn_queue_remove_tail(&range->partition->unassigned, range, hi);
+    lmn_queue_remove_tail(&range->partition->scheduling.unassigned, range, hi);
     g_hash_table_iter_init(&it, range->partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         lmn_queue_remove_tail(&((struct lmn_machine *)v)->queue, range, hi);
@@ -272,6 +276,6 @@
     for (uint32_t i = at; i < range->end; i++)
         if (range->task_states[i - range->first] == LMN_TASK_MOVING)
             range->task_states[i - range->first] = LMN_TASK_QUEUED;
-    if (range->partition->is_ready && range->job->phase == LMN_JOB_ACTIVE)
+    if (range->partition->ownership.is_ready && range->job->phase == LMN_JOB_ACTIVE)
         lmn_assign_tasks(core, range, at, range->end, now);
 }
--- a/src/scheduler/work_stealing.h
+++ b/src/scheduler/work_stealing.h
@@ -2,7 +2,7 @@
 #ifndef LMN_SCHEDULER_WORK_STEALING_H
 #define LMN_SCHEDULER_WORK_STEALING_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 struct lmn_free_capacity {
     char type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
@@ -17,7 +17,7 @@
 };
 /* Room for the teams of these settings; lmn_steal_request_clear. */
 void lmn_steal_request_init(struct lmn_steal_request *request,
-                            const struct lmn_settings *cfg);
+                            const struct lmn_settings *settings);
 void lmn_steal_request_clear(struct lmn_steal_request *request);
 /* Idle room of a partition of ours; false if there is none, or it is not yet time. */
 bool lmn_steal_request_fill(struct lmn_core *core, struct lmn_partition *partition,
--- a/src/state/core.h
+++ b/src/state/core.h
@@ -2,11 +2,11 @@
 #ifndef LMN_CORE_H
 #define LMN_CORE_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* Without an owner's books: lmn_core_new (partition/owner.h) is what is wanted. A
  * controller never frees it. */
-struct lmn_core *lmn_core_alloc(const struct lmn_settings *cfg,
+struct lmn_core *lmn_core_alloc(const struct lmn_settings *settings,
                                 struct lmn_kv_client *state, uint32_t seed);
 /* For simulated controllers, which crash by the thousand: no thread may use it any more.
  * Its state service's client is the caller's. */
--- a/src/state/records.c
+++ b/src/state/records.c
@@ -15,19 +15,19 @@
     return buffer;
 }
 
-int lmn_job_read(const struct lmn_cbor_document *doc, const struct lmn_cbor_value *value,
-                 struct lmn_job_spec *spec, enum lmn_job_phase *phase, uint32_t *open,
-                 double *at)
+int lmn_job_read(const struct lmn_cbor_document *document,
+                 const struct lmn_cbor_value *value, struct lmn_job_spec *spec,
+                 enum lmn_job_phase *phase, uint32_t *open, double *at)
 {
     const char *what;
     uint64_t ph, op;
 
-    if (lmn_job_spec_parse(spec, doc, value, &what) != 0)
+    if (lmn_job_spec_parse(spec, document, value, &what) != 0)
         return -1;
-    if (!lmn_cbor_get_uint(lmn_cbor_get(doc, value, "phase"), &ph) ||
+    if (!lmn_cbor_get_uint(lmn_cbor_get(document, value, "phase"), &ph) ||
         ph > LMN_JOB_CANCELLED ||
-        !lmn_cbor_get_uint(lmn_cbor_get(doc, value, "open"), &op) ||
-        !lmn_cbor_get_number(lmn_cbor_get(doc, value, "at"), at))
+        !lmn_cbor_get_uint(lmn_cbor_get(document, value, "open"), &op) ||
+        !lmn_cbor_get_number(lmn_cbor_get(document, value, "at"), at))
         return -1;
     *phase = (enum lmn_job_phase)ph;
     *open = (uint32_t)op;
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -12,7 +12,7 @@
 void lmn_retention_add(struct lmn_core *core, struct lmn_job *job, struct timespec now)
 {
     job->final_at = now;
-    g_queue_push_tail(&core->final_jobs, job);
+    g_queue_push_tail(&core->cache.final_jobs, job);
 }
 
 /* The jobs that attempts and blamed machines point at. */
@@ -29,10 +29,10 @@
             for (guint k = 0; k < machine->attempts->len; k++)
                 g_hash_table_add(
                     set, g_array_index(machine->attempts, struct lmn_attempt, k).job);
-            for (guint k = 0; k < machine->failing_jobs->len; k++)
+            for (guint k = 0; k < machine->failures.jobs->len; k++)
                 g_hash_table_add(
                     set,
-                    g_array_index(machine->failing_jobs, struct lmn_failing_job, k).job);
+                    g_array_index(machine->failures.jobs, struct lmn_failing_job, k).job);
         }
     }
     return set;
@@ -40,28 +40,28 @@
 
 static void free_job(struct lmn_core *core, struct lmn_job *job)
 {
-    g_hash_table_remove(core->jobs, job->spec.id);
+    g_hash_table_remove(core->cache.jobs, job->spec.id);
     lmn_job_free(job);
 }
 
 guint lmn_retention_evict(struct lmn_core *core, struct timespec now)
 {
-    const struct lmn_job *oldest = g_queue_peek_head(&core->final_jobs);
+    const struct lmn_job *oldest = g_queue_peek_head(&core->cache.final_jobs);
     guint gone = 0;
 
-    if (core->final_jobs.length < core->max_retained_jobs + TOGETHER || !oldest ||
-        lmn_time_diff_s(now, oldest->final_at) < OLD_S)
+    if (core->cache.final_jobs.length < core->cache.max_retained_jobs + TOGETHER ||
+        !oldest || lmn_time_diff_s(now, oldest->final_at) < OLD_S)
         return 0;
     GHashTable *set = referred(core);
-    guint most = core->final_jobs.length - core->max_retained_jobs;
+    guint most = core->cache.final_jobs.length - core->cache.max_retained_jobs;
     for (guint i = 0; i < most; i++) {
-        struct lmn_job *job = g_queue_peek_head(&core->final_jobs);
+        struct lmn_job *job = g_queue_peek_head(&core->cache.final_jobs);
         if (lmn_time_diff_s(now, job->final_at) < OLD_S)
             break;
-        g_queue_pop_head(&core->final_jobs);
+        g_queue_pop_head(&core->cache.final_jobs);
         if (job->ranges->len || g_hash_table_contains(set, job)) {
             job->final_at = now; /* looked at again, with those that come now */
-            g_queue_push_tail(&core->final_jobs, job);
+            g_queue_push_tail(&core->cache.final_jobs, job);
             continue;
         }
         free_job(core, job);
@@ -69,6 +69,7 @@
     }
     g_hash_table_destroy(set);
     if (gone)
-        lmn_info("final_jobs_evicted jobs=%u kept=%u", gone, core->final_jobs.length);
+        lmn_info("final_jobs_evicted jobs=%u kept=%u", gone,
+                 core->cache.final_jobs.length);
     return gone;
 }
--- a/src/state/retention.h
+++ b/src/state/retention.h
@@ -4,7 +4,7 @@
 #ifndef LMN_RETENTION_H
 #define LMN_RETENTION_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* The job has just become final, as the mirror shows it. */
 void lmn_retention_add(struct lmn_core *core, struct lmn_job *job, struct timespec now);
--- a/src/state/task_ledger.c
+++ b/src/state/task_ledger.c
@@ -91,11 +91,11 @@
 
 void lmn_machine_leave_block(struct lmn_machine *machine)
 {
-    if (!machine->block)
+    if (!machine->record.block)
         return;
-    g_ptr_array_remove_fast(machine->block->machines, machine);
-    machine->block->bytes -= lmn_machine_record_size(machine);
-    machine->block = NULL;
+    g_ptr_array_remove_fast(machine->record.block->machines, machine);
+    machine->record.block->bytes -= lmn_machine_record_size(machine);
+    machine->record.block = NULL;
 }
 
 /* Kept, not counted anew for each candidate: looking at every machine each time would
@@ -122,30 +122,32 @@
 
 void lmn_machine_wake(struct lmn_machine *machine)
 {
-    if (!machine->is_woken)
-        g_ptr_array_add(machine->partition->woken_machines, machine);
-    machine->is_woken = true;
+    if (!machine->push.is_woken)
+        g_ptr_array_add(machine->partition->scheduling.woken_machines, machine);
+    machine->push.is_woken = true;
 }
 
 void lmn_machine_cancel_wake(struct lmn_machine *machine)
 {
-    if (machine->is_woken)
-        g_ptr_array_remove_fast(machine->partition->woken_machines, machine);
-    machine->is_woken = false;
+    if (machine->push.is_woken)
+        g_ptr_array_remove_fast(machine->partition->scheduling.woken_machines, machine);
+    machine->push.is_woken = false;
 }
 
 void lmn_machine_mark_unreplicated(struct lmn_machine *machine)
 {
     struct lmn_partition *partition = machine->partition;
 
-    if (!machine->is_unreplicated && partition->stream.phase != LMN_STREAM_NONE)
-        g_ptr_array_add(partition->unreplicated_machines, machine);
-    machine->is_unreplicated = partition->stream.phase != LMN_STREAM_NONE;
+    if (!machine->replication.is_pending &&
+        partition->replication.stream.phase != LMN_STREAM_NONE)
+        g_ptr_array_add(partition->replication.pending_machines, machine);
+    machine->replication.is_pending =
+        partition->replication.stream.phase != LMN_STREAM_NONE;
 }
 
 uint64_t lmn_machine_log_start(struct lmn_machine *machine, struct timespec now)
 {
-    struct lmn_replication_stream *stream = &machine->partition->stream;
+    struct lmn_replication_stream *stream = &machine->partition->replication.stream;
 
     lmn_machine_mark_unreplicated(machine);
     if (stream->phase < LMN_STREAM_CATCHING_UP) {
@@ -155,7 +157,7 @@
     }
     if (stream->acknowledged_position == stream->log_position)
         stream->waiting_since = now;
-    pthread_cond_signal(&machine->partition->replication_due);
+    pthread_cond_signal(&machine->partition->replication.due);
     return ++stream->log_position;
 }
 
@@ -176,7 +178,7 @@
     g_strlcpy(machine->name, name, sizeof machine->name);
     machine->partition = partition;
     machine->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt));
-    machine->failing_jobs = g_array_new(FALSE, FALSE, sizeof(struct lmn_failing_job));
+    machine->failures.jobs = g_array_new(FALSE, FALSE, sizeof(struct lmn_failing_job));
     machine->images = g_array_new(FALSE, FALSE, sizeof(struct lmn_image));
     lmn_queue_init(&machine->queue);
     g_hash_table_insert(partition->machines, machine->name, machine);
@@ -191,10 +193,11 @@
     struct lmn_machine *last = list->pdata[list->len - 1];
 
     lmn_machine_cancel_wake(machine);
-    if (machine->is_unreplicated)
-        g_ptr_array_remove_fast(machine->partition->unreplicated_machines, machine);
-    if (machine->partition->stream.phase != LMN_STREAM_NONE)
-        g_ptr_array_add(machine->partition->unreplicated_removals,
+    if (machine->replication.is_pending)
+        g_ptr_array_remove_fast(machine->partition->replication.pending_machines,
+                                machine);
+    if (machine->partition->replication.stream.phase != LMN_STREAM_NONE)
+        g_ptr_array_add(machine->partition->replication.pending_removals,
                         g_strdup(machine->name));
     if (*machine->address)
         lmn_worker_hosts_remove(machine->partition->worker_hosts, machine->address);
@@ -206,7 +209,7 @@
     lmn_queue_clear(&machine->queue);
     g_ptr_array_free(machine->queue.segments, TRUE);
     g_array_free(machine->attempts, TRUE);
-    g_array_free(machine->failing_jobs, TRUE);
+    g_array_free(machine->failures.jobs, TRUE);
     g_array_free(machine->images, TRUE);
     g_free(machine);
 }
@@ -218,13 +221,13 @@
     if (attempt->holds_capacity || !job)
         return;
     attempt->holds_capacity = true;
-    machine->used_cpus += job->spec.cpus;
-    machine->used_gpus += job->spec.gpus;
-    machine->used_memory_gb += job->spec.memory_gb;
+    machine->used.cpus += job->spec.cpus;
+    machine->used.gpus += job->spec.gpus;
+    machine->used.memory_gb += job->spec.memory_gb;
     lmn_job_add_zone_tasks(attempt->job, machine->zone, 1);
     if (job->team >= 0) {
-        machine->partition->used_cpus[job->team] += job->spec.cpus;
-        machine->partition->used_gpus[job->team] += job->spec.gpus;
+        machine->partition->quota.used_cpus[job->team] += job->spec.cpus;
+        machine->partition->quota.used_gpus[job->team] += job->spec.gpus;
     }
 }
 
@@ -235,13 +238,13 @@
     if (!attempt->holds_capacity)
         return;
     attempt->holds_capacity = false;
-    machine->used_cpus -= job->spec.cpus;
-    machine->used_gpus -= job->spec.gpus;
-    machine->used_memory_gb -= job->spec.memory_gb;
+    machine->used.cpus -= job->spec.cpus;
+    machine->used.gpus -= job->spec.gpus;
+    machine->used.memory_gb -= job->spec.memory_gb;
     lmn_job_add_zone_tasks(attempt->job, machine->zone, -1);
     if (job->team >= 0) {
-        machine->partition->used_cpus[job->team] -= job->spec.cpus;
-        machine->partition->used_gpus[job->team] -= job->spec.gpus;
+        machine->partition->quota.used_cpus[job->team] -= job->spec.cpus;
+        machine->partition->quota.used_gpus[job->team] -= job->spec.gpus;
     }
 }
 
@@ -277,19 +280,19 @@
 {
     const struct lmn_partition *partition = range->partition;
 
-    if (partition->inherited_may_start)
+    if (partition->ownership.inherited_may_start)
         return true;
     /* A predecessor sees the changes in their order: before such a range it saw that it
      * had lost the partition. That goes for tasks that look at each other's places too,
      * since such a job lies whole in one partition, and is born as a whole. */
-    return range->created_revision > partition->owned_revision;
+    return range->created_revision > partition->ownership.revision;
 }
 
 bool lmn_machine_is_silent(const struct lmn_core *core, const struct lmn_machine *machine,
                            struct timespec now)
 {
-    return machine->is_accounted && !machine->lease_expired && !machine->is_draining &&
-           !machine->is_terminated &&
-           lmn_time_diff_s(now, machine->last_heartbeat_at) >
+    return machine->lifecycle.is_accounted && !machine->agent.lease_expired &&
+           !machine->lifecycle.is_draining && !machine->lifecycle.is_terminated &&
+           lmn_time_diff_s(now, machine->agent.last_heartbeat_at) >
                MIN(0.6 * core->settings->lease_s, 1.25 * core->settings->heartbeat_s + 2);
 }
--- a/src/state/task_ledger.h
+++ b/src/state/task_ledger.h
@@ -3,7 +3,7 @@
 #ifndef LMN_STATE_TASK_LEDGER_H
 #define LMN_STATE_TASK_LEDGER_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* What a machine takes of its block's record, in bytes: the service counts them as JSON.
  */
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -20,10 +20,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-static int team_index(const struct lmn_settings *cfg, const char *team)
+static int team_index(const struct lmn_settings *settings, const char *team)
 {
-    const struct lmn_team *t = lmn_settings_team(cfg, team);
-    return t ? (int)(t - cfg->teams) : -1;
+    const struct lmn_team *t = lmn_settings_team(settings, team);
+    return t ? (int)(t - settings->teams) : -1;
 }
 
 /* Keeps what the team's active jobs ask for; by: 1 as a job comes, -1 as it ends. */
@@ -31,8 +31,8 @@
 {
     if (job->team < 0)
         return;
-    core->demanded_cpus[job->team] += by * job->spec.cpus * job->spec.tasks;
-    core->demanded_gpus[job->team] += by * job->spec.gpus * job->spec.tasks;
+    core->quota.demanded_cpus[job->team] += by * job->spec.cpus * job->spec.tasks;
+    core->quota.demanded_gpus[job->team] += by * job->spec.gpus * job->spec.tasks;
 }
 
 /* Whether the job, which has just come, fits into its team's guarantee with all before
@@ -43,20 +43,22 @@
         return false;
     const struct lmn_team *team = &core->settings->teams[job->team];
     return team->cpus + team->gpus > 0 &&
-           (job->spec.cpus <= 0 || core->demanded_cpus[job->team] <= team->cpus + 1e-6) &&
-           (job->spec.gpus <= 0 || core->demanded_gpus[job->team] <= team->gpus + 1e-6);
+           (job->spec.cpus <= 0 ||
+            core->quota.demanded_cpus[job->team] <= team->cpus + 1e-6) &&
+           (job->spec.gpus <= 0 ||
+            core->quota.demanded_gpus[job->team] <= team->gpus + 1e-6);
 }
 
 /* While everything is read: final jobs beyond those that are kept are passed over, unless
  * there are ranges of theirs. */
 static bool passed_over(struct lmn_core *core, const char *ref, enum lmn_job_phase phase)
 {
-    if (!core->is_listing || phase == LMN_JOB_ACTIVE ||
-        core->final_jobs.length < core->max_retained_jobs)
+    if (!core->cache.is_listing || phase == LMN_JOB_ACTIVE ||
+        core->cache.final_jobs.length < core->cache.max_retained_jobs)
         return false;
-    if (core->needed_job_ids)
-        return !g_hash_table_contains(core->needed_job_ids, ref);
-    core->too_many_final_jobs =
+    if (core->cache.needed_job_ids)
+        return !g_hash_table_contains(core->cache.needed_job_ids, ref);
+    core->cache.too_many_final_jobs =
         true; /* read_all begins again, and finds out first which are needed */
     return true;
 }
@@ -73,9 +75,9 @@
 
     if (!value)
         return; /* jobs are kept for ever */
-    struct lmn_job *job = g_hash_table_lookup(core->jobs, ref);
+    struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, ref);
     if (job && job->revision >= revision) {
-        job->generation = core->generation;
+        job->generation = core->cache.generation;
         return;
     }
     if (lmn_job_read(document, value, &spec, &phase, &open, &at) != 0) {
@@ -95,7 +97,7 @@
         job->image = g_intern_string(job->spec.image);
         job->class_name = g_intern_string(job->spec.class_name);
         job->team = team_index(core->settings, job->spec.team);
-        g_hash_table_insert(core->jobs, job->spec.id, job);
+        g_hash_table_insert(core->cache.jobs, job->spec.id, job);
         lmn_debug("job_added job=%s class=%s tasks=%u cpus=%.1f estimate=%.1f "
                   "deadline=%.1f image=%s",
                   ref, job->spec.class_name, job->spec.tasks, job->spec.cpus,
@@ -117,12 +119,12 @@
     job->phase = phase;
     job->open_ranges = open;
     job->revision = revision;
-    job->generation = core->generation;
+    job->generation = core->cache.generation;
 }
 
 static void remove_range(struct lmn_core *core, struct lmn_range *range)
 {
-    core->owner_ops->range_forget(core, range);
+    core->owner_ops->range_removed(core, range);
     g_hash_table_remove(range->partition->ranges, range->key);
 }
 
@@ -143,7 +145,7 @@
         return;
     }
     if (range && range->revision >= revision) {
-        range->generation = core->generation;
+        range->generation = core->cache.generation;
         return;
     }
     if (!slash || (size_t)(slash - rest) >= sizeof ref ||
@@ -151,9 +153,9 @@
         return;
     g_strlcpy(ref, rest, (gsize)(slash - rest) + 1);
     uint32_t lo = (uint32_t)strtoul(slash + 1, NULL, 10);
-    struct lmn_job *job = g_hash_table_lookup(core->jobs, ref);
-    if (!job && core->needed_job_ids)
-        core->must_relist = true; /* it became final between the two readings */
+    struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, ref);
+    if (!job && core->cache.needed_job_ids)
+        core->cache.must_relist = true; /* it became final between the two readings */
     if (!job || hi <= lo || hi > job->spec.tasks) {
         lmn_error("record_unreadable key=%s", key);
         return;
@@ -173,13 +175,13 @@
         g_ptr_array_add(job->ranges, range);
     }
     if (hi < range->end)
-        core->owner_ops->range_cut(core, range, (uint32_t)hi);
+        core->owner_ops->range_truncated(core, range, (uint32_t)hi);
     if (lmn_bitset_read(lmn_cbor_get(document, value, "done"), range->done,
                         range->end - range->first) != 0)
         lmn_error("record_unreadable key=%s", key);
     range->done_count = lmn_bitset_count(range->done, range->end - range->first);
     range->revision = revision;
-    range->generation = core->generation;
+    range->generation = core->cache.generation;
     if (range->is_writing && range->written_revision &&
         revision >= range->written_revision)
         range->is_writing = false;
@@ -187,9 +189,9 @@
      * more. */
     if (range->move_to >= 0 && range->task_states && revision > range->move_revision &&
         range->move_revision)
-        core->owner_ops->move_undo(core, range, now);
-    if (fresh && partition->is_owned)
-        core->owner_ops->range_born(core, range, now);
+        core->owner_ops->move_cancelled(core, range, now);
+    if (fresh && partition->ownership.is_owned)
+        core->owner_ops->range_created(core, range, now);
 }
 
 /* Who loses a partition has failed, unless it held the partition for another, who has it
@@ -197,11 +199,12 @@
 static void note_loss(struct lmn_core *core, const struct lmn_partition *partition,
                       const char *to, struct timespec now)
 {
-    int from =
-        *partition->owner ? lmn_member_index(&core->members, partition->owner) : -1;
+    int from = *partition->record.owner
+                   ? lmn_member_index(&core->members, partition->record.owner)
+                   : -1;
 
     /* Nor has one that gives its partitions away since it is asked to end. */
-    if (from < 0 || !strcmp(partition->owner, to) ||
+    if (from < 0 || !strcmp(partition->record.owner, to) ||
         core->members.views[from].is_shutting_down ||
         (*to &&
          lmn_member_index(&core->members, to) == partition->id % core->members.count))
@@ -217,8 +220,8 @@
     char owner[LMN_NAME_SIZE] = "";
     uint64_t lease = 0, epoch = 0, stream = 0;
 
-    partition->owner_generation = core->generation;
-    if (partition->owner_revision >= revision)
+    partition->record.owner_generation = core->cache.generation;
+    if (partition->record.owner_revision >= revision)
         return;
     if (value) {
         lmn_cbor_get_text(lmn_cbor_get(document, value, "node"), owner, sizeof owner);
@@ -226,19 +229,20 @@
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "term"), &epoch);
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "stream"), &stream);
     }
-    if (partition->is_owned)
-        core->owner_ops->partition_lose(core, partition,
+    if (partition->ownership.is_owned)
+        core->owner_ops->partition_lost(core, partition,
                                         value ? "taken" : "owner key gone");
     note_loss(core, partition, owner, now);
-    if (!value && partition->owner_revision)
-        g_strlcpy(partition->last_owner, partition->owner, sizeof partition->last_owner);
-    g_strlcpy(partition->owner, owner, sizeof partition->owner);
-    partition->owner_lease = lease;
-    partition->owner_epoch = epoch;
-    partition->owner_stream = stream;
-    partition->owner_revision = value ? revision : 0;
+    if (!value && partition->record.owner_revision)
+        g_strlcpy(partition->record.last_owner, partition->record.owner,
+                  sizeof partition->record.last_owner);
+    g_strlcpy(partition->record.owner, owner, sizeof partition->record.owner);
+    partition->record.owner_lease = lease;
+    partition->record.owner_epoch = epoch;
+    partition->record.owner_stream = stream;
+    partition->record.owner_revision = value ? revision : 0;
     if (!value)
-        partition->vacant_since = now;
+        partition->record.vacant_since = now;
     pthread_cond_broadcast(&core->ownership_changed);
 }
 
@@ -246,22 +250,23 @@
                           const struct lmn_cbor_document *document,
                           const struct lmn_cbor_value *value, uint64_t revision)
 {
-    if (partition->standby_revision >= revision)
+    if (partition->record.standby_revision >= revision)
         return;
-    partition->standby[0] = '\0';
-    partition->standby_lease = partition->standby_stream = partition->standby_epoch = 0;
-    partition->standby_revision = revision;
+    partition->record.standby[0] = '\0';
+    partition->record.standby_lease = partition->record.standby_stream =
+        partition->record.standby_epoch = 0;
+    partition->record.standby_revision = revision;
     if (value) {
-        lmn_cbor_get_text(lmn_cbor_get(document, value, "node"), partition->standby,
-                          sizeof partition->standby);
+        lmn_cbor_get_text(lmn_cbor_get(document, value, "node"),
+                          partition->record.standby, sizeof partition->record.standby);
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "lease"),
-                          &partition->standby_lease);
+                          &partition->record.standby_lease);
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "stream"),
-                          &partition->standby_stream);
+                          &partition->record.standby_stream);
         lmn_cbor_get_uint(lmn_cbor_get(document, value, "term"),
-                          &partition->standby_epoch);
+                          &partition->record.standby_epoch);
     }
-    pthread_cond_signal(&partition->replication_due);
+    pthread_cond_signal(&partition->replication.due);
     pthread_cond_broadcast(&core->ownership_changed);
 }
 
@@ -277,7 +282,7 @@
     if (member_index < 0)
         return;
     struct lmn_member_view *member = &core->members.views[member_index];
-    member->generation = core->generation;
+    member->generation = core->cache.generation;
     if (member->revision >= revision)
         return;
     member->revision = revision;
@@ -323,7 +328,7 @@
     if (member_index < 0)
         return;
     struct lmn_member_view *member = &core->members.views[member_index];
-    member->suspicion_generation = core->generation;
+    member->suspicion_generation = core->cache.generation;
     if (member->suspicion_seen_revision >= revision)
         return;
     member->suspicion_seen_revision = revision;
@@ -351,9 +356,9 @@
     char *rest;
 
     if (key[0] == 's' && key[1] == '\0') {
-        if (revision > core->operator_settings_revision) {
-            lmn_operator_settings_read(&core->operator_settings, document, value);
-            core->operator_settings_revision = revision;
+        if (revision > core->cache.operator_settings_revision) {
+            lmn_operator_settings_read(&core->cache.operator_settings, document, value);
+            core->cache.operator_settings_revision = revision;
         }
         return;
     }
@@ -364,7 +369,7 @@
         return;
     }
     if (key[0] == 'q') {
-        core->owner_ops->quota_apply(core, key, document, value, revision);
+        core->owner_ops->quota_changed(core, key, document, value, revision);
         return;
     }
     if (key[0] == 'n') {
@@ -384,14 +389,14 @@
     } else if (key[0] == 'b' && !*rest) {
         apply_standby(core, partition, document, value, revision);
     } else if (key[0] == 't' && !*rest) {
-        if (value && revision > partition->epoch_revision &&
-            lmn_cbor_get_uint(value, &partition->epoch))
-            partition->epoch_revision = revision;
+        if (value && revision > partition->record.epoch_revision &&
+            lmn_cbor_get_uint(value, &partition->record.epoch))
+            partition->record.epoch_revision = revision;
     } else if (key[0] == 'r' && *rest == '/') {
         apply_range(core, key, partition, rest + 1, document, value, revision, now);
     } else if (key[0] == 'm' && *rest == '/') {
-        core->owner_ops->block_apply(core, partition, strtoul(rest + 1, NULL, 10),
-                                     document, value, revision, now);
+        core->owner_ops->block_changed(core, partition, strtoul(rest + 1, NULL, 10),
+                                       document, value, revision, now);
     }
 }
 
@@ -405,30 +410,30 @@
 
         g_hash_table_iter_init(&it, partition->ranges);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            if (((struct lmn_range *)v)->generation != core->generation)
+            if (((struct lmn_range *)v)->generation != core->cache.generation)
                 g_ptr_array_add(drop, v);
         for (guint k = 0; k < drop->len; k++)
             remove_range(core, drop->pdata[k]);
         g_ptr_array_free(drop, TRUE);
-        core->owner_ops->block_sweep(core, partition, now);
-        if (partition->owner_generation != core->generation &&
-            partition->owner_revision) {
-            if (partition->is_owned)
-                core->owner_ops->partition_lose(core, partition, "owner key gone");
+        core->owner_ops->blocks_listed(core, partition, now);
+        if (partition->record.owner_generation != core->cache.generation &&
+            partition->record.owner_revision) {
+            if (partition->ownership.is_owned)
+                core->owner_ops->partition_lost(core, partition, "owner key gone");
             note_loss(core, partition, "", now);
-            g_strlcpy(partition->last_owner, partition->owner,
-                      sizeof partition->last_owner);
-            partition->owner[0] = '\0';
-            partition->owner_lease = partition->owner_revision = partition->owner_stream =
-                0;
-            partition->vacant_since = now;
+            g_strlcpy(partition->record.last_owner, partition->record.owner,
+                      sizeof partition->record.last_owner);
+            partition->record.owner[0] = '\0';
+            partition->record.owner_lease = partition->record.owner_revision =
+                partition->record.owner_stream = 0;
+            partition->record.vacant_since = now;
         }
     }
     for (int i = 0; i < core->members.count; i++) {
         struct lmn_member_view *member = &core->members.views[i];
-        if (member->generation != core->generation && member->is_present)
+        if (member->generation != core->cache.generation && member->is_present)
             lmn_member_apply_record(&core->members, i, 0, 0, now);
-        if (member->suspicion_generation != core->generation &&
+        if (member->suspicion_generation != core->cache.generation &&
             member->suspected_incarnation)
             lmn_member_apply_suspicion(&core->members, i, 0, 0, "",
                                        LMN_CAUSE_UNRESPONSIVE, now);
@@ -442,10 +447,10 @@
 {
     for (int i = 0; i < core->partition_count; i++) {
         struct lmn_partition *partition = &core->partitions[i];
-        if (!partition->is_owned && partition->owner_revision && core->lease &&
-            partition->owner_lease == core->lease &&
-            !strcmp(partition->owner, core->settings->node_name))
-            core->owner_ops->partition_own(core, partition, now);
+        if (!partition->ownership.is_owned && partition->record.owner_revision &&
+            core->lease.id && partition->record.owner_lease == core->lease.id &&
+            !strcmp(partition->record.owner, core->settings->node_name))
+            core->owner_ops->partition_acquired(core, partition, now);
     }
 }
 
@@ -537,7 +542,7 @@
             lmn_watch_cache_apply(core, after, &d, lmn_cbor_get(&d, node, WIRE_VALUE),
                                   version, now);
         }
-        bool crowded = core->too_many_final_jobs;
+        bool crowded = core->cache.too_many_final_jobs;
         pthread_mutex_unlock(&core->lock);
         more = more_pages(&d);
         lmn_cbor_free(&d);
@@ -552,9 +557,9 @@
                     GByteArray *buf, uint64_t *revision)
 {
     pthread_mutex_lock(&core->lock);
-    core->generation++;
-    core->is_listing = true;
-    core->too_many_final_jobs = core->must_relist = false;
+    core->cache.generation++;
+    core->cache.is_listing = true;
+    core->cache.too_many_final_jobs = core->cache.must_relist = false;
     pthread_mutex_unlock(&core->lock);
     int rc = read_keys(core, client, buf, revision);
     if (rc == 1) {
@@ -562,18 +567,18 @@
          * first. */
         GHashTable *needed = read_needed(core, client, buf);
         pthread_mutex_lock(&core->lock);
-        core->needed_job_ids = needed;
-        core->too_many_final_jobs = false;
+        core->cache.needed_job_ids = needed;
+        core->cache.too_many_final_jobs = false;
         pthread_mutex_unlock(&core->lock);
         rc = needed ? read_keys(core, client, buf, revision) : -1;
     }
     pthread_mutex_lock(&core->lock);
-    if (rc == 0 && !core->must_relist)
+    if (rc == 0 && !core->cache.must_relist)
         lmn_watch_cache_sweep(core, lmn_now());
     else
         rc = -1;
-    g_clear_pointer(&core->needed_job_ids, g_hash_table_destroy);
-    core->is_listing = false;
+    g_clear_pointer(&core->cache.needed_job_ids, g_hash_table_destroy);
+    core->cache.is_listing = false;
     pthread_mutex_unlock(&core->lock);
     return rc;
 }
@@ -633,11 +638,11 @@
     if (upto > *revision)
         *revision = upto;
     /* The answer may have been on its way for long: it proves only the time of asking. */
-    core->cache_fresh_at = sent;
+    core->cache.fresh_at = sent;
     lmn_members_record_watch(&core->members, sent);
-    if (!core->is_synced) {
-        core->is_synced = true;
-        core->synced_at = now;
+    if (!core->cache.is_synced) {
+        core->cache.is_synced = true;
+        core->cache.synced_at = now;
         pthread_cond_broadcast(&core->ownership_changed);
     }
     lmn_watch_cache_begin_ownerships(core, now);
--- a/src/state/watch_cache.h
+++ b/src/state/watch_cache.h
@@ -5,11 +5,11 @@
 #ifndef LMN_STATE_WATCH_CACHE_H
 #define LMN_STATE_WATCH_CACHE_H
 
-#include "state/model.h"
+#include "state/core_state.h"
 
 /* One change of the state service; value NULL: removed. The lock is held. */
 void lmn_watch_cache_apply(struct lmn_core *core, const char *key,
-                           const struct lmn_cbor_document *doc,
+                           const struct lmn_cbor_document *document,
                            const struct lmn_cbor_value *value, uint64_t revision,
                            struct timespec now);
 /* After a full reading: what it did not name is gone. */
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -42,11 +42,11 @@
 
     g_snprintf(name, sizeof name, "m-%d", i);
     struct lmn_machine *machine = lmn_machine_new(partition, name);
-    machine->type = &core->machine_types.v[0];
+    machine->type = &core->cloud.machine_types.v[0];
     g_strlcpy(machine->zone, i % 2 ? "a" : "b", sizeof machine->zone);
     machine->is_spot = i % 3 == 0;
-    machine->revision = 1;
-    machine->has_reported = machine->is_accounted = true;
+    machine->record.revision = 1;
+    machine->agent.has_reported = machine->lifecycle.is_accounted = true;
 }
 
 static void set_up_job(struct lmn_job *job, int i, GRand *r)
@@ -90,12 +90,13 @@
 
     set_up_settings();
     core = lmn_core_new(&settings, lmn_kv_client_new(&settings), seed);
-    core->machine_types.n = 1;
-    core->machine_types.v[0] =
+    core->cloud.machine_types.n = 1;
+    core->cloud.machine_types.v[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
     struct lmn_partition *partition = &core->partitions[0];
-    partition->is_owned = partition->is_ready = partition->inherited_may_start = true;
-    partition->owned_epoch = 1;
+    partition->ownership.is_owned = partition->ownership.is_ready =
+        partition->ownership.inherited_may_start = true;
+    partition->ownership.epoch = 1;
     for (int i = 0; i < MACHINES; i++)
         add_machine(partition, i);
     for (int i = 0; i < JOBS; i++) {
@@ -131,7 +132,7 @@
         n = 0;
         g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            ((struct lmn_machine *)v)->next_steal_at = now;
+            ((struct lmn_machine *)v)->stealing.next_at = now;
             n += lmn_schedule_machine(core, v, out, now);
         }
     } while (n);
@@ -143,8 +144,8 @@
     struct lmn_job *job = &jobs[0];
 
     fixture_begin(3);
-    core->machine_types.v[0].rate = 3;
-    core->machine_types.v[0].spot_rate = 1;
+    core->cloud.machine_types.v[0].rate = 3;
+    core->cloud.machine_types.v[0].spot_rate = 1;
     for (int i = 1; i < JOBS; i++)
         jobs[i].phase = LMN_JOB_DONE;
     job->spec.kind = LMN_JOB_BATCH;
--- a/tests/queue/fixture.h
+++ b/tests/queue/fixture.h
@@ -7,7 +7,7 @@
 #include "job/job_spec.h"
 #include "config/settings.h"
 #include "state/core.h"
-#include "state/model.h"
+#include "state/core_state.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -42,8 +42,8 @@
     if (!node->pending || node->stalled)
         return false;
     uint64_t mark = lmn_worker_client_log_position(node->core, node->pending_to, &id);
-    bool covered =
-        node_partition(n)->is_owned && lmn_replication_covers(node_partition(n), mark);
+    bool covered = node_partition(n)->ownership.is_owned &&
+                   lmn_replication_covers(node_partition(n), mark);
     if (covered || explored.without == GUARD_ACKNOWLEDGED) {
         if (!send_directly(n, node->pending_to, node->pending))
             return false;
@@ -67,9 +67,10 @@
         return false;
     for (guint k = 0; k < partition->machine_list->len; k++) {
         struct lmn_machine *machine = partition->machine_list->pdata[k];
-        if (explored.without == GUARD_RECORD && partition->is_owned && !machine->revision)
-            machine->revision = 1;
-        if (partition->is_owned && !machine->has_push_in_flight)
+        if (explored.without == GUARD_RECORD && partition->ownership.is_owned &&
+            !machine->record.revision)
+            machine->record.revision = 1;
+        if (partition->ownership.is_owned && !machine->push.is_in_flight)
             lmn_machine_wake(machine);
     }
     GByteArray *body = g_byte_array_new();
@@ -160,7 +161,7 @@
         struct lmn_machine *machine =
             g_hash_table_lookup(node_partition(n)->machines, name);
         if (machine)
-            machine->sequence = machine->heartbeat_sequence = 0;
+            machine->agent.sequence = machine->agent.heartbeat_sequence = 0;
     }
     GByteArray *answer = g_byte_array_new();
     answer_report(n, explored.late_report, answer);
--- a/tests/takeover/moves.c
+++ b/tests/takeover/moves.c
@@ -113,7 +113,7 @@
 static bool claim_again(void)
 {
     return explored.both_restart && !explored.nodes[A].stalled &&
-           !node_partition(A)->is_owned && claim(A);
+           !node_partition(A)->ownership.is_owned && claim(A);
 }
 
 static bool carry_out(enum move move)
@@ -135,7 +135,7 @@
         return report(A, move - REPORT_A_0);
     case REPORT_B_0:
     case REPORT_B_1:
-        return node_partition(B)->is_owned && report(B, move - REPORT_B_0);
+        return node_partition(B)->ownership.is_owned && report(B, move - REPORT_B_0);
     case PROBE_B:
         return probe(B);
     case SUSPECT:
@@ -217,5 +217,5 @@
         return;
     const GPtrArray *machines = node_partition(B)->machine_list;
     for (guint k = 0; k < machines->len; k++)
-        ((struct lmn_machine *)machines->pdata[k])->is_inherited = false;
+        ((struct lmn_machine *)machines->pdata[k])->lifecycle.is_inherited = false;
 }
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -54,15 +54,17 @@
 {
     struct lmn_partition *partition = &core->partitions[0];
 
-    if (explored.without == GUARD_NAMED && partition->owner_stream) {
-        partition->standby_stream = partition->owner_stream;
-        partition->standby_epoch = partition->owner_epoch - 1;
-        g_strlcpy(partition->standby, core->settings->node_name, LMN_NAME_SIZE);
+    if (explored.without == GUARD_NAMED && partition->record.owner_stream) {
+        partition->record.standby_stream = partition->record.owner_stream;
+        partition->record.standby_epoch = partition->record.owner_epoch - 1;
+        g_strlcpy(partition->record.standby, core->settings->node_name, LMN_NAME_SIZE);
     }
-    if (explored.without == GUARD_TERM && partition->replica && partition->owner_stream)
-        partition->replica->epoch = partition->standby_epoch = partition->owner_epoch - 1;
-    if (explored.without == GUARD_HELD && partition->replica)
-        g_hash_table_remove_all(partition->replica->machines);
+    if (explored.without == GUARD_TERM && partition->replication.replica &&
+        partition->record.owner_stream)
+        partition->replication.replica->epoch = partition->record.standby_epoch =
+            partition->record.owner_epoch - 1;
+    if (explored.without == GUARD_HELD && partition->replication.replica)
+        g_hash_table_remove_all(partition->replication.replica->machines);
 }
 
 void node_mirror(int n)
@@ -73,9 +75,9 @@
     while (node->seen < explored.nevents)
         apply_event(core, &explored.events[node->seen++]);
     remove_takeover_guard(core);
-    core->cache_fresh_at = explored.now;
+    core->cache.fresh_at = explored.now;
     lmn_members_record_watch(&core->members, explored.now);
-    core->is_synced = true;
+    core->cache.is_synced = true;
     lmn_watch_cache_begin_ownerships(core, explored.now);
 }
 
@@ -98,7 +100,7 @@
 {
     struct node *node = &explored.nodes[n];
 
-    node->lease = node->core->lease = ++explored.next_lease;
+    node->lease = node->core->lease.id = ++explored.next_lease;
     put_member(node->settings.node_name, node->lease);
 }
 
@@ -139,11 +141,11 @@
     set_up(&node->settings, n);
     struct lmn_core *core =
         lmn_core_new(&node->settings, lmn_kv_client_new(&node->settings), 1);
-    core->machine_types.n = 1;
-    core->machine_types.v[0] =
+    core->cloud.machine_types.n = 1;
+    core->cloud.machine_types.v[0] =
         (struct lmn_machine_type){.name = "t", .cpus = 1, .zone_count = 1};
-    core->machine_types_known = true;
-    core->booted_at = core->synced_at = long_ago;
+    core->cloud.machine_types_known = true;
+    core->booted_at = core->cache.synced_at = long_ago;
     core->members.synced_at = core->members.cache_fresh_at = long_ago;
     core->members.last_tick_at = explored.now;
     node->core = core;
@@ -198,7 +200,7 @@
     assert_int_equal(store_commit(txn, &revision), LMN_TXN_COMMITTED);
     lmn_txn_free(txn);
     node_mirror(n);
-    assert_true(node_partition(n)->is_owned);
+    assert_true(node_partition(n)->ownership.is_owned);
 }
 
 /* The first report makes a machine known, its record is written, and the next one finds
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -57,8 +57,8 @@
 
     if (node->ownership)
         return false;
-    if (explored.without == GUARD_TERM && n == B && partition->standby_stream)
-        partition->standby_epoch = partition->epoch;
+    if (explored.without == GUARD_TERM && n == B && partition->record.standby_stream)
+        partition->record.standby_epoch = partition->record.epoch;
     node->ownership = lmn_ownership_claim(node->core, 0, node->lease, explored.now);
     node->handover = false;
     return node->ownership != NULL;
@@ -71,7 +71,7 @@
     struct lmn_gossip_statement says = {A, members->views[A].incarnation, 0.1, 0, 40};
     int successor;
 
-    if (a->stalled || a->ownership || !node_partition(A)->is_owned)
+    if (a->stalled || a->ownership || !node_partition(A)->ownership.is_owned)
         return false;
     /* It hears none of its machines, and B says that they come there. */
     members->views[A].machine_count = MACHINES;
@@ -104,7 +104,7 @@
     struct lmn_txn *txn;
     bool any = false;
 
-    if (explored.nodes[n].stalled || !node_partition(n)->is_owned)
+    if (explored.nodes[n].stalled || !node_partition(n)->ownership.is_owned)
         return false;
     if (!answered && explored.had.unanswered == explored.allowed.unanswered)
         return false;
--- a/tests/takeover/replication.c
+++ b/tests/takeover/replication.c
@@ -23,11 +23,11 @@
     struct lmn_partition *partition = node_partition(n);
     enum lmn_replica_result answer = LMN_REPLICA_APPLIED;
 
-    bool taken =
-        how != BATCH_LOST && take_batch(partition->stream.standby_index, batch, &answer);
+    bool taken = how != BATCH_LOST &&
+                 take_batch(partition->replication.stream.standby_index, batch, &answer);
     if (how == BATCH_LOST)
-        partition->stream.send_failures = MANY_FAILURES;
-    digest_batch(n, partition->stream.standby_index, explored.now, batch,
+        partition->replication.stream.send_failures = MANY_FAILURES;
+    digest_batch(n, partition->replication.stream.standby_index, explored.now, batch,
                  taken && how == DELIVERED, answer);
     lmn_replication_batch_sent(explored.nodes[n].core, partition, batch,
                                taken && how == DELIVERED, answer, explored.now);
@@ -41,10 +41,10 @@
     struct lmn_txn *record = NULL;
     double wait;
 
-    if (!explored.with_standby || node->stalled || !partition->is_owned)
+    if (!explored.with_standby || node->stalled || !partition->ownership.is_owned)
         return false;
     advance(0.004); /* starts are gathered for less */
-    enum lmn_replication_phase before = partition->stream.phase;
+    enum lmn_replication_phase before = partition->replication.stream.phase;
     enum lmn_replication_step step = lmn_replication_next_step(
         node->core, partition, explored.now, &batch, &record, &wait);
     if (step == LMN_REPLICATION_WRITE) {
@@ -54,10 +54,10 @@
         return true;
     }
     if (explored.without == GUARD_STRUCK_OFF &&
-        partition->stream.phase == LMN_STREAM_REMOVING)
+        partition->replication.stream.phase == LMN_STREAM_REMOVING)
         lmn_replication_reset(node->core, partition);
     if (step != LMN_REPLICATION_SEND)
-        return partition->stream.phase != before;
+        return partition->replication.stream.phase != before;
     send_batch(n, batch, how);
     return true;
 }
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -18,22 +18,23 @@
 {
     const struct node *node = &explored.nodes[n];
     const struct lmn_partition *partition = node_partition(n);
-    const struct lmn_replication_stream *stream = &partition->stream;
+    const struct lmn_replication_stream *stream = &partition->replication.stream;
 
     g_string_append_printf(
         s, "{%d%d%d%d%d%d%d%d%d %d}", stream->phase, stream->standby_index,
         stream->batch != NULL, stream->next_batch_number > 0,
         stream->acknowledged_position<stream->log_position, stream->send_failures> 0,
-        partition->unreplicated_machines->len, node->standby_record != NULL,
+        partition->replication.pending_machines->len, node->standby_record != NULL,
         node->pending != NULL,
-        partition->standby_stream ? (int)partition->standby_epoch : 0);
-    if (!partition->replica)
+        partition->record.standby_stream ? (int)partition->record.standby_epoch : 0);
+    if (!partition->replication.replica)
         return;
-    g_string_append_printf(s, "[%d%d", (int)partition->replica->epoch,
-                           partition->replica->stream == partition->standby_stream);
+    g_string_append_printf(s, "[%d%d", (int)partition->replication.replica->epoch,
+                           partition->replication.replica->stream ==
+                               partition->record.standby_stream);
     for (int k = 0; k < MACHINES; k++) {
-        const struct lmn_machine_snapshot *snapshot =
-            g_hash_table_lookup(partition->replica->machines, explored.machines[k].name);
+        const struct lmn_machine_snapshot *snapshot = g_hash_table_lookup(
+            partition->replication.replica->machines, explored.machines[k].name);
         g_string_append_printf(s, ",%d", snapshot ? (int)snapshot->attempts->len : 9);
     }
 }
@@ -46,13 +47,14 @@
 
     g_string_append_printf(
         s, "|%d%d%d%d %d %d %d%d%d %d%d %d", node->stalled, node->ownership != NULL,
-        partition->is_owned, partition->is_ready + 2 * partition->inherited_may_start,
-        (int)partition->owned_epoch, (int)(explored.nevents - node->seen),
+        partition->ownership.is_owned,
+        partition->ownership.is_ready + 2 * partition->ownership.inherited_may_start,
+        (int)partition->ownership.epoch, (int)(explored.nevents - node->seen),
         lmn_member_is_suspected(members, A),
         members->views[A].unanswered_since.tv_sec != 0,
         lmn_member_is_declared_failed(members, A, explored.now),
-        partition->is_transferring, lmn_self_may_reply(members, explored.now),
-        (int)partition->owner_epoch);
+        partition->ownership.is_transferring, lmn_self_may_reply(members, explored.now),
+        (int)partition->record.owner_epoch);
 }
 
 static void add_tasks(GString *s, int n)
@@ -70,9 +72,10 @@
     }
     for (guint k = 0; k < partition->machine_list->len; k++) {
         const struct lmn_machine *machine = partition->machine_list->pdata[k];
-        g_string_append_printf(s, " %s%d%d%d%d", machine->name + 5, machine->is_accounted,
-                               machine->is_inherited, machine->revision != 0,
-                               machine->has_reported);
+        g_string_append_printf(
+            s, " %s%d%d%d%d", machine->name + 5, machine->lifecycle.is_accounted,
+            machine->lifecycle.is_inherited, machine->record.revision != 0,
+            machine->agent.has_reported);
         for (guint i = 0; i < machine->attempts->len; i++) {
             const struct lmn_attempt *attempt =
                 &g_array_index(machine->attempts, struct lmn_attempt, i);
--- a/tests/takeover/takeover.h
+++ b/tests/takeover/takeover.h
@@ -11,7 +11,7 @@
 #include "config/settings.h"
 #include "digest/messages.h"
 #include "state/core.h"
-#include "state/model.h"
+#include "state/core_state.h"
 #include "kv_client/kv_client.h"
 
 #include <setjmp.h>
--- a/tests/test_block.c
+++ b/tests/test_block.c
@@ -9,7 +9,7 @@
 #include "partition/maintenance.h"
 #include "state/task_ledger.h"
 #include "state/watch_cache.h"
-#include "state/model.h"
+#include "state/core_state.h"
 #include "state/records.h"
 #include "kv_client/kv_client.h"
 
@@ -44,11 +44,12 @@
     cfg.lease_s = 10;
     owner = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), seed);
     other = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), seed);
-    owner->machine_types.n = 1;
-    owner->machine_types.v[0] =
+    owner->cloud.machine_types.n = 1;
+    owner->cloud.machine_types.v[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
-    owner->partitions[0].is_owned = owner->partitions[0].is_ready = true;
-    owner->partitions[0].inherited_may_start = true;
+    owner->partitions[0].ownership.is_owned = owner->partitions[0].ownership.is_ready =
+        true;
+    owner->partitions[0].ownership.inherited_may_start = true;
     store = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     rev = 10;
     writes = 0;
@@ -63,11 +64,11 @@
         g_hash_table_lookup(owner->partitions[0].machines, name);
     if (!machine)
         machine = lmn_machine_new(&owner->partitions[0], name);
-    machine->type = &owner->machine_types.v[0];
+    machine->type = &owner->cloud.machine_types.v[0];
     g_strlcpy(machine->type_name, "x", LMN_NAME_SIZE);
     g_snprintf(machine->address, sizeof machine->address, "10.0.0.%d:9000", i % 250);
     g_strlcpy(machine->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
-    machine->has_reported = machine->is_accounted = true;
+    machine->agent.has_reported = machine->lifecycle.is_accounted = true;
     return machine;
 }
 
@@ -177,7 +178,7 @@
     g_hash_table_iter_init(&it, here);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *m = v;
-        if (!m->revision)
+        if (!m->record.revision)
             continue;
         recorded++;
         const struct lmn_machine *o = g_hash_table_lookup(there, m->name);
@@ -224,7 +225,7 @@
             GList *all = g_hash_table_get_values(owner->partitions[0].machines);
             for (GList *l = all; l; l = l->next) {
                 struct lmn_machine *m = l->data;
-                if (!m->is_terminated && g_rand_double(r) < 0.08)
+                if (!m->lifecycle.is_terminated && g_rand_double(r) < 0.08)
                     lmn_machine_terminated(owner, m, now);
             }
             g_list_free(all);
@@ -240,7 +241,8 @@
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             const struct lmn_machine *m = v;
             /* What was never recorded may linger until its block is next written. */
-            assert_true(m->is_terminated ? !m->revision : m->revision > 0);
+            assert_true(m->lifecycle.is_terminated ? !m->record.revision
+                                                   : m->record.revision > 0);
         }
         g_rand_free(r);
     }
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -49,15 +49,16 @@
     cfg.teams = teams;
     cfg.team_count = G_N_ELEMENTS(teams);
     struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->machine_types.n = 1;
-    core->machine_types.v[0] =
+    core->cloud.machine_types.n = 1;
+    core->cloud.machine_types.v[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
-    core->machine_types_known = core->is_synced = true;
-    core->lease = 77;
-    core->booted_at = core->synced_at = core->leased_at = lmn_time_add(now, -100);
+    core->cloud.machine_types_known = core->cache.is_synced = true;
+    core->lease.id = 77;
+    core->booted_at = core->cache.synced_at = core->lease.acquired_at =
+        lmn_time_add(now, -100);
     core->members.synced_at = core->members.cache_fresh_at =
         core->members.cache_fresh_since = lmn_time_add(now, -100);
-    core->cache_fresh_at = now;
+    core->cache.fresh_at = now;
     return core;
 }
 
@@ -290,7 +291,8 @@
     golden_same("range_done", b->data, b->len);
     g_byte_array_unref(b);
 
-    core->partitions[1].is_owned = core->partitions[1].is_ready = true;
+    core->partitions[1].ownership.is_owned = core->partitions[1].ownership.is_ready =
+        true;
     apply(core, "j/run-000412", "job_active", 3);
     apply(core, key, "range_done", 4);
     struct lmn_range *r = g_hash_table_lookup(core->partitions[1].ranges, key);
@@ -331,17 +333,17 @@
 
     struct lmn_core *core = make();
     struct lmn_partition *partition = &core->partitions[0];
-    partition->is_owned = partition->is_ready = true;
+    partition->ownership.is_owned = partition->ownership.is_ready = true;
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
         struct lmn_machine *machine = lmn_machine_new(partition, names[i]);
-        machine->type = &core->machine_types.v[0];
+        machine->type = &core->cloud.machine_types.v[0];
         g_strlcpy(machine->type_name, "x", LMN_NAME_SIZE);
         char addr[LMN_ADDRESS_SIZE];
         g_snprintf(addr, sizeof addr, "10.0.0.%u:9000", i + 1);
         lmn_machine_set_address(machine, addr);
         g_strlcpy(machine->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
         machine->is_spot = i == 2;
-        machine->has_reported = machine->is_accounted = true;
+        machine->agent.has_reported = machine->lifecycle.is_accounted = true;
         /* One after another: the order of a table is no part of the record. */
         lmn_machine_blocks_flush(core, partition, false, lmn_time_add(now, 10 * i));
         struct lmn_txn *txn;
@@ -376,15 +378,16 @@
     struct lmn_core *core = make();
     (void)state;
 
-    core->partitions[0].is_owned = core->partitions[0].is_ready = true;
+    core->partitions[0].ownership.is_owned = core->partitions[0].ownership.is_ready =
+        true;
     assert_true(lmn_quota_transfer_begin(core, &core->partitions[0], 0, 1, 7.25, 2));
     take_record(core, "q/ml%20train", 0, "team_parts");
     apply(core, "q/ml%20train", "team_parts", 6);
-    assert_true(core->has_quota_record[0]);
-    assert_true(core->partitions[0].quota_cpus[0] == 43);
-    assert_true(core->partitions[1].quota_cpus[0] == 57.5);
-    assert_true(core->partitions[0].quota_gpus[0] == 2);
-    assert_true(core->partitions[1].quota_gpus[0] == 6);
+    assert_true(core->quota.has_record[0]);
+    assert_true(core->partitions[0].quota.cpus[0] == 43);
+    assert_true(core->partitions[1].quota.cpus[0] == 57.5);
+    assert_true(core->partitions[0].quota.gpus[0] == 2);
+    assert_true(core->partitions[1].quota.gpus[0] == 6);
 }
 
 /* --- ownership --- */
@@ -395,32 +398,32 @@
     struct lmn_partition *partition = &core->partitions[1];
     (void)state;
 
-    partition->epoch = 41;
+    partition->record.epoch = 41;
     struct lmn_txn *txn = lmn_partition_claim(core, partition, 77);
     writes_record(txn, "o/1", 77, "owner_claim");
     writes_record(txn, "t/1", 0, "term");
     lmn_txn_free(txn);
     apply(core, "t/1", "term", 8);
     apply(core, "o/1", "owner_claim", 8);
-    assert_int_equal(partition->epoch, 42);
-    assert_string_equal(partition->owner, "na");
-    assert_int_equal(partition->owner_lease, 77);
-    assert_int_equal(partition->owner_epoch, 42);
-    assert_int_equal(partition->owner_stream, 0);
+    assert_int_equal(partition->record.epoch, 42);
+    assert_string_equal(partition->record.owner, "na");
+    assert_int_equal(partition->record.owner_lease, 77);
+    assert_int_equal(partition->record.owner_epoch, 42);
+    assert_int_equal(partition->record.owner_stream, 0);
 
     /* To a standby in step. */
-    g_strlcpy(partition->standby, "nb", LMN_NAME_SIZE);
-    partition->standby_stream = (uint64_t)42 << 20 | 3;
-    partition->standby_epoch = 42;
+    g_strlcpy(partition->record.standby, "nb", LMN_NAME_SIZE);
+    partition->record.standby_stream = (uint64_t)42 << 20 | 3;
+    partition->record.standby_epoch = 42;
     core->members.views[1].lease = 300;
     txn = lmn_partition_transfer(core, partition, 1);
     writes_record(txn, "o/1", 300, "owner_handover");
     lmn_txn_free(txn);
     apply(core, "o/1", "owner_handover", 9);
-    assert_string_equal(partition->owner, "nb");
-    assert_int_equal(partition->owner_lease, 300);
-    assert_int_equal(partition->owner_epoch, 43);
-    assert_int_equal(partition->owner_stream, (uint64_t)42 << 20 | 3);
+    assert_string_equal(partition->record.owner, "nb");
+    assert_int_equal(partition->record.owner_lease, 300);
+    assert_int_equal(partition->record.owner_epoch, 43);
+    assert_int_equal(partition->record.owner_stream, (uint64_t)42 << 20 | 3);
 }
 
 static struct lmn_txn *standby_write(struct lmn_core *core,
@@ -431,15 +434,15 @@
     struct lmn_txn *txn = NULL;
     double wait;
 
-    partition->is_owned = true;
-    partition->owned_epoch = 42;
-    partition->owned_revision = 8;
-    core->operator_settings.standby = 1;
+    partition->ownership.is_owned = true;
+    partition->ownership.epoch = 42;
+    partition->ownership.revision = 8;
+    core->cache.operator_settings.standby = 1;
     lmn_member_apply_record(&core->members, 1, 5, 300, now);
-    partition->stream.phase = phase;
-    partition->stream.standby_index = 1;
-    partition->stream.standby_lease = 300;
-    partition->stream.id = (uint64_t)42 << 20 | 3;
+    partition->replication.stream.phase = phase;
+    partition->replication.stream.standby_index = 1;
+    partition->replication.stream.standby_lease = 300;
+    partition->replication.stream.id = (uint64_t)42 << 20 | 3;
     assert_int_equal(lmn_replication_next_step(core, partition, now, &batch, &txn, &wait),
                      LMN_REPLICATION_WRITE);
     return txn;
@@ -454,20 +457,20 @@
     writes_record(txn, "b/1", 0, "standby_named");
     lmn_txn_free(txn);
     apply(core, "b/1", "standby_named", 9);
-    assert_string_equal(core->partitions[1].standby, "nb");
-    assert_int_equal(core->partitions[1].standby_lease, 300);
-    assert_int_equal(core->partitions[1].standby_stream, (uint64_t)42 << 20 | 3);
-    assert_int_equal(core->partitions[1].standby_epoch, 42);
+    assert_string_equal(core->partitions[1].record.standby, "nb");
+    assert_int_equal(core->partitions[1].record.standby_lease, 300);
+    assert_int_equal(core->partitions[1].record.standby_stream, (uint64_t)42 << 20 | 3);
+    assert_int_equal(core->partitions[1].record.standby_epoch, 42);
 
     core = make();
     txn = standby_write(core, LMN_STREAM_REMOVING);
     writes_record(txn, "b/1", 0, "standby_struck");
     lmn_txn_free(txn);
     apply(core, "b/1", "standby_struck", 10);
-    assert_string_equal(core->partitions[1].standby, "");
-    assert_int_equal(core->partitions[1].standby_lease, 0);
-    assert_int_equal(core->partitions[1].standby_stream, 0);
-    assert_int_equal(core->partitions[1].standby_epoch, 42);
+    assert_string_equal(core->partitions[1].record.standby, "");
+    assert_int_equal(core->partitions[1].record.standby_lease, 0);
+    assert_int_equal(core->partitions[1].record.standby_stream, 0);
+    assert_int_equal(core->partitions[1].record.standby_epoch, 42);
 }
 
 /* --- controllers --- */
@@ -485,7 +488,7 @@
     assert_false(core->members.views[0].is_shutting_down);
     assert_int_equal(core->members.views[0].lease, 77);
 
-    core->is_shutting_down = true;
+    core->shutdown.is_requested = true;
     txn = lmn_ownership_announce(core, 77, now);
     writes_record(txn, "n/na", 77, "controller_leaving");
     lmn_txn_free(txn);
@@ -542,16 +545,16 @@
     golden_same("settings_all_set", b->data, b->len);
     g_byte_array_unref(b);
     apply(core, "s", "settings_all_set", 4);
-    assert_true(core->operator_settings.sample == 12 &&
-                core->operator_settings.share == 0.25);
-    assert_true(core->operator_settings.poll_floor_s == 0.002 &&
-                core->operator_settings.poll_cap_s == 2.5);
-    assert_true(core->operator_settings.idle_return_s == 60 &&
-                core->operator_settings.spare_cpus == 128);
-    assert_true(core->operator_settings.horizon_s == 45);
-    assert_true(core->operator_settings.spot == 0 &&
-                core->operator_settings.standby == 0);
-    b = lmn_operator_settings_record(&core->operator_settings);
+    assert_true(core->cache.operator_settings.sample == 12 &&
+                core->cache.operator_settings.share == 0.25);
+    assert_true(core->cache.operator_settings.poll_floor_s == 0.002 &&
+                core->cache.operator_settings.poll_cap_s == 2.5);
+    assert_true(core->cache.operator_settings.idle_return_s == 60 &&
+                core->cache.operator_settings.spare_cpus == 128);
+    assert_true(core->cache.operator_settings.horizon_s == 45);
+    assert_true(core->cache.operator_settings.spot == 0 &&
+                core->cache.operator_settings.standby == 0);
+    b = lmn_operator_settings_record(&core->cache.operator_settings);
     golden_same("settings_all_set", b->data, b->len);
     g_byte_array_unref(b);
 }
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -127,22 +127,22 @@
     cfg.lease_s = 44;
     cfg.cancel_s = 64;
     struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->partitions[0].is_owned = core->partitions[0].is_ready =
-        core->partitions[0].inherited_may_start = true;
-    core->partitions[0].owned_epoch = 42;
-    core->partitions[0].owned_revision = 1;
-    core->partitions[0].owned_since = core->cache_fresh_at = now;
-    core->is_synced = true;
+    core->partitions[0].ownership.is_owned = core->partitions[0].ownership.is_ready =
+        core->partitions[0].ownership.inherited_may_start = true;
+    core->partitions[0].ownership.epoch = 42;
+    core->partitions[0].ownership.revision = 1;
+    core->partitions[0].ownership.since = core->cache.fresh_at = now;
+    core->cache.is_synced = true;
     core->members.last_tick_at = core->members.cache_fresh_at = core->members.synced_at =
         now;
-    core->machine_types.n = 1;
-    core->machine_types.v[0] = (struct lmn_machine_type){.name = "x",
-                                                         .cpus = 8,
-                                                         .gpus = 1,
-                                                         .memory_gb = 64,
-                                                         .zones = {"a"},
-                                                         .zone_count = 1};
-    core->machine_types_known = true;
+    core->cloud.machine_types.n = 1;
+    core->cloud.machine_types.v[0] = (struct lmn_machine_type){.name = "x",
+                                                               .cpus = 8,
+                                                               .gpus = 1,
+                                                               .memory_gb = 64,
+                                                               .zones = {"a"},
+                                                               .zone_count = 1};
+    core->cloud.machine_types_known = true;
     return core;
 }
 
@@ -206,7 +206,7 @@
     put(core, "j/run-000412", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1e9), 3);
     put(core, "r/0/run-000412/0", lmn_range_record(&range, &none), 3);
     struct lmn_machine *machine = core->partitions[0].machine_list->pdata[0];
-    machine->revision = 1; /* recorded */
+    machine->record.revision = 1; /* recorded */
     answers(core, report(3, 42, NULL, NULL, 0), "worker_answer_start");
     assert_int_equal(machine->attempts->len, 1);
 }
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -32,7 +32,7 @@
     assert_int_equal(list->len, g_hash_table_size(core->partitions[0].machines));
     for (guint i = 0; i < list->len; i++)
         assert_int_equal(((struct lmn_machine *)list->pdata[i])->list_index, i);
-    count_queue(&core->partitions[0].unassigned, seen);
+    count_queue(&core->partitions[0].scheduling.unassigned, seen);
     g_hash_table_iter_init(&it, core->partitions[0].machines);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const struct lmn_machine *machine = v;
@@ -46,7 +46,7 @@
             assert_true(lmn_job_spec_allows(&attempt->job->spec, machine->type,
                                             machine->zone, machine->is_spot));
         }
-        assert_true(fabs(cpus - machine->used_cpus) < 1e-6);
+        assert_true(fabs(cpus - machine->used.cpus) < 1e-6);
         assert_true(cpus <= machine->type->cpus + 1e-6);
     }
     for (int i = 0; i < JOBS; i++)
@@ -83,7 +83,7 @@
                 lmn_machine_requeue_tasks(core, machine, "test", now);
                 break;
             case 2:
-                machine->has_spot_notice = !machine->has_spot_notice;
+                machine->lifecycle.has_spot_notice = !machine->lifecycle.has_spot_notice;
                 lmn_reassign_machine_queue(core, machine, now);
                 break;
             default:
@@ -132,8 +132,8 @@
     (void)state;
     fixture_begin(3);
     struct lmn_machine *m = g_hash_table_lookup(core->partitions[0].machines, "m-0");
-    core->machine_types.v[0].pull_gb_per_s = 0.1;
-    core->machine_types.v[0].cache_gb = 10;
+    core->cloud.machine_types.v[0].pull_gb_per_s = 0.1;
+    core->cloud.machine_types.v[0].cache_gb = 10;
     for (int i = 0; i < 2; i++) {
         jobs[i].spec.priority = LMN_PRIORITY_NORMAL;
         jobs[i].spec.zone = NULL;
@@ -194,7 +194,7 @@
     for (guint m = 1; m <= 3; m++)
         lmn_job_record_failure(&job->failures, m, now, now);
     lmn_reassign_job(core, job, now);
-    assert_int_equal(core->partitions[0].unassigned.task_count, range->end);
+    assert_int_equal(core->partitions[0].scheduling.unassigned.task_count, range->end);
     start_all();
     assert_int_equal(range->started_count, 0);
     now = lmn_time_add(job->failures.backoff_until, 0.1);
--- a/tests/test_queue_floor.c
+++ b/tests/test_queue_floor.c
@@ -43,7 +43,7 @@
     lmn_assign_range(core, large->ranges->pdata[0], now);
     for (; t < 600 && !count_started(large, true) && !count_started(large, false); t++) {
         now = lmn_time_add(now, 1);
-        core->wall_clock_s = t;
+        core->scheduling.wall_clock_s = t;
         lmn_update_starvation(core, t);
         lmn_update_reservations(core, partition, now);
         for (guint k = 0; k < partition->machine_list->len; k++) {
@@ -57,10 +57,10 @@
                 lmn_attempt_uncount(machine, attempt);
                 lmn_task_finished(attempt->range, attempt->index, now);
                 g_array_remove_index_fast(machine->attempts, i);
-                machine->next_steal_at = now;
+                machine->stealing.next_at = now;
                 lmn_schedule_machine(core, machine, out, now);
             }
-            machine->next_steal_at = now;
+            machine->stealing.next_at = now;
             lmn_schedule_machine(core, machine, out, now);
         }
     }
@@ -177,14 +177,14 @@
     (void)state;
     assert_in_range(wait_among_small(false), 120, 200);
     assert_in_range(wait_among_small(true), 120, 240);
-    assert_int_equal(core->partitions[0].quota_reservations[0].job != NULL, true);
+    assert_int_equal(core->partitions[0].quota.reservations[0].job != NULL, true);
     /* And what was kept is given up once it has begun. */
     lmn_update_starvation(core, 601);
     lmn_update_reservations(core, &core->partitions[0], now);
-    assert_null(core->partitions[0].quota_reservations[0].job);
+    assert_null(core->partitions[0].quota.reservations[0].job);
     for (guint k = 0; k < core->partitions[0].machine_list->len; k++)
         assert_null(((struct lmn_machine *)core->partitions[0].machine_list->pdata[k])
-                        ->reserved_for);
+                        ->reservation.job);
 }
 
 int main(void)
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -140,12 +140,12 @@
             lmn_cbor_free(&d);
             g_byte_array_free(b, TRUE);
         }
-        struct lmn_job *j = g_hash_table_lookup(core->jobs, spec.id);
+        struct lmn_job *j = g_hash_table_lookup(core->cache.jobs, spec.id);
         assert_int_equal(j->is_within_guarantee, expected[i]);
         spec.tasks = i ? 2 : 3;
     }
     /* A guaranteed job goes before one that is more urgent. */
-    struct lmn_job *a = g_hash_table_lookup(core->jobs, "run-000002");
+    struct lmn_job *a = g_hash_table_lookup(core->cache.jobs, "run-000002");
     struct lmn_job b = *a;
     b.is_within_guarantee = false;
     b.spec.priority = LMN_PRIORITY_PRODUCTION;
--- a/tests/test_queue_preempt.c
+++ b/tests/test_queue_preempt.c
@@ -43,7 +43,7 @@
                          *low = jobs[4].ranges->pdata[0];
         struct lmn_range *peer = jobs[7].ranges->pdata[0];
         uint32_t at = 0, k = 0;
-        core->cache_fresh_at = now;
+        core->cache.fresh_at = now;
         jobs[4].spec.priority = LMN_PRIORITY_NORMAL;
         jobs[4].spec.cpus = jobs[7].spec.cpus = 2;
         jobs[3].spec.cpus = 4;
@@ -58,13 +58,13 @@
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *machine = v;
-            machine->last_heartbeat_at = now;
+            machine->agent.last_heartbeat_at = now;
             /* Of each machine's eight processors two to six belong to an equal. */
             uint32_t equals = 1 + (seed + k++) % 3;
             for (uint32_t i = 0; i < 4; i++)
                 run(machine, i < equals ? peer : low, at++);
         }
-        lmn_queue_add(&partition->unassigned, prod, 0, 1);
+        lmn_queue_add(&partition->scheduling.unassigned, prod, 0, 1);
         lmn_preempt_for_production(core, partition, now);
         guint stopped = 0;
         struct lmn_machine *where = NULL;
@@ -84,8 +84,8 @@
             fail_msg("no task is stopped on any machine");
             return;
         }
-        assert_int_equal(where->preemption_reserved_tasks, 1);
-        assert_int_equal(partition->unassigned.task_count, 0);
+        assert_int_equal(where->reservation.preemption_tasks, 1);
+        assert_int_equal(partition->scheduling.unassigned.task_count, 0);
         /* Again: it is helped already. */
         lmn_preempt_for_production(core, partition, lmn_time_add(now, 1));
         assert_int_equal(core->counters.preempted, 1);
@@ -106,7 +106,7 @@
             g_byte_array_unref(out);
         }
         assert_int_equal(prod->started_count, 1);
-        assert_int_equal(where->preemption_reserved_tasks, 0);
+        assert_int_equal(where->reservation.preemption_tasks, 0);
     }
 }
 
@@ -124,8 +124,8 @@
         gpointer v;
         uint32_t at = 0;
         guint stopped = 0;
-        core->cache_fresh_at = now;
-        core->is_synced = true;
+        core->cache.fresh_at = now;
+        core->cache.is_synced = true;
         if (hurry) {
             settings.objectives[0] = (struct lmn_objective){
                 .kind = LMN_OBJECTIVE_START, .class_name = "c", .within_s = 5};
@@ -141,10 +141,10 @@
         lmn_range_open(core, low);
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
-            ((struct lmn_machine *)v)->last_heartbeat_at = now;
+            ((struct lmn_machine *)v)->agent.last_heartbeat_at = now;
             run(v, low, at++);
         }
-        lmn_queue_add(&partition->unassigned, prod, 0, 1);
+        lmn_queue_add(&partition->scheduling.unassigned, prod, 0, 1);
         lmn_preempt_for_production(core, partition, now);
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -172,7 +172,7 @@
         GHashTableIter it;
         gpointer v;
         uint32_t at = 0;
-        core->is_synced = true;
+        core->cache.is_synced = true;
         jobs[3].spec.kind = LMN_JOB_SERVICE;
         jobs[3].spec.cpus = 2;
         jobs[3].spec.tasks = range->end = 40;
@@ -191,29 +191,30 @@
         uint32_t all = at;
         for (int step = 0; step < 40; step++) {
             then = lmn_time_add(then, 5);
-            core->cache_fresh_at = then;
+            core->cache.fresh_at = then;
             bool young = step < 6;
             guint before = 0, after = 0, stopped = 0;
             g_hash_table_iter_init(&it, partition->machines);
             while (g_hash_table_iter_next(&it, NULL, &v)) {
-                before += ((struct lmn_machine *)v)->is_draining;
-                ((struct lmn_machine *)v)->last_heartbeat_at = then;
+                before += ((struct lmn_machine *)v)->lifecycle.is_draining;
+                ((struct lmn_machine *)v)->agent.last_heartbeat_at = then;
             }
             if (step == 10)
-                lmn_queue_add(&partition->unassigned, jobs[5].ranges->pdata[0], 0, 1);
+                lmn_queue_add(&partition->scheduling.unassigned, jobs[5].ranges->pdata[0],
+                              0, 1);
             if (step == 11)
-                lmn_queue_clear(&partition->unassigned);
+                lmn_queue_clear(&partition->scheduling.unassigned);
             lmn_consolidate_replicas(core, partition, then);
             g_hash_table_iter_init(&it, partition->machines);
             while (g_hash_table_iter_next(&it, NULL, &v)) {
                 struct lmn_machine *machine = v;
-                after += machine->is_draining;
+                after += machine->lifecycle.is_draining;
                 for (guint i = machine->attempts->len; i-- > 0;) {
                     struct lmn_attempt *attempt =
                         &g_array_index(machine->attempts, struct lmn_attempt, i);
                     if (!attempt->must_stop)
                         continue;
-                    assert_true(machine->is_draining);
+                    assert_true(machine->lifecycle.is_draining);
                     uint32_t index = attempt->index;
                     stopped++;
                     lmn_attempt_uncount(machine, attempt);
@@ -244,7 +245,7 @@
         guint kept = 0;
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
-            kept += !((struct lmn_machine *)v)->is_draining;
+            kept += !((struct lmn_machine *)v)->lifecycle.is_draining;
         assert_true(kept < MACHINES);
         assert_true(8 * kept >= 2 * all);
     }
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -18,13 +18,14 @@
     double last = 0;
 
     for (int i = 0; i < 20; i++) {
-        now = m->next_steal_at.tv_sec ? lmn_time_add(m->next_steal_at, 0.01) : now;
+        now = m->stealing.next_at.tv_sec ? lmn_time_add(m->stealing.next_at, 0.01) : now;
         assert_false(lmn_steal_for_machine(core, m, now));
-        assert_true(last == 0 || m->steal_interval_s ==
-                                     fmin(last * 2, core->operator_settings.poll_cap_s));
-        last = m->steal_interval_s;
+        assert_true(last == 0 ||
+                    m->stealing.interval_s ==
+                        fmin(last * 2, core->cache.operator_settings.poll_cap_s));
+        last = m->stealing.interval_s;
     }
-    assert_true(last == core->operator_settings.poll_cap_s);
+    assert_true(last == core->cache.operator_settings.poll_cap_s);
     lmn_assign_tasks(core, jobs[2].ranges->pdata[0], 0, jobs[2].spec.tasks, now);
     struct lmn_machine *dealt = NULL;
     for (int i = 0; i < MACHINES && !dealt; i++) {
@@ -35,7 +36,7 @@
             dealt = o;
     }
     assert_non_null(dealt);
-    assert_true(dealt->steal_interval_s == 0);
+    assert_true(dealt->stealing.interval_s == 0);
 }
 
 /* Found so: the last tasks of nearly every job waited for minutes in the queue of a
@@ -51,7 +52,7 @@
     struct lmn_job *early = &jobs[0], *late = &jobs[1];
     GByteArray *out = g_byte_array_new();
 
-    core->operator_settings.sample = MACHINES;
+    core->cache.operator_settings.sample = MACHINES;
     for (int i = 0; i < 2; i++) {
         jobs[i].spec.priority = LMN_PRIORITY_NORMAL;
         jobs[i].spec.zone = NULL;
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -11,7 +11,7 @@
 #include "partition/partition.h"
 #include "partition/range.h"
 #include "state/watch_cache.h"
-#include "state/model.h"
+#include "state/core_state.h"
 #include "state/task_ledger.h"
 #include "kv_client/kv_client.h"
 
@@ -58,8 +58,8 @@
     struct lmn_partition *partition = &core[i]->partitions[i];
 
     owner_rev[i] = ++rev;
-    partition->owner_revision = owner_rev[i];
-    partition->owner_epoch++;
+    partition->record.owner_revision = owner_rev[i];
+    partition->record.owner_epoch++;
     lmn_partition_own(core[i], partition, now);
 }
 
@@ -164,7 +164,8 @@
 {
     for (int t = 0; t < (int)cfg.team_count; t++) {
         for (int i = 0; i < nparts; i++)
-            assert_true(core[i]->partitions[i].used_cpus[t] <= part_of(i, t) + 1e-6);
+            assert_true(core[i]->partitions[i].quota.used_cpus[t] <=
+                        part_of(i, t) + 1e-6);
         assert_true(sum_of_parts(t) <= LIMIT + 1e-6);
     }
 }
@@ -201,13 +202,14 @@
     lmn_partition_lose(core[i], partition, "crash");
     follow(i, events->len);
     own(i);
-    memset(partition->used_cpus, 0, cfg.team_count * sizeof *partition->used_cpus);
+    memset(partition->quota.used_cpus, 0,
+           cfg.team_count * sizeof *partition->quota.used_cpus);
 }
 
 /* Tasks start up to the part, and end. */
 static void use(GRand *r, int i, int team)
 {
-    double *used = &core[i]->partitions[i].used_cpus[team];
+    double *used = &core[i]->partitions[i].quota.used_cpus[team];
     double room = part_of(i, team) - *used;
 
     *used += room > 0 ? g_rand_double_range(r, 0, room + 1e-9) : 0;
@@ -226,7 +228,7 @@
         }
     }
     for (int i = 0; i < nparts; i++)
-        assert_int_equal(core[i]->partitions[i].quota_transfer.team, -1);
+        assert_int_equal(core[i]->partitions[i].quota.transfer.team, -1);
     for (int t = 0; t < (int)cfg.team_count; t++)
         assert_true(sum_of_parts(t) > LIMIT - 1e-6);
 }
@@ -347,16 +349,16 @@
     g_hash_table_insert(p->ranges, range->key, range);
     lmn_range_open(core[0], range);
     for (int i = 1; i < nparts; i++)
-        core[i]->partitions[i].used_cpus[0] = 8;
+        core[i]->partitions[i].quota.used_cpus[0] = 8;
     for (int turn = 0; turn < 200 && !moved; turn++) {
         now = lmn_time_add(now, 1);
         for (int i = 1; i < nparts; i++) {
             struct lmn_partition *o = &core[i]->partitions[i];
             /* One ends now and then, and another starts at once, if it may. */
-            if (o->used_cpus[0] > 0 && g_rand_boolean(r))
-                o->used_cpus[0]--;
+            if (o->quota.used_cpus[0] > 0 && g_rand_boolean(r))
+                o->quota.used_cpus[0]--;
             while (lmn_job_within_quota(core[i], o, small))
-                o->used_cpus[0]++;
+                o->quota.used_cpus[0]++;
             if (lmn_quota_shortfall(core[0], p, 0, &w))
                 lmn_quota_request_handle(core[i], o, 0, &w, now);
             write_out(NULL, i);
@@ -393,19 +395,19 @@
     g_hash_table_insert(partition->ranges, range->key, range);
     lmn_range_open(c, range);
     machine->type = &type;
-    machine->is_accounted = true;
-    machine->used_cpus = 7; /* another team's, for the most part */
-    partition->used_cpus[0] = 4;
+    machine->lifecycle.is_accounted = true;
+    machine->used.cpus = 7; /* another team's, for the most part */
+    partition->quota.used_cpus[0] = 4;
     lmn_quota_spare(c, partition, &want, &cpus, &gpus);
     assert_true(cpus == 2);
     assert_false(lmn_quota_shortfall(c, partition, 0, &own));
     /* Nor does it ask for more than it has room for; what it has room for, it keeps. */
-    partition->used_cpus[0] = 8;
+    partition->quota.used_cpus[0] = 8;
     assert_false(lmn_quota_shortfall(c, partition, 0, &own));
-    machine->used_cpus = 3;
+    machine->used.cpus = 3;
     assert_true(lmn_quota_shortfall(c, partition, 0, &own));
     assert_true(own.cpus == 5);
-    partition->used_cpus[0] = 4;
+    partition->quota.used_cpus[0] = 4;
     lmn_quota_spare(c, partition, &want, &cpus, &gpus);
     assert_true(cpus == 0);
 }
--- a/tests/test_rent.c
+++ b/tests/test_rent.c
@@ -59,9 +59,9 @@
             g_rand_int_range(r, 0, 4) ? 100.0 * g_rand_int_range(r, 1, 30) : 0;
     }
     core = lmn_core_alloc(&cfg, NULL, 1);
-    memcpy(core->machine_types.v, types, sizeof types);
-    core->machine_types.n = G_N_ELEMENTS(types);
-    core->machine_types_known = true;
+    memcpy(core->cloud.machine_types.v, types, sizeof types);
+    core->cloud.machine_types.n = G_N_ELEMENTS(types);
+    core->cloud.machine_types_known = true;
     for (int i = 0; i < njobs; i++) {
         struct lmn_job *job = &jobs[i];
         memset(job, 0, sizeof *job);
@@ -136,8 +136,8 @@
                 ordinary += rental.is_spot ? 0 : type->cpus;
             }
         }
-        double most = usable(n, core->operator_settings.horizon_s, false);
-        double most_ordinary = usable(n, core->operator_settings.horizon_s, true);
+        double most = usable(n, core->cache.operator_settings.horizon_s, false);
+        double most_ordinary = usable(n, core->cache.operator_settings.horizon_s, true);
         /* No less than what can run, and no more than that by half a machine of each
          * kind. */
         assert_true(have <= MAX(most, most_ordinary) + 2 * 32);
@@ -262,8 +262,8 @@
         jobs[0].spec.may_use_spot = false;
         jobs[0].spec.estimate_s = 300;
         jobs[0].spec.tasks = ranges[0].end = 30;
-        g_strlcpy(core->machine_types.v[0].zones[0], "a", LMN_NAME_SIZE);
-        core->machine_types.n = 1;
+        g_strlcpy(core->cloud.machine_types.v[0].zones[0], "a", LMN_NAME_SIZE);
+        core->cloud.machine_types.n = 1;
         lmn_autoscaler_init(&f);
         for (int i = 0; i < 30; i++) {
             struct lmn_cloud_machine *machine = g_new0(struct lmn_cloud_machine, 1);
@@ -295,8 +295,8 @@
         while (g_hash_table_iter_next(&it, NULL, &v))
             ((struct lmn_cloud_machine *)v)->is_booting = false;
         assert_false(lmn_autoscaler_decide(core, &f, &rental, now));
-        assert_true(lmn_autoscaler_boot_timeout_s(&f, &core->machine_types.v[0], "a", 4) >
-                    (k == 2 ? 250 : 30));
+        assert_true(lmn_autoscaler_boot_timeout_s(&f, &core->cloud.machine_types.v[0],
+                                                  "a", 4) > (k == 2 ? 250 : 30));
     }
     g_rand_free(r);
 }
--- a/tests/test_replies.c
+++ b/tests/test_replies.c
@@ -46,20 +46,20 @@
     job->phase = phase;
     job->revision = 10 + (uint64_t)kind;
     job->ranges = g_ptr_array_new();
-    g_hash_table_insert(core->jobs, job->spec.id, job);
+    g_hash_table_insert(core->cache.jobs, job->spec.id, job);
 }
 
-static struct lmn_core *core_with(const struct lmn_settings *cfg, enum view view)
+static struct lmn_core *core_with(const struct lmn_settings *settings, enum view view)
 {
-    struct lmn_core *core = lmn_core_alloc(cfg, lmn_kv_client_new(cfg), 1);
+    struct lmn_core *core = lmn_core_alloc(settings, lmn_kv_client_new(settings), 1);
 
     if (view == JUST_STARTED)
         return core;
-    core->is_synced = core->machine_types_known = true;
-    core->cache_fresh_at =
+    core->cache.is_synced = core->cloud.machine_types_known = true;
+    core->cache.fresh_at =
         view == OLD_VIEW ? lmn_time_add(now, -LMN_CACHE_STALLED_S - 1) : now;
-    core->machine_types.n = 1;
-    core->machine_types.v[0] = (struct lmn_machine_type){
+    core->cloud.machine_types.n = 1;
+    core->cloud.machine_types.v[0] = (struct lmn_machine_type){
         .name = "small", .cpus = 4, .memory_gb = 16, .zone_count = 1, .zones = {"a"}};
     know(core, ACTIVE, LMN_JOB_ACTIVE);
     know(core, DONE, LMN_JOB_DONE);
@@ -237,7 +237,7 @@
         assert_false(r.shows_job);
     }
     /* What the mirror has learnt since is told, by its revision. */
-    struct lmn_job *job = g_hash_table_lookup(core->jobs, refs[ACTIVE]);
+    struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, refs[ACTIVE]);
     assert_int_equal(lmn_job_reply_confirmed(core, &v, 404).phase, LMN_JOB_ACTIVE);
     job->phase = LMN_JOB_DONE;
     job->revision++;
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -77,13 +77,13 @@
 {
     char ref[LMN_JOB_ID_SIZE];
     g_snprintf(ref, sizeof ref, "run-%06d", n);
-    return g_hash_table_contains(core->jobs, ref);
+    return g_hash_table_contains(core->cache.jobs, ref);
 }
 
 static struct lmn_core *core(void)
 {
     struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->max_retained_jobs = KEPT;
+    core->cache.max_retained_jobs = KEPT;
     rev = 0;
     return core;
 }
@@ -101,14 +101,14 @@
             job(c, n, n % 2 ? LMN_JOB_CANCELLED : LMN_JOB_DONE);
     }
     struct lmn_machine *machine = lmn_machine_new(&c->partitions[0], "host-000000");
-    struct lmn_attempt a = {.job = g_hash_table_lookup(c->jobs, "run-000001")};
+    struct lmn_attempt a = {.job = g_hash_table_lookup(c->cache.jobs, "run-000001")};
     g_array_append_val(machine->attempts, a);
     /* Nobody goes who was final only just now: whatever still runs of it counts for its
      * team. */
     assert_int_equal(lmn_retention_evict(c, now), 0);
     now.tv_sec += 700;
     assert_true(lmn_retention_evict(c, now) > JOBS - 2 * KEPT - 200);
-    assert_true(c->final_jobs.length <= KEPT + 200);
+    assert_true(c->cache.final_jobs.length <= KEPT + 200);
     assert_false(known(c, 0));
     assert_true(known(c, 1));   /* an attempt points at it */
     assert_true(known(c, 3));   /* it is active */
@@ -117,7 +117,7 @@
     /* What goes on in the mirror goes on. */
     job(c, 3, LMN_JOB_DONE);
     assert_int_equal(
-        ((struct lmn_job *)g_hash_table_lookup(c->jobs, "run-000003"))->phase,
+        ((struct lmn_job *)g_hash_table_lookup(c->cache.jobs, "run-000003"))->phase,
         LMN_JOB_DONE);
 }
 
@@ -126,27 +126,28 @@
     struct lmn_core *c = core();
     (void)state;
 
-    c->is_listing = true;
-    for (int n = 0; n < JOBS && !c->too_many_final_jobs; n++)
+    c->cache.is_listing = true;
+    for (int n = 0; n < JOBS && !c->cache.too_many_final_jobs; n++)
         job(c, n, LMN_JOB_CANCELLED);
     assert_true(
-        c->too_many_final_jobs); /* the ranges are listed first, and it begins anew */
-    assert_int_equal(c->final_jobs.length, KEPT);
-    c->too_many_final_jobs = false;
-    c->needed_job_ids = g_hash_table_new(g_str_hash, g_str_equal);
-    g_hash_table_add(c->needed_job_ids, (gpointer) "run-005000");
+        c->cache
+            .too_many_final_jobs); /* the ranges are listed first, and it begins anew */
+    assert_int_equal(c->cache.final_jobs.length, KEPT);
+    c->cache.too_many_final_jobs = false;
+    c->cache.needed_job_ids = g_hash_table_new(g_str_hash, g_str_equal);
+    g_hash_table_add(c->cache.needed_job_ids, (gpointer) "run-005000");
     for (int n = 0; n < JOBS; n++)
         job(c, n, n == 5500 ? LMN_JOB_ACTIVE : LMN_JOB_CANCELLED);
     assert_true(known(c, 5000));
     assert_true(known(c, 5500));
     assert_false(known(c, 5501));
-    assert_int_equal(g_hash_table_size(c->jobs), KEPT + 2);
+    assert_int_equal(g_hash_table_size(c->cache.jobs), KEPT + 2);
     range(c, 5000);
-    assert_false(c->must_relist);
+    assert_false(c->cache.must_relist);
     range(c, 5501); /* it became final between the two listings: all is read once more */
-    assert_true(c->must_relist);
-    g_hash_table_destroy(c->needed_job_ids);
-    c->needed_job_ids = NULL;
+    assert_true(c->cache.must_relist);
+    g_hash_table_destroy(c->cache.needed_job_ids);
+    c->cache.needed_job_ids = NULL;
 }
 
 int main(void)
--- a/tests/test_scenarios_leaders.c
+++ b/tests/test_scenarios_leaders.c
@@ -41,8 +41,8 @@
         int owners = 0;
         for (int i = 0; i < w.layout.nodes; i++) {
             const struct lmn_core *core = w.nodes[i].core;
-            owners += core && core->partitions[part].is_owned &&
-                      core->partitions[part].is_ready;
+            owners += core && core->partitions[part].ownership.is_owned &&
+                      core->partitions[part].ownership.is_ready;
         }
         if (owners != 1)
             return false;
--- a/tests/test_scenarios_limits.c
+++ b/tests/test_scenarios_limits.c
@@ -148,16 +148,16 @@
     int owner = -1;
 
     for (int i = 0; i < w.layout.nodes; i++)
-        if (w.nodes[i].core && w.nodes[i].core->partitions[part].is_owned &&
-            (owner < 0 || w.nodes[i].core->partitions[part].owned_epoch >
-                              w.nodes[owner].core->partitions[part].owned_epoch))
+        if (w.nodes[i].core && w.nodes[i].core->partitions[part].ownership.is_owned &&
+            (owner < 0 || w.nodes[i].core->partitions[part].ownership.epoch >
+                              w.nodes[owner].core->partitions[part].ownership.epoch))
             owner = i;
     if (owner < 0)
         return;
     const struct lmn_partition *partition = &w.nodes[owner].core->partitions[part];
-    enum lmn_replication_phase phase = partition->stream.phase;
+    enum lmn_replication_phase phase = partition->replication.stream.phase;
     int other = phase == LMN_STREAM_NONE ? (owner + 1) % w.layout.nodes
-                                         : partition->stream.standby_index;
+                                         : partition->replication.stream.standby_index;
     if (seen[part].owner != owner) {
         if (seen[part].owner >= 0)
             cancel_during(CLAIMED, seen[part].owner, owner);
@@ -171,14 +171,14 @@
             cancel_during(STRIKING, owner, other);
         seen[part].phase = phase;
     }
-    uint64_t batches = partition->stream.counters.batches;
+    uint64_t batches = partition->replication.stream.counters.batches;
     if (batches != seen[part].batches && phase != LMN_STREAM_JOINING &&
         world_chance(0.02))
         cancel_during(COPIED, owner, other);
     seen[part].batches = batches;
-    if (partition->is_transferring && !seen[part].releasing)
+    if (partition->ownership.is_transferring && !seen[part].releasing)
         cancel_during(HANDING, owner, other);
-    seen[part].releasing = partition->is_transferring;
+    seen[part].releasing = partition->ownership.is_transferring;
 }
 
 /* Partitions change hands in every way, while machines don't hear and writes are late. */
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -42,10 +42,10 @@
     cfg.teams[0].cpus_max = 4;
     cfg.team_count = 1;
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->machine_types.n = 1;
-    core->machine_types.v[0] =
+    core->cloud.machine_types.n = 1;
+    core->cloud.machine_types.v[0] =
         (struct lmn_machine_type){.name = "t", .cpus = 8, .zone_count = 1};
-    core->machine_types_known = true;
+    core->cloud.machine_types_known = true;
     return 0;
 }
 
@@ -123,7 +123,7 @@
                 assert_int_equal(give(1, stream - 1, 0, NULL),
                                  LMN_REPLICA_UNKNOWN_STREAM);
         }
-        const struct lmn_replica *copy = core->partitions[0].replica;
+        const struct lmn_replica *copy = core->partitions[0].replication.replica;
         assert_int_equal(copy->stream, stream);
         assert_int_equal(copy->number + 1, next);
         for (int i = 0; i < 4; i++) {
@@ -196,9 +196,9 @@
     put("o/0", owner("nb", 2, 1, 0), 12);
     put("b/0", owner("na", 1, 1, copied), 13);
     put("o/0", owner("na", 1, 2, claimed), 14);
-    core->lease = 1;
+    core->lease.id = 1;
     lmn_watch_cache_begin_ownerships(core, now);
-    assert_true(core->partitions[0].is_owned);
+    assert_true(core->partitions[0].ownership.is_owned);
 }
 
 static struct lmn_range *range(void)
@@ -221,7 +221,7 @@
     gone->is_terminated = true;
     give(1, 7, 4, gone);
     begin(7, 7);
-    assert_true(partition->is_warm && !partition->is_ready);
+    assert_true(partition->ownership.is_warm && !partition->ownership.is_ready);
     assert_int_equal(range()->task_states[0], LMN_TASK_STARTED);
     assert_int_equal(range()->task_states[1], LMN_TASK_QUEUED);
     assert_int_equal(range()->task_states[2], LMN_TASK_QUEUED);
@@ -232,10 +232,10 @@
     machine = g_hash_table_lookup(partition->machines, "host-0");
     assert_int_equal(machine->attempts->len, 0);
     machine = g_hash_table_lookup(partition->machines, "host-3");
-    assert_true(machine->is_terminated && machine->is_accounted);
+    assert_true(machine->lifecycle.is_terminated && machine->lifecycle.is_accounted);
     /* The one that is held, and the one on host-2 that has to go. */
-    assert_true(partition->used_cpus[0] == 4);
-    assert_null(partition->replica);
+    assert_true(partition->quota.used_cpus[0] == 4);
+    assert_null(partition->replication.replica);
 }
 
 static void each_check_before_the_first_decision(void **state)
@@ -245,32 +245,32 @@
 
     /* Whole: NULL. Then each thing that may be otherwise, by itself. */
     give(1, 7, 0, NULL);
-    partition->owner_stream = partition->standby_stream = 7;
-    partition->standby_epoch = 1;
-    partition->owner_epoch = 2;
-    g_strlcpy(partition->standby, "na", LMN_NAME_SIZE);
+    partition->record.owner_stream = partition->record.standby_stream = 7;
+    partition->record.standby_epoch = 1;
+    partition->record.owner_epoch = 2;
+    g_strlcpy(partition->record.standby, "na", LMN_NAME_SIZE);
     assert_null(lmn_failover_cold_reason(core, partition));
-    partition->owner_stream = 0;
+    partition->record.owner_stream = 0;
     assert_string_equal(lmn_failover_cold_reason(core, partition), "nobody was in step");
-    partition->owner_stream = 6;
+    partition->record.owner_stream = 6;
     assert_string_equal(lmn_failover_cold_reason(core, partition), "another was in step");
-    partition->owner_stream = 7;
-    g_strlcpy(partition->standby, "nb", LMN_NAME_SIZE);
+    partition->record.owner_stream = 7;
+    g_strlcpy(partition->record.standby, "nb", LMN_NAME_SIZE);
     assert_string_equal(lmn_failover_cold_reason(core, partition), "another was in step");
-    g_strlcpy(partition->standby, "na", LMN_NAME_SIZE);
-    partition->owner_epoch = 3;
+    g_strlcpy(partition->record.standby, "na", LMN_NAME_SIZE);
+    partition->record.owner_epoch = 3;
     assert_string_equal(lmn_failover_cold_reason(core, partition),
                         "the copy is of another term");
-    partition->owner_epoch = 2;
-    partition->replica->stream = 8;
+    partition->record.owner_epoch = 2;
+    partition->replication.replica->stream = 8;
     assert_string_equal(lmn_failover_cold_reason(core, partition),
                         "the copy is of another stream");
-    partition->replica->stream = 7;
-    struct lmn_replica *copy = partition->replica;
-    partition->replica = NULL;
+    partition->replication.replica->stream = 7;
+    struct lmn_replica *copy = partition->replication.replica;
+    partition->replication.replica = NULL;
     assert_string_equal(lmn_failover_cold_reason(core, partition),
                         "no copy: another life was in step");
-    partition->replica = copy;
+    partition->replication.replica = copy;
 }
 
 /* A batch of an owner that the mirror shows replaced, or of a partition of ours. */
@@ -278,12 +278,12 @@
 {
     (void)state;
     give(1, 7, 0, NULL);
-    core->partitions[0].epoch = 2;
+    core->partitions[0].record.epoch = 2;
     assert_int_equal(give(1, 7, 1, NULL), LMN_REPLICA_REJECTED);
     assert_int_equal(give(2, 8, 0, NULL), LMN_REPLICA_APPLIED);
-    core->partitions[0].is_owned = true;
+    core->partitions[0].ownership.is_owned = true;
     assert_int_equal(give(2, 8, 1, NULL), LMN_REPLICA_REJECTED);
-    core->partitions[0].is_owned = false;
+    core->partitions[0].ownership.is_owned = false;
     assert_int_equal(give(9, 9, 0, NULL), LMN_REPLICA_APPLIED);
 }
 
@@ -292,7 +292,7 @@
 static void silence_stops_starts_until_the_record_is_empty(void **state)
 {
     struct lmn_partition *partition = &core->partitions[0];
-    struct lmn_replication_stream *stream = &partition->stream;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
     struct lmn_replication_batch *batch = NULL;
     struct lmn_txn *txn = NULL;
     double wait;
@@ -300,9 +300,10 @@
 
     begin(0, 0);
     for (guint k = 0; k < partition->machine_list->len; k++)
-        ((struct lmn_machine *)partition->machine_list->pdata[k])->is_accounted = true;
+        ((struct lmn_machine *)partition->machine_list->pdata[k])
+            ->lifecycle.is_accounted = true;
     lmn_partition_check_ready(core, partition, now);
-    assert_true(partition->is_ready);
+    assert_true(partition->ownership.is_ready);
     int nb = lmn_member_index(&core->members, "nb");
     struct lmn_member_health well = {0, 0, 0};
     lmn_member_apply_record(&core->members, nb, 3, 2, now);
@@ -331,7 +332,7 @@
     assert_int_equal(stream->phase, LMN_STREAM_IN_SYNC);
     /* Found in a status: what was told before anything waited counted as waiting, from
      * the beginning of time on. */
-    assert_true(core->replication_latency.max < 1);
+    assert_true(core->latencies.replication.max < 1);
     /* In an outage of the state service its mirror stands still, as everybody's does. */
     struct lmn_member_health old = {0, 30, 0};
     lmn_member_record_probe_reply(&core->members, nb, &old, now, now);
--- a/tests/test_successor.c
+++ b/tests/test_successor.c
@@ -26,29 +26,30 @@
 }
 
 /* A node's view of n members that are all up, each with its partition. */
-static struct lmn_core *view(struct lmn_settings *cfg, int n, int me, const bool *gone,
-                             const bool *leaving)
+static struct lmn_core *view(struct lmn_settings *settings, int n, int me,
+                             const bool *gone, const bool *leaving)
 {
     char key[32];
 
-    memset(cfg, 0, sizeof *cfg);
-    g_snprintf(cfg->node_name, LMN_NAME_SIZE, "n%02d", me);
+    memset(settings, 0, sizeof *settings);
+    g_snprintf(settings->node_name, LMN_NAME_SIZE, "n%02d", me);
     for (int k = 0; k < n; k++)
         if (k != me)
-            g_snprintf(cfg->members[cfg->member_count++].name, LMN_NAME_SIZE, "n%02d", k);
-    cfg->partition_count = n;
-    cfg->heartbeat_s = 1;
-    cfg->lease_s = 8;
-    cfg->cancel_s = 30;
-    cfg->state_requests_per_s = cfg->state_writes_per_s = 1e6;
-    cfg->max_value_kb = 16;
-    cfg->max_txn_operations = 12;
-    struct lmn_core *core = lmn_core_new(cfg, lmn_kv_client_new(cfg), 1);
+            g_snprintf(settings->members[settings->member_count++].name, LMN_NAME_SIZE,
+                       "n%02d", k);
+    settings->partition_count = n;
+    settings->heartbeat_s = 1;
+    settings->lease_s = 8;
+    settings->cancel_s = 30;
+    settings->state_requests_per_s = settings->state_writes_per_s = 1e6;
+    settings->max_value_kb = 16;
+    settings->max_txn_operations = 12;
+    struct lmn_core *core = lmn_core_new(settings, lmn_kv_client_new(settings), 1);
     lmn_members_record_watch(&core->members, now);
     lmn_members_tick(&core->members, 0, now);
     core->members.synced_at = lmn_time_add(now, -100);
-    core->is_synced = true;
-    core->cache_fresh_at = now;
+    core->cache.is_synced = true;
+    core->cache.fresh_at = now;
     for (int k = 0; k < n; k++) {
         struct lmn_member_health well = {0, 0, 0};
         if (gone[k])
@@ -175,9 +176,9 @@
     struct lmn_partition *partition = &core->partitions[0];
     (void)state;
 
-    core->lease = 100;
+    core->lease.id = 100;
     lmn_watch_cache_begin_ownerships(core, now);
-    assert_true(partition->is_owned);
+    assert_true(partition->ownership.is_owned);
     lmn_shutdown_begin(core, now);
     assert_false(lmn_shutdown_owns_nothing(core) || lmn_shutdown_is_complete(core, now));
     /* Nobody is in step: for 2 s it waits for somebody. */
@@ -185,17 +186,17 @@
     assert_int_equal(
         lmn_shutdown_transfer_target(core, partition, lmn_time_add(now, 2.1)), 1);
     assert_true(lmn_shutdown_cancel(core));
-    assert_false(core->is_shutting_down);
+    assert_false(core->shutdown.is_requested);
     lmn_shutdown_begin(core, now);
-    core->owner_ops->partition_lose(core, partition, "given");
-    partition->owner[0] = '\0';
-    partition->owner_revision = 0;
+    core->owner_ops->partition_lost(core, partition, "given");
+    partition->record.owner[0] = '\0';
+    partition->record.owner_revision = 0;
     assert_true(lmn_shutdown_owns_nothing(core));
-    core->has_released_lease = true;
+    core->shutdown.has_released_lease = true;
     assert_false(lmn_shutdown_cancel(core));
     assert_false(lmn_shutdown_is_complete(core, lmn_time_add(now, 5.9)));
     assert_true(lmn_shutdown_is_complete(core, lmn_time_add(now, 6.1)));
-    core->has_released_lease = false;
+    core->shutdown.has_released_lease = false;
     assert_false(lmn_shutdown_is_complete(core, lmn_time_add(now, 9.9)));
     assert_true(lmn_shutdown_is_complete(core, lmn_time_add(now, 10.1)));
     drop(core);
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -51,13 +51,13 @@
     now = (struct timespec){1000, 0};
     rev = 0;
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->machine_types.n = 1;
-    core->machine_types.v[0] =
+    core->cloud.machine_types.n = 1;
+    core->cloud.machine_types.v[0] =
         (struct lmn_machine_type){.name = "t", .cpus = 8, .zone_count = 1};
-    core->machine_types_known = true;
-    core->is_synced = true;
-    core->cache_fresh_at = now;
-    core->lease = 1;
+    core->cloud.machine_types_known = true;
+    core->cache.is_synced = true;
+    core->cache.fresh_at = now;
+    core->lease.id = 1;
     part = &core->partitions[0];
     assert_int_equal(lmn_member_index(&core->members, "na"), HOLDER);
     assert_int_equal(lmn_member_index(&core->members, "nb"), ME);
@@ -153,7 +153,7 @@
     put("j/run-000001", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000));
     put("r/0/run-000001/0", lmn_range_record(&r, &done));
     claimed("nb", 1, epoch);
-    assert_true(part->is_owned && !part->is_warm);
+    assert_true(part->ownership.is_owned && !part->ownership.is_warm);
 }
 
 /* All machines have spoken: starts are known from now on. */
@@ -161,13 +161,13 @@
 {
     for (int i = 0; i < MACHINES; i++) {
         struct lmn_machine *m = machine(i);
-        m->has_reported = m->is_accounted = true;
-        m->last_heartbeat_at = now;
-        m->agent_incarnation = 7;
-        m->type = &core->machine_types.v[0];
+        m->agent.has_reported = m->lifecycle.is_accounted = true;
+        m->agent.last_heartbeat_at = now;
+        m->agent.incarnation = 7;
+        m->type = &core->cloud.machine_types.v[0];
     }
     lmn_partition_check_ready(core, part, now);
-    assert_true(part->is_ready);
+    assert_true(part->ownership.is_ready);
 }
 
 static struct lmn_attempt *start(struct lmn_machine *machine, uint32_t index,
@@ -176,7 +176,7 @@
     struct lmn_attempt a = {.index = index, .number = number, .started_at = now};
 
     g_strlcpy(a.job_id, "run-000001", sizeof a.job_id);
-    a.job = g_hash_table_lookup(core->jobs, a.job_id);
+    a.job = g_hash_table_lookup(core->cache.jobs, a.job_id);
     a.range = g_hash_table_lookup(part->ranges, "r/0/run-000001/0");
     a.range->task_states[index] = LMN_TASK_STARTED;
     a.range->started_count++;
@@ -198,10 +198,10 @@
     struct lmn_attempt *attempt = start(machine(2), 4, 104); /* ended, not recorded yet */
     attempt->state = LMN_ATTEMPT_ENDED;
     attempt->is_done = true;
-    machine(1)->has_push_in_flight = true;
-    machine(3)->is_terminated = true;
+    machine(1)->push.is_in_flight = true;
+    machine(3)->lifecycle.is_terminated = true;
     put("o/0", NULL);
-    assert_false(part->is_owned);
+    assert_false(part->ownership.is_owned);
 }
 
 static void its_own_state_is_a_whole_copy(void **state)
@@ -210,25 +210,25 @@
     lose_with_attempts();
     assert_true(lmn_replica_own_is_latest(part));
     assert_int_equal(machine(0)->attempts->len, 0);
-    core->lease = 2;
+    core->lease.id = 2;
     claimed("nb", 2, 5);
-    assert_true(part->is_owned && part->is_warm && part->inherited_may_start &&
-                !part->is_ready);
+    assert_true(part->ownership.is_owned && part->ownership.is_warm &&
+                part->ownership.inherited_may_start && !part->ownership.is_ready);
     assert_int_equal(core->counters.warm_failovers, 1);
-    assert_null(part->replica);
+    assert_null(part->replication.replica);
     for (int i = 0; i < TASKS; i++)
         assert_int_equal(range()->task_states[i],
                          i < 5 ? LMN_TASK_STARTED : LMN_TASK_QUEUED);
     for (int i = 0; i < 3; i++) {
-        assert_int_equal(machine(i)->agent_incarnation, 7);
-        assert_false(machine(i)->is_accounted);
+        assert_int_equal(machine(i)->agent.incarnation, 7);
+        assert_false(machine(i)->lifecycle.is_accounted);
         for (guint k = 0; k < machine(i)->attempts->len; k++)
             assert_true(
                 g_array_index(machine(i)->attempts, struct lmn_attempt, k).from_replica);
     }
-    assert_true(machine(3)->is_terminated);
+    assert_true(machine(3)->lifecycle.is_terminated);
     /* The team's limit counts each of them. */
-    assert_true(part->used_cpus[0] == 10);
+    assert_true(part->quota.used_cpus[0] == 10);
 }
 
 static GByteArray *report(const struct lmn_machine *machine, uint64_t session,
@@ -258,7 +258,7 @@
     (void)state;
 
     lose_with_attempts();
-    core->lease = 2;
+    core->lease.id = 2;
     claimed("nb", 2, 5);
     GByteArray *out = g_byte_array_new(), *answer = report(machine(1), 7, 4);
     g_strlcpy(held.machine, machine(1)->name, sizeof held.machine);
@@ -268,7 +268,7 @@
     lmn_worker_client_probe_done(core, machine(1)->name, 4, 200, answer, now);
     assert_int_equal(machine(0)->attempts->len, 2);
     assert_int_equal(machine(1)->attempts->len, 2);
-    assert_false(machine(1)->is_accounted);
+    assert_false(machine(1)->lifecycle.is_accounted);
     g_byte_array_unref(out);
     g_byte_array_unref(answer);
 }
@@ -282,24 +282,24 @@
     (void)state;
 
     lose_with_attempts();
-    core->lease = 2;
+    core->lease.id = 2;
     claimed("nb", 2, 5);
     struct lmn_machine *m = machine(1);
     GByteArray *refusal = report(m, 8, 4), *answer = report(m, 8, 5);
     lmn_worker_client_probe_done(core, m->name, 5, 409, refusal, now);
-    assert_int_equal(m->agent_incarnation, 8);
+    assert_int_equal(m->agent.incarnation, 8);
     assert_int_equal(m->attempts->len, 2);
-    assert_false(m->is_accounted);
+    assert_false(m->lifecycle.is_accounted);
     bool asked = false;
     while (lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, now))
         asked = asked || !strcmp(name, m->name);
     assert_true(asked);
     /* Refused in that session too: not at once, but by asking for it. */
     lmn_worker_client_probe_done(core, m->name, 5, 409, refusal, now);
-    assert_int_equal(m->agent_incarnation, 0);
-    assert_true(lmn_time_before(now, m->next_probe_at));
+    assert_int_equal(m->agent.incarnation, 0);
+    assert_true(lmn_time_before(now, m->agent.next_probe_at));
     lmn_worker_client_probe_done(core, m->name, 5, 200, answer, now);
-    assert_true(m->is_accounted);
+    assert_true(m->lifecycle.is_accounted);
     assert_int_equal(m->attempts->len, 0);
     g_byte_array_unref(refusal);
     g_byte_array_unref(answer);
@@ -334,12 +334,12 @@
 {
     (void)state;
     lose_with_attempts();
-    core->lease = 2;
+    core->lease.id = 2;
     claimed("nb", 2, 5);
     put("o/0", NULL);
-    core->lease = 3;
+    core->lease.id = 3;
     claimed("nb", 3, 6);
-    assert_true(part->is_warm);
+    assert_true(part->ownership.is_warm);
     assert_int_equal(range()->started_count, 5);
 }
 
@@ -350,9 +350,10 @@
     claimed("nc", 9, 5);
     assert_false(lmn_replica_own_is_latest(part));
     put("o/0", NULL);
-    core->lease = 2;
+    core->lease.id = 2;
     claimed("nb", 2, 6);
-    assert_true(part->is_owned && !part->is_warm && !part->inherited_may_start);
+    assert_true(part->ownership.is_owned && !part->ownership.is_warm &&
+                !part->ownership.inherited_may_start);
     assert_int_equal(range()->started_count, 0);
 }
 
@@ -362,12 +363,12 @@
 {
     (void)state;
     lose_with_attempts();
-    core->lease = 3;
+    core->lease.id = 3;
     claimed("nb", 2, 5);
-    assert_false(part->is_owned);
+    assert_false(part->ownership.is_owned);
     put("o/0", NULL);
     claimed("nb", 3, 6);
-    assert_true(part->is_owned && !part->is_warm);
+    assert_true(part->ownership.is_owned && !part->ownership.is_warm);
 }
 
 /* Cold, and not all machines have spoken: a predecessor's starts are not known. */
@@ -376,10 +377,10 @@
     (void)state;
     own_cold(4);
     put("o/0", NULL);
-    assert_null(part->replica);
-    core->lease = 2;
+    assert_null(part->replication.replica);
+    core->lease.id = 2;
     claimed("nb", 2, 5);
-    assert_true(part->is_owned && !part->is_warm);
+    assert_true(part->ownership.is_owned && !part->ownership.is_warm);
 }
 
 /* Controllers are small: what can be of no use any more is freed. */
@@ -388,10 +389,10 @@
     (void)state;
     lose_with_attempts();
     lmn_replica_drop_outdated(core, part);
-    assert_non_null(part->replica);
+    assert_non_null(part->replication.replica);
     claimed("nc", 9, 5);
     lmn_replica_drop_outdated(core, part);
-    assert_null(part->replica);
+    assert_null(part->replication.replica);
 }
 
 /* The new owner tells us what it knows: that takes the place of our own. */
@@ -405,7 +406,7 @@
     batch->epoch = 5;
     batch->stream = 5 << 20 | 1;
     assert_int_equal(lmn_replica_apply(core, batch, now), LMN_REPLICA_APPLIED);
-    assert_false(part->replica->own);
+    assert_false(part->replication.replica->own);
     lmn_replication_batch_free(batch);
 }
 
@@ -416,11 +417,11 @@
     (void)state;
     lose_with_attempts();
     /* Neither its usual holder, nor for long with its lease. */
-    core->lease = 2;
-    core->leased_at = core->synced_at = now;
+    core->lease.id = 2;
+    core->lease.acquired_at = core->cache.synced_at = now;
     member_is_up(HOLDER);
     assert_true(lmn_partition_should_claim(core, part, now));
-    core->is_shutting_down = true;
+    core->shutdown.is_requested = true;
     assert_false(lmn_partition_should_claim(core, part, now));
 }
 
@@ -474,12 +475,12 @@
         now = lmn_time_add(now, 0.25);
         lmn_members_tick(&core->members, 0, now);
         if (!outage) {
-            core->cache_fresh_at = now;
+            core->cache.fresh_at = now;
             lmn_members_record_watch(&core->members, now);
         }
         for (int i = 0;
              reports && i < MACHINES && !lmn_watch_cache_is_too_stale(core, now); i++)
-            machine(i)->last_heartbeat_at = now;
+            machine(i)->agent.last_heartbeat_at = now;
         lmn_maintenance_run(core, now);
     }
 }
@@ -495,8 +496,9 @@
     assert_true(core->members.health.silent_machine_share < 0.1);
     assert_int_equal(part->zone_cuts->len, 0);
     for (int i = 0; i < MACHINES; i++) {
-        assert_true(machine(i)->lease_expired); /* its lease has run out all the same */
-        assert_false(machine(i)->is_draining);
+        assert_true(
+            machine(i)->agent.lease_expired); /* its lease has run out all the same */
+        assert_false(machine(i)->lifecycle.is_draining);
     }
     /* They had the time to come back, and did not. */
     pass(10, false, false);
@@ -517,7 +519,7 @@
     assert_true(core->members.health.silent_machine_share < 0.1);
     assert_int_equal(part->zone_cuts->len, 0);
     /* They are asked all the same: at once, as no answer may ever come. */
-    assert_true(part->needs_probing);
+    assert_true(part->ownership.needs_probing);
 }
 
 /* A machine that leaves a direct question unanswered is silent at once. */
@@ -530,7 +532,7 @@
     now = lmn_time_add(now, 4);
     pass(0.5, true, false);
     for (int i = 0; i < MACHINES; i++)
-        machine(i)->unanswered_probes = 1;
+        machine(i)->agent.unanswered_probes = 1;
     pass(0.25, false, false);
     assert_int_equal(part->zone_cuts->len, 1);
 }
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -9,7 +9,7 @@
 #include "partition/owner.h"
 #include "partition/range.h"
 #include "state/core.h"
-#include "state/model.h"
+#include "state/core_state.h"
 #include "state/task_ledger.h"
 #include "kv_client/kv_client.h"
 
@@ -52,17 +52,18 @@
     now = (struct timespec){1000, 0};
     lmn_test_clock = &now;
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->machine_types.n = 1;
-    core->machine_types.v[0] =
+    core->cloud.machine_types.n = 1;
+    core->cloud.machine_types.v[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
     struct lmn_partition *partition = &core->partitions[0];
-    partition->is_owned = partition->is_ready = partition->inherited_may_start = true;
-    partition->owned_epoch = 1;
+    partition->ownership.is_owned = partition->ownership.is_ready =
+        partition->ownership.inherited_may_start = true;
+    partition->ownership.epoch = 1;
     machine = lmn_machine_new(partition, "m-1");
-    machine->type = &core->machine_types.v[0];
+    machine->type = &core->cloud.machine_types.v[0];
     g_strlcpy(machine->zone, "a", sizeof machine->zone);
-    machine->revision = 1;
-    machine->has_reported = machine->is_accounted = true;
+    machine->record.revision = 1;
+    machine->agent.has_reported = machine->lifecycle.is_accounted = true;
     g_strlcpy(job.spec.id, "run-000001", sizeof job.spec.id);
     job.spec.team = (char *)"t";
     job.spec.class_name = (char *)"c";
@@ -87,23 +88,23 @@
 
 static void hand_over(void)
 {
-    machine->partition->is_transferring = true;
+    machine->partition->ownership.is_transferring = true;
 }
 static void is_new(void)
 {
-    machine->is_accounted = false;
+    machine->lifecycle.is_accounted = false;
 }
 static void lacks_record(void)
 {
-    machine->revision = 0;
+    machine->record.revision = 0;
 }
 static void retires(void)
 {
-    machine->is_draining = true;
+    machine->lifecycle.is_draining = true;
 }
 static void is_noticed(void)
 {
-    machine->has_spot_notice = true;
+    machine->lifecycle.has_spot_notice = true;
 }
 static void has_no_type(void)
 {
@@ -111,7 +112,7 @@
 }
 static void failed(void)
 {
-    machine->quarantined_until = lmn_time_add(now, 5);
+    machine->failures.quarantined_until = lmn_time_add(now, 5);
 }
 static void job_is_over(void)
 {
@@ -119,15 +120,15 @@
 }
 static void is_full(void)
 {
-    machine->used_cpus = 7;
+    machine->used.cpus = 7;
 }
 static void is_promised(void)
 {
-    machine->preemption_reserved_tasks = 1;
+    machine->reservation.preemption_tasks = 1;
 }
 static void is_kept(void)
 {
-    machine->reserved_for = &other;
+    machine->reservation.job = &other;
 }
 static void job_fails(void)
 {
@@ -139,7 +140,7 @@
 }
 static void reaches_limit(void)
 {
-    machine->partition->used_cpus[0] = 49;
+    machine->partition->quota.used_cpus[0] = 49;
 }
 static void runs_elsewhere(void)
 {
@@ -147,7 +148,7 @@
 }
 static void is_not_open(void)
 {
-    machine->partition->inherited_may_start = false;
+    machine->partition->ownership.inherited_may_start = false;
 }
 static void nothing(void)
 {
@@ -254,13 +255,13 @@
     make();
     job.is_starving = other.is_starving = true;
     other.ranges = g_ptr_array_new();
-    machine->reserved_for = &job;
-    machine->reserved_until = lmn_time_add(now, 60);
+    machine->reservation.job = &job;
+    machine->reservation.until = lmn_time_add(now, 60);
     lmn_update_reservations(core, machine->partition, now);
-    assert_ptr_equal(machine->reserved_for, &job);
-    machine->reserved_for = &other;
+    assert_ptr_equal(machine->reservation.job, &job);
+    machine->reservation.job = &other;
     lmn_update_reservations(core, machine->partition, now);
-    assert_null(machine->reserved_for);
+    assert_null(machine->reservation.job);
 }
 
 int main(void)
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -12,7 +12,7 @@
 #include "partition/worker.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
-#include "state/model.h"
+#include "state/core_state.h"
 #include "kv_client/kv_client.h"
 
 #include <setjmp.h>
@@ -39,9 +39,9 @@
 
     g_snprintf(name, sizeof name, "host-%06d", i);
     struct lmn_machine *machine = lmn_machine_new(&core->partitions[0], name);
-    machine->revision = 1;
-    machine->has_reported = machine->is_accounted = true;
-    machine->last_heartbeat_at = now;
+    machine->record.revision = 1;
+    machine->agent.has_reported = machine->lifecycle.is_accounted = true;
+    machine->agent.last_heartbeat_at = now;
     return machine;
 }
 
@@ -59,11 +59,11 @@
     cfg.cancel_s = 64;
     now = (struct timespec){1000, 0};
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->partitions[0].is_owned = core->partitions[0].is_ready =
-        core->partitions[0].inherited_may_start = true;
-    core->partitions[0].owned_epoch = 1;
-    core->partitions[0].owned_since = now;
-    core->is_synced = true;
+    core->partitions[0].ownership.is_owned = core->partitions[0].ownership.is_ready =
+        core->partitions[0].ownership.inherited_may_start = true;
+    core->partitions[0].ownership.epoch = 1;
+    core->partitions[0].ownership.since = now;
+    core->cache.is_synced = true;
     for (int i = 0; i < machines; i++)
         add(i);
 }
@@ -79,11 +79,11 @@
 
     for (double t = 0; t < seconds; t += 0.25) {
         now = lmn_time_add(now, 0.25);
-        core->cache_fresh_at = now;
+        core->cache.fresh_at = now;
         g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
             if (v != silent)
-                ((struct lmn_machine *)v)->last_heartbeat_at = now;
+                ((struct lmn_machine *)v)->agent.last_heartbeat_at = now;
         while (lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, now)) {
             assert_string_equal(name, silent->name);
             lmn_worker_client_probe_done(core, name, epoch, LMN_HTTP_NO_RESPONSE, NULL,
@@ -101,11 +101,11 @@
     make(9);
     struct lmn_machine *machine = add(100);
     pass(11, machine);
-    assert_int_equal(machine->unanswered_probes,
+    assert_int_equal(machine->agent.unanswered_probes,
                      0); /* its next report may still be on its way */
     pass(5, machine);
-    assert_true(machine->unanswered_probes >= 2);
-    assert_true(machine->is_draining && machine->drain_at_once);
+    assert_true(machine->agent.unanswered_probes >= 2);
+    assert_true(machine->lifecycle.is_draining && machine->lifecycle.drain_at_once);
 }
 
 /* Tasks on a machine that the cloud has announced to take are not waited for beyond that.
@@ -115,13 +115,13 @@
     (void)state;
     make(9);
     struct lmn_machine *machine = add(100);
-    machine->has_spot_notice = true;
-    machine->spot_notice_at = now;
-    machine->notice_s = 6;
+    machine->lifecycle.has_spot_notice = true;
+    machine->lifecycle.spot_notice_at = now;
+    machine->lifecycle.spot_notice_s = 6;
     pass(5, machine);
-    assert_false(machine->is_draining);
+    assert_false(machine->lifecycle.is_draining);
     pass(2, machine);
-    assert_true(machine->is_draining && machine->drain_at_once);
+    assert_true(machine->lifecycle.is_draining && machine->lifecycle.drain_at_once);
 }
 
 /* A zone was cut off with its controller: that gave up the machines of the other zones
@@ -133,14 +133,14 @@
     (void)state;
     make(0);
     struct lmn_machine *machine = add(1);
-    core->cache_fresh_at = lmn_time_add(
+    core->cache.fresh_at = lmn_time_add(
         now, cfg.lease_s - 1); /* the last that it heard of the state service */
     now = lmn_time_add(now, 2 * cfg.lease_s);
     lmn_maintenance_run(core, now);
-    assert_false(machine->lease_expired);
-    core->cache_fresh_at = now; /* heard again, and still the owner */
+    assert_false(machine->agent.lease_expired);
+    core->cache.fresh_at = now; /* heard again, and still the owner */
     lmn_maintenance_run(core, now);
-    assert_true(machine->lease_expired);
+    assert_true(machine->agent.lease_expired);
 }
 
 /* With a zone that is cut off, its machines were once returned after some seconds, and
@@ -156,37 +156,37 @@
     for (int i = 0; i < 8; i++) {
         far[i] = add(200 + i);
         g_strlcpy(far[i]->zone, "b", sizeof far[i]->zone);
-        far[i]->unanswered_probes = 2;
+        far[i]->agent.unanswered_probes = 2;
     }
     for (int i = 0; i < 20; i++)
         g_strlcpy(((struct lmn_machine *)g_hash_table_lookup(
                        core->partitions[0].machines, g_strdup_printf("host-%06d", i)))
                       ->zone,
                   "a", LMN_NAME_SIZE);
-    one->unanswered_probes = 2;
+    one->agent.unanswered_probes = 2;
     now = lmn_time_add(now, cfg.lease_s - 5);
-    core->cache_fresh_at = now;
+    core->cache.fresh_at = now;
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, core->partitions[0].machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
         if (v != one && strcmp(((struct lmn_machine *)v)->zone, "b"))
-            ((struct lmn_machine *)v)->last_heartbeat_at = now;
+            ((struct lmn_machine *)v)->agent.last_heartbeat_at = now;
     lmn_maintenance_run(core, now);
-    assert_true(one->is_draining);
+    assert_true(one->lifecycle.is_draining);
     for (int i = 0; i < 8; i++)
-        assert_false(far[i]->is_draining);
+        assert_false(far[i]->lifecycle.is_draining);
     /* The cut is over and most are heard again: the others once were returned at that
      * moment. */
     for (int k = 0; k < 2; k++) {
-        core->cache_fresh_at = now = lmn_time_add(now, k ? cfg.heartbeat_s + 11 : 1);
+        core->cache.fresh_at = now = lmn_time_add(now, k ? cfg.heartbeat_s + 11 : 1);
         g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
             if (v != far[0] && v != far[1])
-                ((struct lmn_machine *)v)->last_heartbeat_at = now;
+                ((struct lmn_machine *)v)->agent.last_heartbeat_at = now;
         lmn_maintenance_run(core, now);
         for (int i = 0; i < 2; i++)
-            assert_int_equal(far[i]->is_draining, k);
+            assert_int_equal(far[i]->lifecycle.is_draining, k);
     }
 }
 
@@ -205,20 +205,20 @@
         g_hash_table_iter_init(&it, core->partitions[0].machines);
         while (g_hash_table_iter_next(&it, NULL, &v))
             g_strlcpy(((struct lmn_machine *)v)->zone, "a", LMN_NAME_SIZE);
-        core->partitions[0].is_ready = false;
+        core->partitions[0].ownership.is_ready = false;
         struct lmn_machine *far[8];
         for (int i = 0; i < 8; i++) {
             far[i] = add(200 + i);
             g_strlcpy(far[i]->zone, "b", sizeof far[i]->zone);
-            far[i]->is_inherited = true;
-            far[i]->has_reported = far[i]->is_accounted = false;
-            far[i]->unanswered_probes = 2;
+            far[i]->lifecycle.is_inherited = true;
+            far[i]->agent.has_reported = far[i]->lifecycle.is_accounted = false;
+            far[i]->agent.unanswered_probes = 2;
         }
         now = lmn_time_add(now, 6);
-        core->cache_fresh_at = now;
+        core->cache.fresh_at = now;
         lmn_maintenance_run(core, now);
         for (int i = 0; i < 8; i++)
-            assert_int_equal(far[i]->is_draining, k == 0);
+            assert_int_equal(far[i]->lifecycle.is_draining, k == 0);
     }
 }
 
@@ -230,19 +230,19 @@
     uint64_t epoch;
     (void)state;
     make(0);
-    core->partitions[0].is_ready = false;
-    core->partitions[0].needs_probing = true;
+    core->partitions[0].ownership.is_ready = false;
+    core->partitions[0].ownership.needs_probing = true;
     for (int i = 0; i < 20; i++) {
         struct lmn_machine *machine = add(i);
-        machine->is_inherited = true;
-        machine->is_accounted = false;
-        machine->unanswered_probes = i % 2;
+        machine->lifecycle.is_inherited = true;
+        machine->lifecycle.is_accounted = false;
+        machine->agent.unanswered_probes = i % 2;
     }
     for (int i = 0; i < 20; i++) {
         assert_true(lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, now));
         struct lmn_machine *machine =
             g_hash_table_lookup(core->partitions[0].machines, name);
-        assert_int_equal(machine->unanswered_probes, i < 10 ? 0 : 1);
+        assert_int_equal(machine->agent.unanswered_probes, i < 10 ? 0 : 1);
     }
     assert_false(lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, now));
 }
@@ -257,12 +257,12 @@
     struct lmn_machine *lost[12];
     (void)state;
     make(40);
-    core->partitions[0].is_ready = false;
-    core->partitions[0].needs_probing = true;
+    core->partitions[0].ownership.is_ready = false;
+    core->partitions[0].ownership.needs_probing = true;
     for (int i = 0; i < 12; i++) {
         lost[i] = add(100 + i);
-        lost[i]->is_inherited = true;
-        lost[i]->has_reported = lost[i]->is_accounted = false;
+        lost[i]->lifecycle.is_inherited = true;
+        lost[i]->agent.has_reported = lost[i]->lifecycle.is_accounted = false;
     }
     now = lmn_time_add(now, 3);
     for (unsigned lane = 0; lane < 12; lane++)
@@ -272,20 +272,20 @@
     for (int i = 0; i < 12; i++)
         lmn_worker_client_probe_done(core, lost[i]->name, 1, LMN_HTTP_NO_RESPONSE, NULL,
                                      now);
-    core->cache_fresh_at = now = lmn_time_add(now, 2);
+    core->cache.fresh_at = now = lmn_time_add(now, 2);
     lmn_maintenance_run(core, now);
     for (int i = 0; i < 12; i++)
-        assert_false(lost[i]->is_draining);
-    core->cache_fresh_at = now = lmn_time_add(now, 1.25 * cfg.heartbeat_s);
+        assert_false(lost[i]->lifecycle.is_draining);
+    core->cache.fresh_at = now = lmn_time_add(now, 1.25 * cfg.heartbeat_s);
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, core->partitions[0].machines);
     while (g_hash_table_iter_next(&it, NULL, &v))
-        if (!((struct lmn_machine *)v)->is_inherited)
-            ((struct lmn_machine *)v)->last_heartbeat_at = now;
+        if (!((struct lmn_machine *)v)->lifecycle.is_inherited)
+            ((struct lmn_machine *)v)->agent.last_heartbeat_at = now;
     lmn_maintenance_run(core, now);
     for (int i = 0; i < 12; i++)
-        assert_true(lost[i]->is_draining);
+        assert_true(lost[i]->lifecycle.is_draining);
 }
 
 /* Machines of a partition whose inherited work still waits were returned as idle, and
@@ -295,24 +295,26 @@
     (void)state;
     make(6);
     struct lmn_machine *machine = add(50);
-    core->partitions[0].is_ready = false;
-    machine->idle_since = now;
+    core->partitions[0].ownership.is_ready = false;
+    machine->lifecycle.idle_since = now;
     struct lmn_machine *lost = add(51);
-    lost->is_inherited = true;
-    lost->has_reported = lost->is_accounted = false;
+    lost->lifecycle.is_inherited = true;
+    lost->agent.has_reported = lost->lifecycle.is_accounted = false;
     for (int i = 0; i < 30; i++) {
-        core->cache_fresh_at = machine->last_heartbeat_at = now = lmn_time_add(now, 1);
+        core->cache.fresh_at = machine->agent.last_heartbeat_at = now =
+            lmn_time_add(now, 1);
         lmn_maintenance_run(core, now);
-        assert_false(machine->is_draining);
+        assert_false(machine->lifecycle.is_draining);
         if (i == 20)
             lmn_machine_terminated(core, lost, now);
     }
-    assert_true(core->partitions[0].is_ready);
+    assert_true(core->partitions[0].ownership.is_ready);
     for (int i = 0; i < 10; i++) {
-        core->cache_fresh_at = machine->last_heartbeat_at = now = lmn_time_add(now, 1);
+        core->cache.fresh_at = machine->agent.last_heartbeat_at = now =
+            lmn_time_add(now, 1);
         lmn_maintenance_run(core, now);
     }
-    assert_true(machine->is_draining);
+    assert_true(machine->lifecycle.is_draining);
 }
 
 /* --- reports --- */
@@ -341,7 +343,7 @@
     range.done = g_malloc0((n + 7) / 8);
     g_ptr_array_add(job.ranges, &range);
     g_hash_table_insert(core->partitions[0].ranges, range.key, &range);
-    g_hash_table_insert(core->jobs, job.spec.id, &job);
+    g_hash_table_insert(core->cache.jobs, job.spec.id, &job);
     lmn_range_open(core, &range);
     range.is_assigned = true;
     lmn_assign_range(core, &range, now);
@@ -349,10 +351,10 @@
 
 static void with_type(void)
 {
-    core->machine_types.n = 1;
-    core->machine_types.v[0] =
+    core->cloud.machine_types.n = 1;
+    core->cloud.machine_types.v[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
-    core->members.cache_fresh_at = core->members.last_tick_at = core->cache_fresh_at =
+    core->members.cache_fresh_at = core->members.last_tick_at = core->cache.fresh_at =
         now;
 }
 
@@ -388,7 +390,7 @@
         lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, attempt->number);
         lmn_cbor_put_text(b, WIRE_STATE), lmn_cbor_put_text(b, WIRE_FETCHING);
     }
-    core->members.cache_fresh_at = core->members.last_tick_at = core->cache_fresh_at =
+    core->members.cache_fresh_at = core->members.last_tick_at = core->cache.fresh_at =
         now;
     int status = lmn_heartbeat_handle(core, b->data, b->len, out, &last_held, now);
     *orders = 0;
@@ -415,8 +417,8 @@
     make(0);
     with_type();
     struct lmn_machine *machine = add(1);
-    machine->type = &core->machine_types.v[0];
-    machine->last_heartbeat_at = now;
+    machine->type = &core->cloud.machine_types.v[0];
+    machine->agent.last_heartbeat_at = now;
     queue_tasks(20);
     assert_int_equal(report(machine, machine->name, 1, ++seq, 1, true, &orders), 200);
     assert_int_equal(orders, 8);
@@ -436,9 +438,9 @@
     assert_int_equal(orders, 1);
     now = lmn_time_add(now, 4);
     report(machine, machine->name, 1, ++seq, 1, true, &orders); /* it was heard */
-    assert_int_equal(machine->ignored_commands, 0);
+    assert_int_equal(machine->agent.ignored_commands, 0);
     now = lmn_time_add(now, 20);
-    machine->next_steal_at = now;
+    machine->stealing.next_at = now;
     report(machine, machine->name, 1, ++seq, 1, true, &orders);
     assert_int_equal(range.started_count, 8);
 }
@@ -455,19 +457,19 @@
         make(9);
         with_type();
         struct lmn_partition *partition = &core->partitions[0];
-        partition->owned_epoch = 5;
+        partition->ownership.epoch = 5;
         struct lmn_machine *machine = add(100);
-        machine->has_reported = machine->is_accounted = false;
-        machine->is_inherited = true;
-        machine->unanswered_probes = 2;
-        partition->is_ready = false;
+        machine->agent.has_reported = machine->lifecycle.is_accounted = false;
+        machine->lifecycle.is_inherited = true;
+        machine->agent.unanswered_probes = 2;
+        partition->ownership.is_ready = false;
         double waited = 0;
-        for (; !machine->is_draining && waited < 60; waited += 2) {
+        for (; !machine->lifecycle.is_draining && waited < 60; waited += 2) {
             now = lmn_time_add(now, 2);
             for (guint i = 0; i < partition->machine_list->len; i++)
                 if (partition->machine_list->pdata[i] != machine)
                     ((struct lmn_machine *)partition->machine_list->pdata[i])
-                        ->last_heartbeat_at = now;
+                        ->agent.last_heartbeat_at = now;
             if (copies) /* one and the same, again and again, and older ones */
                 report(machine, machine->name, 3, waited < 10 ? 40 : 7, 4, false,
                        &orders);
@@ -475,11 +477,11 @@
                 assert_int_equal(
                     report(machine, machine->name, 3, 40 + ++seq, 4, false, &orders),
                     200);
-            assert_false(machine->is_accounted);
-            core->cache_fresh_at = now;
+            assert_false(machine->lifecycle.is_accounted);
+            core->cache.fresh_at = now;
             lmn_maintenance_run(core, now);
         }
-        assert_true(machine->is_draining && machine->drain_at_once);
+        assert_true(machine->lifecycle.is_draining && machine->lifecycle.drain_at_once);
         assert_in_range((int)waited, 1.25 * cfg.heartbeat_s + 4,
                         1.25 * cfg.heartbeat_s + 8);
     }
@@ -495,17 +497,17 @@
 
     make(9);
     with_type();
-    core->partitions[0].owned_epoch = 5;
+    core->partitions[0].ownership.epoch = 5;
     assert_int_equal(report(NULL, "host-000900", 2, 70, 4, false, &orders), 200);
     struct lmn_machine *machine =
         g_hash_table_lookup(core->partitions[0].machines, "host-000900");
     assert_non_null(machine);
-    assert_false(machine->is_accounted);
+    assert_false(machine->lifecycle.is_accounted);
     assert_int_equal(orders, 0);
     pass(cfg.lease_s, machine);
-    assert_false(machine->is_draining);
+    assert_false(machine->lifecycle.is_draining);
     pass(1.25 * cfg.heartbeat_s + 1, machine);
-    assert_true(machine->is_draining && machine->drain_at_once);
+    assert_true(machine->lifecycle.is_draining && machine->lifecycle.drain_at_once);
     lmn_machine_terminated(core, machine, now);
     assert_int_equal(report(NULL, "host-000900", 2, 71, 4, false, &orders), 503);
 }
@@ -520,13 +522,13 @@
     make(9);
     with_type();
     struct lmn_machine *machine = add(100);
-    machine->type = &core->machine_types.v[0];
+    machine->type = &core->cloud.machine_types.v[0];
     queue_tasks(4);
     report(machine, machine->name, 2, 10, 1, true, &orders);
     assert_int_equal(orders, 4);
     now = lmn_time_add(now, 2);
     report(machine, machine->name, 2, 12, 1, true, &orders);
-    struct timespec last = machine->last_heartbeat_at;
+    struct timespec last = machine->agent.last_heartbeat_at;
     now = lmn_time_add(now, 2);
     core->members.is_isolated_from_workers = true;
     for (uint64_t seq = 9; seq <= 12; seq++) {
@@ -538,9 +540,9 @@
            &orders); /* of one that nothing is known of */
     assert_true(core->members.is_isolated_from_workers);
     assert_int_equal(range.started_count, 4);
-    assert_int_equal(lmn_time_diff_s(machine->last_heartbeat_at, last), 0);
-    machine->sequence = 20; /* a call's answer: a report from before it may have been on
-                    its way for minutes */
+    assert_int_equal(lmn_time_diff_s(machine->agent.last_heartbeat_at, last), 0);
+    machine->agent.sequence = 20; /* a call's answer: a report from before it may have
+                    been on its way for minutes */
     assert_int_equal(report(machine, machine->name, 2, 13, 1, true, &orders), 200);
     assert_true(core->members.is_isolated_from_workers);
     assert_int_equal(report(machine, machine->name, 2, 21, 1, true, &orders), 200);
@@ -568,13 +570,13 @@
             core->members.views[i].is_present = true;
         assert_int_equal(report(machine, machine->name, 1, ++seq, 1, false, &orders),
                          200);
-        core->isolated_since = now;
+        core->cache.isolated_since = now;
         now = lmn_time_add(now, 1);
         int first = report(machine, machine->name, 1, ++seq, 1, false, &orders);
         assert_int_equal(first == 200, lease == 10);
         assert_int_equal(report(machine, machine->name, 1, ++seq, 1, false, &orders),
                          200);
-        core->isolated_since = (struct timespec){0, 0};
+        core->cache.isolated_since = (struct timespec){0, 0};
         assert_int_equal(report(machine, machine->name, 1, ++seq, 1, false, &orders),
                          200);
     }
@@ -606,7 +608,7 @@
     make(3);
     with_type();
     struct lmn_machine *machine = add(100);
-    machine->type = &core->machine_types.v[0];
+    machine->type = &core->cloud.machine_types.v[0];
     queue_tasks(4);
     assert_int_equal(report(machine, machine->name, 2, ++*seq, 1, true, &orders), 200);
     assert_int_equal(orders, 4);
@@ -629,18 +631,18 @@
                             machine->attempts->len);
         if (withdrawn)
             job.phase = LMN_JOB_CANCELLED;
-        machine->sequence = seq + 9; /* a call's answer was newer */
+        machine->agent.sequence = seq + 9; /* a call's answer was newer */
         assert_int_equal(report(machine, machine->name, 2, ++seq, 1, true, &orders), 200);
         assert_int_equal(commands(answered, WIRE_KILL), withdrawn ? 4 + 4 : 0);
         assert_int_equal(orders, commands(answered, WIRE_KILL));
         /* Another has it from now on, and has heard nothing of the machine. */
         g_array_set_size(machine->attempts, 0);
-        machine->has_reported = machine->is_accounted = false;
-        core->partitions[0].owned_epoch = 2;
+        machine->agent.has_reported = machine->lifecycle.is_accounted = false;
+        core->partitions[0].ownership.epoch = 2;
         assert_int_equal(report(names, machine->name, 2, ++seq, 1, true, &orders), 200);
         assert_int_equal(commands(answered, WIRE_KILL), withdrawn ? 4 : 0);
         assert_int_equal(orders, commands(answered, WIRE_KILL));
-        assert_false(machine->is_accounted);
+        assert_false(machine->lifecycle.is_accounted);
     }
 }
 
@@ -660,9 +662,9 @@
         range.task_states[i] = LMN_TASK_QUEUED;
     range.started_count = 0;
     lmn_assign_range(core, &range, now);
-    core->partitions[0].stream.phase = LMN_STREAM_IN_SYNC;
-    core->partitions[0].stream.acknowledged_position =
-        core->partitions[0].stream.log_position;
+    core->partitions[0].replication.stream.phase = LMN_STREAM_IN_SYNC;
+    core->partitions[0].replication.stream.acknowledged_position =
+        core->partitions[0].replication.stream.log_position;
     now = lmn_time_add(now, 4);
     assert_int_equal(report(machine, machine->name, 2, ++seq, 1, true, &orders), 200);
     assert_true(last_held.log_position > 0);
@@ -685,11 +687,11 @@
         make(0);
         with_type();
         struct lmn_machine *machine = add(1);
-        machine->type = &core->machine_types.v[0];
+        machine->type = &core->cloud.machine_types.v[0];
         queue_tasks(4);
         now = lmn_time_add(now,
                            lmn_settings_max_cache_age_s(&cfg) + (stale ? 0.01 : -0.01));
-        machine->last_heartbeat_at = now;
+        machine->agent.last_heartbeat_at = now;
         lmn_machine_wake(machine);
         assert_int_equal(lmn_worker_client_next_push(core, 0, 1, name, addr, body, now),
                          !stale);
@@ -710,7 +712,7 @@
     make(0);
     with_type();
     struct lmn_machine *machine = add(1);
-    machine->type = &core->machine_types.v[0];
+    machine->type = &core->cloud.machine_types.v[0];
     queue_tasks(4);
     assert_int_equal(report(machine, machine->name, 2, ++seq, 1, true, &orders), 200);
     lmn_machine_requeue_tasks(core, machine, "to begin with", now);
@@ -730,7 +732,7 @@
 static bool took(unsigned most, unsigned want, uint64_t *upto)
 {
     const char *refs[LMN_MAX_TOMBSTONES];
-    return lmn_tombstones_pending(&core->tombstones, 1, refs, most, upto) == want;
+    return lmn_tombstones_pending(&core->cache.tombstones, 1, refs, most, upto) == want;
 }
 
 /* What another controller has confirmed ends although the mirror doesn't show it, and is
@@ -748,7 +750,7 @@
     struct timespec heard = now;
     for (int late = 0; late < 2; late++) {
         /* The mirror stands still; a late twin of the tombstone changes nothing. */
-        core->cache_fresh_at = lmn_time_add(heard, -1);
+        core->cache.fresh_at = lmn_time_add(heard, -1);
         assert_false(lmn_job_may_run(core, &job));
         assert_int_equal(job.phase, LMN_JOB_ACTIVE);
         lmn_range_writer_flush(core, now);
@@ -773,18 +775,19 @@
 
     /* Told until taken, the oldest first, in bounded room. */
     for (int i = 0; i < 10; i++)
-        lmn_tombstone_add(&core->tombstones, "run-000001");
+        lmn_tombstone_add(&core->cache.tombstones, "run-000001");
     assert_true(took(4, 4, &upto) && took(4, 4, &upto));
-    lmn_tombstones_acknowledge(&core->tombstones, 1, upto);
+    lmn_tombstones_acknowledge(&core->cache.tombstones, 1, upto);
     assert_true(took(100, 6, &upto));
-    lmn_tombstones_acknowledge(&core->tombstones, 1, upto);
+    lmn_tombstones_acknowledge(&core->cache.tombstones, 1, upto);
     assert_true(took(100, 0, &upto));
-    lmn_tombstones_acknowledge(&core->tombstones, 1, 3); /* the answer to an older call */
+    lmn_tombstones_acknowledge(&core->cache.tombstones, 1,
+                               3); /* the answer to an older call */
     assert_true(took(100, 0, &upto));
     for (int i = 0; i < 3 * LMN_MAX_TOMBSTONES; i++)
-        lmn_tombstone_add(&core->tombstones, "run-000002");
+        lmn_tombstone_add(&core->cache.tombstones, "run-000002");
     assert_true(took(LMN_MAX_TOMBSTONES, LMN_MAX_TOMBSTONES, &upto));
-    lmn_tombstones_acknowledge(&core->tombstones, 1, upto);
+    lmn_tombstones_acknowledge(&core->cache.tombstones, 1, upto);
     assert_true(took(LMN_MAX_TOMBSTONES, 0, &upto));
 }
 
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -108,8 +108,8 @@
 
     for (int i = 0; i < w.layout.nodes; i++) {
         const struct lmn_core *core = w.nodes[i].core;
-        if (core && core->partitions[part].is_owned &&
-            core->partitions[part].owned_epoch == epoch)
+        if (core && core->partitions[part].ownership.is_owned &&
+            core->partitions[part].ownership.epoch == epoch)
             return i;
     }
     return -1;
@@ -139,9 +139,9 @@
 {
     const struct lmn_partition *partition = &node->core->partitions[part_of(message)];
 
-    if (w.broken == G_REPORTED && partition->is_owned) {
+    if (w.broken == G_REPORTED && partition->ownership.is_owned) {
         g_byte_array_set_size(message->body, message->token_at);
-        lmn_cbor_put_uint(message->body, partition->owned_epoch);
+        lmn_cbor_put_uint(message->body, partition->ownership.epoch);
     }
     int status = lmn_heartbeat_handle(node->core, message->body->data, message->body->len,
                                       out, deferred, w.clock);
@@ -292,7 +292,7 @@
         g_byte_array_unref(b);
         job->cancelled_at = w.now;
         w.cancelled++;
-        lmn_tombstone_add(&node->core->tombstones, job->ref);
+        lmn_tombstone_add(&node->core->cache.tombstones, job->ref);
     }
     lmn_job_spec_clear(&s);
     return job->cancelled_at == w.now;
@@ -338,7 +338,7 @@
             if (!w.nodes[k].core)
                 return false;
             const struct lmn_partition *partition = &w.nodes[k].core->partitions[i];
-            owners += partition->is_owned && partition->is_ready;
+            owners += partition->ownership.is_owned && partition->ownership.is_ready;
             if (!lmn_member_is_trusted(&core->members, k, w.clock))
                 return false;
         }
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -60,11 +60,11 @@
     }
     node->state = lmn_kv_client_new(&node->cfg);
     node->core = lmn_core_new(&node->cfg, node->state, g_rand_int(w.r));
-    node->core->machine_types.n = 1;
-    node->core->machine_types.v[0] = (struct lmn_machine_type){
+    node->core->cloud.machine_types.n = 1;
+    node->core->cloud.machine_types.v[0] = (struct lmn_machine_type){
         .name = "t", .cpus = 6, .memory_gb = 100, .zone_count = 2, .zones = {"a", "b"}};
-    node->core->machine_types_known = true;
-    node->core->operator_settings.standby = w.standbys;
+    node->core->cloud.machine_types_known = true;
+    node->core->cache.operator_settings.standby = w.standbys;
     node->waiting = g_ptr_array_new(); /* what waited went with the process */
     node->seen = 0;
     node->lease = 0;
@@ -97,9 +97,10 @@
 {
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        if (partition->replica && partition->replica->own)
-            partition->replica->epoch =
-                partition->owner_revision ? partition->owner_epoch - 1 : partition->epoch;
+        if (partition->replication.replica && partition->replication.replica->own)
+            partition->replication.replica->epoch =
+                partition->record.owner_revision ? partition->record.owner_epoch - 1
+                                                 : partition->record.epoch;
     }
 }
 
@@ -122,11 +123,11 @@
         if (e->value)
             lmn_cbor_free(&d);
     }
-    core->cache_fresh_at = fresh;
+    core->cache.fresh_at = fresh;
     lmn_members_record_watch(&core->members, fresh);
-    if (!core->is_synced)
-        core->synced_at = w.clock;
-    core->is_synced = true;
+    if (!core->cache.is_synced)
+        core->cache.synced_at = w.clock;
+    core->cache.is_synced = true;
     if (w.broken == G_OWN_TERM)
         trust_own_copies(core);
     lmn_watch_cache_begin_ownerships(core, w.clock);
@@ -135,8 +136,8 @@
 struct lmn_member_health node_word(const struct node *node)
 {
     struct lmn_member_health word = node->core->members.health;
-    word.cache_age_s = node->core->is_synced
-                           ? lmn_time_diff_s(w.clock, node->core->cache_fresh_at)
+    word.cache_age_s = node->core->cache.is_synced
+                           ? lmn_time_diff_s(w.clock, node->core->cache.fresh_at)
                            : 1e6;
     return word;
 }
@@ -168,15 +169,15 @@
 static void node_lease(struct node *node)
 {
     if (node->lease && !world_lease_alive(node->lease)) {
-        node->lease = node->core->lease = 0;
+        node->lease = node->core->lease.id = 0;
         for (int i = 0; i < w.layout.nodes; i++)
-            if (node->core->partitions[i].is_owned)
+            if (node->core->partitions[i].ownership.is_owned)
                 lmn_partition_lose(node->core, &node->core->partitions[i], "lease ended");
     }
     if (!node->lease) {
         struct holder h = {++w.next_lease, w.now + 3};
         g_array_append_val(w.leases, h);
-        node->lease = node->core->lease = h.id;
+        node->lease = node->core->lease.id = h.id;
     }
     for (guint i = 0; i < w.leases->len; i++)
         if (g_array_index(w.leases, struct holder, i).id == node->lease)
@@ -236,7 +237,7 @@
 {
     struct lmn_core *core = node->core;
 
-    if (!core->is_shutting_down)
+    if (!core->shutdown.is_requested)
         return false;
     bool bare = lmn_shutdown_owns_nothing(core);
     if (!bare && !lmn_shutdown_is_complete(core, w.clock))
@@ -282,7 +283,7 @@
     GHashTableIter it;
     gpointer v;
 
-    g_hash_table_iter_init(&it, core->jobs);
+    g_hash_table_iter_init(&it, core->cache.jobs);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         struct lmn_job *job = v;
         job->is_starving = job->is_under_fair_share = false;
@@ -296,20 +297,21 @@
 
     for (int i = 0; i < w.layout.nodes; i++) {
         struct lmn_partition *partition = &node->core->partitions[i];
-        if (!partition->is_owned)
+        if (!partition->ownership.is_owned)
             continue;
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *machine = v;
             if (w.broken == G_ACCOUNT || (w.broken == G_JUDGED && node->judged[i]))
-                machine->is_inherited = false;
+                machine->lifecycle.is_inherited = false;
             if (w.broken == G_ORDER)
-                machine->agent_incarnation = machine->sequence =
-                    machine->heartbeat_sequence = 0;
+                machine->agent.incarnation = machine->agent.sequence =
+                    machine->agent.heartbeat_sequence = 0;
             if (w.broken == G_PLACE)
                 machine->is_spot = false;
             if (w.broken == G_SPREAD)
-                for (GList *l = g_hash_table_get_values(node->core->jobs); l; l = l->next)
+                for (GList *l = g_hash_table_get_values(node->core->cache.jobs); l;
+                     l = l->next)
                     ((struct lmn_job *)l->data)->spec.spreads_over_zones =
                         ((struct lmn_job *)l->data)->spec.requires_one_zone = false;
             for (guint k = 0; k < machine->attempts->len; k++) {
@@ -329,14 +331,14 @@
             g_hash_table_iter_init(&it, partition->ranges);
             while (g_hash_table_iter_next(&it, NULL, &v))
                 ((struct lmn_range *)v)->is_writing = false;
-            g_hash_table_iter_init(&it, node->core->jobs);
+            g_hash_table_iter_init(&it, node->core->cache.jobs);
             while (g_hash_table_iter_next(&it, NULL, &v))
                 ((struct lmn_job *)v)->closing_revision = 0;
         }
         lmn_partition_check_ready(node->core, partition, w.clock);
     }
     if (w.broken == G_FENCE)
-        node->core->cache_fresh_at = w.clock;
+        node->core->cache.fresh_at = w.clock;
 }
 
 /* A machine that no record names yet passes for recorded, but not where its record is
@@ -349,10 +351,11 @@
         const GPtrArray *list = node->core->partitions[i].machine_list;
         for (guint k = 0; k < list->len; k++) {
             struct lmn_machine *machine = list->pdata[k];
-            if (pass && !machine->revision && node->core->partitions[i].is_owned)
-                machine->revision = pretended;
-            else if (!pass && machine->revision == pretended)
-                machine->revision = 0;
+            if (pass && !machine->record.revision &&
+                node->core->partitions[i].ownership.is_owned)
+                machine->record.revision = pretended;
+            else if (!pass && machine->record.revision == pretended)
+                machine->record.revision = 0;
         }
     }
 }
@@ -363,7 +366,7 @@
 
     for (int k = 0; k < w.layout.nodes && !got; k++) {
         struct node *o = &w.nodes[k];
-        if (node_up(o) && o->core && o->core->partitions[victim].is_owned &&
+        if (node_up(o) && o->core && o->core->partitions[victim].ownership.is_owned &&
             lmn_victim_load(o->core, &o->core->partitions[victim], request))
             got = lmn_victim_transfer(o->core, &o->core->partitions[victim], request,
                                       w.clock);
@@ -423,7 +426,7 @@
     bool any = false, got = false;
 
     for (int team = 0;
-         team < w.teams && !lmn_time_before(w.clock, partition->next_quota_request_at);
+         team < w.teams && !lmn_time_before(w.clock, partition->quota.next_request_at);
          team++) {
         struct lmn_quota_request want;
         if (!lmn_quota_shortfall(node->core, partition, team, &want))
@@ -434,16 +437,16 @@
             struct node *o = &w.nodes[i % w.layout.nodes];
             int victim = (first + i / w.layout.nodes) % w.layout.nodes;
             if (victim != part && node_talks(node, o) &&
-                o->core->partitions[victim].is_owned)
+                o->core->partitions[victim].ownership.is_owned)
                 got |= ask_for_limit(o, victim, part, &want);
         }
     }
     if (!any)
         return;
-    partition->quota_request_interval_s =
-        got ? 0.5 : CLAMP(partition->quota_request_interval_s * 2, 0.5, 8);
-    partition->next_quota_request_at =
-        lmn_time_add(w.clock, partition->quota_request_interval_s);
+    partition->quota.request_interval_s =
+        got ? 0.5 : CLAMP(partition->quota.request_interval_s * 2, 0.5, 8);
+    partition->quota.next_request_at =
+        lmn_time_add(w.clock, partition->quota.request_interval_s);
 }
 
 /* Parts of the team's limit go to and fro, whatever is under way; on days of several
@@ -468,13 +471,13 @@
         return;
     for (int i = 0; i < w.layout.nodes; i++) {
         struct lmn_partition *partition = &node->core->partitions[i];
-        if (!partition->is_owned)
+        if (!partition->ownership.is_owned)
             continue;
         GList *all = g_hash_table_get_values(partition->machines);
         for (GList *l = all; l; l = l->next) {
             struct lmn_machine *machine = l->data;
-            if (!machine->is_draining || machine->is_terminated ||
-                !(machine->drain_at_once || lmn_machine_is_empty(machine)))
+            if (!machine->lifecycle.is_draining || machine->lifecycle.is_terminated ||
+                !(machine->lifecycle.drain_at_once || lmn_machine_is_empty(machine)))
                 continue;
             struct machine *x = machine_named(machine->name);
             if (x) {
@@ -549,7 +552,7 @@
     node_ask(node, i);
     if (!cut)
         node_announce(node);
-    if (!cut && node->core->is_synced)
+    if (!cut && node->core->cache.is_synced)
         node_hold(node);
     if (w.standbys && world_trouble(0.0015))
         lmn_shutdown_begin(node->core, w.clock);
@@ -562,15 +565,16 @@
     lmn_update_job_order(node->core, wall);
     if (w.broken == G_FLOORS)
         drop_floors(node->core);
-    for (int i = 0; i < node->core->partition_count &&
-                    node->core->last_triage_s == node->core->wall_clock_s;
+    for (int i = 0;
+         i < node->core->partition_count &&
+         node->core->scheduling.last_triage_s == node->core->scheduling.wall_clock_s;
          i++)
         lmn_update_reservations(node->core, &node->core->partitions[i], w.clock);
     lmn_maintenance_run(node->core, w.clock);
     for (int k = 0; k < w.layout.nodes && w.broken == G_UNHEARD; k++) {
-        node->core->partitions[k].unaccounted_cpus =
-            node->core->partitions[k].unaccounted_gpus = 0;
-        node->core->partitions[k].has_unaccounted_unknown = false;
+        node->core->partitions[k].ownership.unaccounted_cpus =
+            node->core->partitions[k].ownership.unaccounted_gpus = 0;
+        node->core->partitions[k].ownership.has_unaccounted_unknown = false;
     }
     for (int k = 0; k < w.layout.nodes; k++) {
         lmn_preempt_for_production(node->core, &node->core->partitions[k], w.clock);
