--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -62,8 +62,8 @@
 {
     const char *refs[8];
     uint64_t upto;
-    unsigned n =
-        lmn_tombstones_pending(&from->core->tombstones, member_index, refs, 8, &upto);
+    unsigned n = lmn_tombstones_pending(&from->core->cache.tombstones, member_index, refs,
+                                        8, &upto);
 
     if (!w.helped)
         return;
@@ -74,7 +74,7 @@
     for (unsigned i = 0; i < n; i++)
         w.tombstones += lmn_tombstone_receive(to->core, refs[i], w.clock);
     if (!world_trouble(0.05)) /* else the answer is lost, and they are told again */
-        lmn_tombstones_acknowledge(&from->core->tombstones, member_index, upto);
+        lmn_tombstones_acknowledge(&from->core->cache.tombstones, member_index, upto);
 }
 
 /* Ranks are places by name, as the nodes are numbered. */
@@ -114,14 +114,15 @@
 /* In step with nothing untold, a standby knows to the letter what the owner does. */
 static void compare(const struct node *node, const struct lmn_partition *partition)
 {
-    const struct lmn_replication_stream *stream = &partition->stream;
+    const struct lmn_replication_stream *stream = &partition->replication.stream;
     const struct lmn_core *core = w.nodes[stream->standby_index].core;
     const struct lmn_replica *copy =
-        core ? core->partitions[partition->id].replica : NULL;
+        core ? core->partitions[partition->id].replication.replica : NULL;
 
     if (stream->phase != LMN_STREAM_IN_SYNC || stream->batch ||
-        partition->unreplicated_machines->len || partition->unreplicated_removals->len ||
-        !copy || copy->stream != stream->id || copy->epoch != partition->owned_epoch)
+        partition->replication.pending_machines->len ||
+        partition->replication.pending_removals->len || !copy ||
+        copy->stream != stream->id || copy->epoch != partition->ownership.epoch)
         return;
     w.compared++;
     for (guint k = 0; k < partition->machine_list->len; k++) {
@@ -161,8 +162,8 @@
                 lmn_txn_free(txn);
             if (step != LMN_REPLICATION_SEND)
                 continue;
-            struct node *o = &w.nodes[partition->stream.standby_index];
-            bool heard = talk(me, partition->stream.standby_index) &&
+            struct node *o = &w.nodes[partition->replication.stream.standby_index];
+            bool heard = talk(me, partition->replication.stream.standby_index) &&
                          w.now >= o->still_until && !world_trouble(0.02);
             if (heard) {
                 struct lmn_replication_batch *same = batch_twin(batch);
@@ -170,12 +171,12 @@
                 lmn_replication_batch_free(same);
                 heard = !world_trouble(0.02);
             }
-            digest_batch(me, partition->stream.standby_index, w.clock, batch, heard,
-                         answer);
+            digest_batch(me, partition->replication.stream.standby_index, w.clock, batch,
+                         heard, answer);
             lmn_replication_batch_sent(node->core, partition, batch, heard, answer,
                                        w.clock);
         }
-        if (partition->is_owned)
+        if (partition->ownership.is_owned)
             compare(node, partition);
     }
 }
@@ -212,7 +213,8 @@
         struct waiter *x = node->waiting->pdata[i];
         struct lmn_partition *partition = &node->core->partitions[x->held.partition];
         struct machine *machine = &w.machines[x->machine];
-        bool ours = partition->is_owned && partition->owned_epoch == x->held.epoch;
+        bool ours =
+            partition->ownership.is_owned && partition->ownership.epoch == x->held.epoch;
         bool go = w.broken == G_TOLD ||
                   (ours && lmn_replication_covers(partition, x->held.log_position));
         if (ours && !go && w.now - x->since <= LMN_REPLICATION_DEFER_S) {
@@ -314,7 +316,7 @@
                                     held.log_position)) {
             GByteArray *own = g_byte_array_new();
             g_byte_array_append(own, body->data, body->len);
-            held.epoch = node->core->partitions[held.partition].owned_epoch;
+            held.epoch = node->core->partitions[held.partition].ownership.epoch;
             g_strlcpy(held.machine, name, LMN_NAME_SIZE);
             node_hold_back(node, &held, NULL, machine, own);
             g_byte_array_unref(own);
--- a/tests/world/served.c
+++ b/tests/world/served.c
@@ -108,12 +108,14 @@
 
     for (int i = 0; i < w.layout.nodes; i++) {
         const struct lmn_core *core = w.nodes[i].core;
-        const struct lmn_job *job = core ? g_hash_table_lookup(core->jobs, j->ref) : NULL;
+        const struct lmn_job *job =
+            core ? g_hash_table_lookup(core->cache.jobs, j->ref) : NULL;
         for (int k = 0; job && k < core->partition_count; k++) {
             const struct lmn_partition *partition = &core->partitions[k];
             const struct lmn_machine *machine =
-                partition->is_owned ? g_hash_table_lookup(partition->machines, x->name)
-                                    : NULL;
+                partition->ownership.is_owned
+                    ? g_hash_table_lookup(partition->machines, x->name)
+                    : NULL;
             for (guint n = 0; machine && n < job->ranges->len; n++) {
                 const struct lmn_range *range = job->ranges->pdata[n];
                 if (range->partition == partition && range->task_states)
--- a/tests/world/serving.c
+++ b/tests/world/serving.c
@@ -154,7 +154,7 @@
                      : LMN_TXN_REJECTED;
     lmn_txn_free(txn);
     if (k->outcome == LMN_TXN_COMMITTED)
-        lmn_tombstone_add(&node->core->tombstones, ref);
+        lmn_tombstone_add(&node->core->cache.tombstones, ref);
     k->stage = CANCEL_ENDS;
     k->at = w.now + on_the_way(node);
 }
--- a/tests/world/troubles.c
+++ b/tests/world/troubles.c
@@ -44,8 +44,8 @@
 
     for (int i = 0; i < w.layout.nodes; i++) {
         const struct lmn_core *core = w.nodes[i].core;
-        if (core && core->partitions[part].is_owned)
-            epoch = MAX(epoch, core->partitions[part].owned_epoch);
+        if (core && core->partitions[part].ownership.is_owned)
+            epoch = MAX(epoch, core->partitions[part].ownership.epoch);
     }
     return epoch;
 }
@@ -58,7 +58,7 @@
     for (int i = 0; i < w.layout.nodes; i++) {
         unsigned n = 0;
         for (int k = 0; k < w.layout.nodes && w.nodes[i].core; k++)
-            n += w.nodes[i].core->partitions[k].is_owned
+            n += w.nodes[i].core->partitions[k].ownership.is_owned
                      ? w.nodes[i].core->partitions[k].machine_list->len
                      : 0;
         if (n > most) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -10,7 +10,7 @@
 #include "protocol/cbor.h"
 #include "digest/messages.h"
 #include "partition/worker.h"
-#include "state/model.h"
+#include "state/core_state.h"
 #include "kv_client/kv_client.h"
 
 #include <setjmp.h>
