--- a/src/gateway/handover.h
+++ b/src/gateway/handover.h
@@ -10,7 +10,7 @@
  *
  * Pure transition functions over two small records; no time, no I/O. A function that
  * changes a record says so: it has to be written, conditionally, before anything that
- * follows from it leaves the process. The explorer in tests/test_hand.c plays every order
+ * follows from it leaves the process. The explorer in tests/test_handover.c plays every order
  * of loss, doubling, crash and restore over them. */
 #ifndef LMN_GATEWAY_HANDOVER_H
 #define LMN_GATEWAY_HANDOVER_H
