--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -1,40 +1,58 @@
+/**
+ * @file
+ * Conversion between CBOR and JSON. Both directions recurse; the depth is bounded by
+ * LMN_CBOR_MAX_DEPTH on the one side, and by the code that built the value on the other.
+ */
 #include "protocol/json.h"
 
 #include <stdio.h>
 
+enum { INDENT_COLUMNS = 2 };
+
+static json_t *array_of(const struct lmn_cbor_document *document,
+                        const struct lmn_cbor_value *node)
+{
+    json_t *array = json_array();
+
+    for (const struct lmn_cbor_value *item = lmn_cbor_first_child(document, node); item;
+         item = lmn_cbor_next(document, item))
+        json_array_append_new(array, lmn_json_of(document, item));
+    return array;
+}
+
+static json_t *object_of(const struct lmn_cbor_document *document,
+                         const struct lmn_cbor_value *node)
+{
+    json_t *object = json_object();
+
+    for (const struct lmn_cbor_value *key = lmn_cbor_first_child(document, node); key;) {
+        const struct lmn_cbor_value *value = lmn_cbor_next(document, key);
+        g_autofree char *name = g_strndup(key->s, key->len);
+        json_object_set_new(object, name, lmn_json_of(document, value));
+        key = lmn_cbor_next(document, value);
+    }
+    return object;
+}
+
 json_t *lmn_json_of(const struct lmn_cbor_document *document,
                     const struct lmn_cbor_value *node)
 {
-    json_t *j;
-
     switch (node->type) {
     case LMN_CBOR_BOOL:
         return json_boolean(node->truth);
     case LMN_CBOR_UINT:
-        return node->u <= INT64_MAX ? json_integer((json_int_t)node->u)
-                                    : json_real((double)node->u);
+        return node->integer <= INT64_MAX ? json_integer((json_int_t)node->integer)
+                                          : json_real((double)node->integer);
     case LMN_CBOR_NEGINT:
-        return json_integer(-1 - (json_int_t)node->u);
+        return json_integer(-1 - (json_int_t)node->integer);
     case LMN_CBOR_FLOAT:
-        return json_real(node->f);
+        return json_real(node->number);
     case LMN_CBOR_TEXT:
         return json_stringn(node->s, node->len);
     case LMN_CBOR_ARRAY:
-        j = json_array();
-        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(document, node); k;
-             k = lmn_cbor_next(document, k))
-            json_array_append_new(j, lmn_json_of(document, k));
-        return j;
+        return array_of(document, node);
     case LMN_CBOR_MAP:
-        j = json_object();
-        for (const struct lmn_cbor_value *k = lmn_cbor_first_child(document, node); k;) {
-            const struct lmn_cbor_value *value = lmn_cbor_next(document, k);
-            char *key = g_strndup(k->s, k->len);
-            json_object_set_new(j, key, lmn_json_of(document, value));
-            g_free(key);
-            k = lmn_cbor_next(document, value);
-        }
-        return j;
+        return object_of(document, node);
     default:
         return json_null();
     }
@@ -42,58 +60,76 @@
 
 json_t *lmn_json_of_bytes(const void *bytes, size_t len)
 {
-    struct lmn_cbor_document d;
+    struct lmn_cbor_document document;
 
-    if (lmn_cbor_parse(&d, bytes, len) != 0)
+    if (lmn_cbor_parse(&document, bytes, len) != 0)
         return NULL;
-    json_t *j = lmn_json_of(&d, lmn_cbor_root(&d));
-    lmn_cbor_free(&d);
-    return j;
+    json_t *value = lmn_json_of(&document, lmn_cbor_root(&document));
+    lmn_cbor_free(&document);
+    return value;
 }
 
-void lmn_json_put(GByteArray *buffer, json_t *j)
+static void put_object(GByteArray *buffer, json_t *object)
 {
     const char *key;
-    json_t *v;
+    json_t *member;
+
+    lmn_cbor_put_map(buffer, json_object_size(object));
+    json_object_foreach(object, key, member)
+    {
+        lmn_cbor_put_text(buffer, key);
+        lmn_json_put(buffer, member);
+    }
+}
+
+static void put_array(GByteArray *buffer, json_t *array)
+{
+    json_t *item;
     size_t i;
 
-    switch (json_typeof(j)) {
+    lmn_cbor_put_array(buffer, json_array_size(array));
+    json_array_foreach(array, i, item) lmn_json_put(buffer, item);
+}
+
+/** Negative numbers go out as floats: no field of the protocol is a negative integer. */
+static void put_integer(GByteArray *buffer, json_int_t integer)
+{
+    if (integer >= 0)
+        lmn_cbor_put_uint(buffer, (uint64_t)integer);
+    else
+        lmn_cbor_put_number(buffer, (double)integer);
+}
+
+void lmn_json_put(GByteArray *buffer, json_t *value)
+{
+    switch (json_typeof(value)) {
     case JSON_OBJECT:
-        lmn_cbor_put_map(buffer, json_object_size(j));
-        json_object_foreach(j, key, v)
-        {
-            lmn_cbor_put_text(buffer, key);
-            lmn_json_put(buffer, v);
-        }
+        put_object(buffer, value);
         return;
     case JSON_ARRAY:
-        lmn_cbor_put_array(buffer, json_array_size(j));
-        json_array_foreach(j, i, v) lmn_json_put(buffer, v);
+        put_array(buffer, value);
         return;
     case JSON_STRING:
-        lmn_cbor_put_text(buffer, json_string_value(j));
+        lmn_cbor_put_text(buffer, json_string_value(value));
         return;
     case JSON_INTEGER:
-        if (json_integer_value(j) >= 0)
-            lmn_cbor_put_uint(buffer, (uint64_t)json_integer_value(j));
-        else
-            lmn_cbor_put_number(buffer, (double)json_integer_value(j));
+        put_integer(buffer, json_integer_value(value));
         return;
     case JSON_REAL:
-        lmn_cbor_put_number(buffer, json_real_value(j));
+        lmn_cbor_put_number(buffer, json_real_value(value));
         return;
     case JSON_TRUE:
     case JSON_FALSE:
-        lmn_cbor_put_bool(buffer, json_is_true(j));
+        lmn_cbor_put_bool(buffer, json_is_true(value));
         return;
     default:
         lmn_cbor_put_null(buffer);
     }
 }
 
-void lmn_json_print(json_t *j, bool pretty)
+void lmn_json_print(json_t *value, bool pretty)
 {
-    json_dumpf(j, stdout, pretty ? JSON_INDENT(2) : JSON_COMPACT);
+    json_dumpf(value, stdout, pretty ? JSON_INDENT(INDENT_COLUMNS) : JSON_COMPACT);
     putchar('\n');
-    json_decref(j);
+    json_decref(value);
 }
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -1,4 +1,9 @@
-/* CBOR and JSON, by jansson. */
+/**
+ * @file
+ * Conversion between CBOR messages and jansson's JSON values: for command-line output,
+ * log and status pages, not for the paths that every request takes. References follow
+ * jansson's rules. No shared state; a value belongs to one thread at a time.
+ */
 #ifndef LMN_PROTOCOL_JSON_H
 #define LMN_PROTOCOL_JSON_H
 
@@ -6,14 +11,21 @@
 
 #include <jansson.h>
 
-/* A new reference; NULL if the text in it is not UTF-8. */
+/** Converts an item with all its children. An integer beyond INT64_MAX becomes a real.
+ * @return a new reference; NULL if jansson refuses the item's text. */
 json_t *lmn_json_of(const struct lmn_cbor_document *document,
                     const struct lmn_cbor_value *node);
-/* The bytes of one CBOR item; NULL if they are none. */
+
+/** Converts a message. @return a new reference; NULL if the bytes are not one valid item.
+ */
 json_t *lmn_json_of_bytes(const void *bytes, size_t len);
-/* Appends a JSON value as CBOR. Map keys come in jansson's order of insertion. */
-void lmn_json_put(GByteArray *buffer, json_t *j);
-/* Prints it and a newline to standard output, and drops the reference. */
-void lmn_json_print(json_t *j, bool pretty);
+
+/** Appends a JSON value as CBOR; the reference stays the caller's. The keys of a map come
+ * in the order in which they were added to it. */
+void lmn_json_put(GByteArray *buffer, json_t *value);
+
+/** Prints a value and a newline to standard output, and drops the caller's reference.
+ * @param pretty indents the output; otherwise it takes one line. */
+void lmn_json_print(json_t *value, bool pretty);
 
 #endif
--- a/tests/test_cbor.c
+++ b/tests/test_cbor.c
@@ -89,7 +89,7 @@
         for (int k = g_rand_int_range(r, 1, 5); k--;)
             b->data[g_rand_int_range(r, 0, (gint32)b->len)] = (guint8)g_rand_int(r);
         if (lmn_cbor_parse(&d, b->data, b->len) == 0) {
-            assert_true(d.n <= b->len + 1);
+            assert_true(d.count <= b->len + 1);
             lmn_cbor_free(&d);
         }
         g_byte_array_unref(b);
