--- a/src/config/config.c
+++ b/src/config/config.c
@@ -1,3 +1,8 @@
+/**
+ * @file
+ * The fields of an operator's file by path, and the getters that check them. The file
+ * itself is parsed in toml.cpp.
+ */
 #include "config/config.h"
 #include "config/settings.h"
 
@@ -5,26 +10,28 @@
 #include <stdio.h>
 #include <string.h>
 
+/** A field of the file. */
 struct item {
     enum lmn_config_kind kind;
-    char *text;
-    double number; /* of an array: its length */
+    char *text;    /**< owned */
+    double number; /**< of an array: its length */
     unsigned line;
-    bool used;
+    bool is_used; /**< some getter has read it */
 };
 
 struct lmn_config {
-    char *name;
-    GHashTable *items; /* path -> struct item */
-    GPtrArray *order;  /* paths, as they stand in the file */
-    char *wrong;
+    char *name;        /**< of the file, for messages */
+    GHashTable *items; /**< path -> struct item; owns both */
+    GPtrArray *order;  /**< the paths in the file's order, so that the first unknown field
+                          is  reported; the strings are the keys of `items` */
+    char *error;       /**< the first error; NULL: none */
 };
 
-static void free_item(gpointer p)
+static void free_item(gpointer data)
 {
-    struct item *i = p;
-    g_free(i->text);
-    g_free(i);
+    struct item *item = data;
+    g_free(item->text);
+    g_free(item);
 }
 
 struct lmn_config *lmn_config_new(const char *name)
@@ -41,7 +48,7 @@
     g_hash_table_destroy(config->items);
     g_ptr_array_free(config->order, TRUE);
     g_free(config->name);
-    g_free(config->wrong);
+    g_free(config->error);
     g_free(config);
 }
 
@@ -49,112 +56,134 @@
                     enum lmn_config_kind kind, const char *text, double number,
                     unsigned line)
 {
-    struct item *i = g_new0(struct item, 1);
+    struct item *item = g_new0(struct item, 1);
     char *key = g_strdup(path);
 
-    *i = (struct item){kind, g_strdup(text), number, line, false};
-    g_hash_table_replace(config->items, key, i);
+    *item = (struct item){.kind = kind,
+                          .text = g_strdup(text),
+                          .number = number,
+                          .line = line,
+                          .is_used = false};
+    g_hash_table_replace(config->items, key, item);
     g_ptr_array_add(config->order, key);
 }
 
-void lmn_config_fail(struct lmn_config *config, const char *path, const char *fmt, ...)
+void lmn_config_fail(struct lmn_config *config, const char *path, const char *format, ...)
 {
-    const struct item *i = g_hash_table_lookup(config->items, path);
-    va_list ap;
+    const struct item *item = g_hash_table_lookup(config->items, path);
+    va_list arguments;
 
-    if (config->wrong)
+    if (config->error)
         return;
-    va_start(ap, fmt);
-    char *what = g_strdup_vprintf(fmt, ap);
-    va_end(ap);
-    config->wrong =
-        i ? g_strdup_printf("%s: line %u: %s: %s", config->name, i->line, path, what)
-          : g_strdup_printf("%s: %s: %s", config->name, path, what);
-    g_free(what);
-}
-
-/* The field, if it is there and of the kind. */
-static struct item *find(struct lmn_config *config, const char *path,
-                         enum lmn_config_kind kind, bool required)
-{
-    static const char *const words[] = {"a text in quotes", "a number", "true or false",
-                                        "an array", "a table"};
-    struct item *i = g_hash_table_lookup(config->items, path);
-
-    if (!i) {
-        if (required)
-            lmn_config_fail(config, path, "missing; expected %s", words[kind]);
+    va_start(arguments, format);
+    g_autofree char *what = g_strdup_vprintf(format, arguments);
+    va_end(arguments);
+    if (item)
+        config->error =
+            g_strdup_printf("%s: line %u: %s: %s", config->name, item->line, path, what);
+    else
+        config->error = g_strdup_printf("%s: %s: %s", config->name, path, what);
+}
+
+/** How messages name what was expected. By enum lmn_config_kind. */
+static const char *const kind_words[] = {"a text in quotes", "a number", "true or false",
+                                         "an array", "a table"};
+
+/** @return the field if it is there and of the kind; NULL otherwise, after reporting a
+ * wrong kind or, if `is_required`, an absent field. */
+static const struct item *find_item(struct lmn_config *config, const char *path,
+                                    enum lmn_config_kind kind, bool is_required)
+{
+    struct item *item = g_hash_table_lookup(config->items, path);
+
+    if (!item) {
+        if (is_required)
+            lmn_config_fail(config, path, "missing; expected %s", kind_words[kind]);
         return NULL;
     }
-    i->used = true;
-    if (i->kind == kind)
-        return i;
-    lmn_config_fail(config, path, "expected %s", words[kind]);
+    item->is_used = true;
+    if (item->kind == kind)
+        return item;
+    lmn_config_fail(config, path, "expected %s", kind_words[kind]);
     return NULL;
 }
 
-const char *lmn_config_text(struct lmn_config *config, const char *path, const char *def)
+const char *lmn_config_text(struct lmn_config *config, const char *path,
+                            const char *fallback)
 {
-    const struct item *i = find(config, path, LMN_CONFIG_TEXT, !def);
+    const struct item *item = find_item(config, path, LMN_CONFIG_TEXT, !fallback);
 
-    if (i && !*i->text)
+    if (item && !*item->text)
         lmn_config_fail(config, path, "expected a text that is not empty");
-    return i ? i->text : def ? def : "";
+    if (item)
+        return item->text;
+    return fallback ? fallback : "";
+}
+
+static bool is_name(const char *text)
+{
+    size_t len = strlen(text);
+
+    if (len == 0 || len >= LMN_NAME_SIZE)
+        return false;
+    for (size_t i = 0; i < len; i++)
+        if (!g_ascii_isalnum(text[i]) && !strchr("-_.", text[i]))
+            return false;
+    return true;
 }
 
-const char *lmn_config_name(struct lmn_config *config, const char *path, const char *def)
+const char *lmn_config_name(struct lmn_config *config, const char *path,
+                            const char *fallback)
 {
-    const char *t = lmn_config_text(config, path, def);
-    size_t n = strlen(t);
-    bool ok = n > 0 && n < LMN_NAME_SIZE;
+    const char *name = lmn_config_text(config, path, fallback);
 
-    for (size_t i = 0; i < n; i++)
-        ok = ok && (g_ascii_isalnum(t[i]) || strchr("-_.", t[i]));
-    if (!ok)
+    if (!is_name(name))
         lmn_config_fail(config, path,
                         "expected a name of 1 to %d letters, digits, '-', '_' and '.'",
                         LMN_NAME_SIZE - 1);
-    return t;
+    return name;
 }
 
 const char *lmn_config_address(struct lmn_config *config, const char *path,
-                               const char *def)
+                               const char *fallback)
 {
-    const char *t = lmn_config_text(config, path, def);
+    const char *address = lmn_config_text(config, path, fallback);
     char host[LMN_ADDRESS_SIZE];
     int port;
 
-    if (*t && (strlen(t) >= LMN_ADDRESS_SIZE ||
-               lmn_address_split(t, host, sizeof host, &port) != 0))
+    /* An empty text is an absent optional field, or has been reported already. */
+    if (*address && (strlen(address) >= LMN_ADDRESS_SIZE ||
+                     lmn_address_split(address, host, sizeof host, &port) != 0))
         lmn_config_fail(config, path,
                         "expected an IPv4 address and a port, as in 127.0.0.1:8080");
-    return t;
+    return address;
 }
 
-double lmn_config_number(struct lmn_config *config, const char *path, double def,
-                         double lo, double hi)
+double lmn_config_number(struct lmn_config *config, const char *path, double fallback,
+                         double min, double max)
 {
-    const struct item *i = find(config, path, LMN_CONFIG_NUMBER, false);
-
-    if (!i)
-        return def;
-    if (!(i->number >= lo && i->number <= hi)) {
-        lmn_config_fail(config, path, "expected a number from %g to %g", lo, hi);
-        return def;
+    const struct item *item = find_item(config, path, LMN_CONFIG_NUMBER, false);
+
+    if (!item)
+        return fallback;
+    /* Written so that a NaN is refused too. */
+    if (!(item->number >= min && item->number <= max)) {
+        lmn_config_fail(config, path, "expected a number from %g to %g", min, max);
+        return fallback;
     }
-    return i->number;
+    return item->number;
 }
 
-bool lmn_config_bool(struct lmn_config *config, const char *path, bool def)
+bool lmn_config_bool(struct lmn_config *config, const char *path, bool fallback)
 {
-    const struct item *i = find(config, path, LMN_CONFIG_BOOL, false);
-    return i ? i->number != 0 : def;
+    const struct item *item = find_item(config, path, LMN_CONFIG_BOOL, false);
+    return item ? item->number != 0 : fallback;
 }
 
 guint lmn_config_count(struct lmn_config *config, const char *path)
 {
-    const struct item *i = find(config, path, LMN_CONFIG_ARRAY, false);
-    return i ? (guint)i->number : 0;
+    const struct item *item = find_item(config, path, LMN_CONFIG_ARRAY, false);
+    return item ? (guint)item->number : 0;
 }
 
 bool lmn_config_has(struct lmn_config *config, const char *path)
@@ -162,17 +191,23 @@
     return g_hash_table_contains(config->items, path);
 }
 
-int lmn_config_finish(struct lmn_config *config, char *err, size_t len)
+/** Reports the first field that nobody read. Tables are left out: a table is known by its
+ * fields. */
+static void report_unknown_field(struct lmn_config *config)
 {
-    for (guint k = 0; k < config->order->len && !config->wrong; k++) {
-        const struct item *i =
-            g_hash_table_lookup(config->items, config->order->pdata[k]);
-        if (!i->used && i->kind != LMN_CONFIG_TABLE)
-            lmn_config_fail(config, config->order->pdata[k],
-                            "no such field; take it out, or mend its name");
+    for (guint i = 0; i < config->order->len && !config->error; i++) {
+        const char *path = config->order->pdata[i];
+        const struct item *item = g_hash_table_lookup(config->items, path);
+        if (!item->is_used && item->kind != LMN_CONFIG_TABLE)
+            lmn_config_fail(config, path, "no such field; take it out, or mend its name");
     }
-    if (!config->wrong)
+}
+
+int lmn_config_finish(struct lmn_config *config, char *err, size_t len)
+{
+    report_unknown_field(config);
+    if (!config->error)
         return 0;
-    snprintf(err, len, "%s", config->wrong);
+    snprintf(err, len, "%s", config->error);
     return -1;
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,51 +1,28 @@
-/* Operators' TOML files: every field is read through here, so that what is wrong, or
- * isn't known, is named with file, line, field and mend. The platform's own file is read
- * by config/settings.h.
+/**
+ * @file
+ * Reading of operators' TOML files (sites, machine inventories, gateways, ...). A file is
+ * flattened into fields by path; the callers read the fields one by one, and whatever is
+ * wrong is reported with file, line, field and what was expected. The file that the
+ * platform hands to a controller has a reader of its own (config/settings.h).
  *
- * The first thing that is wrong is kept; the getters then go on with defaults, and
- * lmn_config_finish says it. Paths are dotted, with numbers for arrays:
- * "machines[2].zone". One thread. */
+ * Errors: only the first one is kept. After it the getters go on with their defaults, so
+ * that callers need no checks in between; lmn_config_finish() reports it, and also
+ * reports a field that nobody read, since that is a misspelt name.
+ *
+ * Paths are dotted, with indices for arrays: "machines[2].zone". A configuration belongs
+ * to one thread; it owns all the text that its getters return.
+ */
 #ifndef LMN_CONFIG_CONFIG_H
 #define LMN_CONFIG_CONFIG_H
 
 #include <glib.h>
 #include <stdbool.h>
+#include <stddef.h>
 
+/** A file that was read, and the first error found in it. */
 struct lmn_config;
 
-#ifdef __cplusplus
-extern "C" {
-#endif
-/* NULL with "file: line N: what" in err. */
-struct lmn_config *lmn_config_load(const char *path, char *err, size_t len);
-struct lmn_config *lmn_config_parse(const char *text, const char *name, char *err,
-                                    size_t len);
-#ifdef __cplusplus
-}
-#endif
-
-/* A text; def (may be NULL: required) if it is absent. Belongs to the conf. */
-const char *lmn_config_text(struct lmn_config *config, const char *path, const char *def);
-/* A text that must be a name: 1 to 63 letters, digits, '-', '_', '.'. */
-const char *lmn_config_name(struct lmn_config *config, const char *path, const char *def);
-double lmn_config_number(struct lmn_config *config, const char *path, double def,
-                         double lo, double hi);
-bool lmn_config_bool(struct lmn_config *config, const char *path, bool def);
-/* "IPv4:port". */
-const char *lmn_config_address(struct lmn_config *config, const char *path,
-                               const char *def);
-/* How many elements an array has; 0 if it is absent. */
-guint lmn_config_count(struct lmn_config *config, const char *path);
-bool lmn_config_has(struct lmn_config *config, const char *path);
-/* Something is wrong with the field: printf-like, as "expected ...". */
-void lmn_config_fail(struct lmn_config *config, const char *path, const char *fmt, ...)
-    __attribute__((format(printf, 3, 4)));
-/* 0, or -1 with what was wrong first, or with a field that nobody asked for. Frees
- * nothing. */
-int lmn_config_finish(struct lmn_config *config, char *err, size_t len);
-void lmn_config_free(struct lmn_config *config);
-
-/* --- for the reader of TOML (toml.cpp) --- */
+/** The kind of a field. */
 enum lmn_config_kind {
     LMN_CONFIG_TEXT,
     LMN_CONFIG_NUMBER,
@@ -53,15 +30,82 @@
     LMN_CONFIG_ARRAY,
     LMN_CONFIG_TABLE
 };
+
 #ifdef __cplusplus
 extern "C" {
 #endif
+
+/**
+ * Reads a file.
+ * @param err  receives "file: line N: what" or "file: cannot be read: why", cut to `len`
+ *             bytes with the closing zero byte.
+ * @return to be released by lmn_config_free(); NULL if the file can't be read or is not
+ * TOML.
+ */
+struct lmn_config *lmn_config_load(const char *path, char *err, size_t len);
+
+/** The same for a text in memory. @param name stands for the file in messages. */
+struct lmn_config *lmn_config_parse(const char *text, const char *name, char *err,
+                                    size_t len);
+
+/** Makes an empty configuration. For the TOML reader. */
 struct lmn_config *lmn_config_new(const char *name);
+
+/**
+ * Adds a field. For the TOML reader.
+ * @param text    copied; of LMN_CONFIG_TEXT: the value.
+ * @param number  the value of a number; 0 or 1 for a boolean; the length of an array.
+ * @param line    where it stands in the file.
+ */
 void lmn_config_add(struct lmn_config *config, const char *path,
                     enum lmn_config_kind kind, const char *text, double number,
                     unsigned line);
+
+/** Frees the configuration and all the text that its getters have returned. */
+void lmn_config_free(struct lmn_config *config);
+
 #ifdef __cplusplus
 }
 #endif
 
+/** Reads a text, which may not be empty. @param fallback taken if the field is absent;
+ * NULL: the field is required. @return never NULL; "" after an error. */
+const char *lmn_config_text(struct lmn_config *config, const char *path,
+                            const char *fallback);
+
+/** Reads a name: 1 to LMN_NAME_SIZE - 1 letters, digits, '-', '_' and '.'. Otherwise as
+ * lmn_config_text(). */
+const char *lmn_config_name(struct lmn_config *config, const char *path,
+                            const char *fallback);
+
+/** Reads an address, "IPv4:port". Otherwise as lmn_config_text(). */
+const char *lmn_config_address(struct lmn_config *config, const char *path,
+                               const char *fallback);
+
+/** Reads a number from `min` to `max`. @return `fallback` if it is absent or invalid. */
+double lmn_config_number(struct lmn_config *config, const char *path, double fallback,
+                         double min, double max);
+
+/** Reads a boolean. @return `fallback` if it is absent or invalid. */
+bool lmn_config_bool(struct lmn_config *config, const char *path, bool fallback);
+
+/** @return the number of elements of an array; 0 if it is absent. */
+guint lmn_config_count(struct lmn_config *config, const char *path);
+
+/** Whether the file contains the field, of whatever kind. */
+bool lmn_config_has(struct lmn_config *config, const char *path);
+
+/** Reports an error that the caller found in a field: printf-like, as in "expected ...".
+ * Ignored if there is an error already. */
+void lmn_config_fail(struct lmn_config *config, const char *path, const char *format, ...)
+    __attribute__((format(printf, 3, 4)));
+
+/**
+ * Ends the reading. The configuration stays valid and is still to be freed.
+ * @param err  receives the first error as "file: line N: field: what", cut to `len`
+ * bytes.
+ * @return 0, or -1 if there was an error or a field that nobody read.
+ */
+int lmn_config_finish(struct lmn_config *config, char *err, size_t len);
+
 #endif
--- a/src/config/operator_settings.c
+++ b/src/config/operator_settings.c
@@ -1,3 +1,7 @@
+/**
+ * @file
+ * One table of all operator settings: names, places in the structure and ranges.
+ */
 #include "config/operator_settings.h"
 
 #include <stddef.h>
@@ -16,30 +20,36 @@
     .standby = 1,
 };
 
+#define OFFSET(member) offsetof(struct lmn_operator_settings, member)
+
+/** The order is the order in the stored record. */
 static const struct {
     const char *name;
-    size_t at;
-    double lo, hi;
+    size_t offset; /**< of the double in the structure */
+    double min, max;
 } fields[] = {
-    {"sample", offsetof(struct lmn_operator_settings, sample), 0, 10000},
-    {"share", offsetof(struct lmn_operator_settings, share), 0.01, 1},
-    {"poll_floor_s", offsetof(struct lmn_operator_settings, poll_floor_s), 0.0001, 60},
-    {"poll_cap_s", offsetof(struct lmn_operator_settings, poll_cap_s), 0.001, 600},
-    {"idle_return_s", offsetof(struct lmn_operator_settings, idle_return_s), 1, 86400},
-    {"spare_cpus", offsetof(struct lmn_operator_settings, spare_cpus), 0, 1e6},
-    {"horizon_s", offsetof(struct lmn_operator_settings, horizon_s), 1, 86400},
-    {"spot", offsetof(struct lmn_operator_settings, spot), 0, 1},
-    {"standby", offsetof(struct lmn_operator_settings, standby), 0, 1},
+    {"sample", OFFSET(sample), 0, 10000},
+    {"share", OFFSET(share), 0.01, 1},
+    {"poll_floor_s", OFFSET(poll_floor_s), 0.0001, 60},
+    {"poll_cap_s", OFFSET(poll_cap_s), 0.001, 600},
+    {"idle_return_s", OFFSET(idle_return_s), 1, 86400},
+    {"spare_cpus", OFFSET(spare_cpus), 0, 1e6},
+    {"horizon_s", OFFSET(horizon_s), 1, 86400},
+    {"spot", OFFSET(spot), 0, 1},
+    {"standby", OFFSET(standby), 0, 1},
 };
 
-const char *lmn_operator_settings_name(size_t i)
+#undef OFFSET
+
+const char *lmn_operator_settings_name(size_t index)
 {
-    return i < G_N_ELEMENTS(fields) ? fields[i].name : NULL;
+    return index < G_N_ELEMENTS(fields) ? fields[index].name : NULL;
 }
 
-double lmn_operator_settings_value(const struct lmn_operator_settings *settings, size_t i)
+double lmn_operator_settings_value(const struct lmn_operator_settings *settings,
+                                   size_t index)
 {
-    return *(const double *)((const char *)settings + fields[i].at);
+    return *(const double *)((const char *)settings + fields[index].offset);
 }
 
 int lmn_operator_settings_set(struct lmn_operator_settings *settings, const char *name,
@@ -48,12 +58,13 @@
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
         if (strcmp(fields[i].name, name))
             continue;
-        if (!(value >= fields[i].lo && value <= fields[i].hi)) {
-            snprintf(err, len, "%s: expected a number from %g to %g", name, fields[i].lo,
-                     fields[i].hi);
+        /* Written so that a NaN is refused too. */
+        if (!(value >= fields[i].min && value <= fields[i].max)) {
+            snprintf(err, len, "%s: expected a number from %g to %g", name, fields[i].min,
+                     fields[i].max);
             return -1;
         }
-        *(double *)((char *)settings + fields[i].at) = value;
+        *(double *)((char *)settings + fields[i].offset) = value;
         return 0;
     }
     snprintf(err, len, "%s: no such setting", name);
@@ -62,24 +73,26 @@
 
 GByteArray *lmn_operator_settings_record(const struct lmn_operator_settings *settings)
 {
-    GByteArray *buffer = g_byte_array_new();
-    lmn_cbor_put_map(buffer, G_N_ELEMENTS(fields));
+    GByteArray *record = g_byte_array_new();
+
+    lmn_cbor_put_map(record, G_N_ELEMENTS(fields));
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
-        lmn_cbor_put_text(buffer, fields[i].name);
-        lmn_cbor_put_number(buffer, lmn_operator_settings_value(settings, i));
+        lmn_cbor_put_text(record, fields[i].name);
+        lmn_cbor_put_number(record, lmn_operator_settings_value(settings, i));
     }
-    return buffer;
+    return record;
 }
 
 void lmn_operator_settings_read(struct lmn_operator_settings *settings,
                                 const struct lmn_cbor_document *document,
-                                const struct lmn_cbor_value *value)
+                                const struct lmn_cbor_value *record)
 {
-    char err[128];
-    double v;
+    char ignored[128];
+    double value;
 
     *settings = lmn_operator_settings_default;
-    for (size_t i = 0; value && i < G_N_ELEMENTS(fields); i++)
-        if (lmn_cbor_get_number(lmn_cbor_get(document, value, fields[i].name), &v))
-            lmn_operator_settings_set(settings, fields[i].name, v, err, sizeof err);
+    for (size_t i = 0; record && i < G_N_ELEMENTS(fields); i++)
+        if (lmn_cbor_get_number(lmn_cbor_get(document, record, fields[i].name), &value))
+            lmn_operator_settings_set(settings, fields[i].name, value, ignored,
+                                      sizeof ignored);
 }
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,10 @@
-/* The settings that the platform hands over, read once at the start and never changed. */
+/**
+ * @file
+ * The settings that the platform hands to a controller in a TOML file: read once at the
+ * start and never changed afterwards, so that all threads may read them without a lock.
+ * The names of the file are the platform's and stay; each field says which one it comes
+ * from. Settings that operators change at run time are in config/operator_settings.h.
+ */
 #ifndef LMN_CONFIG_SETTINGS_H
 #define LMN_CONFIG_SETTINGS_H
 
@@ -6,91 +12,148 @@
 #include <stddef.h>
 
 enum {
-    LMN_NAME_SIZE = 64,
-    LMN_ADDRESS_SIZE = 64,
-    LMN_MAX_MEMBERS = 32, /* others than the node itself */
+    LMN_NAME_SIZE = 64,    /**< bytes of a name with its closing zero byte */
+    LMN_ADDRESS_SIZE = 64, /**< bytes of "IPv4:port" with its closing zero byte */
+    LMN_MAX_MEMBERS = 32,  /**< controllers other than the node itself */
     LMN_MAX_PARTITIONS = LMN_MAX_MEMBERS + 1,
-    /* Refuses files that can't be meant. Nothing is set aside for it: what is kept by
-     * team is allocated by the number of teams there are. */
+    /** Refuses files that can't be meant. Nothing is allocated for it in advance: what is
+     * kept by team is allocated by the number of teams there are. */
     LMN_MAX_TEAMS = 4096,
-    LMN_MAX_OBJECTIVES = 64
+    LMN_MAX_OBJECTIVES = 64 /**< further ones are ignored */
 };
 
+/** Another controller of the group (members). */
 struct lmn_member {
-    char name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE], address[LMN_ADDRESS_SIZE];
+    char name[LMN_NAME_SIZE];       /**< host_name */
+    char zone[LMN_NAME_SIZE];       /**< area; "": not known */
+    char address[LMN_ADDRESS_SIZE]; /**< address: "IPv4:port" for calls between
+                                       controllers */
 };
 
-/* An amount of 0 means that there is no such guarantee or no such limit. */
+/** Quota of a team (params.teams). An amount of 0 means that there is no such guarantee
+ * or no such limit. */
 struct lmn_team {
-    char name[LMN_NAME_SIZE];
-    double cpus, cpus_max, gpus, gpus_max;
+    char name[LMN_NAME_SIZE]; /**< name */
+    double cpus;              /**< cpus: guaranteed processors */
+    double cpus_max;          /**< cpus_max: limit of processors */
+    double gpus;              /**< gpus: guaranteed GPUs */
+    double gpus_max;          /**< gpus_max: limit of GPUs */
 };
 
-/* What is expected of a class of jobs: tasks started (wait) or the job done (finished)
- * within a time, or the job done within so many times its deadline. */
+/** What an objective expects of a class of jobs; the words of its `kind` stand beside. */
 enum lmn_objective_kind {
-    LMN_OBJECTIVE_START,
-    LMN_OBJECTIVE_FINISH,
-    LMN_OBJECTIVE_DEADLINE,
-    LMN_OBJECTIVE_GUARANTEE
+    LMN_OBJECTIVE_START,    /**< wait: tasks start within a time */
+    LMN_OBJECTIVE_FINISH,   /**< finished: the job is done within a time */
+    LMN_OBJECTIVE_DEADLINE, /**< deadline: the job is done within a multiple of its
+                               deadline */
+    LMN_OBJECTIVE_GUARANTEE /**< guarantee: teams get their guaranteed quota */
 };
+
+/** A service-level objective (params.objectives). */
 struct lmn_objective {
-    enum lmn_objective_kind kind;
-    char class_name[LMN_NAME_SIZE];
-    double within_s, times, share;
+    enum lmn_objective_kind kind;   /**< kind; objectives of unknown kinds are ignored */
+    char class_name[LMN_NAME_SIZE]; /**< class; "": all jobs */
+    double within_s;                /**< within_s: the time, seconds */
+    double times;                   /**< times: the multiple of the deadline */
+    double share; /**< share: of the cases in which it must hold, 0 to 1 */
 };
 
+/** All settings. Filled by lmn_settings_load() or lmn_settings_parse(), released by
+ * lmn_settings_free(). */
 struct lmn_settings {
-    char node_name[LMN_NAME_SIZE], zone[LMN_NAME_SIZE], client_listen[LMN_ADDRESS_SIZE],
-        internal_address[LMN_ADDRESS_SIZE];
-    char cloud_address[LMN_ADDRESS_SIZE], state_address[LMN_ADDRESS_SIZE];
-    struct lmn_member members[LMN_MAX_MEMBERS];
+    char node_name[LMN_NAME_SIZE]; /**< host_name */
+    char zone[LMN_NAME_SIZE];      /**< area */
+    char
+        client_listen[LMN_ADDRESS_SIZE]; /**< client_listen: address for users, workers */
+    char
+        internal_address[LMN_ADDRESS_SIZE]; /**< internal_addr: address for controllers */
+    char cloud_address[LMN_ADDRESS_SIZE];   /**< outside.cloud */
+    char state_address[LMN_ADDRESS_SIZE];   /**< outside.state: the key-value store */
+    struct lmn_member members[LMN_MAX_MEMBERS]; /**< members, in the file's order */
     size_t member_count;
-    struct lmn_team *teams; /* lmn_settings_free */
+    struct lmn_team *teams; /**< params.teams; owned */
     size_t team_count;
-    struct lmn_objective objectives[LMN_MAX_OBJECTIVES];
+    struct lmn_objective objectives[LMN_MAX_OBJECTIVES]; /**< params.objectives */
     size_t objective_count;
-    int partition_count; /* initial_size */
-    double heartbeat_s, lease_s, cancel_s;
-    double state_requests_per_s, state_writes_per_s, max_value_kb;
-    int max_txn_operations;
-    double cloud_requests_per_s, list_lag_s;
-    double cores, memory_mb;
-    int max_connections;
+    int partition_count; /**< params.initial_size; default: the number of controllers */
+
+    double heartbeat_s; /**< params.workers.report_s: interval of heartbeats, seconds */
+    double lease_s;  /**< params.workers.lease_s: a worker that got no reply for so many
+                          seconds stops its tasks */
+    double cancel_s; /**< params.workers.cancel_s: seconds in which the last task of a
+                          cancelled job must have ended */
+
+    double
+        state_requests_per_s; /**< params.state.rps: budget of all controllers together */
+    double state_writes_per_s; /**< params.state.write_rps: budget of changes, together */
+    double max_value_kb;       /**< params.state.value_kb: size limit of a value, KiB */
+    int max_txn_operations;    /**< params.state.txn_ops: operations in a transaction */
+
+    double
+        cloud_requests_per_s; /**< params.cloud.rps: budget of all controllers together */
+    double list_lag_s;        /**< params.cloud.list_lag_s: age of the cloud's lists,
+                                   seconds */
+
+    double cores;        /**< params.resources.cores: processors for this process */
+    double memory_mb;    /**< params.resources.memory_mb: memory for this process, MB */
+    int max_connections; /**< params.resources.max_connections: sockets of this process */
 };
 
 #ifdef __cplusplus
 extern "C" {
 #endif
-/* Fills *s from the file. On failure returns -1, puts "file: field: what" in err, and
- * leaves nothing to be freed. */
+
+/**
+ * Reads a file.
+ * @param settings  filled; its former content is overwritten, not freed.
+ * @param err       on failure: "file: field: what", cut to `len` bytes with the closing
+ * zero byte.
+ * @return 0, or -1 after a failure, which leaves nothing to be freed.
+ */
 int lmn_settings_load(const char *path, struct lmn_settings *settings, char *err,
-                      size_t errlen);
+                      size_t len);
+
+/** The same for a text in memory. @param name stands for the file in messages. */
 int lmn_settings_parse(const char *text, const char *name, struct lmn_settings *settings,
-                       char *err, size_t errlen);
+                       char *err, size_t len);
+
+/** Releases what the settings own. */
 void lmn_settings_free(struct lmn_settings *settings);
 
-/* How old a node's view may be, in seconds, for it to answer workers: what cancel_s
- * leaves beside a lease and a margin for the clocks' drift and the last kill. Not above
- * 0: no view ever is young enough. */
+/**
+ * How old a controller's view of the key-value store may be for it to answer workers.
+ *
+ * An answer renews the worker's lease. A cancellation that the view doesn't show yet is
+ * enforced by the lease's expiry at the latest, so that the view's age and a lease
+ * together must stay within cancel_s, with a margin for the drift of clocks and for
+ * killing the task.
+ *
+ * @return seconds; 0 or less: no view is ever fresh enough.
+ */
 double lmn_settings_max_cache_age_s(const struct lmn_settings *settings);
-/* Puts into text what follows from settings that can be kept, but not well; false: there
- * is nothing to say. */
+
+/** Describes settings that are valid but leave too little for a view's age. @return
+ * false, with `text` untouched, if there is nothing to warn of. */
 bool lmn_settings_warning(const struct lmn_settings *settings, char *text, size_t len);
 
-/* How many connections to workers a node keeps open for its own calls. */
+/** @return how many connections to workers a controller keeps open for its own calls. */
 static inline unsigned
 lmn_settings_worker_connections(const struct lmn_settings *settings)
 {
     return (unsigned)settings->max_connections / 5;
 }
 
+/** @return the team of this name; NULL if there is none. */
 const struct lmn_team *lmn_settings_team(const struct lmn_settings *settings,
                                          const char *name);
-/* The node's place among all members by name: who prefers which partition. */
+
+/** @return the place of a controller among all by name, from 0: it decides who prefers
+ * which partition, and all controllers compute the same. */
 int lmn_settings_member_index(const struct lmn_settings *settings, const char *node);
-/* Splits "10.0.0.1:8080"; 0 if it is an IPv4 address with a port. */
-int lmn_address_split(const char *addr, char *host, size_t len, int *port);
+
+/** Splits "10.0.0.1:8080". @return 0, or -1 if it is no IPv4 address with a port from 1
+ * to 65535, or the host doesn't fit into `len` bytes. */
+int lmn_address_split(const char *address, char *host, size_t len, int *port);
 
 #ifdef __cplusplus
 }
