--- a/src/http/metrics.c
+++ b/src/http/metrics.c
@@ -47,7 +47,7 @@
     for (guint i = 0; i < G_N_ELEMENTS(shares); i++)
         lmn_metric_sample(out, name, "quantile", shares[i],
                           lmn_latency_quantile(latency, g_ascii_strtod(shares[i], NULL)));
-    g_string_append_printf(out, "%s_count %.0f\n", name, gsl_histogram_sum(latency->h));
+    g_string_append_printf(out, "%s_count %.0f\n", name, lmn_latency_count(latency));
 }
 
 void lmn_metrics_answer(struct lmn_http_request *request,
--- a/src/util/clock.h
+++ b/src/util/clock.h
@@ -1,59 +1,72 @@
-/* Arithmetic on struct timespec, the type of time throughout. */
+/**
+ * @file
+ * The two clocks, and arithmetic on struct timespec, the type of a moment throughout.
+ * Durations are doubles in seconds. All functions are pure or read a clock; any thread
+ * may call them.
+ */
 #ifndef LMN_UTIL_CLOCK_H
 #define LMN_UTIL_CLOCK_H
 
 #include <time.h>
 
-/* A clock of a test's own: what lmn_now tells, if set. */
+/** A test's own clock: if set, lmn_now() returns what it points to. To be set before
+ * other threads start, and always NULL outside of tests. */
 extern const struct timespec *lmn_test_clock;
 
+/** @return the monotonic clock: for durations and deadlines on this machine. Its moments
+ * mean nothing to another machine, nor after a reboot. */
 static inline struct timespec lmn_now(void)
 {
-    struct timespec t;
+    struct timespec now;
     if (lmn_test_clock)
         return *lmn_test_clock;
-    clock_gettime(CLOCK_MONOTONIC, &t);
-    return t;
+    clock_gettime(CLOCK_MONOTONIC, &now);
+    return now;
 }
 
-/* The time of day: good for comparing with other nodes within the settings' bound only.
- */
+/** @return the time of day. It may jump, and may be compared with other nodes' only
+ * within the bound that the settings allow. */
 static inline struct timespec lmn_wall_clock_now(void)
 {
-    struct timespec t;
-    clock_gettime(CLOCK_REALTIME, &t);
-    return t;
+    struct timespec now;
+    clock_gettime(CLOCK_REALTIME, &now);
+    return now;
 }
 
-static inline double lmn_time_seconds(struct timespec t)
+/** @return the moment as seconds since its clock's start. */
+static inline double lmn_time_seconds(struct timespec time)
 {
-    return (double)t.tv_sec + (double)t.tv_nsec * 1e-9;
+    return (double)time.tv_sec + (double)time.tv_nsec * 1e-9;
 }
 
-/* a - b in seconds. */
-static inline double lmn_time_diff_s(struct timespec a, struct timespec b)
+/** @return seconds from `earlier` to `later`; negative if their order is the other. */
+static inline double lmn_time_diff_s(struct timespec later, struct timespec earlier)
 {
-    return (double)(a.tv_sec - b.tv_sec) + (double)(a.tv_nsec - b.tv_nsec) * 1e-9;
+    return (double)(later.tv_sec - earlier.tv_sec) +
+           (double)(later.tv_nsec - earlier.tv_nsec) * 1e-9;
 }
 
-static inline struct timespec lmn_time_add(struct timespec t, double seconds)
+/** @return the moment that many seconds later; earlier if they are negative. */
+static inline struct timespec lmn_time_add(struct timespec time, double seconds)
 {
     time_t whole = (time_t)seconds;
-    t.tv_sec += whole;
-    t.tv_nsec += (long)((seconds - (double)whole) * 1e9);
-    if (t.tv_nsec >= 1000000000L) {
-        t.tv_sec++;
-        t.tv_nsec -= 1000000000L;
-    } else if (t.tv_nsec < 0) {
-        t.tv_sec--;
-        t.tv_nsec += 1000000000L;
+    time.tv_sec += whole;
+    time.tv_nsec += (long)((seconds - (double)whole) * 1e9);
+    if (time.tv_nsec >= 1000000000L) {
+        time.tv_sec++;
+        time.tv_nsec -= 1000000000L;
+    } else if (time.tv_nsec < 0) {
+        time.tv_sec--;
+        time.tv_nsec += 1000000000L;
     }
-    return t;
+    return time;
 }
 
-static inline int lmn_time_before(struct timespec a, struct timespec b)
+/** Whether the first moment is earlier than the second. */
+static inline int lmn_time_before(struct timespec first, struct timespec second)
 {
-    return a.tv_sec < b.tv_sec || (a.tv_sec == b.tv_sec && a.tv_nsec < b.tv_nsec);
+    return first.tv_sec < second.tv_sec ||
+           (first.tv_sec == second.tv_sec && first.tv_nsec < second.tv_nsec);
 }
 
 #endif
--- a/src/util/in_flight.c
+++ b/src/util/in_flight.c
@@ -1,7 +1,12 @@
+/**
+ * @file
+ * Pacing of batched requests.
+ */
 #include "util/in_flight.h"
 
-/* Most answers come within 10 ms. Without this each lost answer delayed all that was
- * asked or written after it by a whole time-out. */
+/** A request may overtake one that has waited for so many seconds. Most replies come
+ * within 10 ms. Without this, each lost reply would delay all later requests by a whole
+ * timeout. */
 static const double OVERTAKE_S = 0.1;
 
 double lmn_in_flight_wait(const struct lmn_in_flight *in_flight, struct timespec now)
--- a/src/util/log.c
+++ b/src/util/log.c
@@ -1,3 +1,7 @@
+/**
+ * @file
+ * A writer for GLib's structured log that prints one line for each message.
+ */
 #include "util/log.h"
 
 #include <glib.h>
@@ -8,81 +12,99 @@
 #include <string.h>
 #include <unistd.h>
 
+enum { MAX_LINE_BYTES = 1024, MAX_NODE_NAME_BYTES = 64 };
+
 enum lmn_log_level lmn_log_level = LMN_LOG_INFO;
 
-static char node_name[64] = "-";
+static char node_name[MAX_NODE_NAME_BYTES] = "-";
 static bool as_json;
 
-/* One value of "name=value name=\"a value\"": its end, NULL past the last. */
-static const char *take_field(const char *at, json_t *to)
+/** Adds the first field of `name=value name="a value" ...` to an object. @return the next
+ * field; NULL after the last. */
+static const char *take_field(const char *field, json_t *object)
 {
-    const char *eq = strchr(at, '='), *end;
-    char *name, *value;
+    const char *equals = strchr(field, '=');
 
-    if (!eq)
+    if (!equals)
         return NULL;
-    name = g_strndup(at, (gsize)(eq - at));
-    bool quoted = eq[1] == '"';
-    const char *from = eq + 1 + quoted;
-    end = strchr(from, quoted ? '"' : ' ');
+    g_autofree char *name = g_strndup(field, (gsize)(equals - field));
+    bool is_quoted = equals[1] == '"';
+    const char *start = equals + 1 + is_quoted;
+    const char *end = strchr(start, is_quoted ? '"' : ' ');
     if (!end)
-        end = from + strlen(from);
-    value = g_strndup(from, (gsize)(end - from));
-    json_object_set_new(to, name, json_string(value));
-    g_free(name);
-    g_free(value);
-    end += quoted && *end;
+        end = start + strlen(start);
+    g_autofree char *value = g_strndup(start, (gsize)(end - start));
+    json_object_set_new(object, name, json_string(value));
+    end += is_quoted && *end;
     while (*end == ' ')
         end++;
     return *end ? end : NULL;
 }
 
-/* The same line as JSON: level, node, time of day, event, and its fields. */
-static int json_line(char *line, size_t len, const char *word, const char *message)
+/** @return an object of time of day, level, node, event and the event's fields. */
+static json_t *json_event(const char *level, const char *message)
+{
+    json_t *object = json_object();
+    const char *space = strchr(message, ' ');
+    size_t event_len = space ? (size_t)(space - message) : strlen(message);
+    double now_s = (double)g_get_real_time() / G_USEC_PER_SEC;
+
+    json_object_set_new(object, "time", json_real(now_s));
+    json_object_set_new(object, "level", json_string(level));
+    json_object_set_new(object, "node", json_string(node_name));
+    json_object_set_new(object, "event", json_stringn(message, event_len));
+    for (const char *field = space ? space + 1 : NULL; field;)
+        field = take_field(field, object);
+    return object;
+}
+
+/** Formats a message as JSON. @return the bytes of the line with its newline. */
+static int json_line(char *line, size_t size, const char *level, const char *message)
 {
-    json_t *j = json_object();
-    const char *rest = strchr(message, ' ');
-    gint64 now = g_get_real_time();
-
-    json_object_set_new(j, "time", json_real((double)now / 1e6));
-    json_object_set_new(j, "level", json_string(word));
-    json_object_set_new(j, "node", json_string(node_name));
-    json_object_set_new(
-        j, "event",
-        json_stringn(message, rest ? (size_t)(rest - message) : strlen(message)));
-    for (const char *at = rest ? rest + 1 : NULL; at;)
-        at = take_field(at, j);
-    size_t n = json_dumpb(j, line, len - 1, JSON_COMPACT);
-    json_decref(j);
-    if (n >= len - 1)
-        n = (size_t)g_snprintf(line, len, "{\"level\":\"%s\",\"event\":\"too-long\"}",
-                               word);
-    line[n] = '\n';
-    return (int)n + 1;
+    json_t *object = json_event(level, message);
+    size_t len = json_dumpb(object, line, size - 1, JSON_COMPACT);
+
+    json_decref(object);
+    if (len >= size - 1)
+        len = (size_t)g_snprintf(line, size, "{\"level\":\"%s\",\"event\":\"too-long\"}",
+                                 level);
+    line[len] = '\n';
+    return (int)len + 1;
 }
 
-static GLogWriterOutput writer(GLogLevelFlags level, const GLogField *fields, gsize n,
-                               gpointer data)
+/** Formats a message as text, cut to fit. @return the bytes of the line with its newline.
+ */
+static int text_line(char *line, size_t size, const char *level, const char *message)
 {
-    const char *message = "", *word = "info";
-    char line[1024];
+    int len = snprintf(line, size, "%s node=%s %s\n", level, node_name, message);
+
+    if (len >= (int)size) {
+        len = (int)size - 1;
+        line[len - 1] = '\n';
+    }
+    return len;
+}
+
+static const char *level_word(GLogLevelFlags level)
+{
+    if (level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_WARNING))
+        return "error";
+    return level & G_LOG_LEVEL_DEBUG ? "debug" : "info";
+}
+
+static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields,
+                                   gsize field_count, gpointer data)
+{
+    const char *message = "";
+    char line[MAX_LINE_BYTES];
     (void)data;
 
-    for (gsize i = 0; i < n; i++)
+    for (gsize i = 0; i < field_count; i++)
         if (!strcmp(fields[i].key, "MESSAGE"))
             message = fields[i].value;
-    if (level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_WARNING))
-        word = "error";
-    else if (level & G_LOG_LEVEL_DEBUG)
-        word = "debug";
-    int len = as_json ? json_line(line, sizeof line, word, message)
-                      : snprintf(line, sizeof line, "%s node=%s %s\n", word, node_name,
-                                 message);
-    if (len >= (int)sizeof line) {
-        len = sizeof line - 1;
-        line[len - 1] = '\n';
-    }
-    /* One write a line, so that lines of several threads do not mix. */
+    int len = as_json ? json_line(line, sizeof line, level_word(level), message)
+                      : text_line(line, sizeof line, level_word(level), message);
+    /* One write for each line, so that lines of several threads do not mix. */
     if (write(STDERR_FILENO, line, (size_t)len) < 0)
         return G_LOG_WRITER_UNHANDLED;
     return G_LOG_WRITER_HANDLED;
@@ -98,16 +120,17 @@
         lmn_log_level = LMN_LOG_DEBUG;
     as_json = !g_strcmp0(g_getenv("LOG_FORMAT"), "json");
     g_strlcpy(node_name, node, sizeof node_name);
-    g_log_set_writer_func(writer, NULL, NULL);
+    g_log_set_writer_func(write_line, NULL, NULL);
 }
 
-void lmn_log_write(enum lmn_log_level level, const char *fmt, ...)
+void lmn_log_write(enum lmn_log_level level, const char *format, ...)
 {
+    /* By enum lmn_log_level. */
     static const GLogLevelFlags flags[] = {G_LOG_LEVEL_WARNING, G_LOG_LEVEL_MESSAGE,
                                            G_LOG_LEVEL_DEBUG};
-    va_list ap;
+    va_list arguments;
 
-    va_start(ap, fmt);
-    g_logv(G_LOG_DOMAIN, flags[level], fmt, ap);
-    va_end(ap);
+    va_start(arguments, format);
+    g_logv(G_LOG_DOMAIN, flags[level], format, arguments);
+    va_end(arguments);
 }
--- a/src/util/process.c
+++ b/src/util/process.c
@@ -1,3 +1,7 @@
+/**
+ * @file
+ * Lock files, detached processes, killing by a mark in the environment, durable files.
+ */
 #include "util/process.h"
 #include "util/clock.h"
 #include "util/thread.h"
@@ -14,34 +18,47 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+/** Bytes for the text of a process's number. */
+enum { PID_TEXT_BYTES = 32 };
+
+/** How often a state that nobody tells about is looked at, seconds. */
+static const double POLL_INTERVAL_S = 0.01;
+
+/** @return the number in a lock file; 0 if there is none. */
 static pid_t read_pid(int fd)
 {
-    char t[32];
-    ssize_t n = pread(fd, t, sizeof t - 1, 0);
+    char text[PID_TEXT_BYTES];
+    ssize_t len = pread(fd, text, sizeof text - 1, 0);
 
-    if (n <= 0)
+    if (len <= 0)
         return 0;
-    t[n] = '\0';
-    return (pid_t)strtol(t, NULL, 10);
+    text[len] = '\0';
+    return (pid_t)strtol(text, NULL, 10);
+}
+
+static bool write_own_pid(int fd)
+{
+    char text[PID_TEXT_BYTES];
+    int len = snprintf(text, sizeof text, "%ld\n", (long)getpid());
+
+    return ftruncate(fd, 0) == 0 && pwrite(fd, text, (size_t)len, 0) == len;
 }
 
 int lmn_lock_file(const char *path, pid_t *holder)
 {
     int fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0644);
-    char t[32];
 
     *holder = 0;
     if (fd < 0)
-        return -2;
+        return LMN_LOCK_ERROR;
     if (flock(fd, LOCK_EX | LOCK_NB) != 0) {
         *holder = read_pid(fd);
         close(fd);
-        return -1;
+        return LMN_LOCK_HELD;
     }
-    int n = snprintf(t, sizeof t, "%ld\n", (long)getpid());
-    if (ftruncate(fd, 0) != 0 || pwrite(fd, t, (size_t)n, 0) != n) {
+    if (!write_own_pid(fd)) {
         close(fd);
-        return -2;
+        return LMN_LOCK_ERROR;
     }
     return fd;
 }
@@ -49,46 +66,47 @@
 bool lmn_lock_held(const char *path, pid_t *holder)
 {
     int fd = open(path, O_RDWR | O_CLOEXEC);
-    bool held;
 
     *holder = 0;
     if (fd < 0)
         return false;
-    held = flock(fd, LOCK_EX | LOCK_NB) != 0;
-    if (held)
+    bool is_held = flock(fd, LOCK_EX | LOCK_NB) != 0;
+    if (is_held)
         *holder = read_pid(fd);
     close(fd);
-    return held;
+    return is_held;
 }
 
 bool lmn_lock_wait(const char *path, double seconds)
 {
-    struct timespec end = lmn_time_add(lmn_now(), seconds);
-    pid_t pid;
+    struct timespec deadline = lmn_time_add(lmn_now(), seconds);
+    pid_t holder;
 
-    while (lmn_lock_held(path, &pid)) {
-        if (lmn_time_before(end, lmn_now()))
+    while (lmn_lock_held(path, &holder)) {
+        if (lmn_time_before(deadline, lmn_now()))
             return false;
-        lmn_sleep(0.01);
+        lmn_sleep(POLL_INTERVAL_S);
     }
     return true;
 }
 
-bool lmn_lock_signal(const char *path, int sig)
+bool lmn_lock_signal(const char *path, int signal_number)
 {
-    pid_t pid, again;
+    pid_t pid, pid_again;
 
     if (!lmn_lock_held(path, &pid) || pid <= 1)
         return false;
-    int fd = (int)syscall(SYS_pidfd_open, pid, 0);
-    /* The number may have passed to another process meanwhile: only if the lock is still
-     * held, and by the same, is the descriptor surely its. */
-    bool same = lmn_lock_held(path, &again) && again == pid;
-    if (fd < 0)
-        return same && kill(pid, sig) == 0;
-    bool sent = same && syscall(SYS_pidfd_send_signal, fd, sig, NULL, 0) == 0;
-    close(fd);
-    return sent;
+    int pid_fd = (int)syscall(SYS_pidfd_open, pid, 0);
+    /* Between reading the number and opening the descriptor the holder may have ended and
+     * its number may have passed to another process. Only if the same process still holds
+     * the lock afterwards does the descriptor surely belong to it. */
+    bool is_same = lmn_lock_held(path, &pid_again) && pid_again == pid;
+    if (pid_fd < 0) /* a kernel without such descriptors: a small race remains */
+        return is_same && kill(pid, signal_number) == 0;
+    bool is_sent =
+        is_same && syscall(SYS_pidfd_send_signal, pid_fd, signal_number, NULL, 0) == 0;
+    close(pid_fd);
+    return is_sent;
 }
 
 void lmn_lock_keep(void)
@@ -100,156 +118,200 @@
     g_unsetenv(LMN_LOCK_FD);
 }
 
-static void run_detached(char *const argv[], const char *log, int fail)
+/** Runs the program in this process, or reports the errno value of a failure to the pipe,
+ * which a successful exec closes. Between fork and exec of a threaded process only
+ * async-signal-safe functions may be called. */
+static void run_detached(char *const arguments[], const char *log, int error_pipe)
 {
     int in = open("/dev/null", O_RDONLY);
     int out = open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
-    int error;
     sigset_t none;
 
     if (in >= 0)
-        dup2(in, 0);
+        dup2(in, STDIN_FILENO);
     if (out >= 0) {
-        dup2(out, 1);
-        dup2(out, 2);
+        dup2(out, STDOUT_FILENO);
+        dup2(out, STDERR_FILENO);
     }
+    /* Signal masks and ignored signals would be inherited through exec. */
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, NULL);
     signal(SIGPIPE, SIG_DFL);
     signal(SIGCHLD, SIG_DFL);
-    execv(argv[0], argv);
-    error = errno;
-    if (write(fail, &error, sizeof error) < 0)
+    execv(arguments[0], arguments);
+    int error = errno;
+    if (write(error_pipe, &error, sizeof error) < 0)
         _exit(126);
     _exit(127);
 }
 
-int lmn_spawn(char *const argv[], const char *log, pid_t *pid)
+/** The process in between: starts the program as its own child, reports the number, and
+ * ends, so that the program is nobody's child. */
+static void run_intermediate(char *const arguments[], const char *log, int error_pipe,
+                             int pid_pipe)
 {
-    int fail[2], ids[2], error = 0;
+    setsid();
+    pid_t child = fork();
+    if (child == 0)
+        run_detached(arguments, log, error_pipe);
+    if (child < 0 || write(pid_pipe, &child, sizeof child) != sizeof child)
+        _exit(1);
+    _exit(0);
+}
+
+/** Waits for the process in between and for the program's exec. @return 0 or an errno
+ * value. */
+static int await_start(pid_t intermediate, int error_pipe, int pid_pipe, pid_t *pid)
+{
+    int status, error;
+
+    while (waitpid(intermediate, &status, 0) < 0 && errno == EINTR)
+        ;
+    if (read(pid_pipe, pid, sizeof *pid) != sizeof *pid)
+        return EAGAIN;
+    /* The end of the pipe without a message: exec has closed it. */
+    if (read(error_pipe, &error, sizeof error) != sizeof error)
+        return 0;
+    return error;
+}
+
+int lmn_spawn(char *const arguments[], const char *log, pid_t *pid)
+{
+    int error_pipe[2], pid_pipe[2], error;
 
     *pid = 0;
-    if (pipe2(fail, O_CLOEXEC) != 0)
+    if (pipe2(error_pipe, O_CLOEXEC) != 0)
         return errno;
-    if (pipe2(ids, O_CLOEXEC) != 0) {
+    if (pipe2(pid_pipe, O_CLOEXEC) != 0) {
         error = errno;
-        close(fail[0]);
-        close(fail[1]);
+        close(error_pipe[0]);
+        close(error_pipe[1]);
         return error;
     }
-    /* Twice, so that it is nobody's child: whoever started it may come and go. */
-    pid_t middle = fork();
-    if (middle == 0) {
-        setsid();
-        pid_t child = fork();
-        if (child == 0)
-            run_detached(argv, log, fail[1]);
-        if (child < 0 || write(ids[1], &child, sizeof child) != sizeof child)
-            _exit(1);
-        _exit(0);
-    }
-    error = middle < 0 ? errno : 0;
-    close(fail[1]);
-    close(ids[1]);
-    if (middle > 0) {
-        int status;
-        while (waitpid(middle, &status, 0) < 0 && errno == EINTR)
-            ;
-        if (read(ids[0], pid, sizeof *pid) != sizeof *pid)
-            error = EAGAIN;
-        else if (read(fail[0], &error, sizeof error) != sizeof error)
-            error = 0;
-    }
-    close(fail[0]);
-    close(ids[0]);
+    /* Forks twice, so that the program is not this process's child: whoever started it
+     * may come and go. */
+    pid_t intermediate = fork();
+    if (intermediate == 0)
+        run_intermediate(arguments, log, error_pipe[1], pid_pipe[1]);
+    error = intermediate < 0 ? errno : 0;
+    close(error_pipe[1]);
+    close(pid_pipe[1]);
+    if (intermediate > 0)
+        error = await_start(intermediate, error_pipe[0], pid_pipe[0], pid);
+    close(error_pipe[0]);
+    close(pid_pipe[0]);
     return error;
 }
 
+/** Whether the environment of a process contains the entry. */
 static bool is_marked(const char *pid, const char *mark)
 {
-    char path[64], *bytes = NULL;
-    gsize n = 0;
-    bool found = false;
+    char path[64];
+    g_autofree char *environment = NULL;
+    gsize len = 0;
 
     g_snprintf(path, sizeof path, "/proc/%s/environ", pid);
-    if (!g_file_get_contents(path, &bytes, &n, NULL))
+    if (!g_file_get_contents(path, &environment, &len, NULL))
         return false;
-    for (gsize at = 0; at < n && !found; at += strlen(bytes + at) + 1)
-        found = !strcmp(bytes + at, mark);
-    g_free(bytes);
-    return found;
+    for (gsize at = 0; at < len; at += strlen(environment + at) + 1)
+        if (!strcmp(environment + at, mark))
+            return true;
+    return false;
 }
 
 unsigned lmn_kill_marked(const char *mark)
 {
-    GDir *d = g_dir_open("/proc", 0, NULL);
+    g_autoptr(GDir) processes = g_dir_open("/proc", 0, NULL);
     const char *name;
-    unsigned n = 0;
+    unsigned count = 0;
 
-    while (d && (name = g_dir_read_name(d))) {
+    while (processes && (name = g_dir_read_name(processes))) {
         pid_t pid = (pid_t)strtol(name, NULL, 10);
         if (pid <= 1 || pid == getpid() || !is_marked(name, mark))
             continue;
         kill(pid, SIGKILL);
-        n++;
+        count++;
     }
-    if (d)
-        g_dir_close(d);
-    return n;
+    return count;
 }
 
 bool lmn_kill_marked_all(const char *mark, double seconds)
 {
-    struct timespec end = lmn_time_add(lmn_now(), seconds);
+    enum { SCANS_WITHOUT_A_FIND = 2 };
+    struct timespec deadline = lmn_time_add(lmn_now(), seconds);
 
-    /* One that forks while it is looked for may be missed once: not by a second look that
-     * finds nobody, since each that was found is dying and forks no more. */
-    for (int clean = 0; clean < 2;) {
-        clean = lmn_kill_marked(mark) ? 0 : clean + 1;
-        if (!clean && lmn_time_before(end, lmn_now()))
+    /* One scan may miss a process that is forked while it runs. A second scan that finds
+     * none can't: each process that was found is dying and forks no more. */
+    for (int empty_scans = 0; empty_scans < SCANS_WITHOUT_A_FIND;) {
+        empty_scans = lmn_kill_marked(mark) ? 0 : empty_scans + 1;
+        if (!empty_scans && lmn_time_before(deadline, lmn_now()))
             return false;
-        if (!clean)
-            lmn_sleep(0.01);
+        if (!empty_scans)
+            lmn_sleep(POLL_INTERVAL_S);
     }
     return true;
 }
 
-int lmn_file_put(const char *path, const void *bytes, size_t len)
+static bool write_all(int fd, const void *bytes, size_t len)
 {
-    char *tmp = g_strdup_printf("%s.tmp-%ld-%u", path, (long)getpid(), g_random_int());
-    char *dir = g_path_get_dirname(path);
-    int fd = open(tmp, O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644), rc = -1, error = 0;
-    size_t at = 0;
-
-    while (fd >= 0 && at < len) {
-        ssize_t n = write(fd, (const char *)bytes + at, len - at);
-        if (n < 0 && errno != EINTR)
-            break;
-        at += n > 0 ? (size_t)n : 0;
+    size_t written = 0;
+
+    while (written < len) {
+        ssize_t count = write(fd, (const char *)bytes + written, len - written);
+        if (count < 0 && errno != EINTR)
+            return false;
+        written += count > 0 ? (size_t)count : 0;
     }
-    if (fd >= 0 && at == len && fsync(fd) == 0 && rename(tmp, path) == 0) {
-        int d = open(dir, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-        rc = d >= 0 && fsync(d) == 0 ? 0 : -1;
+    return true;
+}
+
+/** Makes a rename in the directory of the path durable. */
+static int sync_directory_of(const char *path)
+{
+    char *directory = g_path_get_dirname(path);
+    int fd = open(directory, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    int rc = fd >= 0 && fsync(fd) == 0 ? 0 : -1;
+    int error = errno;
+
+    if (fd >= 0)
+        close(fd);
+    g_free(directory);
+    errno = error;
+    return rc;
+}
+
+int lmn_file_put(const char *path, const void *bytes, size_t len)
+{
+    char *temporary =
+        g_strdup_printf("%s.tmp-%ld-%u", path, (long)getpid(), g_random_int());
+    int fd = open(temporary, O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
+    int rc = -1, error;
+
+    /* The content is durable before the rename: a crash never shows a part of it. */
+    if (fd >= 0 && write_all(fd, bytes, len) && fsync(fd) == 0 &&
+        rename(temporary, path) == 0) {
+        rc = sync_directory_of(path);
         error = errno;
-        if (d >= 0)
-            close(d);
     } else {
         error = errno;
-        unlink(tmp);
+        unlink(temporary);
     }
     if (fd >= 0)
         close(fd);
-    g_free(tmp);
-    g_free(dir);
+    g_free(temporary);
     errno = error;
     return rc;
 }
 
-static int remove_one(const char *path, const struct stat *st, int type, struct FTW *f)
+/** Directories that nftw() may keep open at once. */
+enum { MAX_OPEN_DIRECTORIES = 16 };
+
+static int remove_entry(const char *path, const struct stat *status, int type,
+                        struct FTW *walk)
 {
-    (void)st;
+    (void)status;
     (void)type;
-    (void)f;
+    (void)walk;
     return remove(path);
 }
 
@@ -257,18 +319,18 @@
 {
     if (access(path, F_OK) != 0)
         return 0;
-    return nftw(path, remove_one, 16, FTW_DEPTH | FTW_PHYS);
+    return nftw(path, remove_entry, MAX_OPEN_DIRECTORIES, FTW_DEPTH | FTW_PHYS);
 }
 
 const char *lmn_self_path(void)
 {
     static char path[4096];
-    static gsize done;
+    static gsize is_read;
 
-    if (g_once_init_enter(&done)) {
-        ssize_t n = readlink("/proc/self/exe", path, sizeof path - 1);
-        path[MAX(n, 0)] = '\0';
-        g_once_init_leave(&done, 1);
+    if (g_once_init_enter(&is_read)) {
+        ssize_t len = readlink("/proc/self/exe", path, sizeof path - 1);
+        path[MAX(len, 0)] = '\0';
+        g_once_init_leave(&is_read, 1);
     }
     return path;
 }
--- a/src/util/thread.c
+++ b/src/util/thread.c
@@ -1,3 +1,7 @@
+/**
+ * @file
+ * Threads, condition variables, and the test clock of util/clock.h.
+ */
 #include "util/thread.h"
 #include "util/clock.h"
 #include "util/log.h"
@@ -7,39 +11,40 @@
 
 const struct timespec *lmn_test_clock;
 
-void lmn_thread(void *(*f)(void *), void *arg)
+void lmn_thread(void *(*function)(void *), void *arg)
 {
-    pthread_attr_t a;
-    pthread_t t;
-
-    pthread_attr_init(&a);
-    pthread_attr_setstacksize(&a, LMN_STACK);
-    pthread_attr_setdetachstate(&a, PTHREAD_CREATE_DETACHED);
-    int rc = pthread_create(&t, &a, f, arg);
-    pthread_attr_destroy(&a);
-    if (rc) {
-        lmn_error("thread_start_failed error=\"%s\"", strerror(rc));
+    pthread_attr_t attributes;
+    pthread_t thread;
+
+    pthread_attr_init(&attributes);
+    pthread_attr_setstacksize(&attributes, LMN_STACK);
+    pthread_attr_setdetachstate(&attributes, PTHREAD_CREATE_DETACHED);
+    int error = pthread_create(&thread, &attributes, function, arg);
+    pthread_attr_destroy(&attributes);
+    if (error) {
+        lmn_error("thread_start_failed error=\"%s\"", strerror(error));
         abort();
     }
 }
 
-void lmn_cond_init(pthread_cond_t *c)
+void lmn_cond_init(pthread_cond_t *condition)
 {
-    pthread_condattr_t a;
-    pthread_condattr_init(&a);
-    pthread_condattr_setclock(&a, CLOCK_MONOTONIC);
-    pthread_cond_init(c, &a);
-    pthread_condattr_destroy(&a);
+    pthread_condattr_t attributes;
+
+    pthread_condattr_init(&attributes);
+    pthread_condattr_setclock(&attributes, CLOCK_MONOTONIC);
+    pthread_cond_init(condition, &attributes);
+    pthread_condattr_destroy(&attributes);
 }
 
 void lmn_sleep(double seconds)
 {
-    struct timespec t = lmn_time_add((struct timespec){0, 0}, seconds);
-    nanosleep(&t, NULL);
+    struct timespec duration = lmn_time_add((struct timespec){0, 0}, seconds);
+    nanosleep(&duration, NULL);
 }
 
-void lmn_cond_wait_for(pthread_cond_t *c, pthread_mutex_t *m, double seconds)
+void lmn_cond_wait_for(pthread_cond_t *condition, pthread_mutex_t *mutex, double seconds)
 {
-    struct timespec t = lmn_time_add(lmn_now(), seconds);
-    pthread_cond_timedwait(c, m, &t);
+    struct timespec deadline = lmn_time_add(lmn_now(), seconds);
+    pthread_cond_timedwait(condition, mutex, &deadline);
 }
