--- a/bench/state.c
+++ b/bench/state.c
@@ -201,7 +201,7 @@
         complain("can't be read", item->key);
         return true;
     }
-    a->rev = item->rev;
+    a->rev = item->revision;
     lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), "counter"), a->counter,
                       sizeof a->counter);
     lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), "value"), &a->value);
--- a/src/cli/kv_store.c
+++ b/src/cli/kv_store.c
@@ -178,7 +178,7 @@
     json_t *v = lmn_json_of_bytes(item->value, item->len);
     (void)arg;
     lmn_json_print(json_pack("{s:s, s:I, s:I, s:o*}", "key", item->key, "revision",
-                             (json_int_t)item->rev, "lease", (json_int_t)item->lease,
+                             (json_int_t)item->revision, "lease", (json_int_t)item->lease,
                              "value", v),
                    false);
     return true;
@@ -191,7 +191,7 @@
 
     lmn_cbor_put_map(buffer, 4);
     lmn_cbor_put_text(buffer, "key"), lmn_cbor_put_text(buffer, item->key);
-    lmn_cbor_put_text(buffer, "revision"), lmn_cbor_put_uint(buffer, item->rev);
+    lmn_cbor_put_text(buffer, "revision"), lmn_cbor_put_uint(buffer, item->revision);
     lmn_cbor_put_text(buffer, "lease"), lmn_cbor_put_uint(buffer, item->lease);
     lmn_cbor_put_text(buffer, "value"),
         g_byte_array_append(buffer, item->value, (guint)item->len);
--- a/src/kv_store/db_read.c
+++ b/src/kv_store/db_read.c
@@ -1,4 +1,6 @@
-/* Views of the database. */
+/** @file
+ * Consistent views of the database (kv_store/db.h): each is an LMDB read transaction,
+ * which the reader keeps and renews, so that a view costs no allocation. */
 #include "kv_store/db.h"
 #include "kv_store/db_format.h"
 
@@ -6,13 +8,13 @@
 
 struct lmn_db_reader {
     struct lmn_db *db;
-    MDB_txn *txn;
-    bool open;
+    MDB_txn *txn; /* NULL before the first view */
 };
 
 struct lmn_db_reader *lmn_db_reader_new(struct lmn_db *db)
 {
     struct lmn_db_reader *reader = g_new0(struct lmn_db_reader, 1);
+
     reader->db = db;
     return reader;
 }
@@ -42,110 +44,77 @@
     mdb_txn_reset(reader->txn);
 }
 
-static bool read_item(const MDB_val *k, const MDB_val *v, struct lmn_db_item *item)
-{
-    struct lmn_db_head h;
-
-    if (k->mv_size > LMN_DB_KEY || v->mv_size < sizeof h)
-        return false;
-    memcpy(&h, v->mv_data, sizeof h);
-    memcpy(item->key, k->mv_data, k->mv_size);
-    item->key[k->mv_size] = '\0';
-    item->value = (const char *)v->mv_data + sizeof h;
-    item->len = v->mv_size - sizeof h;
-    item->rev = h.rev;
-    item->lease = h.lease;
-    return true;
-}
-
 bool lmn_db_get(struct lmn_db_reader *reader, const char *key, struct lmn_db_item *item)
 {
-    MDB_val k = {strlen(key), (void *)key}, v;
+    MDB_val stored_key = {strlen(key), (void *)key}, value;
 
-    return k.mv_size && mdb_get(reader->txn, reader->db->dbi[LMN_DATA], &k, &v) == 0 &&
-           read_item(&k, &v, item);
+    /* LMDB refuses an empty key with an error of its own. */
+    return stored_key.mv_size &&
+           mdb_get(reader->txn, reader->db->dbi[LMN_DB_DATA], &stored_key, &value) == 0 &&
+           lmn_db_data_read(&stored_key, &value, item);
 }
 
 void lmn_db_list(struct lmn_db_reader *reader, const char *prefix, const char *after,
-                 bool (*f)(void *arg, const struct lmn_db_item *item), void *arg)
+                 bool (*visit)(void *arg, const struct lmn_db_item *item), void *arg)
 {
-    size_t plen = strlen(prefix);
+    size_t prefix_len = strlen(prefix);
     const char *from = after && strcmp(after, prefix) >= 0 ? after : prefix;
-    MDB_val k = {strlen(from), (void *)from}, v;
+    MDB_val key = {strlen(from), (void *)from}, value;
     struct lmn_db_item item;
-    MDB_cursor *cur;
+    MDB_cursor *cursor;
 
-    if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_DATA], &cur) != 0)
+    if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_DB_DATA], &cursor) != 0)
         return;
-    int rc = mdb_cursor_get(cur, &k, &v, k.mv_size ? MDB_SET_RANGE : MDB_FIRST);
-    for (; !rc; rc = mdb_cursor_get(cur, &k, &v, MDB_NEXT)) {
-        if (k.mv_size < plen || memcmp(k.mv_data, prefix, plen))
+    int rc =
+        mdb_cursor_get(cursor, &key, &value, key.mv_size ? MDB_SET_RANGE : MDB_FIRST);
+    for (; !rc; rc = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
+        if (key.mv_size < prefix_len || memcmp(key.mv_data, prefix, prefix_len) != 0)
             break;
-        if (!read_item(&k, &v, &item) || (after && !strcmp(item.key, after)))
+        if (!lmn_db_data_read(&key, &value, &item) ||
+            (after && strcmp(item.key, after) == 0))
             continue;
-        if (!f(arg, &item))
+        if (!visit(arg, &item))
             break;
     }
-    mdb_cursor_close(cur);
-}
-
-bool lmn_db_log_read(const MDB_val *k, const MDB_val *v, struct lmn_db_item *item)
-{
-    struct lmn_db_head h;
-    const guint8 *p = v->mv_data;
-    size_t left = v->mv_size;
-
-    if (k->mv_size != sizeof(struct lmn_db_log_key) || left < sizeof h + 2)
-        return false;
-    memcpy(&h, p, sizeof h);
-    p += sizeof h, left -= sizeof h;
-    size_t len = p[1];
-    if (len > LMN_DB_KEY || left < 2 + len)
-        return false;
-    memcpy(item->key, p + 2, len);
-    item->key[len] = '\0';
-    item->value = p[0] ? p + 2 + len : NULL;
-    item->len = left - 2 - len;
-    item->rev = h.rev;
-    item->lease = h.lease;
-    return true;
+    mdb_cursor_close(cursor);
 }
 
 void lmn_db_changes(struct lmn_db_reader *reader, uint64_t after,
-                    bool (*f)(void *arg, const struct lmn_db_item *item), void *arg)
+                    bool (*visit)(void *arg, const struct lmn_db_item *item), void *arg)
 {
-    struct lmn_db_log_key lk = {GUINT64_TO_BE(after + 1), 0};
-    MDB_val k = {sizeof lk, &lk}, v;
+    struct lmn_db_log_key log_key = {GUINT64_TO_BE(after + 1), 0};
+    MDB_val key = {sizeof log_key, &log_key}, value;
     struct lmn_db_item item;
-    MDB_cursor *cur;
+    MDB_cursor *cursor;
 
-    if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_LOG], &cur) != 0)
+    if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_DB_LOG], &cursor) != 0)
         return;
-    for (int rc = mdb_cursor_get(cur, &k, &v, MDB_SET_RANGE); !rc;
-         rc = mdb_cursor_get(cur, &k, &v, MDB_NEXT))
-        if (lmn_db_log_read(&k, &v, &item) && !f(arg, &item))
+    for (int rc = mdb_cursor_get(cursor, &key, &value, MDB_SET_RANGE); !rc;
+         rc = mdb_cursor_get(cursor, &key, &value, MDB_NEXT))
+        if (lmn_db_log_read(&key, &value, &item) && !visit(arg, &item))
             break;
-    mdb_cursor_close(cur);
+    mdb_cursor_close(cursor);
 }
 
 void lmn_db_leases(struct lmn_db_reader *reader,
-                   void (*f)(void *arg, uint64_t id, uint32_t ttl_ms), void *arg)
+                   void (*visit)(void *arg, uint64_t id, uint32_t ttl_ms), void *arg)
 {
-    MDB_cursor *cur;
-    MDB_val k, v;
+    MDB_cursor *cursor;
+    MDB_val key, value;
 
-    if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_LEASES], &cur) != 0)
+    if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_DB_LEASES], &cursor) != 0)
         return;
-    for (int rc = mdb_cursor_get(cur, &k, &v, MDB_FIRST); !rc;
-         rc = mdb_cursor_get(cur, &k, &v, MDB_NEXT)) {
-        uint64_t id;
-        uint32_t ttl;
-        if (k.mv_size != sizeof id ||
-            v.mv_size != sizeof(struct lmn_db_head) + sizeof ttl)
+    for (int rc = mdb_cursor_get(cursor, &key, &value, MDB_FIRST); !rc;
+         rc = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
+        uint64_t stored_id;
+        uint32_t ttl_ms;
+        if (key.mv_size != sizeof stored_id ||
+            value.mv_size != sizeof(struct lmn_db_head) + sizeof ttl_ms)
             continue;
-        memcpy(&id, k.mv_data, sizeof id);
-        memcpy(&ttl, (const char *)v.mv_data + sizeof(struct lmn_db_head), sizeof ttl);
-        f(arg, GUINT64_FROM_BE(id), ttl);
+        memcpy(&stored_id, key.mv_data, sizeof stored_id);
+        memcpy(&ttl_ms, (const char *)value.mv_data + sizeof(struct lmn_db_head),
+               sizeof ttl_ms);
+        visit(arg, GUINT64_FROM_BE(stored_id), ttl_ms);
     }
-    mdb_cursor_close(cur);
+    mdb_cursor_close(cursor);
 }
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -50,7 +50,7 @@
     lmn_cbor_put_text(buffer, WIRE_KEY), lmn_cbor_put_text(buffer, item->key);
     lmn_cbor_put_text(buffer, WIRE_VALUE),
         g_byte_array_append(buffer, item->value, (guint)item->len);
-    lmn_cbor_put_text(buffer, WIRE_VERSION), lmn_cbor_put_uint(buffer, item->rev);
+    lmn_cbor_put_text(buffer, WIRE_VERSION), lmn_cbor_put_uint(buffer, item->revision);
     if (item->lease)
         lmn_cbor_put_text(buffer, WIRE_LEASE), lmn_cbor_put_uint(buffer, item->lease);
 }
@@ -146,12 +146,12 @@
                              const struct lmn_cbor_document *document,
                              const struct lmn_cbor_value *node)
 {
-    struct lmn_db_cond *c = &op->txn.conds[op->txn.nconds++];
+    struct lmn_db_cond *c = &op->txn.conditions[op->txn.condition_count++];
 
     c->key = keep(op, lmn_cbor_get(document, node, WIRE_KEY));
     if (!c->key)
         return WIRE_CONDITIONS ": a key of 1 to 200 bytes without spaces is missing";
-    return lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_VERSION), &c->rev)
+    return lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_VERSION), &c->revision)
                ? NULL
                : WIRE_CONDITIONS ": a version is missing";
 }
@@ -161,7 +161,7 @@
                                const struct lmn_cbor_document *document,
                                const struct lmn_cbor_value *node)
 {
-    struct lmn_db_change *c = &op->txn.changes[op->txn.nchanges++];
+    struct lmn_db_change *c = &op->txn.changes[op->txn.change_count++];
     const struct lmn_cbor_value *put = lmn_cbor_get(document, node, WIRE_PUT), *value;
 
     c->key = keep(op, put ? put : lmn_cbor_get(document, node, WIRE_DELETE));
@@ -203,7 +203,7 @@
     if (s->o.txn_ops > 0 && ((changes && changes->len > (uint32_t)s->o.txn_ops) ||
                              (conds && conds->len > 4 * (uint32_t)s->o.txn_ops)))
         return "too many changes or conditions";
-    op->txn.conds = g_new0(struct lmn_db_cond, conds ? conds->len : 0);
+    op->txn.conditions = g_new0(struct lmn_db_cond, conds ? conds->len : 0);
     op->txn.changes = g_new0(struct lmn_db_change, changes ? changes->len : 0);
     for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, conds);
          node && !bad; node = lmn_cbor_next(document, node))
@@ -225,7 +225,7 @@
     const char *bad = read_txn(s, op, document);
     if (bad)
         lmn_http_request_fail(request, 400, bad);
-    if (bad || limited(s, request, &s->writes, (double)op->txn.nchanges))
+    if (bad || limited(s, request, &s->writes, (double)op->txn.change_count))
         lmn_kv_store_operation_free(op);
     else
         lmn_kv_store_submit(s, op);
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -29,7 +29,7 @@
     struct event *e = g_new0(struct event, 1);
 
     e->key = g_strdup(item->key);
-    e->rev = item->rev;
+    e->rev = item->revision;
     e->bytes = g_byte_array_new();
     lmn_cbor_put_map(e->bytes, item->value ? 3 : 2);
     lmn_cbor_put_text(e->bytes, item->value ? WIRE_PUT : WIRE_DELETE),
@@ -38,7 +38,8 @@
         lmn_cbor_put_text(e->bytes, WIRE_VALUE);
         g_byte_array_append(e->bytes, item->value, (guint)item->len);
     }
-    lmn_cbor_put_text(e->bytes, WIRE_VERSION), lmn_cbor_put_uint(e->bytes, item->rev);
+    lmn_cbor_put_text(e->bytes, WIRE_VERSION),
+        lmn_cbor_put_uint(e->bytes, item->revision);
     g_ptr_array_add(arg, e);
     return true;
 }
@@ -75,7 +76,7 @@
  * read anew. */
 static bool too_old(const struct lmn_db_meta *meta, uint64_t after)
 {
-    return after < meta->floor || after > meta->revision;
+    return after < meta->compact_revision || after > meta->revision;
 }
 
 void lmn_kv_store_watch(struct lmn_kv_store *s, struct lmn_http_request *request)
@@ -143,7 +144,7 @@
     for (GList *l = waiters->head; l; l = l->next)
         least = MIN(least, ((struct lmn_deferred_response *)l->data)->scanned);
     GPtrArray *events = g_ptr_array_new_with_free_func(free_event);
-    if (least < meta.revision && least >= meta.floor)
+    if (least < meta.revision && least >= meta.compact_revision)
         lmn_db_changes(reader, least, collect, events);
     lmn_db_view_end(reader);
     GHashTable *made = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -16,7 +16,7 @@
         g_ptr_array_free(op->bytes, TRUE);
     if (op->failed)
         g_ptr_array_free(op->failed, TRUE);
-    g_free(op->txn.conds);
+    g_free(op->txn.conditions);
     g_free(op->txn.changes);
     g_free(op);
 }
--- a/tests/test_kv_store.c
+++ b/tests/test_kv_store.c
@@ -116,7 +116,7 @@
     GHashTable *model = arg;
     const struct naive *n = g_hash_table_lookup(model, item->key);
     assert_non_null(n);
-    assert_int_equal(item->rev, n->rev);
+    assert_int_equal(item->revision, n->rev);
     assert_int_equal(item->lease, n->lease);
     assert_int_equal(item->len, strlen(n->value));
     assert_memory_equal(item->value, n->value, item->len);
@@ -214,8 +214,8 @@
 static bool follow(void *arg, const struct lmn_db_item *item)
 {
     uint64_t *n = arg;
-    assert_true(item->rev >= n[1]);
-    n[1] = item->rev;
+    assert_true(item->revision >= n[1]);
+    n[1] = item->revision;
     n[0]++;
     return true;
 }
@@ -237,8 +237,9 @@
     db = must_open();
     struct lmn_db_reader *view = lmn_db_reader_new(db);
     assert_int_equal(lmn_db_view(view, &meta), 0);
-    assert_int_equal(meta.floor, 3000); /* a watch from 2999 would miss a change: 410 */
-    lmn_db_changes(view, meta.floor, follow, seen);
+    assert_int_equal(meta.compact_revision,
+                     3000); /* a watch from 2999 would miss a change: 410 */
+    lmn_db_changes(view, meta.compact_revision, follow, seen);
     assert_int_equal(seen[0], LMN_DB_CHANGES);
     assert_int_equal(seen[1], 13000);
     lmn_db_view_end(view);
@@ -485,7 +486,7 @@
     g_strlcpy(dir, to, sizeof dir);
     assert_int_equal(check(&new), 0);
     assert_true(new.revision > old.revision + 1000000);
-    assert_int_equal(new.floor, new.revision);
+    assert_int_equal(new.compact_revision, new.revision);
     assert_true(new.incarnation != old.incarnation);
     /* Half a backup is none. */
     assert_true(g_file_get_contents(bak, &whole, &n, NULL));
