--- a/src/kv_store/db.h
+++ b/src/kv_store/db.h
@@ -146,7 +146,7 @@
 /** Frees the reader; its view must have ended. */
 void lmn_db_reader_free(struct lmn_db_reader *reader);
 
-/** Begins a view: a consistent state of the database. Pointers that it hands out stay
+/** Begins a view: a consistent state of the database. Pointers into it stay
  * valid until lmn_db_view_end(). While a view is open LMDB can't use the pages that it
  * shows again, so it must be short.
  * @param meta is set to the meta record of the view
--- a/src/kv_store/db_read.c
+++ b/src/kv_store/db_read.c
@@ -48,7 +48,7 @@
 {
     MDB_val stored_key = {strlen(key), (void *)key}, value;
 
-    /* LMDB refuses an empty key with an error of its own. */
+    /* The empty key is none to LMDB. */
     return stored_key.mv_size &&
            mdb_get(reader->txn, reader->db->dbi[LMN_DB_DATA], &stored_key, &value) == 0 &&
            lmn_db_data_read(&stored_key, &value, item);
--- a/src/kv_store/kv_store.h
+++ b/src/kv_store/kv_store.h
@@ -1,9 +1,13 @@
-/* The state service: the published protocol over the database.
+/** @file
+ * The key-value store's server: the published protocol (docs/state.md) over the database
+ * (kv_store/db.h). One process serves a directory.
  *
- * Three threads: the server's answers reads from a view and queues what writes; the
- * writer takes all that waits, applies it, and shares one sync among it (group commit);
- * the watcher answers those who wait for changes. Nothing is answered before its commit.
- */
+ * Four threads:
+ *  - the HTTP server's answers reads from a view and queues what writes;
+ *  - the writer takes all that is queued, applies it, and shares one sync of the disk
+ *    among it (group commit). Nothing that writes is answered before its commit;
+ *  - the watch thread answers those who wait for changes;
+ *  - the lease thread ends leases that were not renewed, by way of the writer. */
 #ifndef LMN_KV_STORE_KV_STORE_H
 #define LMN_KV_STORE_KV_STORE_H
 
@@ -12,26 +16,27 @@
 #include <glib.h>
 #include <stdbool.h>
 
+/** Settings of the server. A limit of 0 is no limit. */
 struct lmn_kv_store_options {
-    char listen[LMN_ADDRESS_SIZE];
-    const char *dir;
-    double map_gb;
-    /* 0: no limit */
-    double rps, write_rps; /* requests, and puts and deletes, a second; bursts of a
-                              second's worth */
-    double value_kb;       /* of a value, counted as JSON */
-    int txn_ops;     /* puts and deletes a transaction; four times as many conditions */
-    bool one_by_one; /* for measuring only: a sync for each transaction */
+    char listen[LMN_ADDRESS_SIZE]; /**< "IPv4:port" */
+    const char *dir;               /**< of the database */
+    double map_gb;                 /**< the most that the database may grow to, in GiB */
+    double rps;       /**< requests a second, in bursts of a second's worth */
+    double write_rps; /**< puts and deletes a second, in bursts of a second's worth */
+    double value_kb;  /**< KiB of a value, counted as JSON */
+    int txn_ops;     /**< puts and deletes a transaction; four times as many conditions */
+    bool one_by_one; /**< a sync for each transaction: for measurements only */
 };
 
+/** The defaults; `dir` is not set. */
 extern const struct lmn_kv_store_options lmn_kv_store_default_options;
 
+/** A server. */
 struct lmn_kv_store;
-/* Opens the database and serves it; NULL with what is wrong in err. Serves until the
- * process ends. */
-struct lmn_kv_store *lmn_kv_store_start(const struct lmn_kv_store_options *o, char *err,
-                                        size_t len);
-/* Appends its metrics as OpenMetrics text. */
-void lmn_kv_store_metrics(struct lmn_kv_store *s, GString *out);
+
+/** Opens the database and serves it until the process ends.
+ * @return NULL if that failed; err says why, and the process is expected to end */
+struct lmn_kv_store *lmn_kv_store_start(const struct lmn_kv_store_options *options,
+                                        char *err, size_t len);
 
 #endif
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -1,219 +1,281 @@
-/* Watches: those who wait cost a record each, and no thread. */
+/** @file
+ * Watches: clients that wait for changes below a prefix. A watch that waits costs a
+ * record in a queue and an open connection, but no thread: one thread answers all of
+ * them.
+ *
+ * A request is first looked at on the HTTP thread, against a view of its own; it is
+ * queued only if that view has nothing for it. The queue, under watch_lock, belongs to
+ * the watch thread, which takes all of it, answers whom it can from one view, and puts
+ * the others back. */
 #include "kv_store/kv_store_internal.h"
 #include "util/clock.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
 
-#include <stdlib.h>
 #include <string.h>
 
 enum { MAX_WAIT_MS = 60000 };
+/* How long the watch thread sleeps at most. */
+static const double MAX_SLEEP_S = 5;
+
+/* --- events: changes, copied out of a view --- */
 
-/* A change, copied out of a view. */
 struct event {
     char *key;
-    GByteArray *bytes; /* as it goes into an answer */
-    uint64_t rev;
+    GByteArray *bytes; /* as it goes into a response */
+    uint64_t revision;
 };
 
-static void free_event(gpointer p)
+static void event_free(gpointer data)
 {
-    struct event *e = p;
-    g_free(e->key);
-    g_byte_array_unref(e->bytes);
-    g_free(e);
+    struct event *event = data;
+
+    g_free(event->key);
+    g_byte_array_unref(event->bytes);
+    g_free(event);
 }
 
-static bool collect(void *arg, const struct lmn_db_item *item)
+/* Adds a change to `events`, a GPtrArray of struct event. */
+static bool collect_event(void *events, const struct lmn_db_item *item)
 {
-    struct event *e = g_new0(struct event, 1);
-
-    e->key = g_strdup(item->key);
-    e->rev = item->revision;
-    e->bytes = g_byte_array_new();
-    lmn_cbor_put_map(e->bytes, item->value ? 3 : 2);
-    lmn_cbor_put_text(e->bytes, item->value ? WIRE_PUT : WIRE_DELETE),
-        lmn_cbor_put_text(e->bytes, item->key);
+    struct event *event = g_new0(struct event, 1);
+
+    event->key = g_strdup(item->key);
+    event->revision = item->revision;
+    event->bytes = g_byte_array_new();
+    lmn_cbor_put_map(event->bytes, item->value ? 3 : 2);
+    lmn_cbor_put_text(event->bytes, item->value ? WIRE_PUT : WIRE_DELETE);
+    lmn_cbor_put_text(event->bytes, item->key);
     if (item->value) {
-        lmn_cbor_put_text(e->bytes, WIRE_VALUE);
-        g_byte_array_append(e->bytes, item->value, (guint)item->len);
+        lmn_cbor_put_text(event->bytes, WIRE_VALUE);
+        g_byte_array_append(event->bytes, item->value, (guint)item->len);
     }
-    lmn_cbor_put_text(e->bytes, WIRE_VERSION),
-        lmn_cbor_put_uint(e->bytes, item->revision);
-    g_ptr_array_add(arg, e);
+    lmn_cbor_put_text(event->bytes, WIRE_VERSION);
+    lmn_cbor_put_uint(event->bytes, item->revision);
+    g_ptr_array_add(events, event);
     return true;
 }
 
-/* The answer for a prefix: changes after the revision. NULL if there are none and some
- * are wanted. */
-static GByteArray *answer(const GPtrArray *events, const char *prefix, uint64_t after,
-                          uint64_t revision, bool even_if_none)
+/* The response for a prefix: the changes after a revision, as of `revision`. NULL if
+ * there are none, unless an empty one is wanted. */
+static GByteArray *build_response(const GPtrArray *events, const char *prefix,
+                                  uint64_t after, uint64_t revision, bool even_if_empty)
 {
-    GByteArray *buffer, *list = g_byte_array_new();
-    size_t n = 0;
+    g_autoptr(GByteArray) list = g_byte_array_new();
+    size_t count = 0;
 
     for (guint i = 0; i < events->len; i++) {
-        const struct event *e = events->pdata[i];
-        if (e->rev <= after || !g_str_has_prefix(e->key, prefix))
+        const struct event *event = events->pdata[i];
+        if (event->revision <= after || !g_str_has_prefix(event->key, prefix))
             continue;
-        g_byte_array_append(list, e->bytes->data, e->bytes->len);
-        n++;
+        g_byte_array_append(list, event->bytes->data, event->bytes->len);
+        count++;
     }
-    if (!n && !even_if_none) {
-        g_byte_array_unref(list);
+    if (!count && !even_if_empty)
         return NULL;
-    }
-    buffer = g_byte_array_new();
-    lmn_cbor_put_map(buffer, 2);
-    lmn_cbor_put_text(buffer, WIRE_REVISION), lmn_cbor_put_uint(buffer, revision);
-    lmn_cbor_put_text(buffer, WIRE_EVENTS), lmn_cbor_put_array(buffer, n);
-    g_byte_array_append(buffer, list->data, list->len);
-    g_byte_array_unref(list);
-    return buffer;
+    GByteArray *body = g_byte_array_new();
+    lmn_cbor_put_map(body, 2);
+    lmn_cbor_put_text(body, WIRE_REVISION);
+    lmn_cbor_put_uint(body, revision);
+    lmn_cbor_put_text(body, WIRE_EVENTS);
+    lmn_cbor_put_array(body, count);
+    g_byte_array_append(body, list->data, list->len);
+    return body;
 }
 
-/* Waits from another database, or so old that changes are missing, can only be told to
- * read anew. */
-static bool too_old(const struct lmn_db_meta *meta, uint64_t after)
+/* Whether a watch can't be served from the log, since changes after its revision are
+ * missing there, or since the revision is another database's: its client has to read
+ * everything anew. */
+static bool is_compacted(const struct lmn_db_meta *meta, uint64_t after)
 {
     return after < meta->compact_revision || after > meta->revision;
 }
 
-void lmn_kv_store_watch(struct lmn_kv_store *s, struct lmn_http_request *request)
+/* --- requests, on the HTTP thread --- */
+
+/* Queues a watch for the watch thread. If a commit came after the view that the request
+ * was looked at with, the thread has to look again at once. */
+static void enqueue_watch(struct lmn_kv_store *store, struct lmn_http_request *request,
+                          const char *prefix, uint64_t scanned_revision, uint64_t wait_ms)
 {
-    const char *prefix = lmn_http_request_query(request, WIRE_QUERY_PREFIX),
-               *a = lmn_http_request_query(request, WIRE_QUERY_AFTER);
-    const char *w = lmn_http_request_query(request, WIRE_QUERY_WAIT_MS);
-    uint64_t after = a ? g_ascii_strtoull(a, NULL, 10) : 0;
-    uint64_t wait_ms = w ? g_ascii_strtoull(w, NULL, 10) : 0;
+    struct lmn_kv_store_watch *watch = g_new0(struct lmn_kv_store_watch, 1);
+
+    watch->request = request;
+    watch->prefix = g_strdup(prefix);
+    watch->scanned_revision = scanned_revision;
+    watch->deadline = lmn_time_add(lmn_now(), (double)wait_ms / 1000);
+    lmn_http_request_defer(request);
+    pthread_mutex_lock(&store->watch_lock);
+    g_queue_push_tail(&store->watches, watch);
+    store->has_stale_watch =
+        store->has_stale_watch || watch->scanned_revision < store->revision;
+    pthread_cond_signal(&store->watch_changed);
+    pthread_mutex_unlock(&store->watch_lock);
+}
+
+void lmn_kv_store_handle_watch(struct lmn_kv_store *store,
+                               struct lmn_http_request *request)
+{
+    const char *prefix = lmn_http_request_query(request, WIRE_QUERY_PREFIX);
+    const char *after_text = lmn_http_request_query(request, WIRE_QUERY_AFTER);
+    const char *wait_text = lmn_http_request_query(request, WIRE_QUERY_WAIT_MS);
+    uint64_t after = after_text ? g_ascii_strtoull(after_text, NULL, 10) : 0;
+    uint64_t wait_ms = wait_text ? g_ascii_strtoull(wait_text, NULL, 10) : 0;
     struct lmn_db_meta meta;
 
+    if (!prefix)
+        prefix = "";
     if (wait_ms > MAX_WAIT_MS) {
-        lmn_http_request_fail(request, 400, WIRE_QUERY_WAIT_MS ": at most 60000");
+        lmn_http_request_fail(request, LMN_KV_STORE_INVALID,
+                              WIRE_QUERY_WAIT_MS ": at most 60000");
         return;
     }
-    if (lmn_db_view(s->reader, &meta) != 0) {
-        lmn_http_request_respond(request, 503, NULL, 1);
+    if (lmn_db_view(store->reader, &meta) != 0) {
+        lmn_http_request_respond(request, LMN_KV_STORE_UNAVAILABLE, NULL, 1);
         return;
     }
-    if (too_old(&meta, after)) {
-        lmn_db_view_end(s->reader);
-        lmn_http_request_respond(request, 410, NULL, 0);
+    if (is_compacted(&meta, after)) {
+        lmn_db_view_end(store->reader);
+        lmn_http_request_respond(request, LMN_KV_STORE_COMPACTED, NULL, 0);
         return;
     }
-    GPtrArray *events = g_ptr_array_new_with_free_func(free_event);
-    lmn_db_changes(s->reader, after, collect, events);
-    lmn_db_view_end(s->reader);
-    GByteArray *buffer =
-        answer(events, prefix ? prefix : "", after, meta.revision, wait_ms == 0);
-    g_ptr_array_free(events, TRUE);
-    if (buffer) {
-        lmn_http_request_respond(request, 200, buffer, 0);
-        return;
-    }
-    struct lmn_deferred_response *response = g_new0(struct lmn_deferred_response, 1);
-    response->call = request;
-    response->prefix = g_strdup(prefix ? prefix : "");
-    response->scanned = meta.revision;
-    response->until = lmn_time_add(lmn_now(), (double)wait_ms / 1000);
-    lmn_http_request_defer(request);
-    pthread_mutex_lock(&s->watch_lock);
-    g_queue_push_tail(&s->waiters, response);
-    s->behind = s->behind || response->scanned < s->revision;
-    pthread_cond_signal(&s->watch_more);
-    pthread_mutex_unlock(&s->watch_lock);
+    g_autoptr(GPtrArray) events = g_ptr_array_new_with_free_func(event_free);
+    lmn_db_changes(store->reader, after, collect_event, events);
+    lmn_db_view_end(store->reader);
+    GByteArray *body = build_response(events, prefix, after, meta.revision, wait_ms == 0);
+    if (body)
+        lmn_http_request_respond(request, LMN_KV_STORE_OK, body, 0);
+    else
+        enqueue_watch(store, request, prefix, meta.revision, wait_ms);
 }
 
-static void finish(struct lmn_deferred_response *response, int status, GByteArray *buffer)
+/* --- the watch thread --- */
+
+static void finish_watch(struct lmn_kv_store_watch *watch,
+                         enum lmn_kv_store_status status, GByteArray *body)
 {
-    lmn_http_request_respond(response->call, status, buffer, 0);
-    g_free(response->prefix);
-    g_free(response);
+    lmn_http_request_respond(watch->request, (int)status, body, 0);
+    g_free(watch->prefix);
+    g_free(watch);
 }
 
-/* Answers whom it can; the others stay in the queue. Many wait for the same: what goes to
- * them is made once. */
-static void serve(struct lmn_kv_store *s, struct lmn_db_reader *reader, GQueue *waiters)
-{
-    struct timespec now = lmn_now();
+/* What all watches that are served together share. */
+struct watch_round {
+    struct timespec now;
     struct lmn_db_meta meta;
-    uint64_t least = UINT64_MAX;
+    GPtrArray *events;     /* since the watch that is furthest behind */
+    GHashTable *responses; /* "revision prefix" -> GByteArray: many wait for the same, so
+                              what goes to them is made once */
+};
 
-    if (lmn_db_view(reader, &meta) != 0)
+/* The response to a watch, a reference for the caller; NULL: it waits on. One that is due
+ * is answered even if there is nothing, and so is not shared. */
+static GByteArray *response_for(const struct watch_round *round,
+                                const struct lmn_kv_store_watch *watch, bool is_due)
+{
+    if (is_due)
+        return build_response(round->events, watch->prefix, watch->scanned_revision,
+                              round->meta.revision, true);
+    g_autofree char *key = g_strdup_printf("%" G_GUINT64_FORMAT " %s",
+                                           watch->scanned_revision, watch->prefix);
+    GByteArray *body = g_hash_table_lookup(round->responses, key);
+    if (body)
+        return g_byte_array_ref(body);
+    body = build_response(round->events, watch->prefix, watch->scanned_revision,
+                          round->meta.revision, false);
+    if (body)
+        g_hash_table_insert(round->responses, g_steal_pointer(&key),
+                            g_byte_array_ref(body));
+    return body;
+}
+
+/* Answers a watch, and frees it; false if it waits on. */
+static bool serve_watch(const struct watch_round *round, struct lmn_kv_store_watch *watch)
+{
+    bool is_due = !lmn_time_before(round->now, watch->deadline);
+
+    if (is_compacted(&round->meta, watch->scanned_revision)) {
+        finish_watch(watch, LMN_KV_STORE_COMPACTED, NULL);
+        return true;
+    }
+    GByteArray *body = response_for(round, watch, is_due);
+    if (!body) {
+        watch->scanned_revision = round->meta.revision;
+        return false;
+    }
+    finish_watch(watch, LMN_KV_STORE_OK, body);
+    return true;
+}
+
+/* Answers the watches that it can; the others stay in the queue. */
+static void serve_watches(struct lmn_db_reader *reader, GQueue *watches)
+{
+    struct watch_round round = {.now = lmn_now()};
+    uint64_t oldest = UINT64_MAX;
+
+    if (lmn_db_view(reader, &round.meta) != 0)
         return;
-    for (GList *l = waiters->head; l; l = l->next)
-        least = MIN(least, ((struct lmn_deferred_response *)l->data)->scanned);
-    GPtrArray *events = g_ptr_array_new_with_free_func(free_event);
-    if (least < meta.revision && least >= meta.compact_revision)
-        lmn_db_changes(reader, least, collect, events);
+    for (GList *node = watches->head; node; node = node->next)
+        oldest = MIN(oldest, ((struct lmn_kv_store_watch *)node->data)->scanned_revision);
+    round.events = g_ptr_array_new_with_free_func(event_free);
+    if (oldest < round.meta.revision && oldest >= round.meta.compact_revision)
+        lmn_db_changes(reader, oldest, collect_event, round.events);
     lmn_db_view_end(reader);
-    GHashTable *made = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-                                             (GDestroyNotify)g_byte_array_unref);
-    for (GList *l = waiters->head, *next; l; l = next) {
-        struct lmn_deferred_response *response = l->data;
-        bool over = !lmn_time_before(now, response->until);
-        next = l->next;
-        if (too_old(&meta, response->scanned)) {
-            finish(response, 410, NULL);
-            g_queue_delete_link(waiters, l);
-            continue;
-        }
-        char *key = g_strdup_printf("%" G_GUINT64_FORMAT " %s", response->scanned,
-                                    response->prefix);
-        GByteArray *buffer = over ? NULL : g_hash_table_lookup(made, key);
-        if (buffer)
-            g_byte_array_ref(buffer);
-        else
-            buffer =
-                answer(events, response->prefix, response->scanned, meta.revision, over);
-        if (buffer && !over)
-            g_hash_table_insert(made, key, g_byte_array_ref(buffer));
-        else
-            g_free(key);
-        if (buffer) {
-            finish(response, 200, buffer);
-            g_queue_delete_link(waiters, l);
-        } else {
-            response->scanned = meta.revision;
-        }
+    round.responses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+                                            (GDestroyNotify)g_byte_array_unref);
+    for (GList *node = watches->head, *next; node; node = next) {
+        next = node->next;
+        if (serve_watch(&round, node->data))
+            g_queue_delete_link(watches, node);
+    }
+    g_hash_table_destroy(round.responses);
+    g_ptr_array_free(round.events, TRUE);
+}
+
+/* Seconds until the first watch is due, MAX_SLEEP_S at most. The watch_lock is held. */
+static double time_to_deadline(const struct lmn_kv_store *store)
+{
+    struct timespec now = lmn_now();
+    double wait_s = MAX_SLEEP_S;
+
+    for (GList *node = store->watches.head; node; node = node->next) {
+        const struct lmn_kv_store_watch *watch = node->data;
+        wait_s = MIN(wait_s, lmn_time_diff_s(watch->deadline, now));
+    }
+    return wait_s;
+}
+
+/* Waits until a watch is due, or there may be changes for one. The watch_lock is held. */
+static void wait_for_work(struct lmn_kv_store *store, uint64_t served_revision)
+{
+    for (;;) {
+        double wait_s = time_to_deadline(store);
+        bool has_changes = store->has_stale_watch || store->revision > served_revision;
+        if (wait_s <= 0 || (store->watches.head && has_changes))
+            return;
+        lmn_cond_wait_for(&store->watch_changed, &store->watch_lock, wait_s);
     }
-    g_hash_table_destroy(made);
-    g_ptr_array_free(events, TRUE);
-    (void)s;
 }
 
 void *lmn_kv_store_watch_thread(void *arg)
 {
-    struct lmn_kv_store *s = arg;
-    struct lmn_db_reader *reader = lmn_db_reader_new(s->db);
-    uint64_t served = 0;
+    struct lmn_kv_store *store = arg;
+    struct lmn_db_reader *reader = lmn_db_reader_new(store->db);
+    uint64_t served_revision = 0;
 
     for (;;) {
-        double wait = 5;
-        pthread_mutex_lock(&s->watch_lock);
-        for (;;) {
-            struct timespec now = lmn_now();
-            wait = 5;
-            for (GList *l = s->waiters.head; l; l = l->next)
-                wait =
-                    MIN(wait, lmn_time_diff_s(
-                                  ((struct lmn_deferred_response *)l->data)->until, now));
-            if (wait <= 0 || (s->waiters.head && (s->behind || s->revision > served)))
-                break;
-            lmn_cond_wait_for(&s->watch_more, &s->watch_lock, wait);
-        }
-        GQueue mine = s->waiters;
-        g_queue_init(&s->waiters);
-        served = s->revision;
-        s->behind = false;
-        pthread_mutex_unlock(&s->watch_lock);
-        serve(s, reader, &mine);
-        pthread_mutex_lock(&s->watch_lock);
-        while (mine.head) {
-            struct lmn_deferred_response *response = g_queue_pop_head(&mine);
-            g_queue_push_tail(&s->waiters, response);
-        }
-        pthread_mutex_unlock(&s->watch_lock);
+        pthread_mutex_lock(&store->watch_lock);
+        wait_for_work(store, served_revision);
+        GQueue watches = store->watches;
+        g_queue_init(&store->watches);
+        served_revision = store->revision;
+        store->has_stale_watch = false;
+        pthread_mutex_unlock(&store->watch_lock);
+        serve_watches(reader, &watches);
+        pthread_mutex_lock(&store->watch_lock);
+        while (watches.head)
+            g_queue_push_tail(&store->watches, g_queue_pop_head(&watches));
+        pthread_mutex_unlock(&store->watch_lock);
     }
     return NULL;
 }
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -1,270 +1,295 @@
-/* The writer: all that waits shares one sync. And the leases' keeper. */
+/** @file
+ * The writer: the one thread that changes the database. All operations that are queued
+ * share one transaction of LMDB's and one sync of the disk (group commit). Clients are
+ * answered after the commit, never before: what was answered survives a crash. */
 #include "kv_store/kv_store_internal.h"
+#include "util/clock.h"
 #include "util/log.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
 
-#include <stdlib.h>
-#include <string.h>
 #include <unistd.h>
 
-enum { MAX_WAITING = 8192, MAX_BATCH = 1024 };
+/* Operations that may be queued, and that are committed together, at most. */
+enum { MAX_QUEUED = 8192, MAX_BATCH = 1024 };
+/* After a batch that could not even be begun: before the next try. */
+static const double RETRY_DELAY_S = 0.1;
 
-void lmn_kv_store_operation_free(struct lmn_kv_store_operation *op)
+struct lmn_kv_store_operation *
+lmn_kv_store_operation_new(enum lmn_kv_store_operation_kind kind,
+                           struct lmn_http_request *request)
 {
-    if (op->bytes)
-        g_ptr_array_free(op->bytes, TRUE);
-    if (op->failed)
-        g_ptr_array_free(op->failed, TRUE);
-    g_free(op->txn.conditions);
-    g_free(op->txn.changes);
-    g_free(op);
+    struct lmn_kv_store_operation *operation = g_new0(struct lmn_kv_store_operation, 1);
+
+    operation->kind = kind;
+    operation->request = request;
+    return operation;
+}
+
+void lmn_kv_store_operation_free(struct lmn_kv_store_operation *operation)
+{
+    if (operation->bytes)
+        g_ptr_array_free(operation->bytes, TRUE);
+    if (operation->failed)
+        g_ptr_array_free(operation->failed, TRUE);
+    g_free(operation->txn.conditions);
+    g_free(operation->txn.changes);
+    g_free(operation);
 }
 
-bool lmn_kv_store_submit(struct lmn_kv_store *s, struct lmn_kv_store_operation *op)
+bool lmn_kv_store_submit(struct lmn_kv_store *store,
+                         struct lmn_kv_store_operation *operation)
 {
-    pthread_mutex_lock(&s->lock);
-    bool full = s->ops.length >= MAX_WAITING;
-    s->refused += full;
-    if (!full) {
-        if (op->call)
-            lmn_http_request_defer(op->call);
-        g_queue_push_tail(&s->ops, op);
-        pthread_cond_signal(&s->more);
+    pthread_mutex_lock(&store->lock);
+    bool is_full = store->operations.length >= MAX_QUEUED;
+    store->refused += is_full;
+    if (!is_full) {
+        /* Before the writer can see it: it may answer at once. */
+        if (operation->request)
+            lmn_http_request_defer(operation->request);
+        g_queue_push_tail(&store->operations, operation);
+        pthread_cond_signal(&store->operation_queued);
     }
-    pthread_mutex_unlock(&s->lock);
-    if (full) {
-        if (op->call)
-            lmn_http_request_respond(op->call, 503, NULL, 1);
-        lmn_kv_store_operation_free(op);
+    pthread_mutex_unlock(&store->lock);
+    if (is_full) {
+        if (operation->request)
+            lmn_http_request_respond(operation->request, LMN_KV_STORE_UNAVAILABLE, NULL,
+                                     1);
+        lmn_kv_store_operation_free(operation);
     }
-    return !full;
+    return !is_full;
 }
 
-/* Applies one; false if the batch is broken. */
-static bool apply(struct lmn_db_batch *batch, struct lmn_kv_store_operation *op)
+/* --- applying --- */
+
+/* Applies a transaction; false if the batch is broken. */
+static bool apply_txn(struct lmn_db_batch *batch,
+                      struct lmn_kv_store_operation *operation)
 {
-    switch (op->kind) {
+    operation->failed = g_ptr_array_new_with_free_func(g_free);
+    switch (
+        lmn_db_apply(batch, &operation->txn, &operation->revision, operation->failed)) {
+    case LMN_DB_APPLIED:
+        operation->status = LMN_KV_STORE_OK;
+        return true;
+    case LMN_DB_CONFLICT:
+        operation->status = LMN_KV_STORE_CONFLICT;
+        return true;
+    case LMN_DB_NO_LEASE:
+        operation->status = LMN_KV_STORE_INVALID;
+        return true;
+    default:
+        return false;
+    }
+}
+
+/* Applies one operation; false if the batch is broken. */
+static bool apply(struct lmn_db_batch *batch, struct lmn_kv_store_operation *operation)
+{
+    switch (operation->kind) {
     case LMN_KV_STORE_TXN:
-        op->failed = g_ptr_array_new_with_free_func(g_free);
-        switch (lmn_db_apply(batch, &op->txn, &op->rev, op->failed)) {
-        case LMN_DB_APPLIED:
-            op->status = 200;
-            return true;
-        case LMN_DB_CONFLICT:
-            op->status = 409;
-            return true;
-        case LMN_DB_NO_LEASE:
-            op->status = 400;
-            return true;
-        default:
-            return false;
-        }
+        return apply_txn(batch, operation);
     case LMN_KV_STORE_GRANT:
-        op->lease = lmn_db_grant(batch, op->ttl_ms);
-        op->status = 200;
-        return op->lease != 0;
+        operation->lease = lmn_db_grant(batch, operation->ttl_ms);
+        operation->status = LMN_KV_STORE_OK;
+        return operation->lease != 0;
     default:
-        op->status = lmn_db_revoke(batch, op->lease) ? 200 : 404;
+        operation->status = lmn_db_revoke(batch, operation->lease)
+                                ? LMN_KV_STORE_OK
+                                : LMN_KV_STORE_NOT_FOUND;
         return true;
     }
 }
 
-static GByteArray *txn_answer(const struct lmn_kv_store_operation *op)
+/* What a batch did, for the counters. */
+struct batch_counts {
+    uint64_t applied, conflicts;
+};
+
+/* Applies the operations in their order. If one breaks the batch the rest is left out:
+ * the commit then fails, and says what is wrong. */
+static struct batch_counts apply_all(struct lmn_db_batch *batch, GQueue *operations)
 {
-    GByteArray *buffer = g_byte_array_new();
+    struct batch_counts counts = {0};
 
-    if (op->status == 400) {
-        lmn_cbor_put_map(buffer, 1);
-        lmn_cbor_put_text(buffer, "error"), lmn_cbor_put_text(buffer, "no such lease");
-        return buffer;
-    }
-    lmn_cbor_put_map(buffer, op->status == 409 ? 2 : 1);
-    if (op->status == 409) {
-        lmn_cbor_put_text(buffer, WIRE_CONFLICTS),
-            lmn_cbor_put_array(buffer, op->failed->len);
-        for (guint i = 0; i < op->failed->len; i++)
-            lmn_cbor_put_text(buffer, op->failed->pdata[i]);
+    for (GList *node = operations->head; node; node = node->next) {
+        struct lmn_kv_store_operation *operation = node->data;
+        if (!apply(batch, operation))
+            break;
+        if (operation->kind != LMN_KV_STORE_TXN)
+            continue;
+        counts.applied += operation->status == LMN_KV_STORE_OK;
+        counts.conflicts += operation->status == LMN_KV_STORE_CONFLICT;
     }
-    lmn_cbor_put_text(buffer, WIRE_REVISION), lmn_cbor_put_uint(buffer, op->rev);
-    return buffer;
+    return counts;
 }
 
-/* After the commit: what it means to the leases in memory. The lock is held. */
-static void settle_lease(struct lmn_kv_store *s, const struct lmn_kv_store_operation *op,
-                         struct timespec now)
+/* --- answers --- */
+
+static GByteArray *txn_response(const struct lmn_kv_store_operation *operation)
 {
-    if (op->kind == LMN_KV_STORE_GRANT) {
-        struct lmn_kv_store_lease *l = g_new0(struct lmn_kv_store_lease, 1);
-        l->id = op->lease;
-        l->ttl_ms = op->ttl_ms;
-        l->until = lmn_time_add(now, op->ttl_ms / 1000.0);
-        g_hash_table_insert(s->leases, &l->id, l);
-    } else if (op->kind != LMN_KV_STORE_TXN) {
-        g_hash_table_remove(s->leases, &op->lease);
+    GByteArray *body = g_byte_array_new();
+    bool is_conflict = operation->status == LMN_KV_STORE_CONFLICT;
+
+    if (operation->status == LMN_KV_STORE_INVALID) {
+        lmn_cbor_put_map(body, 1);
+        lmn_cbor_put_text(body, "error");
+        lmn_cbor_put_text(body, "no such lease");
+        return body;
+    }
+    lmn_cbor_put_map(body, is_conflict ? 2 : 1);
+    if (is_conflict) {
+        lmn_cbor_put_text(body, WIRE_CONFLICTS);
+        lmn_cbor_put_array(body, operation->failed->len);
+        for (guint i = 0; i < operation->failed->len; i++)
+            lmn_cbor_put_text(body, operation->failed->pdata[i]);
     }
+    lmn_cbor_put_text(body, WIRE_REVISION);
+    lmn_cbor_put_uint(body, operation->revision);
+    return body;
 }
 
-static void tell(struct lmn_kv_store_operation *op)
+static GByteArray *lease_response(const struct lmn_kv_store_operation *operation)
 {
-    GByteArray *buffer = NULL;
+    GByteArray *body = g_byte_array_new();
 
-    if (!op->call)
-        return;
-    if (op->kind == LMN_KV_STORE_TXN) {
-        buffer = txn_answer(op);
+    if (operation->kind == LMN_KV_STORE_GRANT) {
+        lmn_cbor_put_map(body, 1);
+        lmn_cbor_put_text(body, WIRE_LEASE);
+        lmn_cbor_put_uint(body, operation->lease);
     } else {
-        buffer = g_byte_array_new();
-        lmn_cbor_put_map(buffer, op->kind == LMN_KV_STORE_GRANT);
-        if (op->kind == LMN_KV_STORE_GRANT)
-            lmn_cbor_put_text(buffer, WIRE_LEASE), lmn_cbor_put_uint(buffer, op->lease);
+        lmn_cbor_put_map(body, 0);
     }
-    lmn_http_request_respond(op->call, op->status, buffer, 0);
+    return body;
 }
 
-/* The batch was not applied: its calls are told so, and its leases live on. */
-static void give_up(struct lmn_kv_store *s, GQueue *ops, const char *why)
+/* Answers the client, if there is one. */
+static void respond(struct lmn_kv_store_operation *operation)
 {
-    struct lmn_kv_store_operation *op;
-
-    lmn_error("kv_commit_failed operations=%u why=\"%s\"", ops->length, why);
-    pthread_mutex_lock(&s->lock);
-    s->failures++;
-    for (GList *l = ops->head; l; l = l->next) {
-        op = l->data;
-        struct lmn_kv_store_lease *x =
-            op->kind == LMN_KV_STORE_EXPIRE || op->kind == LMN_KV_STORE_REVOKE
-                ? g_hash_table_lookup(s->leases, &op->lease)
-                : NULL;
-        if (x)
-            x->ending = false; /* the keeper, or its holder, tries again */
-    }
-    pthread_mutex_unlock(&s->lock);
-    while ((op = g_queue_pop_head(ops))) {
-        if (op->call)
-            lmn_http_request_respond(op->call, 503, NULL, 1);
-        lmn_kv_store_operation_free(op);
-    }
+    if (!operation->request)
+        return;
+    GByteArray *body = operation->kind == LMN_KV_STORE_TXN ? txn_response(operation)
+                                                           : lease_response(operation);
+    lmn_http_request_respond(operation->request, operation->status, body, 0);
 }
 
-static void commit(struct lmn_kv_store *s, GQueue *ops)
+/* --- the commit --- */
+
+/* Brings the leases in memory up to date, after the commit. The lock is held. */
+static void update_leases(struct lmn_kv_store *store,
+                          const struct lmn_kv_store_operation *operation,
+                          struct timespec now)
 {
-    char err[256] = "";
-    struct lmn_db_batch *batch = lmn_db_begin(s->db, err, sizeof err);
-    struct timespec begun = lmn_now();
-    struct lmn_kv_store_operation *op;
-    uint64_t applied = 0, conflicts = 0;
+    if (operation->kind == LMN_KV_STORE_GRANT)
+        lmn_kv_store_add_lease(store, operation->lease, operation->ttl_ms, now);
+    else if (operation->kind != LMN_KV_STORE_TXN)
+        g_hash_table_remove(store->leases, &operation->lease);
+}
 
-    if (!batch) {
-        give_up(s, ops, err);
-        lmn_sleep(0.1);
-        return;
-    }
-    for (GList *l = ops->head; l; l = l->next) {
-        op = l->data;
-        if (!apply(batch, op))
-            break; /* the commit will say what is wrong */
-        applied += op->kind == LMN_KV_STORE_TXN && op->status == 200;
-        conflicts += op->kind == LMN_KV_STORE_TXN && op->status == 409;
-    }
-    uint64_t revision = lmn_db_batch_revision(batch);
-    int rc = lmn_db_commit(batch, err, sizeof err);
-    if (rc == -2) {
-        /* Callers must not be told anything: no answer means that it may have been
-         * executed. */
-        lmn_error("database_failed why=\"%s\"", err);
-        _exit(1);
-    }
-    if (rc != 0) {
-        give_up(s, ops, err);
+/* Lets a lease live on whose end was not committed: the lease thread, or the client,
+ * tries again. The lock is held. */
+static void unmark_lease(struct lmn_kv_store *store,
+                         const struct lmn_kv_store_operation *operation)
+{
+    if (operation->kind != LMN_KV_STORE_EXPIRE && operation->kind != LMN_KV_STORE_REVOKE)
         return;
-    }
-    struct timespec now = lmn_now();
-    pthread_mutex_lock(&s->lock);
-    for (GList *l = ops->head; l; l = l->next)
-        settle_lease(s, l->data, now);
-    s->applied += applied;
-    s->conflicts += conflicts;
-    s->syncs++;
-    s->largest = MAX(s->largest, ops->length);
-    lmn_latency_add(&s->committing, lmn_time_diff_s(now, begun));
-    pthread_mutex_unlock(&s->lock);
-    lmn_debug("kv_commit operations=%u revision=%" G_GUINT64_FORMAT " took=%.4f",
-              ops->length, revision, lmn_time_diff_s(now, begun));
-    while ((op = g_queue_pop_head(ops))) {
-        tell(op);
-        lmn_kv_store_operation_free(op);
-    }
-    pthread_mutex_lock(&s->watch_lock);
-    s->revision = MAX(s->revision, revision);
-    pthread_cond_signal(&s->watch_more);
-    pthread_mutex_unlock(&s->watch_lock);
+    struct lmn_kv_store_lease *lease =
+        g_hash_table_lookup(store->leases, &operation->lease);
+    if (lease)
+        lease->is_ending = false;
 }
 
-void *lmn_kv_store_writer_thread(void *arg)
+/* Nothing of the batch was applied: its clients are answered so. Frees the operations. */
+static void fail_batch(struct lmn_kv_store *store, GQueue *operations, const char *why)
 {
-    struct lmn_kv_store *s = arg;
-    guint most = s->o.one_by_one ? 1 : MAX_BATCH;
+    struct lmn_kv_store_operation *operation;
 
-    for (;;) {
-        GQueue mine = G_QUEUE_INIT;
-        pthread_mutex_lock(&s->lock);
-        while (!s->ops.head)
-            pthread_cond_wait(&s->more, &s->lock);
-        while (s->ops.head && mine.length < most)
-            g_queue_push_tail(&mine, g_queue_pop_head(&s->ops));
-        pthread_mutex_unlock(&s->lock);
-        commit(s, &mine);
+    lmn_error("kv_commit_failed operations=%u why=\"%s\"", operations->length, why);
+    pthread_mutex_lock(&store->lock);
+    store->failures++;
+    for (GList *node = operations->head; node; node = node->next)
+        unmark_lease(store, node->data);
+    pthread_mutex_unlock(&store->lock);
+    while ((operation = g_queue_pop_head(operations))) {
+        if (operation->request)
+            lmn_http_request_respond(operation->request, LMN_KV_STORE_UNAVAILABLE, NULL,
+                                     1);
+        lmn_kv_store_operation_free(operation);
     }
-    return NULL;
 }
 
-/* A lease may end up to 100 ms late, never early. */
-static const double KEEPER_S = 0.05;
-/* If the keeper itself stood still for so long, the process did: nobody could renew, and
- * every lease has its full time again, as after an outage. */
-static const double STALL_S = 1.0;
+/* The batch is on the disk: updates leases and counters, then answers the clients, then
+ * lets the watch thread look at the new revision. Frees the operations. */
+static void finish_batch(struct lmn_kv_store *store, GQueue *operations,
+                         struct batch_counts counts, uint64_t revision,
+                         struct timespec begun_at)
+{
+    struct timespec now = lmn_now();
+    double took_s = lmn_time_diff_s(now, begun_at);
+    struct lmn_kv_store_operation *operation;
 
-static void expire(struct lmn_kv_store *s, struct timespec now, bool stalled)
+    pthread_mutex_lock(&store->lock);
+    for (GList *node = operations->head; node; node = node->next)
+        update_leases(store, node->data, now);
+    store->applied += counts.applied;
+    store->conflicts += counts.conflicts;
+    store->syncs++;
+    store->largest_batch = MAX(store->largest_batch, operations->length);
+    lmn_latency_add(&store->commit_latency, took_s);
+    pthread_mutex_unlock(&store->lock);
+    lmn_debug("kv_commit operations=%u revision=%" G_GUINT64_FORMAT " took=%.4f",
+              operations->length, revision, took_s);
+    while ((operation = g_queue_pop_head(operations))) {
+        respond(operation);
+        lmn_kv_store_operation_free(operation);
+    }
+    pthread_mutex_lock(&store->watch_lock);
+    store->revision = MAX(store->revision, revision);
+    pthread_cond_signal(&store->watch_changed);
+    pthread_mutex_unlock(&store->watch_lock);
+}
+
+/* Applies, commits and answers the operations. */
+static void commit(struct lmn_kv_store *store, GQueue *operations)
 {
-    GQueue over = G_QUEUE_INIT;
-    GHashTableIter it;
-    gpointer v;
+    char err[256] = "";
+    struct lmn_db_batch *batch = lmn_db_begin(store->db, err, sizeof err);
+    struct timespec begun_at = lmn_now();
 
-    pthread_mutex_lock(&s->lock);
-    g_hash_table_iter_init(&it, s->leases);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_kv_store_lease *l = v;
-        if (stalled && !l->ending)
-            l->until = lmn_time_add(now, l->ttl_ms / 1000.0);
-        if (l->ending || lmn_time_before(now, l->until))
-            continue;
-        struct lmn_kv_store_operation *op = g_new0(struct lmn_kv_store_operation, 1);
-        op->kind = LMN_KV_STORE_EXPIRE;
-        op->lease = l->id;
-        l->ending = true;
-        g_queue_push_tail(&over, op);
+    if (!batch) {
+        fail_batch(store, operations, err);
+        lmn_sleep(RETRY_DELAY_S);
+        return;
     }
-    while (over.head) {
-        g_queue_push_tail(&s->ops, g_queue_pop_head(&over));
-        pthread_cond_signal(&s->more);
+    struct batch_counts counts = apply_all(batch, operations);
+    uint64_t revision = lmn_db_batch_revision(batch);
+    int result = lmn_db_commit(batch, err, sizeof err);
+    if (result == LMN_DB_COMMIT_UNKNOWN) {
+        /* No client may be answered: to them, no answer means that it may have been
+         * executed, and that is all that is known. */
+        lmn_error("database_failed why=\"%s\"", err);
+        _exit(1);
     }
-    pthread_mutex_unlock(&s->lock);
+    if (result != LMN_DB_COMMITTED)
+        fail_batch(store, operations, err);
+    else
+        finish_batch(store, operations, counts, revision, begun_at);
 }
 
-void *lmn_kv_store_lease_thread(void *arg)
+void *lmn_kv_store_writer_thread(void *arg)
 {
-    struct timespec last = lmn_now();
+    struct lmn_kv_store *store = arg;
+    guint max_batch = store->options.one_by_one ? 1 : MAX_BATCH;
 
     for (;;) {
-        lmn_sleep(KEEPER_S);
-        struct timespec now = lmn_now();
-        bool stalled = lmn_time_diff_s(now, last) > STALL_S;
-        if (stalled)
-            lmn_info("kv_store_stalled seconds=%.1f leases=renewed",
-                     lmn_time_diff_s(now, last));
-        last = now;
-        expire(arg, now, stalled);
+        GQueue operations = G_QUEUE_INIT;
+        pthread_mutex_lock(&store->lock);
+        while (!store->operations.head)
+            pthread_cond_wait(&store->operation_queued, &store->lock);
+        while (store->operations.head && operations.length < max_batch)
+            g_queue_push_tail(&operations, g_queue_pop_head(&store->operations));
+        pthread_mutex_unlock(&store->lock);
+        commit(store, &operations);
     }
     return NULL;
 }
