--- a/src/emulator/worker.c
+++ b/src/emulator/worker.c
@@ -65,7 +65,7 @@
     add(worker, T_FETCH, lmn_time_add(now_of_call, took), 0, r->image);
 }
 
-static void give_up(void *arg, const char *image)
+static void cancel_fetch(void *arg, const char *image)
 {
     struct lmn_emu_worker *worker = arg;
     for (guint i = worker->timers->len; i-- > 0;) {
@@ -128,14 +128,15 @@
     add(worker, T_EMPTY, lmn_time_add(now_of_call, KILL_S), 0, NULL);
 }
 
-static void leased(void *arg, struct timespec until)
+static void extend_lease(void *arg, struct timespec until)
 {
     (void)arg;
     (void)until;
 }
 
-static const struct lmn_agent_ops ops = {describe, fetch,    give_up,  has_result, start,
-                                         save,     kill_run, kill_all, leased};
+static const struct lmn_agent_ops ops = {describe,   fetch,    cancel_fetch,
+                                         has_result, start,    save,
+                                         kill_run,   kill_all, extend_lease};
 
 void lmn_emu_worker_init(struct lmn_emu_worker *worker,
                          const struct lmn_emulator_faults *k, uint32_t seed,
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -1,3 +1,11 @@
+/** @file
+ * The state machine of a machine's agent (worker/agent.h).
+ *
+ * Two rules keep a task from running twice. A command counts only if its fencing token is
+ * not lower than any that was seen, so that an owner that was replaced can't start
+ * anything. And all runs end when the lease expires, which only answered heartbeats
+ * renew, counted from when they were sent: whoever waits out a lease knows that nothing
+ * runs. */
 #include "worker/agent.h"
 #include "util/clock.h"
 #include "util/log.h"
@@ -6,22 +14,34 @@
 #include <stdio.h>
 #include <string.h>
 
-static const char *const whys[] = {WIRE_DONE,        WIRE_STOPPED, WIRE_ERROR,
-                                   WIRE_NO_CAPACITY, WIRE_BUSY,    WIRE_NO_SUCH_JOB};
+/* By enum lmn_exit_reason. */
+static const char *const exit_reason_words[] = {
+    WIRE_DONE, WIRE_STOPPED, WIRE_ERROR, WIRE_NO_CAPACITY, WIRE_BUSY, WIRE_NO_SUCH_JOB};
+/* HTTP statuses of the agent's responses. */
+enum {
+    STATUS_OK = 200,
+    STATUS_MALFORMED = 400,
+    STATUS_FENCED = 409,
+    STATUS_ENDING = 503,
+};
+/* Sums of a machine's shares may be off by so much. */
+static const double ROUNDING = 1e-6;
+/* A task's name: the job's id, a slash, the index. */
+enum { TASK_NAME_SIZE = LMN_JOB_ID_SIZE + 16 };
 
 void lmn_agent_init(struct lmn_agent *agent, const struct lmn_agent_ops *ops, void *arg,
-                    uint64_t session, struct timespec now)
+                    uint64_t incarnation, struct timespec now)
 {
     agent->ops = ops;
     agent->arg = arg;
-    agent->incarnation = session;
+    agent->incarnation = incarnation;
     agent->sequence = agent->fencing_token = agent->next_run_id = 0;
     agent->is_ending = agent->has_spot_notice = false;
     agent->has_news = true;
     agent->lease_from = now;
     agent->fencing_token_reported_at = (struct timespec){0, 0};
     agent->runs = g_ptr_array_new_with_free_func(g_free);
-    ops->leased(arg, lmn_time_add(now, agent->lease_s));
+    ops->extend_lease(arg, lmn_time_add(now, agent->lease_s));
 }
 
 void lmn_agent_clear(struct lmn_agent *agent)
@@ -32,18 +52,30 @@
 struct lmn_task_run *lmn_agent_find_run(struct lmn_agent *agent, uint64_t id)
 {
     for (guint i = 0; i < agent->runs->len; i++) {
-        struct lmn_task_run *r = agent->runs->pdata[i];
-        if (r->id == id)
-            return r;
+        struct lmn_task_run *run = agent->runs->pdata[i];
+        if (run->id == id)
+            return run;
     }
     return NULL;
 }
 
-/* --- reports --- */
+/* --- heartbeats --- */
 
-static const char *state_word(const struct lmn_task_run *r)
+static void put_text_field(GByteArray *buffer, const char *name, const char *value)
 {
-    switch (r->state == LMN_RUN_ENDING ? r->reported_state : r->state) {
+    lmn_cbor_put_text(buffer, name);
+    lmn_cbor_put_text(buffer, value);
+}
+
+static void put_uint_field(GByteArray *buffer, const char *name, uint64_t value)
+{
+    lmn_cbor_put_text(buffer, name);
+    lmn_cbor_put_uint(buffer, value);
+}
+
+static const char *state_word(const struct lmn_task_run *run)
+{
+    switch (run->state == LMN_RUN_ENDING ? run->reported_state : run->state) {
     case LMN_RUN_RUNNING:
         return WIRE_RUNNING;
     case LMN_RUN_SAVING:
@@ -55,44 +87,44 @@
     }
 }
 
-static void put_run(GByteArray *buffer, const struct lmn_task_run *r)
+static void put_run(GByteArray *buffer, const struct lmn_task_run *run)
 {
-    char task[LMN_JOB_ID_SIZE + 16];
-    bool ended = r->state == LMN_RUN_ENDED,
-         stopped = ended && r->exit_reason == LMN_EXIT_STOPPED;
+    char task[TASK_NAME_SIZE];
+    bool ended = run->state == LMN_RUN_ENDED;
+    bool stopped = ended && run->exit_reason == LMN_EXIT_STOPPED;
 
-    g_snprintf(task, sizeof task, "%s/%u", r->job_id, r->index);
+    g_snprintf(task, sizeof task, "%s/%u", run->job_id, run->index);
     lmn_cbor_put_map(buffer, 3 + ended + stopped);
-    lmn_cbor_put_text(buffer, WIRE_TASK), lmn_cbor_put_text(buffer, task);
-    lmn_cbor_put_text(buffer, WIRE_ATTEMPT), lmn_cbor_put_uint(buffer, r->attempt);
-    lmn_cbor_put_text(buffer, WIRE_STATE), lmn_cbor_put_text(buffer, state_word(r));
+    put_text_field(buffer, WIRE_TASK, task);
+    put_uint_field(buffer, WIRE_ATTEMPT, run->attempt);
+    put_text_field(buffer, WIRE_STATE, state_word(run));
     if (ended)
-        lmn_cbor_put_text(buffer, WIRE_EXIT_REASON),
-            lmn_cbor_put_text(buffer, whys[r->exit_reason]);
-    if (stopped)
-        lmn_cbor_put_text(buffer, WIRE_SAVED), lmn_cbor_put_bool(buffer, r->is_saved);
+        put_text_field(buffer, WIRE_EXIT_REASON, exit_reason_words[run->exit_reason]);
+    if (stopped) {
+        lmn_cbor_put_text(buffer, WIRE_SAVED);
+        lmn_cbor_put_bool(buffer, run->is_saved);
+    }
 }
 
 void lmn_agent_write_heartbeat(struct lmn_agent *agent, GByteArray *buffer,
                                struct timespec now)
 {
     lmn_cbor_put_map(buffer, agent->has_spot_notice ? 10 : 9);
-    lmn_cbor_put_text(buffer, WIRE_MACHINE), lmn_cbor_put_text(buffer, agent->name);
-    lmn_cbor_put_text(buffer, WIRE_ADDRESS), lmn_cbor_put_text(buffer, agent->address);
-    lmn_cbor_put_text(buffer, WIRE_MACHINE_TYPE),
-        lmn_cbor_put_text(buffer, agent->type.name);
-    lmn_cbor_put_text(buffer, WIRE_ZONE), lmn_cbor_put_text(buffer, agent->zone);
-    lmn_cbor_put_text(buffer, WIRE_SPOT), lmn_cbor_put_bool(buffer, agent->is_spot);
-    lmn_cbor_put_text(buffer, WIRE_AGENT_INCARNATION),
-        lmn_cbor_put_uint(buffer, agent->incarnation);
-    lmn_cbor_put_text(buffer, WIRE_SEQUENCE),
-        lmn_cbor_put_uint(buffer, ++agent->sequence);
-    lmn_cbor_put_text(buffer, WIRE_FENCING_TOKEN),
-        lmn_cbor_put_uint(buffer, agent->fencing_token);
-    if (agent->has_spot_notice)
-        lmn_cbor_put_text(buffer, WIRE_SPOT_NOTICE_S),
-            lmn_cbor_put_number(buffer, MAX(lmn_time_diff_s(agent->gone_at, now), 0));
-    lmn_cbor_put_text(buffer, WIRE_TASKS), lmn_cbor_put_array(buffer, agent->runs->len);
+    put_text_field(buffer, WIRE_MACHINE, agent->name);
+    put_text_field(buffer, WIRE_ADDRESS, agent->address);
+    put_text_field(buffer, WIRE_MACHINE_TYPE, agent->type.name);
+    put_text_field(buffer, WIRE_ZONE, agent->zone);
+    lmn_cbor_put_text(buffer, WIRE_SPOT);
+    lmn_cbor_put_bool(buffer, agent->is_spot);
+    put_uint_field(buffer, WIRE_AGENT_INCARNATION, agent->incarnation);
+    put_uint_field(buffer, WIRE_SEQUENCE, ++agent->sequence);
+    put_uint_field(buffer, WIRE_FENCING_TOKEN, agent->fencing_token);
+    if (agent->has_spot_notice) {
+        lmn_cbor_put_text(buffer, WIRE_SPOT_NOTICE_S);
+        lmn_cbor_put_number(buffer, MAX(lmn_time_diff_s(agent->gone_at, now), 0));
+    }
+    lmn_cbor_put_text(buffer, WIRE_TASKS);
+    lmn_cbor_put_array(buffer, agent->runs->len);
     for (guint i = 0; i < agent->runs->len; i++)
         put_run(buffer, agent->runs->pdata[i]);
     agent->has_news = false;
@@ -100,9 +132,10 @@
 
 /* --- commands --- */
 
-/* A higher token is worth a report, but not each: a claim that is disputed would flood
- * the claimants. */
-static void take_token(struct lmn_agent *agent, uint64_t token, struct timespec now)
+/* A higher token is worth a heartbeat, but not each one is: while several controllers
+ * dispute a partition, each would be flooded with heartbeats. */
+static void take_fencing_token(struct lmn_agent *agent, uint64_t token,
+                               struct timespec now)
 {
     if (token > agent->fencing_token &&
         lmn_time_diff_s(now, agent->fencing_token_reported_at) > agent->lease_s / 2) {
@@ -112,164 +145,196 @@
     agent->fencing_token = token;
 }
 
-static void end(struct lmn_agent *agent, struct lmn_task_run *r, enum lmn_exit_reason why)
+static void end_run(struct lmn_agent *agent, struct lmn_task_run *run,
+                    enum lmn_exit_reason reason)
 {
-    r->state = LMN_RUN_ENDED;
-    r->exit_reason = why;
-    agent->finished += why == LMN_EXIT_DONE;
-    agent->refused += why > LMN_EXIT_ERROR;
+    run->state = LMN_RUN_ENDED;
+    run->exit_reason = reason;
+    agent->finished += reason == LMN_EXIT_DONE;
+    agent->refused += reason > LMN_EXIT_ERROR;
     agent->has_news = true;
 }
 
-static bool holds_room(const struct lmn_task_run *r)
+/* Until it is described it is not known what it uses. */
+static bool uses_capacity(const struct lmn_task_run *run)
 {
-    return r->is_described && r->state != LMN_RUN_ENDED;
+    return run->is_described && run->state != LMN_RUN_ENDED;
 }
 
-static bool has_room(const struct lmn_agent *agent, const struct lmn_task_run *r)
+static bool has_capacity_for(const struct lmn_agent *agent,
+                             const struct lmn_task_run *run)
 {
-    double cpus = r->cpus, gpus = r->gpus, mem = r->memory_gb;
+    double cpus = run->cpus, gpus = run->gpus, memory_gb = run->memory_gb;
 
     for (guint i = 0; i < agent->runs->len; i++) {
-        const struct lmn_task_run *o = agent->runs->pdata[i];
-        if (o == r || !holds_room(o))
+        const struct lmn_task_run *other = agent->runs->pdata[i];
+        if (other == run || !uses_capacity(other))
             continue;
-        cpus += o->cpus;
-        gpus += o->gpus;
-        mem += o->memory_gb;
+        cpus += other->cpus;
+        gpus += other->gpus;
+        memory_gb += other->memory_gb;
     }
-    return cpus <= agent->type.cpus + 1e-6 && gpus <= agent->type.gpus + 1e-6 &&
-           mem <= agent->type.memory_gb + 1e-6;
+    return cpus <= agent->type.cpus + ROUNDING && gpus <= agent->type.gpus + ROUNDING &&
+           memory_gb <= agent->type.memory_gb + ROUNDING;
 }
 
-static void begin(struct lmn_agent *agent, struct lmn_task_run *r, struct timespec now)
+/* Starts a run whose image is there; a task that has completed on this machine before is
+ * reported as done, and not run again. */
+static void begin_run(struct lmn_agent *agent, struct lmn_task_run *run,
+                      struct timespec now)
 {
-    r->since = now;
+    run->since = now;
     agent->has_news = true;
-    if (agent->ops->has_result(agent->arg, r->job_id, r->index)) {
-        end(agent, r, LMN_EXIT_DONE);
+    if (agent->ops->has_result(agent->arg, run->job_id, run->index)) {
+        end_run(agent, run, LMN_EXIT_DONE);
         return;
     }
-    r->state = LMN_RUN_RUNNING;
-    agent->ops->start(agent->arg, r);
+    run->state = LMN_RUN_RUNNING;
+    agent->ops->start(agent->arg, run);
 }
 
 void lmn_agent_described(struct lmn_agent *agent, uint64_t id,
                          const struct lmn_job_spec *spec, struct timespec now)
 {
-    struct lmn_task_run *r = lmn_agent_find_run(agent, id);
+    struct lmn_task_run *run = lmn_agent_find_run(agent, id);
 
-    if (!r || r->state != LMN_RUN_DESCRIBING)
+    if (!run || run->state != LMN_RUN_DESCRIBING)
         return;
-    if (!spec || r->index >= spec->tasks) {
-        end(agent, r, LMN_EXIT_NO_SUCH_JOB);
+    if (!spec || run->index >= spec->tasks) {
+        end_run(agent, run, LMN_EXIT_NO_SUCH_JOB);
         return;
     }
-    r->cpus = spec->cpus;
-    r->gpus = spec->gpus;
-    r->memory_gb = spec->memory_gb;
-    r->save_s = spec->save_s;
-    r->can_save = spec->checkpoint_s > 0;
-    r->image = (char *)g_intern_string(spec->image);
-    if (!has_room(agent, r)) {
-        end(agent, r, LMN_EXIT_NO_CAPACITY);
+    run->cpus = spec->cpus;
+    run->gpus = spec->gpus;
+    run->memory_gb = spec->memory_gb;
+    run->save_s = spec->save_s;
+    run->can_save = spec->checkpoint_s > 0;
+    run->image = (char *)g_intern_string(spec->image);
+    if (!has_capacity_for(agent, run)) {
+        end_run(agent, run, LMN_EXIT_NO_CAPACITY);
         return;
     }
-    r->is_described = true;
-    r->state = LMN_RUN_FETCHING;
-    r->since = now;
-    agent->ops->fetch(agent->arg, r);
+    run->is_described = true;
+    run->state = LMN_RUN_FETCHING;
+    run->since = now;
+    agent->ops->fetch(agent->arg, run);
 }
 
 void lmn_agent_fetched(struct lmn_agent *agent, const char *image, bool ok,
                        struct timespec now)
 {
     for (guint i = 0; i < agent->runs->len; i++) {
-        struct lmn_task_run *r = agent->runs->pdata[i];
-        if (r->state != LMN_RUN_FETCHING || strcmp(r->image, image))
+        struct lmn_task_run *run = agent->runs->pdata[i];
+        if (run->state != LMN_RUN_FETCHING || strcmp(run->image, image))
             continue;
         if (ok)
-            begin(agent, r, now);
+            begin_run(agent, run, now);
         else
-            end(agent, r, LMN_EXIT_ERROR);
+            end_run(agent, run, LMN_EXIT_ERROR);
     }
 }
 
-static void give_up_image(struct lmn_agent *agent, const char *image)
+/* Cancels the fetching of an image that no run waits for any more. */
+static void cancel_fetch_if_unused(struct lmn_agent *agent, const char *image)
 {
     for (guint i = 0; i < agent->runs->len; i++) {
-        const struct lmn_task_run *r = agent->runs->pdata[i];
-        if (r->state == LMN_RUN_FETCHING && !strcmp(r->image, image))
+        const struct lmn_task_run *run = agent->runs->pdata[i];
+        if (run->state == LMN_RUN_FETCHING && !strcmp(run->image, image))
             return;
     }
-    agent->ops->give_up(agent->arg, image);
+    agent->ops->cancel_fetch(agent->arg, image);
 }
 
-static void start(struct lmn_agent *agent, const char *ref, uint32_t index,
-                  uint64_t attempt, struct timespec now)
+static bool is_on_machine(const struct lmn_agent *agent, const char *job_id,
+                          uint32_t index)
 {
-    struct lmn_task_run *r = g_new0(struct lmn_task_run, 1);
-    bool busy = false;
-
     for (guint i = 0; i < agent->runs->len; i++) {
-        const struct lmn_task_run *o = agent->runs->pdata[i];
-        if (o->index == index && !strcmp(o->job_id, ref) && o->state != LMN_RUN_ENDED)
-            busy = true;
+        const struct lmn_task_run *run = agent->runs->pdata[i];
+        if (run->index == index && !strcmp(run->job_id, job_id) &&
+            run->state != LMN_RUN_ENDED)
+            return true;
     }
-    r->id = ++agent->next_run_id;
-    g_strlcpy(r->job_id, ref, sizeof r->job_id);
-    r->index = index;
-    r->attempt = attempt;
-    r->since = now;
-    g_ptr_array_add(agent->runs, r);
+    return false;
+}
+
+/* Adds a run for the command to start a task. It is refused if another attempt at the
+ * task has not ended here. */
+static void start(struct lmn_agent *agent, const char *job_id, uint32_t index,
+                  uint64_t attempt, struct timespec now)
+{
+    struct lmn_task_run *run = g_new0(struct lmn_task_run, 1);
+    bool is_busy = is_on_machine(agent, job_id, index);
+
+    run->id = ++agent->next_run_id;
+    g_strlcpy(run->job_id, job_id, sizeof run->job_id);
+    run->index = index;
+    run->attempt = attempt;
+    run->since = now;
+    g_ptr_array_add(agent->runs, run);
     agent->starts++;
     agent->has_news = true;
-    if (busy)
-        end(agent, r, LMN_EXIT_BUSY);
-    else if (!lmn_job_id_is_valid(ref)) /* names become paths */
-        end(agent, r, LMN_EXIT_NO_SUCH_JOB);
+    if (is_busy)
+        end_run(agent, run, LMN_EXIT_BUSY);
+    else if (!lmn_job_id_is_valid(job_id)) /* ids become paths */
+        end_run(agent, run, LMN_EXIT_NO_SUCH_JOB);
     else
-        agent->ops->describe(agent->arg, r);
+        agent->ops->describe(agent->arg, run);
 }
 
-static void stop(struct lmn_agent *agent, struct lmn_task_run *r, double grace)
+/* Stops a run: it may save its progress if the grace period is long enough for it, else
+ * it is killed. A run that saves already goes on unless it is to end at once. */
+static void stop(struct lmn_agent *agent, struct lmn_task_run *run, double grace_s)
 {
-    switch (r->state) {
+    switch (run->state) {
     case LMN_RUN_DESCRIBING:
-        end(agent, r, LMN_EXIT_STOPPED);
+        end_run(agent, run, LMN_EXIT_STOPPED);
         return;
     case LMN_RUN_FETCHING:
-        end(agent, r, LMN_EXIT_STOPPED);
-        give_up_image(agent, r->image);
+        end_run(agent, run, LMN_EXIT_STOPPED);
+        cancel_fetch_if_unused(agent, run->image);
         return;
     case LMN_RUN_RUNNING:
-        if (r->can_save && grace >= r->save_s) {
-            r->state = LMN_RUN_SAVING;
+        if (run->can_save && grace_s >= run->save_s) {
+            run->state = LMN_RUN_SAVING;
             agent->has_news = true;
-            agent->ops->save(agent->arg, r, grace);
+            agent->ops->save(agent->arg, run, grace_s);
             return;
         }
         break;
     case LMN_RUN_SAVING:
-        if (grace > 0)
+        if (grace_s > 0)
             return;
         break;
     default:
         return;
     }
-    r->reported_state = r->state;
-    r->state = LMN_RUN_ENDING;
-    agent->ops->kill(agent->arg, r);
+    run->reported_state = run->state;
+    run->state = LMN_RUN_ENDING;
+    agent->ops->kill(agent->arg, run);
+}
+
+static struct lmn_task_run *find_attempt(struct lmn_agent *agent, const char *job_id,
+                                         uint32_t index, uint64_t attempt)
+{
+    for (guint i = 0; i < agent->runs->len; i++) {
+        struct lmn_task_run *run = agent->runs->pdata[i];
+        if (run->attempt == attempt && run->index == index &&
+            !strcmp(run->job_id, job_id))
+            return run;
+    }
+    return NULL;
 }
 
-static void obey(struct lmn_agent *agent, const struct lmn_cbor_document *document,
-                 const struct lmn_cbor_value *node, struct timespec now)
+/* Executes one command; one that is malformed, or out of date, does nothing. Commands may
+ * come twice: an attempt is started only once, and only ended runs are cleared. */
+static void execute_command(struct lmn_agent *agent,
+                            const struct lmn_cbor_document *document,
+                            const struct lmn_cbor_value *node, struct timespec now)
 {
     const struct lmn_cbor_value *command = lmn_cbor_get(document, node, WIRE_COMMAND);
-    char task[LMN_JOB_ID_SIZE + 16], *slash;
-    struct lmn_task_run *r = NULL;
+    char task[TASK_NAME_SIZE], *slash;
     uint64_t attempt = 0;
-    double grace = 0;
+    double grace_s = 0;
 
     if (!lmn_cbor_get_text(lmn_cbor_get(document, node, WIRE_TASK), task, sizeof task) ||
         !lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_ATTEMPT), &attempt) ||
@@ -277,26 +342,23 @@
         return;
     *slash = '\0';
     uint32_t index = (uint32_t)g_ascii_strtoull(slash + 1, NULL, 10);
-    for (guint i = 0; i < agent->runs->len && !r; i++) {
-        struct lmn_task_run *o = agent->runs->pdata[i];
-        if (o->attempt == attempt && o->index == index && !strcmp(o->job_id, task))
-            r = o;
-    }
+    struct lmn_task_run *run = find_attempt(agent, task, index, attempt);
     if (lmn_cbor_text_equals(command, WIRE_START)) {
-        if (!r)
+        if (!run)
             start(agent, task, index, attempt, now);
-    } else if (lmn_cbor_text_equals(command, WIRE_KILL) && r) {
-        lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_GRACE_S), &grace);
-        stop(agent, r, grace);
-    } else if (lmn_cbor_text_equals(command, WIRE_CLEAR) && r &&
-               r->state == LMN_RUN_ENDED) {
-        g_ptr_array_remove(agent->runs, r);
+    } else if (lmn_cbor_text_equals(command, WIRE_KILL) && run) {
+        lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_GRACE_S), &grace_s);
+        stop(agent, run, grace_s);
+    } else if (lmn_cbor_text_equals(command, WIRE_CLEAR) && run &&
+               run->state == LMN_RUN_ENDED) {
+        g_ptr_array_remove(agent->runs, run);
         agent->has_news = true;
     }
 }
 
-static void obey_all(struct lmn_agent *agent, const struct lmn_cbor_document *document,
-                     struct timespec now)
+static void execute_commands(struct lmn_agent *agent,
+                             const struct lmn_cbor_document *document,
+                             struct timespec now)
 {
     const struct lmn_cbor_value *list =
         lmn_cbor_get(document, lmn_cbor_root(document), WIRE_COMMANDS);
@@ -305,66 +367,81 @@
         return;
     for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, list); node;
          node = lmn_cbor_next(document, node))
-        obey(agent, document, node, now);
+        execute_command(agent, document, node, now);
 }
 
-bool lmn_agent_heartbeat_answered(struct lmn_agent *agent, uint64_t session,
-                                  struct timespec sent, const void *body, size_t len,
+bool lmn_agent_heartbeat_answered(struct lmn_agent *agent, uint64_t incarnation,
+                                  struct timespec sent_at, const void *body, size_t len,
                                   struct timespec now)
 {
-    struct lmn_cbor_document d;
+    struct lmn_cbor_document document;
     uint64_t token = 0;
 
-    /* What stood still, the clock aside, may find its lease over only here. */
+    /* A process that stood still, while the clock went on, may find its lease expired
+     * only here: then this answer must not revive it. */
     lmn_agent_tick(agent, now);
-    if (agent->is_ending || session != agent->incarnation ||
-        lmn_cbor_parse(&d, body, len) != 0)
+    if (agent->is_ending || incarnation != agent->incarnation ||
+        lmn_cbor_parse(&document, body, len) != 0)
         return false;
-    bool good = lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN),
-                                  &token) &&
-                token >= agent->fencing_token;
-    if (good) {
-        take_token(agent, token, now);
-        if (lmn_time_before(agent->lease_from, sent))
-            agent->lease_from = sent;
-        agent->ops->leased(agent->arg, lmn_time_add(agent->lease_from, agent->lease_s));
-        obey_all(agent, &d, now);
+    const struct lmn_cbor_value *root = lmn_cbor_root(&document);
+    bool is_valid =
+        lmn_cbor_get_uint(lmn_cbor_get(&document, root, WIRE_FENCING_TOKEN), &token) &&
+        token >= agent->fencing_token;
+    if (is_valid) {
+        take_fencing_token(agent, token, now);
+        if (lmn_time_before(agent->lease_from, sent_at))
+            agent->lease_from = sent_at;
+        agent->ops->extend_lease(agent->arg,
+                                 lmn_time_add(agent->lease_from, agent->lease_s));
+        execute_commands(agent, &document, now);
     }
-    lmn_cbor_free(&d);
-    return good;
+    lmn_cbor_free(&document);
+    return is_valid;
+}
+
+/* Writes a heartbeat as the response to a request. It tells everything, but only
+ * heartbeats that are answered renew the lease: if one was due, it still is. */
+static void write_response(struct lmn_agent *agent, GByteArray *out, struct timespec now)
+{
+    bool had_news = agent->has_news;
+
+    lmn_agent_write_heartbeat(agent, out, now);
+    agent->has_news = had_news;
+}
+
+/* Executes the commands of a request unless it is malformed, from a fenced owner, or for
+ * another incarnation. Returns the HTTP status. */
+static int execute_request(struct lmn_agent *agent,
+                           const struct lmn_cbor_document *document, struct timespec now)
+{
+    const struct lmn_cbor_value *root = lmn_cbor_root(document);
+    uint64_t token, incarnation;
+
+    if (!lmn_cbor_get_uint(lmn_cbor_get(document, root, WIRE_FENCING_TOKEN), &token) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(document, root, WIRE_AGENT_INCARNATION),
+                           &incarnation))
+        return STATUS_MALFORMED;
+    if (token < agent->fencing_token || incarnation != agent->incarnation)
+        return STATUS_FENCED;
+    take_fencing_token(agent, token, now);
+    execute_commands(agent, document, now);
+    return STATUS_OK;
 }
 
 int lmn_agent_execute(struct lmn_agent *agent, const void *body, size_t len,
                       GByteArray *out, struct timespec now)
 {
-    struct lmn_cbor_document d;
-    uint64_t token, session;
-    int status = 200;
+    struct lmn_cbor_document document;
 
     lmn_agent_tick(agent, now);
     if (agent->is_ending)
-        return 503;
-    if (lmn_cbor_parse(&d, body, len) != 0)
-        return 400;
-    if (!lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN),
-                           &token) ||
-        !lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_AGENT_INCARNATION),
-                           &session)) {
-        lmn_cbor_free(&d);
-        return 400;
-    }
-    if (token < agent->fencing_token || session != agent->incarnation) {
-        status = 409;
-    } else {
-        take_token(agent, token, now);
-        obey_all(agent, &d, now);
-    }
-    lmn_cbor_free(&d);
-    /* The answer tells all; but the lease is renewed by reports alone, so one is due all
-     * the same. */
-    bool changed = agent->has_news;
-    lmn_agent_write_heartbeat(agent, out, now);
-    agent->has_news = changed;
+        return STATUS_ENDING;
+    if (lmn_cbor_parse(&document, body, len) != 0)
+        return STATUS_MALFORMED;
+    int status = execute_request(agent, &document, now);
+    lmn_cbor_free(&document);
+    if (status != STATUS_MALFORMED)
+        write_response(agent, out, now);
     return status;
 }
 
@@ -372,26 +449,29 @@
 {
     lmn_agent_tick(agent, now);
     if (agent->is_ending)
-        return 503;
-    bool changed = agent->has_news;
-    lmn_agent_write_heartbeat(agent, out, now);
-    agent->has_news = changed;
-    return 200;
+        return STATUS_ENDING;
+    write_response(agent, out, now);
+    return STATUS_OK;
 }
 
-/* --- ends --- */
+/* --- the ends of runs and incarnations --- */
 
-void lmn_agent_exited(struct lmn_agent *agent, uint64_t id, bool done, bool saved,
+void lmn_agent_exited(struct lmn_agent *agent, uint64_t id, bool is_done, bool is_saved,
                       struct timespec now)
 {
-    struct lmn_task_run *r = lmn_agent_find_run(agent, id);
+    struct lmn_task_run *run = lmn_agent_find_run(agent, id);
     (void)now;
 
-    if (!r || r->state == LMN_RUN_ENDED || agent->is_ending)
+    if (!run || run->state == LMN_RUN_ENDED || agent->is_ending)
         return;
-    bool told = r->state == LMN_RUN_SAVING || r->state == LMN_RUN_ENDING;
-    r->is_saved = told && saved && !done;
-    end(agent, r, done ? LMN_EXIT_DONE : told ? LMN_EXIT_STOPPED : LMN_EXIT_ERROR);
+    bool was_commanded = run->state == LMN_RUN_SAVING || run->state == LMN_RUN_ENDING;
+    run->is_saved = was_commanded && is_saved && !is_done;
+    if (is_done)
+        end_run(agent, run, LMN_EXIT_DONE);
+    else if (was_commanded)
+        end_run(agent, run, LMN_EXIT_STOPPED);
+    else
+        end_run(agent, run, LMN_EXIT_ERROR);
 }
 
 void lmn_agent_expire_lease(struct lmn_agent *agent, const char *why)
@@ -400,6 +480,8 @@
         return;
     lmn_info("agent_incarnation_ended session=%" G_GUINT64_FORMAT " tasks=%u why=\"%s\"",
              agent->incarnation, agent->runs->len, why);
+    /* Nothing is said in the old incarnation's name any more, and nothing started, until
+     * all of its processes are gone. */
     agent->is_ending = true;
     agent->expired_leases++;
     g_ptr_array_set_size(agent->runs, 0);
@@ -412,16 +494,16 @@
         lmn_agent_expire_lease(agent, "the lease is over");
 }
 
-void lmn_agent_incarnation_ended(struct lmn_agent *agent, uint64_t session,
+void lmn_agent_incarnation_ended(struct lmn_agent *agent, uint64_t incarnation,
                                  struct timespec now)
 {
     if (!agent->is_ending)
         return;
     agent->is_ending = false;
-    agent->incarnation = session;
+    agent->incarnation = incarnation;
     agent->lease_from = now;
     agent->has_news = true;
-    agent->ops->leased(agent->arg, lmn_time_add(now, agent->lease_s));
+    agent->ops->extend_lease(agent->arg, lmn_time_add(now, agent->lease_s));
 }
 
 void lmn_agent_spot_notice(struct lmn_agent *agent, struct timespec gone_at)
--- a/src/worker/task_runner.c
+++ b/src/worker/task_runner.c
@@ -158,13 +158,13 @@
 const struct lmn_agent_ops lmn_worker_agent_ops = {
     .describe = describe,
     .fetch = fetch,
-    .give_up = give_up,
+    .cancel_fetch = give_up,
     .has_result = has_result,
     .start = start,
     .save = save,
     .kill = kill_run,
     .kill_all = kill_all,
-    .leased = leased,
+    .extend_lease = leased,
 };
 
 /* --- descriptions --- */
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -45,7 +45,7 @@
     static const enum lmn_attempt_state read_states[] = {
         LMN_ATTEMPT_FETCHING, LMN_ATTEMPT_FETCHING, LMN_ATTEMPT_RUNNING,
         LMN_ATTEMPT_SAVING};
-    const struct lmn_agent_ops ops = {.leased = leased};
+    const struct lmn_agent_ops ops = {.extend_lease = leased};
     struct lmn_agent a = {0};
     struct lmn_heartbeat r;
     struct lmn_cbor_document d;
