--- /dev/null
+++ b/src/scheduler/task_start.c
@@ -0,0 +1,109 @@
+/** @file
+ * The start of one task; see task_start.h. The core's lock is held. */
+#include "scheduler/task_start.h"
+#include "util/log.h"
+#include "protocol/wire.h"
+#include "scheduler/image_cache.h"
+#include "scheduler/queue_scan.h"
+#include "state/task_ledger.h"
+
+/** Bits of an attempt's number that count the owner's starts; the epoch is above them. */
+enum { ATTEMPT_COUNT_BITS = 24 };
+
+/** Bytes of a task's name: job, slash, index. */
+enum { TASK_NAME_SIZE = LMN_JOB_ID_SIZE + 16 };
+
+/** A number for the next attempt. It is unique for ever without a write to the store,
+ * since no two owners of a partition share an epoch. */
+static uint64_t next_attempt_number(struct lmn_partition *partition)
+{
+    const uint64_t count_mask = (UINT64_C(1) << ATTEMPT_COUNT_BITS) - 1;
+
+    return partition->ownership.epoch << ATTEMPT_COUNT_BITS |
+           (++partition->ownership.last_attempt & count_mask);
+}
+
+/** Logs the first start since the partition is owned. */
+static void note_first_start(struct lmn_partition *partition, struct timespec now)
+{
+    if (!partition->ownership.has_started_task)
+        lmn_info("partition_first_start partition=%d epoch=%" G_GUINT64_FORMAT
+                 " after=%.2f",
+                 partition->id, partition->ownership.epoch,
+                 lmn_time_diff_s(now, partition->ownership.since));
+    partition->ownership.has_started_task = true;
+}
+
+/** Makes the attempt, marks the task as started, and counts what the attempt holds. */
+static struct lmn_attempt make_attempt(struct lmn_machine *machine,
+                                       const struct lmn_queue_segment *segment,
+                                       struct timespec now)
+{
+    struct lmn_range *range = segment->range;
+    struct lmn_attempt attempt = {.job = segment->job,
+                                  .range = range,
+                                  .index = segment->first,
+                                  .state = LMN_ATTEMPT_SENT,
+                                  .in_last_heartbeat = true,
+                                  .started_at = now};
+
+    attempt.number = next_attempt_number(machine->partition);
+    g_strlcpy(attempt.job_id, attempt.job->spec.id, sizeof attempt.job_id);
+    attempt.log_position = lmn_machine_log_start(machine, now);
+    range->task_states[attempt.index - range->first] = LMN_TASK_STARTED;
+    range->started_count++;
+    lmn_attempt_count(machine, &attempt);
+    return attempt;
+}
+
+/** Updates what the scheduler knows of the job and of the machine's reservation. */
+static void update_scheduling(struct lmn_core *core, struct lmn_machine *machine,
+                              struct lmn_job *job, struct timespec now)
+{
+    lmn_queue_scan_note_start(core);
+    job->is_starving = false;
+    if (lmn_job_is_faulty(&job->failures))
+        lmn_job_record_retry(&job->failures, now);
+    if (machine->reservation.preemption_tasks &&
+        job->spec.priority == LMN_PRIORITY_PRODUCTION) {
+        machine->reservation.preemption_tasks--;
+        /* Work of lower priority may be able to start again, although the scan has
+         * rejected it. */
+        lmn_queue_scan_begin(core);
+    }
+    lmn_machine_record_image(machine, job, false, now);
+}
+
+static void append_start_command(const struct lmn_attempt *attempt, const char *task_name,
+                                 GByteArray *commands)
+{
+    lmn_cbor_put_map(commands, 3);
+    lmn_cbor_put_text(commands, WIRE_COMMAND);
+    lmn_cbor_put_text(commands, WIRE_START);
+    lmn_cbor_put_text(commands, WIRE_TASK);
+    lmn_cbor_put_text(commands, task_name);
+    lmn_cbor_put_text(commands, WIRE_ATTEMPT);
+    lmn_cbor_put_uint(commands, attempt->number);
+}
+
+void lmn_start_task(struct lmn_core *core, struct lmn_machine *machine,
+                    struct lmn_queue_segment *segment, GByteArray *commands,
+                    struct timespec now)
+{
+    struct lmn_partition *partition = machine->partition;
+    struct lmn_attempt attempt = make_attempt(machine, segment, now);
+    char task_name[TASK_NAME_SIZE];
+
+    note_first_start(partition, now);
+    update_scheduling(core, machine, attempt.job, now);
+    g_array_append_val(machine->attempts, attempt);
+    core->counters.starts++;
+    lmn_latency_add(&core->latencies.start,
+                    core->scheduling.wall_clock_s - attempt.job->accepted_at_s);
+    g_snprintf(task_name, sizeof task_name, "%s/%u", attempt.job_id, attempt.index);
+    append_start_command(&attempt, task_name, commands);
+    lmn_debug("task_started task=%s attempt=%" G_GUINT64_FORMAT
+              " machine=%s term=%" G_GUINT64_FORMAT,
+              task_name, attempt.number, machine->name, partition->ownership.epoch);
+    segment->first++;
+}
