--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -1,7 +1,7 @@
 #include "controller/ownership_report.h"
 #include "partition/transfer_target.h"
 #include "partition/shutdown.h"
-#include "replication/stream.h"
+#include "replication/replica_choice.h"
 #include "state/core.h"
 
 static const char *name_or_none(const struct lmn_core *core, int member_index)
@@ -28,7 +28,7 @@
             : lmn_member_owned_partitions(core, owner) < 2 ? "its owner holds no other"
             : lmn_member_owned_partitions(core, holder) ? "its usual holder has another"
             : s_left > 0 ? "its usual holder has to stay up"
-            : lmn_standby_named(core, partition, now) != holder
+            : lmn_standby_in_sync(core, partition, now) != holder
                 ? "its usual holder is not in step yet"
                 : "due";
         g_string_append_printf(text, " move=%s in_s=%.0f why=\"%s\"",
@@ -52,7 +52,7 @@
         g_string_append_printf(
             text, "partition %d owner=%s holder=%s standby=%s machines=%u", i,
             name_or_none(core, owner), name_or_none(core, i % core->members.count),
-            name_or_none(core, lmn_standby_named(core, partition, now)),
+            name_or_none(core, lmn_standby_in_sync(core, partition, now)),
             partition->machine_list->len);
         move(core, text, partition, owner, successor[i], now);
         g_string_append_c(text, '\n');
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -1,5 +1,6 @@
 #include "controller/replication_report.h"
 #include "http/metrics.h"
+#include "replication/start_gate.h"
 #include "replication/stream.h"
 
 #include <string.h>
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -2,6 +2,7 @@
 #include "util/log.h"
 #include "util/thread.h"
 #include "controller/rpc_client.h"
+#include "replication/start_gate.h"
 #include "replication/stream.h"
 
 #include <rpc/rpc.h>
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -5,7 +5,7 @@
 #include "scheduler/queue.h"
 #include "partition/partition.h"
 #include "partition/worker_internal.h"
-#include "replication/stream.h"
+#include "replication/start_gate.h"
 #include "state/task_ledger.h"
 #include "state/core.h"
 
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -31,7 +31,7 @@
     .block_changed = lmn_machine_block_apply,
     .blocks_listed = lmn_machine_block_sweep,
     .quota_changed = lmn_quota_record_apply,
-    .partition_freed = lmn_standby_forget,
+    .partition_freed = lmn_replication_clear,
 };
 
 struct lmn_core *lmn_core_new(const struct lmn_settings *settings,
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -4,7 +4,8 @@
 #include "protocol/wire.h"
 #include "partition/shutdown.h"
 #include "partition/partition.h"
-#include "replication/stream.h"
+#include "replication/replica.h"
+#include "replication/replica_choice.h"
 
 struct holder {
     struct lmn_core *c;
@@ -189,7 +190,7 @@
         lmn_member_index(members, partition->record.owner) == members->self &&
         !lmn_replica_own_is_latest(partition)) {
         /* Our last life held it. Who was in step with that one knows more than we do. */
-        int named = lmn_standby_named(core, partition, now);
+        int named = lmn_standby_in_sync(core, partition, now);
         if (named >= 0 && named != members->self &&
             members->views[named].ever_contacted) {
             lmn_info("partition_passed_to_standby partition=%d to=%s", id,
@@ -247,7 +248,7 @@
     /* It is told everything first, so that nothing stands still; if that does not come
      * about, it gets its work all the same. */
     if (core->cache.operator_settings.standby > 0 &&
-        lmn_standby_named(core, p, now) != holder &&
+        lmn_standby_in_sync(core, p, now) != holder &&
         lmn_time_diff_s(now, p->ownership.since) < LATEST_BACK_S)
         return -1;
     return holder;
@@ -275,7 +276,7 @@
     }
     lmn_info("partition_transfer_started partition=%d to=%s warm=%d", id,
              lmn_member_name(members, *successor),
-             lmn_standby_named(core, partition, now) == *successor);
+             lmn_standby_in_sync(core, partition, now) == *successor);
     partition->ownership.is_transferring = true;
     partition->ownership.transfer_tried_at = now;
     members->counters.transfers++;
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -8,6 +8,8 @@
 #include "partition/quota_transfer.h"
 #include "partition/transfer_target.h"
 #include "partition/range.h"
+#include "replication/replica_choice.h"
+#include "replication/standby_record.h"
 #include "replication/stream.h"
 #include "replication/failover.h"
 #include "state/task_ledger.h"
@@ -231,7 +233,7 @@
 int lmn_partition_next_owner(const struct lmn_core *core,
                              const struct lmn_partition *partition, struct timespec now)
 {
-    int named = lmn_standby_named(core, partition, now);
+    int named = lmn_standby_in_sync(core, partition, now);
 
     if (named >= 0)
         return named;
@@ -293,7 +295,7 @@
     } else if (left_to_last_owner(core, partition, now)) {
         return false;
     } else if (partition->id % members->count == members->self) {
-        int named = lmn_standby_named(core, partition, now);
+        int named = lmn_standby_in_sync(core, partition, now);
         if (named < 0 || named == members->self)
             return true;
     }
@@ -323,7 +325,7 @@
 {
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     uint64_t epoch = partition->record.epoch + 1;
-    uint64_t stream = standby ? lmn_standby_condition(partition, to, txn) : 0;
+    uint64_t stream = standby ? lmn_standby_require_in_sync(partition, to, txn) : 0;
     GByteArray *buffer = g_byte_array_new();
     char key[32];
 
--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -1,7 +1,7 @@
 #include "partition/shutdown.h"
 #include "util/log.h"
 #include "partition/transfer_target.h"
-#include "replication/stream.h"
+#include "replication/replica_choice.h"
 #include "state/core.h"
 
 #include <string.h>
@@ -42,7 +42,7 @@
                                  const struct lmn_partition *partition,
                                  struct timespec now)
 {
-    int named = lmn_standby_named(core, partition, now);
+    int named = lmn_standby_in_sync(core, partition, now);
 
     if (named >= 0 && named != core->members.self)
         return named;
--- a/src/partition/transfer_target.c
+++ b/src/partition/transfer_target.c
@@ -1,5 +1,5 @@
 #include "partition/transfer_target.h"
-#include "replication/stream.h"
+#include "replication/replica_choice.h"
 
 /* What a partition weighs: its machines, and itself. */
 static unsigned weight(const struct lmn_partition *partition)
@@ -60,7 +60,7 @@
 static int choose(const struct lmn_core *core, const struct lmn_partition *partition,
                   const struct fleet *f, int but, struct timespec now)
 {
-    int named = lmn_standby_named(core, partition, now),
+    int named = lmn_standby_in_sync(core, partition, now),
         holder = partition->id % core->members.count;
 
     if (named >= 0 && named != but)
--- a/src/replication/replica_choice.c
+++ b/src/replication/replica_choice.c
@@ -1,5 +1,6 @@
-/* Who follows whom. */
-#include "replication/stream.h"
+/** @file
+ * The choice of a standby (replication/replica_choice.h). */
+#include "replication/replica_choice.h"
 
 #include <string.h>
 
@@ -13,80 +14,103 @@
     return core->settings->zone;
 }
 
-/* Partitions that it owns or stands by for, this one aside. */
-static unsigned carries(const struct lmn_core *core, int member_index,
-                        const struct lmn_partition *p)
+static bool is_in_other_zone(const struct lmn_core *core, int member_index)
 {
+    return strcmp(zone_of(core, member_index), core->settings->zone) != 0;
+}
+
+/** How much the member has to do for partitions other than the given one: two for each
+ * that it owns, one for each that it stands by for. */
+static unsigned partition_load(const struct lmn_core *core, int member_index,
+                               const struct lmn_partition *excluded)
+{
+    enum { OWNED_WEIGHT = 2, STANDBY_WEIGHT = 1 };
     const char *name = lmn_member_name(&core->members, member_index);
-    unsigned n = 0;
+    unsigned load = 0;
 
     for (int i = 0; i < core->partition_count; i++) {
-        const struct lmn_partition *o = &core->partitions[i];
-        if (o == p)
+        const struct lmn_partition *other = &core->partitions[i];
+        if (other == excluded)
             continue;
-        n += 2 * !strcmp(o->record.owner, name);
-        n += o->record.standby_stream && !strcmp(o->record.standby, name);
+        if (!strcmp(other->record.owner, name))
+            load += OWNED_WEIGHT;
+        if (other->record.standby_stream && !strcmp(other->record.standby, name))
+            load += STANDBY_WEIGHT;
     }
-    return n;
+    return load;
 }
 
-/* The highest random weight: each partition has an order of members of its own, and one
- * that goes moves only what was its own. */
-static guint weight(const struct lmn_core *core, int member_index,
-                    const struct lmn_partition *partition)
+/** The member's weight in the rendezvous hash of the partition. Each partition has its
+ * own order of members, so that a member that fails moves only its own partitions. */
+static guint rendezvous_weight(const struct lmn_core *core, int member_index,
+                               const struct lmn_partition *partition)
 {
+    /* Knuth's multiplicative hash: spreads the similar hashes of similar names. */
+    static const guint multiplier = 2654435761u;
     char text[LMN_NAME_SIZE + 16];
 
     g_snprintf(text, sizeof text, "%s/%d", lmn_member_name(&core->members, member_index),
                partition->id);
-    return g_str_hash(text) * 2654435761u; /* Knuth's multiplier: near names, far apart */
+    return g_str_hash(text) * multiplier;
 }
 
-static bool able(const struct lmn_members *members, int member_index, struct timespec now)
+static bool can_stand_by(const struct lmn_members *members, int member_index,
+                         struct timespec now)
 {
-    return lmn_member_is_trusted(members, member_index, now) &&
-           members->views[member_index].health.delay_s < LMN_STANDBY_SETTLE_S;
+    return member_index != members->self &&
+           lmn_member_is_trusted(members, member_index, now) &&
+           members->views[member_index].health.delay_s < LMN_STANDBY_MAX_LOAD_DELAY_S;
+}
+
+static bool is_better_standby(const struct lmn_core *core,
+                              const struct lmn_partition *partition, int candidate,
+                              int best)
+{
+    bool is_candidate_far = is_in_other_zone(core, candidate);
+    unsigned candidate_load = partition_load(core, candidate, partition);
+    unsigned best_load = partition_load(core, best, partition);
+
+    /* Another zone first: an outage of this one must not take both. */
+    if (is_candidate_far != is_in_other_zone(core, best))
+        return is_candidate_far;
+    if (candidate_load != best_load)
+        return candidate_load < best_load;
+    return rendezvous_weight(core, candidate, partition) >
+           rendezvous_weight(core, best, partition);
 }
 
 int lmn_standby_choose(const struct lmn_core *core, const struct lmn_partition *partition,
                        struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int best = -1, holder = partition->id % members->count;
+    int preferred_index = partition->id % members->count;
+    int best = -1;
 
-    if (holder != members->self && able(members, holder, now))
-        return holder;
-    for (int k = 0; k < members->count; k++) {
-        if (k == members->self || !able(members, k, now))
+    /* The preferred holder will own the partition again, and a standby takes it over
+     * without a recovery. */
+    if (can_stand_by(members, preferred_index, now))
+        return preferred_index;
+    for (int i = 0; i < members->count; i++) {
+        if (!can_stand_by(members, i, now))
             continue;
-        if (best < 0) {
-            best = k;
-            continue;
-        }
-        int far = !!strcmp(zone_of(core, k), core->settings->zone);
-        int best_far = !!strcmp(zone_of(core, best), core->settings->zone);
-        unsigned load = carries(core, k, partition),
-                 best_load = carries(core, best, partition);
-        if (far != best_far ? far
-            : load != best_load
-                ? load < best_load
-                : weight(core, k, partition) > weight(core, best, partition))
-            best = k;
+        if (best < 0 || is_better_standby(core, partition, i, best))
+            best = i;
     }
     return best;
 }
 
-int lmn_standby_named(const struct lmn_core *core, const struct lmn_partition *partition,
-                      struct timespec now)
+int lmn_standby_in_sync(const struct lmn_core *core,
+                        const struct lmn_partition *partition, struct timespec now)
 {
-    int member_index = partition->record.standby_stream &&
-                               partition->record.standby_epoch == partition->record.epoch
-                           ? lmn_member_index(&core->members, partition->record.standby)
-                           : -1;
+    const struct lmn_partition_record *record = &partition->record;
 
-    /* Another life of it has no copy. */
+    /* A record of an earlier epoch is about a former owner's stream. */
+    if (!record->standby_stream || record->standby_epoch != record->epoch)
+        return -1;
+    int member_index = lmn_member_index(&core->members, record->standby);
+    /* With another lease the member has restarted, and has no replica. */
     if (member_index < 0 ||
-        core->members.views[member_index].lease != partition->record.standby_lease ||
+        core->members.views[member_index].lease != record->standby_lease ||
         !lmn_member_is_trusted(&core->members, member_index, now))
         return -1;
     return member_index;
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -1,26 +1,49 @@
+/** @file
+ * The stream to a standby as a state machine (replication/stream.h). The functions below
+ * follow its phases in order; the public ones come last. */
 #include "replication/stream.h"
+#include "replication/batch_builder.h"
+#include "replication/replica_choice.h"
+#include "replication/standby_record.h"
 #include "util/log.h"
 #include "state/task_ledger.h"
 
 #include <string.h>
 
-const double LMN_REPLICATION_DEFER_S = 0.3;
 const double LMN_REPLICATION_TIMEOUT_S = 0.4;
-/* Starts that are decided on within this time share a batch: a call each took a fifth
- * more processor, at 22 starts a second. */
-static const double GATHER_S = 0.003;
-/* What is not awaited is told within this time. */
-static const double LAZY_S = 0.5;
-/* A write whose outcome the mirror does not show is tried again. */
-static const double WRITE_S = 0.5;
-/* After a stream that came to nothing; twice as long after each further one. */
-static const double AGAIN_S = 2, LONGEST_S = 60;
-/* A stream that held for so long was none of those. */
-static const double HELD_S = 30;
-/* The usual holder is told everything so long before it gets its partition back. */
-static const double BEFORE_S = 3;
-static const char BACK[] = "the usual holder is back";
-enum { TRIES = 3 };
+/** Starts that are decided on within this time share a batch: a call for each took a
+ * fifth more processor time, at 22 starts a second. */
+static const double BATCH_WINDOW_S = 0.003;
+/** Changes that no start waits for are sent within this time. */
+static const double IDLE_FLUSH_S = 0.5;
+/** A write of the record whose outcome the watch cache does not show is tried again. */
+static const double RECORD_RETRY_S = 0.5;
+/** How long to wait before a batch that was not answered is sent again. */
+static const double RESEND_S = 0.05;
+/** The shortest wait for the batch window to end. */
+static const double MIN_WAIT_S = 0.0005;
+/** The delay before the next stream after one that failed; it doubles with each further
+ * failure, up to the maximum. */
+static const double BACKOFF_S = 2, MAX_BACKOFF_S = 60;
+/** A stream that has lasted for so long does not count as a further failure in a row. */
+static const double STABLE_STREAM_S = 30;
+/** How long before it may be readmitted the preferred standby is brought in sync. */
+static const double READMISSION_LEAD_S = 3;
+enum {
+    MAX_SEND_FAILURES = 3,
+    MAX_CONSECUTIVE_REMOVALS = 10,
+    /** A stream's id is the epoch, then so many bits of a count. */
+    STREAM_COUNT_BITS = 20,
+    STREAM_COUNT_MASK = (1 << STREAM_COUNT_BITS) - 1,
+};
+
+/* Why a stream ended. Operators read these in the log and in the status page. */
+static const char PREFERRED_IS_BACK[] = "the usual holder is back";
+static const char NOT_TRUSTED[] = "suspected, or another life";
+static const char NOT_ACKNOWLEDGED[] = "no acknowledgement";
+static const char NOT_ANSWERED[] = "no answer";
+static const char STREAM_UNKNOWN[] = "it does not know the stream";
+static const char STREAM_REJECTED[] = "it refuses the stream";
 
 const char *lmn_replication_phase_name(enum lmn_replication_phase phase)
 {
@@ -30,149 +53,145 @@
     return names[phase];
 }
 
-bool lmn_replication_gates_starts(const struct lmn_partition *partition)
+/** Whether a start was decided on that the standby has not acknowledged. */
+static bool has_unacknowledged_starts(const struct lmn_replication_stream *stream)
 {
-    return partition->ownership.is_owned &&
-           partition->replication.stream.phase >= LMN_STREAM_CATCHING_UP;
+    return stream->acknowledged_position < stream->log_position;
 }
 
-bool lmn_replication_covers(const struct lmn_partition *partition, uint64_t mark)
-{
-    return !lmn_replication_gates_starts(partition) ||
-           partition->replication.stream.acknowledged_position >= mark;
-}
+/* --- the end of a stream --- */
 
-bool lmn_replication_is_stuck(const struct lmn_partition *partition, struct timespec now)
+static void clear_pending_changes(struct lmn_partition *partition)
 {
-    const struct lmn_replication_stream *stream = &partition->replication.stream;
+    GPtrArray *pending_machines = partition->replication.pending_machines;
 
-    return lmn_replication_gates_starts(partition) &&
-           stream->acknowledged_position < stream->log_position &&
-           lmn_time_diff_s(now, stream->waiting_since) > LMN_REPLICATION_DEFER_S;
+    for (guint i = 0; i < pending_machines->len; i++) {
+        struct lmn_machine *machine = pending_machines->pdata[i];
+        machine->replication.is_pending = false;
+    }
+    g_ptr_array_set_size(pending_machines, 0);
+    g_ptr_array_set_size(partition->replication.pending_removals, 0);
 }
 
-void lmn_replication_lag(const struct lmn_partition *partition, struct timespec now,
-                         guint *machines, uint64_t *starts, double *seconds)
+static void drop_batch(struct lmn_replication_stream *stream)
 {
-    const struct lmn_replication_stream *stream = &partition->replication.stream;
-
-    *machines = partition->replication.pending_machines->len;
-    *starts = lmn_replication_gates_starts(partition)
-                  ? stream->log_position - stream->acknowledged_position
-                  : 0;
-    *seconds = *starts ? lmn_time_diff_s(now, stream->waiting_since) : 0;
+    /* A batch that is being sent is freed by the thread that sends it, in
+     * lmn_replication_batch_sent. */
+    if (!stream->is_sending)
+        lmn_replication_batch_free(stream->batch);
+    stream->batch = NULL;
+    stream->is_sending = false;
 }
 
-/* --- the batches --- */
-
-static guint images_hash(const struct lmn_machine *machine)
+static void schedule_next_stream(struct lmn_replication_stream *stream, const char *why,
+                                 struct timespec now)
 {
-    guint h = 1;
-
-    for (guint i = 0; i < machine->images->len; i++) {
-        const struct lmn_image *image =
-            &g_array_index(machine->images, struct lmn_image, i);
-        h += g_str_hash(image->name) * (image->ready_at.tv_sec ? 3 : 7);
+    stream->last_failure_reason = why;
+    /* The preferred standby is ready to follow at once; nothing has failed. */
+    if (why == PREFERRED_IS_BACK) {
+        stream->consecutive_removals = 0;
+        stream->next_step_at = now;
+        return;
     }
-    return h;
+    if (lmn_time_diff_s(now, stream->began_at) > STABLE_STREAM_S)
+        stream->consecutive_removals = 1;
+    else
+        stream->consecutive_removals =
+            MIN(stream->consecutive_removals + 1, MAX_CONSECUTIVE_REMOVALS);
+    double backoff_s = BACKOFF_S * (double)(1u << (stream->consecutive_removals - 1));
+    stream->next_step_at = lmn_time_add(now, MIN(backoff_s, MAX_BACKOFF_S));
 }
 
-static struct lmn_machine_snapshot *tell(struct lmn_machine *machine)
+/** To NONE: no start waits for an acknowledgement any more, and nothing is sent.
+ *
+ * @param why the reason that is shown and delays the next stream; NULL: neither */
+static void end_stream(struct lmn_core *core, struct lmn_partition *partition,
+                       const char *why, struct timespec now)
 {
-    guint hash = images_hash(machine);
-    bool changed = hash != machine->replication.images_hash;
+    struct lmn_replication_stream *stream = &partition->replication.stream;
 
-    machine->replication.images_hash = hash;
-    return lmn_machine_snapshot_take(machine, changed);
+    clear_pending_changes(partition);
+    drop_batch(stream);
+    if (stream->phase != LMN_STREAM_NONE && why)
+        schedule_next_stream(stream, why, now);
+    stream->phase = LMN_STREAM_NONE;
+    pthread_cond_broadcast(&core->replication_acknowledged);
+    pthread_cond_signal(&partition->replication.due);
 }
 
-static struct lmn_replication_batch *build(struct lmn_partition *partition,
-                                           struct timespec now)
+/** To REMOVING: the record may name the standby. Until it no longer does, the standby may
+ * take the partition over as one that knows every start, so that starts go on waiting. */
+static void remove_standby(struct lmn_core *core, struct lmn_partition *partition,
+                           const char *why)
 {
     struct lmn_replication_stream *stream = &partition->replication.stream;
-    struct lmn_replication_batch *batch = lmn_replication_batch_new();
-
-    batch->partition = partition->id;
-    batch->epoch = partition->ownership.epoch;
-    batch->stream = stream->id;
-    batch->number = stream->next_batch_number;
-    while (partition->replication.pending_removals->len &&
-           batch->machines->len < LMN_REPLICATION_BATCH_MACHINES) {
-        char *name = g_ptr_array_steal_index_fast(
-            partition->replication.pending_removals,
-            partition->replication.pending_removals->len - 1);
-        struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(name);
-        snapshot->is_forgotten = true;
-        g_ptr_array_add(batch->machines, snapshot);
-        g_free(name);
-    }
-    while (partition->replication.pending_machines->len &&
-           batch->machines->len < LMN_REPLICATION_BATCH_MACHINES) {
-        struct lmn_machine *machine = g_ptr_array_steal_index_fast(
-            partition->replication.pending_machines,
-            partition->replication.pending_machines->len - 1);
-        machine->replication.is_pending = false;
-        g_ptr_array_add(batch->machines, tell(machine));
-    }
-    /* With machines left, some start may be on one of those. */
-    batch->log_position = partition->replication.pending_machines->len
-                              ? stream->acknowledged_position
-                              : stream->log_position;
-    stream->last_batch_at = now;
-    return batch;
+
+    lmn_info("replica_removed partition=%d member=%s phase=%s why=\"%s\" "
+             "waiting=%" G_GUINT64_FORMAT,
+             partition->id, lmn_member_name(&core->members, stream->standby_index),
+             lmn_replication_phase_name(stream->phase), why,
+             stream->log_position - stream->acknowledged_position);
+    stream->phase = LMN_STREAM_REMOVING;
+    stream->last_failure_reason = why;
+    stream->record_written_at = (struct timespec){0, 0};
+    stream->counters.removals++;
 }
 
-/* --- the phases --- */
+static void fail_stream(struct lmn_core *core, struct lmn_partition *partition,
+                        const char *why, struct timespec now)
+{
+    if (partition->replication.stream.phase >= LMN_STREAM_JOINING)
+        remove_standby(core, partition, why);
+    else
+        end_stream(core, partition, why, now);
+}
 
-/* No stream: nothing waits, nothing is told. */
-static void end(struct lmn_core *core, struct lmn_partition *partition, const char *why,
-                struct timespec now)
+static void finish_removal(struct lmn_core *core, struct lmn_partition *partition,
+                           struct timespec now)
 {
     struct lmn_replication_stream *stream = &partition->replication.stream;
 
-    for (guint i = 0; i < partition->replication.pending_machines->len; i++)
-        ((struct lmn_machine *)partition->replication.pending_machines->pdata[i])
-            ->replication.is_pending = false;
-    g_ptr_array_set_size(partition->replication.pending_machines, 0);
-    g_ptr_array_set_size(partition->replication.pending_removals, 0);
-    /* The thread that sends it frees it. */
-    if (!stream->is_sending)
-        lmn_replication_batch_free(stream->batch);
-    stream->batch = NULL;
-    stream->is_sending = false;
-    if (stream->phase != LMN_STREAM_NONE && why) {
-        stream->consecutive_removals = lmn_time_diff_s(now, stream->began_at) > HELD_S
-                                           ? 1
-                                           : MIN(stream->consecutive_removals + 1, 10);
-        stream->next_step_at = lmn_time_add(
-            now,
-            MIN(AGAIN_S * (double)(1u << (stream->consecutive_removals - 1)), LONGEST_S));
-        stream->last_failure_reason = why;
-        if (why == BACK) {
-            stream->consecutive_removals = 0;
-            stream->next_step_at = now;
-        }
-    }
-    stream->phase = LMN_STREAM_NONE;
-    pthread_cond_broadcast(&core->replication_acknowledged);
-    pthread_cond_signal(&partition->replication.due);
+    /* The record has changed since JOINING read its revision, and does not name the
+     * stream. A delayed write of JOINING is conditional on that revision, so that it
+     * can't be applied any more either. */
+    if (partition->record.standby_revision > stream->join_revision &&
+        !lmn_standby_record_names_stream(partition))
+        end_stream(core, partition, stream->last_failure_reason, now);
 }
 
-static void begin(struct lmn_core *core, struct lmn_partition *partition, int to,
-                  struct timespec now)
+/* --- the start of a stream --- */
+
+static bool may_start_stream(const struct lmn_core *core,
+                             const struct lmn_partition *partition, struct timespec now)
+{
+    const struct lmn_partition_ownership *ownership = &partition->ownership;
+
+    /* Before it is ready or warm, the owner does not know what may run on its machines,
+     * and a replica of that would be incomplete. */
+    return (ownership->is_ready || ownership->is_warm) &&
+           core->cache.operator_settings.standby > 0 && !ownership->is_transferring &&
+           core->load.delay_s < LMN_STANDBY_MAX_LOAD_DELAY_S &&
+           !lmn_time_before(now, partition->replication.stream.next_step_at);
+}
+
+/** To SNAPSHOT: all machines are pending. */
+static void begin_snapshot(struct lmn_core *core, struct lmn_partition *partition,
+                           int standby_index, struct timespec now)
 {
     struct lmn_replication_stream *stream = &partition->replication.stream;
 
     stream->phase = LMN_STREAM_SNAPSHOT;
-    stream->standby_index = to;
-    stream->standby_lease = core->members.views[to].lease;
-    /* In order within the term, so that a late twin of an older one is known as that. */
-    stream->id =
-        partition->ownership.epoch << 20 | (++stream->counters.streams & 0xfffff);
+    stream->standby_index = standby_index;
+    stream->standby_lease = core->members.views[standby_index].lease;
+    /* Ids rise within an epoch, so that the standby recognizes a delayed batch of an
+     * earlier stream. */
+    stream->id = partition->ownership.epoch << STREAM_COUNT_BITS |
+                 (++stream->counters.streams & STREAM_COUNT_MASK);
     stream->next_batch_number = 0;
     stream->send_failures = 0;
     stream->began_at = now;
-    /* What was acknowledged before, another has. */
+    /* Earlier acknowledgements are another standby's. The log position is never set back;
+     * it rises, so that this standby has something to acknowledge. */
     stream->acknowledged_position = 0;
     stream->log_position++;
     for (guint i = 0; i < partition->machine_list->len; i++) {
@@ -181,15 +200,29 @@
         lmn_machine_mark_unreplicated(machine);
     }
     lmn_debug("replica_snapshot_started partition=%d member=%s machines=%u",
-              partition->id, lmn_member_name(&core->members, to),
+              partition->id, lmn_member_name(&core->members, standby_index),
               partition->machine_list->len);
 }
 
-/* It is the process that it was, and nobody suspects it. Its own word does not count: in
- * an outage of the state service everybody's mirror stands still, and no standby could
- * be struck off; all starts once waited for the outage's end for that. Whether it answers
- * shows by itself. */
-static bool fit(const struct lmn_core *core, const struct lmn_partition *partition)
+static void start_stream_if_due(struct lmn_core *core, struct lmn_partition *partition,
+                                struct timespec now)
+{
+    if (!may_start_stream(core, partition, now))
+        return;
+    int standby_index = lmn_standby_choose(core, partition, now);
+    if (standby_index >= 0)
+        begin_snapshot(core, partition, standby_index, now);
+}
+
+/* --- a stream that runs --- */
+
+/** Whether the standby is the process that the stream began with, and nobody suspects it.
+ *
+ * Its own health does not count: in an outage of the key-value store every member's watch
+ * cache is stale, and no standby could be removed from the record, so that all starts
+ * would wait for the end of the outage. Whether it answers shows in the batches. */
+static bool is_standby_usable(const struct lmn_core *core,
+                              const struct lmn_partition *partition)
 {
     const struct lmn_replication_stream *stream = &partition->replication.stream;
     const struct lmn_member_view *member = &core->members.views[stream->standby_index];
@@ -199,263 +232,236 @@
            !lmn_member_is_suspected(&core->members, stream->standby_index);
 }
 
-/* Another follows, though the usual holder could, and is about to have its partition
- * back.
- */
-static bool passed_over(const struct lmn_core *core,
-                        const struct lmn_partition *partition, struct timespec now)
+/** Whether another member is the standby although the preferred holder could be, and is
+ * about to get its partition back. */
+static bool is_preferred_standby_back(const struct lmn_core *core,
+                                      const struct lmn_partition *partition,
+                                      struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int holder = partition->id % members->count;
+    int preferred_index = partition->id % members->count;
 
-    return holder != members->self &&
-           holder != partition->replication.stream.standby_index &&
-           lmn_member_is_trusted(members, holder, now) &&
-           lmn_member_readmission_delay_s(members, holder, now) < BEFORE_S;
+    return preferred_index != members->self &&
+           preferred_index != partition->replication.stream.standby_index &&
+           lmn_member_is_trusted(members, preferred_index, now) &&
+           lmn_member_readmission_delay_s(members, preferred_index, now) <
+               READMISSION_LEAD_S;
 }
 
-static void strike(struct lmn_core *core, struct lmn_partition *partition,
-                   const char *why)
+/** Why the stream can't go on; NULL: it can. */
+static const char *find_failure(const struct lmn_core *core,
+                                const struct lmn_partition *partition,
+                                struct timespec now)
 {
-    struct lmn_replication_stream *stream = &partition->replication.stream;
-
-    lmn_info("replica_removed partition=%d member=%s phase=%s why=\"%s\" "
-             "waiting=%" G_GUINT64_FORMAT,
-             partition->id, lmn_member_name(&core->members, stream->standby_index),
-             lmn_replication_phase_name(stream->phase), why,
-             stream->log_position - stream->acknowledged_position);
-    stream->phase = LMN_STREAM_REMOVING;
-    stream->last_failure_reason = why;
-    stream->record_written_at = (struct timespec){0, 0};
-    stream->counters.removals++;
-}
+    const struct lmn_replication_stream *stream = &partition->replication.stream;
 
-static void fail(struct lmn_core *core, struct lmn_partition *partition, const char *why,
-                 struct timespec now)
-{
-    if (partition->replication.stream.phase >= LMN_STREAM_JOINING)
-        strike(core, partition, why);
-    else
-        end(core, partition, why, now);
+    if (!is_standby_usable(core, partition))
+        return NOT_TRUSTED;
+    if (stream->phase >= LMN_STREAM_CATCHING_UP && has_unacknowledged_starts(stream) &&
+        lmn_time_diff_s(now, stream->waiting_since) > LMN_REPLICATION_TIMEOUT_S)
+        return NOT_ACKNOWLEDGED;
+    if (stream->send_failures >= MAX_SEND_FAILURES)
+        return NOT_ANSWERED;
+    return NULL;
 }
 
-/* b/P, conditional on the ownership and on the record as the mirror shows it. */
-static struct lmn_txn *record(const struct lmn_core *core,
-                              const struct lmn_partition *partition, bool named)
+/** Whether at least one batch is acknowledged, none is under way, and what has changed
+ * since fits in half a batch: starts then wait only briefly for the rest. */
+static bool is_snapshot_nearly_sent(const struct lmn_partition *partition)
 {
     const struct lmn_replication_stream *stream = &partition->replication.stream;
-    struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
-    GByteArray *v = g_byte_array_new();
-    char key[32];
-
-    lmn_cbor_put_map(v, 4);
-    lmn_cbor_put_text(v, "node");
-    lmn_cbor_put_text(v, named ? lmn_member_name(&core->members, stream->standby_index)
-                               : "");
-    lmn_cbor_put_text(v, "lease"),
-        lmn_cbor_put_uint(v, named ? stream->standby_lease : 0);
-    lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, named ? stream->id : 0);
-    lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, partition->ownership.epoch);
-    g_snprintf(key, sizeof key, "o/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->ownership.revision);
-    g_snprintf(key, sizeof key, "b/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->record.standby_revision);
-    lmn_txn_put(txn, key, v, 0);
-    return txn;
-}
 
-static bool shown(const struct lmn_partition *partition)
-{
-    return partition->record.standby_stream == partition->replication.stream.id &&
-           partition->record.standby_epoch == partition->ownership.epoch;
+    return stream->next_batch_number > 0 && !stream->batch &&
+           partition->replication.pending_machines->len <=
+               LMN_REPLICATION_BATCH_MACHINES / 2 &&
+           !partition->replication.pending_removals->len;
 }
 
-/* The phase follows from what is acknowledged and what the mirror shows. */
-static void advance(struct lmn_core *core, struct lmn_partition *partition,
-                    struct timespec now)
+/** Makes the transition that acknowledgements and the watch cache allow. Returns whether
+ * there was one. */
+static bool advance_phase(const struct lmn_core *core, struct lmn_partition *partition,
+                          struct timespec now)
 {
     struct lmn_replication_stream *stream = &partition->replication.stream;
 
-    if (stream->phase == LMN_STREAM_NONE) {
-        int to = -1;
-        if ((partition->ownership.is_ready || partition->ownership.is_warm) &&
-            core->cache.operator_settings.standby > 0 &&
-            !partition->ownership.is_transferring &&
-            core->load.delay_s < LMN_STANDBY_SETTLE_S &&
-            !lmn_time_before(now, stream->next_step_at))
-            to = lmn_standby_choose(core, partition, now);
-        if (to >= 0)
-            begin(core, partition, to, now);
-        return;
-    }
-    if (stream->phase == LMN_STREAM_REMOVING) {
-        /* A naming that is late can't be applied any more either. */
-        if (partition->record.standby_revision > stream->join_revision &&
-            !shown(partition))
-            end(core, partition, stream->last_failure_reason, now);
-        return;
-    }
-    bool waits = stream->phase >= LMN_STREAM_CATCHING_UP &&
-                 stream->acknowledged_position < stream->log_position;
-    if (!fit(core, partition)) {
-        fail(core, partition, "suspected, or another life", now);
-    } else if (waits &&
-               lmn_time_diff_s(now, stream->waiting_since) > LMN_REPLICATION_TIMEOUT_S) {
-        fail(core, partition, "no acknowledgement", now);
-    } else if (stream->send_failures >= TRIES) {
-        fail(core, partition, "no answer", now);
-    } else if (stream->phase == LMN_STREAM_IN_SYNC && passed_over(core, partition, now)) {
-        strike(core, partition, BACK);
-    } else if (stream->phase == LMN_STREAM_SNAPSHOT && stream->next_batch_number > 0 &&
-               !stream->batch &&
-               partition->replication.pending_machines->len <=
-                   LMN_REPLICATION_BATCH_MACHINES / 2 &&
-               !partition->replication.pending_removals->len) {
+    if (stream->phase == LMN_STREAM_SNAPSHOT && is_snapshot_nearly_sent(partition)) {
         stream->phase = LMN_STREAM_CATCHING_UP;
         stream->join_position = stream->log_position;
         stream->waiting_since = now;
-    } else if (stream->phase == LMN_STREAM_CATCHING_UP &&
-               stream->acknowledged_position >= stream->join_position) {
+        return true;
+    }
+    if (stream->phase == LMN_STREAM_CATCHING_UP &&
+        stream->acknowledged_position >= stream->join_position) {
         stream->phase = LMN_STREAM_JOINING;
         stream->join_revision = partition->record.standby_revision;
         stream->record_written_at = (struct timespec){0, 0};
-    } else if (stream->phase == LMN_STREAM_JOINING && shown(partition)) {
+        return true;
+    }
+    if (stream->phase == LMN_STREAM_JOINING &&
+        lmn_standby_record_names_stream(partition)) {
         stream->phase = LMN_STREAM_IN_SYNC;
         lmn_info("replica_in_sync partition=%d member=%s machines=%u after=%.2f",
                  partition->id, lmn_member_name(&core->members, stream->standby_index),
                  partition->machine_list->len, lmn_time_diff_s(now, stream->began_at));
-    } else {
+        return true;
+    }
+    return false;
+}
+
+/** Makes at most one transition. */
+static void advance(struct lmn_core *core, struct lmn_partition *partition,
+                    struct timespec now)
+{
+    struct lmn_replication_stream *stream = &partition->replication.stream;
+
+    if (stream->phase == LMN_STREAM_NONE) {
+        start_stream_if_due(core, partition, now);
+        return;
+    }
+    if (stream->phase == LMN_STREAM_REMOVING) {
+        finish_removal(core, partition, now);
         return;
     }
+    const char *failure = find_failure(core, partition, now);
+    if (failure)
+        fail_stream(core, partition, failure, now);
+    else if (stream->phase == LMN_STREAM_IN_SYNC &&
+             is_preferred_standby_back(core, partition, now))
+        remove_standby(core, partition, PREFERRED_IS_BACK);
+    else if (!advance_phase(core, partition, now))
+        return;
     pthread_cond_broadcast(&core->replication_acknowledged);
 }
 
-static bool writes(const struct lmn_replication_stream *stream, struct timespec now)
+/* --- what is due --- */
+
+static bool is_record_write_due(const struct lmn_replication_stream *stream,
+                                struct timespec now)
 {
     return (stream->phase == LMN_STREAM_JOINING ||
             stream->phase == LMN_STREAM_REMOVING) &&
            (!stream->record_written_at.tv_sec ||
-            lmn_time_diff_s(now, stream->record_written_at) > WRITE_S);
+            lmn_time_diff_s(now, stream->record_written_at) > RECORD_RETRY_S);
 }
 
-/* Whether something is to be told now. */
-static bool tells(const struct lmn_partition *partition, struct timespec now)
+static bool is_batch_due(const struct lmn_partition *partition, struct timespec now)
 {
     const struct lmn_replication_stream *stream = &partition->replication.stream;
 
     if (stream->phase == LMN_STREAM_NONE || stream->phase == LMN_STREAM_REMOVING ||
         stream->is_sending)
         return false;
-    if (stream->batch)
-        return true; /* once more */
-    if (stream->phase == LMN_STREAM_SNAPSHOT)
+    bool is_resend = stream->batch != NULL;
+    if (is_resend || stream->phase == LMN_STREAM_SNAPSHOT)
         return true;
-    if (stream->acknowledged_position < stream->log_position)
-        return lmn_time_diff_s(now, stream->waiting_since) >= GATHER_S;
+    if (has_unacknowledged_starts(stream))
+        return lmn_time_diff_s(now, stream->waiting_since) >= BATCH_WINDOW_S;
     return (partition->replication.pending_machines->len ||
             partition->replication.pending_removals->len) &&
-           lmn_time_diff_s(now, stream->last_batch_at) > LAZY_S;
+           lmn_time_diff_s(now, stream->last_batch_at) > IDLE_FLUSH_S;
+}
+
+/** For how long there is nothing to do, unless `due` is signalled. */
+static double waiting_time_s(const struct lmn_replication_stream *stream,
+                             struct timespec now)
+{
+    if (stream->phase == LMN_STREAM_NONE || !has_unacknowledged_starts(stream))
+        return IDLE_FLUSH_S / 2;
+    if (stream->batch)
+        return RESEND_S;
+    return MAX(BATCH_WINDOW_S - lmn_time_diff_s(now, stream->waiting_since), MIN_WAIT_S);
 }
 
 enum lmn_replication_step lmn_replication_next_step(struct lmn_core *core,
                                                     struct lmn_partition *partition,
                                                     struct timespec now,
                                                     struct lmn_replication_batch **batch,
-                                                    struct lmn_txn **txn, double *wait)
+                                                    struct lmn_txn **txn, double *wait_s)
 {
     struct lmn_replication_stream *stream = &partition->replication.stream;
 
-    *wait = LAZY_S / 2;
+    *wait_s = IDLE_FLUSH_S / 2;
     if (!partition->ownership.is_owned)
         return LMN_REPLICATION_WAIT;
     advance(core, partition, now);
-    if (writes(stream, now)) {
+    if (is_record_write_due(stream, now)) {
         stream->record_written_at = now;
-        *txn = record(core, partition, stream->phase == LMN_STREAM_JOINING);
+        *txn = lmn_standby_record_write(core, partition,
+                                        stream->phase == LMN_STREAM_JOINING);
         return LMN_REPLICATION_WRITE;
     }
-    if (tells(partition, now)) {
+    if (is_batch_due(partition, now)) {
         if (!stream->batch)
-            stream->batch = build(partition, now);
+            stream->batch = lmn_replication_batch_build(partition, now);
         stream->is_sending = true;
         *batch = stream->batch;
         return LMN_REPLICATION_SEND;
     }
-    if (stream->phase != LMN_STREAM_NONE &&
-        stream->acknowledged_position < stream->log_position)
-        *wait = stream->batch
-                    ? 0.05
-                    : MAX(GATHER_S - lmn_time_diff_s(now, stream->waiting_since), 0.0005);
+    *wait_s = waiting_time_s(stream, now);
     return LMN_REPLICATION_WAIT;
 }
 
+/* --- the standby's reply --- */
+
+static void record_acknowledgement(struct lmn_core *core,
+                                   struct lmn_replication_stream *stream,
+                                   const struct lmn_replication_batch *batch,
+                                   struct timespec now)
+{
+    stream->next_batch_number++;
+    stream->counters.batches++;
+    stream->counters.machines += batch->machines->len;
+    /* The acknowledged position only rises. */
+    if (batch->log_position <= stream->acknowledged_position)
+        return;
+    /* During the snapshot no start waits, and there is no latency to measure. */
+    if (stream->phase >= LMN_STREAM_CATCHING_UP)
+        lmn_latency_add(&core->latencies.replication,
+                        lmn_time_diff_s(now, stream->waiting_since));
+    stream->acknowledged_position = batch->log_position;
+    stream->waiting_since = now;
+}
+
 void lmn_replication_batch_sent(struct lmn_core *core, struct lmn_partition *partition,
                                 struct lmn_replication_batch *batch, bool answered,
-                                enum lmn_replica_result answer, struct timespec now)
+                                enum lmn_replica_result result, struct timespec now)
 {
     struct lmn_replication_stream *stream = &partition->replication.stream;
+    bool has_stream_ended = stream->batch != batch || !stream->is_sending;
 
-    if (stream->batch != batch ||
-        !stream->is_sending) { /* of a stream that has ended meanwhile */
+    if (has_stream_ended) {
         lmn_replication_batch_free(batch);
         return;
     }
     stream->is_sending = false;
     if (!answered) {
         stream->send_failures++;
-        return;
+        return; /* the stream keeps the batch, which is sent again */
     }
     stream->batch = NULL;
     stream->send_failures = 0;
-    if (answer != LMN_REPLICA_APPLIED) {
-        lmn_replication_batch_free(batch);
-        if (stream->phase != LMN_STREAM_REMOVING)
-            fail(core, partition,
-                 answer == LMN_REPLICA_UNKNOWN_STREAM ? "it does not know the stream"
-                                                      : "it refuses the stream",
-                 now);
-        return;
-    }
-    stream->next_batch_number++;
-    stream->counters.batches++;
-    stream->counters.machines += batch->machines->len;
-    if (batch->log_position > stream->acknowledged_position) {
-        /* While it is copied, no start waits. */
-        if (stream->phase >= LMN_STREAM_CATCHING_UP)
-            lmn_latency_add(&core->latencies.replication,
-                            lmn_time_diff_s(now, stream->waiting_since));
-        stream->acknowledged_position = batch->log_position;
-        stream->waiting_since = now;
+    if (result == LMN_REPLICA_APPLIED) {
+        record_acknowledgement(core, stream, batch, now);
+        pthread_cond_broadcast(&core->replication_acknowledged);
+    } else if (stream->phase != LMN_STREAM_REMOVING) {
+        fail_stream(
+            core, partition,
+            result == LMN_REPLICA_UNKNOWN_STREAM ? STREAM_UNKNOWN : STREAM_REJECTED, now);
     }
     lmn_replication_batch_free(batch);
-    pthread_cond_broadcast(&core->replication_acknowledged);
 }
 
 void lmn_replication_reset(struct lmn_core *core, struct lmn_partition *partition)
 {
     struct lmn_replication_stream *stream = &partition->replication.stream;
 
-    end(core, partition, NULL, stream->began_at);
+    end_stream(core, partition, NULL, stream->began_at);
     stream->consecutive_removals = 0;
     stream->next_step_at = (struct timespec){0, 0};
     stream->last_failure_reason = NULL;
 }
 
-uint64_t lmn_standby_condition(const struct lmn_partition *partition, const char *member,
-                               struct lmn_txn *txn)
-{
-    char key[32];
-
-    if (!partition->record.standby_stream ||
-        partition->record.standby_epoch != partition->record.epoch ||
-        strcmp(partition->record.standby, member))
-        return 0;
-    g_snprintf(key, sizeof key, "b/%d", partition->id);
-    lmn_txn_require_version(txn, key, partition->record.standby_revision);
-    return partition->record.standby_stream;
-}
-
-void lmn_standby_forget(struct lmn_partition *partition)
+void lmn_replication_clear(struct lmn_partition *partition)
 {
     lmn_replication_batch_free(partition->replication.stream.batch);
     partition->replication.stream.batch = NULL;
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -2,7 +2,7 @@
 #include "scheduler/fair_share.h"
 #include "scheduler/affinity.h"
 #include "scheduler/quota.h"
-#include "replication/stream.h"
+#include "replication/start_gate.h"
 #include "state/core.h"
 #include "state/task_ledger.h"
 
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -4,6 +4,7 @@
 #include "protocol/wire.h"
 #include "state/task_ledger.h"
 #include "partition/worker.h"
+#include "replication/start_gate.h"
 #include "replication/stream.h"
 
 #include <string.h>
--- a/tests/test_replication.c
+++ b/tests/test_replication.c
@@ -5,6 +5,7 @@
 #include "partition/owner.h"
 #include "partition/partition.h"
 #include "partition/range.h"
+#include "replication/start_gate.h"
 #include "replication/stream.h"
 #include "replication/failover.h"
 #include "state/task_ledger.h"
--- a/tests/world/day.c
+++ b/tests/world/day.c
@@ -3,6 +3,7 @@
 
 #include "protocol/wire.h"
 #include "partition/partition.h"
+#include "replication/start_gate.h"
 #include "replication/stream.h"
 #include "state/records.h"
 
--- a/tests/world/peers.c
+++ b/tests/world/peers.c
@@ -3,6 +3,7 @@
 #include "world.h"
 
 #include "protocol/wire.h"
+#include "replication/start_gate.h"
 #include "replication/stream.h"
 #include "twin.h"
 
