--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -69,11 +69,11 @@
     if (partition->ownership.is_warm) {
         guint held = lmn_failover_restore(core, partition, now);
         core->counters.warm_failovers++;
-        core->counters.own_state_failovers += partition->replication.replica->own;
+        core->counters.own_state_failovers += partition->replication.replica->is_own_state;
         lmn_info("failover_warm partition=%d epoch=%" G_GUINT64_FORMAT
                  " machines=%u attempts=%u own=%d",
                  partition->id, partition->ownership.epoch, partition->machine_list->len,
-                 held, partition->replication.replica->own);
+                 held, partition->replication.replica->is_own_state);
     } else if (partition->machine_list->len) {
         core->counters.cold_failovers++;
         lmn_info("failover_cold partition=%d epoch=%" G_GUINT64_FORMAT
@@ -362,7 +362,7 @@
                     : -1;
     /* Conditional on the record only with its copy: without, that would be no help. */
     bool warm =
-        partition->replication.replica && !partition->replication.replica->own &&
+        partition->replication.replica && !partition->replication.replica->is_own_state &&
         partition->replication.replica->stream == partition->record.standby_stream;
     struct lmn_txn *txn = transfer(partition, core->settings->node_name, lease, warm);
 
--- a/src/replication/batch.c
+++ b/src/replication/batch.c
@@ -1,3 +1,5 @@
+/** @file
+ * Batches and snapshots (replication/batch.h). */
 #include "replication/batch.h"
 
 #include <string.h>
@@ -11,48 +13,58 @@
     return snapshot;
 }
 
-static GArray *images_of(const struct lmn_machine *machine)
+static void add_attempts(GArray *snapshots, const struct lmn_machine *machine)
 {
-    GArray *images = g_array_new(FALSE, FALSE, sizeof(struct lmn_image_snapshot));
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct lmn_attempt *attempt =
+            &g_array_index(machine->attempts, struct lmn_attempt, i);
+        struct lmn_attempt_snapshot snapshot = {.index = attempt->index,
+                                                .number = attempt->number,
+                                                .has_ended =
+                                                    attempt->state == LMN_ATTEMPT_ENDED,
+                                                .is_done = attempt->is_done};
+
+        g_strlcpy(snapshot.job_id, attempt->job_id, sizeof snapshot.job_id);
+        g_array_append_val(snapshots, snapshot);
+    }
+}
+
+static GArray *images_snapshot_new(const struct lmn_machine *machine)
+{
+    GArray *snapshots = g_array_new(FALSE, FALSE, sizeof(struct lmn_image_snapshot));
 
     for (guint i = 0; i < machine->images->len; i++) {
         const struct lmn_image *image =
             &g_array_index(machine->images, struct lmn_image, i);
-        struct lmn_image_snapshot y = {.gb = image->gb,
-                                       .is_present = !image->ready_at.tv_sec};
-        if (strlen(image->name) >= sizeof y.name)
+        struct lmn_image_snapshot snapshot = {.gb = image->gb,
+                                              .is_present = !image->ready_at.tv_sec};
+
+        /* A cut name would be another image's. The standby can do without: images only
+         * make a placement better. */
+        if (strlen(image->name) >= sizeof snapshot.name)
             continue;
-        g_strlcpy(y.name, image->name, sizeof y.name);
-        g_array_append_val(images, y);
+        g_strlcpy(snapshot.name, image->name, sizeof snapshot.name);
+        g_array_append_val(snapshots, snapshot);
     }
-    return images;
+    return snapshots;
 }
 
 struct lmn_machine_snapshot *lmn_machine_snapshot_take(const struct lmn_machine *machine,
-                                                       bool images)
+                                                       bool with_images)
 {
     struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(machine->name);
 
     snapshot->agent_incarnation = machine->agent.incarnation;
     snapshot->is_terminated = machine->lifecycle.is_terminated;
-    for (guint i = 0; i < machine->attempts->len; i++) {
-        const struct lmn_attempt *attempt =
-            &g_array_index(machine->attempts, struct lmn_attempt, i);
-        struct lmn_attempt_snapshot x = {.index = attempt->index,
-                                         .number = attempt->number,
-                                         .has_ended = attempt->state == LMN_ATTEMPT_ENDED,
-                                         .is_done = attempt->is_done};
-        g_strlcpy(x.job_id, attempt->job_id, sizeof x.job_id);
-        g_array_append_val(snapshot->attempts, x);
-    }
-    if (images)
-        snapshot->images = images_of(machine);
+    add_attempts(snapshot->attempts, machine);
+    if (with_images)
+        snapshot->images = images_snapshot_new(machine);
     return snapshot;
 }
 
-void lmn_machine_snapshot_free(gpointer told)
+void lmn_machine_snapshot_free(gpointer data)
 {
-    struct lmn_machine_snapshot *snapshot = told;
+    struct lmn_machine_snapshot *snapshot = data;
 
     if (!snapshot)
         return;
--- a/src/replication/failover.c
+++ b/src/replication/failover.c
@@ -1,3 +1,5 @@
+/** @file
+ * Failover from a replica (replication/failover.h). */
 #include "replication/failover.h"
 #include "util/log.h"
 #include "state/task_ledger.h"
@@ -8,138 +10,176 @@
 const char *lmn_failover_cold_reason(const struct lmn_core *core,
                                      const struct lmn_partition *partition)
 {
-    const struct lmn_replica *copy = partition->replication.replica;
+    const struct lmn_partition_record *record = &partition->record;
+    const struct lmn_replica *replica = partition->replication.replica;
 
-    /* Each claim raises the term by one, conditional on the term before: nobody has owned
-     * the partition since this process did. */
-    if (copy && copy->own)
-        return copy->epoch + 1 == partition->record.owner_epoch
+    /* Each claim raises the epoch by one, on condition of the epoch before. If ours is
+     * the next one, nobody has owned the partition since this process did. */
+    if (replica && replica->is_own_state)
+        return replica->epoch + 1 == record->owner_epoch
                    ? NULL
                    : "another has owned it meanwhile";
-    /* The claim, or the giving, was conditional on a record that names us: until it was
-     * applied no start went out that we had not acknowledged, and none can after it,
-     * since the owner can strike us off no more. */
-    if (!partition->record.owner_stream)
+    /* The claim, or the transfer to us, was conditional on a record that names us as in
+     * sync. Until it was applied no start went out that we had not acknowledged; none can
+     * go out after it, since the former owner can no longer remove us from the record. */
+    if (!record->owner_stream)
         return "nobody was in step";
-    if (partition->record.owner_stream != partition->record.standby_stream ||
-        strcmp(partition->record.standby, core->settings->node_name))
+    if (record->owner_stream != record->standby_stream ||
+        strcmp(record->standby, core->settings->node_name))
         return "another was in step";
-    if (!copy)
+    if (!replica)
         return "no copy: another life was in step";
-    if (copy->stream != partition->record.owner_stream)
+    if (replica->stream != record->owner_stream)
         return "the copy is of another stream";
-    if (copy->epoch != partition->record.standby_epoch ||
-        copy->epoch + 1 != partition->record.owner_epoch)
+    if (replica->epoch != record->standby_epoch ||
+        replica->epoch + 1 != record->owner_epoch)
         return "the copy is of another term";
     return NULL;
 }
 
-/* Of the attempts of one task only the newest can be on a machine: its owner had
- * concluded that the others were gone before it made that one. */
-static GHashTable *newest(const struct lmn_partition *partition)
+/** A key that all attempts of a task share. */
+static char *task_key_new(const struct lmn_attempt_snapshot *attempt)
 {
-    GHashTable *best = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    return g_strdup_printf("%s/%u", attempt->job_id, attempt->index);
+}
+
+static void keep_newest(GHashTable *newest, const struct lmn_attempt_snapshot *attempt)
+{
+    g_autofree char *task = task_key_new(attempt);
+    const struct lmn_attempt_snapshot *other = g_hash_table_lookup(newest, task);
+
+    if (!other || other->number < attempt->number)
+        g_hash_table_replace(newest, g_steal_pointer(&task), (gpointer)attempt);
+}
+
+/** The newest attempt of each task, by task_key_new. Only that one can be on a machine:
+ * before its owner made it, it had concluded that the earlier ones were gone. */
+static GHashTable *newest_attempts(const struct lmn_replica *replica)
+{
+    GHashTable *newest = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     GHashTableIter it;
-    gpointer v;
-
-    g_hash_table_iter_init(&it, partition->replication.replica->machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine_snapshot *snapshot = v;
-        for (guint i = 0; i < snapshot->attempts->len; i++) {
-            const struct lmn_attempt_snapshot *attempt =
-                &g_array_index(snapshot->attempts, struct lmn_attempt_snapshot, i);
-            char *task = g_strdup_printf("%s/%u", attempt->job_id, attempt->index);
-            const struct lmn_attempt_snapshot *was = g_hash_table_lookup(best, task);
-            if (!was || was->number < attempt->number)
-                g_hash_table_replace(best, task, (gpointer)attempt);
-            else
-                g_free(task);
-        }
+    gpointer value;
+
+    g_hash_table_iter_init(&it, replica->machines);
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        const struct lmn_machine_snapshot *machine = value;
+        for (guint i = 0; i < machine->attempts->len; i++)
+            keep_newest(newest, &g_array_index(machine->attempts,
+                                               struct lmn_attempt_snapshot, i));
     }
-    return best;
+    return newest;
 }
 
-static bool inherit(struct lmn_core *core, struct lmn_machine *machine,
-                    const struct lmn_attempt_snapshot *told, struct timespec now)
+/** Puts the attempt on the machine, as one that its worker has yet to report. Returns
+ * whether it may still be there. */
+static bool restore_attempt(struct lmn_core *core, struct lmn_machine *machine,
+                            const struct lmn_attempt_snapshot *snapshot,
+                            struct timespec now)
 {
-    struct lmn_attempt a = {.index = told->index,
-                            .number = told->number,
-                            .state = LMN_ATTEMPT_RUNNING,
-                            .from_replica = true,
-                            .started_at = now};
-
-    g_strlcpy(a.job_id, told->job_id, sizeof a.job_id);
-    a.job = g_hash_table_lookup(core->cache.jobs, told->job_id);
-    a.range = lmn_partition_find_range(machine->partition, a.job, told->index);
-    /* One that has failed is not there, and its task was queued again. One that is done
-     * is held until the worker says so, or is gone. */
-    if (told->has_ended && (!told->is_done || !a.range))
+    struct lmn_attempt attempt = {.index = snapshot->index,
+                                  .number = snapshot->number,
+                                  .state = LMN_ATTEMPT_RUNNING,
+                                  .from_replica = true,
+                                  .started_at = now};
+
+    g_strlcpy(attempt.job_id, snapshot->job_id, sizeof attempt.job_id);
+    attempt.job = g_hash_table_lookup(core->cache.jobs, snapshot->job_id);
+    attempt.range =
+        lmn_partition_find_range(machine->partition, attempt.job, snapshot->index);
+    /* A failed attempt is no longer on the machine, and its task was queued again. One
+     * that is done is kept until the worker reports it or is gone: its task may not be
+     * recorded as done yet. */
+    if (snapshot->has_ended && (!snapshot->is_done || !attempt.range))
         return false;
-    if (a.range && a.range->task_states[a.index - a.range->first] == LMN_TASK_QUEUED) {
-        a.range->task_states[a.index - a.range->first] = LMN_TASK_STARTED;
-        a.range->started_count++;
+    uint8_t *task_state =
+        attempt.range ? &attempt.range->task_states[attempt.index - attempt.range->first]
+                      : NULL;
+    if (task_state && *task_state == LMN_TASK_QUEUED) {
+        *task_state = LMN_TASK_STARTED;
+        attempt.range->started_count++;
     } else {
-        a.range = NULL; /* recorded as done, or moved away */
-        if (told->has_ended)
+        /* The task is recorded as done, or has moved to another partition. */
+        attempt.range = NULL;
+        if (snapshot->has_ended)
             return false;
     }
-    lmn_attempt_count(machine, &a);
-    g_array_append_val(machine->attempts, a);
+    lmn_attempt_count(machine, &attempt);
+    g_array_append_val(machine->attempts, attempt);
     return true;
 }
 
-static void inherit_images(struct lmn_machine *machine,
+static void restore_images(struct lmn_machine *machine,
                            const struct lmn_machine_snapshot *snapshot,
                            struct timespec now)
 {
+    double pull_gb_per_s = machine->type ? machine->type->pull_gb_per_s : 0;
+
     g_array_set_size(machine->images, 0);
     for (guint i = 0; snapshot->images && i < snapshot->images->len; i++) {
-        const struct lmn_image_snapshot *image =
+        const struct lmn_image_snapshot *image_snapshot =
             &g_array_index(snapshot->images, struct lmn_image_snapshot, i);
-        struct lmn_image y = {g_intern_string(image->name), image->gb, {0, 0}};
-        if (!image->is_present)
-            y.ready_at =
-                lmn_time_add(now, machine->type && machine->type->pull_gb_per_s > 0
-                                      ? image->gb / machine->type->pull_gb_per_s
-                                      : 0);
-        g_array_append_val(machine->images, y);
+        struct lmn_image image = {
+            g_intern_string(image_snapshot->name), image_snapshot->gb, {0, 0}};
+
+        /* When the fetch began is not known; at the latest it begins now. */
+        if (!image_snapshot->is_present)
+            image.ready_at = lmn_time_add(
+                now, pull_gb_per_s > 0 ? image_snapshot->gb / pull_gb_per_s : 0);
+        g_array_append_val(machine->images, image);
+    }
+}
+
+/** Nothing can run on a terminated machine: it is accounted for. */
+static void restore_terminated(struct lmn_core *core, struct lmn_machine *machine)
+{
+    machine->lifecycle.is_terminated = true;
+    machine->lifecycle.is_accounted = true;
+    machine->lifecycle.is_inherited = false;
+    g_hash_table_add(core->cloud.returned_machines, g_strdup(machine->name));
+}
+
+/** Returns how many attempts were restored. */
+static guint restore_machine(struct lmn_core *core, struct lmn_machine *machine,
+                             const struct lmn_machine_snapshot *snapshot,
+                             GHashTable *newest, struct timespec now)
+{
+    guint restored = 0;
+
+    machine->agent.incarnation = snapshot->agent_incarnation;
+    if (!machine->type)
+        machine->type = lmn_machine_type_by_name(core, machine->type_name);
+    restore_images(machine, snapshot, now);
+    for (guint i = 0; i < snapshot->attempts->len; i++) {
+        const struct lmn_attempt_snapshot *attempt =
+            &g_array_index(snapshot->attempts, struct lmn_attempt_snapshot, i);
+        g_autofree char *task = task_key_new(attempt);
+        if (g_hash_table_lookup(newest, task) == attempt)
+            restored += restore_attempt(core, machine, attempt, now);
     }
+    return restored;
 }
 
 guint lmn_failover_restore(struct lmn_core *core, struct lmn_partition *partition,
                            struct timespec now)
 {
-    GHashTable *best = newest(partition);
-    guint held = 0, named = 0;
+    const struct lmn_replica *replica = partition->replication.replica;
+    GHashTable *newest = newest_attempts(replica);
+    guint attempts = 0, machines_in_replica = 0;
 
-    for (guint k = 0; k < partition->machine_list->len; k++) {
-        struct lmn_machine *machine = partition->machine_list->pdata[k];
+    for (guint i = 0; i < partition->machine_list->len; i++) {
+        struct lmn_machine *machine = partition->machine_list->pdata[i];
         const struct lmn_machine_snapshot *snapshot =
-            g_hash_table_lookup(partition->replication.replica->machines, machine->name);
+            g_hash_table_lookup(replica->machines, machine->name);
         if (!snapshot)
             continue; /* nothing was started on it */
-        named++;
-        if (snapshot->is_terminated) {
-            machine->lifecycle.is_terminated = machine->lifecycle.is_accounted = true;
-            machine->lifecycle.is_inherited = false;
-            g_hash_table_add(core->cloud.returned_machines, g_strdup(machine->name));
-            continue;
-        }
-        machine->agent.incarnation = snapshot->agent_incarnation;
-        if (!machine->type)
-            machine->type = lmn_machine_type_by_name(core, machine->type_name);
-        inherit_images(machine, snapshot, now);
-        for (guint i = 0; i < snapshot->attempts->len; i++) {
-            const struct lmn_attempt_snapshot *attempt =
-                &g_array_index(snapshot->attempts, struct lmn_attempt_snapshot, i);
-            char *task = g_strdup_printf("%s/%u", attempt->job_id, attempt->index);
-            if (g_hash_table_lookup(best, task) == attempt)
-                held += inherit(core, machine, attempt, now);
-            g_free(task);
-        }
+        machines_in_replica++;
+        if (snapshot->is_terminated)
+            restore_terminated(core, machine);
+        else
+            attempts += restore_machine(core, machine, snapshot, newest, now);
     }
     lmn_debug("failover_replica_restored partition=%d machines=%u told=%u attempts=%u",
-              partition->id, partition->machine_list->len, named, held);
-    g_hash_table_destroy(best);
-    return held;
+              partition->id, partition->machine_list->len, machines_in_replica, attempts);
+    g_hash_table_destroy(newest);
+    return attempts;
 }
--- a/src/replication/replica.c
+++ b/src/replication/replica.c
@@ -1,41 +1,85 @@
+/** @file
+ * A replica of another owner's state (replication/replica.h). */
 #include "replication/replica.h"
 
 #include <string.h>
 
-void lmn_replica_free(struct lmn_replica *copy)
+void lmn_replica_free(struct lmn_replica *replica)
 {
-    if (!copy)
+    if (!replica)
         return;
-    g_hash_table_destroy(copy->machines);
-    g_free(copy);
+    g_hash_table_destroy(replica->machines);
+    g_free(replica);
 }
 
-static struct lmn_replica *new_copy(uint64_t epoch, uint64_t stream)
+static struct lmn_replica *replica_new(uint64_t epoch, uint64_t stream)
 {
-    struct lmn_replica *copy = g_new0(struct lmn_replica, 1);
+    struct lmn_replica *replica = g_new0(struct lmn_replica, 1);
 
-    copy->epoch = epoch;
-    copy->stream = stream;
-    copy->machines =
+    replica->epoch = epoch;
+    replica->stream = stream;
+    replica->machines =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, lmn_machine_snapshot_free);
-    return copy;
+    return replica;
 }
 
-static void take_machine(struct lmn_replica *copy, struct lmn_machine_snapshot *snapshot)
+/** Replaces the machine's snapshot by the given one, which is taken over. */
+static void apply_snapshot(struct lmn_replica *replica,
+                           struct lmn_machine_snapshot *snapshot)
 {
-    struct lmn_machine_snapshot *was =
-        g_hash_table_lookup(copy->machines, snapshot->name);
+    struct lmn_machine_snapshot *previous =
+        g_hash_table_lookup(replica->machines, snapshot->name);
 
     if (snapshot->is_forgotten) {
-        g_hash_table_remove(copy->machines, snapshot->name);
+        g_hash_table_remove(replica->machines, snapshot->name);
         lmn_machine_snapshot_free(snapshot);
         return;
     }
-    if (!snapshot->images && was) {
-        snapshot->images = was->images;
-        was->images = NULL;
+    /* Images are sent only when they have changed. */
+    if (!snapshot->images && previous) {
+        snapshot->images = previous->images;
+        previous->images = NULL;
     }
-    g_hash_table_replace(copy->machines, snapshot->name, snapshot);
+    g_hash_table_replace(replica->machines, snapshot->name, snapshot);
+}
+
+/** How a batch relates to the replica. */
+enum batch_order {
+    BATCH_REPEATED,     /**< it was applied before */
+    BATCH_FIRST,        /**< it begins a newer stream */
+    BATCH_NEXT,         /**< it follows the last one that was applied */
+    BATCH_OUT_OF_ORDER, /**< one is missing, or it is of another or older stream */
+};
+
+static enum batch_order classify_batch(const struct lmn_replica *replica,
+                                       const struct lmn_replication_batch *batch)
+{
+    bool is_same_stream =
+        replica && batch->epoch == replica->epoch && batch->stream == replica->stream;
+
+    if (is_same_stream && batch->number <= replica->last_batch_number)
+        return BATCH_REPEATED;
+    if (batch->number == 0) {
+        /* A delayed first batch of an older stream must not replace a newer replica. */
+        bool is_older_stream =
+            replica &&
+            (batch->epoch < replica->epoch ||
+             (batch->epoch == replica->epoch && batch->stream < replica->stream));
+        return is_older_stream ? BATCH_OUT_OF_ORDER : BATCH_FIRST;
+    }
+    if (is_same_stream && batch->number == replica->last_batch_number + 1)
+        return BATCH_NEXT;
+    return BATCH_OUT_OF_ORDER;
+}
+
+static bool is_batch_rejected(const struct lmn_core *core,
+                              const struct lmn_partition *partition,
+                              const struct lmn_replication_batch *batch)
+{
+    /* An owner of an earlier epoch than the watch cache shows has been replaced. A
+     * controller that shuts down can't take the partition over. */
+    return partition->ownership.is_owned || batch->epoch < partition->record.epoch ||
+           core->shutdown.is_requested;
 }
 
 enum lmn_replica_result lmn_replica_apply(struct lmn_core *core,
@@ -45,32 +89,28 @@
     if (batch->partition < 0 || batch->partition >= core->partition_count)
         return LMN_REPLICA_REJECTED;
     struct lmn_partition *partition = &core->partitions[batch->partition];
-    struct lmn_replica *copy = partition->replication.replica;
-    /* Whoever owned it before the term that the mirror shows has been replaced. One that
-     * is about to end follows nobody. */
-    if (partition->ownership.is_owned || batch->epoch < partition->record.epoch ||
-        core->shutdown.is_requested)
+    struct lmn_replica *replica = partition->replication.replica;
+
+    if (is_batch_rejected(core, partition, batch))
         return LMN_REPLICA_REJECTED;
-    if (copy && batch->epoch == copy->epoch && batch->stream == copy->stream &&
-        batch->number <= copy->number) {
-        copy->last_batch_at = now;
-        return LMN_REPLICA_APPLIED; /* a repeat, or a late twin */
-    }
-    if (batch->number == 0) {
-        /* A late twin of an older stream must not take the place of a newer one. */
-        if (copy && (batch->epoch < copy->epoch ||
-                     (batch->epoch == copy->epoch && batch->stream < copy->stream)))
-            return LMN_REPLICA_UNKNOWN_STREAM;
-        lmn_replica_free(copy);
-        copy = partition->replication.replica = new_copy(batch->epoch, batch->stream);
-    } else if (!copy || batch->epoch != copy->epoch || batch->stream != copy->stream ||
-               batch->number != copy->number + 1) {
+    switch (classify_batch(replica, batch)) {
+    case BATCH_REPEATED:
+        replica->last_batch_at = now;
+        return LMN_REPLICA_APPLIED;
+    case BATCH_OUT_OF_ORDER:
         return LMN_REPLICA_UNKNOWN_STREAM;
+    case BATCH_FIRST:
+        lmn_replica_free(replica);
+        replica = replica_new(batch->epoch, batch->stream);
+        partition->replication.replica = replica;
+        break;
+    case BATCH_NEXT:
+        break;
     }
-    copy->number = batch->number;
-    copy->last_batch_at = now;
+    replica->last_batch_number = batch->number;
+    replica->last_batch_at = now;
     for (guint i = 0; i < batch->machines->len; i++) {
-        take_machine(copy, batch->machines->pdata[i]);
+        apply_snapshot(replica, batch->machines->pdata[i]);
         batch->machines->pdata[i] = NULL;
     }
     return LMN_REPLICA_APPLIED;
@@ -78,38 +118,42 @@
 
 void lmn_replica_keep_own(struct lmn_partition *partition)
 {
-    /* Before every machine was accounted for, a cold owner does not know what its
-     * predecessors started. */
+    /* An owner that recovered without a replica does not know what its predecessors
+     * started before every machine is accounted for. */
     if (!partition->ownership.is_ready && !partition->ownership.is_warm)
         return;
-    lmn_replica_free(partition->replication.replica);
-    partition->replication.replica = new_copy(partition->ownership.epoch, 0);
-    partition->replication.replica->own = true;
+    struct lmn_replica *replica = replica_new(partition->ownership.epoch, 0);
+
+    replica->is_own_state = true;
     for (guint i = 0; i < partition->machine_list->len; i++) {
         struct lmn_machine_snapshot *snapshot =
             lmn_machine_snapshot_take(partition->machine_list->pdata[i], true);
-        g_hash_table_replace(partition->replication.replica->machines, snapshot->name,
-                             snapshot);
+        g_hash_table_replace(replica->machines, snapshot->name, snapshot);
     }
+    lmn_replica_free(partition->replication.replica);
+    partition->replication.replica = replica;
 }
 
 bool lmn_replica_own_is_latest(const struct lmn_partition *partition)
 {
-    return partition->replication.replica && partition->replication.replica->own &&
-           partition->replication.replica->epoch == partition->record.epoch;
+    const struct lmn_replica *replica = partition->replication.replica;
+
+    return replica && replica->is_own_state && replica->epoch == partition->record.epoch;
 }
 
 void lmn_replica_drop_outdated(const struct lmn_core *core,
                                struct lmn_partition *partition)
 {
-    if (partition->ownership.is_owned || !partition->replication.replica ||
-        !partition->replication.replica->own ||
-        partition->record.epoch <= partition->replication.replica->epoch)
+    const struct lmn_partition_record *record = &partition->record;
+    const struct lmn_replica *replica = partition->replication.replica;
+
+    if (partition->ownership.is_owned || !replica || !replica->is_own_state ||
+        record->epoch <= replica->epoch)
         return;
-    /* Of the next term only our own claim may be on its way. */
-    if (partition->record.epoch == partition->replication.replica->epoch + 1 &&
-        (!*partition->record.owner ||
-         !strcmp(partition->record.owner, core->settings->node_name)))
+    /* Our own claim may be the one that has raised the epoch by one; the watch cache
+     * shows the owner after the epoch. */
+    if (record->epoch == replica->epoch + 1 &&
+        (!*record->owner || !strcmp(record->owner, core->settings->node_name)))
         return;
     lmn_replica_free(partition->replication.replica);
     partition->replication.replica = NULL;
--- a/tests/test_replication.c
+++ b/tests/test_replication.c
@@ -126,7 +126,7 @@
         }
         const struct lmn_replica *copy = core->partitions[0].replication.replica;
         assert_int_equal(copy->stream, stream);
-        assert_int_equal(copy->number + 1, next);
+        assert_int_equal(copy->last_batch_number + 1, next);
         for (int i = 0; i < 4; i++) {
             char name[16];
             g_snprintf(name, sizeof name, "host-%d", i);
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -406,7 +406,7 @@
     batch->epoch = 5;
     batch->stream = 5 << 20 | 1;
     assert_int_equal(lmn_replica_apply(core, batch, now), LMN_REPLICA_APPLIED);
-    assert_false(part->replication.replica->own);
+    assert_false(part->replication.replica->is_own_state);
     lmn_replication_batch_free(batch);
 }
 
--- a/tests/world/nodes.c
+++ b/tests/world/nodes.c
@@ -97,7 +97,7 @@
 {
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        if (partition->replication.replica && partition->replication.replica->own)
+        if (partition->replication.replica && partition->replication.replica->is_own_state)
             partition->replication.replica->epoch =
                 partition->record.owner_revision ? partition->record.owner_epoch - 1
                                                  : partition->record.epoch;
