--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -32,7 +32,8 @@
                                " strikes=%" G_GUINT64_FORMAT "\n",
                                stream->counters.batches, stream->counters.machines,
                                stream->counters.removals);
-    } else if (partition->replication.replica && partition->replication.replica->is_own_state) {
+    } else if (partition->replication.replica &&
+               partition->replication.replica->is_own_state) {
         g_string_append_printf(
             text, "  own term=%" G_GUINT64_FORMAT " machines=%u\n",
             partition->replication.replica->epoch,
@@ -82,7 +83,8 @@
         sum.machines += n->machines;
         sum.streams += n->streams;
         sum.removals += n->removals;
-        copies += partition->replication.replica && !partition->replication.replica->is_own_state;
+        copies += partition->replication.replica &&
+                  !partition->replication.replica->is_own_state;
         if (!partition->ownership.is_owned)
             continue;
         lmn_replication_lag(partition, now, &machines, &starts, &seconds);
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -1,18 +1,32 @@
-/* What is observed of members, and of this node itself. */
+/** @file
+ * Records what is observed of the members, and of this controller itself
+ * (membership/membership.h). */
 #include "membership/membership.h"
 
 #include <string.h>
 
-/* A gap between two looks at the state service beyond this one, and a suspicion begins
- * anew: while it was down, nobody could refute. A look waits for up to 0.8 s. */
-static const double GAP_S = 1.6;
-enum { WORST = 8 };
+/** After a longer gap between two answered watch requests every suspicion begins anew:
+ * while the key-value store was down, nobody could refute. A watch request waits for up
+ * to 0.8 s. */
+static const double MAX_WATCH_GAP_S = 1.6;
+/** The weight of the latest tick in the smoothed delay of ticks. */
+static const double TICK_DELAY_WEIGHT = 0.1;
+enum {
+    MAX_LOCAL_HEALTH = 8,
+    /** A stall says more about this controller's timing than a single error does. */
+    STALL_PENALTY = 2,
+    /** Further failures do not delay the readmission any more. */
+    MAX_FAILURES_DECLARED = 6,
+    /** Up to so many failures each make the next probe of a member wait for longer. */
+    MAX_PROBE_BACKOFF = 8,
+};
 
 void lmn_membership_timeouts_init(const struct lmn_settings *settings,
                                   struct lmn_membership_timeouts *timeouts)
 {
-    /* Short enough that a successor answers a crashed owner's workers within their lease,
-     * long enough for the stalls of a small share of a core. */
+    /* Short enough that the next owner answers the workers of a failed one within their
+     * lease, long enough for the stalls of a process that gets a small share of a core.
+     */
     timeouts->lease_s = CLAMP(0.4 * settings->lease_s, 2.0, 8.0);
     timeouts->probe_interval_s = timeouts->lease_s / 16;
     timeouts->probe_timeout_s = MAX(timeouts->probe_interval_s, 0.4);
@@ -21,11 +35,11 @@
     timeouts->heartbeat_overdue_s = 1.25 * settings->heartbeat_s + 0.5;
 }
 
-const char *lmn_suspicion_cause_name(enum lmn_suspicion_cause c)
+const char *lmn_suspicion_cause_name(enum lmn_suspicion_cause cause)
 {
     static const char *const names[] = {"silent", "deaf", "blind"};
 
-    return c < LMN_SUSPICION_CAUSES ? names[c] : "unknown";
+    return cause < LMN_SUSPICION_CAUSES ? names[cause] : "unknown";
 }
 
 void lmn_members_init(struct lmn_members *members, const struct lmn_settings *settings,
@@ -61,42 +75,54 @@
     return -1;
 }
 
-/* --- this node --- */
+/* --- this controller --- */
 
-static bool jumped(const struct lmn_members *members, struct timespec now)
+/** Adds to the doubt in this controller's own timing. */
+static void raise_local_health(struct lmn_members *members, unsigned points)
 {
-    double gap =
+    members->local_health =
+        MIN(members->local_health + points, (unsigned)MAX_LOCAL_HEALTH);
+}
+
+/** Whether the process has stalled since its last tick. */
+static bool has_stalled(const struct lmn_members *members, struct timespec now)
+{
+    enum { USUAL_DELAYS = 4 };
+    double gap_s =
         members->last_tick_at.tv_sec ? lmn_time_diff_s(now, members->last_tick_at) : 0;
 
-    /* A node that is always late has not stood still. */
-    return gap > members->timeouts.stall_s && gap > 4 * members->tick_delay_s;
+    /* A controller whose ticks are always late has not stalled. */
+    return gap_s > members->timeouts.stall_s &&
+           gap_s > USUAL_DELAYS * members->tick_delay_s;
 }
 
 void lmn_members_tick(struct lmn_members *members, double late_s, struct timespec now)
 {
-    if (jumped(members, now)) {
+    if (has_stalled(members, now)) {
         members->resumed_at = now;
-        members->local_health = MIN(members->local_health + 2, (unsigned)WORST);
+        raise_local_health(members, STALL_PENALTY);
     }
-    members->tick_delay_s += (MAX(late_s, 0) - members->tick_delay_s) * 0.1;
+    members->tick_delay_s += (MAX(late_s, 0) - members->tick_delay_s) * TICK_DELAY_WEIGHT;
     members->last_tick_at = now;
 }
 
-void lmn_members_record_watch(struct lmn_members *members, struct timespec asked)
+void lmn_members_record_watch(struct lmn_members *members, struct timespec sent_at)
 {
     if (!members->synced_at.tv_sec)
-        members->synced_at = asked;
-    if (lmn_time_diff_s(asked, members->cache_fresh_at) > GAP_S) {
-        members->cache_fresh_since = asked;
+        members->synced_at = sent_at;
+    if (lmn_time_diff_s(sent_at, members->cache_fresh_at) > MAX_WATCH_GAP_S) {
+        members->cache_fresh_since = sent_at;
         for (int i = 0; i < members->count; i++)
-            members->views[i].suspected_since = asked;
+            members->views[i].suspected_since = sent_at;
     }
-    members->cache_fresh_at = asked;
+    members->cache_fresh_at = sent_at;
 }
 
 bool lmn_self_may_reply(const struct lmn_members *members, struct timespec now)
 {
-    return !jumped(members, now) &&
+    /* After a stall another may own the partitions by now: a view that is older than that
+     * answers no worker. */
+    return !has_stalled(members, now) &&
            !(members->resumed_at.tv_sec &&
              lmn_time_before(members->cache_fresh_at, members->resumed_at));
 }
@@ -107,7 +133,15 @@
     members->is_isolated_from_workers = false;
 }
 
-/* --- as the mirror shows them --- */
+/* --- the records, as the watch cache shows them --- */
+
+/** The member was certainly alive after its unanswered probes were sent. */
+static void clear_unanswered(struct lmn_member_view *member)
+{
+    member->unanswered_since = (struct timespec){0, 0};
+    member->probe_failures = 0;
+    member->reached_by_others = false;
+}
 
 void lmn_member_apply_record(struct lmn_members *members, int member_index,
                              uint64_t revision, uint64_t lease, struct timespec now)
@@ -116,47 +150,45 @@
 
     if (member->is_present != (revision != 0))
         member->present_since = now;
-    if (revision && member->is_present &&
-        member->suspected_incarnation == member->incarnation && member->incarnation) {
+    bool is_refutation = revision && member->is_present && member->incarnation &&
+                         member->suspected_incarnation == member->incarnation;
+    if (is_refutation) {
         member->refutations++;
         member->last_refutation_at = now;
         members->counters.refutations += member_index == members->self;
-        if (member_index == members->self) /* others could not hear this node */
-            members->local_health = MIN(members->local_health + 1, (unsigned)WORST);
+        if (member_index == members->self) /* others could not reach this controller */
+            raise_local_health(members, 1);
     }
     member->is_present = revision != 0;
     member->incarnation = revision;
     member->incarnation_seen_at = now;
     member->lease = revision ? lease : 0;
     member->is_declared_failed = false;
-    if (revision) {
-        /* Whoever writes lives. */
-        member->unanswered_since = (struct timespec){0, 0};
-        member->probe_failures = 0;
-        member->reached_by_others = false;
-    }
+    if (revision) /* only a live member writes its record */
+        clear_unanswered(member);
 }
 
 void lmn_member_apply_suspicion(struct lmn_members *members, int member_index,
-                                uint64_t revision, uint64_t inc, const char *by,
-                                enum lmn_suspicion_cause why, struct timespec now)
+                                uint64_t revision, uint64_t incarnation,
+                                const char *suspected_by, enum lmn_suspicion_cause cause,
+                                struct timespec now)
 {
     struct lmn_member_view *member = &members->views[member_index];
 
     member->suspicion_revision = revision;
-    if (!revision || inc != member->suspected_incarnation) {
+    if (!revision || incarnation != member->suspected_incarnation) {
         member->suspected_since = now;
         member->probe_next = member_index != members->self;
         member->next_probe_at = now;
     }
-    member->suspected_incarnation = revision ? inc : 0;
-    /* A verdict stands as long as the suspicion that it was about. Once a member whose
-     * accuser had ended before it refuted had nothing to refute any more, and stayed
-     * judged for ever. */
+    member->suspected_incarnation = revision ? incarnation : 0;
+    /* A member stays declared failed for as long as the suspicion that led to it stands.
+     * Otherwise, if the suspicion was deleted before the member refuted it, the member
+     * would have nothing left to refute, and would stay declared failed for ever. */
     member->is_declared_failed = member->is_declared_failed &&
                                  member->suspected_incarnation == member->incarnation;
-    member->suspicion_cause = why;
-    g_strlcpy(member->suspected_by, by, sizeof member->suspected_by);
+    member->suspicion_cause = cause;
+    g_strlcpy(member->suspected_by, suspected_by, sizeof member->suspected_by);
 }
 
 void lmn_member_record_failure(struct lmn_members *members, int member_index,
@@ -164,98 +196,99 @@
 {
     struct lmn_member_view *member = &members->views[member_index];
 
-    /* One that gave them away itself is not judged, and has nothing to refute: found when
-     * such a member never got its partition back. */
+    /* A member that has transferred its partitions itself is not suspected, and has
+     * nothing to refute: declared failed, it would never get a partition back. */
     member->is_declared_failed =
         member->is_declared_failed || lmn_member_is_suspected(members, member_index);
-    /* All its partitions at once are one failure. */
+    /* The loss of all its partitions at once is one failure. */
     if (member->last_failure_at.tv_sec &&
         lmn_time_diff_s(now, member->last_failure_at) < members->timeouts.lease_s)
         return;
-    member->failures_declared = MIN(member->failures_declared + 1, 6u);
+    member->failures_declared =
+        MIN(member->failures_declared + 1, (unsigned)MAX_FAILURES_DECLARED);
     member->last_failure_at = now;
 }
 
-/* --- questions and answers --- */
+/* --- probes, gossip and workers --- */
 
-static void hear(struct lmn_members *members, int member_index,
-                 const struct lmn_member_health *health, struct timespec lived,
-                 struct timespec now)
+/** The member was alive at alive_at, and has said how it is. */
+static void record_alive(struct lmn_members *members, int member_index,
+                         const struct lmn_member_health *health, struct timespec alive_at,
+                         struct timespec now)
 {
     struct lmn_member_view *member = &members->views[member_index];
 
     member->ever_contacted = true;
-    if (lmn_time_before(member->last_contact_at, lived))
-        member->last_contact_at = lived;
-    /* What was asked later is still open. */
-    if (!lmn_time_before(lived, member->unanswered_since)) {
-        member->unanswered_since = (struct timespec){0, 0};
-        member->probe_failures = 0;
-        member->reached_by_others = false;
-    }
+    if (lmn_time_before(member->last_contact_at, alive_at))
+        member->last_contact_at = alive_at;
+    /* A probe that was sent later is still unanswered. */
+    if (!lmn_time_before(alive_at, member->unanswered_since))
+        clear_unanswered(member);
     member->health = *health;
     member->health_at = now;
 }
 
 void lmn_member_record_contact(struct lmn_members *members, int member_index,
                                const struct lmn_member_health *health,
-                               struct timespec sent, struct timespec now)
+                               struct timespec sent_at, struct timespec now)
 {
-    hear(members, member_index, health, sent, now);
+    record_alive(members, member_index, health, sent_at, now);
 }
 
 void lmn_member_record_probe_reply(struct lmn_members *members, int member_index,
                                    const struct lmn_member_health *health,
-                                   struct timespec sent, struct timespec now)
+                                   struct timespec sent_at, struct timespec now)
 {
     lmn_phi_accrual_add(&members->views[member_index].reply_times,
-                        lmn_time_diff_s(now, sent));
-    hear(members, member_index, health, sent, now);
+                        lmn_time_diff_s(now, sent_at));
+    record_alive(members, member_index, health, sent_at, now);
     members->views[member_index].probe_next = false;
     if (members->local_health)
         members->local_health--;
 }
 
 void lmn_member_record_probe_timeout(struct lmn_members *members, int member_index,
-                                     struct timespec sent, struct timespec now)
+                                     struct timespec sent_at, struct timespec now)
 {
     struct lmn_member_view *member = &members->views[member_index];
 
     members->counters.probes_unanswered++;
-    if (lmn_time_before(sent, member->last_contact_at))
-        return; /* it was heard by other ways meanwhile */
+    if (lmn_time_before(sent_at, member->last_contact_at))
+        return; /* it has contacted us in another way meanwhile */
     if (!member->unanswered_since.tv_sec) {
-        member->unanswered_since = sent;
+        member->unanswered_since = sent_at;
         member->indirect_probes = 0;
         member->next_indirect_probe_at = now;
     }
     member->probe_failures++;
-    /* Again at once, but a member that is gone for long must not take all the time. */
+    /* It is probed again soon, but a member that stays away must not take up all
+     * probes. */
+    unsigned backoff = MIN(member->probe_failures, (unsigned)MAX_PROBE_BACKOFF);
     member->probe_next = true;
-    member->next_probe_at = lmn_time_add(now, members->timeouts.probe_interval_s *
-                                                  MIN(member->probe_failures, 8u) / 2);
+    member->next_probe_at =
+        lmn_time_add(now, members->timeouts.probe_interval_s * backoff / 2);
 }
 
-void lmn_member_record_gossip(struct lmn_members *members, int by,
+void lmn_member_record_gossip(struct lmn_members *members, int by_index,
                               const struct lmn_gossip_statement *statement,
                               struct timespec now)
 {
-    if (statement->member < 0 || statement->member >= members->count || by < 0 ||
-        by >= members->count || statement->member == by)
+    if (statement->member < 0 || statement->member >= members->count || by_index < 0 ||
+        by_index >= members->count || statement->member == by_index)
         return;
     struct lmn_member_view *member = &members->views[statement->member];
 
-    member->gossip[by] = (struct lmn_gossip_record){now, *statement};
+    member->gossip[by_index] = (struct lmn_gossip_record){now, *statement};
     if (statement->member == members->self)
         return;
     member->last_gossip_at = now;
-    /* The other hears it, this node does not: its own ears may be at fault. */
+    /* Another reaches the member and this controller does not: the fault may be here. */
     if (member->unanswered_since.tv_sec && statement->last_contact_age_s >= 0 &&
         statement->unanswered_age_s <= 0 &&
         statement->last_contact_age_s < lmn_time_diff_s(now, member->unanswered_since) &&
         !member->reached_by_others) {
         member->reached_by_others = true;
-        members->local_health = MIN(members->local_health + 1, (unsigned)WORST);
+        raise_local_health(members, 1);
     }
     if (statement->unanswered_age_s > 0)
         lmn_member_request_probe(members, statement->member, now);
@@ -275,30 +308,39 @@
     member->next_probe_at = now;
 }
 
-void lmn_member_record_redirected_worker(struct lmn_members *members, int member_index,
-                                         const char *worker, uint64_t session,
-                                         uint64_t seq, struct timespec now)
+/** The worker's entry; if it has none, the one to be reused: the one seen least recently.
+ */
+static struct lmn_redirected_worker *
+find_redirected_worker(struct lmn_member_view *member, guint name_hash)
 {
-    struct lmn_member_view *member = &members->views[member_index];
-    guint who = g_str_hash(worker), at = 0;
+    struct lmn_redirected_worker *oldest = &member->redirected_workers[0];
 
     for (guint i = 0; i < LMN_MAX_REDIRECTED_WORKERS; i++) {
-        if (member->redirected_workers[i].who == who &&
-            member->redirected_workers[i].at.tv_sec) {
-            /* A copy of a report that comes again, minutes later, is no witness. */
-            if (session < member->redirected_workers[i].session ||
-                (session == member->redirected_workers[i].session &&
-                 seq <= member->redirected_workers[i].seq))
-                return;
-            at = i;
-            break;
-        }
-        if (lmn_time_before(member->redirected_workers[i].at,
-                            member->redirected_workers[at].at))
-            at = i;
+        struct lmn_redirected_worker *entry = &member->redirected_workers[i];
+        if (entry->name_hash == name_hash && entry->seen_at.tv_sec)
+            return entry;
+        if (lmn_time_before(entry->seen_at, oldest->seen_at))
+            oldest = entry;
     }
-    member->redirected_workers[at].who = who;
-    member->redirected_workers[at].session = session;
-    member->redirected_workers[at].seq = seq;
-    member->redirected_workers[at].at = now;
+    return oldest;
+}
+
+void lmn_member_record_redirected_worker(struct lmn_members *members, int member_index,
+                                         const char *worker, uint64_t agent_incarnation,
+                                         uint64_t sequence_number, struct timespec now)
+{
+    guint name_hash = g_str_hash(worker);
+    struct lmn_redirected_worker *entry =
+        find_redirected_worker(&members->views[member_index], name_hash);
+    bool is_known = entry->name_hash == name_hash && entry->seen_at.tv_sec;
+
+    /* A duplicate of a heartbeat that arrives minutes later is no evidence. */
+    if (is_known && (agent_incarnation < entry->agent_incarnation ||
+                     (agent_incarnation == entry->agent_incarnation &&
+                      sequence_number <= entry->sequence_number)))
+        return;
+    entry->name_hash = name_hash;
+    entry->agent_incarnation = agent_incarnation;
+    entry->sequence_number = sequence_number;
+    entry->seen_at = now;
 }
--- a/src/membership/phi_accrual.c
+++ b/src/membership/phi_accrual.c
@@ -1,35 +1,46 @@
+/** @file
+ * The phi accrual failure detector (membership/phi_accrual.h). */
 #include "membership/phi_accrual.h"
 
 #include <gsl/gsl_cdf.h>
 #include <math.h>
 
-static const double LEAST_DEVIATION_S = 0.05, MOST_PHI = 16;
-static const unsigned MEMORY = 50;
+/** Quick replies alone would make any delay look like a failure. */
+static const double MIN_DEVIATION_S = 0.05;
+/** The probability behind a higher phi is below the precision of its computation. */
+static const double MAX_PHI = 16;
+/** Once so many replies have come, each new one has the weight 1 / WINDOW_SAMPLES. */
+static const unsigned WINDOW_SAMPLES = 50;
 
 void lmn_phi_accrual_add(struct lmn_phi_accrual *accrual, double seconds)
 {
-    if (accrual->samples < MEMORY)
+    if (accrual->samples < WINDOW_SAMPLES)
         accrual->samples++;
-    double d = seconds - accrual->mean, w = 1.0 / accrual->samples;
+    double difference = seconds - accrual->mean;
+    double weight = 1.0 / accrual->samples;
 
-    accrual->mean += w * d;
-    accrual->variance = (1 - w) * (accrual->variance + w * d * d);
+    accrual->mean += weight * difference;
+    accrual->variance =
+        (1 - weight) * (accrual->variance + weight * difference * difference);
 }
 
-static double deviation(const struct lmn_phi_accrual *accrual)
+static double standard_deviation_s(const struct lmn_phi_accrual *accrual)
 {
-    return fmax(sqrt(accrual->variance), LEAST_DEVIATION_S);
+    return fmax(sqrt(accrual->variance), MIN_DEVIATION_S);
 }
 
 double lmn_phi_accrual_phi(const struct lmn_phi_accrual *accrual, double seconds)
 {
-    double q = gsl_cdf_gaussian_Q(seconds - accrual->mean, deviation(accrual));
+    double probability =
+        gsl_cdf_gaussian_Q(seconds - accrual->mean, standard_deviation_s(accrual));
 
-    return q > 0 ? fmin(-log10(q), MOST_PHI) : MOST_PHI;
+    return probability > 0 ? fmin(-log10(probability), MAX_PHI) : MAX_PHI;
 }
 
 double lmn_phi_accrual_timeout_s(const struct lmn_phi_accrual *accrual, double phi)
 {
-    return fmax(accrual->mean + gsl_cdf_gaussian_Qinv(pow(10, -phi), deviation(accrual)),
-                0);
+    double wait_s = accrual->mean +
+                    gsl_cdf_gaussian_Qinv(pow(10, -phi), standard_deviation_s(accrual));
+
+    return fmax(wait_s, 0);
 }
--- a/src/membership/phi_accrual.h
+++ b/src/membership/phi_accrual.h
@@ -1,23 +1,26 @@
-/* How long answers take, and how unlikely a wait is by that.
+/** @file
+ * A phi accrual failure detector: how long replies take, and how unlikely a wait is by
+ * that.
  *
  * After N. Hayashibara and others, "The phi accrual failure detector" (2004): times are
- * taken as normally distributed, phi is minus the decimal logarithm of the probability
- * that an answer takes longer. Mean and variance are weighted to the latest 50 or so
- * answers. All times in seconds; no locks, no errors. */
+ * taken as normally distributed; phi is minus the decimal logarithm of the probability
+ * that a reply takes longer. Mean and variance are weighted to the latest 50 or so
+ * replies. All times are in seconds. The caller guards the structure. */
 #ifndef LMN_MEMBERSHIP_PHI_ACCRUAL_H
 #define LMN_MEMBERSHIP_PHI_ACCRUAL_H
 
+/** The distribution of reply times; all 0 before the first reply. */
 struct lmn_phi_accrual {
-    double mean, variance;
-    unsigned samples;
+    double mean, variance; /**< exponentially weighted */
+    unsigned samples;      /**< counted up to the window's size */
 };
 
-/* An answer came after s. */
+/** Adds the time that a reply took. */
 void lmn_phi_accrual_add(struct lmn_phi_accrual *accrual, double seconds);
-/* How sure one may be that no answer is coming, after s without one: 0 to 16. Before the
- * first answer, and for tiny variances, a deviation of 50 ms is assumed. */
+/** How sure it is, after so long without a reply, that none is coming: 0 to 16. Before
+ * the first reply, and for tiny variances, a standard deviation of 50 ms is assumed. */
 double lmn_phi_accrual_phi(const struct lmn_phi_accrual *accrual, double seconds);
-/* The wait at which phi is reached. */
+/** The wait after which phi reaches the given value; at least 0. */
 double lmn_phi_accrual_timeout_s(const struct lmn_phi_accrual *accrual, double phi);
 
 #endif
--- a/src/membership/probe_schedule.c
+++ b/src/membership/probe_schedule.c
@@ -1,38 +1,52 @@
-/* Whom to ask next, and what to tell along. */
+/** @file
+ * Which member is probed next, and what is said along with a probe
+ * (membership/membership.h).
+ *
+ * As in SWIM (A. Das and others, 2002), members are probed one at a time in an order that
+ * is shuffled each round, so that each is probed once in a round; when one does not
+ * reply, up to three others are asked to probe it. */
 #include "membership/membership.h"
 
 #include <string.h>
 
-/* As SWIM (A. Das and others, 2002): one at a time, in an order that is shuffled each
- * round, so that each is asked once in a round; when one does not answer, up to three
- * others are asked about it. */
-enum { HELPERS = 3 };
-
-/* An answer is given up when it is this unlikely to come. */
-static const double GIVE_UP_PHI = 8;
-
-static double patience(const struct lmn_members *members,
-                       const struct lmn_member_view *member)
+/** Others that are asked to probe a member, in one turn. */
+enum { MAX_INDIRECT_PROBES = 3 };
+/** Probes beyond the round, at most, in one probe interval. */
+enum { EXTRA_PROBES_PER_INTERVAL = 4 };
+/** A probe times out when a reply is this unlikely to come. */
+static const double TIMEOUT_PHI = 8;
+/** The shortest wait for the round's next probe. */
+static const double MIN_WAIT_S = 0.01;
+/** For how long after its heartbeat was due a redirected worker counts: it comes back
+ * with its next heartbeat at the latest. */
+static const double REDIRECTED_WORKER_GRACE_S = 5;
+
+/** How long to wait for the member's reply: longer while this controller's own timing is
+ * in doubt. */
+static double reply_timeout_s(const struct lmn_members *members,
+                              const struct lmn_member_view *member)
 {
-    double seconds = lmn_phi_accrual_timeout_s(&member->reply_times, GIVE_UP_PHI);
+    double seconds = lmn_phi_accrual_timeout_s(&member->reply_times, TIMEOUT_PHI);
 
     return CLAMP(seconds * (1 + members->local_health), members->timeouts.probe_timeout_s,
                  2 * members->timeouts.probe_timeout_s);
 }
 
-static bool ask(struct lmn_members *members, int member_index, int about,
-                struct lmn_probe *probe)
+/** Fills the probe. Returns true: a probe is due. */
+static bool set_probe(struct lmn_members *members, int member_index, int about_index,
+                      struct lmn_probe *probe)
 {
     probe->member = member_index;
-    probe->about = about;
-    probe->timeout_s = patience(members, &members->views[member_index]);
+    probe->about = about_index;
+    probe->timeout_s = reply_timeout_s(members, &members->views[member_index]);
     members->counters.probes_sent++;
     return true;
 }
 
-/* One that has not answered, and is not dealt with yet; its turn of helpers is open. */
-static bool wants_help(const struct lmn_members *members, int member_index,
-                       struct timespec now)
+/** Whether the member has not replied, is not declared failed yet, and its turn of
+ * indirect probes is open. */
+static bool needs_indirect_probe(const struct lmn_members *members, int member_index,
+                                 struct timespec now)
 {
     const struct lmn_member_view *member = &members->views[member_index];
 
@@ -41,109 +55,130 @@
            !lmn_time_before(now, member->next_indirect_probe_at);
 }
 
-static int helper(const struct lmn_members *members, int about, GRand *rng)
+/** A random member that replies, to probe another; -1: there is none. */
+static int choose_prober(const struct lmn_members *members, int about_index, GRand *rng)
 {
-    int from = g_rand_int_range(rng, 0, members->count);
+    int first = g_rand_int_range(rng, 0, members->count);
 
-    for (int k = 0; k < members->count; k++) {
-        int i = (from + k) % members->count;
+    for (int offset = 0; offset < members->count; offset++) {
+        int i = (first + offset) % members->count;
         const struct lmn_member_view *member = &members->views[i];
-        if (i != members->self && i != about && member->is_present &&
+        if (i != members->self && i != about_index && member->is_present &&
             !member->unanswered_since.tv_sec)
             return i;
     }
     return -1;
 }
 
-/* Those that have not answered are asked again, */
-static bool once_more(struct lmn_members *members, struct timespec now,
-                      struct lmn_probe *probe)
+/** Probes a member that is to be probed before its turn. */
+static bool find_direct_probe(struct lmn_members *members, struct timespec now,
+                              struct lmn_probe *probe)
 {
-    for (int k = 0; k < members->count; k++) {
-        int i = (members->indirect_cursor + k) % members->count;
+    for (int offset = 0; offset < members->count; offset++) {
+        int i = (members->indirect_cursor + offset) % members->count;
         struct lmn_member_view *member = &members->views[i];
         if (i == members->self || !member->probe_next || !member->is_present ||
             lmn_time_before(now, member->next_probe_at))
             continue;
         member->probe_next = false;
-        return ask(members, i, -1, probe);
+        return set_probe(members, i, -1, probe);
     }
     return false;
 }
 
-/* and others are asked about them. */
-static bool elsewhere(struct lmn_members *members, GRand *rng, struct timespec now,
-                      struct lmn_probe *probe)
+/** Counts an indirect probe, and closes the member's turn after the last one, or when
+ * there is nobody to send it. */
+static void count_indirect_probe(const struct lmn_members *members,
+                                 struct lmn_member_view *member, bool has_prober,
+                                 struct timespec now)
 {
-    for (int k = 0; k < members->count; k++) {
-        int i = (members->indirect_cursor + k) % members->count;
-        struct lmn_member_view *member = &members->views[i];
-        if (!wants_help(members, i, now))
+    unsigned possible_probers = (unsigned)MAX(members->count - 2, 0);
+
+    if (++member->indirect_probes < MIN(MAX_INDIRECT_PROBES, possible_probers) &&
+        has_prober)
+        return;
+    member->indirect_probes = 0;
+    member->next_indirect_probe_at =
+        lmn_time_add(now, members->timeouts.probe_interval_s / 2);
+}
+
+/** Has another member probe one that has not replied. */
+static bool find_indirect_probe(struct lmn_members *members, GRand *rng,
+                                struct timespec now, struct lmn_probe *probe)
+{
+    for (int offset = 0; offset < members->count; offset++) {
+        int i = (members->indirect_cursor + offset) % members->count;
+        if (!needs_indirect_probe(members, i, now))
             continue;
-        int h = helper(members, i, rng);
-        if (++member->indirect_probes >=
-                MIN(HELPERS, (unsigned)MAX(members->count - 2, 0)) ||
-            h < 0) {
-            member->indirect_probes = 0;
-            member->next_indirect_probe_at =
-                lmn_time_add(now, members->timeouts.probe_interval_s / 2);
-        }
-        if (h >= 0)
-            return ask(members, h, i, probe);
+        int prober = choose_prober(members, i, rng);
+        count_indirect_probe(members, &members->views[i], prober >= 0, now);
+        if (prober >= 0)
+            return set_probe(members, prober, i, probe);
     }
     return false;
 }
 
-/* In turns: when a third of the members died at once, those first in order were asked
- * about all the time, and nobody spoke of the last. */
-static bool beyond_the_round(struct lmn_members *members, GRand *rng, struct timespec now,
+/** A probe beyond the round. Direct and indirect ones take turns, and so do the members:
+ * when a third of them failed at once, the first ones in order were probed all the time,
+ * and nobody spoke of the last. */
+static bool find_extra_probe(struct lmn_members *members, GRand *rng, struct timespec now,
                              struct lmn_probe *probe)
 {
     members->indirect_cursor = (members->indirect_cursor + 1) % members->count;
     if (members->indirect_cursor % 2)
-        return once_more(members, now, probe) || elsewhere(members, rng, now, probe);
-    return elsewhere(members, rng, now, probe) || once_more(members, now, probe);
+        return find_direct_probe(members, now, probe) ||
+               find_indirect_probe(members, rng, now, probe);
+    return find_indirect_probe(members, rng, now, probe) ||
+           find_direct_probe(members, now, probe);
+}
+
+/** Shuffles the order of the members for a new round (Fisher and Yates). */
+static void begin_round(struct lmn_members *members, GRand *rng)
+{
+    members->probe_position = 0;
+    for (int i = 0; i < members->count; i++) {
+        int other = g_rand_int_range(rng, i, members->count);
+        int member_index = members->probe_order[i];
+        members->probe_order[i] = members->probe_order[other];
+        members->probe_order[other] = member_index;
+    }
 }
 
-static bool of_the_round(struct lmn_members *members, GRand *rng, struct lmn_probe *probe)
+/** The round's next probe. */
+static bool find_round_probe(struct lmn_members *members, GRand *rng,
+                             struct lmn_probe *probe)
 {
     for (int tries = 0; tries < 2 * members->count; tries++) {
-        if (members->probe_position >= members->count) {
-            members->probe_position = 0;
-            for (int i = 0; i < members->count; i++) {
-                int k = g_rand_int_range(rng, i, members->count),
-                    x = members->probe_order[i];
-                members->probe_order[i] = members->probe_order[k];
-                members->probe_order[k] = x;
-            }
-        }
+        if (members->probe_position >= members->count)
+            begin_round(members, rng);
         int member_index = members->probe_order[members->probe_position++];
-        /* Those without an answer are asked beyond the round. */
-        if (member_index != members->self && members->views[member_index].is_present &&
-            !members->views[member_index].unanswered_since.tv_sec)
-            return ask(members, member_index, -1, probe);
+        const struct lmn_member_view *member = &members->views[member_index];
+        /* Those that have not replied are probed beyond the round. */
+        if (member_index != members->self && member->is_present &&
+            !member->unanswered_since.tv_sec)
+            return set_probe(members, member_index, -1, probe);
     }
     return false;
 }
 
 bool lmn_member_next_probe(struct lmn_members *members, GRand *rng, struct timespec now,
-                           struct lmn_probe *probe, double *wait)
+                           struct lmn_probe *probe, double *wait_s)
 {
-    if (!lmn_time_before(now, members->next_extra_probe_at)) {
-        /* Four to an interval at most, whatever is the matter. */
-        if (beyond_the_round(members, rng, now, probe)) {
-            members->next_extra_probe_at =
-                lmn_time_add(now, members->timeouts.probe_interval_s / 4);
-            return true;
-        }
+    double interval_s = members->timeouts.probe_interval_s;
+
+    if (!lmn_time_before(now, members->next_extra_probe_at) &&
+        find_extra_probe(members, rng, now, probe)) {
+        members->next_extra_probe_at =
+            lmn_time_add(now, interval_s / EXTRA_PROBES_PER_INTERVAL);
+        return true;
     }
     if (!lmn_time_before(now, members->next_probe_at)) {
-        members->next_probe_at = lmn_time_add(now, members->timeouts.probe_interval_s);
-        if (of_the_round(members, rng, probe))
+        members->next_probe_at = lmn_time_add(now, interval_s);
+        if (find_round_probe(members, rng, probe))
             return true;
     }
-    *wait = CLAMP(lmn_time_diff_s(members->next_probe_at, now), 0.01,
-                  members->timeouts.probe_interval_s / 4);
+    *wait_s = CLAMP(lmn_time_diff_s(members->next_probe_at, now), MIN_WAIT_S,
+                    interval_s / EXTRA_PROBES_PER_INTERVAL);
     return false;
 }
 
@@ -151,51 +186,65 @@
                                        int member_index, struct timespec now)
 {
     const struct lmn_member_view *member = &members->views[member_index];
-    unsigned n = 0;
-
-    /* A worker comes back at its next report at the latest. */
-    for (guint i = 0; i < LMN_MAX_REDIRECTED_WORKERS; i++)
-        n += member->redirected_workers[i].at.tv_sec &&
-             lmn_time_diff_s(now, member->redirected_workers[i].at) <
-                 members->timeouts.heartbeat_overdue_s + 5;
-    return n;
+    double counts_for_s =
+        members->timeouts.heartbeat_overdue_s + REDIRECTED_WORKER_GRACE_S;
+    unsigned count = 0;
+
+    for (guint i = 0; i < LMN_MAX_REDIRECTED_WORKERS; i++) {
+        const struct lmn_redirected_worker *worker = &member->redirected_workers[i];
+        if (worker->seen_at.tv_sec &&
+            lmn_time_diff_s(now, worker->seen_at) < counts_for_s)
+            count++;
+    }
+    return count;
 }
 
-static void state_of(const struct lmn_members *members, int of, struct timespec now,
-                     struct lmn_gossip_statement *statement)
+static struct lmn_gossip_statement make_statement(const struct lmn_members *members,
+                                                  int member_index, struct timespec now)
 {
-    const struct lmn_member_view *member = &members->views[of];
+    const struct lmn_member_view *member = &members->views[member_index];
 
-    *statement = (struct lmn_gossip_statement){
-        .member = of,
+    return (struct lmn_gossip_statement){
+        .member = member_index,
         .incarnation = member->incarnation,
         .last_contact_age_s =
             member->ever_contacted ? lmn_time_diff_s(now, member->last_contact_at) : -1,
         .unanswered_age_s = member->unanswered_since.tv_sec
                                 ? lmn_time_diff_s(now, member->unanswered_since)
                                 : 0,
-        .redirected_workers = lmn_member_redirected_workers(members, of, now),
+        .redirected_workers = lmn_member_redirected_workers(members, member_index, now),
     };
 }
 
-unsigned lmn_member_gossip(struct lmn_members *members, int to, int about,
-                           struct timespec now, struct lmn_gossip_statement *out)
+/** Whether something speaks against the member that the statement is about. */
+static bool is_worth_telling(const struct lmn_members *members,
+                             const struct lmn_gossip_statement *statement)
 {
-    unsigned n = 0;
+    return statement->unanswered_age_s > 0 || statement->redirected_workers > 0 ||
+           lmn_member_is_suspected(members, statement->member);
+}
 
-    if (to >= 0 && to != members->self)
-        state_of(members, to, now, &out[n++]);
-    if (about >= 0 && about != members->self && about != to)
-        state_of(members, about, now, &out[n++]);
+unsigned lmn_member_gossip(struct lmn_members *members, int to_index, int about_index,
+                           struct timespec now, struct lmn_gossip_statement *statements)
+{
+    unsigned count = 0;
+
+    if (to_index >= 0 && to_index != members->self)
+        statements[count++] = make_statement(members, to_index, now);
+    if (about_index >= 0 && about_index != members->self && about_index != to_index)
+        statements[count++] = make_statement(members, about_index, now);
+    /* The scan begins at another member each time, so that none is left out for good when
+     * there are more than fit. */
     members->gossip_cursor = (members->gossip_cursor + 1) % members->count;
-    for (int k = 0; k < members->count && n < LMN_MAX_GOSSIP_STATEMENTS; k++) {
-        int i = (members->gossip_cursor + k) % members->count;
-        const struct lmn_member_view *member = &members->views[i];
-        if (i == to || i == about || i == members->self || !member->is_present)
+    for (int offset = 0; offset < members->count && count < LMN_MAX_GOSSIP_STATEMENTS;
+         offset++) {
+        int i = (members->gossip_cursor + offset) % members->count;
+        if (i == to_index || i == about_index || i == members->self ||
+            !members->views[i].is_present)
             continue;
-        state_of(members, i, now, &out[n]);
-        n += out[n].unanswered_age_s > 0 || out[n].redirected_workers > 0 ||
-             lmn_member_is_suspected(members, i);
+        statements[count] = make_statement(members, i, now);
+        if (is_worth_telling(members, &statements[count]))
+            count++;
     }
-    return n;
+    return count;
 }
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -69,7 +69,8 @@
     if (partition->ownership.is_warm) {
         guint held = lmn_failover_restore(core, partition, now);
         core->counters.warm_failovers++;
-        core->counters.own_state_failovers += partition->replication.replica->is_own_state;
+        core->counters.own_state_failovers +=
+            partition->replication.replica->is_own_state;
         lmn_info("failover_warm partition=%d epoch=%" G_GUINT64_FORMAT
                  " machines=%u attempts=%u own=%d",
                  partition->id, partition->ownership.epoch, partition->machine_list->len,
