--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -8,6 +8,8 @@
 #include "partition/quota_transfer.h"
 #include "partition/transfer_target.h"
 #include "partition/range.h"
+#include "replication/replica_choice.h"
+#include "replication/standby_record.h"
 #include "replication/stream.h"
 #include "replication/failover.h"
 #include "state/task_ledger.h"
@@ -67,11 +69,12 @@
     if (partition->ownership.is_warm) {
         guint held = lmn_failover_restore(core, partition, now);
         core->counters.warm_failovers++;
-        core->counters.own_state_failovers += partition->replication.replica->own;
+        core->counters.own_state_failovers +=
+            partition->replication.replica->is_own_state;
         lmn_info("failover_warm partition=%d epoch=%" G_GUINT64_FORMAT
                  " machines=%u attempts=%u own=%d",
                  partition->id, partition->ownership.epoch, partition->machine_list->len,
-                 held, partition->replication.replica->own);
+                 held, partition->replication.replica->is_own_state);
     } else if (partition->machine_list->len) {
         core->counters.cold_failovers++;
         lmn_info("failover_cold partition=%d epoch=%" G_GUINT64_FORMAT
@@ -231,7 +234,7 @@
 int lmn_partition_next_owner(const struct lmn_core *core,
                              const struct lmn_partition *partition, struct timespec now)
 {
-    int named = lmn_standby_named(core, partition, now);
+    int named = lmn_standby_in_sync(core, partition, now);
 
     if (named >= 0)
         return named;
@@ -293,7 +296,7 @@
     } else if (left_to_last_owner(core, partition, now)) {
         return false;
     } else if (partition->id % members->count == members->self) {
-        int named = lmn_standby_named(core, partition, now);
+        int named = lmn_standby_in_sync(core, partition, now);
         if (named < 0 || named == members->self)
             return true;
     }
@@ -323,7 +326,7 @@
 {
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     uint64_t epoch = partition->record.epoch + 1;
-    uint64_t stream = standby ? lmn_standby_condition(partition, to, txn) : 0;
+    uint64_t stream = standby ? lmn_standby_require_in_sync(partition, to, txn) : 0;
     GByteArray *buffer = g_byte_array_new();
     char key[32];
 
@@ -360,7 +363,7 @@
                     : -1;
     /* Conditional on the record only with its copy: without, that would be no help. */
     bool warm =
-        partition->replication.replica && !partition->replication.replica->own &&
+        partition->replication.replica && !partition->replication.replica->is_own_state &&
         partition->replication.replica->stream == partition->record.standby_stream;
     struct lmn_txn *txn = transfer(partition, core->settings->node_name, lease, warm);
 
