--- a/tests/digest/digest.c
+++ b/tests/digest/digest.c
@@ -55,7 +55,7 @@
 
 static void write_line(void)
 {
-    FILE *file = open_to_append(getenv("LMN_DIGEST_SIZE"));
+    FILE *file = open_to_append(getenv("LMN_DIGEST"));
 
     fprintf(file, "%s %s %" PRIu32 " %016" PRIx64 " %" PRIu64 "\n", digest.program,
             digest.scenario, digest.seed, current_hash(), digest.messages);
@@ -99,7 +99,7 @@
 
 gboolean digest_is_wanted(void)
 {
-    return getenv("LMN_DIGEST_SIZE") != NULL;
+    return getenv("LMN_DIGEST") != NULL;
 }
 
 gboolean digest_is_open(void)
--- a/tests/digest/digest.h
+++ b/tests/digest/digest.h
@@ -3,7 +3,7 @@
  * they behaved equally. Only what is on the wire, keys, values and numbers that the
  * simulation gives out are hashed, so a change of names alone changes no digest.
  *
- * Nothing is computed unless the environment variable LMN_DIGEST_SIZE names a file, to
+ * Nothing is computed unless the environment variable LMN_DIGEST names a file, to
  * which a line "PROGRAM SCENARIO SEED HASH MESSAGES" is appended for each scenario and
  * seed. If LMN_DIGEST_TRACE names a file too, a line "INDEX TIME KIND HASH" is appended
  * to it for each message, HASH covering all up to it; LMN_DIGEST_ONLY="SCENARIO SEED"
@@ -20,7 +20,7 @@
 void digest_begin(const char *program, const char *scenario, uint32_t seed);
 /* Appends the digest's line; also called when the program exits. */
 void digest_end(void);
-/* Whether LMN_DIGEST_SIZE names a file. */
+/* Whether LMN_DIGEST names a file. */
 gboolean digest_is_wanted(void);
 /* Whether a digest has begun: what is costly to describe need not be otherwise. */
 gboolean digest_is_open(void);
