--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -19,6 +19,7 @@
 #include "controller/probe_client.h"
 #include "controller/replication_thread.h"
 #include "controller/rpc_server.h"
+#include "controller/steal_client.h"
 #include "controller/http_routes.h"
 #include "state/watch_cache.h"
 #include "state/core_state.h"
--- a/src/controller/rpc_server.h
+++ b/src/controller/rpc_server.h
@@ -1,12 +1,15 @@
-/* Between processes: the administration API and what controllers ask of each other. */
+/** @file
+ * The RPC server on a controller's internal address: the administration client's calls,
+ * and those of the other controllers (controller_rpc.x). */
 #ifndef LMN_CONTROLLER_RPC_SERVER_H
 #define LMN_CONTROLLER_RPC_SERVER_H
 
 #include "state/core_state.h"
 
-/* Serves internal_addr (a thread). -1 if it can't listen. */
+/** Listens on the settings' internal_address and starts the thread that serves it.
+ *
+ * To be called once in a process; the core must outlive it.
+ * @return 0, or -1 if it cannot listen */
 int lmn_rpc_server_start(struct lmn_core *core);
-/* Pulls work from other partitions for machines that have run dry (a thread). */
-void *lmn_steal_thread(void *core);
 
 #endif
