--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -1,3 +1,10 @@
+/** @file
+ * The controller's metrics, in the order in which they are listed.
+ *
+ * What changes under the core's lock is read with it held, once for each listing, and
+ * written out after; what the members', replication's and fair shares' lists need is
+ * written with the lock held, since they walk the shared structures. Names and help texts
+ * are read by operators' dashboards: they do not follow renames in the code. */
 #include "controller/metrics.h"
 #include "http/server.h"
 #include "http/metrics.h"
@@ -6,53 +13,148 @@
 #include "controller/replication_report.h"
 #include "state/core.h"
 
-struct tasks {
+/** Tasks of active jobs by their state. */
+struct task_counts {
     double queued, started, moving, done;
 };
 
-static void count_range(struct tasks *t, const struct lmn_range *range)
+/** Sums over the owned partitions. */
+struct partition_totals {
+    struct task_counts tasks;
+    double machine_count, unaccounted_machines, draining_machines;
+    double queued_tasks, unassigned_tasks;
+    double partition_count, ready_partitions;
+    double *used_cpus; /**< by team */
+};
+
+/** What is read with the core's lock held and written after. */
+struct core_snapshot {
+    struct partition_totals totals;
+    struct lmn_counters counters;
+    struct lmn_load load;
+    const struct lmn_http_server *http_server; /**< NULL: not started */
+    double cache_age_s;
+    guint job_count, final_job_count;
+};
+
+static void count_tasks(struct task_counts *counts, const struct lmn_range *range)
 {
     if (range->job->phase != LMN_JOB_ACTIVE || !range->task_states)
         return;
     for (uint32_t i = 0; i < range->end - range->first; i++) {
-        t->queued += range->task_states[i] == LMN_TASK_QUEUED;
-        t->started += range->task_states[i] == LMN_TASK_STARTED;
-        t->moving += range->task_states[i] == LMN_TASK_MOVING;
-        t->done += range->task_states[i] == LMN_TASK_DONE;
+        counts->queued += range->task_states[i] == LMN_TASK_QUEUED;
+        counts->started += range->task_states[i] == LMN_TASK_STARTED;
+        counts->moving += range->task_states[i] == LMN_TASK_MOVING;
+        counts->done += range->task_states[i] == LMN_TASK_DONE;
     }
 }
 
-struct sums {
-    struct tasks tasks;
-    double machines, unaccounted, retiring, queued, unplaced, owned, ready;
-    double *used; /* by team */
-};
-
-static void count_partition(const struct lmn_core *core, struct sums *s,
+static void count_partition(const struct lmn_core *core, struct partition_totals *totals,
                             const struct lmn_partition *partition)
 {
     GHashTableIter it;
-    gpointer v;
+    gpointer value;
 
-    s->owned++;
-    s->ready += partition->ownership.is_ready;
-    s->unplaced += partition->scheduling.unassigned.task_count;
+    totals->partition_count++;
+    totals->ready_partitions += partition->ownership.is_ready;
+    totals->unassigned_tasks += partition->scheduling.unassigned.task_count;
     g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine *machine = v;
-        s->machines += !machine->lifecycle.is_terminated;
-        s->unaccounted += !machine->lifecycle.is_accounted;
-        s->retiring += machine->lifecycle.is_draining;
-        s->queued += machine->queue.task_count;
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        const struct lmn_machine *machine = value;
+        totals->machine_count += !machine->lifecycle.is_terminated;
+        totals->unaccounted_machines += !machine->lifecycle.is_accounted;
+        totals->draining_machines += machine->lifecycle.is_draining;
+        totals->queued_tasks += machine->queue.task_count;
     }
     g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &v))
-        count_range(&s->tasks, v);
+    while (g_hash_table_iter_next(&it, NULL, &value))
+        count_tasks(&totals->tasks, value);
     for (size_t i = 0; i < core->settings->team_count; i++)
-        s->used[i] += partition->quota.used_cpus[i];
+        totals->used_cpus[i] += partition->quota.used_cpus[i];
+}
+
+/** The core's lock is held. Its `totals.used_cpus` is to be freed. */
+static struct core_snapshot take_snapshot(const struct lmn_core *core)
+{
+    struct core_snapshot snapshot = {
+        .totals.used_cpus = g_new0(double, core->settings->team_count),
+        .counters = core->counters,
+        .load = core->load,
+        .http_server = core->http_server,
+        .cache_age_s = lmn_watch_cache_age_s(core, lmn_now()),
+        .job_count = g_hash_table_size(core->cache.jobs),
+        .final_job_count = core->cache.final_jobs.length,
+    };
+
+    for (int i = 0; i < core->partition_count; i++)
+        if (core->partitions[i].ownership.is_owned)
+            count_partition(core, &snapshot.totals, &core->partitions[i]);
+    return snapshot;
+}
+
+/** The core's lock is held. */
+static void write_fair_shares(GString *out, const struct lmn_core *core)
+{
+    g_autoptr(GArray) classes = lmn_fair_share_by_class(core);
+    const struct lmn_fair_share *shares = (const struct lmn_fair_share *)classes->data;
+
+    lmn_metric_head(out, "lemonspar_class_cpus", "gauge",
+                    "Processors that the tasks of a class use here");
+    for (guint i = 0; i < classes->len; i++)
+        lmn_metric_sample(out, "lemonspar_class_cpus", "class", shares[i].subject,
+                          shares[i].used_cpus);
+    lmn_metric_head(out, "lemonspar_class_waiting_cpus", "gauge",
+                    "Processors that its tasks that were not started ask for");
+    for (guint i = 0; i < classes->len; i++)
+        lmn_metric_sample(out, "lemonspar_class_waiting_cpus", "class", shares[i].subject,
+                          shares[i].waiting_cpus);
+}
+
+static void write_totals(GString *out, const struct core_snapshot *snapshot)
+{
+    const struct partition_totals *totals = &snapshot->totals;
+
+    lmn_gauge(out, "lemonspar_mirror_behind_seconds", "How far the mirror may be behind",
+              snapshot->cache_age_s);
+    lmn_gauge(out, "lemonspar_partitions", "Partitions owned", totals->partition_count);
+    lmn_gauge(out, "lemonspar_partitions_ready",
+              "Owned partitions whose inherited tasks may start",
+              totals->ready_partitions);
+    lmn_gauge(out, "lemonspar_machines", "Machines of owned partitions",
+              totals->machine_count);
+    lmn_gauge(out, "lemonspar_machines_unaccounted",
+              "Of these, not heard since the takeover", totals->unaccounted_machines);
+    lmn_gauge(out, "lemonspar_machines_retiring", "Of these, on their way back",
+              totals->draining_machines);
+    lmn_gauge(out, "lemonspar_queued_tasks", "Tasks in machines' queues",
+              totals->queued_tasks);
+    lmn_gauge(out, "lemonspar_unplaced_tasks", "Tasks that no machine's queue could take",
+              totals->unassigned_tasks);
+    lmn_gauge(out, "lemonspar_jobs", "Jobs in memory", snapshot->job_count);
+    lmn_gauge(out, "lemonspar_final_jobs", "Of these, final", snapshot->final_job_count);
+}
+
+static void write_tasks(GString *out, const struct task_counts *tasks)
+{
+    lmn_metric_head(out, "lemonspar_tasks", "gauge",
+                    "Tasks of active jobs in owned partitions");
+    lmn_metric_sample(out, "lemonspar_tasks", "state", "queued", tasks->queued);
+    lmn_metric_sample(out, "lemonspar_tasks", "state", "started", tasks->started);
+    lmn_metric_sample(out, "lemonspar_tasks", "state", "moving", tasks->moving);
+    lmn_metric_sample(out, "lemonspar_tasks", "state", "done", tasks->done);
 }
 
-static void counters(GString *out, const struct lmn_counters *counters)
+static void write_teams(GString *out, const struct lmn_settings *settings,
+                        const double *used_cpus)
+{
+    lmn_metric_head(out, "lemonspar_team_cpus", "gauge",
+                    "Processors that a team's tasks use here");
+    for (size_t i = 0; i < settings->team_count; i++)
+        lmn_metric_sample(out, "lemonspar_team_cpus", "team", settings->teams[i].name,
+                          used_cpus[i]);
+}
+
+static void write_counters(GString *out, const struct lmn_counters *counters)
 {
     const struct {
         const char *name, *help;
@@ -87,8 +189,9 @@
         lmn_counter(out, all[i].name, all[i].help, all[i].value);
 }
 
-static void sockets(GString *out, const struct lmn_core *core,
-                    const struct lmn_http_server *server)
+/** The server's counts are read without a lock. */
+static void write_connections(GString *out, const struct lmn_core *core,
+                              const struct lmn_http_server *server)
 {
     static const char *const kinds[] = {"passing", "users", "workers"};
     struct lmn_http_server_load load;
@@ -112,86 +215,54 @@
                           (double)load.turned_away[i]);
 }
 
-void lmn_controller_metrics(void *core, GString *out)
+static void write_load(GString *out, const struct lmn_load *load)
 {
-    struct lmn_core *c = core;
-    struct sums s = {.used = g_new0(double, c->settings->team_count)};
-
-    pthread_mutex_lock(&c->lock);
-    for (int i = 0; i < c->partition_count; i++)
-        if (c->partitions[i].ownership.is_owned)
-            count_partition(c, &s, &c->partitions[i]);
-    struct lmn_counters n = c->counters;
-    struct lmn_load load = c->load;
-    const struct lmn_http_server *server = c->http_server;
-    double stale = lmn_watch_cache_age_s(c, lmn_now());
-    guint jobs = g_hash_table_size(c->cache.jobs),
-          final_jobs = c->cache.final_jobs.length;
-    lmn_quantiles(out, "lemonspar_accepting_seconds", "From a submission to its commit",
-                  &c->latencies.submission);
-    lmn_quantiles(out, "lemonspar_starting_seconds",
-                  "From a job's acceptance to a task's start", &c->latencies.start);
-    GArray *classes = lmn_fair_share_by_class(c);
-    lmn_metric_head(out, "lemonspar_class_cpus", "gauge",
-                    "Processors that the tasks of a class use here");
-    for (guint i = 0; i < classes->len; i++)
-        lmn_metric_sample(out, "lemonspar_class_cpus", "class",
-                          g_array_index(classes, struct lmn_fair_share, i).subject,
-                          g_array_index(classes, struct lmn_fair_share, i).used_cpus);
-    lmn_metric_head(out, "lemonspar_class_waiting_cpus", "gauge",
-                    "Processors that its tasks that were not started ask for");
-    for (guint i = 0; i < classes->len; i++)
-        lmn_metric_sample(out, "lemonspar_class_waiting_cpus", "class",
-                          g_array_index(classes, struct lmn_fair_share, i).subject,
-                          g_array_index(classes, struct lmn_fair_share, i).waiting_cpus);
-    g_array_free(classes, TRUE);
-    lmn_members_metrics(c, out);
-    lmn_replication_metrics(c, out, lmn_now());
-    pthread_mutex_unlock(&c->lock);
-    lmn_gauge(out, "lemonspar_mirror_behind_seconds", "How far the mirror may be behind",
-              stale);
-    lmn_gauge(out, "lemonspar_partitions", "Partitions owned", s.owned);
-    lmn_gauge(out, "lemonspar_partitions_ready",
-              "Owned partitions whose inherited tasks may start", s.ready);
-    lmn_gauge(out, "lemonspar_machines", "Machines of owned partitions", s.machines);
-    lmn_gauge(out, "lemonspar_machines_unaccounted",
-              "Of these, not heard since the takeover", s.unaccounted);
-    lmn_gauge(out, "lemonspar_machines_retiring", "Of these, on their way back",
-              s.retiring);
-    lmn_gauge(out, "lemonspar_queued_tasks", "Tasks in machines' queues", s.queued);
-    lmn_gauge(out, "lemonspar_unplaced_tasks", "Tasks that no machine's queue could take",
-              s.unplaced);
-    lmn_gauge(out, "lemonspar_jobs", "Jobs in memory", jobs);
-    lmn_gauge(out, "lemonspar_final_jobs", "Of these, final", final_jobs);
-    lmn_metric_head(out, "lemonspar_tasks", "gauge",
-                    "Tasks of active jobs in owned partitions");
-    lmn_metric_sample(out, "lemonspar_tasks", "state", "queued", s.tasks.queued);
-    lmn_metric_sample(out, "lemonspar_tasks", "state", "started", s.tasks.started);
-    lmn_metric_sample(out, "lemonspar_tasks", "state", "moving", s.tasks.moving);
-    lmn_metric_sample(out, "lemonspar_tasks", "state", "done", s.tasks.done);
-    lmn_metric_head(out, "lemonspar_team_cpus", "gauge",
-                    "Processors that a team's tasks use here");
-    for (size_t i = 0; i < c->settings->team_count; i++)
-        lmn_metric_sample(out, "lemonspar_team_cpus", "team", c->settings->teams[i].name,
-                          s.used[i]);
-    g_free(s.used);
-    counters(out, &n);
-    static const char *const sheds[] = {"polls", "submissions", "starts"};
+    static const char *const kinds[] = {"polls", "submissions", "starts"};
+
     lmn_gauge(out, "lemonspar_behind_seconds", "How late the node does what is due",
-              load.delay_s);
+              load->delay_s);
     lmn_metric_head(out, "lemonspar_shed", "counter",
                     "Requests answered at once since the node was behind");
     for (int i = 0; i < LMN_SHED_KINDS; i++)
-        lmn_metric_sample(out, "lemonspar_shed_total", "what", sheds[i],
-                          (double)load.shed_counts[i]);
-    if (server)
-        sockets(out, c, server);
-    struct lmn_latency writing;
-    lmn_latency_init(&writing);
-    double waiting = lmn_kv_client_statistics(c->kv_client, &writing);
+        lmn_metric_sample(out, "lemonspar_shed_total", "what", kinds[i],
+                          (double)load->shed_counts[i]);
+}
+
+/** Takes the key-value client's lock; the core's is not needed. */
+static void write_kv_client(GString *out, struct lmn_kv_client *kv_client)
+{
+    struct lmn_latency write_latency;
+
+    lmn_latency_init(&write_latency);
+    double waiting_changes = lmn_kv_client_statistics(kv_client, &write_latency);
     lmn_gauge(out, "lemonspar_state_waiting_changes",
-              "Changes that wait for their budget", waiting);
+              "Changes that wait for their budget", waiting_changes);
     lmn_quantiles(out, "lemonspar_state_write_seconds",
-                  "From a transaction's sending to its answer", &writing);
-    lmn_latency_clear(&writing);
+                  "From a transaction's sending to its answer", &write_latency);
+    lmn_latency_clear(&write_latency);
+}
+
+void lmn_controller_metrics(void *arg, GString *out)
+{
+    struct lmn_core *core = arg;
+
+    pthread_mutex_lock(&core->lock);
+    struct core_snapshot snapshot = take_snapshot(core);
+    lmn_quantiles(out, "lemonspar_accepting_seconds", "From a submission to its commit",
+                  &core->latencies.submission);
+    lmn_quantiles(out, "lemonspar_starting_seconds",
+                  "From a job's acceptance to a task's start", &core->latencies.start);
+    write_fair_shares(out, core);
+    lmn_members_metrics(core, out);
+    lmn_replication_metrics(core, out, lmn_now());
+    pthread_mutex_unlock(&core->lock);
+    write_totals(out, &snapshot);
+    write_tasks(out, &snapshot.totals.tasks);
+    write_teams(out, core->settings, snapshot.totals.used_cpus);
+    g_free(snapshot.totals.used_cpus);
+    write_counters(out, &snapshot.counters);
+    write_load(out, &snapshot.load);
+    if (snapshot.http_server)
+        write_connections(out, core, snapshot.http_server);
+    write_kv_client(out, core->kv_client);
 }
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -1,10 +1,12 @@
-/* A controller's metrics. */
+/** @file
+ * The controller's metrics. */
 #ifndef LMN_CONTROLLER_METRICS_H
 #define LMN_CONTROLLER_METRICS_H
 
 #include "state/core_state.h"
 
-/* Appends them as OpenMetrics text. core: struct lmn_core; takes its lock. */
+/** Appends the metrics as OpenMetrics text. Takes the core's lock.
+ * @param core a struct lmn_core (the type that lmn_metrics_answer hands on) */
 void lmn_controller_metrics(void *core, GString *out);
 
 #endif
