--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -1,3 +1,11 @@
+/** @file
+ * The controller process.
+ *
+ * The main thread starts the servers and the threads, and then runs the tick: a list of
+ * tasks, all with the core's lock held, so that none of them may do I/O. Every other
+ * thread of a controller is started from BACKGROUND_WORK below, but for those of the HTTP
+ * server, the RPC server and the key-value client, which start in this order before it: a
+ * controller that cannot listen does not start. */
 #include "controller/controller.h"
 #include "util/clock.h"
 #include "http/server.h"
@@ -30,97 +38,235 @@
 #include <signal.h>
 #include <unistd.h>
 
-static const double TICK_S = 0.15;
+/** Between two ticks. */
+static const double TICK_INTERVAL_S = 0.15;
 
-/* Asked to end, a controller leaves; asked again, it ends at once. */
-static volatile sig_atomic_t asked_to_end;
+/* --- signals --- */
 
-static void on_term(int sig)
+/** How often the process was told to terminate: at the first signal it shuts down
+ * gracefully, at the second it ends at once. */
+static volatile sig_atomic_t termination_requests;
+
+static void on_sigterm(int signal_number)
 {
-    (void)sig;
-    asked_to_end++;
+    (void)signal_number;
+    termination_requests++;
 }
 
-int lmn_controller_run(const struct lmn_settings *settings)
+static void install_signal_handlers(void)
 {
-    struct sigaction end = {.sa_handler = on_term};
+    struct sigaction terminate = {.sa_handler = on_sigterm};
 
     signal(SIGPIPE, SIG_IGN);
-    sigaction(SIGTERM, &end, NULL);
+    sigaction(SIGTERM, &terminate, NULL);
+}
+
+/* --- threads --- */
+
+static void start_worker_clients(struct lmn_core *core)
+{
+    static struct lmn_worker_client clients[LMN_WORKER_CLIENT_THREADS];
+
+    for (unsigned i = 0; i < G_N_ELEMENTS(clients); i++) {
+        clients[i] = (struct lmn_worker_client){core, i, G_N_ELEMENTS(clients)};
+        lmn_thread(lmn_worker_client_thread, &clients[i]);
+    }
+}
+
+/** What runs beside the tick, for as long as the process lives. */
+struct background_work {
+    void *(*thread)(void *core);          /**< one thread, or: */
+    void (*start)(struct lmn_core *core); /**< starts threads of its own */
+    bool needs_members; /**< not started by a controller that is alone */
+};
+
+/** In the order in which they are started. */
+static const struct background_work BACKGROUND_WORK[] = {
+    /* Applies the key-value store's changes to the shared state. */
+    {.thread = lmn_watch_cache_thread},
+    /* Renews this controller's lease; claims, transfers and releases partitions. */
+    {.thread = lmn_ownership_thread},
+    /* Reads and cancels jobs for users, and follows their submissions. */
+    {.start = lmn_user_api_start},
+    /* Reads the cloud's machines, provisions and releases them. */
+    {.thread = lmn_provisioner_thread},
+    /* Steals work and requests quota from other partitions. */
+    {.thread = lmn_steal_thread},
+    /* Probes the other members. */
+    {.thread = lmn_probe_thread, .needs_members = true},
+    /* Replicates each owned partition to its standby: a thread for each partition. */
+    {.start = lmn_replication_start, .needs_members = true},
+    /* Push commands to workers. */
+    {.start = start_worker_clients},
+};
+
+static void start_background_work(struct lmn_core *core)
+{
+    for (size_t i = 0; i < G_N_ELEMENTS(BACKGROUND_WORK); i++) {
+        const struct background_work *work = &BACKGROUND_WORK[i];
+        if (work->needs_members && !core->settings->member_count)
+            continue;
+        if (work->thread)
+            lmn_thread(work->thread, core);
+        else
+            work->start(core);
+    }
+}
+
+/* --- the tick --- */
+
+struct tick {
+    struct timespec now;
+    double elapsed_s; /**< since the tick before */
+};
+
+/** A task of the tick. The core's lock is held. */
+typedef void tick_task(struct lmn_core *core, const struct tick *tick);
+
+/** Begins a graceful shutdown, or ends the process. */
+static void check_shutdown(struct lmn_core *core, const struct tick *tick)
+{
+    if (termination_requests)
+        lmn_shutdown_begin(core, tick->now);
+    if (termination_requests <= 1 && !lmn_shutdown_is_complete(core, tick->now))
+        return;
+    lmn_info("shutdown_finished after=%.2f given=%d",
+             lmn_time_diff_s(tick->now, core->shutdown.began_at),
+             core->shutdown.has_released_lease);
+    /* Without exit handlers: nothing is to be cleared away, and the other threads run on
+     * until the process is gone. */
+    _exit(core->shutdown.has_released_lease ? 0 : 1);
+}
+
+/** How late the tick is says how far behind this controller is: overload sheds requests
+ * by it, and the members' health tells others. */
+static void record_delay(struct lmn_core *core, const struct tick *tick)
+{
+    double delay_s = tick->elapsed_s - TICK_INTERVAL_S;
+
+    lmn_load_record_delay(&core->load, delay_s, tick->elapsed_s);
+    lmn_members_tick(&core->members, delay_s, tick->now);
+    core->members.health.delay_s = core->load.delay_s;
+}
+
+static void update_job_order(struct lmn_core *core, const struct tick *tick)
+{
+    (void)tick;
+    lmn_update_job_order(core, lmn_time_seconds(lmn_wall_clock_now()));
+}
+
+/** Only in a tick in which the job order was triaged: reservations follow it. */
+static void update_reservations(struct lmn_core *core, const struct tick *tick)
+{
+    for (int i = 0; i < core->partition_count &&
+                    core->scheduling.last_triage_s == core->scheduling.wall_clock_s;
+         i++)
+        lmn_update_reservations(core, &core->partitions[i], tick->now);
+}
+
+static void run_maintenance(struct lmn_core *core, const struct tick *tick)
+{
+    lmn_maintenance_run(core, tick->now);
+}
+
+static void make_free_capacity(struct lmn_core *core, const struct tick *tick)
+{
+    for (int i = 0; i < core->partition_count; i++) {
+        lmn_preempt_for_production(core, &core->partitions[i], tick->now);
+        lmn_consolidate_replicas(core, &core->partitions[i], tick->now);
+    }
+}
+
+/** Last, so that what the other tasks have changed is written in the same tick. */
+static void flush_ranges(struct lmn_core *core, const struct tick *tick)
+{
+    lmn_range_writer_flush(core, tick->now);
+}
+
+/** The tasks of a tick in their order. Each is called in every tick; those that do their
+ * work less often keep that interval themselves. */
+static tick_task *const TICK_TASKS[] = {
+    check_shutdown,      record_delay,
+    update_job_order,    /* triages at the interval of scheduler/job_order.c */
+    update_reservations, /* after each triage */
+    run_maintenance,     /* less often with many machines: partition/maintenance.c */
+    make_free_capacity,  /* consolidation at the interval of scheduler/consolidation.c */
+    flush_ranges,        /* as the writes' budget allows: partition/range_writer.c */
+};
+
+static _Noreturn void run_ticks(struct lmn_core *core, struct lmn_http_server *server)
+{
+    struct timespec last_tick_at = lmn_now();
+
+    for (;;) {
+        lmn_sleep(TICK_INTERVAL_S);
+        lmn_http_server_expire_deferred(server);
+        pthread_mutex_lock(&core->lock);
+        /* With the lock, so that waiting for it counts as being late. */
+        struct tick tick = {.now = lmn_now()};
+        tick.elapsed_s = lmn_time_diff_s(tick.now, last_tick_at);
+        last_tick_at = tick.now;
+        for (size_t i = 0; i < G_N_ELEMENTS(TICK_TASKS); i++)
+            TICK_TASKS[i](core, &tick);
+        pthread_mutex_unlock(&core->lock);
+    }
+}
+
+/* --- the start --- */
+
+/** Sets up what the whole process uses.
+ * @return 0, or -1 */
+static int init_process(const struct lmn_settings *settings)
+{
+    install_signal_handlers();
     /* Few arenas: memory is scarce, and so are the threads that allocate at once. */
     mallopt(M_ARENA_MAX, 2);
     lmn_log_init(settings->node_name);
-    if (curl_global_init(CURL_GLOBAL_NOTHING) != 0)
-        return 1;
+    return curl_global_init(CURL_GLOBAL_NOTHING) == 0 ? 0 : -1;
+}
+
+static void log_start(const struct lmn_settings *settings)
+{
+    char warning[512];
+
     lmn_info(
         "controller_started version=" LMN_VERSION " listen=%s partitions=%d members=%zu",
         settings->client_listen, settings->partition_count, settings->member_count + 1);
-
-    char warning[512];
     if (lmn_settings_warning(settings, warning, sizeof warning))
         lmn_error("settings_warning why=\"%s\"", warning);
+}
 
-    struct lmn_kv_client *state = lmn_kv_client_new(settings);
-    struct lmn_core *core = lmn_core_new(settings, state, g_random_int());
+/** Begins to serve users, workers, operators and the other controllers.
+ * @return the HTTP server, or NULL if one of the two servers cannot listen */
+static struct lmn_http_server *start_servers(struct lmn_core *core)
+{
     struct lmn_http_server *server = lmn_http_routes_start(core);
+
     if (!server) {
-        lmn_error("listen_failed address=%s", settings->client_listen);
-        return 1;
+        lmn_error("listen_failed address=%s", core->settings->client_listen);
+        return NULL;
     }
     pthread_mutex_lock(&core->lock);
     core->http_server = server;
     pthread_mutex_unlock(&core->lock);
     if (lmn_rpc_server_start(core) != 0) {
-        lmn_error("listen_failed address=%s", settings->internal_address);
-        return 1;
-    }
-    lmn_kv_client_start(state);
-    lmn_thread(lmn_watch_cache_thread, core);
-    lmn_thread(lmn_ownership_thread, core);
-    lmn_user_api_start(core);
-    lmn_thread(lmn_provisioner_thread, core);
-    lmn_thread(lmn_steal_thread, core);
-    if (settings->member_count) {
-        lmn_thread(lmn_probe_thread, core);
-        lmn_replication_start(core);
-    }
-    static struct lmn_worker_client lanes[LMN_WORKER_CLIENT_THREADS];
-    for (unsigned i = 0; i < G_N_ELEMENTS(lanes); i++) {
-        lanes[i] = (struct lmn_worker_client){core, i, G_N_ELEMENTS(lanes)};
-        lmn_thread(lmn_worker_client_thread, &lanes[i]);
-    }
-    struct timespec last = lmn_now();
-    for (;;) {
-        lmn_sleep(TICK_S);
-        lmn_http_server_expire_deferred(server);
-        pthread_mutex_lock(&core->lock);
-        /* With the lock, so that waiting for it counts as being late. */
-        struct timespec now = lmn_now();
-        if (asked_to_end)
-            lmn_shutdown_begin(core, now);
-        if (asked_to_end > 1 || lmn_shutdown_is_complete(core, now)) {
-            lmn_info("shutdown_finished after=%.2f given=%d",
-                     lmn_time_diff_s(now, core->shutdown.began_at),
-                     core->shutdown.has_released_lease);
-            /* Nothing is to be cleared away, and the other threads go on until then. */
-            _exit(core->shutdown.has_released_lease ? 0 : 1);
-        }
-        double since = lmn_time_diff_s(now, last);
-        lmn_load_record_delay(&core->load, since - TICK_S, since);
-        lmn_members_tick(&core->members, since - TICK_S, now);
-        core->members.health.delay_s = core->load.delay_s;
-        last = now;
-        lmn_update_job_order(core, lmn_time_seconds(lmn_wall_clock_now()));
-        for (int i = 0; i < core->partition_count &&
-                        core->scheduling.last_triage_s == core->scheduling.wall_clock_s;
-             i++)
-            lmn_update_reservations(core, &core->partitions[i], now);
-        lmn_maintenance_run(core, now);
-        for (int i = 0; i < core->partition_count; i++) {
-            lmn_preempt_for_production(core, &core->partitions[i], now);
-            lmn_consolidate_replicas(core, &core->partitions[i], now);
-        }
-        lmn_range_writer_flush(core, now);
-        pthread_mutex_unlock(&core->lock);
+        lmn_error("listen_failed address=%s", core->settings->internal_address);
+        return NULL;
     }
+    return server;
+}
+
+int lmn_controller_run(const struct lmn_settings *settings)
+{
+    if (init_process(settings) != 0)
+        return 1;
+    log_start(settings);
+    struct lmn_kv_client *kv_client = lmn_kv_client_new(settings);
+    struct lmn_core *core = lmn_core_new(settings, kv_client, g_random_int());
+    struct lmn_http_server *server = start_servers(core);
+    if (!server)
+        return 1;
+    lmn_kv_client_start(kv_client);
+    start_background_work(core);
+    run_ticks(core, server);
 }
