--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -6,7 +6,7 @@
 #include "admission/connection_budget.h"
 #include "partition/worker.h"
 #include "controller/user_api.h"
-#include "controller/replication_thread.h"
+#include "controller/deferred_responses.h"
 #include "controller/metrics.h"
 
 #include <string.h>
@@ -90,7 +90,7 @@
         int status =
             lmn_heartbeat_handle(core, body->data, body->len, out, &held, lmn_now());
         if (held.log_position)
-            lmn_replication_defer_response(core, request, out, &held);
+            lmn_deferred_response_add(core, request, out, &held);
         else
             lmn_http_request_respond(request, status, out, 0);
     } else if (!post && !strcmp(path, "/metrics")) {
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -1,236 +1,294 @@
+/** @file
+ * Sends and answers probes. The probe thread owns its connections to the members; the
+ * members' views are the core's, under its lock, which is not held during a call. */
 #include "controller/probe_client.h"
-#include "util/log.h"
-#include "util/thread.h"
 #include "controller/rpc_client.h"
 #include "state/core.h"
+#include "util/clock.h"
+#include "util/log.h"
+#include "util/thread.h"
 
 #include <rpc/rpc.h>
 
-/* A node whose mirror stands still while another's moves, or who reaches nobody, is at
- * fault itself: its users are better served elsewhere. In an outage of the state service
- * everybody stays. */
-static void look_around(struct lmn_core *core, struct timespec now)
-{
-    double stale = core->cache.is_synced ? lmn_watch_cache_age_s(core, now) : 0;
-    bool odd = stale >= LMN_CACHE_STALLED_S && core->members.count > 1, anybody = false;
+/** Longer ages are sent as this: the watch cache may never have been in sync. */
+static const double MAX_REPORTED_AGE_S = 1e6;
+/** A member's health as it was last told counts for so long. */
+static const double HEALTH_VALID_S = 2;
+static const double US_PER_S = 1e6;
+/** For tombstones. The member has just answered a probe; if it stops answering now, it
+ * must not hold up the probes of others. */
+static const struct timeval TOMBSTONES_TIMEOUT = {0, 250000};
+
+/* --- an isolated view --- */
 
-    for (int i = 0; i < core->members.count && odd; i++) {
+/** The member that this controller's watch cache is compared with: the first that has
+ * told its health lately.
+ * @return its index; -1: none has */
+static int first_reachable_member(const struct lmn_core *core, struct timespec now)
+{
+    for (int i = 0; i < core->members.count; i++) {
         const struct lmn_member_view *member = &core->members.views[i];
-        if (i == core->members.self || !member->health_at.tv_sec ||
-            lmn_time_diff_s(now, member->health_at) > 2)
-            continue;
-        if (!anybody)
-            odd = false;
-        anybody = true;
-        if (member->health.cache_age_s < LMN_CACHE_STALLED_S) {
-            odd = true;
-            break;
-        }
+        if (i != core->members.self && member->health_at.tv_sec &&
+            lmn_time_diff_s(now, member->health_at) <= HEALTH_VALID_S)
+            return i;
     }
-    if (odd != core->cache.is_isolated_view)
-        lmn_info("isolated_view_changed odd=%d stale=%.1f alone=%d", odd, stale,
-                 !anybody);
-    __atomic_store_n(&core->cache.is_isolated_view, odd,
-                     __ATOMIC_RELAXED); /* controller/http_routes.c reads it */
-    if (!odd || anybody)
+    return -1;
+}
+
+/** Notes whether this controller's view is isolated. A controller whose watch cache is
+ * stalled while another's is not, or that reaches no other, is at fault itself: its users
+ * are better served elsewhere. If the other's is stalled too, the key-value store has an
+ * outage, and every controller goes on. The core's lock is held. */
+static void update_isolated_view(struct lmn_core *core, struct timespec now)
+{
+    double cache_age_s = core->cache.is_synced ? lmn_watch_cache_age_s(core, now) : 0;
+    bool is_stalled = cache_age_s >= LMN_CACHE_STALLED_S && core->members.count > 1;
+    int peer = is_stalled ? first_reachable_member(core, now) : -1;
+    bool is_alone = peer < 0;
+    bool is_isolated =
+        is_stalled &&
+        (is_alone || core->members.views[peer].health.cache_age_s < LMN_CACHE_STALLED_S);
+
+    if (is_isolated != core->cache.is_isolated_view)
+        lmn_info("isolated_view_changed odd=%d stale=%.1f alone=%d", is_isolated,
+                 cache_age_s, is_alone);
+    /* controller/http_routes.c reads it without the lock. */
+    __atomic_store_n(&core->cache.is_isolated_view, is_isolated, __ATOMIC_RELAXED);
+    if (!is_isolated || !is_alone)
         core->cache.isolated_since = (struct timespec){0, 0};
     else if (!core->cache.isolated_since.tv_sec)
         core->cache.isolated_since = now;
 }
 
-static lmn_rpc_health own_word(const struct lmn_core *core, struct timespec now)
+/* --- messages --- */
+
+/** The core's lock is held. */
+static lmn_rpc_health encode_own_health(const struct lmn_core *core, struct timespec now)
 {
     const struct lmn_member_health *health = &core->members.health;
 
-    return (lmn_rpc_health){health->delay_s, MIN(lmn_watch_cache_age_s(core, now), 1e6),
+    return (lmn_rpc_health){health->delay_s,
+                            MIN(lmn_watch_cache_age_s(core, now), MAX_REPORTED_AGE_S),
                             health->silent_machine_share};
 }
 
-static struct lmn_member_health word_of(const lmn_rpc_health *health)
+static struct lmn_member_health decode_health(const lmn_rpc_health *health)
 {
-    return (struct lmn_member_health){health->behind, health->stale, health->deaf};
+    return (struct lmn_member_health){health->delay_s, health->cache_age_s,
+                                      health->silent_machine_share};
 }
 
-/* Names are the settings', which stand for ever. */
-static u_int tell(struct lmn_core *core, int to, int about, struct timespec now,
-                  struct lmn_probe_reply_buffer *room)
+/** Gossip for a member, also about a third (-1: none in particular). The names are the
+ * settings', which stay as they are. The core's lock is held.
+ * @return how many statements */
+static u_int encode_gossip(struct lmn_core *core, int to, int about, struct timespec now,
+                           struct lmn_probe_reply_buffer *buffer)
 {
-    struct lmn_gossip_statement s[LMN_MAX_GOSSIP_STATEMENTS];
-    unsigned n = lmn_member_gossip(&core->members, to, about, now, s);
-
-    for (unsigned i = 0; i < n; i++)
-        room->said[i] = (lmn_rpc_gossip){
-            (char *)lmn_member_name(&core->members, s[i].member), s[i].incarnation,
-            s[i].last_contact_age_s, s[i].unanswered_age_s, s[i].redirected_workers};
-    return n;
+    struct lmn_gossip_statement statements[LMN_MAX_GOSSIP_STATEMENTS];
+    unsigned count = lmn_member_gossip(&core->members, to, about, now, statements);
+
+    for (unsigned i = 0; i < count; i++)
+        buffer->gossip[i] = (lmn_rpc_gossip){
+            (char *)lmn_member_name(&core->members, statements[i].member),
+            statements[i].incarnation, statements[i].last_contact_age_s,
+            statements[i].unanswered_age_s, statements[i].redirected_workers};
+    return count;
 }
 
-static void be_told(struct lmn_core *core, int by, u_int n, const lmn_rpc_gossip *said,
-                    struct timespec now)
+/** The core's lock is held. */
+static void record_gossip(struct lmn_core *core, int from, u_int count,
+                          const lmn_rpc_gossip *gossip, struct timespec now)
 {
-    for (u_int i = 0; i < n; i++) {
-        struct lmn_gossip_statement s = {lmn_member_index(&core->members, said[i].of),
-                                         said[i].incarnation, said[i].heard,
-                                         said[i].unanswered, said[i].visitors};
-        lmn_member_record_gossip(&core->members, by, &s, now);
+    for (u_int i = 0; i < count; i++) {
+        struct lmn_gossip_statement statement = {
+            lmn_member_index(&core->members, gossip[i].member), gossip[i].incarnation,
+            gossip[i].last_contact_age_s, gossip[i].unanswered_age_s,
+            gossip[i].redirected_workers};
+        lmn_member_record_gossip(&core->members, from, &statement, now);
     }
 }
 
+/* --- answers to other members --- */
+
 void lmn_probe_handle(struct lmn_core *core, const lmn_rpc_probe *probe,
-                      lmn_rpc_probe_reply *reply, struct lmn_probe_reply_buffer *room)
+                      lmn_rpc_probe_reply *reply, struct lmn_probe_reply_buffer *buffer)
 {
     struct timespec now = lmn_now();
-    struct lmn_member_health w = word_of(&probe->word);
+    struct lmn_member_health health = decode_health(&probe->health);
 
     pthread_mutex_lock(&core->lock);
     int from = lmn_member_index(&core->members, probe->from);
     int about = *probe->about ? lmn_member_index(&core->members, probe->about) : -1;
     if (from >= 0 && from != core->members.self) {
-        lmn_member_record_contact(&core->members, from, &w, now, now);
-        be_told(core, from, probe->said.said_len, probe->said.said_val, now);
+        lmn_member_record_contact(&core->members, from, &health, now, now);
+        record_gossip(core, from, probe->gossip.gossip_len, probe->gossip.gossip_val,
+                      now);
     }
     if (about >= 0 && about != core->members.self) {
         lmn_member_request_probe(&core->members, about, now);
         pthread_cond_signal(&core->probe_due);
     }
-    reply->word = own_word(core, now);
-    reply->said.said_len = tell(core, from, about, now, room);
-    reply->said.said_val = room->said;
+    reply->health = encode_own_health(core, now);
+    reply->gossip.gossip_len = encode_gossip(core, from, about, now, buffer);
+    reply->gossip.gossip_val = buffer->gossip;
+    pthread_mutex_unlock(&core->lock);
+}
+
+u_int lmn_tombstones_handle(struct lmn_core *core, const lmn_rpc_tombstones *tombstones)
+{
+    u_int received = 0;
+
+    pthread_mutex_lock(&core->lock);
+    struct timespec now = lmn_now();
+    for (u_int i = 0; i < tombstones->jobs.jobs_len; i++)
+        received += lmn_tombstone_receive(core, tombstones->jobs.jobs_val[i].job_id, now);
+    core->counters.tombstones += received;
     pthread_mutex_unlock(&core->lock);
+    return received;
 }
 
-/* --- the thread --- */
+/* --- the probe thread --- */
 
-struct asked {
-    CLIENT *client;
+/** A member as the probe thread reaches it. */
+struct probe_peer {
+    CLIENT *client; /**< NULL: not connected */
 };
 
-static bool call(struct lmn_core *core, struct asked *peer, const struct lmn_probe *probe,
-                 lmn_rpc_probe *x, lmn_rpc_probe_reply *reply)
+static void disconnect(struct probe_peer *peer)
 {
-    const char *name = lmn_member_name(&core->members, probe->member), *addr = NULL;
-    struct timeval wait = {
-        (time_t)probe->timeout_s,
-        (suseconds_t)(1e6 * (probe->timeout_s - (time_t)probe->timeout_s))};
-
-    for (size_t i = 0; i < core->settings->member_count; i++)
-        if (!strcmp(core->settings->members[i].name, name))
-            addr = core->settings->members[i].address;
-    if (!peer->client && addr)
-        peer->client = lmn_rpc_connect_within(addr, probe->timeout_s);
-    if (!peer->client)
-        return false;
-    if (clnt_call(peer->client, LMN_RPC_PROBE, (xdrproc_t)xdr_lmn_rpc_probe, (char *)x,
-                  (xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)reply, wait) == RPC_SUCCESS)
-        return true;
     clnt_destroy(peer->client);
     peer->client = NULL;
-    return false;
 }
 
-u_int lmn_tombstones_handle(struct lmn_core *core, const lmn_rpc_tombstones *tombstones)
+/** @return false: no answer; else `reply` is to be freed with xdr_free */
+static bool call_member(struct lmn_core *core, struct probe_peer *peer,
+                        const struct lmn_probe *probe, lmn_rpc_probe *message,
+                        lmn_rpc_probe_reply *reply)
 {
-    u_int n = 0;
+    const char *name = lmn_member_name(&core->members, probe->member);
+    const struct timeval timeout = {
+        (time_t)probe->timeout_s,
+        (suseconds_t)(US_PER_S * (probe->timeout_s - (time_t)probe->timeout_s))};
 
-    pthread_mutex_lock(&core->lock);
-    struct timespec now = lmn_now();
-    for (u_int i = 0; i < tombstones->jobs.jobs_len; i++)
-        n += lmn_tombstone_receive(core, tombstones->jobs.jobs_val[i].ref, now);
-    core->counters.tombstones += n;
-    pthread_mutex_unlock(&core->lock);
-    return n;
+    if (!peer->client)
+        peer->client = lmn_rpc_connect_to_member(core->settings, name, probe->timeout_s);
+    if (!peer->client)
+        return false;
+    if (clnt_call(peer->client, LMN_RPC_PROBE, (xdrproc_t)xdr_lmn_rpc_probe,
+                  (char *)message, (xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)reply,
+                  timeout) == RPC_SUCCESS)
+        return true;
+    disconnect(peer);
+    return false;
 }
 
-/* Withdrawals that the member may not see yet, on the connection that has just answered.
- */
-static void tell_tombstones(struct lmn_core *core, struct asked *peer, int member_index)
+/** Sends the tombstones that the member may not know of, on the connection on which it
+ * has just answered. */
+static void send_tombstones(struct lmn_core *core, struct probe_peer *peer,
+                            int member_index)
 {
-    /* It has just answered. Whoever stands still now must not hold up the questions. */
-    const struct timeval wait = {0, 250000};
-    char ref[LMN_RPC_MAX_ITEMS][LMN_JOB_ID_SIZE];
-    const char *refs[LMN_RPC_MAX_ITEMS];
+    char job_ids[LMN_RPC_MAX_ITEMS][LMN_JOB_ID_SIZE];
+    const char *pending[LMN_RPC_MAX_ITEMS];
     lmn_rpc_job_id jobs[LMN_RPC_MAX_ITEMS];
-    lmn_rpc_tombstones x = {{0, jobs}};
-    u_int fresh;
-    uint64_t upto;
+    lmn_rpc_tombstones message = {{0, jobs}};
+    u_int unknown_count;
+    uint64_t position;
 
     pthread_mutex_lock(&core->lock);
-    x.jobs.jobs_len = lmn_tombstones_pending(&core->cache.tombstones, member_index, refs,
-                                             G_N_ELEMENTS(refs), &upto);
-    for (u_int i = 0; i < x.jobs.jobs_len; i++) {
-        g_strlcpy(ref[i], refs[i], LMN_JOB_ID_SIZE);
-        jobs[i].ref = ref[i];
+    message.jobs.jobs_len = lmn_tombstones_pending(
+        &core->cache.tombstones, member_index, pending, G_N_ELEMENTS(pending), &position);
+    /* Copied: the ids are the core's, and the call is made without its lock. */
+    for (u_int i = 0; i < message.jobs.jobs_len; i++) {
+        g_strlcpy(job_ids[i], pending[i], LMN_JOB_ID_SIZE);
+        jobs[i].job_id = job_ids[i];
     }
     pthread_mutex_unlock(&core->lock);
-    if (!x.jobs.jobs_len)
+    if (!message.jobs.jobs_len)
         return;
-    enum clnt_stat r =
+    enum clnt_stat status =
         clnt_call(peer->client, LMN_RPC_TOMBSTONES, (xdrproc_t)xdr_lmn_rpc_tombstones,
-                  (char *)&x, (xdrproc_t)xdr_u_int, (char *)&fresh, wait);
-    if (r == RPC_SUCCESS ||
-        r == RPC_PROCUNAVAIL) { /* an older program has no use for them */
-        pthread_mutex_lock(&core->lock);
-        lmn_tombstones_acknowledge(&core->cache.tombstones, member_index, upto);
-        pthread_mutex_unlock(&core->lock);
+                  (char *)&message, (xdrproc_t)xdr_u_int, (char *)&unknown_count,
+                  TOMBSTONES_TIMEOUT);
+    /* A member of an older version does not know the call, and has no use for it. */
+    if (status != RPC_SUCCESS && status != RPC_PROCUNAVAIL) {
+        disconnect(peer);
         return;
     }
-    clnt_destroy(peer->client);
-    peer->client = NULL;
+    pthread_mutex_lock(&core->lock);
+    lmn_tombstones_acknowledge(&core->cache.tombstones, member_index, position);
+    pthread_mutex_unlock(&core->lock);
+}
+
+/** The core's lock is held. */
+static void record_reply(struct lmn_core *core, const struct lmn_probe *probe,
+                         const lmn_rpc_probe_reply *reply, struct timespec sent_at,
+                         struct timespec now)
+{
+    struct lmn_member_health health = decode_health(&reply->health);
+
+    lmn_member_record_probe_reply(&core->members, probe->member, &health, sent_at, now);
+    record_gossip(core, probe->member, reply->gossip.gossip_len, reply->gossip.gossip_val,
+                  now);
 }
 
-static void ask_one(struct lmn_core *core, struct asked *peer,
-                    const struct lmn_probe *probe)
+/** The core's lock is held. */
+static void record_timeout(struct lmn_core *core, const struct lmn_probe *probe,
+                           struct timespec sent_at, struct timespec now)
 {
-    struct lmn_members *members = &core->members;
-    struct lmn_probe_reply_buffer room;
-    lmn_rpc_probe x = {.from = (char *)core->settings->node_name, .about = (char *)""};
-    lmn_rpc_probe_reply a = {0};
+    lmn_member_record_probe_timeout(&core->members, probe->member, sent_at, now);
+    lmn_debug("member_probe_timeout member=%s after=%.2f times=%u",
+              lmn_member_name(&core->members, probe->member),
+              lmn_time_diff_s(now, sent_at),
+              core->members.views[probe->member].probe_failures);
+    pthread_cond_broadcast(&core->ownership_changed);
+}
+
+static void probe_member(struct lmn_core *core, struct probe_peer *peer,
+                         const struct lmn_probe *probe)
+{
+    struct lmn_probe_reply_buffer buffer;
+    lmn_rpc_probe message = {.from = (char *)core->settings->node_name,
+                             .about = (char *)""};
+    lmn_rpc_probe_reply reply = {0};
 
     if (probe->about >= 0)
-        x.about = (char *)lmn_member_name(members, probe->about);
+        message.about = (char *)lmn_member_name(&core->members, probe->about);
     pthread_mutex_lock(&core->lock);
-    struct timespec sent = lmn_now();
-    x.word = own_word(core, sent);
-    x.said.said_len = tell(core, probe->member, probe->about, sent, &room);
-    x.said.said_val = room.said;
+    struct timespec sent_at = lmn_now();
+    message.health = encode_own_health(core, sent_at);
+    message.gossip.gossip_len =
+        encode_gossip(core, probe->member, probe->about, sent_at, &buffer);
+    message.gossip.gossip_val = buffer.gossip;
     pthread_mutex_unlock(&core->lock);
-    bool answered = call(core, peer, probe, &x, &a);
+    bool is_answered = call_member(core, peer, probe, &message, &reply);
     pthread_mutex_lock(&core->lock);
-    struct timespec now = lmn_now();
-    if (answered) {
-        struct lmn_member_health w = word_of(&a.word);
-        lmn_member_record_probe_reply(members, probe->member, &w, sent, now);
-        be_told(core, probe->member, a.said.said_len, a.said.said_val, now);
-    } else {
-        lmn_member_record_probe_timeout(members, probe->member, sent, now);
-        lmn_debug("member_probe_timeout member=%s after=%.2f times=%u",
-                  lmn_member_name(members, probe->member), lmn_time_diff_s(now, sent),
-                  members->views[probe->member].probe_failures);
-        pthread_cond_broadcast(&core->ownership_changed);
-    }
+    if (is_answered)
+        record_reply(core, probe, &reply, sent_at, lmn_now());
+    else
+        record_timeout(core, probe, sent_at, lmn_now());
     pthread_mutex_unlock(&core->lock);
-    if (!answered)
+    if (!is_answered)
         return;
-    xdr_free((xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)&a);
-    tell_tombstones(core, peer, probe->member);
+    xdr_free((xdrproc_t)xdr_lmn_rpc_probe_reply, (char *)&reply);
+    send_tombstones(core, peer, probe->member);
 }
 
 void *lmn_probe_thread(void *arg)
 {
     struct lmn_core *core = arg;
-    struct asked peers[LMN_MAX_MEMBERS + 1] = {0};
+    struct probe_peer peers[LMN_MAX_MEMBERS + 1] = {0};
 
     for (;;) {
-        struct lmn_probe q;
-        double wait;
+        struct lmn_probe probe;
+        double wait_s;
         pthread_mutex_lock(&core->lock);
-        while (
-            !lmn_member_next_probe(&core->members, core->random, lmn_now(), &q, &wait)) {
-            look_around(core, lmn_now());
-            lmn_cond_wait_for(&core->probe_due, &core->lock, wait);
+        while (!lmn_member_next_probe(&core->members, core->random, lmn_now(), &probe,
+                                      &wait_s)) {
+            update_isolated_view(core, lmn_now());
+            lmn_cond_wait_for(&core->probe_due, &core->lock, wait_s);
         }
         pthread_mutex_unlock(&core->lock);
-        ask_one(core, &peers[q.member], &q);
+        probe_member(core, &peers[probe.member], &probe);
     }
     return NULL;
 }
--- a/src/controller/rpc_client.c
+++ b/src/controller/rpc_client.c
@@ -1,45 +1,71 @@
+/** @file
+ * Connections to controllers. No state; each connection belongs to the thread that made
+ * it. */
 #include "controller/rpc_client.h"
-#include "config/settings.h"
 #include "controller_rpc.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
 #include <fcntl.h>
 #include <poll.h>
+#include <string.h>
 #include <unistd.h>
 
-CLIENT *lmn_rpc_connect(const char *addr)
+enum { MS_PER_S = 1000 };
+
+/** A member behind a network cut sends no refusal: a connection is not waited for longer
+ * than this. */
+static const double CONNECT_TIMEOUT_S = 0.6;
+
+CLIENT *lmn_rpc_connect(const char *address)
+{
+    return lmn_rpc_connect_within(address, CONNECT_TIMEOUT_S);
+}
+
+/** Waits for a connection that is being made. */
+static bool wait_until_connected(int fd, double seconds)
 {
-    /* A member behind a cut says nothing: a connection is not waited for longer than
-     * this. */
-    return lmn_rpc_connect_within(addr, 0.6);
+    struct pollfd poll_fd = {fd, POLLOUT, 0};
+    int error = 0;
+    socklen_t size = sizeof error;
+
+    return poll(&poll_fd, 1, (int)(MS_PER_S * seconds)) == 1 &&
+           getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && !error;
 }
 
-CLIENT *lmn_rpc_connect_within(const char *addr, double seconds)
+/** @return a connected, blocking socket; -1: none within the time */
+static int connect_socket(const struct sockaddr_in *address, double seconds)
 {
-    struct sockaddr_in a = {.sin_family = AF_INET};
-    struct netbuf nb = {sizeof a, sizeof a, &a};
+    int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+
+    if (fd < 0)
+        return -1;
+    if (connect(fd, (const struct sockaddr *)address, sizeof *address) != 0 &&
+        (errno != EINPROGRESS || !wait_until_connected(fd, seconds))) {
+        close(fd);
+        return -1;
+    }
+    fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) & ~O_NONBLOCK);
+    return fd;
+}
+
+CLIENT *lmn_rpc_connect_within(const char *address, double seconds)
+{
+    struct sockaddr_in socket_address = {.sin_family = AF_INET};
+    struct netbuf buffer = {sizeof socket_address, sizeof socket_address,
+                            &socket_address};
     char host[LMN_ADDRESS_SIZE];
-    int port, fd, error = 0;
-    socklen_t len = sizeof error;
+    int port;
 
-    if (lmn_address_split(addr, host, sizeof host, &port) != 0)
+    if (lmn_address_split(address, host, sizeof host, &port) != 0)
         return NULL;
-    a.sin_port = htons((uint16_t)port);
-    inet_pton(AF_INET, host, &a.sin_addr);
-    fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+    socket_address.sin_port = htons((uint16_t)port);
+    inet_pton(AF_INET, host, &socket_address.sin_addr);
+    int fd = connect_socket(&socket_address, seconds);
     if (fd < 0)
         return NULL;
-    if (connect(fd, (struct sockaddr *)&a, sizeof a) != 0) {
-        struct pollfd w = {fd, POLLOUT, 0};
-        if (errno != EINPROGRESS || poll(&w, 1, (int)(1000 * seconds)) != 1 ||
-            getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &len) != 0 || error) {
-            close(fd);
-            return NULL;
-        }
-    }
-    fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) & ~O_NONBLOCK);
-    CLIENT *client = clnt_vc_create(fd, &nb, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, 0, 0);
+    CLIENT *client =
+        clnt_vc_create(fd, &buffer, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, 0, 0);
     if (!client) {
         close(fd);
         return NULL;
@@ -47,3 +73,12 @@
     clnt_control(client, CLSET_FD_CLOSE, NULL);
     return client;
 }
+
+CLIENT *lmn_rpc_connect_to_member(const struct lmn_settings *settings, const char *name,
+                                  double seconds)
+{
+    for (size_t i = 0; i < settings->member_count; i++)
+        if (!strcmp(settings->members[i].name, name))
+            return lmn_rpc_connect_within(settings->members[i].address, seconds);
+    return NULL;
+}
--- a/src/controller/steal_client.c
+++ b/src/controller/steal_client.c
@@ -254,7 +254,7 @@
         g_new(struct lmn_rpc_team_quota, settings->team_count);
     struct lmn_rpc_steal_request message = {
         .thief = request->partition,
-        .rooms = {request->capacity_count, capacities},
+        .capacities = {request->capacity_count, capacities},
         .teams = {(u_int)settings->team_count, teams},
     };
 
--- a/src/controller/steal_handler.c
+++ b/src/controller/steal_handler.c
@@ -18,10 +18,10 @@
 {
     g_strlcpy(capacity->type, message->type, sizeof capacity->type);
     g_strlcpy(capacity->zone, message->zone, sizeof capacity->zone);
-    capacity->is_spot = message->spot;
+    capacity->is_spot = message->is_spot;
     capacity->cpus = message->cpus;
     capacity->gpus = message->gpus;
-    capacity->memory_gb = message->mem;
+    capacity->memory_gb = message->memory_gb;
 }
 
 /** Allocates what `request` holds: to be cleared by lmn_steal_request_clear. */
@@ -32,8 +32,9 @@
     lmn_steal_request_init(request, core->settings);
     request->partition = message->thief;
     for (u_int i = 0;
-         i < message->rooms.rooms_len && i < G_N_ELEMENTS(request->capacities); i++)
-        decode_capacity(&message->rooms.rooms_val[i],
+         i < message->capacities.capacities_len && i < G_N_ELEMENTS(request->capacities);
+         i++)
+        decode_capacity(&message->capacities.capacities_val[i],
                         &request->capacities[request->capacity_count++]);
     for (u_int i = 0; i < message->teams.teams_len; i++) {
         const struct lmn_rpc_team_quota *quota = &message->teams.teams_val[i];
--- a/tests/test_golden_wire.c
+++ b/tests/test_golden_wire.c
@@ -107,12 +107,14 @@
     KEEPS(lmn_rpc_steal_request, "peer_thief", &thief, &read);
     assert_int_equal(read.thief, 1);
     assert_int_equal(read.victim, 3);
-    assert_int_equal(read.rooms.rooms_len, 2);
-    const lmn_rpc_capacity *r = read.rooms.rooms_val;
+    assert_int_equal(read.capacities.capacities_len, 2);
+    const lmn_rpc_capacity *r = read.capacities.capacities_val;
     assert_string_equal(r[0].type, "x");
     assert_string_equal(r[0].zone, "a");
-    assert_true(r[0].spot && r[0].cpus == 8 && r[0].gpus == 1 && r[0].mem == 64.5);
-    assert_true(!r[1].spot && r[1].cpus == 96 && r[1].gpus == 0 && r[1].mem == 384);
+    assert_true(r[0].is_spot && r[0].cpus == 8 && r[0].gpus == 1 &&
+                r[0].memory_gb == 64.5);
+    assert_true(!r[1].is_spot && r[1].cpus == 96 && r[1].gpus == 0 &&
+                r[1].memory_gb == 384);
     assert_int_equal(read.teams.teams_len, 1);
     assert_string_equal(read.teams.teams_val[0].name, "ml train");
     assert_true(read.teams.teams_val[0].cpus == 12.5);
@@ -136,10 +138,10 @@
 
 static void check_said(const lmn_rpc_gossip *s)
 {
-    assert_string_equal(s->of, "nc");
+    assert_string_equal(s->member, "nc");
     assert_true(s->incarnation == 0x100000002ULL);
-    assert_true(s->heard == 0.75 && s->unanswered == -1);
-    assert_int_equal(s->visitors, 4);
+    assert_true(s->last_contact_age_s == 0.75 && s->unanswered_age_s == -1);
+    assert_int_equal(s->redirected_workers, 4);
 }
 
 static void question_and_answer_of_members_keep_their_bytes(void **state)
@@ -152,16 +154,17 @@
     KEEPS(lmn_rpc_probe, "peer_ask", &ask, &read);
     assert_string_equal(read.from, "na");
     assert_string_equal(read.about, "nc");
-    assert_true(read.word.behind == 0.125 && read.word.stale == 0.5);
-    assert_true(read.word.deaf == 0.25);
-    assert_int_equal(read.said.said_len, 1);
-    check_said(read.said.said_val);
+    assert_true(read.health.delay_s == 0.125 && read.health.cache_age_s == 0.5);
+    assert_true(read.health.silent_machine_share == 0.25);
+    assert_int_equal(read.gossip.gossip_len, 1);
+    check_said(read.gossip.gossip_val);
     FORGET(lmn_rpc_probe, &read);
     KEEPS(lmn_rpc_probe_reply, "peer_answer", &answer, &read_answer);
-    assert_true(read_answer.word.behind == 0.125 && read_answer.word.stale == 0.5);
-    assert_true(read_answer.word.deaf == 0.25);
-    assert_int_equal(read_answer.said.said_len, 1);
-    check_said(read_answer.said.said_val);
+    assert_true(read_answer.health.delay_s == 0.125 &&
+                read_answer.health.cache_age_s == 0.5);
+    assert_true(read_answer.health.silent_machine_share == 0.25);
+    assert_int_equal(read_answer.gossip.gossip_len, 1);
+    check_said(read_answer.gossip.gossip_val);
     FORGET(lmn_rpc_probe_reply, &read_answer);
 }
 
@@ -177,25 +180,25 @@
     (void)state;
 
     KEEPS(lmn_rpc_replication_batch, "peer_batch", &batch, &read);
-    assert_int_equal(read.part, 1);
-    assert_int_equal(read.term, 42);
+    assert_int_equal(read.partition, 1);
+    assert_int_equal(read.epoch, 42);
     assert_int_equal(read.stream, 0x2a00003ULL);
     assert_int_equal(read.number, 17);
     assert_int_equal(read.machines.machines_len, 2);
     const lmn_rpc_machine *machine = read.machines.machines_val;
     assert_string_equal(machine[0].name, "host-000001");
-    assert_int_equal(machine[0].session, 99);
+    assert_int_equal(machine[0].agent_incarnation, 99);
     assert_int_equal(machine[0].state, 4);
     assert_int_equal(machine[0].attempts.attempts_len, 2);
     const lmn_rpc_attempt *attempt = &machine[0].attempts.attempts_val[1];
-    assert_string_equal(attempt->ref, "run-000412");
+    assert_string_equal(attempt->job_id, "run-000412");
     assert_int_equal(attempt->index, 8);
     assert_true(attempt->number == 0x2a00000002ULL);
     assert_int_equal(attempt->state, 3);
     assert_int_equal(machine[0].images.images_len, 1);
     assert_string_equal(machine[0].images.images_val[0].name, "base:1");
     assert_true(machine[0].images.images_val[0].gb == 1.25);
-    assert_true(machine[0].images.images_val[0].there);
+    assert_true(machine[0].images.images_val[0].is_present);
     assert_string_equal(machine[1].name, "host-000002");
     assert_int_equal(machine[1].state, 2);
     assert_int_equal(machine[1].attempts.attempts_len, 0);
@@ -210,8 +213,8 @@
 
     KEEPS(lmn_rpc_tombstones, "peer_tombstones", &stones, &read);
     assert_int_equal(read.jobs.jobs_len, 2);
-    assert_string_equal(read.jobs.jobs_val[0].ref, "run-000412");
-    assert_string_equal(read.jobs.jobs_val[1].ref, "run-7");
+    assert_string_equal(read.jobs.jobs_val[0].job_id, "run-000412");
+    assert_string_equal(read.jobs.jobs_val[1].job_id, "run-7");
     FORGET(lmn_rpc_tombstones, &read);
 }
 
--- a/tests/test_queue_stealing.c
+++ b/tests/test_queue_stealing.c
@@ -109,9 +109,9 @@
         memset(&back, 0, sizeof back);
         xdrmem_create(&x, bytes, len, XDR_DECODE);
         assert_true(xdr_lmn_rpc_steal_request(&x, &back));
-        assert_int_equal(back.rooms.rooms_len, q.rooms.rooms_len);
-        for (u_int k = 0; k < q.rooms.rooms_len; k++)
-            assert_true(back.rooms.rooms_val[k].cpus == rooms[k].cpus);
+        assert_int_equal(back.capacities.capacities_len, q.capacities.capacities_len);
+        for (u_int k = 0; k < q.capacities.capacities_len; k++)
+            assert_true(back.capacities.capacities_val[k].cpus == rooms[k].cpus);
         xdr_free((xdrproc_t)xdr_lmn_rpc_steal_request, (char *)&back);
         bytes[g_rand_int_range(r, 0, (gint32)len)] ^=
             (char)(1 + g_rand_int_range(r, 0, 255));
