--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -19,18 +19,18 @@
 static void route_job(struct lmn_core *core, struct lmn_http_request *request,
                       const char *rest)
 {
-    char *ref = g_strdup(rest);
-    size_t len = strlen(ref), end = strlen(WIRE_PATH_CANCEL);
+    char *job_id = g_strdup(rest);
+    size_t len = strlen(job_id), end = strlen(WIRE_PATH_CANCEL);
 
     if (lmn_http_request_method(request) == LMN_HTTP_GET) {
-        lmn_user_api_status(core, request, ref);
-    } else if (len > end && !strcmp(ref + len - end, WIRE_PATH_CANCEL)) {
-        ref[len - end] = '\0';
-        lmn_user_api_cancel(core, request, ref);
+        lmn_user_api_status(core, request, job_id);
+    } else if (len > end && !strcmp(job_id + len - end, WIRE_PATH_CANCEL)) {
+        job_id[len - end] = '\0';
+        lmn_user_api_cancel(core, request, job_id);
     } else {
         lmn_http_request_respond(request, 404, NULL, 0);
     }
-    g_free(ref);
+    g_free(job_id);
 }
 
 /* What the connection asks for tells whose it is. */
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -1,184 +1,207 @@
+/** @file
+ * Submissions that are being written.
+ *
+ * `pending.lock` guards the list and its entries. It may be held while the core's lock is
+ * taken, never the other way round. Outcomes arrive on the key-value client's writer
+ * threads; one thread of this file looks for those that are late. */
 #include "controller/pending_submission.h"
 #include "util/log.h"
 #include "util/thread.h"
 
 #include <math.h>
 
+/** A submission whose transaction has been sent. */
 struct lmn_pending_submission {
     struct lmn_core *core;
-    struct lmn_http_request *call; /* NULL: it has its reply */
-    char ref[LMN_JOB_ID_SIZE];
-    struct timespec since;
-    struct lmn_txn *twin; /* the transaction once more; NULL: it was sent */
-    unsigned in_flight;   /* transactions whose outcome is not known yet */
+    struct lmn_http_request *request; /**< deferred; NULL: it was responded to */
+    char job_id[LMN_JOB_ID_SIZE];
+    struct timespec submitted_at;
+    struct lmn_txn *duplicate; /**< the transaction once more; NULL: it was sent */
+    unsigned in_flight;        /**< transactions whose outcome is not known yet */
 };
 
 static struct {
     pthread_mutex_t lock;
-    pthread_cond_t more;
-    GQueue list; /* struct lmn_pending_submission, the oldest first */
-    lmn_submission_responder *reply;
-} pendings = {.lock = PTHREAD_MUTEX_INITIALIZER, .list = G_QUEUE_INIT};
+    pthread_cond_t added;
+    GQueue submissions; /**< struct lmn_pending_submission, the oldest first */
+    lmn_submission_responder *respond;
+} pending = {.lock = PTHREAD_MUTEX_INITIALIZER, .submissions = G_QUEUE_INIT};
 
-/* How often the mirror is looked at for one that is due. */
-static const double LOOK_EVERY_S = 0.02;
+/** How often the watch cache is searched for the jobs of late submissions. */
+static const double CHECK_INTERVAL_S = 0.02;
 
-/* The lock is held. Returns the call if it has no reply yet: the caller replies. */
-static struct lmn_http_request *take_call(struct lmn_pending_submission *pending)
+/** The list's lock is held.
+ * @return the request, which the caller has to respond to; NULL if it has been */
+static struct lmn_http_request *take_request(struct lmn_pending_submission *submission)
 {
-    struct lmn_http_request *request = pending->call;
+    struct lmn_http_request *request = submission->request;
 
-    pending->call = NULL;
+    submission->request = NULL;
     return request;
 }
 
-/* The lock is held. */
-static void free_if_over(struct lmn_pending_submission *pending)
+/** Frees the submission if no outcome is awaited any more. The list's lock is held. */
+static void free_if_finished(struct lmn_pending_submission *submission)
 {
-    if (pending->in_flight)
+    if (submission->in_flight)
         return;
-    g_queue_remove(&pendings.list, pending);
-    if (pending->twin)
-        lmn_txn_free(pending->twin);
-    g_free(pending);
+    g_queue_remove(&pending.submissions, submission);
+    if (submission->duplicate)
+        lmn_txn_free(submission->duplicate);
+    g_free(submission);
 }
 
-static void note_latency(struct lmn_core *core, double took)
+static void record_latency(struct lmn_core *core, double latency_s)
 {
     pthread_mutex_lock(&core->lock);
-    lmn_latency_add(&core->latencies.submission, took);
+    lmn_latency_add(&core->latencies.submission, latency_s);
     pthread_mutex_unlock(&core->lock);
 }
 
-static void committed(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
-                      uint64_t revision)
+/** Called once for each transaction, on a writer thread and without a lock. */
+static void on_outcome(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
+                       uint64_t revision)
 {
-    struct lmn_pending_submission *pending = arg;
-    struct lmn_request_decision d = lmn_decide_submitted(outcome);
-    bool known = outcome == LMN_TXN_COMMITTED || outcome == LMN_TXN_CONFLICT;
-    double took = lmn_time_diff_s(lmn_now(), pending->since);
-    char ref[LMN_JOB_ID_SIZE];
+    struct lmn_pending_submission *submission = arg;
+    struct lmn_request_decision decision = lmn_decide_submitted(outcome);
+    bool is_known = outcome == LMN_TXN_COMMITTED || outcome == LMN_TXN_CONFLICT;
+    double latency_s = lmn_time_diff_s(lmn_now(), submission->submitted_at);
+    char job_id[LMN_JOB_ID_SIZE];
     (void)txn;
     (void)revision;
 
-    lmn_debug("job_submitted job=%s outcome=%d took=%.3f", pending->ref, outcome, took);
+    lmn_debug("job_submitted job=%s outcome=%d took=%.3f", submission->job_id, outcome,
+              latency_s);
     if (outcome == LMN_TXN_COMMITTED)
-        note_latency(pending->core, took);
-    pthread_mutex_lock(&pendings.lock);
-    g_strlcpy(ref, pending->ref, sizeof ref);
-    pending->in_flight--;
-    /* Of two, the other may still tell. */
+        record_latency(submission->core, latency_s);
+    pthread_mutex_lock(&pending.lock);
+    g_strlcpy(job_id, submission->job_id, sizeof job_id);
+    submission->in_flight--;
+    /* With two in flight, the other's outcome may still be known. */
     struct lmn_http_request *request =
-        known || !pending->in_flight ? take_call(pending) : NULL;
-    free_if_over(pending);
-    pthread_mutex_unlock(&pendings.lock);
+        is_known || !submission->in_flight ? take_request(submission) : NULL;
+    free_if_finished(submission);
+    pthread_mutex_unlock(&pending.lock);
     if (request)
-        pendings.reply(request, ref, &d);
+        pending.respond(request, job_id, &decision);
 }
 
 void lmn_pending_submission_submit(struct lmn_core *core,
                                    struct lmn_http_request *request,
                                    const struct lmn_job_spec *spec)
 {
-    struct lmn_pending_submission *pending = g_new0(struct lmn_pending_submission, 1);
+    struct lmn_pending_submission *submission = g_new0(struct lmn_pending_submission, 1);
 
-    pending->core = core;
-    pending->call = request;
-    pending->since = lmn_now();
-    pending->in_flight = 1;
-    g_strlcpy(pending->ref, spec->id, sizeof pending->ref);
+    submission->core = core;
+    submission->request = request;
+    submission->submitted_at = lmn_now();
+    submission->in_flight = 1;
+    g_strlcpy(submission->job_id, spec->id, sizeof submission->job_id);
     pthread_mutex_lock(&core->lock);
     struct lmn_txn *txn = lmn_submission_txn(
-        core, spec, lmn_time_seconds(lmn_wall_clock_now()), committed, pending);
+        core, spec, lmn_time_seconds(lmn_wall_clock_now()), on_outcome, submission);
     pthread_mutex_unlock(&core->lock);
-    pending->twin = lmn_txn_copy(txn);
-    pthread_mutex_lock(&pendings.lock);
-    g_queue_push_tail(&pendings.list, pending);
-    pthread_cond_signal(&pendings.more);
-    pthread_mutex_unlock(&pendings.lock);
+    submission->duplicate = lmn_txn_copy(txn);
+    pthread_mutex_lock(&pending.lock);
+    g_queue_push_tail(&pending.submissions, submission);
+    pthread_cond_signal(&pending.added);
+    pthread_mutex_unlock(&pending.lock);
+    /* Last: from here on its outcome may free the submission. */
     lmn_kv_client_submit(core->kv_client, txn);
 }
 
-/* Does what is due for the submission; the lock is held. Returns the call if its job's
- * state is to be confirmed. */
-static struct lmn_http_request *
-look(struct lmn_core *core, struct lmn_pending_submission *pending, struct timespec now)
+/** Does what is due for a submission. The list's lock is held.
+ * @return the request, if its job's state is to be confirmed; else NULL */
+static struct lmn_http_request *check(struct lmn_core *core,
+                                      struct lmn_pending_submission *submission,
+                                      struct timespec now)
 {
-    struct lmn_txn *twin;
+    struct lmn_txn *duplicate = submission->duplicate;
 
     pthread_mutex_lock(&core->lock);
     enum lmn_pending_submission_step step = lmn_decide_pending_submission(
-        core, pending->ref, pending->since, !pending->twin, now);
+        core, submission->job_id, submission->submitted_at, !duplicate, now);
     pthread_mutex_unlock(&core->lock);
     switch (step) {
     case LMN_PENDING_CONFIRM:
-        return take_call(pending);
+        return take_request(submission);
     case LMN_PENDING_RESEND:
-        twin = pending->twin;
-        pending->twin = NULL;
-        pending->in_flight++;
-        lmn_debug("job_submission_duplicate job=%s", pending->ref);
-        lmn_kv_client_submit(core->kv_client, twin);
+        submission->duplicate = NULL;
+        submission->in_flight++;
+        lmn_debug("job_submission_duplicate job=%s", submission->job_id);
+        lmn_kv_client_submit(core->kv_client, duplicate);
         return NULL;
     default:
         return NULL;
     }
 }
 
-/* Seconds until the oldest without a reply is due; the lock is held. */
-static double until_due(struct timespec now)
+/** Seconds until the oldest submission without a response is due; infinite if there is
+ * none. The list's lock is held. */
+static double seconds_until_due(struct timespec now)
 {
-    for (GList *l = pendings.list.head; l; l = l->next) {
-        const struct lmn_pending_submission *pending = l->data;
-        if (pending->call)
-            return MAX(LMN_PENDING_LOOK_S - lmn_time_diff_s(now, pending->since),
-                       LOOK_EVERY_S);
+    for (GList *link = pending.submissions.head; link; link = link->next) {
+        const struct lmn_pending_submission *submission = link->data;
+        if (submission->request)
+            return MAX(LMN_PENDING_CHECK_DELAY_S -
+                           lmn_time_diff_s(now, submission->submitted_at),
+                       CHECK_INTERVAL_S);
     }
     return INFINITY;
 }
 
-/* Waits until one may be due, and looks at all. */
-static void look_at_all(struct lmn_core *core)
+/** Waits until a submission may be due. The list's lock is held. */
+static void wait_until_due(void)
 {
-    struct due {
-        struct lmn_http_request *call;
-        char ref[LMN_JOB_ID_SIZE];
-    };
-    GArray *due = g_array_new(FALSE, FALSE, sizeof(struct due));
+    double wait_s = seconds_until_due(lmn_now());
+
+    if (isinf(wait_s))
+        pthread_cond_wait(&pending.added, &pending.lock);
+    else
+        lmn_cond_wait_for(&pending.added, &pending.lock, wait_s);
+}
+
+/** A request whose job's state is to be confirmed. */
+struct due_request {
+    struct lmn_http_request *request;
+    char job_id[LMN_JOB_ID_SIZE];
+};
+
+/** Waits until a submission may be due, and checks all. */
+static void check_all(struct lmn_core *core)
+{
+    g_autoptr(GArray) due = g_array_new(FALSE, FALSE, sizeof(struct due_request));
     const struct lmn_request_decision confirm = {.step = LMN_STEP_CONFIRM,
                                                  .absent_status = 503};
 
-    pthread_mutex_lock(&pendings.lock);
-    double wait = until_due(lmn_now());
-    if (isinf(wait))
-        pthread_cond_wait(&pendings.more, &pendings.lock);
-    else
-        lmn_cond_wait_for(&pendings.more, &pendings.lock, wait);
-    for (GList *l = pendings.list.head; l; l = l->next) {
-        struct lmn_pending_submission *pending = l->data;
-        struct due d = {.call = pending->call ? look(core, pending, lmn_now()) : NULL};
-        g_strlcpy(d.ref, pending->ref, sizeof d.ref);
-        if (d.call)
-            g_array_append_val(due, d);
+    pthread_mutex_lock(&pending.lock);
+    wait_until_due();
+    for (GList *link = pending.submissions.head; link; link = link->next) {
+        struct lmn_pending_submission *submission = link->data;
+        struct due_request entry = {
+            .request = submission->request ? check(core, submission, lmn_now()) : NULL};
+        g_strlcpy(entry.job_id, submission->job_id, sizeof entry.job_id);
+        if (entry.request)
+            g_array_append_val(due, entry);
     }
-    pthread_mutex_unlock(&pendings.lock);
+    pthread_mutex_unlock(&pending.lock);
     for (guint i = 0; i < due->len; i++) {
-        const struct due *d = &g_array_index(due, struct due, i);
-        pendings.reply(d->call, d->ref, &confirm);
+        const struct due_request *entry = &g_array_index(due, struct due_request, i);
+        pending.respond(entry->request, entry->job_id, &confirm);
     }
-    g_array_unref(due);
 }
 
-static void *pending_thread(void *arg)
+static void *pending_submission_thread(void *arg)
 {
     for (;;)
-        look_at_all(arg);
+        check_all(arg);
     return NULL;
 }
 
-void lmn_pending_submission_start(struct lmn_core *core, lmn_submission_responder *reply)
+void lmn_pending_submission_start(struct lmn_core *core,
+                                  lmn_submission_responder *respond)
 {
-    lmn_cond_init(&pendings.more);
-    pendings.reply = reply;
-    lmn_thread(pending_thread, core);
+    lmn_cond_init(&pending.added);
+    pending.respond = respond;
+    lmn_thread(pending_submission_thread, core);
 }
--- a/src/controller/read_batch.c
+++ b/src/controller/read_batch.c
@@ -1,3 +1,5 @@
+/** @file
+ * The batch of requests that wait for a confirmation. */
 #include "controller/read_batch.h"
 #include "util/clock.h"
 
@@ -34,52 +36,67 @@
             g_hash_table_insert(batch->jobs, read->job_id, read);
         return;
     }
-    /* The next is the latest: nobody needs them in their order. */
+    /* Second in the list: they are all answered together, so their order is of no use. */
     read->next_same_job = first->next_same_job;
     first->next_same_job = read;
 }
 
-/* Splits the list: who still listens is returned, the others go before *late. */
-static struct lmn_read_request *listening(struct lmn_read_request *read,
-                                          struct lmn_read_request **late,
-                                          struct timespec now)
+static bool has_timed_out(const struct lmn_read_request *read, struct timespec now)
 {
-    struct lmn_read_request *still = NULL, *next;
+    return lmn_time_diff_s(now, read->received_at) > LMN_READ_REQUEST_TIMEOUT_S;
+}
+
+/** Moves the requests of the list that have timed out to the front of *late.
+ * @return the others */
+static struct lmn_read_request *remove_late(struct lmn_read_request *list,
+                                            struct lmn_read_request **late,
+                                            struct timespec now)
+{
+    struct lmn_read_request *in_time = NULL;
 
-    for (; read; read = next) {
-        struct lmn_read_request **to =
-            lmn_time_diff_s(now, read->received_at) > LMN_QUERY_PATIENCE_S ? late
-                                                                           : &still;
+    for (struct lmn_read_request *read = list, *next; read; read = next) {
+        struct lmn_read_request **target = has_timed_out(read, now) ? late : &in_time;
         next = read->next_same_job;
-        read->next_same_job = *to;
-        *to = read;
+        read->next_same_job = *target;
+        *target = read;
     }
-    return still;
+    return in_time;
+}
+
+static guint count_requests(const struct lmn_read_request *list)
+{
+    guint count = 0;
+
+    for (; list; list = list->next_same_job)
+        count++;
+    return count;
 }
 
 guint lmn_read_batch_take(struct lmn_read_batch *batch, struct lmn_read_request **jobs,
-                          guint most, struct lmn_read_request **cancel,
+                          guint max_jobs, struct lmn_read_request **cancel,
                           struct lmn_read_request **late, struct timespec now)
 {
-    guint n = 0;
+    guint job_count = 0;
 
     *cancel = *late = NULL;
-    for (GList *l = batch->order.head, *next; l && n < most; l = next) {
-        struct lmn_read_request *a = l->data;
-        next = l->next;
-        if (a->kind == LMN_READ_CANCEL) {
+    for (GList *link = batch->order.head, *next; link && job_count < max_jobs;
+         link = next) {
+        struct lmn_read_request *read = link->data;
+        next = link->next;
+        if (read->kind == LMN_READ_CANCEL) {
+            /* A second one waits for its turn: cancellations are carried out singly. */
             if (*cancel)
                 continue;
-            *cancel = a;
+            *cancel = read;
             batch->waiting--;
         } else {
-            g_hash_table_remove(batch->jobs, a->job_id);
-            for (const struct lmn_read_request *x = a; x; x = x->next_same_job)
-                batch->waiting--;
-            if ((a = listening(a, late, now)))
-                jobs[n++] = a;
+            g_hash_table_remove(batch->jobs, read->job_id);
+            batch->waiting -= count_requests(read);
+            struct lmn_read_request *in_time = remove_late(read, late, now);
+            if (in_time)
+                jobs[job_count++] = in_time;
         }
-        g_queue_delete_link(&batch->order, l);
+        g_queue_delete_link(&batch->order, link);
     }
-    return n;
+    return job_count;
 }
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -50,7 +50,7 @@
     return reply->running || reply->done ? WIRE_RUNNING : WIRE_QUEUED;
 }
 
-GByteArray *lmn_job_reply_body(const struct lmn_job_reply *reply, const char *ref)
+GByteArray *lmn_job_reply_body(const struct lmn_job_reply *reply, const char *job_id)
 {
     GByteArray *buffer;
 
@@ -63,7 +63,7 @@
         return buffer;
     }
     lmn_cbor_put_map(buffer, reply->status == 201 ? 2 : 4);
-    lmn_cbor_put_text(buffer, WIRE_JOB_ID), lmn_cbor_put_text(buffer, ref);
+    lmn_cbor_put_text(buffer, WIRE_JOB_ID), lmn_cbor_put_text(buffer, job_id);
     lmn_cbor_put_text(buffer, WIRE_STATE), lmn_cbor_put_text(buffer, state_word(reply));
     if (reply->status == 201)
         return buffer;
@@ -92,14 +92,14 @@
         *running = 0;
 }
 
-void lmn_job_view_take(const struct lmn_core *core, const char *ref,
+void lmn_job_view_take(const struct lmn_core *core, const char *job_id,
                        struct lmn_job_view *view)
 {
-    const struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, ref);
+    const struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, job_id);
     uint32_t done, running;
 
     memset(view, 0, sizeof *view);
-    g_strlcpy(view->job_id, ref, sizeof view->job_id);
+    g_strlcpy(view->job_id, job_id, sizeof view->job_id);
     if (!job)
         return;
     tally(job, &done, &running);
@@ -112,9 +112,9 @@
     return view->revision && view->reply.phase != LMN_JOB_ACTIVE;
 }
 
-static void job_key(char *key, size_t len, const char *ref)
+static void job_key(char *key, size_t len, const char *job_id)
 {
-    g_snprintf(key, len, "j/%s", ref);
+    g_snprintf(key, len, "j/%s", job_id);
 }
 
 struct lmn_txn *lmn_confirmation_txn(const struct lmn_job_view *view, guint n)
@@ -181,27 +181,27 @@
 }
 
 /* Whether nothing has to be asked: the id can't be one, or its job has ended. */
-static bool is_known_now(struct lmn_core *core, const char *ref,
+static bool is_known_now(struct lmn_core *core, const char *job_id,
                          struct lmn_job_reply *reply)
 {
     struct lmn_job_view v;
 
-    if (!lmn_job_id_is_valid(ref)) {
+    if (!lmn_job_id_is_valid(job_id)) {
         *reply = plain(404, 0);
         return true;
     }
     core->counters.status_requests++;
-    lmn_job_view_take(core, ref, &v);
+    lmn_job_view_take(core, job_id, &v);
     *reply = v.reply;
     return is_final(&v);
 }
 
-struct lmn_request_decision lmn_decide_status(struct lmn_core *core, const char *ref,
+struct lmn_request_decision lmn_decide_status(struct lmn_core *core, const char *job_id,
                                               struct timespec now)
 {
     struct lmn_job_reply reply;
 
-    if (is_known_now(core, ref, &reply))
+    if (is_known_now(core, job_id, &reply))
         return reply_now(reply);
     if (lmn_load_should_shed(&core->load, LMN_SHED_POLL, core->random))
         return reply_now(
@@ -211,11 +211,11 @@
     return next_step(LMN_STEP_CONFIRM, 404);
 }
 
-struct lmn_request_decision lmn_decide_cancel(struct lmn_core *core, const char *ref)
+struct lmn_request_decision lmn_decide_cancel(struct lmn_core *core, const char *job_id)
 {
     struct lmn_job_reply reply;
 
-    if (is_known_now(core, ref, &reply))
+    if (is_known_now(core, job_id, &reply))
         return reply_now(reply);
     return next_step(LMN_STEP_CANCEL, 404);
 }
@@ -290,16 +290,16 @@
 static const double RESEND_S = 0.3;
 
 enum lmn_pending_submission_step
-lmn_decide_pending_submission(const struct lmn_core *core, const char *ref,
+lmn_decide_pending_submission(const struct lmn_core *core, const char *job_id,
                               struct timespec since, bool resent, struct timespec now)
 {
     double waited = lmn_time_diff_s(now, since);
 
-    if (waited < LMN_PENDING_LOOK_S)
+    if (waited < LMN_PENDING_CHECK_DELAY_S)
         return LMN_PENDING_WAIT;
     /* Not answered from the mirror: the job may have been cancelled since, and another
      * node may have said so. */
-    if (g_hash_table_contains(core->cache.jobs, ref))
+    if (g_hash_table_contains(core->cache.jobs, job_id))
         return LMN_PENDING_CONFIRM;
     return waited >= RESEND_S && !resent ? LMN_PENDING_RESEND : LMN_PENDING_WAIT;
 }
@@ -340,7 +340,7 @@
 }
 
 struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *core,
-                                                const char *ref,
+                                                const char *job_id,
                                                 const struct lmn_job_reading *reading,
                                                 int absent_status)
 {
@@ -353,13 +353,13 @@
     if (reading->phase != LMN_JOB_ACTIVE)
         return ended(reading);
     /* The mirror's counts will do for an active job; and it may have moved on. */
-    lmn_job_view_take(core, ref, &latest);
+    lmn_job_view_take(core, job_id, &latest);
     if (latest.revision > reading->revision)
         return latest.reply;
     return job_state(LMN_JOB_ACTIVE, latest.reply.done, latest.reply.running);
 }
 
-struct lmn_txn *lmn_cancellation_txn(const char *ref,
+struct lmn_txn *lmn_cancellation_txn(const char *job_id,
                                      const struct lmn_job_reading *reading,
                                      int absent_status, struct lmn_job_reply *reply)
 {
@@ -375,7 +375,7 @@
     if (reading->status != 200 || reading->phase != LMN_JOB_ACTIVE)
         return NULL;
     txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
-    job_key(key, sizeof key, ref);
+    job_key(key, sizeof key, job_id);
     lmn_txn_require_version(txn, key, reading->revision);
     lmn_txn_put(txn, key,
                 lmn_job_record(&reading->spec, LMN_JOB_CANCELLED, reading->open_ranges,
--- a/src/controller/request_decisions.h
+++ b/src/controller/request_decisions.h
@@ -38,9 +38,9 @@
 
 /* --- first decisions, when a request has arrived --- */
 
-struct lmn_request_decision lmn_decide_status(struct lmn_core *core, const char *ref,
+struct lmn_request_decision lmn_decide_status(struct lmn_core *core, const char *job_id,
                                               struct timespec now);
-struct lmn_request_decision lmn_decide_cancel(struct lmn_core *core, const char *ref);
+struct lmn_request_decision lmn_decide_cancel(struct lmn_core *core, const char *job_id);
 struct lmn_request_decision lmn_decide_submission(struct lmn_core *core,
                                                   const struct lmn_submission *submission,
                                                   struct timespec now);
@@ -55,11 +55,11 @@
 };
 
 /* Seconds without an answer after which a submission is looked at. */
-#define LMN_PENDING_LOOK_S 0.05
+#define LMN_PENDING_CHECK_DELAY_S 0.05
 
 /* resent: it was sent twice already. */
 enum lmn_pending_submission_step
-lmn_decide_pending_submission(const struct lmn_core *core, const char *ref,
+lmn_decide_pending_submission(const struct lmn_core *core, const char *job_id,
                               struct timespec since, bool resent, struct timespec now);
 
 /* --- confirmations --- */
@@ -77,7 +77,7 @@
     LMN_CONFIRMED_NOTHING,  /* nobody knows */
 };
 
-void lmn_job_view_take(const struct lmn_core *core, const char *ref,
+void lmn_job_view_take(const struct lmn_core *core, const char *job_id,
                        struct lmn_job_view *view);
 /* The transaction that confirms the views: conditions alone. */
 struct lmn_txn *lmn_confirmation_txn(const struct lmn_job_view *view, guint n);
@@ -109,13 +109,13 @@
                            const guint8 *body, size_t len);
 void lmn_job_reading_clear(struct lmn_job_reading *reading);
 struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *core,
-                                                const char *ref,
+                                                const char *job_id,
                                                 const struct lmn_job_reading *reading,
                                                 int absent_status);
 
 /* The transaction that cancels an active job, conditional on the revision that was read;
  * NULL: there is nothing to cancel, and *reply is the answer. */
-struct lmn_txn *lmn_cancellation_txn(const char *ref,
+struct lmn_txn *lmn_cancellation_txn(const char *job_id,
                                      const struct lmn_job_reading *reading,
                                      int absent_status, struct lmn_job_reply *reply);
 /* Whether *reply is the answer now; else the job has changed, and is read again. */
@@ -128,6 +128,6 @@
 /* --- on the wire --- */
 
 /* The reply's body; NULL: none. */
-GByteArray *lmn_job_reply_body(const struct lmn_job_reply *reply, const char *ref);
+GByteArray *lmn_job_reply_body(const struct lmn_job_reply *reply, const char *job_id);
 
 #endif
--- a/tests/test_read_batch.c
+++ b/tests/test_read_batch.c
@@ -57,7 +57,7 @@
             assert_true(n <= G_N_ELEMENTS(v));
             for (struct lmn_read_request *read = late; read; read = read->next_same_job)
                 assert_true(lmn_time_diff_s(now, read->received_at) >
-                            LMN_QUERY_PATIENCE_S);
+                            LMN_READ_REQUEST_TIMEOUT_S);
             /* What the state service holds up is over with it. */
             assert_true(tick % 400 > 350 || tick % 400 < 20 || !late);
             told += done(late);
@@ -68,7 +68,7 @@
                 for (struct lmn_read_request *read = v[i]; read;
                      read = read->next_same_job, who++) {
                     assert_true(lmn_time_diff_s(now, read->received_at) <=
-                                LMN_QUERY_PATIENCE_S);
+                                LMN_READ_REQUEST_TIMEOUT_S);
                     assert_string_equal(read->job_id, v[i]->job_id);
                 }
                 shared += who > 1;
