--- a/src/controller/deferred_responses.c
+++ b/src/controller/deferred_responses.c
@@ -1,7 +1,7 @@
 /** @file
  * Heartbeat responses that wait for their standby's acknowledgement. */
 #include "controller/deferred_responses.h"
-#include "replication/stream.h"
+#include "replication/start_gate.h"
 
 enum { STATUS_OK = 200, STATUS_UNAVAILABLE = 503 };
 
