--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -1,136 +1,171 @@
+/** @file
+ * Fair-share floors and starvation; see fair_share.h. The core's lock is held. */
 #include "scheduler/fair_share.h"
 
-/* Of an even part. */
-static const double PART = 0.25;
-/* The largest jobs, too, have to begin within four minutes; a machine may have to run
- * empty for that. */
-static const double AGED_S = 60;
-/* Work that is bought elsewhere costs so many times its worth; what runs no longer than
- * so fills a gap on a machine that stays for others. */
-static const double LEFT = 2, GAP_S = 30;
+/** A subject's floor, as a fraction of an even part of the processors in use. */
+static const double FLOOR_FRACTION = 0.25;
+/** Seconds after which a job of which nothing has started is starving. The largest jobs,
+ * too, should begin within four minutes; a machine may have to run empty for that. */
+static const double STARVING_AFTER_S = 60;
+/** What work costs that is left and has to be bought elsewhere, as a multiple of its
+ * worth. */
+static const double LEFT_WORK_COST = 2;
+/** Seconds that a task may run to fill a gap on an ordinary machine that stays for other
+ * work anyway. */
+static const double GAP_S = 30;
+
+bool lmn_is_under_fair_share(const struct lmn_fair_share *share, double all_used_cpus,
+                             unsigned waiting_subjects)
+{
+    return waiting_subjects > 1 && share->waiting_cpus > 0 &&
+           share->used_cpus < FLOOR_FRACTION * all_used_cpus / waiting_subjects;
+}
 
-bool lmn_is_under_fair_share(const struct lmn_fair_share *share, double all_used,
-                             unsigned kinds)
+/** Calls the function for each range of each partition that this controller owns. */
+static void foreach_owned_range(const struct lmn_core *core,
+                                void (*visit)(const struct lmn_range *range, void *data),
+                                void *data)
 {
-    return kinds > 1 && share->waiting_cpus > 0 &&
-           share->used_cpus < PART * all_used / kinds;
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
+        GHashTableIter it;
+        gpointer value;
+        if (!partition->ownership.is_owned)
+            continue;
+        g_hash_table_iter_init(&it, partition->ranges);
+        while (g_hash_table_iter_next(&it, NULL, &value))
+            visit(value, data);
+    }
 }
 
-static struct lmn_fair_share *find(GArray *v, const void *of)
+/** Whether the range's tasks may wait or run here. */
+static bool is_open(const struct lmn_range *range)
 {
-    struct lmn_fair_share new = {.subject = of};
+    return range->job->phase == LMN_JOB_ACTIVE && range->task_states;
+}
 
-    for (guint i = 0; i < v->len; i++) {
-        struct lmn_fair_share *share = &g_array_index(v, struct lmn_fair_share, i);
-        if (share->subject == of)
+/** The subject's entry; NULL: it has none. */
+static struct lmn_fair_share *find_share(const GArray *shares, const void *subject)
+{
+    for (guint i = 0; i < shares->len; i++) {
+        struct lmn_fair_share *share = &g_array_index(shares, struct lmn_fair_share, i);
+        if (share->subject == subject)
             return share;
     }
-    g_array_append_val(v, new);
-    return &g_array_index(v, struct lmn_fair_share, v->len - 1);
+    return NULL;
 }
 
-static void count(struct lmn_fair_share *share, const struct lmn_range *range)
+/** Adds what the range uses and waits for to the subject's entry, which is made if it is
+ * missing. */
+static void count_range(GArray *shares, const void *subject,
+                        const struct lmn_range *range)
 {
-    uint32_t waiting =
-        range->end - range->first -
-        MIN(range->finished_count + range->started_count, range->end - range->first);
-
-    /* Of one that fails wherever it starts, nothing can. */
+    struct lmn_fair_share *share = find_share(shares, subject);
+    uint32_t tasks = range->end - range->first;
+    uint32_t waiting = tasks - MIN(range->finished_count + range->started_count, tasks);
+
+    if (!share) {
+        struct lmn_fair_share new_share = {.subject = subject};
+        g_array_append_val(shares, new_share);
+        share = &g_array_index(shares, struct lmn_fair_share, shares->len - 1);
+    }
+    /* A faulty job's tasks fail wherever they start: capacity would not help them. */
     if (lmn_job_is_faulty(&range->job->failures))
         waiting = 0;
     share->used_cpus += range->started_count * range->job->spec.cpus;
     share->waiting_cpus += waiting * range->job->spec.cpus;
 }
 
-static void add_up(const struct lmn_core *core, GArray *classes, GArray *teams)
+/** The shares of classes and teams, while they are counted or applied. */
+struct share_tables {
+    const struct lmn_core *core;
+    GArray *classes; /**< struct lmn_fair_share */
+    GArray *teams;   /**< struct lmn_fair_share */
+};
+
+static const void *team_of(const struct share_tables *tables, const struct lmn_job *job)
 {
-    for (int i = 0; i < core->partition_count; i++) {
-        const struct lmn_partition *partition = &core->partitions[i];
-        GHashTableIter it;
-        gpointer v;
-        if (!partition->ownership.is_owned)
-            continue;
-        g_hash_table_iter_init(&it, partition->ranges);
-        while (g_hash_table_iter_next(&it, NULL, &v)) {
-            const struct lmn_range *range = v;
-            if (range->job->phase != LMN_JOB_ACTIVE || !range->task_states)
-                continue;
-            if (classes)
-                count(find(classes, range->job->class_name), range);
-            if (teams && range->job->team >= 0)
-                count(find(teams, &core->settings->teams[range->job->team]), range);
-        }
-    }
+    return &tables->core->settings->teams[job->team];
+}
+
+static void count_by_class(const struct lmn_range *range, void *data)
+{
+    struct share_tables *tables = data;
+
+    if (is_open(range))
+        count_range(tables->classes, range->job->class_name, range);
+}
+
+static void count_by_class_and_team(const struct lmn_range *range, void *data)
+{
+    struct share_tables *tables = data;
+
+    count_by_class(range, data);
+    if (is_open(range) && range->job->team >= 0)
+        count_range(tables->teams, team_of(tables, range->job), range);
 }
 
 GArray *lmn_fair_share_by_class(const struct lmn_core *core)
 {
     GArray *classes = g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share));
 
-    add_up(core, classes, NULL);
+    foreach_owned_range(core, count_by_class,
+                        &(struct share_tables){core, classes, NULL});
     return classes;
 }
 
-unsigned lmn_fair_share_sum(const GArray *v, double *used)
+unsigned lmn_fair_share_sum(const GArray *shares, double *used_cpus)
 {
-    unsigned kinds = 0;
-
-    *used = 0;
-    for (guint i = 0; i < v->len; i++) {
-        const struct lmn_fair_share *share = &g_array_index(v, struct lmn_fair_share, i);
-        *used += share->used_cpus;
-        kinds += share->waiting_cpus > 0;
+    unsigned waiting_subjects = 0;
+
+    *used_cpus = 0;
+    for (guint i = 0; i < shares->len; i++) {
+        const struct lmn_fair_share *share =
+            &g_array_index(shares, struct lmn_fair_share, i);
+        *used_cpus += share->used_cpus;
+        waiting_subjects += share->waiting_cpus > 0;
     }
-    return kinds;
+    return waiting_subjects;
 }
 
-/* Keeps those that are owed; returns whether there are any. */
-static bool keep_owed(GArray *v)
+/** Removes the subjects that are not under their floor. Returns whether any is left. */
+static bool keep_underserved(GArray *shares)
 {
-    double used;
-    unsigned kinds = lmn_fair_share_sum(v, &used);
-
-    for (guint i = v->len; i-- > 0;)
-        if (!lmn_is_under_fair_share(&g_array_index(v, struct lmn_fair_share, i), used,
-                                     kinds))
-            g_array_remove_index_fast(v, i);
-    return v->len > 0;
+    double used_cpus;
+    unsigned waiting_subjects = lmn_fair_share_sum(shares, &used_cpus);
+
+    for (guint i = shares->len; i-- > 0;)
+        if (!lmn_is_under_fair_share(&g_array_index(shares, struct lmn_fair_share, i),
+                                     used_cpus, waiting_subjects))
+            g_array_remove_index_fast(shares, i);
+    return shares->len > 0;
 }
 
-static bool among(const GArray *v, const void *of)
+static void mark_underserved(const struct lmn_range *range, void *data)
 {
-    for (guint i = 0; i < v->len; i++)
-        if (g_array_index(v, struct lmn_fair_share, i).subject == of)
-            return true;
-    return false;
+    const struct share_tables *tables = data;
+    struct lmn_job *job = range->job;
+
+    job->is_under_fair_share =
+        find_share(tables->classes, job->class_name) ||
+        (job->team >= 0 && find_share(tables->teams, team_of(tables, job)));
 }
 
 void lmn_update_fair_shares(struct lmn_core *core)
 {
-    GArray *classes = g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share));
-    GArray *teams = g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share));
-
-    add_up(core, classes, teams);
-    bool any = keep_owed(classes);
-    any = keep_owed(teams) || any;
-    for (int i = 0;
-         i < core->partition_count && (any || core->scheduling.has_underserved_share);
-         i++) {
-        GHashTableIter it;
-        gpointer v;
-        if (!core->partitions[i].ownership.is_owned)
-            continue;
-        g_hash_table_iter_init(&it, core->partitions[i].ranges);
-        while (g_hash_table_iter_next(&it, NULL, &v)) {
-            struct lmn_job *job = ((struct lmn_range *)v)->job;
-            job->is_under_fair_share =
-                among(classes, job->class_name) ||
-                (job->team >= 0 && among(teams, &core->settings->teams[job->team]));
-        }
-    }
-    core->scheduling.has_underserved_share = any;
-    g_array_free(classes, TRUE);
-    g_array_free(teams, TRUE);
+    struct share_tables tables = {
+        core, g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share)),
+        g_array_new(FALSE, FALSE, sizeof(struct lmn_fair_share))};
+
+    foreach_owned_range(core, count_by_class_and_team, &tables);
+    bool has_underserved_class = keep_underserved(tables.classes);
+    bool has_underserved = keep_underserved(tables.teams) || has_underserved_class;
+    /* If there was one at the last time, its jobs' marks have to be taken back. */
+    if (has_underserved || core->scheduling.has_underserved_share)
+        foreach_owned_range(core, mark_underserved, &tables);
+    core->scheduling.has_underserved_share = has_underserved;
+    g_array_free(tables.classes, TRUE);
+    g_array_free(tables.teams, TRUE);
 }
 
 bool lmn_is_spot_only(const struct lmn_settings *settings,
@@ -139,16 +174,17 @@
 {
     return spec->priority == LMN_PRIORITY_IDLE && spec->may_use_spot &&
            spec->kind == LMN_JOB_BATCH && spec->estimate_s > GAP_S &&
-           type->rate > LEFT * type->spot_rate &&
+           type->rate > LEFT_WORK_COST * type->spot_rate &&
            !lmn_job_spec_has_objective(settings, spec);
 }
 
-/* Where no cheap machine could hold it, any will do. */
-static bool cheap_here(const struct lmn_partition *partition,
-                       const struct lmn_job_spec *spec)
+/** Whether the partition has a spot instance that could run the job; where it has none,
+ * any machine will do. */
+static bool has_spot_for(const struct lmn_partition *partition,
+                         const struct lmn_job_spec *spec)
 {
-    for (guint k = 0; k < partition->machine_list->len; k++) {
-        const struct lmn_machine *machine = partition->machine_list->pdata[k];
+    for (guint i = 0; i < partition->machine_list->len; i++) {
+        const struct lmn_machine *machine = partition->machine_list->pdata[i];
         if (machine->is_spot && machine->type && machine->lifecycle.is_accounted &&
             !machine->lifecycle.is_terminated && !machine->agent.lease_expired &&
             lmn_job_spec_allows(spec, machine->type, machine->zone, true))
@@ -157,25 +193,21 @@
     return false;
 }
 
-void lmn_update_starvation(struct lmn_core *core, double wall)
+static void update_range_starvation(const struct lmn_range *range, void *data)
 {
-    for (int i = 0; i < core->partition_count; i++) {
-        struct lmn_partition *partition = &core->partitions[i];
-        GHashTableIter it;
-        gpointer v;
-        if (!partition->ownership.is_owned)
-            continue;
-        g_hash_table_iter_init(&it, partition->ranges);
-        while (g_hash_table_iter_next(&it, NULL, &v)) {
-            const struct lmn_range *range = v;
-            struct lmn_job *job = range->job;
-            if (job->phase != LMN_JOB_ACTIVE || !range->task_states)
-                continue;
-            job->is_starving = wall - job->accepted_at_s > AGED_S &&
-                               !range->started_count && !range->finished_count &&
-                               !lmn_job_is_faulty(&job->failures);
-            job->is_spot_only = job->spec.priority == LMN_PRIORITY_IDLE &&
-                                cheap_here(partition, &job->spec);
-        }
-    }
+    const double *wall_clock_s = data;
+    struct lmn_job *job = range->job;
+
+    if (!is_open(range))
+        return;
+    job->is_starving = *wall_clock_s - job->accepted_at_s > STARVING_AFTER_S &&
+                       !range->started_count && !range->finished_count &&
+                       !lmn_job_is_faulty(&job->failures);
+    job->is_spot_only = job->spec.priority == LMN_PRIORITY_IDLE &&
+                        has_spot_for(range->partition, &job->spec);
+}
+
+void lmn_update_starvation(struct lmn_core *core, double wall_clock_s)
+{
+    foreach_owned_range(core, update_range_starvation, &wall_clock_s);
 }
