--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -1,13 +1,15 @@
+/** @file
+ * The predicates for starting a task; see wait_reason.h. The core's lock is held. */
 #include "scheduler/wait_reason.h"
 #include "scheduler/fair_share.h"
 #include "scheduler/affinity.h"
 #include "scheduler/quota.h"
+#include "scheduler/resources.h"
 #include "replication/stream.h"
 #include "state/core.h"
 #include "state/task_ledger.h"
 
-#include <math.h>
-
+/** Texts of the reasons, as users and the status see them. */
 static const char *const names[LMN_WAIT_REASONS] = {
     [LMN_WAIT_NONE] = "nothing is in the way",
     [LMN_WAIT_TRANSFER] = "the partition is being handed over",
@@ -38,13 +40,13 @@
 
 bool lmn_machine_can_run(const struct lmn_machine *machine, const struct lmn_job *job)
 {
-    /* One that was told, and has not spoken yet, is dealt work too, which it starts once
-     * it has: dealt to the first few that speak, everything would stand in their queues.
-     */
-    bool known = machine->lifecycle.is_accounted ||
-                 (machine->partition->ownership.is_warm && machine->agent.incarnation);
+    /* A machine that is known by its replica, and has sent no heartbeat yet, is assigned
+     * work too, which it starts once it has: if work were assigned only to the first few
+     * machines that send one, everything would stand in their queues. */
+    bool is_known = machine->lifecycle.is_accounted ||
+                    (machine->partition->ownership.is_warm && machine->agent.incarnation);
 
-    return machine->type && known && machine->record.revision &&
+    return machine->type && is_known && machine->record.revision &&
            !machine->lifecycle.is_draining && !machine->lifecycle.has_spot_notice &&
            !machine->agent.lease_expired && !machine->lifecycle.is_terminated &&
            lmn_job_spec_allows(&job->spec, machine->type, machine->zone,
@@ -54,20 +56,10 @@
 uint32_t lmn_machine_task_capacity(const struct lmn_machine *machine,
                                    const struct lmn_job_spec *spec)
 {
-    const double slack = 1e-6;
-    double n = 1e6;
+    struct lmn_resources available = lmn_machine_free_resources(machine);
+    double count = lmn_resources_task_count(&available, spec);
 
-    if (spec->cpus > 0)
-        n = MIN(n,
-                floor((machine->type->cpus - machine->used.cpus) / spec->cpus + slack));
-    if (spec->gpus > 0)
-        n = MIN(n,
-                floor((machine->type->gpus - machine->used.gpus) / spec->gpus + slack));
-    if (spec->memory_gb > 0)
-        n = MIN(n, floor((machine->type->memory_gb - machine->used.memory_gb) /
-                             spec->memory_gb +
-                         slack));
-    return n > 0 ? (uint32_t)n : 0;
+    return count > 0 ? (uint32_t)count : 0;
 }
 
 bool lmn_job_within_quota(const struct lmn_core *core,
@@ -77,35 +69,38 @@
     if (job->team < 0)
         return false;
     const struct lmn_team *team = &core->settings->teams[job->team];
+    const struct lmn_quota_reservation *reservation =
+        &partition->quota.reservations[job->team];
     double cpus, gpus;
 
     lmn_quota_share(core, partition, job->team, &cpus, &gpus);
-    if (partition->quota.reservations[job->team].job != job) {
-        cpus -= partition->quota.reservations[job->team].cpus;
-        gpus -= partition->quota.reservations[job->team].gpus;
+    if (reservation->job != job) {
+        cpus -= reservation->cpus;
+        gpus -= reservation->gpus;
     }
-
-    /* A machine that is not accounted for may be full of this team's tasks. As counted at
-     * the last check: since then there are only fewer of them. */
+    /* A machine that is not accounted for may be full of this team's tasks. What may be
+     * there is as counted at the last check: since then it can only have become less. */
     if (!partition->ownership.is_ready && !partition->ownership.is_warm &&
-        (team->cpus_max > 0 || team->gpus_max > 0)) {
+        lmn_team_has_limit(team)) {
         if (partition->ownership.has_unaccounted_unknown)
             return false;
         cpus -= partition->ownership.unaccounted_cpus;
         gpus -= partition->ownership.unaccounted_gpus;
     }
-
-    if (team->cpus_max > 0 &&
-        partition->quota.used_cpus[job->team] + job->spec.cpus > cpus + 1e-6)
+    if (team->cpus_max > 0 && partition->quota.used_cpus[job->team] + job->spec.cpus >
+                                  cpus + LMN_RESOURCE_EPSILON)
         return false;
     return !(team->gpus_max > 0 &&
-             partition->quota.used_gpus[job->team] + job->spec.gpus > gpus + 1e-6);
+             partition->quota.used_gpus[job->team] + job->spec.gpus >
+                 gpus + LMN_RESOURCE_EPSILON);
 }
 
-/* Long idle work that found gaps on ordinary machines kept them rented for minutes after
- * everything else was done, and from work that may run nowhere else. */
-static bool too_dear(const struct lmn_core *core, const struct lmn_machine *machine,
-                     const struct lmn_job *job)
+/** Whether the machine is an ordinary one that the job, which is left to spot instances,
+ * should keep off. Long idle tasks in gaps on ordinary machines would keep those rented
+ * for minutes after everything else is done, and take them from work that may run nowhere
+ * else. */
+static bool is_left_to_spot(const struct lmn_core *core,
+                            const struct lmn_machine *machine, const struct lmn_job *job)
 {
     return job->is_spot_only && !machine->is_spot && !job->is_starving &&
            lmn_is_spot_only(core->settings, &job->spec, machine->type);
@@ -126,7 +121,7 @@
         return LMN_WAIT_SPOT_NOTICE;
     if (!machine->type)
         return LMN_WAIT_UNKNOWN_TYPE;
-    /* Nobody acknowledges starts now: they would only be taken back. */
+    /* Starts that nobody acknowledges would only be taken back. */
     if (lmn_replication_is_stuck(machine->partition, now))
         return LMN_WAIT_REPLICATION;
     return lmn_time_before(now, machine->failures.quarantined_until)
@@ -147,7 +142,7 @@
         return LMN_WAIT_PREEMPTION_RESERVED;
     if (machine->reservation.job && machine->reservation.job != job)
         return LMN_WAIT_BACKFILL_RESERVED;
-    if (too_dear(core, machine, job))
+    if (is_left_to_spot(core, machine, job))
         return LMN_WAIT_SPOT_ONLY;
     if (lmn_time_before(now, job->failures.backoff_until))
         return LMN_WAIT_JOB_BACKOFF;
