--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -1,32 +1,36 @@
+/** @file
+ * Backfill reservations; see reservation.h. The core's lock is held. */
 #include "scheduler/reservation.h"
 #include "util/log.h"
-#include "scheduler/queue.h"
+#include "scheduler/resources.h"
+#include "scheduler/wait_reason.h"
 #include "state/task_ledger.h"
 
 #include <string.h>
 
-/* How long room is kept for a job before another place is looked for; what is kept for
- * another partition is asked for again within 8 s (controller/rpc_server.c). */
-static const double KEPT_S = 60, ASKED_S = 12;
-/* Of a partition's machines, so many run empty at a time: one in twenty, and one at
- * least.
+/** Seconds for which capacity is reserved for a job before another place is looked for.
  */
-enum { KEPT_OF = 20 };
-/* Nothing is kept before the job has waited for so long: an aged one goes first wherever
- * it fits. Kept from 60 s on, and for tasks of any size, machines ran empty a hundred
- * times on a day with more work than room. */
-static const double WAITED_S = 120;
-
-static void let_go(struct lmn_machine *machine)
+static const double JOB_RESERVATION_S = 60;
+/** Seconds for which quota is reserved for another partition, which asks again within 8 s
+ * (controller/rpc_server.c). */
+static const double PARTITION_RESERVATION_S = 12;
+/** One machine of so many in a partition is reserved at a time, and one at least. */
+enum { MACHINES_PER_RESERVATION = 20 };
+/** Seconds that a job has waited before anything is reserved for it: a starving job goes
+ * first wherever it fits. With reservations from 60 s on, and for tasks of any size,
+ * machines ran empty a hundred times on a day with more work than capacity. */
+static const double RESERVE_AFTER_S = 120;
+
+static void release_machine(struct lmn_machine *machine)
 {
     machine->reservation.job = NULL;
     lmn_machine_wake(machine);
 }
 
-static void keep(struct lmn_quota_reservation *reservation, const struct lmn_job *job,
-                 double cpus, double gpus, struct timespec until)
+static bool is_current(const struct lmn_quota_reservation *reservation,
+                       struct timespec now)
 {
-    *reservation = (struct lmn_quota_reservation){job, cpus, gpus, until};
+    return reservation->job && lmn_time_before(now, reservation->until);
 }
 
 void lmn_reserve_quota(struct lmn_partition *partition, int team, double cpus,
@@ -34,14 +38,24 @@
 {
     struct lmn_quota_reservation *reservation = &partition->quota.reservations[team];
 
-    /* Our own that waits comes first. */
-    if (!reservation->job || !lmn_time_before(now, reservation->until))
-        keep(reservation, NULL, cpus, gpus, lmn_time_add(now, ASKED_S));
+    /* A job of our own that waits comes first. */
+    if (!is_current(reservation, now))
+        *reservation = (struct lmn_quota_reservation){
+            NULL, cpus, gpus, lmn_time_add(now, PARTITION_RESERVATION_S)};
+}
+
+/** Whether the machine as a whole is large enough for a task of the job. */
+static bool is_large_enough(const struct lmn_machine *machine,
+                            const struct lmn_job_spec *spec)
+{
+    return !(machine->type->cpus < spec->cpus || machine->type->gpus < spec->gpus ||
+             machine->type->memory_gb < spec->memory_gb);
 }
 
-/* The machine that could hold the job's task and has most of the room free already. */
-static struct lmn_machine *place(const struct lmn_partition *partition,
-                                 const struct lmn_job *job)
+/** The machine that could run the job's task once it is empty, and has the most
+ * processors free already; NULL: none. */
+static struct lmn_machine *find_machine(const struct lmn_partition *partition,
+                                        const struct lmn_job *job)
 {
     struct lmn_machine *best = NULL;
 
@@ -49,44 +63,51 @@
         struct lmn_machine *machine = partition->machine_list->pdata[i];
         if (machine->reservation.job || machine->reservation.preemption_tasks ||
             machine->agent.ignored_commands || !lmn_machine_can_run(machine, job) ||
-            machine->type->cpus < job->spec.cpus ||
-            machine->type->gpus < job->spec.gpus ||
-            machine->type->memory_gb < job->spec.memory_gb)
+            !is_large_enough(machine, &job->spec))
             continue;
-        if (!best ||
-            machine->type->cpus - machine->used.cpus > best->type->cpus - best->used.cpus)
+        if (!best || lmn_machine_free_resources(machine).cpus >
+                         lmn_machine_free_resources(best).cpus)
             best = machine;
     }
     return best;
 }
 
-/* Moves one of the range's queued tasks to the machine's own queue, so that it is found
- * there as soon as it fits. */
-static void bring(struct lmn_partition *partition, const struct lmn_range *r,
-                  struct lmn_machine *machine)
+/** The queue that holds a segment of the range; NULL: none.
+ * @param[out] index first task of that segment */
+static struct lmn_queue *find_queue(struct lmn_partition *partition,
+                                    const struct lmn_range *range, uint32_t *index)
 {
-    struct lmn_queue *from = &partition->scheduling.unassigned;
-    uint32_t index = 0;
-    bool found = false;
-
-    for (guint k = 0; k <= partition->machine_list->len && !found; k++) {
-        from = k ? &((struct lmn_machine *)partition->machine_list->pdata[k - 1])->queue
-                 : &partition->scheduling.unassigned;
-        for (guint i = 0; i < from->segments->len && !found; i++) {
-            const struct lmn_queue_segment *segment = from->segments->pdata[i];
-            found = segment->range == r;
-            index = segment->first;
+    for (guint k = 0; k <= partition->machine_list->len; k++) {
+        struct lmn_queue *queue = &partition->scheduling.unassigned;
+        if (k > 0)
+            queue = &((struct lmn_machine *)partition->machine_list->pdata[k - 1])->queue;
+        for (guint i = 0; i < queue->segments->len; i++) {
+            const struct lmn_queue_segment *segment = queue->segments->pdata[i];
+            if (segment->range == range) {
+                *index = segment->first;
+                return queue;
+            }
         }
     }
-    if (!found || from == &machine->queue)
+    return NULL;
+}
+
+/** Moves one of the range's queued tasks to the machine's own queue, so that it is found
+ * there as soon as it fits. */
+static void move_task_to(struct lmn_machine *machine, struct lmn_range *range)
+{
+    uint32_t index = 0;
+    struct lmn_queue *from = find_queue(machine->partition, range, &index);
+
+    if (!from || from == &machine->queue)
         return;
-    struct lmn_range *range = g_hash_table_lookup(partition->ranges, r->key);
     lmn_queue_remove_task(from, range, index);
     lmn_queue_add(&machine->queue, range, index, index + 1);
 }
 
-/* Whether a task of the job waits in the partition. */
-static bool waits_here(const struct lmn_partition *partition, const struct lmn_job *job)
+/** Whether a task of the job waits in the partition. */
+static bool has_waiting_task(const struct lmn_partition *partition,
+                             const struct lmn_job *job)
 {
     for (guint i = 0; i < job->ranges->len; i++) {
         const struct lmn_range *range = job->ranges->pdata[i];
@@ -97,8 +118,8 @@
     return false;
 }
 
-/* Whether some machine could start it now, or one is kept for it. */
-static bool served(const struct lmn_partition *partition, const struct lmn_job *job)
+/** Whether some machine could start a task of the job now, or one is reserved for it. */
+static bool has_machine(const struct lmn_partition *partition, const struct lmn_job *job)
 {
     for (guint i = 0; i < partition->machine_list->len; i++) {
         const struct lmn_machine *machine = partition->machine_list->pdata[i];
@@ -111,74 +132,112 @@
     return false;
 }
 
-static void help(struct lmn_core *core, struct lmn_partition *partition,
-                 const struct lmn_range *range, guint *kept, struct timespec now)
+/** Reserves quota for a task of the job, unless it is reserved for another. What is more
+ * than the whole share has to come from other partitions (partition/quota_transfer.h). */
+static void reserve_quota_for_job(struct lmn_partition *partition,
+                                  const struct lmn_job *job, struct timespec now)
+{
+    struct lmn_quota_reservation *reservation = &partition->quota.reservations[job->team];
+
+    if (!is_current(reservation, now))
+        *reservation = (struct lmn_quota_reservation){
+            job, job->spec.cpus, job->spec.gpus, lmn_time_add(now, JOB_RESERVATION_S)};
+}
+
+/** Reserves what a task of the range lacks: quota, or else a machine.
+ * @param machines_left how many machines may still be reserved */
+static void reserve_for_range(struct lmn_core *core, struct lmn_range *range,
+                              guint *machines_left, struct timespec now)
 {
+    struct lmn_partition *partition = range->partition;
     struct lmn_job *job = range->job;
 
     if (!lmn_job_within_quota(core, partition, job)) {
-        struct lmn_quota_reservation *reservation =
-            &partition->quota.reservations[job->team];
-        /* What is more than all of the part has to come from others
-         * (partition/quota_transfer.c). */
-        if (!reservation->job || !lmn_time_before(now, reservation->until))
-            keep(reservation, job, job->spec.cpus, job->spec.gpus,
-                 lmn_time_add(now, KEPT_S));
+        reserve_quota_for_job(partition, job, now);
         return;
     }
-    if (*kept == 0 || served(partition, job))
+    if (*machines_left == 0 || has_machine(partition, job))
         return;
-    struct lmn_machine *machine = place(partition, job);
+    struct lmn_machine *machine = find_machine(partition, job);
     if (!machine)
         return;
-    --*kept;
+    --*machines_left;
     machine->reservation.job = job;
-    machine->reservation.until = lmn_time_add(now, KEPT_S);
+    machine->reservation.until = lmn_time_add(now, JOB_RESERVATION_S);
     lmn_info("machine_reserved machine=%s job=%s free=%.1f", machine->name, job->spec.id,
-             machine->type->cpus - machine->used.cpus);
-    bring(partition, range, machine);
+             lmn_machine_free_resources(machine).cpus);
+    move_task_to(machine, range);
 }
 
-void lmn_update_reservations(struct lmn_core *core, struct lmn_partition *partition,
-                             struct timespec now)
+/** Whether the machine's reservation is not needed any more. The job that waited in the
+ * partition may have moved to another one: then nothing could start on the machine. */
+static bool has_obsolete_reservation(const struct lmn_machine *machine,
+                                     struct timespec now)
 {
-    guint kept = MAX(partition->machine_list->len / KEPT_OF, 1);
-    GHashTableIter it;
-    gpointer v;
+    const struct lmn_job *job = machine->reservation.job;
+
+    return job && (!job->is_starving || !has_waiting_task(machine->partition, job) ||
+                   job->phase != LMN_JOB_ACTIVE ||
+                   !lmn_time_before(now, machine->reservation.until) ||
+                   !lmn_machine_can_run(machine, job));
+}
+
+/** Releases machines whose reservations are obsolete. Returns how many may be reserved
+ * beside those that still are. */
+static guint release_machines(struct lmn_partition *partition, struct timespec now)
+{
+    guint machines_left = MAX(partition->machine_list->len / MACHINES_PER_RESERVATION, 1);
 
-    if (!partition->ownership.is_owned)
-        return;
     for (guint i = 0; i < partition->machine_list->len; i++) {
         struct lmn_machine *machine = partition->machine_list->pdata[i];
-        /* A job that was waiting here may have moved on, and wait elsewhere: a machine
-         * was kept for it that nothing could start on. */
-        if (machine->reservation.job &&
-            (!machine->reservation.job->is_starving ||
-             !waits_here(partition, machine->reservation.job) ||
-             machine->reservation.job->phase != LMN_JOB_ACTIVE ||
-             !lmn_time_before(now, machine->reservation.until) ||
-             !lmn_machine_can_run(machine, machine->reservation.job)))
-            let_go(machine);
-        kept -= machine->reservation.job && kept;
+        if (has_obsolete_reservation(machine, now))
+            release_machine(machine);
+        if (machine->reservation.job && machines_left)
+            machines_left--;
     }
-    for (size_t t = 0; t < core->settings->team_count; t++) {
-        struct lmn_quota_reservation *reservation = &partition->quota.reservations[t];
+    return machines_left;
+}
+
+/** Releases quota whose reservations are over. */
+static void release_quotas(const struct lmn_core *core, struct lmn_partition *partition,
+                           struct timespec now)
+{
+    for (size_t team = 0; team < core->settings->team_count; team++) {
+        struct lmn_quota_reservation *reservation = &partition->quota.reservations[team];
+        const struct lmn_job *job = reservation->job;
         if (reservation->cpus + reservation->gpus > 0 &&
             (!lmn_time_before(now, reservation->until) ||
-             (reservation->job && (!reservation->job->is_starving ||
-                                   reservation->job->phase != LMN_JOB_ACTIVE))))
+             (job && (!job->is_starving || job->phase != LMN_JOB_ACTIVE))))
             memset(reservation, 0, sizeof *reservation);
     }
+}
+
+/** Whether something should be reserved for a task of the range if it lacks it. */
+static bool may_reserve(const struct lmn_core *core, const struct lmn_range *range)
+{
+    const struct lmn_job *job = range->job;
+
+    return job->is_starving &&
+           core->scheduling.wall_clock_s - job->accepted_at_s > RESERVE_AFTER_S &&
+           job->phase == LMN_JOB_ACTIVE && range->task_states && range->is_assigned &&
+           job->team >= 0 && !lmn_job_is_faulty(&job->failures) &&
+           lmn_range_may_start(range);
+}
+
+void lmn_update_reservations(struct lmn_core *core, struct lmn_partition *partition,
+                             struct timespec now)
+{
+    GHashTableIter it;
+    gpointer value;
+
+    if (!partition->ownership.is_owned)
+        return;
+    guint machines_left = release_machines(partition, now);
+    release_quotas(core, partition, now);
     if (!partition->ownership.inherited_may_start || partition->ownership.is_transferring)
         return;
     g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_range *range = v;
-        if (range->job->is_starving &&
-            core->scheduling.wall_clock_s - range->job->accepted_at_s > WAITED_S &&
-            range->job->phase == LMN_JOB_ACTIVE && range->task_states &&
-            range->is_assigned && range->job->team >= 0 &&
-            !lmn_job_is_faulty(&range->job->failures) && lmn_range_may_start(range))
-            help(core, partition, range, &kept, now);
-    }
+    while (g_hash_table_iter_next(&it, NULL, &value))
+        if (may_reserve(core, value))
+            reserve_for_range(core, value, &machines_left, now);
 }
