--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -1,57 +1,76 @@
-/* Room is made for tasks of production that wait: lesser tasks are stopped for them, as
- * the protocol's "Preemption" allows, and no further. A machine on which room is being
- * made starts nothing less urgent until then; otherwise small tasks would take each piece
- * as it becomes free. */
+/** @file
+ * Preemption for production tasks; see preemption.h.
+ *
+ * Tasks are stopped only as the protocol's section "Preemption" allows. A machine on
+ * which capacity is being freed starts nothing of lower priority until then: otherwise
+ * small tasks would take each piece as it becomes free. The core's lock is held. */
 #include "scheduler/preemption.h"
 #include "util/log.h"
 #include "scheduler/affinity.h"
-#include "scheduler/queue.h"
+#include "scheduler/image_cache.h"
+#include "scheduler/resources.h"
+#include "scheduler/wait_reason.h"
 #include "state/task_ledger.h"
 
-#include <math.h>
 #include <string.h>
 
-/* How many tasks are helped at a time, and how long a machine's room is kept for them. */
-enum { HELPED_AT_ONCE = 16 };
-static const double KEEP_S = 8;
-/* What is lost by stopping a task, beyond its work: it has to be started again, as if so
- * much of its work were lost. */
+/** Waiting tasks that are helped at a time. */
+enum { MAX_HELPED_TASKS = 16 };
+/** Tasks that are preempted for one waiting task at most. */
+enum { MAX_VICTIMS = 64 };
+/** Seconds for which a machine's freed capacity is reserved for production tasks. */
+static const double RESERVATION_S = 8;
+/** Seconds of work that count as lost with each preempted task beyond its own: it has to
+ * be started again. */
 static const double RESTART_S = 5;
-/* What a second of fetching an image counts against a second of work lost. */
+/** What a second of fetching an image counts against a second of work lost. */
 static const double FETCH_WEIGHT = 4;
+/** Seconds that a preempted task gets beyond the time that saving a checkpoint takes. */
+static const double SAVE_MARGIN_S = 1;
 
-struct waiting {
-    struct lmn_queue *queue;
-    struct lmn_machine *on; /* NULL: unplaced */
+/** A production task that waits. */
+struct waiting_task {
+    struct lmn_queue *queue;     /**< that holds it */
+    struct lmn_machine *machine; /**< whose queue that is; NULL: the unassigned queue */
     struct lmn_range *range;
-    uint32_t index;
+    uint32_t index; /**< of the task in its job */
 };
 
-static void collect(struct lmn_queue *queue, struct lmn_machine *machine, GArray *out,
-                    struct timespec now)
+/** Tasks to preempt on a machine. */
+struct preemption_plan {
+    guint victims[MAX_VICTIMS]; /**< indexes of the machine's attempts */
+    guint victim_count;
+    double loss_cpu_s; /**< processor seconds lost; INFINITY: it can't be done */
+};
+
+/** Adds waiting production tasks of the queue to the list, until it is full. Tasks for
+ * which the machine has freed capacity already are left out. */
+static void collect_waiting(struct lmn_queue *queue, struct lmn_machine *machine,
+                            GArray *waiting, struct timespec now)
 {
-    uint32_t skip = machine ? machine->reservation.preemption_tasks : 0;
+    uint32_t served = machine ? machine->reservation.preemption_tasks : 0;
 
-    for (guint i = 0; i < queue->segments->len && out->len < HELPED_AT_ONCE; i++) {
+    for (guint i = 0; i < queue->segments->len && waiting->len < MAX_HELPED_TASKS; i++) {
         const struct lmn_queue_segment *segment = queue->segments->pdata[i];
         const struct lmn_job *job = segment->job;
         if (job->spec.priority != LMN_PRIORITY_PRODUCTION ||
             job->phase != LMN_JOB_ACTIVE ||
             lmn_time_before(now, job->failures.backoff_until))
             continue;
-        for (uint32_t k = segment->first; k < segment->end && out->len < HELPED_AT_ONCE;
-             k++) {
-            struct waiting w = {queue, machine, segment->range, k};
-            if (skip > 0)
-                skip--;
+        for (uint32_t index = segment->first;
+             index < segment->end && waiting->len < MAX_HELPED_TASKS; index++) {
+            struct waiting_task task = {queue, machine, segment->range, index};
+            if (served > 0)
+                served--;
             else
-                g_array_append_val(out, w);
+                g_array_append_val(waiting, task);
         }
     }
 }
 
-/* Whether the attempt may be stopped for a job of that urgency. */
-static bool lesser(const struct lmn_attempt *attempt, const struct lmn_job_spec *spec)
+/** Whether the attempt may be preempted for a job of that priority. */
+static bool is_preemptible(const struct lmn_attempt *attempt,
+                           const struct lmn_job_spec *spec)
 {
     return attempt->job && attempt->range && attempt->job->phase == LMN_JOB_ACTIVE &&
            attempt->holds_capacity && !attempt->must_stop && !attempt->push_in_flight &&
@@ -60,178 +79,243 @@
             attempt->state == LMN_ATTEMPT_RUNNING);
 }
 
-/* Seconds for which those who wait can wait for others to save: beyond that, and what it
- * takes to tell and to start, their own expectation of a start would be missed. */
-static double patience(const struct lmn_settings *settings,
-                       const struct lmn_job_spec *spec)
+/** Seconds for which a waiting task can wait for others to save their checkpoints: half
+ * of the time within which it should start. What is beyond that goes for the messages and
+ * the start itself. */
+static double max_save_s(const struct lmn_settings *settings,
+                         const struct lmn_job_spec *spec)
 {
-    double least = INFINITY;
+    double least_s = INFINITY;
 
     for (size_t i = 0; i < settings->objective_count; i++) {
         const struct lmn_objective *objective = &settings->objectives[i];
         if (objective->kind == LMN_OBJECTIVE_START &&
             (!*objective->class_name || !strcmp(objective->class_name, spec->class_name)))
-            least = MIN(least, objective->within_s);
+            least_s = MIN(least_s, objective->within_s);
     }
-    return least / 2;
+    return least_s / 2;
+}
+
+/** Whether the attempt is given the time to save a checkpoint. */
+static bool gets_time_to_save(const struct lmn_attempt *attempt, double save_limit_s)
+{
+    return attempt->job->spec.save_s <= save_limit_s;
 }
 
-/* Processor seconds that would be lost with it; saves: it is given the time. */
-static double loss(const struct lmn_attempt *attempt, bool saves, struct timespec now)
+/** Processor seconds that would be lost with the attempt. */
+static double loss_cpu_s(const struct lmn_attempt *attempt, bool saves,
+                         struct timespec now)
 {
     const struct lmn_job_spec *spec = &attempt->job->spec;
-    double ran = attempt->state == LMN_ATTEMPT_FETCHING
-                     ? 0
-                     : lmn_time_diff_s(now, attempt->started_at);
-    double work = spec->checkpoint_s <= 0 ? ran
-                  : saves                 ? MIN(ran, spec->save_s)
-                                          : MIN(ran, spec->checkpoint_s / 2);
-    return spec->cpus * (work + RESTART_S);
+    double ran_s = attempt->state == LMN_ATTEMPT_FETCHING
+                       ? 0
+                       : lmn_time_diff_s(now, attempt->started_at);
+    double lost_s = ran_s;
+
+    if (spec->checkpoint_s > 0)
+        lost_s = saves ? MIN(ran_s, spec->save_s) : MIN(ran_s, spec->checkpoint_s / 2);
+    return spec->cpus * (lost_s + RESTART_S);
+}
+
+static bool is_victim(const struct preemption_plan *plan, guint attempt_index)
+{
+    for (guint i = 0; i < plan->victim_count; i++)
+        if (plan->victims[i] == attempt_index)
+            return true;
+    return false;
+}
+
+/** Index of the attempt that is cheapest to preempt and not in the plan yet; -1: none.
+ * @param[out] least_cpu_s its loss */
+static int cheapest_victim(const struct lmn_machine *machine,
+                           const struct preemption_plan *plan,
+                           const struct lmn_job_spec *spec, double save_limit_s,
+                           double *least_cpu_s, struct timespec now)
+{
+    int cheapest = -1;
+
+    *least_cpu_s = INFINITY;
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        const struct lmn_attempt *attempt =
+            &g_array_index(machine->attempts, struct lmn_attempt, i);
+        if (is_victim(plan, i) || !is_preemptible(attempt, spec))
+            continue;
+        double loss = loss_cpu_s(attempt, gets_time_to_save(attempt, save_limit_s), now);
+        if (cheapest < 0 || loss < *least_cpu_s) {
+            cheapest = (int)i;
+            *least_cpu_s = loss;
+        }
+    }
+    return cheapest;
 }
 
-/* The cheapest way to make room for one more task on the machine: marks the victims if
- * mark is set. Returns the loss; infinity if there is none. */
-static double make_on(struct lmn_machine *machine, const struct lmn_job_spec *spec,
-                      double patient, bool mark, struct timespec now)
+/** Plans the cheapest way to free capacity for one more task on the machine: attempts are
+ * chosen one by one, that with the least loss first, until the task fits. */
+static struct preemption_plan plan_preemption(const struct lmn_machine *machine,
+                                              const struct lmn_job_spec *spec,
+                                              double save_limit_s, struct timespec now)
 {
-    double cpus = machine->type->cpus - machine->used.cpus,
-           gpus = machine->type->gpus - machine->used.gpus;
-    double mem = machine->type->memory_gb - machine->used.memory_gb, sum = 0;
-    guint taken[64], n = 0;
-
-    while (cpus < spec->cpus - 1e-6 || gpus < spec->gpus - 1e-6 ||
-           mem < spec->memory_gb - 1e-6) {
-        int best = -1;
-        double least = INFINITY;
-        for (guint i = 0; i < machine->attempts->len; i++) {
-            const struct lmn_attempt *attempt =
-                &g_array_index(machine->attempts, struct lmn_attempt, i);
-            bool again = false;
-            for (guint k = 0; k < n; k++)
-                again = again || taken[k] == i;
-            if (again || !lesser(attempt, spec))
-                continue;
-            double l = loss(attempt, attempt->job->spec.save_s <= patient, now);
-            if (best < 0 || l < least) {
-                best = (int)i;
-                least = l;
-            }
+    struct lmn_resources available = lmn_machine_free_resources(machine);
+    struct preemption_plan plan;
+
+    /* The list of victims is left unset: this is called for each machine. */
+    plan.victim_count = 0;
+    plan.loss_cpu_s = 0;
+    while (!lmn_resources_fit_task(&available, spec)) {
+        double least_cpu_s;
+        int victim =
+            cheapest_victim(machine, &plan, spec, save_limit_s, &least_cpu_s, now);
+        if (victim < 0 || plan.victim_count == MAX_VICTIMS) {
+            plan.victim_count = 0;
+            plan.loss_cpu_s = INFINITY;
+            return plan;
         }
-        if (best < 0 || n == G_N_ELEMENTS(taken))
-            return INFINITY;
         const struct lmn_attempt *attempt =
-            &g_array_index(machine->attempts, struct lmn_attempt, (guint)best);
-        sum += least;
-        cpus += attempt->job->spec.cpus;
-        gpus += attempt->job->spec.gpus;
-        mem += attempt->job->spec.memory_gb;
-        taken[n++] = (guint)best;
+            &g_array_index(machine->attempts, struct lmn_attempt, (guint)victim);
+        plan.loss_cpu_s += least_cpu_s;
+        lmn_resources_return_task(&available, &attempt->job->spec);
+        plan.victims[plan.victim_count++] = (guint)victim;
     }
-    for (guint k = 0; mark && k < n; k++) {
+    return plan;
+}
+
+/** Marks the plan's attempts to be stopped. */
+static void preempt(struct lmn_machine *machine, const struct preemption_plan *plan,
+                    double save_limit_s)
+{
+    for (guint i = 0; i < plan->victim_count; i++) {
         struct lmn_attempt *attempt =
-            &g_array_index(machine->attempts, struct lmn_attempt, taken[k]);
+            &g_array_index(machine->attempts, struct lmn_attempt, plan->victims[i]);
         attempt->must_stop = true;
-        attempt->grace_s =
-            attempt->job->spec.save_s <= patient ? attempt->job->spec.save_s + 1 : 0;
+        attempt->grace_s = gets_time_to_save(attempt, save_limit_s)
+                               ? attempt->job->spec.save_s + SAVE_MARGIN_S
+                               : 0;
         lmn_debug("task_preempted task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s",
                   attempt->job_id, attempt->index, attempt->number, machine->name);
     }
-    return sum;
 }
 
-/* Tasks of the job that room is being made for in the zone. */
-static uint32_t promised_in(const struct lmn_partition *partition,
-                            const struct lmn_job *job, const char *zone)
+/** Number of the job's tasks that capacity is being freed for in the zone; 0 if the job
+ * has no affinity or anti-affinity, where it does not matter. */
+static uint32_t count_reserved_in_zone(const struct lmn_partition *partition,
+                                       const struct lmn_job *job, const char *zone)
 {
-    uint32_t n = 0;
+    uint32_t count = 0;
     GHashTableIter it;
-    gpointer v;
+    gpointer value;
 
     if (!job->spec.spreads_over_zones && !job->spec.requires_one_zone)
         return 0;
     g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine *machine = v;
-        for (guint i = 0;
-             machine->reservation.preemption_tasks && i < machine->queue.segments->len;
-             i++) {
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        const struct lmn_machine *machine = value;
+        if (!machine->reservation.preemption_tasks || strcmp(machine->zone, zone))
+            continue;
+        for (guint i = 0; i < machine->queue.segments->len; i++) {
             const struct lmn_queue_segment *segment = machine->queue.segments->pdata[i];
-            if (segment->job == job && !strcmp(machine->zone, zone))
-                n += segment->end - segment->first;
+            if (segment->job == job)
+                count += segment->end - segment->first;
         }
     }
-    return n;
+    return count;
 }
 
-/* Where the task would best go, and whether others have to be stopped for it. */
-static struct lmn_machine *place_for(struct lmn_core *core,
-                                     struct lmn_partition *partition,
-                                     const struct lmn_job *job, struct timespec now)
+/** Whether a task of the job may be placed on the machine, as far as that does not depend
+ * on its free capacity. A machine that sends no heartbeats would keep the task waiting.
+ */
+static bool is_eligible(const struct lmn_core *core, const struct lmn_machine *machine,
+                        const struct lmn_job *job, struct timespec now)
+{
+    return !machine->reservation.preemption_tasks && lmn_machine_can_run(machine, job) &&
+           lmn_zone_task_capacity(job, machine->zone) &&
+           !lmn_machine_is_silent(core, machine, now);
+}
+
+/** The machine where the task costs least, in work lost and in fetching its image; NULL:
+ * it can run nowhere. */
+static struct lmn_machine *find_machine(struct lmn_core *core,
+                                        const struct lmn_partition *partition,
+                                        const struct lmn_job *job, double save_limit_s,
+                                        struct timespec now)
 {
     struct lmn_machine *best = NULL;
-    double least = INFINITY;
+    double least_cpu_s = INFINITY;
     GHashTableIter it;
-    gpointer v;
+    gpointer value;
 
     g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *machine = v;
-        /* One that does not report would keep the task waiting. */
-        if (machine->reservation.preemption_tasks || !lmn_machine_can_run(machine, job) ||
-            !lmn_zone_task_capacity(job, machine->zone) ||
-            lmn_machine_is_silent(core, machine, now))
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        struct lmn_machine *machine = value;
+        if (!is_eligible(core, machine, job, now))
             continue;
-        double cost =
+        double cost_cpu_s =
             FETCH_WEIGHT * job->spec.cpus * lmn_image_fetch_s(machine, job, now);
-        if (cost < least)
-            cost += make_on(machine, &job->spec, patience(core->settings, &job->spec),
-                            false, now);
-        if (cost >= least || lmn_zone_task_capacity(job, machine->zone) <=
-                                 promised_in(partition, job, machine->zone))
+        if (cost_cpu_s < least_cpu_s)
+            cost_cpu_s +=
+                plan_preemption(machine, &job->spec, save_limit_s, now).loss_cpu_s;
+        if (cost_cpu_s >= least_cpu_s ||
+            lmn_zone_task_capacity(job, machine->zone) <=
+                count_reserved_in_zone(partition, job, machine->zone))
             continue;
-        least = cost;
+        least_cpu_s = cost_cpu_s;
         best = machine;
     }
     return best;
 }
 
-void lmn_preempt_for_production(struct lmn_core *core, struct lmn_partition *partition,
-                                struct timespec now)
+/** Lists production tasks that wait in the partition. Reservations that have expired are
+ * released first. */
+static GArray *list_waiting(struct lmn_partition *partition, struct timespec now)
 {
+    GArray *waiting = g_array_new(FALSE, FALSE, sizeof(struct waiting_task));
     GHashTableIter it;
-    gpointer v;
+    gpointer value;
 
-    if (!partition->ownership.is_owned || partition->ownership.is_transferring)
-        return;
-    GArray *wait = g_array_new(FALSE, FALSE, sizeof(struct waiting));
     g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *machine = v;
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        struct lmn_machine *machine = value;
         if (machine->reservation.preemption_tasks &&
             lmn_time_before(machine->reservation.preemption_until, now))
             machine->reservation.preemption_tasks = 0;
-        collect(&machine->queue, machine, wait, now);
+        collect_waiting(&machine->queue, machine, waiting, now);
     }
-    collect(&partition->scheduling.unassigned, NULL, wait, now);
-    for (guint i = 0; i < wait->len; i++) {
-        struct waiting *w = &g_array_index(wait, struct waiting, i);
-        const struct lmn_job *job = w->range->job;
-        struct lmn_machine *machine = lmn_job_within_quota(core, partition, job)
-                                          ? place_for(core, partition, job, now)
-                                          : NULL;
-        if (!machine)
-            continue;
-        core->counters.preempted +=
-            make_on(machine, &job->spec, patience(core->settings, &job->spec), true,
-                    now) > 0;
-        machine->reservation.preemption_tasks++;
-        machine->reservation.preemption_until = lmn_time_add(now, KEEP_S);
-        if (machine != w->on) {
-            lmn_queue_remove_task(w->queue, w->range, w->index);
-            lmn_queue_add(&machine->queue, w->range, w->index, w->index + 1);
-        }
-        lmn_machine_wake(machine);
-        pthread_cond_broadcast(&core->machines_woken);
+    collect_waiting(&partition->scheduling.unassigned, NULL, waiting, now);
+    return waiting;
+}
+
+/** Frees capacity for the task on the best machine, and moves it to that machine's queue.
+ */
+static void help_task(struct lmn_core *core, struct lmn_partition *partition,
+                      const struct waiting_task *task, struct timespec now)
+{
+    const struct lmn_job *job = task->range->job;
+    double save_limit_s = max_save_s(core->settings, &job->spec);
+
+    if (!lmn_job_within_quota(core, partition, job))
+        return;
+    struct lmn_machine *machine = find_machine(core, partition, job, save_limit_s, now);
+    if (!machine)
+        return;
+    struct preemption_plan plan = plan_preemption(machine, &job->spec, save_limit_s, now);
+    preempt(machine, &plan, save_limit_s);
+    core->counters.preempted += plan.loss_cpu_s > 0;
+    machine->reservation.preemption_tasks++;
+    machine->reservation.preemption_until = lmn_time_add(now, RESERVATION_S);
+    if (machine != task->machine) {
+        lmn_queue_remove_task(task->queue, task->range, task->index);
+        lmn_queue_add(&machine->queue, task->range, task->index, task->index + 1);
     }
-    g_array_free(wait, TRUE);
+    lmn_machine_wake(machine);
+    pthread_cond_broadcast(&core->machines_woken);
+}
+
+void lmn_preempt_for_production(struct lmn_core *core, struct lmn_partition *partition,
+                                struct timespec now)
+{
+    if (!partition->ownership.is_owned || partition->ownership.is_transferring)
+        return;
+    GArray *waiting = list_waiting(partition, now);
+    for (guint i = 0; i < waiting->len; i++)
+        help_task(core, partition, &g_array_index(waiting, struct waiting_task, i), now);
+    g_array_free(waiting, TRUE);
 }
