--- /dev/null
+++ b/src/scheduler/autoscaler_demand.c
@@ -0,0 +1,118 @@
+/** @file
+ * The autoscaler's demand; see autoscaler_demand.h. The core's lock is held. */
+#include "scheduler/autoscaler_demand.h"
+#include "scheduler/fair_share.h"
+
+/** Factor by which a team's demand has to be cut to keep to its limits; 1: not at all. */
+static double limit_factor(const struct lmn_team *team, double cpus, double gpus)
+{
+    double factor = 1;
+
+    if (team->cpus_max > 0 && cpus > team->cpus_max)
+        factor = team->cpus_max / cpus;
+    if (team->gpus_max > 0 && gpus > team->gpus_max)
+        factor = MIN(factor, team->gpus_max / gpus);
+    return factor;
+}
+
+/** Cuts the demands to the teams' quota limits. A team's work runs on no more than its
+ * limit, however much of it waits. Otherwise, with limits far below the demand, thousands
+ * of machines would be provisioned, find nothing that may start, be returned as idle, and
+ * be provisioned again. All ranges of a team are cut alike: which of them goes first is
+ * not decided here. */
+static void bound_by_limits(const struct lmn_core *core, GArray *demands)
+{
+    double *cpus = g_new0(double, core->settings->team_count);
+    double *gpus = g_new0(double, core->settings->team_count);
+
+    for (guint i = 0; i < demands->len; i++) {
+        const struct lmn_range_demand *demand =
+            &g_array_index(demands, struct lmn_range_demand, i);
+        cpus[demand->team] += demand->cpus;
+        gpus[demand->team] += demand->gpus;
+    }
+    for (guint i = 0; i < demands->len; i++) {
+        struct lmn_range_demand *demand =
+            &g_array_index(demands, struct lmn_range_demand, i);
+        double factor = limit_factor(&core->settings->teams[demand->team],
+                                     cpus[demand->team], gpus[demand->team]);
+        demand->cpus *= factor;
+        demand->memory_gb *= factor;
+    }
+    g_free(cpus);
+    g_free(gpus);
+}
+
+/** Whether no ordinary machine is worth provisioning for the job, of whatever type. */
+static bool is_spot_only(const struct lmn_core *core, const struct lmn_job_spec *spec)
+{
+    const struct lmn_machine_types *types = &core->cloud.machine_types;
+
+    for (size_t i = 0; i < types->n; i++)
+        if (!lmn_is_spot_only(core->settings, spec, &types->v[i]))
+            return false;
+    return types->n > 0;
+}
+
+/** Tasks of the range that should run at a time: all of a service, and of a batch job as
+ * many as finish it within the horizon that the operator has set. */
+static double desired_tasks(const struct lmn_core *core, const struct lmn_range *range)
+{
+    const struct lmn_job_spec *spec = &range->job->spec;
+    double horizon_s = core->cache.operator_settings.horizon_s;
+    double tasks = range->end - range->first -
+                   (range->task_states ? range->finished_count : range->done_count);
+
+    if (spec->kind == LMN_JOB_BATCH) {
+        double within_horizon = tasks * MAX(spec->estimate_s, 1) / horizon_s;
+        within_horizon = MAX(within_horizon, 1);
+        tasks = MIN(tasks, within_horizon);
+    }
+    /* A faulty job is tried with one task at a time. */
+    if (lmn_job_is_faulty(&range->job->failures))
+        tasks = MIN(tasks, 1);
+    return tasks;
+}
+
+GArray *lmn_list_range_demands(const struct lmn_core *core, bool may_wait_for_spot)
+{
+    GArray *demands = g_array_new(FALSE, FALSE, sizeof(struct lmn_range_demand));
+    GHashTableIter it;
+    gpointer value;
+
+    for (int i = 0; i < core->partition_count; i++) {
+        g_hash_table_iter_init(&it, core->partitions[i].ranges);
+        while (g_hash_table_iter_next(&it, NULL, &value)) {
+            const struct lmn_range *range = value;
+            const struct lmn_job_spec *spec = &range->job->spec;
+            double tasks = desired_tasks(core, range);
+            if (range->job->phase != LMN_JOB_ACTIVE || tasks <= 0 || range->job->team < 0)
+                continue;
+            struct lmn_range_demand demand = {spec,
+                                              range->job->team,
+                                              may_wait_for_spot &&
+                                                  is_spot_only(core, spec),
+                                              tasks * spec->cpus,
+                                              tasks * spec->gpus,
+                                              tasks * spec->memory_gb};
+            g_array_append_val(demands, demand);
+        }
+    }
+    bound_by_limits(core, demands);
+    return demands;
+}
+
+struct lmn_demand lmn_sum_demand(const struct lmn_core *core, const GArray *demands)
+{
+    struct lmn_demand sum = {core->cache.operator_settings.spare_cpus, 0, 0};
+
+    for (guint i = 0; i < demands->len; i++) {
+        const struct lmn_range_demand *demand =
+            &g_array_index(demands, struct lmn_range_demand, i);
+        sum.cpus += demand->cpus;
+        sum.spot_only_cpus += demand->is_spot_only ? demand->cpus : 0;
+        if (!demand->spec->may_use_spot)
+            sum.ordinary_cpus += demand->cpus;
+    }
+    return sum;
+}
