--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -18,6 +18,9 @@
 
 #include <time.h>
 
+/** A task's name: the job's id, a slash, the index. */
+enum { LMN_TASK_NAME_SIZE = LMN_JOB_ID_SIZE + 16 };
+
 struct lmn_agent;
 
 /** The state of a run. */
--- /dev/null
+++ b/src/worker/heartbeats.h
@@ -0,0 +1,9 @@
+/** @file
+ * Sends a real machine's heartbeats to the controllers. */
+#ifndef LMN_WORKER_HEARTBEATS_H
+#define LMN_WORKER_HEARTBEATS_H
+
+/** Sends heartbeats, for ever (a thread). @param worker struct lmn_worker */
+void *lmn_heartbeat_thread(void *worker);
+
+#endif
