--- a/src/kv_store/db.h
+++ b/src/kv_store/db.h
@@ -121,7 +121,7 @@
 enum lmn_db_commit_result {
     LMN_DB_COMMITTED = 0,      /**< it is on the disk */
     LMN_DB_NOT_COMMITTED = -1, /**< nothing of the batch was applied */
-    /** Whether it was applied can't be told, and the database takes no more batches: the
+    /** It is unknown whether it was applied, and the database takes no more batches: the
      * process has to end without answering anyone. */
     LMN_DB_COMMIT_UNKNOWN = -2,
 };
--- a/src/kv_store/kv_store_internal.h
+++ b/src/kv_store/kv_store_internal.h
@@ -110,7 +110,8 @@
 void lmn_kv_store_add_lease(struct lmn_kv_store *store, uint64_t id, uint32_t ttl_ms,
                             struct timespec now);
 
-/** Counts a request that is to be answered 429. Takes the lock. */
+/** Takes the amount from the bucket. If that is more than it holds the request is
+ * answered 429 and counted. Takes the lock. @return whether it was answered */
 bool lmn_kv_store_is_rate_limited(struct lmn_kv_store *store,
                                   struct lmn_http_request *request,
                                   struct lmn_token_bucket *bucket, double amount);
--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -3,7 +3,7 @@
  * incarnations, fencing tokens, leases, commands.
  *
  * It has no threads and does no I/O: what has to happen to processes and images it
- * requests through its ops (struct lmn_agent_ops), and is told what came of it by the
+ * requests through its ops (struct lmn_agent_ops), and learns what came of it by the
  * functions at the end of this file. The agent of a real machine (worker/worker.h) and
  * each emulated one (emulator/worker.h) are built on it.
  *
@@ -28,7 +28,7 @@
     LMN_RUN_DESCRIBING, /**< its job's description is requested; reported as fetching */
     LMN_RUN_FETCHING,   /**< its image is requested */
     LMN_RUN_RUNNING,
-    LMN_RUN_SAVING, /**< it was told to save its progress and exit */
+    LMN_RUN_SAVING, /**< it has been commanded to save its progress and exit */
     LMN_RUN_ENDING, /**< killed; reported as what it was until its processes are gone */
     LMN_RUN_ENDED,
 };
--- a/src/worker/executor_events.c
+++ b/src/worker/executor_events.c
@@ -11,8 +11,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* A task that was told to stop and has saved its progress exits with this (EX_TEMPFAIL).
- */
+/* With EXIT_SAVED (EX_TEMPFAIL) a stopped task exits that has saved its progress. */
 enum { EXIT_SAVED = 75, MAX_MESSAGE = 4096 };
 
 static struct lmn_ended_attempt *
--- a/src/worker/executor_task.h
+++ b/src/worker/executor_task.h
@@ -20,7 +20,7 @@
     pid_t pid; /**< also the id of its session and of its process group */
     bool is_reaped;
     int status;              /**< once reaped, as waitpid() gives it */
-    struct timespec kill_at; /**< after it was told to save; 0: not told */
+    struct timespec kill_at; /**< the end of its grace period to save; 0: it has none */
     /** By stream: the pipe from the task and the file that it goes to; -1: closed. */
     int pipes[LMN_EXECUTOR_STREAMS], logs[LMN_EXECUTOR_STREAMS];
     uint64_t log_room[LMN_EXECUTOR_STREAMS]; /**< bytes that may still be kept */
