--- a/src/http/client.c
+++ b/src/http/client.c
@@ -1,61 +1,86 @@
+/**
+ * @file
+ * HTTP calls over libcurl's easy interface, with one handle for each client.
+ */
 #include "http/client.h"
 #include "protocol/wire.h"
 
 #include <curl/curl.h>
 #include <string.h>
 
+enum {
+    MAX_RESPONSE_BYTES = 8 << 20,
+    RECEIVE_BUFFER_BYTES = 16 * 1024,
+    MS_PER_S = 1000,
+    STATUS_OK = 200
+};
+
+/** Bound of the time to connect, seconds: a dead address is noticed long before the
+ * timeout of a long call. */
+static const double MAX_CONNECT_S = 1.5;
+
+/** Timeout of a readiness probe, seconds. */
+static const double READY_TIMEOUT_S = 1;
+
 struct lmn_http_client {
     CURL *curl;
     struct curl_slist *headers;
-    char base[96];
-    const GByteArray *body; /* of the request under way */
-    size_t sent;            /* so much of it */
+    char base_url[96];
+    const GByteArray *body; /**< of the request being sent; the caller's */
+    size_t sent;            /**< bytes of it that libcurl has taken */
 };
 
-enum { MAX_ANSWER = 8 << 20 };
-
-static size_t on_body(char *p, size_t size, size_t n, void *arg)
+/** Receives a part of the response; taking less than was offered ends the call. */
+static size_t on_response(char *bytes, size_t size, size_t count, void *arg)
 {
     GByteArray *out = arg;
-    if (out->len + size * n > MAX_ANSWER)
+    size_t len = size * count;
+
+    if (out->len + len > MAX_RESPONSE_BYTES)
         return 0;
-    g_byte_array_append(out, (const guint8 *)p, (guint)(size * n));
-    return size * n;
+    g_byte_array_append(out, (const guint8 *)bytes, (guint)len);
+    return len;
 }
 
-/* Hands out the body once. libcurl sends a request again by itself when a kept connection
- * ends without an answer; the first may have been executed all the same, and a repeated
- * transaction would then be told as a conflict, as if nothing had been applied. It can't
- * do so with a body that it can't rewind: no seek function is set. */
-static size_t next_part(char *to, size_t size, size_t n, void *arg)
+/**
+ * Hands out the body once.
+ *
+ * libcurl sends a request again by itself when a kept connection ends without a response.
+ * The first one may have been executed all the same, and a repeated transaction would
+ * then be reported as a conflict, as if nothing had been applied. libcurl can't do so
+ * with a body that it can't rewind, so no seek function is set.
+ */
+static size_t on_send(char *out, size_t size, size_t count, void *arg)
 {
     struct lmn_http_client *client = arg;
-    size_t part = MIN(size * n, client->body->len - client->sent);
+    size_t len = MIN(size * count, client->body->len - client->sent);
 
-    memcpy(to, client->body->data + client->sent, part);
-    client->sent += part;
-    return part;
+    memcpy(out, client->body->data + client->sent, len);
+    client->sent += len;
+    return len;
 }
 
-struct lmn_http_client *lmn_http_client_new(const char *addr)
+struct lmn_http_client *lmn_http_client_new(const char *address)
 {
     struct lmn_http_client *client = g_new0(struct lmn_http_client, 1);
+    CURL *curl = curl_easy_init();
 
-    g_snprintf(client->base, sizeof client->base, "http://%s", addr);
-    client->curl = curl_easy_init();
-    g_assert(client->curl);
+    g_assert(curl);
+    client->curl = curl;
+    g_snprintf(client->base_url, sizeof client->base_url, "http://%s", address);
     client->headers = curl_slist_append(NULL, "Content-Type: application/cbor");
+    /* Without a value: libcurl leaves these headers out. */
     client->headers = curl_slist_append(client->headers, "Expect:");
     client->headers = curl_slist_append(client->headers, "Accept:");
-    curl_easy_setopt(client->curl, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(client->curl, CURLOPT_HTTPHEADER, client->headers);
-    curl_easy_setopt(client->curl, CURLOPT_WRITEFUNCTION, on_body);
-    curl_easy_setopt(client->curl, CURLOPT_READFUNCTION, next_part);
-    curl_easy_setopt(client->curl, CURLOPT_READDATA, client);
-    curl_easy_setopt(client->curl, CURLOPT_TCP_NODELAY, 1L);
-    curl_easy_setopt(client->curl, CURLOPT_PROXY, "");
-    curl_easy_setopt(client->curl, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
-    curl_easy_setopt(client->curl, CURLOPT_BUFFERSIZE, 16384L);
+    curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L); /* there are many threads */
+    curl_easy_setopt(curl, CURLOPT_HTTPHEADER, client->headers);
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_response);
+    curl_easy_setopt(curl, CURLOPT_READFUNCTION, on_send);
+    curl_easy_setopt(curl, CURLOPT_READDATA, client);
+    curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
+    curl_easy_setopt(curl, CURLOPT_PROXY, ""); /* none, whatever the environment says */
+    curl_easy_setopt(curl, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
+    curl_easy_setopt(curl, CURLOPT_BUFFERSIZE, (long)RECEIVE_BUFFER_BYTES);
     return client;
 }
 
@@ -66,60 +91,70 @@
     g_free(client);
 }
 
+/** Sets a POST or PUT. An empty body is given as a text, so that on_send() isn't called:
+ * there may be no byte array. */
+static void set_request_with_body(struct lmn_http_client *client, const char *method,
+                                  const GByteArray *body)
+{
+    bool is_put = !strcmp(method, "PUT");
+
+    curl_easy_setopt(client->curl, CURLOPT_CUSTOMREQUEST, is_put ? method : NULL);
+    curl_easy_setopt(client->curl, CURLOPT_POST, 1L);
+    client->body = body;
+    client->sent = 0;
+    curl_easy_setopt(client->curl, CURLOPT_POSTFIELDS, body && body->len ? NULL : "");
+    curl_easy_setopt(client->curl, CURLOPT_POSTFIELDSIZE, body ? (long)body->len : 0L);
+}
+
+static void set_request_without_body(struct lmn_http_client *client, const char *method)
+{
+    bool is_get = !strcmp(method, "GET");
+
+    curl_easy_setopt(client->curl, CURLOPT_HTTPGET, 1L);
+    curl_easy_setopt(client->curl, CURLOPT_CUSTOMREQUEST, is_get ? NULL : method);
+}
+
 int lmn_http_client_call(struct lmn_http_client *client, const char *method,
                          const char *path, const GByteArray *body, double timeout_s,
                          GByteArray *out)
 {
     char url[512];
     long status = 0;
-    CURLcode rc;
 
     g_byte_array_set_size(out, 0);
-    g_snprintf(url, sizeof url, "%s%s", client->base, path);
+    g_snprintf(url, sizeof url, "%s%s", client->base_url, path);
     curl_easy_setopt(client->curl, CURLOPT_URL, url);
     curl_easy_setopt(client->curl, CURLOPT_WRITEDATA, out);
-    curl_easy_setopt(client->curl, CURLOPT_TIMEOUT_MS, (long)(timeout_s * 1000));
+    curl_easy_setopt(client->curl, CURLOPT_TIMEOUT_MS, (long)(timeout_s * MS_PER_S));
     curl_easy_setopt(client->curl, CURLOPT_CONNECTTIMEOUT_MS,
-                     (long)(MIN(timeout_s, 1.5) * 1000));
-    if (!strcmp(method, "POST") || !strcmp(method, "PUT")) {
-        curl_easy_setopt(client->curl, CURLOPT_CUSTOMREQUEST,
-                         !strcmp(method, "PUT") ? method : NULL);
-        curl_easy_setopt(client->curl, CURLOPT_POST, 1L);
-        client->body = body;
-        client->sent = 0;
-        curl_easy_setopt(client->curl, CURLOPT_POSTFIELDS, body && body->len ? NULL : "");
-        curl_easy_setopt(client->curl, CURLOPT_POSTFIELDSIZE,
-                         body ? (long)body->len : 0L);
-    } else {
-        curl_easy_setopt(client->curl, CURLOPT_HTTPGET, 1L);
-        curl_easy_setopt(client->curl, CURLOPT_CUSTOMREQUEST,
-                         !strcmp(method, "GET") ? NULL : method);
-    }
-    rc = curl_easy_perform(client->curl);
-    if (rc == CURLE_OK) {
+                     (long)(MIN(timeout_s, MAX_CONNECT_S) * MS_PER_S));
+    if (!strcmp(method, "POST") || !strcmp(method, "PUT"))
+        set_request_with_body(client, method, body);
+    else
+        set_request_without_body(client, method);
+    CURLcode result = curl_easy_perform(client->curl);
+    if (result == CURLE_OK) {
         curl_easy_getinfo(client->curl, CURLINFO_RESPONSE_CODE, &status);
         return (int)status;
     }
-    if (rc == CURLE_COULDNT_CONNECT)
-        return LMN_HTTP_NOT_SENT;
-    return LMN_HTTP_NO_RESPONSE;
+    return result == CURLE_COULDNT_CONNECT ? LMN_HTTP_NOT_SENT : LMN_HTTP_NO_RESPONSE;
 }
 
 double lmn_http_client_retry_after(struct lmn_http_client *client)
 {
-    curl_off_t s = 0;
+    curl_off_t seconds = 0;
 
-    curl_easy_getinfo(client->curl, CURLINFO_RETRY_AFTER, &s);
-    return (double)s;
+    curl_easy_getinfo(client->curl, CURLINFO_RETRY_AFTER, &seconds);
+    return (double)seconds;
 }
 
-bool lmn_http_is_ready(const char *addr)
+bool lmn_http_is_ready(const char *address)
 {
-    struct lmn_http_client *client = lmn_http_client_new(addr);
-    GByteArray *in = g_byte_array_new();
-    int status = lmn_http_client_call(client, "GET", WIRE_PATH_READY, NULL, 1, in);
+    struct lmn_http_client *client = lmn_http_client_new(address);
+    g_autoptr(GByteArray) out = g_byte_array_new();
+    int status =
+        lmn_http_client_call(client, "GET", WIRE_PATH_READY, NULL, READY_TIMEOUT_S, out);
 
-    g_byte_array_unref(in);
     lmn_http_client_free(client);
-    return status == 200;
+    return status == STATUS_OK;
 }
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,28 +1,48 @@
-/* Blocking HTTP/1.1 calls over one kept connection; one client belongs to one thread. */
+/**
+ * @file
+ * Blocking HTTP/1.1 calls over libcurl. A client keeps one connection to one address and
+ * belongs to one thread; nothing is locked. Retries are the caller's: only the caller
+ * knows whether a request may be executed twice.
+ */
 #ifndef LMN_HTTP_CLIENT_H
 #define LMN_HTTP_CLIENT_H
 
 #include <glib.h>
 #include <stdbool.h>
 
+/** A client and its connection. */
 struct lmn_http_client;
 
-/* What became of a call that brought no answer. */
-enum { LMN_HTTP_NOT_SENT = -1, LMN_HTTP_NO_RESPONSE = -2 };
+/** What lmn_http_client_call() returns instead of a status if there was no response. */
+enum {
+    LMN_HTTP_NOT_SENT = -1,   /**< not connected: the request can't have been executed */
+    LMN_HTTP_NO_RESPONSE = -2 /**< the request may or may not have been executed */
+};
 
-struct lmn_http_client *lmn_http_client_new(const char *addr);
+/** Makes a client, which connects with its first call. @param address "IPv4:port". */
+struct lmn_http_client *lmn_http_client_new(const char *address);
+
+/** Closes the connection and frees the client. */
 void lmn_http_client_free(struct lmn_http_client *client);
-/* method: GET, POST, PUT or DELETE. Returns the status, or one of the above:
- * LMN_HTTP_NOT_SENT only when the request can't have been executed. A request with a body
- * is sent once at most. The answer's body replaces what is in out. */
+
+/**
+ * Makes a call and waits for the response. A request with a body is sent at most once.
+ * @param method     "GET", "POST", "PUT" or "DELETE".
+ * @param path       path and query.
+ * @param body       CBOR of a POST or PUT; NULL: empty. Stays the caller's.
+ * @param timeout_s  seconds for the whole call; connecting takes at most 1.5 of them.
+ * @param out        its content is replaced by the body of the response.
+ * @return the HTTP status, LMN_HTTP_NOT_SENT or LMN_HTTP_NO_RESPONSE. A response of more
+ * than 8 MiB counts as none.
+ */
 int lmn_http_client_call(struct lmn_http_client *client, const char *method,
                          const char *path, const GByteArray *body, double timeout_s,
                          GByteArray *out);
 
-/* Seconds that the last answer asked to wait (Retry-After); 0: none. */
+/** @return seconds that the last response asked to wait (Retry-After); 0: none. */
 double lmn_http_client_retry_after(struct lmn_http_client *client);
 
-/* Whether a service says at the address that it is ready; waits for up to a second. */
-bool lmn_http_is_ready(const char *addr);
+/** Whether the service at the address says that it is ready; waits for up to a second. */
+bool lmn_http_is_ready(const char *address);
 
 #endif
--- a/src/http/metrics.c
+++ b/src/http/metrics.c
@@ -1,26 +1,38 @@
+/**
+ * @file
+ * OpenMetrics text.
+ */
 #include "http/metrics.h"
 
-#include <string.h>
+static const char CONTENT_TYPE[] =
+    "application/openmetrics-text; version=1.0.0; charset=utf-8";
+
+enum { STATUS_OK = 200 };
 
 void lmn_metric_head(GString *out, const char *name, const char *kind, const char *help)
 {
     g_string_append_printf(out, "# TYPE %s %s\n# HELP %s %s\n", name, kind, name, help);
 }
 
+static void append_escaped(GString *out, const char *text)
+{
+    for (const char *character = text; *character; character++) {
+        if (*character == '\\' || *character == '"')
+            g_string_append_c(out, '\\');
+        if (*character == '\n')
+            g_string_append(out, "\\n");
+        else
+            g_string_append_c(out, *character);
+    }
+}
+
 void lmn_metric_sample(GString *out, const char *name, const char *label,
                        const char *value, double sample)
 {
     g_string_append(out, name);
     if (label) {
         g_string_append_printf(out, "{%s=\"", label);
-        for (const char *p = value; *p; p++) {
-            if (*p == '\\' || *p == '"')
-                g_string_append_c(out, '\\');
-            if (*p == '\n')
-                g_string_append(out, "\\n");
-            else
-                g_string_append_c(out, *p);
-        }
+        append_escaped(out, value);
         g_string_append(out, "\"}");
     }
     g_string_append_printf(out, " %.17g\n", sample);
@@ -41,12 +53,15 @@
 void lmn_quantiles(GString *out, const char *name, const char *help,
                    const struct lmn_latency *latency)
 {
-    static const char *const shares[] = {"0.5", "0.95", "0.99"};
+    static const struct {
+        const char *label;
+        double value;
+    } quantiles[] = {{"0.5", 0.5}, {"0.95", 0.95}, {"0.99", 0.99}};
 
     lmn_metric_head(out, name, "summary", help);
-    for (guint i = 0; i < G_N_ELEMENTS(shares); i++)
-        lmn_metric_sample(out, name, "quantile", shares[i],
-                          lmn_latency_quantile(latency, g_ascii_strtod(shares[i], NULL)));
+    for (guint i = 0; i < G_N_ELEMENTS(quantiles); i++)
+        lmn_metric_sample(out, name, "quantile", quantiles[i].label,
+                          lmn_latency_quantile(latency, quantiles[i].value));
     g_string_append_printf(out, "%s_count %.0f\n", name, lmn_latency_count(latency));
 }
 
@@ -58,8 +73,6 @@
     fill(arg, text);
     g_string_append(text, "# EOF\n");
     gsize len = text->len;
-    GByteArray *buffer = g_byte_array_new_take((guint8 *)g_string_free(text, FALSE), len);
-    lmn_http_request_respond_as(
-        request, 200, "application/openmetrics-text; version=1.0.0; charset=utf-8",
-        buffer);
+    GByteArray *body = g_byte_array_new_take((guint8 *)g_string_free(text, FALSE), len);
+    lmn_http_request_respond_as(request, STATUS_OK, CONTENT_TYPE, body);
 }
--- a/src/http/metrics.h
+++ b/src/http/metrics.h
@@ -1,23 +1,39 @@
-/* Metrics as OpenMetrics text. Debian packages a client library for C++ only; the text
- * form is small enough to write with GLib's strings. */
+/**
+ * @file
+ * Metrics as OpenMetrics text. Debian packages a client library for C++ only; the text
+ * form is small enough to write with GLib's strings. Nothing is kept here: each request
+ * collects the values anew, and whoever appends them holds the locks that they need.
+ */
 #ifndef LMN_HTTP_METRICS_H
 #define LMN_HTTP_METRICS_H
 
 #include "http/server.h"
 #include "util/latency.h"
 
-/* Appends one metric without labels: name (of a counter: without _total), help, value. */
+/** Appends a gauge without labels: a value that rises and falls. */
 void lmn_gauge(GString *out, const char *name, const char *help, double value);
+
+/** Appends a counter without labels. @param name without "_total", which is added. */
 void lmn_counter(GString *out, const char *name, const char *help, uint64_t value);
-/* A summary: quantiles 0.5, 0.95, 0.99 and the number of observations. */
+
+/** Appends a summary of durations: the quantiles 0.5, 0.95 and 0.99, and their number. */
 void lmn_quantiles(GString *out, const char *name, const char *help,
                    const struct lmn_latency *latency);
-/* A metric with labels: its head once, then a sample for each. kind: "gauge" or
- * "counter". label's value is escaped; suffix is "_total" for counters. */
+
+/** Appends the head of a metric with labels, to be followed by a sample for each label.
+ * @param kind "gauge" or "counter". */
 void lmn_metric_head(GString *out, const char *name, const char *kind, const char *help);
+
+/**
+ * Appends a sample.
+ * @param name   of a counter: with "_total".
+ * @param label  name of the label; NULL: none.
+ * @param value  the label's value; escaped.
+ */
 void lmn_metric_sample(GString *out, const char *name, const char *label,
                        const char *value, double sample);
-/* Answers GET /metrics with what fill appends. */
+
+/** Answers a request for metrics with what `fill` appends. */
 void lmn_metrics_answer(struct lmn_http_request *request,
                         void (*fill)(void *arg, GString *out), void *arg);
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,6 +1,17 @@
-/* HTTP servers by libmicrohttpd: one polling thread a server; a request that waits for
- * something is held, and answered later from any thread, so that thousands that wait cost
- * no thread each. */
+/**
+ * @file
+ * HTTP/1.1 servers over libmicrohttpd. Each server has one thread that polls all its
+ * connections and calls the handler. A request that has to wait for something is deferred
+ * and answered later from any thread, so that thousands of waiting requests need no
+ * thread each.
+ *
+ * Threads and locks: callbacks of the options run on the server's thread and must not
+ * block. Each server has one lock, taken only inside these functions, under which nothing
+ * of the caller is called; callers may hold their own locks.
+ *
+ * Not here: authentication, TLS, routing by path (each service has its own), and the
+ * meaning of connection kinds (admission/connection_budget.h).
+ */
 #ifndef LMN_HTTP_SERVER_H
 #define LMN_HTTP_SERVER_H
 
@@ -8,97 +19,134 @@
 
 struct sockaddr;
 
+/** A running server. Lives until the process ends. */
 struct lmn_http_server;
-/* One request whose answer may come later, from another thread. */
+
+/** One request. Valid for its handler until the handler returns; if it was deferred,
+ * until it is answered. */
 struct lmn_http_request;
 
+/** Method of a request. */
 enum lmn_http_method {
     LMN_HTTP_GET,
     LMN_HTTP_POST,
     LMN_HTTP_PUT,
     LMN_HTTP_DELETE,
-    LMN_HTTP_OTHER
+    LMN_HTTP_OTHER /**< anything else; answered with 405 before the handler sees it */
 };
 
-/* Answers the call, or holds it. On the server's thread: it must not wait for anything.
- */
-typedef void lmn_http_handler(void *arg, struct lmn_http_request *call);
+/** Answers a request that was received whole, or defers it. */
+typedef void lmn_http_handler(void *arg, struct lmn_http_request *request);
 
-/* Connections are counted by kind: numbers that the caller gives a meaning to. A new one
- * is of kind 0. */
+/** Connections are counted by kind. Kinds are numbers below this one; the caller gives
+ * them a meaning. */
 enum { LMN_HTTP_CONNECTION_KINDS = 4 };
 
-/* Whether a connection of the kind may stay open after its answer, with so many open of
- * each. On the server's thread. */
+/** Whether a connection of this kind may stay open after its response. @param open number
+ * of open connections of each kind. */
 typedef bool lmn_http_keep_open(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
                                 unsigned kind);
 
-/* The kind of a connection by its peer's address, and whether it is let in: both on the
- * server's thread, as it comes. */
+/** @return the kind of a new connection by its peer's address. */
 typedef unsigned lmn_http_connection_kind(void *arg, const struct sockaddr *peer);
+
+/** Whether a new connection of this kind is accepted. @param open number of open
+ * connections of each kind. */
 typedef bool lmn_http_admit(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
                             unsigned kind);
 
+/** How a server is to run. Copied; the structure need not outlive the start. */
 struct lmn_http_server_options {
-    const char
-        *listen; /* "IPv4:port"; NULL: connections come by lmn_http_server_adopt alone */
-    unsigned connections; /* at most so many; further ones are refused */
-    size_t max_body;    /* bytes; a longer one is read, kept nowhere, and answered 400 */
-    size_t call_memory; /* bytes that libmicrohttpd sets aside for a connection; 0: its
-                           default */
-    double patience_s;  /* what is held for longer is answered 503 by
-                           lmn_http_server_expire_deferred; 0:  never */
-    unsigned idle_s;    /* a connection without a word for this long is closed; 0: 90 s */
+    const char *listen; /**< "IPv4:port", port 0: any free one; NULL: connections come by
+                             lmn_http_server_adopt() only */
+    unsigned connections; /**< most open connections; further ones are refused */
+    size_t max_body; /**< bytes; a longer body is read to its end, not kept, and answered
+                          with 400 */
+    size_t call_memory; /**< bytes that libmicrohttpd allocates for each connection, which
+                             bound the length of the headers; 0: 32 KiB */
+    double patience_s;  /**< seconds after which lmn_http_server_expire_deferred() answers
+                             a deferred request with 503; 0: never */
+    unsigned idle_s; /**< seconds without traffic after which a connection is closed; 0:
+                          90 */
     lmn_http_handler *route;
-    lmn_http_keep_open *stands;        /* NULL: all stay open */
-    lmn_http_connection_kind *kind_of; /* NULL: all are of kind 0 */
-    lmn_http_admit *admits; /* NULL: all are let in; who is not is closed at once */
-    void *arg;
+    lmn_http_keep_open *stands;        /**< NULL: all stay open */
+    lmn_http_connection_kind *kind_of; /**< NULL: all are of kind 0 */
+    lmn_http_admit *admits; /**< NULL, or kind_of NULL: all are accepted; a connection
+                               that is not accepted is closed at once */
+    void *arg;              /**< of all callbacks; must outlive the server */
 };
 
-/* NULL if it can't listen (errno tells). Serves until the process ends. */
+/** Starts a server. @return NULL if it can't listen (errno says why). */
 struct lmn_http_server *
 lmn_http_server_start(const struct lmn_http_server_options *options);
-/* The port that it listens on: for an address with port 0. */
+
+/** @return the port that the server listens on: for an address with port 0. */
 int lmn_http_server_port(const struct lmn_http_server *server);
-/* Serves a connection that the caller has accepted; takes fd over. -1 if it can't. */
+
+/** Serves a connection that the caller has accepted, and takes its descriptor over.
+ * @return 0, or -1 if the server refuses it. Any thread. */
 int lmn_http_server_adopt(struct lmn_http_server *server, int fd);
-/* Calls that have waited too long are answered 503 now. */
+
+/** Answers deferred requests that have waited too long with 503 and Retry-After. To be
+ * called regularly, on any thread. */
 void lmn_http_server_expire_deferred(struct lmn_http_server *server);
 
-/* Connections now, by kind, and how many answers closed theirs for want of sockets. From
- * any thread. */
+/** Connections by kind. */
 struct lmn_http_server_load {
-    unsigned open[LMN_HTTP_CONNECTION_KINDS];
-    uint64_t closed[LMN_HTTP_CONNECTION_KINDS];
-    uint64_t turned_away[LMN_HTTP_CONNECTION_KINDS]; /* not let in */
+    unsigned open[LMN_HTTP_CONNECTION_KINDS];        /**< now */
+    uint64_t closed[LMN_HTTP_CONNECTION_KINDS];      /**< closed with a response since the
+                                                          start, as keep_open said so */
+    uint64_t turned_away[LMN_HTTP_CONNECTION_KINDS]; /**< not accepted since the start */
 };
+
+/** Reads the counters. Any thread; they are read one by one, so that they may differ by
+ * the connections of the moment. */
 void lmn_http_server_load(const struct lmn_http_server *server,
                           struct lmn_http_server_load *load);
 
+/** @return the method. */
 enum lmn_http_method lmn_http_request_method(const struct lmn_http_request *request);
+
+/** @return the path without the query. Valid as long as the request. */
 const char *lmn_http_request_path(const struct lmn_http_request *request);
+
+/** @return the body, empty if there is none. Valid as long as the request. */
 const GByteArray *lmn_http_request_body(const struct lmn_http_request *request);
-/* A query's value; NULL if there is none. Valid until the call is answered; only on the
- * server's thread. */
+
+/** @return the value of a query parameter; NULL if there is none. Valid until the request
+ * is answered. Only on the server's thread. */
 const char *lmn_http_request_query(const struct lmn_http_request *request,
                                    const char *name);
-/* Counts the call's connection among those of the kind from now on. Only on the server's
- * thread, before the call is answered or held. */
-void lmn_http_request_set_kind(struct lmn_http_request *request, unsigned kind);
-/* The connection's local port, for servers of many addresses. */
+
+/** @return the local port of the connection, for servers with many addresses; -1 if it is
+ * not known. */
 int lmn_http_request_port(const struct lmn_http_request *request);
-/* Answers it with CBOR; whoever comes first counts. retry_after in seconds, 0: none.
- * Takes over the body (NULL: none). Gives up the caller's hold. */
+
+/** Counts the request's connection among those of the kind from now on. Only on the
+ * server's thread, before the request is answered or deferred. */
+void lmn_http_request_set_kind(struct lmn_http_request *request, unsigned kind);
+
+/**
+ * Answers a request with CBOR. If it was answered already, or its connection has ended,
+ * the response is dropped. A deferred request must not be used afterwards. Any thread.
+ * @param body         taken over; NULL: none.
+ * @param retry_after  seconds for the Retry-After header; 0: none.
+ */
 void lmn_http_request_respond(struct lmn_http_request *request, int status,
                               GByteArray *body, int retry_after);
-/* The same with a body of another type, as in "text/plain". */
+
+/** The same with a body of another type, as in "text/plain". @param type must outlive the
+ * request: a string constant. */
 void lmn_http_request_respond_as(struct lmn_http_request *request, int status,
                                  const char *type, GByteArray *body);
-/* {"error": what} */
+
+/** The same with {"error": what}. */
 void lmn_http_request_fail(struct lmn_http_request *request, int status,
                            const char *what);
-/* The answer will come from another thread, which now holds the call. */
+
+/** Announces that the response will come later. The request stays valid until it is
+ * answered, which must happen exactly once, also after its connection has ended. Only in
+ * the handler. */
 void lmn_http_request_defer(struct lmn_http_request *request);
 
 #endif
