--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -113,14 +113,14 @@
         .listen = core->settings->client_listen,
         .connections = core->connection_budget.max_accepted,
         .max_body = MAX_BODY,
-        .call_memory = 6144,
-        .patience_s = PATIENCE_S,
+        .connection_memory = 6144,
+        .defer_timeout_s = PATIENCE_S,
         /* A machine that was silent for a lease holds no socket any more. */
         .idle_s = (unsigned)CLAMP(core->settings->lease_s, 20, 90),
         .route = route,
-        .stands = stands,
-        .kind_of = kind_of,
-        .admits = admits,
+        .keep_open = stands,
+        .connection_kind = kind_of,
+        .admit = admits,
         .arg = core,
     };
 
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -109,7 +109,7 @@
                     "Connections not let in, for want of sockets");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections_turned_away_total", "of", kinds[i],
-                          (double)load.turned_away[i]);
+                          (double)load.refused[i]);
 }
 
 void lmn_controller_metrics(void *core, GString *out)
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -103,7 +103,7 @@
         core->connection_budget.max_accepted, l.open[LMN_CONNECTION_UNIDENTIFIED],
         l.open[LMN_CONNECTION_USER], l.open[LMN_CONNECTION_WORKER],
         l.closed[LMN_CONNECTION_USER], l.closed[LMN_CONNECTION_WORKER],
-        l.turned_away[LMN_CONNECTION_WORKER]);
+        l.refused[LMN_CONNECTION_WORKER]);
 }
 
 char *lmn_status_report(struct lmn_core *core)
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -62,18 +62,18 @@
     unsigned connections; /**< most open connections; further ones are refused */
     size_t max_body; /**< bytes; a longer body is read to its end, not kept, and answered
                           with 400 */
-    size_t call_memory; /**< bytes that libmicrohttpd allocates for each connection, which
-                             bound the length of the headers; 0: 32 KiB */
-    double patience_s;  /**< seconds after which lmn_http_server_expire_deferred() answers
-                             a deferred request with 503; 0: never */
+    size_t connection_memory; /**< bytes that libmicrohttpd allocates for each connection,
+                             which bound the length of the headers; 0: 32 KiB */
+    double defer_timeout_s;   /**< seconds after which lmn_http_server_expire_deferred()
+                              answers   a deferred request with 503; 0: never */
     unsigned idle_s; /**< seconds without traffic after which a connection is closed; 0:
                           90 */
     lmn_http_handler *route;
-    lmn_http_keep_open *stands;        /**< NULL: all stay open */
-    lmn_http_connection_kind *kind_of; /**< NULL: all are of kind 0 */
-    lmn_http_admit *admits; /**< NULL, or kind_of NULL: all are accepted; a connection
-                               that is not accepted is closed at once */
-    void *arg;              /**< of all callbacks; must outlive the server */
+    lmn_http_keep_open *keep_open;             /**< NULL: all stay open */
+    lmn_http_connection_kind *connection_kind; /**< NULL: all are of kind 0 */
+    lmn_http_admit *admit; /**< NULL, or connection_kind NULL: all are accepted; a
+                              connection that is not accepted is closed at once */
+    void *arg;             /**< of all callbacks; must outlive the server */
 };
 
 /** Starts a server. @return NULL if it can't listen (errno says why). */
@@ -93,10 +93,10 @@
 
 /** Connections by kind. */
 struct lmn_http_server_load {
-    unsigned open[LMN_HTTP_CONNECTION_KINDS];        /**< now */
-    uint64_t closed[LMN_HTTP_CONNECTION_KINDS];      /**< closed with a response since the
-                                                          start, as keep_open said so */
-    uint64_t turned_away[LMN_HTTP_CONNECTION_KINDS]; /**< not accepted since the start */
+    unsigned open[LMN_HTTP_CONNECTION_KINDS];    /**< now */
+    uint64_t closed[LMN_HTTP_CONNECTION_KINDS];  /**< closed with a response since the
+                                                      start, as keep_open said so */
+    uint64_t refused[LMN_HTTP_CONNECTION_KINDS]; /**< not accepted since the start */
 };
 
 /** Reads the counters. Any thread; they are read one by one, so that they may differ by
--- a/src/http/server_connections.c
+++ b/src/http/server_connections.c
@@ -27,9 +27,9 @@
     const union MHD_ConnectionInfo *info =
         MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
 
-    if (!server->options.kind_of || !info || !info->client_addr)
+    if (!server->options.connection_kind || !info || !info->client_addr)
         return 0;
-    return server->options.kind_of(server->options.arg, info->client_addr);
+    return server->options.connection_kind(server->options.arg, info->client_addr);
 }
 
 void lmn_http_count_connection(void *arg, struct MHD_Connection *connection,
@@ -57,13 +57,13 @@
     struct lmn_http_server_load load;
     (void)len;
 
-    if (!options->admits || !options->kind_of)
+    if (!options->admit || !options->connection_kind)
         return MHD_YES;
-    unsigned kind = options->kind_of(options->arg, peer);
+    unsigned kind = options->connection_kind(options->arg, peer);
     lmn_http_server_load(server, &load);
-    if (options->admits(options->arg, load.open, kind))
+    if (options->admit(options->arg, load.open, kind))
         return MHD_YES;
-    __atomic_fetch_add(&server->turned_away[kind], 1, __ATOMIC_RELAXED);
+    __atomic_fetch_add(&server->refused[kind], 1, __ATOMIC_RELAXED);
     return MHD_NO;
 }
 
@@ -73,10 +73,10 @@
     const struct connection_context *context = context_of(request->connection);
     struct lmn_http_server_load load;
 
-    if (!server->options.stands || !context)
+    if (!server->options.keep_open || !context)
         return false;
     lmn_http_server_load(server, &load);
-    if (server->options.stands(server->options.arg, load.open, context->kind))
+    if (server->options.keep_open(server->options.arg, load.open, context->kind))
         return false;
     __atomic_fetch_add(&server->closed[context->kind], 1, __ATOMIC_RELAXED);
     return true;
@@ -100,8 +100,7 @@
         /* A count may be seen between the two steps of a change of kind. */
         load->open[kind] = (unsigned)MAX(g_atomic_int_get(&server->open[kind]), 0);
         load->closed[kind] = __atomic_load_n(&server->closed[kind], __ATOMIC_RELAXED);
-        load->turned_away[kind] =
-            __atomic_load_n(&server->turned_away[kind], __ATOMIC_RELAXED);
+        load->refused[kind] = __atomic_load_n(&server->refused[kind], __ATOMIC_RELAXED);
     }
 }
 
--- a/src/http/server_daemon.c
+++ b/src/http/server_daemon.c
@@ -130,8 +130,8 @@
                                        const struct sockaddr_in *address)
 {
     const struct lmn_http_server_options *options = &server->options;
-    size_t memory =
-        options->call_memory ? options->call_memory : (size_t)DEFAULT_CONNECTION_MEMORY;
+    size_t memory = options->connection_memory ? options->connection_memory
+                                               : (size_t)DEFAULT_CONNECTION_MEMORY;
     unsigned idle_s = options->idle_s ? options->idle_s : (unsigned)DEFAULT_IDLE_S;
 
     /* One option a line. */
--- a/src/http/server_internal.h
+++ b/src/http/server_internal.h
@@ -21,13 +21,13 @@
     /* Connections by kind: atomic, written by the server's thread, read by any. */
     gint open[LMN_HTTP_CONNECTION_KINDS];
     guint64 closed[LMN_HTTP_CONNECTION_KINDS];
-    guint64 turned_away[LMN_HTTP_CONNECTION_KINDS];
+    guint64 refused[LMN_HTTP_CONNECTION_KINDS];
 
     pthread_mutex_t lock; /**< of `deferred`, and of the requests' fields that say so */
     GQueue deferred;      /**< requests that wait for a response, the oldest first */
 };
 
-/** Where a request stands. */
+/** State of a request. */
 enum lmn_http_request_phase {
     LMN_HTTP_RECEIVING, /**< not answered; its handler may be running */
     LMN_HTTP_DEFERRED,  /**< its connection is suspended until there is a response */
--- a/src/http/server_request.c
+++ b/src/http/server_request.c
@@ -137,7 +137,7 @@
 void lmn_http_server_expire_deferred(struct lmn_http_server *server)
 {
     struct timespec now = lmn_now();
-    double timeout_s = server->options.patience_s;
+    double timeout_s = server->options.defer_timeout_s;
 
     if (timeout_s <= 0)
         return;
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -269,7 +269,7 @@
                                               .connections = plan.max_accepted,
                                               .max_body = 1024,
                                               .route = answer,
-                                              .stands = stands};
+                                              .keep_open = stands};
     struct lmn_http_server *server = lmn_http_server_start(&o);
     assert_non_null(server);
     for (int i = 0; i < CROWD; i++) {
