--- a/src/http/server.h
+++ b/src/http/server.h
@@ -57,23 +57,28 @@
 
 /** How a server is to run. Copied; the structure need not outlive the start. */
 struct lmn_http_server_options {
-    const char *listen; /**< "IPv4:port", port 0: any free one; NULL: connections come by
-                             lmn_http_server_adopt() only */
-    unsigned connections; /**< most open connections; further ones are refused */
-    size_t max_body; /**< bytes; a longer body is read to its end, not kept, and answered
-                          with 400 */
-    size_t connection_memory; /**< bytes that libmicrohttpd allocates for each connection,
-                             which bound the length of the headers; 0: 32 KiB */
-    double defer_timeout_s;   /**< seconds after which lmn_http_server_expire_deferred()
-                              answers   a deferred request with 503; 0: never */
-    unsigned idle_s; /**< seconds without traffic after which a connection is closed; 0:
-                          90 */
-    lmn_http_handler *route;
-    lmn_http_keep_open *keep_open;             /**< NULL: all stay open */
+    /** "IPv4:port", port 0: any free one; NULL: connections come by
+     * lmn_http_server_adopt() only. */
+    const char *listen;
+    /** Most open connections; further ones are refused. */
+    unsigned connections;
+    /** Bytes; a longer body is read to its end, not kept, and answered with 400. */
+    size_t max_body;
+    /** Bytes that libmicrohttpd allocates for each connection, which bound the length of
+     * the headers; 0: 32 KiB. */
+    size_t connection_memory;
+    /** Seconds after which lmn_http_server_expire_deferred() answers a deferred request
+     * with 503; 0: never. */
+    double defer_timeout_s;
+    /** Seconds without traffic after which a connection is closed; 0: 90. */
+    unsigned idle_s;
+    lmn_http_handler *route;                   /**< required */
+    lmn_http_keep_open *keep_open;             /**< NULL: all connections stay open */
     lmn_http_connection_kind *connection_kind; /**< NULL: all are of kind 0 */
-    lmn_http_admit *admit; /**< NULL, or connection_kind NULL: all are accepted; a
-                              connection that is not accepted is closed at once */
-    void *arg;             /**< of all callbacks; must outlive the server */
+    /** NULL, or connection_kind NULL: all connections are accepted. One that is not
+     * accepted is closed at once. */
+    lmn_http_admit *admit;
+    void *arg; /**< of all callbacks; must outlive the server */
 };
 
 /** Starts a server. @return NULL if it can't listen (errno says why). */
