--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -1,197 +1,93 @@
+/** @file
+ * The key-value store's client: see kv_client/kv_client.h. Here are the queues of
+ * transactions, which the client's lock guards, and the threads that send them. */
 #include "kv_client/kv_client.h"
-#include "util/token_bucket.h"
+
+#include "kv_client/txn_batch.h"
+#include "kv_client/txn_codec.h"
+#include "kv_client/txn_impl.h"
+#include "kv_client/write_budget.h"
+#include "protocol/wire.h"
 #include "util/clock.h"
 #include "util/in_flight.h"
 #include "util/log.h"
 #include "util/thread.h"
-#include "protocol/wire.h"
 
 #include <math.h>
 #include <pthread.h>
-#include <string.h>
-
-enum { TXN_BYTES = 60000 };
-static const double TXN_TIMEOUT_S = 2.0;
-/* Threads that write. One alone has the way to the service to itself, so that what is
- * submitted meanwhile shares the next batch. */
-enum { WRITERS = 4 };
-/* A transaction of conditions alone can be sent again at any time. */
-static const double CONFIRM_TIMEOUT_S = 0.6;
-
-struct cond {
-    char *key;
-    uint64_t version;
-};
 
-struct change {
-    char *key;
-    GByteArray *value; /* NULL: remove */
-    uint64_t lease;
+enum {
+    /* Usually one batch is in flight at a time, so that what is submitted meanwhile
+     * shares the next one (util/in_flight.h); the other writers are for answers that are
+     * slow. */
+    WRITER_THREADS = 4,
+    HTTP_BAD_REQUEST = 400,
+    HTTP_TOO_MANY_REQUESTS = 429,
 };
 
-struct lmn_txn {
-    enum lmn_write_priority priority;
-    lmn_txn_callback *done;
-    void *arg;
-    GArray *conds, *changes;
-    size_t bytes;
-    struct timespec since;
-};
+static const double TXN_TIMEOUT_S = 2.0;
+/** For a transaction of conditions alone, which can be sent again at any time. */
+static const double CHECK_TIMEOUT_S = 0.6;
+/** A transaction that the store puts off (429) is sent again until it is so old. */
+static const double RESUBMIT_WITHIN_S = 1.5;
+/** Pause of all writers after a 429, with a random part so that controllers spread out.
+ */
+static const double THROTTLED_MIN_S = 0.1, THROTTLED_RANDOM_S = 0.2;
+/** Added to waits, so that what was waited for has come for certain. */
+static const double WAIT_MARGIN_S = 1e-3;
+/** The limit of requests: part of the share that is used (a little less than all, since
+ * the store counts seconds by its own clock), and the bucket's size. */
+static const double REQUEST_RATE_MARGIN = 0.95, REQUEST_BURST_S = 0.5,
+                    MIN_REQUEST_BURST = 2;
 
 struct lmn_kv_client {
-    const struct lmn_settings *cfg;
-    pthread_mutex_t lock;
-    pthread_cond_t more;
-    GQueue queue[LMN_WRITE_PRIORITIES];
-    double queued_changes[LMN_WRITE_PRIORITIES];
-    struct lmn_token_bucket requests, writes;
-    struct lmn_token_bucket lazy; /* the part of writes that what can wait may use */
-    struct lmn_latency writing;   /* from a transaction's sending to its answer */
-    struct lmn_in_flight flight;  /* of batches */
-    struct timespec hold;         /* after a 429: nothing goes out before */
+    const struct lmn_settings *settings;
+    pthread_mutex_t lock;                /* guards everything below */
+    pthread_cond_t submitted;            /* a transaction was queued */
+    GQueue queues[LMN_WRITE_PRIORITIES]; /* struct lmn_txn */
+    double queued_operations[LMN_WRITE_PRIORITIES];
+    struct lmn_token_bucket requests;
+    struct lmn_write_budget budget;
+    struct lmn_latency batch_latency; /* from a batch's sending to its answer */
+    struct lmn_in_flight in_flight;   /* batches */
+    struct timespec throttled_until;  /* after a 429: no batch is sent before */
 };
 
-struct lmn_txn *lmn_txn_new(enum lmn_write_priority priority, lmn_txn_callback *done,
-                            void *arg)
-{
-    struct lmn_txn *txn = g_new0(struct lmn_txn, 1);
-    txn->priority = priority;
-    txn->done = done;
-    txn->arg = arg;
-    txn->conds = g_array_new(FALSE, FALSE, sizeof(struct cond));
-    txn->changes = g_array_new(FALSE, FALSE, sizeof(struct change));
-    txn->bytes = 32;
-    return txn;
-}
-
-void lmn_txn_require_version(struct lmn_txn *txn, const char *key, uint64_t version)
-{
-    struct cond c = {g_strdup(key), version};
-    g_array_append_val(txn->conds, c);
-    txn->bytes += strlen(key) + 40;
-}
-
-void lmn_txn_put(struct lmn_txn *txn, const char *key, GByteArray *value, uint64_t lease)
-{
-    struct change c = {g_strdup(key), value, lease};
-    g_array_append_val(txn->changes, c);
-    /* The service counts bytes as JSON: numbers and quotes take more there than in CBOR.
-     */
-    txn->bytes += strlen(key) + 60 + value->len + value->len / 2;
-}
-
-void lmn_txn_put_first(struct lmn_txn *txn, const char *key, GByteArray *value)
-{
-    lmn_txn_put(txn, key, value, 0);
-    struct change c = g_array_index(txn->changes, struct change, txn->changes->len - 1);
-    g_array_remove_index(txn->changes, txn->changes->len - 1);
-    g_array_prepend_val(txn->changes, c);
-}
-
-void lmn_txn_delete(struct lmn_txn *txn, const char *key)
-{
-    struct change c = {g_strdup(key), NULL, 0};
-    g_array_append_val(txn->changes, c);
-    txn->bytes += strlen(key) + 40;
-}
-
-void lmn_txn_free(struct lmn_txn *txn)
-{
-    for (guint i = 0; i < txn->conds->len; i++)
-        g_free(g_array_index(txn->conds, struct cond, i).key);
-    for (guint i = 0; i < txn->changes->len; i++) {
-        struct change *c = &g_array_index(txn->changes, struct change, i);
-        g_free(c->key);
-        if (c->value)
-            g_byte_array_unref(c->value);
-    }
-    g_array_free(txn->conds, TRUE);
-    g_array_free(txn->changes, TRUE);
-    g_free(txn);
-}
-
-struct lmn_txn *lmn_txn_copy(const struct lmn_txn *txn)
-{
-    struct lmn_txn *twin = lmn_txn_new(txn->priority, txn->done, txn->arg);
-
-    for (guint i = 0; i < txn->conds->len; i++) {
-        const struct cond *c = &g_array_index(txn->conds, struct cond, i);
-        lmn_txn_require_version(twin, c->key, c->version);
-    }
-    for (guint i = 0; i < txn->changes->len; i++) {
-        const struct change *c = &g_array_index(txn->changes, struct change, i);
-        if (c->value)
-            lmn_txn_put(twin, c->key, g_byte_array_ref(c->value), c->lease);
-        else
-            lmn_txn_delete(twin, c->key);
-    }
-    return twin;
-}
-
-guint lmn_txn_operation_count(const struct lmn_txn *txn)
-{
-    return txn->changes->len;
-}
-
-void lmn_txn_foreach_operation(const struct lmn_txn *txn,
-                               void (*f)(void *arg, const char *key,
-                                         const GByteArray *value, uint64_t lease),
-                               void *arg)
-{
-    for (guint i = 0; i < txn->changes->len; i++) {
-        const struct change *c = &g_array_index(txn->changes, struct change, i);
-        f(arg, c->key, c->value, c->lease);
-    }
-}
-
-void lmn_txn_foreach_condition(const struct lmn_txn *txn,
-                               void (*f)(void *arg, const char *key, uint64_t version),
-                               void *arg)
-{
-    for (guint i = 0; i < txn->conds->len; i++) {
-        const struct cond *c = &g_array_index(txn->conds, struct cond, i);
-        f(arg, c->key, c->version);
-    }
-}
-
-void lmn_txn_complete(struct lmn_txn *txn, enum lmn_txn_outcome r, uint64_t revision)
-{
-    if (txn->done)
-        txn->done(txn->arg, txn, r, revision);
-    lmn_txn_free(txn);
-}
+/** What became of a batch, or of a transaction that was sent alone. */
+struct response {
+    int status; /* HTTP status, or one of http/client.h's negative ones */
+    enum lmn_txn_outcome outcome;
+    uint64_t revision; /* of the store; set if it committed or was in conflict */
+};
 
 struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *settings)
 {
     struct lmn_kv_client *client = g_new0(struct lmn_kv_client, 1);
+    /* The settings list the other members; one more share is this one's. */
     double share = 1.0 / (double)(settings->member_count + 1);
+    double requests_per_s = settings->state_requests_per_s * share;
     struct timespec now = lmn_now();
 
-    client->cfg = settings;
+    client->settings = settings;
     pthread_mutex_init(&client->lock, NULL);
-    lmn_cond_init(&client->more);
+    lmn_cond_init(&client->submitted);
     for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
-        g_queue_init(&client->queue[i]);
-    /* Each member keeps to its part, a little less for the service's own clock. */
-    lmn_token_bucket_init(&client->requests,
-                          settings->state_requests_per_s * share * 0.95,
-                          MAX(settings->state_requests_per_s * share * 0.5, 2), now);
-    lmn_token_bucket_init(&client->writes, settings->state_writes_per_s * share * 0.95,
-                          MAX(settings->state_writes_per_s * share * 0.9, 4), now);
-    lmn_token_bucket_init(&client->lazy, 0.5 * client->writes.rate, client->writes.burst,
-                          now);
-    lmn_latency_init(&client->writing);
-    client->hold = now;
+        g_queue_init(&client->queues[i]);
+    lmn_token_bucket_init(&client->requests, requests_per_s * REQUEST_RATE_MARGIN,
+                          MAX(requests_per_s * REQUEST_BURST_S, MIN_REQUEST_BURST), now);
+    lmn_write_budget_init(&client->budget, settings->state_writes_per_s * share, now);
+    lmn_latency_init(&client->batch_latency);
+    client->throttled_until = now;
     return client;
 }
 
 void lmn_kv_client_free(struct lmn_kv_client *client)
 {
     for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
-        for (struct lmn_txn *txn; (txn = g_queue_pop_head(&client->queue[i]));)
+        for (struct lmn_txn *txn; (txn = g_queue_pop_head(&client->queues[i]));)
             lmn_txn_complete(txn, LMN_TXN_REJECTED, 0);
-    lmn_latency_clear(&client->writing);
-    pthread_cond_destroy(&client->more);
+    lmn_latency_clear(&client->batch_latency);
+    pthread_cond_destroy(&client->submitted);
     pthread_mutex_destroy(&client->lock);
     g_free(client);
 }
@@ -200,357 +96,260 @@
 {
     for (;;) {
         pthread_mutex_lock(&client->lock);
-        double wait = lmn_token_bucket_take(&client->requests, 1, lmn_now());
+        double wait_s = lmn_token_bucket_take(&client->requests, 1, lmn_now());
         pthread_mutex_unlock(&client->lock);
-        if (wait <= 0)
+        if (wait_s <= 0)
             return;
-        lmn_sleep(wait);
+        lmn_sleep(wait_s);
     }
 }
 
-double lmn_kv_client_statistics(struct lmn_kv_client *client, struct lmn_latency *writing)
+/** Operations that are queued with a priority up to the given one; the lock is held. */
+static double count_queued(const struct lmn_kv_client *client,
+                           enum lmn_write_priority last)
 {
-    double waiting = 0;
+    double queued = 0;
+
+    for (int i = 0; i <= (int)last; i++)
+        queued += client->queued_operations[i];
+    return queued;
+}
 
+double lmn_kv_client_statistics(struct lmn_kv_client *client, struct lmn_latency *latency)
+{
     pthread_mutex_lock(&client->lock);
-    lmn_latency_copy(writing, &client->writing);
-    for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
-        waiting += client->queued_changes[i];
+    lmn_latency_copy(latency, &client->batch_latency);
+    double queued = count_queued(client, LMN_WRITE_PRIORITIES - 1);
     pthread_mutex_unlock(&client->lock);
-    return waiting;
+    return queued;
 }
 
 void lmn_kv_client_submit(struct lmn_kv_client *client, struct lmn_txn *txn)
 {
     pthread_mutex_lock(&client->lock);
-    txn->since = lmn_now();
-    g_queue_push_tail(&client->queue[txn->priority], txn);
-    client->queued_changes[txn->priority] += txn->changes->len;
+    txn->submitted_at = lmn_now();
+    g_queue_push_tail(&client->queues[txn->priority], txn);
+    client->queued_operations[txn->priority] += txn->operations->len;
     if (txn->priority == LMN_WRITE_DEFERRABLE)
-        client->lazy.level -= txn->changes->len;
-    pthread_cond_signal(&client->more);
+        client->budget.deferrable.level -= txn->operations->len;
+    pthread_cond_signal(&client->submitted);
     pthread_mutex_unlock(&client->lock);
 }
 
-/* What a rank leaves in the bucket for those before it: a submission that finds the
- * bucket emptied by done sets would wait longer than its user likes. Users often come to
- * one node alone, as after a restart of all: their writes and the owners' may overdraw
- * its share by a bucket, which the other members' thrift covers; if it does not, the
- * service says 429. */
-static double reserve(const struct lmn_kv_client *client,
-                      enum lmn_write_priority priority)
-{
-    switch (priority) {
-    case LMN_WRITE_DEFERRABLE:
-        return 0.5 * client->writes.burst;
-    case LMN_WRITE_CLOSE:
-        return 0.2 * client->writes.burst;
-    default:
-        return -client->writes.burst;
-    }
-}
-
 double lmn_kv_client_backlog_s(struct lmn_kv_client *client,
                                enum lmn_write_priority priority)
 {
-    double ahead = 0, wait;
-
     pthread_mutex_lock(&client->lock);
-    for (int i = 0; i <= (int)priority; i++)
-        ahead += client->queued_changes[i];
-    lmn_token_bucket_refill(&client->writes, lmn_now());
-    wait =
-        (ahead + reserve(client, priority) - client->writes.level) / client->writes.rate;
+    lmn_write_budget_refill(&client->budget, lmn_now());
+    double wait_s = lmn_write_budget_backlog_s(&client->budget, priority,
+                                               count_queued(client, priority));
     pthread_mutex_unlock(&client->lock);
-    return MAX(wait, 0);
+    return wait_s;
 }
 
 double lmn_kv_client_spare_writes(struct lmn_kv_client *client)
 {
-    double spare;
-
     pthread_mutex_lock(&client->lock);
-    lmn_token_bucket_refill(&client->writes, lmn_now());
-    spare = client->writes.level - reserve(client, LMN_WRITE_DEFERRABLE);
-    for (int i = 0; i < LMN_WRITE_PRIORITIES; i++)
-        spare -= client->queued_changes[i];
-    lmn_token_bucket_refill(&client->lazy, lmn_now());
-    spare = MIN(spare, client->lazy.level);
+    double spare =
+        lmn_write_budget_spare(&client->budget, client->queued_operations, lmn_now());
     pthread_mutex_unlock(&client->lock);
-    return MAX(spare, 0);
-}
-
-/* Whether so many changes of the rank may go out now. More than the bucket holds take it
- * full. */
-static bool affords(const struct lmn_kv_client *client, enum lmn_write_priority priority,
-                    guint changes)
-{
-    return client->writes.level - reserve(client, priority) >=
-           MIN(changes, 0.45 * client->writes.burst);
-}
-
-/* Seconds until the first transaction of some rank may go out; 0: now. */
-static double until_next(struct lmn_kv_client *client, struct timespec now)
-{
-    double wait = INFINITY;
-
-    lmn_token_bucket_refill(&client->writes, now);
-    for (int r = 0; r < LMN_WRITE_PRIORITIES; r++) {
-        const struct lmn_txn *txn = g_queue_peek_head(&client->queue[r]);
-        if (!txn)
-            continue;
-        if (affords(client, r, txn->changes->len))
-            wait = 0;
-        else
-            wait = MIN(wait, (reserve(client, r) +
-                              MIN(txn->changes->len, 0.45 * client->writes.burst) -
-                              client->writes.level) /
-                                 client->writes.rate);
-    }
-    wait = MAX(wait, lmn_in_flight_wait(&client->flight, now));
-    return MAX(wait, lmn_time_diff_s(client->hold, now));
+    return spare;
 }
 
-static GByteArray *encode(struct lmn_txn **v, guint n)
+/** Sends transactions as one. Blocks; no lock is held. */
+static struct response send_txns(struct lmn_http_client *http_client,
+                                 struct lmn_txn *const *txns, guint count,
+                                 double timeout_s, GPtrArray *conflicts)
 {
-    GByteArray *buffer = g_byte_array_new();
-    size_t conds = 0, changes = 0;
+    GByteArray *body = lmn_txn_encode(txns, count);
+    GByteArray *answer = g_byte_array_new();
+    struct response response = {.revision = 0};
 
-    for (guint i = 0; i < n; i++) {
-        conds += v[i]->conds->len;
-        changes += v[i]->changes->len;
-    }
-    lmn_cbor_put_map(buffer, changes ? 2 : 1);
-    lmn_cbor_put_text(buffer, WIRE_CONDITIONS);
-    lmn_cbor_put_array(buffer, conds);
-    for (guint i = 0; i < n; i++)
-        for (guint k = 0; k < v[i]->conds->len; k++) {
-            const struct cond *c = &g_array_index(v[i]->conds, struct cond, k);
-            lmn_cbor_put_map(buffer, 2);
-            lmn_cbor_put_text(buffer, WIRE_KEY), lmn_cbor_put_text(buffer, c->key);
-            lmn_cbor_put_text(buffer, WIRE_VERSION),
-                lmn_cbor_put_uint(buffer, c->version);
-        }
-    if (!changes)
-        return buffer;
-    lmn_cbor_put_text(buffer, WIRE_OPERATIONS);
-    lmn_cbor_put_array(buffer, changes);
-    for (guint i = 0; i < n; i++)
-        for (guint k = 0; k < v[i]->changes->len; k++) {
-            const struct change *c = &g_array_index(v[i]->changes, struct change, k);
-            if (!c->value) {
-                lmn_cbor_put_map(buffer, 1);
-                lmn_cbor_put_text(buffer, WIRE_DELETE), lmn_cbor_put_text(buffer, c->key);
-                continue;
-            }
-            lmn_cbor_put_map(buffer, c->lease ? 3 : 2);
-            lmn_cbor_put_text(buffer, WIRE_PUT), lmn_cbor_put_text(buffer, c->key);
-            lmn_cbor_put_text(buffer, WIRE_VALUE);
-            g_byte_array_append(buffer, c->value->data, c->value->len);
-            if (c->lease)
-                lmn_cbor_put_text(buffer, WIRE_LEASE),
-                    lmn_cbor_put_uint(buffer, c->lease);
-        }
-    return buffer;
-}
-
-/* Reads the answer to a transaction. Keys whose condition failed are added to conflicts.
- */
-static enum lmn_txn_outcome judge(int status, const GByteArray *answer,
-                                  uint64_t *revision, GPtrArray *conflicts)
-{
-    struct lmn_cbor_document d;
-
-    if (status == LMN_HTTP_NOT_SENT || status == 429 || status == 503 || status == 400)
-        return LMN_TXN_REJECTED;
-    if (status != 200 && status != 409)
-        return LMN_TXN_UNKNOWN;
-    if (lmn_cbor_parse(&d, answer->data, answer->len) != 0)
-        return LMN_TXN_UNKNOWN;
-    enum lmn_txn_outcome r = LMN_TXN_UNKNOWN;
-    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-    if (lmn_cbor_get_uint(lmn_cbor_get(&d, root, WIRE_REVISION), revision))
-        r = status == 200 ? LMN_TXN_COMMITTED : LMN_TXN_CONFLICT;
-    const struct lmn_cbor_value *failed = lmn_cbor_get(&d, root, WIRE_CONFLICTS);
-    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(&d, failed);
-         node && conflicts; node = lmn_cbor_next(&d, node))
-        if (node->type == LMN_CBOR_TEXT)
-            g_ptr_array_add(conflicts, g_strndup(node->s, node->len));
-    lmn_cbor_free(&d);
-    return r;
-}
-
-static enum lmn_txn_outcome send_batch(struct lmn_http_client *client, struct lmn_txn **v,
-                                       guint n, double timeout_s, uint64_t *revision,
-                                       GPtrArray *conflicts, int *status)
-{
-    GByteArray *body = encode(v, n), *answer = g_byte_array_new();
-
-    struct timespec sent = lmn_now();
-    *status =
-        lmn_http_client_call(client, "POST", WIRE_PATH_TXN, body, timeout_s, answer);
-    lmn_debug("kv_batch_sent transactions=%u status=%d took=%.3f", n, *status,
-              lmn_time_diff_s(lmn_now(), sent));
-    enum lmn_txn_outcome r = judge(*status, answer, revision, conflicts);
+    struct timespec sent_at = lmn_now();
+    response.status =
+        lmn_http_client_call(http_client, "POST", WIRE_PATH_TXN, body, timeout_s, answer);
+    lmn_debug("kv_batch_sent transactions=%u status=%d took=%.3f", count, response.status,
+              lmn_time_diff_s(lmn_now(), sent_at));
+    response.outcome =
+        lmn_txn_decode_response(response.status, answer, &response.revision, conflicts);
     g_byte_array_unref(body);
     g_byte_array_unref(answer);
-    return r;
+    return response;
 }
 
-enum lmn_txn_outcome lmn_kv_client_commit(struct lmn_kv_client *s,
-                                          struct lmn_http_client *h, struct lmn_txn *txn,
-                                          uint64_t *revision, GPtrArray *conflicts)
+enum lmn_txn_outcome lmn_kv_client_commit(struct lmn_kv_client *client,
+                                          struct lmn_http_client *http_client,
+                                          struct lmn_txn *txn, uint64_t *revision,
+                                          GPtrArray *conflicts)
 {
-    int status;
-    lmn_kv_client_wait_for_token(s);
-    return send_batch(h, &txn, 1, txn->changes->len ? TXN_TIMEOUT_S : CONFIRM_TIMEOUT_S,
-                      revision, conflicts, &status);
+    double timeout_s = txn->operations->len ? TXN_TIMEOUT_S : CHECK_TIMEOUT_S;
+
+    lmn_kv_client_wait_for_token(client);
+    struct response response = send_txns(http_client, &txn, 1, timeout_s, conflicts);
+    if (response.outcome == LMN_TXN_COMMITTED || response.outcome == LMN_TXN_CONFLICT)
+        *revision = response.revision;
+    return response.outcome;
 }
 
-static bool touches(const struct lmn_txn *txn, const GPtrArray *keys)
+/** Whether the transaction may be sent in the batch now. One that exceeds the limits of
+ * any batch is sent alone, and left to the store to judge. */
+static bool may_join(const struct lmn_kv_client *client,
+                     const struct lmn_txn_batch *batch, const struct lmn_txn *txn)
 {
-    for (guint i = 0; i < txn->conds->len; i++)
-        for (guint k = 0; k < keys->len; k++)
-            if (!strcmp(g_array_index(txn->conds, struct cond, i).key, keys->pdata[k]))
-                return true;
-    return false;
+    if (!lmn_write_budget_affords(&client->budget, txn->priority,
+                                  batch->operations + txn->operations->len))
+        return false;
+    return batch->count == 0 || lmn_txn_batch_fits(batch, txn);
 }
 
-/* Two transactions can share a batch unless one changes a key that the other names: the
- * conditions of a batch are all taken from before it. */
-static bool collides(const struct lmn_txn *a, const struct lmn_txn *b)
+/** Moves the next transactions, by priority and then by age, from the queues to the empty
+ * batch, and charges the budget with them. The lock is held. */
+static void fill_batch(struct lmn_kv_client *client, struct lmn_txn_batch *batch)
 {
-    for (guint i = 0; i < a->changes->len; i++) {
-        const char *key = g_array_index(a->changes, struct change, i).key;
-        for (guint k = 0; k < b->changes->len; k++)
-            if (!strcmp(key, g_array_index(b->changes, struct change, k).key))
-                return true;
-        for (guint k = 0; k < b->conds->len; k++)
-            if (!strcmp(key, g_array_index(b->conds, struct cond, k).key))
-                return true;
+    for (int i = 0; i < LMN_WRITE_PRIORITIES; i++) {
+        GList *next;
+        for (GList *link = client->queues[i].head; link && batch->count < batch->max_txns;
+             link = next) {
+            struct lmn_txn *txn = link->data;
+            next = link->next;
+            if (!may_join(client, batch, txn))
+                continue;
+            lmn_txn_batch_add(batch, txn);
+            client->queued_operations[i] -= txn->operations->len;
+            g_queue_delete_link(&client->queues[i], link);
+        }
     }
-    return false;
+    client->budget.writes.level -= batch->operations;
 }
 
-/* Takes the next batch off the queues, and its changes off the budget; the lock is held.
- */
-static guint gather(struct lmn_kv_client *client, struct lmn_txn **v, guint max)
+static struct lmn_txn_batch empty_batch(const struct lmn_kv_client *client,
+                                        guint max_txns)
 {
-    size_t bytes = 0;
-    guint n = 0, changes = 0, conds = 0;
-
-    for (int r = 0; r < LMN_WRITE_PRIORITIES; r++) {
-        for (GList *l = client->queue[r].head; l && n < max;) {
-            struct lmn_txn *txn = l->data;
-            GList *next = l->next;
-            bool fits =
-                affords(client, r, changes + txn->changes->len) &&
-                changes + txn->changes->len <= (guint)client->cfg->max_txn_operations &&
-                conds + txn->conds->len <= 4 * (guint)client->cfg->max_txn_operations &&
-                bytes + txn->bytes <= TXN_BYTES;
-            for (guint i = 0; i < n && fits; i++)
-                fits = !collides(v[i], txn) && !collides(txn, v[i]);
-            if (fits || (n == 0 && affords(client, r, txn->changes->len))) {
-                v[n++] = txn;
-                changes += txn->changes->len;
-                conds += txn->conds->len;
-                bytes += txn->bytes;
-                client->queued_changes[r] -= txn->changes->len;
-                g_queue_delete_link(&client->queue[r], l);
-            }
-            l = next;
-        }
-    }
-    client->writes.level -= changes;
-    return n;
+    return (struct lmn_txn_batch){.max_txns = max_txns,
+                                  .max_operations =
+                                      (guint)client->settings->max_txn_operations};
 }
 
 struct lmn_txn *lmn_kv_client_dequeue(struct lmn_kv_client *client)
 {
-    struct lmn_txn *txn = NULL;
+    struct lmn_txn_batch batch = empty_batch(client, 1);
 
     pthread_mutex_lock(&client->lock);
-    lmn_token_bucket_refill(&client->writes, lmn_now());
-    gather(client, &txn, 1);
+    lmn_write_budget_refill(&client->budget, lmn_now());
+    fill_batch(client, &batch);
     pthread_mutex_unlock(&client->lock);
-    return txn;
+    return batch.count ? batch.txns[0] : NULL;
 }
 
-/* Waits until something may go out, and takes it. */
-static guint next_batch(struct lmn_kv_client *client, struct lmn_txn **v, guint max)
+/** Seconds until the next batch may be sent; 0 or less: now; infinite: nothing is queued.
+ * The lock is held. */
+static double next_batch_wait_s(struct lmn_kv_client *client, struct timespec now)
 {
+    double wait_s = INFINITY;
+
+    lmn_write_budget_refill(&client->budget, now);
+    for (int i = 0; i < LMN_WRITE_PRIORITIES; i++) {
+        const struct lmn_txn *txn = g_queue_peek_head(&client->queues[i]);
+        if (txn)
+            wait_s = MIN(wait_s, lmn_write_budget_wait_s(&client->budget, i,
+                                                         txn->operations->len));
+    }
+    wait_s = MAX(wait_s, lmn_in_flight_wait(&client->in_flight, now));
+    return MAX(wait_s, lmn_time_diff_s(client->throttled_until, now));
+}
+
+/** Waits until something may be sent, and takes it. The budget is waited for before
+ * transactions are chosen, so that urgent ones that come meanwhile still go first. */
+static struct lmn_txn_batch take_batch(struct lmn_kv_client *client)
+{
+    struct lmn_txn_batch batch = empty_batch(client, LMN_MAX_BATCH_TXNS);
+
     pthread_mutex_lock(&client->lock);
-    /* Wait for the budget before choosing, so that the urgent still go first. */
     for (;;) {
-        double wait = until_next(client, lmn_now());
-        if (wait <= 0)
+        double wait_s = next_batch_wait_s(client, lmn_now());
+        if (wait_s <= 0)
             break;
-        if (isinf(wait))
-            pthread_cond_wait(&client->more, &client->lock);
+        if (isinf(wait_s))
+            pthread_cond_wait(&client->submitted, &client->lock);
         else
-            lmn_cond_wait_for(&client->more, &client->lock, wait + 1e-3);
+            lmn_cond_wait_for(&client->submitted, &client->lock, wait_s + WAIT_MARGIN_S);
     }
-    guint n = gather(client, v, max);
-    lmn_in_flight_begin(&client->flight, lmn_now());
+    fill_batch(client, &batch);
+    lmn_in_flight_begin(&client->in_flight, lmn_now());
     pthread_mutex_unlock(&client->lock);
-    return n;
+    return batch;
 }
 
-static void batch_answered(struct lmn_kv_client *client, struct timespec sent, int status)
+/** Records that a batch was answered, or timed out. */
+static void record_answer(struct lmn_kv_client *client, struct timespec sent_at,
+                          int status)
 {
     pthread_mutex_lock(&client->lock);
-    lmn_in_flight_end(&client->flight);
-    lmn_latency_add(&client->writing, lmn_time_diff_s(lmn_now(), sent));
-    if (status == 429)
-        client->hold = lmn_time_add(lmn_now(), 0.1 + g_random_double() * 0.2);
+    lmn_in_flight_end(&client->in_flight);
+    lmn_latency_add(&client->batch_latency, lmn_time_diff_s(lmn_now(), sent_at));
+    if (status == HTTP_TOO_MANY_REQUESTS)
+        client->throttled_until = lmn_time_add(
+            lmn_now(), THROTTLED_MIN_S + g_random_double() * THROTTLED_RANDOM_S);
     pthread_mutex_unlock(&client->lock);
 }
 
-/* One of a batch that the service found unfit (an ended lease, say) goes out alone. */
-static void send_alone(struct lmn_kv_client *s, struct lmn_http_client *h,
+/** Sends a transaction alone, whose batch the store found invalid: which of the batch is
+ * (one that names a lease that has ended, say) shows only so. */
+static void send_alone(struct lmn_kv_client *client, struct lmn_http_client *http_client,
                        struct lmn_txn *txn)
 {
     uint64_t revision = 0;
-    enum lmn_txn_outcome r = lmn_kv_client_commit(s, h, txn, &revision, NULL);
-
-    lmn_txn_complete(txn, r, revision);
+    enum lmn_txn_outcome outcome =
+        lmn_kv_client_commit(client, http_client, txn, &revision, NULL);
+
+    lmn_txn_complete(txn, outcome, revision);
+}
+
+/** Completes a transaction of a batch that was answered, or sends it again. */
+static void handle_answered(struct lmn_kv_client *client,
+                            struct lmn_http_client *http_client, struct lmn_txn *txn,
+                            bool was_alone, const struct response *response,
+                            const GPtrArray *conflicts)
+{
+    if (response->outcome == LMN_TXN_CONFLICT && !was_alone &&
+        !lmn_txn_has_condition_on(txn, conflicts)) {
+        /* Only conditions of others in the batch did not hold. */
+        lmn_kv_client_submit(client, txn);
+    } else if (response->outcome == LMN_TXN_REJECTED &&
+               response->status == HTTP_BAD_REQUEST && !was_alone) {
+        send_alone(client, http_client, txn);
+    } else if (response->status == HTTP_TOO_MANY_REQUESTS &&
+               lmn_time_diff_s(lmn_now(), txn->submitted_at) < RESUBMIT_WITHIN_S) {
+        lmn_kv_client_submit(client, txn);
+    } else {
+        lmn_txn_complete(txn, response->outcome, response->revision);
+    }
 }
 
-static void *writer(void *arg)
+/** Body of a writer thread; never returns. */
+static void *run_writer(void *arg)
 {
-    struct lmn_kv_client *s = arg;
-    struct lmn_http_client *h = lmn_http_client_new(s->cfg->state_address);
-    struct lmn_txn *v[64];
+    struct lmn_kv_client *client = arg;
+    struct lmn_http_client *http_client =
+        lmn_http_client_new(client->settings->state_address);
 
     for (;;) {
-        guint n = next_batch(s, v, G_N_ELEMENTS(v));
-        lmn_kv_client_wait_for_token(s);
-        GPtrArray *conflicts = g_ptr_array_new_with_free_func(g_free);
-        uint64_t revision = 0;
-        int status;
-        struct timespec sent = lmn_now();
-        enum lmn_txn_outcome r =
-            send_batch(h, v, n, TXN_TIMEOUT_S, &revision, conflicts, &status);
-        batch_answered(s, sent, status);
-        for (guint i = 0; i < n; i++) {
-            if (r == LMN_TXN_CONFLICT && n > 1 && !touches(v[i], conflicts)) {
-                /* It was only in bad company: it goes out again. */
-                lmn_kv_client_submit(s, v[i]);
-            } else if (r == LMN_TXN_REJECTED && status == 400 && n > 1) {
-                send_alone(s, h, v[i]);
-            } else if (status == 429 && lmn_time_diff_s(lmn_now(), v[i]->since) < 1.5) {
-                lmn_kv_client_submit(s, v[i]);
-            } else {
-                lmn_txn_complete(v[i], r, revision);
-            }
-        }
-        g_ptr_array_free(conflicts, TRUE);
+        struct lmn_txn_batch batch = take_batch(client);
+        g_autoptr(GPtrArray) conflicts = g_ptr_array_new_with_free_func(g_free);
+        lmn_kv_client_wait_for_token(client);
+        struct timespec sent_at = lmn_now();
+        struct response response =
+            send_txns(http_client, batch.txns, batch.count, TXN_TIMEOUT_S, conflicts);
+        record_answer(client, sent_at, response.status);
+        for (guint i = 0; i < batch.count; i++)
+            handle_answered(client, http_client, batch.txns[i], batch.count == 1,
+                            &response, conflicts);
     }
     return NULL;
 }
 
 void lmn_kv_client_start(struct lmn_kv_client *client)
 {
-    for (int i = 0; i < WRITERS; i++)
-        lmn_thread(writer, client);
+    for (int i = 0; i < WRITER_THREADS; i++)
+        lmn_thread(run_writer, client);
 }
--- a/src/kv_client/kv_client.h
+++ b/src/kv_client/kv_client.h
@@ -1,87 +1,72 @@
-/* The state service's client: batching writers, and blocking calls for the other threads.
- * Batches may be carried out in another order than they were submitted in, as any that is
- * late may: each transaction is conditional on what it was derived from. */
+/** @file
+ * The client of the consensus-backed key-value store: writer threads that send submitted
+ * transactions in batches, and blocking calls for other threads.
+ *
+ * It paces itself to this controller's share of the store's limits. Batches may be
+ * carried out in another order than their transactions were submitted in, as may any that
+ * is delayed: so each transaction has to be conditional on what it was derived from.
+ *
+ * All functions but lmn_kv_client_free may be called from any thread. The client has a
+ * lock of its own, which is never held during a request or a callback; callers may hold
+ * the core's lock wherever a function does not block. */
 #ifndef LMN_KV_CLIENT_KV_CLIENT_H
 #define LMN_KV_CLIENT_KV_CLIENT_H
 
-#include "protocol/cbor.h"
+#include "config/settings.h"
 #include "http/client.h"
+#include "kv_client/txn.h"
+#include "protocol/cbor.h"
 #include "util/latency.h"
-#include "config/settings.h"
-
-enum lmn_txn_outcome {
-    LMN_TXN_COMMITTED,
-    LMN_TXN_CONFLICT, /* a condition did not hold: nothing was applied */
-    LMN_TXN_REJECTED, /* not executed */
-    LMN_TXN_UNKNOWN,  /* no answer: it may have been, or may yet be, executed */
-};
 
-/* In the order in which they go out when the budget is short. */
-enum lmn_write_priority {
-    LMN_WRITE_OWNER,
-    LMN_WRITE_USER,
-    LMN_WRITE_CLOSE,
-    LMN_WRITE_DEFERRABLE,
-    LMN_WRITE_PRIORITIES
-};
-
-struct lmn_txn;
 struct lmn_kv_client;
-typedef void lmn_txn_callback(void *arg, struct lmn_txn *t, enum lmn_txn_outcome outcome,
-                              uint64_t revision);
 
+/** Makes a client without threads.
+ *
+ * @param settings  must outlive it */
 struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *settings);
-/* Of one whose threads were never started; what was not sent counts as refused, so
- * whoever hears of that must still be there. */
+
+/** Frees a client whose threads were never started. Transactions that are still queued
+ * complete as LMN_TXN_REJECTED, so what their callbacks use must still exist. */
 void lmn_kv_client_free(struct lmn_kv_client *client);
-/* Starts the writers' threads. */
+
+/** Starts the writer threads, which never end. */
 void lmn_kv_client_start(struct lmn_kv_client *client);
 
-/* A transaction: conditions, changes, and who hears of its outcome (once, on a writer's
- * thread, no lock held). */
-struct lmn_txn *lmn_txn_new(enum lmn_write_priority priority, lmn_txn_callback *done,
-                            void *arg);
-void lmn_txn_require_version(struct lmn_txn *txn, const char *key, uint64_t version);
-/* Takes the value over. A lease of 0: none. */
-void lmn_txn_put(struct lmn_txn *txn, const char *key, GByteArray *value, uint64_t lease);
-/* As lmn_txn_put without a lease, ahead of the changes so far. */
-void lmn_txn_put_first(struct lmn_txn *txn, const char *key, GByteArray *value);
-void lmn_txn_delete(struct lmn_txn *txn, const char *key);
-void lmn_txn_free(struct lmn_txn *txn);
-/* The same transaction once more, to be sent beside or after it. */
-struct lmn_txn *lmn_txn_copy(const struct lmn_txn *txn);
-guint lmn_txn_operation_count(const struct lmn_txn *txn);
-/* Calls f for each change: value NULL is a removal; lease: what the key hangs on, 0 if
- * nothing. */
-void lmn_txn_foreach_operation(const struct lmn_txn *txn,
-                               void (*f)(void *arg, const char *key,
-                                         const GByteArray *value, uint64_t lease),
-                               void *arg);
+/** Queues a transaction, which the client takes over: a writer thread sends it, tells its
+ * outcome and frees it. Does not block. */
+void lmn_kv_client_submit(struct lmn_kv_client *client, struct lmn_txn *txn);
+
+/** Sends a transaction at once on the calling thread, outside the queues and the budget
+ * for writes. Blocks. The transaction stays the caller's, and its callback is not called.
+ *
+ * @param http_client  the calling thread's own
+ * @param revision     the store's; set if the outcome is LMN_TXN_COMMITTED or
+ *                     LMN_TXN_CONFLICT
+ * @param conflicts    as lmn_txn_decode_response's: keys whose condition did not hold are
+ *                     added; may be NULL */
+enum lmn_txn_outcome lmn_kv_client_commit(struct lmn_kv_client *client,
+                                          struct lmn_http_client *http_client,
+                                          struct lmn_txn *txn, uint64_t *revision,
+                                          GPtrArray *conflicts);
 
-void lmn_txn_foreach_condition(const struct lmn_txn *txn,
-                               void (*f)(void *arg, const char *key, uint64_t version),
-                               void *arg);
-/* Without the writers' threads (in tests): takes the next transaction off the queues,
- * NULL if there is none, and tells its outcome. */
-struct lmn_txn *lmn_kv_client_dequeue(struct lmn_kv_client *client);
-void lmn_txn_complete(struct lmn_txn *txn, enum lmn_txn_outcome outcome,
-                      uint64_t revision);
+/** Waits until one more request may be sent within the limit of requests. Blocks. */
+void lmn_kv_client_wait_for_token(struct lmn_kv_client *client);
 
-void lmn_kv_client_submit(struct lmn_kv_client *client, struct lmn_txn *txn);
-/* Seconds that a new transaction of this rank would wait for its turn. */
+/** Seconds that a new transaction of this priority would wait for its turn. */
 double lmn_kv_client_backlog_s(struct lmn_kv_client *client,
                                enum lmn_write_priority priority);
-/* How many changes that can wait may be submitted now, so that they go out at once. */
+
+/** How many deferrable operations may be submitted now, so that they are sent at once. */
 double lmn_kv_client_spare_writes(struct lmn_kv_client *client);
-/* Copies the times that transactions took into *writing, which was set up; returns how
- * many changes wait. */
+
+/** Copies the histogram of the time from a batch's sending to its answer (seconds) into
+ * *latency, which was set up; returns how many operations are queued. */
 double lmn_kv_client_statistics(struct lmn_kv_client *client,
-                                struct lmn_latency *writing);
-/* Waits for leave to send one more request. */
-void lmn_kv_client_wait_for_token(struct lmn_kv_client *client);
-/* Sends a transaction now, on the calling thread, outside the batches. */
-enum lmn_txn_outcome lmn_kv_client_commit(struct lmn_kv_client *s,
-                                          struct lmn_http_client *h, struct lmn_txn *txn,
-                                          uint64_t *revision, GPtrArray *conflicts);
+                                struct lmn_latency *latency);
+
+/** Without writer threads (in tests): takes the next transaction that may be sent off the
+ * queues; NULL: there is none. It is the caller's, who completes it with
+ * lmn_txn_complete. */
+struct lmn_txn *lmn_kv_client_dequeue(struct lmn_kv_client *client);
 
 #endif
