--- a/src/admission/connection_budget.h
+++ b/src/admission/connection_budget.h
@@ -1,8 +1,12 @@
-/* A controller's sockets, parted by purpose: what may stand open, and what is answered
- * and closed. Pure functions of the settings and of counts; nothing here is locked.
+/** @file
+ * How a controller's sockets are divided by purpose: how many connections it accepts, and
+ * which of them may stay open between requests.
  *
- * Without this, workers' standing connections alone filled a node once there were more of
- * them than sockets: health checks and users then waited at a door that nobody opened. */
+ * Without a budget, workers' open connections alone filled a controller once there were
+ * more workers than sockets, and health checks and users could not connect.
+ *
+ * Pure functions of the settings and of counts. The budget is constant after init, and
+ * needs no lock. */
 #ifndef LMN_ADMISSION_CONNECTION_BUDGET_H
 #define LMN_ADMISSION_CONNECTION_BUDGET_H
 
@@ -10,7 +14,7 @@
 
 #include <stdbool.h>
 
-/* Who has opened a connection. One that has not asked for anything yet is passing. */
+/** Who has opened a connection. It is unidentified until its first request. */
 enum lmn_connection_kind {
     LMN_CONNECTION_UNIDENTIFIED,
     LMN_CONNECTION_USER,
@@ -18,46 +22,47 @@
     LMN_CONNECTION_KINDS
 };
 
-/* Threads that call workers: each has a call under way at most. */
+/** Threads that call workers; each has at most one call in flight. */
 enum { LMN_WORKER_CLIENT_THREADS = 16 };
 
+/** How max_connections is divided. */
 struct lmn_connection_budget {
-    unsigned own_connections;    /* the node's own calls, and what it listens on */
-    unsigned worker_connections; /* of these, kept open to workers, over all lanes */
-    unsigned max_accepted;       /* others' connections, at most */
-    unsigned reserved[LMN_CONNECTION_KINDS]; /* of the accepted, which other kinds can't
-                                                take */
+    unsigned own_connections;    /**< that this controller opens itself or listens on */
+    unsigned worker_connections; /**< of these, kept open to workers by all threads */
+    unsigned max_accepted;       /**< most connections that others may open */
+    unsigned reserved[LMN_CONNECTION_KINDS]; /**< of these, for one kind alone */
 };
 
-/* How the node's max_connections are parted. For any settings: own and accepted together
- * are no more than max_connections, as long as that is at least
- * lmn_connection_budget_minimum; below, accepted is 16 and something will be
- * refused. */
+/** Divides the settings' max_connections. If that is at least
+ * lmn_connection_budget_minimum, own and accepted connections together do not exceed it;
+ * below that, 16 are accepted, and some connection will be refused. */
 void lmn_connection_budget_init(const struct lmn_settings *settings,
                                 struct lmn_connection_budget *budget);
 
-/* The fewest max_connections that a node with so many members can serve with. */
+/** The smallest max_connections that a controller with so many members can work with. */
 unsigned lmn_connection_budget_minimum(const struct lmn_settings *settings);
 
-/* How many machines the site's controllers can hear: all members' connections but users'
- * part, each held for a quarter of a second by a report that comes every report_s. No
- * more than that are rented. */
+/** The most machines whose heartbeats the site's controllers can take: from the accepted
+ * connections of all members without the users' share, when a heartbeat holds one for a
+ * quarter of a second. The site does not scale out beyond that. */
 double lmn_connection_budget_max_machines(const struct lmn_connection_budget *budget,
                                           const struct lmn_settings *settings);
 
-/* Whether a new connection is let in at all, with so many open: a worker's is not once
- * workers and those whose purpose is not known yet have everything but users' part. It is
- * closed then; a worker goes on to the next node a second later. Others are let in as
- * long as there are sockets. */
+/** Whether a new connection is accepted. A worker's is not once workers and unidentified
+ * connections have all but the users' share: it is closed, and the worker tries the next
+ * controller a second later. Others are accepted as long as there are sockets.
+ *
+ * @param open the open connections of each kind */
 bool lmn_connection_budget_admits(const struct lmn_connection_budget *budget,
                                   const unsigned open[LMN_CONNECTION_KINDS],
                                   enum lmn_connection_kind kind);
 
-/* Whether a connection of the kind may stay open after its answer, with so many of each
- * kind open now (itself among them): not if that took from what other kinds have open, or
- * from their floors; nor a user's, if this node alone is at fault. */
+/** Whether a connection may stay open after its reply: not if it takes from what other
+ * kinds have open or reserved, and not a user's if this controller alone is at fault.
+ *
+ * @param open the open connections of each kind, this one included */
 bool lmn_connection_budget_keeps_open(const struct lmn_connection_budget *budget,
                                       const unsigned open[LMN_CONNECTION_KINDS],
-                                      enum lmn_connection_kind kind, bool at_fault);
+                                      enum lmn_connection_kind kind, bool is_at_fault);
 
 #endif
--- a/src/admission/load_shedding.c
+++ b/src/admission/load_shedding.c
@@ -1,39 +1,49 @@
+/** @file
+ * Load shedding (admission/load_shedding.h). */
 #include "admission/load_shedding.h"
 
 #include <math.h>
 
-/* Seconds behind from which on some are shed. A poll waits for 2 s and a submission for
- * 5 s (the protocol's patience); a report for 4 s. */
-static const double FROM_S[LMN_SHED_KINDS] = {0.4, 1.0, 1.5};
-
-void lmn_load_record_delay(struct lmn_load *load, double late_s, double dt_s)
+/** The delay from which on some requests of a kind are refused. Clients wait for 2 s for
+ * a poll and 5 s for a submission, workers 4 s for the reply to a heartbeat: each kind is
+ * refused before its client would give up. */
+static const double SHED_THRESHOLD_S[LMN_SHED_KINDS] = {
+    [LMN_SHED_POLL] = 0.4, [LMN_SHED_SUBMISSION] = 1.0, [LMN_SHED_START] = 1.5};
+/** The time constant with which the delay falls. */
+static const double DELAY_DECAY_S = 1;
+/** Bounds of the wait that a Retry-After is drawn from, and of the result. */
+static const double MIN_WAIT_S = 1, MAX_WAIT_S = 20, MAX_RETRY_AFTER_S = 30;
+/** A Retry-After is the wait, and up to half as long again. */
+static const double MAX_WAIT_FACTOR = 1.5;
+
+void lmn_load_record_delay(struct lmn_load *load, double late_s, double elapsed_s)
 {
-    double late = MAX(late_s, 0);
+    double difference_s = MAX(late_s, 0) - load->delay_s;
 
-    if (late > load->delay_s)
-        load->delay_s += (late - load->delay_s) / 2;
+    if (difference_s > 0)
+        load->delay_s += difference_s / 2;
     else
-        load->delay_s += (late - load->delay_s) * (1 - exp(-MAX(dt_s, 0)));
+        load->delay_s += difference_s * (1 - exp(-MAX(elapsed_s, 0) / DELAY_DECAY_S));
 }
 
-double lmn_load_shed_share(double behind_s, enum lmn_shed_kind what)
+double lmn_load_shed_share(double delay_s, enum lmn_shed_kind kind)
 {
-    return CLAMP(behind_s / FROM_S[what] - 1, 0, 1);
+    return CLAMP(delay_s / SHED_THRESHOLD_S[kind] - 1, 0, 1);
 }
 
-bool lmn_load_should_shed(struct lmn_load *load, enum lmn_shed_kind what, GRand *rng)
+bool lmn_load_should_shed(struct lmn_load *load, enum lmn_shed_kind kind, GRand *rng)
 {
-    double share = lmn_load_shed_share(load->delay_s, what);
-    bool shed = share > 0 && g_rand_double(rng) < share;
+    double share = lmn_load_shed_share(load->delay_s, kind);
+    bool is_shed = share > 0 && g_rand_double(rng) < share;
 
-    load->shed_counts[what] += shed;
-    return shed;
+    load->shed_counts[kind] += is_shed;
+    return is_shed;
 }
 
 int lmn_retry_after(double wait_s, GRand *rng)
 {
-    double wait = CLAMP(wait_s, 1, 20);
+    double wait = CLAMP(wait_s, MIN_WAIT_S, MAX_WAIT_S);
+    double retry_after_s = ceil(wait * g_rand_double_range(rng, 1, MAX_WAIT_FACTOR));
 
-    /* No sooner than the wait, and up to half as long again. */
-    return (int)CLAMP(ceil(wait * g_rand_double_range(rng, 1, 1.5)), 1, 30);
+    return (int)CLAMP(retry_after_s, MIN_WAIT_S, MAX_RETRY_AFTER_S);
 }
--- a/src/admission/load_shedding.h
+++ b/src/admission/load_shedding.h
@@ -1,36 +1,44 @@
-/* How far a node is behind with its work, and what it sheds for that. Pure functions; the
- * caller holds the lock that guards the structure.
+/** @file
+ * How far a controller is behind with its work, and what it refuses because of that.
  *
- * What a node can't do in time it says at once, and when to come back: polls first, since
- * who polls comes again by himself, then submissions; a worker's report is always taken,
- * since its lease hangs on it, but starts nothing new when nothing else is left to shed.
- */
+ * A request that can't be served in time is refused at once, and told when to come back.
+ * Polls are refused first, since a client polls again by itself, then submissions. A
+ * worker's heartbeat is always taken, since its lease depends on it, but no task is
+ * started in reply when nothing else is left to refuse.
+ *
+ * Functions of their arguments; the caller holds the lock that guards the structure. */
 #ifndef LMN_ADMISSION_LOAD_SHEDDING_H
 #define LMN_ADMISSION_LOAD_SHEDDING_H
 
 #include <glib.h>
 #include <stdbool.h>
 
+/** What may be refused, in the order in which it is. */
 enum lmn_shed_kind { LMN_SHED_POLL, LMN_SHED_SUBMISSION, LMN_SHED_START, LMN_SHED_KINDS };
 
+/** A controller's load. */
 struct lmn_load {
-    double delay_s; /* seconds, smoothed: how late what was due is done */
+    double delay_s; /**< how late is done what was due, smoothed */
     guint64 shed_counts[LMN_SHED_KINDS];
 };
 
-/* Something that was due is done so many seconds late, dt seconds after the last such
- * note. Rises at once by half of what is new, falls with a time constant of 1 s. */
-void lmn_load_record_delay(struct lmn_load *load, double late_s, double dt_s);
+/** Something that was due was done late. The load's delay rises at once by half of the
+ * difference, and falls with a time constant of a second.
+ *
+ * @param late_s how late it was
+ * @param elapsed_s since the last call */
+void lmn_load_record_delay(struct lmn_load *load, double late_s, double elapsed_s);
 
-/* The share of such requests that is shed with the node so far behind: 0 up to a
- * threshold, 1 from twice that on. */
-double lmn_load_shed_share(double behind_s, enum lmn_shed_kind what);
+/** The share of such requests that is refused at a delay: 0 up to a threshold, 1 from
+ * twice the threshold on. */
+double lmn_load_shed_share(double delay_s, enum lmn_shed_kind kind);
 
-/* Whether this one is shed: by chance, so that nobody is shed each time. Counts it. */
-bool lmn_load_should_shed(struct lmn_load *load, enum lmn_shed_kind what, GRand *rng);
+/** Whether to refuse this request, and counts it: by chance, so that no client is refused
+ * each time. Draws a random number only if some share is refused. */
+bool lmn_load_should_shed(struct lmn_load *load, enum lmn_shed_kind kind, GRand *rng);
 
-/* After how many whole seconds to come back: 1 to 30, by chance over an interval that
- * grows with wait_s, so that those who were sent away do not come back together. */
+/** After how many seconds a refused client should come back: 1 to 30, by chance from an
+ * interval that grows with wait_s, so that clients do not come back together. */
 int lmn_retry_after(double wait_s, GRand *rng);
 
 #endif
--- a/src/admission/worker_hosts.c
+++ b/src/admission/worker_hosts.c
@@ -1,3 +1,5 @@
+/** @file
+ * The hosts that workers run on (admission/worker_hosts.h). */
 #include "admission/worker_hosts.h"
 #include "config/settings.h"
 
@@ -5,26 +7,34 @@
 #include <netinet/in.h>
 #include <sys/socket.h>
 
-/* 0: no host that counts. */
-static guint32 host_of(const struct lmn_worker_hosts *hosts, const char *addr)
+/** Stands for a host that is not counted. */
+enum { NO_HOST = 0 };
+
+static bool is_loopback(guint32 host)
+{
+    return host >> 24 == 127;
+}
+
+/** The host of "IPv4:port" as a number in host byte order, or NO_HOST. */
+static guint32 parse_host(const struct lmn_worker_hosts *hosts, const char *address)
 {
-    char host[LMN_ADDRESS_SIZE];
-    struct in_addr a;
+    char host_text[LMN_ADDRESS_SIZE];
+    struct in_addr parsed;
     int port;
 
-    if (lmn_address_split(addr, host, sizeof host, &port) != 0 ||
-        inet_pton(AF_INET, host, &a) != 1)
-        return 0;
-    guint32 n = ntohl(a.s_addr);
-    return n >> 24 == 127 || n == hosts->own_host ? 0 : n;
+    if (lmn_address_split(address, host_text, sizeof host_text, &port) != 0 ||
+        inet_pton(AF_INET, host_text, &parsed) != 1)
+        return NO_HOST;
+    guint32 host = ntohl(parsed.s_addr);
+    return is_loopback(host) || host == hosts->own_host ? NO_HOST : host;
 }
 
-void lmn_worker_hosts_init(struct lmn_worker_hosts *hosts, const char *listen)
+void lmn_worker_hosts_init(struct lmn_worker_hosts *hosts, const char *listen_address)
 {
     pthread_mutex_init(&hosts->lock, NULL);
     hosts->machine_counts = g_hash_table_new(NULL, NULL);
-    hosts->own_host = 0;
-    hosts->own_host = host_of(hosts, listen);
+    hosts->own_host = NO_HOST;
+    hosts->own_host = parse_host(hosts, listen_address);
 }
 
 void lmn_worker_hosts_clear(struct lmn_worker_hosts *hosts)
@@ -33,43 +43,43 @@
     pthread_mutex_destroy(&hosts->lock);
 }
 
-static void count(struct lmn_worker_hosts *hosts, const char *addr, int by)
+static void change_count(struct lmn_worker_hosts *hosts, const char *address,
+                         int difference)
 {
-    guint32 host = host_of(hosts, addr);
+    guint32 host = parse_host(hosts, address);
+    gpointer key = GUINT_TO_POINTER(host);
 
-    if (!host)
+    if (host == NO_HOST)
         return;
     pthread_mutex_lock(&hosts->lock);
-    int n = GPOINTER_TO_INT(
-                g_hash_table_lookup(hosts->machine_counts, GUINT_TO_POINTER(host))) +
-            by;
-    if (n > 0)
-        g_hash_table_insert(hosts->machine_counts, GUINT_TO_POINTER(host),
-                            GINT_TO_POINTER(n));
+    int count =
+        GPOINTER_TO_INT(g_hash_table_lookup(hosts->machine_counts, key)) + difference;
+    if (count > 0)
+        g_hash_table_insert(hosts->machine_counts, key, GINT_TO_POINTER(count));
     else
-        g_hash_table_remove(hosts->machine_counts, GUINT_TO_POINTER(host));
+        g_hash_table_remove(hosts->machine_counts, key);
     pthread_mutex_unlock(&hosts->lock);
 }
 
-void lmn_worker_hosts_add(struct lmn_worker_hosts *hosts, const char *addr)
+void lmn_worker_hosts_add(struct lmn_worker_hosts *hosts, const char *address)
 {
-    count(hosts, addr, 1);
+    change_count(hosts, address, 1);
 }
 
-void lmn_worker_hosts_remove(struct lmn_worker_hosts *hosts, const char *addr)
+void lmn_worker_hosts_remove(struct lmn_worker_hosts *hosts, const char *address)
 {
-    count(hosts, addr, -1);
+    change_count(hosts, address, -1);
 }
 
 bool lmn_worker_hosts_contain(struct lmn_worker_hosts *hosts, const struct sockaddr *peer)
 {
-    const struct sockaddr_in *a = (const struct sockaddr_in *)peer;
+    const struct sockaddr_in *peer_ipv4 = (const struct sockaddr_in *)peer;
 
     if (!peer || peer->sa_family != AF_INET)
         return false;
     pthread_mutex_lock(&hosts->lock);
-    bool known = g_hash_table_contains(hosts->machine_counts,
-                                       GUINT_TO_POINTER(ntohl(a->sin_addr.s_addr)));
+    bool is_known = g_hash_table_contains(
+        hosts->machine_counts, GUINT_TO_POINTER(ntohl(peer_ipv4->sin_addr.s_addr)));
     pthread_mutex_unlock(&hosts->lock);
-    return known;
+    return is_known;
 }
