--- a/bench/noise.c
+++ b/bench/noise.c
@@ -36,13 +36,13 @@
     for (size_t i = 0; i < sizeof rules / sizeof *rules; i++) {
         struct lmn_controller_group_options o = {.members = atoi(argv[1]),
                                                  .lease_s = 31,
-                                                 .report_s = 6,
+                                                 .heartbeat_s = 6,
                                                  .seconds = atof(argv[2]),
-                                                 .state_s = 0.004,
+                                                 .store_latency_s = 0.004,
                                                  .loss = 0.05,
-                                                 .stalls_s = 60,
-                                                 .stall_s = 2,
-                                                 .refused_s = 600,
+                                                 .stall_interval_s = 60,
+                                                 .max_stall_s = 2,
+                                                 .refusal_interval_s = 600,
                                                  .rule = rules[i].rule,
                                                  .threshold = rules[i].threshold,
                                                  .seed = 3};
@@ -50,20 +50,20 @@
         double sum = 0, most = 0;
         int judged = 0;
         lmn_simulate_controller_group(&o, &r);
-        unsigned wrong = r.false_verdicts, suspicions = r.suspicions;
+        unsigned wrong = r.false_failures, suspicions = r.suspicions;
         o.seconds = 60;
-        o.stall_s = 1;
-        o.refused_s = 0;
-        o.dead = 1;
+        o.max_stall_s = 1;
+        o.refusal_interval_s = 0;
+        o.failing_members = 1;
         for (int k = 0; k < DEATHS; k++) {
             o.seed = (uint32_t)k + 1;
-            o.dead_at = 20 + k * 0.037;
+            o.failed_at_s = 20 + k * 0.037;
             lmn_simulate_controller_group(&o, &r);
-            if (r.judged_s < 0)
+            if (r.declared_failed_s < 0)
                 continue;
             judged++;
-            sum += r.judged_s;
-            most = r.judged_s > most ? r.judged_s : most;
+            sum += r.declared_failed_s;
+            most = r.declared_failed_s > most ? r.declared_failed_s : most;
         }
         printf("%-32s false verdicts %6u (suspicions %u); %d of %d deaths judged after "
                "%.2f s on average, %.2f s at the "
--- a/src/simulation/controller_group.h
+++ b/src/simulation/controller_group.h
@@ -1,51 +1,59 @@
-/* A group of controllers that watch each other, in simulated time: the product's own
- * functions of src/membership/, over a network and a state service that lose, delay and
- * stand still. What it tells: how soon a failure is noticed, and how often one is judged
- * that had not failed.
+/** @file
+ * A simulated group of controllers that watch each other. It runs the functions of
+ * membership/ as they are, in simulated time, over a network and a key-value store that
+ * lose, delay and stall. It shows how soon a failure is noticed, and how often a member
+ * is declared failed that has not failed.
  *
- * No threads, no I/O; the same options give the same result. */
+ * It has no threads and does no I/O; the same options give the same result. */
 #ifndef LMN_SIMULATION_CONTROLLER_GROUP_H
 #define LMN_SIMULATION_CONTROLLER_GROUP_H
 
 #include <stdint.h>
 
-/* By what a member is judged: as the product does, or, to compare with, by one node alone
- * as soon as a question has gone unanswered for a fixed time (threshold: seconds), or for
- * one that is this unlikely (threshold: phi). */
+/** By which rule a member is declared failed. */
 enum lmn_controller_group_rule {
-    LMN_GROUP_RULE_PRODUCT,
+    LMN_GROUP_RULE_PRODUCT, /**< as the product does: a suspicion, then a declaration */
+    /** To compare with: one controller alone, as soon as a probe has been unanswered for
+     * a fixed time. */
     LMN_GROUP_RULE_FIXED_TIMEOUT,
+    /** To compare with: one controller alone, as soon as phi is reached. */
     LMN_GROUP_RULE_PHI
 };
 
+/** What is simulated. Times are in seconds. */
 struct lmn_controller_group_options {
     int members;
-    double lease_s, report_s; /* the workers', from which all times follow */
+    double lease_s, heartbeat_s; /**< the workers', from which all other times follow */
     uint32_t seed;
-    double seconds;
+    double seconds; /**< for how long, at most */
     enum lmn_controller_group_rule rule;
-    double threshold;
-    /* noise */
-    double loss;      /* share of messages that are sent again, after 0.2 s, 0.4 s, ... */
-    double state_s;   /* what the state service takes for an answer, about */
-    double stalls_s;  /* between a node's stand-stills, on average; 0: none */
-    double stall_s;   /* how long one lasts at most */
-    double late_s;    /* nodes do everything late by up to this */
-    double refused_s; /* between stretches of 10 s in which members refuse each other's
-                         connections; 0: none */
-    /* a failure: so many members die at once; 0: none */
-    int dead;
-    double dead_at;
+    double threshold; /**< seconds for FIXED_TIMEOUT, phi for PHI */
+
+    /** @name Faults that are no failure of a member @{ */
+    double loss; /**< share of messages that are sent again, after 0.2 s, 0.4 s, ... */
+    double store_latency_s;    /**< typical time of the key-value store for a reply */
+    double stall_interval_s;   /**< between a member's stalls, on average; 0: none */
+    double max_stall_s;        /**< the longest stall */
+    double max_delay_s;        /**< members do everything late by up to this */
+    double refusal_interval_s; /**< between periods of 10 s in which members refuse each
+                                  other's connections, on average; 0: none */
+    /** @} */
+
+    int failing_members; /**< so many members fail at once; 0: none */
+    double failed_at_s;
 };
 
+/** What has happened. */
 struct lmn_controller_group_result {
-    unsigned questions, suspicions, refutations;
-    unsigned false_verdicts; /* of members that had not failed */
-    /* from the failure until all that died are suspected, and judged; negative: not */
-    double suspected_s, judged_s;
+    unsigned probes, suspicions, refutations;
+    unsigned false_failures; /**< declarations of members that had not failed */
+    /** From the failure until all that failed are suspected, and declared failed;
+     * negative: they never were. */
+    double suspected_s, declared_failed_s;
 };
 
-void lmn_simulate_controller_group(const struct lmn_controller_group_options *o,
-                                   struct lmn_controller_group_result *r);
+/** Simulates a group, until the time is over or all that failed are declared failed. */
+void lmn_simulate_controller_group(const struct lmn_controller_group_options *options,
+                                   struct lmn_controller_group_result *result);
 
 #endif
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -404,16 +404,19 @@
 
 /* --- groups in simulated time --- */
 
-static const struct lmn_controller_group_options usual = {
-    .members = 3, .lease_s = 31, .report_s = 6, .seconds = 100000, .state_s = 0.004};
+static const struct lmn_controller_group_options usual = {.members = 3,
+                                                          .lease_s = 31,
+                                                          .heartbeat_s = 6,
+                                                          .seconds = 100000,
+                                                          .store_latency_s = 0.004};
 
 static void calm(const struct lmn_controller_group_options *o)
 {
     struct lmn_controller_group_result r;
 
     lmn_simulate_controller_group(o, &r);
-    assert_int_equal(r.false_verdicts, 0);
-    assert_true(r.questions > o->seconds);
+    assert_int_equal(r.false_failures, 0);
+    assert_true(r.probes > o->seconds);
     /* Every suspicion was refuted. */
     assert_int_equal(r.suspicions, r.refutations);
 }
@@ -426,27 +429,27 @@
     o.loss = 0.05;
     calm(&o);
     o.loss = 0;
-    o.state_s *= 12;
+    o.store_latency_s *= 12;
     calm(&o);
-    o.state_s /= 12;
-    o.late_s = 0.5;
+    o.store_latency_s /= 12;
+    o.max_delay_s = 0.5;
     calm(&o);
-    o.late_s = 0;
-    o.stalls_s = 60;
-    o.stall_s = 1;
+    o.max_delay_s = 0;
+    o.stall_interval_s = 60;
+    o.max_stall_s = 1;
     calm(&o);
-    o.stalls_s = 0;
-    o.refused_s = 60;
+    o.stall_interval_s = 0;
+    o.refusal_interval_s = 60;
     calm(&o);
     /* And a short lease on many members. */
     o = usual;
     o.lease_s = 10;
-    o.report_s = 1.5;
+    o.heartbeat_s = 1.5;
     o.members = 9;
     o.seconds = 10000;
     o.loss = 0.05;
-    o.stalls_s = 200;
-    o.stall_s = 0.8;
+    o.stall_interval_s = 200;
+    o.max_stall_s = 0.8;
     calm(&o);
 }
 
@@ -463,13 +466,13 @@
             o.members = sizes[k];
             o.seed = seed;
             o.seconds = 60;
-            o.dead = sizes[k] > 4 ? sizes[k] / 3 : 1;
-            o.dead_at = 20 + 0.037 * seed;
+            o.failing_members = sizes[k] > 4 ? sizes[k] / 3 : 1;
+            o.failed_at_s = 20 + 0.037 * seed;
             lmn_simulate_controller_group(&o, &r);
-            assert_true(r.judged_s > 0 && r.judged_s < 7);
-            assert_true(r.suspected_s < r.judged_s);
-            assert_int_equal(r.false_verdicts, 0);
-            sum += r.judged_s;
+            assert_true(r.declared_failed_s > 0 && r.declared_failed_s < 7);
+            assert_true(r.suspected_s < r.declared_failed_s);
+            assert_int_equal(r.false_failures, 0);
+            sum += r.declared_failed_s;
         }
         assert_true(sum / 20 < 4);
     }
