--- a/src/replication/stream.h
+++ b/src/replication/stream.h
@@ -22,7 +22,8 @@
  *     REMOVING     the watch cache shows a record that no longer  NONE
  *                  names this stream
  *
- *     failure: the standby is suspected, has restarted, refuses, or does not acknowledge
+ *     failure: the standby is suspected, has restarted, refuses, or does not acknowledge,
+ *     or the operator has turned standbys off
  *     SNAPSHOT, CATCHING_UP                                       NONE
  *     JOINING, IN_SYNC                                            REMOVING
  *     any          lmn_replication_reset: ownership won or lost   NONE
