--- a/src/image_store/work.c
+++ b/src/image_store/work.c
@@ -1,77 +1,91 @@
+/**
+ * @file
+ * Encoding and decoding of the description of what a job's tasks run.
+ */
 #include "image_store/work.h"
 
 #include <string.h>
 
-enum { MAX_TEXTS = 4096 };
+enum { MAX_STRINGS = 4096 };
 
-static void put_texts(GByteArray *buffer, const char *key, char **v)
+static void encode_strings(GByteArray *buffer, const char *key, char **strings)
 {
-    guint n = v ? g_strv_length(v) : 0;
+    guint count = strings ? g_strv_length(strings) : 0;
 
-    lmn_cbor_put_text(buffer, key), lmn_cbor_put_array(buffer, n);
-    for (guint i = 0; i < n; i++)
-        lmn_cbor_put_text(buffer, v[i]);
+    lmn_cbor_put_text(buffer, key);
+    lmn_cbor_put_array(buffer, count);
+    for (guint i = 0; i < count; i++)
+        lmn_cbor_put_text(buffer, strings[i]);
 }
 
-GByteArray *lmn_task_command_encode(const struct lmn_task_command *w)
+GByteArray *lmn_task_command_encode(const struct lmn_task_command *command)
 {
     GByteArray *buffer = g_byte_array_new();
 
     lmn_cbor_put_map(buffer, 3);
-    put_texts(buffer, "Command", w->argv);
-    put_texts(buffer, "Environment", w->env);
-    lmn_cbor_put_text(buffer, "Job"), lmn_cbor_put_map(buffer, lmn_job_spec_pair_count());
-    lmn_job_spec_write(buffer, &w->spec);
+    encode_strings(buffer, "Command", command->argv);
+    encode_strings(buffer, "Environment", command->env);
+    lmn_cbor_put_text(buffer, "Job");
+    lmn_cbor_put_map(buffer, lmn_job_spec_pair_count());
+    lmn_job_spec_write(buffer, &command->spec);
     return buffer;
 }
 
-static char **read_texts(const struct lmn_cbor_document *document,
-                         const struct lmn_cbor_value *list)
+/** @return the strings, NULL-terminated; NULL if the value is no array of at most
+ * MAX_STRINGS texts. A text with a zero byte is refused, since it would be cut there. */
+static char **decode_strings(const struct lmn_cbor_document *document,
+                             const struct lmn_cbor_value *list)
 {
-    if (!list || list->type != LMN_CBOR_ARRAY || list->len > MAX_TEXTS)
+    if (!list || list->type != LMN_CBOR_ARRAY || list->len > MAX_STRINGS)
         return NULL;
-    char **v = g_new0(char *, list->len + 1);
-    guint k = 0;
+    g_auto(GStrv) strings = g_new0(char *, list->len + 1);
+    guint count = 0;
     for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, list); node;
          node = lmn_cbor_next(document, node)) {
-        if (node->type != LMN_CBOR_TEXT || memchr(node->s, '\0', node->len)) {
-            g_strfreev(v);
+        if (node->type != LMN_CBOR_TEXT || memchr(node->s, '\0', node->len))
             return NULL;
-        }
-        v[k++] = g_strndup(node->s, node->len);
+        strings[count++] = g_strndup(node->s, node->len);
     }
-    return v;
+    return g_steal_pointer(&strings);
 }
 
-int lmn_task_command_decode(struct lmn_task_command *w, const void *bytes, size_t len,
-                            const char **what)
+static int decode_fields(struct lmn_task_command *command,
+                         const struct lmn_cbor_document *document, const char **what)
 {
-    struct lmn_cbor_document d;
+    const struct lmn_cbor_value *root = lmn_cbor_root(document);
 
-    memset(w, 0, sizeof *w);
+    *what = "Command";
+    command->argv = decode_strings(document, lmn_cbor_get(document, root, "Command"));
+    if (!command->argv || !command->argv[0])
+        return -1;
+    *what = "Environment";
+    command->env = decode_strings(document, lmn_cbor_get(document, root, "Environment"));
+    if (!command->env)
+        return -1;
+    return lmn_job_spec_parse(&command->spec, document,
+                              lmn_cbor_get(document, root, "Job"), what);
+}
+
+int lmn_task_command_decode(struct lmn_task_command *command, const void *bytes,
+                            size_t len, const char **what)
+{
+    struct lmn_cbor_document document;
+
+    memset(command, 0, sizeof *command);
     *what = "not CBOR";
-    if (lmn_cbor_parse(&d, bytes, len) != 0)
+    if (lmn_cbor_parse(&document, bytes, len) != 0)
         return -1;
-    const struct lmn_cbor_value *root = lmn_cbor_root(&d);
-    int rc = -1;
-    *what = "Command";
-    w->argv = read_texts(&d, lmn_cbor_get(&d, root, "Command"));
-    if (w->argv && w->argv[0]) {
-        *what = "Environment";
-        w->env = read_texts(&d, lmn_cbor_get(&d, root, "Environment"));
-        if (w->env)
-            rc = lmn_job_spec_parse(&w->spec, &d, lmn_cbor_get(&d, root, "Job"), what);
-    }
+    int rc = decode_fields(command, &document, what);
     if (rc != 0)
-        lmn_task_command_clear(w);
-    lmn_cbor_free(&d);
+        lmn_task_command_clear(command);
+    lmn_cbor_free(&document);
     return rc;
 }
 
-void lmn_task_command_clear(struct lmn_task_command *w)
+void lmn_task_command_clear(struct lmn_task_command *command)
 {
-    lmn_job_spec_clear(&w->spec);
-    g_strfreev(w->argv);
-    g_strfreev(w->env);
-    memset(w, 0, sizeof *w);
+    lmn_job_spec_clear(&command->spec);
+    g_strfreev(command->argv);
+    g_strfreev(command->env);
+    memset(command, 0, sizeof *command);
 }
