--- a/src/image_store/image_store.h
+++ b/src/image_store/image_store.h
@@ -1,14 +1,24 @@
-/* The site's depot: what users upload and workers fetch. Blobs are named by their
- * SHA-256, so that a blob never changes and a repeated upload does nothing; names point
- * at blobs. Everything is on the disk before it is answered.
+/**
+ * @file
+ * The image store of a site: what users upload and workers fetch (jobs' descriptions,
+ * images, the output of attempts). The server is in server.c, the client in client.c;
+ * how an image is made up of blobs is in image.h.
  *
- *   PUT /blobs/HEX            bytes whose SHA-256 is HEX: 201, 200 known, 400 if it is
- * another GET /blobs/HEX            (?Stat=1: only whether it is there) PUT
- * /names/KIND/NAME      the digest, as text; "job" is written once: 409 if it is another
- *   GET /names/KIND/NAME      the digest
- *   GET /names/KIND           {"Names": [...]}, sorted
- *   PUT /logs/JOB/NAME        output of an attempt, replaced as it grows
- *   GET /logs/JOB/NAME, GET /logs/JOB
+ * A blob is named by its SHA-256, so that it never changes and a repeated upload does
+ * nothing. A name points at a blob. The server responds to a write only after it is on
+ * the disk. All state is in the server's directory; nothing is kept in memory.
+ *
+ *     PUT /blobs/HEX         stores the bytes whose SHA-256 is HEX: 201, or 200 if they
+ *                            are stored already; 400 if they have another SHA-256
+ *     GET /blobs/HEX         the bytes; with ?Stat=1 only whether they are there
+ *     PUT /names/KIND/NAME   binds the name to a digest, the body as text; a name of the
+ *                            kind "job" is bound once: 409 if it has another digest
+ *     GET /names/KIND/NAME   the digest
+ *     GET /names/KIND        {"Names": [...]}, sorted
+ *     PUT /logs/JOB/NAME     the output of an attempt, replaced as it grows
+ *     GET /logs/JOB/NAME     the output
+ *     GET /logs/JOB          {"Names": [...]}, sorted
+ *     GET /ready             200
  */
 #ifndef LMN_IMAGE_STORE_IMAGE_STORE_H
 #define LMN_IMAGE_STORE_IMAGE_STORE_H
@@ -16,35 +26,65 @@
 #include "http/client.h"
 #include "http/server.h"
 
-enum { LMN_MAX_BLOB_BYTES = 8 << 20, LMN_DIGEST_SIZE = 65 };
+enum {
+    LMN_MAX_BLOB_BYTES = 8 << 20,
+    LMN_DIGEST_SIZE = 65, /**< 64 hexadecimal digits and the terminating zero */
+};
 
+/** The kind of the names of jobs' descriptions; such a name is bound once. */
 #define LMN_IMAGE_STORE_KIND_JOB "job"
+/** The kind of the names of images; such a name may be bound anew. */
 #define LMN_IMAGE_STORE_KIND_IMAGE "image"
-/* The image that is nothing at all. */
+/** The name of the empty image, which is never fetched. */
 #define LMN_NO_IMAGE "none"
 
-/* Serves dir at the address; NULL with err. Serves until the process ends. */
+/**
+ * Serves a directory, which is created if needed, until the process ends.
+ * @return the server, or NULL with the reason in `err`.
+ */
 struct lmn_http_server *lmn_image_store_start(const char *dir, const char *listen,
                                               char *err, size_t len);
 
-/* --- its client: each returns 0, or -1 with err ("what: why") and, where the other side
- * answered, its status in *status (else 0) --- */
+/** Why a call of the client failed. */
 struct lmn_image_store_error {
-    int status;
-    char what[256];
+    int status;     /**< the server's HTTP status; 0 if the failure is not its response */
+    char what[256]; /**< "what: why" */
 };
-/* The hex SHA-256 of the bytes; digest: LMN_DIGEST_SIZE bytes. */
+
+/** Computes the SHA-256 in hexadecimal. @param digest receives LMN_DIGEST_SIZE bytes. */
 void lmn_digest(const void *bytes, size_t len, char *digest);
+
+/**
+ * Stores a blob, unless the server has it already.
+ * @param digest  receives the blob's name, LMN_DIGEST_SIZE bytes, also on failure.
+ * @return 0, or -1 with `error` filled in.
+ */
 int lmn_image_store_put(struct lmn_http_client *client, const GByteArray *blob,
-                        char *digest, struct lmn_image_store_error *e);
-/* Checks what it got against the digest. */
+                        char *digest, struct lmn_image_store_error *error);
+
+/**
+ * Fetches a blob and checks it against its digest.
+ * @param blob  its content is replaced.
+ * @return 0, or -1 with `error` filled in.
+ */
 int lmn_image_store_get(struct lmn_http_client *client, const char *digest,
-                        GByteArray *blob, struct lmn_image_store_error *e);
+                        GByteArray *blob, struct lmn_image_store_error *error);
+
+/**
+ * Binds a name to a blob that is stored already.
+ * @return 0, or -1 with `error` filled in.
+ */
 int lmn_image_store_bind(struct lmn_http_client *client, const char *kind,
                          const char *name, const char *digest,
-                         struct lmn_image_store_error *e);
+                         struct lmn_image_store_error *error);
+
+/**
+ * Reads what a name is bound to.
+ * @param digest  receives LMN_DIGEST_SIZE bytes, on success only.
+ * @return 0, or -1 with `error` filled in.
+ */
 int lmn_image_store_lookup(struct lmn_http_client *client, const char *kind,
                            const char *name, char *digest,
-                           struct lmn_image_store_error *e);
+                           struct lmn_image_store_error *error);
 
 #endif
