--- a/src/image_store/image.c
+++ b/src/image_store/image.c
@@ -1,3 +1,7 @@
+/**
+ * @file
+ * Upload and download of images as blobs of the image store.
+ */
 #include "image_store/image.h"
 #include "util/clock.h"
 #include "util/process.h"
@@ -10,228 +14,321 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-enum { PIECE = 4 << 20, MAX_FILES = 100000 };
+enum {
+    PIECE_BYTES = 4 << 20,
+    MAX_FILES = 100000,
+    MAX_NAME_LENGTH = 120,
+    MAX_PATH_SIZE = 1024,
+    DIRECTORY_MODE = 0755,
+    PERMISSION_BITS = 0777,
+};
 
 bool lmn_image_name_is_valid(const char *name)
 {
-    size_t n = strlen(name);
+    size_t length = strlen(name);
 
-    if (n < 1 || n > 120 || name[0] == '.')
+    if (length < 1 || length > MAX_NAME_LENGTH || name[0] == '.')
         return false;
-    for (size_t i = 0; i < n; i++)
+    for (size_t i = 0; i < length; i++)
         if (!g_ascii_isalnum(name[i]) && !strchr("-_.", name[i]))
             return false;
     return true;
 }
 
-struct walk {
-    struct lmn_http_client *http;
-    struct lmn_image_store_error *e;
-    GByteArray *files;
-    uint64_t bytes;
-    size_t n;
-};
-
-static int wrong(struct lmn_image_store_error *e, const char *path, const char *why)
+/** Fills in the error for a path. @return -1 */
+static int fail(struct lmn_image_store_error *error, const char *path, const char *reason)
 {
-    e->status = 0;
-    g_snprintf(e->what, sizeof e->what, "%s: %s", path, why);
+    error->status = 0;
+    g_snprintf(error->what, sizeof error->what, "%s: %s", path, reason);
     return -1;
 }
 
-static int put_file(struct walk *w, const char *path, const char *rel,
-                    const struct stat *st)
+/* --- upload --- */
+
+/** The upload of one image. */
+struct upload {
+    struct lmn_http_client *client;
+    struct lmn_image_store_error *error;
+    GByteArray *entries; /**< the list of files so far, as CBOR without its head */
+    size_t file_count;
+    uint64_t bytes; /**< read from files so far */
+};
+
+/** Uploads an open file piece by piece. @param digests receives the pieces' digests as
+ * CBOR texts. @return 0, or -1 with the upload's error filled in. */
+static int upload_pieces(struct upload *upload, int fd, const char *path,
+                         GByteArray *digests, size_t *count)
 {
-    GByteArray *pieces = g_byte_array_new(), *piece = g_byte_array_new();
-    int fd = open(path, O_RDONLY | O_NOFOLLOW | O_CLOEXEC), rc = fd < 0 ? -1 : 0;
+    g_autoptr(GByteArray) piece = g_byte_array_new();
     char digest[LMN_DIGEST_SIZE];
-    size_t n = 0;
 
-    if (rc != 0)
-        wrong(w->e, path, strerror(errno));
-    while (rc == 0) {
-        g_byte_array_set_size(piece, PIECE);
-        ssize_t got = read(fd, piece->data, PIECE);
-        if (got < 0)
-            rc = wrong(w->e, path, strerror(errno));
-        if (got <= 0)
-            break;
-        g_byte_array_set_size(piece, (guint)got);
-        rc = lmn_image_store_put(w->http, piece, digest, w->e);
-        lmn_cbor_put_text(pieces, digest);
-        w->bytes += (uint64_t)got;
-        n++;
+    for (;;) {
+        g_byte_array_set_size(piece, PIECE_BYTES);
+        ssize_t length = read(fd, piece->data, PIECE_BYTES);
+        if (length < 0)
+            return fail(upload->error, path, strerror(errno));
+        if (length == 0)
+            return 0;
+        g_byte_array_set_size(piece, (guint)length);
+        int rc = lmn_image_store_put(upload->client, piece, digest, upload->error);
+        upload->bytes += (uint64_t)length;
+        if (rc != 0)
+            return rc;
+        lmn_cbor_put_text(digests, digest);
+        (*count)++;
     }
-    if (fd >= 0)
-        close(fd);
-    lmn_cbor_put_map(w->files, 3);
-    lmn_cbor_put_text(w->files, "Path"), lmn_cbor_put_text(w->files, rel);
-    lmn_cbor_put_text(w->files, "Mode"), lmn_cbor_put_uint(w->files, st->st_mode & 0777);
-    lmn_cbor_put_text(w->files, "Pieces"), lmn_cbor_put_array(w->files, n);
-    g_byte_array_append(w->files, pieces->data, pieces->len);
-    w->n++;
-    g_byte_array_unref(pieces);
-    g_byte_array_unref(piece);
+}
+
+static void append_entry(struct upload *upload, const char *relative_path, mode_t mode,
+                         const GByteArray *digests, size_t piece_count)
+{
+    lmn_cbor_put_map(upload->entries, 3);
+    lmn_cbor_put_text(upload->entries, "Path");
+    lmn_cbor_put_text(upload->entries, relative_path);
+    lmn_cbor_put_text(upload->entries, "Mode");
+    lmn_cbor_put_uint(upload->entries, mode & PERMISSION_BITS);
+    lmn_cbor_put_text(upload->entries, "Pieces");
+    lmn_cbor_put_array(upload->entries, piece_count);
+    g_byte_array_append(upload->entries, digests->data, digests->len);
+    upload->file_count++;
+}
+
+static int upload_file(struct upload *upload, const char *path, const char *relative_path,
+                       mode_t mode)
+{
+    g_autoptr(GByteArray) digests = g_byte_array_new();
+    size_t piece_count = 0;
+    int fd = open(path, O_RDONLY | O_NOFOLLOW | O_CLOEXEC);
+
+    if (fd < 0)
+        return fail(upload->error, path, strerror(errno));
+    int rc = upload_pieces(upload, fd, path, digests, &piece_count);
+    close(fd);
+    if (rc == 0)
+        append_entry(upload, relative_path, mode, digests, piece_count);
     return rc;
 }
 
-static int put_dir(struct walk *w, const char *path, const char *rel)
+static int upload_directory(struct upload *upload, const char *path,
+                            const char *relative_path);
+
+static int upload_child(struct upload *upload, const char *path,
+                        const char *relative_path)
 {
-    GError *error = NULL;
-    GDir *d = g_dir_open(path, 0, &error);
+    struct stat status;
+
+    if (lstat(path, &status) != 0)
+        return fail(upload->error, path, strerror(errno));
+    if (S_ISDIR(status.st_mode))
+        return upload_directory(upload, path, relative_path);
+    if (!S_ISREG(status.st_mode))
+        return fail(upload->error, path,
+                    "neither a file nor a directory; take it out of the image");
+    if (upload->file_count >= MAX_FILES)
+        return fail(upload->error, path, "an image has at most 100000 files");
+    return upload_file(upload, path, relative_path, status.st_mode);
+}
+
+static int upload_directory(struct upload *upload, const char *path,
+                            const char *relative_path)
+{
+    g_autoptr(GError) open_error = NULL;
+    g_autoptr(GDir) directory = g_dir_open(path, 0, &open_error);
     const char *name;
     int rc = 0;
 
-    if (!d) {
-        wrong(w->e, path, error->message);
-        g_error_free(error);
-        return -1;
+    if (!directory)
+        return fail(upload->error, path, open_error->message);
+    while (rc == 0 && (name = g_dir_read_name(directory))) {
+        g_autofree char *child = g_build_filename(path, name, NULL);
+        g_autofree char *relative_child =
+            *relative_path ? g_strdup_printf("%s/%s", relative_path, name)
+                           : g_strdup(name);
+        rc = upload_child(upload, child, relative_child);
     }
-    while (rc == 0 && (name = g_dir_read_name(d))) {
-        char *p = g_build_filename(path, name, NULL);
-        char *r = *rel ? g_strdup_printf("%s/%s", rel, name) : g_strdup(name);
-        struct stat st;
-        if (lstat(p, &st) != 0)
-            rc = wrong(w->e, p, strerror(errno));
-        else if (S_ISDIR(st.st_mode))
-            rc = put_dir(w, p, r);
-        else if (!S_ISREG(st.st_mode))
-            rc = wrong(w->e, p,
-                       "neither a file nor a directory; take it out of the image");
-        else if (w->n >= MAX_FILES)
-            rc = wrong(w->e, p, "an image has at most 100000 files");
-        else
-            rc = put_file(w, p, r, &st);
-        g_free(p);
-        g_free(r);
-    }
-    g_dir_close(d);
     return rc;
 }
 
 int lmn_image_put(struct lmn_http_client *client, const char *name, const char *dir,
-                  uint64_t *bytes, struct lmn_image_store_error *e)
+                  uint64_t *bytes, struct lmn_image_store_error *error)
 {
-    struct walk w = {.http = client, .e = e, .files = g_byte_array_new()};
-    int rc = put_dir(&w, dir, "");
-    GByteArray *list = g_byte_array_new();
+    g_autoptr(GByteArray) entries = g_byte_array_new();
+    g_autoptr(GByteArray) list = g_byte_array_new();
+    struct upload upload = {.client = client, .error = error, .entries = entries};
     char digest[LMN_DIGEST_SIZE];
 
-    lmn_cbor_put_array(list, w.n);
-    g_byte_array_append(list, w.files->data, w.files->len);
-    if (rc == 0)
-        rc = lmn_image_store_put(client, list, digest, e);
-    if (rc == 0)
-        rc = lmn_image_store_bind(client, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, e);
-    *bytes = w.bytes;
-    g_byte_array_unref(w.files);
-    g_byte_array_unref(list);
-    return rc;
+    int rc = upload_directory(&upload, dir, "");
+    *bytes = upload.bytes;
+    if (rc != 0)
+        return rc;
+    lmn_cbor_put_array(list, upload.file_count);
+    g_byte_array_append(list, entries->data, entries->len);
+    /* The name is bound last, so that it never points at an incomplete image. */
+    rc = lmn_image_store_put(client, list, digest, error);
+    if (rc != 0)
+        return rc;
+    return lmn_image_store_bind(client, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, error);
 }
 
-/* A path that stays below the image. */
-static bool path_ok(const char *p)
+/* --- download --- */
+
+/** The download of one image. */
+struct download {
+    struct lmn_http_client *client;
+    struct lmn_image_store_error *error;
+    double bytes_per_s; /**< 0: no limit */
+    bool (*should_go_on)(void *argument);
+    void *argument;
+    struct timespec started_at;
+    uint64_t bytes; /**< written to files so far */
+};
+
+/** Whether a file with this path is inside the image's directory. The list of files comes
+ * from the network and must not make a worker write elsewhere. */
+static bool path_is_inside_image(const char *path)
 {
-    if (!*p || *p == '/' || strstr(p, "//") || g_str_has_suffix(p, "/"))
+    if (!*path || *path == '/' || strstr(path, "//") || g_str_has_suffix(path, "/"))
         return false;
-    char **parts = g_strsplit(p, "/", -1);
-    bool ok = true;
-    for (char **s = parts; *s; s++)
-        ok = ok && strcmp(*s, ".") && strcmp(*s, "..");
-    g_strfreev(parts);
-    return ok;
-}
-
-struct fetch {
-    struct lmn_http_client *http;
-    struct lmn_image_store_error *e;
-    double rate;
-    bool (*go_on)(void *arg);
-    void *arg;
-    struct timespec begun;
-    uint64_t bytes;
-};
+    g_auto(GStrv) components = g_strsplit(path, "/", -1);
+    for (char **component = components; *component; component++)
+        if (!strcmp(*component, ".") || !strcmp(*component, ".."))
+            return false;
+    return true;
+}
 
-static int get_file(struct fetch *f, const char *dir,
-                    const struct lmn_cbor_document *document,
-                    const struct lmn_cbor_value *node)
+/** Sleeps for as long as the download is ahead of its limit. */
+static void limit_rate(const struct download *download)
 {
-    char path[1024], digest[LMN_DIGEST_SIZE];
-    uint64_t mode = 0;
-    GByteArray *piece = g_byte_array_new();
+    if (download->bytes_per_s <= 0)
+        return;
+    double ahead_s = (double)download->bytes / download->bytes_per_s -
+                     lmn_time_diff_s(lmn_now(), download->started_at);
+    if (ahead_s > 0)
+        lmn_sleep(ahead_s);
+}
+
+/** Downloads one piece and appends it to the file. @param path within the image.
+ * @param target the file's whole path. */
+static int download_piece(struct download *download,
+                          const struct lmn_cbor_value *digest_value, int fd,
+                          const char *path, const char *target)
+{
+    g_autoptr(GByteArray) piece = g_byte_array_new();
+    char digest[LMN_DIGEST_SIZE];
+
+    if (download->should_go_on && !download->should_go_on(download->argument))
+        return fail(download->error, path, "given up: no task waits for it");
+    if (!lmn_cbor_get_text(digest_value, digest, sizeof digest))
+        return fail(download->error, path, "its pieces can't be read");
+    if (lmn_image_store_get(download->client, digest, piece, download->error) != 0)
+        return -1;
+    if (write(fd, piece->data, piece->len) != (ssize_t)piece->len)
+        return fail(download->error, target, strerror(errno));
+    download->bytes += piece->len;
+    limit_rate(download);
+    return 0;
+}
+
+/** Downloads the pieces of one file. @param path within the image, already checked. */
+static int download_pieces(struct download *download, const char *directory,
+                           const char *path, mode_t mode,
+                           const struct lmn_cbor_document *document,
+                           const struct lmn_cbor_value *pieces)
+{
+    g_autofree char *target = g_build_filename(directory, path, NULL);
+    g_autofree char *parent = g_path_get_dirname(target);
     int rc = 0;
 
-    if (!lmn_cbor_get_text(lmn_cbor_get(document, node, "Path"), path, sizeof path) ||
-        !path_ok(path) ||
-        !lmn_cbor_get_uint(lmn_cbor_get(document, node, "Mode"), &mode)) {
-        g_byte_array_unref(piece);
-        return wrong(f->e, "image", "its list of files can't be read");
-    }
-    char *to = g_build_filename(dir, path, NULL), *parent = g_path_get_dirname(to);
-    g_mkdir_with_parents(parent, 0755);
-    int fd = open(to, O_WRONLY | O_CREAT | O_EXCL | O_NOFOLLOW | O_CLOEXEC,
-                  (mode_t)(mode & 0777));
+    /* If this fails, so does open, with a reason to report. */
+    g_mkdir_with_parents(parent, DIRECTORY_MODE);
+    int fd = open(target, O_WRONLY | O_CREAT | O_EXCL | O_NOFOLLOW | O_CLOEXEC, mode);
     if (fd < 0)
-        rc = wrong(f->e, to, strerror(errno));
-    const struct lmn_cbor_value *pieces = lmn_cbor_get(document, node, "Pieces");
-    for (const struct lmn_cbor_value *pair = lmn_cbor_first_child(document, pieces);
-         pair && rc == 0; pair = lmn_cbor_next(document, pair)) {
-        if (f->go_on && !f->go_on(f->arg))
-            rc = wrong(f->e, path, "given up: no task waits for it");
-        else if (!lmn_cbor_get_text(pair, digest, sizeof digest))
-            rc = wrong(f->e, path, "its pieces can't be read");
-        else
-            rc = lmn_image_store_get(f->http, digest, piece, f->e);
-        if (rc == 0 && write(fd, piece->data, piece->len) != (ssize_t)piece->len)
-            rc = wrong(f->e, to, strerror(errno));
-        f->bytes += piece->len;
-        double ahead = f->rate > 0 ? (double)f->bytes / f->rate -
-                                         lmn_time_diff_s(lmn_now(), f->begun)
-                                   : 0;
-        if (rc == 0 && ahead > 0)
-            lmn_sleep(ahead);
-    }
-    if (fd >= 0)
-        close(fd);
-    g_byte_array_unref(piece);
-    g_free(to);
-    g_free(parent);
+        return fail(download->error, target, strerror(errno));
+    for (const struct lmn_cbor_value *piece = lmn_cbor_first_child(document, pieces);
+         piece && rc == 0; piece = lmn_cbor_next(document, piece))
+        rc = download_piece(download, piece, fd, path, target);
+    close(fd);
+    return rc;
+}
+
+/** Downloads the file that an entry of the image's list describes. */
+static int download_file(struct download *download, const char *directory,
+                         const struct lmn_cbor_document *document,
+                         const struct lmn_cbor_value *entry)
+{
+    char path[MAX_PATH_SIZE];
+    uint64_t mode = 0;
+
+    if (!lmn_cbor_get_text(lmn_cbor_get(document, entry, "Path"), path, sizeof path) ||
+        !path_is_inside_image(path) ||
+        !lmn_cbor_get_uint(lmn_cbor_get(document, entry, "Mode"), &mode))
+        return fail(download->error, "image", "its list of files can't be read");
+    return download_pieces(download, directory, path, (mode_t)(mode & PERMISSION_BITS),
+                           document, lmn_cbor_get(document, entry, "Pieces"));
+}
+
+static int download_files(struct download *download, const char *directory,
+                          const struct lmn_cbor_document *document)
+{
+    int rc = 0;
+
+    /* What an interrupted download has left. */
+    lmn_tree_remove(directory);
+    if (g_mkdir_with_parents(directory, DIRECTORY_MODE) != 0)
+        return fail(download->error, directory, strerror(errno));
+    for (const struct lmn_cbor_value *entry =
+             lmn_cbor_first_child(document, lmn_cbor_root(document));
+         entry && rc == 0; entry = lmn_cbor_next(document, entry))
+        rc = download_file(download, directory, document, entry);
+    return rc;
+}
+
+/** Looks the image's name up and downloads its list of files. */
+static int download_list(struct download *download, const char *name, GByteArray *list)
+{
+    char digest[LMN_DIGEST_SIZE];
+
+    if (!lmn_image_name_is_valid(name))
+        return fail(download->error, name, "can't be an image's name");
+    if (lmn_image_store_lookup(download->client, LMN_IMAGE_STORE_KIND_IMAGE, name, digest,
+                               download->error) != 0)
+        return -1;
+    return lmn_image_store_get(download->client, digest, list, download->error);
+}
+
+/** Downloads the image into `partial` and renames that to `dir` once it is complete. */
+static int download_image(struct download *download, const char *name,
+                          const char *partial, const char *dir)
+{
+    g_autoptr(GByteArray) list = g_byte_array_new();
+    struct lmn_cbor_document document;
+
+    if (download_list(download, name, list) != 0)
+        return -1;
+    if (lmn_cbor_parse(&document, list->data, list->len) != 0)
+        return fail(download->error, name, "its list of files can't be read");
+    int rc = download_files(download, partial, &document);
+    lmn_cbor_free(&document);
+    if (rc == 0 && rename(partial, dir) != 0)
+        rc = fail(download->error, dir, strerror(errno));
     return rc;
 }
 
 int lmn_image_get(struct lmn_http_client *client, const char *name, const char *dir,
-                  double bytes_per_s, bool (*go_on)(void *arg), void *arg,
-                  uint64_t *bytes, struct lmn_image_store_error *e)
-{
-    struct fetch f = {client, e, bytes_per_s, go_on, arg, lmn_now(), 0};
-    GByteArray *list = g_byte_array_new();
-    char digest[LMN_DIGEST_SIZE], *part = g_strdup_printf("%s.part", dir);
-    struct lmn_cbor_document d;
-    int rc =
-        lmn_image_name_is_valid(name)
-            ? lmn_image_store_lookup(client, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, e)
-            : wrong(e, name, "can't be an image's name");
+                  double bytes_per_s, bool (*should_go_on)(void *argument),
+                  void *argument, uint64_t *bytes, struct lmn_image_store_error *error)
+{
+    g_autofree char *partial = g_strdup_printf("%s.part", dir);
+    struct download download = {.client = client,
+                                .error = error,
+                                .bytes_per_s = bytes_per_s,
+                                .should_go_on = should_go_on,
+                                .argument = argument,
+                                .started_at = lmn_now()};
 
-    if (rc == 0)
-        rc = lmn_image_store_get(client, digest, list, e);
-    if (rc == 0 && lmn_cbor_parse(&d, list->data, list->len) != 0)
-        rc = wrong(e, name, "its list of files can't be read");
-    else if (rc == 0) {
-        lmn_tree_remove(part);
-        if (g_mkdir_with_parents(part, 0755) != 0)
-            rc = wrong(e, part, strerror(errno));
-        for (const struct lmn_cbor_value *node =
-                 lmn_cbor_first_child(&d, lmn_cbor_root(&d));
-             node && rc == 0; node = lmn_cbor_next(&d, node))
-            rc = get_file(&f, part, &d, node);
-        lmn_cbor_free(&d);
-        if (rc == 0 && rename(part, dir) != 0)
-            rc = wrong(e, dir, strerror(errno));
-    }
+    int rc = download_image(&download, name, partial, dir);
     if (rc != 0)
-        lmn_tree_remove(part);
-    *bytes = f.bytes;
-    g_byte_array_unref(list);
-    g_free(part);
+        lmn_tree_remove(partial);
+    *bytes = download.bytes;
     return rc;
 }
--- a/src/image_store/image.h
+++ b/src/image_store/image.h
@@ -1,4 +1,10 @@
-/* Images: directories, as lists of files whose pieces are blobs. */
+/**
+ * @file
+ * Images: directories of files that tasks run in. In the image store an image is a name
+ * bound to a blob, which lists the files with their modes and the digests of their
+ * pieces, and each piece is a blob. No shared state; the caller owns the HTTP client and
+ * the directories.
+ */
 #ifndef LMN_IMAGE_STORE_IMAGE_H
 #define LMN_IMAGE_STORE_IMAGE_H
 
@@ -6,17 +12,34 @@
 
 #include <stdbool.h>
 
-/* Whether it can name an image, and so a directory: letters, digits, '-', '_', '.', not
- * at the front. */
+/**
+ * Whether the text can name an image. Since an image's name is also that of a directory,
+ * it consists of at most 120 letters, digits, '-', '_' and '.', and does not begin with
+ * '.'.
+ */
 bool lmn_image_name_is_valid(const char *name);
-/* Uploads a directory under the name. bytes: its size. 0, or -1 with e. Files and
- * directories only: a link or a device is refused by name. */
+
+/**
+ * Uploads a directory and binds the name to it. Only regular files and directories are
+ * accepted; anything else, such as a link or a device, is refused by its path.
+ * @param bytes  receives the total size of the files that were read.
+ * @return 0, or -1 with `error` filled in.
+ */
 int lmn_image_put(struct lmn_http_client *client, const char *name, const char *dir,
-                  uint64_t *bytes, struct lmn_image_store_error *e);
-/* Fetches the image into the directory, which must not exist: whole, or not there. At
- * most bytes_per_s (0: any). go_on, if given, is asked between pieces. */
+                  uint64_t *bytes, struct lmn_image_store_error *error);
+
+/**
+ * Downloads an image into a directory that must not exist. The directory appears when it
+ * is complete, or not at all; until then the files are in "DIR.part".
+ * @param bytes_per_s   at most so fast on average; 0: no limit.
+ * @param should_go_on  asked before each piece; if it returns false, the download fails.
+ *                      May be NULL.
+ * @param argument      passed to `should_go_on`.
+ * @param bytes         receives the total size of the files, on success.
+ * @return 0, or -1 with `error` filled in.
+ */
 int lmn_image_get(struct lmn_http_client *client, const char *name, const char *dir,
-                  double bytes_per_s, bool (*go_on)(void *arg), void *arg,
-                  uint64_t *bytes, struct lmn_image_store_error *e);
+                  double bytes_per_s, bool (*should_go_on)(void *argument),
+                  void *argument, uint64_t *bytes, struct lmn_image_store_error *error);
 
 #endif
