--- a/src/image_store/server.c
+++ b/src/image_store/server.c
@@ -1,3 +1,12 @@
+/**
+ * @file
+ * The server of the image store: its HTTP routes over a directory. Blobs are the files
+ * blobs/XX/HEX (XX: the first two digits of HEX), names are names/KIND/NAME, output is
+ * logs/JOB/NAME.
+ *
+ * The HTTP server calls the route from its one thread, which owns the state here; there
+ * is no lock.
+ */
 #include "util/log.h"
 #include "util/process.h"
 #include "image_store/image_store.h"
@@ -8,205 +17,271 @@
 #include <string.h>
 #include <sys/stat.h>
 
-struct depot {
+enum {
+    MAX_CONNECTIONS = 4096,
+    RETRY_AFTER_S = 2,
+    DIRECTORY_MODE = 0755,
+    MAX_PATH_COMPONENTS = 4,
+};
+
+enum {
+    STATUS_OK = 200,
+    STATUS_CREATED = 201,
+    STATUS_BAD_REQUEST = 400,
+    STATUS_NOT_FOUND = 404,
+    STATUS_METHOD_NOT_ALLOWED = 405,
+    STATUS_CONFLICT = 409,
+    STATUS_UNAVAILABLE = 503,
+};
+
+struct image_store {
     char *dir;
-    uint64_t puts, gets, missing;
 };
 
-static bool digest_ok(const char *s)
+static bool digest_is_valid(const char *text)
+{
+    return strlen(text) == LMN_DIGEST_SIZE - 1 &&
+           strspn(text, "0123456789abcdef") == LMN_DIGEST_SIZE - 1;
+}
+
+static char *blob_path(const struct image_store *store, const char *digest)
 {
-    return strlen(s) == LMN_DIGEST_SIZE - 1 &&
-           strspn(s, "0123456789abcdef") == LMN_DIGEST_SIZE - 1;
+    return g_strdup_printf("%s/blobs/%.2s/%s", store->dir, digest, digest);
 }
 
-static char *blob_path(const struct depot *depot, const char *digest)
+static bool file_exists(const char *path)
 {
-    return g_strdup_printf("%s/blobs/%.2s/%s", depot->dir, digest, digest);
+    return g_file_test(path, G_FILE_TEST_IS_REGULAR);
 }
 
-static int store(const char *path, const void *bytes, size_t len)
+/** Writes a file durably, with the directories above it. @return 0, or -1 with errno */
+static int write_file(const char *path, const GByteArray *content)
 {
-    char *dir = g_path_get_dirname(path);
-    int rc = g_mkdir_with_parents(dir, 0755);
+    g_autofree char *directory = g_path_get_dirname(path);
 
-    g_free(dir);
-    return rc == 0 ? lmn_file_put(path, bytes, len) : -1;
+    if (g_mkdir_with_parents(directory, DIRECTORY_MODE) != 0)
+        return -1;
+    return lmn_file_put(path, content->data, content->len);
 }
 
-static void answer_stored(struct lmn_http_request *request, int rc, int status)
+/** Writes the request's body to a file and responds only once it is on the disk. */
+static void store_body(struct lmn_http_request *request, const char *path, int status)
 {
-    if (rc == 0) {
+    if (write_file(path, lmn_http_request_body(request)) == 0) {
         lmn_http_request_respond(request, status, NULL, 0);
         return;
     }
     lmn_error("image_store_write_failed error=\"%s\"", strerror(errno));
-    lmn_http_request_respond(request, 503, NULL, 2);
+    lmn_http_request_respond(request, STATUS_UNAVAILABLE, NULL, RETRY_AFTER_S);
 }
 
-static void answer_file(struct depot *depot, struct lmn_http_request *request,
-                        const char *path)
+static void respond_with_file(struct lmn_http_request *request, const char *path)
 {
-    char *bytes = NULL;
-    gsize n = 0;
+    char *content = NULL;
+    gsize length = 0;
 
-    depot->gets++;
-    if (!g_file_get_contents(path, &bytes, &n, NULL)) {
-        depot->missing++;
-        lmn_http_request_respond(request, 404, NULL, 0);
+    if (!g_file_get_contents(path, &content, &length, NULL)) {
+        lmn_http_request_respond(request, STATUS_NOT_FOUND, NULL, 0);
         return;
     }
-    lmn_http_request_respond_as(request, 200, "application/octet-stream",
-                                g_byte_array_new_take((guint8 *)bytes, n));
+    lmn_http_request_respond_as(request, STATUS_OK, "application/octet-stream",
+                                g_byte_array_new_take((guint8 *)content, length));
 }
 
-static void blob(struct depot *depot, struct lmn_http_request *request,
-                 const char *digest)
+static void put_blob(struct lmn_http_request *request, const char *digest,
+                     const char *path)
 {
     const GByteArray *body = lmn_http_request_body(request);
-    char is[LMN_DIGEST_SIZE];
+    char actual_digest[LMN_DIGEST_SIZE];
+
+    lmn_digest(body->data, body->len, actual_digest);
+    if (strcmp(actual_digest, digest))
+        lmn_http_request_fail(request, STATUS_BAD_REQUEST,
+                              "the bytes have another digest");
+    else if (file_exists(path))
+        lmn_http_request_respond(request, STATUS_OK, NULL, 0);
+    else
+        store_body(request, path, STATUS_CREATED);
+}
 
-    if (!digest_ok(digest)) {
-        lmn_http_request_fail(request, 400, "a digest is 64 digits of hexadecimal");
+static void get_blob(struct lmn_http_request *request, const char *path)
+{
+    if (lmn_http_request_query(request, "Stat"))
+        lmn_http_request_respond(
+            request, file_exists(path) ? STATUS_OK : STATUS_NOT_FOUND, NULL, 0);
+    else
+        respond_with_file(request, path);
+}
+
+static void route_blob(const struct image_store *store, struct lmn_http_request *request,
+                       const char *digest)
+{
+    if (!digest_is_valid(digest)) {
+        lmn_http_request_fail(request, STATUS_BAD_REQUEST,
+                              "a digest is 64 digits of hexadecimal");
         return;
     }
-    char *path = blob_path(depot, digest);
-    bool there = g_file_test(path, G_FILE_TEST_IS_REGULAR);
-    if (lmn_http_request_method(request) == LMN_HTTP_GET &&
-        lmn_http_request_query(request, "Stat")) {
-        lmn_http_request_respond(request, there ? 200 : 404, NULL, 0);
-    } else if (lmn_http_request_method(request) == LMN_HTTP_GET) {
-        answer_file(depot, request, path);
-    } else if (lmn_http_request_method(request) == LMN_HTTP_PUT) {
-        lmn_digest(body->data, body->len, is);
-        depot->puts++;
-        if (strcmp(is, digest))
-            lmn_http_request_fail(request, 400, "the bytes have another digest");
-        else if (there)
-            lmn_http_request_respond(request, 200, NULL, 0);
-        else
-            answer_stored(request, store(path, body->data, body->len), 201);
-    } else {
-        lmn_http_request_respond(request, 405, NULL, 0);
-    }
-    g_free(path);
+    g_autofree char *path = blob_path(store, digest);
+    if (lmn_http_request_method(request) == LMN_HTTP_GET)
+        get_blob(request, path);
+    else if (lmn_http_request_method(request) == LMN_HTTP_PUT)
+        put_blob(request, digest, path);
+    else
+        lmn_http_request_respond(request, STATUS_METHOD_NOT_ALLOWED, NULL, 0);
 }
 
-static gint by_name(gconstpointer a, gconstpointer b)
+static gint compare_names(gconstpointer left, gconstpointer right)
 {
-    return strcmp(*(char *const *)a, *(char *const *)b);
+    return strcmp(*(char *const *)left, *(char *const *)right);
 }
 
-static void listing(struct lmn_http_request *request, const char *path)
+/** The names in a directory, sorted; empty if there is no such directory. */
+static GPtrArray *list_names(const char *path)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
-    GDir *dir = g_dir_open(path, 0, NULL);
-    GByteArray *buffer = g_byte_array_new();
+    g_autoptr(GDir) directory = g_dir_open(path, 0, NULL);
     const char *name;
 
-    while (dir && (name = g_dir_read_name(dir)))
+    while (directory && (name = g_dir_read_name(directory)))
+        /* Files that lmn_file_put() has not renamed yet are not there for readers. */
         if (!strstr(name, ".tmp-"))
             g_ptr_array_add(names, g_strdup(name));
-    if (dir)
-        g_dir_close(dir);
-    g_ptr_array_sort(names, by_name);
-    lmn_cbor_put_map(buffer, 1);
-    lmn_cbor_put_text(buffer, "Names"), lmn_cbor_put_array(buffer, names->len);
+    g_ptr_array_sort(names, compare_names);
+    return names;
+}
+
+static void respond_with_names(struct lmn_http_request *request, const char *path)
+{
+    g_autoptr(GPtrArray) names = list_names(path);
+    GByteArray *body = g_byte_array_new();
+
+    lmn_cbor_put_map(body, 1);
+    lmn_cbor_put_text(body, "Names");
+    lmn_cbor_put_array(body, names->len);
     for (guint i = 0; i < names->len; i++)
-        lmn_cbor_put_text(buffer, names->pdata[i]);
-    g_ptr_array_free(names, TRUE);
-    lmn_http_request_respond(request, 200, buffer, 0);
+        lmn_cbor_put_text(body, names->pdata[i]);
+    lmn_http_request_respond(request, STATUS_OK, body, 0);
 }
 
-/* A file's whole text is the bytes. */
-static bool holds(const char *path, const GByteArray *bytes)
+/** Whether a file consists of exactly these bytes. */
+static bool file_equals(const char *path, const GByteArray *content)
 {
-    char *text = NULL;
-    gsize n = 0;
-    bool same = g_file_get_contents(path, &text, &n, NULL) && n == bytes->len &&
-                !memcmp(text, bytes->data, n);
-    g_free(text);
-    return same;
+    g_autofree char *actual = NULL;
+    gsize length = 0;
+
+    return g_file_get_contents(path, &actual, &length, NULL) && length == content->len &&
+           !memcmp(actual, content->data, length);
+}
+
+static bool blob_exists(const struct image_store *store, const char *digest)
+{
+    g_autofree char *path = blob_path(store, digest);
+
+    return file_exists(path);
 }
 
-static void put_name(struct depot *depot, struct lmn_http_request *request,
+static void put_name(const struct image_store *store, struct lmn_http_request *request,
                      const char *kind, const char *path)
 {
     const GByteArray *body = lmn_http_request_body(request);
     char digest[LMN_DIGEST_SIZE] = "";
-    bool there = g_file_test(path, G_FILE_TEST_IS_REGULAR);
+    bool is_bound = file_exists(path);
 
     if (body->len == LMN_DIGEST_SIZE - 1)
         memcpy(digest, body->data, LMN_DIGEST_SIZE - 1);
-    if (!digest_ok(digest)) {
-        lmn_http_request_fail(request, 400, "a name points at a digest");
-        return;
-    }
-    char *to = blob_path(depot, digest);
-    bool known = g_file_test(to, G_FILE_TEST_IS_REGULAR);
-    g_free(to);
-    if (!known)
-        lmn_http_request_fail(request, 400, "there is no such blob yet");
-    else if (there && holds(path, body))
-        lmn_http_request_respond(request, 200, NULL, 0);
-    else if (there && !strcmp(kind, LMN_IMAGE_STORE_KIND_JOB))
-        lmn_http_request_fail(request, 409, "the job has another description");
+    if (!digest_is_valid(digest))
+        lmn_http_request_fail(request, STATUS_BAD_REQUEST, "a name points at a digest");
+    else if (!blob_exists(store, digest))
+        /* Whoever finds a name must find its blob, too. */
+        lmn_http_request_fail(request, STATUS_BAD_REQUEST, "there is no such blob yet");
+    else if (is_bound && file_equals(path, body))
+        lmn_http_request_respond(request, STATUS_OK, NULL, 0);
+    else if (is_bound && !strcmp(kind, LMN_IMAGE_STORE_KIND_JOB))
+        /* Attempts of one job must never run different commands. */
+        lmn_http_request_fail(request, STATUS_CONFLICT,
+                              "the job has another description");
+    else
+        store_body(request, path, STATUS_CREATED);
+}
+
+/** Requests for a directory: names/KIND or logs/JOB. */
+static void route_directory(struct lmn_http_request *request, const char *path)
+{
+    if (lmn_http_request_method(request) == LMN_HTTP_GET)
+        respond_with_names(request, path);
     else
-        answer_stored(request, store(path, body->data, body->len), 201);
-}
-
-static void route(void *arg, struct lmn_http_request *request)
-{
-    struct depot *depot = arg;
-    char **p = g_strsplit(lmn_http_request_path(request) + 1, "/", 4);
-    guint n = g_strv_length(p);
-    bool names = n >= 2 && !strcmp(p[0], "names"), logs = n >= 2 && !strcmp(p[0], "logs");
-    bool get = lmn_http_request_method(request) == LMN_HTTP_GET,
-         put = lmn_http_request_method(request) == LMN_HTTP_PUT;
-
-    if (n == 2 && !strcmp(p[0], "blobs")) {
-        blob(depot, request, p[1]);
-    } else if (n == 1 && !strcmp(p[0], "ready")) {
-        lmn_http_request_respond(request, 200, NULL, 0);
-    } else if ((names || logs) && lmn_image_name_is_valid(p[1]) &&
-               (n == 2 || (n == 3 && lmn_image_name_is_valid(p[2])))) {
-        char *path = g_strjoin("/", depot->dir, p[0], p[1], p[2], NULL);
-        if (n == 2 && get)
-            listing(request, path);
-        else if (n == 3 && get)
-            answer_file(depot, request, path);
-        else if (n == 3 && put && names)
-            put_name(depot, request, p[1], path);
-        else if (n == 3 && put)
-            answer_stored(request,
-                          store(path, lmn_http_request_body(request)->data,
-                                lmn_http_request_body(request)->len),
-                          200);
+        lmn_http_request_respond(request, STATUS_METHOD_NOT_ALLOWED, NULL, 0);
+}
+
+/** Requests for a file: names/KIND/NAME, or logs/JOB/NAME if `kind` is NULL. */
+static void route_file(const struct image_store *store, struct lmn_http_request *request,
+                       const char *kind, const char *path)
+{
+    if (lmn_http_request_method(request) == LMN_HTTP_GET)
+        respond_with_file(request, path);
+    else if (lmn_http_request_method(request) != LMN_HTTP_PUT)
+        lmn_http_request_respond(request, STATUS_METHOD_NOT_ALLOWED, NULL, 0);
+    else if (kind)
+        put_name(store, request, kind, path);
+    else
+        store_body(request, path, STATUS_OK);
+}
+
+/** Whether all components below the first are names, which cannot lead out of the
+ * server's directory. */
+static bool components_are_names(char *const *components, guint count)
+{
+    if (count < 2 || count > 3)
+        return false;
+    for (guint i = 1; i < count; i++)
+        if (!lmn_image_name_is_valid(components[i]))
+            return false;
+    return true;
+}
+
+static void route(void *argument, struct lmn_http_request *request)
+{
+    const struct image_store *store = argument;
+    g_auto(GStrv) components =
+        g_strsplit(lmn_http_request_path(request) + 1, "/", MAX_PATH_COMPONENTS);
+    guint count = g_strv_length(components);
+    bool is_name = count >= 2 && !strcmp(components[0], "names");
+    bool is_log = count >= 2 && !strcmp(components[0], "logs");
+
+    if (count == 2 && !strcmp(components[0], "blobs")) {
+        route_blob(store, request, components[1]);
+    } else if (count == 1 && !strcmp(components[0], "ready")) {
+        lmn_http_request_respond(request, STATUS_OK, NULL, 0);
+    } else if ((is_name || is_log) && components_are_names(components, count)) {
+        g_autofree char *path =
+            g_strjoin("/", store->dir, components[0], components[1], components[2], NULL);
+        if (count == 2)
+            route_directory(request, path);
         else
-            lmn_http_request_respond(request, 405, NULL, 0);
-        g_free(path);
+            route_file(store, request, is_name ? components[1] : NULL, path);
     } else {
-        lmn_http_request_fail(request, names || logs ? 400 : 404,
+        lmn_http_request_fail(request,
+                              is_name || is_log ? STATUS_BAD_REQUEST : STATUS_NOT_FOUND,
                               "no such path, or a name that can't be one");
     }
-    g_strfreev(p);
 }
 
 struct lmn_http_server *lmn_image_store_start(const char *dir, const char *listen,
                                               char *err, size_t len)
 {
-    struct depot *depot = g_new0(struct depot, 1);
-    const struct lmn_http_server_options o = {.listen = listen,
-                                              .connections = 4096,
-                                              .max_body = LMN_MAX_BLOB_BYTES,
-                                              .route = route,
-                                              .arg = depot};
-
-    depot->dir = g_strdup(dir);
-    if (g_mkdir_with_parents(dir, 0755) != 0) {
+    if (g_mkdir_with_parents(dir, DIRECTORY_MODE) != 0) {
         g_snprintf(err, len, "%s: %s", dir, strerror(errno));
         return NULL;
     }
-    struct lmn_http_server *server = lmn_http_server_start(&o);
+    /* Lives as long as the server, that is until the process ends. */
+    struct image_store *store = g_new0(struct image_store, 1);
+    store->dir = g_strdup(dir);
+    const struct lmn_http_server_options options = {.listen = listen,
+                                                    .connections = MAX_CONNECTIONS,
+                                                    .max_body = LMN_MAX_BLOB_BYTES,
+                                                    .route = route,
+                                                    .arg = store};
+    struct lmn_http_server *server = lmn_http_server_start(&options);
     if (!server)
         g_snprintf(err, len, "%s: can't listen: %s", listen, strerror(errno));
     return server;
