--- a/src/site/supervise.c
+++ b/src/site/supervise.c
@@ -1,7 +1,14 @@
-/* Supervision. Each process holds the lock of its file data/run/NAME.lock from before it
- * runs: the supervisor opens and locks it, and the process inherits the open file. So
- * whether a process runs is never a matter of numbers, and a supervisor that was killed
- * leaves nothing that its successor could start twice. */
+/**
+ * @file
+ * Supervision of a site's processes.
+ *
+ * Each process holds the lock of its file data/run/NAME.lock from before it runs: the
+ * supervisor opens and locks the file, and the process inherits the open descriptor. So
+ * whether a process runs is never decided by a process number, which may be in use again,
+ * and a supervisor that was killed leaves nothing that its successor could start twice.
+ *
+ * The supervisor has one thread; the processes' states belong to lmn_site_run().
+ */
 #include "worker/executor.h"
 #include "util/clock.h"
 #include "util/log.h"
@@ -20,234 +27,309 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-static const double END_S = 8;
+enum {
+    FILE_MODE = 0644,
+    PID_TEXT_SIZE = 32,
+    EXIT_EXEC_FAILED = 127, /**< as shells have it */
+};
+
+/** How long a process has for its end after SIGKILL. */
+static const double KILL_TIMEOUT_S = 8;
+/** How long a supervisor has for its end, in which it ends the site, after SIGTERM. */
+static const double SUPERVISOR_STOP_TIMEOUT_S = 40;
+/** The pause between two rounds; shorter after a start, since then others may be due. */
+static const double ROUND_PAUSE_S = 0.2;
+static const double ROUND_PAUSE_AFTER_START_S = 0.05;
 
-struct watched {
-    const struct lmn_site_process *p;
-    pid_t pid;  /* 0: not a child of ours, or not running */
-    bool known; /* it was seen running */
-    unsigned starts;
+/** What the supervisor knows of a process. */
+struct supervised {
+    const struct lmn_site_process *process;
+    pid_t pid;        /**< 0: not a child of this supervisor, or not running */
+    bool was_running; /**< it was started or seen running */
+    unsigned starts;  /**< by this supervisor */
     struct lmn_backoff backoff;
-    char why[128]; /* of its last end */
+    char exit_reason[128]; /**< of its last end; "" if it has not ended */
 };
 
 static volatile sig_atomic_t stopping;
 
-static void on_stop(int sig)
+static void on_stop_signal(int signal_number)
 {
-    (void)sig;
+    (void)signal_number;
     stopping = 1;
 }
 
 bool lmn_site_up(const struct lmn_site *site, const char *name, int *pid)
 {
-    char *path = lmn_site_path(site, name, ".lock");
+    g_autofree char *path = lmn_site_path(site, name, ".lock");
     pid_t holder;
-    bool up = lmn_lock_held(path, &holder);
+    bool is_up = lmn_lock_held(path, &holder);
+
+    *pid = is_up ? (int)holder : 0;
+    return is_up;
+}
+
+/* --- starting --- */
+
+static void redirect_standard_streams(int log_fd)
+{
+    int null_fd = open("/dev/null", O_RDONLY);
 
-    *pid = up ? (int)holder : 0;
-    g_free(path);
-    return up;
+    dup2(null_fd, STDIN_FILENO);
+    dup2(log_fd, STDOUT_FILENO);
+    dup2(log_fd, STDERR_FILENO);
 }
 
-/* In the child: becomes the process. lock stays open. */
-static void become(const struct lmn_site *site, const struct lmn_site_process *process,
-                   int log, int lock)
+/** The child must not inherit what the supervisor has set for itself. */
+static void reset_signals(void)
 {
-    char fd[16];
-    char *argv[8] = {(char *)lmn_self_path()};
-    int in = open("/dev/null", O_RDONLY);
     sigset_t none;
 
-    for (int i = 0; i < 6 && process->argv[i]; i++)
-        argv[i + 1] = process->argv[i];
-    setsid();
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, NULL);
     signal(SIGTERM, SIG_DFL);
     signal(SIGINT, SIG_DFL);
-    dup2(in, 0);
-    dup2(log, 1);
-    dup2(log, 2);
-    /* It must hold the lock, and what it starts must not (lmn_cli_main). */
-    g_snprintf(fd, sizeof fd, "%d", lock);
-    setenv(LMN_LOCK_FD, fd, 1);
+}
+
+static void set_environment(const struct lmn_site *site, int lock_fd)
+{
+    char text[16];
+
+    /* The process must hold the lock, and what it starts must not (lmn_cli_main). */
+    g_snprintf(text, sizeof text, "%d", lock_fd);
+    setenv(LMN_LOCK_FD, text, 1);
     setenv("LOG_LEVEL", site->log_level, 1);
     setenv("LOG_FORMAT", site->log_format, 1);
+}
+
+/** Runs the process's program in this child process; doesn't return. The lock's
+ * descriptor stays open. */
+static void exec_process(const struct lmn_site *site,
+                         const struct lmn_site_process *process, int log_fd, int lock_fd)
+{
+    /* The program's path before the arguments, NULL behind them. */
+    char *argv[G_N_ELEMENTS(process->argv) + 2] = {(char *)lmn_self_path()};
+
+    for (size_t i = 0; i < G_N_ELEMENTS(process->argv) && process->argv[i]; i++)
+        argv[i + 1] = process->argv[i];
+    setsid();
+    reset_signals();
+    redirect_standard_streams(log_fd);
+    set_environment(site, lock_fd);
     execv(argv[0], argv);
-    dprintf(2, "error exec-failed error=\"%s\"\n", strerror(errno));
-    _exit(127);
-}
-
-static void start(const struct lmn_site *site, struct watched *w)
-{
-    char *path = lmn_site_path(site, w->p->name, ".lock"),
-         *log = lmn_site_path(site, w->p->name, ".log");
-    int fd = open(path, O_RDWR | O_CREAT, 0644),
-        out = open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
-    char pid[32];
-
-    lmn_backoff_started(&w->backoff, lmn_now());
-    if (fd < 0 || out < 0 || flock(fd, LOCK_EX | LOCK_NB) != 0) {
-        lmn_error("start_failed process=%s error=\"%s\"", w->p->name, strerror(errno));
-    } else {
-        w->pid = fork();
-        if (w->pid == 0)
-            become(site, w->p, out, fd);
-        int n = g_snprintf(pid, sizeof pid, "%ld\n", (long)w->pid);
-        if (ftruncate(fd, 0) != 0 || pwrite(fd, pid, (size_t)n, 0) != n)
-            lmn_error("process_lock_write_failed process=%s", w->p->name);
-        w->starts++;
-        w->known = true;
-        lmn_info("process_started process=%s pid=%ld", w->p->name, (long)w->pid);
-    }
-    if (fd >= 0)
-        close(fd); /* the process has it */
-    if (out >= 0)
-        close(out);
-    g_free(path);
-    g_free(log);
+    dprintf(STDERR_FILENO, "error exec-failed error=\"%s\"\n", strerror(errno));
+    _exit(EXIT_EXEC_FAILED);
+}
+
+/** Writes the process's number into its lock file, for whoever reads the file. */
+static void write_pid(const struct supervised *supervised, int lock_fd)
+{
+    char text[PID_TEXT_SIZE];
+    int length = g_snprintf(text, sizeof text, "%ld\n", (long)supervised->pid);
+
+    if (ftruncate(lock_fd, 0) != 0 || pwrite(lock_fd, text, (size_t)length, 0) != length)
+        lmn_error("process_lock_write_failed process=%s", supervised->process->name);
+}
+
+static void fork_process(const struct lmn_site *site, struct supervised *supervised,
+                         int log_fd, int lock_fd)
+{
+    supervised->pid = fork();
+    if (supervised->pid == 0)
+        exec_process(site, supervised->process, log_fd, lock_fd);
+    write_pid(supervised, lock_fd);
+    supervised->starts++;
+    supervised->was_running = true;
+    lmn_info("process_started process=%s pid=%ld", supervised->process->name,
+             (long)supervised->pid);
 }
 
-static void say_why(struct watched *w, int status)
+static void start_process(const struct lmn_site *site, struct supervised *supervised)
+{
+    const char *name = supervised->process->name;
+    g_autofree char *lock_path = lmn_site_path(site, name, ".lock");
+    g_autofree char *log_path = lmn_site_path(site, name, ".log");
+    int lock_fd = open(lock_path, O_RDWR | O_CREAT, FILE_MODE);
+    int log_fd = open(log_path, O_WRONLY | O_CREAT | O_APPEND, FILE_MODE);
+
+    lmn_backoff_started(&supervised->backoff, lmn_now());
+    if (lock_fd < 0 || log_fd < 0 || flock(lock_fd, LOCK_EX | LOCK_NB) != 0)
+        lmn_error("start_failed process=%s error=\"%s\"", name, strerror(errno));
+    else
+        fork_process(site, supervised, log_fd, lock_fd);
+    /* The process has inherited both, and with them the lock. */
+    if (lock_fd >= 0)
+        close(lock_fd);
+    if (log_fd >= 0)
+        close(log_fd);
+}
+
+/* --- watching --- */
+
+static void record_exit(struct supervised *supervised, int status)
 {
     if (WIFSIGNALED(status))
-        g_snprintf(w->why, sizeof w->why, "signal %d (%s)", WTERMSIG(status),
-                   strsignal(WTERMSIG(status)));
+        g_snprintf(supervised->exit_reason, sizeof supervised->exit_reason,
+                   "signal %d (%s)", WTERMSIG(status), strsignal(WTERMSIG(status)));
     else
-        g_snprintf(w->why, sizeof w->why, "exit status %d", WEXITSTATUS(status));
-    lmn_info("process_exited process=%s pid=%ld why=\"%s\"", w->p->name, (long)w->pid,
-             w->why);
-    w->pid = 0;
+        g_snprintf(supervised->exit_reason, sizeof supervised->exit_reason,
+                   "exit status %d", WEXITSTATUS(status));
+    lmn_info("process_exited process=%s pid=%ld why=\"%s\"", supervised->process->name,
+             (long)supervised->pid, supervised->exit_reason);
+    supervised->pid = 0;
 }
 
-static void reap(struct watched *v, unsigned n)
+static void reap_children(struct supervised *supervised, unsigned count)
 {
     pid_t pid;
     int status;
 
     while ((pid = waitpid(-1, &status, WNOHANG)) > 0)
-        for (unsigned i = 0; i < n; i++)
-            if (v[i].pid == pid)
-                say_why(&v[i], status);
+        for (unsigned i = 0; i < count; i++)
+            if (supervised[i].pid == pid)
+                record_exit(&supervised[i], status);
 }
 
-static void write_status(const struct lmn_site *site, const struct watched *v, unsigned n)
+/** Writes data/run/status, which 'lemonspar site status' reads. */
+static void write_status(const struct lmn_site *site, const struct supervised *supervised,
+                         unsigned count)
 {
-    char *path = lmn_site_path(site, "status", "");
-    GString *t = g_string_new(NULL);
+    g_autofree char *path = lmn_site_path(site, "status", "");
+    GString *text = g_string_new(NULL);
 
-    for (unsigned i = 0; i < n; i++)
-        g_string_append_printf(t, "%s\t%u\t%s\n", v[i].p->name, v[i].starts, v[i].why);
-    g_file_set_contents(path, t->str, (gssize)t->len, NULL);
-    g_string_free(t, TRUE);
-    g_free(path);
+    for (unsigned i = 0; i < count; i++)
+        g_string_append_printf(text, "%s\t%u\t%s\n", supervised[i].process->name,
+                               supervised[i].starts, supervised[i].exit_reason);
+    g_file_set_contents(path, text->str, (gssize)text->len, NULL);
+    g_string_free(text, TRUE);
 }
 
-/* Starts what does not run and is due. */
-static bool look_after(const struct lmn_site *site, struct watched *w)
+/** Starts the process if it doesn't run and its backoff has passed.
+ * @return whether a start was tried */
+static bool start_if_due(const struct lmn_site *site, struct supervised *supervised)
 {
+    const char *name = supervised->process->name;
     int pid;
 
-    if (lmn_site_up(site, w->p->name, &pid)) {
-        if (!w->known)
-            lmn_info("process_adopted process=%s pid=%d", w->p->name, pid);
-        w->known = true;
+    if (lmn_site_up(site, name, &pid)) {
+        if (!supervised->was_running)
+            lmn_info("process_adopted process=%s pid=%d", name, pid);
+        supervised->was_running = true;
         return false;
     }
-    if (w->known && !w->pid && !*w->why)
-        g_strlcpy(w->why, "unknown: it was an earlier supervisor's", sizeof w->why);
-    if (w->known && !lmn_backoff_due(&w->backoff, lmn_now()))
+    /* Nobody can wait for the exit status of a process that is not a child. */
+    if (supervised->was_running && !supervised->pid && !*supervised->exit_reason)
+        g_strlcpy(supervised->exit_reason, "unknown: it was an earlier supervisor's",
+                  sizeof supervised->exit_reason);
+    if (supervised->was_running && !lmn_backoff_due(&supervised->backoff, lmn_now()))
         return false;
-    start(site, w);
+    start_process(site, supervised);
     return true;
 }
 
+static void supervise_until_stopped(const struct lmn_site *site,
+                                    struct supervised *supervised, unsigned count)
+{
+    while (!stopping) {
+        bool any_started = false;
+        reap_children(supervised, count);
+        for (unsigned i = 0; i < count; i++)
+            any_started = start_if_due(site, &supervised[i]) || any_started;
+        write_status(site, supervised, count);
+        lmn_sleep(any_started ? ROUND_PAUSE_AFTER_START_S : ROUND_PAUSE_S);
+    }
+}
+
+/* --- ending --- */
+
 static bool end_process(const struct lmn_site *site, const char *name)
 {
-    char *path = lmn_site_path(site, name, ".lock");
-    bool ended = true;
+    g_autofree char *path = lmn_site_path(site, name, ".lock");
 
-    /* SIGTERM would do for all of them: none has anything to save that is not saved. */
-    if (lmn_lock_signal(path, SIGKILL))
-        ended = lmn_lock_wait(path, END_S);
-    g_free(path);
-    return ended;
+    /* Not SIGTERM: a process has nothing to save at its end, since it saves everything
+     * before it responds. */
+    return !lmn_lock_signal(path, SIGKILL) || lmn_lock_wait(path, KILL_TIMEOUT_S);
 }
 
 static bool end_machines(const struct lmn_site *site)
 {
-    char *root = g_build_filename(site->data, "fleet", "machines", NULL);
-    GDir *d = g_dir_open(root, 0, NULL);
+    g_autofree char *root = g_build_filename(site->data, "fleet", "machines", NULL);
+    g_autoptr(GDir) machines = g_dir_open(root, 0, NULL);
     const char *name;
-    bool ok = true;
+    bool all_ended = true;
 
-    while (d && (name = g_dir_read_name(d))) {
-        char *dir = g_build_filename(root, name, NULL), *mark = lmn_executor_mark(dir);
-        ok = lmn_executor_clear(dir, mark, END_S) && ok;
-        g_free(dir);
-        g_free(mark);
+    while (machines && (name = g_dir_read_name(machines))) {
+        g_autofree char *directory = g_build_filename(root, name, NULL);
+        g_autofree char *mark = lmn_executor_mark(directory);
+        all_ended = lmn_executor_clear(directory, mark, KILL_TIMEOUT_S) && all_ended;
     }
-    if (d)
-        g_dir_close(d);
-    g_free(root);
-    return ok;
+    return all_ended;
 }
 
+/** Ends all processes but the supervisor, and the machines; goes on if one can't be
+ * ended. */
 static bool end_all(const struct lmn_site *site)
 {
-    bool ok = true;
+    /* The machine provider first, since it would start machines again. */
+    bool all_ended = end_process(site, "fleet");
 
-    /* The fleet first, which would start machines again; the state service last. */
-    ok = end_process(site, "fleet") && ok;
     for (unsigned i = site->nprocesses; i-- > 0;)
         if (strcmp(site->processes[i].name, "state"))
-            ok = end_process(site, site->processes[i].name) && ok;
-    ok = end_machines(site) && ok;
-    return end_process(site, "state") && ok;
+            all_ended = end_process(site, site->processes[i].name) && all_ended;
+    all_ended = end_machines(site) && all_ended;
+    /* The key-value store last, since all others use it. */
+    return end_process(site, "state") && all_ended;
+}
+
+static bool end_supervisor(const struct lmn_site *site)
+{
+    g_autofree char *path = lmn_site_path(site, "supervisor", ".lock");
+
+    if (!lmn_lock_signal(path, SIGTERM) || lmn_lock_wait(path, SUPERVISOR_STOP_TIMEOUT_S))
+        return true;
+    return lmn_lock_signal(path, SIGKILL) && lmn_lock_wait(path, KILL_TIMEOUT_S);
 }
 
 bool lmn_site_end(const struct lmn_site *site)
 {
-    char *path = lmn_site_path(site, "supervisor", ".lock");
-    bool ok = true;
+    /* The supervisor first, since it would start the others again. */
+    bool is_supervisor_ended = end_supervisor(site);
 
-    if (lmn_lock_signal(path, SIGTERM) && !lmn_lock_wait(path, 5 * END_S))
-        ok = lmn_lock_signal(path, SIGKILL) && lmn_lock_wait(path, END_S);
-    g_free(path);
-    return end_all(site) && ok;
+    return end_all(site) && is_supervisor_ended;
+}
+
+/* --- the supervisor --- */
+
+static void handle_signals(void)
+{
+    struct sigaction action = {.sa_handler = on_stop_signal};
+
+    sigaction(SIGTERM, &action, NULL);
+    sigaction(SIGINT, &action, NULL);
+    /* The supervisor outlives the terminal that it was started from. */
+    signal(SIGHUP, SIG_IGN);
 }
 
 int lmn_site_run(struct lmn_site *site)
 {
-    static struct watched v[LMN_SITE_PROCESSES];
-    char *path = lmn_site_path(site, "supervisor", ".lock"), err[512];
-    struct sigaction on = {.sa_handler = on_stop};
+    static struct supervised supervised[LMN_SITE_PROCESSES];
+    g_autofree char *lock_path = lmn_site_path(site, "supervisor", ".lock");
+    char err[512];
     pid_t other;
 
     if (lmn_site_write(site, err, sizeof err) != 0) {
         lmn_error("settings_write_failed why=\"%s\"", err);
         return 1;
     }
-    if (lmn_lock_file(path, &other) < 0) {
+    if (lmn_lock_file(lock_path, &other) < 0) {
         lmn_error("supervisor_already_running pid=%ld", (long)other);
         return 1;
     }
-    g_free(path);
-    sigaction(SIGTERM, &on, NULL);
-    sigaction(SIGINT, &on, NULL);
-    signal(SIGHUP, SIG_IGN);
+    handle_signals();
     lmn_info("supervisor_started site=%s processes=%u", site->name, site->nprocesses);
     for (unsigned i = 0; i < site->nprocesses; i++)
-        v[i].p = &site->processes[i];
-    while (!stopping) {
-        bool any = false;
-        reap(v, site->nprocesses);
-        for (unsigned i = 0; i < site->nprocesses; i++)
-            any = look_after(site, &v[i]) || any;
-        write_status(site, v, site->nprocesses);
-        lmn_sleep(any ? 0.05 : 0.2);
-    }
+        supervised[i].process = &site->processes[i];
+    supervise_until_stopped(site, supervised, site->nprocesses);
     lmn_info("supervisor_stopped");
     return end_all(site) ? 0 : 1;
 }
