--- a/src/state/failures.c
+++ b/src/state/failures.c
@@ -1,26 +1,40 @@
+/** @file
+ * Whether a job or a machine is at fault: see state/failures.h. */
 #include "state/failures.h"
+
 #include "util/clock.h"
 
 #include <math.h>
 
-/* So many machines are not faulty at a time, by chance; more, if the job has proved that
- * it can succeed. */
-enum { TOO_MANY = 3, TOO_MANY_PROVEN = 6 };
-/* Failures are forgotten after so long without another; testimonies fade by half. */
-static const double FORGET_S = 300, HALF_S = 60;
-/* Pauses of a job: at first and at most. An accused one is tried more and more seldom. */
-static const double FIRST_S = 0.5, MOST_S = 4, ACCUSED_FIRST_S = 4, ACCUSED_MOST_S = 60;
-/* Three jobs of which nothing else is known, or two that succeed elsewhere, or one that
- * does, three times. */
-static const double GUILTY = 1.5, UNPROVEN = 0.5;
-
-static void forget(struct lmn_job_failures *failures)
+/** So many machines are not faulty at a time by chance: a job that has failed on as many
+ * is at fault itself. More are needed if the job has proved that it can succeed. */
+enum { FAULTY_JOB_MACHINES = 3, FAULTY_PROVEN_JOB_MACHINES = 6 };
+/** A job's failures are forgotten after so long without another. */
+static const double FORGET_AFTER_S = 300;
+/** A failure's weight against a machine halves in this time. */
+static const double WEIGHT_HALF_LIFE_S = 60;
+/** Backoff of a job after its first round of failures, and at most. */
+static const double BACKOFF_FIRST_S = 0.5, BACKOFF_MAX_S = 4;
+/** The same of a faulty job, which is tried less and less often. */
+static const double FAULTY_BACKOFF_FIRST_S = 4, FAULTY_BACKOFF_MAX_S = 60;
+/** The backoff doubles at most so many times. */
+static const unsigned MAX_DOUBLINGS = 6;
+/** Sum of weights at which a machine is faulty: failures of three jobs of which nothing
+ * else is known, or of two that succeed elsewhere, or of one that does, three times. */
+static const double FAULTY_MACHINE_WEIGHT = 1.5;
+static const double UNPROVEN_JOB_WEIGHT = 0.5, PROVEN_JOB_WEIGHT = 1;
+enum { PROVEN_JOB_REPEATS = 3 };
+/** Part of the weight that is enough, since failures that came together have faded a
+ * little. */
+static const double FADED_SHARE = 0.9;
+
+static void forget_failures(struct lmn_job_failures *failures)
 {
     failures->machine_count = failures->rounds = 0;
     failures->backoff_until = failures->round_started_at = (struct timespec){0, 0};
 }
 
-static bool known(const struct lmn_job_failures *failures, guint machine)
+static bool has_failed_on(const struct lmn_job_failures *failures, guint machine)
 {
     for (unsigned i = 0; i < failures->machine_count; i++)
         if (failures->machines[i] == machine)
@@ -28,88 +42,92 @@
     return false;
 }
 
-static void note(struct lmn_job_failures *failures, guint machine, struct timespec now)
+static void add_machine(struct lmn_job_failures *failures, guint machine,
+                        struct timespec now)
 {
     if (failures->machine_count &&
-        lmn_time_diff_s(now, failures->last_failed_at) > FORGET_S)
-        forget(failures);
+        lmn_time_diff_s(now, failures->last_failed_at) > FORGET_AFTER_S)
+        forget_failures(failures);
     failures->last_failed_at = now;
-    if (!known(failures, machine) && failures->machine_count < LMN_MAX_FAILURE_MACHINES)
+    if (!has_failed_on(failures, machine) &&
+        failures->machine_count < LMN_MAX_FAILURE_MACHINES)
         failures->machines[failures->machine_count++] = machine;
 }
 
 bool lmn_job_is_faulty(const struct lmn_job_failures *failures)
 {
     return failures->machine_count >=
-           (failures->has_succeeded ? TOO_MANY_PROVEN : TOO_MANY);
+           (failures->has_succeeded ? FAULTY_PROVEN_JOB_MACHINES : FAULTY_JOB_MACHINES);
 }
 
-static double pause_s(const struct lmn_job_failures *failures)
+static double backoff_s(const struct lmn_job_failures *failures)
 {
-    double doubled = (double)(1u << MIN(failures->rounds, 6u));
+    double factor = (double)(1u << MIN(failures->rounds, MAX_DOUBLINGS));
 
-    return lmn_job_is_faulty(failures) ? MIN(ACCUSED_FIRST_S * doubled, ACCUSED_MOST_S)
-                                       : MIN(FIRST_S * doubled, MOST_S);
+    return lmn_job_is_faulty(failures)
+               ? MIN(FAULTY_BACKOFF_FIRST_S * factor, FAULTY_BACKOFF_MAX_S)
+               : MIN(BACKOFF_FIRST_S * factor, BACKOFF_MAX_S);
 }
 
 void lmn_job_record_failure(struct lmn_job_failures *failures, guint machine,
-                            struct timespec started, struct timespec now)
+                            struct timespec started_at, struct timespec now)
 {
-    note(failures, machine, now);
-    /* The tasks of a large job fail by the dozen: once each of them doubled the pause,
-     * and a job whose first machine was faulty waited for a minute. */
+    add_machine(failures, machine, now);
+    /* The tasks of a large job fail by the dozen. If each of them doubled the backoff, a
+     * job whose first machine is faulty would wait for a minute. */
     if (!failures->round_started_at.tv_sec ||
-        lmn_time_before(failures->round_started_at, started)) {
+        lmn_time_before(failures->round_started_at, started_at)) {
         failures->rounds++;
         failures->round_started_at = now;
     }
-    struct timespec hold = lmn_time_add(now, pause_s(failures));
-    if (lmn_time_before(failures->backoff_until, hold))
-        failures->backoff_until = hold;
+    struct timespec backoff_until = lmn_time_add(now, backoff_s(failures));
+    if (lmn_time_before(failures->backoff_until, backoff_until))
+        failures->backoff_until = backoff_until;
 }
 
 void lmn_job_record_inherited_failure(struct lmn_job_failures *failures, guint machine,
                                       struct timespec now)
 {
-    note(failures, machine, now);
+    add_machine(failures, machine, now);
     if (lmn_job_is_faulty(failures) && !failures->rounds) {
         failures->rounds = 1;
         failures->round_started_at = now;
-        failures->backoff_until = lmn_time_add(now, pause_s(failures));
+        failures->backoff_until = lmn_time_add(now, backoff_s(failures));
     }
 }
 
 void lmn_job_record_success(struct lmn_job_failures *failures)
 {
     failures->has_succeeded = true;
-    forget(failures);
+    forget_failures(failures);
 }
 
 void lmn_job_record_retry(struct lmn_job_failures *failures, struct timespec now)
 {
-    failures->backoff_until = lmn_time_add(now, pause_s(failures));
+    failures->backoff_until = lmn_time_add(now, backoff_s(failures));
 }
 
 double lmn_failure_weight(const struct lmn_job_failures *failures, guint machine,
-                          unsigned times, struct timespec last, struct timespec now)
+                          unsigned count, struct timespec last_at, struct timespec now)
 {
-    unsigned others = failures->machine_count - known(failures, machine);
-    double fades = exp2(-lmn_time_diff_s(now, last) / HALF_S);
+    unsigned other_machines = failures->machine_count - has_failed_on(failures, machine);
+    double fading = exp2(-lmn_time_diff_s(now, last_at) / WEIGHT_HALF_LIFE_S);
+    double weight = UNPROVEN_JOB_WEIGHT;
 
-    /* Whoever fails elsewhere, too, accuses itself. */
-    if (!times || others >= 2 || lmn_job_is_faulty(failures))
+    /* A job that fails on other machines too is more likely at fault itself. */
+    if (!count || other_machines >= 2 || lmn_job_is_faulty(failures))
         return 0;
-    double weight = failures->has_succeeded ? times >= 3 ? GUILTY : 1 : UNPROVEN;
-    return fades * weight / (1 + others);
+    if (failures->has_succeeded)
+        weight = count >= PROVEN_JOB_REPEATS ? FAULTY_MACHINE_WEIGHT : PROVEN_JOB_WEIGHT;
+    return fading * weight / (1 + other_machines);
 }
 
-bool lmn_machine_is_faulty(double sum)
+bool lmn_machine_is_faulty(double weight_sum)
 {
-    /* A little less, for what has faded between failures that came together. */
-    return sum >= 0.9 * GUILTY;
+    return weight_sum >= FADED_SHARE * FAULTY_MACHINE_WEIGHT;
 }
 
-double lmn_machine_quarantine_s(double sum)
+double lmn_machine_quarantine_s(double weight_sum)
 {
-    return sum <= 0 ? 0 : exp2(2 * sum);
+    return weight_sum <= 0 ? 0 : exp2(2 * weight_sum);
 }
--- a/src/state/records.c
+++ b/src/state/records.c
@@ -1,45 +1,53 @@
-/* Records as the state service keeps them. */
+/** @file
+ * How jobs and ranges are written in the key-value store: see state/records.h. The names
+ * of the fields are stored in running clusters: they must not change. */
 #include "state/records.h"
 
-#include <string.h>
+enum { JOB_RECORD_SIZE = 512 /* bytes that are allocated at first */ };
 
 GByteArray *lmn_job_record(const struct lmn_job_spec *spec, enum lmn_job_phase phase,
-                           uint32_t open, double at)
+                           uint32_t open_ranges, double accepted_at_s)
 {
-    GByteArray *buffer = g_byte_array_sized_new(512);
+    GByteArray *buffer = g_byte_array_sized_new(JOB_RECORD_SIZE);
+
     lmn_cbor_put_map(buffer, lmn_job_spec_pair_count() + 3);
     lmn_job_spec_write(buffer, spec);
-    lmn_cbor_put_text(buffer, "phase"), lmn_cbor_put_uint(buffer, phase);
-    lmn_cbor_put_text(buffer, "open"), lmn_cbor_put_uint(buffer, open);
-    lmn_cbor_put_text(buffer, "at"), lmn_cbor_put_number(buffer, at);
+    lmn_cbor_put_text(buffer, "phase");
+    lmn_cbor_put_uint(buffer, phase);
+    lmn_cbor_put_text(buffer, "open");
+    lmn_cbor_put_uint(buffer, open_ranges);
+    lmn_cbor_put_text(buffer, "at");
+    lmn_cbor_put_number(buffer, accepted_at_s);
     return buffer;
 }
 
 int lmn_job_read(const struct lmn_cbor_document *document,
                  const struct lmn_cbor_value *value, struct lmn_job_spec *spec,
-                 enum lmn_job_phase *phase, uint32_t *open, double *at)
+                 enum lmn_job_phase *phase, uint32_t *open_ranges, double *accepted_at_s)
 {
-    const char *what;
-    uint64_t ph, op;
+    const char *reason;
+    uint64_t phase_number, open_count;
 
-    if (lmn_job_spec_parse(spec, document, value, &what) != 0)
+    if (lmn_job_spec_parse(spec, document, value, &reason) != 0)
         return -1;
-    if (!lmn_cbor_get_uint(lmn_cbor_get(document, value, "phase"), &ph) ||
-        ph > LMN_JOB_CANCELLED ||
-        !lmn_cbor_get_uint(lmn_cbor_get(document, value, "open"), &op) ||
-        !lmn_cbor_get_number(lmn_cbor_get(document, value, "at"), at))
+    if (!lmn_cbor_get_uint(lmn_cbor_get(document, value, "phase"), &phase_number) ||
+        phase_number > LMN_JOB_CANCELLED ||
+        !lmn_cbor_get_uint(lmn_cbor_get(document, value, "open"), &open_count) ||
+        !lmn_cbor_get_number(lmn_cbor_get(document, value, "at"), accepted_at_s))
         return -1;
-    *phase = (enum lmn_job_phase)ph;
-    *open = (uint32_t)op;
+    *phase = (enum lmn_job_phase)phase_number;
+    *open_ranges = (uint32_t)open_count;
     return 0;
 }
 
 GByteArray *lmn_range_record(const struct lmn_range *range, const uint8_t *done)
 {
     GByteArray *buffer = g_byte_array_new();
+
     lmn_cbor_put_map(buffer, 2);
-    lmn_cbor_put_text(buffer, "hi"), lmn_cbor_put_uint(buffer, range->end);
-    lmn_cbor_put_text(buffer, "done"),
-        lmn_bitset_write(buffer, done, range->end - range->first);
+    lmn_cbor_put_text(buffer, "hi");
+    lmn_cbor_put_uint(buffer, range->end);
+    lmn_cbor_put_text(buffer, "done");
+    lmn_bitset_write(buffer, done, range->end - range->first);
     return buffer;
 }
--- a/src/state/records.h
+++ b/src/state/records.h
@@ -1,16 +1,29 @@
-/* How jobs and ranges are written in the state service. Pure; what they return is the
- * caller's. */
+/** @file
+ * How jobs and ranges are written in the key-value store (state/record_keys.h). Pure
+ * functions; buffers that they return are the caller's. */
 #ifndef LMN_RECORDS_H
 #define LMN_RECORDS_H
 
 #include "state/core_state.h"
 
+/** Encodes a job's record.
+ *
+ * @param open_ranges    ranges of the job that are not closed yet
+ * @param accepted_at_s  time of day at which the job was accepted */
 GByteArray *lmn_job_record(const struct lmn_job_spec *spec, enum lmn_job_phase phase,
-                           uint32_t open, double at);
-/* Reads a job's record; -1 if it is none. The spec is the caller's to clear. */
+                           uint32_t open_ranges, double accepted_at_s);
+
+/** Decodes a job's record into the other arguments. The spec is the caller's to clear,
+ * whatever is returned.
+ *
+ * @return 0, or -1 if the value is no job's record */
 int lmn_job_read(const struct lmn_cbor_document *document,
                  const struct lmn_cbor_value *value, struct lmn_job_spec *spec,
-                 enum lmn_job_phase *phase, uint32_t *open, double *at);
+                 enum lmn_job_phase *phase, uint32_t *open_ranges, double *accepted_at_s);
+
+/** Encodes a range's record.
+ *
+ * @param done  bit set of the tasks that are done, as long as the range */
 GByteArray *lmn_range_record(const struct lmn_range *range, const uint8_t *done);
 
 #endif
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -1,13 +1,18 @@
+/** @file
+ * Retention of final jobs: see state/retention.h. It owns lmn_watch_cache's final_jobs.
+ */
 #include "state/retention.h"
-#include "util/log.h"
+
 #include "state/task_ledger.h"
+#include "util/log.h"
 
-/* Whatever a withdrawn job's tasks do on machines that were not heard for so long, its
- * team's limit has to count them: a job that was final only just now stays, however many
- * there are. */
-static const double OLD_S = 600;
-/* So many go together: to see what machines refer to takes a look at all of them. */
-enum { TOGETHER = 1000 };
+/** Whatever a cancelled job's tasks do on machines that have been unreachable for so long
+ * has to count against its team's quota limit: so a job that has been final for a shorter
+ * time stays, however many there are. */
+static const double MIN_RETENTION_S = 600;
+/** Jobs are evicted so many at a time: to find out what machines refer to takes a scan
+ * over all of them. */
+enum { EVICTION_BATCH = 1000 };
 
 void lmn_retention_add(struct lmn_core *core, struct lmn_job *job, struct timespec now)
 {
@@ -15,61 +20,69 @@
     g_queue_push_tail(&core->cache.final_jobs, job);
 }
 
-/* The jobs that attempts and blamed machines point at. */
-static GHashTable *referred(const struct lmn_core *core)
+static void add_jobs_of_machine(GHashTable *jobs, const struct lmn_machine *machine)
+{
+    for (guint i = 0; i < machine->attempts->len; i++)
+        g_hash_table_add(jobs,
+                         g_array_index(machine->attempts, struct lmn_attempt, i).job);
+    for (guint i = 0; i < machine->failures.jobs->len; i++)
+        g_hash_table_add(
+            jobs, g_array_index(machine->failures.jobs, struct lmn_failing_job, i).job);
+}
+
+/** The jobs that machines' attempts and failures point at. The set is the caller's. */
+static GHashTable *jobs_of_machines(const struct lmn_core *core)
 {
-    GHashTable *set = g_hash_table_new(g_direct_hash, g_direct_equal);
+    GHashTable *jobs = g_hash_table_new(g_direct_hash, g_direct_equal);
 
     for (int i = 0; i < core->partition_count; i++) {
         GHashTableIter it;
-        gpointer v;
+        gpointer machine;
         g_hash_table_iter_init(&it, core->partitions[i].machines);
-        while (g_hash_table_iter_next(&it, NULL, &v)) {
-            const struct lmn_machine *machine = v;
-            for (guint k = 0; k < machine->attempts->len; k++)
-                g_hash_table_add(
-                    set, g_array_index(machine->attempts, struct lmn_attempt, k).job);
-            for (guint k = 0; k < machine->failures.jobs->len; k++)
-                g_hash_table_add(
-                    set,
-                    g_array_index(machine->failures.jobs, struct lmn_failing_job, k).job);
-        }
+        while (g_hash_table_iter_next(&it, NULL, &machine))
+            add_jobs_of_machine(jobs, machine);
     }
-    return set;
+    return jobs;
 }
 
-static void free_job(struct lmn_core *core, struct lmn_job *job)
+static void evict_job(struct lmn_core *core, struct lmn_job *job)
 {
     g_hash_table_remove(core->cache.jobs, job->spec.id);
     lmn_job_free(job);
 }
 
+/** Whether the job became final too recently to be evicted. */
+static bool is_recent(const struct lmn_job *job, struct timespec now)
+{
+    return lmn_time_diff_s(now, job->final_at) < MIN_RETENTION_S;
+}
+
 guint lmn_retention_evict(struct lmn_core *core, struct timespec now)
 {
-    const struct lmn_job *oldest = g_queue_peek_head(&core->cache.final_jobs);
-    guint gone = 0;
+    GQueue *final_jobs = &core->cache.final_jobs;
+    const struct lmn_job *oldest = g_queue_peek_head(final_jobs);
+    guint evicted = 0;
 
-    if (core->cache.final_jobs.length < core->cache.max_retained_jobs + TOGETHER ||
-        !oldest || lmn_time_diff_s(now, oldest->final_at) < OLD_S)
+    if (final_jobs->length < core->cache.max_retained_jobs + EVICTION_BATCH || !oldest ||
+        is_recent(oldest, now))
         return 0;
-    GHashTable *set = referred(core);
-    guint most = core->cache.final_jobs.length - core->cache.max_retained_jobs;
-    for (guint i = 0; i < most; i++) {
-        struct lmn_job *job = g_queue_peek_head(&core->cache.final_jobs);
-        if (lmn_time_diff_s(now, job->final_at) < OLD_S)
+    GHashTable *referenced = jobs_of_machines(core);
+    guint excess = final_jobs->length - core->cache.max_retained_jobs;
+    for (guint i = 0; i < excess; i++) {
+        struct lmn_job *job = g_queue_peek_head(final_jobs);
+        if (is_recent(job, now))
             break;
-        g_queue_pop_head(&core->cache.final_jobs);
-        if (job->ranges->len || g_hash_table_contains(set, job)) {
-            job->final_at = now; /* looked at again, with those that come now */
-            g_queue_push_tail(&core->cache.final_jobs, job);
+        g_queue_pop_head(final_jobs);
+        if (job->ranges->len || g_hash_table_contains(referenced, job)) {
+            /* Considered again together with the jobs that become final now. */
+            lmn_retention_add(core, job, now);
             continue;
         }
-        free_job(core, job);
-        gone++;
+        evict_job(core, job);
+        evicted++;
     }
-    g_hash_table_destroy(set);
-    if (gone)
-        lmn_info("final_jobs_evicted jobs=%u kept=%u", gone,
-                 core->cache.final_jobs.length);
-    return gone;
+    g_hash_table_destroy(referenced);
+    if (evicted)
+        lmn_info("final_jobs_evicted jobs=%u kept=%u", evicted, final_jobs->length);
+    return evicted;
 }
--- a/src/state/task_ledger.c
+++ b/src/state/task_ledger.c
@@ -1,8 +1,14 @@
-/* The books' parts: what they are made of, counted and freed. */
+/** @file
+ * The task ledger: see state/task_ledger.h. */
 #include "state/task_ledger.h"
 
 #include <string.h>
 
+/** Part of the lease, and of the heartbeat interval with an allowance, after which a
+ * heartbeat is overdue: the smaller of the two counts. */
+static const double SILENT_LEASE_SHARE = 0.6, SILENT_HEARTBEATS = 1.25,
+                    HEARTBEAT_ALLOWANCE_S = 2;
+
 void lmn_queue_init(struct lmn_queue *queue)
 {
     queue->segments = g_ptr_array_new();
@@ -17,28 +23,28 @@
     queue->task_count = 0;
 }
 
-void lmn_queue_add(struct lmn_queue *queue, struct lmn_range *range, uint32_t lo,
-                   uint32_t hi)
+void lmn_queue_add(struct lmn_queue *queue, struct lmn_range *range, uint32_t first,
+                   uint32_t end)
 {
-    queue->task_count += hi - lo;
+    queue->task_count += end - first;
     for (guint i = 0; i < queue->segments->len; i++) {
         struct lmn_queue_segment *segment = queue->segments->pdata[i];
-        if (segment->range == range && segment->end == lo) {
-            segment->end = hi;
+        if (segment->range == range && segment->end == first) {
+            segment->end = end;
             return;
         }
     }
     struct lmn_queue_segment *segment = g_new(struct lmn_queue_segment, 1);
-    *segment = (struct lmn_queue_segment){range, range->job, lo, hi};
+    *segment = (struct lmn_queue_segment){range, range->job, first, end};
     g_ptr_array_add(queue->segments, segment);
 }
 
-void lmn_queue_remove_segment(struct lmn_queue *queue, guint at)
+void lmn_queue_remove_segment(struct lmn_queue *queue, guint segment_index)
 {
-    struct lmn_queue_segment *segment = queue->segments->pdata[at];
+    struct lmn_queue_segment *segment = queue->segments->pdata[segment_index];
     queue->task_count -= segment->end - segment->first;
     g_free(segment);
-    g_ptr_array_remove_index(queue->segments, at);
+    g_ptr_array_remove_index(queue->segments, segment_index);
 }
 
 void lmn_queue_remove_range(struct lmn_queue *queue, const struct lmn_range *range)
@@ -48,37 +54,38 @@
             lmn_queue_remove_segment(queue, i);
 }
 
-void lmn_queue_remove_task(struct lmn_queue *queue, const struct lmn_range *r,
+void lmn_queue_remove_task(struct lmn_queue *queue, const struct lmn_range *range,
                            uint32_t index)
 {
     for (guint i = 0; i < queue->segments->len; i++) {
         struct lmn_queue_segment *segment = queue->segments->pdata[i];
-        if (segment->range != r || index < segment->first || index >= segment->end)
+        if (segment->range != range || index < segment->first || index >= segment->end)
             continue;
-        uint32_t hi = segment->end;
-        struct lmn_range *range = segment->range;
-        queue->task_count -= hi - index;
+        /* The segment is cut off before the task; what follows the task is added anew. */
+        uint32_t end = segment->end;
+        struct lmn_range *segment_range = segment->range;
+        queue->task_count -= end - index;
         segment->end = index;
         if (segment->first == segment->end)
             lmn_queue_remove_segment(queue, i);
-        if (index + 1 < hi)
-            lmn_queue_add(queue, range, index + 1, hi);
+        if (index + 1 < end)
+            lmn_queue_add(queue, segment_range, index + 1, end);
         return;
     }
 }
 
 void lmn_queue_remove_tail(struct lmn_queue *queue, const struct lmn_range *range,
-                           uint32_t lo)
+                           uint32_t first)
 {
     for (guint i = queue->segments->len; i-- > 0;) {
         struct lmn_queue_segment *segment = queue->segments->pdata[i];
-        if (segment->range != range || segment->end <= lo)
+        if (segment->range != range || segment->end <= first)
             continue;
-        if (segment->first >= lo) {
+        if (segment->first >= first) {
             lmn_queue_remove_segment(queue, i);
         } else {
-            queue->task_count -= segment->end - lo;
-            segment->end = lo;
+            queue->task_count -= segment->end - first;
+            segment->end = first;
         }
     }
 }
@@ -98,10 +105,10 @@
     machine->record.block = NULL;
 }
 
-/* Kept, not counted anew for each candidate: looking at every machine each time would
- * grow with the square of their number. Such a job lies whole in one partition, so its
- * owner sees all. */
-void lmn_job_add_zone_tasks(struct lmn_job *job, const char *zone, int n)
+/* The counts are kept, not made anew for each candidate: a scan over all machines each
+ * time would grow with the square of their number. A job with affinity or anti-affinity
+ * lies whole in one partition, so its owner knows all its tasks. */
+void lmn_job_add_zone_tasks(struct lmn_job *job, const char *zone, int change)
 {
     struct lmn_zone_tasks *zone_tasks;
 
@@ -112,11 +119,11 @@
     for (guint i = 0; i < job->zones->len; i++) {
         zone_tasks = &g_array_index(job->zones, struct lmn_zone_tasks, i);
         if (!strcmp(zone_tasks->zone, zone)) {
-            zone_tasks->tasks += n;
+            zone_tasks->tasks += change;
             return;
         }
     }
-    struct lmn_zone_tasks new = {g_intern_string(zone), n};
+    struct lmn_zone_tasks new = {g_intern_string(zone), change};
     g_array_append_val(job->zones, new);
 }
 
@@ -151,7 +158,8 @@
 
     lmn_machine_mark_unreplicated(machine);
     if (stream->phase < LMN_STREAM_CATCHING_UP) {
-        /* Nobody waits for it; but it has to be told before a record may be written. */
+        /* The start does not wait for the standby; but the standby has to acknowledge it
+         * before a record may name it as in sync. */
         stream->log_position++;
         return 0;
     }
@@ -161,13 +169,13 @@
     return ++stream->log_position;
 }
 
-void lmn_machine_set_address(struct lmn_machine *machine, const char *addr)
+void lmn_machine_set_address(struct lmn_machine *machine, const char *address)
 {
-    if (!strcmp(machine->address, addr))
+    if (!strcmp(machine->address, address))
         return;
     if (*machine->address)
         lmn_worker_hosts_remove(machine->partition->worker_hosts, machine->address);
-    g_strlcpy(machine->address, addr, sizeof machine->address);
+    g_strlcpy(machine->address, address, sizeof machine->address);
     lmn_worker_hosts_add(machine->partition->worker_hosts, machine->address);
 }
 
@@ -202,7 +210,7 @@
     if (*machine->address)
         lmn_worker_hosts_remove(machine->partition->worker_hosts, machine->address);
     lmn_machine_leave_block(machine);
-    /* The last takes its place. */
+    /* The last of the list takes its place. */
     list->pdata[machine->list_index] = last;
     last->list_index = machine->list_index;
     g_ptr_array_set_size(list, (gint)list->len - 1);
@@ -214,38 +222,38 @@
     g_free(machine);
 }
 
-void lmn_attempt_count(struct lmn_machine *machine, struct lmn_attempt *attempt)
+/** Adds the attempt's resources to what is used (sign 1), or takes them off (sign -1). */
+static void change_usage(struct lmn_machine *machine, const struct lmn_attempt *attempt,
+                         int sign)
 {
-    const struct lmn_job *job = attempt->job;
+    const struct lmn_job_spec *spec = &attempt->job->spec;
+    struct lmn_partition_quota *quota = &machine->partition->quota;
+    int team = attempt->job->team;
+
+    machine->used.cpus += sign * spec->cpus;
+    machine->used.gpus += sign * spec->gpus;
+    machine->used.memory_gb += sign * spec->memory_gb;
+    lmn_job_add_zone_tasks(attempt->job, machine->zone, sign);
+    if (team >= 0) {
+        quota->used_cpus[team] += sign * spec->cpus;
+        quota->used_gpus[team] += sign * spec->gpus;
+    }
+}
 
-    if (attempt->holds_capacity || !job)
+void lmn_attempt_count(struct lmn_machine *machine, struct lmn_attempt *attempt)
+{
+    if (attempt->holds_capacity || !attempt->job)
         return;
     attempt->holds_capacity = true;
-    machine->used.cpus += job->spec.cpus;
-    machine->used.gpus += job->spec.gpus;
-    machine->used.memory_gb += job->spec.memory_gb;
-    lmn_job_add_zone_tasks(attempt->job, machine->zone, 1);
-    if (job->team >= 0) {
-        machine->partition->quota.used_cpus[job->team] += job->spec.cpus;
-        machine->partition->quota.used_gpus[job->team] += job->spec.gpus;
-    }
+    change_usage(machine, attempt, 1);
 }
 
 void lmn_attempt_uncount(struct lmn_machine *machine, struct lmn_attempt *attempt)
 {
-    const struct lmn_job *job = attempt->job;
-
     if (!attempt->holds_capacity)
         return;
     attempt->holds_capacity = false;
-    machine->used.cpus -= job->spec.cpus;
-    machine->used.gpus -= job->spec.gpus;
-    machine->used.memory_gb -= job->spec.memory_gb;
-    lmn_job_add_zone_tasks(attempt->job, machine->zone, -1);
-    if (job->team >= 0) {
-        machine->partition->quota.used_cpus[job->team] -= job->spec.cpus;
-        machine->partition->quota.used_gpus[job->team] -= job->spec.gpus;
-    }
+    change_usage(machine, attempt, -1);
 }
 
 struct lmn_range *lmn_partition_find_range(const struct lmn_partition *partition,
@@ -282,17 +290,23 @@
 
     if (partition->ownership.inherited_may_start)
         return true;
-    /* A predecessor sees the changes in their order: before such a range it saw that it
-     * had lost the partition. That goes for tasks that look at each other's places too,
-     * since such a job lies whole in one partition, and is born as a whole. */
+    /* A range that is younger than our ownership never had tasks of an earlier owner:
+     * that one sees the changes in their order, so before such a range it saw that it had
+     * lost the partition. This holds for jobs with affinity or anti-affinity too, whose
+     * tasks depend on each other's places, since such a job lies whole in one partition
+     * and is created as a whole. */
     return range->created_revision > partition->ownership.revision;
 }
 
 bool lmn_machine_is_silent(const struct lmn_core *core, const struct lmn_machine *machine,
                            struct timespec now)
 {
+    const struct lmn_settings *settings = core->settings;
+    double overdue_s =
+        MIN(SILENT_LEASE_SHARE * settings->lease_s,
+            SILENT_HEARTBEATS * settings->heartbeat_s + HEARTBEAT_ALLOWANCE_S);
+
     return machine->lifecycle.is_accounted && !machine->agent.lease_expired &&
            !machine->lifecycle.is_draining && !machine->lifecycle.is_terminated &&
-           lmn_time_diff_s(now, machine->agent.last_heartbeat_at) >
-               MIN(0.6 * core->settings->lease_s, 1.25 * core->settings->heartbeat_s + 2);
+           lmn_time_diff_s(now, machine->agent.last_heartbeat_at) > overdue_s;
 }
--- a/src/state/tombstone.c
+++ b/src/state/tombstone.c
@@ -1,26 +1,28 @@
+/** @file
+ * Tombstones of cancelled jobs: see state/tombstone.h. */
 #include "state/tombstone.h"
 
 #include <glib.h>
 
-void lmn_tombstone_add(struct lmn_tombstones *tombstones, const char *ref)
+void lmn_tombstone_add(struct lmn_tombstones *tombstones, const char *job_id)
 {
-    g_strlcpy(tombstones->job_ids[tombstones->count++ % LMN_MAX_TOMBSTONES], ref,
+    g_strlcpy(tombstones->job_ids[tombstones->count++ % LMN_MAX_TOMBSTONES], job_id,
               LMN_JOB_ID_SIZE);
 }
 
 unsigned lmn_tombstones_pending(const struct lmn_tombstones *tombstones, int member_index,
-                                const char **refs, unsigned most, uint64_t *upto)
+                                const char **job_ids, unsigned max, uint64_t *upto)
 {
     uint64_t oldest = tombstones->count > LMN_MAX_TOMBSTONES
                           ? tombstones->count - LMN_MAX_TOMBSTONES
                           : 0;
-    uint64_t from = MAX(tombstones->acknowledged[member_index], oldest);
-    unsigned n = (unsigned)MIN(tombstones->count - from, most);
+    uint64_t first = MAX(tombstones->acknowledged[member_index], oldest);
+    unsigned count = (unsigned)MIN(tombstones->count - first, max);
 
-    for (unsigned i = 0; i < n; i++)
-        refs[i] = tombstones->job_ids[(from + i) % LMN_MAX_TOMBSTONES];
-    *upto = from + n;
-    return n;
+    for (unsigned i = 0; i < count; i++)
+        job_ids[i] = tombstones->job_ids[(first + i) % LMN_MAX_TOMBSTONES];
+    *upto = first + count;
+    return count;
 }
 
 void lmn_tombstones_acknowledge(struct lmn_tombstones *tombstones, int member_index,
--- a/src/state/tombstone.h
+++ b/src/state/tombstone.h
@@ -1,37 +1,52 @@
-/* Tombstones: jobs whose withdrawal this node has committed and told their users, for the
- * members that may not see it yet.
+/** @file
+ * Tombstones: jobs whose cancellation this controller has committed, and told their users
+ * of, for the members whose watch cache may not show it yet.
  *
- * A help, never a condition. The refs of the last few are kept until each member has
- * taken them; whoever takes one stops the job's tasks although its own mirror shows the
- * job as active, and writes nothing on its strength. It counts only until the mirror is
- * proven to be of a later time: it was committed before it was told, so the mirror shows
- * it then, or it never was. So nothing can be revived, finished or cancelled by one that
- * is lost, late, doubled or wrong. */
+ * They are a help, never a condition. The ids of the last few are kept until each member
+ * has acknowledged them; a member that receives one stops the job's tasks although its
+ * own watch cache shows the job as active, but writes nothing because of it. A tombstone
+ * counts only until that watch cache is proven to be of a later time: since the
+ * cancellation was committed before it was sent, the cache shows it then, or it never
+ * was. So nothing can be revived, finished or cancelled by a tombstone that is lost,
+ * late, duplicated or wrong.
+ *
+ * Under the core's lock. */
 #ifndef LMN_TOMBSTONE_H
 #define LMN_TOMBSTONE_H
 
-#include "util/clock.h"
-#include "job/job_spec.h"
 #include "config/settings.h"
+#include "job/job_spec.h"
+#include "util/clock.h"
 
 #include <stdint.h>
 
-/* A member that can't be reached for longer misses the oldest; the leases see to those.
- */
+/** Tombstones that are kept. A member that is unreachable while more are added misses the
+ * oldest; there, the leases of its workers stop the tasks. */
 enum { LMN_MAX_TOMBSTONES = 256 };
 
+/** A ring of the last tombstones. */
 struct lmn_tombstones {
-    char job_ids[LMN_MAX_TOMBSTONES]
-                [LMN_JOB_ID_SIZE]; /* the n-th stands at n modulo their number */
-    uint64_t count;
-    uint64_t acknowledged[LMN_MAX_PARTITIONS]; /* by rank: all before this one */
+    /** The n-th ever added stands at n modulo LMN_MAX_TOMBSTONES. */
+    char job_ids[LMN_MAX_TOMBSTONES][LMN_JOB_ID_SIZE];
+    uint64_t count; /**< ever added */
+    /** By member index: the member has acknowledged all before this one. */
+    uint64_t acknowledged[LMN_MAX_PARTITIONS];
 };
 
-void lmn_tombstone_add(struct lmn_tombstones *tombstones, const char *ref);
-/* The oldest that the member has not taken, at most `most` of them; returns how many, and
- * in *upto what to say to lmn_tombstones_acknowledge once it has. */
+/** Adds a job whose cancellation was committed. */
+void lmn_tombstone_add(struct lmn_tombstones *tombstones, const char *job_id);
+
+/** Finds the oldest that the member has not acknowledged.
+ *
+ * @param job_ids  array of `max` pointers; they are valid until the next addition
+ * @param upto     set to what to pass to lmn_tombstones_acknowledge once the member has
+ *                 acknowledged these
+ * @return how many there are, at most `max` */
 unsigned lmn_tombstones_pending(const struct lmn_tombstones *tombstones, int member_index,
-                                const char **refs, unsigned most, uint64_t *upto);
+                                const char **job_ids, unsigned max, uint64_t *upto);
+
+/** Records that the member has acknowledged all before `upto`. */
 void lmn_tombstones_acknowledge(struct lmn_tombstones *tombstones, int member_index,
                                 uint64_t upto);
+
 #endif
--- a/src/state/watch_thread.c
+++ b/src/state/watch_thread.c
@@ -50,7 +50,7 @@
     bool is_first_wait;   /* nothing was watched since the listing */
 };
 
-/** Requests a page of a listing; false: the store did not give it.
+/** Requests a page of a listing; false: the request failed.
  *
  * @param prefix    of the keys
  * @param after     last key of the page before; empty: first page
