--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -1,20 +1,26 @@
-/* The records of machines, many to a block.
- *
- * Before the first start on a machine its record must stand, so that a successor knows
- * that it has to ask there. One write for each machine takes all the changes that the
- * state service grants when hundreds come up together; so an owner keeps them in blocks,
- * and what comes or goes between two writes of a block shares the next. */
+/* The records of a partition's machines, many to a block. The core's lock is held by the
+ * caller throughout, except in block_written, which takes it. */
 #include "partition/machine_block.h"
+
 #include "partition/range.h"
 #include "state/task_ledger.h"
 
 #include <string.h>
 
 /* A block with machines to add is written at most this often, one with only machines to
- * drop less often: those harm nobody. */
-static const double ADD_S = 0.3, DROP_S = 3.0;
+ * remove less often: those harm nobody. */
+static const double ADD_INTERVAL_S = 0.3, REMOVE_INTERVAL_S = 3.0;
+
+/* When a write that was not committed is tried again. */
+static const double RETRY_S = 0.3;
+
+/* A block takes at most this, and at most half of the store's largest value. */
+enum { MAX_BLOCK_BYTES = 16384, BYTES_PER_HALF_KB = 512 };
 
-static struct lmn_machine_block *block_at(struct lmn_partition *partition, guint id)
+enum { RECORD_KEY_SIZE = 64, FIELDS_PER_MACHINE = 5 };
+
+static struct lmn_machine_block *find_or_add_block(struct lmn_partition *partition,
+                                                   guint id)
 {
     while (partition->blocks->len <= id)
         g_ptr_array_add(partition->blocks, NULL);
@@ -27,36 +33,57 @@
     return partition->blocks->pdata[id];
 }
 
-static void put_in(struct lmn_machine_block *block, struct lmn_machine *machine)
+static void add_machine(struct lmn_machine_block *block, struct lmn_machine *machine)
 {
     machine->record.block = block;
     g_ptr_array_add(block->machines, machine);
     block->bytes += lmn_machine_record_size(machine);
 }
 
-/* The machine's first block with room. It stays there: a write whose outcome is not known
- * may yet be applied, and must not find the machine recorded elsewhere meanwhile. */
-static void assign(const struct lmn_core *core, struct lmn_partition *partition,
-                   struct lmn_machine *machine)
+/* Adds the machine to the first block with space. It stays there: a write whose outcome
+ * is not known may yet be applied, and must not find the machine recorded elsewhere. */
+static void assign_block(const struct lmn_core *core, struct lmn_partition *partition,
+                         struct lmn_machine *machine)
 {
-    size_t most = MIN((size_t)(core->settings->max_value_kb * 512), 16384);
+    size_t max_bytes =
+        MIN((size_t)(core->settings->max_value_kb * BYTES_PER_HALF_KB), MAX_BLOCK_BYTES);
     guint id = 0;
 
     while (id < partition->blocks->len && partition->blocks->pdata[id] &&
-           block_at(partition, id)->bytes + lmn_machine_record_size(machine) > most)
+           find_or_add_block(partition, id)->bytes + lmn_machine_record_size(machine) >
+               max_bytes)
         id++;
-    put_in(block_at(partition, id), machine);
+    add_machine(find_or_add_block(partition, id), machine);
+}
+
+/* Takes over the machine's description from its entry in a block, of which `name` is the
+ * first field. */
+static void read_description(struct lmn_machine *machine,
+                             const struct lmn_cbor_document *document,
+                             const struct lmn_cbor_value *name)
+{
+    const struct lmn_cbor_value *field = lmn_cbor_next(document, name);
+    char address[LMN_ADDRESS_SIZE] = "";
+
+    lmn_cbor_get_text(field, address, sizeof address);
+    lmn_machine_set_address(machine, address);
+    field = lmn_cbor_next(document, field);
+    lmn_cbor_get_text(field, machine->type_name, sizeof machine->type_name);
+    field = lmn_cbor_next(document, field);
+    lmn_cbor_get_text(field, machine->zone, sizeof machine->zone);
+    field = lmn_cbor_next(document, field);
+    lmn_cbor_get_bool(field, &machine->is_spot);
 }
 
 static void read_machine(struct lmn_partition *partition, struct lmn_machine_block *block,
                          const struct lmn_cbor_document *document,
-                         const struct lmn_cbor_value *node, uint64_t revision,
+                         const struct lmn_cbor_value *entry, uint64_t revision,
                          struct timespec now)
 {
-    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE] = "";
+    const struct lmn_cbor_value *name_field = lmn_cbor_first_child(document, entry);
+    char name[LMN_NAME_SIZE];
 
-    node = lmn_cbor_first_child(document, node);
-    if (!lmn_cbor_get_text(node, name, sizeof name))
+    if (!lmn_cbor_get_text(name_field, name, sizeof name))
         return;
     struct lmn_machine *machine = g_hash_table_lookup(partition->machines, name);
     if (!machine) {
@@ -65,23 +92,17 @@
     }
     if (!machine->record.revision) {
         lmn_machine_leave_block(machine);
-        node = lmn_cbor_next(document, node), lmn_cbor_get_text(node, addr, sizeof addr);
-        lmn_machine_set_address(machine, addr);
-        node = lmn_cbor_next(document, node),
-        lmn_cbor_get_text(node, machine->type_name, sizeof machine->type_name);
-        node = lmn_cbor_next(document, node),
-        lmn_cbor_get_text(node, machine->zone, sizeof machine->zone);
-        node = lmn_cbor_next(document, node), lmn_cbor_get_bool(node, &machine->is_spot);
-        put_in(block, machine);
+        read_description(machine, document, name_field);
+        add_machine(block, machine);
         machine->record.revision = revision;
     }
     machine->record.block_revision = revision;
 }
 
-/* Machines that the record does not name any more, and those that were gone before they
- * were recorded. */
-static void drop_others(struct lmn_core *core, struct lmn_machine_block *block,
-                        uint64_t revision, struct timespec now)
+/* Removes the machines that the block's record of that revision does not name, and those
+ * that were gone before they were recorded. */
+static void remove_unnamed(struct lmn_core *core, struct lmn_machine_block *block,
+                           uint64_t revision, struct timespec now)
 {
     for (guint i = block->machines->len; i-- > 0;) {
         struct lmn_machine *machine = block->machines->pdata[i];
@@ -100,15 +121,15 @@
 {
     if (id >= LMN_MAX_BLOCKS)
         return;
-    struct lmn_machine_block *block = block_at(partition, (guint)id);
+    struct lmn_machine_block *block = find_or_add_block(partition, (guint)id);
     block->generation = core->cache.generation;
     if (block->revision >= revision)
         return;
-    for (const struct lmn_cbor_value *node = value ? lmn_cbor_first_child(document, value)
-                                                   : NULL;
-         node; node = lmn_cbor_next(document, node))
-        read_machine(partition, block, document, node, revision, now);
-    drop_others(core, block, revision, now);
+    for (const struct lmn_cbor_value *entry =
+             value ? lmn_cbor_first_child(document, value) : NULL;
+         entry; entry = lmn_cbor_next(document, entry))
+        read_machine(partition, block, document, entry, revision, now);
+    remove_unnamed(core, block, revision, now);
     block->revision = value ? revision : 0;
     block->is_writing = false;
 }
@@ -122,7 +143,7 @@
             continue;
         block->revision = 0;
         block->is_writing = false;
-        drop_others(core, block, UINT64_MAX, now);
+        remove_unnamed(core, block, UINT64_MAX, now);
     }
 }
 
@@ -130,97 +151,124 @@
 {
     for (guint i = 0; i < partition->blocks->len; i++) {
         struct lmn_machine_block *block = partition->blocks->pdata[i];
-        if (block)
-            block->is_writing = false;
-        if (block)
-            block->retry_at = block->written_at = (struct timespec){0, 0};
+        if (!block)
+            continue;
+        block->is_writing = false;
+        block->retry_at = block->written_at = (struct timespec){0, 0};
     }
 }
 
-struct block_ref {
-    struct lmn_core *c;
-    int part;
-    guint id;
+/* The block that a write in flight is of. */
+struct block_write {
+    struct lmn_core *core;
+    int partition_id;
+    guint block_id;
 };
 
 static void block_written(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
                           uint64_t revision)
 {
-    struct block_ref *w = arg;
+    struct block_write *write = arg;
+    struct lmn_core *core = write->core;
     (void)txn;
     (void)revision;
 
-    pthread_mutex_lock(&w->c->lock);
-    struct lmn_machine_block *block = block_at(&w->c->partitions[w->part], w->id);
-    /* After a success it is the mirror that ends the write. */
+    pthread_mutex_lock(&core->lock);
+    struct lmn_machine_block *block =
+        find_or_add_block(&core->partitions[write->partition_id], write->block_id);
+    /* After a success it is the watch cache that ends the write. */
     if (outcome != LMN_TXN_COMMITTED) {
         block->is_writing = false;
-        block->retry_at = lmn_time_add(lmn_now(), 0.3);
+        block->retry_at = lmn_time_add(lmn_now(), RETRY_S);
     }
-    pthread_mutex_unlock(&w->c->lock);
-    g_free(w);
+    pthread_mutex_unlock(&core->lock);
+    g_free(write);
 }
 
-static void write_block(struct lmn_core *core, struct lmn_partition *partition,
-                        struct lmn_machine_block *block, enum lmn_write_priority priority)
+/* The block's record: the machines that are not gone. */
+static GByteArray *block_record(const struct lmn_machine_block *block)
 {
-    struct block_ref *w = g_new0(struct block_ref, 1);
-    GByteArray *v = g_byte_array_new();
-    char key[64];
-    guint n = 0;
-
-    for (guint i = 0; i < block->machines->len; i++)
-        n += !((struct lmn_machine *)block->machines->pdata[i])->lifecycle.is_terminated;
-    lmn_cbor_put_array(v, n);
+    GByteArray *record = g_byte_array_new();
+    guint count = 0;
+
+    for (guint i = 0; i < block->machines->len; i++) {
+        const struct lmn_machine *machine = block->machines->pdata[i];
+        count += !machine->lifecycle.is_terminated;
+    }
+    lmn_cbor_put_array(record, count);
     for (guint i = 0; i < block->machines->len; i++) {
         const struct lmn_machine *machine = block->machines->pdata[i];
         if (machine->lifecycle.is_terminated)
             continue;
-        lmn_cbor_put_array(v, 5);
-        lmn_cbor_put_text(v, machine->name);
-        lmn_cbor_put_text(v, machine->address);
-        lmn_cbor_put_text(v, machine->type_name);
-        lmn_cbor_put_text(v, machine->zone);
-        lmn_cbor_put_bool(v, machine->is_spot);
+        lmn_cbor_put_array(record, FIELDS_PER_MACHINE);
+        lmn_cbor_put_text(record, machine->name);
+        lmn_cbor_put_text(record, machine->address);
+        lmn_cbor_put_text(record, machine->type_name);
+        lmn_cbor_put_text(record, machine->zone);
+        lmn_cbor_put_bool(record, machine->is_spot);
     }
-    *w = (struct block_ref){core, partition->id, block->id};
-    struct lmn_txn *txn = lmn_txn_new(priority, block_written, w);
+    return record;
+}
+
+/* Writes the block, conditional on our ownership and on the block's present record. */
+static void write_block(struct lmn_core *core, struct lmn_partition *partition,
+                        struct lmn_machine_block *block, enum lmn_write_priority priority)
+{
+    struct block_write *write = g_new0(struct block_write, 1);
+    char key[RECORD_KEY_SIZE];
+
+    *write = (struct block_write){core, partition->id, block->id};
+    struct lmn_txn *txn = lmn_txn_new(priority, block_written, write);
     g_snprintf(key, sizeof key, "o/%d", partition->id);
     lmn_txn_require_version(txn, key, partition->ownership.revision);
     g_snprintf(key, sizeof key, "m/%d/%u", partition->id, block->id);
     lmn_txn_require_version(txn, key, block->revision);
-    lmn_txn_put(txn, key, v, 0);
+    lmn_txn_put(txn, key, block_record(block), 0);
     block->is_writing = true;
     lmn_kv_client_submit(core->kv_client, txn);
 }
 
-void lmn_machine_blocks_flush(struct lmn_core *core, struct lmn_partition *partition,
-                              bool lazy, struct timespec now)
+static void assign_blocks(const struct lmn_core *core, struct lmn_partition *partition)
 {
     GHashTableIter it;
-    gpointer v;
+    gpointer value;
 
     g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *machine = v;
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        struct lmn_machine *machine = value;
         if (!machine->record.block && !machine->lifecycle.is_terminated &&
             machine->agent.has_reported && machine->type)
-            assign(core, partition, machine);
+            assign_block(core, partition, machine);
+    }
+}
+
+static void flush_block(struct lmn_core *core, struct lmn_partition *partition,
+                        struct lmn_machine_block *block, bool has_spare_writes,
+                        struct timespec now)
+{
+    guint to_add = 0, to_remove = 0;
+
+    for (guint i = 0; i < block->machines->len; i++) {
+        const struct lmn_machine *machine = block->machines->pdata[i];
+        to_add += !machine->record.revision && !machine->lifecycle.is_terminated;
+        to_remove += machine->record.revision && machine->lifecycle.is_terminated;
     }
+    double elapsed_s = lmn_time_diff_s(now, block->written_at);
+    bool add_is_due = to_add && elapsed_s >= ADD_INTERVAL_S;
+    bool remove_is_due = to_remove && has_spare_writes && elapsed_s >= REMOVE_INTERVAL_S;
+    if (!add_is_due && !remove_is_due)
+        return;
+    block->written_at = now;
+    write_block(core, partition, block, to_add ? LMN_WRITE_OWNER : LMN_WRITE_DEFERRABLE);
+}
+
+void lmn_machine_blocks_flush(struct lmn_core *core, struct lmn_partition *partition,
+                              bool has_spare_writes, struct timespec now)
+{
+    assign_blocks(core, partition);
     for (guint i = 0; i < partition->blocks->len; i++) {
         struct lmn_machine_block *block = partition->blocks->pdata[i];
-        guint add = 0, drop = 0;
-        if (!block || block->is_writing || lmn_time_before(now, block->retry_at))
-            continue;
-        for (guint k = 0; k < block->machines->len; k++) {
-            const struct lmn_machine *machine = block->machines->pdata[k];
-            add += !machine->record.revision && !machine->lifecycle.is_terminated;
-            drop += machine->record.revision && machine->lifecycle.is_terminated;
-        }
-        double since = lmn_time_diff_s(now, block->written_at);
-        if (!(add && since >= ADD_S) && !(drop && lazy && since >= DROP_S))
-            continue;
-        block->written_at = now;
-        write_block(core, partition, block, add ? LMN_WRITE_OWNER : LMN_WRITE_DEFERRABLE);
+        if (block && !block->is_writing && !lmn_time_before(now, block->retry_at))
+            flush_block(core, partition, block, has_spare_writes, now);
     }
 }
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -1,5 +1,6 @@
-/* What the mirror's changes mean to an owner's books. */
-
+/* Connects the watch cache to the owner's modules: which of their functions each change
+ * of a record calls (struct lmn_owner_ops). The core's lock is held in each of these
+ * calls. */
 #include "partition/owner.h"
 #include "scheduler/queue.h"
 #include "scheduler/work_stealing.h"
@@ -11,8 +12,10 @@
 #include "state/task_ledger.h"
 #include "state/core.h"
 
-static void range_born(struct lmn_core *core, struct lmn_range *range,
-                       struct timespec now)
+/* A range that a predecessor may have started tasks of has to wait until the machines
+ * are accounted for; lmn_partition_check_ready assigns its tasks then. */
+static void open_new_range(struct lmn_core *core, struct lmn_range *range,
+                           struct timespec now)
 {
     lmn_range_open(core, range);
     if (!lmn_range_may_start(range))
@@ -21,8 +24,8 @@
     lmn_assign_tasks(core, range, range->first, range->end, now);
 }
 
-static const struct lmn_owner_ops ops = {
-    .range_created = range_born,
+static const struct lmn_owner_ops owner_ops = {
+    .range_created = open_new_range,
     .range_truncated = lmn_range_truncate,
     .move_cancelled = lmn_range_cancel_move,
     .range_removed = lmn_range_forget,
@@ -35,10 +38,10 @@
 };
 
 struct lmn_core *lmn_core_new(const struct lmn_settings *settings,
-                              struct lmn_kv_client *state, uint32_t seed)
+                              struct lmn_kv_client *kv_client, uint32_t seed)
 {
-    struct lmn_core *core = lmn_core_alloc(settings, state, seed);
+    struct lmn_core *core = lmn_core_alloc(settings, kv_client, seed);
 
-    core->owner_ops = &ops;
+    core->owner_ops = &owner_ops;
     return core;
 }
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -1,20 +1,18 @@
-/* An owner's books: which task of a range is queued, started or done, and what its
- * machines hold. */
+/* The states of the tasks in an owner's ranges. The core's lock is held by the caller
+ * throughout. */
 #include "partition/range.h"
-#include "util/log.h"
+
 #include "scheduler/queue.h"
 #include "state/task_ledger.h"
-
-#include <math.h>
-#include <string.h>
+#include "util/log.h"
 
 void lmn_range_open(struct lmn_core *core, struct lmn_range *range)
 {
-    uint32_t n = range->end - range->first;
+    uint32_t task_count = range->end - range->first;
     (void)core;
 
     g_free(range->task_states);
-    range->task_states = g_malloc0(n);
+    range->task_states = g_malloc0(task_count);
     range->started_count = 0;
     range->finished_count = range->done_count;
     range->is_writing = false;
@@ -22,30 +20,34 @@
     range->move_to = -1;
     range->move_is_uncertain = false;
     range->is_assigned = false;
-    for (uint32_t i = 0; i < n; i++)
+    for (uint32_t i = 0; i < task_count; i++)
         if (lmn_bitset_get(range->done, i))
             range->task_states[i] = LMN_TASK_DONE;
 }
 
+/* Detaches the range from what refers to it on a machine. */
+static void detach_range(struct lmn_machine *machine, const struct lmn_range *range)
+{
+    lmn_queue_remove_range(&machine->queue, range);
+    for (guint i = 0; i < machine->attempts->len; i++) {
+        struct lmn_attempt *attempt =
+            &g_array_index(machine->attempts, struct lmn_attempt, i);
+        if (attempt->range == range)
+            attempt->range = NULL;
+    }
+}
+
 void lmn_range_forget(struct lmn_core *core, struct lmn_range *range)
 {
     struct lmn_partition *partition = range->partition;
     GHashTableIter it;
-    gpointer v;
+    gpointer machine;
     (void)core;
 
     lmn_queue_remove_range(&partition->scheduling.unassigned, range);
     g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *machine = v;
-        lmn_queue_remove_range(&machine->queue, range);
-        for (guint i = 0; i < machine->attempts->len; i++) {
-            struct lmn_attempt *attempt =
-                &g_array_index(machine->attempts, struct lmn_attempt, i);
-            if (attempt->range == range)
-                attempt->range = NULL;
-        }
-    }
+    while (g_hash_table_iter_next(&it, NULL, &machine))
+        detach_range(machine, range);
     g_ptr_array_remove_fast(range->job->ranges, range);
 }
 
@@ -63,13 +65,13 @@
 
 void lmn_task_finished(struct lmn_range *range, uint32_t index, struct timespec now)
 {
-    uint8_t *st = &range->task_states[index - range->first];
+    uint8_t *task_state = &range->task_states[index - range->first];
 
-    if (*st == LMN_TASK_DONE)
+    if (*task_state == LMN_TASK_DONE)
         return;
-    if (*st == LMN_TASK_STARTED)
+    if (*task_state == LMN_TASK_STARTED)
         range->started_count--;
-    *st = LMN_TASK_DONE;
+    *task_state = LMN_TASK_DONE;
     if (range->finished_count++ == range->done_count)
         range->dirty_since = now;
 }
@@ -77,12 +79,13 @@
 void lmn_machine_requeue_tasks(struct lmn_core *core, struct lmn_machine *machine,
                                const char *why, struct timespec now)
 {
-    GArray *old = machine->attempts;
+    GArray *former_attempts = machine->attempts;
 
     lmn_reassign_machine_queue(core, machine, now);
     machine->attempts = g_array_new(FALSE, FALSE, sizeof(struct lmn_attempt));
-    for (guint i = 0; i < old->len; i++) {
-        struct lmn_attempt *attempt = &g_array_index(old, struct lmn_attempt, i);
+    for (guint i = 0; i < former_attempts->len; i++) {
+        struct lmn_attempt *attempt =
+            &g_array_index(former_attempts, struct lmn_attempt, i);
         lmn_attempt_uncount(machine, attempt);
         if (attempt->state != LMN_ATTEMPT_ENDED) {
             lmn_debug("task_lost task=%s/%u attempt=%" G_GUINT64_FORMAT
@@ -92,6 +95,6 @@
             lmn_task_requeue(core, attempt->range, attempt->index, now);
         }
     }
-    g_array_free(old, TRUE);
+    g_array_free(former_attempts, TRUE);
     lmn_machine_mark_unreplicated(machine);
 }
--- a/src/partition/range.h
+++ b/src/partition/range.h
@@ -1,18 +1,29 @@
-/* An owner's ranges: what becomes of their tasks. The core's lock is held by the caller
- * throughout. */
+/** @file
+ * The ranges of an owner: what becomes of the states of their tasks. The core's lock is
+ * held by the caller throughout. */
 #ifndef LMN_PARTITION_RANGE_H
 #define LMN_PARTITION_RANGE_H
 
 #include "state/core_state.h"
 
-/* Takes a range into the owner's books. */
+/** Begins to keep the states of the range's tasks: done ones are done, all others count
+ * as queued until a machine reports them. */
 void lmn_range_open(struct lmn_core *core, struct lmn_range *range);
-/* Nothing refers to the range any more. */
+
+/** Removes all references to a range that is about to be freed. */
 void lmn_range_forget(struct lmn_core *core, struct lmn_range *range);
+
+/** Queues a started task again, and assigns it to a machine; does nothing if the task is
+ * not started.
+ * @param range may be NULL, or not owned any more: nothing happens */
 void lmn_task_requeue(struct lmn_core *core, struct lmn_range *range, uint32_t index,
                       struct timespec now);
+
+/** A task of an owned range is done: its record is due to be written. */
 void lmn_task_finished(struct lmn_range *range, uint32_t index, struct timespec now);
-/* The machine holds no task any more: everything it carried is queued again. */
+
+/** The machine holds no task any more: everything it ran or had queued is queued again.
+ * @param why for the log */
 void lmn_machine_requeue_tasks(struct lmn_core *core, struct lmn_machine *machine,
                                const char *why, struct timespec now);
 
--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -1,19 +1,25 @@
+/* The graceful shutdown of a controller. The core's lock is held by the caller
+ * throughout. */
 #include "partition/shutdown.h"
-#include "util/log.h"
+
 #include "partition/transfer_target.h"
 #include "replication/stream.h"
 #include "state/core.h"
+#include "util/log.h"
 
 #include <string.h>
 
-/* The users' balancer notices after two probes, a second apart and a second late each,
- * and resets what is still open 5 s later: by then all answers have closed their
- * connections. */
-static const double USERS_S = 6;
-/* However far it is, the process ends after this time. */
-static const double MOST_S = 10;
-/* Nobody is in step: the copy of a partition takes some tenths of a second. */
-static const double COPY_S = 2;
+/* The users' load balancer notices the shutdown after two probes, a second apart and a
+ * second late each, and resets what is still open 5 s later: by then all responses have
+ * closed their connections. */
+static const double LOAD_BALANCER_S = 6;
+
+/* However far the shutdown is, the process ends after this time. */
+static const double MAX_SHUTDOWN_S = 10;
+
+/* How long a standby is waited for if no member is in sync: the replica of a partition
+ * takes some tenths of a second. */
+static const double STANDBY_WAIT_S = 2;
 
 void lmn_shutdown_begin(struct lmn_core *core, struct timespec now)
 {
@@ -42,13 +48,13 @@
                                  const struct lmn_partition *partition,
                                  struct timespec now)
 {
-    int named = lmn_standby_named(core, partition, now);
+    int standby = lmn_standby_named(core, partition, now);
 
-    if (named >= 0 && named != core->members.self)
-        return named;
-    /* One that is being taken over cold can't be given warm; somebody else would begin
-     * anew. */
-    if (lmn_time_diff_s(now, core->shutdown.began_at) < COPY_S &&
+    if (standby >= 0 && standby != core->members.self)
+        return standby;
+    /* A partition without a standby can only be taken over cold: a standby is worth a
+     * short wait. */
+    if (lmn_time_diff_s(now, core->shutdown.began_at) < STANDBY_WAIT_S &&
         core->cache.operator_settings.standby > 0)
         return -1;
     return lmn_transfer_target(core, partition, now);
@@ -68,12 +74,13 @@
 
 double lmn_shutdown_remaining_s(const struct lmn_core *core, struct timespec now)
 {
-    double least = MAX(USERS_S - lmn_time_diff_s(now, core->shutdown.began_at), 0);
+    double load_balancer_s =
+        MAX(LOAD_BALANCER_S - lmn_time_diff_s(now, core->shutdown.began_at), 0);
 
-    /* Alone there is nobody to send users to. */
+    /* A single controller has nobody to redirect users to. */
     if (core->shutdown.has_released_lease)
-        return core->members.count == 1 ? 0 : least;
-    return MAX(MOST_S - lmn_time_diff_s(now, core->shutdown.began_at), 0);
+        return core->members.count == 1 ? 0 : load_balancer_s;
+    return MAX(MAX_SHUTDOWN_S - lmn_time_diff_s(now, core->shutdown.began_at), 0);
 }
 
 bool lmn_shutdown_is_complete(const struct lmn_core *core, struct timespec now)
