--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -11,7 +11,7 @@
 #include "partition/provisioner.h"
 #include "partition/range_writer.h"
 #include "partition/owner.h"
-#include "partition/ownership.h"
+#include "partition/ownership_thread.h"
 #include "partition/shutdown.h"
 #include "partition/maintenance.h"
 #include "partition/worker_client.h"
--- a/src/partition/heartbeat_message.h
+++ b/src/partition/heartbeat_message.h
@@ -65,6 +65,7 @@
 
 /** An empty list; freed with lmn_command_list_free. */
 struct lmn_command_list lmn_command_list_new(void);
+/** Frees the encoded commands; the list is empty then. */
 void lmn_command_list_free(struct lmn_command_list *commands);
 /** Encodes one more command at the end of the list. */
 void lmn_command_list_add(struct lmn_command_list *commands, enum lmn_command_kind kind,
--- /dev/null
+++ b/src/partition/machine_type_reader.c
@@ -0,0 +1,53 @@
+/* Reads the cloud's machine types into the shared state. */
+#include "partition/machine_type_reader.h"
+
+#include "util/log.h"
+
+#include <string.h>
+
+/* Further types are ignored. */
+enum { MAX_MACHINE_TYPES = 256 };
+
+/* The type of that name, which is added if it is not known; NULL: there are too many. */
+static struct lmn_machine_type *find_or_add_type(struct lmn_machine_types *types,
+                                                 const char *name)
+{
+    size_t i = 0;
+
+    while (i < types->n && strcmp(types->v[i].name, name) != 0)
+        i++;
+    if (i == MAX_MACHINE_TYPES)
+        return NULL;
+    if (i == types->n) {
+        g_strlcpy(types->v[i].name, name, sizeof types->v[i].name);
+        types->n++;
+    }
+    return &types->v[i];
+}
+
+bool lmn_machine_types_read(struct lmn_core *core, struct lmn_cloud_client *cloud)
+{
+    struct lmn_machine_types *types = &core->cloud.machine_types;
+    struct lmn_cbor_document document;
+    const struct lmn_cbor_value *list;
+    char name[LMN_NAME_SIZE];
+
+    if (!lmn_cloud_client_get_types(cloud, &document, &list))
+        return false;
+    pthread_mutex_lock(&core->lock);
+    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(&document, list); node;
+         node = lmn_cbor_next(&document, node)) {
+        if (!lmn_cloud_parse_type_name(&document, node, name, sizeof name))
+            continue;
+        struct lmn_machine_type *type = find_or_add_type(types, name);
+        if (!type)
+            break;
+        lmn_cloud_parse_type(type, &document, node);
+    }
+    if (!core->cloud.machine_types_known)
+        lmn_info("machine_types_received count=%zu", types->n);
+    core->cloud.machine_types_known = types->n > 0;
+    pthread_mutex_unlock(&core->lock);
+    lmn_cbor_free(&document);
+    return true;
+}
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -1,107 +1,35 @@
+/* The decisions of the ownership manager. The core's lock is held by the caller
+ * throughout. */
 #include "partition/ownership.h"
-#include "util/log.h"
-#include "util/thread.h"
-#include "protocol/wire.h"
-#include "partition/shutdown.h"
+
 #include "partition/partition.h"
+#include "partition/partition_claim.h"
+#include "partition/shutdown.h"
 #include "replication/stream.h"
+#include "util/log.h"
 
-struct holder {
-    struct lmn_core *c;
-    struct lmn_http_client *http;
-    GByteArray *buf;
-    double ttl;
-    uint64_t lease;
-    struct timespec renewed;
-    bool announced;
-};
-
-static void drop_lease(struct holder *state, const char *why)
-{
-    lmn_info("lease_lost lease=%" G_GUINT64_FORMAT " why=\"%s\"", state->lease, why);
-    state->lease = 0;
-    state->announced = false;
-    pthread_mutex_lock(&state->c->lock);
-    state->c->lease.id = 0;
-    for (int i = 0; i < state->c->partition_count; i++)
-        if (state->c->partitions[i].ownership.is_owned)
-            lmn_partition_lose(state->c, &state->c->partitions[i], "lease ended");
-    pthread_mutex_unlock(&state->c->lock);
-}
-
-static void keep_lease(struct holder *state)
-{
-    struct lmn_core *core = state->c;
-    char path[64];
-    int status;
-
-    if (state->lease) {
-        g_snprintf(path, sizeof path,
-                   WIRE_PATH_LEASES "/%" G_GUINT64_FORMAT WIRE_PATH_RENEW, state->lease);
-        struct timespec sent = lmn_now();
-        status = lmn_http_client_call(state->http, "POST", path, NULL, 1.0, state->buf);
-        if (status == 200)
-            state->renewed = sent;
-        else if (status == 404)
-            drop_lease(state, "ended");
-        return;
-    }
-    GByteArray *body = g_byte_array_new();
-    lmn_cbor_put_map(body, 1);
-    lmn_cbor_put_text(body, WIRE_TTL_MS),
-        lmn_cbor_put_uint(body, (uint64_t)(state->ttl * 1000));
-    struct timespec sent = lmn_now();
-    status = lmn_http_client_call(state->http, "POST", WIRE_PATH_LEASES, body, 1.5,
-                                  state->buf);
-    g_byte_array_unref(body);
-    struct lmn_cbor_document d;
-    if (status == 200 && lmn_cbor_parse(&d, state->buf->data, state->buf->len) == 0) {
-        if (lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_LEASE),
-                              &state->lease)) {
-            state->renewed = sent;
-            pthread_mutex_lock(&core->lock);
-            core->lease.id = state->lease;
-            core->lease.acquired_at = lmn_now();
-            pthread_mutex_unlock(&core->lock);
-            lmn_info("lease_acquired lease=%" G_GUINT64_FORMAT, state->lease);
-        }
-        lmn_cbor_free(&d);
-    }
-}
-
-static enum lmn_txn_outcome send(struct holder *state, struct lmn_txn *txn)
-{
-    uint64_t revision;
-    enum lmn_txn_outcome r =
-        lmn_kv_client_commit(state->c->kv_client, state->http, txn, &revision, NULL);
-
-    lmn_txn_free(txn);
-    return r;
-}
-
-/* --- decisions --- */
-
-/* This node's record: its revision is the node's incarnation. Conditional on what the
- * mirror shows of it, so that one which is carried out late undoes no newer one. Before
- * anything was read there is nothing to go by. */
-static struct lmn_txn *record(const struct lmn_core *core, uint64_t lease)
+/* Writes this controller's record, whose revision is the controller's incarnation. It is
+ * conditional on what the watch cache shows of it, so that a write that is applied late
+ * undoes no newer one. Before anything was read there is nothing to compare with. */
+static struct lmn_txn *write_own_record(const struct lmn_core *core, uint64_t lease)
 {
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
-    char *key = g_strdup_printf("n/%s", core->settings->node_name);
-    GByteArray *v = g_byte_array_new();
+    g_autofree char *key = g_strdup_printf("n/%s", core->settings->node_name);
+    GByteArray *record = g_byte_array_new();
 
     if (core->cache.is_synced)
         lmn_txn_require_version(txn, key,
                                 core->members.views[core->members.self].incarnation);
     if (core->shutdown.is_requested) {
-        lmn_cbor_put_map(v, 2);
-        lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, lease);
-        lmn_cbor_put_text(v, "leaving"), lmn_cbor_put_bool(v, true);
+        lmn_cbor_put_map(record, 2);
+        lmn_cbor_put_text(record, "lease");
+        lmn_cbor_put_uint(record, lease);
+        lmn_cbor_put_text(record, "leaving");
+        lmn_cbor_put_bool(record, true);
     } else {
-        lmn_cbor_put_uint(v, lease);
+        lmn_cbor_put_uint(record, lease);
     }
-    lmn_txn_put(txn, key, v, lease);
-    g_free(key);
+    lmn_txn_put(txn, key, record, lease);
     return txn;
 }
 
@@ -113,8 +41,8 @@
            member->is_shutting_down == core->shutdown.is_requested;
 }
 
-/* Until the mirror shows it, it is said again after this time. */
-static const double AGAIN_S = 1;
+/* Until the watch cache shows the record, it is written again at this interval. */
+static const double ANNOUNCE_INTERVAL_S = 1;
 
 struct lmn_txn *lmn_ownership_announce(struct lmn_core *core, uint64_t lease,
                                        struct timespec now)
@@ -122,309 +50,251 @@
     if (!lease || lmn_ownership_is_announced(core, lease) ||
         (core->lease.announced == lease &&
          core->lease.announced_shutdown == core->shutdown.is_requested &&
-         lmn_time_diff_s(now, core->lease.announced_at) < AGAIN_S))
+         lmn_time_diff_s(now, core->lease.announced_at) < ANNOUNCE_INTERVAL_S))
         return NULL;
     core->lease.announced = lease;
     core->lease.announced_shutdown = core->shutdown.is_requested;
     core->lease.announced_at = now;
-    return record(core, lease);
+    return write_own_record(core, lease);
 }
 
-void lmn_ownership_announced(struct lmn_core *core, enum lmn_txn_outcome r)
+void lmn_ownership_announced(struct lmn_core *core, enum lmn_txn_outcome outcome)
 {
-    /* The mirror was a little behind: no need to wait. */
-    if (r == LMN_TXN_CONFLICT)
+    /* The watch cache was a little behind: the next try need not wait. */
+    if (outcome == LMN_TXN_CONFLICT)
         core->lease.announced = 0;
 }
 
 struct lmn_txn *lmn_ownership_refutation(const struct lmn_core *core, uint64_t lease,
                                          struct timespec now)
 {
-    return lmn_self_should_refute(&core->members, now) ? record(core, lease) : NULL;
+    return lmn_self_should_refute(&core->members, now) ? write_own_record(core, lease)
+                                                       : NULL;
 }
 
-struct lmn_txn *lmn_ownership_suspicion(struct lmn_core *core, int member_index,
-                                        uint64_t lease, struct timespec now)
+/* Writes the suspicion, conditional on the present record of suspicions. */
+static struct lmn_txn *write_suspicion(const struct lmn_core *core, int member_index,
+                                       uint64_t lease,
+                                       const struct lmn_failure_evidence *evidence)
 {
-    struct lmn_members *members = &core->members;
-    const struct lmn_member_view *member = &members->views[member_index];
-    struct lmn_failure_evidence e;
-
-    if (!lmn_member_should_suspect(members, member_index, now, &e))
-        return NULL;
+    const struct lmn_member_view *member = &core->members.views[member_index];
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
-    char *key = g_strdup_printf("u/%s", lmn_member_name(members, member_index));
-    GByteArray *v = g_byte_array_new();
+    g_autofree char *key =
+        g_strdup_printf("u/%s", lmn_member_name(&core->members, member_index));
+    GByteArray *record = g_byte_array_new();
+
     lmn_txn_require_version(txn, key, member->suspicion_revision);
-    lmn_cbor_put_map(v, 3);
-    lmn_cbor_put_text(v, "incarnation"), lmn_cbor_put_uint(v, member->incarnation);
-    lmn_cbor_put_text(v, "by"), lmn_cbor_put_text(v, core->settings->node_name);
-    lmn_cbor_put_text(v, "why"), lmn_cbor_put_uint(v, e.cause);
-    lmn_txn_put(txn, key, v, lease);
-    g_free(key);
-    members->counters.suspicions++;
-    lmn_info("member_suspicion_written member=%s incarnation=%" G_GUINT64_FORMAT
-             " why=%s asked=%.1f others=%.1f by=%u workers=%u stale=%.1f deaf=%.2f",
-             lmn_member_name(members, member_index), member->incarnation,
-             lmn_suspicion_cause_name(e.cause), e.own_phi, e.best_other_phi,
-             e.other_witnesses, e.redirected_workers, e.cache_age_s,
-             e.silent_machine_share);
+    lmn_cbor_put_map(record, 3);
+    lmn_cbor_put_text(record, "incarnation");
+    lmn_cbor_put_uint(record, member->incarnation);
+    lmn_cbor_put_text(record, "by");
+    lmn_cbor_put_text(record, core->settings->node_name);
+    lmn_cbor_put_text(record, "why");
+    lmn_cbor_put_uint(record, evidence->cause);
+    lmn_txn_put(txn, key, record, lease);
     return txn;
 }
 
-/* A process that starts again hears of the others within this time, if they are there. */
-static const double HEAR_S = 1;
-
-struct lmn_txn *lmn_ownership_claim(struct lmn_core *core, int id, uint64_t lease,
-                                    struct timespec now)
+struct lmn_txn *lmn_ownership_suspicion(struct lmn_core *core, int member_index,
+                                        uint64_t lease, struct timespec now)
 {
-    const struct lmn_partition *partition = &core->partitions[id];
     struct lmn_members *members = &core->members;
-    struct lmn_failure_evidence e;
+    struct lmn_failure_evidence evidence;
 
-    if (!core->cache.is_synced || partition->ownership.is_owned ||
-        !lmn_partition_should_claim(core, partition, now))
+    if (!lmn_member_should_suspect(members, member_index, now, &evidence))
         return NULL;
-    if (partition->record.owner_revision &&
-        lmn_member_index(members, partition->record.owner) == members->self &&
-        !lmn_replica_own_is_latest(partition)) {
-        /* Our last life held it. Who was in step with that one knows more than we do. */
-        int named = lmn_standby_named(core, partition, now);
-        if (named >= 0 && named != members->self &&
-            members->views[named].ever_contacted) {
-            lmn_info("partition_passed_to_standby partition=%d to=%s", id,
-                     lmn_member_name(members, named));
-            return lmn_partition_transfer(core, partition, named);
-        }
-        if (named >= 0 && named != members->self &&
-            lmn_time_diff_s(now, core->cache.synced_at) < HEAR_S)
-            return NULL;
-    }
-    int judged = partition->record.owner_revision
-                     ? lmn_member_index(members, partition->record.owner)
-                     : -1;
-    if (judged >= 0 && judged != members->self) {
-        lmn_member_failure_evidence(members, judged, now, &e);
-        members->counters.failures_declared++;
-        lmn_info("member_declared_failed member=%s incarnation=%" G_GUINT64_FORMAT
-                 " partition=%d why=%s sides=%u asked=%.1f others=%.1f by=%u "
-                 "workers=%u suspected=%.2f",
-                 partition->record.owner, members->views[judged].incarnation, id,
-                 lmn_suspicion_cause_name(e.cause), e.independent_witnesses, e.own_phi,
-                 e.best_other_phi, e.other_witnesses, e.redirected_workers,
-                 lmn_time_diff_s(now, members->views[judged].suspected_since));
-    }
-    return lmn_partition_claim(core, partition, lease);
+    struct lmn_txn *txn = write_suspicion(core, member_index, lease, &evidence);
+    members->counters.suspicions++;
+    lmn_info(
+        "member_suspicion_written member=%s incarnation=%" G_GUINT64_FORMAT
+        " why=%s asked=%.1f others=%.1f by=%u workers=%u stale=%.1f deaf=%.2f",
+        lmn_member_name(members, member_index), members->views[member_index].incarnation,
+        lmn_suspicion_cause_name(evidence.cause), evidence.own_phi,
+        evidence.best_other_phi, evidence.other_witnesses, evidence.redirected_workers,
+        evidence.cache_age_s, evidence.silent_machine_share);
+    return txn;
 }
 
-static const double LATEST_BACK_S = 30;
+/* A process that starts again has contact with the other members within this time, if
+ * they are up. */
+static const double FIRST_CONTACT_S = 1;
 
-/* Who may have the partition now; -1: nobody. */
-static int gives(const struct lmn_core *core, const struct lmn_partition *p,
-                 struct timespec now)
+/* What a restarted owner does with a partition that its former process owned. */
+enum restart_decision { RESTART_CLAIM, RESTART_WAIT, RESTART_PASS_TO_STANDBY };
+
+/* The standby that was in sync with the former process knows more than this one, unless
+ * this process's own state is the latest.
+ * @param standby set to the member to pass the partition to */
+static enum restart_decision decide_after_restart(const struct lmn_core *core,
+                                                  const struct lmn_partition *partition,
+                                                  int *standby, struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int holder = p->id % members->count, held = 0, theirs = 0;
 
-    if (!p->ownership.is_owned)
-        return -1;
-    if (core->shutdown.is_requested)
-        return lmn_shutdown_transfer_target(core, p, now);
-    int successor = lmn_self_transfer_target(members, now);
-    if (successor >= 0)
-        return successor;
-    for (int i = 0; i < core->partition_count; i++) {
-        const struct lmn_partition *o = &core->partitions[i];
-        held += o->ownership.is_owned;
-        theirs += o->record.owner_revision &&
-                  lmn_member_index(members, o->record.owner) == holder;
-    }
-    if (!p->ownership.is_ready || held < 2 || theirs || holder == members->self ||
-        !lmn_member_is_trusted(members, holder, now) ||
-        lmn_member_readmission_delay_s(members, holder, now) > 0 ||
-        lmn_time_diff_s(now, p->ownership.since) < 15.0)
-        return -1;
-    /* It is told everything first, so that nothing stands still; if that does not come
-     * about, it gets its work all the same. */
-    if (core->cache.operator_settings.standby > 0 &&
-        lmn_standby_named(core, p, now) != holder &&
-        lmn_time_diff_s(now, p->ownership.since) < LATEST_BACK_S)
-        return -1;
-    return holder;
+    if (!partition->record.owner_revision ||
+        lmn_member_index(members, partition->record.owner) != members->self ||
+        lmn_replica_own_is_latest(partition))
+        return RESTART_CLAIM;
+    *standby = lmn_standby_named(core, partition, now);
+    if (*standby < 0 || *standby == members->self)
+        return RESTART_CLAIM;
+    if (members->views[*standby].ever_contacted)
+        return RESTART_PASS_TO_STANDBY;
+    return lmn_time_diff_s(now, core->cache.synced_at) < FIRST_CONTACT_S ? RESTART_WAIT
+                                                                         : RESTART_CLAIM;
 }
 
-struct lmn_txn *lmn_ownership_transfer(struct lmn_core *core, int id, int *successor,
+/* Counts and logs that a claim declares the partition's owner failed, if it does. */
+static void record_failure_declaration(struct lmn_core *core,
+                                       const struct lmn_partition *partition,
                                        struct timespec now)
 {
-    struct lmn_partition *partition = &core->partitions[id];
     struct lmn_members *members = &core->members;
+    struct lmn_failure_evidence evidence;
+    int owner = partition->record.owner_revision
+                    ? lmn_member_index(members, partition->record.owner)
+                    : -1;
 
-    /* One whose outcome was not known, and that the mirror has not shown since. */
-    if (partition->ownership.is_owned && partition->ownership.is_transferring &&
-        lmn_time_before(partition->ownership.transfer_tried_at, core->cache.fresh_at))
-        partition->ownership.is_transferring = false;
-    *successor = partition->ownership.is_transferring ? -1 : gives(core, partition, now);
-    if (*successor < 0)
-        return NULL;
-    if (lmn_self_transfer_target(members, now) == *successor &&
-        !members->is_isolated_from_workers) {
-        lmn_info("member_heartbeats_missing deaf=%.2f successor=%s",
-                 members->health.silent_machine_share,
-                 lmn_member_name(members, *successor));
-        members->is_isolated_from_workers = true;
-    }
-    lmn_info("partition_transfer_started partition=%d to=%s warm=%d", id,
-             lmn_member_name(members, *successor),
-             lmn_standby_named(core, partition, now) == *successor);
-    partition->ownership.is_transferring = true;
-    partition->ownership.transfer_tried_at = now;
-    members->counters.transfers++;
-    return lmn_partition_transfer(core, partition, *successor);
+    if (owner < 0 || owner == members->self)
+        return;
+    lmn_member_failure_evidence(members, owner, now, &evidence);
+    members->counters.failures_declared++;
+    lmn_info("member_declared_failed member=%s incarnation=%" G_GUINT64_FORMAT
+             " partition=%d why=%s sides=%u asked=%.1f others=%.1f by=%u "
+             "workers=%u suspected=%.2f",
+             partition->record.owner, members->views[owner].incarnation, partition->id,
+             lmn_suspicion_cause_name(evidence.cause), evidence.independent_witnesses,
+             evidence.own_phi, evidence.best_other_phi, evidence.other_witnesses,
+             evidence.redirected_workers,
+             lmn_time_diff_s(now, members->views[owner].suspected_since));
 }
 
-void lmn_ownership_transferred(struct lmn_core *core, int id, enum lmn_txn_outcome r,
-                               struct timespec now)
+struct lmn_txn *lmn_ownership_claim(struct lmn_core *core, int partition_id,
+                                    uint64_t lease, struct timespec now)
 {
-    struct lmn_partition *partition = &core->partitions[id];
+    const struct lmn_partition *partition = &core->partitions[partition_id];
+    int standby = -1;
 
-    partition->ownership.transfer_tried_at = now;
-    if (r == LMN_TXN_REJECTED || r == LMN_TXN_CONFLICT)
-        partition->ownership.is_transferring = false;
+    if (!core->cache.is_synced || partition->ownership.is_owned ||
+        !lmn_partition_should_claim(core, partition, now))
+        return NULL;
+    switch (decide_after_restart(core, partition, &standby, now)) {
+    case RESTART_WAIT:
+        return NULL;
+    case RESTART_PASS_TO_STANDBY:
+        lmn_info("partition_passed_to_standby partition=%d to=%s", partition_id,
+                 lmn_member_name(&core->members, standby));
+        return lmn_partition_transfer(core, partition, standby);
+    case RESTART_CLAIM:
+        break;
+    }
+    record_failure_declaration(core, partition, now);
+    return lmn_partition_claim(core, partition, lease);
 }
 
-/* --- the thread --- */
+/* How long a partition stays with its owner at least before it goes back to its preferred
+ * owner. */
+static const double MIN_OWNERSHIP_S = 15.0;
 
-static void announce(struct holder *state)
-{
-    pthread_mutex_lock(&state->c->lock);
-    struct lmn_txn *txn = lmn_ownership_announce(state->c, state->lease, lmn_now());
-    state->announced =
-        state->announced || lmn_ownership_is_announced(state->c, state->lease);
-    pthread_mutex_unlock(&state->c->lock);
-    if (!txn)
-        return;
-    enum lmn_txn_outcome r = send(state, txn);
-    state->announced = state->announced || r == LMN_TXN_COMMITTED;
-    pthread_mutex_lock(&state->c->lock);
-    lmn_ownership_announced(state->c, r);
-    pthread_mutex_unlock(&state->c->lock);
-}
+/* How long the preferred owner may take to get in sync before it gets the partition all
+ * the same. */
+static const double MAX_STANDBY_WAIT_S = 30;
 
-/* Once nothing hangs on it, a lease that is let go spares the others the wait for its
- * end. They are not to miss this member, which is about to end. */
-static void leave(struct holder *state)
+/* Whether this controller owns several partitions, and the member none: only then does a
+ * partition go back to it. */
+static bool is_member_without_partition(const struct lmn_core *core, int member_index)
 {
-    struct lmn_core *core = state->c;
-    char path[64];
+    int owned = 0, members_partitions = 0;
 
-    pthread_mutex_lock(&core->lock);
-    bool bare = lmn_shutdown_owns_nothing(core) && !core->shutdown.has_released_lease;
-    pthread_mutex_unlock(&core->lock);
-    if (!bare)
-        return;
-    if (state->lease) {
-        g_snprintf(path, sizeof path, WIRE_PATH_LEASES "/%" G_GUINT64_FORMAT,
-                   state->lease);
-        int status =
-            lmn_http_client_call(state->http, "DELETE", path, NULL, 1.0, state->buf);
-        if (status != 200 && status != 404)
-            return;
-        state->lease = 0;
-        state->announced = false;
+    for (int i = 0; i < core->partition_count; i++) {
+        const struct lmn_partition *partition = &core->partitions[i];
+        owned += partition->ownership.is_owned;
+        members_partitions +=
+            partition->record.owner_revision &&
+            lmn_member_index(&core->members, partition->record.owner) == member_index;
     }
-    pthread_mutex_lock(&core->lock);
-    core->lease.id = 0;
-    core->shutdown.has_released_lease = true;
-    lmn_info("shutdown_partitions_transferred after=%.2f",
-             lmn_time_diff_s(lmn_now(), core->shutdown.began_at));
-    pthread_mutex_unlock(&core->lock);
+    return owned >= 2 && !members_partitions;
 }
 
-static bool gone(struct holder *state)
+/* Whether the partition may go back to its preferred owner now. */
+static bool may_return_to(const struct lmn_core *core,
+                          const struct lmn_partition *partition, int preferred,
+                          struct timespec now)
 {
-    pthread_mutex_lock(&state->c->lock);
-    bool left = state->c->shutdown.has_released_lease;
-    pthread_mutex_unlock(&state->c->lock);
-    return left;
+    const struct lmn_members *members = &core->members;
+    double owned_s = lmn_time_diff_s(now, partition->ownership.since);
+
+    if (!is_member_without_partition(core, preferred) || !partition->ownership.is_ready ||
+        preferred == members->self || !lmn_member_is_trusted(members, preferred, now) ||
+        lmn_member_readmission_delay_s(members, preferred, now) > 0 ||
+        owned_s < MIN_OWNERSHIP_S)
+        return false;
+    /* It gets in sync first, so that nothing stands still; if that does not happen, it
+     * gets the partition all the same. */
+    return core->cache.operator_settings.standby <= 0 ||
+           lmn_standby_named(core, partition, now) == preferred ||
+           owned_s >= MAX_STANDBY_WAIT_S;
 }
 
-static void tell(struct holder *state)
+/* The member that the partition should be transferred to now; -1: nobody. */
+static int transfer_target(const struct lmn_core *core,
+                           const struct lmn_partition *partition, struct timespec now)
 {
-    struct lmn_core *core = state->c;
-
-    for (int i = 0; i < core->members.count; i++) {
-        pthread_mutex_lock(&core->lock);
-        struct lmn_txn *txn =
-            i == core->members.self
-                ? lmn_ownership_refutation(core, state->lease, lmn_now())
-                : lmn_ownership_suspicion(core, i, state->lease, lmn_now());
-        pthread_mutex_unlock(&core->lock);
-        if (txn)
-            send(state, txn);
-    }
+    int preferred = partition->id % core->members.count;
+
+    if (!partition->ownership.is_owned)
+        return -1;
+    if (core->shutdown.is_requested)
+        return lmn_shutdown_transfer_target(core, partition, now);
+    int target = lmn_self_transfer_target(&core->members, now);
+    if (target >= 0)
+        return target;
+    return may_return_to(core, partition, preferred, now) ? preferred : -1;
 }
 
-static void claim(struct holder *state, int id)
+/* A transfer because heartbeats do not arrive: this controller is cut off from its
+ * workers until one reaches it again. */
+static void record_isolation(struct lmn_members *members, int target)
 {
-    struct lmn_core *core = state->c;
-
-    pthread_mutex_lock(&core->lock);
-    struct lmn_txn *txn = lmn_ownership_claim(core, id, state->lease, lmn_now());
-    pthread_mutex_unlock(&core->lock);
-    if (!txn)
+    if (members->is_isolated_from_workers)
         return;
-    /* Not in the log line: that does nothing at a lower level. */
-    enum lmn_txn_outcome r = send(state, txn);
-    lmn_info("partition_claim_tried partition=%d outcome=%d", id, r);
+    lmn_info("member_heartbeats_missing deaf=%.2f successor=%s",
+             members->health.silent_machine_share, lmn_member_name(members, target));
+    members->is_isolated_from_workers = true;
 }
 
-static void give(struct holder *state, int id)
+struct lmn_txn *lmn_ownership_transfer(struct lmn_core *core, int partition_id,
+                                       int *target, struct timespec now)
 {
-    struct lmn_core *core = state->c;
-    int successor;
+    struct lmn_partition *partition = &core->partitions[partition_id];
+    struct lmn_partition_ownership *ownership = &partition->ownership;
+    struct lmn_members *members = &core->members;
 
-    pthread_mutex_lock(&core->lock);
-    struct lmn_txn *txn = lmn_ownership_transfer(core, id, &successor, lmn_now());
-    pthread_mutex_unlock(&core->lock);
-    if (!txn)
-        return;
-    enum lmn_txn_outcome r = send(state, txn);
-    lmn_info("partition_transfer_tried partition=%d to=%s outcome=%d", id,
-             lmn_member_name(&core->members, successor), r);
-    pthread_mutex_lock(&core->lock);
-    lmn_ownership_transferred(core, id, r, lmn_now());
-    pthread_mutex_unlock(&core->lock);
+    /* A transfer whose outcome was unknown, and that the watch cache has not shown since,
+     * was not applied. */
+    if (ownership->is_owned && ownership->is_transferring &&
+        lmn_time_before(ownership->transfer_tried_at, core->cache.fresh_at))
+        ownership->is_transferring = false;
+    *target = ownership->is_transferring ? -1 : transfer_target(core, partition, now);
+    if (*target < 0)
+        return NULL;
+    if (lmn_self_transfer_target(members, now) == *target)
+        record_isolation(members, *target);
+    lmn_info("partition_transfer_started partition=%d to=%s warm=%d", partition_id,
+             lmn_member_name(members, *target),
+             lmn_standby_named(core, partition, now) == *target);
+    ownership->is_transferring = true;
+    ownership->transfer_tried_at = now;
+    members->counters.transfers++;
+    return lmn_partition_transfer(core, partition, *target);
 }
 
-void *lmn_ownership_thread(void *arg)
+void lmn_ownership_transferred(struct lmn_core *core, int partition_id,
+                               enum lmn_txn_outcome outcome, struct timespec now)
 {
-    struct lmn_core *core = arg;
-    struct holder h = {.c = core, .ttl = core->members.timeouts.lease_s};
-
-    h.http = lmn_http_client_new(core->settings->state_address);
-    h.buf = g_byte_array_new();
-    for (;;) {
-        struct timespec now = lmn_now();
-        if (gone(&h)) {
-            lmn_sleep(0.5);
-            continue;
-        }
-        if (!h.lease || lmn_time_diff_s(now, h.renewed) > h.ttl / 4)
-            keep_lease(&h);
-        if (h.lease)
-            announce(&h);
-        leave(&h);
-        if (h.lease && h.announced)
-            tell(&h);
-        if (h.lease)
-            for (int i = 0; i < core->partition_count; i++) {
-                claim(&h, i);
-                give(&h, i);
-            }
-        pthread_mutex_lock(&core->lock);
-        lmn_cond_wait_for(&core->ownership_changed, &core->lock,
-                          core->members.timeouts.probe_interval_s / 4);
-        pthread_mutex_unlock(&core->lock);
-    }
-    return NULL;
+    struct lmn_partition *partition = &core->partitions[partition_id];
+
+    partition->ownership.transfer_tried_at = now;
+    if (outcome == LMN_TXN_REJECTED || outcome == LMN_TXN_CONFLICT)
+        partition->ownership.is_transferring = false;
 }
--- a/src/partition/ownership.h
+++ b/src/partition/ownership.h
@@ -1,35 +1,53 @@
-/* The thread that holds this node's lease, and with it claims partitions, gives them, and
- * says whom it suspects. */
+/** @file
+ * The decisions of the ownership manager: to announce this controller, to claim and to
+ * transfer partitions, and which members it suspects.
+ *
+ * Each function returns the transaction that is due, to be freed by the caller, or NULL,
+ * and logs what it decides. The thread that keeps the lease and commits these
+ * transactions is ownership_thread.h. The core's lock is held by the caller
+ * throughout. */
 #ifndef LMN_PARTITION_OWNERSHIP_H
 #define LMN_PARTITION_OWNERSHIP_H
 
 #include "state/core_state.h"
 
-/* Each returns the transaction that is due, to be freed by the caller, or NULL. The lock
- * is held; the lease is this node's. They write events to the log. */
+/** Writes this controller's record anew, which gives it a new incarnation, if another
+ * member suspects it wrongly. */
 struct lmn_txn *lmn_ownership_refutation(const struct lmn_core *core, uint64_t lease,
                                          struct timespec now);
-/* This node's record, whenever the mirror does not show it as it should be: a record of
- * an earlier life that was carried out late, and removed with that one's lease, once took
- * the present one's place for good, and nobody counted on the node any more. */
+
+/** Writes this controller's record whenever the watch cache does not show it as it should
+ * be. Once is not enough: a record of an earlier process that is applied late, and is
+ * removed with that one's lease, can take the present record's place, and no member would
+ * count on this controller any more. */
 struct lmn_txn *lmn_ownership_announce(struct lmn_core *core, uint64_t lease,
                                        struct timespec now);
-void lmn_ownership_announced(struct lmn_core *core,
-                             enum lmn_txn_outcome r); /* what came of it */
+
+/** Records the outcome of the transaction of lmn_ownership_announce. */
+void lmn_ownership_announced(struct lmn_core *core, enum lmn_txn_outcome outcome);
+
+/** Whether the watch cache shows this controller's record as it should be. */
 bool lmn_ownership_is_announced(const struct lmn_core *core, uint64_t lease);
-/* Each suspicion is written once, tied to our lease, so that none outlives us. */
+
+/** Writes that this controller suspects the member. Each suspicion is written once, and
+ * is removed with our lease, so that none outlives us. */
 struct lmn_txn *lmn_ownership_suspicion(struct lmn_core *core, int member_index,
                                         uint64_t lease, struct timespec now);
-struct lmn_txn *lmn_ownership_claim(struct lmn_core *core, int id, uint64_t lease,
-                                    struct timespec now);
-/* A partition goes back to the member that holds it by default once that one has earned
- * it; all go to others while this node does not hear its workers. From then on nothing is
- * started there; lmn_ownership_transferred tells what became of it. */
-struct lmn_txn *lmn_ownership_transfer(struct lmn_core *core, int id, int *successor,
-                                       struct timespec now);
-void lmn_ownership_transferred(struct lmn_core *core, int id, enum lmn_txn_outcome r,
-                               struct timespec now);
 
-void *lmn_ownership_thread(void *core);
+/** Claims the partition, if this controller should own it; or, if this process is a
+ * restarted owner, transfers it to the standby that was in sync with it. */
+struct lmn_txn *lmn_ownership_claim(struct lmn_core *core, int partition_id,
+                                    uint64_t lease, struct timespec now);
+
+/** Transfers a partition: to its preferred owner when that one has earned it; to other
+ * members while this controller gets no heartbeats, or shuts down. From then on nothing
+ * is started in the partition; lmn_ownership_transferred records the outcome.
+ * @param target set to the member that gets it; -1: no transfer is due */
+struct lmn_txn *lmn_ownership_transfer(struct lmn_core *core, int partition_id,
+                                       int *target, struct timespec now);
+
+/** Records the outcome of the transaction of lmn_ownership_transfer. */
+void lmn_ownership_transferred(struct lmn_core *core, int partition_id,
+                               enum lmn_txn_outcome outcome, struct timespec now);
 
 #endif
--- a/src/partition/partition.h
+++ b/src/partition/partition.h
@@ -1,38 +1,36 @@
-/* Who owns which partition, under what term. The lock is held. */
+/** @file
+ * The ownership of a partition: what happens when this controller acquires or loses it,
+ * and when its inherited tasks may start. Who should own it stands in partition_claim.h.
+ * The core's lock is held by the caller throughout. */
 #ifndef LMN_PARTITION_PARTITION_H
 #define LMN_PARTITION_PARTITION_H
 
 #include "state/core_state.h"
 
-int lmn_partition_for_machine(const char *machine, int nparts);
+/** The partition that a machine belongs to: a fixed function of its name. */
+int lmn_partition_for_machine(const char *machine_name, int partition_count);
+
+/** The watch cache shows that this controller owns the partition: begins a new epoch,
+ * with all that is known of the machines and tasks forgotten, or taken over from a
+ * replica. */
 void lmn_partition_own(struct lmn_core *core, struct lmn_partition *partition,
                        struct timespec now);
+
+/** This controller does not own the partition any more. What it knew is kept as a replica
+ * of its own, in case it gets the partition back.
+ * @param why for the log */
 void lmn_partition_lose(struct lmn_core *core, struct lmn_partition *partition,
                         const char *why);
-/* All inherited machines accounted for? Then the inherited tasks may start. */
+
+/** Checks whether all inherited machines are accounted for, and assigns the tasks that
+ * may start. Inherited tasks wait until each machine that may hold them is accounted for.
+ */
 void lmn_partition_check_ready(struct lmn_core *core, struct lmn_partition *partition,
                                struct timespec now);
-/* Whether the member that holds the partition by default stands in the zone. */
+
+/** Whether the partition's preferred owner stands in the zone. */
 bool lmn_preferred_owner_is_in_zone(const struct lmn_core *core,
                                     const struct lmn_partition *partition,
                                     const char *zone);
-/* Who would own it if its owner were judged now: the first in order that is trusted; -1:
- * nobody. */
-int lmn_partition_next_owner(const struct lmn_core *core,
-                             const struct lmn_partition *partition, struct timespec now);
-/* Whether this node should try to own the partition now. */
-bool lmn_partition_should_claim(const struct lmn_core *core,
-                                const struct lmn_partition *partition,
-                                struct timespec now);
-/* The transaction that claims it: the owner's key and a higher term, both conditional;
- * and where the owner is judged, conditional on its incarnation. */
-struct lmn_txn *lmn_partition_claim(const struct lmn_core *core,
-                                    const struct lmn_partition *partition,
-                                    uint64_t lease);
-/* The same write by an owner that gives it to another member: conditional on that one's
- * incarnation, and hanging on its lease. */
-struct lmn_txn *lmn_partition_transfer(const struct lmn_core *core,
-                                       const struct lmn_partition *partition,
-                                       int successor);
 
 #endif
--- /dev/null
+++ b/src/partition/partition_claim.c
@@ -0,0 +1,205 @@
+/* Which partitions this controller should claim, and the transactions that change a
+ * partition's owner. The core's lock is held by the caller throughout. */
+#include "partition/partition_claim.h"
+
+#include "partition/transfer_target.h"
+#include "replication/replica.h"
+#include "replication/stream.h"
+
+int lmn_partition_next_owner(const struct lmn_core *core,
+                             const struct lmn_partition *partition, struct timespec now)
+{
+    int standby = lmn_standby_named(core, partition, now);
+
+    if (standby >= 0)
+        return standby;
+    for (int i = 0; i < core->members.count; i++) {
+        int member_index = (partition->id + i) % core->members.count;
+        if (lmn_member_is_trusted(&core->members, member_index, now))
+            return member_index;
+    }
+    return -1;
+}
+
+/* The last owner has so long to claim its partition again before others do: its claim
+ * comes with its next lease, within a few tenths of a second. */
+static const double LAST_OWNER_S = 1.5;
+
+/* Whether to leave the partition, whose owner key is gone, to its last owner for a
+ * moment: if that one's process has lived on, it knows what is on the machines. Not if it
+ * does not answer: the partition of a crashed owner is taken over without delay. */
+static bool is_left_to_last_owner(const struct lmn_core *core,
+                                  const struct lmn_partition *partition,
+                                  struct timespec now)
+{
+    const struct lmn_members *members = &core->members;
+    int last = lmn_member_index(members, partition->record.last_owner);
+
+    if (last < 0 || last == members->self ||
+        lmn_time_diff_s(now, partition->record.vacant_since) >= LAST_OWNER_S)
+        return false;
+    const struct lmn_member_view *member = &members->views[last];
+    return member->ever_contacted && !member->unanswered_since.tv_sec &&
+           !member->is_declared_failed && !member->is_shutting_down &&
+           !lmn_member_is_suspected(members, last);
+}
+
+/* A process that has just started, or has a new lease, claims only what is its own for so
+ * long: it may be the first of many. Without that, after a cut of all controllers' zone,
+ * one took every partition, cold, 0.3 s before the others had their leases. */
+static const double NEW_LEASE_WAIT_S = 3;
+
+/* Each member that comes first gets so long for its claim. */
+static const double CLAIM_DELAY_S = 1.5;
+
+/* What the partition's record alone says of a claim by this controller. */
+enum claim_decision { CLAIM_NOW, CLAIM_NEVER, CLAIM_IN_TURN };
+
+static enum claim_decision decide_owned(const struct lmn_core *core,
+                                        const struct lmn_partition *partition,
+                                        struct timespec now)
+{
+    int owner = lmn_member_index(&core->members, partition->record.owner);
+
+    /* Only one process runs for a member: what the last one owned is ours. */
+    if (owner == core->members.self)
+        return partition->record.owner_lease != core->lease.id ? CLAIM_NOW : CLAIM_NEVER;
+    return lmn_partition_is_orphaned(core, partition, now) ? CLAIM_IN_TURN : CLAIM_NEVER;
+}
+
+static enum claim_decision decide_vacant(const struct lmn_core *core,
+                                         const struct lmn_partition *partition,
+                                         struct timespec now)
+{
+    const struct lmn_members *members = &core->members;
+
+    if (lmn_replica_own_is_latest(partition))
+        return CLAIM_NOW;
+    if (is_left_to_last_owner(core, partition, now))
+        return CLAIM_NEVER;
+    if (partition->id % members->count != members->self)
+        return CLAIM_IN_TURN;
+    int standby = lmn_standby_named(core, partition, now);
+    return standby < 0 || standby == members->self ? CLAIM_NOW : CLAIM_IN_TURN;
+}
+
+/* Whether it is this controller's turn to claim the partition: it is the one that should,
+ * or those that come before it have had their time.
+ * @param since when the first could claim it */
+static bool is_our_turn(const struct lmn_core *core,
+                        const struct lmn_partition *partition, struct timespec since,
+                        struct timespec now)
+{
+    const struct lmn_members *members = &core->members;
+    int targets[LMN_MAX_PARTITIONS], members_before = 1;
+
+    lmn_transfer_targets(core, now, targets);
+    int target = targets[partition->id];
+    if (target == members->self)
+        return true;
+    for (int i = 0; i < members->count; i++) {
+        int member_index = (partition->id + i) % members->count;
+        if (member_index == members->self)
+            break;
+        members_before +=
+            member_index != target && lmn_member_is_trusted(members, member_index, now);
+    }
+    return lmn_time_diff_s(now, since) >= CLAIM_DELAY_S * members_before;
+}
+
+bool lmn_partition_should_claim(const struct lmn_core *core,
+                                const struct lmn_partition *partition,
+                                struct timespec now)
+{
+    const struct lmn_members *members = &core->members;
+    struct timespec since = partition->record.vacant_since;
+    bool has_owner = partition->record.owner_revision != 0;
+
+    /* This controller could not serve the partition. */
+    if (members->is_isolated_from_workers || core->shutdown.is_requested ||
+        !lmn_self_may_reply(members, now))
+        return false;
+    enum claim_decision decision = has_owner ? decide_owned(core, partition, now)
+                                             : decide_vacant(core, partition, now);
+    if (decision != CLAIM_IN_TURN)
+        return decision == CLAIM_NOW;
+    if (has_owner) {
+        int owner = lmn_member_index(members, partition->record.owner);
+        since = lmn_time_add(members->views[owner].suspected_since,
+                             members->timeouts.suspicion_s);
+    }
+    if (lmn_time_diff_s(now, core->cache.synced_at) < NEW_LEASE_WAIT_S ||
+        lmn_time_diff_s(now, core->lease.acquired_at) < NEW_LEASE_WAIT_S)
+        return false;
+    return is_our_turn(core, partition, since, now);
+}
+
+/* Writes the owner's key and a higher epoch, both conditional on what the watch cache
+ * shows. The key depends on the new owner's lease, whoever writes it. */
+static struct lmn_txn *write_owner(const struct lmn_partition *partition, const char *to,
+                                   uint64_t lease, bool to_standby)
+{
+    struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
+    uint64_t epoch = partition->record.epoch + 1;
+    uint64_t stream = to_standby ? lmn_standby_condition(partition, to, txn) : 0;
+    GByteArray *owner_record = g_byte_array_new();
+    char key[32];
+
+    lmn_cbor_put_map(owner_record, 4);
+    lmn_cbor_put_text(owner_record, "node");
+    lmn_cbor_put_text(owner_record, to);
+    lmn_cbor_put_text(owner_record, "lease");
+    lmn_cbor_put_uint(owner_record, lease);
+    lmn_cbor_put_text(owner_record, "term");
+    lmn_cbor_put_uint(owner_record, epoch);
+    lmn_cbor_put_text(owner_record, "stream");
+    lmn_cbor_put_uint(owner_record, stream);
+    g_snprintf(key, sizeof key, "o/%d", partition->id);
+    lmn_txn_require_version(txn, key, partition->record.owner_revision);
+    lmn_txn_put(txn, key, owner_record, lease);
+    g_snprintf(key, sizeof key, "t/%d", partition->id);
+    lmn_txn_require_version(txn, key, partition->record.epoch_revision);
+    GByteArray *epoch_record = g_byte_array_new();
+    lmn_cbor_put_uint(epoch_record, epoch);
+    lmn_txn_put(txn, key, epoch_record, 0);
+    return txn;
+}
+
+/* Makes the transaction conditional on the member's incarnation. */
+static void require_incarnation(const struct lmn_core *core, struct lmn_txn *txn,
+                                int member_index)
+{
+    char *key = g_strdup_printf("n/%s", lmn_member_name(&core->members, member_index));
+
+    lmn_txn_require_version(txn, key, core->members.views[member_index].incarnation);
+    g_free(key);
+}
+
+struct lmn_txn *lmn_partition_claim(const struct lmn_core *core,
+                                    const struct lmn_partition *partition, uint64_t lease)
+{
+    int owner = partition->record.owner_revision
+                    ? lmn_member_index(&core->members, partition->record.owner)
+                    : -1;
+    /* Conditional on the standby's record only if we hold that standby's replica:
+     * otherwise the condition would be of no use. */
+    bool warm =
+        partition->replication.replica && !partition->replication.replica->own &&
+        partition->replication.replica->stream == partition->record.standby_stream;
+    struct lmn_txn *txn = write_owner(partition, core->settings->node_name, lease, warm);
+
+    /* The claim declares the owner failed: it fails if the owner refutes that first. */
+    if (owner >= 0 && owner != core->members.self)
+        require_incarnation(core, txn, owner);
+    return txn;
+}
+
+struct lmn_txn *lmn_partition_transfer(const struct lmn_core *core,
+                                       const struct lmn_partition *partition, int target)
+{
+    struct lmn_txn *txn = write_owner(partition, lmn_member_name(&core->members, target),
+                                      core->members.views[target].lease, true);
+
+    require_incarnation(core, txn, target);
+    return txn;
+}
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -43,9 +43,9 @@
     return true;
 }
 
-/* Asks a machine which tasks it holds: first for its agent's incarnation, if that is not
- * known, then, by a push without commands, for a heartbeat under our epoch.
- * Returns the HTTP status, or LMN_HTTP_NOT_SENT, LMN_HTTP_NO_RESPONSE. */
+/* Requests from a machine which tasks it holds: first its agent's incarnation, if that is
+ * not known, then, by a push without commands, a heartbeat under our epoch. Returns the
+ * HTTP status, or LMN_HTTP_NOT_SENT, LMN_HTTP_NO_RESPONSE. */
 static int send_probe(struct lmn_http_client *client, const struct worker_call *call)
 {
     uint64_t agent_incarnation = call->agent_incarnation;
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -11,6 +11,7 @@
 #include "partition/quota_transfer.h"
 #include "partition/owner.h"
 #include "partition/partition.h"
+#include "partition/partition_claim.h"
 #include "controller/request_decisions.h"
 #include "controller/submission.h"
 #include "replication/stream.h"
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -5,6 +5,7 @@
 #include "protocol/wire.h"
 #include "partition/owner.h"
 #include "partition/partition.h"
+#include "partition/partition_claim.h"
 #include "partition/maintenance.h"
 #include "partition/heartbeat.h"
 #include "partition/worker_probe.h"
