--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -1,6 +1,6 @@
 /* The provisioner's thread: returns, the machine list, and rentals. The thread owns
- * struct provisioner. It takes the core's lock for each look at the shared state, and
- * holds it during no call. */
+ * struct provisioner. It takes the core's lock whenever it reads or changes shared state,
+ * and holds it during no call. */
 #include "partition/provisioner.h"
 
 #include "partition/cloud_client.h"
