--- a/src/controller/deferred_responses.h
+++ b/src/controller/deferred_responses.h
@@ -9,7 +9,7 @@
 #define LMN_CONTROLLER_DEFERRED_RESPONSES_H
 
 #include "http/server.h"
-#include "partition/worker.h"
+#include "partition/heartbeat.h"
 #include "state/core_state.h"
 
 /** Responds to a heartbeat as soon as its starts are acknowledged; without them if that
