--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -1,3 +1,6 @@
+/** @file
+ * The ownership report. Operators and tests read its words, so they do not follow renames
+ * in the code. */
 #include "controller/ownership_report.h"
 #include "partition/transfer_target.h"
 #include "partition/shutdown.h"
@@ -9,76 +12,99 @@
     return member_index < 0 ? "-" : lmn_member_name(&core->members, member_index);
 }
 
-/* What is going to happen to it. */
-static void move(const struct lmn_core *core, GString *text,
-                 const struct lmn_partition *partition, int owner, int successor,
-                 struct timespec now)
+/** Why a partition that its default owner does not own is not transferred back yet, in
+ * the order in which the conditions have to hold. */
+static const char *transfer_back_reason(const struct lmn_core *core,
+                                        const struct lmn_partition *partition, int owner,
+                                        int default_owner, struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int holder = partition->id % members->count;
+    const struct lmn_member_view *view = &members->views[default_owner];
 
-    if (owner < 0 || successor >= 0) {
-        g_string_append_printf(text, " move=%s why=\"%s\"", name_or_none(core, successor),
+    if (!view->is_present)
+        return "its usual holder is gone";
+    if (view->is_shutting_down)
+        return "its usual holder leaves";
+    if (lmn_member_owned_partitions(core, owner) < 2)
+        return "its owner holds no other";
+    if (lmn_member_owned_partitions(core, default_owner))
+        return "its usual holder has another";
+    if (lmn_member_readmission_delay_s(members, default_owner, now) > 0)
+        return "its usual holder has to stay up";
+    if (lmn_standby_named(core, partition, now) != default_owner)
+        return "its usual holder is not in step yet";
+    return "due";
+}
+
+/** To whom the partition is going to be transferred, if to anybody.
+ * @param owner, target a member's index; -1: none */
+static void append_transfer(const struct lmn_core *core, GString *text,
+                            const struct lmn_partition *partition, int owner, int target,
+                            struct timespec now)
+{
+    const struct lmn_members *members = &core->members;
+    int default_owner = partition->id % members->count;
+
+    if (owner < 0 || target >= 0)
+        g_string_append_printf(text, " move=%s why=\"%s\"", name_or_none(core, target),
                                owner < 0 ? "nobody owns it" : "its owner is judged");
-    } else if (owner != holder) {
-        double s_left = lmn_member_readmission_delay_s(members, holder, now);
-        const char *why =
-            !members->views[holder].is_present             ? "its usual holder is gone"
-            : members->views[holder].is_shutting_down      ? "its usual holder leaves"
-            : lmn_member_owned_partitions(core, owner) < 2 ? "its owner holds no other"
-            : lmn_member_owned_partitions(core, holder) ? "its usual holder has another"
-            : s_left > 0 ? "its usual holder has to stay up"
-            : lmn_standby_named(core, partition, now) != holder
-                ? "its usual holder is not in step yet"
-                : "due";
-        g_string_append_printf(text, " move=%s in_s=%.0f why=\"%s\"",
-                               name_or_none(core, holder), s_left, why);
-    }
+    else if (owner != default_owner)
+        g_string_append_printf(
+            text, " move=%s in_s=%.0f why=\"%s\"", name_or_none(core, default_owner),
+            lmn_member_readmission_delay_s(members, default_owner, now),
+            transfer_back_reason(core, partition, owner, default_owner, now));
+}
+
+static void append_partition(const struct lmn_core *core, GString *text,
+                             const struct lmn_partition *partition, int target,
+                             struct timespec now)
+{
+    int owner = partition->record.owner_revision
+                    ? lmn_member_index(&core->members, partition->record.owner)
+                    : -1;
+
+    g_string_append_printf(text, "partition %d owner=%s holder=%s standby=%s machines=%u",
+                           partition->id, name_or_none(core, owner),
+                           name_or_none(core, partition->id % core->members.count),
+                           name_or_none(core, lmn_standby_named(core, partition, now)),
+                           partition->machine_list->len);
+    append_transfer(core, text, partition, owner, target, now);
+    g_string_append_c(text, '\n');
 }
 
 char *lmn_ownership_report(struct lmn_core *core)
 {
     GString *text = g_string_new(NULL);
     struct timespec now = lmn_now();
-    int successor[LMN_MAX_PARTITIONS];
+    int targets[LMN_MAX_PARTITIONS];
 
     pthread_mutex_lock(&core->lock);
-    lmn_transfer_targets(core, now, successor);
-    for (int i = 0; i < core->partition_count; i++) {
-        const struct lmn_partition *partition = &core->partitions[i];
-        int owner = partition->record.owner_revision
-                        ? lmn_member_index(&core->members, partition->record.owner)
-                        : -1;
-        g_string_append_printf(
-            text, "partition %d owner=%s holder=%s standby=%s machines=%u", i,
-            name_or_none(core, owner), name_or_none(core, i % core->members.count),
-            name_or_none(core, lmn_standby_named(core, partition, now)),
-            partition->machine_list->len);
-        move(core, text, partition, owner, successor[i], now);
-        g_string_append_c(text, '\n');
-    }
+    lmn_transfer_targets(core, now, targets);
+    for (int i = 0; i < core->partition_count; i++)
+        append_partition(core, text, &core->partitions[i], targets[i], now);
     if (core->shutdown.is_requested)
         lmn_shutdown_describe(core, text, now);
     pthread_mutex_unlock(&core->lock);
     return g_string_free(text, FALSE);
 }
 
-int lmn_shutdown_handle(struct lmn_core *core, bool leave, char **text)
+int lmn_shutdown_handle(struct lmn_core *core, bool shut_down, char **text)
 {
-    GString *s = g_string_new(NULL);
+    GString *description = g_string_new(NULL);
     struct timespec now = lmn_now();
-    int code = 0;
+    bool is_too_late = false;
 
     pthread_mutex_lock(&core->lock);
-    if (leave)
+    if (shut_down)
         lmn_shutdown_begin(core, now);
-    else if (!lmn_shutdown_cancel(core))
-        code = 1;
-    if (code)
-        g_string_append(s, "it has given everything away and ends: start it again\n");
     else
-        lmn_shutdown_describe(core, s, now);
+        is_too_late = !lmn_shutdown_cancel(core);
+    if (is_too_late)
+        g_string_append(description,
+                        "it has given everything away and ends: start it again\n");
+    else
+        lmn_shutdown_describe(core, description, now);
     pthread_mutex_unlock(&core->lock);
-    *text = g_string_free(s, FALSE);
-    return code;
+    *text = g_string_free(description, FALSE);
+    return is_too_late;
 }
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -1,20 +1,23 @@
-/* What a controller tells an operator of itself. */
+/** @file
+ * The status report: a line for each thing, as key=value pairs. Operators' scripts read
+ * the keys, so they do not follow renames in the code. Every function is called with the
+ * core's lock held, but for lmn_status_report, which takes it. */
 #include "controller/status.h"
 #include "http/server.h"
 #include "scheduler/fair_share.h"
 #include "controller/replication_report.h"
 #include "state/core.h"
 
-static void show_partition(GString *text, const struct lmn_core *core,
-                           const struct lmn_partition *partition)
+/** A partition's line. */
+static void append_partition_summary(GString *text, const struct lmn_partition *partition)
 {
     GHashTableIter it;
-    gpointer v;
+    gpointer value;
     guint queued = 0, running = 0;
 
     g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine *machine = v;
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        const struct lmn_machine *machine = value;
         queued += machine->queue.task_count;
         running += machine->attempts->len;
     }
@@ -27,51 +30,66 @@
         partition->ownership.is_ready, g_hash_table_size(partition->machines),
         g_hash_table_size(partition->ranges), queued,
         partition->scheduling.unassigned.task_count, running);
+}
+
+static void append_machine(GString *text, const struct lmn_machine *machine)
+{
+    g_string_append_printf(
+        text, "  machine %s type=%s zone=%s spot=%d cpus=%.1f queued=%u%s%s%s\n",
+        machine->name, machine->type_name, machine->zone, machine->is_spot,
+        machine->used.cpus, machine->queue.task_count,
+        machine->lifecycle.is_accounted ? "" : " unaccounted",
+        machine->lifecycle.is_draining ? " retiring" : "",
+        machine->agent.lease_expired ? " lapsed" : "");
+}
+
+/** A partition's line, and if it is owned, a line for each team and machine. */
+static void append_partition(GString *text, const struct lmn_core *core,
+                             const struct lmn_partition *partition)
+{
+    GHashTableIter it;
+    gpointer value;
+
+    append_partition_summary(text, partition);
     lmn_replication_describe(text, core, partition, lmn_now());
-    for (size_t i = 0; partition->ownership.is_owned && i < core->settings->team_count;
-         i++)
+    if (!partition->ownership.is_owned)
+        return;
+    for (size_t i = 0; i < core->settings->team_count; i++)
         g_string_append_printf(
             text, "  team %s cpus=%.1f gpus=%.1f\n", core->settings->teams[i].name,
             partition->quota.used_cpus[i], partition->quota.used_gpus[i]);
     g_hash_table_iter_init(&it, partition->machines);
-    while (partition->ownership.is_owned && g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine *machine = v;
-        g_string_append_printf(
-            text, "  machine %s type=%s zone=%s spot=%d cpus=%.1f queued=%u%s%s%s\n",
-            machine->name, machine->type_name, machine->zone, machine->is_spot,
-            machine->used.cpus, machine->queue.task_count,
-            machine->lifecycle.is_accounted ? "" : " unaccounted",
-            machine->lifecycle.is_draining ? " retiring" : "",
-            machine->agent.lease_expired ? " lapsed" : "");
-    }
+    while (g_hash_table_iter_next(&it, NULL, &value))
+        append_machine(text, value);
 }
 
-/* What of each class runs here, and what waits; the floor is what it goes first below. */
-static void show_classes(GString *text, const struct lmn_core *core)
+/** What of each class runs here and what waits, and whether the class is below its fair
+ * share, so that its jobs go first. */
+static void append_classes(GString *text, const struct lmn_core *core)
 {
-    GArray *v = lmn_fair_share_by_class(core);
-    double used;
-    unsigned kinds = lmn_fair_share_sum(v, &used);
+    g_autoptr(GArray) classes = lmn_fair_share_by_class(core);
+    double used_cpus;
+    unsigned class_count = lmn_fair_share_sum(classes, &used_cpus);
 
-    for (guint i = 0; i < v->len; i++) {
-        const struct lmn_fair_share *share = &g_array_index(v, struct lmn_fair_share, i);
+    for (guint i = 0; i < classes->len; i++) {
+        const struct lmn_fair_share *share =
+            &g_array_index(classes, struct lmn_fair_share, i);
         g_string_append_printf(text, "class %s cpus=%.1f waiting=%.1f owed=%d\n",
                                (const char *)share->subject, share->used_cpus,
                                share->waiting_cpus,
-                               lmn_is_under_fair_share(share, used, kinds));
+                               lmn_is_under_fair_share(share, used_cpus, class_count));
     }
-    g_array_free(v, TRUE);
 }
 
-/* Jobs that fail wherever they start: they are tried with a task at a time. */
-static void show_accused(GString *text, const struct lmn_core *core)
+/** Jobs that fail wherever they start: one task at a time is tried. */
+static void append_faulty_jobs(GString *text, const struct lmn_core *core)
 {
     GHashTableIter it;
-    gpointer v;
+    gpointer value;
 
     g_hash_table_iter_init(&it, core->cache.jobs);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_job *job = v;
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        const struct lmn_job *job = value;
         if (job->phase == LMN_JOB_ACTIVE && lmn_job_is_faulty(&job->failures))
             g_string_append_printf(
                 text, "accused job=%s machines=%u rounds=%u next_try=%.1f\n",
@@ -80,46 +98,34 @@
     }
 }
 
-static void show_latency(GString *text, const char *what,
-                         const struct lmn_latency *latency)
+static void append_latency(GString *text, const char *name,
+                           const struct lmn_latency *latency)
 {
-    g_string_append_printf(text, "latency %s p50=%.4f p95=%.4f p99=%.4f max=%.4f\n", what,
+    g_string_append_printf(text, "latency %s p50=%.4f p95=%.4f p99=%.4f max=%.4f\n", name,
                            lmn_latency_quantile(latency, 0.5),
                            lmn_latency_quantile(latency, 0.95),
                            lmn_latency_quantile(latency, 0.99), latency->max);
 }
 
-static void show_sockets(GString *text, const struct lmn_core *core)
+static void append_connections(GString *text, const struct lmn_core *core)
 {
-    struct lmn_http_server_load l;
+    struct lmn_http_server_load load;
 
     if (!core->http_server)
         return;
-    lmn_http_server_load(core->http_server, &l);
+    lmn_http_server_load(core->http_server, &load);
     g_string_append_printf(
         text,
         "sockets most=%u passing=%u users=%u workers=%u closed_users=%" G_GUINT64_FORMAT
         " closed_workers=%" G_GUINT64_FORMAT " turned_away=%" G_GUINT64_FORMAT "\n",
-        core->connection_budget.max_accepted, l.open[LMN_CONNECTION_UNIDENTIFIED],
-        l.open[LMN_CONNECTION_USER], l.open[LMN_CONNECTION_WORKER],
-        l.closed[LMN_CONNECTION_USER], l.closed[LMN_CONNECTION_WORKER],
-        l.turned_away[LMN_CONNECTION_WORKER]);
+        core->connection_budget.max_accepted, load.open[LMN_CONNECTION_UNIDENTIFIED],
+        load.open[LMN_CONNECTION_USER], load.open[LMN_CONNECTION_WORKER],
+        load.closed[LMN_CONNECTION_USER], load.closed[LMN_CONNECTION_WORKER],
+        load.turned_away[LMN_CONNECTION_WORKER]);
 }
 
-char *lmn_status_report(struct lmn_core *core)
+static void append_counters(GString *text, const struct lmn_counters *counters)
 {
-    GString *text = g_string_new(NULL);
-
-    pthread_mutex_lock(&core->lock);
-    g_string_append_printf(
-        text, "node %s lease=%" G_GUINT64_FORMAT " stale=%.1f jobs=%u\n",
-        core->settings->node_name, core->lease.id, lmn_watch_cache_age_s(core, lmn_now()),
-        g_hash_table_size(core->cache.jobs));
-    for (int i = 0; i < core->partition_count; i++)
-        show_partition(text, core, &core->partitions[i]);
-    show_classes(text, core);
-    show_accused(text, core);
-    const struct lmn_counters *counters = &core->counters;
     g_string_append_printf(
         text,
         "counts submissions=%" G_GUINT64_FORMAT " polls=%" G_GUINT64_FORMAT
@@ -133,17 +139,37 @@
         counters->starts, counters->kills, counters->steal_tries, counters->steals,
         counters->stolen_tasks, counters->failovers, counters->warm_failovers,
         counters->refused_requests, counters->moves, counters->moved_tasks);
-    const struct lmn_load *load = &core->load;
+}
+
+static void append_load(GString *text, const struct lmn_load *load)
+{
     g_string_append_printf(
         text,
         "load behind=%.2f shed_polls=%" G_GUINT64_FORMAT
         " shed_submissions=%" G_GUINT64_FORMAT " shed_starts=%" G_GUINT64_FORMAT "\n",
         load->delay_s, load->shed_counts[LMN_SHED_POLL],
         load->shed_counts[LMN_SHED_SUBMISSION], load->shed_counts[LMN_SHED_START]);
-    show_sockets(text, core);
-    show_latency(text, "accepting", &core->latencies.submission);
-    show_latency(text, "starting", &core->latencies.start);
-    show_latency(text, "telling", &core->latencies.replication);
+}
+
+char *lmn_status_report(struct lmn_core *core)
+{
+    GString *text = g_string_new(NULL);
+
+    pthread_mutex_lock(&core->lock);
+    g_string_append_printf(
+        text, "node %s lease=%" G_GUINT64_FORMAT " stale=%.1f jobs=%u\n",
+        core->settings->node_name, core->lease.id, lmn_watch_cache_age_s(core, lmn_now()),
+        g_hash_table_size(core->cache.jobs));
+    for (int i = 0; i < core->partition_count; i++)
+        append_partition(text, core, &core->partitions[i]);
+    append_classes(text, core);
+    append_faulty_jobs(text, core);
+    append_counters(text, &core->counters);
+    append_load(text, &core->load);
+    append_connections(text, core);
+    append_latency(text, "accepting", &core->latencies.submission);
+    append_latency(text, "starting", &core->latencies.start);
+    append_latency(text, "telling", &core->latencies.replication);
     pthread_mutex_unlock(&core->lock);
     return g_string_free(text, FALSE);
 }
