--- a/src/controller/members_report.c
+++ b/src/controller/members_report.c
@@ -1,20 +1,29 @@
+/** @file
+ * The members' report: one JSON object for each member, from which the lines of text are
+ * made too. Operators' scripts read the keys and the standings, so they do not follow
+ * renames in the code. */
 #include "controller/members_report.h"
 #include "protocol/json.h"
 #include "http/metrics.h"
 #include "controller/replication_report.h"
 #include "state/core.h"
 
-/* How a member stands. */
-static const char *standing(const struct lmn_members *members, int member_index,
-                            struct timespec now)
+#include <stdlib.h>
+
+/** Longer ages are reported as this. */
+static const double MAX_REPORTED_AGE_S = 1e6;
+
+/** A member's standing in a word. */
+static const char *standing_name(const struct lmn_members *members, int member_index,
+                                 struct timespec now)
 {
-    const struct lmn_member_view *member = &members->views[member_index];
+    const struct lmn_member_view *view = &members->views[member_index];
 
-    if (!member->is_present)
+    if (!view->is_present)
         return "gone";
-    if (member->is_shutting_down)
+    if (view->is_shutting_down)
         return "leaving";
-    if (member->is_declared_failed)
+    if (view->is_declared_failed)
         return "judged";
     if (lmn_member_is_suspected(members, member_index))
         return "suspected";
@@ -24,56 +33,90 @@
                                                                           : "alive";
 }
 
-static json_t *member(const struct lmn_core *core, int member_index, struct timespec now)
+static void add_identity(json_t *object, const struct lmn_core *core, int member_index,
+                         struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    const struct lmn_member_view *member = &members->views[member_index];
-    const struct lmn_member_health *health =
-        member_index == members->self ? &members->health : &member->health;
-    struct lmn_failure_evidence e;
-    json_t *j = json_object();
-
-    lmn_member_failure_evidence(members, member_index, now, &e);
-    json_object_set_new(j, "member", json_string(lmn_member_name(members, member_index)));
-    json_object_set_new(j, "self", json_boolean(member_index == members->self));
-    json_object_set_new(j, "standing", json_string(standing(members, member_index, now)));
-    json_object_set_new(j, "incarnation", json_integer((json_int_t)member->incarnation));
-    json_object_set_new(j, "partitions",
+    const struct lmn_member_view *view = &members->views[member_index];
+
+    json_object_set_new(object, "member",
+                        json_string(lmn_member_name(members, member_index)));
+    json_object_set_new(object, "self", json_boolean(member_index == members->self));
+    json_object_set_new(object, "standing",
+                        json_string(standing_name(members, member_index, now)));
+    json_object_set_new(object, "incarnation",
+                        json_integer((json_int_t)view->incarnation));
+    json_object_set_new(object, "partitions",
                         json_integer(lmn_member_owned_partitions(core, member_index)));
-    json_object_set_new(j, "stands_by",
+    json_object_set_new(object, "stands_by",
                         lmn_replication_standby_partitions(core, member_index));
-    json_object_set_new(j, "heard_s",
-                        member->ever_contacted
-                            ? json_real(lmn_time_diff_s(now, member->last_contact_at))
+}
+
+static void add_health(json_t *object, const struct lmn_core *core, int member_index,
+                       struct timespec now)
+{
+    const struct lmn_members *members = &core->members;
+    const struct lmn_member_view *view = &members->views[member_index];
+    bool is_self = member_index == members->self;
+    const struct lmn_member_health *health = is_self ? &members->health : &view->health;
+
+    json_object_set_new(object, "heard_s",
+                        view->ever_contacted
+                            ? json_real(lmn_time_diff_s(now, view->last_contact_at))
                             : json_null());
-    json_object_set_new(j, "answers_s", json_real(member->reply_times.mean));
-    json_object_set_new(j, "behind_s", json_real(health->delay_s));
-    json_object_set_new(j, "mirror_s",
-                        json_real(member_index == members->self
-                                      ? MIN(lmn_watch_cache_age_s(core, now), 1e6)
-                                      : health->cache_age_s));
-    json_object_set_new(j, "unheard_machines", json_real(health->silent_machine_share));
-    if (lmn_member_is_suspected(members, member_index)) {
-        json_object_set_new(j, "suspected_by", json_string(member->suspected_by));
-        json_object_set_new(
-            j, "suspected_of",
-            json_string(lmn_suspicion_cause_name(member->suspicion_cause)));
-        json_object_set_new(j, "suspected_s",
-                            json_real(lmn_time_diff_s(now, member->suspected_since)));
-    }
-    json_object_set_new(j, "asked_phi", json_real(e.own_phi));
-    json_object_set_new(j, "others_phi", json_real(e.best_other_phi));
-    json_object_set_new(j, "against", json_integer(e.other_witnesses));
-    json_object_set_new(j, "workers_here", json_integer(e.redirected_workers));
-    json_object_set_new(j, "failures", json_integer(member->failures_declared));
+    json_object_set_new(object, "answers_s", json_real(view->reply_times.mean));
+    json_object_set_new(object, "behind_s", json_real(health->delay_s));
     json_object_set_new(
-        j, "back_in_s",
+        object, "mirror_s",
+        json_real(is_self ? MIN(lmn_watch_cache_age_s(core, now), MAX_REPORTED_AGE_S)
+                          : health->cache_age_s));
+    json_object_set_new(object, "unheard_machines",
+                        json_real(health->silent_machine_share));
+}
+
+static void add_suspicion(json_t *object, const struct lmn_member_view *view,
+                          struct timespec now)
+{
+    json_object_set_new(object, "suspected_by", json_string(view->suspected_by));
+    json_object_set_new(object, "suspected_of",
+                        json_string(lmn_suspicion_cause_name(view->suspicion_cause)));
+    json_object_set_new(object, "suspected_s",
+                        json_real(lmn_time_diff_s(now, view->suspected_since)));
+}
+
+static void add_evidence(json_t *object, const struct lmn_failure_evidence *evidence)
+{
+    json_object_set_new(object, "asked_phi", json_real(evidence->own_phi));
+    json_object_set_new(object, "others_phi", json_real(evidence->best_other_phi));
+    json_object_set_new(object, "against", json_integer(evidence->other_witnesses));
+    json_object_set_new(object, "workers_here",
+                        json_integer(evidence->redirected_workers));
+}
+
+/** @return an object of the caller's */
+static json_t *describe_member(const struct lmn_core *core, int member_index,
+                               struct timespec now)
+{
+    const struct lmn_members *members = &core->members;
+    const struct lmn_member_view *view = &members->views[member_index];
+    struct lmn_failure_evidence evidence;
+    json_t *object = json_object();
+
+    lmn_member_failure_evidence(members, member_index, now, &evidence);
+    add_identity(object, core, member_index, now);
+    add_health(object, core, member_index, now);
+    if (lmn_member_is_suspected(members, member_index))
+        add_suspicion(object, view, now);
+    add_evidence(object, &evidence);
+    json_object_set_new(object, "failures", json_integer(view->failures_declared));
+    json_object_set_new(
+        object, "back_in_s",
         json_real(lmn_member_readmission_delay_s(members, member_index, now)));
-    return j;
+    return object;
 }
 
-/* 0,3; -: none */
-static void partitions(GString *text, const json_t *list)
+/** As in "0,3"; "-" if there are none. */
+static void append_partitions(GString *text, const json_t *list)
 {
     for (size_t i = 0; i < json_array_size(list); i++)
         g_string_append_printf(text, "%s%" JSON_INTEGER_FORMAT, i ? "," : "",
@@ -82,67 +125,81 @@
         g_string_append_c(text, '-');
 }
 
-static void line(GString *text, const json_t *j)
+static void append_value(GString *text, const json_t *value)
 {
-    const json_t *v;
+    if (json_is_string(value))
+        g_string_append(text, json_string_value(value));
+    else if (json_is_integer(value))
+        g_string_append_printf(text, "%" JSON_INTEGER_FORMAT, json_integer_value(value));
+    else if (json_is_real(value))
+        g_string_append_printf(text, "%.2f", json_real_value(value));
+    else if (json_is_array(value))
+        append_partitions(text, value);
+    else
+        g_string_append(text, json_is_true(value) ? "yes" : "no");
+}
+
+/** A member's line: its name, and key=value for all else that is not null. */
+static void append_line(GString *text, const json_t *object)
+{
+    const json_t *value;
     const char *key;
-    bool first = true;
+    bool is_first = true;
 
-    json_object_foreach((json_t *)j, key, v)
+    json_object_foreach((json_t *)object, key, value)
     {
-        if (json_is_null(v))
+        if (json_is_null(value))
             continue;
-        g_string_append(text, first ? "" : " ");
-        if (!first)
-            g_string_append_printf(text, "%s=", key);
-        if (json_is_string(v))
-            g_string_append(text, json_string_value(v));
-        else if (json_is_integer(v))
-            g_string_append_printf(text, "%" JSON_INTEGER_FORMAT, json_integer_value(v));
-        else if (json_is_real(v))
-            g_string_append_printf(text, "%.2f", json_real_value(v));
-        else if (json_is_array(v))
-            partitions(text, v);
-        else
-            g_string_append(text, json_is_true(v) ? "yes" : "no");
-        first = false;
+        if (!is_first)
+            g_string_append_printf(text, " %s=", key);
+        append_value(text, value);
+        is_first = false;
     }
     g_string_append_c(text, '\n');
 }
 
-char *lmn_members_report(struct lmn_core *core, bool json)
+static char *format_json(const json_t *report)
 {
-    struct timespec now = lmn_now();
-    json_t *all = json_array(), *j;
+    char *dumped = json_dumps(report, JSON_INDENT(1) | JSON_REAL_PRECISION(6));
+    char *text = g_strdup(dumped);
+
+    free(dumped); /* jansson's allocator, which may not be GLib's */
+    return text;
+}
+
+static char *format_lines(const json_t *members)
+{
+    GString *text = g_string_new(NULL);
+    const json_t *member;
     size_t i;
 
+    json_array_foreach(members, i, member) append_line(text, member);
+    return g_string_free(text, FALSE);
+}
+
+char *lmn_members_report(struct lmn_core *core, bool as_json)
+{
+    struct timespec now = lmn_now();
+    json_t *members = json_array();
+
     pthread_mutex_lock(&core->lock);
-    for (int k = 0; k < core->members.count; k++)
-        json_array_append_new(all, member(core, k, now));
-    json_t *top =
+    for (int i = 0; i < core->members.count; i++)
+        json_array_append_new(members, describe_member(core, i, now));
+    json_t *report =
         json_pack("{s:s, s:b, s:b, s:i, s:o}", "node", core->settings->node_name, "awake",
                   (int)lmn_self_may_reply(&core->members, now), "fit",
                   (int)lmn_self_may_claim(&core->members, now), "health",
-                  (int)core->members.local_health, "members", all);
+                  (int)core->members.local_health, "members", members);
     pthread_mutex_unlock(&core->lock);
-    char *text;
-    if (json) {
-        char *dumped = json_dumps(top, JSON_INDENT(1) | JSON_REAL_PRECISION(6));
-        text = g_strdup(dumped);
-        free(dumped);
-    } else {
-        GString *s = g_string_new(NULL);
-        json_array_foreach(all, i, j) line(s, j);
-        text = g_string_free(s, FALSE);
-    }
-    json_decref(top);
+    char *text = as_json ? format_json(report) : format_lines(members);
+    json_decref(report);
     return text;
 }
 
 void lmn_members_metrics(const struct lmn_core *core, GString *out)
 {
     const struct lmn_members *members = &core->members;
-    const struct lmn_member_counts *n = &members->counters;
+    const struct lmn_member_counts *counters = &members->counters;
     struct timespec now = lmn_now();
 
     lmn_metric_head(out, "lemonspar_member_trusted", "gauge",
@@ -161,15 +218,16 @@
               "0: this node's clocks are well, to 8: late or not heard",
               members->local_health);
     lmn_counter(out, "lemonspar_member_questions", "Questions to members",
-                n->probes_sent);
+                counters->probes_sent);
     lmn_counter(out, "lemonspar_member_unanswered", "Of these, not answered",
-                n->probes_unanswered);
+                counters->probes_unanswered);
     lmn_counter(out, "lemonspar_member_suspicions", "Suspicions that this node wrote",
-                n->suspicions);
+                counters->suspicions);
     lmn_counter(out, "lemonspar_member_refutations", "Suspicions of it that it refuted",
-                n->refutations);
+                counters->refutations);
     lmn_counter(out, "lemonspar_member_verdicts",
-                "Partitions claimed from members that it judged", n->failures_declared);
+                "Partitions claimed from members that it judged",
+                counters->failures_declared);
     lmn_counter(out, "lemonspar_member_gives", "Partitions that it gave to others",
-                n->transfers);
+                counters->transfers);
 }
--- a/src/controller/members_report.h
+++ b/src/controller/members_report.h
@@ -1,12 +1,15 @@
-/* What this node thinks of each member, for operators. */
+/** @file
+ * Reports to operators on what this controller knows of each member. */
 #ifndef LMN_CONTROLLER_MEMBERS_REPORT_H
 #define LMN_CONTROLLER_MEMBERS_REPORT_H
 
 #include "state/core_state.h"
 
-/* A line a member, or one JSON object; to be freed. Takes the lock. */
-char *lmn_members_report(struct lmn_core *core, bool json);
-/* The same as metrics. The lock is held. */
+/** Describes all members. Takes the core's lock.
+ * @param as_json one JSON object instead of a line for each member
+ * @return text, to be freed with g_free */
+char *lmn_members_report(struct lmn_core *core, bool as_json);
+/** Appends the metrics of the membership. The core's lock is held. */
 void lmn_members_metrics(const struct lmn_core *core, GString *out);
 
 #endif
