--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -1,3 +1,5 @@
+/** @file
+ * Submissions: their parsing, and how a job's tasks are divided among the partitions. */
 #include "controller/submission.h"
 #include "state/core.h"
 #include "state/records.h"
@@ -5,164 +7,238 @@
 #include <math.h>
 #include <string.h>
 
-/* What a partition could give to the job, and what it still has to do, in processors. */
-static void weigh(struct lmn_core *core, int id, const struct lmn_job_spec *spec,
-                  double *weight, double *load)
+enum {
+    RANGE_KEY_SIZE = 96,
+    BYTES_PER_KB = 1024,
+    BITS_PER_BYTE = 8,
+    /** A set of finished tasks is written as hexadecimal text, a bit a task, so that a
+     * byte of it holds four; with three, room is left for the record's other fields. */
+    TASKS_PER_VALUE_BYTE = 3,
+    JSON_ELEMENT_OVERHEAD = 3, /**< quotation marks and a comma */
+    MAX_OTHER_FIELDS_SIZE = 2048,
+};
+
+/** A job is not divided into ranges smaller than this share of what an average partition
+ * could give it. Each range costs the key-value store changes at its creation and at its
+ * end; a small job gains nothing by being divided. */
+static const double MIN_RANGE_SHARE = 0.05;
+
+/** What each partition could give to a job, and what it still has to do, in processors.
+ */
+struct partition_weights {
+    double capacity[LMN_MAX_PARTITIONS];
+    double load[LMN_MAX_PARTITIONS];
+};
+
+/** Processors of the partition's machines that the job may use. */
+static double usable_capacity(struct lmn_core *core,
+                              const struct lmn_partition *partition,
+                              const struct lmn_job_spec *spec)
 {
     GHashTableIter it;
-    gpointer v;
+    gpointer value;
+    double capacity = 0;
 
-    *weight = *load = 0;
-    g_hash_table_iter_init(&it, core->partitions[id].machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        struct lmn_machine *machine = v;
+    g_hash_table_iter_init(&it, partition->machines);
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        struct lmn_machine *machine = value;
         if (!machine->type)
             machine->type = lmn_machine_type_by_name(core, machine->type_name);
         if (machine->type && machine->record.revision &&
             !machine->lifecycle.is_terminated &&
             lmn_job_spec_allows(spec, machine->type, machine->zone, machine->is_spot))
-            *weight += machine->type->cpus + machine->type->gpus;
+            capacity += machine->type->cpus + machine->type->gpus;
     }
-    /* As recorded, for one's own partitions too: else they would look emptier than the
-     * others. */
-    g_hash_table_iter_init(&it, core->partitions[id].ranges);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_range *range = v;
+    return capacity;
+}
+
+/** Processors of the partition's unfinished tasks, as recorded. Of owned partitions more
+ * is known, but then they would look emptier than the others. */
+static double recorded_load(const struct lmn_partition *partition)
+{
+    GHashTableIter it;
+    gpointer value;
+    double load = 0;
+
+    g_hash_table_iter_init(&it, partition->ranges);
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        const struct lmn_range *range = value;
         if (range->job->phase == LMN_JOB_ACTIVE)
-            *load += (range->end - range->first - range->done_count) *
-                     (range->job->spec.cpus + range->job->spec.gpus);
+            load += (range->end - range->first - range->done_count) *
+                    (range->job->spec.cpus + range->job->spec.gpus);
     }
+    return load;
 }
 
-/* A part of a job is no smaller than this share of what a partition could give. Each part
- * costs the state service changes at its birth and at its end; a small job gains nothing
- * by being cut. */
-static const double LEAST_PART = 0.05;
-
-/* The job's tasks for each partition: as few parts as its size needs, to those with the
- * least to do for their size. */
-static void shares(struct lmn_core *core, const struct lmn_job_spec *spec, uint32_t *n)
+/** @return the sum of all capacities; if no partition has any for the job, each counts
+ * the same */
+static double weigh_partitions(struct lmn_core *core, const struct lmn_job_spec *spec,
+                               struct partition_weights *weights)
 {
-    double weight[LMN_MAX_PARTITIONS] = {0}, load[LMN_MAX_PARTITIONS], sum = 0;
-    int parts = core->partition_count, order[LMN_MAX_PARTITIONS] = {0}, able = 0;
-    int first = (int)(g_str_hash(spec->id) % (guint)parts);
-    uint32_t given = 0;
-
-    memset(n, 0, sizeof *n * (size_t)core->partition_count);
-    for (int i = 0; i < parts; i++) {
-        weigh(core, i, spec, &weight[i], &load[i]);
-        sum += weight[i];
+    double sum = 0;
+
+    for (int i = 0; i < core->partition_count; i++) {
+        weights->capacity[i] = usable_capacity(core, &core->partitions[i], spec);
+        weights->load[i] = recorded_load(&core->partitions[i]);
+        sum += weights->capacity[i];
     }
-    double size = spec->tasks * (spec->cpus + spec->gpus) * parts;
-    int want = sum > 0 ? (int)MIN(ceil(size / (LEAST_PART * sum)), parts) : 1;
-    for (int i = 0; sum <= 0 && i < parts; i++)
-        weight[i] = 1;
-    /* While writes have to wait, a job is not cut: steals will spread what one partition
-     * can't start. And one owner must see all of a job whose tasks depend on each other's
-     * places. */
+    for (int i = 0; sum <= 0 && i < core->partition_count; i++)
+        weights->capacity[i] = 1;
+    return sum;
+}
+
+/** Among how many partitions the job is divided, by its size. */
+static int wanted_partitions(const struct lmn_core *core, const struct lmn_job_spec *spec,
+                             double capacity_sum)
+{
+    int partition_count = core->partition_count;
+    double size = spec->tasks * (spec->cpus + spec->gpus) * partition_count;
+
+    /* While writes have to wait, a job is not divided: steals will spread what one
+     * partition cannot start. And one owner must see all of a job whose tasks' placements
+     * depend on each other. */
     if (spec->requires_one_zone || spec->spreads_over_zones ||
         lmn_kv_client_backlog_s(core->kv_client, LMN_WRITE_CLOSE) > 0)
-        want = 1;
-    for (int k = 0; k < parts; k++) {
-        int i = (first + k) % parts, at = able;
-        if (weight[i] <= 0)
+        return 1;
+    if (capacity_sum <= 0)
+        return 1;
+    return (int)MIN(ceil(size / (MIN_RANGE_SHARE * capacity_sum)), partition_count);
+}
+
+/** Orders the partitions with capacity by their load in proportion to it, the least
+ * first. Equal ones are ordered from `first` on, which differs from job to job.
+ * @return how many have capacity */
+static int order_by_load(const struct partition_weights *weights, int partition_count,
+                         int first, int order[LMN_MAX_PARTITIONS])
+{
+    int count = 0;
+
+    for (int k = 0; k < partition_count; k++) {
+        int candidate = (first + k) % partition_count, at = count;
+        if (weights->capacity[candidate] <= 0)
             continue;
-        while (at > 0 &&
-               load[i] / weight[i] < load[order[at - 1]] / weight[order[at - 1]]) {
+        double relative_load = weights->load[candidate] / weights->capacity[candidate];
+        while (at > 0 && relative_load < weights->load[order[at - 1]] /
+                                             weights->capacity[order[at - 1]]) {
             order[at] = order[at - 1];
             at--;
         }
-        order[at] = i;
-        able++;
+        order[at] = candidate;
+        count++;
     }
-    /* The job's record and each part are a change of one transaction. */
-    want = CLAMP(want, 1, MIN(able, MAX(core->settings->max_txn_operations - 1, 1)));
+    return count;
+}
+
+/** Divides the job's tasks among the partitions: as few as its size needs, those with the
+ * least load first.
+ * @param task_counts the tasks of each partition */
+static void divide_tasks(struct lmn_core *core, const struct lmn_job_spec *spec,
+                         uint32_t task_counts[LMN_MAX_PARTITIONS])
+{
+    struct partition_weights weights;
+    int order[LMN_MAX_PARTITIONS] = {0};
+    int first = (int)(g_str_hash(spec->id) % (guint)core->partition_count);
+    uint32_t assigned = 0;
+
+    memset(task_counts, 0, sizeof *task_counts * (size_t)core->partition_count);
+    double sum = weigh_partitions(core, spec, &weights);
+    int wanted = wanted_partitions(core, spec, sum);
+    int usable = order_by_load(&weights, core->partition_count, first, order);
+    /* The job's record and each range are a change of one transaction. */
+    int count =
+        CLAMP(wanted, 1, MIN(usable, MAX(core->settings->max_txn_operations - 1, 1)));
     sum = 0;
-    for (int k = 0; k < want; k++)
-        sum += weight[order[k]];
-    for (int k = 0; k < want; k++) {
-        uint32_t part =
-            (uint32_t)floor((double)spec->tasks * weight[order[k]] / sum + 0.5);
-        n[order[k]] = MIN(part, spec->tasks - given);
-        given += n[order[k]];
+    for (int k = 0; k < count; k++)
+        sum += weights.capacity[order[k]];
+    for (int k = 0; k < count; k++) {
+        uint32_t share =
+            (uint32_t)floor((double)spec->tasks * weights.capacity[order[k]] / sum + 0.5);
+        task_counts[order[k]] = MIN(share, spec->tasks - assigned);
+        assigned += task_counts[order[k]];
     }
-    n[order[0]] += spec->tasks - given;
+    /* What rounding has left over. */
+    task_counts[order[0]] += spec->tasks - assigned;
+}
+
+/** Adds the record of a range of which nothing is done yet. */
+static void put_range(struct lmn_txn *txn, int partition, const char *job_id,
+                      uint32_t first, uint32_t end)
+{
+    const struct lmn_range range = {.first = first, .end = end};
+    g_autofree uint8_t *none_done =
+        g_malloc0((end - first + BITS_PER_BYTE - 1) / BITS_PER_BYTE);
+    char key[RANGE_KEY_SIZE];
+
+    g_snprintf(key, sizeof key, "r/%d/%s/%u", partition, job_id, first);
+    lmn_txn_put(txn, key, lmn_range_record(&range, none_done), 0);
 }
 
 struct lmn_txn *lmn_submission_txn(struct lmn_core *core, const struct lmn_job_spec *spec,
                                    double accepted_at, lmn_txn_callback *done, void *arg)
 {
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_USER, done, arg);
-    uint32_t n[LMN_MAX_PARTITIONS], open = 0, at = 0;
-    struct lmn_range r = {0};
-    char key[96];
-    /* One bit a task as hexadecimal text: so many that no value passes the limit. */
-    uint32_t most = (uint32_t)(core->settings->max_value_kb * 1024 * 3);
-
-    shares(core, spec, n);
-    g_snprintf(key, sizeof key, "j/%s", spec->id);
-    lmn_txn_require_version(txn, key, 0);
-    char *job_key = g_strdup(key);
+    uint32_t task_counts[LMN_MAX_PARTITIONS], open_ranges = 0, first = 0;
+    uint32_t max_range_tasks =
+        (uint32_t)(core->settings->max_value_kb * BYTES_PER_KB * TASKS_PER_VALUE_BYTE);
+    char job_key[RANGE_KEY_SIZE];
+
+    divide_tasks(core, spec, task_counts);
+    g_snprintf(job_key, sizeof job_key, "j/%s", spec->id);
+    lmn_txn_require_version(txn, job_key, 0);
     for (int i = 0; i < core->partition_count; i++)
-        while (n[i] > 0) {
-            uint32_t k = MIN(n[i], most);
-            r.first = at;
-            r.end = at + k;
-            uint8_t *none = g_malloc0((k + 7) / 8);
-            g_snprintf(key, sizeof key, "r/%d/%s/%u", i, spec->id, at);
-            lmn_txn_put(txn, key, lmn_range_record(&r, none), 0);
-            g_free(none);
-            at += k;
-            n[i] -= k;
-            open++;
+        while (task_counts[i] > 0) {
+            uint32_t count = MIN(task_counts[i], max_range_tasks);
+            put_range(txn, i, spec->id, first, first + count);
+            first += count;
+            task_counts[i] -= count;
+            open_ranges++;
         }
     /* The watch shows changes in the order of the transaction: first ranges, then the
      * job, would leave ranges without a job. */
     lmn_txn_put_first(txn, job_key,
-                      lmn_job_record(spec, LMN_JOB_ACTIVE, open, accepted_at));
-    g_free(job_key);
+                      lmn_job_record(spec, LMN_JOB_ACTIVE, open_ranges, accepted_at));
     return txn;
 }
 
-/* Whether the job's record is larger than a value may be, counted as JSON. */
-static bool too_large(const struct lmn_settings *settings,
-                      const struct lmn_job_spec *spec)
+/** Whether the job's record would be larger than a value may be, counted as JSON. */
+static bool is_too_large(const struct lmn_settings *settings,
+                         const struct lmn_job_spec *spec)
 {
-    size_t most = (size_t)(settings->max_value_kb * 1024), types = 0;
-    struct lmn_cbor_document d;
+    size_t max_size = (size_t)(settings->max_value_kb * BYTES_PER_KB), types_size = 0;
+    struct lmn_cbor_document document;
 
-    for (char **t = spec->machine_types; t && *t; t++)
-        types += strlen(*t) + 3;
-    /* All else is bounded; few descriptions need a closer look. */
-    if (types + 2048 < most)
+    for (char **type = spec->machine_types; type && *type; type++)
+        types_size += strlen(*type) + JSON_ELEMENT_OVERHEAD;
+    /* All other fields are bounded: few records have to be encoded to know. */
+    if (types_size + MAX_OTHER_FIELDS_SIZE < max_size)
         return false;
     GByteArray *buffer = lmn_job_record(spec, LMN_JOB_ACTIVE, UINT32_MAX, 1e10);
-    bool large = lmn_cbor_parse(&d, buffer->data, buffer->len) == 0 &&
-                 lmn_cbor_json_size(&d, lmn_cbor_root(&d)) > most;
-    lmn_cbor_free(&d);
+    bool is_larger = lmn_cbor_parse(&document, buffer->data, buffer->len) == 0 &&
+                     lmn_cbor_json_size(&document, lmn_cbor_root(&document)) > max_size;
+    lmn_cbor_free(&document);
     g_byte_array_unref(buffer);
-    return large;
+    return is_larger;
 }
 
 void lmn_submission_parse(struct lmn_submission *submission,
                           const struct lmn_settings *settings, const guint8 *body,
                           size_t len)
 {
-    struct lmn_cbor_document d;
+    struct lmn_cbor_document document;
 
     memset(submission, 0, sizeof *submission);
     submission->field_at_fault = "not CBOR";
     submission->fault = LMN_SUBMISSION_NO_ID;
-    if (lmn_cbor_parse(&d, body, len) != 0)
+    if (lmn_cbor_parse(&document, body, len) != 0)
         return;
-    if (lmn_job_spec_parse(&submission->spec, &d, lmn_cbor_root(&d),
+    if (lmn_job_spec_parse(&submission->spec, &document, lmn_cbor_root(&document),
                            &submission->field_at_fault) == 0)
-        submission->fault = too_large(settings, &submission->spec)
+        submission->fault = is_too_large(settings, &submission->spec)
                                 ? LMN_SUBMISSION_TOO_LARGE
                                 : LMN_SUBMISSION_VALID;
     else if (lmn_job_id_is_valid(submission->spec.id))
         submission->fault = LMN_SUBMISSION_MALFORMED;
-    lmn_cbor_free(&d);
+    lmn_cbor_free(&document);
 }
 
 void lmn_submission_clear(struct lmn_submission *submission)
