--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -135,7 +135,7 @@
 static void divide_tasks(struct lmn_core *core, const struct lmn_job_spec *spec,
                          uint32_t task_counts[LMN_MAX_PARTITIONS])
 {
-    struct partition_weights weights;
+    struct partition_weights weights = {0};
     int order[LMN_MAX_PARTITIONS] = {0};
     int first = (int)(g_str_hash(spec->id) % (guint)core->partition_count);
     uint32_t assigned = 0;
