--- a/src/controller/replication_message.c
+++ b/src/controller/replication_message.c
@@ -1,6 +1,7 @@
 /** @file
  * Encoding and decoding of replication batches. */
 #include "controller/replication_message.h"
+#include "replication/batch.h"
 
 #include <glib.h>
 
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -6,11 +6,12 @@
 #include "controller/deferred_responses.h"
 #include "controller/replication_message.h"
 #include "controller/rpc_client.h"
-#include "replication/start_gate.h"
 #include "replication/stream.h"
 #include "util/clock.h"
 #include "util/log.h"
 #include "util/thread.h"
+#include "replication/batch.h"
+#include "replication/replica.h"
 
 #include <rpc/rpc.h>
 
