--- a/src/admission/load_shedding.c
+++ b/src/admission/load_shedding.c
@@ -43,7 +43,9 @@
 int lmn_retry_after(double wait_s, GRand *rng)
 {
     double wait = CLAMP(wait_s, MIN_WAIT_S, MAX_WAIT_S);
-    double retry_after_s = ceil(wait * g_rand_double_range(rng, 1, MAX_WAIT_FACTOR));
 
-    return (int)CLAMP(retry_after_s, MIN_WAIT_S, MAX_RETRY_AFTER_S);
+    /* CLAMP evaluates its first argument up to three times, with a draw each: later draws
+     * from the same generator depend on how many there are. */
+    return (int)CLAMP(ceil(wait * g_rand_double_range(rng, 1, MAX_WAIT_FACTOR)),
+                      MIN_WAIT_S, MAX_RETRY_AFTER_S);
 }
