--- a/tests/world/machines.c
+++ b/tests/simulation/machines.c
@@ -1,5 +1,5 @@
 /* Stand-in workers. */
-#include "world.h"
+#include "simulation.h"
 
 #include "protocol/wire.h"
 
@@ -10,31 +10,33 @@
 void machine_name(struct machine *machine)
 {
     g_snprintf(machine->name, sizeof machine->name, "host-%06d",
-               (int)(machine - w.machines) +
-                   machine->life * w.layout.machines * w.layout.nodes);
+               (int)(machine - simulation.machines) +
+                   machine->life * simulation.layout.machines * simulation.layout.nodes);
 }
 
 /* NULL: it is gone, and another has its place. */
 struct machine *machine_named(const char *name)
 {
-    struct machine *machine = &w.machines[atoi(name + 5) % w.layout.machines];
+    struct machine *machine =
+        &simulation.machines[atoi(name + 5) % simulation.layout.machines];
     return strcmp(machine->name, name) ? NULL : machine;
 }
 
 bool machine_reached(int node, const struct machine *machine)
 {
-    bool island = w.now < machine->island_until && machine->island == node;
-    if (w.now < w.nodes[node].deaf_until || (w.now < w.nodes[node].zone_until && !island))
+    bool island = simulation.now < machine->island_until && machine->island == node;
+    if (simulation.now < simulation.nodes[node].deaf_until ||
+        (simulation.now < simulation.nodes[node].zone_until && !island))
         return false;
-    return !machine->dead && w.now >= machine->hang_until &&
-           (w.now >= machine->island_until || machine->island == node);
+    return !machine->dead && simulation.now >= machine->hang_until &&
+           (simulation.now >= machine->island_until || machine->island == node);
 }
 
 /* Whether anything from that node gets to the machine. */
 bool machine_told(int node, const struct machine *machine)
 {
-    return machine_reached(node, machine) && w.now >= machine->unheard_until &&
-           w.now >= machine->closed_until;
+    return machine_reached(node, machine) && simulation.now >= machine->unheard_until &&
+           simulation.now >= machine->closed_until;
 }
 
 /* Returns where the token stands. */
@@ -55,7 +57,8 @@
     for (int i = 0; i < machine->ntasks; i++) {
         const struct task *task = &machine->tasks[i];
         char name[64];
-        g_snprintf(name, sizeof name, "%s/%d", w.jobs[task->job].ref, task->index);
+        g_snprintf(name, sizeof name, "%s/%d", simulation.jobs[task->job].id,
+                   task->index);
         lmn_cbor_put_map(b, task->state == ENDED ? 4 : 3);
         lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, name);
         lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, task->attempt);
@@ -96,7 +99,7 @@
 {
     unsigned n = MIN(machine->nreports, OLD_REPORTS);
 
-    return n ? machine->reports[g_rand_int_range(w.r, 0, (gint32)n)] : NULL;
+    return n ? machine->reports[g_rand_int_range(simulation.random, 0, (gint32)n)] : NULL;
 }
 
 void machine_replace(struct machine *machine)
@@ -108,7 +111,7 @@
     machine->seq = machine->token = 0;
     machine->ntasks = 0;
     machine->in_flight = false;
-    machine->lease_from = machine->next_report = w.now;
+    machine->lease_from = machine->next_report = simulation.now;
     machine->up_at = 0;
 }
 
@@ -125,7 +128,7 @@
             lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_ATTEMPT), &attempt));
         char *slash = strrchr(name, '/');
         *slash = '\0';
-        int job = world_job(name), index = atoi(slash + 1), at = -1;
+        int job = simulation_job(name), index = atoi(slash + 1), at = -1;
         bool same_task = false;
         assert_true(job >= 0);
         for (int i = 0; i < machine->ntasks; i++) {
@@ -142,16 +145,17 @@
             if (at >= 0 || machine->ntasks == 64)
                 continue;
             struct task *task = &machine->tasks[machine->ntasks++];
-            *task =
-                (struct task){job,      index, attempt,
-                              FETCHING, false, w.now + g_rand_double_range(w.r, 0, 0.5)};
+            *task = (struct task){
+                job,     index,
+                attempt, FETCHING,
+                false,   simulation.now + g_rand_double_range(simulation.random, 0, 0.5)};
             if (same_task)
                 task->state = ENDED; /* busy */
         } else if (lmn_cbor_text_equals(lmn_cbor_get(document, node, WIRE_COMMAND),
                                         WIRE_KILL)) {
             bool ours = attempt >> 24 == machine->token;
             if (at >= 0 && machine->tasks[at].state != ENDED &&
-                (ours || w.broken != G_INHERITED))
+                (ours || simulation.broken_guard != GUARD_KILL_INHERITED))
                 machine->tasks[at].state = ENDED;
         } else if (at >= 0 && machine->tasks[at].state == ENDED) {
             machine->tasks[at] = machine->tasks[--machine->ntasks];
@@ -164,7 +168,7 @@
     struct lmn_cbor_document d;
     uint64_t token = 0;
 
-    digest_message("answer", w.clock);
+    digest_message("answer", simulation.clock);
     digest_text(machine->name);
     digest_number(message->session);
     digest_number(message->seq);
@@ -174,14 +178,16 @@
         message->session != machine->session)
         return;
     machine->in_flight = false;
-    machine->next_report = w.now + g_rand_double_range(w.r, 0.75, 1.25);
+    machine->next_report =
+        simulation.now + g_rand_double_range(simulation.random, 0.75, 1.25);
     if (lmn_cbor_parse(&d, message->body->data, message->body->len) != 0)
         return;
     lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN), &token);
     if (token >= machine->token && token) {
-        bool kills = w.broken != G_KILLS || token == machine->token;
+        bool kills =
+            simulation.broken_guard != GUARD_KILL_CANCELLED || token == machine->token;
         if (token > machine->token)
-            machine->next_report = w.now + 0.5;
+            machine->next_report = simulation.now + 0.5;
         machine->token = token;
         machine->lease_from = machine->answer_by - 4; /* when the report was sent */
         if (kills)
@@ -196,12 +202,12 @@
 {
     bool old_term = token < machine->token, old_session = session != machine->session;
 
-    w.old_terms += old_term;
-    w.old_sessions += !old_term && old_session;
-    if (w.broken == G_TOKEN)
+    simulation.old_terms += old_term;
+    simulation.old_sessions += !old_term && old_session;
+    if (simulation.broken_guard == GUARD_FENCING_TOKEN)
         return true;
-    return (!old_term || w.broken == G_OLD_TERM) &&
-           (!old_session || w.broken == G_SESSION);
+    return (!old_term || simulation.broken_guard == GUARD_OLD_EPOCH) &&
+           (!old_session || simulation.broken_guard == GUARD_INCARNATION);
 }
 
 int machine_direct(struct machine *machine, const GByteArray *body, GByteArray *report)
@@ -222,7 +228,7 @@
     lmn_cbor_free(&d);
     if (report)
         put_report(machine, report);
-    digest_message("command", w.clock);
+    digest_message("command", simulation.clock);
     digest_text(machine->name);
     digest_array(body);
     digest_number((uint64_t)status);
@@ -232,59 +238,64 @@
 
 void machine_step(struct machine *machine)
 {
-    if (machine->dead || w.now < machine->hang_until)
+    if (machine->dead || simulation.now < machine->hang_until)
         return;
-    if (w.now - machine->lease_from > w.lease_s) {
+    if (simulation.now - machine->lease_from > simulation.lease_s) {
         machine->session++;
         machine->ntasks = 0;
-        machine->lease_from = w.now;
+        machine->lease_from = simulation.now;
         machine->in_flight = false;
     }
     for (int i = 0; i < machine->ntasks; i++) {
         struct task *task = &machine->tasks[i];
-        if (task->state == ENDED || w.now < task->until)
+        if (task->state == ENDED || simulation.now < task->until)
             continue;
         if (task->state == FETCHING) {
             task->state = RUNNING;
             /* A replica runs until its job is withdrawn. */
-            task->until = w.now + (w.jobs[task->job].spec.kind == LMN_JOB_SERVICE
-                                       ? 1e9
-                                       : g_rand_double_range(w.r, 1, w.run_s));
-            world_started(machine, task);
+            task->until =
+                simulation.now +
+                (simulation.jobs[task->job].spec.kind == LMN_JOB_SERVICE
+                     ? 1e9
+                     : g_rand_double_range(simulation.random, 1, simulation.run_s));
+            simulation_started(machine, task);
         } else {
             task->state = ENDED;
             task->done = true;
-            w.jobs[task->job].done[task->index] = true;
-            machine->next_report = MIN(machine->next_report, w.now + 0.3);
+            simulation.jobs[task->job].done[task->index] = true;
+            machine->next_report = MIN(machine->next_report, simulation.now + 0.3);
         }
     }
-    if (machine->in_flight && w.now > machine->answer_by) {
+    if (machine->in_flight && simulation.now > machine->answer_by) {
         machine->in_flight = false;
-        machine->node = (machine->node + 1) % w.layout.nodes;
-        machine->next_report = w.now + 1;
+        machine->node = (machine->node + 1) % simulation.layout.nodes;
+        machine->next_report = simulation.now + 1;
     }
-    if (!machine->in_flight && w.now >= machine->next_report &&
-        w.now < machine->mute_until) {
-        machine->node = (machine->node + 1) % w.layout.nodes;
-        machine->next_report = w.now + 1;
+    if (!machine->in_flight && simulation.now >= machine->next_report &&
+        simulation.now < machine->mute_until) {
+        machine->node = (machine->node + 1) % simulation.layout.nodes;
+        machine->next_report = simulation.now + 1;
     }
-    if (!machine->in_flight && w.now >= machine->next_report) {
+    if (!machine->in_flight && simulation.now >= machine->next_report) {
         struct message *message = g_new0(struct message, 1);
         message->body = g_byte_array_new();
         message->token_at = put_report(machine, message->body);
-        message->machine = (int)(machine - w.machines);
+        message->machine = (int)(machine - simulation.machines);
         message->life = machine->life;
         message->node = machine->node;
         message->seq = machine->seq;
         message->session = machine->session;
         keep_report(machine, message);
         message->at =
-            w.now + (world_trouble(0.03) ? g_rand_double_range(w.r, 1, 30) : 0.02);
-        if (plan && plan->link_s > 0)
-            message->at = w.now + g_rand_double_range(w.r, 0.02, plan->link_s);
+            simulation.now + (simulation_trouble(0.03)
+                                  ? g_rand_double_range(simulation.random, 1, 30)
+                                  : 0.02);
+        if (schedule && schedule->link_s > 0)
+            message->at = simulation.now +
+                          g_rand_double_range(simulation.random, 0.02, schedule->link_s);
         machine->in_flight = true;
         machine->flight_seq = machine->seq;
-        machine->answer_by = w.now + 4;
-        g_ptr_array_add(w.mail, message);
+        machine->answer_by = simulation.now + 4;
+        g_ptr_array_add(simulation.messages, message);
     }
 }
--- a/tests/world/nodes.c
+++ b/tests/simulation/nodes.c
@@ -1,5 +1,5 @@
 /* Controllers: the product's own code, and what its threads would do. */
-#include "world.h"
+#include "simulation.h"
 
 #include "scheduler/job_order.h"
 #include "scheduler/consolidation.h"
@@ -26,68 +26,72 @@
 
 bool node_served(const struct node *node)
 {
-    return w.now >= node->cut_until;
+    return simulation.now >= node->cut_until;
 }
 
 bool node_up(const struct node *node)
 {
-    return w.now >= node->down_until;
+    return simulation.now >= node->down_until;
 }
 
 static void node_boot(struct node *node, int i)
 {
-    memset(&node->cfg, 0, sizeof node->cfg);
-    g_snprintf(node->cfg.node_name, sizeof node->cfg.node_name, "n%02d", i);
-    for (int k = 0; k < w.layout.nodes; k++)
+    memset(&node->settings, 0, sizeof node->settings);
+    g_snprintf(node->settings.node_name, sizeof node->settings.node_name, "n%02d", i);
+    for (int k = 0; k < simulation.layout.nodes; k++)
         if (k != i)
-            g_snprintf(node->cfg.members[node->cfg.member_count++].name, LMN_NAME_SIZE,
-                       "n%02d", k);
-    node->cfg.partition_count = w.layout.nodes;
-    node->cfg.heartbeat_s = 1;
-    node->cfg.lease_s = w.broken == G_LEASE ? 0.3 * w.lease_s : w.lease_s;
-    node->cfg.cancel_s = w.cancel_s;
-    node->cfg.state_requests_per_s = node->cfg.state_writes_per_s = 1e6;
-    if (plan && plan->writes)
-        node->cfg.state_writes_per_s = plan->writes / STEP_S;
-    node->cfg.max_value_kb = 16;
-    node->cfg.max_txn_operations = 12;
-    node->cfg.teams = node->teams;
-    node->cfg.team_count = (size_t)w.teams;
-    for (int k = 0; k < w.teams; k++) {
-        g_strlcpy(node->cfg.teams[k].name, world_team(k), LMN_NAME_SIZE);
-        node->cfg.teams[k].cpus_max =
-            w.broken == G_QUOTA ? 4 * w.layout.limit : w.layout.limit;
+            g_snprintf(node->settings.members[node->settings.member_count++].name,
+                       LMN_NAME_SIZE, "n%02d", k);
+    node->settings.partition_count = simulation.layout.nodes;
+    node->settings.heartbeat_s = 1;
+    node->settings.lease_s = simulation.broken_guard == GUARD_LEASE
+                                 ? 0.3 * simulation.lease_s
+                                 : simulation.lease_s;
+    node->settings.cancel_s = simulation.cancel_s;
+    node->settings.state_requests_per_s = node->settings.state_writes_per_s = 1e6;
+    if (schedule && schedule->writes)
+        node->settings.state_writes_per_s = schedule->writes / STEP_S;
+    node->settings.max_value_kb = 16;
+    node->settings.max_txn_operations = 12;
+    node->settings.teams = node->teams;
+    node->settings.team_count = (size_t)simulation.teams;
+    for (int k = 0; k < simulation.teams; k++) {
+        g_strlcpy(node->settings.teams[k].name, simulation_team(k), LMN_NAME_SIZE);
+        node->settings.teams[k].cpus_max = simulation.broken_guard == GUARD_QUOTA
+                                               ? 4 * simulation.layout.limit
+                                               : simulation.layout.limit;
     }
-    node->state = lmn_kv_client_new(&node->cfg);
-    node->core = lmn_core_new(&node->cfg, node->state, g_rand_int(w.r));
+    node->state = lmn_kv_client_new(&node->settings);
+    node->core =
+        lmn_core_new(&node->settings, node->state, g_rand_int(simulation.random));
     node->core->cloud.machine_types.n = 1;
     node->core->cloud.machine_types.v[0] = (struct lmn_machine_type){
         .name = "t", .cpus = 6, .memory_gb = 100, .zone_count = 2, .zones = {"a", "b"}};
     node->core->cloud.machine_types_known = true;
-    node->core->cache.operator_settings.standby = w.standbys;
+    node->core->cache.operator_settings.standby = simulation.standbys;
     node->waiting = g_ptr_array_new(); /* what waited went with the process */
     node->seen = 0;
     node->lease = 0;
     node->answer = 0;
-    node->lives++;
+    node->restarts++;
 }
 
 /* Whether an answer is there: to which events, and as of when it was asked. */
 static bool answered(struct node *node, size_t *upto, double *asked)
 {
-    *upto = w.log->len;
-    *asked = w.now;
-    if (w.now >= node->slow_until && !node->answer)
+    *upto = simulation.log->len;
+    *asked = simulation.now;
+    if (simulation.now >= node->slow_until && !node->answer)
         return true;
     if (!node->answer) {
-        node->asked = w.now;
-        node->asked_len = w.log->len;
-        node->answer = w.now + g_rand_double_range(w.r, 0.3, 2.7);
+        node->asked = simulation.now;
+        node->asked_len = simulation.log->len;
+        node->answer = simulation.now + g_rand_double_range(simulation.random, 0.3, 2.7);
     }
-    if (w.now < node->answer)
+    if (simulation.now < node->answer)
         return false;
     *upto = node->asked_len;
-    *asked = w.broken == G_SENT ? w.now : node->asked;
+    *asked = simulation.broken_guard == GUARD_VIEW_AGE ? simulation.now : node->asked;
     node->answer = 0;
     return true;
 }
@@ -115,30 +119,30 @@
         return;
     struct timespec fresh = lmn_time_add((struct timespec){0, 0}, asked);
     for (; node->seen < upto; node->seen++) {
-        const struct event *e = w.log->pdata[node->seen];
+        const struct event *e = simulation.log->pdata[node->seen];
         struct lmn_cbor_document d = {0};
         if (e->value)
             assert_int_equal(lmn_cbor_parse(&d, e->value->data, e->value->len), 0);
         lmn_watch_cache_apply(core, e->key, &d, e->value ? lmn_cbor_root(&d) : NULL,
-                              e->rev, w.clock);
+                              e->rev, simulation.clock);
         if (e->value)
             lmn_cbor_free(&d);
     }
     core->cache.fresh_at = fresh;
     lmn_members_record_watch(&core->members, fresh);
     if (!core->cache.is_synced)
-        core->cache.synced_at = w.clock;
+        core->cache.synced_at = simulation.clock;
     core->cache.is_synced = true;
-    if (w.broken == G_OWN_TERM)
+    if (simulation.broken_guard == GUARD_OWN_EPOCH)
         trust_own_copies(core);
-    lmn_watch_cache_begin_ownerships(core, w.clock);
+    lmn_watch_cache_begin_ownerships(core, simulation.clock);
 }
 
 struct lmn_member_health node_word(const struct node *node)
 {
     struct lmn_member_health word = node->core->members.health;
     word.cache_age_s = node->core->cache.is_synced
-                           ? lmn_time_diff_s(w.clock, node->core->cache.fresh_at)
+                           ? lmn_time_diff_s(simulation.clock, node->core->cache.fresh_at)
                            : 1e6;
     return word;
 }
@@ -148,48 +152,50 @@
 {
     enum lmn_txn_outcome r = LMN_TXN_UNKNOWN;
     uint64_t revision;
-    double luck = g_rand_double(w.r);
+    double luck = g_rand_double(simulation.random);
 
-    digest_transaction("sending", w.clock, txn);
-    digest_number((uint64_t)w.acting);
-    if (world_loses(txn, luck)) {
-        r = world_lose(node, txn);
+    digest_transaction("sending", simulation.clock, txn);
+    digest_number((uint64_t)simulation.acting);
+    if (simulation_loses(txn, luck)) {
+        r = simulation_lose(node, txn);
         lmn_txn_free(txn);
         return r;
     }
-    if (luck < (w.now < w.late_until ? 0.6 : 0.95))
-        r = world_commit(txn, &revision);
+    if (luck < (simulation.now < simulation.late_until ? 0.6 : 0.95))
+        r = simulation_commit(txn, &revision);
     if (luck > 0.9)
         r = LMN_TXN_UNKNOWN;
-    if (luck > 0.97 || (r == LMN_TXN_UNKNOWN && w.now < w.late_until))
-        world_late(txn);
+    if (luck > 0.97 || (r == LMN_TXN_UNKNOWN && simulation.now < simulation.late_until))
+        simulation_late(txn);
     lmn_txn_free(txn);
     return r;
 }
 
 static void node_lease(struct node *node)
 {
-    if (node->lease && !world_lease_alive(node->lease)) {
+    if (node->lease && !simulation_lease_alive(node->lease)) {
         node->lease = node->core->lease.id = 0;
-        for (int i = 0; i < w.layout.nodes; i++)
+        for (int i = 0; i < simulation.layout.nodes; i++)
             if (node->core->partitions[i].ownership.is_owned)
                 lmn_partition_lose(node->core, &node->core->partitions[i], "lease ended");
     }
     if (!node->lease) {
-        struct holder h = {++w.next_lease, w.now + 3};
-        g_array_append_val(w.leases, h);
+        struct holder h = {++simulation.next_lease, simulation.now + 3};
+        g_array_append_val(simulation.leases, h);
         node->lease = node->core->lease.id = h.id;
     }
-    for (guint i = 0; i < w.leases->len; i++)
-        if (g_array_index(w.leases, struct holder, i).id == node->lease)
-            g_array_index(w.leases, struct holder, i).until = w.now + 3;
+    for (guint i = 0; i < simulation.leases->len; i++)
+        if (g_array_index(simulation.leases, struct holder, i).id == node->lease)
+            g_array_index(simulation.leases, struct holder, i).until = simulation.now + 3;
 }
 
 static void node_announce(struct node *node)
 {
-    struct lmn_txn *txn = lmn_ownership_announce(node->core, node->lease, w.clock);
+    struct lmn_txn *txn =
+        lmn_ownership_announce(node->core, node->lease, simulation.clock);
 
-    if (txn && w.broken == G_ANNOUNCE && node->announced == node->lease) {
+    if (txn && simulation.broken_guard == GUARD_ANNOUNCE &&
+        node->announced == node->lease) {
         lmn_txn_free(txn);
         return;
     }
@@ -207,27 +213,27 @@
     struct lmn_txn *txn;
     int successor;
 
-    for (int i = 0; i < w.layout.nodes; i++) {
+    for (int i = 0; i < simulation.layout.nodes; i++) {
         txn = i == core->members.self
-                  ? lmn_ownership_refutation(core, node->lease, w.clock)
-                  : lmn_ownership_suspicion(core, i, node->lease, w.clock);
-        w.refutations += txn && i == core->members.self;
+                  ? lmn_ownership_refutation(core, node->lease, simulation.clock)
+                  : lmn_ownership_suspicion(core, i, node->lease, simulation.clock);
+        simulation.refutations += txn && i == core->members.self;
         if (txn)
             node_send(node, txn);
     }
-    for (int i = 0; i < w.layout.nodes; i++) {
+    for (int i = 0; i < simulation.layout.nodes; i++) {
         uint64_t before = core->members.counters.failures_declared;
-        if ((txn = lmn_ownership_claim(core, i, node->lease, w.clock))) {
+        if ((txn = lmn_ownership_claim(core, i, node->lease, simulation.clock))) {
             bool verdict = core->members.counters.failures_declared > before;
             bool took = node_send(node, txn) == LMN_TXN_COMMITTED;
-            w.takeovers += took;
-            w.verdicts += took && verdict;
+            simulation.takeovers += took;
+            simulation.failures_declared += took && verdict;
             node->judged[i] = verdict;
         }
-        if ((txn = lmn_ownership_transfer(core, i, &successor, w.clock))) {
+        if ((txn = lmn_ownership_transfer(core, i, &successor, simulation.clock))) {
             enum lmn_txn_outcome r = node_send(node, txn);
-            lmn_ownership_transferred(core, i, r, w.clock);
-            w.gives += r == LMN_TXN_COMMITTED;
+            lmn_ownership_transferred(core, i, r, simulation.clock);
+            simulation.transfers += r == LMN_TXN_COMMITTED;
         }
     }
 }
@@ -241,13 +247,13 @@
     if (!core->shutdown.is_requested)
         return false;
     bool bare = lmn_shutdown_owns_nothing(core);
-    if (!bare && !lmn_shutdown_is_complete(core, w.clock))
+    if (!bare && !lmn_shutdown_is_complete(core, simulation.clock))
         return false;
-    for (guint i = 0; bare && i < w.leases->len; i++)
-        if (g_array_index(w.leases, struct holder, i).id == node->lease)
-            g_array_index(w.leases, struct holder, i).until = w.now;
-    w.leaves += bare;
-    node_crash(node, g_rand_double_range(w.r, 0.2, 6));
+    for (guint i = 0; bare && i < simulation.leases->len; i++)
+        if (g_array_index(simulation.leases, struct holder, i).id == node->lease)
+            g_array_index(simulation.leases, struct holder, i).until = simulation.now;
+    simulation.leaves += bare;
+    node_crash(node, g_rand_double_range(simulation.random, 0.2, 6));
     return true;
 }
 
@@ -259,22 +265,23 @@
     lmn_latency_init(&times);
     unsigned queued = (unsigned)lmn_kv_client_statistics(node->state, &times);
     lmn_latency_clear(&times);
-    w.most_queued = MAX(w.most_queued, queued);
+    simulation.most_queued = MAX(simulation.most_queued, queued);
 }
 
 static void node_write(struct node *node)
 {
     struct lmn_txn *txn;
 
-    unsigned most = plan && plan->writes ? plan->writes : ~0u;
+    unsigned most = schedule && schedule->writes ? schedule->writes : ~0u;
 
-    if (plan && plan->writes)
+    if (schedule && schedule->writes)
         note_queue(node);
     for (; most && (txn = lmn_kv_client_dequeue(node->state)); most--) {
         uint64_t revision = 0;
-        w.transactions++;
-        w.changes += lmn_txn_operation_count(txn);
-        enum lmn_txn_outcome r = world_send(node, txn, g_rand_double(w.r), &revision);
+        simulation.transactions++;
+        simulation.changes += lmn_txn_operation_count(txn);
+        enum lmn_txn_outcome r =
+            simulation_send(node, txn, g_rand_double(simulation.random), &revision);
         lmn_txn_complete(txn, r, revision);
     }
 }
@@ -296,21 +303,22 @@
     GHashTableIter it;
     gpointer v;
 
-    for (int i = 0; i < w.layout.nodes; i++) {
+    for (int i = 0; i < simulation.layout.nodes; i++) {
         struct lmn_partition *partition = &node->core->partitions[i];
         if (!partition->ownership.is_owned)
             continue;
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *machine = v;
-            if (w.broken == G_ACCOUNT || (w.broken == G_JUDGED && node->judged[i]))
+            if (simulation.broken_guard == GUARD_ACCOUNTED ||
+                (simulation.broken_guard == GUARD_DECLARED_FAILED && node->judged[i]))
                 machine->lifecycle.is_inherited = false;
-            if (w.broken == G_ORDER)
+            if (simulation.broken_guard == GUARD_HEARTBEAT_ORDER)
                 machine->agent.incarnation = machine->agent.sequence =
                     machine->agent.heartbeat_sequence = 0;
-            if (w.broken == G_PLACE)
+            if (simulation.broken_guard == GUARD_PLACEMENT)
                 machine->is_spot = false;
-            if (w.broken == G_SPREAD)
+            if (simulation.broken_guard == GUARD_ANTI_AFFINITY)
                 for (GList *l = g_hash_table_get_values(node->core->cache.jobs); l;
                      l = l->next)
                     ((struct lmn_job *)l->data)->spec.spreads_over_zones =
@@ -318,17 +326,18 @@
             for (guint k = 0; k < machine->attempts->len; k++) {
                 struct lmn_attempt *attempt =
                     &g_array_index(machine->attempts, struct lmn_attempt, k);
-                if (w.broken == G_COUNTED && attempt->job &&
+                if (simulation.broken_guard == GUARD_QUOTA_UNTIL_GONE && attempt->job &&
                     !lmn_job_may_run(node->core, attempt->job))
                     lmn_attempt_uncount(machine, attempt);
-                if (w.broken == G_UNSURE)
+                if (simulation.broken_guard == GUARD_UNCERTAIN_PUSH)
                     attempt->push_is_uncertain = attempt->push_in_flight = false;
-                if (w.broken == G_DONE && attempt->state == LMN_ATTEMPT_RUNNING &&
-                    attempt->range && attempt->range->task_states)
-                    lmn_task_finished(attempt->range, attempt->index, w.clock);
+                if (simulation.broken_guard == GUARD_DONE &&
+                    attempt->state == LMN_ATTEMPT_RUNNING && attempt->range &&
+                    attempt->range->task_states)
+                    lmn_task_finished(attempt->range, attempt->index, simulation.clock);
             }
         }
-        if (w.broken == G_ONE_WRITE) {
+        if (simulation.broken_guard == GUARD_ONE_WRITE_PER_RANGE) {
             g_hash_table_iter_init(&it, partition->ranges);
             while (g_hash_table_iter_next(&it, NULL, &v))
                 ((struct lmn_range *)v)->is_writing = false;
@@ -336,10 +345,10 @@
             while (g_hash_table_iter_next(&it, NULL, &v))
                 ((struct lmn_job *)v)->closing_revision = 0;
         }
-        lmn_partition_check_ready(node->core, partition, w.clock);
+        lmn_partition_check_ready(node->core, partition, simulation.clock);
     }
-    if (w.broken == G_FENCE)
-        node->core->cache.fresh_at = w.clock;
+    if (simulation.broken_guard == GUARD_STALE_VIEW)
+        node->core->cache.fresh_at = simulation.clock;
 }
 
 /* A machine that no record names yet passes for recorded, but not where its record is
@@ -348,7 +357,9 @@
 {
     static const uint64_t pretended = G_MAXUINT64;
 
-    for (int i = 0; i < w.layout.nodes && w.broken == G_RECORDED; i++) {
+    for (int i = 0;
+         i < simulation.layout.nodes && simulation.broken_guard == GUARD_MACHINE_RECORDED;
+         i++) {
         const GPtrArray *list = node->core->partitions[i].machine_list;
         for (guint k = 0; k < list->len; k++) {
             struct lmn_machine *machine = list->pdata[k];
@@ -365,14 +376,14 @@
 {
     uint32_t got = 0;
 
-    for (int k = 0; k < w.layout.nodes && !got; k++) {
-        struct node *o = &w.nodes[k];
+    for (int k = 0; k < simulation.layout.nodes && !got; k++) {
+        struct node *o = &simulation.nodes[k];
         if (node_up(o) && o->core && o->core->partitions[victim].ownership.is_owned &&
             lmn_victim_load(o->core, &o->core->partitions[victim], request))
             got = lmn_victim_transfer(o->core, &o->core->partitions[victim], request,
-                                      w.clock);
+                                      simulation.clock);
     }
-    digest_message("theft", w.clock);
+    digest_message("theft", simulation.clock);
     digest_number((uint64_t)request->partition);
     digest_number((uint64_t)victim);
     digest_number(got);
@@ -382,22 +393,24 @@
 /* Steals between partitions, wherever their owners are. */
 static void node_steal(struct node *node)
 {
-    for (int i = 0; i < w.layout.nodes; i++) {
+    for (int i = 0; i < simulation.layout.nodes; i++) {
         struct lmn_steal_request t;
         uint32_t got = 0;
-        lmn_steal_request_init(&t, &node->cfg);
+        lmn_steal_request_init(&t, &node->settings);
         if (!lmn_steal_request_fill(node->core, &node->core->partitions[i], &t,
-                                    w.clock)) {
+                                    simulation.clock)) {
             lmn_steal_request_clear(&t);
             continue;
         }
         /* A sample of the others; while faults go on, one. */
-        int sample = w.calm ? (int)ceil(2 * sqrt(w.layout.nodes)) : 1;
+        int sample = simulation.calm ? (int)ceil(2 * sqrt(simulation.layout.nodes)) : 1;
         while (sample-- > 0 && !got)
-            got = steal_from(g_rand_int_range(w.r, 0, w.layout.nodes), &t);
-        lmn_steal_record_result(node->core, &node->core->partitions[i], got, w.clock);
+            got = steal_from(
+                g_rand_int_range(simulation.random, 0, simulation.layout.nodes), &t);
+        lmn_steal_record_result(node->core, &node->core->partitions[i], got,
+                                simulation.clock);
         lmn_steal_request_clear(&t);
-        w.steals += got;
+        simulation.steals += got;
     }
 }
 
@@ -405,9 +418,9 @@
                           const struct lmn_quota_request *want)
 {
     bool given = lmn_quota_request_handle(o->core, &o->core->partitions[victim], part,
-                                          want, w.clock);
+                                          want, simulation.clock);
 
-    digest_message("limit", w.clock);
+    digest_message("limit", simulation.clock);
     digest_number((uint64_t)victim);
     digest_number((uint64_t)part);
     digest_number((uint64_t)want->team);
@@ -427,16 +440,17 @@
     bool any = false, got = false;
 
     for (int team = 0;
-         team < w.teams && !lmn_time_before(w.clock, partition->quota.next_request_at);
+         team < simulation.teams &&
+         !lmn_time_before(simulation.clock, partition->quota.next_request_at);
          team++) {
         struct lmn_quota_request want;
         if (!lmn_quota_shortfall(node->core, partition, team, &want))
             continue;
         any = true;
-        int first = g_rand_int_range(w.r, 0, w.layout.nodes);
-        for (int i = 0; i < w.layout.nodes * w.layout.nodes; i++) {
-            struct node *o = &w.nodes[i % w.layout.nodes];
-            int victim = (first + i / w.layout.nodes) % w.layout.nodes;
+        int first = g_rand_int_range(simulation.random, 0, simulation.layout.nodes);
+        for (int i = 0; i < simulation.layout.nodes * simulation.layout.nodes; i++) {
+            struct node *o = &simulation.nodes[i % simulation.layout.nodes];
+            int victim = (first + i / simulation.layout.nodes) % simulation.layout.nodes;
             if (victim != part && node_talks(node, o) &&
                 o->core->partitions[victim].ownership.is_owned)
                 got |= ask_for_limit(o, victim, part, &want);
@@ -447,20 +461,22 @@
     partition->quota.request_interval_s =
         got ? 0.5 : CLAMP(partition->quota.request_interval_s * 2, 0.5, 8);
     partition->quota.next_request_at =
-        lmn_time_add(w.clock, partition->quota.request_interval_s);
+        lmn_time_add(simulation.clock, partition->quota.request_interval_s);
 }
 
 /* Parts of the team's limit go to and fro, whatever is under way; on days of several
  * teams, only as owners want them to. */
 static void node_quota(struct node *node)
 {
-    for (int i = 0; i < w.layout.nodes; i++) {
-        if (plan || w.calm)
+    for (int i = 0; i < simulation.layout.nodes; i++) {
+        if (schedule || simulation.calm)
             seek_limits(node, i);
-        if (w.teams == 1 && (plan || !w.calm) && world_chance(0.02))
-            lmn_quota_transfer_begin(node->core, &node->core->partitions[i], 0,
-                                     g_rand_int_range(w.r, 0, w.layout.nodes),
-                                     g_rand_double_range(w.r, 0, w.layout.limit), 0);
+        if (simulation.teams == 1 && (schedule || !simulation.calm) &&
+            simulation_chance(0.02))
+            lmn_quota_transfer_begin(
+                node->core, &node->core->partitions[i], 0,
+                g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
+                g_rand_double_range(simulation.random, 0, simulation.layout.limit), 0);
     }
 }
 
@@ -468,9 +484,9 @@
  */
 static void node_cloud(struct node *node)
 {
-    if (w.now < w.cloud_down_until)
+    if (simulation.now < simulation.cloud_down_until)
         return;
-    for (int i = 0; i < w.layout.nodes; i++) {
+    for (int i = 0; i < simulation.layout.nodes; i++) {
         struct lmn_partition *partition = &node->core->partitions[i];
         if (!partition->ownership.is_owned)
             continue;
@@ -485,9 +501,9 @@
                 x->dead = true;
                 x->ntasks = 0;
             }
-            digest_message("removal", w.clock);
+            digest_message("removal", simulation.clock);
             digest_text(machine->name);
-            lmn_machine_terminated(node->core, machine, w.clock);
+            lmn_machine_terminated(node->core, machine, simulation.clock);
         }
         g_list_free(all);
     }
@@ -495,59 +511,61 @@
 
 void node_crash(struct node *node, double down_s)
 {
-    w.preempted += (unsigned)node->core->counters.preempted;
-    w.warm += (unsigned)node->core->counters.warm_failovers;
+    simulation.preempted += (unsigned)node->core->counters.preempted;
+    simulation.warm += (unsigned)node->core->counters.warm_failovers;
     node->core = NULL; /* left behind: nothing of it is ever used again */
-    node->down_until = w.now + down_s;
+    node->down_until = simulation.now + down_s;
 }
 
 void node_step(struct node *node, int i)
 {
-    w.acting = i;
+    simulation.acting = i;
     if (!node_up(node))
         return;
     if (node->ends) {
         node->ends = false;
         if (node->core)
-            node_crash(node, g_rand_double_range(w.r, 0.2, 5));
+            node_crash(node, g_rand_double_range(simulation.random, 0.2, 5));
         return;
     }
     if (!node->core)
         node_boot(node, i);
-    if (w.now < node->still_until)
+    if (simulation.now < node->still_until)
         return;
     pass_for_recorded(node, false);
-    if (world_trouble(w.flapping ? 0.004 : 0.001))
-        node->still_until = w.now + g_rand_double_range(w.r, 0.5, 12);
-    if (world_trouble(w.flapping ? 0.004 : 0.0007))
-        node->deaf_until = w.now + g_rand_double_range(w.r, 5, 40);
-    if (world_trouble(w.flapping ? 0.004 : 0.0007))
-        node->mute_until = w.now + g_rand_double_range(w.r, 2, 20);
-    if (world_trouble(0.0012)) { /* a crash: memory is gone, its lease runs on */
-        node_crash(node, g_rand_double_range(w.r, 1, 6));
+    if (simulation_trouble(simulation.flapping ? 0.004 : 0.001))
+        node->still_until =
+            simulation.now + g_rand_double_range(simulation.random, 0.5, 12);
+    if (simulation_trouble(simulation.flapping ? 0.004 : 0.0007))
+        node->deaf_until = simulation.now + g_rand_double_range(simulation.random, 5, 40);
+    if (simulation_trouble(simulation.flapping ? 0.004 : 0.0007))
+        node->mute_until = simulation.now + g_rand_double_range(simulation.random, 2, 20);
+    if (simulation_trouble(0.0012)) { /* a crash: memory is gone, its lease runs on */
+        node_crash(node, g_rand_double_range(simulation.random, 1, 6));
         return;
     }
     /* A successor's return of a machine ends what the fence guards against: it is tried
      * on days of many long cuts in which the cloud can't be reached either. */
-    bool fence = w.broken == G_FENCE;
-    if (world_trouble(fence ? 0.004 : 0.001)) {
-        node->cut_until = w.now + g_rand_double_range(w.r, fence ? 20 : 1, 40);
+    bool fence = simulation.broken_guard == GUARD_STALE_VIEW;
+    if (simulation_trouble(fence ? 0.004 : 0.001)) {
+        node->cut_until =
+            simulation.now + g_rand_double_range(simulation.random, fence ? 20 : 1, 40);
         if (fence)
-            w.cloud_down_until = node->cut_until;
+            simulation.cloud_down_until = node->cut_until;
         /* Often with its workers: a zone by itself. */
-        for (int k = 0; k < w.layout.machines; k++)
-            if (w.machines[k].node == i && world_chance(0.7)) {
-                w.machines[k].island = i;
-                w.machines[k].island_until = node->cut_until;
+        for (int k = 0; k < simulation.layout.machines; k++)
+            if (simulation.machines[k].node == i && simulation_chance(0.7)) {
+                simulation.machines[k].island = i;
+                simulation.machines[k].island_until = node->cut_until;
             }
         /* Then the machines of other zones may be silent to it, and alive elsewhere. */
-        if (world_chance(0.5))
+        if (simulation_chance(0.5))
             node->zone_until = node->cut_until;
     }
     bool cut = !node_served(node);
     if (!cut) {
         node_lease(node);
-        if (world_chance(0.7))
+        if (simulation_chance(0.7))
             node_follow(node);
     }
     node_ask(node, i);
@@ -555,40 +573,44 @@
         node_announce(node);
     if (!cut && node->core->cache.is_synced)
         node_hold(node);
-    if (w.standbys && world_trouble(0.0015))
-        lmn_shutdown_begin(node->core, w.clock);
+    if (simulation.standbys && simulation_trouble(0.0015))
+        lmn_shutdown_begin(node->core, simulation.clock);
     if (!cut && node_leave(node))
         return;
-    if (w.broken)
+    if (simulation.broken_guard)
         break_guards(node);
     pass_for_recorded(node, true);
-    double wall = w.now;
+    double wall = simulation.now;
     lmn_update_job_order(node->core, wall);
-    if (w.broken == G_FLOORS)
+    if (simulation.broken_guard == GUARD_FAIR_SHARE)
         drop_floors(node->core);
     for (int i = 0;
          i < node->core->partition_count &&
          node->core->scheduling.last_triage_s == node->core->scheduling.wall_clock_s;
          i++)
-        lmn_update_reservations(node->core, &node->core->partitions[i], w.clock);
-    lmn_maintenance_run(node->core, w.clock);
-    for (int k = 0; k < w.layout.nodes && w.broken == G_UNHEARD; k++) {
+        lmn_update_reservations(node->core, &node->core->partitions[i], simulation.clock);
+    lmn_maintenance_run(node->core, simulation.clock);
+    for (int k = 0;
+         k < simulation.layout.nodes && simulation.broken_guard == GUARD_UNACCOUNTED;
+         k++) {
         node->core->partitions[k].ownership.unaccounted_cpus =
             node->core->partitions[k].ownership.unaccounted_gpus = 0;
         node->core->partitions[k].ownership.has_unaccounted_unknown = false;
     }
-    for (int k = 0; k < w.layout.nodes; k++) {
-        lmn_preempt_for_production(node->core, &node->core->partitions[k], w.clock);
-        lmn_consolidate_replicas(node->core, &node->core->partitions[k], w.clock);
+    for (int k = 0; k < simulation.layout.nodes; k++) {
+        lmn_preempt_for_production(node->core, &node->core->partitions[k],
+                                   simulation.clock);
+        lmn_consolidate_replicas(node->core, &node->core->partitions[k],
+                                 simulation.clock);
     }
     pass_for_recorded(node, false);
-    lmn_range_writer_flush(node->core, w.clock);
+    lmn_range_writer_flush(node->core, simulation.clock);
     pass_for_recorded(node, true);
     if (!cut)
         node_write(node);
     else
         for (struct lmn_txn *txn; (txn = lmn_kv_client_dequeue(node->state));) {
-            digest_transaction("refusal", w.clock, txn);
+            digest_transaction("refusal", simulation.clock, txn);
             lmn_txn_complete(txn, LMN_TXN_REJECTED, 0);
         }
     node_tell(node, i, cut);
--- a/tests/world/serving.c
+++ b/tests/simulation/request_handling.c
@@ -37,7 +37,7 @@
     GPtrArray *failed;
 };
 
-static struct asker askers[MOST_NODES];
+static struct asker askers[MAX_NODES];
 static GRand *random_numbers;
 
 static bool chance(double p)
@@ -48,7 +48,7 @@
 /* How long the state service's answer takes: mostly nothing that a step would show. */
 static double on_the_way(const struct node *node)
 {
-    if (w.now < node->slow_until)
+    if (simulation.now < node->slow_until)
         return g_rand_double_range(random_numbers, 0, 2);
     return chance(0.1) ? g_rand_double_range(random_numbers, 0, 0.4) : 0;
 }
@@ -81,9 +81,10 @@
     read->kind = kind;
     read->request = (struct lmn_http_request *)(void *)q;
     read->absent_status = absent_status;
-    read->received_at = w.clock;
+    read->received_at = simulation.clock;
     g_strlcpy(read->job_id, q->ref, sizeof read->job_id);
-    if (w.broken != G_SHARE || !join(&askers[q->node], read))
+    if (simulation.broken_guard != GUARD_SHARED_CONFIRMATION ||
+        !join(&askers[q->node], read))
         lmn_read_batch_add(&askers[q->node].asks, read);
 }
 
@@ -108,7 +109,8 @@
 {
     struct lmn_read_request *late;
 
-    k->n = lmn_read_batch_take(&k->asks, k->batch, BATCH, &k->cancel, &late, w.clock);
+    k->n = lmn_read_batch_take(&k->asks, k->batch, BATCH, &k->cancel, &late,
+                               simulation.clock);
     k->tries = 0;
     k->stage = k->cancel ? CANCEL_READS : CONFIRM_ASKS;
     answer_unavailable(late);
@@ -118,10 +120,10 @@
 {
     lmn_job_reading_clear(&k->reading);
     if (node_served(node) && !chance(0.02))
-        world_read_record(ref, &k->reading);
+        simulation_read_record(ref, &k->reading);
     else
         k->reading.status = LMN_HTTP_NO_RESPONSE;
-    k->at = w.now + on_the_way(node);
+    k->at = simulation.now + on_the_way(node);
 }
 
 static void cancel_answered(struct asker *k, const struct lmn_job_reply *reply)
@@ -137,10 +139,10 @@
     struct lmn_job_reply r;
     uint64_t revision = 0;
 
-    if (w.broken == G_FINAL && k->reading.status == 200) {
+    if (simulation.broken_guard == GUARD_FINAL && k->reading.status == 200) {
         /* Written whatever the record has become. */
         lmn_job_reading_clear(&k->reading);
-        world_read_record(ref, &k->reading);
+        simulation_read_record(ref, &k->reading);
         k->reading.phase = LMN_JOB_ACTIVE;
     }
     struct lmn_txn *txn =
@@ -149,14 +151,15 @@
         cancel_answered(k, &r);
         return;
     }
-    k->outcome = node_served(node)
-                     ? world_send(node, txn, g_rand_double(random_numbers), &revision)
-                     : LMN_TXN_REJECTED;
+    k->outcome =
+        node_served(node)
+            ? simulation_send(node, txn, g_rand_double(random_numbers), &revision)
+            : LMN_TXN_REJECTED;
     lmn_txn_free(txn);
     if (k->outcome == LMN_TXN_COMMITTED)
         lmn_tombstone_add(&node->core->cache.tombstones, ref);
     k->stage = CANCEL_ENDS;
-    k->at = w.now + on_the_way(node);
+    k->at = simulation.now + on_the_way(node);
 }
 
 static void cancel_ends(struct asker *k)
@@ -174,16 +177,16 @@
     for (guint i = 0; i < k->n; i++)
         lmn_job_view_take(node->core, k->batch[i]->job_id, &k->views[i]);
     struct lmn_txn *txn = lmn_confirmation_txn(k->views, k->n);
-    k->outcome = world_confirm(txn, k->failed);
+    k->outcome = simulation_confirm(txn, k->failed);
     lmn_txn_free(txn);
     if (!node_served(node))
         k->outcome = LMN_TXN_REJECTED;
-    else if (chance(w.now < w.lost_until ? 0.3 : 0.02))
+    else if (chance(simulation.now < simulation.lost_until ? 0.3 : 0.02))
         k->outcome = LMN_TXN_UNKNOWN;
-    if (w.broken == G_CONFIRM)
+    if (simulation.broken_guard == GUARD_CONFIRM)
         k->outcome = LMN_TXN_COMMITTED;
     k->stage = CONFIRM_ENDS;
-    k->at = w.now + on_the_way(node);
+    k->at = simulation.now + on_the_way(node);
 }
 
 static void confirm_ends(struct asker *k, const struct node *node)
@@ -293,20 +296,20 @@
 void serving_begin(GRand *r)
 {
     random_numbers = r;
-    for (int i = 0; i < MOST_NODES; i++)
+    for (int i = 0; i < MAX_NODES; i++)
         reset(&askers[i], NULL);
 }
 
 void serving_step(void)
 {
-    for (int i = 0; i < w.layout.nodes; i++) {
-        struct node *node = &w.nodes[i];
+    for (int i = 0; i < simulation.layout.nodes; i++) {
+        struct node *node = &simulation.nodes[i];
         struct asker *k = &askers[i];
         if (!node_up(node) || !node->core || node->core != k->life)
             reset(k, node->core);
-        if (!node_up(node) || !node->core || w.now < node->still_until)
+        if (!node_up(node) || !node->core || simulation.now < node->still_until)
             continue;
-        while (k->at <= w.now && (k->stage != IDLE || k->asks.order.length))
+        while (k->at <= simulation.now && (k->stage != IDLE || k->asks.order.length))
             go_on(k, node);
     }
 }
@@ -320,7 +323,7 @@
     (void)txn;
     (void)revision;
 
-    if (w.broken == G_OUTCOME && outcome == LMN_TXN_UNKNOWN)
+    if (simulation.broken_guard == GUARD_UNKNOWN_OUTCOME && outcome == LMN_TXN_UNKNOWN)
         outcome = LMN_TXN_COMMITTED;
     struct lmn_request_decision d = lmn_decide_submitted(outcome);
     if (d.step != LMN_STEP_REPLY) {
@@ -334,7 +337,7 @@
 static GByteArray *body_of(const struct request *q)
 {
     GByteArray *b = g_byte_array_new();
-    struct lmn_job_spec s = q->job ? q->job->spec : w.jobs[0].spec;
+    struct lmn_job_spec s = q->job ? q->job->spec : simulation.jobs[0].spec;
 
     g_strlcpy(s.id, q->ref, sizeof s.id);
     if (q->form == FITS_NOWHERE)
@@ -349,20 +352,21 @@
 static struct lmn_request_decision decide(struct request *q, struct node *node)
 {
     if (q->kind == STATUS)
-        return lmn_decide_status(node->core, q->ref, w.clock);
+        return lmn_decide_status(node->core, q->ref, simulation.clock);
     if (q->kind == CANCELLATION)
         return lmn_decide_cancel(node->core, q->ref);
     GByteArray *body = body_of(q);
-    lmn_submission_parse(&q->submission, &node->cfg, body->data, body->len);
+    lmn_submission_parse(&q->submission, &node->settings, body->data, body->len);
     g_byte_array_unref(body);
-    return lmn_decide_submission(node->core, &q->submission, w.clock);
+    return lmn_decide_submission(node->core, &q->submission, simulation.clock);
 }
 
 static void carry_out(struct request *q, struct node *node)
 {
     struct lmn_request_decision d = decide(q, node);
 
-    if (w.broken == G_REPEAT && q->form != SOUND && d.step == LMN_STEP_CONFIRM)
+    if (simulation.broken_guard == GUARD_DUPLICATE_REQUEST && q->form != SOUND &&
+        d.step == LMN_STEP_CONFIRM)
         d = (struct lmn_request_decision){.step = LMN_STEP_REPLY,
                                           .reply.status = d.absent_status};
     switch (d.step) {
@@ -377,27 +381,27 @@
         enqueue(LMN_READ_CANCEL, q, d.absent_status);
         break;
     case LMN_STEP_COMMIT:
-        lmn_kv_client_submit(
-            node->state,
-            lmn_submission_txn(node->core, &q->submission.spec, w.now, submitted, q));
+        lmn_kv_client_submit(node->state,
+                             lmn_submission_txn(node->core, &q->submission.spec,
+                                                simulation.now, submitted, q));
     }
 }
 
 void serving_arrive(struct request *q)
 {
-    struct node *node = &w.nodes[q->node];
+    struct node *node = &simulation.nodes[q->node];
 
     if (!node_up(node) || !node->core || (q->arrived && q->life != node->core)) {
         request_over(q); /* nobody answers */
         return;
     }
-    if (w.now < node->still_until)
+    if (simulation.now < node->still_until)
         return;
     if (!q->arrived) {
         q->arrived = true;
         q->life = node->core;
         carry_out(q, node);
-    } else if (!q->answered && w.now - q->sent > PATIENCE_S) {
+    } else if (!q->answered && simulation.now - q->sent > PATIENCE_S) {
         const struct lmn_job_reply r = lmn_job_reply_unavailable();
         request_reply(q, &r);
     }
--- a/tests/world/requests.h
+++ b/tests/simulation/requests.h
@@ -3,7 +3,7 @@
 #define LMN_TESTS_REQUESTS_H
 
 #include "controller/request_decisions.h"
-#include "world.h"
+#include "simulation.h"
 
 enum request_kind { STATUS, SUBMISSION, CANCELLATION };
 
@@ -27,10 +27,10 @@
 };
 
 /* The job's record; NULL: there is none. */
-const struct item *world_record(const char *ref);
-void world_read_record(const char *ref, struct lmn_job_reading *reading);
+const struct item *simulation_record(const char *ref);
+void simulation_read_record(const char *ref, struct lmn_job_reading *reading);
 
-/* --- serving.c: what the controllers do with them --- */
+/* --- request_handling.c: what the controllers do with them --- */
 
 /* Forgets what an earlier day has left; random numbers are of r. */
 void serving_begin(GRand *r);
--- a/tests/world/scenario.c
+++ b/tests/simulation/scenario.c
@@ -21,7 +21,7 @@
 /* Seconds since the day began. */
 double scenario_time(void)
 {
-    return w.now - 1000;
+    return simulation.now - 1000;
 }
 
 /* This step is the one. */
@@ -38,16 +38,16 @@
 /* About every so many seconds, as long as there is to be trouble. */
 bool scenario_every(double s)
 {
-    return scenario_time() > 30 && scenario_time() < w.layout.steps * STEP_S &&
-           world_chance(STEP_S / s);
+    return scenario_time() > 30 && scenario_time() < simulation.layout.steps * STEP_S &&
+           simulation_chance(STEP_S / s);
 }
 
 double scenario_drawn(double from, double to)
 {
-    return g_rand_double_range(w.r, from, to);
+    return g_rand_double_range(simulation.random, from, to);
 }
 
-void scenario_usual_draw(struct plan *p, GRand *r)
+void scenario_usual_draw(struct schedule *p, GRand *r)
 {
     p->lease_s = g_rand_double_range(r, 5, 12);
     p->cancel_s = p->lease_s + g_rand_double_range(r, 5, 24);
@@ -67,20 +67,21 @@
 
 static double since_faults(void)
 {
-    return w.now - MAX(world_trouble_until(), 1000 + w.layout.steps * STEP_S);
+    return simulation.now -
+           MAX(simulation_trouble_until(), 1000 + simulation.layout.steps * STEP_S);
 }
 
 bool scenario_is_over(void)
 {
-    return scenario_time() >= w.layout.steps * STEP_S;
+    return scenario_time() >= simulation.layout.steps * STEP_S;
 }
 
 /* The users of services cancel them once no fault begins any more; so every job is
  * answered in the end. */
 static bool all_answered(void)
 {
-    for (int i = 0; i < w.njobs; i++) {
-        const struct job *job = &w.jobs[i];
+    for (int i = 0; i < simulation.njobs; i++) {
+        const struct job *job = &simulation.jobs[i];
         if (!job->submitted || (job->cancelled_at < 0 && !job->told_done))
             return false;
     }
@@ -91,29 +92,31 @@
  */
 static void step(void)
 {
-    for (int i = 0; i < w.njobs; i++) {
-        struct job *job = &w.jobs[i];
+    for (int i = 0; i < simulation.njobs; i++) {
+        struct job *job = &simulation.jobs[i];
         if (!job->submitted && !job->offered)
             job->spec.tasks = MIN(job->spec.tasks, 6);
         else if (scenario_is_over() && job->spec.kind == LMN_JOB_SERVICE &&
                  job->cancelled_at < 0)
-            world_cancel(job);
+            simulation_cancel(job);
     }
     if (scenario_is_over()) {
-        w.run_s = 3;
-        if (well < 0 && w.now > world_trouble_until() && world_is_well())
+        simulation.run_s = 3;
+        if (well < 0 && simulation.now > simulation_trouble_until() &&
+            simulation_is_well())
             well = since_faults();
         if (answered < 0 && all_answered())
             answered = MAX(since_faults(), 0);
         /* The day goes on until every job is answered. */
         if (answered < 0 && scenario_time() < LONGEST_DAY_S &&
-            scenario_time() > (w.layout.steps + w.layout.calm - 2) * STEP_S)
-            w.layout.calm++;
+            scenario_time() >
+                (simulation.layout.steps + simulation.layout.calm - 2) * STEP_S)
+            simulation.layout.calm++;
     }
     played->step();
     /* Without its guard, a day is over as soon as it has failed. */
-    if (w.broken && played->rule == NOT_SERVED && *w.unserved)
-        w.layout.steps = w.layout.calm = 0;
+    if (simulation.broken_guard && played->rule == NOT_SERVED && *simulation.unserved)
+        simulation.layout.steps = simulation.layout.calm = 0;
 }
 
 /* How many jobs have not run that should have, and one of them. */
@@ -121,8 +124,8 @@
 {
     unsigned n = 0;
 
-    for (int i = 0; i < w.njobs; i++) {
-        const struct job *job = &w.jobs[i];
+    for (int i = 0; i < simulation.njobs; i++) {
+        const struct job *job = &simulation.jobs[i];
         if ((!job->submitted && !job->offered) || job->cancelled_at >= 0 ||
             job->told_done)
             continue;
@@ -134,12 +137,12 @@
 
 static bool play(const struct scenario *m, uint32_t seed, enum guard g)
 {
-    struct plan p = {.step = step};
+    struct schedule p = {.step = step};
     GRand *r = g_rand_new_with_seed(seed);
 
     m->draw(&p, r);
     g_rand_free(r);
-    plan = &p;
+    schedule = &p;
     played = m;
     well = answered = -1;
     if (m->begin)
@@ -148,15 +151,16 @@
     char *name = g_strconcat(m->name, g ? "_without_guard" : "", NULL);
     digest_begin(program_invocation_short_name, name, seed);
     g_free(name);
-    world_play(m->layout ? m->layout : &day, seed, g);
+    simulation_play(m->layout ? m->layout : &day, seed, g);
     digest_end();
     standbys = false;
-    plan = NULL;
+    schedule = NULL;
     bool broke = false;
     for (int i = 0; i < RULES; i++)
-        broke = broke || (w.broke[i] && (m->rule == i || m->rule == ANY_RULE));
-    return broke || (m->rule == NOT_RECOVERED && !world_is_well()) ||
-           (m->rule == NOT_SERVED && *w.unserved);
+        broke = broke ||
+                (simulation.broken_rules[i] && (m->rule == i || m->rule == ANY_RULE));
+    return broke || (m->rule == NOT_RECOVERED && !simulation_is_well()) ||
+           (m->rule == NOT_SERVED && *simulation.unserved);
 }
 
 static void holds(void **state)
@@ -168,40 +172,40 @@
     unsigned answers = 0, back = 0, overtaken = 0, none = 0;
 
     for (uint32_t seed = 1; seed <= factor * m->days; seed++) {
-        play(m, seed, G_NONE);
+        play(m, seed, GUARD_NONE);
         for (int i = 0; i < RULES; i++)
-            if (w.broke[i])
+            if (simulation.broken_rules[i])
                 fail_msg("%s, seed %u: %s broken %u times", m->name, seed, rule_names[i],
-                         w.broke[i]);
-        if (!world_is_well())
+                         simulation.broken_rules[i]);
+        if (!simulation_is_well())
             fail_msg("%s, seed %u: not all is well at the end", m->name, seed);
         const struct job *one;
         unsigned n = unfinished(&one);
         if (n) {
-            world_explain(one);
+            simulation_explain(one);
             fail_msg("%s, seed %u: %u jobs have not run, as %s", m->name, seed, n,
-                     one->ref);
+                     one->id);
         }
-        if (w.layout.calm > layout->calm)
+        if (simulation.layout.calm > layout->calm)
             fail_msg("%s, seed %u: the last job was answered %.0f s late", m->name, seed,
-                     (w.layout.calm - layout->calm) * STEP_S);
-        if (*w.unserved)
-            fail_msg("%s, seed %u: %s", m->name, seed, w.unserved);
+                     (simulation.layout.calm - layout->calm) * STEP_S);
+        if (*simulation.unserved)
+            fail_msg("%s, seed %u: %s", m->name, seed, simulation.unserved);
         if (well < 0 || well > LONGEST_S)
             fail_msg("%s, seed %u: all was well %.1f s after the last trouble", m->name,
                      seed, well);
         longest = MAX(longest, well);
         last = MAX(last, answered);
-        beside = MAX(beside, w.longest_beside);
-        margin = MIN(margin, w.least_margin);
-        cancelled += w.cancelled;
-        late += w.lates;
-        copies += w.copies;
-        takeovers += w.takeovers;
-        answers += w.answers;
-        back += w.answers_back;
-        overtaken += w.answers_overtaken;
-        none += w.answers_none;
+        beside = MAX(beside, simulation.longest_beside);
+        margin = MIN(margin, simulation.least_margin);
+        cancelled += simulation.cancelled;
+        late += simulation.lates;
+        copies += simulation.copies;
+        takeovers += simulation.takeovers;
+        answers += simulation.answers;
+        back += simulation.answers_back;
+        overtaken += simulation.answers_overtaken;
+        none += simulation.answers_none;
     }
     print_message("%s: %u days, %u takeovers, %u late writes, %u late copies; %u "
                   "cancelled, least margin of cancel_s %.1f s; all well after %.1f s, "
@@ -224,8 +228,8 @@
         if (play(m, seed, m->guard)) {
             print_message("%s: broken without its guard by seed %u:", m->name, seed);
             for (int i = 0; i < RULES; i++)
-                if (w.broke[i])
-                    print_message(" %s %u", rule_names[i], w.broke[i]);
+                if (simulation.broken_rules[i])
+                    print_message(" %s %u", rule_names[i], simulation.broken_rules[i]);
             print_message("\n");
             return;
         }
--- a/tests/world/scenario.h
+++ b/tests/simulation/scenario.h
@@ -4,17 +4,17 @@
 #ifndef LMN_TESTS_SCENARIO_H
 #define LMN_TESTS_SCENARIO_H
 
-#include "world.h"
+#include "simulation.h"
 
 /* What a scenario breaks without its guard besides a single rule: any of them, or that
  * the service recovers by the end of the day, or that everything is served in time
- * (world/served.c). */
+ * (simulation/service_checks.c). */
 enum { ANY_RULE = RULES, NOT_RECOVERED, NOT_SERVED };
 
 struct scenario {
     const char *name;
     void (*step)(void);
-    void (*draw)(struct plan *p, GRand *r);
+    void (*draw)(struct schedule *p, GRand *r);
     enum guard guard; /* without it */
     int rule;         /* this breaks: a rule, ANY_RULE NOT_RECOVERED or NOT_SERVED */
     bool standbys;    /* on each day; else on every second */
@@ -34,7 +34,7 @@
 /* A random number of the day. */
 double scenario_drawn(double from, double to);
 /* Usual leases, limits of cancellations and run times. */
-void scenario_usual_draw(struct plan *p, GRand *r);
+void scenario_usual_draw(struct schedule *p, GRand *r);
 /* Whether no fault begins any more. */
 bool scenario_is_over(void);
 
--- a/tests/world/served.c
+++ b/tests/simulation/service_checks.c
@@ -1,5 +1,5 @@
 /* Whether everything is served: what no rule forbids, and yet fails a day. */
-#include "world.h"
+#include "simulation.h"
 
 #include "scheduler/wait_reason.h"
 
@@ -9,29 +9,29 @@
 static const double BESIDE_S = 90;
 static const double MACHINE_CPUS = 6;
 
-void world_unserved(const char *format, ...)
+void simulation_unserved(const char *format, ...)
 {
     va_list v;
 
-    if (*w.unserved)
+    if (*simulation.unserved)
         return;
     va_start(v, format);
-    g_vsnprintf(w.unserved, sizeof w.unserved, format, v);
+    g_vsnprintf(simulation.unserved, sizeof simulation.unserved, format, v);
     va_end(v);
 }
 
 /* What is on the machines now, as they know it themselves. */
 struct load {
-    double team[MOST_TEAMS], machine[MOST_MACHINES];
-    uint64_t placed[MOST_JOBS]; /* by job, the tasks that are somewhere */
-    int zones[MOST_JOBS][8];    /* how many of them, by zone */
+    double team[MAX_TEAMS], machine[MAX_MACHINES];
+    uint64_t placed[MAX_JOBS]; /* by job, the tasks that are somewhere */
+    int zones[MAX_JOBS][8];    /* how many of them, by zone */
 };
 
 static int team_of(const struct job *job)
 {
     int k = 0;
 
-    while (strcmp(world_team(k), job->spec.team))
+    while (strcmp(simulation_team(k), job->spec.team))
         k++;
     return k;
 }
@@ -39,12 +39,12 @@
 static void count(struct load *l)
 {
     memset(l, 0, sizeof *l);
-    for (int i = 0; i < w.layout.machines; i++) {
-        const struct machine *machine = &w.machines[i];
+    for (int i = 0; i < simulation.layout.machines; i++) {
+        const struct machine *machine = &simulation.machines[i];
         for (int k = 0; k < machine->ntasks; k++) {
             const struct task *task = &machine->tasks[k];
-            const struct job *job = &w.jobs[task->job];
-            if (!world_active(machine, task))
+            const struct job *job = &simulation.jobs[task->job];
+            if (!simulation_active(machine, task))
                 continue;
             l->team[team_of(job)] += job->spec.cpus;
             l->machine[i] += job->spec.cpus;
@@ -54,7 +54,7 @@
     }
 }
 
-double world_team_use(int team)
+double simulation_team_use(int team)
 {
     static struct load l;
 
@@ -64,7 +64,7 @@
 
 static bool waits(const struct load *l, int job)
 {
-    const struct job *j = &w.jobs[job];
+    const struct job *j = &simulation.jobs[job];
     uint64_t here = l->placed[job];
 
     if (!j->submitted || j->cancelled_at >= 0 || j->told_done)
@@ -78,7 +78,7 @@
 /* Whether the zones of the job's other tasks allow one more there. */
 static bool zone_allows(const struct load *l, int job, const struct machine *machine)
 {
-    const struct job *j = &w.jobs[job];
+    const struct job *j = &simulation.jobs[job];
     int here = l->zones[job][machine->zone[0] - 'a'], all = 0;
 
     for (int z = 0; z < 8; z++)
@@ -90,13 +90,13 @@
 
 static bool has_room(const struct load *l, int job, int machine)
 {
-    const struct job *j = &w.jobs[job];
-    const struct machine *m = &w.machines[machine];
+    const struct job *j = &simulation.jobs[job];
+    const struct machine *m = &simulation.machines[machine];
 
     return !m->dead && (j->spec.may_use_spot || !m->spot) &&
            (!j->spec.zone || !strcmp(j->spec.zone, m->zone)) &&
            l->machine[machine] + j->spec.cpus <= MACHINE_CPUS + 1e-6 &&
-           l->team[team_of(j)] + j->spec.cpus <= w.layout.limit + 1e-6 &&
+           l->team[team_of(j)] + j->spec.cpus <= simulation.layout.limit + 1e-6 &&
            zone_allows(l, job, m);
 }
 
@@ -106,10 +106,10 @@
 {
     enum lmn_wait_reason said = LMN_WAIT_OTHER_PARTITION;
 
-    for (int i = 0; i < w.layout.nodes; i++) {
-        const struct lmn_core *core = w.nodes[i].core;
+    for (int i = 0; i < simulation.layout.nodes; i++) {
+        const struct lmn_core *core = simulation.nodes[i].core;
         const struct lmn_job *job =
-            core ? g_hash_table_lookup(core->cache.jobs, j->ref) : NULL;
+            core ? g_hash_table_lookup(core->cache.jobs, j->id) : NULL;
         for (int k = 0; job && k < core->partition_count; k++) {
             const struct lmn_partition *partition = &core->partitions[k];
             const struct lmn_machine *machine =
@@ -119,24 +119,24 @@
             for (guint n = 0; machine && n < job->ranges->len; n++) {
                 const struct lmn_range *range = job->ranges->pdata[n];
                 if (range->partition == partition && range->task_states)
-                    said = lmn_wait_reason(core, machine, range, w.clock);
+                    said = lmn_wait_reason(core, machine, range, simulation.clock);
             }
         }
     }
     return lmn_wait_reason_name(said);
 }
 
-void world_explain(const struct job *j)
+void simulation_explain(const struct job *j)
 {
     static struct load l;
-    int job = (int)(j - w.jobs);
+    int job = (int)(j - simulation.jobs);
 
     count(&l);
-    for (int k = 0; k < w.layout.machines; k++)
-        print_message("  %s in %s, %.0f in use%s: %s\n", w.machines[k].name,
-                      w.machines[k].zone, l.machine[k],
+    for (int k = 0; k < simulation.layout.machines; k++)
+        print_message("  %s in %s, %.0f in use%s: %s\n", simulation.machines[k].name,
+                      simulation.machines[k].zone, l.machine[k],
                       has_room(&l, job, k) ? ", has room" : "",
-                      reason(j, &w.machines[k]));
+                      reason(j, &simulation.machines[k]));
 }
 
 static void note(struct job *job, int machine, bool beside)
@@ -148,27 +148,28 @@
         return;
     }
     if (!*since)
-        *since = w.now;
-    w.longest_beside = MAX(w.longest_beside, w.now - *since);
-    if (w.now - *since >= BESIDE_S)
-        world_unserved("%s has waited for %.0f s beside %s: %s", job->ref, w.now - *since,
-                       w.machines[machine].name, reason(job, &w.machines[machine]));
+        *since = simulation.now;
+    simulation.longest_beside = MAX(simulation.longest_beside, simulation.now - *since);
+    if (simulation.now - *since >= BESIDE_S)
+        simulation_unserved("%s has waited for %.0f s beside %s: %s", job->id,
+                            simulation.now - *since, simulation.machines[machine].name,
+                            reason(job, &simulation.machines[machine]));
 }
 
-void world_check_served(void)
+void simulation_check_served(void)
 {
     static struct load l;
 
-    if (!w.calm || w.now < world_trouble_until()) {
-        w.quiet_from = w.now;
+    if (!simulation.calm || simulation.now < simulation_trouble_until()) {
+        simulation.quiet_from = simulation.now;
         return;
     }
     count(&l);
-    for (int i = 0; i < w.njobs; i++) {
-        struct job *job = &w.jobs[i];
+    for (int i = 0; i < simulation.njobs; i++) {
+        struct job *job = &simulation.jobs[i];
         bool any = waits(&l, i);
-        for (int k = 0; k < w.layout.machines; k++) {
-            if (job->beside[k] && job->beside[k] < w.quiet_from)
+        for (int k = 0; k < simulation.layout.machines; k++) {
+            if (job->beside[k] && job->beside[k] < simulation.quiet_from)
                 job->beside[k] = 0;
             note(job, k, any && has_room(&l, i, k));
         }
--- a/tests/world/world.h
+++ b/tests/simulation/simulation.h
@@ -4,8 +4,8 @@
  * crash, are cut off and come back; machines hang and die. After every step the
  * protocol's rules are checked. Same seed, same history. What is played in it are the
  * days of the tests beside this folder. */
-#ifndef LMN_TESTS_WORLD_H
-#define LMN_TESTS_WORLD_H
+#ifndef LMN_TESTS_SIMULATION_H
+#define LMN_TESTS_SIMULATION_H
 
 #include "protocol/cbor.h"
 #include "digest/messages.h"
@@ -22,44 +22,53 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-enum { MOST_NODES = 33, MOST_MACHINES = 66, JOBS = 40, MOST_JOBS = 400, TASKS = 24 };
-enum { MOST_TEAMS = 3 };
+enum { MAX_NODES = 33, MAX_MACHINES = 66, JOBS = 40, MAX_JOBS = 400, TASKS = 24 };
+enum { MAX_TEAMS = 3 };
 static const double STEP_S = 0.1;
 
 enum guard {
-    G_NONE,
-    G_ACCOUNT,  /* inherited tasks wait until all machines are accounted for */
-    G_UNSURE,   /* unanswered direct starts are not given up */
-    G_QUOTA,    /* limits are shared out among the partitions */
-    G_PLACE,    /* only machines that the job allows */
-    G_FENCE,    /* a node with an old view stops answering workers */
-    G_DONE,     /* done only what a worker has reported done */
-    G_FINAL,    /* final states are written conditionally */
-    G_SPREAD,   /* tasks of a job that is spread look at each other's zones */
-    G_JUDGED,   /* inherited tasks wait although their owner was judged */
-    G_ORDER,    /* a report is dropped if a newer one of its worker was heard */
-    G_TOLD,     /* starts wait until the standby has acknowledged them */
-    G_ANNOUNCE, /* a node sees to it that its record stands */
-    G_SENT,     /* a view is as old as its question, not its answer */
-    G_LATE,     /* what is carried out late is conditional like all else */
-    G_KILLS,    /* the first answer of a new term ends what is withdrawn */
-    G_CONFIRM,  /* what is not final is confirmed before it is told */
-    G_OUTCOME,  /* a submission with an unknown outcome is not told as accepted */
-    G_LOST,     /* a transaction whose answer was lost is not told as a conflict */
-    G_SHARE,    /* who asks later than a confirmation was asked for waits for the next */
-    G_REPEAT,   /* a refusal is confirmed: the id may have been accepted before */
-    G_OWN_TERM, /* an owner's own state counts only if nobody owned it since */
-    G_REPORTED, /* a report from before an owner's term settles nothing */
-    G_OLD_TERM, /* a worker refuses direct commands of an older term */
-    G_SESSION,  /* and those that name an earlier session of it */
-    G_RECORDED, /* a machine's record stands before the first start there */
-    G_LEASE,    /* a silent machine's tasks are believed until its lease has ended */
-    G_COUNTED,  /* what is withdrawn uses its team's limit until it is proven gone */
-    G_UNHEARD,  /* so does whatever may run on a machine that is not accounted for */
-    G_TOKEN,    /* a worker refuses commands of older terms and of its earlier sessions */
-    G_FLOORS,   /* classes and teams that are owed room, and aged jobs, go first */
-    G_INHERITED, /* an owner ends what is withdrawn of its predecessors' tasks too */
-    G_ONE_WRITE, /* a range has one write under way at most */
+    GUARD_NONE,
+    GUARD_ACCOUNTED,       /* inherited tasks wait until all machines are accounted for */
+    GUARD_UNCERTAIN_PUSH,  /* unanswered direct starts are not given up */
+    GUARD_QUOTA,           /* limits are shared out among the partitions */
+    GUARD_PLACEMENT,       /* only machines that the job allows */
+    GUARD_STALE_VIEW,      /* a node with an old view stops answering workers */
+    GUARD_DONE,            /* done only what a worker has reported done */
+    GUARD_FINAL,           /* final states are written conditionally */
+    GUARD_ANTI_AFFINITY,   /* tasks of a job that is spread look at each other's zones */
+    GUARD_DECLARED_FAILED, /* inherited tasks wait although their owner was judged */
+    GUARD_HEARTBEAT_ORDER, /* a report is dropped if a newer one of its worker was heard
+                            */
+    GUARD_REPLICATED,      /* starts wait until the standby has acknowledged them */
+    GUARD_ANNOUNCE,        /* a node sees to it that its record stands */
+    GUARD_VIEW_AGE,        /* a view is as old as its question, not its answer */
+    GUARD_LATE_WRITE,      /* what is carried out late is conditional like all else */
+    GUARD_KILL_CANCELLED,  /* the first answer of a new term ends what is withdrawn */
+    GUARD_CONFIRM,         /* what is not final is confirmed before it is told */
+    GUARD_UNKNOWN_OUTCOME, /* a submission with an unknown outcome is not told as accepted
+                            */
+    GUARD_LOST_RESPONSE, /* a transaction whose answer was lost is not told as a conflict
+                          */
+    GUARD_SHARED_CONFIRMATION, /* who asks later than a confirmation was asked for waits
+                                  for the next */
+    GUARD_DUPLICATE_REQUEST,   /* a refusal is confirmed: the id may have been accepted
+                                  before */
+    GUARD_OWN_EPOCH,       /* an owner's own state counts only if nobody owned it since */
+    GUARD_HEARTBEAT_EPOCH, /* a report from before an owner's term settles nothing */
+    GUARD_OLD_EPOCH,       /* a worker refuses direct commands of an older term */
+    GUARD_INCARNATION,     /* and those that name an earlier session of it */
+    GUARD_MACHINE_RECORDED, /* a machine's record stands before the first start there */
+    GUARD_LEASE, /* a silent machine's tasks are believed until its lease has ended */
+    GUARD_QUOTA_UNTIL_GONE, /* what is withdrawn uses its team's limit until it is proven
+                               gone */
+    GUARD_UNACCOUNTED, /* so does whatever may run on a machine that is not accounted for
+                        */
+    GUARD_FENCING_TOKEN, /* a worker refuses commands of older terms and of its earlier
+                            sessions */
+    GUARD_FAIR_SHARE, /* classes and teams that are owed room, and aged jobs, go first */
+    GUARD_KILL_INHERITED, /* an owner ends what is withdrawn of its predecessors' tasks
+                             too */
+    GUARD_ONE_WRITE_PER_RANGE, /* a range has one write under way at most */
 };
 
 /* What a transaction is for. */
@@ -160,7 +169,7 @@
 
 struct job {
     struct lmn_job_spec spec;
-    char ref[LMN_JOB_ID_SIZE];
+    char id[LMN_JOB_ID_SIZE];
     bool submitted, told_done;
     double cancelled_at;                       /* negative: not */
     double accepted_at, began_at, answered_at; /* negative: not yet */
@@ -172,27 +181,27 @@
     bool accepted;                    /* it was told so */
     enum lmn_job_phase told;          /* the end that was told; LMN_JOB_ACTIVE: none */
     /* since when one of its tasks has waited while that machine had room; 0: not */
-    double beside[MOST_MACHINES];
+    double beside[MAX_MACHINES];
 };
 
 struct node {
-    struct lmn_settings cfg;
-    struct lmn_team teams[MOST_TEAMS];
+    struct lmn_settings settings;
+    struct lmn_team teams[MAX_TEAMS];
     struct lmn_kv_client *state;
     struct lmn_core *core;
     uint64_t revision, lease, announced; /* the lease of which a record was written */
-    unsigned lives;                      /* how often it was started */
+    unsigned restarts;                   /* how often it was started */
     size_t seen;                         /* events applied */
     double down_until, cut_until, renewed;
     double zone_until; /* its zone is cut off: it reaches only its island until then */
     double still_until, deaf_until, mute_until; /* it stands still, and is cut off from
                                                    the workers, from its peers, until */
     bool ends;                                  /* with its next step */
-    double slow_until;       /* the state service answers it late, until */
-    double asked, answer;    /* when it asked last, and when that will be answered */
-    size_t asked_len;        /* events when it did */
-    bool judged[MOST_NODES]; /* it has the partition from one that was judged */
-    GPtrArray *waiting;      /* struct waiter: starts that wait for a standby */
+    double slow_until;      /* the state service answers it late, until */
+    double asked, answer;   /* when it asked last, and when that will be answered */
+    size_t asked_len;       /* events when it did */
+    bool judged[MAX_NODES]; /* it has the partition from one that was judged */
+    GPtrArray *waiting;     /* struct waiter: starts that wait for a standby */
 };
 
 /* An answer to a report, or a call to a machine, that waits for an acknowledgement. */
@@ -216,7 +225,7 @@
 
 /* A day by a schedule: nothing goes wrong but what its step does, and messages and writes
  * that are lost or late as on any day. */
-struct plan {
+struct schedule {
     void (*step)(void);              /* before all else of a step */
     double lease_s, cancel_s, run_s; /* workers' leases; longest run of a task */
     bool users; /* jobs are submitted, asked about and cancelled through controllers */
@@ -226,22 +235,22 @@
     void (*describe)(struct job *j, int number); /* what the users ask for, or NULL */
 };
 
-struct world {
+struct simulation {
     struct layout layout;
-    GRand *r;
+    GRand *random;
     double now, cancel_s, lease_s, run_s;
     struct timespec clock;
     GHashTable *store;
     GPtrArray *log;
     GArray *leases;
-    GPtrArray *late; /* struct late: transactions on their way */
-    uint64_t rev, next_lease;
+    GPtrArray *late_transactions; /* struct late: transactions on their way */
+    uint64_t revision, next_lease;
     double cloud_down_until;
     double late_until, copies_until; /* many transactions, and reports, are late */
     double lost_until;               /* many transactions' answers are lost */
     int lost_kind;                   /* of this kind (enum txn_kind); TXN_KINDS: of all */
     bool lost_ends;                  /* their controllers often end with it */
-    double looks_until, odd_until, cancel_at_end_until;
+    double repeated_reads_until, odd_requests_until, cancel_at_end_until;
     double keep_until;     /* copies of reports are kept for the next leader */
     GPtrArray *kept;       /* struct kept_report */
     int acting;            /* the controller whose step this is */
@@ -251,15 +260,15 @@
     char unserved[160];    /* what the day fails by, besides the rules */
     unsigned transactions, changes, most_queued; /* of the owners' writes */
     unsigned late_commands;
-    struct node nodes[MOST_NODES];
-    struct machine machines[MOST_MACHINES];
-    struct job jobs[MOST_JOBS];
+    struct node nodes[MAX_NODES];
+    struct machine machines[MAX_MACHINES];
+    struct job jobs[MAX_JOBS];
     int njobs, teams;
-    GPtrArray *mail;
-    enum guard broken;
-    unsigned broke[RULES];
+    GPtrArray *messages;
+    enum guard broken_guard;
+    unsigned broken_rules[RULES];
     unsigned starts, finished, takeovers, steals, preempted;
-    unsigned verdicts, refutations, gives;
+    unsigned failures_declared, refutations, transfers;
     unsigned warm, compared, withheld, leaves, copies, cancelled, tombstones, lates;
     unsigned lost[TXN_KINDS]; /* answers to transactions that were carried out */
     /* Users' requests that were answered; so many went back, came after a newer answer
@@ -276,64 +285,64 @@
     bool helped;   /* tombstones are told: a help, without which the rules hold too */
     bool calm;     /* no trouble begins any more */
 };
-extern struct world w;
-extern const struct plan *plan; /* of the next day; NULL: troubles at random */
-extern bool flap;               /* whether members flap in the next day */
-extern bool standbys;           /* whether controllers follow each other in it */
+extern struct simulation simulation;
+extern const struct schedule *schedule; /* of the next day; NULL: troubles at random */
+extern bool flap;                       /* whether members flap in the next day */
+extern bool standbys;                   /* whether controllers follow each other in it */
 
-const char *world_team(int number);
+const char *simulation_team(int number);
 /* A chance of the day; one that something goes wrong. */
-bool world_chance(double p);
-bool world_trouble(double p);
+bool simulation_chance(double p);
+bool simulation_trouble(double p);
 
 /* --- store.c: the state service --- */
 
 /* One change, at the revision that the caller has raised. */
-void world_put(const char *key, const GByteArray *value, uint64_t lease);
+void simulation_put(const char *key, const GByteArray *value, uint64_t lease);
 /* The job's record as it stands; the description is to be cleared. */
-enum lmn_job_phase world_read_job(const struct job *job, struct lmn_job_spec *spec,
-                                  uint32_t *open, double *at);
-uint64_t world_job_revision(const struct job *job);
-enum lmn_txn_outcome world_commit(const struct lmn_txn *txn, uint64_t *rev);
+enum lmn_job_phase simulation_read_job(const struct job *job, struct lmn_job_spec *spec,
+                                       uint32_t *open, double *at);
+uint64_t simulation_job_revision(const struct job *job);
+enum lmn_txn_outcome simulation_commit(const struct lmn_txn *txn, uint64_t *rev);
 /* One of conditions alone; the keys whose condition did not hold are added to failed. */
-enum lmn_txn_outcome world_confirm(const struct lmn_txn *txn, GPtrArray *failed);
-enum txn_kind world_txn_kind(const struct lmn_txn *txn);
-const char *world_txn_name(enum txn_kind k);
+enum lmn_txn_outcome simulation_confirm(const struct lmn_txn *txn, GPtrArray *failed);
+enum txn_kind simulation_txn_kind(const struct lmn_txn *txn);
+const char *simulation_txn_name(enum txn_kind k);
 /* Whether its answer is to be lost now, by luck (0 to 1). */
-bool world_loses(const struct lmn_txn *txn, double luck);
+bool simulation_loses(const struct lmn_txn *txn, double luck);
 /* The transaction is carried out, and the node does not hear of it. */
-enum lmn_txn_outcome world_lose(struct node *node, const struct lmn_txn *txn);
+enum lmn_txn_outcome simulation_lose(struct node *node, const struct lmn_txn *txn);
 /* A transaction of the node is carried out, refused, lost or late, by luck. */
-enum lmn_txn_outcome world_send(struct node *node, const struct lmn_txn *txn, double luck,
-                                uint64_t *rev);
+enum lmn_txn_outcome simulation_send(struct node *node, const struct lmn_txn *txn,
+                                     double luck, uint64_t *rev);
 /* The same transaction, once more: to be carried out seconds later, after newer ones. */
-void world_late(const struct lmn_txn *txn);
-bool world_lease_alive(uint64_t id);
+void simulation_late(const struct lmn_txn *txn);
+bool simulation_lease_alive(uint64_t id);
 /* Leases that are over end, with what hangs on them; what is late is carried out. */
-void world_expire(void);
+void simulation_expire(void);
 
 /* --- rules.c --- */
 
-int world_job(const char *ref); /* -1: there is none */
+int simulation_job(const char *ref); /* -1: there is none */
 /* Whether what the machine holds still counts. One that hangs past its lease has lost its
  * tasks, though it will notice only when it goes on. */
-bool world_holds(const struct machine *machine);
+bool simulation_holds(const struct machine *machine);
 /* A task is on the machine, or on its way to run there. */
-bool world_active(const struct machine *machine, const struct task *task);
+bool simulation_active(const struct machine *machine, const struct task *task);
 /* A task has started there. */
-void world_started(struct machine *machine, const struct task *task);
-void world_check(void);
+void simulation_started(struct machine *machine, const struct task *task);
+void simulation_check(void);
 
-/* --- served.c --- */
+/* --- service_checks.c --- */
 
 /* The day fails, by that; the first counts. */
-void world_unserved(const char *format, ...) G_GNUC_PRINTF(1, 2);
+void simulation_unserved(const char *format, ...) G_GNUC_PRINTF(1, 2);
 /* Processors that the team's tasks use. */
-double world_team_use(int team);
+double simulation_team_use(int team);
 /* Prints what each machine's owner says of why the job does not start there. */
-void world_explain(const struct job *job);
+void simulation_explain(const struct job *job);
 /* No task waits beside room for longer than it may. */
-void world_check_served(void);
+void simulation_check_served(void);
 
 /* --- machines.c --- */
 
@@ -379,47 +388,47 @@
                     GByteArray *body);
 void node_direct(struct node *node);
 
-/* --- troubles.c: what a schedule begins --- */
-
-enum trouble {
-    T_REFUSED,  /* the state service refuses one controller */
-    T_OUTAGE,   /* it is down for all */
-    T_ISOLATED, /* a controller is cut from the state service and from the others */
-    T_SLOW_STATE,
-    T_LATE_WRITES,
-    T_CRASH,
-    T_CRASH_ALL,
-    T_FREEZE,
-    T_DEAF_NODE, /* it is cut from the workers */
-    T_MUTE_NODE, /* from the other controllers */
-    T_LEAVE,
-    T_ZONE, /* a controller and its machines are cut off by themselves */
-    T_HANG,
-    T_DEAF_MACHINE, /* reports arrive, nothing gets back */
-    T_SHUT_DOOR,    /* direct calls are held up */
-    T_LATE_REPORTS,
-    T_MACHINE_DIES,
-    T_CLOUD,
-    T_CANCEL,
-    T_LOST_ANSWERS,     /* transactions are carried out, and their answers lost */
-    T_CLOSE_LOOKS,      /* users ask at all nodes within milliseconds */
-    T_ODD_REQUESTS,     /* and send what must be refused, or is known */
-    T_CANCEL_AT_END,    /* jobs are cancelled as their last task ends */
-    T_REPORTS_FOR_NEXT, /* copies of reports are kept for the next leader */
-    T_OLD_REPORTS,      /* an old report of each machine reaches every controller now */
-    T_NEW_MACHINES,     /* machines are gone, and others up within two seconds */
-    T_MUTE_MACHINE,     /* it reaches no controller, and hears direct calls */
-    T_LATE_COMMANDS,    /* direct commands get no answer and are carried out late */
-    TROUBLES
+/* --- faults.c: what a schedule begins --- */
+
+enum fault {
+    FAULT_REFUSED,  /* the state service refuses one controller */
+    FAULT_OUTAGE,   /* it is down for all */
+    FAULT_ISOLATED, /* a controller is cut from the state service and from the others */
+    FAULT_SLOW_STATE,
+    FAULT_LATE_WRITES,
+    FAULT_CRASH,
+    FAULT_CRASH_ALL,
+    FAULT_FREEZE,
+    FAULT_NODE_LOSES_WORKERS, /* it is cut from the workers */
+    FAULT_NODE_LOSES_PEERS,   /* from the other controllers */
+    FAULT_LEAVE,
+    FAULT_ZONE, /* a controller and its machines are cut off by themselves */
+    FAULT_HANG,
+    FAULT_MACHINE_HEARS_NOTHING, /* reports arrive, nothing gets back */
+    FAULT_PUSH_BLOCKED,          /* direct calls are held up */
+    FAULT_LATE_HEARTBEATS,
+    FAULT_MACHINE_DIES,
+    FAULT_CLOUD,
+    FAULT_CANCEL,
+    FAULT_LOST_RESPONSES, /* transactions are carried out, and their answers lost */
+    FAULT_REPEATED_READS, /* users ask at all nodes within milliseconds */
+    FAULT_ODD_REQUESTS,   /* and send what must be refused, or is known */
+    FAULT_CANCEL_AT_END,  /* jobs are cancelled as their last task ends */
+    FAULT_HEARTBEATS_FOR_NEXT_OWNER, /* copies of reports are kept for the next leader */
+    FAULT_OLD_HEARTBEATS, /* an old report of each machine reaches every controller now */
+    FAULT_NEW_MACHINES,   /* machines are gone, and others up within two seconds */
+    FAULT_MACHINE_REACHES_NOBODY, /* it reaches no controller, and hears direct calls */
+    FAULT_LATE_COMMANDS, /* direct commands get no answer and are carried out late */
+    FAULTS
 };
-const char *trouble_name(enum trouble k);
+const char *fault_name(enum fault k);
 /* The highest term in which a controller holds the partition; 0: none does. */
-uint64_t world_term(int part);
+uint64_t simulation_term(int part);
 /* Who owns most machines. */
-int world_leader(void);
-void world_cancel_some(double share);
+int simulation_leader(void);
+void simulation_cancel_some(double share);
 /* who: the controller that it befalls, if one is to. */
-void trouble_begin(enum trouble k, int who, double s);
+void fault_begin(enum fault k, int who, double s);
 
 /* --- users.c --- */
 
@@ -439,17 +448,17 @@
 void mail_report(struct message *copy, int node, double at);
 /* The user cancels the job through a node that reaches the state service; not if there is
  * none. */
-void world_cancel(struct job *job);
+void simulation_cancel(struct job *job);
 /* Through that node; false if it does not serve users, or the job is over. */
-bool world_cancel_through(struct job *job, int node);
+bool simulation_cancel_through(struct job *job, int node);
 /* Whether the node reaches the state service now. */
 bool node_served(const struct node *node);
 /* Once nothing goes wrong any more: no partition without an owner that is ready, nobody
  * suspected or judged for ever. */
-bool world_is_well(void);
+bool simulation_is_well(void);
 /* When the last of the troubles that have begun is over. */
-double world_trouble_until(void);
+double simulation_trouble_until(void);
 /* A whole day. */
-void world_play(const struct layout *l, uint32_t seed, enum guard broken);
+void simulation_play(const struct layout *l, uint32_t seed, enum guard broken);
 
 #endif
--- a/tests/world/store.c
+++ b/tests/simulation/store.c
@@ -1,18 +1,18 @@
 /* The stand-in state service: conditions, leases, and a log that controllers follow. */
 #include "state/records.h"
-#include "world.h"
+#include "simulation.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-void world_put(const char *key, const GByteArray *value, uint64_t lease)
+void simulation_put(const char *key, const GByteArray *value, uint64_t lease)
 {
-    struct item *it = g_hash_table_lookup(w.store, key);
+    struct item *it = g_hash_table_lookup(simulation.store, key);
     struct event *e = g_new0(struct event, 1);
 
     if (!it) {
         it = g_new0(struct item, 1);
-        g_hash_table_insert(w.store, g_strdup(key), it);
+        g_hash_table_insert(simulation.store, g_strdup(key), it);
     }
     if (it->value)
         g_byte_array_unref(it->value);
@@ -21,31 +21,31 @@
         it->value = g_byte_array_new();
         g_byte_array_append(it->value, value->data, value->len);
     }
-    it->rev = w.rev;
+    it->rev = simulation.revision;
     it->lease = lease;
     e->key = g_strdup(key);
     if (it->value)
         e->value = g_byte_array_ref(it->value);
-    e->rev = w.rev;
-    g_ptr_array_add(w.log, e);
-    digest_message("event", w.clock);
+    e->rev = simulation.revision;
+    g_ptr_array_add(simulation.log, e);
+    digest_message("event", simulation.clock);
     digest_text(key);
     digest_array(value);
-    digest_number(w.rev);
+    digest_number(simulation.revision);
     digest_number(lease);
 }
 
-bool world_lease_alive(uint64_t id)
+bool simulation_lease_alive(uint64_t id)
 {
-    for (guint i = 0; i < w.leases->len; i++)
-        if (g_array_index(w.leases, struct holder, i).id == id)
+    for (guint i = 0; i < simulation.leases->len; i++)
+        if (g_array_index(simulation.leases, struct holder, i).id == id)
             return true;
     return false;
 }
 
 static void check_condition(void *arg, const char *key, uint64_t version)
 {
-    struct item *it = g_hash_table_lookup(w.store, key);
+    struct item *it = g_hash_table_lookup(simulation.store, key);
     uint64_t have = it && it->value ? it->rev : 0;
     if (have != version)
         *(bool *)arg = false;
@@ -65,7 +65,7 @@
 {
     (void)key;
     (void)value;
-    if (lease && !world_lease_alive(lease))
+    if (lease && !simulation_lease_alive(lease))
         *(bool *)arg = false;
 }
 
@@ -73,7 +73,7 @@
                          uint64_t lease)
 {
     (void)arg;
-    world_put(key, value, lease);
+    simulation_put(key, value, lease);
 }
 
 static enum lmn_txn_outcome carry_out(const struct lmn_txn *txn, bool late, uint64_t *rev)
@@ -84,9 +84,9 @@
     if (!ok)
         return LMN_TXN_REJECTED;
     lmn_txn_foreach_condition(txn, check_condition, &ok);
-    if (!ok && !(late && w.broken == G_LATE))
+    if (!ok && !(late && simulation.broken_guard == GUARD_LATE_WRITE))
         return LMN_TXN_CONFLICT;
-    *rev = ++w.rev;
+    *rev = ++simulation.revision;
     lmn_txn_foreach_operation(txn, apply_change, NULL);
     return LMN_TXN_COMMITTED;
 }
@@ -95,21 +95,21 @@
 {
     enum lmn_txn_outcome outcome = carry_out(txn, late, rev);
 
-    digest_transaction("transaction", w.clock, txn);
+    digest_transaction("transaction", simulation.clock, txn);
     digest_outcome(outcome);
     return outcome;
 }
 
-enum lmn_txn_outcome world_commit(const struct lmn_txn *txn, uint64_t *rev)
+enum lmn_txn_outcome simulation_commit(const struct lmn_txn *txn, uint64_t *rev)
 {
     return commit(txn, false, rev);
 }
 
-enum lmn_txn_outcome world_confirm(const struct lmn_txn *txn, GPtrArray *failed)
+enum lmn_txn_outcome simulation_confirm(const struct lmn_txn *txn, GPtrArray *failed)
 {
     g_ptr_array_set_size(failed, 0);
     lmn_txn_foreach_condition(txn, collect_failed, failed);
-    digest_transaction("confirmation", w.clock, txn);
+    digest_transaction("confirmation", simulation.clock, txn);
     for (guint i = 0; i < failed->len; i++)
         digest_text(failed->pdata[i]);
     return failed->len ? LMN_TXN_CONFLICT : LMN_TXN_COMMITTED;
@@ -135,7 +135,7 @@
         ((struct keys *)arg)->new_job = true;
 }
 
-enum txn_kind world_txn_kind(const struct lmn_txn *txn)
+enum txn_kind simulation_txn_kind(const struct lmn_txn *txn)
 {
     struct keys k = {0};
 
@@ -153,7 +153,7 @@
                         : TXN_CANCELLATION;
 }
 
-const char *world_txn_name(enum txn_kind k)
+const char *simulation_txn_name(enum txn_kind k)
 {
     static const char *const names[TXN_KINDS] = {
         "acceptance", "cancellation", "claim",     "limit",        "range",
@@ -162,116 +162,118 @@
     return names[k];
 }
 
-bool world_loses(const struct lmn_txn *txn, double luck)
+bool simulation_loses(const struct lmn_txn *txn, double luck)
 {
-    return w.now < w.lost_until && luck >= 0.4 && luck < 0.8 &&
-           (w.lost_kind == TXN_KINDS || w.lost_kind == (int)world_txn_kind(txn));
+    return simulation.now < simulation.lost_until && luck >= 0.4 && luck < 0.8 &&
+           (simulation.lost_kind == TXN_KINDS ||
+            simulation.lost_kind == (int)simulation_txn_kind(txn));
 }
 
-enum lmn_txn_outcome world_lose(struct node *node, const struct lmn_txn *txn)
+enum lmn_txn_outcome simulation_lose(struct node *node, const struct lmn_txn *txn)
 {
     uint64_t revision;
 
-    if (world_commit(txn, &revision) != LMN_TXN_COMMITTED)
+    if (simulation_commit(txn, &revision) != LMN_TXN_COMMITTED)
         return LMN_TXN_UNKNOWN;
-    w.lost[world_txn_kind(txn)]++;
-    if (w.lost_ends && world_chance(0.2))
+    simulation.lost[simulation_txn_kind(txn)]++;
+    if (simulation.lost_ends && simulation_chance(0.2))
         node->ends = true;
-    return w.broken == G_LOST ? LMN_TXN_CONFLICT : LMN_TXN_UNKNOWN;
+    return simulation.broken_guard == GUARD_LOST_RESPONSE ? LMN_TXN_CONFLICT
+                                                          : LMN_TXN_UNKNOWN;
 }
 
-enum lmn_txn_outcome world_send(struct node *node, const struct lmn_txn *txn, double luck,
-                                uint64_t *rev)
+enum lmn_txn_outcome simulation_send(struct node *node, const struct lmn_txn *txn,
+                                     double luck, uint64_t *rev)
 {
-    digest_transaction("sending", w.clock, txn);
-    digest_number((uint64_t)w.acting);
-    if (world_loses(txn, luck))
-        return world_lose(node, txn);
-    if (w.now < w.late_until && luck < 0.3) {
-        world_late(txn);
+    digest_transaction("sending", simulation.clock, txn);
+    digest_number((uint64_t)simulation.acting);
+    if (simulation_loses(txn, luck))
+        return simulation_lose(node, txn);
+    if (simulation.now < simulation.late_until && luck < 0.3) {
+        simulation_late(txn);
         return LMN_TXN_UNKNOWN;
     }
     if (luck < 0.04)
         return LMN_TXN_REJECTED;
     if (luck < 0.08) { /* applied, but the answer is lost */
-        world_commit(txn, rev);
+        simulation_commit(txn, rev);
         return LMN_TXN_UNKNOWN;
     }
     if (luck < 0.10) { /* not applied, or late, and the answer is lost */
         if (luck < 0.09)
-            world_late(txn);
+            simulation_late(txn);
         return LMN_TXN_UNKNOWN;
     }
-    return world_commit(txn, rev);
+    return simulation_commit(txn, rev);
 }
 
 /* --- transactions that are late --- */
 
-void world_late(const struct lmn_txn *txn)
+void simulation_late(const struct lmn_txn *txn)
 {
     struct late *l = g_new0(struct late, 1);
 
     l->txn = lmn_txn_copy(txn);
-    l->at = w.now + g_rand_double_range(w.r, 2, 12);
-    l->writer = w.acting;
-    l->life = w.nodes[w.acting].lives;
-    g_ptr_array_add(w.late, l);
+    l->at = simulation.now + g_rand_double_range(simulation.random, 2, 12);
+    l->writer = simulation.acting;
+    l->life = simulation.nodes[simulation.acting].restarts;
+    g_ptr_array_add(simulation.late_transactions, l);
 }
 
 static void carry_out_late(void)
 {
-    for (guint i = w.late->len; i-- > 0;) {
-        struct late *l = w.late->pdata[i];
+    for (guint i = simulation.late_transactions->len; i-- > 0;) {
+        struct late *l = simulation.late_transactions->pdata[i];
         uint64_t revision;
-        if (l->at > w.now)
+        if (l->at > simulation.now)
             continue;
         bool done = commit(l->txn, true, &revision) == LMN_TXN_COMMITTED;
-        w.lates += done;
-        w.ended_writers += w.nodes[l->writer].lives != l->life;
+        simulation.lates += done;
+        simulation.ended_writers += simulation.nodes[l->writer].restarts != l->life;
         lmn_txn_free(l->txn);
         g_free(l);
-        g_ptr_array_remove_index_fast(w.late, i);
+        g_ptr_array_remove_index_fast(simulation.late_transactions, i);
     }
 }
 
-void world_expire(void)
+void simulation_expire(void)
 {
     carry_out_late();
-    for (guint i = w.leases->len; i-- > 0;) {
-        struct holder h = g_array_index(w.leases, struct holder, i);
-        if (h.until > w.now)
+    for (guint i = simulation.leases->len; i-- > 0;) {
+        struct holder h = g_array_index(simulation.leases, struct holder, i);
+        if (h.until > simulation.now)
             continue;
-        g_array_remove_index(w.leases, i);
-        GList *keys = g_hash_table_get_keys(w.store);
-        w.rev++;
+        g_array_remove_index(simulation.leases, i);
+        GList *keys = g_hash_table_get_keys(simulation.store);
+        simulation.revision++;
         for (GList *l = keys; l; l = l->next) {
-            struct item *it = g_hash_table_lookup(w.store, l->data);
+            struct item *it = g_hash_table_lookup(simulation.store, l->data);
             if (it->value && it->lease == h.id)
-                world_put(l->data, NULL, 0);
+                simulation_put(l->data, NULL, 0);
         }
         g_list_free(keys);
     }
 }
 
-enum lmn_job_phase world_read_job(const struct job *job, struct lmn_job_spec *spec,
-                                  uint32_t *open, double *at)
+enum lmn_job_phase simulation_read_job(const struct job *job, struct lmn_job_spec *spec,
+                                       uint32_t *open, double *at)
 {
     char key[64];
     struct lmn_cbor_document d;
     enum lmn_job_phase phase;
 
-    g_snprintf(key, sizeof key, "j/%s", job->ref);
-    const struct item *it = g_hash_table_lookup(w.store, key);
+    g_snprintf(key, sizeof key, "j/%s", job->id);
+    const struct item *it = g_hash_table_lookup(simulation.store, key);
     assert_int_equal(lmn_cbor_parse(&d, it->value->data, it->value->len), 0);
     assert_int_equal(lmn_job_read(&d, lmn_cbor_root(&d), spec, &phase, open, at), 0);
     lmn_cbor_free(&d);
     return phase;
 }
 
-uint64_t world_job_revision(const struct job *job)
+uint64_t simulation_job_revision(const struct job *job)
 {
     char key[64];
 
-    g_snprintf(key, sizeof key, "j/%s", job->ref);
-    return ((const struct item *)g_hash_table_lookup(w.store, key))->rev;
+    g_snprintf(key, sizeof key, "j/%s", job->id);
+    return ((const struct item *)g_hash_table_lookup(simulation.store, key))->rev;
 }
--- a/tests/world/users.c
+++ b/tests/simulation/users.c
@@ -31,27 +31,27 @@
 
 /* --- the state service --- */
 
-const struct item *world_record(const char *ref)
+const struct item *simulation_record(const char *ref)
 {
     char key[64];
 
     g_snprintf(key, sizeof key, "j/%s", ref);
-    const struct item *it = g_hash_table_lookup(w.store, key);
+    const struct item *it = g_hash_table_lookup(simulation.store, key);
     return it && it->value ? it : NULL;
 }
 
-void world_read_record(const char *ref, struct lmn_job_reading *reading)
+void simulation_read_record(const char *ref, struct lmn_job_reading *reading)
 {
-    const struct item *it = world_record(ref);
-    const struct job *job = &w.jobs[MAX(world_job(ref), 0)];
+    const struct item *it = simulation_record(ref);
+    const struct job *job = &simulation.jobs[MAX(simulation_job(ref), 0)];
 
     memset(reading, 0, sizeof *reading);
     reading->status = it ? 200 : 404;
     if (!it)
         return;
     reading->revision = it->rev;
-    reading->phase = world_read_job(job, &reading->spec, &reading->open_ranges,
-                                    &reading->accepted_at_s);
+    reading->phase = simulation_read_job(job, &reading->spec, &reading->open_ranges,
+                                         &reading->accepted_at_s);
 }
 
 /* --- checking --- */
@@ -59,12 +59,12 @@
 static void wrong(const struct request *q, enum rule rule,
                   const struct lmn_job_reply *reply)
 {
-    w.broke[rule]++;
-    w.answers_back++;
-    if (w.broken == G_NONE)
+    simulation.broken_rules[rule]++;
+    simulation.answers_back++;
+    if (simulation.broken_guard == GUARD_NONE)
         print_message("%.1f: %s asked of n%02d (kind %d, form %d): %d, phase %d; the "
                       "record was %s, phase %d\n",
-                      w.now, q->ref, q->node, q->kind, q->form, reply->status,
+                      simulation.now, q->ref, q->node, q->kind, q->form, reply->status,
                       reply->phase, q->recorded ? "there" : "not there", q->phase);
 }
 
@@ -88,12 +88,13 @@
             break;
         }
     job->accepted = true;
-    w.answers_overtaken += job->told != LMN_JOB_ACTIVE && reply->phase == LMN_JOB_ACTIVE;
+    simulation.answers_overtaken +=
+        job->told != LMN_JOB_ACTIVE && reply->phase == LMN_JOB_ACTIVE;
     if (reply->phase != LMN_JOB_ACTIVE)
         job->told = reply->phase;
     if (reply->phase == LMN_JOB_CANCELLED && job->cancelled_at < 0) {
-        job->cancelled_at = w.now;
-        w.cancelled++;
+        job->cancelled_at = simulation.now;
+        simulation.cancelled++;
     }
 }
 
@@ -104,7 +105,7 @@
 
     if (!reply->status) /* none */
         return;
-    w.answers++;
+    simulation.answers++;
     switch (reply->status) {
     case 200:
     case 201:
@@ -115,7 +116,7 @@
     case 404:
         if (q->recorded || q->accepted || q->kind == SUBMISSION)
             wrong(q, R_FORGOTTEN, reply);
-        w.answers_overtaken += job && job->accepted && !q->accepted;
+        simulation.answers_overtaken += job && job->accepted && !q->accepted;
         break;
     case 400:
     case 422:
@@ -125,7 +126,7 @@
         break;
     default:
         assert_int_equal(reply->status, 503);
-        w.answers_none++;
+        simulation.answers_none++;
     }
 }
 
@@ -135,7 +136,7 @@
 {
     GByteArray *body = reply->status ? lmn_job_reply_body(reply, q->ref) : NULL;
 
-    digest_message("reply", w.clock);
+    digest_message("reply", simulation.clock);
     digest_number((uint64_t)q->kind);
     digest_number((uint64_t)q->form);
     digest_number((uint64_t)q->node);
@@ -149,7 +150,7 @@
 
 void request_reply(struct request *q, const struct lmn_job_reply *reply)
 {
-    int i = q->job ? (int)(q->job - w.jobs) : -1;
+    int i = q->job ? (int)(q->job - simulation.jobs) : -1;
 
     if (q->answered)
         return;
@@ -160,7 +161,7 @@
     for (int k = 0; k < 2 && i >= 0; k++)
         if (users.pending[i][k] == q) {
             users.pending[i][k] = NULL;
-            users.retry[i][k] = w.now + between(0.1, 1.5);
+            users.retry[i][k] = simulation.now + between(0.1, 1.5);
         }
 }
 
@@ -176,19 +177,19 @@
 static void send(enum request_kind kind, enum form form, const char *ref, int node)
 {
     struct request *q = g_new0(struct request, 1);
-    int i = world_job(ref);
-    const struct item *it = world_record(ref);
+    int i = simulation_job(ref);
+    const struct item *it = simulation_record(ref);
 
     q->kind = kind;
     q->form = form;
     q->node = node;
-    q->sent = w.now;
-    q->job = i < 0 ? NULL : &w.jobs[i];
+    q->sent = simulation.now;
+    q->job = i < 0 ? NULL : &simulation.jobs[i];
     g_strlcpy(q->ref, ref, sizeof q->ref);
     q->recorded = it != NULL;
     if (it) {
         struct lmn_job_reading now;
-        world_read_record(ref, &now);
+        simulation_read_record(ref, &now);
         q->phase = now.phase;
         lmn_job_reading_clear(&now);
     }
@@ -208,7 +209,7 @@
 
 static int any_node(void)
 {
-    return g_rand_int_range(users.r, 0, w.layout.nodes);
+    return g_rand_int_range(users.r, 0, simulation.layout.nodes);
 }
 
 /* --- what users do --- */
@@ -237,43 +238,44 @@
 static void insist(struct job *job, int i)
 {
     if (job->offered && !job->accepted && !users.pending[i][0] &&
-        w.now >= users.retry[i][0])
-        send(SUBMISSION, SOUND, job->ref, any_node());
+        simulation.now >= users.retry[i][0])
+        send(SUBMISSION, SOUND, job->id, any_node());
     if (job->cancel_wanted && job->cancelled_at < 0 && !job->told_done &&
-        !users.pending[i][1] && w.now >= users.retry[i][1])
-        send(CANCELLATION, SOUND, job->ref, any_node());
+        !users.pending[i][1] && simulation.now >= users.retry[i][1])
+        send(CANCELLATION, SOUND, job->id, any_node());
 }
 
 /* A job is looked at closely when its record has changed, and as its last task ends. */
 static void notice(struct job *job, int i)
 {
-    const struct item *it = world_record(job->ref);
+    const struct item *it = simulation_record(job->id);
     bool all = job->submitted && job->spec.kind == LMN_JOB_BATCH;
 
     if (it && it->rev != users.seen[i]) {
         users.seen[i] = it->rev;
-        users.hot_until[i] = w.now + HOT_S;
+        users.hot_until[i] = simulation.now + HOT_S;
     }
     for (uint32_t k = 0; all && k < job->spec.tasks; k++)
         all = job->done[k];
     if (!all || users.ending[i])
         return;
     users.ending[i] = true;
-    users.hot_until[i] = w.now + HOT_S;
-    if (w.now < w.cancel_at_end_until && chance(0.5))
+    users.hot_until[i] = simulation.now + HOT_S;
+    if (simulation.now < simulation.cancel_at_end_until && chance(0.5))
         job->cancel_wanted = true;
 }
 
 static void look_closely(const struct job *job, int i)
 {
-    if (w.now >= w.looks_until || w.now >= users.hot_until[i])
+    if (simulation.now >= simulation.repeated_reads_until ||
+        simulation.now >= users.hot_until[i])
         return;
-    for (int k = 0; k < w.layout.nodes; k++) {
-        send(STATUS, SOUND, job->ref, k);
+    for (int k = 0; k < simulation.layout.nodes; k++) {
+        send(STATUS, SOUND, job->id, k);
         if (job->accepted && chance(0.3))
-            send(SUBMISSION, SOUND, job->ref, k);
+            send(SUBMISSION, SOUND, job->id, k);
         if (job->cancel_wanted && chance(0.3))
-            send(CANCELLATION, SOUND, job->ref, k);
+            send(CANCELLATION, SOUND, job->id, k);
     }
 }
 
@@ -283,15 +285,16 @@
     const char *nobodys = strange[g_rand_int_range(users.r, 0, 3)];
     int node = any_node();
 
-    if (w.now >= w.odd_until || !chance(w.now < users.hot_until[i] ? 0.5 : 0.02))
+    if (simulation.now >= simulation.odd_requests_until ||
+        !chance(simulation.now < users.hot_until[i] ? 0.5 : 0.02))
         return;
-    for (int k = 0; k < w.layout.nodes; k++)
+    for (int k = 0; k < simulation.layout.nodes; k++)
         for (enum form f = LACKS_FIELD; f < FORMS; f++)
-            send(SUBMISSION, f, job->ref, k);
+            send(SUBMISSION, f, job->id, k);
     if (job->accepted)
-        send(SUBMISSION, SOUND, job->ref, node);
+        send(SUBMISSION, SOUND, job->id, node);
     if (job->told_done)
-        send(CANCELLATION, SOUND, job->ref, node);
+        send(CANCELLATION, SOUND, job->id, node);
     send(STATUS, SOUND, nobodys, node);
     send(CANCELLATION, SOUND, nobodys, node);
     if (lmn_job_id_is_valid(nobodys))
@@ -316,17 +319,17 @@
 void users_step(void)
 {
     for (int i = 0; i < JOBS; i++) {
-        struct job *job = &w.jobs[i];
+        struct job *job = &simulation.jobs[i];
         if (!job->offered)
             continue;
-        if (world_record(job->ref))
+        if (simulation_record(job->id))
             job->submitted = true;
         notice(job, i);
         insist(job, i);
         look_closely(job, i);
         ask_oddly(job, i);
         if (chance(0.01))
-            send(STATUS, SOUND, job->ref, any_node());
+            send(STATUS, SOUND, job->id, any_node());
     }
     go_on_with_requests();
 }
@@ -334,7 +337,7 @@
 void users_look_at_all(void)
 {
     for (int i = 0; i < JOBS; i++)
-        for (int k = 0; k < w.layout.nodes && w.jobs[i].offered; k++)
-            send(STATUS, SOUND, w.jobs[i].ref, k);
+        for (int k = 0; k < simulation.layout.nodes && simulation.jobs[i].offered; k++)
+            send(STATUS, SOUND, simulation.jobs[i].id, k);
     go_on_with_requests();
 }
--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -1,9 +1,9 @@
-/* Days of the whole service in simulated time (world/world.h).
+/* Days of the whole service in simulated time (simulation/world.h).
  *
  * Each rule's check is itself checked: with the guard that keeps the rule taken away, the
  * same days must break it. */
 #include "util/log.h"
-#include "world.h"
+#include "simulation.h"
 
 /* Crashed controllers and past days are left behind as they are, as a crash does. */
 const char *__asan_default_options(void);
@@ -16,7 +16,7 @@
                           enum guard broken)
 {
     digest_begin("test_model", scenario, seed);
-    world_play(l, seed, broken);
+    simulation_play(l, seed, broken);
     digest_end();
 }
 
@@ -37,7 +37,7 @@
  * machines as controllers or many more. */
 static void keeps_every_rule_on_any_layout(void **state)
 {
-    static const int nodes[] = {1, 2, 5, 9, 16, MOST_NODES};
+    static const int nodes[] = {1, 2, 5, 9, 16, MAX_NODES};
     unsigned starts = 0, takeovers = 0;
     (void)state;
 
@@ -53,16 +53,16 @@
             l.every = l.steps * STEP_S / JOBS / 2;
             g_rand_free(r);
             standbys = seed % 2;
-            play_digested("any layout", &l, 500 + 10 * k + seed, G_NONE);
+            play_digested("any layout", &l, 500 + 10 * k + seed, GUARD_NONE);
             standbys = false;
             for (int i = 0; i < RULES; i++)
-                if (w.broke[i])
+                if (simulation.broken_rules[i])
                     fail_msg("%d controllers, %d machines, %d zones, seed %u: %s broken "
                              "%u times",
                              l.nodes, l.machines, l.zones, seed, rule_names[i],
-                             w.broke[i]);
-            starts += w.starts;
-            takeovers += w.takeovers;
+                             simulation.broken_rules[i]);
+            starts += simulation.starts;
+            takeovers += simulation.takeovers;
         }
     /* The days were worth playing. */
     assert_true(starts > 1200);
@@ -76,18 +76,20 @@
 
     for (uint32_t seed = 1; seed <= 12; seed++) {
         standbys = seed % 2;
-        play(seed, G_NONE);
+        play(seed, GUARD_NONE);
         standbys = false;
         for (int i = 0; i < RULES; i++)
-            if (w.broke[i])
-                fail_msg("seed %u: %s broken %u times", seed, rule_names[i], w.broke[i]);
-        finished += w.finished;
-        takeovers += w.takeovers;
-        steals += w.steals;
-        preempted += w.preempted;
-        for (int i = 0; i < w.layout.nodes; i++)
-            preempted +=
-                w.nodes[i].core ? (unsigned)w.nodes[i].core->counters.preempted : 0;
+            if (simulation.broken_rules[i])
+                fail_msg("seed %u: %s broken %u times", seed, rule_names[i],
+                         simulation.broken_rules[i]);
+        finished += simulation.finished;
+        takeovers += simulation.takeovers;
+        steals += simulation.steals;
+        preempted += simulation.preempted;
+        for (int i = 0; i < simulation.layout.nodes; i++)
+            preempted += simulation.nodes[i].core
+                             ? (unsigned)simulation.nodes[i].core->counters.preempted
+                             : 0;
     }
     /* The days were worth playing. */
     print_message("%u jobs done, %u takeovers, %u stolen, %u stopped for others\n",
@@ -102,7 +104,7 @@
  * again and again: verdicts before leases end, gifts, refutations, on any layout. */
 static void keeps_every_rule_while_members_flap(void **state)
 {
-    static const int nodes[] = {2, 3, 5, 9, 17, MOST_NODES};
+    static const int nodes[] = {2, 3, 5, 9, 17, MAX_NODES};
     unsigned verdicts = 0, refutations = 0, gives = 0;
     unsigned warm = 0, compared = 0, withheld = 0, leaves = 0;
     (void)state;
@@ -119,24 +121,24 @@
         for (uint32_t seed = 1; seed <= 3; seed++) {
             flap = true;
             standbys = seed != 2;
-            play_digested("flapping", &l, 900 + 10 * k + seed, G_NONE);
+            play_digested("flapping", &l, 900 + 10 * k + seed, GUARD_NONE);
             flap = standbys = false;
             for (int i = 0; i < n; i++)
-                warm += (unsigned)w.nodes[i].core->counters.warm_failovers;
-            warm += w.warm;
-            compared += w.compared;
-            withheld += w.withheld;
-            leaves += w.leaves;
-            assert_true(world_is_well());
-            if (*w.unserved)
-                fail_msg("%d controllers, seed %u: %s", n, seed, w.unserved);
+                warm += (unsigned)simulation.nodes[i].core->counters.warm_failovers;
+            warm += simulation.warm;
+            compared += simulation.compared;
+            withheld += simulation.withheld;
+            leaves += simulation.leaves;
+            assert_true(simulation_is_well());
+            if (*simulation.unserved)
+                fail_msg("%d controllers, seed %u: %s", n, seed, simulation.unserved);
             for (int i = 0; i < RULES; i++)
-                if (w.broke[i])
+                if (simulation.broken_rules[i])
                     fail_msg("%d controllers, seed %u: %s broken %u times", n, seed,
-                             rule_names[i], w.broke[i]);
-            verdicts += w.verdicts;
-            refutations += w.refutations;
-            gives += w.gives;
+                             rule_names[i], simulation.broken_rules[i]);
+            verdicts += simulation.failures_declared;
+            refutations += simulation.refutations;
+            gives += simulation.transfers;
         }
     }
     /* The days were worth playing. */
@@ -159,7 +161,7 @@
 {
     for (uint32_t seed = FIRST_SEED; seed <= LAST_SEED; seed++) {
         play(seed, g);
-        if (!w.broke[r])
+        if (!simulation.broken_rules[r])
             continue;
         print_message("%s broken by seed %u\n", rule_names[r], seed);
         return;
@@ -171,69 +173,69 @@
 {
     (void)state;
     standbys = true;
-    breaks(G_TOLD, R_TWICE);
+    breaks(GUARD_REPLICATED, R_TWICE);
     standbys = false;
 }
 
 static void accounting_is_needed(void **state)
 {
     (void)state;
-    breaks(G_ACCOUNT, R_TWICE);
+    breaks(GUARD_ACCOUNTED, R_TWICE);
 }
 
 /* Of a copy that comes late, what was started since is missing. */
 static void the_order_of_reports_is_needed(void **state)
 {
     (void)state;
-    breaks(G_ORDER, R_TWICE);
+    breaks(GUARD_HEARTBEAT_ORDER, R_TWICE);
 }
 
 static void unsure_starts_are_needed(void **state)
 {
     (void)state;
-    breaks(G_UNSURE, R_TWICE);
+    breaks(GUARD_UNCERTAIN_PUSH, R_TWICE);
 }
 
 static void shares_of_limits_are_needed(void **state)
 {
     (void)state;
-    breaks(G_QUOTA, R_QUOTA);
+    breaks(GUARD_QUOTA, R_QUOTA);
 }
 
 static void accounting_is_needed_after_a_verdict(void **state)
 {
     (void)state;
-    breaks(G_JUDGED, R_TWICE);
+    breaks(GUARD_DECLARED_FAILED, R_TWICE);
 }
 
 static void places_are_needed(void **state)
 {
     (void)state;
-    breaks(G_PLACE, R_PLACE);
+    breaks(GUARD_PLACEMENT, R_PLACE);
 }
 
 static void the_fence_is_needed(void **state)
 {
     (void)state;
-    breaks(G_FENCE, R_CANCELLED);
+    breaks(GUARD_STALE_VIEW, R_CANCELLED);
 }
 
 static void reported_results_are_needed(void **state)
 {
     (void)state;
-    breaks(G_DONE, R_NOT_DONE);
+    breaks(GUARD_DONE, R_NOT_DONE);
 }
 
 static void conditions_on_final_states_are_needed(void **state)
 {
     (void)state;
-    breaks(G_FINAL, R_WENT_BACK);
+    breaks(GUARD_FINAL, R_WENT_BACK);
 }
 
 static void looking_at_zones_is_needed(void **state)
 {
     (void)state;
-    breaks(G_SPREAD, R_PLACE);
+    breaks(GUARD_ANTI_AFFINITY, R_PLACE);
 }
 
 int main(void)
--- a/tests/test_scenarios_answers.c
+++ b/tests/test_scenarios_answers.c
@@ -1,11 +1,11 @@
 /* Scenarios of users' answers: jobs are asked about at all controllers within
  * milliseconds, submitted again and cancelled, and no answer is older than the record was
- * when its request was sent (world/users.c). */
+ * when its request was sent (simulation/users.c). */
 #include "scenario.h"
 
 #include <string.h>
 
-static void draw_users(struct plan *p, GRand *r)
+static void draw_users(struct schedule *p, GRand *r)
 {
     scenario_usual_draw(p, r);
     p->users = true;
@@ -13,48 +13,48 @@
 
 static bool faults_begin(void)
 {
-    return scenario_time() < w.layout.steps * STEP_S;
+    return scenario_time() < simulation.layout.steps * STEP_S;
 }
 
 static int any_node(void)
 {
-    return g_rand_int_range(w.r, 0, w.layout.nodes);
+    return g_rand_int_range(simulation.random, 0, simulation.layout.nodes);
 }
 
 /* --- close looks, while controllers see the record late --- */
 
 static void looks_step(void)
 {
-    w.looks_until = w.now + 1;
+    simulation.repeated_reads_until = simulation.now + 1;
     if (scenario_every(10))
-        trouble_begin(T_REFUSED, any_node(), scenario_drawn(0.2, 8));
+        fault_begin(FAULT_REFUSED, any_node(), scenario_drawn(0.2, 8));
     if (scenario_every(10))
-        trouble_begin(T_SLOW_STATE, any_node(), scenario_drawn(1, 15));
+        fault_begin(FAULT_SLOW_STATE, any_node(), scenario_drawn(1, 15));
     if (scenario_every(20))
-        trouble_begin(T_FREEZE, any_node(), scenario_drawn(0.2, 4));
+        fault_begin(FAULT_FREEZE, any_node(), scenario_drawn(0.2, 4));
     if (scenario_every(20))
-        trouble_begin(T_CRASH, any_node(), scenario_drawn(0.1, 4));
+        fault_begin(FAULT_CRASH, any_node(), scenario_drawn(0.1, 4));
     if (scenario_every(4))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
 }
 
 /* Confirmations take their time, while others answer at once and many ask. */
 static void slow_confirmations_step(void)
 {
-    w.looks_until = w.now + 1;
+    simulation.repeated_reads_until = simulation.now + 1;
     if (scenario_every(5))
-        trouble_begin(T_SLOW_STATE, any_node(), scenario_drawn(2, 20));
+        fault_begin(FAULT_SLOW_STATE, any_node(), scenario_drawn(2, 20));
     if (scenario_every(4))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
 }
 
 /* Submissions whose transaction is not, or not yet, carried out. */
 static void outcomes_step(void)
 {
-    w.looks_until = w.now + 1;
-    w.late_until = w.now + faults_begin();
+    simulation.repeated_reads_until = simulation.now + 1;
+    simulation.late_until = simulation.now + faults_begin();
     if (scenario_every(4))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
 }
 
 /* --- carried out at once, and only the answer lost --- */
@@ -64,26 +64,26 @@
 static void lost_begin(void)
 {
     for (int k = 0; k < TXN_KINDS; k++)
-        lost[k] += w.lost[k];
+        lost[k] += simulation.lost[k];
 }
 
 /* One kind of transaction after another, or all; the writer often ends before it tries
  * again. */
 static void lost_step(void)
 {
-    w.looks_until = w.now + 1;
-    w.lost_until = w.now + faults_begin();
+    simulation.repeated_reads_until = simulation.now + 1;
+    simulation.lost_until = simulation.now + faults_begin();
     if (scenario_every(5))
-        w.lost_kind = g_rand_int_range(w.r, 0, TXN_KINDS + 1);
+        simulation.lost_kind = g_rand_int_range(simulation.random, 0, TXN_KINDS + 1);
     if (scenario_every(15))
-        w.lost_ends = !w.lost_ends;
+        simulation.lost_ends = !simulation.lost_ends;
     if (scenario_every(15))
-        trouble_begin(world_chance(0.5) ? T_MUTE_NODE : T_REFUSED, world_leader(),
-                      scenario_drawn(0.5, 8));
+        fault_begin(simulation_chance(0.5) ? FAULT_NODE_LOSES_PEERS : FAULT_REFUSED,
+                    simulation_leader(), scenario_drawn(0.5, 8));
     if (scenario_every(20))
-        trouble_begin(T_FREEZE, world_leader(), scenario_drawn(1, 6));
+        fault_begin(FAULT_FREEZE, simulation_leader(), scenario_drawn(1, 6));
     if (scenario_every(8))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
 }
 
 static void each_kind_was_lost(void)
@@ -91,7 +91,7 @@
     lost_begin(); /* the last day */
     for (int k = 0; k < TXN_KINDS; k++)
         print_message("%u answers to transactions lost: %s\n", lost[k],
-                      world_txn_name((enum txn_kind)k));
+                      simulation_txn_name((enum txn_kind)k));
     for (int k = 0; k < TXN_KINDS; k++)
         assert_true(lost[k] > 0);
 }
@@ -100,46 +100,46 @@
 
 static void last_task_step(void)
 {
-    w.looks_until = w.now + 1;
-    w.odd_until = w.now + faults_begin();
-    w.cancel_at_end_until = w.now + faults_begin();
+    simulation.repeated_reads_until = simulation.now + 1;
+    simulation.odd_requests_until = simulation.now + faults_begin();
+    simulation.cancel_at_end_until = simulation.now + faults_begin();
     for (int i = 0; i < JOBS; i++)
-        if (!w.jobs[i].offered)
-            w.jobs[i].spec.tasks = 1 + (uint32_t)i % 3;
+        if (!simulation.jobs[i].offered)
+            simulation.jobs[i].spec.tasks = 1 + (uint32_t)i % 3;
 }
 
 /* --- odd requests, on nodes that have just begun, stand still or are refused --- */
 
 static void odd_step(void)
 {
-    w.odd_until = w.now + faults_begin();
+    simulation.odd_requests_until = simulation.now + faults_begin();
     if (scenario_every(6))
-        trouble_begin(T_CRASH, any_node(), scenario_drawn(0.1, 2));
+        fault_begin(FAULT_CRASH, any_node(), scenario_drawn(0.1, 2));
     if (scenario_every(10))
-        trouble_begin(T_REFUSED, any_node(), scenario_drawn(0.2, 10));
+        fault_begin(FAULT_REFUSED, any_node(), scenario_drawn(0.2, 10));
     if (scenario_every(10))
-        trouble_begin(T_FREEZE, any_node(), scenario_drawn(0.2, 4));
+        fault_begin(FAULT_FREEZE, any_node(), scenario_drawn(0.2, 4));
     if (scenario_every(20))
-        trouble_begin(T_SLOW_STATE, any_node(), scenario_drawn(1, 10));
+        fault_begin(FAULT_SLOW_STATE, any_node(), scenario_drawn(1, 10));
     if (scenario_every(30))
-        trouble_begin(T_OUTAGE, 0, scenario_drawn(0.5, 8));
+        fault_begin(FAULT_OUTAGE, 0, scenario_drawn(0.5, 8));
     if (scenario_every(6))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
 }
 
 static const struct scenario scenarios[] = {
-    {"close looks", looks_step, draw_users, G_CONFIRM, ANY_RULE, false, 6, NULL, NULL,
+    {"close looks", looks_step, draw_users, GUARD_CONFIRM, ANY_RULE, false, 6, NULL, NULL,
      NULL},
-    {"slow confirmations", slow_confirmations_step, draw_users, G_SHARE, ANY_RULE, false,
+    {"slow confirmations", slow_confirmations_step, draw_users, GUARD_SHARED_CONFIRMATION,
+     ANY_RULE, false, 6, NULL, NULL, NULL},
+    {"unknown outcomes", outcomes_step, draw_users, GUARD_UNKNOWN_OUTCOME, R_FORGOTTEN,
+     false, 6, NULL, NULL, NULL},
+    {"lost answers", lost_step, draw_users, GUARD_LOST_RESPONSE, ANY_RULE, false, 12,
+     lost_begin, each_kind_was_lost, NULL},
+    {"end of the last task", last_task_step, draw_users, GUARD_FINAL, R_WENT_BACK, false,
      6, NULL, NULL, NULL},
-    {"unknown outcomes", outcomes_step, draw_users, G_OUTCOME, R_FORGOTTEN, false, 6,
+    {"odd requests", odd_step, draw_users, GUARD_DUPLICATE_REQUEST, R_FORGOTTEN, false, 6,
      NULL, NULL, NULL},
-    {"lost answers", lost_step, draw_users, G_LOST, ANY_RULE, false, 12, lost_begin,
-     each_kind_was_lost, NULL},
-    {"end of the last task", last_task_step, draw_users, G_FINAL, R_WENT_BACK, false, 6,
-     NULL, NULL, NULL},
-    {"odd requests", odd_step, draw_users, G_REPEAT, R_FORGOTTEN, false, 6, NULL, NULL,
-     NULL},
 };
 
 int main(int argc, char **argv)
--- a/tests/test_scenarios_leaders.c
+++ b/tests/test_scenarios_leaders.c
@@ -16,7 +16,7 @@
 {
     if (count < t->seen) /* another day */
         t->seen = 0;
-    if (!w.broken)
+    if (!simulation.broken_guard)
         t->sum += count - t->seen;
     t->seen = count;
 }
@@ -37,10 +37,10 @@
 /* Each partition has one owner that is ready. */
 static bool all_partitions_ready(void)
 {
-    for (int part = 0; part < w.layout.nodes; part++) {
+    for (int part = 0; part < simulation.layout.nodes; part++) {
         int owners = 0;
-        for (int i = 0; i < w.layout.nodes; i++) {
-            const struct lmn_core *core = w.nodes[i].core;
+        for (int i = 0; i < simulation.layout.nodes; i++) {
+            const struct lmn_core *core = simulation.nodes[i].core;
             owners += core && core->partitions[part].ownership.is_owned &&
                       core->partitions[part].ownership.is_ready;
         }
@@ -52,7 +52,7 @@
 
 static void recovery_ended(void)
 {
-    if (!recovery.over || w.broken)
+    if (!recovery.over || simulation.broken_guard)
         return;
     recovered.times++;
     if (recovery.began >= 0) {
@@ -77,15 +77,16 @@
 
 static void recovery_step(void)
 {
-    if (!recovery.over || w.now < recovery.over) {
-        recovery.starts = w.starts;
+    if (!recovery.over || simulation.now < recovery.over) {
+        recovery.starts = simulation.starts;
         return;
     }
-    if (recovery.began < 0 && w.starts > recovery.starts)
-        recovery.began = w.now - recovery.over;
+    if (recovery.began < 0 && simulation.starts > recovery.starts)
+        recovery.began = simulation.now - recovery.over;
     if (recovery.ready < 0 && all_partitions_ready())
-        recovery.ready = w.now - recovery.over;
-    if ((recovery.began >= 0 && recovery.ready >= 0) || w.now > recovery.over + 30)
+        recovery.ready = simulation.now - recovery.over;
+    if ((recovery.began >= 0 && recovery.ready >= 0) ||
+        simulation.now > recovery.over + 30)
         recovery_ended();
 }
 
@@ -107,7 +108,7 @@
 
 /* --- old reports as a new leader begins --- */
 
-static uint64_t terms[MOST_NODES];
+static uint64_t terms[MAX_NODES];
 
 static void old_reports_begin(void)
 {
@@ -119,8 +120,8 @@
 {
     bool began = false;
 
-    for (int part = 0; part < w.layout.nodes; part++) {
-        uint64_t epoch = world_term(part);
+    for (int part = 0; part < simulation.layout.nodes; part++) {
+        uint64_t epoch = simulation_term(part);
         began = began || epoch > terms[part];
         terms[part] = MAX(terms[part], epoch);
     }
@@ -130,11 +131,12 @@
 /* A leader ends, or loses its partition, with or without machines that can't be asked. */
 static void change_leader(void)
 {
-    int who = world_leader();
+    int who = simulation_leader();
 
-    if (world_chance(0.4))
-        trouble_begin(T_SHUT_DOOR, 0, scenario_drawn(0.5, w.lease_s));
-    trouble_begin(world_chance(0.6) ? T_CRASH : T_REFUSED, who, scenario_drawn(0.1, 8));
+    if (simulation_chance(0.4))
+        fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_drawn(0.5, simulation.lease_s));
+    fault_begin(simulation_chance(0.6) ? FAULT_CRASH : FAULT_REFUSED, who,
+                scenario_drawn(0.1, 8));
 }
 
 /* An old report of each machine reaches every controller just as a new leader begins. */
@@ -143,13 +145,13 @@
     if (scenario_every(10))
         change_leader();
     if (scenario_every(20))
-        trouble_begin(T_HANG, 0, scenario_drawn(1, 1.5 * w.lease_s));
+        fault_begin(FAULT_HANG, 0, scenario_drawn(1, 1.5 * simulation.lease_s));
     if (scenario_every(30))
-        trouble_begin(T_MACHINE_DIES, 0, 0);
+        fault_begin(FAULT_MACHINE_DIES, 0, 0);
     if (scenario_every(8))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
     if (leader_began() && scenario_time() > 30)
-        trouble_begin(T_OLD_REPORTS, 0, 0);
+        fault_begin(FAULT_OLD_HEARTBEATS, 0, 0);
 }
 
 static struct total kept_arrived;
@@ -157,14 +159,16 @@
 /* Reports are held until the next leader has acted, and arrive there. */
 static void held_reports_step(void)
 {
-    w.keep_until = w.now + (scenario_time() < w.layout.steps * STEP_S);
+    simulation.keep_until =
+        simulation.now + (scenario_time() < simulation.layout.steps * STEP_S);
     if (scenario_every(8))
         change_leader();
     if (scenario_every(20))
-        trouble_begin(T_DEAF_MACHINE, 0, scenario_drawn(1, w.lease_s));
+        fault_begin(FAULT_MACHINE_HEARS_NOTHING, 0,
+                    scenario_drawn(1, simulation.lease_s));
     if (scenario_every(8))
-        world_cancel_some(0.1);
-    add_up(&kept_arrived, w.kept_arrived);
+        simulation_cancel_some(0.1);
+    add_up(&kept_arrived, simulation.kept_arrived);
 }
 
 static void held_reports_report(void)
@@ -181,7 +185,7 @@
     bool still[2]; /* they stand still; else they are down */
 } away;
 
-static void away_draw(struct plan *p, GRand *r)
+static void away_draw(struct schedule *p, GRand *r)
 {
     scenario_usual_draw(p, r);
     for (int i = 0; i < 2; i++) {
@@ -197,15 +201,15 @@
 {
     for (int i = 0; i < 2; i++) {
         if (scenario_at(away.at[i] - 2))
-            trouble_begin(T_SHUT_DOOR, 0, away.s[i] + 3);
+            fault_begin(FAULT_PUSH_BLOCKED, 0, away.s[i] + 3);
         if (!scenario_at(away.at[i]))
             continue;
-        world_cancel_some(0.1);
-        int first = g_rand_int_range(w.r, 0, w.layout.nodes);
-        for (int k = 0; k < w.layout.nodes; k++)
-            trouble_begin(away.still[i] ? T_FREEZE : T_CRASH, k,
-                          away.s[i] + (k == first ? 0 : scenario_drawn(0, 6)));
-        recovery_from(w.now + away.s[i]);
+        simulation_cancel_some(0.1);
+        int first = g_rand_int_range(simulation.random, 0, simulation.layout.nodes);
+        for (int k = 0; k < simulation.layout.nodes; k++)
+            fault_begin(away.still[i] ? FAULT_FREEZE : FAULT_CRASH, k,
+                        away.s[i] + (k == first ? 0 : scenario_drawn(0, 6)));
+        recovery_from(simulation.now + away.s[i]);
     }
     recovery_step();
 }
@@ -217,7 +221,7 @@
 } changes;
 static unsigned leaders_changed;
 
-static void changes_draw(struct plan *p, GRand *r)
+static void changes_draw(struct schedule *p, GRand *r)
 {
     scenario_usual_draw(p, r);
     changes.outage_at = g_rand_double_range(r, 45, 70);
@@ -227,23 +231,24 @@
 /* The leader ends every eight seconds, also while the state service is down for all. */
 static void changes_step(void)
 {
-    static const enum trouble kinds[] = {T_CRASH, T_REFUSED, T_LEAVE, T_FREEZE,
-                                         T_ISOLATED};
+    static const enum fault kinds[] = {FAULT_CRASH, FAULT_REFUSED, FAULT_LEAVE,
+                                       FAULT_FREEZE, FAULT_ISOLATED};
 
     if (scenario_at(changes.outage_at)) {
-        trouble_begin(T_OUTAGE, 0, changes.outage_s);
-        recovery_from(w.now + changes.outage_s);
+        fault_begin(FAULT_OUTAGE, 0, changes.outage_s);
+        recovery_from(simulation.now + changes.outage_s);
     }
     for (int i = 0; i < 10; i++)
         if (scenario_at(30.05 + 8 * i)) {
-            enum trouble k = kinds[g_rand_int_range(w.r, 0, G_N_ELEMENTS(kinds))];
-            if (world_chance(0.5))
-                trouble_begin(T_SHUT_DOOR, 0, scenario_drawn(1, w.lease_s));
-            trouble_begin(k, world_leader(), scenario_drawn(0.2, 6));
-            leaders_changed += !w.broken;
+            enum fault k =
+                kinds[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(kinds))];
+            if (simulation_chance(0.5))
+                fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_drawn(1, simulation.lease_s));
+            fault_begin(k, simulation_leader(), scenario_drawn(0.2, 6));
+            leaders_changed += !simulation.broken_guard;
         }
     if (scenario_every(8))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
     recovery_step();
 }
 
@@ -259,7 +264,7 @@
     double at[2], first_s[2], rest_s[2];
 } alone;
 
-static void alone_draw(struct plan *p, GRand *r)
+static void alone_draw(struct schedule *p, GRand *r)
 {
     scenario_usual_draw(p, r);
     for (int i = 0; i < 2; i++) {
@@ -275,15 +280,15 @@
 {
     for (int i = 0; i < 2; i++) {
         if (scenario_between(alone.at[i] - 12, alone.at[i]) && scenario_every(2))
-            trouble_begin(world_chance(0.5) ? T_LEAVE : T_CRASH,
-                          g_rand_int_range(w.r, 0, w.layout.nodes),
-                          scenario_drawn(0.05, 1));
+            fault_begin(simulation_chance(0.5) ? FAULT_LEAVE : FAULT_CRASH,
+                        g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
+                        scenario_drawn(0.05, 1));
         if (!scenario_at(alone.at[i]))
             continue;
-        int first = g_rand_int_range(w.r, 0, w.layout.nodes);
-        for (int k = 0; k < w.layout.nodes; k++)
-            trouble_begin(T_CRASH, k, k == first ? alone.first_s[i] : alone.rest_s[i]);
-        recovery_from(w.now + alone.first_s[i]);
+        int first = g_rand_int_range(simulation.random, 0, simulation.layout.nodes);
+        for (int k = 0; k < simulation.layout.nodes; k++)
+            fault_begin(FAULT_CRASH, k, k == first ? alone.first_s[i] : alone.rest_s[i]);
+        recovery_from(simulation.now + alone.first_s[i]);
     }
     recovery_step();
 }
@@ -297,7 +302,7 @@
 
 /* The ways back to the state service, to the other controllers and to their workers open
  * one after the other, or in the same step. */
-static void zone_draw(struct plan *p, GRand *r)
+static void zone_draw(struct schedule *p, GRand *r)
 {
     scenario_usual_draw(p, r);
     zone.at = g_rand_double_range(r, 35, 40);
@@ -313,15 +318,16 @@
 static void zone_step(void)
 {
     if (scenario_at(zone.at)) {
-        zone.who = world_leader();
-        trouble_begin(T_ZONE, zone.who, zone.workers_s);
-        trouble_begin(T_REFUSED, zone.who, zone.state_s);
-        w.nodes[zone.who].zone_until = w.now + zone.peers_s;
-        trouble_begin(T_CLOUD, 0, zone.cloud_s);
-        recovery_from(w.now + MAX(zone.state_s, MAX(zone.peers_s, zone.workers_s)));
+        zone.who = simulation_leader();
+        fault_begin(FAULT_ZONE, zone.who, zone.workers_s);
+        fault_begin(FAULT_REFUSED, zone.who, zone.state_s);
+        simulation.nodes[zone.who].zone_until = simulation.now + zone.peers_s;
+        fault_begin(FAULT_CLOUD, 0, zone.cloud_s);
+        recovery_from(simulation.now +
+                      MAX(zone.state_s, MAX(zone.peers_s, zone.workers_s)));
     }
-    if (scenario_between(zone.at, zone.at + zone.workers_s) && world_chance(0.05))
-        world_cancel_some(0.1);
+    if (scenario_between(zone.at, zone.at + zone.workers_s) && simulation_chance(0.05))
+        simulation_cancel_some(0.1);
     recovery_step();
 }
 
@@ -330,15 +336,15 @@
 static void late_messages(void)
 {
     if (scenario_every(15))
-        trouble_begin(T_REPORTS_FOR_NEXT, 0, scenario_drawn(2, 15));
+        fault_begin(FAULT_HEARTBEATS_FOR_NEXT_OWNER, 0, scenario_drawn(2, 15));
     if (scenario_every(15))
-        trouble_begin(T_OLD_REPORTS, 0, 0);
+        fault_begin(FAULT_OLD_HEARTBEATS, 0, 0);
     if (scenario_every(20))
-        trouble_begin(T_LATE_REPORTS, 0, scenario_drawn(2, 10));
+        fault_begin(FAULT_LATE_HEARTBEATS, 0, scenario_drawn(2, 10));
     if (scenario_every(30))
-        trouble_begin(T_NEW_MACHINES, 0, 0);
+        fault_begin(FAULT_NEW_MACHINES, 0, 0);
     if (scenario_every(30))
-        trouble_begin(T_LATE_WRITES, 0, scenario_drawn(1, 5));
+        fault_begin(FAULT_LATE_WRITES, 0, scenario_drawn(1, 5));
 }
 
 /* A leader ends while machines with long tasks can't be reached, or don't hear. */
@@ -346,15 +352,15 @@
 {
     late_messages();
     if (scenario_every(15)) {
-        int who = world_leader();
-        trouble_begin(world_chance(0.5) ? T_DEAF_MACHINE : T_HANG, who,
-                      scenario_drawn(0.5, 1.5 * w.lease_s));
-        trouble_begin(T_CRASH, who, scenario_drawn(0.2, 20));
+        int who = simulation_leader();
+        fault_begin(simulation_chance(0.5) ? FAULT_MACHINE_HEARS_NOTHING : FAULT_HANG,
+                    who, scenario_drawn(0.5, 1.5 * simulation.lease_s));
+        fault_begin(FAULT_CRASH, who, scenario_drawn(0.2, 20));
     }
     if (scenario_every(30))
-        trouble_begin(T_CLOUD, 0, scenario_drawn(5, 30));
+        fault_begin(FAULT_CLOUD, 0, scenario_drawn(5, 30));
     if (scenario_every(10))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
 }
 
 /* A leader that has only its workers and users, while jobs are cancelled through the new
@@ -363,9 +369,10 @@
 {
     late_messages();
     if (scenario_every(25))
-        trouble_begin(T_ISOLATED, world_leader(), scenario_drawn(1, 1.5 * w.cancel_s));
+        fault_begin(FAULT_ISOLATED, simulation_leader(),
+                    scenario_drawn(1, 1.5 * simulation.cancel_s));
     if (scenario_every(4))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
 }
 
 /* Jobs of two or three tasks that end far apart, across changes of the leader. */
@@ -373,8 +380,8 @@
 {
     late_messages();
     for (int i = 0; i < JOBS; i++)
-        if (!w.jobs[i].submitted)
-            w.jobs[i].spec.tasks = 2 + (uint32_t)i % 2;
+        if (!simulation.jobs[i].submitted)
+            simulation.jobs[i].spec.tasks = 2 + (uint32_t)i % 2;
     if (scenario_every(8))
         change_leader();
 }
@@ -387,14 +394,15 @@
  * anew; then the old ones are carried out. */
 static void ended_writer_step(void)
 {
-    w.late_until = w.now + (scenario_time() < w.layout.steps * STEP_S);
+    simulation.late_until =
+        simulation.now + (scenario_time() < simulation.layout.steps * STEP_S);
     if (scenario_every(4))
-        trouble_begin(T_CRASH, world_leader(), scenario_drawn(0.05, 1));
+        fault_begin(FAULT_CRASH, simulation_leader(), scenario_drawn(0.05, 1));
     if (scenario_every(15))
-        trouble_begin(T_LEAVE, world_leader(), 0);
+        fault_begin(FAULT_LEAVE, simulation_leader(), 0);
     if (scenario_every(6))
-        world_cancel_some(0.1);
-    add_up(&ended_writers, w.ended_writers);
+        simulation_cancel_some(0.1);
+    add_up(&ended_writers, simulation.ended_writers);
 }
 
 static void ended_writer_report(void)
@@ -418,15 +426,15 @@
 static struct total old_terms, old_sessions;
 static void count_refused_calls(void)
 {
-    add_up(&old_terms, w.old_terms);
-    add_up(&old_sessions, w.old_sessions);
+    add_up(&old_terms, simulation.old_terms);
+    add_up(&old_sessions, simulation.old_sessions);
 }
 
 /* With room on the machines and within the limit: what begins is sent there at once, and
  * does not wait for a report. */
 static const struct layout roomy = {3, 18, 1, 1100, 1300, 108, 2};
 
-static void old_commands_draw(struct plan *p, GRand *r)
+static void old_commands_draw(struct schedule *p, GRand *r)
 {
     scenario_usual_draw(p, r);
     p->run_s = g_rand_double_range(r, 15, 25);
@@ -437,17 +445,17 @@
 static void old_commands_step(void)
 {
     if (scenario_every(6)) {
-        leader_ends_at = w.now + scenario_drawn(0.5, 2);
-        for (int i = 0; i < w.layout.machines; i++)
-            w.machines[i].closed_until = leader_ends_at + scenario_drawn(3, 8);
+        leader_ends_at = simulation.now + scenario_drawn(0.5, 2);
+        for (int i = 0; i < simulation.layout.machines; i++)
+            simulation.machines[i].closed_until = leader_ends_at + scenario_drawn(3, 8);
     }
-    if (leader_ends_at && w.now >= leader_ends_at) {
+    if (leader_ends_at && simulation.now >= leader_ends_at) {
         leader_ends_at = 0;
-        trouble_begin(world_chance(0.7) ? T_CRASH : T_ISOLATED, world_leader(),
-                      scenario_drawn(3, 10));
+        fault_begin(simulation_chance(0.7) ? FAULT_CRASH : FAULT_ISOLATED,
+                    simulation_leader(), scenario_drawn(3, 10));
     }
     if (scenario_every(8))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
     count_refused_calls();
 }
 
@@ -456,11 +464,12 @@
 static void old_sessions_step(void)
 {
     if (scenario_every(8))
-        for (int i = 0; i < w.layout.machines; i++) {
-            struct machine *machine = &w.machines[i];
-            if (w.now < machine->closed_until || !world_chance(0.4))
+        for (int i = 0; i < simulation.layout.machines; i++) {
+            struct machine *machine = &simulation.machines[i];
+            if (simulation.now < machine->closed_until || !simulation_chance(0.4))
                 continue;
-            machine->unheard_until = w.now + w.lease_s * scenario_drawn(1.02, 1.2);
+            machine->unheard_until =
+                simulation.now + simulation.lease_s * scenario_drawn(1.02, 1.2);
             machine->closed_until = machine->unheard_until + scenario_drawn(0, 5);
         }
     count_refused_calls();
@@ -481,46 +490,46 @@
 static void new_machines_step(void)
 {
     if (scenario_every(5)) {
-        trouble_begin(T_NEW_MACHINES, 0, 0);
-        trouble_begin(T_LATE_WRITES, 0, 4);
-        trouble_begin(T_SLOW_STATE, world_leader(), 4);
-        leader_ends_at = w.now + scenario_drawn(1, 4);
+        fault_begin(FAULT_NEW_MACHINES, 0, 0);
+        fault_begin(FAULT_LATE_WRITES, 0, 4);
+        fault_begin(FAULT_SLOW_STATE, simulation_leader(), 4);
+        leader_ends_at = simulation.now + scenario_drawn(1, 4);
     }
-    if (leader_ends_at && w.now >= leader_ends_at) {
+    if (leader_ends_at && simulation.now >= leader_ends_at) {
         leader_ends_at = 0;
-        trouble_begin(T_CRASH, world_leader(), scenario_drawn(0.1, 5));
+        fault_begin(FAULT_CRASH, simulation_leader(), scenario_drawn(0.1, 5));
     }
 }
 
 static const struct scenario scenarios[] = {
-    {"old reports as a leader begins", old_reports_step, scenario_usual_draw, G_REPORTED,
-     R_TWICE, false, 6, old_reports_begin, NULL, NULL},
+    {"old reports as a leader begins", old_reports_step, scenario_usual_draw,
+     GUARD_HEARTBEAT_EPOCH, R_TWICE, false, 6, old_reports_begin, NULL, NULL},
     {"reports held for the next leader", held_reports_step, scenario_usual_draw,
-     G_REPORTED, R_TWICE, false, 6, NULL, held_reports_report, NULL},
-    {"all controllers away", away_step, away_draw, G_ACCOUNT, R_TWICE, false, 6,
+     GUARD_HEARTBEAT_EPOCH, R_TWICE, false, 6, NULL, held_reports_report, NULL},
+    {"all controllers away", away_step, away_draw, GUARD_ACCOUNTED, R_TWICE, false, 6,
      recovery_begin, recovery_report, NULL},
-    {"ten leaders", changes_step, changes_draw, G_ACCOUNT, R_TWICE, false, 6,
+    {"ten leaders", changes_step, changes_draw, GUARD_ACCOUNTED, R_TWICE, false, 6,
      recovery_begin, changes_report, NULL},
-    {"one returns", alone_step, alone_draw, G_ACCOUNT, R_TWICE, false, 6, recovery_begin,
-     recovery_report, NULL},
-    {"a zone by itself", zone_step, zone_draw, G_FENCE, R_CANCELLED, false, 8,
+    {"one returns", alone_step, alone_draw, GUARD_ACCOUNTED, R_TWICE, false, 6,
      recovery_begin, recovery_report, NULL},
-    {"a zone by itself: both sides", zone_step, zone_draw, G_ACCOUNT, R_TWICE, false, 4,
+    {"a zone by itself", zone_step, zone_draw, GUARD_STALE_VIEW, R_CANCELLED, false, 8,
      recovery_begin, recovery_report, NULL},
-    {"unreached machines, late messages", unreached_step, scenario_usual_draw, G_ACCOUNT,
-     R_TWICE, false, 6, NULL, NULL, NULL},
-    {"isolated leader, late messages", isolated_step, scenario_usual_draw, G_TOLD,
-     R_TWICE, true, 6, NULL, NULL, NULL},
-    {"small jobs, late messages", small_jobs_step, scenario_usual_draw, G_DONE,
+    {"a zone by itself: both sides", zone_step, zone_draw, GUARD_ACCOUNTED, R_TWICE,
+     false, 4, recovery_begin, recovery_report, NULL},
+    {"unreached machines, late messages", unreached_step, scenario_usual_draw,
+     GUARD_ACCOUNTED, R_TWICE, false, 6, NULL, NULL, NULL},
+    {"isolated leader, late messages", isolated_step, scenario_usual_draw,
+     GUARD_REPLICATED, R_TWICE, true, 6, NULL, NULL, NULL},
+    {"small jobs, late messages", small_jobs_step, scenario_usual_draw, GUARD_DONE,
      R_NOT_DONE, false, 6, NULL, NULL, NULL},
-    {"writes of an ended controller", ended_writer_step, scenario_usual_draw, G_LATE,
-     ANY_RULE, false, 6, NULL, ended_writer_report, NULL},
-    {"commands of an ended leader", old_commands_step, old_commands_draw, G_OLD_TERM,
+    {"writes of an ended controller", ended_writer_step, scenario_usual_draw,
+     GUARD_LATE_WRITE, ANY_RULE, false, 6, NULL, ended_writer_report, NULL},
+    {"commands of an ended leader", old_commands_step, old_commands_draw, GUARD_OLD_EPOCH,
      R_TWICE, false, 8, leader_ends_begin, old_commands_report, &roomy},
-    {"commands for an earlier session", old_sessions_step, old_commands_draw, G_SESSION,
-     R_TWICE, false, 6, NULL, old_commands_report, &roomy},
-    {"new machines at once", new_machines_step, scenario_usual_draw, G_RECORDED, R_TWICE,
-     false, 6, leader_ends_begin, NULL, NULL},
+    {"commands for an earlier session", old_sessions_step, old_commands_draw,
+     GUARD_INCARNATION, R_TWICE, false, 6, NULL, old_commands_report, &roomy},
+    {"new machines at once", new_machines_step, scenario_usual_draw,
+     GUARD_MACHINE_RECORDED, R_TWICE, false, 6, leader_ends_begin, NULL, NULL},
 };
 
 int main(int argc, char **argv)
--- a/tests/test_scenarios_limits.c
+++ b/tests/test_scenarios_limits.c
@@ -1,5 +1,5 @@
 /* Scenarios of limits, cancellations, hanging machines and load: each a schedule of
- * faults, and the guard without which such days break a rule (world/scenario.h). */
+ * faults, and the guard without which such days break a rule (simulation/scenario.h). */
 #include "scenario.h"
 
 #include <string.h>
@@ -7,7 +7,7 @@
 /* Three teams that ask for more than their limits. */
 static const struct layout limited = {3, 9, 1, 1100, 1300, 9, 2};
 
-static void limited_draw(struct plan *p, GRand *r)
+static void limited_draw(struct schedule *p, GRand *r)
 {
     scenario_usual_draw(p, r);
     p->teams = 3;
@@ -16,10 +16,11 @@
 /* A machine's fault, of those under which a cancelled task may go on there. */
 static void machines_fail(void)
 {
-    static const enum trouble kinds[] = {T_HANG, T_DEAF_MACHINE, T_ZONE, T_MUTE_MACHINE};
+    static const enum fault kinds[] = {FAULT_HANG, FAULT_MACHINE_HEARS_NOTHING,
+                                       FAULT_ZONE, FAULT_MACHINE_REACHES_NOBODY};
 
-    trouble_begin(kinds[g_rand_int_range(w.r, 0, G_N_ELEMENTS(kinds))], world_leader(),
-                  scenario_drawn(1, 1.5 * w.lease_s));
+    fault_begin(kinds[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(kinds))],
+                simulation_leader(), scenario_drawn(1, 1.5 * simulation.lease_s));
 }
 
 /* --- limits --- */
@@ -28,14 +29,14 @@
 
 static void cancel_at_limit(double share)
 {
-    unsigned before = w.cancelled;
+    unsigned before = simulation.cancelled;
     bool all = true;
 
     /* No team could start one more of the larger tasks. */
-    for (int k = 0; k < w.teams; k++)
-        all = all && world_team_use(k) + 3 > w.layout.limit;
-    world_cancel_some(share);
-    at_limit += all ? w.cancelled - before : 0;
+    for (int k = 0; k < simulation.teams; k++)
+        all = all && simulation_team_use(k) + 3 > simulation.layout.limit;
+    simulation_cancel_some(share);
+    at_limit += all ? simulation.cancelled - before : 0;
 }
 
 /* Every team is at its limit; jobs are cancelled whose machines hang, don't hear or are
@@ -47,12 +48,13 @@
     if (scenario_every(10)) {
         machines_fail();
         cancel_at_limit(0.2);
-        change_at = w.now + scenario_drawn(0, 2);
+        change_at = simulation.now + scenario_drawn(0, 2);
     }
-    if (change_at && w.now >= change_at) {
-        static const enum trouble kinds[] = {T_CRASH, T_REFUSED, T_FREEZE, T_LEAVE};
-        trouble_begin(kinds[g_rand_int_range(w.r, 0, G_N_ELEMENTS(kinds))],
-                      world_leader(), scenario_drawn(0.5, 10));
+    if (change_at && simulation.now >= change_at) {
+        static const enum fault kinds[] = {FAULT_CRASH, FAULT_REFUSED, FAULT_FREEZE,
+                                           FAULT_LEAVE};
+        fault_begin(kinds[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(kinds))],
+                    simulation_leader(), scenario_drawn(0.5, 10));
         change_at = 0;
     }
 }
@@ -68,10 +70,10 @@
 static void limit_cold_step(void)
 {
     if (scenario_every(15)) {
-        trouble_begin(T_HANG, 0, scenario_drawn(1, w.lease_s));
-        trouble_begin(T_SHUT_DOOR, 0, scenario_drawn(2, w.lease_s));
-        trouble_begin(T_CLOUD, 0, scenario_drawn(5, 20));
-        trouble_begin(T_CRASH_ALL, 0, scenario_drawn(0.2, 3));
+        fault_begin(FAULT_HANG, 0, scenario_drawn(1, simulation.lease_s));
+        fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_drawn(2, simulation.lease_s));
+        fault_begin(FAULT_CLOUD, 0, scenario_drawn(5, 20));
+        fault_begin(FAULT_CRASH_ALL, 0, scenario_drawn(0.2, 3));
     }
     if (scenario_every(5))
         cancel_at_limit(0.1);
@@ -82,15 +84,15 @@
 static void limit_warm_step(void)
 {
     if (scenario_every(7)) {
-        int who = world_leader();
+        int who = simulation_leader();
         double s = scenario_drawn(3, 15);
-        trouble_begin(T_CLOUD, 0, s);
-        if (world_chance(0.7)) {
-            trouble_begin(T_ISOLATED, who, s);
-            trouble_begin(T_ZONE, who, s);
+        fault_begin(FAULT_CLOUD, 0, s);
+        if (simulation_chance(0.7)) {
+            fault_begin(FAULT_ISOLATED, who, s);
+            fault_begin(FAULT_ZONE, who, s);
         } else {
             machines_fail();
-            trouble_begin(world_chance(0.5) ? T_CRASH : T_FREEZE, who, s);
+            fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_FREEZE, who, s);
         }
     }
     if (scenario_every(4))
@@ -109,11 +111,11 @@
     enum lmn_replication_phase phase;
     bool releasing;
     uint64_t batches;
-} seen[MOST_NODES];
+} seen[MAX_NODES];
 
 static void handover_begin(void)
 {
-    for (int i = 0; i < MOST_NODES; i++) {
+    for (int i = 0; i < MAX_NODES; i++) {
         memset(&seen[i], 0, sizeof seen[i]);
         seen[i].owner = seen[i].previous = -1;
     }
@@ -131,11 +133,12 @@
     for (int k = 0; k < CONFIRMERS; k++)
         if (confirmed[s][k] < confirmed[s][by])
             by = (enum confirmer)k;
-    if (nodes[by] < 0 || nodes[by] >= w.layout.nodes)
+    if (nodes[by] < 0 || nodes[by] >= simulation.layout.nodes)
         return;
-    for (int n = 0, i = g_rand_int_range(w.r, 0, w.njobs); n < w.njobs; n++, i++) {
-        struct job *job = &w.jobs[i % w.njobs];
-        if (job->began_at >= 0 && world_cancel_through(job, nodes[by])) {
+    for (int n = 0, i = g_rand_int_range(simulation.random, 0, simulation.njobs);
+         n < simulation.njobs; n++, i++) {
+        struct job *job = &simulation.jobs[i % simulation.njobs];
+        if (job->began_at >= 0 && simulation_cancel_through(job, nodes[by])) {
             confirmed[s][by]++;
             return;
         }
@@ -147,16 +150,19 @@
 {
     int owner = -1;
 
-    for (int i = 0; i < w.layout.nodes; i++)
-        if (w.nodes[i].core && w.nodes[i].core->partitions[part].ownership.is_owned &&
-            (owner < 0 || w.nodes[i].core->partitions[part].ownership.epoch >
-                              w.nodes[owner].core->partitions[part].ownership.epoch))
+    for (int i = 0; i < simulation.layout.nodes; i++)
+        if (simulation.nodes[i].core &&
+            simulation.nodes[i].core->partitions[part].ownership.is_owned &&
+            (owner < 0 ||
+             simulation.nodes[i].core->partitions[part].ownership.epoch >
+                 simulation.nodes[owner].core->partitions[part].ownership.epoch))
             owner = i;
     if (owner < 0)
         return;
-    const struct lmn_partition *partition = &w.nodes[owner].core->partitions[part];
+    const struct lmn_partition *partition =
+        &simulation.nodes[owner].core->partitions[part];
     enum lmn_replication_phase phase = partition->replication.stream.phase;
-    int other = phase == LMN_STREAM_NONE ? (owner + 1) % w.layout.nodes
+    int other = phase == LMN_STREAM_NONE ? (owner + 1) % simulation.layout.nodes
                                          : partition->replication.stream.standby_index;
     if (seen[part].owner != owner) {
         if (seen[part].owner >= 0)
@@ -173,7 +179,7 @@
     }
     uint64_t batches = partition->replication.stream.counters.batches;
     if (batches != seen[part].batches && phase != LMN_STREAM_JOINING &&
-        world_chance(0.02))
+        simulation_chance(0.02))
         cancel_during(COPIED, owner, other);
     seen[part].batches = batches;
     if (partition->ownership.is_transferring && !seen[part].releasing)
@@ -184,19 +190,25 @@
 /* Partitions change hands in every way, while machines don't hear and writes are late. */
 static void handover_step(void)
 {
-    static const enum trouble kinds[] = {T_LEAVE, T_CRASH,     T_FREEZE,
-                                         T_LEAVE, T_MUTE_NODE, T_DEAF_NODE};
+    static const enum fault kinds[] = {FAULT_LEAVE,
+                                       FAULT_CRASH,
+                                       FAULT_FREEZE,
+                                       FAULT_LEAVE,
+                                       FAULT_NODE_LOSES_PEERS,
+                                       FAULT_NODE_LOSES_WORKERS};
 
     if (scenario_time() > 30 && !scenario_is_over())
-        for (int i = 0; i < w.layout.nodes; i++)
+        for (int i = 0; i < simulation.layout.nodes; i++)
             watch_partition(i);
     if (scenario_every(8))
-        trouble_begin(kinds[g_rand_int_range(w.r, 0, G_N_ELEMENTS(kinds))],
-                      g_rand_int_range(w.r, 0, w.layout.nodes), scenario_drawn(0.5, 6));
+        fault_begin(kinds[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(kinds))],
+                    g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
+                    scenario_drawn(0.5, 6));
     if (scenario_every(15))
-        trouble_begin(T_LATE_WRITES, 0, 4);
+        fault_begin(FAULT_LATE_WRITES, 0, 4);
     if (scenario_every(15))
-        trouble_begin(T_DEAF_MACHINE, 0, scenario_drawn(1, 2 * w.lease_s));
+        fault_begin(FAULT_MACHINE_HEARS_NOTHING, 0,
+                    scenario_drawn(1, 2 * simulation.lease_s));
 }
 
 static void handover_report(void)
@@ -223,18 +235,18 @@
 static void instant_step(void)
 {
     if (scenario_at(gap.at)) {
-        int who = world_leader();
+        int who = simulation_leader();
         if (gap.before)
-            world_cancel_some(0.6);
-        trouble_begin(T_REFUSED, who, gap.outage_s);
+            simulation_cancel_some(0.6);
+        fault_begin(FAULT_REFUSED, who, gap.outage_s);
         if (!gap.before)
-            world_cancel_some(0.6);
+            simulation_cancel_some(0.6);
     }
     if (scenario_at(gap.outage_at))
-        trouble_begin(T_OUTAGE, 0, gap.outage_s);
+        fault_begin(FAULT_OUTAGE, 0, gap.outage_s);
 }
 
-static void instant_draw(struct plan *p, GRand *r)
+static void instant_draw(struct schedule *p, GRand *r)
 {
     p->lease_s = g_rand_double_range(r, 5, 14);
     p->cancel_s = p->lease_s + g_rand_double_range(r, 4, 24);
@@ -251,27 +263,28 @@
 static void mute_step(void)
 {
     if (scenario_every(10))
-        trouble_begin(T_MUTE_MACHINE, 0, scenario_drawn(1, 2 * w.lease_s));
+        fault_begin(FAULT_MACHINE_REACHES_NOBODY, 0,
+                    scenario_drawn(1, 2 * simulation.lease_s));
     if (scenario_every(25))
-        trouble_begin(world_chance(0.5) ? T_CRASH : T_REFUSED, world_leader(),
-                      scenario_drawn(0.5, 8));
+        fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_REFUSED,
+                    simulation_leader(), scenario_drawn(0.5, 8));
     if (scenario_every(8))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
 }
 
 /* Direct commands are carried out late, when another leader has acted, or a machine has
  * ended its session. */
 static void late_commands_step(void)
 {
-    w.commands_until = w.now + (scenario_is_over() ? 0 : 1);
+    simulation.commands_until = simulation.now + (scenario_is_over() ? 0 : 1);
     if (scenario_every(10))
-        trouble_begin(world_chance(0.5) ? T_MUTE_MACHINE : T_HANG, 0,
-                      scenario_drawn(1, 1.5 * w.lease_s));
+        fault_begin(simulation_chance(0.5) ? FAULT_MACHINE_REACHES_NOBODY : FAULT_HANG, 0,
+                    scenario_drawn(1, 1.5 * simulation.lease_s));
     if (scenario_every(8))
-        trouble_begin(world_chance(0.5) ? T_CRASH : T_FREEZE, world_leader(),
-                      scenario_drawn(0.2, 8));
+        fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_FREEZE,
+                    simulation_leader(), scenario_drawn(0.2, 8));
     if (scenario_every(8))
-        world_cancel_some(0.1);
+        simulation_cancel_some(0.1);
 }
 
 /* --- load --- */
@@ -295,30 +308,32 @@
  * is down in between, and takes few transactions a second after that. */
 static void many_jobs_step(void)
 {
-    for (int i = 0; i < w.njobs; i += 4) {
-        struct job *job = &w.jobs[i];
-        if (job->submitted && w.now - job->accepted_at < 4 && world_chance(0.04))
-            world_cancel(job);
+    for (int i = 0; i < simulation.njobs; i += 4) {
+        struct job *job = &simulation.jobs[i];
+        if (job->submitted && simulation.now - job->accepted_at < 4 &&
+            simulation_chance(0.04))
+            simulation_cancel(job);
     }
     if (scenario_at(40))
-        trouble_begin(T_OUTAGE, 0, 5);
+        fault_begin(FAULT_OUTAGE, 0, 5);
     if (scenario_every(20))
-        trouble_begin(world_chance(0.5) ? T_CRASH : T_FREEZE, world_leader(),
-                      scenario_drawn(0.2, 4));
+        fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_FREEZE,
+                    simulation_leader(), scenario_drawn(0.2, 4));
     if (scenario_every(20))
-        trouble_begin(T_LATE_REPORTS, 0, 5);
+        fault_begin(FAULT_LATE_HEARTBEATS, 0, 5);
     /* A job has two records: its own, and its tasks'. */
-    if (w.most_queued > 2 * SMALL_JOBS)
-        world_unserved("%u changes wait to be written", w.most_queued);
-    small_queued = MAX(small_queued, w.broken ? 0 : w.most_queued);
-    if (!w.broken && scenario_at(239)) {
+    if (simulation.most_queued > 2 * SMALL_JOBS)
+        simulation_unserved("%u changes wait to be written", simulation.most_queued);
+    small_queued =
+        MAX(small_queued, simulation.broken_guard ? 0 : simulation.most_queued);
+    if (!simulation.broken_guard && scenario_at(239)) {
         small_days++;
-        small_transactions += w.transactions;
-        small_changes += w.changes;
+        small_transactions += simulation.transactions;
+        small_changes += simulation.changes;
     }
 }
 
-static void many_jobs_draw(struct plan *p, GRand *r)
+static void many_jobs_draw(struct schedule *p, GRand *r)
 {
     scenario_usual_draw(p, r);
     p->run_s = 3;
@@ -355,7 +370,7 @@
         job->spec.kind = LMN_JOB_BATCH;
 }
 
-static void bound_draw(struct plan *p, GRand *r)
+static void bound_draw(struct schedule *p, GRand *r)
 {
     scenario_usual_draw(p, r);
     p->describe = bound;
@@ -364,15 +379,15 @@
 static void bound_step(void)
 {
     if (scenario_every(8))
-        trouble_begin(T_MACHINE_DIES, 0, 0);
+        fault_begin(FAULT_MACHINE_DIES, 0, 0);
     if (scenario_every(15))
-        trouble_begin(T_HANG, 0, scenario_drawn(1, 1.5 * w.lease_s));
+        fault_begin(FAULT_HANG, 0, scenario_drawn(1, 1.5 * simulation.lease_s));
     if (scenario_every(20))
-        trouble_begin(T_CRASH, world_leader(), scenario_drawn(0.2, 6));
+        fault_begin(FAULT_CRASH, simulation_leader(), scenario_drawn(0.2, 6));
     if (scenario_every(30))
-        trouble_begin(T_CLOUD, 0, scenario_drawn(5, 20));
+        fault_begin(FAULT_CLOUD, 0, scenario_drawn(5, 20));
     if (scenario_every(10))
-        world_cancel_some(0.05);
+        simulation_cancel_some(0.05);
 }
 
 /* Half as much work again as there is room for, over slow links. */
@@ -396,7 +411,7 @@
     job->spec.kind = LMN_JOB_BATCH;
     job->spec.class_name = (char *)classes[number % CLASSES];
     job->spec.priority = urgency[number % CLASSES];
-    job->spec.team = (char *)world_team(number / CLASSES % w.teams);
+    job->spec.team = (char *)simulation_team(number / CLASSES % simulation.teams);
     job->spec.spreads_over_zones = false;
     job->spec.zone = NULL;
     job->spec.may_use_spot = true;
@@ -405,7 +420,7 @@
     job->spec.estimate_s = 8;
 }
 
-static void load_draw(struct plan *p, GRand *r)
+static void load_draw(struct schedule *p, GRand *r)
 {
     p->lease_s = g_rand_double_range(r, 8, 12);
     p->cancel_s = 3 * p->lease_s;
@@ -421,10 +436,10 @@
 {
     unsigned all = 0, n = 0;
 
-    for (int i = 0; i < w.njobs; i++) {
-        const struct job *job = &w.jobs[i];
-        bool counts =
-            class >= 0 ? i % CLASSES == class : !strcmp(job->spec.team, world_team(team));
+    for (int i = 0; i < simulation.njobs; i++) {
+        const struct job *job = &simulation.jobs[i];
+        bool counts = class >= 0 ? i % CLASSES == class
+                                 : !strcmp(job->spec.team, simulation_team(team));
         if (!counts || !job->submitted)
             continue;
         all++;
@@ -435,25 +450,27 @@
 
 static void load_step(void)
 {
-    for (int i = 0; i < w.njobs; i++) {
-        const struct job *job = &w.jobs[i];
+    for (int i = 0; i < simulation.njobs; i++) {
+        const struct job *job = &simulation.jobs[i];
         if (!job->submitted || !is_largest(i))
             continue;
-        double waited = (job->began_at < 0 ? w.now : job->began_at) - job->accepted_at;
-        if (!w.broken)
+        double waited =
+            (job->began_at < 0 ? simulation.now : job->began_at) - job->accepted_at;
+        if (!simulation.broken_guard)
             latest_begin = MAX(latest_begin, waited);
         if (waited > LARGEST_BEGINS_S)
-            world_unserved("%s, one of the largest, has not begun for %.0f s", job->ref,
-                           waited);
+            simulation_unserved("%s, one of the largest, has not begun for %.0f s",
+                                job->id, waited);
     }
-    if (!scenario_at(w.layout.steps * STEP_S))
+    if (!scenario_at(simulation.layout.steps * STEP_S))
         return;
     for (int k = 0; k < 3; k++) {
         double share = MIN(begun(k, 0), begun(-1, k));
-        if (!w.broken)
+        if (!simulation.broken_guard)
             least_share = MIN(least_share ? least_share : 1, share);
         if (share < 0.5)
-            world_unserved("class or team %d: %.2f of its jobs have begun", k, share);
+            simulation_unserved("class or team %d: %.2f of its jobs have begun", k,
+                                share);
     }
 }
 
@@ -466,26 +483,26 @@
 }
 
 static const struct scenario scenarios[] = {
-    {"limits and cancellations", limit_cancel_step, limited_draw, G_COUNTED, R_QUOTA,
-     false, 8, NULL, limit_report, &limited},
-    {"limits, cold takeovers", limit_cold_step, limited_draw, G_UNHEARD, R_QUOTA, false,
-     8, NULL, NULL, &limited},
-    {"limits, warm takeovers", limit_warm_step, limited_draw, G_TOLD, ANY_RULE, true, 16,
-     NULL, NULL, &limited},
+    {"limits and cancellations", limit_cancel_step, limited_draw, GUARD_QUOTA_UNTIL_GONE,
+     R_QUOTA, false, 8, NULL, limit_report, &limited},
+    {"limits, cold takeovers", limit_cold_step, limited_draw, GUARD_UNACCOUNTED, R_QUOTA,
+     false, 8, NULL, NULL, &limited},
+    {"limits, warm takeovers", limit_warm_step, limited_draw, GUARD_REPLICATED, ANY_RULE,
+     true, 16, NULL, NULL, &limited},
     {"cancellations during a change of owner", handover_step, scenario_usual_draw,
-     G_INHERITED, R_CANCELLED, true, 12, handover_begin, handover_report, NULL},
-    {"cancellations at the refusal", instant_step, instant_draw, G_FENCE, R_CANCELLED,
-     false, 12, NULL, NULL, NULL},
-    {"mute machines", mute_step, scenario_usual_draw, G_LEASE, R_TWICE, false, 8, NULL,
-     NULL, NULL},
-    {"late commands", late_commands_step, scenario_usual_draw, G_TOKEN, R_TWICE, false, 8,
+     GUARD_KILL_INHERITED, R_CANCELLED, true, 12, handover_begin, handover_report, NULL},
+    {"cancellations at the refusal", instant_step, instant_draw, GUARD_STALE_VIEW,
+     R_CANCELLED, false, 12, NULL, NULL, NULL},
+    {"mute machines", mute_step, scenario_usual_draw, GUARD_LEASE, R_TWICE, false, 8,
      NULL, NULL, NULL},
-    {"many small jobs", many_jobs_step, many_jobs_draw, G_ONE_WRITE, NOT_SERVED, false, 4,
-     NULL, many_jobs_report, &quarter_second},
-    {"jobs bound to zones", bound_step, bound_draw, G_SPREAD, R_PLACE, false, 8, NULL,
-     NULL, &three_zones},
-    {"more work than room", load_step, load_draw, G_FLOORS, NOT_SERVED, false, 3, NULL,
-     load_report, &overload},
+    {"late commands", late_commands_step, scenario_usual_draw, GUARD_FENCING_TOKEN,
+     R_TWICE, false, 8, NULL, NULL, NULL},
+    {"many small jobs", many_jobs_step, many_jobs_draw, GUARD_ONE_WRITE_PER_RANGE,
+     NOT_SERVED, false, 4, NULL, many_jobs_report, &quarter_second},
+    {"jobs bound to zones", bound_step, bound_draw, GUARD_ANTI_AFFINITY, R_PLACE, false,
+     8, NULL, NULL, &three_zones},
+    {"more work than room", load_step, load_draw, GUARD_FAIR_SHARE, NOT_SERVED, false, 3,
+     NULL, load_report, &overload},
 };
 
 int main(int argc, char **argv)
--- a/tests/test_scenarios_takeback.c
+++ b/tests/test_scenarios_takeback.c
@@ -1,14 +1,17 @@
 /* All controllers' leases end together, and each is back at once: owners take their own
- * partitions back, unless another has owned them meanwhile (world/scenario.h). */
+ * partitions back, unless another has owned them meanwhile (simulation/scenario.h). */
 #include "scenario.h"
 
 static unsigned own; /* takeovers with the owner's own state, on all days */
 
 static void note_own(void)
 {
-    for (int i = 0; scenario_at(w.layout.steps * STEP_S) && i < w.layout.nodes; i++)
-        own +=
-            w.nodes[i].core ? (unsigned)w.nodes[i].core->counters.own_state_failovers : 0;
+    for (int i = 0;
+         scenario_at(simulation.layout.steps * STEP_S) && i < simulation.layout.nodes;
+         i++)
+        own += simulation.nodes[i].core
+                   ? (unsigned)simulation.nodes[i].core->counters.own_state_failovers
+                   : 0;
 }
 
 /* The state service is down for all, or all stand still, for longer than a lease; or they
@@ -18,14 +21,14 @@
     note_own();
     if (!scenario_every(15))
         return;
-    double s = scenario_drawn(3.2, 1.2 * w.lease_s);
-    bool together = world_chance(0.5);
-    if (together && world_chance(0.5)) {
-        trouble_begin(T_OUTAGE, 0, s);
+    double s = scenario_drawn(3.2, 1.2 * simulation.lease_s);
+    bool together = simulation_chance(0.5);
+    if (together && simulation_chance(0.5)) {
+        fault_begin(FAULT_OUTAGE, 0, s);
         return;
     }
-    for (int i = 0; i < w.layout.nodes; i++)
-        trouble_begin(T_FREEZE, i, together ? s : scenario_drawn(0, 2 * s));
+    for (int i = 0; i < simulation.layout.nodes; i++)
+        fault_begin(FAULT_FREEZE, i, together ? s : scenario_drawn(0, 2 * s));
 }
 
 /* A leader stands still for longer than its lease; whoever has its partition by then ends
@@ -38,32 +41,38 @@
 
     if (scenario_at(0))
         back = 0;
-    if (back && w.now >= back + 1) {
+    if (back && simulation.now >= back + 1) {
         back = 0;
-        for (int i = 0; i < w.layout.nodes; i++)
+        for (int i = 0; i < simulation.layout.nodes; i++)
             if (i != leader)
-                trouble_begin(T_CRASH, i, scenario_drawn(5, 8));
+                fault_begin(FAULT_CRASH, i, scenario_drawn(5, 8));
     }
     if (back || !scenario_every(15))
         return;
-    leader = world_leader();
-    back = w.now + scenario_drawn(5, 9);
-    trouble_begin(T_FREEZE, leader, back - w.now);
+    leader = simulation_leader();
+    back = simulation.now + scenario_drawn(5, 9);
+    fault_begin(FAULT_FREEZE, leader, back - simulation.now);
 }
 
 /* The same while machines and messages fail too. */
 static void with_others_step(void)
 {
-    static const enum trouble others[] = {T_HANG,      T_SHUT_DOOR,    T_LATE_WRITES,
-                                          T_CRASH,     T_LATE_REPORTS, T_MACHINE_DIES,
-                                          T_DEAF_NODE, T_REFUSED,      T_CANCEL};
+    static const enum fault others[] = {FAULT_HANG,
+                                        FAULT_PUSH_BLOCKED,
+                                        FAULT_LATE_WRITES,
+                                        FAULT_CRASH,
+                                        FAULT_LATE_HEARTBEATS,
+                                        FAULT_MACHINE_DIES,
+                                        FAULT_NODE_LOSES_WORKERS,
+                                        FAULT_REFUSED,
+                                        FAULT_CANCEL};
 
     all_leases_end_step();
     owner_in_between_step();
     if (scenario_every(6))
-        trouble_begin(others[g_rand_int_range(w.r, 0, G_N_ELEMENTS(others))],
-                      g_rand_int_range(w.r, 0, w.layout.nodes),
-                      scenario_drawn(0.5, w.lease_s));
+        fault_begin(others[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(others))],
+                    g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
+                    scenario_drawn(0.5, simulation.lease_s));
 }
 
 static void some_were_taken_back(void)
@@ -74,10 +83,10 @@
 }
 
 static const struct scenario scenarios[] = {
-    {"all leases end", all_leases_end_step, scenario_usual_draw, G_OWN_TERM, R_TWICE,
+    {"all leases end", all_leases_end_step, scenario_usual_draw, GUARD_OWN_EPOCH, R_TWICE,
      false, 20, NULL, some_were_taken_back, NULL},
-    {"all leases end, with others", with_others_step, scenario_usual_draw, G_OWN_TERM,
-     R_TWICE, false, 20, NULL, some_were_taken_back, NULL},
+    {"all leases end, with others", with_others_step, scenario_usual_draw,
+     GUARD_OWN_EPOCH, R_TWICE, false, 20, NULL, some_were_taken_back, NULL},
 };
 
 int main(int argc, char **argv)
