--- a/src/controller/read_batch.h
+++ b/src/controller/read_batch.h
@@ -13,6 +13,7 @@
 #include <glib.h>
 #include <time.h>
 
+/** What a waiting request asks for. */
 enum lmn_read_request_kind { LMN_READ_STATUS, LMN_READ_CANCEL };
 
 struct lmn_http_request;
--- a/src/emulator/cloud.h
+++ b/src/emulator/cloud.h
@@ -34,13 +34,14 @@
                         const struct lmn_inventory *inventory, uint32_t seed);
 void lmn_emu_cloud_clear(struct lmn_emu_cloud *cloud);
 /* 200 with names (the caller's), 400 or 503. */
-int lmn_emu_cloud_rent(struct lmn_emu_cloud *cloud, const struct lmn_rental_request *q,
-                       GPtrArray *names, double now);
+int lmn_emu_cloud_rent(struct lmn_emu_cloud *cloud,
+                       const struct lmn_rental_request *request, GPtrArray *names,
+                       double now);
 /* Whether it was there; from now on it is gone. */
 bool lmn_emu_cloud_return(struct lmn_emu_cloud *cloud, const char *name, double now);
 /* The list, as old as it is. */
 void lmn_emu_cloud_list(struct lmn_emu_cloud *cloud, const char *after,
-                        bool (*each)(void *to, const struct lmn_rented_machine *m),
+                        bool (*each)(void *to, const struct lmn_rented_machine *machine),
                         void *to, double now);
 void lmn_emu_cloud_types(struct lmn_emu_cloud *cloud,
                          void (*each)(void *to, const struct lmn_machine_type *type),
--- a/src/http/server_internal.h
+++ b/src/http/server_internal.h
@@ -13,6 +13,7 @@
 #include <pthread.h>
 #include <time.h>
 
+/** A running server. */
 struct lmn_http_server {
     struct MHD_Daemon *daemon;
     struct lmn_http_server_options
@@ -34,6 +35,7 @@
     LMN_HTTP_ANSWERED   /**< there is a response, or the connection has ended; final */
 };
 
+/** One request, from its first bytes until its response is sent. */
 struct lmn_http_request {
     struct lmn_http_server *server;
     struct MHD_Connection *connection;
--- a/src/kv_store/db_format.h
+++ b/src/kv_store/db_format.h
@@ -38,6 +38,7 @@
     LMN_DB_TABLES
 };
 
+/** An open database. */
 struct lmn_db {
     MDB_env *env;
     MDB_dbi dbi[LMN_DB_TABLES];
--- a/src/machine_provider/cloud_api.h
+++ b/src/machine_provider/cloud_api.h
@@ -27,15 +27,16 @@
 /* Ops may be called from several threads, and may wait. */
 struct lmn_machine_provider_ops {
     /* The current types, with current prices. */
-    void (*types)(void *arg, void (*each)(void *to, const struct lmn_machine_type *t),
+    void (*types)(void *arg, void (*each)(void *to, const struct lmn_machine_type *type),
                   void *to);
     /* HTTP status: 200 with names (strings of the caller's to free), 400, 503. */
-    int (*rent)(void *arg, const struct lmn_rental_request *q, GPtrArray *names);
+    int (*rent)(void *arg, const struct lmn_rental_request *request, GPtrArray *names);
     /* 200: they and everything on them are gone; 503. */
     int (*give_back)(void *arg, char *const *names, unsigned n);
     /* In the order of names, after the name, until each returns false. */
     void (*list)(void *arg, const char *after,
-                 bool (*each)(void *to, const struct lmn_rented_machine *m), void *to);
+                 bool (*each)(void *to, const struct lmn_rented_machine *machine),
+                 void *to);
     void (*metrics)(void *arg, GString *out);
     /* Any other path; false: not known. May be NULL. */
     bool (*other)(void *arg, struct lmn_http_request *call);
--- a/src/machine_provider/local_agents.h
+++ b/src/machine_provider/local_agents.h
@@ -15,19 +15,19 @@
 /* Reads what a fleet's or a slot's settings file says of its agents: depot, checkpoints,
  * report_s, lease_s, log_kb, address, controllers. */
 void lmn_local_agent_options_read(struct lmn_config *config,
-                                  struct lmn_local_agent_options *o);
+                                  struct lmn_local_agent_options *options);
 
 /* Starts the machine's agent if none runs: writes its settings, spawns it. 0, or -1 with
  * err. */
-int lmn_local_agent_start(const struct lmn_local_agent_options *o, const char *name,
+int lmn_local_agent_start(const struct lmn_local_agent_options *options, const char *name,
                           const struct lmn_machine_type *type, const char *zone,
                           bool spot, char *err, size_t len);
 /* Whether its agent runs, and its address ("" if it has not said). */
-bool lmn_local_agent_is_up(const struct lmn_local_agent_options *o, const char *name,
-                           char *addr);
+bool lmn_local_agent_is_up(const struct lmn_local_agent_options *options,
+                           const char *name, char *addr);
 /* Ends it, and everything on it; its directory goes. False if something lives on after
  * seconds. */
-bool lmn_local_agent_end(const struct lmn_local_agent_options *o, const char *name,
+bool lmn_local_agent_end(const struct lmn_local_agent_options *options, const char *name,
                          double seconds);
 
 /* How long to wait before an agent that ended is started again: doubles, reset by a good
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -91,7 +91,8 @@
 
 /** What this controller knows of one member (of itself, only the records). */
 struct lmn_member_view {
-    /** @name The member's record n/NODE, as the watch cache shows it @{ */
+    /** @name The member's record n/NODE, as the watch cache shows it
+     * @{ */
     bool is_present;       /**< it has a record, which is tied to its lease */
     bool is_shutting_down; /**< the record says so */
     uint64_t incarnation;  /**< revision at which the record was last written anew */
@@ -103,7 +104,8 @@
     /** @} */
 
     /** @name The suspicion u/NODE, as recorded; it counts while it names the member's
-     * present incarnation @{ */
+     * present incarnation
+     * @{ */
     uint64_t suspected_incarnation, suspicion_revision, suspicion_seen_revision;
     char suspected_by[LMN_NAME_SIZE];
     enum lmn_suspicion_cause suspicion_cause;
@@ -112,7 +114,8 @@
     struct timespec suspected_since;
     /** @} */
 
-    /** @name Our own probes @{ */
+    /** @name Our own probes
+     * @{ */
     bool ever_contacted;              /**< by this process */
     struct timespec last_contact_at;  /**< a time at which it was certainly alive */
     struct timespec unanswered_since; /**< when the first probe that it has not replied to
@@ -129,7 +132,8 @@
     struct timespec health_at;       /**< when that came */
     /** @} */
 
-    /** @name What others say of it @{ */
+    /** @name What others say of it
+     * @{ */
     struct timespec last_gossip_at; /**< when any member last spoke of it */
     struct lmn_gossip_record gossip[LMN_MAX_MEMBERS + 1]; /**< by the sender's index */
     /** Its workers that came here; the entry seen least recently is reused first. */
@@ -138,7 +142,8 @@
     guint machine_count;
     /** @} */
 
-    /** @name Its failures, from which its readmission follows @{ */
+    /** @name Its failures, from which its readmission follows
+     * @{ */
     unsigned failures_declared;
     struct timespec last_failure_at;
     unsigned refutations; /**< lately */
@@ -155,7 +160,8 @@
     const char *names[LMN_MAX_MEMBERS + 1]; /**< by index; the settings own them */
     struct lmn_member_view views[LMN_MAX_MEMBERS + 1];
 
-    /** @name The probe schedule @{ */
+    /** @name The probe schedule
+     * @{ */
     int probe_order[LMN_MAX_MEMBERS + 1]; /**< of a round; shuffled for each */
     int probe_position;                   /**< in probe_order */
     /** Where the next scan of the members begins, for probes beyond the round and for
@@ -165,7 +171,8 @@
     struct timespec next_extra_probe_at; /**< when one beyond the round may be sent */
     /** @} */
 
-    /** @name This controller itself @{ */
+    /** @name This controller itself
+     * @{ */
     struct timespec last_tick_at;
     struct timespec resumed_at; /**< after its latest stall; 0: none */
     struct timespec synced_at;  /**< when a watch request was first answered; 0: never */
@@ -181,6 +188,7 @@
     struct timespec last_worker_contact_at;
     /** @} */
 
+    /** What the probes and declarations have come to since the start. */
     struct lmn_member_counts {
         uint64_t probes_sent, probes_unanswered, suspicions, refutations,
             failures_declared, readmissions, transfers;
--- a/src/simulation/controller_group.h
+++ b/src/simulation/controller_group.h
@@ -29,7 +29,8 @@
     enum lmn_controller_group_rule rule;
     double threshold; /**< seconds for FIXED_TIMEOUT, phi for PHI */
 
-    /** @name Faults that are no failure of a member @{ */
+    /** @name Faults that are no failure of a member
+     * @{ */
     double loss; /**< share of messages that are sent again, after 0.2 s, 0.4 s, ... */
     double store_latency_s;    /**< typical time of the key-value store for a reply */
     double stall_interval_s;   /**< between a member's stalls, on average; 0: none */
--- a/src/state/replication_state.h
+++ b/src/state/replication_state.h
@@ -43,6 +43,7 @@
     /** struct lmn_deferred_response: HTTP responses that wait for an acknowledgement
      * (controller/replication_thread.h). */
     GQueue deferred_responses;
+    /** Counts since the partition was acquired first. */
     struct lmn_replication_counters {
         uint64_t batches, machines, streams, removals;
     } counters;
--- a/src/util/log.h
+++ b/src/util/log.h
@@ -32,8 +32,11 @@
         if ((level) <= lmn_log_level)                                                    \
             lmn_log_write((level), __VA_ARGS__);                                         \
     } while (0)
+/** Writes an event at level error. */
 #define lmn_error(...) lmn_log(LMN_LOG_ERROR, __VA_ARGS__)
+/** Writes an event at level info. */
 #define lmn_info(...) lmn_log(LMN_LOG_INFO, __VA_ARGS__)
+/** Writes an event at level debug. */
 #define lmn_debug(...) lmn_log(LMN_LOG_DEBUG, __VA_ARGS__)
 
 #endif
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -144,14 +144,14 @@
     agent->ops->fetch(agent->arg, run);
 }
 
-void lmn_agent_fetched(struct lmn_agent *agent, const char *image, bool ok,
+void lmn_agent_fetched(struct lmn_agent *agent, const char *image, bool is_fetched,
                        struct timespec now)
 {
     for (guint i = 0; i < agent->runs->len; i++) {
         struct lmn_task_run *run = agent->runs->pdata[i];
         if (run->state != LMN_RUN_FETCHING || strcmp(run->image, image))
             continue;
-        if (ok)
+        if (is_fetched)
             begin_run(agent, run, now);
         else
             end_run(agent, run, LMN_EXIT_ERROR);
--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -156,8 +156,8 @@
                          const struct lmn_job_spec *spec, struct timespec now);
 
 /** Answers the op `fetch`, for all runs that wait for the image.
- * @param ok whether the image is on the machine */
-void lmn_agent_fetched(struct lmn_agent *agent, const char *image, bool ok,
+ * @param is_fetched whether the image is on the machine */
+void lmn_agent_fetched(struct lmn_agent *agent, const char *image, bool is_fetched,
                        struct timespec now);
 
 /** All processes of a run are gone.
