--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -277,7 +277,7 @@
         return;
     }
     uint64_t n = out ? change_all(gateway, state, site, lmn_origin_revoke) : 0;
-    lmn_info("%s site=%s called_back=%" G_GUINT64_FORMAT, out ? "evicted" : "admitted",
+    lmn_info("peer_%s site=%s revoked=%" G_GUINT64_FORMAT, out ? "evicted" : "readmitted",
              site, n);
     answer_jobs(request, n);
 }
--- a/src/scheduler/task_start.c
+++ b/src/scheduler/task_start.c
@@ -103,7 +103,7 @@
     g_snprintf(task_name, sizeof task_name, "%s/%u", attempt.job_id, attempt.index);
     append_start_command(&attempt, task_name, commands);
     lmn_debug("task_started task=%s attempt=%" G_GUINT64_FORMAT
-              " machine=%s term=%" G_GUINT64_FORMAT,
+              " machine=%s epoch=%" G_GUINT64_FORMAT,
               task_name, attempt.number, machine->name, partition->ownership.epoch);
     segment->first++;
 }
