--- a/src/partition/heartbeat_message.c
+++ b/src/partition/heartbeat_message.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 /* A task's name on the wire: its job's id, a slash and its index. */
-enum { LMN_TASK_NAME_SIZE = LMN_JOB_ID_SIZE + 16 };
+enum { TASK_NAME_SIZE = LMN_JOB_ID_SIZE + 16 };
 
 static enum lmn_attempt_state attempt_state(const struct lmn_cbor_value *node)
 {
@@ -25,7 +25,7 @@
                               const struct lmn_cbor_document *document,
                               const struct lmn_cbor_value *node)
 {
-    char task[LMN_TASK_NAME_SIZE], *slash;
+    char task[TASK_NAME_SIZE], *slash;
 
     memset(attempt, 0, sizeof *attempt);
     if (!lmn_cbor_get_text(lmn_cbor_get(document, node, WIRE_TASK), task, sizeof task) ||
@@ -111,39 +111,6 @@
     return NULL;
 }
 
-static const char *command_name(enum lmn_command_kind kind)
-{
-    switch (kind) {
-    case LMN_COMMAND_START:
-        return WIRE_START;
-    case LMN_COMMAND_KILL:
-        return WIRE_KILL;
-    case LMN_COMMAND_CLEAR:
-        return WIRE_CLEAR;
-    }
-    return "";
-}
-
-void lmn_command_encode(GByteArray *out, const struct lmn_command *command)
-{
-    const struct lmn_attempt *attempt = command->attempt;
-    bool has_grace = command->grace_s >= 0;
-    char task[LMN_TASK_NAME_SIZE];
-
-    g_snprintf(task, sizeof task, "%s/%u", attempt->job_id, attempt->index);
-    lmn_cbor_put_map(out, has_grace ? 4 : 3);
-    lmn_cbor_put_text(out, WIRE_COMMAND);
-    lmn_cbor_put_text(out, command_name(command->kind));
-    lmn_cbor_put_text(out, WIRE_TASK);
-    lmn_cbor_put_text(out, task);
-    lmn_cbor_put_text(out, WIRE_ATTEMPT);
-    lmn_cbor_put_uint(out, attempt->number);
-    if (has_grace) {
-        lmn_cbor_put_text(out, WIRE_GRACE_S);
-        lmn_cbor_put_number(out, command->grace_s);
-    }
-}
-
 struct lmn_command_list lmn_command_list_new(void)
 {
     return (struct lmn_command_list){.encoded = g_byte_array_new()};
--- a/src/partition/heartbeat_message.h
+++ b/src/partition/heartbeat_message.h
@@ -2,14 +2,15 @@
  * Messages between a controller and its workers: heartbeats as they are read, and the
  * replies and commands as they are written.
  *
- * Every controller message to a worker is encoded here, but for a task's first start
- * command, which the scheduler appends to a command list when it decides on it
+ * Every controller message to a worker is encoded here; the commands in it are encoded by
+ * state/command.h, since the scheduler appends a start command when it decides on it
  * (lmn_schedule_machine). These are pure functions of their arguments; they need no
  * lock. */
 #ifndef LMN_PARTITION_HEARTBEAT_MESSAGE_H
 #define LMN_PARTITION_HEARTBEAT_MESSAGE_H
 
 #include "protocol/cbor.h"
+#include "state/command.h"
 #include "state/machine.h"
 
 /** A worker's heartbeat. */
@@ -37,26 +38,6 @@
                               const struct lmn_cbor_document *document,
                               const struct lmn_cbor_value *node);
 
-/** What a worker is commanded to do with an attempt. */
-enum lmn_command_kind {
-    LMN_COMMAND_START,
-    LMN_COMMAND_KILL,
-    LMN_COMMAND_CLEAR /**< forget an attempt that has ended */
-};
-
-/** A command that carries no grace period. */
-#define LMN_COMMAND_NO_GRACE (-1.0)
-
-/** One command to a worker. */
-struct lmn_command {
-    enum lmn_command_kind kind;
-    const struct lmn_attempt *attempt;
-    double grace_s; /**< to save a checkpoint; negative (LMN_COMMAND_NO_GRACE): unset */
-};
-
-/** Appends the encoded command. */
-void lmn_command_encode(GByteArray *out, const struct lmn_command *command);
-
 /** Commands to one worker, encoded one after the other. */
 struct lmn_command_list {
     GByteArray *encoded;
--- a/src/scheduler/task_start.c
+++ b/src/scheduler/task_start.c
@@ -2,17 +2,14 @@
  * The start of one task; see task_start.h. The core's lock is held. */
 #include "scheduler/task_start.h"
 #include "util/log.h"
-#include "protocol/wire.h"
 #include "scheduler/image_cache.h"
 #include "scheduler/queue_scan.h"
+#include "state/command.h"
 #include "state/task_ledger.h"
 
 /** Bits of an attempt's number that count the owner's starts; the epoch is above them. */
 enum { ATTEMPT_COUNT_BITS = 24 };
 
-/** Bytes of a task's name: job, slash, index. */
-enum { TASK_NAME_SIZE = LMN_JOB_ID_SIZE + 16 };
-
 /** A number for the next attempt. It is unique for ever without a write to the store,
  * since no two owners of a partition share an epoch. */
 static uint64_t next_attempt_number(struct lmn_partition *partition)
@@ -74,25 +71,12 @@
     lmn_machine_record_image(machine, job, false, now);
 }
 
-static void append_start_command(const struct lmn_attempt *attempt, const char *task_name,
-                                 GByteArray *commands)
-{
-    lmn_cbor_put_map(commands, 3);
-    lmn_cbor_put_text(commands, WIRE_COMMAND);
-    lmn_cbor_put_text(commands, WIRE_START);
-    lmn_cbor_put_text(commands, WIRE_TASK);
-    lmn_cbor_put_text(commands, task_name);
-    lmn_cbor_put_text(commands, WIRE_ATTEMPT);
-    lmn_cbor_put_uint(commands, attempt->number);
-}
-
 void lmn_start_task(struct lmn_core *core, struct lmn_machine *machine,
                     struct lmn_queue_segment *segment, GByteArray *commands,
                     struct timespec now)
 {
     struct lmn_partition *partition = machine->partition;
     struct lmn_attempt attempt = make_attempt(machine, segment, now);
-    char task_name[TASK_NAME_SIZE];
 
     note_first_start(partition, now);
     update_scheduling(core, machine, attempt.job, now);
@@ -100,10 +84,11 @@
     core->counters.starts++;
     lmn_latency_add(&core->latencies.start,
                     core->scheduling.wall_clock_s - attempt.job->accepted_at_s);
-    g_snprintf(task_name, sizeof task_name, "%s/%u", attempt.job_id, attempt.index);
-    append_start_command(&attempt, task_name, commands);
-    lmn_debug("task_started task=%s attempt=%" G_GUINT64_FORMAT
+    lmn_command_encode(commands, &(struct lmn_command){LMN_COMMAND_START, &attempt,
+                                                       LMN_COMMAND_NO_GRACE});
+    lmn_debug("task_started task=%s/%u attempt=%" G_GUINT64_FORMAT
               " machine=%s epoch=%" G_GUINT64_FORMAT,
-              task_name, attempt.number, machine->name, partition->ownership.epoch);
+              attempt.job_id, attempt.index, attempt.number, machine->name,
+              partition->ownership.epoch);
     segment->first++;
 }
--- /dev/null
+++ b/src/state/command.c
@@ -0,0 +1,42 @@
+/** @file
+ * The encoding of commands; see command.h. */
+#include "state/command.h"
+
+#include "protocol/cbor.h"
+#include "protocol/wire.h"
+
+/** Bytes of a task's name: job, slash, index. */
+enum { TASK_NAME_SIZE = LMN_JOB_ID_SIZE + 16 };
+
+static const char *command_name(enum lmn_command_kind kind)
+{
+    switch (kind) {
+    case LMN_COMMAND_START:
+        return WIRE_START;
+    case LMN_COMMAND_KILL:
+        return WIRE_KILL;
+    case LMN_COMMAND_CLEAR:
+        return WIRE_CLEAR;
+    }
+    return "";
+}
+
+void lmn_command_encode(GByteArray *out, const struct lmn_command *command)
+{
+    const struct lmn_attempt *attempt = command->attempt;
+    bool has_grace = command->grace_s >= 0;
+    char task[TASK_NAME_SIZE];
+
+    g_snprintf(task, sizeof task, "%s/%u", attempt->job_id, attempt->index);
+    lmn_cbor_put_map(out, has_grace ? 4 : 3);
+    lmn_cbor_put_text(out, WIRE_COMMAND);
+    lmn_cbor_put_text(out, command_name(command->kind));
+    lmn_cbor_put_text(out, WIRE_TASK);
+    lmn_cbor_put_text(out, task);
+    lmn_cbor_put_text(out, WIRE_ATTEMPT);
+    lmn_cbor_put_uint(out, attempt->number);
+    if (has_grace) {
+        lmn_cbor_put_text(out, WIRE_GRACE_S);
+        lmn_cbor_put_number(out, command->grace_s);
+    }
+}
