--- a/bench/failover.c
+++ b/bench/failover.c
@@ -639,7 +639,7 @@
     g_snprintf(file, sizeof file, "%s/site.toml", dir);
     loop = relay_loop_new();
     describe_site(atoi(argv[1]), workers);
-    for (unsigned i = 0; i < site.nprocesses; i++) {
+    for (unsigned i = 0; i < site.process_count; i++) {
         processes[i] = (struct process){.p = &site.processes[i], .node = (int)i - 2};
         start(&processes[i]);
         if (!ready(site.processes[i].ready, 30)) {
@@ -686,7 +686,7 @@
         show("first start", &started);
     }
     ok = ok && !night.lost && twice == 0;
-    for (int i = (int)site.nprocesses; i-- > 0;)
+    for (int i = (int)site.process_count; i-- > 0;)
         finish(&processes[i], SIGKILL);
     lmn_users_close(&users);
     if (ok)
--- a/bench/rehearsal.c
+++ b/bench/rehearsal.c
@@ -310,7 +310,7 @@
 {
     int pid;
 
-    for (unsigned i = 0; i < site.nprocesses; i++)
+    for (unsigned i = 0; i < site.process_count; i++)
         if (lmn_site_up(&site, site.processes[i].name, &pid))
             printf("memory %s %.1f MB\n", site.processes[i].name, bench_resident_mb(pid));
 }
--- a/bench/site.c
+++ b/bench/site.c
@@ -96,7 +96,7 @@
 {
     int pid;
 
-    for (unsigned i = 0; i < site.nprocesses; i++)
+    for (unsigned i = 0; i < site.process_count; i++)
         if (lmn_site_up(&site, site.processes[i].name, &pid))
             printf("  %s %.1f MB", site.processes[i].name, bench_resident_mb(pid));
     printf("\n");
--- a/src/cli/kv_store.c
+++ b/src/cli/kv_store.c
@@ -23,10 +23,11 @@
     if (lmn_config_has(config, "data") || !o->dir)
         o->dir = g_strdup(lmn_config_text(config, "data", NULL));
     o->map_gb = lmn_config_number(config, "map_gb", o->map_gb, 0.001, 16384);
-    o->rps = lmn_config_number(config, "rps", o->rps, 0, 1e9);
-    o->write_rps = lmn_config_number(config, "write_rps", o->write_rps, 0, 1e9);
-    o->value_kb = lmn_config_number(config, "value_kb", o->value_kb, 0, 1e6);
-    o->txn_ops = (int)lmn_config_number(config, "txn_ops", o->txn_ops, 0, 1e6);
+    o->requests_per_s = lmn_config_number(config, "rps", o->requests_per_s, 0, 1e9);
+    o->writes_per_s = lmn_config_number(config, "write_rps", o->writes_per_s, 0, 1e9);
+    o->max_value_kb = lmn_config_number(config, "value_kb", o->max_value_kb, 0, 1e6);
+    o->max_txn_operations =
+        (int)lmn_config_number(config, "txn_ops", o->max_txn_operations, 0, 1e6);
     int rc = lmn_config_finish(config, err, len);
     lmn_config_free(config);
     return rc;
@@ -45,14 +46,14 @@
         {"data", 0, 0, G_OPTION_ARG_FILENAME, &data, "The database's directory", "DIR"},
         {"map-gb", 0, 0, G_OPTION_ARG_DOUBLE, &o.map_gb, "Most that it may grow to (64)",
          "GB"},
-        {"rps", 0, 0, G_OPTION_ARG_DOUBLE, &o.rps, "Requests a second (0: any number)",
-         "N"},
-        {"write-rps", 0, 0, G_OPTION_ARG_DOUBLE, &o.write_rps,
+        {"rps", 0, 0, G_OPTION_ARG_DOUBLE, &o.requests_per_s,
+         "Requests a second (0: any number)", "N"},
+        {"write-rps", 0, 0, G_OPTION_ARG_DOUBLE, &o.writes_per_s,
          "Puts and deletes a second (0: any number)", "N"},
-        {"value-kb", 0, 0, G_OPTION_ARG_DOUBLE, &o.value_kb,
+        {"value-kb", 0, 0, G_OPTION_ARG_DOUBLE, &o.max_value_kb,
          "KiB of a value, as JSON (16)", "N"},
-        {"txn-ops", 0, 0, G_OPTION_ARG_INT, &o.txn_ops, "Changes a transaction (48)",
-         "N"},
+        {"txn-ops", 0, 0, G_OPTION_ARG_INT, &o.max_txn_operations,
+         "Changes a transaction (48)", "N"},
         {"one-by-one", 0, 0, G_OPTION_ARG_NONE, &one_by_one,
          "A sync for each transaction (to measure by)", NULL},
         G_OPTION_ENTRY_NULL,
@@ -76,7 +77,8 @@
         g_strlcpy(o.listen, listen, sizeof o.listen);
     if (!o.dir)
         return lmn_cli_fail(LMN_EXIT_USAGE, "--data is missing");
-    if (o.rps < 0 || o.write_rps < 0 || o.value_kb < 0 || o.txn_ops < 0 || o.map_gb <= 0)
+    if (o.requests_per_s < 0 || o.writes_per_s < 0 || o.max_value_kb < 0 ||
+        o.max_txn_operations < 0 || o.map_gb <= 0)
         return lmn_cli_fail(LMN_EXIT_USAGE, "limits are numbers from 0 on (0: none)");
     o.one_by_one = one_by_one;
     lmn_log_init("state");
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -141,8 +141,8 @@
     if (check) {
         if (lmn_inventory_load(check, &v, err, sizeof err) != 0)
             return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
-        printf("%s: good: %u types, %u pools, %u machines\n", check, v.ntypes, v.npools,
-               v.nslots);
+        printf("%s: good: %u types, %u pools, %u machines\n", check, v.type_count,
+               v.pool_count, v.slot_count);
         return LMN_EXIT_OK;
     }
     if (load(config, &o, err, sizeof err) != 0 ||
--- a/src/cli/site.c
+++ b/src/cli/site.c
@@ -99,7 +99,7 @@
     if (rc)
         return rc;
     struct timespec end = lmn_time_add(lmn_now(), patience);
-    for (unsigned i = 0; i < site.nprocesses;) {
+    for (unsigned i = 0; i < site.process_count;) {
         if (lmn_http_is_ready(site.processes[i].ready)) {
             i++;
         } else if (lmn_time_before(end, lmn_now())) {
@@ -168,7 +168,7 @@
     if (!json)
         printf("%-14s %-9s pid %ld\n", "supervisor", supervised ? "up" : "down",
                (long)pid);
-    for (unsigned i = 0; i < site.nprocesses; i++) {
+    for (unsigned i = 0; i < site.process_count; i++) {
         const struct lmn_site_process *process = &site.processes[i];
         unsigned starts;
         int at;
@@ -205,7 +205,7 @@
     if (rc)
         return rc;
     printf("%s: good: %u controllers, %zu teams, users at %s\n", site.file,
-           site.controllers, site.nteams, site.users[0]);
+           site.controllers, site.team_count, site.users[0]);
     return LMN_EXIT_OK;
 }
 
--- a/src/emulator/cloud.c
+++ b/src/emulator/cloud.c
@@ -60,7 +60,7 @@
 {
     unsigned all = 0, used = 0;
 
-    for (unsigned i = 0; i < cloud->v->npools; i++) {
+    for (unsigned i = 0; i < cloud->v->pool_count; i++) {
         const struct lmn_pool *pool = &cloud->v->pools[i];
         if (pool->type == type && pool->spot == q->is_spot &&
             !strcmp(pool->zone, q->zone))
@@ -79,7 +79,7 @@
     if (chance(cloud, cloud->knobs.boot_never))
         return INFINITY;
     double seconds =
-        type->ready_s * cloud->knobs.boot * (0.6 + 0.9 * g_rand_double(cloud->rng));
+        type->boot_s * cloud->knobs.boot * (0.6 + 0.9 * g_rand_double(cloud->rng));
     return chance(cloud, cloud->knobs.boot_slow) ? seconds * SLOW_BOOT : seconds;
 }
 
@@ -133,7 +133,7 @@
     const struct lmn_machine_type *type = &cloud->v->types[machine->type];
     double until = fmin(now, fmin(machine->dead, machine->taken));
     cloud->spent += fmax(until - machine->made, 60) / 3600 *
-                    (machine->spot ? type->spot_rate : type->rate);
+                    (machine->spot ? type->spot_price_per_hour : type->price_per_hour);
     machine->gone = now;
     cloud->returned++;
     return true;
@@ -172,10 +172,11 @@
                          void (*each)(void *to, const struct lmn_machine_type *type),
                          void *to, double now)
 {
-    for (unsigned i = 0; i < cloud->v->ntypes; i++) {
+    for (unsigned i = 0; i < cloud->v->type_count; i++) {
         struct lmn_machine_type t = cloud->v->types[i];
         /* Each moves by itself, slowly. */
-        t.spot_rate *= 1 + cloud->knobs.price_wobble * sin(now / SPOT_PRICE_S + 2.1 * i);
+        t.spot_price_per_hour *=
+            1 + cloud->knobs.price_wobble * sin(now / SPOT_PRICE_S + 2.1 * i);
         each(to, &t);
     }
 }
--- a/src/inventory/inventory.c
+++ b/src/inventory/inventory.c
@@ -27,7 +27,7 @@
 
 int lmn_inventory_type(const struct lmn_inventory *inventory, const char *name)
 {
-    for (unsigned i = 0; i < inventory->ntypes; i++)
+    for (unsigned i = 0; i < inventory->type_count; i++)
         if (!strcmp(inventory->types[i].name, name))
             return (int)i;
     return -1;
@@ -36,7 +36,7 @@
 const struct lmn_slot *lmn_inventory_slot(const struct lmn_inventory *inventory,
                                           const char *name)
 {
-    for (unsigned i = 0; i < inventory->nslots; i++)
+    for (unsigned i = 0; i < inventory->slot_count; i++)
         if (!strcmp(inventory->slots[i].name, name))
             return &inventory->slots[i];
     return NULL;
@@ -79,7 +79,7 @@
 static void read_type(struct lmn_config *config, struct lmn_inventory *inventory,
                       guint index)
 {
-    struct lmn_machine_type *type = &inventory->types[inventory->ntypes];
+    struct lmn_machine_type *type = &inventory->types[inventory->type_count];
     char path[FIELD_PATH_SIZE];
 
     field_path(path, "types", index, "name");
@@ -93,12 +93,12 @@
         read_type_number(config, index, "cache_gb", DEFAULT_CACHE_GB, 0, MAX_GB);
     type->pull_gb_per_s = read_type_number(config, index, "pull_gb_per_s", 1,
                                            MIN_PULL_GB_PER_S, MAX_PULL_GB_PER_S);
-    type->rate = read_type_number(config, index, "rate", 1, 0, MAX_RATE);
-    type->spot_rate =
-        read_type_number(config, index, "spot_rate", type->rate, 0, MAX_RATE);
-    type->ready_s = read_type_number(config, index, "ready_s", 1, 0, MAX_READY_S);
+    type->price_per_hour = read_type_number(config, index, "rate", 1, 0, MAX_RATE);
+    type->spot_price_per_hour =
+        read_type_number(config, index, "spot_rate", type->price_per_hour, 0, MAX_RATE);
+    type->boot_s = read_type_number(config, index, "ready_s", 1, 0, MAX_READY_S);
     read_zones(config, type, index);
-    inventory->ntypes++;
+    inventory->type_count++;
 }
 
 static bool type_has_zone(const struct lmn_machine_type *type, const char *zone)
@@ -145,7 +145,7 @@
 static void read_pool(struct lmn_config *config, struct lmn_inventory *inventory,
                       guint index)
 {
-    struct lmn_pool *pool = &inventory->pools[inventory->npools++];
+    struct lmn_pool *pool = &inventory->pools[inventory->pool_count++];
     char path[FIELD_PATH_SIZE];
 
     pool->type = read_type_and_zone(config, inventory, "pools", index, pool->zone);
@@ -157,7 +157,7 @@
 static void read_slot(struct lmn_config *config, struct lmn_inventory *inventory,
                       guint index)
 {
-    struct lmn_slot *slot = &inventory->slots[inventory->nslots];
+    struct lmn_slot *slot = &inventory->slots[inventory->slot_count];
     char path[FIELD_PATH_SIZE];
 
     field_path(path, "machines", index, "name");
@@ -166,7 +166,7 @@
         lmn_config_fail(config, path, "named twice");
     slot->type = read_type_and_zone(config, inventory, "machines", index, slot->zone);
     slot->spot = read_is_spot(config, "machines", index);
-    inventory->nslots++;
+    inventory->slot_count++;
 }
 
 static void read_tables(struct lmn_config *config, struct lmn_inventory *inventory)
--- a/src/inventory/inventory.h
+++ b/src/inventory/inventory.h
@@ -33,11 +33,11 @@
 /** The content of an inventory file. */
 struct lmn_inventory {
     struct lmn_machine_type types[LMN_MAX_TYPES];
-    unsigned ntypes;
+    unsigned type_count;
     struct lmn_pool pools[LMN_MAX_POOLS];
-    unsigned npools;
+    unsigned pool_count;
     struct lmn_slot *slots; /**< on the heap */
-    unsigned nslots;
+    unsigned slot_count;
 };
 
 /**
--- a/src/job/job_spec.c
+++ b/src/job/job_spec.c
@@ -48,8 +48,8 @@
 static bool fits_some_type(const struct lmn_job_spec *spec,
                            const struct lmn_machine_types *types)
 {
-    for (size_t i = 0; i < types->n; i++) {
-        const struct lmn_machine_type *type = &types->v[i];
+    for (size_t i = 0; i < types->count; i++) {
+        const struct lmn_machine_type *type = &types->types[i];
         for (int zone = 0; zone < type->zone_count; zone++)
             if (lmn_job_spec_allows(spec, type, type->zones[zone], false))
                 return true;
--- a/src/kv_store/kv_store.h
+++ b/src/kv_store/kv_store.h
@@ -21,11 +21,12 @@
     char listen[LMN_ADDRESS_SIZE]; /**< "IPv4:port" */
     const char *dir;               /**< of the database */
     double map_gb;                 /**< the most that the database may grow to, in GiB */
-    double rps;       /**< requests a second, in bursts of a second's worth */
-    double write_rps; /**< puts and deletes a second, in bursts of a second's worth */
-    double value_kb;  /**< KiB of a value, counted as JSON */
-    int txn_ops;     /**< puts and deletes a transaction; four times as many conditions */
-    bool one_by_one; /**< a sync for each transaction: for measurements only */
+    double requests_per_s; /**< requests a second, in bursts of a second's worth */
+    double writes_per_s; /**< puts and deletes a second, in bursts of a second's worth */
+    double max_value_kb; /**< KiB of a value, counted as JSON */
+    int max_txn_operations; /**< puts and deletes a transaction; four times as many
+                               conditions */
+    bool one_by_one;        /**< a sync for each transaction: for measurements only */
 };
 
 /** The defaults; `dir` is not set. */
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -22,8 +22,8 @@
 const struct lmn_kv_store_options lmn_kv_store_default_options = {
     .listen = "127.0.0.1:2379",
     .map_gb = 64,
-    .value_kb = 16,
-    .txn_ops = 48,
+    .max_value_kb = 16,
+    .max_txn_operations = 48,
 };
 
 bool lmn_kv_store_key_is_valid(const char *key)
@@ -250,9 +250,10 @@
     lmn_cond_init(&store->watch_changed);
     store->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     lmn_latency_init(&store->commit_latency);
-    lmn_token_bucket_init(&store->requests, options->rps, MAX(options->rps, 1), now);
-    lmn_token_bucket_init(&store->writes, options->write_rps, MAX(options->write_rps, 1),
-                          now);
+    lmn_token_bucket_init(&store->requests, options->requests_per_s,
+                          MAX(options->requests_per_s, 1), now);
+    lmn_token_bucket_init(&store->writes, options->writes_per_s,
+                          MAX(options->writes_per_s, 1), now);
     return store;
 }
 
--- a/src/kv_store/txn_request.c
+++ b/src/kv_store/txn_request.c
@@ -62,7 +62,7 @@
 {
     struct lmn_db_change *change = &operation->txn.changes[operation->txn.change_count++];
     const struct lmn_cbor_value *put = lmn_cbor_get(document, node, WIRE_PUT);
-    double max_value_kb = store->options.value_kb;
+    double max_value_kb = store->options.max_value_kb;
 
     change->key =
         copy_key(operation, put ? put : lmn_cbor_get(document, node, WIRE_DELETE));
@@ -86,7 +86,7 @@
                               const struct lmn_cbor_value *changes)
 {
     const struct lmn_cbor_value *root = lmn_cbor_root(document);
-    int max_changes = store->options.txn_ops;
+    int max_changes = store->options.max_txn_operations;
 
     if (root->type != LMN_CBOR_MAP ||
         (conditions && conditions->type != LMN_CBOR_ARRAY) ||
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -33,10 +33,11 @@
     lmn_cbor_put_text(buffer, WIRE_CACHE_GB), lmn_cbor_put_number(buffer, type->cache_gb);
     lmn_cbor_put_text(buffer, WIRE_PULL_GB_PER_S),
         lmn_cbor_put_number(buffer, type->pull_gb_per_s);
-    lmn_cbor_put_text(buffer, WIRE_PRICE), lmn_cbor_put_number(buffer, type->rate);
+    lmn_cbor_put_text(buffer, WIRE_PRICE),
+        lmn_cbor_put_number(buffer, type->price_per_hour);
     lmn_cbor_put_text(buffer, WIRE_SPOT_PRICE),
-        lmn_cbor_put_number(buffer, type->spot_rate);
-    lmn_cbor_put_text(buffer, WIRE_BOOT_S), lmn_cbor_put_number(buffer, type->ready_s);
+        lmn_cbor_put_number(buffer, type->spot_price_per_hour);
+    lmn_cbor_put_text(buffer, WIRE_BOOT_S), lmn_cbor_put_number(buffer, type->boot_s);
     lmn_cbor_put_text(buffer, WIRE_ZONES),
         lmn_cbor_put_array(buffer, (size_t)type->zone_count);
     for (int i = 0; i < type->zone_count; i++)
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -249,7 +249,7 @@
     unsigned all = 0;
 
     pthread_mutex_lock(&s->lock);
-    for (unsigned i = 0; i < s->v->npools; i++) {
+    for (unsigned i = 0; i < s->v->pool_count; i++) {
         const struct lmn_pool *pool = &s->v->pools[i];
         if (pool->type == type && pool->spot == q->is_spot &&
             !strcmp(pool->zone, q->zone))
@@ -258,7 +258,7 @@
     g_tree_foreach(s->machines, count_one, &c);
     while (got->len < q->count && c.n + got->len < all)
         g_ptr_array_add(got, new_machine(s, q, type, ""));
-    for (unsigned i = 0; i < s->v->nslots && got->len < q->count; i++) {
+    for (unsigned i = 0; i < s->v->slot_count && got->len < q->count; i++) {
         const struct lmn_slot *slot = &s->v->slots[i];
         if (slot->type == type && slot->spot == q->is_spot &&
             !strcmp(slot->zone, q->zone) && slot_free(s, slot, now))
@@ -416,7 +416,7 @@
                   void *to)
 {
     const struct lmn_static_provider *s = arg;
-    for (unsigned i = 0; i < s->v->ntypes; i++)
+    for (unsigned i = 0; i < s->v->type_count; i++)
         each(to, &s->v->types[i]);
 }
 
@@ -694,7 +694,7 @@
     }
     lmn_db_reader_free(reader);
     lmn_info("machine_provider_started types=%u pools=%u slots=%u rented=%d",
-             inventory->ntypes, inventory->npools, inventory->nslots,
+             inventory->type_count, inventory->pool_count, inventory->slot_count,
              g_tree_nnodes(s->machines));
     return s;
 }
--- a/src/partition/cloud_client.c
+++ b/src/partition/cloud_client.c
@@ -57,9 +57,10 @@
     lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_CACHE_GB), &type->cache_gb);
     lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_PULL_GB_PER_S),
                         &type->pull_gb_per_s);
-    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_PRICE), &type->rate);
-    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_SPOT_PRICE), &type->spot_rate);
-    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_BOOT_S), &type->ready_s);
+    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_PRICE), &type->price_per_hour);
+    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_SPOT_PRICE),
+                        &type->spot_price_per_hour);
+    lmn_cbor_get_number(lmn_cbor_get(document, node, WIRE_BOOT_S), &type->boot_s);
     type->zone_count = 0;
     for (const struct lmn_cbor_value *zone = lmn_cbor_first_child(document, zones);
          zone && type->zone_count < LMN_MAX_ZONES; zone = lmn_cbor_next(document, zone))
--- a/src/partition/machine_type_reader.c
+++ b/src/partition/machine_type_reader.c
@@ -14,15 +14,15 @@
 {
     size_t i = 0;
 
-    while (i < types->n && strcmp(types->v[i].name, name) != 0)
+    while (i < types->count && strcmp(types->types[i].name, name) != 0)
         i++;
     if (i == MAX_MACHINE_TYPES)
         return NULL;
-    if (i == types->n) {
-        g_strlcpy(types->v[i].name, name, sizeof types->v[i].name);
-        types->n++;
+    if (i == types->count) {
+        g_strlcpy(types->types[i].name, name, sizeof types->types[i].name);
+        types->count++;
     }
-    return &types->v[i];
+    return &types->types[i];
 }
 
 bool lmn_machine_types_read(struct lmn_core *core, struct lmn_cloud_client *cloud)
@@ -45,8 +45,8 @@
         lmn_cloud_parse_type(type, &document, node);
     }
     if (!core->cloud.machine_types_known)
-        lmn_info("machine_types_received count=%zu", types->n);
-    core->cloud.machine_types_known = types->n > 0;
+        lmn_info("machine_types_received count=%zu", types->count);
+    core->cloud.machine_types_known = types->count > 0;
     pthread_mutex_unlock(&core->lock);
     lmn_cbor_free(&document);
     return true;
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -71,7 +71,7 @@
     const struct lmn_boot_time *boot_time = find_boot_time(autoscaler, type->name, zone);
     double typical_s = boot_time ? boot_time->typical_s : 0;
 
-    return USUAL_BOOT_FACTOR * MAX(type->ready_s, typical_s) + 2 * lag_s;
+    return USUAL_BOOT_FACTOR * MAX(type->boot_s, typical_s) + 2 * lag_s;
 }
 
 /* --- capacity at hand --- */
@@ -292,8 +292,8 @@
     double machines = served_cpus / usable_cpus;
     double rounded = deficit->is_first ? ceil(machines) : floor(machines + 0.5);
     *count = (unsigned)CLAMP(rounded, 0, MAX_REQUESTED_MACHINES);
-    double rate = offer->is_spot ? type->spot_rate : type->rate;
-    return rate / usable_cpus * (1 + type->ready_s / BOOT_COST_S);
+    double rate = offer->is_spot ? type->spot_price_per_hour : type->price_per_hour;
+    return rate / usable_cpus * (1 + type->boot_s / BOOT_COST_S);
 }
 
 /** Whether the cloud has refused the offer lately. */
@@ -318,10 +318,11 @@
         deficit->may_use_spot && core->cache.operator_settings.spot >= SPOT_ENABLED;
     double least_cost = INFINITY;
 
-    for (size_t i = 0; i < types->n; i++)
-        for (int zone = 0; zone < types->v[i].zone_count; zone++)
+    for (size_t i = 0; i < types->count; i++)
+        for (int zone = 0; zone < types->types[i].zone_count; zone++)
             for (int spot = 0; spot <= may_use_spot; spot++) {
-                const struct offer offer = {&types->v[i], types->v[i].zones[zone], spot};
+                const struct offer offer = {&types->types[i], types->types[i].zones[zone],
+                                            spot};
                 unsigned count = 0;
                 if (is_backing_off(autoscaler, &offer, now))
                     continue;
--- a/src/scheduler/autoscaler_demand.c
+++ b/src/scheduler/autoscaler_demand.c
@@ -48,10 +48,10 @@
 {
     const struct lmn_machine_types *types = &core->cloud.machine_types;
 
-    for (size_t i = 0; i < types->n; i++)
-        if (!lmn_is_spot_only(core->settings, spec, &types->v[i]))
+    for (size_t i = 0; i < types->count; i++)
+        if (!lmn_is_spot_only(core->settings, spec, &types->types[i]))
             return false;
-    return types->n > 0;
+    return types->count > 0;
 }
 
 /** Tasks of the range that should run at a time: all of a service, and of a batch job as
--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -174,7 +174,7 @@
 {
     return spec->priority == LMN_PRIORITY_IDLE && spec->may_use_spot &&
            spec->kind == LMN_JOB_BATCH && spec->estimate_s > GAP_S &&
-           type->rate > LEFT_WORK_COST * type->spot_rate &&
+           type->price_per_hour > LEFT_WORK_COST * type->spot_price_per_hour &&
            !lmn_job_spec_has_objective(settings, spec);
 }
 
--- a/src/site/config.c
+++ b/src/site/config.c
@@ -111,9 +111,9 @@
     if (count < 1 || count > LMN_MAX_TEAMS)
         lmn_config_fail(config, "teams", "expected 1 to %d tables [[teams]]",
                         LMN_MAX_TEAMS);
-    site->nteams = MIN(count, LMN_MAX_TEAMS);
-    site->teams = g_new0(struct lmn_team, site->nteams);
-    for (guint i = 0; i < site->nteams; i++)
+    site->team_count = MIN(count, LMN_MAX_TEAMS);
+    site->teams = g_new0(struct lmn_team, site->team_count);
+    for (guint i = 0; i < site->team_count; i++)
         read_team(config, site, i);
 }
 
@@ -288,7 +288,7 @@
 static void add_process(struct lmn_site *site, const char *name, const char *command,
                         const char *ready)
 {
-    struct lmn_site_process *process = &site->processes[site->nprocesses++];
+    struct lmn_site_process *process = &site->processes[site->process_count++];
 
     g_strlcpy(process->name, name, sizeof process->name);
     process->argv[0] = g_strdup(command);
--- a/src/site/process_settings.c
+++ b/src/site/process_settings.c
@@ -73,7 +73,7 @@
 
 static void append_teams(GString *text, const struct lmn_site *site)
 {
-    for (size_t i = 0; i < site->nteams; i++)
+    for (size_t i = 0; i < site->team_count; i++)
         g_string_append_printf(
             text,
             "[[params.teams]]\nname = \"%s\"\ncpus = %g\ncpus_max = %g\n"
--- a/src/site/site.h
+++ b/src/site/site.h
@@ -39,7 +39,7 @@
     int base_port;    /**< the processes' ports are at fixed distances from it */
     unsigned controllers;   /**< how many */
     struct lmn_team *teams; /**< kept for as long as the process runs */
-    size_t nteams;
+    size_t team_count;
     GString *objectives; /**< service-level objectives as TOML, for the controllers */
     double state_rps, state_write_rps, value_kb; /**< limits of the key-value store */
     double cloud_rps, list_lag_s;                /**< limits of the machine provider */
@@ -56,7 +56,7 @@
     char peers[LMN_MAX_MEMBERS + 1][LMN_ADDRESS_SIZE];
     struct lmn_site_process
         processes[LMN_SITE_PROCESSES]; /**< in the order of starting */
-    unsigned nprocesses;
+    unsigned process_count;
 };
 
 /**
--- a/src/site/supervise.c
+++ b/src/site/supervise.c
@@ -273,7 +273,7 @@
     /* The machine provider first, since it would start machines again. */
     bool all_ended = end_process(site, "fleet");
 
-    for (unsigned i = site->nprocesses; i-- > 0;)
+    for (unsigned i = site->process_count; i-- > 0;)
         if (strcmp(site->processes[i].name, "state"))
             all_ended = end_process(site, site->processes[i].name) && all_ended;
     all_ended = end_machines(site) && all_ended;
@@ -326,10 +326,10 @@
         return 1;
     }
     handle_signals();
-    lmn_info("supervisor_started site=%s processes=%u", site->name, site->nprocesses);
-    for (unsigned i = 0; i < site->nprocesses; i++)
+    lmn_info("supervisor_started site=%s processes=%u", site->name, site->process_count);
+    for (unsigned i = 0; i < site->process_count; i++)
         supervised[i].process = &site->processes[i];
-    supervise_until_stopped(site, supervised, site->nprocesses);
+    supervise_until_stopped(site, supervised, site->process_count);
     lmn_info("supervisor_stopped");
     return end_all(site) ? 0 : 1;
 }
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -143,7 +143,7 @@
     for (int i = 0; i < core->partition_count; i++)
         init_partition(core, i);
     /* Never reallocated, since machines point at their types. */
-    core->cloud.machine_types.v = g_new0(struct lmn_machine_type, MAX_MACHINE_TYPES);
+    core->cloud.machine_types.types = g_new0(struct lmn_machine_type, MAX_MACHINE_TYPES);
     return core;
 }
 
@@ -189,7 +189,7 @@
     lmn_latency_clear(&core->latencies.start);
     lmn_latency_clear(&core->latencies.replication);
     g_rand_free(core->random);
-    g_free(core->cloud.machine_types.v);
+    g_free(core->cloud.machine_types.types);
     clear_quota_ledger(&core->quota);
     destroy_synchronisation(core);
     g_free(core);
@@ -209,9 +209,9 @@
 const struct lmn_machine_type *lmn_machine_type_by_name(const struct lmn_core *core,
                                                         const char *name)
 {
-    for (size_t i = 0; i < core->cloud.machine_types.n; i++)
-        if (!strcmp(core->cloud.machine_types.v[i].name, name))
-            return &core->cloud.machine_types.v[i];
+    for (size_t i = 0; i < core->cloud.machine_types.count; i++)
+        if (!strcmp(core->cloud.machine_types.types[i].name, name))
+            return &core->cloud.machine_types.types[i];
     return NULL;
 }
 
--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -42,7 +42,7 @@
 
     g_snprintf(name, sizeof name, "m-%d", i);
     struct lmn_machine *machine = lmn_machine_new(partition, name);
-    machine->type = &core->cloud.machine_types.v[0];
+    machine->type = &core->cloud.machine_types.types[0];
     g_strlcpy(machine->zone, i % 2 ? "a" : "b", sizeof machine->zone);
     machine->is_spot = i % 3 == 0;
     machine->record.revision = 1;
@@ -90,8 +90,8 @@
 
     set_up_settings();
     core = lmn_core_new(&settings, lmn_kv_client_new(&settings), seed);
-    core->cloud.machine_types.n = 1;
-    core->cloud.machine_types.v[0] =
+    core->cloud.machine_types.count = 1;
+    core->cloud.machine_types.types[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
     struct lmn_partition *partition = &core->partitions[0];
     partition->ownership.is_owned = partition->ownership.is_ready =
@@ -144,8 +144,8 @@
     struct lmn_job *job = &jobs[0];
 
     fixture_begin(3);
-    core->cloud.machine_types.v[0].rate = 3;
-    core->cloud.machine_types.v[0].spot_rate = 1;
+    core->cloud.machine_types.types[0].price_per_hour = 3;
+    core->cloud.machine_types.types[0].spot_price_per_hour = 1;
     for (int i = 1; i < JOBS; i++)
         jobs[i].phase = LMN_JOB_DONE;
     job->spec.kind = LMN_JOB_BATCH;
--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -64,8 +64,8 @@
     node->state = lmn_kv_client_new(&node->settings);
     node->core =
         lmn_core_new(&node->settings, node->state, g_rand_int(simulation.random));
-    node->core->cloud.machine_types.n = 1;
-    node->core->cloud.machine_types.v[0] = (struct lmn_machine_type){
+    node->core->cloud.machine_types.count = 1;
+    node->core->cloud.machine_types.types[0] = (struct lmn_machine_type){
         .name = "t", .cpus = 6, .memory_gb = 100, .zone_count = 2, .zones = {"a", "b"}};
     node->core->cloud.machine_types_known = true;
     node->core->cache.operator_settings.standby = simulation.standbys;
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -141,8 +141,8 @@
     set_up(&node->settings, n);
     struct lmn_core *core =
         lmn_core_new(&node->settings, lmn_kv_client_new(&node->settings), 1);
-    core->cloud.machine_types.n = 1;
-    core->cloud.machine_types.v[0] =
+    core->cloud.machine_types.count = 1;
+    core->cloud.machine_types.types[0] =
         (struct lmn_machine_type){.name = "t", .cpus = 1, .zone_count = 1};
     core->cloud.machine_types_known = true;
     core->booted_at = core->cache.synced_at = long_ago;
--- a/tests/test_autoscaler.c
+++ b/tests/test_autoscaler.c
@@ -26,17 +26,17 @@
      .zone_count = 1,
      .cpus = 8,
      .memory_gb = 64,
-     .rate = 1,
-     .spot_rate = 0.4,
-     .ready_s = 20},
+     .price_per_hour = 1,
+     .spot_price_per_hour = 0.4,
+     .boot_s = 20},
     {.name = "large",
      .zones = {"a", "b"},
      .zone_count = 2,
      .cpus = 32,
      .memory_gb = 256,
-     .rate = 3.5,
-     .spot_rate = 1.5,
-     .ready_s = 40},
+     .price_per_hour = 3.5,
+     .spot_price_per_hour = 1.5,
+     .boot_s = 40},
 };
 static struct lmn_job jobs[64];
 static struct lmn_range ranges[64];
@@ -59,8 +59,8 @@
             g_rand_int_range(r, 0, 4) ? 100.0 * g_rand_int_range(r, 1, 30) : 0;
     }
     core = lmn_core_alloc(&cfg, NULL, 1);
-    memcpy(core->cloud.machine_types.v, types, sizeof types);
-    core->cloud.machine_types.n = G_N_ELEMENTS(types);
+    memcpy(core->cloud.machine_types.types, types, sizeof types);
+    core->cloud.machine_types.count = G_N_ELEMENTS(types);
     core->cloud.machine_types_known = true;
     for (int i = 0; i < njobs; i++) {
         struct lmn_job *job = &jobs[i];
@@ -262,8 +262,8 @@
         jobs[0].spec.may_use_spot = false;
         jobs[0].spec.estimate_s = 300;
         jobs[0].spec.tasks = ranges[0].end = 30;
-        g_strlcpy(core->cloud.machine_types.v[0].zones[0], "a", LMN_NAME_SIZE);
-        core->cloud.machine_types.n = 1;
+        g_strlcpy(core->cloud.machine_types.types[0].zones[0], "a", LMN_NAME_SIZE);
+        core->cloud.machine_types.count = 1;
         lmn_autoscaler_init(&f);
         for (int i = 0; i < 30; i++) {
             struct lmn_cloud_machine *machine = g_new0(struct lmn_cloud_machine, 1);
@@ -295,7 +295,7 @@
         while (g_hash_table_iter_next(&it, NULL, &v))
             ((struct lmn_cloud_machine *)v)->is_booting = false;
         assert_false(lmn_autoscaler_decide(core, &f, &rental, now));
-        assert_true(lmn_autoscaler_boot_timeout_s(&f, &core->cloud.machine_types.v[0],
+        assert_true(lmn_autoscaler_boot_timeout_s(&f, &core->cloud.machine_types.types[0],
                                                   "a", 4) > (k == 2 ? 250 : 30));
     }
     g_rand_free(r);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -50,8 +50,8 @@
     cfg.teams = teams;
     cfg.team_count = G_N_ELEMENTS(teams);
     struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->cloud.machine_types.n = 1;
-    core->cloud.machine_types.v[0] =
+    core->cloud.machine_types.count = 1;
+    core->cloud.machine_types.types[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
     core->cloud.machine_types_known = core->cache.is_synced = true;
     core->lease.id = 77;
@@ -337,7 +337,7 @@
     partition->ownership.is_owned = partition->ownership.is_ready = true;
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
         struct lmn_machine *machine = lmn_machine_new(partition, names[i]);
-        machine->type = &core->cloud.machine_types.v[0];
+        machine->type = &core->cloud.machine_types.types[0];
         g_strlcpy(machine->type_name, "x", LMN_NAME_SIZE);
         char addr[LMN_ADDRESS_SIZE];
         g_snprintf(addr, sizeof addr, "10.0.0.%u:9000", i + 1);
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -135,13 +135,13 @@
     core->cache.is_synced = true;
     core->members.last_tick_at = core->members.cache_fresh_at = core->members.synced_at =
         now;
-    core->cloud.machine_types.n = 1;
-    core->cloud.machine_types.v[0] = (struct lmn_machine_type){.name = "x",
-                                                               .cpus = 8,
-                                                               .gpus = 1,
-                                                               .memory_gb = 64,
-                                                               .zones = {"a"},
-                                                               .zone_count = 1};
+    core->cloud.machine_types.count = 1;
+    core->cloud.machine_types.types[0] = (struct lmn_machine_type){.name = "x",
+                                                                   .cpus = 8,
+                                                                   .gpus = 1,
+                                                                   .memory_gb = 64,
+                                                                   .zones = {"a"},
+                                                                   .zone_count = 1};
     core->cloud.machine_types_known = true;
     return core;
 }
--- a/tests/test_machine_block.c
+++ b/tests/test_machine_block.c
@@ -44,8 +44,8 @@
     cfg.lease_s = 10;
     owner = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), seed);
     other = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), seed);
-    owner->cloud.machine_types.n = 1;
-    owner->cloud.machine_types.v[0] =
+    owner->cloud.machine_types.count = 1;
+    owner->cloud.machine_types.types[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
     owner->partitions[0].ownership.is_owned = owner->partitions[0].ownership.is_ready =
         true;
@@ -64,7 +64,7 @@
         g_hash_table_lookup(owner->partitions[0].machines, name);
     if (!machine)
         machine = lmn_machine_new(&owner->partitions[0], name);
-    machine->type = &owner->cloud.machine_types.v[0];
+    machine->type = &owner->cloud.machine_types.types[0];
     g_strlcpy(machine->type_name, "x", LMN_NAME_SIZE);
     g_snprintf(machine->address, sizeof machine->address, "10.0.0.%d:9000", i % 250);
     g_strlcpy(machine->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
--- a/tests/test_machine_provider.c
+++ b/tests/test_machine_provider.c
@@ -108,7 +108,7 @@
 
     if (lmn_inventory_parse(good, "inv.toml", &v, err, sizeof err) != 0)
         fail_msg("%s", err);
-    assert_int_equal(v.ntypes, 1);
+    assert_int_equal(v.type_count, 1);
     assert_int_equal(v.pools[0].count, 3);
     assert_int_equal(lmn_inventory_slot(&v, "rack-1")->type, 0);
     lmn_inventory_clear(&v);
--- a/tests/test_queue.c
+++ b/tests/test_queue.c
@@ -132,8 +132,8 @@
     (void)state;
     fixture_begin(3);
     struct lmn_machine *m = g_hash_table_lookup(core->partitions[0].machines, "m-0");
-    core->cloud.machine_types.v[0].pull_gb_per_s = 0.1;
-    core->cloud.machine_types.v[0].cache_gb = 10;
+    core->cloud.machine_types.types[0].pull_gb_per_s = 0.1;
+    core->cloud.machine_types.types[0].cache_gb = 10;
     for (int i = 0; i < 2; i++) {
         jobs[i].spec.priority = LMN_PRIORITY_NORMAL;
         jobs[i].spec.zone = NULL;
--- a/tests/test_replication.c
+++ b/tests/test_replication.c
@@ -43,8 +43,8 @@
     cfg.teams[0].cpus_max = 4;
     cfg.team_count = 1;
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->cloud.machine_types.n = 1;
-    core->cloud.machine_types.v[0] =
+    core->cloud.machine_types.count = 1;
+    core->cloud.machine_types.types[0] =
         (struct lmn_machine_type){.name = "t", .cpus = 8, .zone_count = 1};
     core->cloud.machine_types_known = true;
     return 0;
--- a/tests/test_request_decisions.c
+++ b/tests/test_request_decisions.c
@@ -58,8 +58,8 @@
     core->cache.is_synced = core->cloud.machine_types_known = true;
     core->cache.fresh_at =
         view == OLD_VIEW ? lmn_time_add(now, -LMN_CACHE_STALLED_S - 1) : now;
-    core->cloud.machine_types.n = 1;
-    core->cloud.machine_types.v[0] = (struct lmn_machine_type){
+    core->cloud.machine_types.count = 1;
+    core->cloud.machine_types.types[0] = (struct lmn_machine_type){
         .name = "small", .cpus = 4, .memory_gb = 16, .zone_count = 1, .zones = {"a"}};
     know(core, ACTIVE, LMN_JOB_ACTIVE);
     know(core, DONE, LMN_JOB_DONE);
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -54,8 +54,8 @@
     now = (struct timespec){1000, 0};
     rev = 0;
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->cloud.machine_types.n = 1;
-    core->cloud.machine_types.v[0] =
+    core->cloud.machine_types.count = 1;
+    core->cloud.machine_types.types[0] =
         (struct lmn_machine_type){.name = "t", .cpus = 8, .zone_count = 1};
     core->cloud.machine_types_known = true;
     core->cache.is_synced = true;
@@ -167,7 +167,7 @@
         m->agent.has_reported = m->lifecycle.is_accounted = true;
         m->agent.last_heartbeat_at = now;
         m->agent.incarnation = 7;
-        m->type = &core->cloud.machine_types.v[0];
+        m->type = &core->cloud.machine_types.types[0];
     }
     lmn_partition_check_ready(core, part, now);
     assert_true(part->ownership.is_ready);
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -52,15 +52,15 @@
     now = (struct timespec){1000, 0};
     lmn_test_clock = &now;
     core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
-    core->cloud.machine_types.n = 1;
-    core->cloud.machine_types.v[0] =
+    core->cloud.machine_types.count = 1;
+    core->cloud.machine_types.types[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
     struct lmn_partition *partition = &core->partitions[0];
     partition->ownership.is_owned = partition->ownership.is_ready =
         partition->ownership.inherited_may_start = true;
     partition->ownership.epoch = 1;
     machine = lmn_machine_new(partition, "m-1");
-    machine->type = &core->cloud.machine_types.v[0];
+    machine->type = &core->cloud.machine_types.types[0];
     g_strlcpy(machine->zone, "a", sizeof machine->zone);
     machine->record.revision = 1;
     machine->agent.has_reported = machine->lifecycle.is_accounted = true;
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -353,8 +353,8 @@
 
 static void with_type(void)
 {
-    core->cloud.machine_types.n = 1;
-    core->cloud.machine_types.v[0] =
+    core->cloud.machine_types.count = 1;
+    core->cloud.machine_types.types[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
     core->members.cache_fresh_at = core->members.last_tick_at = core->cache.fresh_at =
         now;
@@ -419,7 +419,7 @@
     make(0);
     with_type();
     struct lmn_machine *machine = add(1);
-    machine->type = &core->cloud.machine_types.v[0];
+    machine->type = &core->cloud.machine_types.types[0];
     machine->agent.last_heartbeat_at = now;
     queue_tasks(20);
     assert_int_equal(report(machine, machine->name, 1, ++seq, 1, true, &orders), 200);
@@ -524,7 +524,7 @@
     make(9);
     with_type();
     struct lmn_machine *machine = add(100);
-    machine->type = &core->cloud.machine_types.v[0];
+    machine->type = &core->cloud.machine_types.types[0];
     queue_tasks(4);
     report(machine, machine->name, 2, 10, 1, true, &orders);
     assert_int_equal(orders, 4);
@@ -610,7 +610,7 @@
     make(3);
     with_type();
     struct lmn_machine *machine = add(100);
-    machine->type = &core->cloud.machine_types.v[0];
+    machine->type = &core->cloud.machine_types.types[0];
     queue_tasks(4);
     assert_int_equal(report(machine, machine->name, 2, ++*seq, 1, true, &orders), 200);
     assert_int_equal(orders, 4);
@@ -689,7 +689,7 @@
         make(0);
         with_type();
         struct lmn_machine *machine = add(1);
-        machine->type = &core->cloud.machine_types.v[0];
+        machine->type = &core->cloud.machine_types.types[0];
         queue_tasks(4);
         now = lmn_time_add(now,
                            lmn_settings_max_cache_age_s(&cfg) + (stale ? 0.01 : -0.01));
@@ -714,7 +714,7 @@
     make(0);
     with_type();
     struct lmn_machine *machine = add(1);
-    machine->type = &core->cloud.machine_types.v[0];
+    machine->type = &core->cloud.machine_types.types[0];
     queue_tasks(4);
     assert_int_equal(report(machine, machine->name, 2, ++seq, 1, true, &orders), 200);
     lmn_machine_requeue_tasks(core, machine, "to begin with", now);
