--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -16,7 +16,8 @@
 /** The settings; each field's name is the setting's name in the API and in the record.
  * All are doubles, so that one table describes them. */
 struct lmn_operator_settings {
-    double sample; /**< partitions that a thief asks; 0: square root of their number */
+    double sample; /**< queues, or partitions, that a thief asks; 0: twice the square root
+                      of the queues, the square root of the partitions */
     double share;  /**< share of the victim's queue that a steal takes, 0.01 to 1 */
     double poll_floor_s;  /**< first interval after a failed steal, seconds */
     double poll_cap_s;    /**< longest interval after failed steals, seconds */
--- a/src/emulator/worker.h
+++ b/src/emulator/worker.h
@@ -19,7 +19,7 @@
     GPtrArray *images;   /* interned names, the least recently used first */
     GHashTable *results; /* "ref/index" */
     /* runs whose jobs have to be described, for the caller to take; it answers by
-     * lmn_agent_described, and keeps the spec by lmn_emu_worker_knows */
+     * lmn_emu_worker_described */
     GArray *asking;    /* uint64_t */
     GHashTable *specs; /* ref -> struct lmn_emu_spec */
     uint64_t done, failed, image_fetches;
--- a/src/gateway/gateway_internal.h
+++ b/src/gateway/gateway_internal.h
@@ -64,13 +64,13 @@
 /* Tells the peer's thread that there is something to say; the lock is held. */
 void lmn_gateway_peer_wake(struct lmn_gateway *gateway, const char *site);
 
-/* --- users (front.c) --- */
+/* --- users (http_api.c) --- */
 int lmn_gateway_http_start(struct lmn_gateway *gateway);
 
-/* --- the own controllers (feed.c); for ever (threads) --- */
+/* --- the own controllers (cluster_client.c); for ever (threads) --- */
 void *lmn_cluster_client_thread(void *gateway);
 
-/* --- other sites (host.c, home.c) --- */
+/* --- other sites (execution.c, origin.c) --- */
 void *lmn_execution_thread(void *peer); /* asks the peer, as the host of its jobs */
 int lmn_origin_start(struct lmn_gateway *gateway, char *err,
                      size_t len);             /* answers peers, as the home of jobs */
--- a/src/gateway/records.h
+++ b/src/gateway/records.h
@@ -7,8 +7,8 @@
  *   g/e/SITE          a peer that an operator has evicted
  *
  * A record is changed by one thread at a time: taken (busy), a copy changed by a
- * transition of hand.h, written, and only then put in the place of the old. Locking:
- * b->lock guards all below it, and is never held while something is written. */
+ * transition of handover.h, written, and only then put in the place of the old. Locking:
+ * records->lock guards all below it, and is never held while something is written. */
 #ifndef LMN_GATEWAY_RECORDS_H
 #define LMN_GATEWAY_RECORDS_H
 
--- a/src/gateway/sync_internal.h
+++ b/src/gateway/sync_internal.h
@@ -1,4 +1,5 @@
-/* What both ends of a link share: host.c, which asks, and home.c, which answers. */
+/* What both ends of a peer connection share: execution.c, which asks, and origin.c, which
+ * answers. */
 #ifndef LMN_GATEWAY_SYNC_INTERNAL_H
 #define LMN_GATEWAY_SYNC_INTERNAL_H
 
--- a/src/kv_store/db.h
+++ b/src/kv_store/db.h
@@ -12,7 +12,7 @@
  * missing.
  *
  * This layer knows neither HTTP nor clocks: when a lease expires is decided by the server
- * (kv_store/lease_expiry.c).
+ * (kv_store/lease.c).
  *
  * Threads: there are no locks here. A batch belongs to one thread at a time, and LMDB
  * allows one batch at a time; a reader belongs to the thread that uses it.
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -9,7 +9,7 @@
 #include "state/core.h"
 #include "state/task_ledger.h"
 
-/** Texts of the reasons, as users and the status see them. */
+/** Texts of the reasons. */
 static const char *const names[LMN_WAIT_REASONS] = {
     [LMN_WAIT_NONE] = "nothing is in the way",
     [LMN_WAIT_TRANSFER] = "the partition is being handed over",
--- a/src/state/core_state.h
+++ b/src/state/core_state.h
@@ -39,7 +39,8 @@
 /** Final jobs that are kept in memory at least (state/retention.h). */
 enum { LMN_RETAINED_JOBS = 20000 };
 
-/** The watch cache's own state. Owner: state/watch_cache.h. */
+/** The watch cache's own state. Owner: state/watch_cache.h, but for is_isolated_view and
+ * isolated_since, which the probe thread sets (controller/probe_client.h). */
 struct lmn_watch_cache {
     GHashTable *jobs;           /**< id -> struct lmn_job */
     GQueue final_jobs;          /**< those that are final, the oldest first */
@@ -60,7 +61,8 @@
     struct lmn_tombstones tombstones;
 };
 
-/** This controller's lease in the key-value store. Owner: partition/ownership.h. */
+/** This controller's lease in the key-value store. Owner: partition/ownership_thread.h.
+ */
 struct lmn_own_lease {
     uint64_t id; /**< 0: none */
     struct timespec acquired_at;
--- a/src/state/job.h
+++ b/src/state/job.h
@@ -61,9 +61,9 @@
     /** struct lmn_zone_tasks; NULL unless affinity or anti-affinity is asked for. */
     GArray *zones;
     const struct lmn_partition *triage_partition; /**< mark of the triage under way */
-    /** Results of one scan over queues, each valid while it equals the core's scan
-     * generation: the job can't start on the machine, it can, its image's fetch time is
-     * known. */
+    /** Results of one scan over queues: the job can't start on the machine, it can, its
+     * image's fetch time is known. The first is valid while it equals the core's scan
+     * generation, the others while they equal its start generation. */
     uint64_t rejected_scan, accepted_scan, fetch_scan;
     double fetch_s; /**< with fetch_scan: seconds that the image's fetch takes there */
     struct lmn_job_failures failures; /**< holds back a job whose tasks fail */
--- a/tests/simulation/scenario.h
+++ b/tests/simulation/scenario.h
@@ -1,6 +1,6 @@
 /* Scenarios of faults: each a schedule of a simulated day, and the guard without which
- * such days break a rule (world.h). Times, lengths and leases are drawn for each seed. At
- * the end no fault is left, and each job that was not cancelled has run. */
+ * such days break a rule (simulation.h). Times, lengths and leases are drawn for each
+ * seed. At the end no fault is left, and each job that was not cancelled has run. */
 #ifndef LMN_TESTS_SCENARIO_H
 #define LMN_TESTS_SCENARIO_H
 
--- a/tests/test_machine_block.c
+++ b/tests/test_machine_block.c
@@ -248,8 +248,8 @@
     }
 }
 
-/* A range holds three tasks for each byte of a value's limit (api.c): its done set fits
- * when all but the last task are done, which is its longest form. */
+/* A range holds three tasks for each byte of a value's limit (submission.c): its done set
+ * fits when all but the last task are done, which is its longest form. */
 static void full_ranges_fit(void **state)
 {
     (void)state;
--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -1,4 +1,4 @@
-/* Days of the whole service in simulated time (simulation/world.h).
+/* Days of the whole service in simulated time (simulation/simulation.h).
  *
  * Each rule's check is itself checked: with the guard that keeps the rule taken away, the
  * same days must break it. */
--- a/tests/test_pending_submission.c
+++ b/tests/test_pending_submission.c
@@ -78,7 +78,7 @@
     return 0;
 }
 
-/* The call is only handed on: pending.c does not look into it. */
+/* The call is only handed on: pending_submission.c does not look into it. */
 static void submit(void)
 {
     static int call;
--- a/tests/test_scenarios.c
+++ b/tests/test_scenarios.c
@@ -1,6 +1,6 @@
 /* Meetings of troubles: each a schedule of a day, and the guard without which such days
- * break a rule (simulation/world.h). Times, lengths and leases are drawn for each seed.
- * At the end all is well again, and each job that was not cancelled has run. */
+ * break a rule (simulation/simulation.h). Times, lengths and leases are drawn for each
+ * seed. At the end all is well again, and each job that was not cancelled has run. */
 #include "scenario.h"
 
 #include <string.h>
