--- a/tests/golden.h
+++ b/tests/golden.h
@@ -44,10 +44,13 @@
         int digit = g_ascii_xdigit_value(*at);
         if (digit < 0)
             fail_msg("%s: not hexadecimal text", path);
-        guint8 byte = (guint8)(high << 4 | digit);
-        if (high >= 0)
-            g_byte_array_append(b, &byte, 1);
-        high = high < 0 ? digit : -1;
+        if (high < 0) {
+            high = digit;
+            continue;
+        }
+        guint8 byte = (guint8)((unsigned)high << 4 | (unsigned)digit);
+        g_byte_array_append(b, &byte, 1);
+        high = -1;
     }
     assert_int_equal(high, -1);
     assert_true(b->len > 0);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -92,8 +92,10 @@
 
     assert_non_null(txn);
     lmn_txn_foreach_operation(txn, seek, &s);
-    if (!s.value)
+    if (!s.value) {
         fail_msg("nothing is written to %s", key);
+        return; /* for the analyzer, which does not know that fail_msg never returns */
+    }
     assert_int_equal(s.lease, lease);
     golden_same(name, s.value->data, s.value->len);
     g_byte_array_unref(s.value);
