--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -59,15 +59,15 @@
     return write_own_record(core, lease);
 }
 
-void lmn_ownership_announced(struct lmn_core *core, enum lmn_txn_outcome outcome)
+void lmn_ownership_announce_completed(struct lmn_core *core, enum lmn_txn_outcome outcome)
 {
     /* The watch cache was a little behind: the next try need not wait. */
     if (outcome == LMN_TXN_CONFLICT)
         core->lease.announced = 0;
 }
 
-struct lmn_txn *lmn_ownership_refutation(const struct lmn_core *core, uint64_t lease,
-                                         struct timespec now)
+struct lmn_txn *lmn_ownership_refute(const struct lmn_core *core, uint64_t lease,
+                                     struct timespec now)
 {
     return lmn_self_should_refute(&core->members, now) ? write_own_record(core, lease)
                                                        : NULL;
@@ -96,8 +96,8 @@
     return txn;
 }
 
-struct lmn_txn *lmn_ownership_suspicion(struct lmn_core *core, int member_index,
-                                        uint64_t lease, struct timespec now)
+struct lmn_txn *lmn_ownership_suspect(struct lmn_core *core, int member_index,
+                                      uint64_t lease, struct timespec now)
 {
     struct lmn_members *members = &core->members;
     struct lmn_failure_evidence evidence;
@@ -290,8 +290,8 @@
     return lmn_partition_transfer(core, partition, *target);
 }
 
-void lmn_ownership_transferred(struct lmn_core *core, int partition_id,
-                               enum lmn_txn_outcome outcome, struct timespec now)
+void lmn_ownership_transfer_completed(struct lmn_core *core, int partition_id,
+                                      enum lmn_txn_outcome outcome, struct timespec now)
 {
     struct lmn_partition *partition = &core->partitions[partition_id];
 
--- a/src/partition/ownership_thread.c
+++ b/src/partition/ownership_thread.c
@@ -127,7 +127,7 @@
     enum lmn_txn_outcome outcome = commit(manager, txn);
     manager->is_announced = manager->is_announced || outcome == LMN_TXN_COMMITTED;
     pthread_mutex_lock(&manager->core->lock);
-    lmn_ownership_announced(manager->core, outcome);
+    lmn_ownership_announce_completed(manager->core, outcome);
     pthread_mutex_unlock(&manager->core->lock);
 }
 
@@ -178,8 +178,8 @@
         pthread_mutex_lock(&core->lock);
         struct lmn_txn *txn =
             i == core->members.self
-                ? lmn_ownership_refutation(core, manager->lease, lmn_now())
-                : lmn_ownership_suspicion(core, i, manager->lease, lmn_now());
+                ? lmn_ownership_refute(core, manager->lease, lmn_now())
+                : lmn_ownership_suspect(core, i, manager->lease, lmn_now());
         pthread_mutex_unlock(&core->lock);
         if (txn)
             commit(manager, txn);
@@ -215,7 +215,7 @@
     lmn_info("partition_transfer_tried partition=%d to=%s outcome=%d", partition_id,
              lmn_member_name(&core->members, target), outcome);
     pthread_mutex_lock(&core->lock);
-    lmn_ownership_transferred(core, partition_id, outcome, lmn_now());
+    lmn_ownership_transfer_completed(core, partition_id, outcome, lmn_now());
     pthread_mutex_unlock(&core->lock);
 }
 
--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -202,7 +202,7 @@
     if (!txn)
         return;
     enum lmn_txn_outcome r = node_send(node, txn);
-    lmn_ownership_announced(node->core, r);
+    lmn_ownership_announce_completed(node->core, r);
     if (r == LMN_TXN_COMMITTED)
         node->announced = node->lease;
 }
@@ -215,8 +215,8 @@
 
     for (int i = 0; i < simulation.layout.nodes; i++) {
         txn = i == core->members.self
-                  ? lmn_ownership_refutation(core, node->lease, simulation.clock)
-                  : lmn_ownership_suspicion(core, i, node->lease, simulation.clock);
+                  ? lmn_ownership_refute(core, node->lease, simulation.clock)
+                  : lmn_ownership_suspect(core, i, node->lease, simulation.clock);
         simulation.refutations += txn && i == core->members.self;
         if (txn)
             node_send(node, txn);
@@ -232,7 +232,7 @@
         }
         if ((txn = lmn_ownership_transfer(core, i, &successor, simulation.clock))) {
             enum lmn_txn_outcome r = node_send(node, txn);
-            lmn_ownership_transferred(core, i, r, simulation.clock);
+            lmn_ownership_transfer_completed(core, i, r, simulation.clock);
             simulation.transfers += r == LMN_TXN_COMMITTED;
         }
     }
--- a/tests/takeover/fair.c
+++ b/tests/takeover/fair.c
@@ -50,7 +50,7 @@
     node_mirror(n);
     commit_if_any(lmn_ownership_transfer(core, 0, &successor, explored.now));
     renew_lease(n);
-    struct lmn_txn *txn = lmn_ownership_refutation(core, node->lease, explored.now);
+    struct lmn_txn *txn = lmn_ownership_refute(core, node->lease, explored.now);
     commit_if_any(txn ? txn : lmn_ownership_claim(core, 0, node->lease, explored.now));
     node_mirror(n);
     probe(n);
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -36,7 +36,7 @@
     if (explored.suspicions == MOST_SUSPICIONS)
         return false;
     speak_against_a();
-    if (!commit_and_free(lmn_ownership_suspicion(b->core, A, b->lease, explored.now)))
+    if (!commit_and_free(lmn_ownership_suspect(b->core, A, b->lease, explored.now)))
         return false;
     explored.suspicions++;
     return true;
@@ -47,7 +47,7 @@
     struct node *a = &explored.nodes[A];
 
     return !a->stalled &&
-           commit_and_free(lmn_ownership_refutation(a->core, a->lease, explored.now));
+           commit_and_free(lmn_ownership_refute(a->core, a->lease, explored.now));
 }
 
 bool claim(int n)
@@ -94,7 +94,7 @@
         return false;
     node->ownership = NULL;
     if (node->handover)
-        lmn_ownership_transferred(node->core, 0, LMN_TXN_UNKNOWN, explored.now);
+        lmn_ownership_transfer_completed(node->core, 0, LMN_TXN_UNKNOWN, explored.now);
     return true;
 }
 
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -515,7 +515,7 @@
         lmn_members_tick(&core->members, 0, lmn_time_add(now, s));
     core->members.cache_fresh_since = lmn_time_add(now, -100);
     lmn_members_record_watch(&core->members, now);
-    struct lmn_txn *txn = lmn_ownership_suspicion(core, 1, 77, now);
+    struct lmn_txn *txn = lmn_ownership_suspect(core, 1, 77, now);
     writes_record(txn, "u/nb", 77, "suspicion");
     lmn_txn_free(txn);
     apply(core, "u/nb", "suspicion", 7);
