--- a/src/partition/ownership_thread.c
+++ b/src/partition/ownership_thread.c
@@ -40,8 +40,8 @@
     manager->core->lease.id = 0;
     for (int i = 0; i < manager->core->partition_count; i++)
         if (manager->core->partitions[i].ownership.is_owned)
-            lmn_partition_lose(manager->core, &manager->core->partitions[i],
-                               "lease ended");
+            lmn_partition_end_ownership(manager->core, &manager->core->partitions[i],
+                                        "lease ended");
     pthread_mutex_unlock(&manager->core->lock);
 }
 
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -137,8 +137,8 @@
         lmn_range_open(core, range);
 }
 
-void lmn_partition_own(struct lmn_core *core, struct lmn_partition *partition,
-                       struct timespec now)
+void lmn_partition_begin_ownership(struct lmn_core *core, struct lmn_partition *partition,
+                                   struct timespec now)
 {
     lmn_replication_reset(core, partition);
     begin_ownership(partition, now);
@@ -159,8 +159,8 @@
     pthread_cond_broadcast(&core->machines_woken);
 }
 
-void lmn_partition_lose(struct lmn_core *core, struct lmn_partition *partition,
-                        const char *why)
+void lmn_partition_end_ownership(struct lmn_core *core, struct lmn_partition *partition,
+                                 const char *why)
 {
     GHashTableIter it;
     gpointer value;
--- a/src/partition/partition.h
+++ b/src/partition/partition.h
@@ -13,14 +13,14 @@
 /** The watch cache shows that this controller owns the partition: begins a new epoch,
  * with all that is known of the machines and tasks forgotten, or taken over from a
  * replica. */
-void lmn_partition_own(struct lmn_core *core, struct lmn_partition *partition,
-                       struct timespec now);
+void lmn_partition_begin_ownership(struct lmn_core *core, struct lmn_partition *partition,
+                                   struct timespec now);
 
 /** This controller does not own the partition any more. What it knew is kept as a replica
  * of its own, in case it gets the partition back.
  * @param why for the log */
-void lmn_partition_lose(struct lmn_core *core, struct lmn_partition *partition,
-                        const char *why);
+void lmn_partition_end_ownership(struct lmn_core *core, struct lmn_partition *partition,
+                                 const char *why);
 
 /** Checks whether all inherited machines are accounted for, and assigns the tasks that
  * may start. Inherited tasks wait until each machine that may hold them is accounted for.
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -221,7 +221,7 @@
     return true;
 }
 
-void lmn_quota_transfer_flush(struct lmn_core *core, struct lmn_partition *partition,
+void lmn_quota_transfer_retry(struct lmn_core *core, struct lmn_partition *partition,
                               struct timespec now)
 {
     const struct lmn_quota_transfer *transfer = &partition->quota.transfer;
--- a/src/partition/quota_transfer.h
+++ b/src/partition/quota_transfer.h
@@ -24,7 +24,7 @@
                               int team, int to, double cpus, double gpus);
 
 /** Repeats the write of a transfer whose outcome is unknown, when it is due. */
-void lmn_quota_transfer_flush(struct lmn_core *core, struct lmn_partition *partition,
+void lmn_quota_transfer_retry(struct lmn_core *core, struct lmn_partition *partition,
                               struct timespec now);
 
 /** Forgets a transfer: the partition was acquired or lost. */
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -37,7 +37,7 @@
     }
 }
 
-void lmn_range_forget(struct lmn_core *core, struct lmn_range *range)
+void lmn_range_remove_references(struct lmn_core *core, struct lmn_range *range)
 {
     struct lmn_partition *partition = range->partition;
     GHashTableIter it;
--- a/src/partition/range.h
+++ b/src/partition/range.h
@@ -11,7 +11,7 @@
 void lmn_range_open(struct lmn_core *core, struct lmn_range *range);
 
 /** Removes all references to a range that is about to be freed. */
-void lmn_range_forget(struct lmn_core *core, struct lmn_range *range);
+void lmn_range_remove_references(struct lmn_core *core, struct lmn_range *range);
 
 /** Queues a started task again, and assigns it to a machine; does nothing if the task is
  * not started.
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -209,7 +209,7 @@
     while (g_hash_table_iter_next(&it, NULL, &range))
         flush_range(core, range, deferrable, now);
     lmn_machine_blocks_flush(core, partition, has_spare_writes, now);
-    lmn_quota_transfer_flush(core, partition, now);
+    lmn_quota_transfer_retry(core, partition, now);
 }
 
 void lmn_range_writer_flush(struct lmn_core *core, struct timespec now)
--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -177,7 +177,8 @@
         node->lease = node->core->lease.id = 0;
         for (int i = 0; i < simulation.layout.nodes; i++)
             if (node->core->partitions[i].ownership.is_owned)
-                lmn_partition_lose(node->core, &node->core->partitions[i], "lease ended");
+                lmn_partition_end_ownership(node->core, &node->core->partitions[i],
+                                            "lease ended");
     }
     if (!node->lease) {
         struct holder h = {++simulation.next_lease, simulation.now + 3};
--- a/tests/takeover/fair.c
+++ b/tests/takeover/fair.c
@@ -36,7 +36,7 @@
     if (explored.lease_alive[node->lease])
         return;
     if (node_partition(n)->ownership.is_owned)
-        lmn_partition_lose(node->core, node_partition(n), "lease ended");
+        lmn_partition_end_ownership(node->core, node_partition(n), "lease ended");
     node_join(n);
     node_mirror(n);
 }
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -60,7 +60,7 @@
     owner_rev[i] = ++rev;
     partition->record.owner_revision = owner_rev[i];
     partition->record.owner_epoch++;
-    lmn_partition_own(core[i], partition, now);
+    lmn_partition_begin_ownership(core[i], partition, now);
 }
 
 static void make(uint32_t seed, int parts, int count)
@@ -199,7 +199,7 @@
 {
     struct lmn_partition *partition = &core[i]->partitions[i];
 
-    lmn_partition_lose(core[i], partition, "crash");
+    lmn_partition_end_ownership(core[i], partition, "crash");
     follow(i, events->len);
     own(i);
     memset(partition->quota.used_cpus, 0,
