--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -79,7 +79,7 @@
     int targets[LMN_MAX_PARTITIONS];
 
     pthread_mutex_lock(&core->lock);
-    lmn_transfer_targets(core, now, targets);
+    lmn_orphan_claimants(core, now, targets);
     for (int i = 0; i < core->partition_count; i++)
         append_partition(core, text, &core->partitions[i], targets[i], now);
     if (core->shutdown.is_requested)
--- a/src/partition/cloud_client.c
+++ b/src/partition/cloud_client.c
@@ -150,7 +150,7 @@
         return LMN_CLOUD_RENTED;
     if (*status == 400 || (*status == 503 && says_no_capacity(client->answer)))
         return LMN_CLOUD_REFUSED;
-    return *status == 503 ? LMN_CLOUD_OUTAGE : LMN_CLOUD_UNKNOWN;
+    return *status == 503 ? LMN_CLOUD_UNAVAILABLE : LMN_CLOUD_UNKNOWN;
 }
 
 /* --- the machine list --- */
--- a/src/partition/cloud_client.h
+++ b/src/partition/cloud_client.h
@@ -26,8 +26,8 @@
     LMN_CLOUD_RENTED,  /**< of the machines asked for, some or all */
     LMN_CLOUD_REFUSED, /**< surely none: there is no capacity, or the request is invalid
                         */
-    LMN_CLOUD_OUTAGE,  /**< surely none yet: the same request should be repeated */
-    LMN_CLOUD_UNKNOWN  /**< perhaps some: only the same request can tell */
+    LMN_CLOUD_UNAVAILABLE, /**< surely none yet: the same request should be repeated */
+    LMN_CLOUD_UNKNOWN      /**< perhaps some: only the same request can tell */
 };
 
 /** A machine's entry in the cloud's list. */
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -41,8 +41,8 @@
 static const double ROUND_S_PER_MACHINE = 0.0003, MAX_ROUND_INTERVAL_S = 1;
 enum { FEW_MACHINES = 1000 };
 
-void lmn_machine_terminated(struct lmn_core *core, struct lmn_machine *machine,
-                            struct timespec now)
+void lmn_machine_handle_termination(struct lmn_core *core, struct lmn_machine *machine,
+                                    struct timespec now)
 {
     machine->lifecycle.is_terminated = true;
     machine->lifecycle.is_inherited = false;
--- a/src/partition/maintenance.h
+++ b/src/partition/maintenance.h
@@ -13,7 +13,7 @@
 
 /** The cloud has said that the machine is gone: its tasks are queued again, and it is
  * freed unless a record still names it. */
-void lmn_machine_terminated(struct lmn_core *core, struct lmn_machine *machine,
-                            struct timespec now);
+void lmn_machine_handle_termination(struct lmn_core *core, struct lmn_machine *machine,
+                                    struct timespec now);
 
 #endif
--- a/src/partition/ownership_thread.c
+++ b/src/partition/ownership_thread.c
@@ -140,7 +140,7 @@
 
     pthread_mutex_lock(&core->lock);
     bool may_release =
-        lmn_shutdown_owns_nothing(core) && !core->shutdown.has_released_lease;
+        lmn_shutdown_all_transferred(core) && !core->shutdown.has_released_lease;
     pthread_mutex_unlock(&core->lock);
     if (!may_release)
         return;
--- a/src/partition/partition_claim.c
+++ b/src/partition/partition_claim.c
@@ -94,7 +94,7 @@
     const struct lmn_members *members = &core->members;
     int targets[LMN_MAX_PARTITIONS], members_before = 1;
 
-    lmn_transfer_targets(core, now, targets);
+    lmn_orphan_claimants(core, now, targets);
     int target = targets[partition->id];
     if (target == members->self)
         return true;
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -72,7 +72,7 @@
 
     if (machine && partition->ownership.is_owned &&
         !(skip_if_terminated && machine->lifecycle.is_terminated))
-        lmn_machine_terminated(core, machine, now);
+        lmn_machine_handle_termination(core, machine, now);
     else
         g_hash_table_add(core->cloud.returned_machines, g_strdup(name));
 }
@@ -345,7 +345,7 @@
     struct timespec now = lmn_now();
     /* The same request is sent again in the next round: its id keeps it from renting
      * twice. */
-    if (outcome == LMN_CLOUD_OUTAGE || outcome == LMN_CLOUD_UNKNOWN)
+    if (outcome == LMN_CLOUD_UNAVAILABLE || outcome == LMN_CLOUD_UNKNOWN)
         return;
     for (guint i = 0; i < names->len; i++)
         record_rented(provisioner, names->pdata[i], now);
--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -60,7 +60,7 @@
     return lmn_transfer_target(core, partition, now);
 }
 
-bool lmn_shutdown_owns_nothing(const struct lmn_core *core)
+bool lmn_shutdown_all_transferred(const struct lmn_core *core)
 {
     if (!core->shutdown.is_requested)
         return false;
--- a/src/partition/shutdown.h
+++ b/src/partition/shutdown.h
@@ -25,7 +25,7 @@
                                  struct timespec now);
 
 /** Whether every partition has been transferred: the lease may be released. */
-bool lmn_shutdown_owns_nothing(const struct lmn_core *core);
+bool lmn_shutdown_all_transferred(const struct lmn_core *core);
 
 /** Whether the process may end: everything is transferred and the users' load balancer
  * has had its time, or that has taken too long. */
--- a/src/partition/transfer_target.c
+++ b/src/partition/transfer_target.c
@@ -84,7 +84,7 @@
     return least_loaded(core, partition, candidates, excluded);
 }
 
-void lmn_transfer_targets(const struct lmn_core *core, struct timespec now, int *targets)
+void lmn_orphan_claimants(const struct lmn_core *core, struct timespec now, int *targets)
 {
     struct candidates candidates;
 
--- a/src/partition/transfer_target.h
+++ b/src/partition/transfer_target.h
@@ -20,7 +20,7 @@
  * spread.
  * @param targets set to member indices, -1 for partitions that are not orphaned; room for
  * all partitions */
-void lmn_transfer_targets(const struct lmn_core *core, struct timespec now, int *targets);
+void lmn_orphan_claimants(const struct lmn_core *core, struct timespec now, int *targets);
 
 /** Who should get a partition that its owner, this controller, transfers.
  * @return member index; -1: nobody */
--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -247,7 +247,7 @@
 
     if (!core->shutdown.is_requested)
         return false;
-    bool bare = lmn_shutdown_owns_nothing(core);
+    bool bare = lmn_shutdown_all_transferred(core);
     if (!bare && !lmn_shutdown_is_complete(core, simulation.clock))
         return false;
     for (guint i = 0; bare && i < simulation.leases->len; i++)
@@ -504,7 +504,7 @@
             }
             digest_message("removal", simulation.clock);
             digest_text(machine->name);
-            lmn_machine_terminated(node->core, machine, simulation.clock);
+            lmn_machine_handle_termination(node->core, machine, simulation.clock);
         }
         g_list_free(all);
     }
--- a/tests/test_machine_block.c
+++ b/tests/test_machine_block.c
@@ -203,7 +203,7 @@
     assert_true(writes <= 10);
     writes = 0;
     for (int i = 0; i < 300; i++)
-        lmn_machine_terminated(owner, machine(i), now);
+        lmn_machine_handle_termination(owner, machine(i), now);
     for (int k = 0; k < 3; k++)
         turn(NULL);
     same();
@@ -226,7 +226,7 @@
             for (GList *l = all; l; l = l->next) {
                 struct lmn_machine *m = l->data;
                 if (!m->lifecycle.is_terminated && g_rand_double(r) < 0.08)
-                    lmn_machine_terminated(owner, m, now);
+                    lmn_machine_handle_termination(owner, m, now);
             }
             g_list_free(all);
             turn(r);
--- a/tests/test_transfer_target.c
+++ b/tests/test_transfer_target.c
@@ -118,7 +118,7 @@
             for (int v = 0; v < 2; v++) {
                 struct lmn_core *core =
                     view(&cfg[v], n, up[v ? ups - 1 : ups / 2], gone, leaving);
-                lmn_transfer_targets(core, now, successor[v]);
+                lmn_orphan_claimants(core, now, successor[v]);
                 drop(core);
             }
             for (int k = 0; k < n; k++) {
@@ -149,7 +149,7 @@
 
     lmn_cbor_put_uint(t, 1);
     put(core, "t/1", t, 90);
-    lmn_transfer_targets(core, now, successor);
+    lmn_orphan_claimants(core, now, successor);
     assert_int_equal(successor[1], 2);
     lmn_cbor_put_map(v, 4);
     lmn_cbor_put_text(v, "node"), lmn_cbor_put_text(v, "n04");
@@ -157,11 +157,11 @@
     lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, 7);
     lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, 1);
     put(core, "b/1", v, 91);
-    lmn_transfer_targets(core, now, successor);
+    lmn_orphan_claimants(core, now, successor);
     assert_int_equal(successor[1], 4);
     /* Not with another lease: that is another life, which has no copy. */
     core->members.views[4].lease = 999;
-    lmn_transfer_targets(core, now, successor);
+    lmn_orphan_claimants(core, now, successor);
     assert_int_equal(successor[1], 2);
     drop(core);
 }
@@ -180,7 +180,8 @@
     lmn_watch_cache_begin_ownerships(core, now);
     assert_true(partition->ownership.is_owned);
     lmn_shutdown_begin(core, now);
-    assert_false(lmn_shutdown_owns_nothing(core) || lmn_shutdown_is_complete(core, now));
+    assert_false(lmn_shutdown_all_transferred(core) ||
+                 lmn_shutdown_is_complete(core, now));
     /* Nobody is in step: for 2 s it waits for somebody. */
     assert_int_equal(lmn_shutdown_transfer_target(core, partition, now), -1);
     assert_int_equal(
@@ -191,7 +192,7 @@
     core->owner_ops->partition_lost(core, partition, "given");
     partition->record.owner[0] = '\0';
     partition->record.owner_revision = 0;
-    assert_true(lmn_shutdown_owns_nothing(core));
+    assert_true(lmn_shutdown_all_transferred(core));
     core->shutdown.has_released_lease = true;
     assert_false(lmn_shutdown_cancel(core));
     assert_false(lmn_shutdown_is_complete(core, lmn_time_add(now, 5.9)));
--- a/tests/test_worker.c
+++ b/tests/test_worker.c
@@ -308,7 +308,7 @@
         lmn_maintenance_run(core, now);
         assert_false(machine->lifecycle.is_draining);
         if (i == 20)
-            lmn_machine_terminated(core, lost, now);
+            lmn_machine_handle_termination(core, lost, now);
     }
     assert_true(core->partitions[0].ownership.is_ready);
     for (int i = 0; i < 10; i++) {
@@ -510,7 +510,7 @@
     assert_false(machine->lifecycle.is_draining);
     pass(1.25 * cfg.heartbeat_s + 1, machine);
     assert_true(machine->lifecycle.is_draining && machine->lifecycle.drain_at_once);
-    lmn_machine_terminated(core, machine, now);
+    lmn_machine_handle_termination(core, machine, now);
     assert_int_equal(report(NULL, "host-000900", 2, 71, 4, false, &orders), 503);
 }
 
