--- a/src/partition/cloud_client.c
+++ b/src/partition/cloud_client.c
@@ -1,30 +1,32 @@
-/* The client of the cloud's API. No shared state, no lock. */
+/* Client of the cloud's HTTP API. It touches no shared state and needs no lock. */
 #include "partition/cloud_client.h"
 
 #include "protocol/wire.h"
 #include "util/log.h"
 
-/* How long the cloud may take to answer, seconds. */
+/* Time-outs of the requests to the cloud, in seconds. */
 static const double TYPES_TIMEOUT_S = 3.0, LIST_TIMEOUT_S = 4.0, RENT_TIMEOUT_S = 4.0,
                     RETURN_TIMEOUT_S = 5.0;
 
-enum { LIST_PATH_SIZE = 256 };
-#define LIST_PAGE_SIZE "500"
+enum { LIST_PATH_SIZE = 256 }; /* bytes */
+
+/* The most entries on a page of the machine list, as text for the query. */
+#define LIST_PAGE_ENTRIES "500"
 
 struct lmn_cloud_client lmn_cloud_client_new(const char *address)
 {
     return (struct lmn_cloud_client){.http = lmn_http_client_new(address),
-                                     .answer = g_byte_array_new()};
+                                     .response = g_byte_array_new()};
 }
 
-/* Calls with GET, and parses the answer; the document is freed by the caller if true is
- * returned. */
-static bool get(struct lmn_cloud_client *client, const char *path, double timeout_s,
-                struct lmn_cbor_document *document)
+/* Sends a GET request and parses the response. The document is freed by the caller if
+ * true is returned. */
+static bool get_document(struct lmn_cloud_client *client, const char *path,
+                         double timeout_s, struct lmn_cbor_document *document)
 {
     return lmn_http_client_call(client->http, "GET", path, NULL, timeout_s,
-                                client->answer) == 200 &&
-           lmn_cbor_parse(document, client->answer->data, client->answer->len) == 0;
+                                client->response) == 200 &&
+           lmn_cbor_parse(document, client->response->data, client->response->len) == 0;
 }
 
 /* --- machine types --- */
@@ -33,7 +35,7 @@
                                 struct lmn_cbor_document *document,
                                 const struct lmn_cbor_value **types)
 {
-    if (!get(client, WIRE_PATH_MACHINE_TYPES, TYPES_TIMEOUT_S, document))
+    if (!get_document(client, WIRE_PATH_MACHINE_TYPES, TYPES_TIMEOUT_S, document))
         return false;
     *types = lmn_cbor_get(document, lmn_cbor_root(document), WIRE_MACHINE_TYPES);
     return true;
@@ -80,7 +82,7 @@
     for (guint i = 0; i < names->len; i++)
         lmn_cbor_put_text(body, names->pdata[i]);
     int status = lmn_http_client_call(client->http, "POST", WIRE_PATH_RETURN, body,
-                                      RETURN_TIMEOUT_S, client->answer);
+                                      RETURN_TIMEOUT_S, client->response);
     lmn_info("machines_released count=%u first=%s status=%d", names->len,
              (const char *)names->pdata[0], status);
     return status == 200;
@@ -88,8 +90,9 @@
 
 /* --- rentals --- */
 
-static GByteArray *rental_body(const char *request_id,
-                               const struct lmn_provision_request *request)
+/* The body of a request for machines; freed by the caller. */
+static GByteArray *encode_rental_request(const char *request_id,
+                                         const struct lmn_provision_request *request)
 {
     GByteArray *body = g_byte_array_new();
 
@@ -107,13 +110,14 @@
     return body;
 }
 
-/* Adds the names of the rented machines; false: the answer can't be read. */
-static bool parse_rented(const GByteArray *answer, GPtrArray *names)
+/* Appends the names of the rented machines to `names`. Returns false if the response
+ * can't be parsed. */
+static bool parse_rented_machines(const GByteArray *response, GPtrArray *names)
 {
     struct lmn_cbor_document document;
     char name[LMN_NAME_SIZE];
 
-    if (lmn_cbor_parse(&document, answer->data, answer->len) != 0)
+    if (lmn_cbor_parse(&document, response->data, response->len) != 0)
         return false;
     const struct lmn_cbor_value *list =
         lmn_cbor_get(&document, lmn_cbor_root(&document), WIRE_MACHINES);
@@ -125,11 +129,12 @@
     return true;
 }
 
-static bool says_no_capacity(const GByteArray *answer)
+/* Whether the response names missing capacity as the error. */
+static bool is_no_capacity_error(const GByteArray *response)
 {
     struct lmn_cbor_document document;
 
-    if (lmn_cbor_parse(&document, answer->data, answer->len) != 0)
+    if (lmn_cbor_parse(&document, response->data, response->len) != 0)
         return false;
     bool no_capacity = lmn_cbor_text_equals(
         lmn_cbor_get(&document, lmn_cbor_root(&document), "error"), "no capacity");
@@ -142,13 +147,13 @@
                       const struct lmn_provision_request *request, GPtrArray *names,
                       int *status)
 {
-    g_autoptr(GByteArray) body = rental_body(request_id, request);
+    g_autoptr(GByteArray) body = encode_rental_request(request_id, request);
 
     *status = lmn_http_client_call(client->http, "POST", WIRE_PATH_MACHINES, body,
-                                   RENT_TIMEOUT_S, client->answer);
-    if (*status == 200 && parse_rented(client->answer, names))
+                                   RENT_TIMEOUT_S, client->response);
+    if (*status == 200 && parse_rented_machines(client->response, names))
         return LMN_CLOUD_RENTED;
-    if (*status == 400 || (*status == 503 && says_no_capacity(client->answer)))
+    if (*status == 400 || (*status == 503 && is_no_capacity_error(client->response)))
         return LMN_CLOUD_REFUSED;
     return *status == 503 ? LMN_CLOUD_UNAVAILABLE : LMN_CLOUD_UNKNOWN;
 }
@@ -164,18 +169,20 @@
     if (*after)
         g_snprintf(path, sizeof path,
                    WIRE_PATH_MACHINES "?" WIRE_QUERY_AFTER "=%s&" WIRE_QUERY_LIMIT
-                                      "=" LIST_PAGE_SIZE,
+                                      "=" LIST_PAGE_ENTRIES,
                    after);
     else
         g_snprintf(path, sizeof path,
-                   WIRE_PATH_MACHINES "?" WIRE_QUERY_LIMIT "=" LIST_PAGE_SIZE);
-    if (!get(client, path, LIST_TIMEOUT_S, document))
+                   WIRE_PATH_MACHINES "?" WIRE_QUERY_LIMIT "=" LIST_PAGE_ENTRIES);
+    if (!get_document(client, path, LIST_TIMEOUT_S, document))
         return false;
     *machines = lmn_cbor_get(document, lmn_cbor_root(document), WIRE_MACHINES);
     *has_more = false;
     lmn_cbor_get_bool(lmn_cbor_get(document, lmn_cbor_root(document), WIRE_HAS_MORE),
                       has_more);
-    /* An empty page is the last one, whatever it says: the next would be the same. */
+    /* An empty page is the last one, whatever its has_more field says: it names no
+     * machine after which the next page could begin, so the same page would be requested
+     * for ever. */
     if (!*machines || !(*machines)->len)
         *has_more = false;
     return true;
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -1,6 +1,6 @@
-/* The provisioner's thread: returns, the machine list, and rentals. The thread owns
- * struct provisioner. It takes the core's lock whenever it reads or changes shared state,
- * and holds it during no call. */
+/* The provisioner's thread: returns and rentals of machines, and the machine list. Only
+ * this thread uses struct provisioner. It takes the core's lock whenever it reads or
+ * changes shared state, and never holds it during a request to the cloud. */
 #include "partition/provisioner.h"
 
 #include "partition/cloud_client.h"
@@ -16,53 +16,58 @@
 #include "util/thread.h"
 #include "util/token_bucket.h"
 
-/* Shares of the cloud's calls: the owner of partition 0 rents, all others together only
- * return, up to 100 machines a call. A call rents 50 machines at most: with a share of
- * 0.6 of 4 calls a second, 5,600 machines took 47 s, and what had waited for them waited
- * for minutes more. */
-static const double LEADER_CALL_SHARE = 0.8, OTHERS_CALL_SHARE = 0.15;
+/* Shares of the request rate that the cloud allows: for the leader, which is the owner of
+ * partition 0 and rents machines, and for all other controllers together, which only
+ * return machines, up to 100 with each request. One request rents at most 50 machines:
+ * with a share of 0.6 of 4 requests/s, renting 5,600 machines took 47 s, and the tasks
+ * that needed them started minutes later. */
+static const double LEADER_REQUEST_SHARE = 0.8, OTHERS_REQUEST_SHARE = 0.15;
 
-/* Of the leader's calls, every second at most is a return. */
-enum { CALLS_PER_RETURN = 2 };
+/* At most one in this many of the leader's requests returns machines. */
+enum { REQUESTS_PER_RETURN = 2 };
 
-/* The thread's interval, and that of its tries to take a call for the machine list. */
+/* Seconds between two rounds of the thread, and between its tries to take a request from
+ * the budget for the machine list. */
 static const double ROUND_INTERVAL_S = 0.25, LIST_RETRY_S = 0.2;
 
-/* Machine types are read again, and the list at least so seldom. */
+/* Seconds after which the machine types are read again, and the least seconds between two
+ * reads of the machine list. */
 static const double TYPES_INTERVAL_S = 120, MIN_LIST_INTERVAL_S = 3.0;
 
-/* A machine is gone if the list has not named it for this factor of its lag, and a
- * margin. */
+/* A machine counts as gone if no list has named it for the list's lag times this factor,
+ * plus this margin in seconds. */
 static const double MISSING_LAG_FACTOR = 2, MISSING_MARGIN_S = 4;
 
-/* A machine that boots for longer than this factor of its expected time, and a margin, is
- * returned; of an unknown type, after a fixed time. */
+/* A machine that boots for longer than its type's boot time-out times this factor, plus
+ * this margin in seconds, is returned; one of an unknown type, after a fixed time. */
 static const double BOOT_TIMEOUT_FACTOR = 2, BOOT_MARGIN_S = 10,
                     UNKNOWN_TYPE_BOOT_S = 120;
 
-enum { REQUEST_ID_SIZE = 160 };
+enum { REQUEST_ID_SIZE = 160 }; /* bytes */
 
 struct provisioner {
     struct lmn_core *core;
     struct lmn_cloud_client cloud;
-    struct lmn_token_bucket budget; /* of calls to the cloud */
+    struct lmn_token_bucket budget; /* of requests to the cloud */
     struct lmn_autoscaler autoscaler;
-    bool was_leader; /* in the last round: the owner of partition 0 */
-    /* All 0: never. */
+    bool was_leader; /* whether this controller owned partition 0 in the last round */
+    /* Each is 0 until it happens for the first time. */
     struct timespec leader_since, types_read_at, list_read_at, last_return_at;
-    struct lmn_provision_request request; /* a rental whose outcome is not known */
-    char request_id[REQUEST_ID_SIZE];     /* its id; empty: none */
-    uint64_t request_count;
+    /* The rental request that is open: it was not sent yet, or its outcome is unknown. */
+    struct lmn_provision_request request;
+    char request_id[REQUEST_ID_SIZE]; /* of the open request; empty: no request is open */
+    uint64_t request_count;           /* of rental requests so far */
 };
 
-static bool take_call(struct provisioner *provisioner)
+/* Takes a request from the budget. Returns false if none is left now. */
+static bool take_request(struct provisioner *provisioner)
 {
     return lmn_token_bucket_take(&provisioner->budget, 1, lmn_now()) <= 0;
 }
 
 /* --- returns --- */
 
-/* Records that a machine was returned. The lock is held. */
+/* Records that a machine was returned. The lock is held by the caller. */
 static void record_returned(struct lmn_core *core, const char *name,
                             bool skip_if_terminated, struct timespec now)
 {
@@ -77,7 +82,8 @@
         g_hash_table_add(core->cloud.returned_machines, g_strdup(name));
 }
 
-/* Records that the machines were returned, and forgets them. Takes the lock. */
+/* Records that the machines were returned, and removes them from the autoscaler's list.
+ * Takes the lock. */
 static void record_all_returned(struct provisioner *provisioner, const GPtrArray *names,
                                 bool skip_if_terminated, struct timespec now)
 {
@@ -100,9 +106,9 @@
             (lmn_machine_is_empty(machine) && !machine->push.is_in_flight));
 }
 
-/* The names of drained machines, as many as one call returns; freed by the caller. Takes
- * the lock. */
-static GPtrArray *drained_machines(struct lmn_core *core)
+/* The names of drained machines, at most as many as one request can return; freed by the
+ * caller. Takes the lock. */
+static GPtrArray *collect_drained_machines(struct lmn_core *core)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter it;
@@ -125,17 +131,17 @@
     return names;
 }
 
-/* Returns drained machines. Of the leader's calls at most half are returns, of many
- * machines each: a call for each machine as it is lost would leave none for renting
- * others in its place. */
+/* Returns drained machines. At most half of the leader's requests are returns, of several
+ * machines each: if many machines fail one after another, a request for each of them
+ * would leave no requests for renting replacements. */
 static void return_machines(struct provisioner *provisioner)
 {
     if (provisioner->was_leader &&
         lmn_time_diff_s(lmn_now(), provisioner->last_return_at) <
-            CALLS_PER_RETURN / provisioner->budget.rate)
+            REQUESTS_PER_RETURN / provisioner->budget.rate)
         return;
-    g_autoptr(GPtrArray) names = drained_machines(provisioner->core);
-    if (!names->len || !take_call(provisioner))
+    g_autoptr(GPtrArray) names = collect_drained_machines(provisioner->core);
+    if (!names->len || !take_request(provisioner))
         return;
     provisioner->last_return_at = lmn_now();
     if (lmn_cloud_client_return(&provisioner->cloud, names))
@@ -158,7 +164,7 @@
     return machine;
 }
 
-/* Takes the lock. */
+/* Whether the machine was returned already. Takes the lock. */
 static bool was_returned(struct lmn_core *core, const char *name)
 {
     pthread_mutex_lock(&core->lock);
@@ -167,11 +173,12 @@
     return is_returned;
 }
 
+/* Applies an entry of the cloud's machine list to the autoscaler's list. */
 static void apply_list_entry(struct provisioner *provisioner,
                              const struct lmn_cloud_list_entry *entry,
                              struct timespec now)
 {
-    /* The list lags: it may name a machine that was returned already. */
+    /* The cloud's list lags: it may still name a machine that was returned already. */
     if (was_returned(provisioner->core, entry->name))
         return;
     struct lmn_cloud_machine *machine = find_or_add_machine(provisioner, entry->name);
@@ -193,8 +200,9 @@
 }
 
 /* Reads a page of the list.
- * @param after name of the last machine that was read; replaced by this page's last
- * Returns false if the page can't be read. */
+ * @param after name of the last machine of the page before; set to the last one of this
+ * page
+ * @return false: the page could not be read */
 static bool read_list_page(struct provisioner *provisioner, char after[LMN_NAME_SIZE],
                            bool *has_more)
 {
@@ -202,7 +210,7 @@
     const struct lmn_cbor_value *machines;
     struct lmn_cloud_list_entry entry;
 
-    while (!take_call(provisioner))
+    while (!take_request(provisioner))
         lmn_sleep(LIST_RETRY_S);
     if (!lmn_cloud_client_get_list(&provisioner->cloud, after, &document, &machines,
                                    has_more))
@@ -219,9 +227,10 @@
     return true;
 }
 
-/* Reads the whole list. It lags, and may be older than the last one: a machine is
- * forgotten only after it has been missing for longer than any lag, or when its return
- * was answered. */
+/* Reads the whole list. The list lags, and may be older than the one read before, so a
+ * machine that it does not name is removed only after it has been missing for longer than
+ * the lag can be, or once the cloud has confirmed its return (is_gone).
+ * @return false: a page could not be read */
 static bool read_list(struct provisioner *provisioner)
 {
     char after[LMN_NAME_SIZE] = "";
@@ -234,7 +243,8 @@
     return true;
 }
 
-/* Whether the machine is gone: returned, or missing from the list. The lock is held. */
+/* Whether the machine is gone: returned, or missing from the list for too long. The lock
+ * is held by the caller. */
 static bool is_gone(const struct provisioner *provisioner,
                     const struct lmn_cloud_machine *machine, struct timespec now)
 {
@@ -248,8 +258,9 @@
             missing_s > MISSING_LAG_FACTOR * lag_s + MISSING_MARGIN_S);
 }
 
-/* Whether the machine will not come up. Late machines are used when they do come; a few
- * never do. The lock is held. */
+/* Whether the machine is broken, or has been booting for so long that it probably never
+ * finishes. A machine that boots late but within the time-out is used. The lock is held
+ * by the caller. */
 static bool has_failed_to_boot(const struct provisioner *provisioner,
                                const struct lmn_cloud_machine *machine,
                                struct timespec now)
@@ -267,7 +278,8 @@
            (machine->is_booting && lmn_time_diff_s(now, machine->rented_at) > timeout_s);
 }
 
-/* Forgets machines that are gone, and returns those that will not come up. */
+/* Removes machines that are gone from the autoscaler's list, and returns those that have
+ * failed to boot. */
 static void prune_machines(struct provisioner *provisioner)
 {
     struct lmn_core *core = provisioner->core;
@@ -288,16 +300,16 @@
     pthread_mutex_unlock(&core->lock);
     if (failed->len > LMN_CLOUD_MAX_RETURNED)
         g_ptr_array_set_size(failed, LMN_CLOUD_MAX_RETURNED);
-    if (failed->len && take_call(provisioner) &&
+    if (failed->len && take_request(provisioner) &&
         lmn_cloud_client_return(&provisioner->cloud, failed))
         record_all_returned(provisioner, failed, true, now);
 }
 
 /* --- rentals, by the owner of partition 0 --- */
 
-/* Decides on the next request, unless one is open whose outcome is not known. Takes the
- * lock.
- * Returns whether there is a request. */
+/* Prepares the next rental request that the autoscaler decides on, unless a request is
+ * open already. Takes the lock.
+ * @return whether a request is open now */
 static bool prepare_request(struct provisioner *provisioner)
 {
     struct lmn_core *core = provisioner->core;
@@ -309,8 +321,9 @@
     bool is_due = lease && lmn_autoscaler_decide(core, &provisioner->autoscaler,
                                                  &provisioner->request, lmn_now());
     pthread_mutex_unlock(&core->lock);
-    /* The lease's number is the key-value store's and never comes again: neither this
-     * controller nor another can use the id for another request. */
+    /* The key-value store never assigns a lease id twice, so neither this controller, not
+     * even after a restart, nor another one can use this request id for another
+     * request. */
     if (is_due)
         g_snprintf(provisioner->request_id, sizeof provisioner->request_id,
                    "%s-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT,
@@ -318,7 +331,8 @@
     return is_due;
 }
 
-/* A rented machine counts as booting until the list names it. */
+/* Adds a rented machine to the autoscaler's list. It counts as booting until the cloud's
+ * list names it. */
 static void record_rented(struct provisioner *provisioner, const char *name,
                           struct timespec now)
 {
@@ -338,13 +352,13 @@
     g_autoptr(GPtrArray) names = g_ptr_array_new_with_free_func(g_free);
     int status;
 
-    if (!prepare_request(provisioner) || !take_call(provisioner))
+    if (!prepare_request(provisioner) || !take_request(provisioner))
         return;
     enum lmn_cloud_rental_outcome outcome = lmn_cloud_client_rent(
         &provisioner->cloud, provisioner->request_id, request, names, &status);
     struct timespec now = lmn_now();
-    /* The same request is sent again in the next round: its id keeps it from renting
-     * twice. */
+    /* The request stays open and is sent again in the next round. The cloud carries it
+     * out only once, because the id is the same. */
     if (outcome == LMN_CLOUD_UNAVAILABLE || outcome == LMN_CLOUD_UNKNOWN)
         return;
     for (guint i = 0; i < names->len; i++)
@@ -359,16 +373,16 @@
 
 /* --- the thread --- */
 
-/* What a round sees of the shared state. */
+/* The shared state as read at the start of a round. */
 struct round {
     struct timespec started_at;
     bool types_known;
     bool is_leader;      /* this controller owns partition 0 */
-    bool is_first_epoch; /* nobody owned partition 0 before */
-    bool is_view_stale;  /* its partitions may have another owner */
+    bool is_first_epoch; /* no controller owned partition 0 before */
+    bool is_view_stale;  /* this controller's partitions may have another owner by now */
 };
 
-/* Takes the lock. */
+/* Reads the shared state, except is_view_stale. Takes the lock. */
 static struct round begin_round(struct lmn_core *core)
 {
     struct round round = {.started_at = lmn_now()};
@@ -381,7 +395,7 @@
     return round;
 }
 
-/* Takes the lock. */
+/* Whether the watch cache is too old to return or rent machines. Takes the lock. */
 static bool is_view_stale(struct lmn_core *core, struct timespec now)
 {
     pthread_mutex_lock(&core->lock);
@@ -390,12 +404,12 @@
     return is_stale;
 }
 
-/* Begins anew with an empty list when this controller has become the leader, and sets its
- * share of the cloud's calls. */
+/* Empties the machine list when this controller has become the leader, and sets its share
+ * of the requests to the cloud when it has become or ceased to be the leader. */
 static void apply_leadership(struct provisioner *provisioner, const struct round *round)
 {
     const struct lmn_settings *settings = provisioner->core->settings;
-    double calls_per_s = settings->cloud_requests_per_s;
+    double requests_per_s = settings->cloud_requests_per_s;
 
     if (round->is_leader && !provisioner->was_leader) {
         provisioner->leader_since = round->started_at;
@@ -404,18 +418,19 @@
     }
     if (round->is_leader != provisioner->was_leader) {
         double share = round->is_leader
-                           ? LEADER_CALL_SHARE
-                           : OTHERS_CALL_SHARE / MAX(settings->member_count, 1);
-        provisioner->budget.rate = calls_per_s * share;
-        provisioner->budget.burst = round->is_leader ? MAX(calls_per_s, 1) : 1;
+                           ? LEADER_REQUEST_SHARE
+                           : OTHERS_REQUEST_SHARE / MAX(settings->member_count, 1);
+        provisioner->budget.rate = requests_per_s * share;
+        provisioner->budget.burst = round->is_leader ? MAX(requests_per_s, 1) : 1;
     }
     provisioner->was_leader = round->is_leader;
 }
 
-/* Keeps the machine list, and rents. A predecessor's last rentals show in the list only
- * after its lag, so a new leader waits that long before it rents; that some show later
- * costs less than machines that are missed meanwhile. */
-static void lead(struct provisioner *provisioner, const struct round *round)
+/* Reads the machine list and rents machines. The last rentals of a previous leader appear
+ * in the list only after its lag, so a new leader waits that long before it rents;
+ * earlier it would rent these machines a second time. It does not wait longer: a few
+ * rentals that appear even later cost less than tasks that wait for machines. */
+static void run_leader_round(struct provisioner *provisioner, const struct round *round)
 {
     double lag_s = provisioner->core->settings->list_lag_s;
 
@@ -436,7 +451,7 @@
     if ((!round.types_known ||
          lmn_time_diff_s(round.started_at, provisioner->types_read_at) >
              TYPES_INTERVAL_S) &&
-        take_call(provisioner)) {
+        take_request(provisioner)) {
         if (lmn_machine_types_read(provisioner->core, &provisioner->cloud))
             provisioner->types_read_at = lmn_now();
     }
@@ -445,7 +460,7 @@
         return_machines(provisioner);
     apply_leadership(provisioner, &round);
     if (round.is_leader && round.types_known && !round.is_view_stale)
-        lead(provisioner, &round);
+        run_leader_round(provisioner, &round);
 }
 
 void *lmn_provisioner_thread(void *arg)
@@ -454,7 +469,7 @@
     const struct lmn_settings *settings = core->settings;
     struct provisioner provisioner = {
         .core = core, .cloud = lmn_cloud_client_new(settings->cloud_address)};
-    double share = OTHERS_CALL_SHARE / (double)MAX(settings->member_count, 1);
+    double share = OTHERS_REQUEST_SHARE / (double)MAX(settings->member_count, 1);
 
     lmn_autoscaler_init(&provisioner.autoscaler);
     lmn_token_bucket_init(&provisioner.budget, settings->cloud_requests_per_s * share,
