--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -1,4 +1,5 @@
-/* The maintenance loop of an owner. The core's lock is held by the caller throughout. */
+/* The periodic maintenance of owned partitions. The core's lock is held by the caller
+ * throughout. */
 #include "partition/maintenance.h"
 
 #include "partition/machine_silence.h"
@@ -10,36 +11,41 @@
 #include "state/task_ledger.h"
 #include "util/log.h"
 
-/* A lease has surely run out on the worker's side after this factor and margin: the
- * clocks' drift, and our own lateness. */
+/* The lease has certainly expired on the worker's side once lease_s times this factor,
+ * plus this margin in seconds, has passed since the worker's last heartbeat. The factor
+ * covers the drift between the two clocks, the margin the delays of this controller. */
 static const double CLOCK_DRIFT_FACTOR = 1.002, LEASE_MARGIN_S = 1.5;
 
-/* A worker whose lease has expired has so long to come back with a new incarnation. */
+/* How long after its lease's end a worker may take to come back with a new incarnation,
+ * in seconds, before its machine is returned. */
 static const double EXPIRED_WORKER_RETURN_S = 12;
 
-/* How long after its announced end a spot machine counts as taken. */
+/* How long after its announced end a spot machine counts as reclaimed by the cloud, in
+ * seconds. */
 static const double SPOT_END_MARGIN_S = 0.5;
 
-/* Unanswered probes in a row after which a machine counts as unreachable. */
+/* The number of consecutive unanswered probes after which a machine counts as
+ * unreachable. */
 enum { UNREACHABLE_PROBES = 2 };
 
-/* How long an inherited machine may stay unaccounted for: normally; added to a lease if
- * most machines are silent; and added to cancel_s in a zone that is cut off together with
- * the partition's preferred owner. */
+/* How long an inherited machine may stay unaccounted for before it is returned, in
+ * seconds: in general; in addition to lease_s if most machines of the partition are
+ * silent; in addition to cancel_s if the machine's zone is cut off and the partition's
+ * preferred owner is in it. */
 static const double UNACCOUNTED_S = 2.5, UNACCOUNTED_LEASE_MARGIN_S = 8,
-                    UNACCOUNTED_CUT_MARGIN_S = 4;
+                    UNACCOUNTED_ZONE_CUT_MARGIN_S = 4;
 
-/* The next heartbeat of a live worker has come after this factor of the interval; after a
- * reply that it did not get, so much later. */
-static const double HEARTBEAT_INTERVAL_FACTOR = 1.25, MISSED_REPLY_S = 4;
+/* A live worker's next heartbeat arrives within heartbeat_s times this factor; if the
+ * reply to its last heartbeat was lost, up to this many seconds later. */
+static const double HEARTBEAT_INTERVAL_FACTOR = 1.25, LOST_REPLY_DELAY_S = 4;
 
-/* Between two reconciliations. */
+/* Seconds between two reconciliations of queues and task states. */
 static const double RECONCILIATION_INTERVAL_S = 5.0;
 
-/* The interval between two rounds, for each machine, and at most. With so few machines
- * every call makes a round. */
-static const double ROUND_S_PER_MACHINE = 0.0003, MAX_ROUND_INTERVAL_S = 1;
-enum { FEW_MACHINES = 1000 };
+/* The interval between two rounds in seconds: for each owned machine, and at most. With
+ * up to UNTHROTTLED_MACHINES owned machines every call runs a round. */
+static const double ROUND_INTERVAL_S_PER_MACHINE = 0.0003, MAX_ROUND_INTERVAL_S = 1;
+enum { UNTHROTTLED_MACHINES = 1000 };
 
 void lmn_machine_handle_termination(struct lmn_core *core, struct lmn_machine *machine,
                                     struct timespec now)
@@ -47,7 +53,7 @@
     machine->lifecycle.is_terminated = true;
     machine->lifecycle.is_inherited = false;
     machine->lifecycle.is_accounted = true;
-    lmn_machine_requeue_tasks(core, machine, "machine gone", now);
+    lmn_machine_requeue_tasks(core, machine, "machine terminated by the cloud", now);
     g_hash_table_add(core->cloud.returned_machines, g_strdup(machine->name));
     lmn_partition_check_ready(core, machine->partition, now);
     if (!machine->record.block)
@@ -56,13 +62,14 @@
 
 /* --- one machine --- */
 
-/* What the silence of other machines says about this one. */
-struct machine_surroundings {
-    bool most_are_silent; /* of the whole partition */
-    bool zone_is_cut;
+/* How many of the other machines are silent, too: if many are, the network or this
+ * controller is more likely at fault than the machine. */
+struct silence_context {
+    bool most_are_silent; /* most machines of the partition are silent */
+    bool zone_is_cut;     /* the machine's zone counts as cut off */
 };
 
-static guint running_attempts(const struct lmn_machine *machine)
+static guint count_running_attempts(const struct lmn_machine *machine)
 {
     guint count = 0;
 
@@ -72,7 +79,8 @@
     return count;
 }
 
-/* Since the last heartbeat, or since the partition is owned. */
+/* Seconds since the machine's last heartbeat; if there was none under this ownership,
+ * since this controller acquired the partition. */
 static double silent_s(const struct lmn_machine *machine, struct timespec now)
 {
     return machine->agent.has_reported
@@ -80,16 +88,16 @@
                : lmn_time_diff_s(now, machine->partition->ownership.since);
 }
 
-/* Gives up the tasks of a machine whose lease has run out: by then the worker has ended
- * everything by itself. The time counts from the last heartbeat that we may have
- * answered.
+/* Requeues the tasks of a machine whose lease has expired: by then the worker has killed
+ * all its tasks by itself. The lease counts from the last heartbeat that this controller
+ * may have answered.
  *
- * That holds within our own epoch only. Before, a predecessor may have answered the
- * worker later than we know; and after, a successor. So the watch cache must show that
- * the partition was still ours when the lease was over. Without that check a controller
- * that was cut off with its zone gave up the machines of the other zones, which its
- * successor had kept alive, and started their tasks once more on those of its own zone.
- */
+ * This holds within this controller's own epoch only. Before it, a previous owner may
+ * have renewed the worker's lease later than this controller knows; after it, the next
+ * owner may. So the watch cache must show that this controller still owned the partition
+ * when the lease expired. Without that check, a controller that is cut off together with
+ * its zone requeues the tasks of machines in other zones, whose leases the next owner
+ * keeps renewing, and starts them a second time on machines in its own zone. */
 static void expire_lease(struct lmn_core *core, struct lmn_machine *machine,
                          struct timespec now)
 {
@@ -102,40 +110,43 @@
         return;
     machine->agent.lease_expired = true;
     lmn_info("machine_lease_expired machine=%s partition=%d tasks=%u", machine->name,
-             machine->partition->id, running_attempts(machine));
-    lmn_machine_requeue_tasks(core, machine, "lease lapsed", now);
+             machine->partition->id, count_running_attempts(machine));
+    lmn_machine_requeue_tasks(core, machine, "lease expired", now);
 }
 
-/* Returns a machine that is silent and answers no probe. Most machines that fall silent
- * are gone, and the cloud's answer to a return proves that sooner than a lease's end; a
- * worker that answers a probe is left alone. Machines in a zone that is cut off are left
- * alone too: to return them would end tasks that run on, and would leave nothing to come
- * back to when the cut is over. */
+/* Returns a machine that sends no heartbeats and answers no probe. Most machines that
+ * fall silent are gone, and the cloud's response to the return confirms that sooner than
+ * the lease expires. A machine whose worker answers a probe is kept. So are machines in a
+ * zone that is cut off: their tasks are still running and would be killed, and no machine
+ * would be left in the zone when the link works again. */
 static void drain_if_unreachable(struct lmn_core *core, struct lmn_machine *machine,
-                                 const struct machine_surroundings *surroundings,
+                                 const struct silence_context *context,
                                  struct timespec now)
 {
     if (lmn_machine_is_silent(core, machine, now) &&
         machine->agent.unanswered_probes >= UNREACHABLE_PROBES &&
-        !surroundings->most_are_silent && !surroundings->zone_is_cut)
-        lmn_machine_drain(core, machine, true, "silent and unreachable", now);
+        !context->most_are_silent && !context->zone_is_cut)
+        lmn_machine_drain(core, machine, true, "no heartbeat and no reply to probes",
+                          now);
 }
 
-/* Returns a machine whose worker has not come back after its lease expired. In a zone
- * that is cut off it may take cancel_s longer. */
+/* Returns a machine whose worker has not come back within EXPIRED_WORKER_RETURN_S after
+ * its lease expired; in a zone that is cut off, within cancel_s more. Time during which
+ * this controller answered no heartbeats does not count. */
 static void drain_if_lease_expired(struct lmn_core *core, struct lmn_machine *machine,
-                                   const struct machine_surroundings *surroundings,
+                                   const struct silence_context *context,
                                    struct timespec now)
 {
     const struct lmn_settings *settings = core->settings;
-    bool is_cut_alone = !surroundings->most_are_silent && surroundings->zone_is_cut;
+    bool only_zone_is_silent = !context->most_are_silent && context->zone_is_cut;
 
     if (machine->agent.lease_expired &&
         silent_s(machine, now) > settings->lease_s + EXPIRED_WORKER_RETURN_S +
-                                     (is_cut_alone ? settings->cancel_s : 0) &&
+                                     (only_zone_is_silent ? settings->cancel_s : 0) &&
         lmn_time_diff_s(now, lmn_heartbeats_answered_since(core)) >
             EXPIRED_WORKER_RETURN_S)
-        lmn_machine_drain(core, machine, true, "silent", now);
+        lmn_machine_drain(core, machine, true, "no heartbeat since its lease expired",
+                          now);
 }
 
 static void drain_if_spot_ended(struct lmn_core *core, struct lmn_machine *machine,
@@ -144,36 +155,40 @@
     if (machine->lifecycle.has_spot_notice &&
         lmn_time_diff_s(now, machine->lifecycle.spot_notice_at) >
             machine->lifecycle.spot_notice_s + SPOT_END_MARGIN_S)
-        lmn_machine_drain(core, machine, true, "taken by the cloud", now);
+        lmn_machine_drain(core, machine, true, "spot machine reclaimed by the cloud",
+                          now);
 }
 
-/* How long an inherited machine may stay unaccounted for before it is returned. If most
- * machines are, the fault is more likely on this side: then their leases have to run out
- * first. In a zone that is cut off, the partition's preferred owner, if it stands there,
- * may answer the workers for as long as its view is not too old, and their leases run out
- * after that. If it stands elsewhere, nobody answers them, and the partition's queued
- * work need not wait. */
+/* How many seconds an inherited machine may stay unaccounted for before it is returned.
+ *
+ * If most machines of the partition are silent, the fault is more likely on this
+ * controller's side: then the machines are kept until their leases have expired. If the
+ * zone is cut off and the partition's preferred owner is in it, that member may go on
+ * answering the workers for up to cancel_s, until its watch cache is too old, and their
+ * leases expire after that. If the preferred owner is in another zone, nobody renews the
+ * leases of these workers, and the partition's queued tasks need not wait longer. */
 static double unaccounted_limit_s(const struct lmn_core *core,
                                   const struct lmn_machine *machine,
-                                  const struct machine_surroundings *surroundings)
+                                  const struct silence_context *context)
 {
     const struct lmn_settings *settings = core->settings;
     double limit_s = UNACCOUNTED_S;
 
-    if (surroundings->most_are_silent)
+    if (context->most_are_silent)
         limit_s = settings->lease_s + UNACCOUNTED_LEASE_MARGIN_S;
-    else if (surroundings->zone_is_cut &&
+    else if (context->zone_is_cut &&
              lmn_preferred_owner_is_in_zone(core, machine->partition, machine->zone))
-        limit_s = settings->cancel_s + UNACCOUNTED_CUT_MARGIN_S;
-    /* A worker whose heartbeat came has had a reply, and gets the time for another
-     * heartbeat. */
+        limit_s = settings->cancel_s + UNACCOUNTED_ZONE_CUT_MARGIN_S;
+    /* A worker that has sent a heartbeat was sent a reply, and gets the time for its next
+     * heartbeat, which acknowledges the new epoch. */
     if (machine->agent.has_reported)
-        limit_s = MAX(limit_s,
-                      HEARTBEAT_INTERVAL_FACTOR * settings->heartbeat_s + MISSED_REPLY_S);
+        limit_s = MAX(limit_s, HEARTBEAT_INTERVAL_FACTOR * settings->heartbeat_s +
+                                   LOST_REPLY_DELAY_S);
     return limit_s;
 }
 
-/* Since when the machine could have been accounted for. */
+/* For how many seconds the machine could have been accounted for: an inherited one since
+ * this controller acquired the partition, any other since it was first seen. */
 static double unaccounted_s(const struct lmn_machine *machine, struct timespec now)
 {
     return lmn_time_diff_s(now, machine->lifecycle.is_inherited
@@ -181,31 +196,33 @@
                                     : machine->agent.first_seen_at);
 }
 
-/* Returns an inherited machine if neither its worker's heartbeats nor our probes got
- * through in time. Heartbeats of an older epoch do not put that off: they may be copies
- * that come late, or come from a machine that nothing from us reaches, and the
- * partition's inherited work would wait for as long as they come. */
+/* Returns an inherited machine that is not accounted for in time, because neither its
+ * heartbeats nor this controller's probes got through. Heartbeats that carry an older
+ * epoch do not extend the limit: they may be delayed copies, or come from a machine that
+ * no message of this controller reaches, and the partition's inherited tasks would wait
+ * for as long as they keep arriving. */
 static void drain_if_unaccounted(struct lmn_core *core, struct lmn_machine *machine,
-                                 const struct machine_surroundings *surroundings,
+                                 const struct silence_context *context,
                                  struct timespec now)
 {
     const struct lmn_settings *settings = core->settings;
     double waited_s = unaccounted_s(machine, now);
-    double limit_s = unaccounted_limit_s(core, machine, surroundings);
-    unsigned unanswered = machine->agent.unanswered_probes;
+    double limit_s = unaccounted_limit_s(core, machine, context);
+    unsigned unanswered_probes = machine->agent.unanswered_probes;
 
     if (machine->lifecycle.is_inherited && !machine->lifecycle.is_accounted &&
         waited_s > limit_s &&
-        (unanswered >= UNREACHABLE_PROBES ||
-         (unanswered &&
+        (unanswered_probes >= UNREACHABLE_PROBES ||
+         (unanswered_probes &&
           waited_s > HEARTBEAT_INTERVAL_FACTOR * settings->heartbeat_s + limit_s) ||
          waited_s > settings->lease_s))
-        lmn_machine_drain(core, machine, true, "not heard under the new term", now);
+        lmn_machine_drain(core, machine, true,
+                          "inherited machine not accounted for in time", now);
 }
 
-/* Returns a machine that nobody recorded and that was never accounted for under our
- * epoch: it is known from a late copy of a heartbeat of a machine that is gone, or
- * nothing from us reaches it. */
+/* Returns a machine that no owner has recorded and that was never accounted for in this
+ * epoch: either this controller knows it only from a delayed heartbeat of a machine that
+ * is gone, or no message of this controller reaches it. */
 static void drain_if_never_accounted(struct lmn_core *core, struct lmn_machine *machine,
                                      struct timespec now)
 {
@@ -214,11 +231,13 @@
     if (!machine->lifecycle.is_inherited && !machine->lifecycle.is_accounted &&
         unaccounted_s(machine, now) >
             settings->lease_s + HEARTBEAT_INTERVAL_FACTOR * settings->heartbeat_s)
-        lmn_machine_drain(core, machine, true, "never heard under this term", now);
+        lmn_machine_drain(core, machine, true,
+                          "unrecorded machine not accounted for in time", now);
 }
 
-/* Returns an idle machine. While a partition's inherited work has to wait, its machines
- * are idle for that alone, so the time counts from when the partition was ready. */
+/* Returns a machine that has been idle for idle_return_s. Until the partition is ready,
+ * its machines may be idle only because inherited tasks have to wait, so the time counts
+ * from when the partition became ready at the earliest. */
 static void drain_if_idle(struct lmn_core *core, struct lmn_machine *machine,
                           struct timespec now)
 {
@@ -239,23 +258,23 @@
     if (machine->lifecycle.is_terminated)
         return;
     expire_lease(core, machine, now);
-    /* With too old a view this controller may not own the machine any more. */
+    /* If the watch cache is too old, another controller may own the machine by now. */
     if (lmn_watch_cache_age_s(core, now) > LMN_MAX_CACHE_AGE_S)
         return;
-    const struct machine_surroundings surroundings = {
+    const struct silence_context context = {
         .most_are_silent = lmn_machine_silence_is_general(silence),
         .zone_is_cut = lmn_zone_is_cut(machine->partition, machine->zone, now)};
-    drain_if_unreachable(core, machine, &surroundings, now);
-    drain_if_lease_expired(core, machine, &surroundings, now);
+    drain_if_unreachable(core, machine, &context, now);
+    drain_if_lease_expired(core, machine, &context, now);
     drain_if_spot_ended(core, machine, now);
-    drain_if_unaccounted(core, machine, &surroundings, now);
+    drain_if_unaccounted(core, machine, &context, now);
     drain_if_never_accounted(core, machine, now);
     drain_if_idle(core, machine, now);
 }
 
 /* --- reconciliation --- */
 
-static uint32_t tasks_in_queue(const struct lmn_queue *queue,
+static uint32_t count_in_queue(const struct lmn_queue *queue,
                                const struct lmn_range *range)
 {
     uint32_t count = 0;
@@ -268,22 +287,23 @@
     return count;
 }
 
-static uint32_t tasks_in_queues(const struct lmn_partition *partition,
+static uint32_t count_in_queues(const struct lmn_partition *partition,
                                 const struct lmn_range *range)
 {
-    uint32_t count = tasks_in_queue(&partition->scheduling.unassigned, range);
+    uint32_t count = count_in_queue(&partition->scheduling.unassigned, range);
     GHashTableIter it;
     gpointer value;
 
     g_hash_table_iter_init(&it, partition->machines);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         const struct lmn_machine *machine = value;
-        count += tasks_in_queue(&machine->queue, range);
+        count += count_in_queue(&machine->queue, range);
     }
     return count;
 }
 
-static uint32_t queued_tasks(const struct lmn_range *range)
+/* How many tasks have the state queued. */
+static uint32_t count_queued_states(const struct lmn_range *range)
 {
     uint32_t count = 0;
 
@@ -297,8 +317,8 @@
 {
     if (!range->task_states || range->job->phase != LMN_JOB_ACTIVE)
         return;
-    uint32_t queued = queued_tasks(range);
-    uint32_t found = tasks_in_queues(range->partition, range);
+    uint32_t queued = count_queued_states(range);
+    uint32_t found = count_in_queues(range->partition, range);
     if (found >= queued)
         return;
     core->counters.reconciled_tasks++;
@@ -307,8 +327,9 @@
     lmn_reassign_range(core, range, now);
 }
 
-/* A task whose state is queued but that stands in no queue would wait for ever. There
- * should be none; a range with such a task is logged as an error and assigned anew. */
+/* A task whose state is queued but that is in no queue would never start. This should not
+ * happen; if it does, it is logged as an error, and all queued tasks of the range are
+ * assigned to machines again. */
 static void reconcile(struct lmn_core *core, struct lmn_partition *partition,
                       struct timespec now)
 {
@@ -320,7 +341,7 @@
 
 /* --- a round --- */
 
-/* Counts how many machines each member's partitions have. */
+/* Counts the machines in the partitions of each member. */
 static void count_members_machines(struct lmn_core *core)
 {
     for (int i = 0; i < core->members.count; i++)
@@ -335,7 +356,8 @@
     }
 }
 
-/* Whether some machine has to be probed, now or later. */
+/* Whether some machine has to be probed, now or later: it is inherited and not accounted
+ * for, or silent. */
 static bool needs_probing(const struct lmn_core *core,
                           const struct lmn_partition *partition, struct timespec now)
 {
@@ -349,7 +371,7 @@
     return false;
 }
 
-static guint owned_machines(const struct lmn_core *core)
+static guint count_owned_machines(const struct lmn_core *core)
 {
     guint count = 0;
 
@@ -359,21 +381,23 @@
     return count;
 }
 
-/* Whether the last round was too recent for another one: a round takes as long as there
- * are machines, and what it finds has been waiting for seconds already. */
+/* Whether the last round was too recent for another one. A round takes time in proportion
+ * to the number of machines, and the conditions that it acts on have lasted for seconds
+ * already, so that a round up to MAX_ROUND_INTERVAL_S later costs little. */
 static bool is_too_soon(const struct lmn_core *core, struct timespec now)
 {
-    guint machines = owned_machines(core);
+    guint machines = count_owned_machines(core);
 
-    return machines > FEW_MACHINES &&
+    return machines > UNTHROTTLED_MACHINES &&
            lmn_time_diff_s(now, core->maintenance.last_run_at) <
-               MIN(machines * ROUND_S_PER_MACHINE, MAX_ROUND_INTERVAL_S);
+               MIN(machines * ROUND_INTERVAL_S_PER_MACHINE, MAX_ROUND_INTERVAL_S);
 }
 
 static void maintain_partition(struct lmn_core *core, struct lmn_partition *partition,
                                bool reconciliation_is_due, struct timespec now)
 {
-    /* Counted once for all machines: for each of them it would take their square. */
+    /* Counted once for all machines: counting again for each machine would take time
+     * quadratic in their number. */
     GArray *silence = lmn_machine_silence_count(core, partition, now);
 
     lmn_zone_cuts_update(core, partition, silence, now);
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -1,6 +1,6 @@
-/* Connects the watch cache to the owner's modules: which of their functions each change
- * of a record calls (struct lmn_owner_ops). The core's lock is held in each of these
- * calls. */
+/* Connects the watch cache to the modules that act on owned partitions: for each kind of
+ * change of a record, the function that it calls (struct lmn_owner_ops). The core's lock
+ * is held in each of these calls. */
 #include "partition/owner.h"
 #include "replication/stream.h"
 #include "scheduler/queue.h"
@@ -12,10 +12,11 @@
 #include "state/task_ledger.h"
 #include "state/core.h"
 
-/* A range that a predecessor may have started tasks of has to wait until the machines
- * are accounted for; lmn_partition_check_ready assigns its tasks then. */
-static void open_new_range(struct lmn_core *core, struct lmn_range *range,
-                           struct timespec now)
+/* Assigns the tasks of a new range, if they may start. A range of which a previous owner
+ * may have started tasks waits until the partition's machines are accounted for:
+ * lmn_partition_check_ready assigns it then. */
+static void open_created_range(struct lmn_core *core, struct lmn_range *range,
+                               struct timespec now)
 {
     lmn_range_open(core, range);
     if (!lmn_range_may_start(range))
@@ -25,7 +26,7 @@
 }
 
 static const struct lmn_owner_ops owner_ops = {
-    .range_created = open_new_range,
+    .range_created = open_created_range,
     .range_truncated = lmn_range_truncate,
     .move_cancelled = lmn_range_cancel_move,
     .range_removed = lmn_range_remove_references,
