--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -9,9 +9,10 @@
 #include "replication/replica_choice.h"
 #include "util/log.h"
 
-/* Writes this controller's record, whose revision is the controller's incarnation. It is
- * conditional on what the watch cache shows of it, so that a write that is applied late
- * undoes no newer one. Before anything was read there is nothing to compare with. */
+/* Writes this controller's member record, whose revision is the controller's incarnation.
+ * The write is conditional on the record's revision in the watch cache, so that a delayed
+ * write does not replace a newer one. Until the watch cache has read the store once, no
+ * revision is known, and the write is unconditional. */
 static struct lmn_txn *write_own_record(const struct lmn_core *core, uint64_t lease)
 {
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
@@ -42,7 +43,8 @@
            member->is_shutting_down == core->shutdown.is_requested;
 }
 
-/* Until the watch cache shows the record, it is written again at this interval. */
+/* Until the watch cache shows the record, it is written again at this interval, in
+ * seconds. */
 static const double ANNOUNCE_INTERVAL_S = 1;
 
 struct lmn_txn *lmn_ownership_announce(struct lmn_core *core, uint64_t lease,
@@ -61,7 +63,8 @@
 
 void lmn_ownership_announce_completed(struct lmn_core *core, enum lmn_txn_outcome outcome)
 {
-    /* The watch cache was a little behind: the next try need not wait. */
+    /* The watch cache was behind the store: the next try need not wait for
+     * ANNOUNCE_INTERVAL_S. */
     if (outcome == LMN_TXN_CONFLICT)
         core->lease.announced = 0;
 }
@@ -73,7 +76,8 @@
                                                        : NULL;
 }
 
-/* Writes the suspicion, conditional on the present record of suspicions. */
+/* Writes the suspicion, conditional on the revision of the record of the member's
+ * suspicions in the watch cache. */
 static struct lmn_txn *write_suspicion(const struct lmn_core *core, int member_index,
                                        uint64_t lease,
                                        const struct lmn_failure_evidence *evidence)
@@ -116,16 +120,18 @@
     return txn;
 }
 
-/* A process that starts again has contact with the other members within this time, if
- * they are up. */
+/* A restarted process has contact with each member that is up within this time, in
+ * seconds. */
 static const double FIRST_CONTACT_S = 1;
 
-/* What a restarted owner does with a partition that its former process owned. */
+/* What a controller does with a partition that its previous process owned. */
 enum restart_decision { RESTART_CLAIM, RESTART_WAIT, RESTART_PASS_TO_STANDBY };
 
-/* The standby that was in sync with the former process knows more than this one, unless
- * this process's own state is the latest.
- * @param standby set to the member to pass the partition to */
+/* Decides whether this controller claims the partition or passes it to the standby. If
+ * its previous process owned the partition, the standby that was in sync with that
+ * process knows the started tasks and this process does not, unless it still holds the
+ * latest state itself.
+ * @param standby set to the index of the member to pass the partition to */
 static enum restart_decision decide_after_restart(const struct lmn_core *core,
                                                   const struct lmn_partition *partition,
                                                   int *standby, struct timespec now)
@@ -145,7 +151,8 @@
                                                                          : RESTART_CLAIM;
 }
 
-/* Counts and logs that a claim declares the partition's owner failed, if it does. */
+/* If another member owns the partition, claiming it declares that member failed: counts
+ * and logs this, with the evidence. */
 static void record_failure_declaration(struct lmn_core *core,
                                        const struct lmn_partition *partition,
                                        struct timespec now)
@@ -193,34 +200,34 @@
     return lmn_partition_claim(core, partition, lease);
 }
 
-/* How long a partition stays with its owner at least before it goes back to its preferred
- * owner. */
+/* How long a partition stays with its owner at least before it is transferred to its
+ * preferred owner, in seconds. */
 static const double MIN_OWNERSHIP_S = 15.0;
 
-/* How long the preferred owner may take to get in sync before it gets the partition all
- * the same. */
+/* How long after it was acquired the partition is kept until its preferred owner is in
+ * sync, in seconds. After that it is transferred without. */
 static const double MAX_STANDBY_WAIT_S = 30;
 
-/* Whether this controller owns several partitions, and the member none: only then does a
- * partition go back to it. */
+/* Whether this controller owns several partitions and the member none: only then is a
+ * partition transferred to the member as its preferred owner. */
 static bool is_member_without_partition(const struct lmn_core *core, int member_index)
 {
-    int owned = 0, members_partitions = 0;
+    int owned_partitions = 0, member_partitions = 0;
 
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        owned += partition->ownership.is_owned;
-        members_partitions +=
+        owned_partitions += partition->ownership.is_owned;
+        member_partitions +=
             partition->record.owner_revision &&
             lmn_member_index(&core->members, partition->record.owner) == member_index;
     }
-    return owned >= 2 && !members_partitions;
+    return owned_partitions >= 2 && !member_partitions;
 }
 
-/* Whether the partition may go back to its preferred owner now. */
-static bool may_return_to(const struct lmn_core *core,
-                          const struct lmn_partition *partition, int preferred,
-                          struct timespec now)
+/* Whether the partition may be transferred to its preferred owner now. */
+static bool may_transfer_to_preferred(const struct lmn_core *core,
+                                      const struct lmn_partition *partition,
+                                      int preferred, struct timespec now)
 {
     const struct lmn_members *members = &core->members;
     double owned_s = lmn_time_diff_s(now, partition->ownership.since);
@@ -230,16 +237,18 @@
         lmn_member_readmission_delay_s(members, preferred, now) > 0 ||
         owned_s < MIN_OWNERSHIP_S)
         return false;
-    /* It gets in sync first, so that nothing stands still; if that does not happen, it
-     * gets the partition all the same. */
+    /* The preferred owner gets in sync first, so that it can go on starting tasks without
+     * waiting for reports of the machines. If it does not get in sync in time, the
+     * partition is transferred without. */
     return core->cache.operator_settings.standby <= 0 ||
            lmn_standby_in_sync(core, partition, now) == preferred ||
            owned_s >= MAX_STANDBY_WAIT_S;
 }
 
-/* The member that the partition should be transferred to now; -1: nobody. */
-static int transfer_target(const struct lmn_core *core,
-                           const struct lmn_partition *partition, struct timespec now)
+/* The index of the member that the partition should be transferred to now; -1: none. */
+static int choose_transfer_target(const struct lmn_core *core,
+                                  const struct lmn_partition *partition,
+                                  struct timespec now)
 {
     int preferred = partition->id % core->members.count;
 
@@ -250,11 +259,11 @@
     int target = lmn_self_transfer_target(&core->members, now);
     if (target >= 0)
         return target;
-    return may_return_to(core, partition, preferred, now) ? preferred : -1;
+    return may_transfer_to_preferred(core, partition, preferred, now) ? preferred : -1;
 }
 
-/* A transfer because heartbeats do not arrive: this controller is cut off from its
- * workers until one reaches it again. */
+/* Records that partitions are transferred because heartbeats do not arrive: this
+ * controller counts as cut off from its workers until a heartbeat reaches it again. */
 static void record_isolation(struct lmn_members *members, int target)
 {
     if (members->is_isolated_from_workers)
@@ -271,12 +280,14 @@
     struct lmn_partition_ownership *ownership = &partition->ownership;
     struct lmn_members *members = &core->members;
 
-    /* A transfer whose outcome was unknown, and that the watch cache has not shown since,
-     * was not applied. */
+    /* The outcome of the last transfer is unknown. The watch cache has been brought up to
+     * date since and still shows this controller as the owner, so the transfer was not
+     * applied. */
     if (ownership->is_owned && ownership->is_transferring &&
         lmn_time_before(ownership->transfer_tried_at, core->cache.fresh_at))
         ownership->is_transferring = false;
-    *target = ownership->is_transferring ? -1 : transfer_target(core, partition, now);
+    *target =
+        ownership->is_transferring ? -1 : choose_transfer_target(core, partition, now);
     if (*target < 0)
         return NULL;
     if (lmn_self_transfer_target(members, now) == *target)
--- a/src/partition/ownership_thread.c
+++ b/src/partition/ownership_thread.c
@@ -1,5 +1,5 @@
-/* The thread of the ownership manager. It owns struct ownership_manager; it takes the
- * core's lock for each decision, and holds it during no call. */
+/* The thread of the ownership manager. Only this thread uses struct ownership_manager. It
+ * takes the core's lock for each decision, and never holds it during an HTTP call. */
 #include "partition/ownership_thread.h"
 
 #include "http/client.h"
@@ -10,27 +10,32 @@
 #include "util/log.h"
 #include "util/thread.h"
 
-/* How long the key-value store may take to answer, seconds. */
+/* Time-outs of the requests to the key-value store, in seconds. */
 static const double LEASE_RENEWAL_TIMEOUT_S = 1.0, LEASE_REQUEST_TIMEOUT_S = 1.5,
                     LEASE_RELEASE_TIMEOUT_S = 1.0;
 
-/* The thread's interval after the lease was released. */
+/* The interval of the thread's rounds after the lease was released, in seconds. */
 static const double RELEASED_INTERVAL_S = 0.5;
 
-enum { LEASE_PATH_SIZE = 64, LEASE_RENEWALS_PER_TTL = 4, ROUNDS_PER_PROBE = 4 };
+/* How often the lease is renewed within its time to live, and how many rounds the thread
+ * runs for each interval of the members' probes. */
+enum { LEASE_RENEWALS_PER_TTL = 4, ROUNDS_PER_PROBE_INTERVAL = 4 };
 
-/* The thread's own state. */
+enum { LEASE_PATH_SIZE = 64 }; /* bytes */
+
+/* State that only this thread uses. */
 struct ownership_manager {
     struct lmn_core *core;
     struct lmn_http_client *http;
-    GByteArray *answer;         /* of the last call */
-    double ttl_s;               /* of the lease */
-    uint64_t lease;             /* 0: none */
+    GByteArray *response;       /* body of the last response */
+    double ttl_s;               /* the lease's time to live */
+    uint64_t lease;             /* the lease's id; 0: no lease */
     struct timespec renewed_at; /* when the last successful renewal was sent */
-    bool is_announced; /* this controller's record was written under this lease once */
+    bool is_announced; /* the member record has been written once under this lease */
 };
 
-/* The lease has ended, and with it the ownership of every partition. */
+/* Forgets the lease, which has expired, and ends the ownership of every partition, which
+ * depended on it. */
 static void drop_lease(struct ownership_manager *manager, const char *why)
 {
     lmn_info("lease_lost lease=%" G_GUINT64_FORMAT " why=\"%s\"", manager->lease, why);
@@ -45,9 +50,9 @@
     pthread_mutex_unlock(&manager->core->lock);
 }
 
-/* Path of the present lease, with a suffix. */
-static void lease_path(const struct ownership_manager *manager, const char *suffix,
-                       char path[LEASE_PATH_SIZE])
+/* Sets the URL path of the present lease, with the suffix appended. */
+static void format_lease_path(const struct ownership_manager *manager, const char *suffix,
+                              char path[LEASE_PATH_SIZE])
 {
     g_snprintf(path, LEASE_PATH_SIZE, WIRE_PATH_LEASES "/%" G_GUINT64_FORMAT "%s",
                manager->lease, suffix);
@@ -57,24 +62,25 @@
 {
     char path[LEASE_PATH_SIZE];
 
-    lease_path(manager, WIRE_PATH_RENEW, path);
-    /* The lease runs from when the store got the request, at the earliest from now. */
+    format_lease_path(manager, WIRE_PATH_RENEW, path);
+    /* The store extends the lease from when it receives the request. Counting from before
+     * the request is sent never overestimates the lease. */
     struct timespec sent_at = lmn_now();
     int status = lmn_http_client_call(manager->http, "POST", path, NULL,
-                                      LEASE_RENEWAL_TIMEOUT_S, manager->answer);
+                                      LEASE_RENEWAL_TIMEOUT_S, manager->response);
     if (status == 200)
         manager->renewed_at = sent_at;
     else if (status == 404)
-        drop_lease(manager, "ended");
+        drop_lease(manager, "not known to the key-value store");
 }
 
-/* Takes over the lease that the store has granted. */
-static void record_lease(struct ownership_manager *manager, struct timespec sent_at)
+/* Reads the lease that the store has granted from the response, and begins to use it. */
+static void adopt_lease(struct ownership_manager *manager, struct timespec sent_at)
 {
     struct lmn_core *core = manager->core;
     struct lmn_cbor_document document;
 
-    if (lmn_cbor_parse(&document, manager->answer->data, manager->answer->len) != 0)
+    if (lmn_cbor_parse(&document, manager->response->data, manager->response->len) != 0)
         return;
     if (lmn_cbor_get_uint(lmn_cbor_get(&document, lmn_cbor_root(&document), WIRE_LEASE),
                           &manager->lease)) {
@@ -97,13 +103,13 @@
     lmn_cbor_put_uint(body, (uint64_t)(manager->ttl_s * 1000));
     struct timespec sent_at = lmn_now();
     int status = lmn_http_client_call(manager->http, "POST", WIRE_PATH_LEASES, body,
-                                      LEASE_REQUEST_TIMEOUT_S, manager->answer);
+                                      LEASE_REQUEST_TIMEOUT_S, manager->response);
     g_byte_array_unref(body);
     if (status == 200)
-        record_lease(manager, sent_at);
+        adopt_lease(manager, sent_at);
 }
 
-/* Sends the transaction and frees it. */
+/* Commits the transaction and frees it. */
 static enum lmn_txn_outcome commit(struct ownership_manager *manager, struct lmn_txn *txn)
 {
     uint64_t revision;
@@ -114,6 +120,7 @@
     return outcome;
 }
 
+/* Writes this controller's member record, if that is due. */
 static void announce(struct ownership_manager *manager)
 {
     pthread_mutex_lock(&manager->core->lock);
@@ -131,8 +138,9 @@
     pthread_mutex_unlock(&manager->core->lock);
 }
 
-/* Releases the lease of a controller that shuts down, when no partition depends on it any
- * more: the others need not wait for its end, and do not miss this member. */
+/* Releases the lease during a shutdown, once no partition depends on it any more. The
+ * other members then need not wait for the lease to expire, and do not take this member
+ * for failed. */
 static void release_lease(struct ownership_manager *manager)
 {
     struct lmn_core *core = manager->core;
@@ -145,9 +153,9 @@
     if (!may_release)
         return;
     if (manager->lease) {
-        lease_path(manager, "", path);
+        format_lease_path(manager, "", path);
         int status = lmn_http_client_call(manager->http, "DELETE", path, NULL,
-                                          LEASE_RELEASE_TIMEOUT_S, manager->answer);
+                                          LEASE_RELEASE_TIMEOUT_S, manager->response);
         if (status != 200 && status != 404)
             return;
         manager->lease = 0;
@@ -169,7 +177,7 @@
     return is_released;
 }
 
-/* Writes which members are suspected, and refutes a suspicion of this one. */
+/* Writes which members this controller suspects, and refutes suspicions of itself. */
 static void write_suspicions(struct ownership_manager *manager)
 {
     struct lmn_core *core = manager->core;
@@ -196,7 +204,8 @@
     pthread_mutex_unlock(&core->lock);
     if (!txn)
         return;
-    /* Not as an argument of the log call, which evaluates nothing below its level. */
+    /* Not committed in the log call's arguments, which are not evaluated if the log level
+     * leaves the message out. */
     enum lmn_txn_outcome outcome = commit(manager, txn);
     lmn_info("partition_claim_tried partition=%d outcome=%d", partition_id, outcome);
 }
@@ -219,8 +228,8 @@
     pthread_mutex_unlock(&core->lock);
 }
 
-/* Makes all decisions that are due under the present lease. */
-static void decide(struct ownership_manager *manager)
+/* Carries out all decisions that are due. */
+static void run_decisions(struct ownership_manager *manager)
 {
     if (manager->lease)
         announce(manager);
@@ -235,6 +244,7 @@
     }
 }
 
+/* Acquires a lease if there is none, or renews it when that is due. */
 static void keep_lease(struct ownership_manager *manager, struct timespec now)
 {
     if (!manager->lease)
@@ -250,7 +260,7 @@
     struct ownership_manager manager = {
         .core = core,
         .http = lmn_http_client_new(core->settings->state_address),
-        .answer = g_byte_array_new(),
+        .response = g_byte_array_new(),
         .ttl_s = core->members.timeouts.lease_s};
 
     for (;;) {
@@ -260,10 +270,11 @@
             continue;
         }
         keep_lease(&manager, now);
-        decide(&manager);
+        run_decisions(&manager);
         pthread_mutex_lock(&core->lock);
         lmn_cond_wait_for(&core->ownership_changed, &core->lock,
-                          core->members.timeouts.probe_interval_s / ROUNDS_PER_PROBE);
+                          core->members.timeouts.probe_interval_s /
+                              ROUNDS_PER_PROBE_INTERVAL);
         pthread_mutex_unlock(&core->lock);
     }
     return NULL;
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -14,27 +14,29 @@
 
 #include <string.h>
 
-/* Digits at the end of a machine's name that are read as its number, at most. */
+/* The most digits at the end of a machine's name that are read as its number. */
 enum { MAX_NUMBER_DIGITS = 9 };
 
-/* Machines are numbered as they are rented, so the number's remainder spreads them
- * evenly; names of another form are hashed. */
+/* Machines are numbered in the order in which they are rented, so the remainder of the
+ * number spreads them evenly over the partitions. Names that do not end in a number are
+ * hashed. */
 int lmn_partition_for_machine(const char *machine_name, int partition_count)
 {
-    size_t len = strlen(machine_name), digits = 0;
+    size_t length = strlen(machine_name), digits = 0;
     unsigned long number = 0;
 
-    while (digits < len && digits < MAX_NUMBER_DIGITS &&
-           g_ascii_isdigit(machine_name[len - 1 - digits]))
+    while (digits < length && digits < MAX_NUMBER_DIGITS &&
+           g_ascii_isdigit(machine_name[length - 1 - digits]))
         digits++;
     if (!digits)
         return (int)(g_str_hash(machine_name) % (guint)partition_count);
-    for (size_t i = len - digits; i < len; i++)
+    for (size_t i = length - digits; i < length; i++)
         number = number * 10 + (unsigned long)(machine_name[i] - '0');
     return (int)(number % (unsigned long)partition_count);
 }
 
-/* Forgets what an owner knows of a machine; what its record says stays. */
+/* Resets the state that an owner keeps of a machine; what the machine's record in the
+ * key-value store says is kept. */
 static void reset_machine(struct lmn_machine *machine)
 {
     lmn_queue_clear(&machine->queue);
@@ -61,11 +63,11 @@
     machine->lifecycle.idle_since = machine->stealing.next_at = (struct timespec){0, 0};
 }
 
-/* Begins from the replica, which holds what this controller got as the standby or knew as
- * the last owner (a warm failover); without a replica that fits, from nothing (a cold
- * one). */
-static void begin_from_replica(struct lmn_core *core, struct lmn_partition *partition,
-                               struct timespec now)
+/* Restores the partition's state from the replica, which holds what this controller
+ * received as the standby, or kept as the last owner (a warm failover). Without a valid
+ * replica, every machine has to report first (a cold failover). */
+static void restore_from_replica(struct lmn_core *core, struct lmn_partition *partition,
+                                 struct timespec now)
 {
     const char *cold_reason = lmn_failover_cold_reason(core, partition);
 
@@ -90,7 +92,7 @@
     partition->replication.replica = NULL;
 }
 
-/* Resets the partition's quota: nothing is used, reserved or on its way. */
+/* Resets the partition's quota: nothing is used, reserved or being transferred. */
 static void reset_quota(const struct lmn_core *core, struct lmn_partition *partition)
 {
     struct lmn_partition_quota *quota = &partition->quota;
@@ -102,7 +104,7 @@
     lmn_quota_transfer_reset(partition);
 }
 
-static void begin_ownership(struct lmn_partition *partition, struct timespec now)
+static void reset_ownership(struct lmn_partition *partition, struct timespec now)
 {
     struct lmn_partition_ownership *ownership = &partition->ownership;
 
@@ -141,11 +143,12 @@
                                    struct timespec now)
 {
     lmn_replication_reset(core, partition);
-    begin_ownership(partition, now);
+    reset_ownership(partition, now);
     core->counters.failovers++;
     reset_quota(core, partition);
     lmn_machine_blocks_reset(partition);
-    /* Zone cuts of an earlier epoch of ours would hold up returns that need not wait. */
+    /* Zone cuts recorded in an earlier epoch of this controller would delay the return of
+     * machines without need. */
     g_array_set_size(partition->zone_cuts, 0);
     reset_machines(partition);
     open_ranges(core, partition);
@@ -154,7 +157,7 @@
              partition->id, partition->ownership.epoch,
              g_hash_table_size(partition->machines),
              g_hash_table_size(partition->ranges));
-    begin_from_replica(core, partition, now);
+    restore_from_replica(core, partition, now);
     lmn_partition_check_ready(core, partition, now);
     pthread_cond_broadcast(&core->machines_woken);
 }
@@ -190,9 +193,9 @@
     }
 }
 
-/* Assigns the ranges that may start and were not assigned yet. A range can become known
- * between the change that made the partition ours and our noticing it, so whether it was
- * assigned is kept, not inferred. */
+/* Assigns the ranges that may start and were not assigned yet. A range can appear in the
+ * watch cache between the change that made this controller the owner and the begin of the
+ * ownership, so is_assigned is stored for each range instead of being derived. */
 static void assign_ranges(struct lmn_core *core, struct lmn_partition *partition,
                           struct timespec now)
 {
@@ -210,9 +213,9 @@
     }
 }
 
-/* Sums up the inherited machines that are not accounted for. Each may hold any task that
- * a predecessor started; after a warm failover only those that the replica names. Returns
- * how many there are. */
+/* Sums up the resources of the inherited machines that are not accounted for. Each of
+ * them may be running any task that a previous owner started; after a warm failover, only
+ * the tasks that the replica names. Returns the number of these machines. */
 static guint count_unaccounted(struct lmn_partition *partition)
 {
     struct lmn_partition_ownership *ownership = &partition->ownership;
--- a/src/partition/partition_claim.c
+++ b/src/partition/partition_claim.c
@@ -22,22 +22,26 @@
     return -1;
 }
 
-/* The last owner has so long to claim its partition again before others do: its claim
- * comes with its next lease, within a few tenths of a second. */
-static const double LAST_OWNER_S = 1.5;
-
-/* Whether to leave the partition, whose owner key is gone, to its last owner for a
- * moment: if that one's process has lived on, it knows what is on the machines. Not if it
- * does not answer: the partition of a crashed owner is taken over without delay. */
-static bool is_left_to_last_owner(const struct lmn_core *core,
-                                  const struct lmn_partition *partition,
-                                  struct timespec now)
+enum { RECORD_KEY_SIZE = 32 }; /* bytes */
+
+/* How long after a partition lost its owner only the last owner may claim it, in seconds.
+ * The last owner claims it as soon as it has a new lease, within a few tenths of a
+ * second. */
+static const double LAST_OWNER_PRIORITY_S = 1.5;
+
+/* Whether to leave the partition, whose owner's record was removed, to its last owner for
+ * LAST_OWNER_PRIORITY_S: if that member's process is still running, it knows which tasks
+ * are on the machines. Not if it does not answer: the partition of a crashed owner is
+ * taken over without delay. */
+static bool is_reserved_for_last_owner(const struct lmn_core *core,
+                                       const struct lmn_partition *partition,
+                                       struct timespec now)
 {
     const struct lmn_members *members = &core->members;
     int last = lmn_member_index(members, partition->record.last_owner);
 
     if (last < 0 || last == members->self ||
-        lmn_time_diff_s(now, partition->record.vacant_since) >= LAST_OWNER_S)
+        lmn_time_diff_s(now, partition->record.vacant_since) >= LAST_OWNER_PRIORITY_S)
         return false;
     const struct lmn_member_view *member = &members->views[last];
     return member->ever_contacted && !member->unanswered_since.tv_sec &&
@@ -45,29 +49,42 @@
            !lmn_member_is_suspected(members, last);
 }
 
-/* A process that has just started, or has a new lease, claims only what is its own for so
- * long: it may be the first of many. Without that, after a cut of all controllers' zone,
- * one took every partition, cold, 0.3 s before the others had their leases. */
+/* How long after its start, or after acquiring a lease, a process claims only partitions
+ * that it owned last or is the preferred owner of, in seconds. Other controllers may be
+ * about to acquire their leases, too: without the wait, after a network cut of the zone
+ * of all controllers, one controller claimed every partition, each as a cold failover,
+ * 0.3 s before the other controllers had their leases. */
 static const double NEW_LEASE_WAIT_S = 3;
 
-/* Each member that comes first gets so long for its claim. */
+/* How long each trusted member that precedes this controller in the partition's order has
+ * for its claim, in seconds. */
 static const double CLAIM_DELAY_S = 1.5;
 
-/* What the partition's record alone says of a claim by this controller. */
-enum claim_decision { CLAIM_NOW, CLAIM_NEVER, CLAIM_IN_TURN };
+/* Whether this controller claims a partition, as far as the records of its owner and its
+ * standby decide. */
+enum claim_decision {
+    CLAIM_NOW,
+    CLAIM_NOT_NOW,
+    CLAIM_IN_TURN /* after the members that precede this one in the partition's order */
+};
 
+/* The decision for a partition that has an owner. */
 static enum claim_decision decide_owned(const struct lmn_core *core,
                                         const struct lmn_partition *partition,
                                         struct timespec now)
 {
     int owner = lmn_member_index(&core->members, partition->record.owner);
 
-    /* Only one process runs for a member: what the last one owned is ours. */
+    /* Only one process runs for each member: a partition that a previous process owned
+     * under another lease belongs to this process. */
     if (owner == core->members.self)
-        return partition->record.owner_lease != core->lease.id ? CLAIM_NOW : CLAIM_NEVER;
-    return lmn_partition_is_orphaned(core, partition, now) ? CLAIM_IN_TURN : CLAIM_NEVER;
+        return partition->record.owner_lease != core->lease.id ? CLAIM_NOW
+                                                               : CLAIM_NOT_NOW;
+    return lmn_partition_is_orphaned(core, partition, now) ? CLAIM_IN_TURN
+                                                           : CLAIM_NOT_NOW;
 }
 
+/* The decision for a partition without an owner. */
 static enum claim_decision decide_vacant(const struct lmn_core *core,
                                          const struct lmn_partition *partition,
                                          struct timespec now)
@@ -76,36 +93,37 @@
 
     if (lmn_replica_own_is_latest(partition))
         return CLAIM_NOW;
-    if (is_left_to_last_owner(core, partition, now))
-        return CLAIM_NEVER;
+    if (is_reserved_for_last_owner(core, partition, now))
+        return CLAIM_NOT_NOW;
     if (partition->id % members->count != members->self)
         return CLAIM_IN_TURN;
     int standby = lmn_standby_in_sync(core, partition, now);
     return standby < 0 || standby == members->self ? CLAIM_NOW : CLAIM_IN_TURN;
 }
 
-/* Whether it is this controller's turn to claim the partition: it is the one that should,
- * or those that come before it have had their time.
- * @param since when the first could claim it */
+/* Whether it is this controller's turn to claim the partition: it is the member chosen by
+ * lmn_orphan_claimants, or the trusted members that precede it in the partition's order
+ * have had CLAIM_DELAY_S each.
+ * @param since the time from which the first member could claim the partition */
 static bool is_our_turn(const struct lmn_core *core,
                         const struct lmn_partition *partition, struct timespec since,
                         struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int targets[LMN_MAX_PARTITIONS], members_before = 1;
+    int claimants[LMN_MAX_PARTITIONS], preceding_members = 1;
 
-    lmn_orphan_claimants(core, now, targets);
-    int target = targets[partition->id];
-    if (target == members->self)
+    lmn_orphan_claimants(core, now, claimants);
+    int claimant = claimants[partition->id];
+    if (claimant == members->self)
         return true;
     for (int i = 0; i < members->count; i++) {
         int member_index = (partition->id + i) % members->count;
         if (member_index == members->self)
             break;
-        members_before +=
-            member_index != target && lmn_member_is_trusted(members, member_index, now);
+        preceding_members +=
+            member_index != claimant && lmn_member_is_trusted(members, member_index, now);
     }
-    return lmn_time_diff_s(now, since) >= CLAIM_DELAY_S * members_before;
+    return lmn_time_diff_s(now, since) >= CLAIM_DELAY_S * preceding_members;
 }
 
 bool lmn_partition_should_claim(const struct lmn_core *core,
@@ -116,7 +134,7 @@
     struct timespec since = partition->record.vacant_since;
     bool has_owner = partition->record.owner_revision != 0;
 
-    /* This controller could not serve the partition. */
+    /* In these states this controller could not run the partition's tasks. */
     if (members->is_isolated_from_workers || core->shutdown.is_requested ||
         !lmn_self_may_reply(members, now))
         return false;
@@ -135,20 +153,27 @@
     return is_our_turn(core, partition, since, now);
 }
 
-/* Writes the owner's key and a higher epoch, both conditional on what the watch cache
- * shows. The key depends on the new owner's lease, whoever writes it. */
-static struct lmn_txn *write_owner(const struct lmn_partition *partition, const char *to,
-                                   uint64_t lease, bool to_standby)
+/* Writes the owner's record and a higher epoch, conditional on the revisions of both in
+ * the watch cache. The owner's record is attached to the new owner's lease, whichever
+ * member writes it.
+ * @param new_owner name of the member
+ * @param lease the new owner's
+ * @param require_in_sync makes the write conditional on the record of the standby that is
+ * in sync, if the new owner is that standby */
+static struct lmn_txn *write_owner(const struct lmn_partition *partition,
+                                   const char *new_owner, uint64_t lease,
+                                   bool require_in_sync)
 {
     struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     uint64_t epoch = partition->record.epoch + 1;
-    uint64_t stream = to_standby ? lmn_standby_require_in_sync(partition, to, txn) : 0;
+    uint64_t stream =
+        require_in_sync ? lmn_standby_require_in_sync(partition, new_owner, txn) : 0;
     GByteArray *owner_record = g_byte_array_new();
-    char key[32];
+    char key[RECORD_KEY_SIZE];
 
     lmn_cbor_put_map(owner_record, 4);
     lmn_cbor_put_text(owner_record, "node");
-    lmn_cbor_put_text(owner_record, to);
+    lmn_cbor_put_text(owner_record, new_owner);
     lmn_cbor_put_text(owner_record, "lease");
     lmn_cbor_put_uint(owner_record, lease);
     lmn_cbor_put_text(owner_record, "term");
@@ -166,7 +191,7 @@
     return txn;
 }
 
-/* Makes the transaction conditional on the member's incarnation. */
+/* Makes the transaction conditional on the member's incarnation in the watch cache. */
 static void require_incarnation(const struct lmn_core *core, struct lmn_txn *txn,
                                 int member_index)
 {
@@ -182,14 +207,16 @@
     int owner = partition->record.owner_revision
                     ? lmn_member_index(&core->members, partition->record.owner)
                     : -1;
-    /* Conditional on the standby's record only if we hold that standby's replica:
-     * otherwise the condition would be of no use. */
-    bool warm =
+    /* The condition on the standby's record guards a warm failover: without the replica
+     * of the standby's present stream the failover is cold, and needs no condition. */
+    bool is_warm =
         partition->replication.replica && !partition->replication.replica->is_own_state &&
         partition->replication.replica->stream == partition->record.standby_stream;
-    struct lmn_txn *txn = write_owner(partition, core->settings->node_name, lease, warm);
+    struct lmn_txn *txn =
+        write_owner(partition, core->settings->node_name, lease, is_warm);
 
-    /* The claim declares the owner failed: it fails if the owner refutes that first. */
+    /* The claim declares the owner failed. It is rejected if the owner has refuted the
+     * suspicion by then, since that changes its incarnation. */
     if (owner >= 0 && owner != core->members.self)
         require_incarnation(core, txn, owner);
     return txn;
--- a/src/partition/transfer_target.c
+++ b/src/partition/transfer_target.c
@@ -1,22 +1,24 @@
-/* Which member takes over a partition. Pure functions of the shared state; the core's
- * lock is held by the caller throughout. */
+/* Which member takes over a partition. The functions depend only on the shared state and
+ * the given time. The core's lock is held by the caller throughout. */
 #include "partition/transfer_target.h"
 #include "replication/replica_choice.h"
 
-/* What is known of the members that could take a partition over; by member index. */
+/* The members as candidates for taking over a partition, by member index. */
 struct candidates {
     bool is_trusted[LMN_MAX_MEMBERS + 1];
-    unsigned load[LMN_MAX_MEMBERS + 1];
+    unsigned load[LMN_MAX_MEMBERS + 1]; /* machines and partitions owned */
 };
 
 enum { NO_MEMBER = -1 };
 
-/* What a partition adds to its owner's load: its machines, and itself. */
+/* What a partition adds to its owner's load: the number of its machines, and 1 for the
+ * partition itself. */
 static unsigned partition_load(const struct lmn_partition *partition)
 {
     return partition->machine_list->len + 1;
 }
 
+/* The index of the member that the owner's record names; NO_MEMBER: no owner. */
 static int recorded_owner(const struct lmn_core *core,
                           const struct lmn_partition *partition)
 {
@@ -51,11 +53,11 @@
     }
 }
 
-/* The trusted member with the least load; of several, the first in the partition's own
- * order. */
-static int least_loaded(const struct lmn_core *core,
-                        const struct lmn_partition *partition,
-                        const struct candidates *candidates, int excluded)
+/* The trusted member with the least load, other than `excluded`; among equals, the first
+ * in the partition's order, which begins with its preferred owner. */
+static int find_least_loaded(const struct lmn_core *core,
+                             const struct lmn_partition *partition,
+                             const struct candidates *candidates, int excluded)
 {
     int count = core->members.count, best = NO_MEMBER;
 
@@ -81,21 +83,22 @@
     if (preferred != excluded && candidates->is_trusted[preferred] &&
         !candidates->load[preferred])
         return preferred;
-    return least_loaded(core, partition, candidates, excluded);
+    return find_least_loaded(core, partition, candidates, excluded);
 }
 
-void lmn_orphan_claimants(const struct lmn_core *core, struct timespec now, int *targets)
+void lmn_orphan_claimants(const struct lmn_core *core, struct timespec now,
+                          int *claimants)
 {
     struct candidates candidates;
 
     gather_candidates(core, now, &candidates);
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        targets[i] = NO_MEMBER;
+        claimants[i] = NO_MEMBER;
         if (lmn_partition_is_orphaned(core, partition, now))
-            targets[i] = choose_target(core, partition, &candidates, NO_MEMBER, now);
-        if (targets[i] >= 0)
-            candidates.load[targets[i]] += partition_load(partition);
+            claimants[i] = choose_target(core, partition, &candidates, NO_MEMBER, now);
+        if (claimants[i] >= 0)
+            candidates.load[claimants[i]] += partition_load(partition);
     }
 }
 
