--- a/src/partition/shutdown.c
+++ b/src/partition/shutdown.c
@@ -9,16 +9,19 @@
 
 #include <string.h>
 
-/* The users' load balancer notices the shutdown after two probes, a second apart and a
- * second late each, and resets what is still open 5 s later: by then all responses have
- * closed their connections. */
+/* How long after the start of the shutdown the process still serves users, in seconds.
+ * The load balancer in front of the users' API notices the shutdown after two probes,
+ * which are 1 s apart and up to 1 s late each, and resets connections that are still open
+ * 5 s later. By then every response has closed its connection. */
 static const double LOAD_BALANCER_S = 6;
 
-/* However far the shutdown is, the process ends after this time. */
+/* How long after the start of the shutdown the process exits, whatever is left to do, in
+ * seconds. */
 static const double MAX_SHUTDOWN_S = 10;
 
-/* How long a standby is waited for if no member is in sync: the replica of a partition
- * takes some tenths of a second. */
+/* How long after the start of the shutdown a partition waits for a standby if no member
+ * is in sync, in seconds. Sending the replica of a partition takes some tenths of a
+ * second. */
 static const double STANDBY_WAIT_S = 2;
 
 void lmn_shutdown_begin(struct lmn_core *core, struct timespec now)
@@ -52,8 +55,8 @@
 
     if (standby >= 0 && standby != core->members.self)
         return standby;
-    /* A partition without a standby can only be taken over cold: a standby is worth a
-     * short wait. */
+    /* Without a standby in sync, the next owner has to begin with a cold failover, which
+     * takes longer than a wait for a standby. */
     if (lmn_time_diff_s(now, core->shutdown.began_at) < STANDBY_WAIT_S &&
         core->cache.operator_settings.standby > 0)
         return -1;
@@ -77,7 +80,7 @@
     double load_balancer_s =
         MAX(LOAD_BALANCER_S - lmn_time_diff_s(now, core->shutdown.began_at), 0);
 
-    /* A single controller has nobody to redirect users to. */
+    /* A single controller has no other controller to redirect users to. */
     if (core->shutdown.has_released_lease)
         return core->members.count == 1 ? 0 : load_balancer_s;
     return MAX(MAX_SHUTDOWN_S - lmn_time_diff_s(now, core->shutdown.began_at), 0);
@@ -92,14 +95,14 @@
                            struct timespec now)
 {
     if (!core->shutdown.is_requested) {
-        g_string_append(text, "not leaving\n");
+        g_string_append(text, "not shutting down\n");
         return;
     }
     g_string_append_printf(text,
-                           "leaving for %.1f s: %u partitions left to give, lease %s, "
-                           "ends within %.1f s\n",
+                           "shutting down for %.1f s: %u partitions to transfer, lease "
+                           "%s, exits within %.1f s\n",
                            lmn_time_diff_s(now, core->shutdown.began_at),
                            lmn_member_owned_partitions(core, core->members.self),
-                           core->shutdown.has_released_lease ? "gone" : "held",
+                           core->shutdown.has_released_lease ? "released" : "held",
                            lmn_shutdown_remaining_s(core, now));
 }
