--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -1,5 +1,5 @@
-/* Quota shares of teams on their way between partitions. The core's lock is held by the
- * caller throughout, except in transfer_written, which takes it. */
+/* Transfers of a team's quota share between partitions. The core's lock is held by the
+ * caller throughout, except in handle_write_outcome, which takes it. */
 #include "partition/quota_transfer.h"
 
 #include "scheduler/reservation.h"
@@ -7,15 +7,18 @@
 
 #include <string.h>
 
-/* When a write whose outcome is unknown is repeated. */
+/* Seconds after which a write whose outcome is unknown is repeated. */
 static const double RETRY_S = 0.5;
 
-/* Amounts below this are rounding errors. */
+/* Amounts of CPUs or GPUs below this are rounding errors. */
 static const double EPSILON = 1e-6;
 
-enum { NO_TEAM = -1, OWNER_KEY_SIZE = 32 };
+enum { NO_TEAM = -1 };
 
-/* The key of the team's record; freed by the caller. Keys hold no spaces; names may. */
+enum { OWNER_KEY_SIZE = 32 }; /* bytes */
+
+/* The key of the team's record; freed by the caller. The name is escaped, because it may
+ * have spaces and a key may not. */
 static char *record_key(const struct lmn_core *core, int team)
 {
     g_autofree char *name =
@@ -24,7 +27,8 @@
     return g_strdup_printf("q/%s", name);
 }
 
-static int team_by_key(const struct lmn_core *core, const char *key)
+/* The index of the team whose record has the key; NO_TEAM: none. */
+static int find_team_by_key(const struct lmn_core *core, const char *key)
 {
     for (size_t i = 0; i < core->settings->team_count; i++) {
         g_autofree char *team_key = record_key(core, (int)i);
@@ -34,7 +38,8 @@
     return NO_TEAM;
 }
 
-/* Reads the next number of a list, if there is one, and moves on. */
+/* Reads the share from the list node and sets `node` to the next one. If the list has
+ * ended, the share is 0. */
 static void read_share(const struct lmn_cbor_document *document,
                        const struct lmn_cbor_value **node, double *share)
 {
@@ -58,7 +63,8 @@
         struct lmn_partition_quota *quota = &core->partitions[i].quota;
         read_share(document, &cpus, &quota->cpus[team]);
         read_share(document, &gpus, &quota->gpus[team]);
-        /* Either our transfer was applied, or it can't be any more. */
+        /* This revision of the record either includes the partition's transfer, or makes
+         * its condition fail for good: the transfer is over. */
         if (quota->transfer.team == team && revision > quota->transfer.revision)
             quota->transfer.team = NO_TEAM;
     }
@@ -68,29 +74,31 @@
                             const struct lmn_cbor_document *document,
                             const struct lmn_cbor_value *value, uint64_t revision)
 {
-    int team = team_by_key(core, key);
+    int team = find_team_by_key(core, key);
     double cpus_max = -1, gpus_max = -1;
 
     if (team < 0 || !value || core->quota.revision[team] >= revision)
         return;
     read_shares(core, team, document, value, revision);
     core->quota.revision[team] = revision;
-    /* Shares of another limit, from earlier settings, are no shares of this one. */
+    /* Shares of another limit, written under earlier settings, do not add up to the
+     * present limit: the even shares apply instead. */
     lmn_cbor_get_number(lmn_cbor_get(document, value, "cpus_max"), &cpus_max);
     lmn_cbor_get_number(lmn_cbor_get(document, value, "gpus_max"), &gpus_max);
     core->quota.has_record[team] = cpus_max == core->settings->teams[team].cpus_max &&
                                    gpus_max == core->settings->teams[team].gpus_max;
 }
 
-/* The transfer that a write in flight is of. */
+/* Which transfer a write in flight belongs to. */
 struct transfer_write {
     struct lmn_core *core;
     int partition_id;
     uint64_t serial;
 };
 
-static void transfer_written(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
-                             uint64_t revision)
+/* Handles the outcome of a transfer's write. Takes the lock. */
+static void handle_write_outcome(void *arg, struct lmn_txn *txn,
+                                 enum lmn_txn_outcome outcome, uint64_t revision)
 {
     struct transfer_write *write = arg;
     struct lmn_core *core = write->core;
@@ -103,10 +111,12 @@
     if (partition->ownership.is_owned && transfer->team >= 0 &&
         transfer->serial == write->serial) {
         if (outcome == LMN_TXN_REJECTED && !transfer->is_uncertain) {
-            /* It surely was not applied, and never will be. */
+            /* The only write of this transfer was not and will not be applied. */
             transfer->team = NO_TEAM;
         } else if (outcome == LMN_TXN_REJECTED || outcome == LMN_TXN_UNKNOWN) {
-            /* Only the watch cache can tell; to repeat the write makes it tell. */
+            /* One of the transfer's writes may have been, or may still be, applied. Only
+             * a new revision of the record in the watch cache shows which. The write is
+             * repeated until there is one. */
             transfer->is_uncertain = true;
             transfer->retry_at = lmn_time_add(lmn_now(), RETRY_S);
         }
@@ -117,9 +127,9 @@
 
 enum resource { RESOURCE_CPUS, RESOURCE_GPUS };
 
-/* The share that the partition numbered `id` has after the transfer. */
+/* The partition's share of the resource after the donor's transfer. */
 static double share_after_transfer(const struct lmn_core *core,
-                                   const struct lmn_partition *donor, int id,
+                                   const struct lmn_partition *donor, int partition_id,
                                    enum resource resource)
 {
     const struct lmn_quota_transfer *transfer = &donor->quota.transfer;
@@ -128,13 +138,13 @@
 
     lmn_quota_even_share(core, transfer->team, &cpus, &gpus);
     if (core->quota.has_record[transfer->team]) {
-        cpus = core->partitions[id].quota.cpus[transfer->team];
-        gpus = core->partitions[id].quota.gpus[transfer->team];
+        cpus = core->partitions[partition_id].quota.cpus[transfer->team];
+        gpus = core->partitions[partition_id].quota.gpus[transfer->team];
     }
     double share = resource == RESOURCE_GPUS ? gpus : cpus;
-    if (id == transfer->to_partition)
+    if (partition_id == transfer->to_partition)
         return share + amount;
-    return id == donor->id ? share - amount : share;
+    return partition_id == donor->id ? share - amount : share;
 }
 
 static void put_shares(GByteArray *record, const struct lmn_core *core,
@@ -163,7 +173,8 @@
     return record;
 }
 
-/* Writes the partition's transfer, conditional on our ownership and the team's record. */
+/* Submits the write of the partition's transfer, conditional on this controller's
+ * ownership and on the revision of the team's record. */
 static void submit_transfer(struct lmn_core *core, struct lmn_partition *partition)
 {
     struct lmn_quota_transfer *transfer = &partition->quota.transfer;
@@ -172,7 +183,7 @@
     char owner_key[OWNER_KEY_SIZE];
 
     *write = (struct transfer_write){core, partition->id, transfer->serial};
-    struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_CLOSE, transfer_written, write);
+    struct lmn_txn *txn = lmn_txn_new(LMN_WRITE_CLOSE, handle_write_outcome, write);
     g_snprintf(owner_key, sizeof owner_key, "o/%d", partition->id);
     lmn_txn_require_version(txn, owner_key, partition->ownership.revision);
     lmn_txn_require_version(txn, key, transfer->revision);
@@ -181,27 +192,29 @@
     lmn_kv_client_submit(core->kv_client, txn);
 }
 
-/* Whether a transfer of the team's quota to that partition may begin at all. */
+/* Whether a transfer of the team's quota to the partition to_partition may begin now. */
 static bool may_transfer(const struct lmn_core *core,
-                         const struct lmn_partition *partition, int team, int to)
+                         const struct lmn_partition *partition, int team,
+                         int to_partition)
 {
     const struct lmn_partition_ownership *ownership = &partition->ownership;
 
     if (!ownership->is_owned || !ownership->is_ready || ownership->is_transferring ||
         partition->quota.transfer.team >= 0)
         return false;
-    if (to == partition->id || to < 0 || to >= core->partition_count)
+    if (to_partition == partition->id || to_partition < 0 ||
+        to_partition >= core->partition_count)
         return false;
     return team >= 0 && team < (int)core->settings->team_count &&
            lmn_team_has_limit(&core->settings->teams[team]);
 }
 
 bool lmn_quota_transfer_begin(struct lmn_core *core, struct lmn_partition *partition,
-                              int team, int to, double cpus, double gpus)
+                              int team, int to_partition, double cpus, double gpus)
 {
     double share_cpus, share_gpus;
 
-    if (!may_transfer(core, partition, team, to))
+    if (!may_transfer(core, partition, team, to_partition))
         return false;
     lmn_quota_share(core, partition, team, &share_cpus, &share_gpus);
     cpus = CLAMP(cpus, 0, MAX(share_cpus - partition->quota.used_cpus[team], 0));
@@ -210,13 +223,13 @@
         return false;
     partition->quota.transfer =
         (struct lmn_quota_transfer){.team = team,
-                                    .to_partition = to,
+                                    .to_partition = to_partition,
                                     .cpus = cpus,
                                     .gpus = gpus,
                                     .revision = core->quota.revision[team],
                                     .serial = ++core->quota.transfer_count};
     lmn_debug("quota_transfer_started team=%s partition=%d to=%d cpus=%.1f gpus=%.1f",
-              core->settings->teams[team].name, partition->id, to, cpus, gpus);
+              core->settings->teams[team].name, partition->id, to_partition, cpus, gpus);
     submit_transfer(core, partition);
     return true;
 }
@@ -237,9 +250,10 @@
     partition->quota.transfer.team = NO_TEAM;
 }
 
-/* Reserves what one task of the request needs, if it is not unused now. Without that,
- * small tasks here would take each piece of the share as it becomes free, and a task
- * larger than any piece would wait for as long as they come. */
+/* Reserves what the largest task of the request needs, if that much of the partition's
+ * share is not unused now. Otherwise small tasks of this partition would take each part
+ * of the share as it becomes free, and a larger task of the other partition would wait
+ * for as long as small tasks keep arriving. */
 static void reserve_for_request(struct lmn_core *core, struct lmn_partition *partition,
                                 const struct lmn_quota_request *request,
                                 struct timespec now)
@@ -255,7 +269,7 @@
 }
 
 bool lmn_quota_request_handle(struct lmn_core *core, struct lmn_partition *partition,
-                              int to, const struct lmn_quota_request *request,
+                              int to_partition, const struct lmn_quota_request *request,
                               struct timespec now)
 {
     double spare_cpus, spare_gpus;
@@ -265,6 +279,6 @@
         return false;
     lmn_quota_spare(core, partition, request, &spare_cpus, &spare_gpus);
     reserve_for_request(core, partition, request, now);
-    return lmn_quota_transfer_begin(core, partition, request->team, to, spare_cpus,
-                                    spare_gpus);
+    return lmn_quota_transfer_begin(core, partition, request->team, to_partition,
+                                    spare_cpus, spare_gpus);
 }
--- a/src/partition/range.c
+++ b/src/partition/range.c
@@ -1,5 +1,5 @@
-/* The states of the tasks in an owner's ranges. The core's lock is held by the caller
- * throughout. */
+/* The task states of the ranges in owned partitions. The core's lock is held by the
+ * caller throughout. */
 #include "partition/range.h"
 
 #include "scheduler/queue.h"
@@ -25,7 +25,7 @@
             range->task_states[i] = LMN_TASK_DONE;
 }
 
-/* Detaches the range from what refers to it on a machine. */
+/* Removes the range's references from the machine's queue and attempts. */
 static void detach_range(struct lmn_machine *machine, const struct lmn_range *range)
 {
     lmn_queue_remove_range(&machine->queue, range);
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -1,5 +1,5 @@
-/* The owner's writes of its ranges. The core's lock is held by the caller throughout,
- * except in range_written, which takes it. */
+/* Writes the ranges of owned partitions. The core's lock is held by the caller
+ * throughout, except in handle_write_outcome, which takes it. */
 #include "partition/range_writer.h"
 
 #include "partition/machine_block.h"
@@ -7,16 +7,18 @@
 #include "scheduler/work_stealing.h"
 #include "state/records.h"
 
-/* How long a finished task waits for others to share the write of the done set. */
+/* How long a finished task waits, in seconds, so that one write records the tasks that
+ * finish meanwhile, too. */
 static const double DONE_SET_DELAY_S = 2.0;
 
-/* When a write is tried again: after a conflict, the watch cache was a little behind. */
+/* Seconds after which a failed write is tried again. After a conflict it is less: the
+ * watch cache was only slightly behind the store. */
 static const double CONFLICT_RETRY_S = 0.1, FAILURE_RETRY_S = 0.4;
 
-enum { RECORD_KEY_SIZE = 96 };
+enum { RECORD_KEY_SIZE = 96 }; /* bytes */
 
-/* The range that a write in flight is of. It is found again by its key: it may have been
- * freed meanwhile. */
+/* Which range a write in flight belongs to. The range is looked up by its key when the
+ * outcome is known, because it may have been freed by then. */
 struct range_write {
     struct lmn_core *core;
     int partition_id;
@@ -24,23 +26,27 @@
     char job_id[LMN_JOB_ID_SIZE];
 };
 
-static void range_write_failed(struct lmn_core *core, struct lmn_range *range,
-                               enum lmn_txn_outcome outcome)
+/* Schedules the next try after a failed write, and cancels the range's move if that is
+ * safe. */
+static void handle_write_failure(struct lmn_core *core, struct lmn_range *range,
+                                 enum lmn_txn_outcome outcome)
 {
-    /* Nothing is lost by another try: each is conditional on what the watch cache shows.
-     */
+    /* Another try is safe, even if this one was applied: each is conditional on the
+     * revisions in the watch cache. */
     range->is_writing = false;
     range->retry_at = lmn_time_add(
         lmn_now(), outcome == LMN_TXN_CONFLICT ? CONFLICT_RETRY_S : FAILURE_RETRY_S);
-    /* A move is cancelled only if it surely was not, and never will be, applied. */
+    /* A move is cancelled only if it is certain that it was not, and will not be,
+     * applied. */
     if (outcome == LMN_TXN_UNKNOWN)
         range->move_is_uncertain = true;
     else if (range->move_to >= 0 && !range->move_is_uncertain)
         lmn_range_cancel_move(core, range, lmn_now());
 }
 
-static void range_written(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
-                          uint64_t revision)
+/* Handles the outcome of a write. Takes the lock. */
+static void handle_write_outcome(void *arg, struct lmn_txn *txn,
+                                 enum lmn_txn_outcome outcome, uint64_t revision)
 {
     struct range_write *write = arg;
     struct lmn_core *core = write->core;
@@ -54,7 +60,7 @@
         job->closing_revision = 0;
     if (range && range->is_writing) {
         if (outcome != LMN_TXN_COMMITTED) {
-            range_write_failed(core, range, outcome);
+            handle_write_failure(core, range, outcome);
         } else {
             range->written_revision = revision;
             if (range->revision >= revision)
@@ -66,7 +72,8 @@
     g_free(write);
 }
 
-/* A transaction on the range, conditional on our ownership and on the range's record. */
+/* Makes a transaction on the range, conditional on this controller's ownership and on the
+ * revision of the range's record. */
 static struct lmn_txn *begin_range_write(struct lmn_core *core, struct lmn_range *range,
                                          enum lmn_write_priority priority)
 {
@@ -77,7 +84,7 @@
     write->partition_id = range->partition->id;
     write->range_key = g_strdup(range->key);
     g_strlcpy(write->job_id, range->job->spec.id, sizeof write->job_id);
-    struct lmn_txn *txn = lmn_txn_new(priority, range_written, write);
+    struct lmn_txn *txn = lmn_txn_new(priority, handle_write_outcome, write);
     g_snprintf(owner_key, sizeof owner_key, "o/%d", range->partition->id);
     lmn_txn_require_version(txn, owner_key, range->partition->ownership.revision);
     lmn_txn_require_version(txn, range->key, range->revision);
@@ -86,7 +93,8 @@
     return txn;
 }
 
-/* Adds the job's record to the transaction, conditional on its present revision. */
+/* Adds a write of the job's record to the transaction, conditional on its revision in the
+ * watch cache. */
 static void put_job(struct lmn_txn *txn, const struct lmn_job *job,
                     enum lmn_job_phase phase, uint32_t open_ranges)
 {
@@ -98,8 +106,9 @@
                 lmn_job_record(&job->spec, phase, open_ranges, job->accepted_at_s), 0);
 }
 
-/* A bit set of the range's first `count` tasks that are done; freed by the caller. */
-static uint8_t *done_tasks(const struct lmn_range *range, uint32_t count)
+/* A bit set, of the range's size, of the done ones among its first `count` tasks; freed
+ * by the caller. */
+static uint8_t *encode_done_tasks(const struct lmn_range *range, uint32_t count)
 {
     uint8_t *done = g_malloc0((range->end - range->first + 7) / 8);
 
@@ -109,15 +118,16 @@
     return done;
 }
 
-/* Moves the tasks from move_at on to another partition, by one write. A split opens one
- * range more, so it is conditional on the job as well. */
+/* Moves the tasks from move_at to the range's end to another partition, by one write. If
+ * some tasks are kept, the range is split: the job has one open range more, so the write
+ * is conditional on the job's record as well. */
 static void move_range(struct lmn_core *core, struct lmn_range *range)
 {
     const struct lmn_job *job = range->job;
     const struct lmn_range moved = {.first = range->move_at, .end = range->end};
     const struct lmn_range kept = {.first = range->first, .end = range->move_at};
     struct lmn_txn *txn = begin_range_write(core, range, LMN_WRITE_CLOSE);
-    g_autofree uint8_t *none_done = done_tasks(range, 0);
+    g_autofree uint8_t *none_done = encode_done_tasks(range, 0);
     char key[RECORD_KEY_SIZE];
 
     g_snprintf(key, sizeof key, "r/%d/%s/%u", range->move_to, job->spec.id,
@@ -127,7 +137,7 @@
     if (range->move_at == range->first) {
         lmn_txn_delete(txn, range->key);
     } else {
-        g_autofree uint8_t *done = done_tasks(range, kept.end - kept.first);
+        g_autofree uint8_t *done = encode_done_tasks(range, kept.end - kept.first);
         lmn_txn_put(txn, range->key, lmn_range_record(&kept, done), 0);
         put_job(txn, job, job->phase, job->open_ranges + 1);
     }
@@ -135,13 +145,15 @@
     lmn_kv_client_submit(core->kv_client, txn);
 }
 
-/* Removes a finished range; the last one of a job ends the job. */
+/* Removes the record of a range whose tasks are all done. With the last open range of a
+ * job, the job becomes done. */
 static void close_finished_range(struct lmn_core *core, struct lmn_range *range)
 {
     struct lmn_job *job = range->job;
     bool is_last = job->open_ranges <= 1;
 
-    /* One range of a job at a time, or the writes of the job's record would conflict. */
+    /* The ranges of a job are closed one at a time; otherwise their writes of the job's
+     * record would conflict. */
     if (job->closing_revision == job->revision)
         return;
     job->closing_revision = job->revision;
@@ -151,7 +163,8 @@
     lmn_kv_client_submit(core->kv_client, txn);
 }
 
-/* Writes what is due of the range, or adds it to `deferrable`. */
+/* Submits the range's write that is due, or adds the range to `deferrable` if that write
+ * can wait. */
 static void flush_range(struct lmn_core *core, struct lmn_range *range,
                         GPtrArray *deferrable, struct timespec now)
 {
@@ -170,7 +183,8 @@
     }
 }
 
-/* Writes what can wait: the done set, or the removal of a range whose job has ended. */
+/* Submits a write that can wait: of which tasks are done, or of the removal of a range
+ * whose job has ended. */
 static void flush_deferrable(struct lmn_core *core, struct lmn_range *range,
                              struct timespec now)
 {
@@ -179,13 +193,14 @@
     if (range->job->phase != LMN_JOB_ACTIVE) {
         lmn_txn_delete(txn, range->key);
     } else {
-        g_autofree uint8_t *done = done_tasks(range, range->end - range->first);
+        g_autofree uint8_t *done = encode_done_tasks(range, range->end - range->first);
         lmn_txn_put(txn, range->key, lmn_range_record(range, done), 0);
     }
     range->dirty_since = now;
     lmn_kv_client_submit(core->kv_client, txn);
 }
 
+/* Orders ranges by how long their finished tasks have waited, the longest first. */
 static gint compare_dirty_since(gconstpointer a, gconstpointer b)
 {
     const struct lmn_range *left = *(struct lmn_range *const *)a;
@@ -219,8 +234,9 @@
 
     for (int i = 0; i < core->partition_count; i++)
         flush_partition(core, &core->partitions[i], deferrable, spare_writes >= 1, now);
-    /* No more than can go out now: one that is queued would hold up the close of its
-     * range. */
+    /* Only as many as the write budget allows to be sent now, the longest waiting first:
+     * a range has one write in flight at a time, so a write that is queued in the client
+     * would delay the removal of its range. */
     g_ptr_array_sort(deferrable, compare_dirty_since);
     for (guint i = 0; i < deferrable->len && i < spare_writes; i++)
         flush_deferrable(core, deferrable->pdata[i], now);
