--- a/tests/test_transfer_target.c
+++ b/tests/test_transfer_target.c
@@ -1,4 +1,6 @@
-/* Who inherits: generated members and partitions, with some of them gone. */
+/* Which member takes over a partition: chosen over generated sets of members, some of
+ * which have failed or are shutting down. And how a controller that shuts down transfers
+ * its partitions. */
 #include "util/log.h"
 #include "partition/transfer_target.h"
 #include "partition/shutdown.h"
@@ -13,74 +15,103 @@
 #include <cmocka.h>
 #include <string.h>
 
+enum { KEY_SIZE = 32 }; /* bytes */
+
 static struct timespec now = {1000, 0};
 
-static void put(struct lmn_core *core, const char *key, GByteArray *v, uint64_t revision)
+/* Applies a record's value as a change that the watch cache shows; frees the value. */
+static void apply_record(struct lmn_core *core, const char *key, GByteArray *value,
+                         uint64_t revision)
 {
-    struct lmn_cbor_document d;
+    struct lmn_cbor_document document;
 
-    assert_int_equal(lmn_cbor_parse(&d, v->data, v->len), 0);
-    lmn_watch_cache_apply(core, key, &d, lmn_cbor_root(&d), revision, now);
-    lmn_cbor_free(&d);
-    g_byte_array_unref(v);
+    assert_int_equal(lmn_cbor_parse(&document, value->data, value->len), 0);
+    lmn_watch_cache_apply(core, key, &document, lmn_cbor_root(&document), revision, now);
+    lmn_cbor_free(&document);
+    g_byte_array_unref(value);
 }
 
-/* A node's view of n members that are all up, each with its partition. */
-static struct lmn_core *view(struct lmn_settings *settings, int n, int me,
-                             const bool *gone, const bool *leaving)
+/* The id of the lease of the member with the index. */
+static uint64_t lease_of(int member_index)
 {
-    char key[32];
+    return 100 + (uint64_t)member_index;
+}
+
+static void put_member_record(struct lmn_core *core, int member_index,
+                              bool is_shutting_down)
+{
+    char key[KEY_SIZE];
+    GByteArray *record = g_byte_array_new();
+
+    lmn_cbor_put_map(record, 2);
+    lmn_cbor_put_text(record, "lease"), lmn_cbor_put_uint(record, lease_of(member_index));
+    lmn_cbor_put_text(record, "leaving"), lmn_cbor_put_bool(record, is_shutting_down);
+    g_snprintf(key, sizeof key, "n/n%02d", member_index);
+    apply_record(core, key, record, 10 + (uint64_t)member_index);
+}
+
+/* The member owns the partition whose id is its index. */
+static void put_owner_record(struct lmn_core *core, int member_index)
+{
+    char key[KEY_SIZE], name[LMN_NAME_SIZE];
+    GByteArray *record = g_byte_array_new();
+
+    g_snprintf(name, sizeof name, "n%02d", member_index);
+    lmn_cbor_put_map(record, 4);
+    lmn_cbor_put_text(record, "node"), lmn_cbor_put_text(record, name);
+    lmn_cbor_put_text(record, "lease"), lmn_cbor_put_uint(record, lease_of(member_index));
+    lmn_cbor_put_text(record, "term"), lmn_cbor_put_uint(record, 1);
+    lmn_cbor_put_text(record, "stream"), lmn_cbor_put_uint(record, 0);
+    g_snprintf(key, sizeof key, "o/%d", member_index);
+    apply_record(core, key, record, 50 + (uint64_t)member_index);
+}
 
+static void init_settings(struct lmn_settings *settings, int member_count, int self)
+{
     memset(settings, 0, sizeof *settings);
-    g_snprintf(settings->node_name, LMN_NAME_SIZE, "n%02d", me);
-    for (int k = 0; k < n; k++)
-        if (k != me)
+    g_snprintf(settings->node_name, LMN_NAME_SIZE, "n%02d", self);
+    for (int i = 0; i < member_count; i++)
+        if (i != self)
             g_snprintf(settings->members[settings->member_count++].name, LMN_NAME_SIZE,
-                       "n%02d", k);
-    settings->partition_count = n;
+                       "n%02d", i);
+    settings->partition_count = member_count;
     settings->heartbeat_s = 1;
     settings->lease_s = 8;
     settings->cancel_s = 30;
     settings->state_requests_per_s = settings->state_writes_per_s = 1e6;
     settings->max_value_kb = 16;
     settings->max_txn_operations = 12;
+}
+
+/* The shared state of the member with the index `self`. Each of the members that has not
+ * failed is up and owns the partition whose id is its index. */
+static struct lmn_core *make_core(struct lmn_settings *settings, int member_count,
+                                  int self, const bool *has_failed,
+                                  const bool *is_shutting_down)
+{
+    const struct lmn_member_health healthy = {0, 0, 0};
+
+    init_settings(settings, member_count, self);
     struct lmn_core *core = lmn_core_new(settings, lmn_kv_client_new(settings), 1);
     lmn_members_record_watch(&core->members, now);
     lmn_members_tick(&core->members, 0, now);
     core->members.synced_at = lmn_time_add(now, -100);
     core->cache.is_synced = true;
     core->cache.fresh_at = now;
-    for (int k = 0; k < n; k++) {
-        struct lmn_member_health well = {0, 0, 0};
-        if (gone[k])
-            continue;
-        GByteArray *v = g_byte_array_new();
-        lmn_cbor_put_map(v, 2);
-        lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, 100 + (uint64_t)k);
-        lmn_cbor_put_text(v, "leaving"), lmn_cbor_put_bool(v, leaving[k]);
-        g_snprintf(key, sizeof key, "n/n%02d", k);
-        put(core, key, v, 10 + (uint64_t)k);
-        if (k != me)
-            lmn_member_record_probe_reply(&core->members, k, &well, now, now);
-    }
-    for (int k = 0; k < n; k++) {
-        char name[LMN_NAME_SIZE];
-        if (gone[k])
+    for (int i = 0; i < member_count; i++) {
+        if (has_failed[i])
             continue;
-        GByteArray *v = g_byte_array_new();
-        g_snprintf(name, sizeof name, "n%02d", k);
-        lmn_cbor_put_map(v, 4);
-        lmn_cbor_put_text(v, "node"), lmn_cbor_put_text(v, name);
-        lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, 100 + (uint64_t)k);
-        lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, 1);
-        lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, 0);
-        g_snprintf(key, sizeof key, "o/%d", k);
-        put(core, key, v, 50 + (uint64_t)k);
+        put_member_record(core, i, is_shutting_down[i]);
+        if (i != self)
+            lmn_member_record_probe_reply(&core->members, i, &healthy, now, now);
     }
+    for (int i = 0; i < member_count; i++)
+        if (!has_failed[i])
+            put_owner_record(core, i);
     return core;
 }
 
-static void drop(struct lmn_core *core)
+static void free_core(struct lmn_core *core)
 {
     struct lmn_kv_client *client = core->kv_client;
 
@@ -88,91 +119,129 @@
     lmn_kv_client_free(client);
 }
 
-/* Whoever is gone: all that are left agree; each orphan has an successor that is up and
- * stays; and nobody gets more than his share of as many. */
-static void orphans_are_spread(void **state)
+/* A generated set of members, some of which have failed. */
+struct member_set {
+    int count, failed_count;
+    /* Members that have neither failed nor shut down. */
+    int staying_count;
+    bool has_failed[LMN_MAX_PARTITIONS], is_shutting_down[LMN_MAX_PARTITIONS];
+    int up[LMN_MAX_PARTITIONS], up_count; /* indices of those that have not failed */
+};
+
+static struct member_set generate_members(GRand *random, int count, int failed_count,
+                                          bool may_shut_down)
+{
+    struct member_set set = {.count = count,
+                             .failed_count = failed_count,
+                             .staying_count = count - failed_count};
+
+    for (int left = failed_count; left > 0;) {
+        int member_index = g_rand_int_range(random, 0, count);
+        left -= !set.has_failed[member_index];
+        set.has_failed[member_index] = true;
+    }
+    for (int i = 0; i < count; i++)
+        if (!set.has_failed[i])
+            set.up[set.up_count++] = i;
+    if (set.up_count > 2 && may_shut_down) {
+        set.is_shutting_down[set.up[0]] = true;
+        set.staying_count--;
+    }
+    return set;
+}
+
+/* Sets which member claims each orphaned partition, as the member `self` chooses. */
+static void choose_claimants(const struct member_set *set, int self, int *claimants)
+{
+    static struct lmn_settings settings;
+    struct lmn_core *core =
+        make_core(&settings, set->count, self, set->has_failed, set->is_shutting_down);
+
+    lmn_orphan_claimants(core, now, claimants);
+    free_core(core);
+}
+
+/* Checks that two members choose the same claimants, that each claimant is up and stays,
+ * and that none claims more than an even share, rounded up, of the orphaned partitions.
+ */
+static void check_claimants(const struct member_set *set)
+{
+    int claimants[2][LMN_MAX_PARTITIONS], claimed[LMN_MAX_PARTITIONS] = {0};
+
+    choose_claimants(set, set->up[set->up_count / 2], claimants[0]);
+    choose_claimants(set, set->up[set->up_count - 1], claimants[1]);
+    for (int i = 0; i < set->count; i++) {
+        int claimant = claimants[0][i];
+        assert_int_equal(claimant, claimants[1][i]);
+        if (!set->has_failed[i]) {
+            assert_int_equal(claimant, -1);
+            continue;
+        }
+        assert_true(claimant >= 0 && !set->has_failed[claimant] &&
+                    !set->is_shutting_down[claimant]);
+        claimed[claimant]++;
+    }
+    for (int i = 0; i < set->count; i++)
+        assert_true(claimed[i] <=
+                    (set->failed_count + set->staying_count - 1) / set->staying_count);
+}
+
+static void members_agree_and_spread_orphaned_partitions(void **state)
 {
-    static const int sizes[][2] = {{3, 1}, {3, 2}, {9, 3}, {9, 8}, {15, 7}, {33, 16}};
-    GRand *r = g_rand_new_with_seed(3);
+    static const struct {
+        int members, failed;
+    } sizes[] = {{3, 1}, {3, 2}, {9, 3}, {9, 8}, {15, 7}, {33, 16}};
+    enum { ROUNDS = 12, ROUNDS_PER_SHUTDOWN = 3 };
+    GRand *random = g_rand_new_with_seed(3);
     (void)state;
 
-    for (guint s = 0; s < G_N_ELEMENTS(sizes); s++)
-        for (int day = 0; day < 12; day++) {
-            int n = sizes[s][0], dead = sizes[s][1], successor[2][LMN_MAX_PARTITIONS];
-            bool gone[LMN_MAX_PARTITIONS] = {0}, leaving[LMN_MAX_PARTITIONS] = {0};
-            int got[LMN_MAX_PARTITIONS] = {0}, up[LMN_MAX_PARTITIONS] = {0}, ups = 0,
-                stay = n - dead;
-            static struct lmn_settings cfg[2];
-            for (int left = dead; left > 0;) {
-                int k = g_rand_int_range(r, 0, n);
-                left -= !gone[k];
-                gone[k] = true;
-            }
-            for (int k = 0; k < n; k++)
-                if (!gone[k])
-                    up[ups++] = k;
-            if (ups > 2 && day % 3 == 0) {
-                leaving[up[0]] = true;
-                stay--;
-            }
-            for (int v = 0; v < 2; v++) {
-                struct lmn_core *core =
-                    view(&cfg[v], n, up[v ? ups - 1 : ups / 2], gone, leaving);
-                lmn_orphan_claimants(core, now, successor[v]);
-                drop(core);
-            }
-            for (int k = 0; k < n; k++) {
-                assert_int_equal(successor[0][k], successor[1][k]);
-                if (!gone[k]) {
-                    assert_int_equal(successor[0][k], -1);
-                    continue;
-                }
-                assert_true(successor[0][k] >= 0 && !gone[successor[0][k]] &&
-                            !leaving[successor[0][k]]);
-                got[successor[0][k]]++;
-            }
-            for (int k = 0; k < n; k++)
-                assert_true(got[k] <= (dead + stay - 1) / stay);
+    for (guint i = 0; i < G_N_ELEMENTS(sizes); i++)
+        for (int round = 0; round < ROUNDS; round++) {
+            const struct member_set set =
+                generate_members(random, sizes[i].members, sizes[i].failed,
+                                 round % ROUNDS_PER_SHUTDOWN == 0);
+            check_claimants(&set);
         }
-    g_rand_free(r);
+    g_rand_free(random);
 }
 
-/* Who is in step with the last owner goes before all that have less. */
-static void who_is_in_step_inherits(void **state)
+static void standby_in_sync_takes_precedence(void **state)
 {
-    bool gone[5] = {false, true}, leaving[5] = {0};
-    int successor[LMN_MAX_PARTITIONS];
-    static struct lmn_settings cfg;
-    struct lmn_core *core = view(&cfg, 5, 0, gone, leaving);
-    GByteArray *v = g_byte_array_new(), *t = g_byte_array_new();
+    bool has_failed[5] = {false, true}, is_shutting_down[5] = {0};
+    int claimants[LMN_MAX_PARTITIONS];
+    static struct lmn_settings settings;
+    struct lmn_core *core = make_core(&settings, 5, 0, has_failed, is_shutting_down);
+    GByteArray *standby_record = g_byte_array_new(), *epoch_record = g_byte_array_new();
     (void)state;
 
-    lmn_cbor_put_uint(t, 1);
-    put(core, "t/1", t, 90);
-    lmn_orphan_claimants(core, now, successor);
-    assert_int_equal(successor[1], 2);
-    lmn_cbor_put_map(v, 4);
-    lmn_cbor_put_text(v, "node"), lmn_cbor_put_text(v, "n04");
-    lmn_cbor_put_text(v, "lease"), lmn_cbor_put_uint(v, 104);
-    lmn_cbor_put_text(v, "stream"), lmn_cbor_put_uint(v, 7);
-    lmn_cbor_put_text(v, "term"), lmn_cbor_put_uint(v, 1);
-    put(core, "b/1", v, 91);
-    lmn_orphan_claimants(core, now, successor);
-    assert_int_equal(successor[1], 4);
-    /* Not with another lease: that is another life, which has no copy. */
+    lmn_cbor_put_uint(epoch_record, 1);
+    apply_record(core, "t/1", epoch_record, 90);
+    lmn_orphan_claimants(core, now, claimants);
+    assert_int_equal(claimants[1], 2);
+    lmn_cbor_put_map(standby_record, 4);
+    lmn_cbor_put_text(standby_record, "node"), lmn_cbor_put_text(standby_record, "n04");
+    lmn_cbor_put_text(standby_record, "lease");
+    lmn_cbor_put_uint(standby_record, lease_of(4));
+    lmn_cbor_put_text(standby_record, "stream"), lmn_cbor_put_uint(standby_record, 7);
+    lmn_cbor_put_text(standby_record, "term"), lmn_cbor_put_uint(standby_record, 1);
+    apply_record(core, "b/1", standby_record, 91);
+    lmn_orphan_claimants(core, now, claimants);
+    assert_int_equal(claimants[1], 4);
+    /* Under another lease the member is a restarted process, which has no replica. */
     core->members.views[4].lease = 999;
-    lmn_orphan_claimants(core, now, successor);
-    assert_int_equal(successor[1], 2);
-    drop(core);
+    lmn_orphan_claimants(core, now, claimants);
+    assert_int_equal(claimants[1], 2);
+    free_core(core);
 }
 
-/* One that leaves claims nothing, gives what it has, and may change its mind until all is
- * given; with nobody to give to it ends all the same, after a while. */
-static void leaving_gives_everything(void **state)
+/* A controller that shuts down transfers all its partitions. The shutdown can be
+ * cancelled until the lease is released. If the partitions can't be transferred, the
+ * process exits after 10 s all the same. */
+static void shutdown_transfers_every_partition(void **state)
 {
-    bool gone[3] = {0}, leaving[3] = {0};
-    static struct lmn_settings cfg;
-    struct lmn_core *core = view(&cfg, 3, 0, gone, leaving);
+    bool has_failed[3] = {0}, is_shutting_down[3] = {0};
+    static struct lmn_settings settings;
+    struct lmn_core *core = make_core(&settings, 3, 0, has_failed, is_shutting_down);
     struct lmn_partition *partition = &core->partitions[0];
     (void)state;
 
@@ -182,14 +251,14 @@
     lmn_shutdown_begin(core, now);
     assert_false(lmn_shutdown_all_transferred(core) ||
                  lmn_shutdown_is_complete(core, now));
-    /* Nobody is in step: for 2 s it waits for somebody. */
+    /* No member is in sync: the partition waits 2 s for one. */
     assert_int_equal(lmn_shutdown_transfer_target(core, partition, now), -1);
     assert_int_equal(
         lmn_shutdown_transfer_target(core, partition, lmn_time_add(now, 2.1)), 1);
     assert_true(lmn_shutdown_cancel(core));
     assert_false(core->shutdown.is_requested);
     lmn_shutdown_begin(core, now);
-    core->owner_ops->partition_lost(core, partition, "given");
+    core->owner_ops->partition_lost(core, partition, "transferred");
     partition->record.owner[0] = '\0';
     partition->record.owner_revision = 0;
     assert_true(lmn_shutdown_all_transferred(core));
@@ -200,15 +269,15 @@
     core->shutdown.has_released_lease = false;
     assert_false(lmn_shutdown_is_complete(core, lmn_time_add(now, 9.9)));
     assert_true(lmn_shutdown_is_complete(core, lmn_time_add(now, 10.1)));
-    drop(core);
+    free_core(core);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(orphans_are_spread),
-        cmocka_unit_test(who_is_in_step_inherits),
-        cmocka_unit_test(leaving_gives_everything),
+        cmocka_unit_test(members_agree_and_spread_orphaned_partitions),
+        cmocka_unit_test(standby_in_sync_takes_precedence),
+        cmocka_unit_test(shutdown_transfers_every_partition),
     };
     lmn_log_level = LMN_LOG_ERROR;
     return cmocka_run_group_tests(tests, NULL, NULL);
