--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -177,7 +177,8 @@
         node->lease = node->core->lease.id = 0;
         for (int i = 0; i < simulation.layout.nodes; i++)
             if (node->core->partitions[i].ownership.is_owned)
-                lmn_partition_lose(node->core, &node->core->partitions[i], "lease ended");
+                lmn_partition_end_ownership(node->core, &node->core->partitions[i],
+                                            "lease ended");
     }
     if (!node->lease) {
         struct holder h = {++simulation.next_lease, simulation.now + 3};
@@ -202,7 +203,7 @@
     if (!txn)
         return;
     enum lmn_txn_outcome r = node_send(node, txn);
-    lmn_ownership_announced(node->core, r);
+    lmn_ownership_announce_completed(node->core, r);
     if (r == LMN_TXN_COMMITTED)
         node->announced = node->lease;
 }
@@ -215,8 +216,8 @@
 
     for (int i = 0; i < simulation.layout.nodes; i++) {
         txn = i == core->members.self
-                  ? lmn_ownership_refutation(core, node->lease, simulation.clock)
-                  : lmn_ownership_suspicion(core, i, node->lease, simulation.clock);
+                  ? lmn_ownership_refute(core, node->lease, simulation.clock)
+                  : lmn_ownership_suspect(core, i, node->lease, simulation.clock);
         simulation.refutations += txn && i == core->members.self;
         if (txn)
             node_send(node, txn);
@@ -232,7 +233,7 @@
         }
         if ((txn = lmn_ownership_transfer(core, i, &successor, simulation.clock))) {
             enum lmn_txn_outcome r = node_send(node, txn);
-            lmn_ownership_transferred(core, i, r, simulation.clock);
+            lmn_ownership_transfer_completed(core, i, r, simulation.clock);
             simulation.transfers += r == LMN_TXN_COMMITTED;
         }
     }
@@ -246,7 +247,7 @@
 
     if (!core->shutdown.is_requested)
         return false;
-    bool bare = lmn_shutdown_owns_nothing(core);
+    bool bare = lmn_shutdown_all_transferred(core);
     if (!bare && !lmn_shutdown_is_complete(core, simulation.clock))
         return false;
     for (guint i = 0; bare && i < simulation.leases->len; i++)
@@ -503,7 +504,7 @@
             }
             digest_message("removal", simulation.clock);
             digest_text(machine->name);
-            lmn_machine_terminated(node->core, machine, simulation.clock);
+            lmn_machine_handle_termination(node->core, machine, simulation.clock);
         }
         g_list_free(all);
     }
