--- a/src/controller/steal_handler.c
+++ b/src/controller/steal_handler.c
@@ -73,7 +73,7 @@
     pthread_mutex_lock(&core->lock);
     struct timespec now = lmn_now();
     u_int task_count =
-        lmn_victim_transfer(core, &core->partitions[message->victim], &request, now);
+        lmn_victim_begin_move(core, &core->partitions[message->victim], &request, now);
     lmn_range_writer_flush(core, now);
     pthread_mutex_unlock(&core->lock);
     lmn_steal_request_clear(&request);
--- a/src/partition/provisioner.c
+++ b/src/partition/provisioner.c
@@ -187,7 +187,7 @@
         lmn_autoscaler_record_boot(&provisioner->autoscaler, machine, entry->age_s);
     machine->is_broken = entry->is_broken;
     if (!machine->is_listed)
-        machine->rented_at = lmn_time_add(now, -entry->age_s);
+        machine->provisioned_at = lmn_time_add(now, -entry->age_s);
     machine->is_listed = true;
     machine->last_listed_at = now;
 }
@@ -241,7 +241,7 @@
     const struct lmn_core *core = provisioner->core;
     double lag_s = core->settings->list_lag_s;
     double missing_s = lmn_time_diff_s(now, machine->is_listed ? machine->last_listed_at
-                                                               : machine->rented_at);
+                                                               : machine->provisioned_at);
 
     return g_hash_table_contains(core->cloud.returned_machines, machine->name) ||
            (lmn_time_diff_s(provisioner->list_read_at, now) > -lag_s &&
@@ -264,7 +264,8 @@
                                               machine->zone, core->settings->list_lag_s) +
                     BOOT_MARGIN_S;
     return machine->is_broken ||
-           (machine->is_booting && lmn_time_diff_s(now, machine->rented_at) > timeout_s);
+           (machine->is_booting &&
+            lmn_time_diff_s(now, machine->provisioned_at) > timeout_s);
 }
 
 /* Forgets machines that are gone, and returns those that will not come up. */
@@ -329,7 +330,7 @@
     g_strlcpy(machine->zone, request->zone, sizeof machine->zone);
     machine->is_spot = request->is_spot;
     machine->is_booting = true;
-    machine->rented_at = machine->last_listed_at = now;
+    machine->provisioned_at = machine->last_listed_at = now;
 }
 
 static void rent_machines(struct provisioner *provisioner)
--- a/src/partition/quota_transfer.c
+++ b/src/partition/quota_transfer.c
@@ -251,7 +251,8 @@
     double needed_gpus = MIN(request->least_gpus, share_gpus);
     if (partition->quota.used_cpus[request->team] + needed_cpus > share_cpus + EPSILON ||
         partition->quota.used_gpus[request->team] + needed_gpus > share_gpus + EPSILON)
-        lmn_reserve_quota(partition, request->team, needed_cpus, needed_gpus, now);
+        lmn_reserve_quota_for_partition(partition, request->team, needed_cpus,
+                                        needed_gpus, now);
 }
 
 bool lmn_quota_request_handle(struct lmn_core *core, struct lmn_partition *partition,
@@ -263,7 +264,7 @@
     if (!partition->ownership.is_owned || request->team < 0 ||
         request->team >= (int)core->settings->team_count)
         return false;
-    lmn_quota_spare(core, partition, request, &spare_cpus, &spare_gpus);
+    lmn_quota_transferable(core, partition, request, &spare_cpus, &spare_gpus);
     reserve_for_request(core, partition, request, now);
     return lmn_quota_transfer_begin(core, partition, request->team, to, spare_cpus,
                                     spare_gpus);
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -112,7 +112,7 @@
                     const struct lmn_machine_type *type, struct timespec now)
 {
     return machine->is_booting &&
-           lmn_time_diff_s(now, machine->rented_at) >
+           lmn_time_diff_s(now, machine->provisioned_at) >
                lmn_autoscaler_boot_timeout_s(autoscaler, type, machine->zone,
                                              core->settings->list_lag_s);
 }
@@ -346,7 +346,7 @@
                            const struct capacity *capacity,
                            struct lmn_provision_request *request, struct timespec now)
 {
-    const struct lmn_demand demand = lmn_sum_demand(core, demands);
+    const struct lmn_demand_totals demand = lmn_sum_demand(core, demands);
     double ordinary_cpus = demand.ordinary_cpus - capacity->ordinary_cpus;
     double all_cpus = demand.cpus - capacity->cpus;
     /* What spot instances leave free once the work that may use nothing else has its
--- a/src/scheduler/autoscaler.h
+++ b/src/scheduler/autoscaler.h
@@ -14,7 +14,7 @@
 struct lmn_cloud_machine {
     char name[LMN_NAME_SIZE], type[LMN_NAME_SIZE], zone[LMN_NAME_SIZE];
     bool is_spot, is_booting, is_broken, is_listed;
-    struct timespec rented_at;      /**< when it was provisioned */
+    struct timespec provisioned_at; /**< when it was provisioned */
     struct timespec last_listed_at; /**< when a list last named it */
 };
 
--- a/src/scheduler/autoscaler_demand.c
+++ b/src/scheduler/autoscaler_demand.c
@@ -102,9 +102,10 @@
     return demands;
 }
 
-struct lmn_demand lmn_sum_demand(const struct lmn_core *core, const GArray *demands)
+struct lmn_demand_totals lmn_sum_demand(const struct lmn_core *core,
+                                        const GArray *demands)
 {
-    struct lmn_demand sum = {core->cache.operator_settings.spare_cpus, 0, 0};
+    struct lmn_demand_totals sum = {core->cache.operator_settings.spare_cpus, 0, 0};
 
     for (guint i = 0; i < demands->len; i++) {
         const struct lmn_range_demand *demand =
--- a/src/scheduler/autoscaler_demand.h
+++ b/src/scheduler/autoscaler_demand.h
@@ -18,7 +18,7 @@
 };
 
 /** Sums of all ranges' demands, in processors. */
-struct lmn_demand {
+struct lmn_demand_totals {
     double cpus;           /**< with the spare processors that the operator wants */
     double ordinary_cpus;  /**< of work that may not run on spot instances */
     double spot_only_cpus; /**< of work that is left to spot instances */
@@ -30,6 +30,7 @@
 GArray *lmn_list_range_demands(const struct lmn_core *core, bool may_wait_for_spot);
 
 /** Adds up demands of ranges. */
-struct lmn_demand lmn_sum_demand(const struct lmn_core *core, const GArray *demands);
+struct lmn_demand_totals lmn_sum_demand(const struct lmn_core *core,
+                                        const GArray *demands);
 
 #endif
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -130,7 +130,7 @@
         struct target *target = find_target(left, machine, attempt->job);
         fits = target != NULL;
         if (target)
-            lmn_resources_take_task(&target->available, &attempt->job->spec);
+            lmn_resources_subtract_task(&target->available, &attempt->job->spec);
     }
     g_array_free(left, TRUE);
     return fits;
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -173,7 +173,7 @@
         const struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, (guint)victim);
         plan.loss_cpu_s += least_cpu_s;
-        lmn_resources_return_task(&available, &attempt->job->spec);
+        lmn_resources_add_task(&available, &attempt->job->spec);
         plan.victims[plan.victim_count++] = (guint)victim;
     }
     return plan;
--- a/src/scheduler/queue_scan.c
+++ b/src/scheduler/queue_scan.c
@@ -18,7 +18,7 @@
     core->scheduling.start_generation++;
 }
 
-void lmn_queue_scan_note_start(struct lmn_core *core)
+void lmn_queue_scan_record_start(struct lmn_core *core)
 {
     core->scheduling.start_generation++;
 }
--- a/src/scheduler/queue_scan.h
+++ b/src/scheduler/queue_scan.h
@@ -19,7 +19,7 @@
 
 /** Records that a start has taken resources: jobs that could start before it are checked
  * again; those that could not are not, since starts only take resources away. */
-void lmn_queue_scan_note_start(struct lmn_core *core);
+void lmn_queue_scan_record_start(struct lmn_core *core);
 
 /** Compares two jobs as the machine should choose between them: less than 0 if `a` goes
  * first. As lmn_job_compare, but a task whose image the machine lacks counts as later. */
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -145,8 +145,10 @@
     return request->cpus > LMN_RESOURCE_EPSILON || request->gpus > LMN_RESOURCE_EPSILON;
 }
 
-void lmn_quota_spare(const struct lmn_core *core, const struct lmn_partition *partition,
-                     const struct lmn_quota_request *request, double *cpus, double *gpus)
+void lmn_quota_transferable(const struct lmn_core *core,
+                            const struct lmn_partition *partition,
+                            const struct lmn_quota_request *request, double *cpus,
+                            double *gpus)
 {
     int team = request->team;
     const struct lmn_quota_reservation *reservation =
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -28,8 +28,10 @@
 
 /** What the partition could give to one that has made the request: not more than it asks
  * for, but at least what it could else never start with. */
-void lmn_quota_spare(const struct lmn_core *core, const struct lmn_partition *partition,
-                     const struct lmn_quota_request *request, double *cpus, double *gpus);
+void lmn_quota_transferable(const struct lmn_core *core,
+                            const struct lmn_partition *partition,
+                            const struct lmn_quota_request *request, double *cpus,
+                            double *gpus);
 
 /** What the team's tasks in the partition may use: its share, less what is on its way to
  * another partition. */
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -33,8 +33,8 @@
     return reservation->job && lmn_time_before(now, reservation->until);
 }
 
-void lmn_reserve_quota(struct lmn_partition *partition, int team, double cpus,
-                       double gpus, struct timespec now)
+void lmn_reserve_quota_for_partition(struct lmn_partition *partition, int team,
+                                     double cpus, double gpus, struct timespec now)
 {
     struct lmn_quota_reservation *reservation = &partition->quota.reservations[team];
 
--- a/src/scheduler/reservation.h
+++ b/src/scheduler/reservation.h
@@ -21,7 +21,7 @@
 /** Reserves part of the team's quota share for another partition, which lacks that much
  * for one task, until it can be transferred.
  * @param cpus processors, and gpus: GPUs, that the other partition asks for at least */
-void lmn_reserve_quota(struct lmn_partition *partition, int team, double cpus,
-                       double gpus, struct timespec now);
+void lmn_reserve_quota_for_partition(struct lmn_partition *partition, int team,
+                                     double cpus, double gpus, struct timespec now);
 
 #endif
--- a/src/scheduler/resources.h
+++ b/src/scheduler/resources.h
@@ -61,8 +61,8 @@
 }
 
 /** Moves what a task asks for from `available`. */
-static inline void lmn_resources_take_task(struct lmn_resources *available,
-                                           const struct lmn_job_spec *spec)
+static inline void lmn_resources_subtract_task(struct lmn_resources *available,
+                                               const struct lmn_job_spec *spec)
 {
     available->cpus -= spec->cpus;
     available->gpus -= spec->gpus;
@@ -70,8 +70,8 @@
 }
 
 /** Gives back what a task asked for. */
-static inline void lmn_resources_return_task(struct lmn_resources *available,
-                                             const struct lmn_job_spec *spec)
+static inline void lmn_resources_add_task(struct lmn_resources *available,
+                                          const struct lmn_job_spec *spec)
 {
     available->cpus += spec->cpus;
     available->gpus += spec->gpus;
--- a/src/scheduler/task_start.c
+++ b/src/scheduler/task_start.c
@@ -57,7 +57,7 @@
 static void update_scheduling(struct lmn_core *core, struct lmn_machine *machine,
                               struct lmn_job *job, struct timespec now)
 {
-    lmn_queue_scan_note_start(core);
+    lmn_queue_scan_record_start(core);
     job->is_starving = false;
     if (lmn_job_is_faulty(&job->failures))
         lmn_job_record_retry(&job->failures, now);
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -10,7 +10,7 @@
 #include "state/task_ledger.h"
 
 /** Texts of the reasons. */
-static const char *const names[LMN_WAIT_REASONS] = {
+static const char *const names[LMN_WAIT_REASON_COUNT] = {
     [LMN_WAIT_NONE] = "nothing is in the way",
     [LMN_WAIT_TRANSFER] = "the partition is being handed over",
     [LMN_WAIT_UNACCOUNTED] = "the machine has not reported to this owner",
@@ -20,20 +20,20 @@
     [LMN_WAIT_UNKNOWN_TYPE] = "the machine's type is not known",
     [LMN_WAIT_REPLICATION] = "the standby does not acknowledge starts",
     [LMN_WAIT_QUARANTINED] = "the machine pauses after failures",
-    [LMN_WAIT_JOB_OVER] = "the job is over",
+    [LMN_WAIT_JOB_ENDED] = "the job is over",
     [LMN_WAIT_CAPACITY] = "too little room",
     [LMN_WAIT_PREEMPTION_RESERVED] = "room is being made for more urgent work",
     [LMN_WAIT_BACKFILL_RESERVED] = "the machine is kept for another job",
     [LMN_WAIT_SPOT_ONLY] = "left to cheap machines",
     [LMN_WAIT_JOB_BACKOFF] = "the job pauses after failures",
-    [LMN_WAIT_NOT_ALLOWED] = "the machine can't take it",
+    [LMN_WAIT_NOT_ELIGIBLE] = "the machine can't take it",
     [LMN_WAIT_QUOTA] = "the team's limit",
-    [LMN_WAIT_ZONE] = "the zones of the job's other tasks",
+    [LMN_WAIT_ZONE_AFFINITY] = "the zones of the job's other tasks",
     [LMN_WAIT_OTHER_PARTITION] = "in another partition",
-    [LMN_WAIT_NOT_OPEN] = "inherited, and not all machines are accounted for",
+    [LMN_WAIT_UNRECONCILED] = "inherited, and not all machines are accounted for",
 };
 
-const char *lmn_wait_reason_name(enum lmn_wait_reason reason)
+const char *lmn_wait_reason_text(enum lmn_wait_reason reason)
 {
     return names[reason];
 }
@@ -134,7 +134,7 @@
                                          const struct lmn_job *job, struct timespec now)
 {
     if (!lmn_job_may_run(core, job))
-        return LMN_WAIT_JOB_OVER;
+        return LMN_WAIT_JOB_ENDED;
     if (!lmn_machine_task_capacity(machine, &job->spec))
         return LMN_WAIT_CAPACITY;
     if (machine->reservation.preemption_tasks &&
@@ -147,10 +147,11 @@
     if (lmn_time_before(now, job->failures.backoff_until))
         return LMN_WAIT_JOB_BACKOFF;
     if (!lmn_machine_can_run(machine, job))
-        return LMN_WAIT_NOT_ALLOWED;
+        return LMN_WAIT_NOT_ELIGIBLE;
     if (!lmn_job_within_quota(core, machine->partition, job))
         return LMN_WAIT_QUOTA;
-    return lmn_zone_task_capacity(job, machine->zone) ? LMN_WAIT_NONE : LMN_WAIT_ZONE;
+    return lmn_zone_task_capacity(job, machine->zone) ? LMN_WAIT_NONE
+                                                      : LMN_WAIT_ZONE_AFFINITY;
 }
 
 enum lmn_wait_reason lmn_wait_reason(const struct lmn_core *core,
@@ -160,7 +161,7 @@
     if (range->partition != machine->partition)
         return LMN_WAIT_OTHER_PARTITION;
     if (!range->is_assigned || !lmn_range_may_start(range))
-        return LMN_WAIT_NOT_OPEN;
+        return LMN_WAIT_UNRECONCILED;
     enum lmn_wait_reason reason = lmn_machine_wait_reason(machine, now);
     return reason != LMN_WAIT_NONE ? reason
                                    : lmn_job_wait_reason(core, machine, range->job, now);
--- a/src/scheduler/wait_reason.h
+++ b/src/scheduler/wait_reason.h
@@ -22,23 +22,23 @@
     LMN_WAIT_REPLICATION,  /**< the standby does not acknowledge starts */
     LMN_WAIT_QUARANTINED,  /**< tasks have failed on it: it starts nothing for a while */
     /* of the job on that machine: */
-    LMN_WAIT_JOB_OVER,            /**< the job is done or cancelled */
+    LMN_WAIT_JOB_ENDED,           /**< the job is done or cancelled */
     LMN_WAIT_CAPACITY,            /**< too little capacity is free */
     LMN_WAIT_PREEMPTION_RESERVED, /**< capacity is being freed for more urgent work */
     LMN_WAIT_BACKFILL_RESERVED,   /**< the machine is reserved for another job */
     LMN_WAIT_SPOT_ONLY,           /**< idle work is left to spot instances */
     LMN_WAIT_JOB_BACKOFF,         /**< the job's tasks have failed: it backs off */
-    LMN_WAIT_NOT_ALLOWED,         /**< the machine can't take work, or not this job's */
+    LMN_WAIT_NOT_ELIGIBLE,        /**< the machine can't take work, or not this job's */
     LMN_WAIT_QUOTA,               /**< the quota of the job's team is used up */
-    LMN_WAIT_ZONE,                /**< affinity or anti-affinity with other tasks */
+    LMN_WAIT_ZONE_AFFINITY,       /**< affinity or anti-affinity with other tasks */
     /* of the range that holds the task: */
     LMN_WAIT_OTHER_PARTITION, /**< it belongs to another partition than the machine */
-    LMN_WAIT_NOT_OPEN,        /**< it is inherited, and what runs is not known yet */
-    LMN_WAIT_REASONS          /**< number of reasons */
+    LMN_WAIT_UNRECONCILED,    /**< it is inherited, and what runs is not known yet */
+    LMN_WAIT_REASON_COUNT     /**< number of reasons */
 };
 
 /** What the reason means, for people. The text is static. */
-const char *lmn_wait_reason_name(enum lmn_wait_reason reason);
+const char *lmn_wait_reason_text(enum lmn_wait_reason reason);
 
 /** Whether the job's team may use what one more task asks for, by its quota share in the
  * partition. */
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -274,8 +274,9 @@
         lmn_queue_remove_tail(&((struct lmn_machine *)value)->queue, range, first);
 }
 
-uint32_t lmn_victim_transfer(struct lmn_core *core, struct lmn_partition *partition,
-                             const struct lmn_steal_request *request, struct timespec now)
+uint32_t lmn_victim_begin_move(struct lmn_core *core, struct lmn_partition *partition,
+                               const struct lmn_steal_request *request,
+                               struct timespec now)
 {
     uint32_t movable;
     (void)now;
--- a/src/scheduler/work_stealing.h
+++ b/src/scheduler/work_stealing.h
@@ -56,9 +56,9 @@
 /** Begins to move tasks to the thief: they leave their queues, and the range writer moves
  * the end of their range (lmn_range.move_at).
  * @return how many tasks are to move */
-uint32_t lmn_victim_transfer(struct lmn_core *core, struct lmn_partition *partition,
-                             const struct lmn_steal_request *request,
-                             struct timespec now);
+uint32_t lmn_victim_begin_move(struct lmn_core *core, struct lmn_partition *partition,
+                               const struct lmn_steal_request *request,
+                               struct timespec now);
 
 /** Sets the time of the partition's next steal by how many tasks the last one brought. */
 void lmn_steal_record_result(struct lmn_core *core, struct lmn_partition *partition,
--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -380,8 +380,8 @@
         struct node *o = &simulation.nodes[k];
         if (node_up(o) && o->core && o->core->partitions[victim].ownership.is_owned &&
             lmn_victim_load(o->core, &o->core->partitions[victim], request))
-            got = lmn_victim_transfer(o->core, &o->core->partitions[victim], request,
-                                      simulation.clock);
+            got = lmn_victim_begin_move(o->core, &o->core->partitions[victim], request,
+                                        simulation.clock);
     }
     digest_message("theft", simulation.clock);
     digest_number((uint64_t)request->partition);
--- a/tests/simulation/service_checks.c
+++ b/tests/simulation/service_checks.c
@@ -123,7 +123,7 @@
             }
         }
     }
-    return lmn_wait_reason_name(said);
+    return lmn_wait_reason_text(said);
 }
 
 void simulation_explain(const struct job *j)
--- a/tests/test_autoscaler.c
+++ b/tests/test_autoscaler.c
@@ -270,7 +270,7 @@
             g_snprintf(machine->name, LMN_NAME_SIZE, "m-%d", i);
             g_strlcpy(machine->type, "small", LMN_NAME_SIZE);
             g_strlcpy(machine->zone, "a", LMN_NAME_SIZE);
-            machine->rented_at = now;
+            machine->provisioned_at = now;
             machine->is_booting = i < late;
             g_hash_table_insert(f.machines, machine->name, machine);
         }
@@ -285,7 +285,7 @@
                 g_snprintf(machine->name, LMN_NAME_SIZE, "n-%u", more);
                 g_strlcpy(machine->type, "small", LMN_NAME_SIZE);
                 g_strlcpy(machine->zone, "a", LMN_NAME_SIZE);
-                machine->rented_at = now;
+                machine->provisioned_at = now;
                 machine->is_booting = true;
                 g_hash_table_insert(f.machines, machine->name, machine);
             }
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -398,7 +398,7 @@
     machine->lifecycle.is_accounted = true;
     machine->used.cpus = 7; /* another team's, for the most part */
     partition->quota.used_cpus[0] = 4;
-    lmn_quota_spare(c, partition, &want, &cpus, &gpus);
+    lmn_quota_transferable(c, partition, &want, &cpus, &gpus);
     assert_true(cpus == 2);
     assert_false(lmn_quota_shortfall(c, partition, 0, &own));
     /* Nor does it ask for more than it has room for; what it has room for, it keeps. */
@@ -408,7 +408,7 @@
     assert_true(lmn_quota_shortfall(c, partition, 0, &own));
     assert_true(own.cpus == 5);
     partition->quota.used_cpus[0] = 4;
-    lmn_quota_spare(c, partition, &want, &cpus, &gpus);
+    lmn_quota_transferable(c, partition, &want, &cpus, &gpus);
     assert_true(cpus == 0);
 }
 
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -169,14 +169,14 @@
         {is_noticed, LMN_WAIT_SPOT_NOTICE},
         {has_no_type, LMN_WAIT_UNKNOWN_TYPE},
         {failed, LMN_WAIT_QUARANTINED},
-        {job_is_over, LMN_WAIT_JOB_OVER},
+        {job_is_over, LMN_WAIT_JOB_ENDED},
         {is_full, LMN_WAIT_CAPACITY},
         {is_promised, LMN_WAIT_PREEMPTION_RESERVED},
         {is_kept, LMN_WAIT_BACKFILL_RESERVED},
         {job_fails, LMN_WAIT_JOB_BACKOFF},
-        {forbids_zone, LMN_WAIT_NOT_ALLOWED},
+        {forbids_zone, LMN_WAIT_NOT_ELIGIBLE},
         {reaches_limit, LMN_WAIT_QUOTA},
-        {runs_elsewhere, LMN_WAIT_ZONE},
+        {runs_elsewhere, LMN_WAIT_ZONE_AFFINITY},
     };
     (void)state;
 
@@ -185,15 +185,15 @@
         make();
         cases[i].happens();
         enum lmn_wait_reason reason = lmn_wait_reason(core, machine, range, now);
-        assert_string_equal(lmn_wait_reason_name(reason),
-                            lmn_wait_reason_name(cases[i].reason));
+        assert_string_equal(lmn_wait_reason_text(reason),
+                            lmn_wait_reason_text(cases[i].reason));
         guint started = lmn_schedule_machine(core, machine, out, now);
         assert_int_equal(started, reason == LMN_WAIT_NONE ? TASKS : 0);
         g_byte_array_unref(out);
     }
     make();
     is_not_open();
-    assert_int_equal(lmn_wait_reason(core, machine, range, now), LMN_WAIT_NOT_OPEN);
+    assert_int_equal(lmn_wait_reason(core, machine, range, now), LMN_WAIT_UNRECONCILED);
 }
 
 static double cpus_left[] = {8}, gpus_left[] = {1e12}; /* of the team's limit */
@@ -211,7 +211,7 @@
     make();
     forbids_zone();
     assert_int_equal(lmn_victim_load(core, range->partition, &thief), TASKS);
-    assert_int_equal(lmn_victim_transfer(core, range->partition, &thief, now), TASKS);
+    assert_int_equal(lmn_victim_begin_move(core, range->partition, &thief, now), TASKS);
     assert_int_equal(range->move_at, 0);
     assert_int_equal(machine->queue.task_count, 0);
 }
@@ -244,7 +244,7 @@
         make();
         cases[i]();
         assert_int_equal(lmn_victim_load(core, range->partition, &thief), 0);
-        assert_int_equal(lmn_victim_transfer(core, range->partition, &thief, now), 0);
+        assert_int_equal(lmn_victim_begin_move(core, range->partition, &thief, now), 0);
     }
 }
 
