--- a/src/scheduler/affinity.c
+++ b/src/scheduler/affinity.c
@@ -6,7 +6,8 @@
 
 uint32_t lmn_zone_task_capacity(const struct lmn_job *job, const char *zone)
 {
-    /* A job that is spread has no more than half of its tasks, rounded up, in a zone. */
+    /* A job that spreads over zones may have half of its tasks, rounded up, in one zone.
+     */
     int max_in_zone = (int)((job->spec.tasks + 1) / 2);
     int in_zone = 0, elsewhere = 0;
 
--- a/src/scheduler/assignment.c
+++ b/src/scheduler/assignment.c
@@ -1,11 +1,13 @@
 /** @file
  * Assignment of queued tasks to machines' queues; see assignment.h.
  *
- * MATRIX (A. Rajendran, thesis, 2013, section 3.4) assigns tasks round robin over equal
- * nodes. Here machines differ in price and size, so tasks go to machines with free
- * capacity first, by bin packing; only what is left over is assigned round robin.
+ * MATRIX (A. Rajendran, thesis, 2013, section 3.4) assigns tasks round robin over
+ * identical nodes. Here machines differ in price and size, so tasks are first assigned by
+ * bin packing to machines with free capacity; the tasks that do not fit there are
+ * assigned round robin.
  *
- * The functions depend only on the shared state and the time. The core's lock is held. */
+ * The functions depend only on the core's state and the time. The caller holds the core's
+ * lock. */
 #include "scheduler/assignment.h"
 #include "util/log.h"
 #include "scheduler/affinity.h"
@@ -14,39 +16,41 @@
 #include "scheduler/wait_reason.h"
 #include "state/task_ledger.h"
 
-/** A machine with free capacity, with what its rank among others depends on. */
+/** A machine with free capacity, and the values by which candidates are ranked. */
 struct candidate {
     struct lmn_machine *machine;
     int mismatch; /**< mismatch_score */
     double free_cpus;
-    uint32_t free_tasks; /**< tasks that it could start beyond those in its queue */
-    guint position;      /**< in the list of eligible machines: breaks ties */
+    uint32_t free_tasks; /**< tasks that fit beside those already in its queue */
+    guint position;      /**< index in the list of eligible machines; breaks ties */
 };
 
-/** How badly a machine suits a job that it can run; 0 is best. Ordinary machines cost
- * more than spot instances, and some work can run nowhere else; an image that is missing
- * has to be fetched first. */
+/** Penalty for running the job on a machine that can run it; 0 is best. A job that may
+ * use spot instances is kept off ordinary machines if possible: they cost more, and some
+ * jobs can run nowhere else. A machine without the job's image would have to fetch it
+ * first. */
 static int mismatch_score(const struct lmn_machine *machine, const struct lmn_job *job)
 {
     return (job->spec.may_use_spot && !machine->is_spot ? 2 : 0) +
            !lmn_machine_has_image(machine, job);
 }
 
-/** Orders candidates by mismatch, then the fullest first: so large tasks find whole
- * machines, and idle machines can be returned. */
-static gint compare_candidates(gconstpointer left, gconstpointer right)
+/** Orders candidates by mismatch, then by free processors, the fullest machine first.
+ * This leaves whole machines free for large tasks, and idle machines that can be returned
+ * to the cloud. */
+static gint compare_candidates(gconstpointer first, gconstpointer second)
 {
-    const struct candidate *a = left, *b = right;
+    const struct candidate *left = first, *right = second;
 
-    if (a->mismatch != b->mismatch)
-        return a->mismatch - b->mismatch;
-    if (a->free_cpus != b->free_cpus)
-        return a->free_cpus < b->free_cpus ? -1 : 1;
-    return a->position < b->position ? -1 : a->position > b->position;
+    if (left->mismatch != right->mismatch)
+        return left->mismatch - right->mismatch;
+    if (left->free_cpus != right->free_cpus)
+        return left->free_cpus < right->free_cpus ? -1 : 1;
+    return left->position < right->position ? -1 : left->position > right->position;
 }
 
-/** Adds tasks to the machine's queue. New work resets its steal interval (MATRIX, section
- * 2.3.2). */
+/** Adds the tasks first..end-1 to the machine's queue and resets the machine's steal
+ * interval, as MATRIX does for new work (section 2.3.2). */
 static void assign_to_machine(struct lmn_machine *machine, struct lmn_range *range,
                               uint32_t first, uint32_t end, struct timespec now)
 {
@@ -55,18 +59,19 @@
     machine->stealing.next_at = now;
 }
 
-/** Lists the partition's machines that can run the range's job, and those of them that
- * have free capacity beyond their queues. A machine whose commands have no effect is left
- * out: it would take all that it has room for with each of its heartbeats. */
+/** Lists the partition's machines that can run the range's job (eligible), and those of
+ * them with free capacity beside the tasks in their queues (candidates). A machine that
+ * ignores its commands is in neither list: with each heartbeat it would be assigned as
+ * many tasks as fit there, and start none of them. */
 static void find_machines(const struct lmn_range *range, GPtrArray *eligible,
                           GArray *candidates)
 {
     const struct lmn_job *job = range->job;
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, range->partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, range->partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct lmn_machine *machine = value;
         if (machine->agent.ignored_commands || !lmn_machine_can_run(machine, job))
             continue;
@@ -82,11 +87,12 @@
     }
 }
 
-/** How many of `wanted` tasks may be assigned to a candidate, given how many have been
- * assigned to its zone in this round and whether any zone has got some. A machine gets no
- * task that could not start there because of the job's other tasks: otherwise a service
- * whose replicas were all assigned to the fullest machine would wait there until other
- * machines stole them. */
+/** Number of tasks, `wanted` at most, that may be assigned to the candidate. The job's
+ * affinity and anti-affinity are checked here too: otherwise all replicas of a service
+ * could be assigned to the fullest machine, and those that may not start in its zone
+ * would wait there until other machines stole them.
+ * @param assigned_in_zone tasks that this round has assigned to the candidate's zone
+ * @param has_assigned_zone whether this round has assigned tasks to any zone */
 static uint32_t assignable_tasks(const struct candidate *candidate,
                                  const struct lmn_job *job, uint32_t wanted,
                                  guint assigned_in_zone, bool has_assigned_zone)
@@ -101,8 +107,8 @@
     return count;
 }
 
-/** Assigns tasks to the candidates in their order, as many as can start there, and wakes
- * those machines. Returns the first task that is left over. */
+/** Assigns to each candidate, in order, as many tasks as can start there, and wakes the
+ * machine. Returns the index of the first task that is not assigned. */
 static uint32_t assign_to_candidates(struct lmn_core *core, const GArray *candidates,
                                      struct lmn_range *range, uint32_t first,
                                      uint32_t end, struct timespec now)
@@ -129,11 +135,11 @@
     return first;
 }
 
-/** Assigns one task at a time round robin: over the machines that have the image if there
- * is at least one for two tasks, else over all that are eligible. Filling one machine
- * after the other would fetch the image less often, but tasks would wait for that
- * machine's tasks to end while others' end too. The cursor moves on even if nothing is
- * left to assign. */
+/** Assigns the tasks round robin, one at a time: over the machines that have the job's
+ * image if there is at least one of them for every two tasks, else over all eligible
+ * machines. Filling one machine's queue before the next would fetch the image less often,
+ * but the tasks would wait for that machine while others become free. The cursor advances
+ * even if there are no tasks to assign. */
 static void assign_round_robin(struct lmn_partition *partition, GPtrArray *eligible,
                                struct lmn_range *range, uint32_t first, uint32_t end,
                                struct timespec now)
@@ -157,8 +163,8 @@
 {
     struct lmn_partition *partition = range->partition;
 
-    /* A faulty job is tried with one task at a time: its tasks fill no machine's queue.
-     */
+    /* A faulty job is retried with one task at a time, so its tasks stay out of the
+     * machines' queues. */
     if (lmn_job_is_faulty(&range->job->failures)) {
         lmn_queue_add(&partition->scheduling.unassigned, range, first, end);
         return;
@@ -192,12 +198,12 @@
 void lmn_reassign_range(struct lmn_core *core, struct lmn_range *range,
                         struct timespec now)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     lmn_queue_remove_range(&range->partition->scheduling.unassigned, range);
-    g_hash_table_iter_init(&it, range->partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value))
+    g_hash_table_iter_init(&iter, range->partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value))
         lmn_queue_remove_range(&((struct lmn_machine *)value)->queue, range);
     lmn_assign_range(core, range, now);
 }
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -1,6 +1,6 @@
 /** @file
- * Autoscaler; see autoscaler.h. MATRIX has a fixed set of nodes, so nothing here comes
- * from it. */
+ * Autoscaler; see autoscaler.h. Unlike the rest of scheduler/ it does not follow MATRIX,
+ * whose set of nodes is fixed. */
 #include "scheduler/autoscaler.h"
 #include "scheduler/autoscaler_demand.h"
 #include "admission/connection_budget.h"
@@ -9,24 +9,25 @@
 #include <math.h>
 #include <string.h>
 
-/** Boots usually take up to so many times what the type says, as the protocol tells. */
+/** By the cloud's protocol, a boot usually takes at most this factor times the machine
+ * type's `boot_s`. */
 static const double USUAL_BOOT_FACTOR = 1.5;
-/** Weight of the last boot in the moving average. */
+/** Weight of the latest boot in the moving average of boot times. */
 static const double LAST_BOOT_WEIGHT = 0.2;
-/** Late machines are replaced if they are at most one of so many of their kind. */
-enum { MACHINES_PER_LATE_ONE = 4 };
-/** Limits of the seconds between requests for a kind that was refused. */
+/** Late machines are replaced if at most one in this many machines of their type and zone
+ * is late. */
+enum { MACHINES_PER_LATE_MACHINE = 4 };
+/** Bounds of the wait before machines that the cloud refused are requested again. */
 static const double MIN_BACKOFF_S = 8, MAX_BACKOFF_S = 32;
-/** Machines that are requested at a time at most. */
+/** Most machines in one request. */
 enum { MAX_REQUESTED_MACHINES = 50 };
-/** A boot of so many seconds counts as much as the machine's price. */
+/** Boot time, in seconds, that doubles an offer's cost: (1 + boot_s / BOOT_COST_S). */
 static const double BOOT_COST_S = 120;
-/** Deficit in processors below which nothing is provisioned. */
+/** Deficit, in processors, below which nothing is provisioned. */
 static const double MIN_DEFICIT_CPUS = 1;
-/** Seconds by which a controller may be behind with its heartbeats and still provision
- * machines. */
+/** Delay in handling heartbeats above which a controller provisions no machines. */
 static const double MAX_DELAY_S = 1;
-/** Operators' setting above which spot instances are provisioned. */
+/** Value of the operator setting `spot` from which spot instances are provisioned. */
 static const double SPOT_ENABLED = 0.5;
 
 void lmn_autoscaler_init(struct lmn_autoscaler *autoscaler)
@@ -74,16 +75,17 @@
     return USUAL_BOOT_FACTOR * MAX(type->boot_s, typical_s) + 2 * lag_s;
 }
 
-/* --- capacity at hand --- */
+/* --- present capacity --- */
 
-/** Processors of the machines that are there or come, late ones left out. */
+/** Capacity of the machines that run or boot. Processors of late machines that are to be
+ * replaced are not counted. */
 struct capacity {
-    double machines; /**< all that the cloud lists, broken ones included */
+    double machines; /**< number of all machines, including broken and late ones */
     double cpus;
-    double ordinary_cpus; /**< of it, on machines that are no spot instances */
+    double ordinary_cpus; /**< part of `cpus` on machines other than spot instances */
 };
 
-/** Machines of one type and zone. */
+/** Number of machines of one type and zone. */
 struct machine_kind {
     const struct lmn_machine_type *type;
     const char *zone;
@@ -91,7 +93,7 @@
     unsigned late_count;
 };
 
-/** The kind of machines of that type and zone, which is added if it is missing. */
+/** Returns the entry for the type and zone; adds one if there is none. */
 static struct machine_kind *get_kind(GArray *kinds, const struct lmn_machine_type *type,
                                      const char *zone)
 {
@@ -106,7 +108,7 @@
     return &g_array_index(kinds, struct machine_kind, kinds->len - 1);
 }
 
-/** Whether the machine should have booted by now. */
+/** Whether the machine is still booting after its boot timeout. */
 static bool is_late(const struct lmn_core *core, const struct lmn_autoscaler *autoscaler,
                     const struct lmn_cloud_machine *machine,
                     const struct lmn_machine_type *type, struct timespec now)
@@ -117,16 +119,17 @@
                                              core->settings->list_lag_s);
 }
 
-/** Counts the machines of each kind, and the late ones of them. */
+/** Counts the machines, and the late machines, of each type and zone.
+ * @return struct machine_kind; the caller frees the array */
 static GArray *count_kinds(const struct lmn_core *core,
                            const struct lmn_autoscaler *autoscaler, struct timespec now)
 {
     GArray *kinds = g_array_new(FALSE, FALSE, sizeof(struct machine_kind));
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, autoscaler->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, autoscaler->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_cloud_machine *machine = value;
         const struct lmn_machine_type *type =
             lmn_machine_type_by_name(core, machine->type);
@@ -139,20 +142,20 @@
     return kinds;
 }
 
-/** Subtracts the processors of late machines, so that they are provisioned once more,
- * where only a few of a kind are late. Where many are late it is the cloud that is slow,
- * and others would come no sooner. */
+/** Subtracts the processors of late machines, so that replacements are provisioned.
+ * Applies only to types and zones where few machines are late: where many are, the cloud
+ * itself is slow, and replacements would boot no sooner. */
 static void subtract_late(const struct lmn_core *core,
                           const struct lmn_autoscaler *autoscaler,
                           struct capacity *capacity, struct timespec now)
 {
     GArray *kinds = count_kinds(core, autoscaler, now);
     double late_cpus = 0, late_ordinary_cpus = 0;
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, autoscaler->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, autoscaler->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_cloud_machine *machine = value;
         const struct lmn_machine_type *type =
             lmn_machine_type_by_name(core, machine->type);
@@ -160,7 +163,7 @@
             continue;
         const struct machine_kind *kind = get_kind(kinds, type, machine->zone);
         if (is_late(core, autoscaler, machine, type, now) &&
-            MACHINES_PER_LATE_ONE * kind->late_count <= kind->count) {
+            MACHINES_PER_LATE_MACHINE * kind->late_count <= kind->count) {
             late_cpus += type->cpus;
             late_ordinary_cpus += machine->is_spot ? 0 : type->cpus;
         }
@@ -175,11 +178,11 @@
                                     struct timespec now)
 {
     struct capacity capacity = {0, 0, 0};
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, autoscaler->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, autoscaler->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_cloud_machine *machine = value;
         const struct lmn_machine_type *type =
             lmn_machine_type_by_name(core, machine->type);
@@ -194,7 +197,7 @@
     return capacity;
 }
 
-/* --- refusals --- */
+/* --- backoff after refusals --- */
 
 static struct lmn_capacity_backoff *find_backoff(const struct lmn_autoscaler *autoscaler,
                                                  const char *type, const char *zone,
@@ -235,7 +238,7 @@
     backoff->until = lmn_time_add(now, backoff->wait_s);
 }
 
-/** Whether spot instances are switched off, or have ever been refused. */
+/** Whether spot instances are disabled, or a request for some was ever refused. */
 static bool is_spot_scarce(const struct lmn_core *core,
                            const struct lmn_autoscaler *autoscaler)
 {
@@ -247,27 +250,28 @@
     return false;
 }
 
-/* --- choice --- */
+/* --- choice of machines --- */
 
-/** What machines are wanted for. */
+/** Capacity that is missing. */
 struct deficit {
     double cpus;
-    double max_ordinary_cpus; /**< of it, what ordinary machines may serve */
+    double max_ordinary_cpus; /**< part of `cpus` that ordinary machines may serve */
     bool may_use_spot;
-    bool is_first; /**< there are no machines yet: round up */
+    bool is_first; /**< there is no capacity yet: the number of machines is rounded up */
 };
 
-/** A kind of machines that the cloud offers. */
+/** Machines that the cloud offers, by type, zone and price model. */
 struct offer {
     const struct lmn_machine_type *type;
     const char *zone;
     bool is_spot;
 };
 
-/** The offer's cost for a processor that can be used; INFINITY if it is no use. Time lost
- * to booting is paid for, and waited for.
- * @param[out] count how many machines of it serve the deficit; set if it is of use */
-static double rate_offer(const struct offer *offer, const GArray *demands,
+/** Cost of the offer per usable processor, in its price per hour; INFINITY if it serves
+ * none of the deficit. Boot time raises the cost: it is paid for, and tasks wait for it.
+ * @param[out] count number of machines that serve the deficit; unchanged if the cost is
+ * INFINITY */
+static double offer_cost(const struct offer *offer, const GArray *demands,
                          const struct deficit *deficit, unsigned *count)
 {
     const struct lmn_machine_type *type = offer->type;
@@ -296,7 +300,7 @@
     return rate / usable_cpus * (1 + type->boot_s / BOOT_COST_S);
 }
 
-/** Whether the cloud has refused the offer lately. */
+/** Whether a refusal by the cloud still forbids requests for the offer. */
 static bool is_backing_off(const struct lmn_autoscaler *autoscaler,
                            const struct offer *offer, struct timespec now)
 {
@@ -306,8 +310,8 @@
     return backoff && backoff->wait_s > 0 && lmn_time_before(now, backoff->until);
 }
 
-/** Chooses the cheapest kind of machines that serves the deficit.
- * @return its cost; INFINITY: there is none, and the request is unchanged */
+/** Fills in a request for the cheapest offer that serves the deficit.
+ * @return the offer's cost; INFINITY if there is no offer: the request is unchanged */
 static double choose_offer(const struct lmn_core *core,
                            const struct lmn_autoscaler *autoscaler, const GArray *demands,
                            const struct deficit *deficit,
@@ -326,7 +330,7 @@
                 unsigned count = 0;
                 if (is_backing_off(autoscaler, &offer, now))
                     continue;
-                double cost = rate_offer(&offer, demands, deficit, &count);
+                double cost = offer_cost(&offer, demands, deficit, &count);
                 if (cost >= least_cost)
                     continue;
                 least_cost = cost;
@@ -338,9 +342,10 @@
     return least_cost;
 }
 
-/** Chooses ordinary machines for the work that must have them, and whatever is cheapest
- * for the rest: the larger deficit first, since calls to the cloud are few; where the one
- * can't be had, the other. Returns whether there is an offer. */
+/** Fills in a request either for ordinary machines, for jobs that may not use spot
+ * instances, or for the cheapest machines, for all other jobs. The larger of the two
+ * deficits is tried first, because the rate of calls to the cloud is limited; if no offer
+ * serves it, the other is tried. Returns whether an offer was found. */
 static bool choose_request(const struct lmn_core *core,
                            const struct lmn_autoscaler *autoscaler, const GArray *demands,
                            const struct capacity *capacity,
@@ -349,22 +354,22 @@
     const struct lmn_demand_totals demand = lmn_sum_demand(core, demands);
     double ordinary_cpus = demand.ordinary_cpus - capacity->ordinary_cpus;
     double all_cpus = demand.cpus - capacity->cpus;
-    /* What spot instances leave free once the work that may use nothing else has its
-     * part. */
+    /* Capacity of spot instances beyond the demand of jobs that wait for spot instances.
+     */
     double spot_left_cpus =
         MAX(capacity->cpus - capacity->ordinary_cpus - demand.spot_only_cpus, 0);
     double any_cpus = all_cpus - MAX(ordinary_cpus, 0);
     bool any_first = any_cpus > ordinary_cpus;
     double least_cost = INFINITY;
 
-    for (int turn = 0; turn < 2 && least_cost == INFINITY; turn++) {
-        bool is_any = turn == 0 ? any_first : !any_first;
+    for (int attempt = 0; attempt < 2 && least_cost == INFINITY; attempt++) {
+        bool is_any = attempt == 0 ? any_first : !any_first;
         struct deficit deficit = {ordinary_cpus, ordinary_cpus, is_any,
                                   capacity->cpus <= 0};
         if (is_any) {
-            /* What only ordinary machines can run is left to the other turn, unless that
-             * has found no offer. */
-            deficit.cpus = turn == 0 ? any_cpus : all_cpus;
+            /* The second attempt includes the deficit in ordinary machines, for which the
+             * first has found no offer. */
+            deficit.cpus = attempt == 0 ? any_cpus : all_cpus;
             deficit.max_ordinary_cpus = demand.cpus - demand.spot_only_cpus -
                                         capacity->ordinary_cpus - spot_left_cpus;
         }
@@ -382,11 +387,12 @@
         lmn_connection_budget_max_machines(&core->connection_budget, core->settings) -
         capacity.machines;
 
-    /* A machine that no controller can accept a connection from runs nothing; and while a
-     * controller is behind, the machines that it has wait for it long enough. */
+    /* A machine runs nothing if no controller has a connection left for it. While this
+     * controller is late in handling heartbeats, more machines would delay it further. */
     if (acceptable_machines < 1 || core->load.delay_s > MAX_DELAY_S)
         return false;
-    /* Where no spot instance can be had at all, idle work takes what there is. */
+    /* If there is no spot instance and none can be had, idle jobs may use ordinary
+     * machines. */
     bool may_wait_for_spot =
         !is_spot_scarce(core, autoscaler) || capacity.cpus > capacity.ordinary_cpus;
     GArray *demands = lmn_list_range_demands(core, may_wait_for_spot);
--- a/src/scheduler/autoscaler_demand.c
+++ b/src/scheduler/autoscaler_demand.c
@@ -1,9 +1,9 @@
 /** @file
- * The autoscaler's demand; see autoscaler_demand.h. The core's lock is held. */
+ * The autoscaler's demand; see autoscaler_demand.h. The caller holds the core's lock. */
 #include "scheduler/autoscaler_demand.h"
 #include "scheduler/fair_share.h"
 
-/** Factor by which a team's demand has to be cut to keep to its limits; 1: not at all. */
+/** Factor, 1 at most, that reduces the team's demand to its quota limits. */
 static double limit_factor(const struct lmn_team *team, double cpus, double gpus)
 {
     double factor = 1;
@@ -15,12 +15,12 @@
     return factor;
 }
 
-/** Cuts the demands to the teams' quota limits. A team's work runs on no more than its
- * limit, however much of it waits. Otherwise, with limits far below the demand, thousands
- * of machines would be provisioned, find nothing that may start, be returned as idle, and
- * be provisioned again. All ranges of a team are cut alike: which of them goes first is
- * not decided here. */
-static void bound_by_limits(const struct lmn_core *core, GArray *demands)
+/** Scales the demands down to the teams' quota limits. A team's tasks never use more than
+ * its limit. Without this bound, with limits far below the demand, thousands of machines
+ * would be provisioned, have nothing that may start, be returned as idle and be
+ * provisioned again. The demands of all ranges of a team are multiplied by the same
+ * factor, because the autoscaler does not know which of them start first. */
+static void apply_quota_limits(const struct lmn_core *core, GArray *demands)
 {
     double *cpus = g_new0(double, core->settings->team_count);
     double *gpus = g_new0(double, core->settings->team_count);
@@ -43,7 +43,8 @@
     g_free(gpus);
 }
 
-/** Whether no ordinary machine is worth provisioning for the job, of whatever type. */
+/** Whether no ordinary machine of any type should be provisioned for the job
+ * (lmn_is_spot_only). */
 static bool is_spot_only(const struct lmn_core *core, const struct lmn_job_spec *spec)
 {
     const struct lmn_machine_types *types = &core->cloud.machine_types;
@@ -54,8 +55,8 @@
     return types->count > 0;
 }
 
-/** Tasks of the range that should run at a time: all of a service, and of a batch job as
- * many as finish it within the horizon that the operator has set. */
+/** Number of the range's unfinished tasks that should run at the same time: all of a
+ * service; of a batch job as many as finish the range within the operator's horizon. */
 static double desired_tasks(const struct lmn_core *core, const struct lmn_range *range)
 {
     const struct lmn_job_spec *spec = &range->job->spec;
@@ -68,7 +69,7 @@
         within_horizon = MAX(within_horizon, 1);
         tasks = MIN(tasks, within_horizon);
     }
-    /* A faulty job is tried with one task at a time. */
+    /* A faulty job is retried with one task at a time. */
     if (lmn_job_is_faulty(&range->job->failures))
         tasks = MIN(tasks, 1);
     return tasks;
@@ -77,12 +78,12 @@
 GArray *lmn_list_range_demands(const struct lmn_core *core, bool may_wait_for_spot)
 {
     GArray *demands = g_array_new(FALSE, FALSE, sizeof(struct lmn_range_demand));
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     for (int i = 0; i < core->partition_count; i++) {
-        g_hash_table_iter_init(&it, core->partitions[i].ranges);
-        while (g_hash_table_iter_next(&it, NULL, &value)) {
+        g_hash_table_iter_init(&iter, core->partitions[i].ranges);
+        while (g_hash_table_iter_next(&iter, NULL, &value)) {
             const struct lmn_range *range = value;
             const struct lmn_job_spec *spec = &range->job->spec;
             double tasks = desired_tasks(core, range);
@@ -98,7 +99,7 @@
             g_array_append_val(demands, demand);
         }
     }
-    bound_by_limits(core, demands);
+    apply_quota_limits(core, demands);
     return demands;
 }
 
--- a/src/scheduler/autoscaler_demand.h
+++ b/src/scheduler/autoscaler_demand.h
@@ -1,35 +1,35 @@
 /** @file
- * The demand that the autoscaler provisions machines for: what the tasks of all open jobs
- * could use at a time, bounded by the teams' quota limits.
+ * The demand that the autoscaler provisions machines for: resources that the tasks of all
+ * active jobs could use at the same time, bounded by the teams' quota limits.
  *
- * Internal to scheduler/. Pure functions of the shared state; the caller holds the core's
- * lock throughout. */
+ * Internal to scheduler/. Pure functions of the core's state. The caller holds the core's
+ * lock. */
 #ifndef LMN_SCHEDULER_AUTOSCALER_DEMAND_H
 #define LMN_SCHEDULER_AUTOSCALER_DEMAND_H
 
 #include "state/core_state.h"
 
-/** What the tasks of one range could use. */
+/** Resources that the tasks of one range could use. */
 struct lmn_range_demand {
     const struct lmn_job_spec *spec;
     int team;          /**< index in the settings */
-    bool is_spot_only; /**< it is left to spot instances */
+    bool is_spot_only; /**< the job waits for spot instances (lmn_is_spot_only) */
     double cpus, gpus, memory_gb;
 };
 
-/** Sums of all ranges' demands, in processors. */
+/** Sums of the demands of all ranges, in processors. */
 struct lmn_demand_totals {
-    double cpus;           /**< with the spare processors that the operator wants */
-    double ordinary_cpus;  /**< of work that may not run on spot instances */
-    double spot_only_cpus; /**< of work that is left to spot instances */
+    double cpus;           /**< all demands, and the operator setting `spare_cpus` */
+    double ordinary_cpus;  /**< of jobs that may not run on spot instances */
+    double spot_only_cpus; /**< of jobs that wait for spot instances */
 };
 
-/** Lists what the tasks of each open range, in all partitions, could use.
- * @param may_wait_for_spot spot instances can be had: idle work is left to them
+/** Lists the demand of each range of an active job, in all partitions.
+ * @param may_wait_for_spot idle jobs may wait for spot instances, since some can be had
  * @return struct lmn_range_demand; the caller frees the array */
 GArray *lmn_list_range_demands(const struct lmn_core *core, bool may_wait_for_spot);
 
-/** Adds up demands of ranges. */
+/** Adds up the demands of ranges, struct lmn_range_demand. */
 struct lmn_demand_totals lmn_sum_demand(const struct lmn_core *core,
                                         const GArray *demands);
 
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -1,10 +1,11 @@
 /** @file
  * Consolidation of replicas; see consolidation.h.
  *
- * Services end one by one, and leave others scattered over machines that are half empty
- * and paid for whole. While nothing waits, the replicas of the emptiest machine are moved
- * to free capacity of others, and the machine is returned. Batch tasks are left to run
- * out. The core's lock is held. */
+ * As services end one by one, the remaining replicas are scattered over machines that are
+ * half empty but paid for in full. While no task waits, the replicas of the emptiest
+ * machine are moved to free capacity of other machines, and the machine is returned to
+ * the cloud. Batch tasks are not moved: they end by themselves. The caller holds the
+ * core's lock. */
 #include "scheduler/consolidation.h"
 #include "scheduler/affinity.h"
 #include "scheduler/assignment.h"
@@ -18,16 +19,15 @@
 
 /** Seconds between consolidations of a partition. */
 static const double INTERVAL_S = 0.5;
-/** Machines that are examined at a time, since each takes a search over all others. */
+/** Most machines that one consolidation examines; each takes a search over all others. */
 enum { MAX_EXAMINED = 4 };
-/** Replicas that are moved at a time. */
+/** Most replicas on a machine that is emptied. */
 enum { MAX_REPLICAS = 64 };
-/** Seconds that a replica has run before it is moved. */
+/** Seconds that a replica must have run before it is moved. */
 static const double SETTLED_AFTER_S = 35;
-/** Free capacity that is left for what comes next, as a fraction of the machines'
- * processors. */
+/** Fraction of the machines' processors that must stay free for new tasks. */
 static const double RESERVE_FRACTION = 0.08;
-/** Seconds that a replica gets beyond the time that saving a checkpoint takes. */
+/** Grace period of a stopped replica beyond the time to save its checkpoint. */
 static const double SAVE_MARGIN_S = 1;
 
 /** A machine that replicas could be moved to. */
@@ -36,15 +36,15 @@
     struct lmn_resources available;
 };
 
-/** What a partition has. */
-struct survey {
-    GArray *targets; /**< struct target */
-    double cpus;     /**< of the targets */
-    double free_cpus;
-    bool has_waiting_tasks;
+/** Machines of a partition that take part in a consolidation. */
+struct partition_summary {
+    GArray *targets;        /**< struct target, the emptiest first */
+    double cpus;            /**< of the targets */
+    double free_cpus;       /**< of the targets */
+    bool has_waiting_tasks; /**< a task is in a queue of the partition */
 };
 
-/** Whether the machine is expected to stay and to answer. */
+/** Whether the machine answers, and nothing known will remove it soon. */
 static bool is_stable(const struct lmn_core *core, const struct lmn_machine *machine,
                       struct timespec now)
 {
@@ -62,7 +62,7 @@
            attempt->job->spec.kind == LMN_JOB_SERVICE;
 }
 
-/** Whether the replica runs steadily. */
+/** Whether the replica has run for SETTLED_AFTER_S and is not being stopped. */
 static bool is_settled(const struct lmn_attempt *attempt, struct timespec now)
 {
     return attempt->state == LMN_ATTEMPT_RUNNING && attempt->was_reported &&
@@ -70,7 +70,7 @@
            !(lmn_time_diff_s(now, attempt->started_at) < SETTLED_AFTER_S);
 }
 
-/** Whether the machine has replicas, and they may all be moved now. */
+/** Whether the machine has replicas, MAX_REPLICAS at most, and all may be moved now. */
 static bool has_movable_replicas(const struct lmn_machine *machine, struct timespec now)
 {
     guint count = 0;
@@ -87,17 +87,17 @@
     return count > 0 && count <= MAX_REPLICAS;
 }
 
-/** Whether a replica of the job may be moved to the machine. The machine must have the
- * image, so that the replica starts at once. */
-static bool accepts(const struct lmn_machine *machine, const struct lmn_machine *from,
-                    const struct lmn_job *job)
+/** Whether a replica of the job may be moved from one machine to the other. The target
+ * must have the job's image, so that the replica starts without a fetch. */
+static bool may_move_to(const struct lmn_machine *machine, const struct lmn_machine *from,
+                        const struct lmn_job *job)
 {
     return lmn_machine_can_run(machine, job) && lmn_machine_has_image(machine, job) &&
            (!strcmp(machine->zone, from->zone) ||
             lmn_zone_task_capacity(job, machine->zone));
 }
 
-/** The fullest of the targets that a replica of the job can be moved to; NULL: none. */
+/** Returns the fullest target that a replica of the job can be moved to, or NULL. */
 static struct target *find_target(GArray *targets, const struct lmn_machine *from,
                                   const struct lmn_job *job)
 {
@@ -109,92 +109,95 @@
             !lmn_resources_fit_task(&target->available, &job->spec) ||
             (best && target->available.cpus >= best->available.cpus))
             continue;
-        if (accepts(target->machine, from, job))
+        if (may_move_to(target->machine, from, job))
             best = target;
     }
     return best;
 }
 
-/** Whether all replicas of the machine fit elsewhere, placed one after the other. */
-static bool can_empty(const GArray *targets, const struct lmn_machine *machine)
+/** Whether all replicas of the machine fit on other targets together. */
+static bool can_move_all_replicas(const GArray *targets,
+                                  const struct lmn_machine *machine)
 {
-    GArray *left = g_array_sized_new(FALSE, FALSE, sizeof(struct target), targets->len);
+    GArray *remaining =
+        g_array_sized_new(FALSE, FALSE, sizeof(struct target), targets->len);
     bool fits = true;
 
-    g_array_append_vals(left, targets->data, targets->len);
+    g_array_append_vals(remaining, targets->data, targets->len);
     for (guint i = 0; fits && i < machine->attempts->len; i++) {
         const struct lmn_attempt *attempt =
             &g_array_index(machine->attempts, struct lmn_attempt, i);
         if (!is_replica(attempt))
             continue;
-        struct target *target = find_target(left, machine, attempt->job);
+        struct target *target = find_target(remaining, machine, attempt->job);
         fits = target != NULL;
         if (target)
             lmn_resources_subtract_task(&target->available, &attempt->job->spec);
     }
-    g_array_free(left, TRUE);
+    g_array_free(remaining, TRUE);
     return fits;
 }
 
-static gint compare_emptiest_first(gconstpointer left, gconstpointer right)
+static gint compare_emptiest_first(gconstpointer first, gconstpointer second)
 {
-    const struct target *a = left, *b = right;
+    const struct target *left = first, *right = second;
 
-    if (a->available.cpus != b->available.cpus)
-        return a->available.cpus > b->available.cpus ? -1 : 1;
-    return strcmp(a->machine->name, b->machine->name);
+    if (left->available.cpus != right->available.cpus)
+        return left->available.cpus > right->available.cpus ? -1 : 1;
+    return strcmp(left->machine->name, right->machine->name);
 }
 
-/** Lists the machines that replicas could be moved to, the emptiest first. Spot instances
- * are left out: they hold other work, and go by themselves. So are empty machines. */
-static struct survey survey_machines(const struct lmn_core *core,
-                                     const struct lmn_partition *partition,
-                                     struct timespec now)
+/** Lists the machines that replicas could be moved to. Empty machines are not listed, nor
+ * are spot instances: they run other jobs, and the cloud takes them back anyway. */
+static struct partition_summary summarize_machines(const struct lmn_core *core,
+                                                   const struct lmn_partition *partition,
+                                                   struct timespec now)
 {
-    struct survey survey = {.targets = g_array_new(FALSE, FALSE, sizeof(struct target)),
-                            .has_waiting_tasks =
-                                partition->scheduling.unassigned.task_count > 0};
-    GHashTableIter it;
+    struct partition_summary summary = {
+        .targets = g_array_new(FALSE, FALSE, sizeof(struct target)),
+        .has_waiting_tasks = partition->scheduling.unassigned.task_count > 0};
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct lmn_machine *machine = value;
-        survey.has_waiting_tasks =
-            survey.has_waiting_tasks || machine->queue.task_count > 0;
+        summary.has_waiting_tasks =
+            summary.has_waiting_tasks || machine->queue.task_count > 0;
         if (!is_stable(core, machine, now) || machine->is_spot || machine->used.cpus <= 0)
             continue;
         struct target target = {machine, lmn_machine_free_resources(machine)};
-        survey.cpus += machine->type->cpus;
-        survey.free_cpus += target.available.cpus;
-        g_array_append_val(survey.targets, target);
+        summary.cpus += machine->type->cpus;
+        summary.free_cpus += target.available.cpus;
+        g_array_append_val(summary.targets, target);
     }
-    g_array_sort(survey.targets, compare_emptiest_first);
-    return survey;
+    g_array_sort(summary.targets, compare_emptiest_first);
+    return summary;
 }
 
-/** The machine to empty; NULL: none. */
-static struct lmn_machine *choose_machine(const struct survey *survey,
+/** Returns the machine to empty, or NULL. */
+static struct lmn_machine *choose_machine(const struct partition_summary *summary,
                                           struct timespec now)
 {
     guint examined = 0;
 
-    for (guint i = 0; i < survey->targets->len && examined < MAX_EXAMINED; i++) {
+    for (guint i = 0; i < summary->targets->len && examined < MAX_EXAMINED; i++) {
         struct lmn_machine *machine =
-            g_array_index(survey->targets, struct target, i).machine;
-        /* The capacity that its replicas take elsewhere, and its own, will be missing. */
-        if (survey->free_cpus - machine->type->cpus < RESERVE_FRACTION * survey->cpus)
+            g_array_index(summary->targets, struct target, i).machine;
+        /* Returning the machine reduces the free capacity by all of its processors: the
+         * free ones, and those that its replicas then use on other machines. */
+        if (summary->free_cpus - machine->type->cpus < RESERVE_FRACTION * summary->cpus)
             return NULL;
         if (!has_movable_replicas(machine, now))
             continue;
         examined++;
-        if (can_empty(survey->targets, machine))
+        if (can_move_all_replicas(summary->targets, machine))
             return machine;
     }
     return NULL;
 }
 
-/** Stops the machine's replicas, and drains it. */
+/** Stops the machine's replicas and drains the machine. */
 static void empty_machine(struct lmn_core *core, struct lmn_machine *machine,
                           struct timespec now)
 {
@@ -206,7 +209,7 @@
         attempt->must_stop = true;
         attempt->grace_s = attempt->job->spec.save_s + SAVE_MARGIN_S;
     }
-    lmn_machine_drain(core, machine, false, "its replicas have room elsewhere", now);
+    lmn_machine_drain(core, machine, false, "its replicas fit on other machines", now);
     lmn_machine_wake(machine);
     pthread_cond_broadcast(&core->machines_woken);
 }
@@ -227,10 +230,10 @@
     if (!is_due(core, partition, now))
         return;
     partition->scheduling.next_consolidation_at = lmn_time_add(now, INTERVAL_S);
-    struct survey survey = survey_machines(core, partition, now);
+    struct partition_summary summary = summarize_machines(core, partition, now);
     struct lmn_machine *machine =
-        survey.has_waiting_tasks ? NULL : choose_machine(&survey, now);
+        summary.has_waiting_tasks ? NULL : choose_machine(&summary, now);
     if (machine)
         empty_machine(core, machine, now);
-    g_array_free(survey.targets, TRUE);
+    g_array_free(summary.targets, TRUE);
 }
--- a/src/scheduler/consolidation.h
+++ b/src/scheduler/consolidation.h
@@ -1,16 +1,16 @@
 /** @file
- * Consolidation: replicas of services are moved together, so that machines can be
- * returned.
+ * Consolidation: moves replicas of services to fewer machines, so that the others can be
+ * returned to the cloud.
  *
- * Pure functions of the shared state and the time, but for the marks that they set; the
- * caller holds the core's lock throughout. */
+ * Depends only on the core's state and the time. The caller holds the core's lock. */
 #ifndef LMN_SCHEDULER_CONSOLIDATION_H
 #define LMN_SCHEDULER_CONSOLIDATION_H
 
 #include "state/core_state.h"
 
-/** Empties one machine of the partition whose replicas all fit elsewhere, if nothing
- * waits and enough capacity is left: its replicas are stopped, and it is drained. */
+/** Chooses a machine of the partition whose replicas all fit on other machines, marks its
+ * replicas to be stopped, and drains it. Does nothing while tasks wait, or if too little
+ * capacity would stay free. */
 void lmn_consolidate_replicas(struct lmn_core *core, struct lmn_partition *partition,
                               struct timespec now);
 
