--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -1,18 +1,19 @@
 /** @file
- * Fair-share floors and starvation; see fair_share.h. The core's lock is held. */
+ * Fair-share floors and starvation; see fair_share.h. The caller holds the core's lock.
+ */
 #include "scheduler/fair_share.h"
 
-/** A subject's floor, as a fraction of an even part of the processors in use. */
+/** A subject's floor, as a fraction of an even share of the processors in use. */
 static const double FLOOR_FRACTION = 0.25;
-/** Seconds after which a job of which nothing has started is starving. The largest jobs,
- * too, should begin within four minutes; a machine may have to run empty for that. */
+/** Seconds after which a job without a started task is starving. Even the largest jobs
+ * should start within 4 minutes, for which a machine may first have to become empty. */
 static const double STARVING_AFTER_S = 60;
-/** What work costs that is left and has to be bought elsewhere, as a multiple of its
- * worth. */
-static const double LEFT_WORK_COST = 2;
-/** Seconds that a task may run to fill a gap on an ordinary machine that stays for other
- * work anyway. */
-static const double GAP_S = 30;
+/** Cost of work that is never done here and has to be bought elsewhere, as a multiple of
+ * its worth. */
+static const double UNFINISHED_WORK_COST = 2;
+/** Longest run time of an idle task that may use free capacity of an ordinary machine: it
+ * ends before the machine's other tasks do. */
+static const double MAX_BACKFILL_S = 30;
 
 bool lmn_is_under_fair_share(const struct lmn_fair_share *share, double all_used_cpus,
                              unsigned waiting_subjects)
@@ -28,23 +29,23 @@
 {
     for (int i = 0; i < core->partition_count; i++) {
         const struct lmn_partition *partition = &core->partitions[i];
-        GHashTableIter it;
+        GHashTableIter iter;
         gpointer value;
         if (!partition->ownership.is_owned)
             continue;
-        g_hash_table_iter_init(&it, partition->ranges);
-        while (g_hash_table_iter_next(&it, NULL, &value))
+        g_hash_table_iter_init(&iter, partition->ranges);
+        while (g_hash_table_iter_next(&iter, NULL, &value))
             visit(value, data);
     }
 }
 
-/** Whether the range's tasks may wait or run here. */
+/** Whether the range belongs to an active job and this controller tracks its tasks. */
 static bool is_open(const struct lmn_range *range)
 {
     return range->job->phase == LMN_JOB_ACTIVE && range->task_states;
 }
 
-/** The subject's entry; NULL: it has none. */
+/** Returns the subject's entry, or NULL. */
 static struct lmn_fair_share *find_share(const GArray *shares, const void *subject)
 {
     for (guint i = 0; i < shares->len; i++) {
@@ -55,8 +56,8 @@
     return NULL;
 }
 
-/** Adds what the range uses and waits for to the subject's entry, which is made if it is
- * missing. */
+/** Adds the range's usage and demand to the subject's entry; creates the entry if there
+ * is none. */
 static void count_range(GArray *shares, const void *subject,
                         const struct lmn_range *range)
 {
@@ -69,14 +70,14 @@
         g_array_append_val(shares, new_share);
         share = &g_array_index(shares, struct lmn_fair_share, shares->len - 1);
     }
-    /* A faulty job's tasks fail wherever they start: capacity would not help them. */
+    /* A faulty job's tasks fail on every machine, so they do not count as demand. */
     if (lmn_job_is_faulty(&range->job->failures))
         waiting = 0;
     share->used_cpus += range->started_count * range->job->spec.cpus;
     share->waiting_cpus += waiting * range->job->spec.cpus;
 }
 
-/** The shares of classes and teams, while they are counted or applied. */
+/** Shares of classes and of teams, as an argument of range visitors. */
 struct share_tables {
     const struct lmn_core *core;
     GArray *classes; /**< struct lmn_fair_share */
@@ -128,7 +129,7 @@
     return waiting_subjects;
 }
 
-/** Removes the subjects that are not under their floor. Returns whether any is left. */
+/** Removes the subjects that are not under their floor. Returns whether any remain. */
 static bool keep_underserved(GArray *shares)
 {
     double used_cpus;
@@ -160,7 +161,7 @@
     foreach_owned_range(core, count_by_class_and_team, &tables);
     bool has_underserved_class = keep_underserved(tables.classes);
     bool has_underserved = keep_underserved(tables.teams) || has_underserved_class;
-    /* If there was one at the last time, its jobs' marks have to be taken back. */
+    /* Marks that the previous call has set must be cleared. */
     if (has_underserved || core->scheduling.has_underserved_share)
         foreach_owned_range(core, mark_underserved, &tables);
     core->scheduling.has_underserved_share = has_underserved;
@@ -173,13 +174,12 @@
                       const struct lmn_machine_type *type)
 {
     return spec->priority == LMN_PRIORITY_IDLE && spec->may_use_spot &&
-           spec->kind == LMN_JOB_BATCH && spec->estimate_s > GAP_S &&
-           type->price_per_hour > LEFT_WORK_COST * type->spot_price_per_hour &&
+           spec->kind == LMN_JOB_BATCH && spec->estimate_s > MAX_BACKFILL_S &&
+           type->price_per_hour > UNFINISHED_WORK_COST * type->spot_price_per_hour &&
            !lmn_job_spec_has_objective(settings, spec);
 }
 
-/** Whether the partition has a spot instance that could run the job; where it has none,
- * any machine will do. */
+/** Whether the partition has a spot instance that could run the job. */
 static bool has_spot_for(const struct lmn_partition *partition,
                          const struct lmn_job_spec *spec)
 {
--- a/src/scheduler/image_cache.c
+++ b/src/scheduler/image_cache.c
@@ -3,10 +3,10 @@
  * on the machine, the job and the time. */
 #include "scheduler/image_cache.h"
 
-/** Images that are remembered for a machine at most. */
+/** Most images in a machine's list. */
 enum { MAX_IMAGES = 64 };
 
-/** Index of the image in the machine's list; -1: it is not there.
+/** Index of the image in the machine's list; -1 if it is not there.
  * @param name interned */
 static int find_image(const struct lmn_machine *machine, const char *name)
 {
@@ -21,7 +21,7 @@
     return find_image(machine, job->image) >= 0;
 }
 
-/** Seconds that a fetch of the job's image takes with the machine's whole rate. */
+/** Seconds that a fetch of the job's image takes at the machine's full rate. */
 static double full_fetch_s(const struct lmn_machine *machine, const struct lmn_job *job)
 {
     return machine->type && machine->type->pull_gb_per_s > 0
@@ -41,7 +41,7 @@
     return image->ready_at.tv_sec ? MAX(lmn_time_diff_s(image->ready_at, now), 0) : 0;
 }
 
-/** Fetches under way on the machine. */
+/** Number of fetches in progress on the machine. */
 static guint count_fetches(const struct lmn_machine *machine, struct timespec now)
 {
     guint count = 0;
@@ -54,8 +54,8 @@
     return count;
 }
 
-/** Forgets the least recently used images, as a worker does when its cache is full. The
- * last one stays: a worker does not drop the image that it has just used. */
+/** Removes the least recently used images, as a worker does when its cache is full. The
+ * most recently used image always stays, since a worker does not evict it. */
 static void evict_images(struct lmn_machine *machine)
 {
     double cached_gb = 0;
@@ -81,7 +81,7 @@
             g_array_index(machine->images, struct lmn_image, (guint)index).ready_at;
         g_array_remove_index(machine->images, (guint)index);
     } else if (!is_cached) {
-        /* Fetches that are under way may share the machine's rate with it. */
+        /* Each fetch in progress takes an equal part of the machine's rate. */
         double fetch_s = full_fetch_s(machine, job) * (1 + count_fetches(machine, now));
         image.ready_at = lmn_time_add(now, fetch_s);
     }
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -1,21 +1,24 @@
 /** @file
- * The order of jobs and overload triage; see job_order.h. The core's lock is held. */
+ * The order of jobs and overload triage; see job_order.h. The caller holds the core's
+ * lock. */
 #include "scheduler/job_order.h"
 #include "scheduler/fair_share.h"
 
 #include <math.h>
 #include <string.h>
 
-/** Seconds between triages: one takes up to the square of the number of jobs. */
+/** Seconds between triages: the time of one grows with the square of the number of jobs.
+ */
 static const double TRIAGE_INTERVAL_S = 0.4;
-/** Fraction of the estimated run time that a task is expected to take at least. Estimates
- * are often wrong by half: an objective counts as missed only when even a run of half the
- * estimate would come too late. */
+/** Fraction of the estimated run time that a task takes at least. Tasks often run for
+ * half of the estimate, so an objective counts as missed only if a run of that length
+ * would end too late. */
 static const double LEAST_RUN_FRACTION = 0.5;
-/** Least processors and seconds that a task counts with in the remaining work. */
+/** Minimum processors and seconds of a task in the sum of the remaining work. */
 static const double MIN_TASK_CPUS = 0.01, MIN_TASK_S = 1;
 
-/** Takes an objective into account that can be met by a start until then. */
+/** Updates the job for an objective that is met if a task starts by `latest_start_s`.
+ * Objectives that can no longer be met are ignored. */
 static void consider_objective(struct lmn_job *job, double latest_start_s,
                                double wall_clock_s)
 {
@@ -26,7 +29,8 @@
     }
 }
 
-/** Time of day by which a task has to start for the objective, if it runs for `run_s`. */
+/** Time of day by which a task that runs for `run_s` has to start to meet the objective.
+ */
 static double objective_latest_start_s(const struct lmn_objective *objective,
                                        const struct lmn_job *job, double run_s)
 {
@@ -47,9 +51,9 @@
     double run_s = spec->estimate_s * LEAST_RUN_FRACTION;
     bool has_objective = false;
 
-    /* A replica that does not run misses its objective every second anew, however late it
-     * is. If services counted as missed, as batch jobs do, they would wait behind every
-     * batch job that can still meet its objective. */
+    /* A service misses its objective again in every second in which a replica does not
+     * run, so it is never too late to start one. If services counted as missed, as batch
+     * jobs do, they would wait for every batch job that can still meet its objective. */
     if (spec->kind == LMN_JOB_SERVICE) {
         job->has_missed_objective = false;
         job->latest_start_s = job->accepted_at_s;
@@ -76,7 +80,8 @@
     }
 }
 
-/** Processor seconds of the job's tasks in the partition that have not started. */
+/** Estimated processor seconds of the job's tasks in the partition that have not started.
+ */
 static double remaining_cpu_s(const struct lmn_job *job,
                               const struct lmn_partition *partition)
 {
@@ -88,34 +93,35 @@
             tasks +=
                 range->end - range->first - range->finished_count - range->started_count;
     }
-    /* A faulty job is tried with one task at a time. */
+    /* A faulty job is retried with one task at a time. */
     if (lmn_job_is_faulty(&job->failures))
         tasks = MIN(tasks, 1);
     return MAX(tasks, 0) * MAX(job->spec.cpus, MIN_TASK_CPUS) *
            MAX(job->spec.estimate_s, MIN_TASK_S);
 }
 
-static gint compare_latest_start(gconstpointer left, gconstpointer right)
+/** Orders jobs by guarantee and priority, then by latest start. */
+static gint compare_latest_start(gconstpointer first, gconstpointer second)
 {
-    const struct lmn_job *a = *(struct lmn_job *const *)left;
-    const struct lmn_job *b = *(struct lmn_job *const *)right;
+    const struct lmn_job *left = *(struct lmn_job *const *)first;
+    const struct lmn_job *right = *(struct lmn_job *const *)second;
 
-    if (a->is_within_guarantee != b->is_within_guarantee)
-        return a->is_within_guarantee ? -1 : 1;
-    if (a->spec.priority != b->spec.priority)
-        return a->spec.priority > b->spec.priority ? -1 : 1;
-    if (a->latest_start_s != b->latest_start_s)
-        return a->latest_start_s < b->latest_start_s ? -1 : 1;
-    return strcmp(a->spec.id, b->spec.id);
+    if (left->is_within_guarantee != right->is_within_guarantee)
+        return left->is_within_guarantee ? -1 : 1;
+    if (left->spec.priority != right->spec.priority)
+        return left->spec.priority > right->spec.priority ? -1 : 1;
+    if (left->latest_start_s != right->latest_start_s)
+        return left->latest_start_s < right->latest_start_s ? -1 : 1;
+    return strcmp(left->spec.id, right->spec.id);
 }
 
-/** Work that has been planned, in processor seconds. */
+/** Sum of the work of jobs that are not deferred, in processor seconds. */
 struct planned_work {
     double cpu_s;
-    double ordinary_cpu_s; /**< of it, what may not run on spot instances */
+    double ordinary_cpu_s; /**< part of `cpu_s` that may not run on spot instances */
 };
 
-/** Adds the job's remaining work, or takes it away if the sign is -1. */
+/** Adds the job's remaining work if `sign` is 1, or subtracts it if `sign` is -1. */
 static void plan_job(struct planned_work *planned, const struct lmn_job *job, int sign)
 {
     planned->cpu_s += sign * job->remaining_cpu_s;
@@ -123,8 +129,9 @@
         planned->ordinary_cpu_s += sign * job->remaining_cpu_s;
 }
 
-/** Of the first `count` jobs, the one with the most work that may be deferred in favour
- * of the job: of the same urgency, and on machines that the job could use. NULL: none. */
+/** Of the first `count` jobs that may be deferred in favour of `job`, returns the one
+ * with the most remaining work, or NULL. They have the same priority and guarantee as
+ * `job`, and use machines that `job` could use. */
 static struct lmn_job *largest_deferrable(const GPtrArray *jobs, guint count,
                                           const struct lmn_job *job)
 {
@@ -142,11 +149,11 @@
     return largest;
 }
 
-/* With more work than can be done in time, the order by latest start makes all jobs late,
- * one after the other. So the jobs are run through in that order, and whenever one would
- * be late, the largest so far of its urgency is deferred (after J. M. Moore, "An n job,
- * one machine sequencing algorithm for minimizing the number of late jobs", Management
- * Science 15, 1968). */
+/* Under overload, an order by latest start alone makes every job late. Therefore jobs are
+ * planned in that order, and whenever one would be late, the largest job of its priority
+ * that is planned so far is deferred (after J. M. Moore, "An n job, one machine
+ * sequencing algorithm for minimizing the number of late jobs", Management Science 15,
+ * 1968). */
 void lmn_overload_triage(GPtrArray *jobs, double wall_clock_s, double cpus,
                          double ordinary_cpus)
 {
@@ -173,17 +180,17 @@
     }
 }
 
-/** Adds up the processors of the partition's machines that run, or soon will run, tasks.
- */
+/** Adds up the processors of the partition's machines that can run tasks.
+ * @param[out] ordinary_cpus processors of the machines that are not spot instances */
 static void sum_cpus(const struct lmn_partition *partition, double *cpus,
                      double *ordinary_cpus)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     *cpus = *ordinary_cpus = 0;
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_machine *machine = value;
         if (!machine->type || !machine->lifecycle.is_accounted ||
             machine->lifecycle.is_draining || machine->agent.lease_expired ||
@@ -194,16 +201,16 @@
     }
 }
 
-/** Lists the partition's jobs that take part in its triage, each once. The mark
- * triage_partition is left set in them. */
+/** Lists the jobs that take part in the partition's triage, each once. Sets
+ * lmn_job.triage_partition in them; the caller clears it. */
 static GPtrArray *list_triage_jobs(struct lmn_partition *partition)
 {
     GPtrArray *jobs = g_ptr_array_new();
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->ranges);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct lmn_job *job = ((struct lmn_range *)value)->job;
         if (job->phase != LMN_JOB_ACTIVE || job->has_missed_objective ||
             job->triage_partition == partition || job->spec.kind == LMN_JOB_SERVICE)
@@ -229,10 +236,11 @@
 
 void lmn_update_job_order(struct lmn_core *core, double wall_clock_s)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    /* A time of day that was set back must not put the triage off. */
+    /* If the time of day was set back, the triage must not wait until it is reached
+     * again. */
     bool is_triage_due =
         wall_clock_s < core->scheduling.last_triage_s ||
         wall_clock_s - core->scheduling.last_triage_s > TRIAGE_INTERVAL_S;
@@ -247,8 +255,8 @@
         struct lmn_partition *partition = &core->partitions[i];
         if (!partition->ownership.is_owned)
             continue;
-        g_hash_table_iter_init(&it, partition->ranges);
-        while (g_hash_table_iter_next(&it, NULL, &value))
+        g_hash_table_iter_init(&iter, partition->ranges);
+        while (g_hash_table_iter_next(&iter, NULL, &value))
             lmn_job_update_latest_start(core->settings, ((struct lmn_range *)value)->job,
                                         wall_clock_s);
         if (is_triage_due)
@@ -256,7 +264,7 @@
     }
 }
 
-/** Groups of jobs that go before each other, the most urgent first. */
+/** Groups of jobs, the most urgent first. */
 enum urgency_group {
     GROUP_PRODUCTION,
     GROUP_STARVING,
@@ -264,10 +272,10 @@
     GROUP_OTHER
 };
 
-/** A class or team that is under its fair-share floor goes before all but production:
- * with more work than capacity for long, the rest of the order leaves it nothing. So does
- * the first task of a job that has waited for long: otherwise a few of a class's jobs use
- * up its floor, while the others wait for minutes. */
+/** The job's group. Jobs under a fair-share floor come before all but production jobs:
+ * under long overload, the rest of the order would leave their class or team without
+ * capacity. Starving jobs come even before those: otherwise a few jobs of a class use up
+ * its floor while its other jobs wait for minutes. */
 static enum urgency_group urgency_group(const struct lmn_job *job)
 {
     if (job->spec.priority == LMN_PRIORITY_PRODUCTION && !job->has_missed_objective)
@@ -277,24 +285,25 @@
     return job->is_under_fair_share ? GROUP_UNDER_FAIR_SHARE : GROUP_OTHER;
 }
 
-int lmn_job_compare(const struct lmn_job *a, const struct lmn_job *b)
+int lmn_job_compare(const struct lmn_job *left, const struct lmn_job *right)
 {
-    /* A team need not wait for others as long as its work fits into its guarantee. */
-    if (a->is_within_guarantee != b->is_within_guarantee)
-        return a->is_within_guarantee ? -1 : 1;
-    enum urgency_group a_group = urgency_group(a), b_group = urgency_group(b);
-    if (a_group != b_group)
-        return a_group < b_group ? -1 : 1;
-    /* A job that has missed its objectives waits for those that can still meet theirs. */
-    if (a->has_missed_objective != b->has_missed_objective)
-        return a->has_missed_objective ? 1 : -1;
-    if (a->spec.priority != b->spec.priority)
-        return a->spec.priority > b->spec.priority ? -1 : 1;
-    if (!a->has_missed_objective && a->is_deferred != b->is_deferred)
-        return a->is_deferred ? 1 : -1;
-    if (!a->has_missed_objective && a->latest_start_s != b->latest_start_s)
-        return a->latest_start_s < b->latest_start_s ? -1 : 1;
-    if (a->accepted_at_s != b->accepted_at_s)
-        return a->accepted_at_s < b->accepted_at_s ? -1 : 1;
-    return strcmp(a->spec.id, b->spec.id);
+    /* Jobs within their team's guaranteed quota do not wait for other teams' jobs. */
+    if (left->is_within_guarantee != right->is_within_guarantee)
+        return left->is_within_guarantee ? -1 : 1;
+    enum urgency_group left_group = urgency_group(left);
+    enum urgency_group right_group = urgency_group(right);
+    if (left_group != right_group)
+        return left_group < right_group ? -1 : 1;
+    /* A job that has missed its objectives waits for jobs that can still meet theirs. */
+    if (left->has_missed_objective != right->has_missed_objective)
+        return left->has_missed_objective ? 1 : -1;
+    if (left->spec.priority != right->spec.priority)
+        return left->spec.priority > right->spec.priority ? -1 : 1;
+    if (!left->has_missed_objective && left->is_deferred != right->is_deferred)
+        return left->is_deferred ? 1 : -1;
+    if (!left->has_missed_objective && left->latest_start_s != right->latest_start_s)
+        return left->latest_start_s < right->latest_start_s ? -1 : 1;
+    if (left->accepted_at_s != right->accepted_at_s)
+        return left->accepted_at_s < right->accepted_at_s ? -1 : 1;
+    return strcmp(left->spec.id, right->spec.id);
 }
--- a/src/scheduler/job_order.h
+++ b/src/scheduler/job_order.h
@@ -1,31 +1,33 @@
 /** @file
- * The order of jobs: which goes first, by when its next task has to start, and which are
- * put off when not all can meet their objectives.
+ * The order in which jobs are scheduled: their urgency, their latest start times, and
+ * overload triage, which defers some jobs when not all can meet their objectives.
  *
- * Pure functions of the shared state and the time of day, which is passed in seconds. The
- * caller holds the core's lock throughout. */
+ * Depends only on the core's state and the time of day, which is passed in seconds. The
+ * caller holds the core's lock. */
 #ifndef LMN_SCHEDULER_JOB_ORDER_H
 #define LMN_SCHEDULER_JOB_ORDER_H
 
 #include "state/core_state.h"
 
-/** Compares two jobs by urgency, as qsort does: less than 0 if `a` goes first. No two
- * different jobs are equal. */
-int lmn_job_compare(const struct lmn_job *a, const struct lmn_job *b);
+/** Compares two jobs by urgency: less than 0 if `left` is scheduled first. Total order:
+ * only a job compared with itself gives 0. */
+int lmn_job_compare(const struct lmn_job *left, const struct lmn_job *right);
 
-/** Works out the job's latest start and whether its objectives are missed, for that time
- * of day. */
+/** Updates lmn_job.latest_start_s and lmn_job.has_missed_objective for the time of day.
+ */
 void lmn_job_update_latest_start(const struct lmn_settings *settings, struct lmn_job *job,
                                  double wall_clock_s);
 
-/** Updates what the order depends on for all jobs of this controller's partitions; fair
- * shares, starvation and overload triage only from time to time. */
+/** Updates the values that lmn_job_compare uses, for all jobs of this controller's
+ * partitions. Latest starts are updated by every call; fair shares, starvation and
+ * overload triage at most once per TRIAGE_INTERVAL_S (job_order.c). */
 void lmn_update_job_order(struct lmn_core *core, double wall_clock_s);
 
-/** Defers jobs (lmn_job.is_deferred) so that as many as possible meet their objectives.
- * @param jobs struct lmn_job with remaining_cpu_s set and no objective missed; is sorted
+/** Sets lmn_job.is_deferred so that as many jobs as possible meet their objectives.
+ * @param jobs struct lmn_job, with remaining_cpu_s set and without missed objectives; the
+ * array is sorted by latest start
  * @param cpus processors of all machines
- * @param ordinary_cpus processors of those that are no spot instances */
+ * @param ordinary_cpus processors of the machines that are not spot instances */
 void lmn_overload_triage(GPtrArray *jobs, double wall_clock_s, double cpus,
                          double ordinary_cpus);
 
--- a/src/scheduler/local_stealing.c
+++ b/src/scheduler/local_stealing.c
@@ -1,18 +1,18 @@
 /** @file
  * Work stealing inside a partition, after MATRIX (A. Rajendran, thesis, 2013): an idle
- * machine pulls from the busiest queue of a random sample (section 2.3.2, algorithm 2), a
- * share of what it could start (section 4.2.1), and waits for an interval that doubles
- * with each failure up to a cap (sections 2.3.2 and 3.6).
+ * machine steals from the busiest queue of a random sample (section 2.3.2, algorithm 2),
+ * takes a share of the tasks that it could start (section 4.2.1), and after a failure
+ * waits for an interval that doubles up to a cap (sections 2.3.2 and 3.6).
  *
- * The functions depend only on the shared state, the time and the core's random source.
- * The core's lock is held. */
+ * The functions depend only on the core's state, the time and the core's random source.
+ * The caller holds the core's lock. */
 #include "scheduler/local_stealing.h"
 #include "util/log.h"
 #include "scheduler/queue_scan.h"
 #include "state/task_ledger.h"
 
-/** Moves up to `wanted` tasks from the queue to the machine's, the most urgent first.
- * Returns how many were moved. */
+/** Moves up to `wanted` tasks from the queue to the thief's queue, the most urgent first.
+ * Returns the number of tasks moved. */
 static uint32_t move_tasks(struct lmn_core *core, struct lmn_queue *from,
                            struct lmn_machine *thief, uint32_t wanted,
                            struct timespec now)
@@ -35,9 +35,10 @@
     return moved;
 }
 
-/** The queue of a new sample that holds the most tasks that the thief could start; NULL:
- * none holds any.
- * @param[out] load how many it holds */
+/** Draws a sample of queues and returns the one with the most tasks that the thief could
+ * start, or NULL if none has any.
+ * @param[out] load number of tasks in that queue that the thief could start; 0 if there
+ * is none */
 static struct lmn_queue *find_busiest_queue(struct lmn_core *core,
                                             struct lmn_machine *thief, uint32_t *load,
                                             struct timespec now)
@@ -59,8 +60,8 @@
     return busiest;
 }
 
-/** How many tasks to steal of a load. A machine whose commands have no effect gets a
- * single task, to try whether they arrive again. */
+/** Number of tasks to steal from a queue with `load` startable tasks. A machine that
+ * ignores its commands gets a single task, to test whether it obeys again. */
 static uint32_t tasks_to_steal(const struct lmn_core *core,
                                const struct lmn_machine *thief, uint32_t load)
 {
@@ -69,7 +70,7 @@
     return MAX((uint32_t)((double)load * core->cache.operator_settings.share), 1);
 }
 
-/** Sets the time before which the machine does not try again. */
+/** Doubles the machine's steal interval, within the operator's bounds. */
 static void back_off(const struct lmn_core *core, struct lmn_machine *machine,
                      struct timespec now)
 {
--- a/src/scheduler/local_stealing.h
+++ b/src/scheduler/local_stealing.h
@@ -1,17 +1,18 @@
 /** @file
  * Work stealing between the machines of one partition.
  *
- * The queues belong to the same controller, so a steal moves queue segments and writes
- * nothing. Steals between partitions are in scheduler/work_stealing.h. The caller holds
- * the core's lock throughout. */
+ * All queues of a partition belong to one controller, so a steal only moves queue
+ * segments in memory and writes nothing to the key-value store. Steals between partitions
+ * are in scheduler/work_stealing.h. The caller holds the core's lock. */
 #ifndef LMN_SCHEDULER_LOCAL_STEALING_H
 #define LMN_SCHEDULER_LOCAL_STEALING_H
 
 #include "state/core_state.h"
 
-/** Moves tasks that the machine could start into its queue, from the busiest of a random
- * sample of queues. Does nothing until the machine's steal interval is over, which
- * doubles with each failure and is reset by success. Begins a scan
+/** Steals tasks for the machine: takes a random sample of queues, chooses the one with
+ * the most tasks that the machine could start, and moves a share of these into the
+ * machine's queue. Does nothing before the end of the machine's steal interval, which
+ * doubles with each failed steal and is reset by a successful one. Begins a scan
  * (scheduler/queue_scan.h).
  * @return whether any task was moved */
 bool lmn_steal_for_machine(struct lmn_core *core, struct lmn_machine *machine,
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -1,9 +1,10 @@
 /** @file
  * Preemption for production tasks; see preemption.h.
  *
- * Tasks are stopped only as the protocol's section "Preemption" allows. A machine on
- * which capacity is being freed starts nothing of lower priority until then: otherwise
- * small tasks would take each piece as it becomes free. The core's lock is held. */
+ * Tasks are stopped only as the protocol's section "Preemption" allows. While capacity is
+ * being freed on a machine, the machine starts no task of lower priority: otherwise small
+ * tasks would take the capacity of each victim as it ends. The caller holds the core's
+ * lock. */
 #include "scheduler/preemption.h"
 #include "util/log.h"
 #include "scheduler/affinity.h"
@@ -14,24 +15,23 @@
 
 #include <string.h>
 
-/** Waiting tasks that are helped at a time. */
-enum { MAX_HELPED_TASKS = 16 };
-/** Tasks that are preempted for one waiting task at most. */
+/** Most waiting tasks for which one call frees capacity. */
+enum { MAX_WAITING_TASKS = 16 };
+/** Most tasks that are preempted for one waiting task. */
 enum { MAX_VICTIMS = 64 };
 /** Seconds for which a machine's freed capacity is reserved for production tasks. */
 static const double RESERVATION_S = 8;
-/** Seconds of work that count as lost with each preempted task beyond its own: it has to
- * be started again. */
+/** Seconds added to the lost run time of each preempted task, for its later restart. */
 static const double RESTART_S = 5;
-/** What a second of fetching an image counts against a second of work lost. */
+/** Seconds of lost work that are as bad as one second of fetching an image. */
 static const double FETCH_WEIGHT = 4;
-/** Seconds that a preempted task gets beyond the time that saving a checkpoint takes. */
+/** Grace period of a preempted task beyond the time to save its checkpoint. */
 static const double SAVE_MARGIN_S = 1;
 
 /** A production task that waits. */
 struct waiting_task {
-    struct lmn_queue *queue;     /**< that holds it */
-    struct lmn_machine *machine; /**< whose queue that is; NULL: the unassigned queue */
+    struct lmn_queue *queue;     /**< the queue that contains the task */
+    struct lmn_machine *machine; /**< owner of the queue; NULL: the unassigned queue */
     struct lmn_range *range;
     uint32_t index; /**< of the task in its job */
 };
@@ -40,17 +40,18 @@
 struct preemption_plan {
     guint victims[MAX_VICTIMS]; /**< indexes of the machine's attempts */
     guint victim_count;
-    double loss_cpu_s; /**< processor seconds lost; INFINITY: it can't be done */
+    double loss_cpu_s; /**< processor seconds lost; INFINITY: the task can't be made to
+                          fit */
 };
 
-/** Adds waiting production tasks of the queue to the list, until it is full. Tasks for
- * which the machine has freed capacity already are left out. */
+/** Adds the queue's production tasks to the list, up to MAX_WAITING_TASKS. Leaves out as
+ * many as the machine has reserved capacity for. */
 static void collect_waiting(struct lmn_queue *queue, struct lmn_machine *machine,
                             GArray *waiting, struct timespec now)
 {
-    uint32_t served = machine ? machine->reservation.preemption_tasks : 0;
+    uint32_t reserved = machine ? machine->reservation.preemption_tasks : 0;
 
-    for (guint i = 0; i < queue->segments->len && waiting->len < MAX_HELPED_TASKS; i++) {
+    for (guint i = 0; i < queue->segments->len && waiting->len < MAX_WAITING_TASKS; i++) {
         const struct lmn_queue_segment *segment = queue->segments->pdata[i];
         const struct lmn_job *job = segment->job;
         if (job->spec.priority != LMN_PRIORITY_PRODUCTION ||
@@ -58,17 +59,17 @@
             lmn_time_before(now, job->failures.backoff_until))
             continue;
         for (uint32_t index = segment->first;
-             index < segment->end && waiting->len < MAX_HELPED_TASKS; index++) {
+             index < segment->end && waiting->len < MAX_WAITING_TASKS; index++) {
             struct waiting_task task = {queue, machine, segment->range, index};
-            if (served > 0)
-                served--;
+            if (reserved > 0)
+                reserved--;
             else
                 g_array_append_val(waiting, task);
         }
     }
 }
 
-/** Whether the attempt may be preempted for a job of that priority. */
+/** Whether the attempt may be preempted for a job with the spec's priority. */
 static bool is_preemptible(const struct lmn_attempt *attempt,
                            const struct lmn_job_spec *spec)
 {
@@ -79,9 +80,9 @@
             attempt->state == LMN_ATTEMPT_RUNNING);
 }
 
-/** Seconds for which a waiting task can wait for others to save their checkpoints: half
- * of the time within which it should start. What is beyond that goes for the messages and
- * the start itself. */
+/** Most seconds that victims may take to save checkpoints: half of the time within which
+ * the waiting task should start. The other half is for messages and the start itself.
+ * INFINITY if no objective limits the time to start. */
 static double max_save_s(const struct lmn_settings *settings,
                          const struct lmn_job_spec *spec)
 {
@@ -96,13 +97,14 @@
     return least_s / 2;
 }
 
-/** Whether the attempt is given the time to save a checkpoint. */
+/** Whether the attempt gets time to save a checkpoint before it is stopped. */
 static bool gets_time_to_save(const struct lmn_attempt *attempt, double save_limit_s)
 {
     return attempt->job->spec.save_s <= save_limit_s;
 }
 
-/** Processor seconds that would be lost with the attempt. */
+/** Processor seconds of work lost by preempting the attempt.
+ * @param saves the attempt gets time to save a checkpoint */
 static double loss_cpu_s(const struct lmn_attempt *attempt, bool saves,
                          struct timespec now)
 {
@@ -125,8 +127,10 @@
     return false;
 }
 
-/** Index of the attempt that is cheapest to preempt and not in the plan yet; -1: none.
- * @param[out] least_cpu_s its loss */
+/** Index of the attempt, not yet in the plan, whose preemption loses the least work; -1:
+ * none.
+ * @param[out] least_cpu_s processor seconds lost with that attempt; INFINITY if there is
+ * none */
 static int cheapest_victim(const struct lmn_machine *machine,
                            const struct preemption_plan *plan,
                            const struct lmn_job_spec *spec, double save_limit_s,
@@ -149,8 +153,8 @@
     return cheapest;
 }
 
-/** Plans the cheapest way to free capacity for one more task on the machine: attempts are
- * chosen one by one, that with the least loss first, until the task fits. */
+/** Plans how to free capacity for one more task on the machine: chooses attempts in the
+ * order of the work lost with them, the least first, until the task fits. */
 static struct preemption_plan plan_preemption(const struct lmn_machine *machine,
                                               const struct lmn_job_spec *spec,
                                               double save_limit_s, struct timespec now)
@@ -158,7 +162,7 @@
     struct lmn_resources available = lmn_machine_free_resources(machine);
     struct preemption_plan plan;
 
-    /* The list of victims is left unset: this is called for each machine. */
+    /* plan.victims stays uninitialized, to save time: plans are made for each machine. */
     plan.victim_count = 0;
     plan.loss_cpu_s = 0;
     while (!lmn_resources_fit_task(&available, spec)) {
@@ -179,7 +183,7 @@
     return plan;
 }
 
-/** Marks the plan's attempts to be stopped. */
+/** Marks the attempts of the plan to be stopped. */
 static void preempt(struct lmn_machine *machine, const struct preemption_plan *plan,
                     double save_limit_s)
 {
@@ -195,19 +199,20 @@
     }
 }
 
-/** Number of the job's tasks that capacity is being freed for in the zone; 0 if the job
- * has no affinity or anti-affinity, where it does not matter. */
+/** Number of the job's tasks that are queued in the zone on machines with a preemption
+ * reservation. 0 for a job without affinity or anti-affinity, which does not need the
+ * number. */
 static uint32_t count_reserved_in_zone(const struct lmn_partition *partition,
                                        const struct lmn_job *job, const char *zone)
 {
     uint32_t count = 0;
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     if (!job->spec.spreads_over_zones && !job->spec.requires_one_zone)
         return 0;
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_machine *machine = value;
         if (!machine->reservation.preemption_tasks || strcmp(machine->zone, zone))
             continue;
@@ -220,9 +225,8 @@
     return count;
 }
 
-/** Whether a task of the job may be placed on the machine, as far as that does not depend
- * on its free capacity. A machine that sends no heartbeats would keep the task waiting.
- */
+/** Whether capacity may be freed on the machine for a task of the job. A silent machine
+ * is not eligible: the task would wait there until the machine sends heartbeats again. */
 static bool is_eligible(const struct lmn_core *core, const struct lmn_machine *machine,
                         const struct lmn_job *job, struct timespec now)
 {
@@ -231,8 +235,8 @@
            !lmn_machine_is_silent(core, machine, now);
 }
 
-/** The machine where the task costs least, in work lost and in fetching its image; NULL:
- * it can run nowhere. */
+/** Returns the machine with the lowest cost for a task of the job, in work lost and in
+ * time to fetch the image; NULL if no machine is eligible. */
 static struct lmn_machine *find_machine(struct lmn_core *core,
                                         const struct lmn_partition *partition,
                                         const struct lmn_job *job, double save_limit_s,
@@ -240,11 +244,11 @@
 {
     struct lmn_machine *best = NULL;
     double least_cpu_s = INFINITY;
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct lmn_machine *machine = value;
         if (!is_eligible(core, machine, job, now))
             continue;
@@ -263,16 +267,15 @@
     return best;
 }
 
-/** Lists production tasks that wait in the partition. Reservations that have expired are
- * released first. */
+/** Releases expired reservations and lists the partition's waiting production tasks. */
 static GArray *list_waiting(struct lmn_partition *partition, struct timespec now)
 {
     GArray *waiting = g_array_new(FALSE, FALSE, sizeof(struct waiting_task));
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct lmn_machine *machine = value;
         if (machine->reservation.preemption_tasks &&
             lmn_time_before(machine->reservation.preemption_until, now))
@@ -283,10 +286,10 @@
     return waiting;
 }
 
-/** Frees capacity for the task on the best machine, and moves it to that machine's queue.
- */
-static void help_task(struct lmn_core *core, struct lmn_partition *partition,
-                      const struct waiting_task *task, struct timespec now)
+/** Frees capacity for the task on the machine with the lowest cost, and moves the task to
+ * that machine's queue. */
+static void free_capacity_for_task(struct lmn_core *core, struct lmn_partition *partition,
+                                   const struct waiting_task *task, struct timespec now)
 {
     const struct lmn_job *job = task->range->job;
     double save_limit_s = max_save_s(core->settings, &job->spec);
@@ -316,6 +319,7 @@
         return;
     GArray *waiting = list_waiting(partition, now);
     for (guint i = 0; i < waiting->len; i++)
-        help_task(core, partition, &g_array_index(waiting, struct waiting_task, i), now);
+        free_capacity_for_task(core, partition,
+                               &g_array_index(waiting, struct waiting_task, i), now);
     g_array_free(waiting, TRUE);
 }
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -1,16 +1,15 @@
 /** @file
- * Preemption: capacity for production tasks that wait, taken from tasks of lower
- * priority.
+ * Preemption: stops tasks of lower priority to free capacity for waiting production
+ * tasks.
  *
- * Pure functions of the shared state and the time, but for the marks that they set; the
- * caller holds the core's lock throughout. */
+ * Depends only on the core's state and the time. The caller holds the core's lock. */
 #ifndef LMN_SCHEDULER_PREEMPTION_H
 #define LMN_SCHEDULER_PREEMPTION_H
 
 #include "state/core_state.h"
 
-/** Finds machines for production tasks that wait in the partition, preempts tasks of
- * lower priority where capacity is lacking, and wakes those machines. */
+/** Chooses machines for waiting production tasks of the partition, marks tasks of lower
+ * priority to be stopped where a machine lacks capacity, and wakes the machines. */
 void lmn_preempt_for_production(struct lmn_core *core, struct lmn_partition *partition,
                                 struct timespec now);
 
--- a/src/scheduler/queue.c
+++ b/src/scheduler/queue.c
@@ -2,27 +2,27 @@
  * Starting tasks from queues; see queue.h.
  *
  * MATRIX (A. Rajendran, thesis, 2013, section 3.5) starts tasks first in, first out. Here
- * a machine starts the most urgent of its own queue and of a random sample of other
+ * a machine starts the most urgent task of its own queue and of a random sample of other
  * queues.
  *
- * The functions depend only on the shared state, the time and the core's random source.
- * The core's lock is held. */
+ * The functions depend only on the core's state, the time and the core's random source.
+ * The caller holds the core's lock. */
 #include "scheduler/queue.h"
 #include "scheduler/queue_scan.h"
 #include "scheduler/task_start.h"
 #include "state/task_ledger.h"
 
-/** Steals in a row for one machine at most. */
+/** Most steals in one call for a machine. */
 enum { MAX_STEAL_ROUNDS = 8 };
 
-/** A segment that was chosen to start from. */
+/** The segment whose first task is to be started. */
 struct segment_choice {
     struct lmn_queue *queue;
     int index; /**< in the queue; -1: none */
     struct lmn_job *job;
 };
 
-/** The most urgent segment of the queue that the machine could start. */
+/** Chooses the queue's most urgent segment that the machine could start. */
 static struct segment_choice choose_segment(const struct lmn_core *core,
                                             struct lmn_queue *queue,
                                             const struct lmn_machine *machine,
@@ -36,7 +36,7 @@
     return choice;
 }
 
-/** Replaces the choice by a more urgent one, if one of the queues holds it. */
+/** Replaces the choice if one of the queues has a more urgent segment. */
 static void prefer_more_urgent(const struct lmn_core *core, const GPtrArray *queues,
                                const struct lmn_machine *machine,
                                struct segment_choice *choice, struct timespec now)
@@ -50,8 +50,9 @@
     }
 }
 
-/** Takes the first task of the chosen segment out of its queue and starts it on the
- * machine. Returns how many tasks were started: 0 if the task is not queued any more. */
+/** Removes the first task of the chosen segment from its queue and starts it on the
+ * machine. Returns the number of tasks started: 0 if the task is no longer queued,
+ * else 1. */
 static guint start_first_task(struct lmn_core *core, const struct segment_choice *choice,
                               struct lmn_machine *machine, GByteArray *commands,
                               struct timespec now)
@@ -61,8 +62,8 @@
     guint started = 0;
 
     choice->queue->task_count--;
-    /* The task's state decides, not the queue: what is not queued there is not started.
-     */
+    /* The task's state in its range is authoritative: a queue may contain a task that is
+     * no longer to be started. */
     if (range->task_states[segment->first - range->first] != LMN_TASK_QUEUED) {
         segment->first++;
     } else {
@@ -74,10 +75,11 @@
     return started;
 }
 
-/** Starts tasks of the machine's own queue as long as they fit; but where a queue of a
- * random sample holds something more urgent, that first. Queues of busy machines run dry
- * at different times: otherwise the last tasks of a job would wait in the slowest of them
- * while other machines start what came much later. Returns how many were started. */
+/** Starts tasks of the machine's own queue as long as they fit; a more urgent task in a
+ * queue of a random sample is started instead. Busy machines work off their queues at
+ * different speeds: without the sample, the last tasks of a job would wait in the slowest
+ * queue while other machines start jobs that came much later. Returns the number of tasks
+ * started. */
 static guint start_tasks(struct lmn_core *core, struct lmn_machine *machine,
                          GByteArray *commands, struct timespec now)
 {
@@ -94,7 +96,7 @@
         prefer_more_urgent(core, sample, machine, &choice, now);
         core->counters.steals += choice.queue != &machine->queue;
         started += start_first_task(core, &choice, machine, commands, now);
-        /* One task is enough to try whether the machine's commands arrive again. */
+        /* One task is enough to test whether the machine obeys commands again. */
         if (started && machine->agent.ignored_commands)
             break;
     }
@@ -111,8 +113,8 @@
         return 0;
     lmn_queue_scan_begin(core);
     guint started = start_tasks(core, machine, commands, now);
-    /* With capacity left and nothing in its own queue that fits, the machine steals until
-     * that brings nothing. */
+    /* While it has free capacity and no task in its own queue fits, the machine steals.
+     */
     for (int round = 0; round < MAX_STEAL_ROUNDS; round++) {
         if ((machine->agent.ignored_commands && started) ||
             lmn_queue_scan_count_startable(core, &machine->queue, machine, now) ||
--- a/src/scheduler/queue_scan.c
+++ b/src/scheduler/queue_scan.c
@@ -1,6 +1,6 @@
 /** @file
  * Scans over queues; see queue_scan.h. These functions are the hot path of a controller:
- * they allocate nothing but the sample's array. */
+ * the array of a sample is all that they allocate. */
 #include "scheduler/queue_scan.h"
 #include "scheduler/image_cache.h"
 #include "scheduler/job_order.h"
@@ -8,8 +8,8 @@
 
 #include <math.h>
 
-/** What a second of fetching an image counts against a second of being late: a fetch also
- * holds capacity idle. */
+/** Seconds by which each second of fetching an image moves a job's latest start back. It
+ * is more than 1 because a fetch also keeps capacity idle. */
 static const double FETCH_WEIGHT = 4;
 
 void lmn_queue_scan_begin(struct lmn_core *core)
@@ -23,8 +23,8 @@
     core->scheduling.start_generation++;
 }
 
-/** Whether the machine could start a task of the job now. Within a scan a job that can't
- * start stays so, while one that could is checked again after each start. */
+/** Whether the machine could start a task of the job now. A negative result is valid
+ * until the scan ends, a positive one until the next start. */
 static bool is_startable(const struct lmn_core *core, const struct lmn_machine *machine,
                          struct lmn_job *job, struct timespec now)
 {
@@ -40,10 +40,10 @@
     return may_start;
 }
 
-/** lmn_image_fetch_s, remembered until the next start. */
-static double remembered_fetch_s(const struct lmn_core *core,
-                                 const struct lmn_machine *machine, struct lmn_job *job,
-                                 struct timespec now)
+/** lmn_image_fetch_s, cached until the next start. */
+static double cached_fetch_s(const struct lmn_core *core,
+                             const struct lmn_machine *machine, struct lmn_job *job,
+                             struct timespec now)
 {
     if (job->fetch_scan != core->scheduling.start_generation) {
         job->fetch_s = lmn_image_fetch_s(machine, job, now);
@@ -52,39 +52,42 @@
     return job->fetch_s;
 }
 
-/** Whether the two jobs differ in nothing that goes before their latest starts. */
-static bool have_same_urgency(const struct lmn_job *a, const struct lmn_job *b)
+/** Whether the two jobs are equal in all that lmn_job_compare ranks above latest starts.
+ */
+static bool have_same_urgency(const struct lmn_job *left, const struct lmn_job *right)
 {
-    return a->is_within_guarantee == b->is_within_guarantee &&
-           a->is_under_fair_share == b->is_under_fair_share &&
-           a->is_starving == b->is_starving &&
-           a->has_missed_objective == b->has_missed_objective &&
-           a->is_deferred == b->is_deferred && a->spec.priority == b->spec.priority;
+    return left->is_within_guarantee == right->is_within_guarantee &&
+           left->is_under_fair_share == right->is_under_fair_share &&
+           left->is_starving == right->is_starving &&
+           left->has_missed_objective == right->has_missed_objective &&
+           left->is_deferred == right->is_deferred &&
+           left->spec.priority == right->spec.priority;
 }
 
-/** The job's latest start, set back by the fetch of its image. A task whose image is
- * missing would start, and end, later by the fetch, and hold its capacity idle meanwhile.
- * So do those that start after it while the fetch is under way: if the image counted as
- * cached from the first start on, whole machines would wait side by side for one fetch,
- * with other work in their queues that lacks nothing. */
+/** The job's latest start plus the weighted time to fetch its image. A task without its
+ * image would end later by the fetch time, and keep capacity idle meanwhile. This also
+ * holds for tasks that start while a fetch is in progress: if the image counted as cached
+ * from the first start on, tasks that wait for one fetch would fill a whole machine,
+ * while tasks in its queue that could run at once wait. */
 static double weighted_start_s(const struct lmn_core *core,
                                const struct lmn_machine *machine, struct lmn_job *job,
                                struct timespec now)
 {
     return (job->has_missed_objective ? 0 : job->latest_start_s) +
-           FETCH_WEIGHT * remembered_fetch_s(core, machine, job, now);
+           FETCH_WEIGHT * cached_fetch_s(core, machine, job, now);
 }
 
 int lmn_queue_scan_compare(const struct lmn_core *core, const struct lmn_machine *machine,
-                           struct lmn_job *a, struct lmn_job *b, struct timespec now)
+                           struct lmn_job *left, struct lmn_job *right,
+                           struct timespec now)
 {
-    if (have_same_urgency(a, b)) {
-        double a_start_s = weighted_start_s(core, machine, a, now);
-        double b_start_s = weighted_start_s(core, machine, b, now);
-        if (a_start_s != b_start_s)
-            return a_start_s < b_start_s ? -1 : 1;
+    if (have_same_urgency(left, right)) {
+        double left_start_s = weighted_start_s(core, machine, left, now);
+        double right_start_s = weighted_start_s(core, machine, right, now);
+        if (left_start_s != right_start_s)
+            return left_start_s < right_start_s ? -1 : 1;
     }
-    return lmn_job_compare(a, b);
+    return lmn_job_compare(left, right);
 }
 
 int lmn_queue_scan_best_segment(const struct lmn_core *core,
@@ -133,8 +136,9 @@
     machines[k]->list_index = k;
 }
 
-/** Size of a sample of `others` queues: the operator's setting, or twice the square root
- * of the number of machines (MATRIX, section 4.2.2, finds the root best). */
+/** Number of queues in a sample, of `others` queues at most: the operator's setting, or
+ * twice the square root of the number of machines (MATRIX, section 4.2.2, found the
+ * square root best). */
 static guint sample_size(const struct lmn_core *core, guint others)
 {
     guint size = core->cache.operator_settings.sample > 0
@@ -152,9 +156,9 @@
     guint others = partition->machine_list->len - 1;
     guint size = sample_size(core, others);
 
-    /* A partial shuffle of the list itself: the sample is its first places, with the
-     * machine's own place moved to the end. So the cost of a sample does not grow with
-     * the partition. */
+    /* Partial Fisher-Yates shuffle of the list itself, with the machine moved to the end
+     * of the list; the first `size` entries are the sample. So a sample takes time in
+     * proportion to its own size, not to that of the partition. */
     swap_machines(machines, machine->list_index, others);
     for (guint i = 0; i < size; i++) {
         guint offset = (guint)g_rand_int_range(core->random, 0, (gint32)(others - i));
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -1,10 +1,10 @@
 /** @file
- * Work stealing between partitions, after MATRIX (A. Rajendran, thesis, 2013): first the
- * load is asked for, then tasks are stolen (section 3.3), with an interval that doubles
+ * Work stealing between partitions, after MATRIX (A. Rajendran, thesis, 2013): the thief
+ * first queries the victims' load, then steals tasks (section 3.3); its interval doubles
  * with each failure up to a cap (sections 2.3.2 and 3.6).
  *
- * Only queued tasks move, never one that was started, under whatever epoch. The functions
- * depend only on the shared state and the time. The core's lock is held. */
+ * Only queued tasks move, never a task that was started, in whatever epoch. The functions
+ * depend only on the core's state and the time. The caller holds the core's lock. */
 #include "scheduler/work_stealing.h"
 #include "util/log.h"
 #include "scheduler/assignment.h"
@@ -17,14 +17,14 @@
 
 #include <string.h>
 
-/** Free processors below which a machine is not idle enough to steal for. */
+/** Free processors that a machine must have to steal for it. */
 static const double MIN_FREE_CPUS = 0.01;
-/** What a team without a limit may use, in processors or GPUs. */
+/** Unused quota of a team without a limit, in processors or GPUs. */
 static const double UNLIMITED = 1e12;
-/** Seconds after a successful steal until the next: what was stolen has to arrive before
- * there is any sense in another. */
+/** Seconds from a successful steal to the next: the stolen tasks have to arrive before
+ * the partition's idle capacity is known again. */
 static const double ARRIVAL_S = 0.25;
-/** Least seconds between steals after a failure. */
+/** Minimum seconds between steals after a failure. */
 static const double MIN_INTERVAL_S = 0.1;
 
 void lmn_steal_request_init(struct lmn_steal_request *request,
@@ -41,7 +41,8 @@
     g_free(request->team_free_gpus);
 }
 
-/** Whether tasks from other partitions could start on the machine. */
+/** Whether the machine has free capacity and no queued tasks, and may start stolen tasks.
+ */
 static bool is_idle(const struct lmn_machine *machine)
 {
     return machine->stealing.is_idle_with_capacity && !machine->queue.task_count &&
@@ -51,7 +52,7 @@
            lmn_machine_free_resources(machine).cpus >= MIN_FREE_CPUS;
 }
 
-/** Adds what is free on the machine to the request. */
+/** Adds the machine's free capacity to the request. */
 static void add_capacity(struct lmn_steal_request *request,
                          const struct lmn_machine *machine)
 {
@@ -66,7 +67,7 @@
     capacity->memory_gb = available.memory_gb;
 }
 
-/** Fills in what the teams' quota shares leave in the partition. */
+/** Fills in the unused quota of each team in the partition. */
 static void fill_team_quotas(const struct lmn_core *core,
                              const struct lmn_partition *partition,
                              struct lmn_steal_request *request)
@@ -85,7 +86,7 @@
 bool lmn_steal_request_fill(struct lmn_core *core, struct lmn_partition *partition,
                             struct lmn_steal_request *request, struct timespec now)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     request->partition = partition->id;
@@ -94,8 +95,8 @@
         partition->ownership.is_transferring ||
         lmn_time_before(now, partition->scheduling.next_steal_at))
         return false;
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value) &&
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value) &&
            request->capacity_count < LMN_MAX_STEAL_CAPACITIES)
         if (is_idle(value))
             add_capacity(request, value);
@@ -103,7 +104,7 @@
     return request->capacity_count > 0;
 }
 
-/** How many tasks of the job the thief has free capacity and quota for. */
+/** Number of the job's tasks that fit into the thief's free capacity and unused quota. */
 static uint32_t thief_task_capacity(const struct lmn_core *core,
                                     const struct lmn_steal_request *request,
                                     const struct lmn_job *job)
@@ -130,15 +131,16 @@
     return (uint32_t)MAX(MIN(fitting, within_quota), 0);
 }
 
-/** Whether the job's tasks depend on each other's zones: one owner has to see them all.
- */
+/** Whether the job has zone affinity or anti-affinity. All its tasks must then belong to
+ * one owner, since the zone of each depends on those of the others. */
 static bool is_indivisible(const struct lmn_job *job)
 {
     return job->spec.requires_one_zone || job->spec.spreads_over_zones;
 }
 
-/** Whether the range is all of its job, and nothing of it has begun, ended or may be on
- * any machine: moved as one, the job still has one owner that sees all of its tasks. */
+/** Whether the range contains all tasks of its job, and none of them has started, ended
+ * or may be on a machine. A move of the whole range then keeps all tasks with one owner.
+ */
 static bool is_untouched(const struct lmn_range *range)
 {
     const struct lmn_job *job = range->job;
@@ -150,7 +152,8 @@
            !range->finished_count && placed_tasks == 0;
 }
 
-/** Number of queued tasks at the end of the range: what a move can take at most. */
+/** Number of queued tasks at the end of the range, which is the most that one move can
+ * take. 0 if the range can't be moved. */
 static uint32_t count_queued_tail(const struct lmn_range *range)
 {
     uint32_t tasks = range->end - range->first, tail_start = tasks;
@@ -158,7 +161,7 @@
     if (!range->task_states || range->job->phase != LMN_JOB_ACTIVE || range->is_writing ||
         range->move_to >= 0)
         return 0;
-    /* Tasks of a faulty job, which fail wherever they start, are not worth a write. */
+    /* Tasks of a faulty job fail on every machine: to move them would waste a write. */
     if ((is_indivisible(range->job) && !is_untouched(range)) ||
         lmn_job_is_faulty(&range->job->failures))
         return 0;
@@ -167,9 +170,9 @@
     return tasks - tail_start;
 }
 
-/** How many of the range's tasks should go to the thief. Of a job that can only be moved
- * as one, all, if one of them could start there: otherwise such a job would wait for ever
- * in a partition without a machine in its zone. */
+/** Number of the range's tasks that may move to the thief. An indivisible job moves as a
+ * whole if the thief could start one task of it: otherwise it would wait for ever in a
+ * partition without a machine in its zone. */
 static uint32_t count_movable(const struct lmn_core *core,
                               const struct lmn_steal_request *request,
                               const struct lmn_range *range)
@@ -180,7 +183,7 @@
     return capacity && is_indivisible(range->job) ? queued : MIN(queued, capacity);
 }
 
-/** Whether tasks of the partition may be moved to the thief's. */
+/** Whether the thief may steal tasks from the partition. */
 static bool may_be_victim(const struct lmn_partition *partition,
                           const struct lmn_steal_request *request)
 {
@@ -192,47 +195,47 @@
                          const struct lmn_partition *partition,
                          const struct lmn_steal_request *request)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
     uint32_t load = 0;
 
     if (!may_be_victim(partition, request))
         return 0;
-    g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &value))
+    g_hash_table_iter_init(&iter, partition->ranges);
+    while (g_hash_table_iter_next(&iter, NULL, &value))
         load += count_movable(core, request, value);
     return load;
 }
 
-/** Whether some machine of the partition could run the job. */
+/** Whether any machine of the partition could run the job. */
 static bool has_machine_for(const struct lmn_partition *partition,
                             const struct lmn_job *job)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value))
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value))
         if (lmn_machine_can_run(value, job))
             return true;
     return false;
 }
 
-/** The range to move tasks of: that of the most urgent job, and of its ranges the one
- * with the most movable tasks; NULL: none.
- * @param[out] movable how many tasks of it should move */
+/** Returns the range to steal from: of the most urgent job, the range with the most
+ * movable tasks; NULL if there is none.
+ * @param[out] movable number of movable tasks in that range */
 static struct lmn_range *choose_range(const struct lmn_core *core,
                                       const struct lmn_partition *partition,
                                       const struct lmn_steal_request *request,
                                       uint32_t *movable)
 {
     struct lmn_range *best = NULL;
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     *movable = 0;
-    g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->ranges);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct lmn_range *range = value;
         uint32_t tasks = count_movable(core, request, range);
         if (!tasks)
@@ -246,9 +249,10 @@
     return best;
 }
 
-/** How many of the range's movable tasks move: the operator's share of what is queued
- * (MATRIX, section 4.2.1), but no more than can start there now; and all that can, where
- * no machine of the victim's own could ever run them. */
+/** Number of the range's tasks to move: the fraction of its queued tasks that the
+ * operator setting `share` gives (MATRIX, section 4.2.1), at most `movable` and at least
+ * one. All movable tasks, if the victim has no machine that could run them or the job is
+ * indivisible. */
 static uint32_t tasks_to_move(const struct lmn_core *core,
                               const struct lmn_partition *partition,
                               const struct lmn_range *range, uint32_t movable)
@@ -261,16 +265,16 @@
     return MIN(movable, MAX(wanted, 1));
 }
 
-/** Takes the range's tasks from `first` on out of all queues of its partition. */
+/** Removes the range's tasks from `first` on from all queues of the partition. */
 static void dequeue_tail(struct lmn_partition *partition, const struct lmn_range *range,
                          uint32_t first)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     lmn_queue_remove_tail(&partition->scheduling.unassigned, range, first);
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value))
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value))
         lmn_queue_remove_tail(&((struct lmn_machine *)value)->queue, range, first);
 }
 
