--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -1,6 +1,5 @@
 /** @file
- * Quota shares of partitions; see quota.h. Without a record each partition has an even
- * share. The core's lock is held. */
+ * Quota shares of partitions; see quota.h. The caller holds the core's lock. */
 #include "scheduler/quota.h"
 #include "scheduler/resources.h"
 
@@ -30,32 +29,35 @@
     }
 }
 
-/** Above the processors of any task. */
+/** Processors; more than any task requests. */
 static const double NO_TASK_CPUS = 1e12;
 
-/** Queued tasks of the range that could start if quota and capacity allowed it. */
+/** Number of the range's queued tasks that could start if quota and capacity sufficed. */
 static double count_waiting(const struct lmn_range *range)
 {
     double count = range->task_states ? range->end - range->first -
                                             range->finished_count - range->started_count
                                       : 0;
 
-    /* A faulty job is tried with one task at a time. */
+    /* A faulty job is retried with one task at a time. */
     return count > 0 && lmn_job_is_faulty(&range->job->failures) ? 1 : count;
 }
 
-/** Adds up what the team's queued tasks in the partition ask for, and what the largest of
- * them does. Returns the processors of the smallest. */
+/** Fills in a request for all of the team's queued tasks in the partition, as if it had
+ * no share.
+ * @param[out] request sums of all queued tasks; the `least` fields are those of the
+ * largest task
+ * @return processors of the smallest queued task; NO_TASK_CPUS if there is none */
 static double sum_queued(const struct lmn_partition *partition, int team,
                          struct lmn_quota_request *request)
 {
     double smallest_cpus = NO_TASK_CPUS;
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     *request = (struct lmn_quota_request){.team = team};
-    g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->ranges);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_range *range = value;
         const struct lmn_job_spec *spec = &range->job->spec;
         if (range->job->team != team || range->job->phase != LMN_JOB_ACTIVE)
@@ -72,9 +74,10 @@
     return smallest_cpus;
 }
 
-/** Processors that are free on the partition's machines, counted only where a task of
- * that size fits. Unlike lmn_machine_can_run this asks no job, and counts a machine that
- * is not recorded yet, but none that is known only by its replica. */
+/** Sum of the free processors of the partition's machines that have at least `task_cpus`
+ * free. Unlike lmn_machine_can_run, this does not depend on a job, counts machines that
+ * are not yet recorded in the key-value store, and does not count machines that are known
+ * only from a replica. */
 static double sum_free_cpus(const struct lmn_partition *partition, double task_cpus)
 {
     double sum = 0;
@@ -91,9 +94,10 @@
     return sum;
 }
 
-/** Reduces a request for all queued tasks to what the share leaves uncovered: of each
- * resource only if the largest task does not fit. The least is what a task needs beyond
- * the whole share, which waiting for other tasks to end would never give it. */
+/** Reduces a request for all queued tasks by the partition's own share. A resource is
+ * requested only if the unused share is too small for the largest task. The `least`
+ * fields become what the largest task needs beyond the whole share, which it would not
+ * get even after all other tasks have ended. */
 static void subtract_share(const struct lmn_core *core,
                            const struct lmn_partition *partition,
                            struct lmn_quota_request *request)
@@ -111,9 +115,9 @@
     request->least_gpus = MAX(request->least_gpus - gpus, 0);
 }
 
-/** Reduces a request to what the partition has machines for: quota beyond that would lie
- * idle here, while other partitions have free capacity. */
-static void bound_by_capacity(const struct lmn_partition *partition, double smallest_cpus,
+/** Reduces a request to the quota that the partition's free capacity can use: any more
+ * would be unused here, while other partitions with free capacity lack it. */
+static void limit_to_capacity(const struct lmn_partition *partition, double smallest_cpus,
                               struct lmn_quota_request *request)
 {
     double free_cpus = request->cpus > 0 || request->gpus > 0
@@ -137,7 +141,7 @@
         return false;
     double smallest_cpus = sum_queued(partition, team, request);
     subtract_share(core, partition, request);
-    bound_by_capacity(partition, smallest_cpus, request);
+    limit_to_capacity(partition, smallest_cpus, request);
     if (limits->cpus_max <= 0)
         request->cpus = request->least_cpus = 0;
     if (limits->gpus_max <= 0)
@@ -155,17 +159,18 @@
         &partition->quota.reservations[team];
     struct lmn_quota_request own;
 
-    /* A partition can spare what its own queue does not need or has no capacity for:
-     * otherwise one whose machines are full would keep most of the limit, while another
-     * with free capacity has none left. What is reserved for a job that waits for it
-     * (scheduler/reservation.h) stays. */
+    /* A partition keeps the quota that its queued tasks need and its free capacity can
+     * use. If it kept quota for all queued tasks, a partition whose machines are full
+     * could hold most of the limit while another with free capacity has none. It also
+     * keeps quota that is reserved for a waiting job (scheduler/reservation.h). */
     double smallest_cpus = sum_queued(partition, team, &own);
     lmn_quota_share(core, partition, team, cpus, gpus);
     own.cpus = own.cpus > 0 ? MIN(own.cpus, sum_free_cpus(partition, smallest_cpus)) : 0;
     own.cpus = MAX(own.cpus, reservation->job ? reservation->cpus : 0);
     *cpus -= partition->quota.used_cpus[team] + own.cpus;
     *gpus -= partition->quota.used_gpus[team] + own.gpus;
-    /* It gives at least that without which the other could never start its task. */
+    /* Without the least quota the requesting partition could never start its largest
+     * task. */
     *cpus = MAX(MIN(request->cpus, *cpus), request->least_cpus);
     *gpus = MAX(MIN(request->gpus, *gpus), request->least_gpus);
 }
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -1,45 +1,49 @@
 /** @file
- * Quota shares: the part of a team's quota limit that a partition may use, how much of it
- * the partition is short of, and how much it can spare for others.
+ * Quota shares: the part of a team's quota limit that a partition may use, how much quota
+ * the partition lacks, and how much it can transfer to another partition.
  *
- * A limit is partitioned, so that each owner keeps to its share without asking anybody.
- * Shares are moved by partition/quota_transfer.h. Pure functions of the shared state; the
- * caller holds the core's lock throughout. */
+ * A team's limit is divided among the partitions, so that each controller can keep to its
+ * partition's share without asking the others. partition/quota_transfer.h transfers quota
+ * between partitions. Pure functions of the core's state. The caller holds the core's
+ * lock. */
 #ifndef LMN_SCHEDULER_QUOTA_H
 #define LMN_SCHEDULER_QUOTA_H
 
 #include "state/core_state.h"
 
-/** What a partition is short of for a team, in processors and GPUs. */
+/** Quota that a partition lacks for a team's queued tasks. */
 struct lmn_quota_request {
-    int team;    /**< index in the settings */
-    double cpus; /**< that its queued tasks could use */
-    double gpus;
-    double least_cpus; /**< without which its largest queued task could never start */
-    double least_gpus;
+    int team;          /**< index in the settings */
+    double cpus;       /**< processors that the queued tasks could use */
+    double gpus;       /**< GPUs that the queued tasks could use */
+    double least_cpus; /**< processors without which the largest queued task can never
+                          start */
+    double least_gpus; /**< GPUs without which the largest queued task can never start */
 };
 
-/** Whether the team's processors or GPUs are limited at all. */
+/** Whether the team has a limit on processors or GPUs. */
 bool lmn_team_has_limit(const struct lmn_team *team);
 
-/** The share that each partition has as long as no record says otherwise. */
+/** The share of each partition while the key-value store has no record of the team's
+ * shares: the limit divided by the number of partitions. */
 void lmn_quota_even_share(const struct lmn_core *core, int team, double *cpus,
                           double *gpus);
 
-/** What the partition could give to one that has made the request: not more than it asks
- * for, but at least what it could else never start with. */
+/** Quota that the partition could transfer to the partition that made the request: at
+ * most request->cpus and request->gpus, and at least request->least_cpus and
+ * request->least_gpus, even if the partition needs that quota itself. */
 void lmn_quota_transferable(const struct lmn_core *core,
                             const struct lmn_partition *partition,
                             const struct lmn_quota_request *request, double *cpus,
                             double *gpus);
 
-/** What the team's tasks in the partition may use: its share, less what is on its way to
- * another partition. */
+/** Quota that the team's tasks in the partition may use: the partition's share, less a
+ * transfer to another partition that is in progress. */
 void lmn_quota_share(const struct lmn_core *core, const struct lmn_partition *partition,
                      int team, double *cpus, double *gpus);
 
-/** Whether the partition is short of the team's quota.
- * @param[out] request by how much, if so */
+/** Whether the partition lacks quota for the team's queued tasks.
+ * @param[out] request the quota that it lacks; valid only if the result is true */
 bool lmn_quota_shortfall(const struct lmn_core *core,
                          const struct lmn_partition *partition, int team,
                          struct lmn_quota_request *request);
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -1,5 +1,5 @@
 /** @file
- * Backfill reservations; see reservation.h. The core's lock is held. */
+ * Backfill reservations; see reservation.h. The caller holds the core's lock. */
 #include "scheduler/reservation.h"
 #include "util/log.h"
 #include "scheduler/resources.h"
@@ -8,17 +8,17 @@
 
 #include <string.h>
 
-/** Seconds for which capacity is reserved for a job before another place is looked for.
- */
+/** Seconds after which a reservation for a job expires, and another machine is chosen. */
 static const double JOB_RESERVATION_S = 60;
-/** Seconds for which quota is reserved for another partition, which asks again within 8 s
- * (controller/rpc_server.c). */
+/** Seconds for which quota is reserved for another partition. Must exceed the 8 s within
+ * which that partition repeats its request (controller/rpc_server.c). */
 static const double PARTITION_RESERVATION_S = 12;
-/** One machine of so many in a partition is reserved at a time, and one at least. */
+/** A partition reserves at most one in this many of its machines, but always may reserve
+ * one. */
 enum { MACHINES_PER_RESERVATION = 20 };
-/** Seconds that a job has waited before anything is reserved for it: a starving job goes
- * first wherever it fits. With reservations from 60 s on, and for tasks of any size,
- * machines ran empty a hundred times on a day with more work than capacity. */
+/** Seconds that a job must wait before anything is reserved for it. Until then a starving
+ * job starts before others wherever it fits. Reservations after 60 s and for tasks of any
+ * size left machines empty a hundred times in a day of overload. */
 static const double RESERVE_AFTER_S = 120;
 
 static void release_machine(struct lmn_machine *machine)
@@ -38,13 +38,13 @@
 {
     struct lmn_quota_reservation *reservation = &partition->quota.reservations[team];
 
-    /* A job of our own that waits comes first. */
+    /* A reservation for a waiting job of this partition takes precedence. */
     if (!is_current(reservation, now))
         *reservation = (struct lmn_quota_reservation){
             NULL, cpus, gpus, lmn_time_add(now, PARTITION_RESERVATION_S)};
 }
 
-/** Whether the machine as a whole is large enough for a task of the job. */
+/** Whether a task of the job would fit on the machine if the machine were empty. */
 static bool is_large_enough(const struct lmn_machine *machine,
                             const struct lmn_job_spec *spec)
 {
@@ -52,8 +52,8 @@
              machine->type->memory_gb < spec->memory_gb);
 }
 
-/** The machine that could run the job's task once it is empty, and has the most
- * processors free already; NULL: none. */
+/** Of the machines without a reservation that could run a task of the job when empty,
+ * returns the one with the most free processors, or NULL. */
 static struct lmn_machine *find_machine(const struct lmn_partition *partition,
                                         const struct lmn_job *job)
 {
@@ -72,7 +72,7 @@
     return best;
 }
 
-/** The queue that holds a segment of the range; NULL: none.
+/** Returns a queue of the partition that contains a segment of the range, or NULL.
  * @param[out] index first task of that segment */
 static struct lmn_queue *find_queue(struct lmn_partition *partition,
                                     const struct lmn_range *range, uint32_t *index)
@@ -92,8 +92,8 @@
     return NULL;
 }
 
-/** Moves one of the range's queued tasks to the machine's own queue, so that it is found
- * there as soon as it fits. */
+/** Moves one of the range's queued tasks to the machine's queue, so that the machine
+ * starts it as soon as it fits. */
 static void move_task_to(struct lmn_machine *machine, struct lmn_range *range)
 {
     uint32_t index = 0;
@@ -118,7 +118,8 @@
     return false;
 }
 
-/** Whether some machine could start a task of the job now, or one is reserved for it. */
+/** Whether a machine of the partition could start a task of the job now, or is reserved
+ * for the job. */
 static bool has_machine(const struct lmn_partition *partition, const struct lmn_job *job)
 {
     for (guint i = 0; i < partition->machine_list->len; i++) {
@@ -132,8 +133,9 @@
     return false;
 }
 
-/** Reserves quota for a task of the job, unless it is reserved for another. What is more
- * than the whole share has to come from other partitions (partition/quota_transfer.h). */
+/** Reserves quota of the partition's share for one task of the job, unless quota is
+ * reserved for another job. A task that needs more than the whole share waits for a
+ * transfer from other partitions (partition/quota_transfer.h). */
 static void reserve_quota_for_job(struct lmn_partition *partition,
                                   const struct lmn_job *job, struct timespec now)
 {
@@ -144,8 +146,9 @@
             job, job->spec.cpus, job->spec.gpus, lmn_time_add(now, JOB_RESERVATION_S)};
 }
 
-/** Reserves what a task of the range lacks: quota, or else a machine.
- * @param machines_left how many machines may still be reserved */
+/** Reserves quota for a task of the range if it lacks quota, else a machine if none has
+ * room.
+ * @param[in,out] machines_left number of machines that may still be reserved */
 static void reserve_for_range(struct lmn_core *core, struct lmn_range *range,
                               guint *machines_left, struct timespec now)
 {
@@ -169,8 +172,9 @@
     move_task_to(machine, range);
 }
 
-/** Whether the machine's reservation is not needed any more. The job that waited in the
- * partition may have moved to another one: then nothing could start on the machine. */
+/** Whether the machine is reserved for a job that no longer needs it. The job's waiting
+ * tasks may have moved to another partition: the machine would then start nothing until
+ * the reservation expires. */
 static bool has_obsolete_reservation(const struct lmn_machine *machine,
                                      struct timespec now)
 {
@@ -182,8 +186,8 @@
                    !lmn_machine_can_run(machine, job));
 }
 
-/** Releases machines whose reservations are obsolete. Returns how many may be reserved
- * beside those that still are. */
+/** Releases machines whose reservations are obsolete. Returns how many more machines may
+ * be reserved. */
 static guint release_machines(struct lmn_partition *partition, struct timespec now)
 {
     guint machines_left = MAX(partition->machine_list->len / MACHINES_PER_RESERVATION, 1);
@@ -198,7 +202,7 @@
     return machines_left;
 }
 
-/** Releases quota whose reservations are over. */
+/** Releases quota reservations that have expired or whose job no longer needs them. */
 static void release_quotas(const struct lmn_core *core, struct lmn_partition *partition,
                            struct timespec now)
 {
@@ -212,7 +216,7 @@
     }
 }
 
-/** Whether something should be reserved for a task of the range if it lacks it. */
+/** Whether quota or a machine may be reserved for a task of the range. */
 static bool may_reserve(const struct lmn_core *core, const struct lmn_range *range)
 {
     const struct lmn_job *job = range->job;
@@ -227,7 +231,7 @@
 void lmn_update_reservations(struct lmn_core *core, struct lmn_partition *partition,
                              struct timespec now)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     if (!partition->ownership.is_owned)
@@ -236,8 +240,8 @@
     release_quotas(core, partition, now);
     if (!partition->ownership.inherited_may_start || partition->ownership.is_transferring)
         return;
-    g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &value))
+    g_hash_table_iter_init(&iter, partition->ranges);
+    while (g_hash_table_iter_next(&iter, NULL, &value))
         if (may_reserve(core, value))
             reserve_for_range(core, value, &machines_left, now);
 }
--- a/src/scheduler/resources.h
+++ b/src/scheduler/resources.h
@@ -1,9 +1,9 @@
 /** @file
  * Arithmetic on processors, GPUs and memory: what is free on a machine, and how many
- * tasks fit into it.
+ * tasks fit there.
  *
- * Pure functions. They are inline because they are called for every machine and every
- * queue segment that the scheduler considers. */
+ * Pure functions. They are inline because the scheduler calls them for every machine and
+ * every queue segment that it considers. */
 #ifndef LMN_SCHEDULER_RESOURCES_H
 #define LMN_SCHEDULER_RESOURCES_H
 
@@ -11,12 +11,13 @@
 
 #include <math.h>
 
-/** Tolerance of comparisons between sums of resources: requests are decimal fractions
- * that doubles can't hold exactly, and a sum of them must still fill a machine. */
+/** Tolerance in comparisons of resource sums. Requests are decimal fractions, which
+ * doubles represent inexactly; tasks whose requests add up to a machine's capacity must
+ * still fit. */
 #define LMN_RESOURCE_EPSILON 1e-6
 
-/** Upper bound on the number of tasks that are said to fit, for tasks that ask for
- * nothing. */
+/** Upper bound of a number of fitting tasks; the result for tasks that request no
+ * resources. */
 #define LMN_MAX_FITTING_TASKS 1e6
 
 /** An amount of each resource. */
@@ -26,7 +27,8 @@
     double memory_gb;
 };
 
-/** What attempts leave free on the machine, whose type must be known. */
+/** Resources of the machine that its attempts do not use. The machine's type must be
+ * known. */
 static inline struct lmn_resources
 lmn_machine_free_resources(const struct lmn_machine *machine)
 {
@@ -35,7 +37,7 @@
                                   machine->type->memory_gb - machine->used.memory_gb};
 }
 
-/** Whether one task fits. */
+/** Whether one task fits into the available resources. */
 static inline bool lmn_resources_fit_task(const struct lmn_resources *available,
                                           const struct lmn_job_spec *spec)
 {
@@ -44,7 +46,8 @@
              available->memory_gb < spec->memory_gb - LMN_RESOURCE_EPSILON);
 }
 
-/** How many tasks fit: a whole number, negative if more is in use than there is. */
+/** Number of tasks that fit into the available resources: a whole number, negative if a
+ * resource is overcommitted. */
 static inline double lmn_resources_task_count(const struct lmn_resources *available,
                                               const struct lmn_job_spec *spec)
 {
@@ -60,7 +63,7 @@
     return count;
 }
 
-/** Moves what a task asks for from `available`. */
+/** Subtracts the resources of one task. */
 static inline void lmn_resources_subtract_task(struct lmn_resources *available,
                                                const struct lmn_job_spec *spec)
 {
@@ -69,7 +72,7 @@
     available->memory_gb -= spec->memory_gb;
 }
 
-/** Gives back what a task asked for. */
+/** Adds the resources of one task. */
 static inline void lmn_resources_add_task(struct lmn_resources *available,
                                           const struct lmn_job_spec *spec)
 {
--- a/src/scheduler/task_start.c
+++ b/src/scheduler/task_start.c
@@ -1,5 +1,5 @@
 /** @file
- * The start of one task; see task_start.h. The core's lock is held. */
+ * The start of one task; see task_start.h. The caller holds the core's lock. */
 #include "scheduler/task_start.h"
 #include "util/log.h"
 #include "scheduler/image_cache.h"
@@ -7,11 +7,12 @@
 #include "state/command.h"
 #include "state/task_ledger.h"
 
-/** Bits of an attempt's number that count the owner's starts; the epoch is above them. */
+/** Low bits of an attempt's number, which count the owner's starts; the bits above are
+ * the owner's epoch. */
 enum { ATTEMPT_COUNT_BITS = 24 };
 
-/** A number for the next attempt. It is unique for ever without a write to the store,
- * since no two owners of a partition share an epoch. */
+/** Returns a number for the next attempt. It is unique without a write to the key-value
+ * store, since each owner of a partition has its own epoch. */
 static uint64_t next_attempt_number(struct lmn_partition *partition)
 {
     const uint64_t count_mask = (UINT64_C(1) << ATTEMPT_COUNT_BITS) - 1;
@@ -20,8 +21,8 @@
            (++partition->ownership.last_attempt & count_mask);
 }
 
-/** Logs the first start since the partition is owned. */
-static void note_first_start(struct lmn_partition *partition, struct timespec now)
+/** Logs the partition's first start under the present owner. */
+static void log_first_start(struct lmn_partition *partition, struct timespec now)
 {
     if (!partition->ownership.has_started_task)
         lmn_info("partition_first_start partition=%d epoch=%" G_GUINT64_FORMAT
@@ -31,7 +32,8 @@
     partition->ownership.has_started_task = true;
 }
 
-/** Makes the attempt, marks the task as started, and counts what the attempt holds. */
+/** Creates the attempt, marks its task as started, and adds its resources to those in use
+ * on the machine and of the team's quota. */
 static struct lmn_attempt make_attempt(struct lmn_machine *machine,
                                        const struct lmn_queue_segment *segment,
                                        struct timespec now)
@@ -53,7 +55,8 @@
     return attempt;
 }
 
-/** Updates what the scheduler knows of the job and of the machine's reservation. */
+/** Updates the scheduler's state of the job, and the machine's preemption reservation and
+ * image cache, for a start. */
 static void update_scheduling(struct lmn_core *core, struct lmn_machine *machine,
                               struct lmn_job *job, struct timespec now)
 {
@@ -64,8 +67,8 @@
     if (machine->reservation.preemption_tasks &&
         job->spec.priority == LMN_PRIORITY_PRODUCTION) {
         machine->reservation.preemption_tasks--;
-        /* Work of lower priority may be able to start again, although the scan has
-         * rejected it. */
+        /* The scan has rejected jobs of lower priority because of the reservation; they
+         * may be able to start now. */
         lmn_queue_scan_begin(core);
     }
     lmn_machine_record_image(machine, job, false, now);
@@ -78,7 +81,7 @@
     struct lmn_partition *partition = machine->partition;
     struct lmn_attempt attempt = make_attempt(machine, segment, now);
 
-    note_first_start(partition, now);
+    log_first_start(partition, now);
     update_scheduling(core, machine, attempt.job, now);
     g_array_append_val(machine->attempts, attempt);
     core->counters.starts++;
--- a/src/scheduler/wait_reason.c
+++ b/src/scheduler/wait_reason.c
@@ -1,5 +1,6 @@
 /** @file
- * The predicates for starting a task; see wait_reason.h. The core's lock is held. */
+ * The predicates for starting a task; see wait_reason.h. The caller holds the core's
+ * lock. */
 #include "scheduler/wait_reason.h"
 #include "scheduler/fair_share.h"
 #include "scheduler/affinity.h"
@@ -10,39 +11,41 @@
 #include "state/task_ledger.h"
 
 /** Texts of the reasons. */
-static const char *const names[LMN_WAIT_REASON_COUNT] = {
-    [LMN_WAIT_NONE] = "nothing is in the way",
-    [LMN_WAIT_TRANSFER] = "the partition is being handed over",
-    [LMN_WAIT_UNACCOUNTED] = "the machine has not reported to this owner",
-    [LMN_WAIT_UNRECORDED] = "the machine is not recorded",
-    [LMN_WAIT_DRAINING] = "the machine is to be returned",
-    [LMN_WAIT_SPOT_NOTICE] = "the cloud takes the machine back",
-    [LMN_WAIT_UNKNOWN_TYPE] = "the machine's type is not known",
-    [LMN_WAIT_REPLICATION] = "the standby does not acknowledge starts",
-    [LMN_WAIT_QUARANTINED] = "the machine pauses after failures",
-    [LMN_WAIT_JOB_ENDED] = "the job is over",
-    [LMN_WAIT_CAPACITY] = "too little room",
-    [LMN_WAIT_PREEMPTION_RESERVED] = "room is being made for more urgent work",
-    [LMN_WAIT_BACKFILL_RESERVED] = "the machine is kept for another job",
-    [LMN_WAIT_SPOT_ONLY] = "left to cheap machines",
-    [LMN_WAIT_JOB_BACKOFF] = "the job pauses after failures",
-    [LMN_WAIT_NOT_ELIGIBLE] = "the machine can't take it",
-    [LMN_WAIT_QUOTA] = "the team's limit",
-    [LMN_WAIT_ZONE_AFFINITY] = "the zones of the job's other tasks",
-    [LMN_WAIT_OTHER_PARTITION] = "in another partition",
-    [LMN_WAIT_UNRECONCILED] = "inherited, and not all machines are accounted for",
+static const char *const texts[LMN_WAIT_REASON_COUNT] = {
+    [LMN_WAIT_NONE] = "the task may start",
+    [LMN_WAIT_TRANSFER] = "the partition is being transferred to another owner",
+    [LMN_WAIT_UNACCOUNTED] = "the machine has sent no heartbeat to this owner",
+    [LMN_WAIT_UNRECORDED] = "the machine is not recorded in the key-value store",
+    [LMN_WAIT_DRAINING] = "the machine is draining",
+    [LMN_WAIT_SPOT_NOTICE] = "the cloud is reclaiming the spot instance",
+    [LMN_WAIT_UNKNOWN_TYPE] = "the machine's type is unknown",
+    [LMN_WAIT_REPLICATION] = "the standby has not acknowledged earlier starts",
+    [LMN_WAIT_QUARANTINED] = "the machine is quarantined after task failures",
+    [LMN_WAIT_JOB_ENDED] = "the job is done or cancelled",
+    [LMN_WAIT_CAPACITY] = "the machine has too little free capacity",
+    [LMN_WAIT_PREEMPTION_RESERVED] = "capacity is being freed for production tasks",
+    [LMN_WAIT_BACKFILL_RESERVED] = "the machine is reserved for another job",
+    [LMN_WAIT_SPOT_ONLY] = "the job waits for spot instances",
+    [LMN_WAIT_JOB_BACKOFF] = "the job backs off after task failures",
+    [LMN_WAIT_NOT_ELIGIBLE] = "the machine can't run the job",
+    [LMN_WAIT_QUOTA] = "the team's quota in the partition is too small",
+    [LMN_WAIT_ZONE_AFFINITY] = "the job's affinity or anti-affinity excludes the zone",
+    [LMN_WAIT_OTHER_PARTITION] = "the task belongs to another partition",
+    [LMN_WAIT_UNRECONCILED] =
+        "not all machines that may run the inherited tasks have reported",
 };
 
 const char *lmn_wait_reason_text(enum lmn_wait_reason reason)
 {
-    return names[reason];
+    return texts[reason];
 }
 
 bool lmn_machine_can_run(const struct lmn_machine *machine, const struct lmn_job *job)
 {
-    /* A machine that is known by its replica, and has sent no heartbeat yet, is assigned
-     * work too, which it starts once it has: if work were assigned only to the first few
-     * machines that send one, everything would stand in their queues. */
+    /* After a warm takeover, machines that are known from the replica are assigned tasks
+     * before their first heartbeat, and start them after it. If only machines that have
+     * sent one counted, all tasks would be assigned to the few machines that send it
+     * first. */
     bool is_known = machine->lifecycle.is_accounted ||
                     (machine->partition->ownership.is_warm && machine->agent.incarnation);
 
@@ -78,8 +81,9 @@
         cpus -= reservation->cpus;
         gpus -= reservation->gpus;
     }
-    /* A machine that is not accounted for may be full of this team's tasks. What may be
-     * there is as counted at the last check: since then it can only have become less. */
+    /* Machines that have not reported to this owner may run tasks of this team. Their
+     * possible usage was computed at the last check, and can only have decreased since
+     * then. */
     if (!partition->ownership.is_ready && !partition->ownership.is_warm &&
         lmn_team_has_limit(team)) {
         if (partition->ownership.has_unaccounted_unknown)
@@ -95,12 +99,13 @@
                  gpus + LMN_RESOURCE_EPSILON);
 }
 
-/** Whether the machine is an ordinary one that the job, which is left to spot instances,
- * should keep off. Long idle tasks in gaps on ordinary machines would keep those rented
- * for minutes after everything else is done, and take them from work that may run nowhere
- * else. */
-static bool is_left_to_spot(const struct lmn_core *core,
-                            const struct lmn_machine *machine, const struct lmn_job *job)
+/** Whether the job should wait for a spot instance because the machine is an ordinary
+ * one. Long idle tasks on ordinary machines would keep these from being returned for
+ * minutes after all other tasks have ended, and would use capacity that jobs without spot
+ * instances need. */
+static bool should_wait_for_spot(const struct lmn_core *core,
+                                 const struct lmn_machine *machine,
+                                 const struct lmn_job *job)
 {
     return job->is_spot_only && !machine->is_spot && !job->is_starving &&
            lmn_is_spot_only(core->settings, &job->spec, machine->type);
@@ -121,7 +126,7 @@
         return LMN_WAIT_SPOT_NOTICE;
     if (!machine->type)
         return LMN_WAIT_UNKNOWN_TYPE;
-    /* Starts that nobody acknowledges would only be taken back. */
+    /* Starts that the standby does not acknowledge would have to be undone. */
     if (lmn_replication_is_stuck(machine->partition, now))
         return LMN_WAIT_REPLICATION;
     return lmn_time_before(now, machine->failures.quarantined_until)
@@ -142,7 +147,7 @@
         return LMN_WAIT_PREEMPTION_RESERVED;
     if (machine->reservation.job && machine->reservation.job != job)
         return LMN_WAIT_BACKFILL_RESERVED;
-    if (is_left_to_spot(core, machine, job))
+    if (should_wait_for_spot(core, machine, job))
         return LMN_WAIT_SPOT_ONLY;
     if (lmn_time_before(now, job->failures.backoff_until))
         return LMN_WAIT_JOB_BACKOFF;
