--- a/tests/queue/fixture.c
+++ b/tests/queue/fixture.c
@@ -1,4 +1,4 @@
-/* A partition with machines and jobs, in simulated time. */
+/* Fixture of the queue tests; see fixture.h. */
 #include "queue/fixture.h"
 
 #include "scheduler/queue.h"
@@ -14,7 +14,7 @@
 struct lmn_job jobs[JOBS];
 struct timespec now = {1000, 0};
 
-/* What a test sets up is not taken down. */
+/* Tests do not free what they set up, so leak detection is off. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
@@ -36,36 +36,40 @@
     g_strlcpy(settings.teams[0].name, "t", LMN_NAME_SIZE);
 }
 
-static void add_machine(struct lmn_partition *partition, int i)
+/* Adds machine number `number`: odd numbers are in zone "a", even ones in zone "b", and
+ * every third is a spot instance. */
+static void add_machine(struct lmn_partition *partition, int number)
 {
     char name[16];
 
-    g_snprintf(name, sizeof name, "m-%d", i);
+    g_snprintf(name, sizeof name, "m-%d", number);
     struct lmn_machine *machine = lmn_machine_new(partition, name);
     machine->type = &core->cloud.machine_types.types[0];
-    g_strlcpy(machine->zone, i % 2 ? "a" : "b", sizeof machine->zone);
-    machine->is_spot = i % 3 == 0;
+    g_strlcpy(machine->zone, number % 2 ? "a" : "b", sizeof machine->zone);
+    machine->is_spot = number % 3 == 0;
     machine->record.revision = 1;
     machine->agent.has_reported = machine->lifecycle.is_accounted = true;
 }
 
-static void set_up_job(struct lmn_job *job, int i, GRand *r)
+/* Sets up job number `number`, which determines all but the number of tasks and the
+ * latest start. */
+static void set_up_job(struct lmn_job *job, int number, GRand *generator)
 {
     memset(job, 0, sizeof *job);
-    g_snprintf(job->spec.id, sizeof job->spec.id, "run-%06d", i);
+    g_snprintf(job->spec.id, sizeof job->spec.id, "run-%06d", number);
     job->spec.team = (char *)"t";
     job->spec.image = (char *)"i";
     job->image = g_intern_string("i");
     job->spec.class_name = (char *)"c";
-    job->spec.zone = i % 4 == 1 ? (char *)"a" : NULL;
-    job->spec.may_use_spot = i % 2;
-    job->spec.priority = (enum lmn_priority)(i % 4);
-    job->spec.tasks = 1 + (uint32_t)g_rand_int_range(r, 0, 40);
-    job->spec.cpus = 1 + i % 4;
+    job->spec.zone = number % 4 == 1 ? (char *)"a" : NULL;
+    job->spec.may_use_spot = number % 2;
+    job->spec.priority = (enum lmn_priority)(number % 4);
+    job->spec.tasks = 1 + (uint32_t)g_rand_int_range(generator, 0, 40);
+    job->spec.cpus = 1 + number % 4;
     job->spec.deadline_s = -1;
-    job->accepted_at_s = i;
-    job->latest_start_s = g_rand_int_range(r, 0, 5);
-    job->has_missed_objective = i % 5 == 0;
+    job->accepted_at_s = number;
+    job->latest_start_s = g_rand_int_range(generator, 0, 5);
+    job->has_missed_objective = number % 5 == 0;
     job->ranges = g_ptr_array_new();
 }
 
@@ -84,9 +88,9 @@
     range->is_assigned = true;
 }
 
-void fixture_begin(uint32_t seed)
+void fixture_set_up(uint32_t seed)
 {
-    GRand *r = g_rand_new_with_seed(seed);
+    GRand *generator = g_rand_new_with_seed(seed);
 
     set_up_settings();
     core = lmn_core_new(&settings, lmn_kv_client_new(&settings), seed);
@@ -100,57 +104,57 @@
     for (int i = 0; i < MACHINES; i++)
         add_machine(partition, i);
     for (int i = 0; i < JOBS; i++) {
-        set_up_job(&jobs[i], i, r);
+        set_up_job(&jobs[i], i, generator);
         add_range(partition, &jobs[i]);
     }
-    g_rand_free(r);
+    g_rand_free(generator);
 }
 
-guint count_started(const struct lmn_job *job, bool spot)
+guint count_attempts(const struct lmn_job *job, bool is_spot)
 {
-    GHashTableIter it;
-    gpointer v;
-    guint n = 0;
-
-    g_hash_table_iter_init(&it, core->partitions[0].machines);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_machine *machine = v;
-        for (guint i = 0; machine->is_spot == spot && i < machine->attempts->len; i++)
-            n += g_array_index(machine->attempts, struct lmn_attempt, i).job == job;
+    GHashTableIter iter;
+    gpointer value;
+    guint count = 0;
+
+    g_hash_table_iter_init(&iter, core->partitions[0].machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
+        const struct lmn_machine *machine = value;
+        for (guint i = 0; machine->is_spot == is_spot && i < machine->attempts->len; i++)
+            count += g_array_index(machine->attempts, struct lmn_attempt, i).job == job;
     }
-    return n;
+    return count;
 }
 
-void start_all(void)
+void start_all_tasks(void)
 {
-    GHashTableIter it;
-    gpointer v;
-    GByteArray *out = g_byte_array_new();
-    guint n;
+    GHashTableIter iter;
+    gpointer value;
+    GByteArray *commands = g_byte_array_new();
+    guint count;
 
     do {
-        n = 0;
-        g_hash_table_iter_init(&it, core->partitions[0].machines);
-        while (g_hash_table_iter_next(&it, NULL, &v)) {
-            ((struct lmn_machine *)v)->stealing.next_at = now;
-            n += lmn_schedule_machine(core, v, out, now);
+        count = 0;
+        g_hash_table_iter_init(&iter, core->partitions[0].machines);
+        while (g_hash_table_iter_next(&iter, NULL, &value)) {
+            ((struct lmn_machine *)value)->stealing.next_at = now;
+            count += lmn_schedule_machine(core, value, commands, now);
         }
-    } while (n);
-    g_byte_array_unref(out);
+    } while (count);
+    g_byte_array_unref(commands);
 }
 
-struct lmn_job *lone_job(enum lmn_priority urgency, double estimate)
+struct lmn_job *fixture_set_up_one_job(enum lmn_priority priority, double estimate_s)
 {
     struct lmn_job *job = &jobs[0];
 
-    fixture_begin(3);
+    fixture_set_up(3);
     core->cloud.machine_types.types[0].price_per_hour = 3;
     core->cloud.machine_types.types[0].spot_price_per_hour = 1;
     for (int i = 1; i < JOBS; i++)
         jobs[i].phase = LMN_JOB_DONE;
     job->spec.kind = LMN_JOB_BATCH;
-    job->spec.priority = urgency;
-    job->spec.estimate_s = estimate;
+    job->spec.priority = priority;
+    job->spec.estimate_s = estimate_s;
     job->spec.may_use_spot = true;
     job->spec.zone = NULL;
     job->spec.cpus = 8;
--- a/tests/queue/fixture.h
+++ b/tests/queue/fixture.h
@@ -1,4 +1,4 @@
-/* What the tests of queues share: a partition with machines and jobs. */
+/* Fixture of the queue tests: one partition with machines and jobs, in simulated time. */
 #ifndef LMN_TESTS_QUEUE_FIXTURE_H
 #define LMN_TESTS_QUEUE_FIXTURE_H
 
@@ -21,14 +21,15 @@
 extern struct lmn_job jobs[JOBS];
 extern struct timespec now;
 
-/* Sets up idle machines of two zones, a third of them spot, and jobs of one range each,
- * of various sizes and urgencies, none of which is dealt yet. */
-void fixture_begin(uint32_t seed);
-/* How many tasks of the job are on spot or on ordinary machines. */
-guint count_started(const struct lmn_job *job, bool spot);
-/* Asks every machine what it starts, until none starts anything. */
-void start_all(void);
-/* Begins anew with one job alone, dealt; it may use cheap machines. */
-struct lmn_job *lone_job(enum lmn_priority urgency, double estimate);
+/* Sets up a new core with idle machines in two zones, a third of them spot instances, and
+ * jobs of one range each, with various sizes and priorities. No task is assigned yet. */
+void fixture_set_up(uint32_t seed);
+/* Number of attempts of the job's tasks, on spot instances or on ordinary machines. */
+guint count_attempts(const struct lmn_job *job, bool is_spot);
+/* Schedules all machines until none starts another task. */
+void start_all_tasks(void);
+/* Sets up a new core with one active batch job, which may use spot instances and whose
+ * tasks are assigned. Each task takes a whole machine. */
+struct lmn_job *fixture_set_up_one_job(enum lmn_priority priority, double estimate_s);
 
 #endif
--- a/tests/test_queue_fair_share.c
+++ b/tests/test_queue_fair_share.c
@@ -1,4 +1,4 @@
-/* What lesser, idle, old and large work is kept: floors and reserves. */
+/* Fair-share floors, starvation, spot-only idle jobs and backfill reservations. */
 #include "queue/fixture.h"
 
 #include "scheduler/fair_share.h"
@@ -8,21 +8,21 @@
 #include "partition/range.h"
 #include "state/task_ledger.h"
 
-/* One task of a job that needs a whole machine, while small ones keep coming and fill
- * every piece of room as it becomes free: it once waited for as long as they came. With
- * `limit`, the pieces are those of their team's limit. Returns after how many seconds it
- * began; 600: never. */
-static int wait_among_small(bool limit)
+/* Runs a task that needs a whole machine beside small tasks that take all capacity as it
+ * becomes free; without reservations it would wait for as long as small tasks arrive.
+ * With `has_quota_limit`, it is the team's quota of 24 processors that the small tasks
+ * take. Returns the seconds until the large task started; 600 if it never did. */
+static int wait_of_large_task_s(bool has_quota_limit)
 {
-    GByteArray *out = g_byte_array_new();
+    GByteArray *commands = g_byte_array_new();
     struct lmn_partition *partition;
     struct lmn_job *small = &jobs[1], *large = &jobs[0];
-    int t = 0;
+    int elapsed_s = 0;
 
-    fixture_begin(11);
+    fixture_set_up(11);
     now = (struct timespec){1000, 0};
     partition = &core->partitions[0];
-    settings.teams[0].cpus_max = limit ? 24 : 0;
+    settings.teams[0].cpus_max = has_quota_limit ? 24 : 0;
     for (int i = 0; i < JOBS; i++)
         jobs[i].phase = i < 2 ? LMN_JOB_ACTIVE : LMN_JOB_DONE;
     for (int i = 0; i < 2; i++) {
@@ -41,14 +41,17 @@
     }
     lmn_assign_range(core, small->ranges->pdata[0], now);
     lmn_assign_range(core, large->ranges->pdata[0], now);
-    for (; t < 600 && !count_started(large, true) && !count_started(large, false); t++) {
+    for (;
+         elapsed_s < 600 && !count_attempts(large, true) && !count_attempts(large, false);
+         elapsed_s++) {
         now = lmn_time_add(now, 1);
-        core->scheduling.wall_clock_s = t;
-        lmn_update_starvation(core, t);
+        core->scheduling.wall_clock_s = elapsed_s;
+        lmn_update_starvation(core, elapsed_s);
         lmn_update_reservations(core, partition, now);
         for (guint k = 0; k < partition->machine_list->len; k++) {
             struct lmn_machine *machine = partition->machine_list->pdata[k];
-            /* A tenth of the small tasks end each second, one after the other. */
+            /* Each second, each small task ends with a probability of 1/10, and the
+             * machine is scheduled after each end. */
             for (guint i = machine->attempts->len; i-- > 0;) {
                 struct lmn_attempt *attempt =
                     &g_array_index(machine->attempts, struct lmn_attempt, i);
@@ -58,94 +61,100 @@
                 lmn_task_finished(attempt->range, attempt->index, now);
                 g_array_remove_index_fast(machine->attempts, i);
                 machine->stealing.next_at = now;
-                lmn_schedule_machine(core, machine, out, now);
+                lmn_schedule_machine(core, machine, commands, now);
             }
             machine->stealing.next_at = now;
-            lmn_schedule_machine(core, machine, out, now);
+            lmn_schedule_machine(core, machine, commands, now);
         }
     }
-    g_byte_array_unref(out);
-    return t;
+    g_byte_array_unref(commands);
+    return elapsed_s;
 }
 
-/* A quarter of an even part of what is in use, over those with work waiting. */
-static void floors(void **state)
+/* The floor is a quarter of the processors in use, divided by the number of subjects with
+ * waiting tasks. */
+static void is_under_floor_below_a_quarter_of_even_share(void **state)
 {
-    struct lmn_fair_share f = {.used_cpus = 12, .waiting_cpus = 1};
+    struct lmn_fair_share share = {.used_cpus = 12, .waiting_cpus = 1};
     (void)state;
 
-    assert_true(lmn_is_under_fair_share(&f, 100, 2));  /* of 12.5 */
-    assert_false(lmn_is_under_fair_share(&f, 100, 3)); /* of 8.3 */
-    assert_false(lmn_is_under_fair_share(&f, 100, 1)); /* nobody else waits */
-    f.used_cpus = 13;
-    assert_false(lmn_is_under_fair_share(&f, 100, 2));
-    f.used_cpus = 0;
-    assert_true(lmn_is_under_fair_share(&f, 1, 50));
-    f.waiting_cpus = 0;
-    assert_false(lmn_is_under_fair_share(&f, 100, 2));
+    assert_true(lmn_is_under_fair_share(&share, 100, 2));  /* floor 12.5 */
+    assert_false(lmn_is_under_fair_share(&share, 100, 3)); /* floor 8.3 */
+    assert_false(lmn_is_under_fair_share(&share, 100, 1)); /* no other subject waits */
+    share.used_cpus = 13;
+    assert_false(lmn_is_under_fair_share(&share, 100, 2));
+    share.used_cpus = 0;
+    assert_true(lmn_is_under_fair_share(&share, 1, 50));
+    share.waiting_cpus = 0;
+    assert_false(lmn_is_under_fair_share(&share, 100, 2));
 }
 
-/* Twenty tasks of an urgent class came before one of a lesser one, and more come with
- * each that ends: without the floor the lesser would never start. */
-static void the_lesser_class_gets_its_floor(void **state)
+/* Without the floor, a class of lower priority would never start while jobs of higher
+ * priority keep arriving. */
+static void class_under_its_floor_precedes_higher_priority(void **state)
 {
     struct lmn_job high = {.spec = {.priority = LMN_PRIORITY_HIGH}, .latest_start_s = 10},
                    low = {.spec = {.priority = LMN_PRIORITY_NORMAL},
                           .has_missed_objective = true};
-    struct lmn_job prod = {.spec = {.priority = LMN_PRIORITY_PRODUCTION},
-                           .latest_start_s = 99};
+    struct lmn_job production = {.spec = {.priority = LMN_PRIORITY_PRODUCTION},
+                                 .latest_start_s = 99};
     (void)state;
 
     g_strlcpy(high.spec.id, "run-000001", LMN_JOB_ID_SIZE);
     g_strlcpy(low.spec.id, "run-000002", LMN_JOB_ID_SIZE);
-    g_strlcpy(prod.spec.id, "run-000003", LMN_JOB_ID_SIZE);
+    g_strlcpy(production.spec.id, "run-000003", LMN_JOB_ID_SIZE);
     assert_true(lmn_job_compare(&high, &low) < 0);
     low.is_under_fair_share = true;
     assert_true(lmn_job_compare(&low, &high) < 0);
-    assert_true(lmn_job_compare(&prod, &low) < 0);
+    assert_true(lmn_job_compare(&production, &low) < 0);
     high.is_within_guarantee = true;
     assert_true(lmn_job_compare(&high, &low) < 0);
 }
 
-/* Found when long idle work sat on ordinary machines, at three times the price, for
- * minutes after all else was done. Short work fills their gaps; all of it runs there if
- * no others are. */
-static void idle_work_keeps_to_cheap_machines(void **state)
+/* Guards against long idle tasks on ordinary machines at three times the spot price,
+ * which kept the machines for minutes after all other tasks had ended. Short idle tasks,
+ * jobs with an objective, and all jobs where there is no spot instance do use ordinary
+ * machines. */
+static void long_idle_tasks_wait_for_spot_instances(void **state)
 {
     (void)state;
-    for (int k = 0; k < 5; k++) {
-        struct lmn_job *job =
-            lone_job(k == 1 ? LMN_PRIORITY_NORMAL : LMN_PRIORITY_IDLE, k == 2 ? 10 : 300);
-        GHashTableIter it;
-        gpointer v;
+    enum { LONG_IDLE, NOT_IDLE, SHORT_IDLE, NO_SPOT_INSTANCES, WITH_OBJECTIVE, CASES };
+    for (int variant = 0; variant < CASES; variant++) {
+        struct lmn_job *job = fixture_set_up_one_job(
+            variant == NOT_IDLE ? LMN_PRIORITY_NORMAL : LMN_PRIORITY_IDLE,
+            variant == SHORT_IDLE ? 10 : 300);
+        GHashTableIter iter;
+        gpointer value;
         jobs[0].spec.tasks = 40;
-        g_hash_table_iter_init(&it, core->partitions[0].machines);
-        while (k == 3 && g_hash_table_iter_next(&it, NULL, &v))
-            ((struct lmn_machine *)v)->is_spot = false;
-        /* An archive that was expected within minutes missed it. */
-        if (k == 4) {
+        g_hash_table_iter_init(&iter, core->partitions[0].machines);
+        while (variant == NO_SPOT_INSTANCES &&
+               g_hash_table_iter_next(&iter, NULL, &value))
+            ((struct lmn_machine *)value)->is_spot = false;
+        /* A job that waits for spot instances would miss its objective. */
+        if (variant == WITH_OBJECTIVE) {
             settings.objective_count = 1;
             settings.objectives[0] =
                 (struct lmn_objective){LMN_OBJECTIVE_FINISH, "c", 180, 1, 1};
         }
         lmn_update_starvation(core, job->accepted_at_s);
-        start_all();
-        assert_int_equal(count_started(job, true) > 0, k != 3);
-        assert_int_equal(count_started(job, false) > 0, k != 0);
+        start_all_tasks();
+        assert_int_equal(count_attempts(job, true) > 0, variant != NO_SPOT_INSTANCES);
+        assert_int_equal(count_attempts(job, false) > 0, variant != LONG_IDLE);
     }
 }
 
-/* Two of a class's six jobs took its floor, and the other four waited for six minutes:
- * the first task of one that has waited goes first, and no more of it. */
-static void the_aged_begin(void **state)
+/* Two of a class's six jobs used up its floor, and the other four waited for 6 minutes.
+ * Therefore the first task of a starving job starts before more urgent jobs; its other
+ * tasks do not. */
+static void first_task_of_starving_job_takes_precedence(void **state)
 {
-    struct lmn_job *old, *urgent;
+    struct lmn_job *starving, *urgent;
     (void)state;
 
-    fixture_begin(5);
+    fixture_set_up(5);
     for (int i = 0; i < JOBS; i++)
         jobs[i].phase = i < 2 ? LMN_JOB_ACTIVE : LMN_JOB_DONE;
-    old = &jobs[0];
+    starving = &jobs[0];
     urgent = &jobs[1];
     for (int i = 0; i < 2; i++) {
         struct lmn_range *range = jobs[i].ranges->pdata[0];
@@ -156,29 +165,30 @@
         lmn_range_open(core, range);
         range->is_assigned = true;
     }
-    old->spec.priority = LMN_PRIORITY_NORMAL;
+    starving->spec.priority = LMN_PRIORITY_NORMAL;
     urgent->spec.priority = LMN_PRIORITY_HIGH;
-    old->has_missed_objective = urgent->has_missed_objective = false;
+    starving->has_missed_objective = urgent->has_missed_objective = false;
     lmn_assign_range(core, urgent->ranges->pdata[0], now);
-    lmn_assign_range(core, old->ranges->pdata[0], now);
-    lmn_update_starvation(core, old->accepted_at_s + 50);
-    assert_false(old->is_starving);
-    lmn_update_starvation(core, old->accepted_at_s + 61);
-    assert_true(old->is_starving && lmn_job_compare(old, urgent) < 0);
+    lmn_assign_range(core, starving->ranges->pdata[0], now);
+    lmn_update_starvation(core, starving->accepted_at_s + 50);
+    assert_false(starving->is_starving);
+    lmn_update_starvation(core, starving->accepted_at_s + 61);
+    assert_true(starving->is_starving && lmn_job_compare(starving, urgent) < 0);
     urgent->is_starving = false;
-    start_all();
-    assert_int_equal(count_started(old, true) + count_started(old, false), 1);
-    lmn_update_starvation(core, old->accepted_at_s + 100);
-    assert_false(old->is_starving);
+    start_all_tasks();
+    assert_int_equal(count_attempts(starving, true) + count_attempts(starving, false), 1);
+    lmn_update_starvation(core, starving->accepted_at_s + 100);
+    assert_false(starving->is_starving);
 }
 
-static void large_tasks_find_room_among_small_ones(void **state)
+/* The task starts soon after reservations are allowed, which is after 120 s. */
+static void large_task_starts_while_small_ones_keep_coming(void **state)
 {
     (void)state;
-    assert_in_range(wait_among_small(false), 120, 200);
-    assert_in_range(wait_among_small(true), 120, 240);
+    assert_in_range(wait_of_large_task_s(false), 120, 200);
+    assert_in_range(wait_of_large_task_s(true), 120, 240);
     assert_int_equal(core->partitions[0].quota.reservations[0].job != NULL, true);
-    /* And what was kept is given up once it has begun. */
+    /* The reservations are released after the large task has started. */
     lmn_update_starvation(core, 601);
     lmn_update_reservations(core, &core->partitions[0], now);
     assert_null(core->partitions[0].quota.reservations[0].job);
@@ -190,11 +200,11 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(floors),
-        cmocka_unit_test(the_lesser_class_gets_its_floor),
-        cmocka_unit_test(idle_work_keeps_to_cheap_machines),
-        cmocka_unit_test(the_aged_begin),
-        cmocka_unit_test(large_tasks_find_room_among_small_ones),
+        cmocka_unit_test(is_under_floor_below_a_quarter_of_even_share),
+        cmocka_unit_test(class_under_its_floor_precedes_higher_priority),
+        cmocka_unit_test(long_idle_tasks_wait_for_spot_instances),
+        cmocka_unit_test(first_task_of_starving_job_takes_precedence),
+        cmocka_unit_test(large_task_starts_while_small_ones_keep_coming),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
