--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -63,7 +63,7 @@
                        uint64_t revision)
 {
     struct lmn_pending_submission *submission = arg;
-    struct lmn_request_decision decision = lmn_decide_submitted(outcome);
+    struct lmn_request_decision decision = lmn_decide_commit_outcome(outcome);
     bool is_known = outcome == LMN_TXN_COMMITTED || outcome == LMN_TXN_CONFLICT;
     double latency_s = lmn_time_diff_s(lmn_now(), submission->submitted_at);
     char job_id[LMN_JOB_ID_SIZE];
--- a/src/controller/read_batch.c
+++ b/src/controller/read_batch.c
@@ -72,9 +72,9 @@
     return count;
 }
 
-guint lmn_read_batch_take(struct lmn_read_batch *batch, struct lmn_read_request **jobs,
-                          guint max_jobs, struct lmn_read_request **cancel,
-                          struct lmn_read_request **late, struct timespec now)
+guint lmn_read_batch_dequeue(struct lmn_read_batch *batch, struct lmn_read_request **jobs,
+                             guint max_jobs, struct lmn_read_request **cancel,
+                             struct lmn_read_request **late, struct timespec now)
 {
     guint job_count = 0;
 
--- a/src/controller/read_batch.h
+++ b/src/controller/read_batch.h
@@ -49,8 +49,8 @@
  * @param cancel one cancellation; NULL: none
  * @param late a list of the requests that have waited too long
  * @return how many jobs */
-guint lmn_read_batch_take(struct lmn_read_batch *batch, struct lmn_read_request **jobs,
-                          guint max_jobs, struct lmn_read_request **cancel,
-                          struct lmn_read_request **late, struct timespec now);
+guint lmn_read_batch_dequeue(struct lmn_read_batch *batch, struct lmn_read_request **jobs,
+                             guint max_jobs, struct lmn_read_request **cancel,
+                             struct lmn_read_request **late, struct timespec now);
 
 #endif
--- a/src/controller/read_thread.c
+++ b/src/controller/read_thread.c
@@ -116,9 +116,9 @@
 
 /* --- reading --- */
 
-/** Reads a job's record; to be cleared with lmn_job_reading_clear. */
+/** Reads a job's record; to be cleared with lmn_job_read_result_clear. */
 static void read_job(struct reader *reader, const char *job_id,
-                     struct lmn_job_reading *reading)
+                     struct lmn_job_read_result *reading)
 {
     char path[96];
 
@@ -126,7 +126,7 @@
     lmn_kv_client_wait_for_token(reader->core->kv_client);
     int status = lmn_http_client_call(reader->client, "GET", path, NULL, READ_TIMEOUT_S,
                                       reader->buffer);
-    lmn_job_reading_parse(reading, status, reader->buffer->data, reader->buffer->len);
+    lmn_job_read_result_parse(reading, status, reader->buffer->data, reader->buffer->len);
 }
 
 /** The watch cache is behind: reads the job itself, and responds to all who ask about it.
@@ -134,19 +134,19 @@
 static void read_and_respond(struct reader *reader, struct lmn_read_request *list)
 {
     struct lmn_core *core = reader->core;
-    struct lmn_job_reading reading;
+    struct lmn_job_read_result reading;
 
     read_job(reader, list->job_id, &reading);
     for (struct lmn_read_request *read = list, *next; read; read = next) {
         next = read->next_same_job;
         pthread_mutex_lock(&core->lock);
-        struct lmn_job_reply reply =
-            lmn_job_reply_from_reading(core, read->job_id, &reading, read->absent_status);
+        struct lmn_job_reply reply = lmn_job_reply_from_read_result(
+            core, read->job_id, &reading, read->absent_status);
         pthread_mutex_unlock(&core->lock);
         lmn_job_response_send(read->request, read->job_id, &reply);
         g_free(read);
     }
-    lmn_job_reading_clear(&reading);
+    lmn_job_read_result_clear(&reading);
 }
 
 /* --- confirming --- */
@@ -157,10 +157,10 @@
                                enum lmn_txn_outcome outcome, const GPtrArray *failed_keys,
                                struct lmn_read_request *list)
 {
-    switch (lmn_job_view_confirmed(view, outcome, failed_keys)) {
-    case LMN_CONFIRMED_OUTDATED:
+    switch (lmn_job_view_confirmation(view, outcome, failed_keys)) {
+    case LMN_CONFIRMATION_OUTDATED:
         return false;
-    case LMN_CONFIRMED_LATEST:
+    case LMN_CONFIRMATION_LATEST:
         respond_confirmed(core, view, list);
         return true;
     default:
@@ -184,7 +184,7 @@
 
     pthread_mutex_lock(&core->lock);
     for (guint i = 0; i < job_count; i++)
-        lmn_job_view_take(core, jobs[i]->job_id, &views[i]);
+        lmn_job_view_from_cache(core, jobs[i]->job_id, &views[i]);
     pthread_mutex_unlock(&core->lock);
     struct lmn_txn *txn = lmn_confirmation_txn(views, job_count);
     enum lmn_txn_outcome outcome = lmn_kv_client_commit(core->kv_client, reader->client,
@@ -218,19 +218,19 @@
                           struct lmn_job_reply *reply)
 {
     struct lmn_core *core = reader->core;
-    struct lmn_job_reading reading;
+    struct lmn_job_read_result reading;
     uint64_t revision;
 
     read_job(reader, read->job_id, &reading);
     struct lmn_txn *txn =
         lmn_cancellation_txn(read->job_id, &reading, read->absent_status, reply);
-    lmn_job_reading_clear(&reading);
+    lmn_job_read_result_clear(&reading);
     if (!txn)
         return true;
     enum lmn_txn_outcome outcome =
         lmn_kv_client_commit(core->kv_client, reader->client, txn, &revision, NULL);
     lmn_txn_free(txn);
-    bool is_settled = lmn_cancellation_is_settled(outcome, reply);
+    bool is_settled = lmn_cancellation_is_final(outcome, reply);
     if (outcome == LMN_TXN_COMMITTED)
         record_cancellation(core, read->job_id);
     return is_settled;
@@ -240,7 +240,7 @@
 {
     struct lmn_job_reply reply = lmn_job_reply_unavailable();
 
-    for (int attempt = 0; attempt < LMN_CANCEL_TRIES; attempt++)
+    for (int attempt = 0; attempt < LMN_MAX_CANCEL_ATTEMPTS; attempt++)
         if (try_to_cancel(reader, read, &reply))
             break;
     lmn_job_response_send(read->request, read->job_id, &reply);
@@ -263,8 +263,8 @@
         else
             break;
     }
-    work->job_count = lmn_read_batch_take(&queue.batch, work->jobs, max_jobs,
-                                          &work->cancel, &work->late, lmn_now());
+    work->job_count = lmn_read_batch_dequeue(&queue.batch, work->jobs, max_jobs,
+                                             &work->cancel, &work->late, lmn_now());
     lmn_in_flight_begin(&queue.in_flight, lmn_now());
     pthread_mutex_unlock(&queue.lock);
 }
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -43,7 +43,7 @@
                                         uint32_t running)
 {
     return (struct lmn_job_reply){.status = STATUS_OK,
-                                  .shows_job = true,
+                                  .includes_job = true,
                                   .phase = phase,
                                   .done = done,
                                   .running = running};
@@ -76,7 +76,7 @@
 {
     GByteArray *buffer;
 
-    if (!reply->shows_job && !reply->error)
+    if (!reply->includes_job && !reply->error)
         return NULL;
     buffer = g_byte_array_new();
     if (reply->error) {
@@ -115,8 +115,8 @@
         *running = 0;
 }
 
-void lmn_job_view_take(const struct lmn_core *core, const char *job_id,
-                       struct lmn_job_view *view)
+void lmn_job_view_from_cache(const struct lmn_core *core, const char *job_id,
+                             struct lmn_job_view *view)
 {
     const struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, job_id);
     uint32_t done, running;
@@ -153,22 +153,22 @@
     return txn;
 }
 
-enum lmn_confirmation_result lmn_job_view_confirmed(const struct lmn_job_view *view,
-                                                    enum lmn_txn_outcome outcome,
-                                                    const GPtrArray *failed_keys)
+enum lmn_confirmation_result lmn_job_view_confirmation(const struct lmn_job_view *view,
+                                                       enum lmn_txn_outcome outcome,
+                                                       const GPtrArray *failed_keys)
 {
     char key[JOB_KEY_SIZE];
 
     if (outcome == LMN_TXN_COMMITTED)
-        return LMN_CONFIRMED_LATEST;
+        return LMN_CONFIRMATION_LATEST;
     /* A conflict that names no key says nothing about any. */
     if (outcome != LMN_TXN_CONFLICT || !failed_keys->len)
-        return LMN_CONFIRMED_NOTHING;
+        return LMN_CONFIRMATION_UNKNOWN;
     job_key(key, sizeof key, view->job_id);
     for (guint i = 0; i < failed_keys->len; i++)
         if (!strcmp(failed_keys->pdata[i], key))
-            return LMN_CONFIRMED_OUTDATED;
-    return LMN_CONFIRMED_LATEST;
+            return LMN_CONFIRMATION_OUTDATED;
+    return LMN_CONFIRMATION_LATEST;
 }
 
 struct lmn_job_reply lmn_job_reply_confirmed(const struct lmn_core *core,
@@ -178,7 +178,7 @@
     struct lmn_job_view latest;
 
     /* A later revision in the watch cache is of a later instant than the confirmation. */
-    lmn_job_view_take(core, view->job_id, &latest);
+    lmn_job_view_from_cache(core, view->job_id, &latest);
     if (latest.revision > view->revision)
         return latest.reply;
     return view->revision ? view->reply : absent_reply(absent_status);
@@ -216,7 +216,7 @@
         return true;
     }
     core->counters.status_requests++;
-    lmn_job_view_take(core, job_id, &view);
+    lmn_job_view_from_cache(core, job_id, &view);
     *reply = view.reply;
     return is_final(&view);
 }
@@ -271,9 +271,9 @@
     struct lmn_job_view view;
 
     if (submission->fault == LMN_SUBMISSION_NO_ID)
-        return reply_now(error_reply(STATUS_BAD_REQUEST, submission->field_at_fault));
+        return reply_now(error_reply(STATUS_BAD_REQUEST, submission->spec_error));
     core->counters.submissions++;
-    lmn_job_view_take(core, submission->spec.id, &view);
+    lmn_job_view_from_cache(core, submission->spec.id, &view);
     if (is_final(&view))
         return reply_now(view.reply);
     /* An id that was accepted before is answered with its state, whatever is wrong with
@@ -299,7 +299,7 @@
     return admit(core);
 }
 
-struct lmn_request_decision lmn_decide_submitted(enum lmn_txn_outcome outcome)
+struct lmn_request_decision lmn_decide_commit_outcome(enum lmn_txn_outcome outcome)
 {
     struct lmn_job_reply accepted = state_reply(LMN_JOB_ACTIVE, 0, 0);
 
@@ -335,8 +335,8 @@
 
 /* --- reading, and cancelling --- */
 
-void lmn_job_reading_parse(struct lmn_job_reading *reading, int status,
-                           const guint8 *body, size_t len)
+void lmn_job_read_result_parse(struct lmn_job_read_result *reading, int status,
+                               const guint8 *body, size_t len)
 {
     struct lmn_cbor_document document;
 
@@ -357,22 +357,22 @@
     lmn_cbor_free(&document);
 }
 
-void lmn_job_reading_clear(struct lmn_job_reading *reading)
+void lmn_job_read_result_clear(struct lmn_job_read_result *reading)
 {
     lmn_job_spec_clear(&reading->spec);
 }
 
 /** The reply of a reading of a job that has ended. */
-static struct lmn_job_reply final_reply(const struct lmn_job_reading *reading)
+static struct lmn_job_reply final_reply(const struct lmn_job_read_result *reading)
 {
     return state_reply(reading->phase,
                        reading->phase == LMN_JOB_DONE ? reading->spec.tasks : 0, 0);
 }
 
-struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *core,
-                                                const char *job_id,
-                                                const struct lmn_job_reading *reading,
-                                                int absent_status)
+struct lmn_job_reply
+lmn_job_reply_from_read_result(const struct lmn_core *core, const char *job_id,
+                               const struct lmn_job_read_result *reading,
+                               int absent_status)
 {
     struct lmn_job_view latest;
 
@@ -384,14 +384,14 @@
         return final_reply(reading);
     /* The watch cache's task counts will do for an active job; and it may show a later
      * record. */
-    lmn_job_view_take(core, job_id, &latest);
+    lmn_job_view_from_cache(core, job_id, &latest);
     if (latest.revision > reading->revision)
         return latest.reply;
     return state_reply(LMN_JOB_ACTIVE, latest.reply.done, latest.reply.running);
 }
 
 struct lmn_txn *lmn_cancellation_txn(const char *job_id,
-                                     const struct lmn_job_reading *reading,
+                                     const struct lmn_job_read_result *reading,
                                      int absent_status, struct lmn_job_reply *reply)
 {
     struct lmn_txn *txn;
@@ -415,8 +415,7 @@
     return txn;
 }
 
-bool lmn_cancellation_is_settled(enum lmn_txn_outcome outcome,
-                                 struct lmn_job_reply *reply)
+bool lmn_cancellation_is_final(enum lmn_txn_outcome outcome, struct lmn_job_reply *reply)
 {
     /* With an unknown outcome the user retries, and then the job is read. */
     *reply = outcome == LMN_TXN_COMMITTED ? state_reply(LMN_JOB_CANCELLED, 0, 0)
--- a/src/controller/request_decisions.h
+++ b/src/controller/request_decisions.h
@@ -28,7 +28,7 @@
     int status;        /**< of HTTP */
     int retry_after;   /**< seconds; 0: none */
     const char *error; /**< what is wrong with the request; NULL: nothing */
-    bool shows_job;    /**< the fields that follow are part of the reply */
+    bool includes_job; /**< the fields that follow are part of the reply */
     enum lmn_job_phase phase;
     uint32_t done, running; /**< tasks, as far as this controller knows */
 };
@@ -52,7 +52,7 @@
                                                   const struct lmn_submission *submission,
                                                   struct timespec now);
 /** Decides on a submission whose transaction has that outcome. */
-struct lmn_request_decision lmn_decide_submitted(enum lmn_txn_outcome outcome);
+struct lmn_request_decision lmn_decide_commit_outcome(enum lmn_txn_outcome outcome);
 
 /** The next step for a submission whose transaction has no outcome yet. */
 enum lmn_pending_submission_step {
@@ -83,21 +83,21 @@
 
 /** What a confirmation says of a view. */
 enum lmn_confirmation_result {
-    LMN_CONFIRMED_LATEST,   /**< the view was the latest when the store evaluated it */
-    LMN_CONFIRMED_OUTDATED, /**< there is a later record: it has to be read */
-    LMN_CONFIRMED_NOTHING,  /**< nothing */
+    LMN_CONFIRMATION_LATEST,   /**< the view was the latest when the store evaluated it */
+    LMN_CONFIRMATION_OUTDATED, /**< there is a later record: it has to be read */
+    LMN_CONFIRMATION_UNKNOWN,  /**< nothing */
 };
 
 /** Takes a view of a job, which need not exist. */
-void lmn_job_view_take(const struct lmn_core *core, const char *job_id,
-                       struct lmn_job_view *view);
+void lmn_job_view_from_cache(const struct lmn_core *core, const char *job_id,
+                             struct lmn_job_view *view);
 /** The transaction that confirms the views: conditions alone. To be freed. */
 struct lmn_txn *lmn_confirmation_txn(const struct lmn_job_view *views, guint count);
 /** What that transaction's outcome says of one of the views.
  * @param failed_keys the keys whose condition did not hold */
-enum lmn_confirmation_result lmn_job_view_confirmed(const struct lmn_job_view *view,
-                                                    enum lmn_txn_outcome outcome,
-                                                    const GPtrArray *failed_keys);
+enum lmn_confirmation_result lmn_job_view_confirmation(const struct lmn_job_view *view,
+                                                       enum lmn_txn_outcome outcome,
+                                                       const GPtrArray *failed_keys);
 /** The reply of a view that was confirmed, or of a later one: the watch cache may have
  * moved on while the outcome was on its way. */
 struct lmn_job_reply lmn_job_reply_confirmed(const struct lmn_core *core,
@@ -109,7 +109,7 @@
 /* --- reading, and cancelling --- */
 
 /** A job's record as it was read from the key-value store. */
-struct lmn_job_reading {
+struct lmn_job_read_result {
     int status;        /**< 200: the record was read; 404: there is none; else: unknown */
     uint64_t revision; /**< this, and what follows: with 200 only */
     struct lmn_job_spec spec;
@@ -120,28 +120,27 @@
 
 /** Reads the key-value store's response. To be cleared, whatever its status.
  * @param status of HTTP, or LMN_HTTP_NO_RESPONSE */
-void lmn_job_reading_parse(struct lmn_job_reading *reading, int status,
-                           const guint8 *body, size_t len);
+void lmn_job_read_result_parse(struct lmn_job_read_result *reading, int status,
+                               const guint8 *body, size_t len);
 /** Frees what the reading holds. */
-void lmn_job_reading_clear(struct lmn_job_reading *reading);
+void lmn_job_read_result_clear(struct lmn_job_read_result *reading);
 /** The reply of a job's reading. */
-struct lmn_job_reply lmn_job_reply_from_reading(const struct lmn_core *core,
-                                                const char *job_id,
-                                                const struct lmn_job_reading *reading,
-                                                int absent_status);
+struct lmn_job_reply
+lmn_job_reply_from_read_result(const struct lmn_core *core, const char *job_id,
+                               const struct lmn_job_read_result *reading,
+                               int absent_status);
 
 /** The transaction that cancels an active job, conditional on the revision that was read.
  * @return NULL if there is nothing to cancel: then *reply is final */
 struct lmn_txn *lmn_cancellation_txn(const char *job_id,
-                                     const struct lmn_job_reading *reading,
+                                     const struct lmn_job_read_result *reading,
                                      int absent_status, struct lmn_job_reply *reply);
 /** Fills *reply by the outcome of the cancellation's transaction.
  * @return false if the job has changed: it has to be read again */
-bool lmn_cancellation_is_settled(enum lmn_txn_outcome outcome,
-                                 struct lmn_job_reply *reply);
+bool lmn_cancellation_is_final(enum lmn_txn_outcome outcome, struct lmn_job_reply *reply);
 
 /** How often a cancellation is tried while others change the job. */
-enum { LMN_CANCEL_TRIES = 5 };
+enum { LMN_MAX_CANCEL_ATTEMPTS = 5 };
 
 /* --- on the wire --- */
 
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -200,7 +200,7 @@
 static void handle_quota(struct lmn_core *core, const union rpc_message *message,
                          struct rpc_response *response)
 {
-    response->body.number = lmn_steal_quota_handle(core, &message->quota);
+    response->body.number = lmn_quota_rpc_handle(core, &message->quota);
 }
 
 static void handle_probe(struct lmn_core *core, const union rpc_message *message,
--- a/src/controller/steal_client.c
+++ b/src/controller/steal_client.c
@@ -120,7 +120,7 @@
                            struct lmn_rpc_quota_request *message)
 {
     if (owns_partition(client->core, message->victim))
-        return lmn_steal_quota_handle(client->core, message);
+        return lmn_quota_rpc_handle(client->core, message);
     const struct number_call call = {LMN_RPC_QUOTA, (xdrproc_t)xdr_lmn_rpc_quota_request,
                                      message};
     return call_owner(client, message->victim, &call);
--- a/src/controller/steal_handler.c
+++ b/src/controller/steal_handler.c
@@ -80,8 +80,8 @@
     return task_count;
 }
 
-u_int lmn_steal_quota_handle(struct lmn_core *core,
-                             const struct lmn_rpc_quota_request *message)
+u_int lmn_quota_rpc_handle(struct lmn_core *core,
+                           const struct lmn_rpc_quota_request *message)
 {
     const struct lmn_team *team = lmn_settings_team(core->settings, message->team);
 
--- a/src/controller/steal_handler.h
+++ b/src/controller/steal_handler.h
@@ -22,7 +22,7 @@
                                 const struct lmn_rpc_steal_request *message);
 /** Begins to transfer quota from the victim to the thief, or keeps some free for it.
  * @return 1 if something is transferred, else 0 */
-u_int lmn_steal_quota_handle(struct lmn_core *core,
-                             const struct lmn_rpc_quota_request *message);
+u_int lmn_quota_rpc_handle(struct lmn_core *core,
+                           const struct lmn_rpc_quota_request *message);
 
 #endif
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -227,12 +227,12 @@
     struct lmn_cbor_document document;
 
     memset(submission, 0, sizeof *submission);
-    submission->field_at_fault = "not CBOR";
+    submission->spec_error = "not CBOR";
     submission->fault = LMN_SUBMISSION_NO_ID;
     if (lmn_cbor_parse(&document, body, len) != 0)
         return;
     if (lmn_job_spec_parse(&submission->spec, &document, lmn_cbor_root(&document),
-                           &submission->field_at_fault) == 0)
+                           &submission->spec_error) == 0)
         submission->fault = is_too_large(settings, &submission->spec)
                                 ? LMN_SUBMISSION_TOO_LARGE
                                 : LMN_SUBMISSION_VALID;
--- a/src/controller/submission.h
+++ b/src/controller/submission.h
@@ -7,7 +7,7 @@
 #include "state/core_state.h"
 
 /** What is wrong with a submission. */
-enum lmn_submission_fault {
+enum lmn_submission_validity {
     LMN_SUBMISSION_VALID,
     LMN_SUBMISSION_NO_ID,     /**< unreadable, or without an id that a job could have */
     LMN_SUBMISSION_MALFORMED, /**< it has an id; a field is missing or invalid */
@@ -17,8 +17,8 @@
 /** A submission that has been parsed. */
 struct lmn_submission {
     struct lmn_job_spec spec; /**< if malformed, of this only the id is to be relied on */
-    enum lmn_submission_fault fault;
-    const char *field_at_fault; /**< static text */
+    enum lmn_submission_validity fault;
+    const char *spec_error; /**< static text */
 };
 
 /** Parses a request's body. To be cleared, whatever its fault. */
--- a/tests/simulation/request_handling.c
+++ b/tests/simulation/request_handling.c
@@ -32,7 +32,7 @@
     struct lmn_job_view views[BATCH];
     guint n, next;
     unsigned tries;
-    struct lmn_job_reading reading;
+    struct lmn_job_read_result reading;
     enum lmn_txn_outcome outcome;
     GPtrArray *failed;
 };
@@ -109,8 +109,8 @@
 {
     struct lmn_read_request *late;
 
-    k->n = lmn_read_batch_take(&k->asks, k->batch, BATCH, &k->cancel, &late,
-                               simulation.clock);
+    k->n = lmn_read_batch_dequeue(&k->asks, k->batch, BATCH, &k->cancel, &late,
+                                  simulation.clock);
     k->tries = 0;
     k->stage = k->cancel ? CANCEL_READS : CONFIRM_ASKS;
     answer_unavailable(late);
@@ -118,7 +118,7 @@
 
 static void read_job(struct asker *k, const struct node *node, const char *ref)
 {
-    lmn_job_reading_clear(&k->reading);
+    lmn_job_read_result_clear(&k->reading);
     if (node_served(node) && !chance(0.02))
         simulation_read_record(ref, &k->reading);
     else
@@ -141,7 +141,7 @@
 
     if (simulation.broken_guard == GUARD_FINAL && k->reading.status == 200) {
         /* Written whatever the record has become. */
-        lmn_job_reading_clear(&k->reading);
+        lmn_job_read_result_clear(&k->reading);
         simulation_read_record(ref, &k->reading);
         k->reading.phase = LMN_JOB_ACTIVE;
     }
@@ -166,7 +166,8 @@
 {
     struct lmn_job_reply r;
 
-    if (lmn_cancellation_is_settled(k->outcome, &r) || ++k->tries == LMN_CANCEL_TRIES)
+    if (lmn_cancellation_is_final(k->outcome, &r) ||
+        ++k->tries == LMN_MAX_CANCEL_ATTEMPTS)
         cancel_answered(k, &r);
     else
         k->stage = CANCEL_READS;
@@ -175,7 +176,7 @@
 static void confirm_asks(struct asker *k, const struct node *node)
 {
     for (guint i = 0; i < k->n; i++)
-        lmn_job_view_take(node->core, k->batch[i]->job_id, &k->views[i]);
+        lmn_job_view_from_cache(node->core, k->batch[i]->job_id, &k->views[i]);
     struct lmn_txn *txn = lmn_confirmation_txn(k->views, k->n);
     k->outcome = simulation_confirm(txn, k->failed);
     lmn_txn_free(txn);
@@ -195,12 +196,12 @@
 
     for (guint i = 0; i < k->n; i++) {
         enum lmn_confirmation_result known =
-            lmn_job_view_confirmed(&k->views[i], k->outcome, k->failed);
-        if (known == LMN_CONFIRMED_OUTDATED) {
+            lmn_job_view_confirmation(&k->views[i], k->outcome, k->failed);
+        if (known == LMN_CONFIRMATION_OUTDATED) {
             k->batch[outdated++] = k->batch[i];
             continue;
         }
-        if (known == LMN_CONFIRMED_NOTHING) {
+        if (known == LMN_CONFIRMATION_UNKNOWN) {
             answer_unavailable(k->batch[i]);
             continue;
         }
@@ -220,7 +221,7 @@
 {
     for (struct lmn_read_request *read = k->batch[k->next], *next; read; read = next) {
         next = read->next_same_job;
-        struct lmn_job_reply r = lmn_job_reply_from_reading(
+        struct lmn_job_reply r = lmn_job_reply_from_read_result(
             node->core, read->job_id, &k->reading, read->absent_status);
         answer(read, &r);
     }
@@ -284,7 +285,7 @@
         free_list(k->cancel);
         for (guint i = k->stage >= READ_ASKS ? k->next : 0; i < k->n; i++)
             free_list(k->batch[i]);
-        lmn_job_reading_clear(&k->reading);
+        lmn_job_read_result_clear(&k->reading);
         g_ptr_array_free(k->failed, TRUE);
     }
     memset(k, 0, sizeof *k);
@@ -325,7 +326,7 @@
 
     if (simulation.broken_guard == GUARD_UNKNOWN_OUTCOME && outcome == LMN_TXN_UNKNOWN)
         outcome = LMN_TXN_COMMITTED;
-    struct lmn_request_decision d = lmn_decide_submitted(outcome);
+    struct lmn_request_decision d = lmn_decide_commit_outcome(outcome);
     if (d.step != LMN_STEP_REPLY) {
         enqueue(LMN_READ_STATUS, q, d.absent_status);
         return;
--- a/tests/simulation/requests.h
+++ b/tests/simulation/requests.h
@@ -28,7 +28,7 @@
 
 /* The job's record; NULL: there is none. */
 const struct item *simulation_record(const char *ref);
-void simulation_read_record(const char *ref, struct lmn_job_reading *reading);
+void simulation_read_record(const char *ref, struct lmn_job_read_result *reading);
 
 /* --- request_handling.c: what the controllers do with them --- */
 
--- a/tests/simulation/users.c
+++ b/tests/simulation/users.c
@@ -40,7 +40,7 @@
     return it && it->value ? it : NULL;
 }
 
-void simulation_read_record(const char *ref, struct lmn_job_reading *reading)
+void simulation_read_record(const char *ref, struct lmn_job_read_result *reading)
 {
     const struct item *it = simulation_record(ref);
     const struct job *job = &simulation.jobs[MAX(simulation_job(ref), 0)];
@@ -188,10 +188,10 @@
     g_strlcpy(q->ref, ref, sizeof q->ref);
     q->recorded = it != NULL;
     if (it) {
-        struct lmn_job_reading now;
+        struct lmn_job_read_result now;
         simulation_read_record(ref, &now);
         q->phase = now.phase;
-        lmn_job_reading_clear(&now);
+        lmn_job_read_result_clear(&now);
     }
     if (q->job) {
         q->accepted = q->job->accepted;
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -228,11 +228,11 @@
 {
     (void)state;
     job_keeps("job_withdrawn", plain(), LMN_JOB_CANCELLED, 1, 1700000000.25);
-    struct lmn_job_reading r = {.status = 200,
-                                .revision = 5,
-                                .spec = plain(),
-                                .open_ranges = 1,
-                                .accepted_at_s = 1700000000.25};
+    struct lmn_job_read_result r = {.status = 200,
+                                    .revision = 5,
+                                    .spec = plain(),
+                                    .open_ranges = 1,
+                                    .accepted_at_s = 1700000000.25};
     struct lmn_job_reply reply;
     struct lmn_txn *txn = lmn_cancellation_txn("run-000412", &r, 404, &reply);
     writes_record(txn, "j/run-000412", 0, "job_withdrawn");
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -248,7 +248,8 @@
 
 static void replies_to_users_keep_their_bytes(void **state)
 {
-    struct lmn_job_reply r = {.status = 200, .shows_job = true, .phase = LMN_JOB_ACTIVE};
+    struct lmn_job_reply r = {
+        .status = 200, .includes_job = true, .phase = LMN_JOB_ACTIVE};
     (void)state;
 
     reply_keeps("reply_queued", r);
--- a/tests/test_read_batch.c
+++ b/tests/test_read_batch.c
@@ -53,7 +53,7 @@
                     g_rand_int_range(r, 0, 100),
                     lmn_time_add(now, g_rand_double(r) * took));
             now = lmn_time_add(now, took);
-            guint n = lmn_read_batch_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
+            guint n = lmn_read_batch_dequeue(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
             assert_true(n <= G_N_ELEMENTS(v));
             for (struct lmn_read_request *read = late; read; read = read->next_same_job)
                 assert_true(lmn_time_diff_s(now, read->received_at) >
@@ -80,7 +80,7 @@
         }
         while (q.waiting) {
             now = lmn_time_add(now, 0.02);
-            guint n = lmn_read_batch_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
+            guint n = lmn_read_batch_dequeue(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
             for (guint i = 0; i < n; i++)
                 out += done(v[i]);
             out += done(cancel);
@@ -109,7 +109,7 @@
         put(&q, LMN_READ_STATUS, i % 20, now);
     int batches = 0, at = -1;
     while (q.waiting) {
-        guint n = lmn_read_batch_take(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
+        guint n = lmn_read_batch_dequeue(&q, v, G_N_ELEMENTS(v), &cancel, &late, now);
         for (guint i = 0; i < n; i++) {
             if (g_str_has_suffix(v[i]->job_id, "000099"))
                 at = batches;
@@ -136,9 +136,9 @@
     put(&q, LMN_READ_STATUS, 1, now);
     put(&q, LMN_READ_CANCEL, 1, now);
     put(&q, LMN_READ_STATUS, 1, now);
-    assert_int_equal(lmn_read_batch_take(&q, first, 4, &cancel, &late, now), 1);
+    assert_int_equal(lmn_read_batch_dequeue(&q, first, 4, &cancel, &late, now), 1);
     put(&q, LMN_READ_STATUS, 1, now);
-    assert_int_equal(lmn_read_batch_take(&q, second, 4, &none, &late, now), 1);
+    assert_int_equal(lmn_read_batch_dequeue(&q, second, 4, &none, &late, now), 1);
     assert_null(none);
     assert_int_equal(done(first[0]), 3);
     assert_int_equal(done(second[0]), 1);
--- a/tests/test_request_decisions.c
+++ b/tests/test_request_decisions.c
@@ -176,7 +176,7 @@
                 assert_int_equal(d.step == LMN_STEP_REPLY ? d.reply.status
                                                           : d.absent_status,
                                  e.status);
-                assert_int_equal(d.reply.shows_job, e.status == 200);
+                assert_int_equal(d.reply.includes_job, e.status == 200);
                 if (e.status == 200)
                     assert_int_equal(d.reply.phase,
                                      kind == DONE ? LMN_JOB_DONE : LMN_JOB_CANCELLED);
@@ -214,27 +214,27 @@
     struct lmn_job_view v, absent;
     (void)state;
 
-    lmn_job_view_take(core, refs[ACTIVE], &v);
-    lmn_job_view_take(core, refs[UNKNOWN], &absent);
-    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_COMMITTED, failed),
-                     LMN_CONFIRMED_LATEST);
-    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_UNKNOWN, failed),
-                     LMN_CONFIRMED_NOTHING);
-    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_REJECTED, failed),
-                     LMN_CONFIRMED_NOTHING);
+    lmn_job_view_from_cache(core, refs[ACTIVE], &v);
+    lmn_job_view_from_cache(core, refs[UNKNOWN], &absent);
+    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_COMMITTED, failed),
+                     LMN_CONFIRMATION_LATEST);
+    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_UNKNOWN, failed),
+                     LMN_CONFIRMATION_UNKNOWN);
+    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_REJECTED, failed),
+                     LMN_CONFIRMATION_UNKNOWN);
     /* A conflict that names nothing says nothing. */
-    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_CONFLICT, failed),
-                     LMN_CONFIRMED_NOTHING);
+    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_CONFLICT, failed),
+                     LMN_CONFIRMATION_UNKNOWN);
     g_ptr_array_add(failed, (char *)"j/run-000001");
-    assert_int_equal(lmn_job_view_confirmed(&v, LMN_TXN_CONFLICT, failed),
-                     LMN_CONFIRMED_OUTDATED);
-    assert_int_equal(lmn_job_view_confirmed(&absent, LMN_TXN_CONFLICT, failed),
-                     LMN_CONFIRMED_LATEST);
+    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_CONFLICT, failed),
+                     LMN_CONFIRMATION_OUTDATED);
+    assert_int_equal(lmn_job_view_confirmation(&absent, LMN_TXN_CONFLICT, failed),
+                     LMN_CONFIRMATION_LATEST);
 
     for (int status = 400; status < 504; status++) {
         struct lmn_job_reply r = lmn_job_reply_confirmed(core, &absent, status);
         assert_int_equal(r.status, status);
-        assert_false(r.shows_job);
+        assert_false(r.includes_job);
     }
     /* What the mirror has learnt since is told, by its revision. */
     struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, refs[ACTIVE]);
@@ -242,13 +242,15 @@
     job->phase = LMN_JOB_DONE;
     job->revision++;
     assert_int_equal(lmn_job_reply_confirmed(core, &v, 404).phase, LMN_JOB_DONE);
-    struct lmn_job_reading reading = {
+    struct lmn_job_read_result reading = {
         .status = 200, .revision = v.revision, .phase = LMN_JOB_ACTIVE, .spec.tasks = 3};
-    assert_int_equal(lmn_job_reply_from_reading(core, refs[ACTIVE], &reading, 404).phase,
-                     LMN_JOB_DONE);
+    assert_int_equal(
+        lmn_job_reply_from_read_result(core, refs[ACTIVE], &reading, 404).phase,
+        LMN_JOB_DONE);
     reading.revision = job->revision + 1;
-    assert_int_equal(lmn_job_reply_from_reading(core, refs[ACTIVE], &reading, 404).phase,
-                     LMN_JOB_ACTIVE);
+    assert_int_equal(
+        lmn_job_reply_from_read_result(core, refs[ACTIVE], &reading, 404).phase,
+        LMN_JOB_ACTIVE);
     know(core, UNKNOWN, LMN_JOB_ACTIVE);
     assert_int_equal(lmn_job_reply_confirmed(core, &absent, 422).status, 200);
     g_ptr_array_free(failed, TRUE);
@@ -258,7 +260,7 @@
 static void cancellations(void **state)
 {
     struct lmn_job_reply r;
-    struct lmn_job_reading reading = {.status = 200, .phase = LMN_JOB_DONE};
+    struct lmn_job_read_result reading = {.status = 200, .phase = LMN_JOB_DONE};
     (void)state;
 
     assert_null(lmn_cancellation_txn("run-000001", &reading, 404, &r));
@@ -269,19 +271,18 @@
     reading.status = LMN_HTTP_NO_RESPONSE;
     assert_null(lmn_cancellation_txn("run-000001", &reading, 404, &r));
     assert_int_equal(r.status, 503);
-    assert_true(lmn_cancellation_is_settled(LMN_TXN_COMMITTED, &r));
+    assert_true(lmn_cancellation_is_final(LMN_TXN_COMMITTED, &r));
     assert_int_equal(r.phase, LMN_JOB_CANCELLED);
-    assert_true(lmn_cancellation_is_settled(LMN_TXN_UNKNOWN, &r));
+    assert_true(lmn_cancellation_is_final(LMN_TXN_UNKNOWN, &r));
     assert_int_equal(r.status, 503);
-    assert_false(
-        lmn_cancellation_is_settled(LMN_TXN_CONFLICT, &r)); /* it is read again */
-    assert_int_equal(r.status, 503);                        /* or that was the last try */
+    assert_false(lmn_cancellation_is_final(LMN_TXN_CONFLICT, &r)); /* it is read again */
+    assert_int_equal(r.status, 503); /* or that was the last try */
     /* Only what is known to be committed is told as accepted. */
-    assert_int_equal(lmn_decide_submitted(LMN_TXN_COMMITTED).reply.status, 201);
-    assert_int_equal(lmn_decide_submitted(LMN_TXN_UNKNOWN).reply.status, 503);
-    assert_int_equal(lmn_decide_submitted(LMN_TXN_REJECTED).reply.status, 503);
-    assert_int_equal(lmn_decide_submitted(LMN_TXN_CONFLICT).step, LMN_STEP_CONFIRM);
-    assert_int_equal(lmn_decide_submitted(LMN_TXN_CONFLICT).absent_status, 503);
+    assert_int_equal(lmn_decide_commit_outcome(LMN_TXN_COMMITTED).reply.status, 201);
+    assert_int_equal(lmn_decide_commit_outcome(LMN_TXN_UNKNOWN).reply.status, 503);
+    assert_int_equal(lmn_decide_commit_outcome(LMN_TXN_REJECTED).reply.status, 503);
+    assert_int_equal(lmn_decide_commit_outcome(LMN_TXN_CONFLICT).step, LMN_STEP_CONFIRM);
+    assert_int_equal(lmn_decide_commit_outcome(LMN_TXN_CONFLICT).absent_status, 503);
 }
 
 int main(void)
