--- a/src/controller/job_response.c
+++ b/src/controller/job_response.c
@@ -1,5 +1,5 @@
 /** @file
- * Replies about jobs as HTTP responses. No state. */
+ * Sends replies about jobs as HTTP responses. Keeps no state. */
 #include "controller/job_response.h"
 
 void lmn_job_response_send(struct lmn_http_request *request, const char *job_id,
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -1,9 +1,10 @@
 /** @file
- * Submissions that are being written.
+ * Submissions whose transaction has been sent and whose outcome is not known yet.
  *
- * `pending.lock` guards the list and its entries. It may be held while the core's lock is
- * taken, never the other way round. Outcomes arrive on the key-value client's writer
- * threads; one thread of this file looks for those that are late. */
+ * `pending.lock` guards the list of submissions and its entries. Lock order: it is taken
+ * before the core's lock, never after it. Outcomes arrive on the writer threads of the
+ * key-value client; the one thread of this file checks the submissions that are
+ * overdue. */
 #include "controller/pending_submission.h"
 #include "util/log.h"
 #include "util/thread.h"
@@ -13,25 +14,26 @@
 /** A submission whose transaction has been sent. */
 struct lmn_pending_submission {
     struct lmn_core *core;
-    struct lmn_http_request *request; /**< deferred; NULL: it was responded to */
+    struct lmn_http_request *request; /**< deferred; NULL: already responded to */
     char job_id[LMN_JOB_ID_SIZE];
     struct timespec submitted_at;
-    struct lmn_txn *duplicate; /**< the transaction once more; NULL: it was sent */
-    unsigned in_flight;        /**< transactions whose outcome is not known yet */
+    struct lmn_txn *duplicate; /**< copy of the transaction to resend; NULL: resent */
+    unsigned in_flight;        /**< transactions sent whose outcome is not known yet */
 };
 
 static struct {
     pthread_mutex_t lock;
     pthread_cond_t added;
-    GQueue submissions; /**< struct lmn_pending_submission, the oldest first */
+    GQueue submissions; /**< struct lmn_pending_submission, oldest first */
     lmn_submission_responder *respond;
 } pending = {.lock = PTHREAD_MUTEX_INITIALIZER, .submissions = G_QUEUE_INIT};
 
-/** How often the watch cache is searched for the jobs of late submissions. */
+/** Shortest interval at which the watch cache is searched for the jobs of overdue
+ * submissions. */
 static const double CHECK_INTERVAL_S = 0.02;
 
-/** The list's lock is held.
- * @return the request, which the caller has to respond to; NULL if it has been */
+/** Called with pending.lock held.
+ * @return the request, which the caller must respond to; NULL if it was responded to */
 static struct lmn_http_request *take_request(struct lmn_pending_submission *submission)
 {
     struct lmn_http_request *request = submission->request;
@@ -40,7 +42,8 @@
     return request;
 }
 
-/** Frees the submission if no outcome is awaited any more. The list's lock is held. */
+/** Frees the submission unless a transaction of it is still in flight. Called with
+ * pending.lock held. */
 static void free_if_finished(struct lmn_pending_submission *submission)
 {
     if (submission->in_flight)
@@ -58,7 +61,7 @@
     pthread_mutex_unlock(&core->lock);
 }
 
-/** Called once for each transaction, on a writer thread and without a lock. */
+/** Called once for each transaction, on a writer thread, without any lock held. */
 static void on_outcome(void *arg, struct lmn_txn *txn, enum lmn_txn_outcome outcome,
                        uint64_t revision)
 {
@@ -77,7 +80,8 @@
     pthread_mutex_lock(&pending.lock);
     g_strlcpy(job_id, submission->job_id, sizeof job_id);
     submission->in_flight--;
-    /* With two in flight, the other's outcome may still be known. */
+    /* After an unknown outcome, respond only if no other transaction is in flight: the
+     * outcome of that one may become known. */
     struct lmn_http_request *request =
         is_known || !submission->in_flight ? take_request(submission) : NULL;
     free_if_finished(submission);
@@ -106,15 +110,16 @@
     g_queue_push_tail(&pending.submissions, submission);
     pthread_cond_signal(&pending.added);
     pthread_mutex_unlock(&pending.lock);
-    /* Last: from here on its outcome may free the submission. */
+    /* Last, because on_outcome may free the submission from here on. */
     lmn_kv_client_submit(core->kv_client, txn);
 }
 
-/** Does what is due for a submission. The list's lock is held.
- * @return the request, if its job's state is to be confirmed; else NULL */
-static struct lmn_http_request *check(struct lmn_core *core,
-                                      struct lmn_pending_submission *submission,
-                                      struct timespec now)
+/** Checks a submission without an outcome, and resends its transaction if that is due.
+ * Called with pending.lock held.
+ * @return the request if its job's state has to be confirmed; else NULL */
+static struct lmn_http_request *
+check_submission(struct lmn_core *core, struct lmn_pending_submission *submission,
+                 struct timespec now)
 {
     struct lmn_txn *duplicate = submission->duplicate;
 
@@ -136,9 +141,9 @@
     }
 }
 
-/** Seconds until the oldest submission without a response is due; infinite if there is
- * none. The list's lock is held. */
-static double seconds_until_due(struct timespec now)
+/** Seconds until the oldest submission without a response has to be checked; INFINITY if
+ * there is none. Called with pending.lock held. */
+static double seconds_until_check(struct timespec now)
 {
     for (GList *link = pending.submissions.head; link; link = link->next) {
         const struct lmn_pending_submission *submission = link->data;
@@ -150,10 +155,11 @@
     return INFINITY;
 }
 
-/** Waits until a submission may be due. The list's lock is held. */
-static void wait_until_due(void)
+/** Waits until a submission may have to be checked. Called with pending.lock held, which
+ * is released during the wait. */
+static void wait_until_check(void)
 {
-    double wait_s = seconds_until_due(lmn_now());
+    double wait_s = seconds_until_check(lmn_now());
 
     if (isinf(wait_s))
         pthread_cond_wait(&pending.added, &pending.lock);
@@ -161,32 +167,35 @@
         lmn_cond_wait_for(&pending.added, &pending.lock, wait_s);
 }
 
-/** A request whose job's state is to be confirmed. */
-struct due_request {
+/** A request to answer with its job's confirmed state. */
+struct unconfirmed_request {
     struct lmn_http_request *request;
     char job_id[LMN_JOB_ID_SIZE];
 };
 
-/** Waits until a submission may be due, and checks all. */
-static void check_all(struct lmn_core *core)
+/** Waits until a submission may have to be checked, and checks all of them. */
+static void check_submissions(struct lmn_core *core)
 {
-    g_autoptr(GArray) due = g_array_new(FALSE, FALSE, sizeof(struct due_request));
+    g_autoptr(GArray) unconfirmed =
+        g_array_new(FALSE, FALSE, sizeof(struct unconfirmed_request));
     const struct lmn_request_decision confirm = {.step = LMN_STEP_CONFIRM,
                                                  .absent_status = 503};
 
     pthread_mutex_lock(&pending.lock);
-    wait_until_due();
+    wait_until_check();
     for (GList *link = pending.submissions.head; link; link = link->next) {
         struct lmn_pending_submission *submission = link->data;
-        struct due_request entry = {
-            .request = submission->request ? check(core, submission, lmn_now()) : NULL};
+        struct unconfirmed_request entry = {
+            .request = submission->request ? check_submission(core, submission, lmn_now())
+                                           : NULL};
         g_strlcpy(entry.job_id, submission->job_id, sizeof entry.job_id);
         if (entry.request)
-            g_array_append_val(due, entry);
+            g_array_append_val(unconfirmed, entry);
     }
     pthread_mutex_unlock(&pending.lock);
-    for (guint i = 0; i < due->len; i++) {
-        const struct due_request *entry = &g_array_index(due, struct due_request, i);
+    for (guint i = 0; i < unconfirmed->len; i++) {
+        const struct unconfirmed_request *entry =
+            &g_array_index(unconfirmed, struct unconfirmed_request, i);
         pending.respond(entry->request, entry->job_id, &confirm);
     }
 }
@@ -194,7 +203,7 @@
 static void *pending_submission_thread(void *arg)
 {
     for (;;)
-        check_all(arg);
+        check_submissions(arg);
     return NULL;
 }
 
--- a/src/controller/read_batch.c
+++ b/src/controller/read_batch.c
@@ -1,5 +1,5 @@
 /** @file
- * The batch of requests that wait for a confirmation. */
+ * The queue of users' requests that need the key-value store. */
 #include "controller/read_batch.h"
 #include "util/clock.h"
 
@@ -36,7 +36,8 @@
             g_hash_table_insert(batch->jobs, read->job_id, read);
         return;
     }
-    /* Second in the list: they are all answered together, so their order is of no use. */
+    /* Inserted second, which takes constant time: the requests of a list are answered
+     * together, so their order does not matter. */
     read->next_same_job = first->next_same_job;
     first->next_same_job = read;
 }
@@ -46,11 +47,11 @@
     return lmn_time_diff_s(now, read->received_at) > LMN_READ_REQUEST_TIMEOUT_S;
 }
 
-/** Moves the requests of the list that have timed out to the front of *late.
- * @return the others */
-static struct lmn_read_request *remove_late(struct lmn_read_request *list,
-                                            struct lmn_read_request **late,
-                                            struct timespec now)
+/** Moves the requests of `list` that have timed out to the front of *late.
+ * @return the list of the remaining requests */
+static struct lmn_read_request *remove_timed_out(struct lmn_read_request *list,
+                                                 struct lmn_read_request **late,
+                                                 struct timespec now)
 {
     struct lmn_read_request *in_time = NULL;
 
@@ -84,7 +85,7 @@
         struct lmn_read_request *read = link->data;
         next = link->next;
         if (read->kind == LMN_READ_CANCEL) {
-            /* A second one waits for its turn: cancellations are carried out singly. */
+            /* A second cancellation stays queued: a thread handles one at a time. */
             if (*cancel)
                 continue;
             *cancel = read;
@@ -92,7 +93,7 @@
         } else {
             g_hash_table_remove(batch->jobs, read->job_id);
             batch->waiting -= count_requests(read);
-            struct lmn_read_request *in_time = remove_late(read, late, now);
+            struct lmn_read_request *in_time = remove_timed_out(read, late, now);
             if (in_time)
                 jobs[job_count++] = in_time;
         }
--- a/src/controller/read_thread.c
+++ b/src/controller/read_thread.c
@@ -1,10 +1,10 @@
 /** @file
- * Reads and cancellations of jobs at the key-value store.
+ * Confirms, reads and cancels jobs at the key-value store for users' requests.
  *
- * The queue of requests has a lock of its own, which is held together with no other. The
- * core's lock is taken to read the watch cache only, and never during I/O. A request that
- * a thread has taken off the queue belongs to it until it is responded to or enqueued
- * again. */
+ * The queue of requests has its own lock, which is never held together with another. The
+ * core's lock is taken to read the watch cache and to record cancellations, and is not
+ * held during I/O. A request that a thread has dequeued belongs to that thread until it
+ * is responded to or enqueued again. */
 #include "controller/read_thread.h"
 #include "controller/job_response.h"
 #include "controller/request_decisions.h"
@@ -14,44 +14,46 @@
 #include "util/log.h"
 #include "util/thread.h"
 
-/** Threads that send requests to the key-value store. While it answers quickly only one
- * of them has a request in flight, and what arrives meanwhile shares the next; the others
- * are for when an answer is slow. */
+/** Threads that send requests to the key-value store. While the store answers quickly,
+ * only one thread has a request in flight, and the users' requests that arrive meanwhile
+ * share the next one; the other threads are used when the store is slow. */
 enum { READ_THREADS = 3 };
 
-/** Jobs that one transaction confirms at most, and how many of them for each change that
- * the store takes in a transaction: a condition costs it less than a change. */
+/** The number of jobs that one transaction confirms is limited to MAX_BATCH_JOBS, and to
+ * JOBS_PER_TXN_OPERATION for each operation that the store allows in a transaction: a
+ * condition costs the store less than an operation. */
 enum { MAX_BATCH_JOBS = 100, JOBS_PER_TXN_OPERATION = 4 };
 
-/** A user gives up soon after. */
+/** Timeout of a read from the store, a little less than the clients' own timeout. */
 static const double READ_TIMEOUT_S = 1.5;
-/** Added to a wait, so that it does not end just before it is over. */
+/** Added to each timed wait, so that rounding does not end it just before it is due. */
 static const double WAIT_MARGIN_S = 1e-3;
 
-/** The requests that wait for a thread. `lock` guards all of it. */
+/** The queue of users' requests. `lock` guards all fields. */
 static struct {
     pthread_mutex_t lock;
     pthread_cond_t added;
     struct lmn_read_batch batch;
-    struct lmn_in_flight in_flight; /**< of confirmations and cancellations */
+    struct lmn_in_flight in_flight; /**< requests to the store that are in flight */
 } queue = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
-/** What a thread works with. */
+/** The state of a read thread. */
 struct reader {
     struct lmn_core *core;
-    struct lmn_http_client *client; /**< to the key-value store */
-    GByteArray *buffer;             /**< of the last response */
+    struct lmn_http_client *client; /**< for the key-value store */
+    GByteArray *buffer;             /**< body of the last response */
 };
 
-/** What a thread has taken off the queue. */
+/** The requests that a thread has dequeued. */
 struct read_work {
-    struct lmn_read_request **jobs;  /**< for each job, those who ask about it */
+    struct lmn_read_request **jobs;  /**< for each job, the list of status requests */
     guint job_count;                 /**< of `jobs` */
-    struct lmn_read_request *cancel; /**< one cancellation; NULL: none */
-    struct lmn_read_request *late;   /**< a list: they have waited too long */
+    struct lmn_read_request *cancel; /**< a cancellation; NULL: none */
+    struct lmn_read_request *late;   /**< list of requests that have timed out */
 };
 
-/* Before main, as the HTTP server accepts requests before the threads are started. */
+/* Runs before main, because the HTTP server accepts requests before the read threads are
+ * started. */
 __attribute__((constructor)) static void init_queue(void)
 {
     lmn_cond_init(&queue.added);
@@ -76,7 +78,7 @@
 
 /* --- responses --- */
 
-/** Responds to all in the list that nothing is known now. */
+/** Responds to all requests in the list that the job's state is unavailable. */
 static void respond_unavailable(struct lmn_read_request *list)
 {
     const struct lmn_job_reply reply = lmn_job_reply_unavailable();
@@ -88,7 +90,7 @@
     }
 }
 
-/** The outcome of the confirmation is unknown: all in the list wait for another one. */
+/** Enqueues all requests in the list again, after a confirmation without an outcome. */
 static void enqueue_again(struct lmn_read_request *list)
 {
     pthread_mutex_lock(&queue.lock);
@@ -99,7 +101,7 @@
     pthread_mutex_unlock(&queue.lock);
 }
 
-/** Responds to all who ask about the same job with its confirmed view. */
+/** Responds to all requests in the list with the confirmed view of their job. */
 static void respond_confirmed(struct lmn_core *core, const struct lmn_job_view *view,
                               struct lmn_read_request *list)
 {
@@ -116,9 +118,10 @@
 
 /* --- reading --- */
 
-/** Reads a job's record; to be cleared with lmn_job_read_result_clear. */
+/** Reads a job's record from the key-value store.
+ * @param read_result to be freed with lmn_job_read_result_clear */
 static void read_job(struct reader *reader, const char *job_id,
-                     struct lmn_job_read_result *reading)
+                     struct lmn_job_read_result *read_result)
 {
     char path[96];
 
@@ -126,33 +129,35 @@
     lmn_kv_client_wait_for_token(reader->core->kv_client);
     int status = lmn_http_client_call(reader->client, "GET", path, NULL, READ_TIMEOUT_S,
                                       reader->buffer);
-    lmn_job_read_result_parse(reading, status, reader->buffer->data, reader->buffer->len);
+    lmn_job_read_result_parse(read_result, status, reader->buffer->data,
+                              reader->buffer->len);
 }
 
-/** The watch cache is behind: reads the job itself, and responds to all who ask about it.
- */
+/** Reads the job from the store, because the watch cache's view of it is outdated, and
+ * responds to all requests in the list. */
 static void read_and_respond(struct reader *reader, struct lmn_read_request *list)
 {
     struct lmn_core *core = reader->core;
-    struct lmn_job_read_result reading;
+    struct lmn_job_read_result read_result;
 
-    read_job(reader, list->job_id, &reading);
+    read_job(reader, list->job_id, &read_result);
     for (struct lmn_read_request *read = list, *next; read; read = next) {
         next = read->next_same_job;
         pthread_mutex_lock(&core->lock);
         struct lmn_job_reply reply = lmn_job_reply_from_read_result(
-            core, read->job_id, &reading, read->absent_status);
+            core, read->job_id, &read_result, read->absent_status);
         pthread_mutex_unlock(&core->lock);
         lmn_job_response_send(read->request, read->job_id, &reply);
         g_free(read);
     }
-    lmn_job_read_result_clear(&reading);
+    lmn_job_read_result_clear(&read_result);
 }
 
 /* --- confirming --- */
 
-/** Responds to those who ask about a job, if the confirmation's outcome allows it.
- * @return false if the job has to be read first */
+/** Responds to the requests in the list, or enqueues them again, depending on the outcome
+ * of the confirmation.
+ * @return false if the job has to be read first; nothing was done then */
 static bool respond_by_outcome(struct lmn_core *core, const struct lmn_job_view *view,
                                enum lmn_txn_outcome outcome, const GPtrArray *failed_keys,
                                struct lmn_read_request *list)
@@ -172,8 +177,8 @@
     }
 }
 
-/** Confirms many jobs by one request: a transaction of conditions alone says which of the
- * watch cache's versions are the latest. */
+/** Confirms the views of many jobs with one transaction, which has conditions and no
+ * writes, and responds to the requests. */
 static void confirm_jobs(struct reader *reader, struct lmn_read_request **jobs,
                          guint job_count)
 {
@@ -190,7 +195,7 @@
     enum lmn_txn_outcome outcome = lmn_kv_client_commit(core->kv_client, reader->client,
                                                         txn, &revision, failed_keys);
     lmn_txn_free(txn);
-    /* First what is known: a read takes its time, and what was confirmed grows old. */
+    /* Confirmed jobs first, so that their responses do not wait for the reads. */
     for (guint i = 0; i < job_count; i++)
         if (respond_by_outcome(core, &views[i], outcome, failed_keys, jobs[i]))
             jobs[i] = NULL;
@@ -201,8 +206,8 @@
 
 /* --- cancelling --- */
 
-/** A cancellation was committed: the other controllers are told before their watch caches
- * show it (state/tombstone.h). */
+/** Records a committed cancellation as a tombstone, by which the other controllers learn
+ * of it even before their watch caches show it (state/tombstone.h). */
 static void record_cancellation(struct lmn_core *core, const char *job_id)
 {
     lmn_debug("job_cancelled job=%s", job_id);
@@ -212,28 +217,28 @@
     pthread_mutex_unlock(&core->lock);
 }
 
-/** Reads the job and writes its cancellation, once.
- * @return whether *reply is final; else the job has changed meanwhile */
+/** Makes one attempt to read the job and write its cancellation.
+ * @return true if *reply is to be sent; false if the job's record changed meanwhile */
 static bool try_to_cancel(struct reader *reader, const struct lmn_read_request *read,
                           struct lmn_job_reply *reply)
 {
     struct lmn_core *core = reader->core;
-    struct lmn_job_read_result reading;
+    struct lmn_job_read_result read_result;
     uint64_t revision;
 
-    read_job(reader, read->job_id, &reading);
+    read_job(reader, read->job_id, &read_result);
     struct lmn_txn *txn =
-        lmn_cancellation_txn(read->job_id, &reading, read->absent_status, reply);
-    lmn_job_read_result_clear(&reading);
+        lmn_cancellation_txn(read->job_id, &read_result, read->absent_status, reply);
+    lmn_job_read_result_clear(&read_result);
     if (!txn)
         return true;
     enum lmn_txn_outcome outcome =
         lmn_kv_client_commit(core->kv_client, reader->client, txn, &revision, NULL);
     lmn_txn_free(txn);
-    bool is_settled = lmn_cancellation_is_final(outcome, reply);
+    bool is_final = lmn_cancellation_is_final(outcome, reply);
     if (outcome == LMN_TXN_COMMITTED)
         record_cancellation(core, read->job_id);
-    return is_settled;
+    return is_final;
 }
 
 static void cancel_job(struct reader *reader, struct lmn_read_request *read)
@@ -249,9 +254,10 @@
 
 /* --- the threads --- */
 
-/** Waits until requests are there and one may be sent, and takes the next.
- * @param max_jobs the room of work->jobs */
-static void take_work(struct read_work *work, guint max_jobs)
+/** Waits until requests are queued and another request to the store may be in flight, and
+ * dequeues the next requests.
+ * @param max_jobs the size of work->jobs */
+static void dequeue_work(struct read_work *work, guint max_jobs)
 {
     pthread_mutex_lock(&queue.lock);
     for (;;) {
@@ -279,7 +285,7 @@
     struct read_work work = {.jobs = g_new0(struct lmn_read_request *, max_jobs)};
 
     for (;;) {
-        take_work(&work, max_jobs);
+        dequeue_work(&work, max_jobs);
         respond_unavailable(work.late);
         if (work.job_count)
             confirm_jobs(&reader, work.jobs, work.job_count);
--- a/src/controller/read_thread.h
+++ b/src/controller/read_thread.h
@@ -1,6 +1,6 @@
 /** @file
- * The threads that confirm what users are told of jobs, and that cancel jobs: they send
- * the requests that wait in a batch (read_batch.h) to the key-value store. */
+ * The threads that confirm or read jobs' states at the key-value store, and cancel jobs,
+ * for the users' requests that are queued (read_batch.h). */
 #ifndef LMN_CONTROLLER_READ_THREAD_H
 #define LMN_CONTROLLER_READ_THREAD_H
 
@@ -10,9 +10,9 @@
 /** Starts the threads. */
 void lmn_read_threads_start(struct lmn_core *core);
 
-/** Enqueues a user's request, which must be deferred already. A thread responds to it.
- * May be called before the threads are started: users are served from then on.
- * @param absent_status the status if there is no such job */
+/** Enqueues a user's request, which must be deferred already; a read thread responds to
+ * it. May be called before the threads are started, as the HTTP server starts first.
+ * @param absent_status HTTP status of the response if there is no such job */
 void lmn_read_enqueue(enum lmn_read_request_kind kind, struct lmn_http_request *request,
                       const char *job_id, int absent_status);
 
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -1,5 +1,5 @@
 /** @file
- * Decisions on users' requests. Keeps no state. */
+ * Decides how users' requests about jobs are answered. Keeps no state. */
 #include "controller/request_decisions.h"
 #include "util/log.h"
 #include "protocol/wire.h"
@@ -19,12 +19,13 @@
     JOB_KEY_SIZE = 64,
 };
 
-/** Seconds after which a user may retry: when nothing could be confirmed, and while this
- * controller starts. */
+/** Retry-After of a reply when no state could be confirmed, and while this controller
+ * starts. */
 enum { RETRY_SOON_S = 1, RETRY_STARTING_S = 2 };
-/** New jobs are refused while writes have to wait longer than this. */
+/** New jobs are refused while writes wait longer than this in the key-value client. */
 static const double MAX_BACKLOG_S = 2.0;
-/** A transaction without an outcome for so long may never be carried out. */
+/** Time without an outcome after which a transaction may have been lost before the store
+ * received it, so that it is sent again. */
 static const double RESEND_DELAY_S = 0.3;
 
 /* --- replies --- */
@@ -54,7 +55,8 @@
     return status_reply(STATUS_UNAVAILABLE, RETRY_SOON_S);
 }
 
-/** The reply if there is no such job. */
+/** The reply if there is no such job, with the status that the request's decision sets
+ * for this case. */
 static struct lmn_job_reply absent_reply(int status)
 {
     if (status == STATUS_UNAVAILABLE)
@@ -96,7 +98,8 @@
 
 /* --- views of the watch cache --- */
 
-/** Tasks done and running, as far as this controller knows; for display. */
+/** Counts the job's tasks that are done and running, as far as this controller knows. For
+ * display only. */
 static void count_tasks(const struct lmn_job *job, uint32_t *done, uint32_t *running)
 {
     uint32_t unfinished = 0;
@@ -130,7 +133,7 @@
     view->reply = state_reply(job->phase, done, running);
 }
 
-/** Whether the view is of a job that has ended: that never changes. */
+/** Whether the view shows a job that has ended; its state never changes again. */
 static bool is_final(const struct lmn_job_view *view)
 {
     return view->revision && view->reply.phase != LMN_JOB_ACTIVE;
@@ -161,7 +164,7 @@
 
     if (outcome == LMN_TXN_COMMITTED)
         return LMN_CONFIRMATION_LATEST;
-    /* A conflict that names no key says nothing about any. */
+    /* If the conflict names no key, any of the conditions may have failed. */
     if (outcome != LMN_TXN_CONFLICT || !failed_keys->len)
         return LMN_CONFIRMATION_UNKNOWN;
     job_key(key, sizeof key, view->job_id);
@@ -177,14 +180,15 @@
 {
     struct lmn_job_view latest;
 
-    /* A later revision in the watch cache is of a later instant than the confirmation. */
+    /* A later revision was committed after the store had evaluated the confirmation, so
+     * that it too was the job's state while the request was pending. */
     lmn_job_view_from_cache(core, view->job_id, &latest);
     if (latest.revision > view->revision)
         return latest.reply;
     return view->revision ? view->reply : absent_reply(absent_status);
 }
 
-/* --- first decisions --- */
+/* --- decisions on the arrival of a request --- */
 
 static struct lmn_request_decision reply_now(struct lmn_job_reply reply)
 {
@@ -197,15 +201,17 @@
     return (struct lmn_request_decision){.step = step, .absent_status = absent_status};
 }
 
-/** Whether nothing can be confirmed now. A request that was deferred all the same would
- * keep a connection until its user's timeout, and end as STATUS_UNAVAILABLE. */
+/** Whether the watch cache is too old to be confirmed. A request that is deferred in
+ * spite of that would occupy a connection until its client's timeout, and then be
+ * answered STATUS_UNAVAILABLE. */
 static bool is_cache_stalled(const struct lmn_core *core, struct timespec now)
 {
     return lmn_watch_cache_age_s(core, now) > LMN_CACHE_STALLED_S;
 }
 
-/** Whether the reply needs no confirmation: the id can be no job's, or its job has ended.
- */
+/** Whether the reply needs no confirmation, because the id is invalid or its job has
+ * ended.
+ * @param reply filled if so */
 static bool is_final_reply_known(struct lmn_core *core, const char *job_id,
                                  struct lmn_job_reply *reply)
 {
@@ -246,7 +252,8 @@
     return next_step(LMN_STEP_CANCEL, STATUS_NOT_FOUND);
 }
 
-/** Decides on a valid job that the watch cache does not show: admission control. */
+/** Decides whether a valid new job is admitted now: not while writes are delayed or this
+ * controller is overloaded. */
 static struct lmn_request_decision admit(struct lmn_core *core)
 {
     double backlog_s = lmn_kv_client_backlog_s(core->kv_client, LMN_WRITE_USER);
@@ -267,24 +274,25 @@
                                                   const struct lmn_submission *submission,
                                                   struct timespec now)
 {
-    const char *why;
+    const char *reason;
     struct lmn_job_view view;
 
-    if (submission->fault == LMN_SUBMISSION_NO_ID)
+    if (submission->validity == LMN_SUBMISSION_NO_ID)
         return reply_now(error_reply(STATUS_BAD_REQUEST, submission->spec_error));
     core->counters.submissions++;
     lmn_job_view_from_cache(core, submission->spec.id, &view);
     if (is_final(&view))
         return reply_now(view.reply);
-    /* An id that was accepted before is answered with its state, whatever is wrong with
-     * what is sent now: so a refusal too has to be confirmed. */
-    if (submission->fault == LMN_SUBMISSION_MALFORMED)
+    /* If a job with this id was accepted before, the reply is its state, even if the
+     * request is invalid now. So a refusal too requires confirmation that there is no
+     * such job. */
+    if (submission->validity == LMN_SUBMISSION_MALFORMED)
         return next_step(LMN_STEP_CONFIRM, STATUS_BAD_REQUEST);
     if (view.revision)
         return next_step(LMN_STEP_CONFIRM, STATUS_UNAVAILABLE);
-    /* No value of the store can hold it: as STATUS_UNAVAILABLE, the user would retry it
-     * for ever. */
-    if (submission->fault == LMN_SUBMISSION_TOO_LARGE)
+    /* The job's record exceeds the store's size limit for values. With STATUS_UNAVAILABLE
+     * the client would retry it for ever. */
+    if (submission->validity == LMN_SUBMISSION_TOO_LARGE)
         return next_step(LMN_STEP_CONFIRM, STATUS_BAD_REQUEST);
     if (!core->cache.is_synced || !core->cloud.machine_types_known)
         return reply_now(status_reply(STATUS_UNAVAILABLE, RETRY_STARTING_S));
@@ -292,8 +300,8 @@
         return reply_now(status_reply(STATUS_UNAVAILABLE,
                                       lmn_retry_after(RETRY_SOON_S, core->random)));
     if (!lmn_job_spec_is_feasible(&submission->spec, core->settings,
-                                  &core->cloud.machine_types, &why)) {
-        lmn_debug("job_infeasible job=%s why=\"%s\"", submission->spec.id, why);
+                                  &core->cloud.machine_types, &reason)) {
+        lmn_debug("job_infeasible job=%s why=\"%s\"", submission->spec.id, reason);
         return next_step(LMN_STEP_CONFIRM, STATUS_UNPROCESSABLE);
     }
     return admit(core);
@@ -308,10 +316,11 @@
         accepted.status = STATUS_CREATED;
         return reply_now(accepted);
     case LMN_TXN_CONFLICT:
-        /* A duplicate, though the watch cache does not show it yet: it is read. */
+        /* The job exists already, but the watch cache does not show it yet. The
+         * confirmation fails for that reason, and the job's record is read. */
         return next_step(LMN_STEP_CONFIRM, STATUS_UNAVAILABLE);
     default:
-        /* If it was carried out after all, the user's retry finds the job. */
+        /* If the transaction is committed after all, the client's retry finds the job. */
         return reply_now(lmn_job_reply_unavailable());
     }
 }
@@ -325,99 +334,100 @@
 
     if (waited_s < LMN_PENDING_CHECK_DELAY_S)
         return LMN_PENDING_WAIT;
-    /* Not told from the watch cache: the job may have been cancelled since, and another
-     * controller may have told so. */
+    /* The watch cache's state may not be replied unconfirmed: the job may have been
+     * cancelled since, and another controller may have replied that to the user. */
     if (g_hash_table_contains(core->cache.jobs, job_id))
         return LMN_PENDING_CONFIRM;
     return waited_s >= RESEND_DELAY_S && !is_resent ? LMN_PENDING_RESEND
                                                     : LMN_PENDING_WAIT;
 }
 
-/* --- reading, and cancelling --- */
+/* --- reading and cancelling --- */
 
-void lmn_job_read_result_parse(struct lmn_job_read_result *reading, int status,
+void lmn_job_read_result_parse(struct lmn_job_read_result *read_result, int status,
                                const guint8 *body, size_t len)
 {
     struct lmn_cbor_document document;
 
-    memset(reading, 0, sizeof *reading);
-    reading->status = status;
+    memset(read_result, 0, sizeof *read_result);
+    read_result->status = status;
     if (status != STATUS_OK)
         return;
-    reading->status = LMN_HTTP_NO_RESPONSE;
+    read_result->status = LMN_HTTP_NO_RESPONSE;
     if (lmn_cbor_parse(&document, body, len) != 0)
         return;
     const struct lmn_cbor_value *root = lmn_cbor_root(&document);
     if (lmn_cbor_get_uint(lmn_cbor_get(&document, root, WIRE_VERSION),
-                          &reading->revision) &&
-        lmn_job_read(&document, lmn_cbor_get(&document, root, WIRE_VALUE), &reading->spec,
-                     &reading->phase, &reading->open_ranges,
-                     &reading->accepted_at_s) == 0)
-        reading->status = STATUS_OK;
+                          &read_result->revision) &&
+        lmn_job_read(&document, lmn_cbor_get(&document, root, WIRE_VALUE),
+                     &read_result->spec, &read_result->phase, &read_result->open_ranges,
+                     &read_result->accepted_at_s) == 0)
+        read_result->status = STATUS_OK;
     lmn_cbor_free(&document);
 }
 
-void lmn_job_read_result_clear(struct lmn_job_read_result *reading)
+void lmn_job_read_result_clear(struct lmn_job_read_result *read_result)
 {
-    lmn_job_spec_clear(&reading->spec);
+    lmn_job_spec_clear(&read_result->spec);
 }
 
-/** The reply of a reading of a job that has ended. */
-static struct lmn_job_reply final_reply(const struct lmn_job_read_result *reading)
+/** The reply for a job that was read and has ended. */
+static struct lmn_job_reply final_reply(const struct lmn_job_read_result *read_result)
 {
-    return state_reply(reading->phase,
-                       reading->phase == LMN_JOB_DONE ? reading->spec.tasks : 0, 0);
+    return state_reply(read_result->phase,
+                       read_result->phase == LMN_JOB_DONE ? read_result->spec.tasks : 0,
+                       0);
 }
 
 struct lmn_job_reply
 lmn_job_reply_from_read_result(const struct lmn_core *core, const char *job_id,
-                               const struct lmn_job_read_result *reading,
+                               const struct lmn_job_read_result *read_result,
                                int absent_status)
 {
     struct lmn_job_view latest;
 
-    if (reading->status == STATUS_NOT_FOUND)
+    if (read_result->status == STATUS_NOT_FOUND)
         return absent_reply(absent_status);
-    if (reading->status != STATUS_OK)
+    if (read_result->status != STATUS_OK)
         return lmn_job_reply_unavailable();
-    if (reading->phase != LMN_JOB_ACTIVE)
-        return final_reply(reading);
-    /* The watch cache's task counts will do for an active job; and it may show a later
-     * record. */
+    if (read_result->phase != LMN_JOB_ACTIVE)
+        return final_reply(read_result);
+    /* The task counts of an active job come from the watch cache, whose record may also
+     * be later than the one that was read. */
     lmn_job_view_from_cache(core, job_id, &latest);
-    if (latest.revision > reading->revision)
+    if (latest.revision > read_result->revision)
         return latest.reply;
     return state_reply(LMN_JOB_ACTIVE, latest.reply.done, latest.reply.running);
 }
 
 struct lmn_txn *lmn_cancellation_txn(const char *job_id,
-                                     const struct lmn_job_read_result *reading,
+                                     const struct lmn_job_read_result *read_result,
                                      int absent_status, struct lmn_job_reply *reply)
 {
     struct lmn_txn *txn;
     char key[JOB_KEY_SIZE];
 
-    if (reading->status == STATUS_NOT_FOUND)
+    if (read_result->status == STATUS_NOT_FOUND)
         *reply = absent_reply(absent_status);
-    else if (reading->status != STATUS_OK)
+    else if (read_result->status != STATUS_OK)
         *reply = lmn_job_reply_unavailable();
-    else if (reading->phase != LMN_JOB_ACTIVE)
-        *reply = final_reply(reading);
-    if (reading->status != STATUS_OK || reading->phase != LMN_JOB_ACTIVE)
+    else if (read_result->phase != LMN_JOB_ACTIVE)
+        *reply = final_reply(read_result);
+    if (read_result->status != STATUS_OK || read_result->phase != LMN_JOB_ACTIVE)
         return NULL;
     txn = lmn_txn_new(LMN_WRITE_OWNER, NULL, NULL);
     job_key(key, sizeof key, job_id);
-    lmn_txn_require_version(txn, key, reading->revision);
+    lmn_txn_require_version(txn, key, read_result->revision);
     lmn_txn_put(txn, key,
-                lmn_job_record(&reading->spec, LMN_JOB_CANCELLED, reading->open_ranges,
-                               reading->accepted_at_s),
+                lmn_job_record(&read_result->spec, LMN_JOB_CANCELLED,
+                               read_result->open_ranges, read_result->accepted_at_s),
                 0);
     return txn;
 }
 
 bool lmn_cancellation_is_final(enum lmn_txn_outcome outcome, struct lmn_job_reply *reply)
 {
-    /* With an unknown outcome the user retries, and then the job is read. */
+    /* After an unknown outcome the client retries, and the retry reads the job again. */
     *reply = outcome == LMN_TXN_COMMITTED ? state_reply(LMN_JOB_CANCELLED, 0, 0)
                                           : lmn_job_reply_unavailable();
     return outcome != LMN_TXN_CONFLICT;
--- a/src/controller/settings_writer.c
+++ b/src/controller/settings_writer.c
@@ -1,19 +1,21 @@
 /** @file
- * Writes the operator settings: a compare-and-swap transaction on their one record, so
- * that two operators who change different settings at once do not undo each other. */
+ * Writes the operator settings by a compare-and-swap transaction on their one record, so
+ * that of two operators who change different settings at the same time neither undoes the
+ * other's change. */
 #include "controller/settings_writer.h"
 #include "util/thread.h"
 
 #include <stdio.h>
 
-/** How often a write is tried while the record changes under it. */
+/** Attempts at a write while concurrent changes to the record make it fail. */
 enum { MAX_ATTEMPTS = 5 };
-/** Between two tries, so that the watch cache can show the change that was in the way. */
+/** Delay between two attempts, in which the watch cache receives the concurrent change.
+ */
 static const double RETRY_DELAY_S = 0.2;
 static const char SETTINGS_KEY[] = "s";
 
-/** Writes the settings as the watch cache shows them, with one changed.
- * @return 0 and the outcome, or -1 if the setting is invalid */
+/** Writes the settings of the watch cache with one of them changed, in one attempt.
+ * @return 0, with *outcome filled; -1 if the setting is invalid, with `error` filled */
 static int write_once(struct lmn_core *core, struct lmn_http_client *client,
                       const char *name, double value, enum lmn_txn_outcome *outcome,
                       char *error, size_t error_size)
@@ -34,11 +36,12 @@
     return 0;
 }
 
-static const char *failure_name(enum lmn_txn_outcome outcome)
+static const char *failure_reason(enum lmn_txn_outcome outcome)
 {
-    return outcome == LMN_TXN_UNKNOWN    ? "outcome unknown"
-           : outcome == LMN_TXN_REJECTED ? "refused"
-                                         : "conflict";
+    return outcome == LMN_TXN_UNKNOWN
+               ? "no answer, so the write may have been carried out"
+           : outcome == LMN_TXN_REJECTED ? "the write was refused"
+                                         : "conflict with concurrent changes";
 }
 
 int lmn_operator_settings_write(struct lmn_core *core, const char *name, double value,
@@ -58,8 +61,9 @@
     lmn_http_client_free(client);
     if (result != 0 || outcome == LMN_TXN_COMMITTED)
         return result;
-    snprintf(error, error_size,
-             "the state service did not take it (%s); look, and try again",
-             failure_name(outcome));
+    snprintf(
+        error, error_size,
+        "%s not set to %g at the key-value store %s: %s; check the setting, then retry",
+        name, value, core->settings->state_address, failure_reason(outcome));
     return -1;
 }
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -1,5 +1,5 @@
 /** @file
- * Submissions: their parsing, and how a job's tasks are divided among the partitions. */
+ * Parses submissions, and divides a job's tasks among the partitions. */
 #include "controller/submission.h"
 #include "state/core.h"
 #include "state/records.h"
@@ -11,36 +11,36 @@
     RANGE_KEY_SIZE = 96,
     BYTES_PER_KB = 1024,
     BITS_PER_BYTE = 8,
-    /** A set of finished tasks is written as hexadecimal text, a bit a task, so that a
-     * byte of it holds four; with three, room is left for the record's other fields. */
+    /** A range's record stores its finished tasks as a bitmap in hexadecimal text, which
+     * takes one byte for four tasks. A limit of three tasks for each byte of the largest
+     * value leaves room for the record's other fields. */
     TASKS_PER_VALUE_BYTE = 3,
     JSON_ELEMENT_OVERHEAD = 3, /**< quotation marks and a comma */
     MAX_OTHER_FIELDS_SIZE = 2048,
 };
 
-/** A job is not divided into ranges smaller than this share of what an average partition
- * could give it. Each range costs the key-value store changes at its creation and at its
- * end; a small job gains nothing by being divided. */
+/** A job is not divided into ranges whose CPUs and GPUs are fewer than this share of an
+ * average partition's usable capacity. Each range costs the key-value store a write at
+ * its creation and another at its end, and a small job gains nothing by being divided. */
 static const double MIN_RANGE_SHARE = 0.05;
 
-/** What each partition could give to a job, and what it still has to do, in processors.
- */
+/** Each partition's capacity for a job, and its load, in CPUs plus GPUs. */
 struct partition_weights {
     double capacity[LMN_MAX_PARTITIONS];
     double load[LMN_MAX_PARTITIONS];
 };
 
-/** Processors of the partition's machines that the job may use. */
+/** CPUs plus GPUs of the partition's machines that the job may use. */
 static double usable_capacity(struct lmn_core *core,
                               const struct lmn_partition *partition,
                               const struct lmn_job_spec *spec)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
     double capacity = 0;
 
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct lmn_machine *machine = value;
         if (!machine->type)
             machine->type = lmn_machine_type_by_name(core, machine->type_name);
@@ -52,16 +52,17 @@
     return capacity;
 }
 
-/** Processors of the partition's unfinished tasks, as recorded. Of owned partitions more
- * is known, but then they would look emptier than the others. */
+/** CPUs plus GPUs of the partition's unfinished tasks according to their records in the
+ * store. For owned partitions this controller knows of tasks that finished later, but
+ * counting them would make these partitions seem less loaded than the others. */
 static double recorded_load(const struct lmn_partition *partition)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
     double load = 0;
 
-    g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->ranges);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_range *range = value;
         if (range->job->phase == LMN_JOB_ACTIVE)
             load += (range->end - range->first - range->done_count) *
@@ -70,8 +71,8 @@
     return load;
 }
 
-/** @return the sum of all capacities; if no partition has any for the job, each counts
- * the same */
+/** Fills in the weights. If no partition has capacity for the job, all get the same.
+ * @return the sum of all capacities before that; 0 if no partition has any */
 static double weigh_partitions(struct lmn_core *core, const struct lmn_job_spec *spec,
                                struct partition_weights *weights)
 {
@@ -87,16 +88,17 @@
     return sum;
 }
 
-/** Among how many partitions the job is divided, by its size. */
+/** The number of partitions to divide the job among, according to its size. */
 static int wanted_partitions(const struct lmn_core *core, const struct lmn_job_spec *spec,
                              double capacity_sum)
 {
     int partition_count = core->partition_count;
     double size = spec->tasks * (spec->cpus + spec->gpus) * partition_count;
 
-    /* While writes have to wait, a job is not divided: steals will spread what one
-     * partition cannot start. And one owner must see all of a job whose tasks' placements
-     * depend on each other. */
+    /* While writes are delayed, a job is not divided, which saves writes: work stealing
+     * spreads the tasks that one partition cannot start. A job whose tasks' placements
+     * depend on each other is not divided either, because one owner has to place them
+     * all. */
     if (spec->requires_one_zone || spec->spreads_over_zones ||
         lmn_kv_client_backlog_s(core->kv_client, LMN_WRITE_CLOSE) > 0)
         return 1;
@@ -105,33 +107,36 @@
     return (int)MIN(ceil(size / (MIN_RANGE_SHARE * capacity_sum)), partition_count);
 }
 
-/** Orders the partitions with capacity by their load in proportion to it, the least
- * first. Equal ones are ordered from `first` on, which differs from job to job.
- * @return how many have capacity */
+/** Sorts the partitions that have capacity by load relative to capacity, lowest first.
+ * Partitions with equal relative load are in cyclic order from `first`, which differs
+ * from job to job, so that jobs do not all begin with the same partition.
+ * @param order receives the partitions' ids
+ * @return the number of partitions that have capacity */
 static int order_by_load(const struct partition_weights *weights, int partition_count,
                          int first, int order[LMN_MAX_PARTITIONS])
 {
     int count = 0;
 
     for (int k = 0; k < partition_count; k++) {
-        int candidate = (first + k) % partition_count, at = count;
+        int candidate = (first + k) % partition_count, position = count;
         if (weights->capacity[candidate] <= 0)
             continue;
         double relative_load = weights->load[candidate] / weights->capacity[candidate];
-        while (at > 0 && relative_load < weights->load[order[at - 1]] /
-                                             weights->capacity[order[at - 1]]) {
-            order[at] = order[at - 1];
-            at--;
+        while (position > 0 &&
+               relative_load < weights->load[order[position - 1]] /
+                                   weights->capacity[order[position - 1]]) {
+            order[position] = order[position - 1];
+            position--;
         }
-        order[at] = candidate;
+        order[position] = candidate;
         count++;
     }
     return count;
 }
 
-/** Divides the job's tasks among the partitions: as few as its size needs, those with the
- * least load first.
- * @param task_counts the tasks of each partition */
+/** Divides the job's tasks, in proportion to capacity, among as many partitions as its
+ * size requires, beginning with the least loaded.
+ * @param task_counts receives the number of tasks for each partition */
 static void divide_tasks(struct lmn_core *core, const struct lmn_job_spec *spec,
                          uint32_t task_counts[LMN_MAX_PARTITIONS])
 {
@@ -144,7 +149,7 @@
     double sum = weigh_partitions(core, spec, &weights);
     int wanted = wanted_partitions(core, spec, sum);
     int usable = order_by_load(&weights, core->partition_count, first, order);
-    /* The job's record and each range are a change of one transaction. */
+    /* One transaction writes the job's record and all ranges, one operation each. */
     int count =
         CLAMP(wanted, 1, MIN(usable, MAX(core->settings->max_txn_operations - 1, 1)));
     sum = 0;
@@ -156,11 +161,11 @@
         task_counts[order[k]] = MIN(share, spec->tasks - assigned);
         assigned += task_counts[order[k]];
     }
-    /* What rounding has left over. */
+    /* The tasks left over by rounding. */
     task_counts[order[0]] += spec->tasks - assigned;
 }
 
-/** Adds the record of a range of which nothing is done yet. */
+/** Adds the record of a range with no finished tasks. */
 static void put_range(struct lmn_txn *txn, int partition, const char *job_id,
                       uint32_t first, uint32_t end)
 {
@@ -193,14 +198,14 @@
             task_counts[i] -= count;
             open_ranges++;
         }
-    /* The watch shows changes in the order of the transaction: first ranges, then the
-     * job, would leave ranges without a job. */
+    /* A watch delivers the changes in the order of the transaction's operations. If the
+     * ranges came first, watch caches would see ranges of an unknown job. */
     lmn_txn_put_first(txn, job_key,
                       lmn_job_record(spec, LMN_JOB_ACTIVE, open_ranges, accepted_at));
     return txn;
 }
 
-/** Whether the job's record would be larger than a value may be, counted as JSON. */
+/** Whether the job's record, in its JSON form, would exceed the store's value size. */
 static bool is_too_large(const struct lmn_settings *settings,
                          const struct lmn_job_spec *spec)
 {
@@ -209,7 +214,8 @@
 
     for (char **type = spec->machine_types; type && *type; type++)
         types_size += strlen(*type) + JSON_ELEMENT_OVERHEAD;
-    /* All other fields are bounded: few records have to be encoded to know. */
+    /* All fields but the machine types are bounded, so that most records need not be
+     * encoded to be checked. */
     if (types_size + MAX_OTHER_FIELDS_SIZE < max_size)
         return false;
     GByteArray *buffer = lmn_job_record(spec, LMN_JOB_ACTIVE, UINT32_MAX, 1e10);
@@ -228,16 +234,16 @@
 
     memset(submission, 0, sizeof *submission);
     submission->spec_error = "not CBOR";
-    submission->fault = LMN_SUBMISSION_NO_ID;
+    submission->validity = LMN_SUBMISSION_NO_ID;
     if (lmn_cbor_parse(&document, body, len) != 0)
         return;
     if (lmn_job_spec_parse(&submission->spec, &document, lmn_cbor_root(&document),
                            &submission->spec_error) == 0)
-        submission->fault = is_too_large(settings, &submission->spec)
-                                ? LMN_SUBMISSION_TOO_LARGE
-                                : LMN_SUBMISSION_VALID;
+        submission->validity = is_too_large(settings, &submission->spec)
+                                   ? LMN_SUBMISSION_TOO_LARGE
+                                   : LMN_SUBMISSION_VALID;
     else if (lmn_job_id_is_valid(submission->spec.id))
-        submission->fault = LMN_SUBMISSION_MALFORMED;
+        submission->validity = LMN_SUBMISSION_MALFORMED;
     lmn_cbor_free(&document);
 }
 
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -1,6 +1,7 @@
 /** @file
- * The users' requests. Keeps no state: requests that have to be confirmed wait in
- * read_thread.c, submissions that are being written in pending_submission.c. */
+ * Handlers of users' requests. Keeps no state: read_thread.c queues the requests that
+ * need a confirmation or a cancellation, pending_submission.c keeps the submissions whose
+ * transaction has been sent. */
 #include "controller/user_api.h"
 #include "controller/job_response.h"
 #include "controller/pending_submission.h"
@@ -8,11 +9,11 @@
 #include "controller/request_decisions.h"
 #include "state/core.h"
 
-/** While no other controller is known to be better off, users are served by a watch cache
- * no older than this: what they are told is confirmed at the store in any case. */
+/** While this controller's view is not known to be isolated, it serves users with a watch
+ * cache up to this age, since non-final states are confirmed at the store in any case. */
 static const double MAX_SERVING_AGE_S = 30;
 
-/** Carries out a decision other than LMN_STEP_COMMIT for a request that is deferred. */
+/** Carries out a decision other than LMN_STEP_COMMIT for a deferred request. */
 static void carry_out_deferred(struct lmn_http_request *request, const char *job_id,
                                const struct lmn_request_decision *decision)
 {
@@ -24,7 +25,8 @@
                          request, job_id, decision->absent_status);
 }
 
-/** The same for a request that is not. */
+/** Carries out a decision other than LMN_STEP_COMMIT for a request that is not deferred
+ * yet, and defers it unless the reply is known. */
 static void carry_out(struct lmn_http_request *request, const char *job_id,
                       const struct lmn_request_decision *decision)
 {
@@ -55,8 +57,8 @@
 {
     pthread_mutex_lock(&core->lock);
     double cache_age_s = lmn_watch_cache_age_s(core, lmn_now());
-    /* In an outage of the key-value store all watch caches are stalled, and nobody else
-     * would serve the users better. */
+    /* In an outage of the key-value store, every controller's watch cache is stalled, so
+     * that no other controller would serve the users better. */
     bool is_current = cache_age_s < LMN_CACHE_STALLED_S ||
                       (!core->cache.is_isolated_view && cache_age_s < MAX_SERVING_AGE_S);
     bool is_ready = core->cache.is_synced && core->cloud.machine_types_known &&
--- a/tests/test_pending_submission.c
+++ b/tests/test_pending_submission.c
@@ -1,5 +1,6 @@
-/* Submissions whose transaction's answer is lost: whether it was carried out or not,
- * their users hear of it long before the time for the answer is over. */
+/* Submissions to whose transaction the key-value store does not answer. Whether the
+ * transaction was committed or not, the user gets a response long before the timeout of
+ * the transaction. */
 #include "http/server.h"
 #include "util/thread.h"
 #include "protocol/wire.h"
@@ -22,8 +23,9 @@
 
 static struct lmn_settings settings;
 static struct lmn_core *core;
-static gint transactions;          /* that the state service has got */
-static gint replied, step, status; /* of the submission's reply */
+static gint transactions; /* number received by the key-value store */
+static gint replied;      /* number of replies to the submission */
+static gint step, status; /* of the last reply */
 static const struct lmn_job_spec spec = {.id = "run-000001",
                                          .class_name = (char *)"c",
                                          .team = (char *)"x",
@@ -33,24 +35,24 @@
                                          .memory_gb = 1,
                                          .deadline_s = -1};
 
-static void lose_the_first(void *arg, struct lmn_http_request *request)
+static void answer_all_but_first(void *arg, struct lmn_http_request *request)
 {
     (void)arg;
     if (g_atomic_int_add(&transactions, 1) == 0) {
         lmn_http_request_defer(request);
         return;
     }
-    GByteArray *b = g_byte_array_new();
-    lmn_cbor_put_map(b, 1);
-    lmn_cbor_put_text(b, WIRE_REVISION), lmn_cbor_put_uint(b, 7);
-    lmn_http_request_respond(request, 200, b, 0);
+    GByteArray *body = g_byte_array_new();
+    lmn_cbor_put_map(body, 1);
+    lmn_cbor_put_text(body, WIRE_REVISION), lmn_cbor_put_uint(body, 7);
+    lmn_http_request_respond(request, 200, body, 0);
 }
 
-static void reply(struct lmn_http_request *request, const char *ref,
-                  const struct lmn_request_decision *decision)
+static void record_reply(struct lmn_http_request *request, const char *job_id,
+                         const struct lmn_request_decision *decision)
 {
     (void)request;
-    assert_string_equal(ref, spec.id);
+    assert_string_equal(job_id, spec.id);
     g_atomic_int_set(&step, (gint)decision->step);
     g_atomic_int_set(&status, decision->reply.status);
     g_atomic_int_inc(&replied);
@@ -58,11 +60,11 @@
 
 static int setup(void **state)
 {
-    struct lmn_http_server_options o = {.listen = "127.0.0.1:0",
-                                        .connections = 16,
-                                        .max_body = 65536,
-                                        .route = lose_the_first};
-    struct lmn_http_server *server = lmn_http_server_start(&o);
+    struct lmn_http_server_options options = {.listen = "127.0.0.1:0",
+                                              .connections = 16,
+                                              .max_body = 65536,
+                                              .route = answer_all_but_first};
+    struct lmn_http_server *server = lmn_http_server_start(&options);
     (void)state;
 
     assert_non_null(server);
@@ -74,31 +76,33 @@
                lmn_http_server_port(server));
     core = lmn_core_new(&settings, lmn_kv_client_new(&settings), 1);
     lmn_kv_client_start(core->kv_client);
-    lmn_pending_submission_start(core, reply);
+    lmn_pending_submission_start(core, record_reply);
     return 0;
 }
 
-/* The call is only handed on: pending_submission.c does not look into it. */
+/* The HTTP request is a dummy: pending_submission.c only passes the pointer on. */
 static void submit(void)
 {
-    static int call;
+    static int dummy_request;
 
     g_atomic_int_set(&transactions, 0);
     g_atomic_int_set(&replied, 0);
-    lmn_pending_submission_submit(core, (struct lmn_http_request *)&call, &spec);
+    lmn_pending_submission_submit(core, (struct lmn_http_request *)&dummy_request, &spec);
 }
 
-static void wait_for_reply(double longest_s)
+static void wait_for_reply(double timeout_s)
 {
-    struct timespec begun = lmn_now();
+    struct timespec started_at = lmn_now();
 
-    while (!g_atomic_int_get(&replied) && lmn_time_diff_s(lmn_now(), begun) < longest_s)
+    while (!g_atomic_int_get(&replied) &&
+           lmn_time_diff_s(lmn_now(), started_at) < timeout_s)
         lmn_sleep(0.005);
     assert_int_equal(g_atomic_int_get(&replied), 1);
 }
 
-/* Once it was answered 503 after 2 s, and its user had to come again. */
-static void one_that_was_not_carried_out_is_sent_again(void **state)
+/* Without the second sending, the response is 503 after 2 s, and the user has to retry.
+ */
+static void uncommitted_submission_is_sent_a_second_time(void **state)
 {
     (void)state;
     submit();
@@ -106,37 +110,38 @@
     assert_int_equal(step, LMN_STEP_REPLY);
     assert_int_equal(status, 201);
     assert_int_equal(g_atomic_int_get(&transactions), 2);
-    lmn_sleep(2.2); /* the first has no answer in the end: that is not told */
+    lmn_sleep(2.2); /* the first transaction times out: no second response */
     assert_int_equal(g_atomic_int_get(&replied), 1);
 }
 
-/* The mirror shows the job. Its state is not told from there: a cancellation that the
- * mirror does not show may have been confirmed. */
-static void one_that_was_carried_out_is_confirmed(void **state)
+/* The watch cache shows the job. Its state is confirmed before it is replied, because a
+ * cancellation that the cache does not show yet may have been confirmed to the user. */
+static void committed_submission_is_confirmed(void **state)
 {
-    struct lmn_cbor_document d;
+    struct lmn_cbor_document document;
     GByteArray *record = lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000);
     (void)state;
 
     submit();
     while (!g_atomic_int_get(&transactions))
         lmn_sleep(0.005);
-    assert_int_equal(lmn_cbor_parse(&d, record->data, record->len), 0);
+    assert_int_equal(lmn_cbor_parse(&document, record->data, record->len), 0);
     pthread_mutex_lock(&core->lock);
-    lmn_watch_cache_apply(core, "j/run-000001", &d, lmn_cbor_root(&d), 7, lmn_now());
+    lmn_watch_cache_apply(core, "j/run-000001", &document, lmn_cbor_root(&document), 7,
+                          lmn_now());
     pthread_mutex_unlock(&core->lock);
     wait_for_reply(1.5);
     assert_int_equal(step, LMN_STEP_CONFIRM);
     assert_int_equal(g_atomic_int_get(&transactions), 1);
-    lmn_cbor_free(&d);
+    lmn_cbor_free(&document);
     g_byte_array_unref(record);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(one_that_was_not_carried_out_is_sent_again),
-        cmocka_unit_test(one_that_was_carried_out_is_confirmed),
+        cmocka_unit_test(uncommitted_submission_is_sent_a_second_time),
+        cmocka_unit_test(committed_submission_is_confirmed),
     };
     return cmocka_run_group_tests(tests, setup, NULL);
 }
--- a/tests/test_request_decisions.c
+++ b/tests/test_request_decisions.c
@@ -1,5 +1,6 @@
-/* What users are told, decided by a node that has just started, one whose view is old,
- * and one that follows: each request against each of them. */
+/* Decisions on users' requests: each kind of request, for each kind of job, at a
+ * controller that has just started, one whose watch cache is stalled, and one whose watch
+ * cache is fresh. */
 #include "controller/request_decisions.h"
 #include "protocol/wire.h"
 #include "state/core.h"
@@ -11,63 +12,73 @@
 #include <cmocka.h>
 #include <string.h>
 
-enum view { JUST_STARTED, OLD_VIEW, FOLLOWING, VIEWS };
-enum job { UNKNOWN, ACTIVE, DONE, CANCELLED, KINDS_OF_JOBS };
-enum request { STATUS, CANCEL, SOUND, NO_FIELD, NO_ROOM, TOO_LARGE, REQUESTS };
+enum cache_state { NOT_SYNCED, STALLED, FRESH, CACHE_STATES };
+enum job_kind { UNKNOWN, ACTIVE, DONE, CANCELLED, JOB_KINDS };
+enum request_kind {
+    STATUS,
+    CANCEL,
+    VALID,
+    MISSING_FIELD,
+    INFEASIBLE,
+    TOO_LARGE,
+    REQUEST_KINDS
+};
 
 static const struct timespec now = {1000, 0};
-static const char *const refs[] = {"run-000000", "run-000001", "run-000002",
-                                   "run-000003"};
+static const char *const JOB_IDS[] = {"run-000000", "run-000001", "run-000002",
+                                      "run-000003"};
 
 static struct lmn_team team[1];
 
-static struct lmn_settings settings(void)
+static struct lmn_settings make_settings(void)
 {
-    struct lmn_settings cfg = {.partition_count = 1,
-                               .state_requests_per_s = 100,
-                               .state_writes_per_s = 100,
-                               .max_value_kb = 16,
-                               .max_txn_operations = 12,
-                               .teams = team,
-                               .team_count = 1};
+    struct lmn_settings test_settings = {.partition_count = 1,
+                                         .state_requests_per_s = 100,
+                                         .state_writes_per_s = 100,
+                                         .max_value_kb = 16,
+                                         .max_txn_operations = 12,
+                                         .teams = team,
+                                         .team_count = 1};
 
-    g_strlcpy(cfg.node_name, "n0", LMN_NAME_SIZE);
-    g_strlcpy(cfg.teams[0].name, "t", LMN_NAME_SIZE);
-    cfg.teams[0].cpus_max = 8;
-    return cfg;
+    g_strlcpy(test_settings.node_name, "n0", LMN_NAME_SIZE);
+    g_strlcpy(test_settings.teams[0].name, "t", LMN_NAME_SIZE);
+    test_settings.teams[0].cpus_max = 8;
+    return test_settings;
 }
 
-static void know(struct lmn_core *core, enum job kind, enum lmn_job_phase phase)
+static void add_job(struct lmn_core *core, enum job_kind job_kind,
+                    enum lmn_job_phase phase)
 {
     struct lmn_job *job = g_new0(struct lmn_job, 1);
 
-    g_strlcpy(job->spec.id, refs[kind], LMN_JOB_ID_SIZE);
+    g_strlcpy(job->spec.id, JOB_IDS[job_kind], LMN_JOB_ID_SIZE);
     job->spec.tasks = 3;
     job->phase = phase;
-    job->revision = 10 + (uint64_t)kind;
+    job->revision = 10 + (uint64_t)job_kind;
     job->ranges = g_ptr_array_new();
     g_hash_table_insert(core->cache.jobs, job->spec.id, job);
 }
 
-static struct lmn_core *core_with(const struct lmn_settings *settings, enum view view)
+static struct lmn_core *new_core(const struct lmn_settings *settings,
+                                 enum cache_state cache_state)
 {
     struct lmn_core *core = lmn_core_alloc(settings, lmn_kv_client_new(settings), 1);
 
-    if (view == JUST_STARTED)
+    if (cache_state == NOT_SYNCED)
         return core;
     core->cache.is_synced = core->cloud.machine_types_known = true;
     core->cache.fresh_at =
-        view == OLD_VIEW ? lmn_time_add(now, -LMN_CACHE_STALLED_S - 1) : now;
+        cache_state == STALLED ? lmn_time_add(now, -LMN_CACHE_STALLED_S - 1) : now;
     core->cloud.machine_types.count = 1;
     core->cloud.machine_types.types[0] = (struct lmn_machine_type){
         .name = "small", .cpus = 4, .memory_gb = 16, .zone_count = 1, .zones = {"a"}};
-    know(core, ACTIVE, LMN_JOB_ACTIVE);
-    know(core, DONE, LMN_JOB_DONE);
-    know(core, CANCELLED, LMN_JOB_CANCELLED);
+    add_job(core, ACTIVE, LMN_JOB_ACTIVE);
+    add_job(core, DONE, LMN_JOB_DONE);
+    add_job(core, CANCELLED, LMN_JOB_CANCELLED);
     return core;
 }
 
-static void core_end(struct lmn_core *core)
+static void free_core(struct lmn_core *core)
 {
     struct lmn_kv_client *client = core->kv_client;
 
@@ -75,52 +86,54 @@
     lmn_kv_client_free(client);
 }
 
-static GByteArray *submission(const char *ref, enum request what)
+static GByteArray *encode_submission(const char *job_id, enum request_kind request_kind)
 {
-    GByteArray *b = g_byte_array_new();
-    struct lmn_job_spec s = {.class_name = (char *)(what == NO_FIELD ? "" : "c"),
-                             .team = (char *)"t",
-                             .image = (char *)"i",
-                             .priority = LMN_PRIORITY_NORMAL,
-                             .tasks = 3,
-                             .cpus = what == NO_ROOM ? 5 : 1,
-                             .memory_gb = 1,
-                             .estimate_s = 2,
-                             .deadline_s = -1};
+    GByteArray *body = g_byte_array_new();
+    struct lmn_job_spec spec = {.class_name =
+                                    (char *)(request_kind == MISSING_FIELD ? "" : "c"),
+                                .team = (char *)"t",
+                                .image = (char *)"i",
+                                .priority = LMN_PRIORITY_NORMAL,
+                                .tasks = 3,
+                                .cpus = request_kind == INFEASIBLE ? 5 : 1,
+                                .memory_gb = 1,
+                                .estimate_s = 2,
+                                .deadline_s = -1};
     char long_type[64], *types[251] = {NULL};
 
     memset(long_type, 't', 63);
     long_type[63] = '\0';
     for (int i = 0; i < 250; i++)
         types[i] = long_type;
-    if (what == TOO_LARGE)
-        s.machine_types = types;
-    g_strlcpy(s.id, ref, sizeof s.id);
-    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
-    lmn_job_spec_write(b, &s);
-    return b;
+    if (request_kind == TOO_LARGE)
+        spec.machine_types = types;
+    g_strlcpy(spec.id, job_id, sizeof spec.id);
+    lmn_cbor_put_map(body, lmn_job_spec_pair_count());
+    lmn_job_spec_write(body, &spec);
+    return body;
 }
 
-static struct lmn_request_decision decide(struct lmn_core *core, enum request what,
-                                          const char *ref)
+static struct lmn_request_decision
+decide(struct lmn_core *core, enum request_kind request_kind, const char *job_id)
 {
-    struct lmn_submission s;
-    struct lmn_request_decision d;
+    struct lmn_submission submission;
+    struct lmn_request_decision decision;
 
-    if (what == STATUS)
-        return lmn_decide_status(core, ref, now);
-    if (what == CANCEL)
-        return lmn_decide_cancel(core, ref);
-    GByteArray *b = submission(ref, what);
-    lmn_submission_parse(&s, core->settings, b->data, b->len);
-    d = lmn_decide_submission(core, &s, now);
-    lmn_submission_clear(&s);
-    g_byte_array_unref(b);
-    return d;
+    if (request_kind == STATUS)
+        return lmn_decide_status(core, job_id, now);
+    if (request_kind == CANCEL)
+        return lmn_decide_cancel(core, job_id);
+    GByteArray *body = encode_submission(job_id, request_kind);
+    lmn_submission_parse(&submission, core->settings, body->data, body->len);
+    decision = lmn_decide_submission(core, &submission, now);
+    lmn_submission_clear(&submission);
+    g_byte_array_unref(body);
+    return decision;
 }
 
-/* The step, and the status: of the reply, or if there is no such job. */
-struct expected {
+/* The expected step, and with LMN_STEP_REPLY the status of the reply, with other steps
+ * absent_status. */
+struct expected_decision {
     enum lmn_request_step step;
     int status;
 };
@@ -132,152 +145,165 @@
     {                                                                                    \
         LMN_STEP_CONFIRM, absent                                                         \
     }
-#define CANCELS                                                                          \
+#define CANCEL_JOB                                                                       \
     {                                                                                    \
         LMN_STEP_CANCEL, 404                                                             \
     }
 
-/* Of a job that the mirror does not show, by the node's view. */
-static const struct expected unknown[VIEWS][REQUESTS] = {
-    [JUST_STARTED] = {REPLY(503), CANCELS, REPLY(503), CONFIRM(400), REPLY(503),
-                      CONFIRM(400)},
-    [OLD_VIEW] = {REPLY(503), CANCELS, REPLY(503), CONFIRM(400), REPLY(503),
-                  CONFIRM(400)},
-    [FOLLOWING] = {CONFIRM(404),
-                   CANCELS,
+/* For a job that the watch cache does not show. The columns are as in enum request_kind.
+ */
+static const struct expected_decision UNKNOWN_JOB_DECISIONS[CACHE_STATES][REQUEST_KINDS] =
+    {
+        [NOT_SYNCED] = {REPLY(503), CANCEL_JOB, REPLY(503), CONFIRM(400), REPLY(503),
+                        CONFIRM(400)},
+        [STALLED] = {REPLY(503), CANCEL_JOB, REPLY(503), CONFIRM(400), REPLY(503),
+                     CONFIRM(400)},
+        [FRESH] = {CONFIRM(404),
+                   CANCEL_JOB,
                    {LMN_STEP_COMMIT, 503},
                    CONFIRM(400),
                    CONFIRM(422),
                    CONFIRM(400)},
 };
-/* Of one that it shows as active. */
-static const struct expected active[VIEWS][REQUESTS] = {
-    [OLD_VIEW] = {REPLY(503), CANCELS, CONFIRM(503), CONFIRM(400), CONFIRM(503),
-                  CONFIRM(503)},
-    [FOLLOWING] = {CONFIRM(404), CANCELS, CONFIRM(503), CONFIRM(400), CONFIRM(503),
+/* For a job that the watch cache shows as active. */
+static const struct expected_decision ACTIVE_JOB_DECISIONS[CACHE_STATES][REQUEST_KINDS] =
+    {
+        [STALLED] = {REPLY(503), CANCEL_JOB, CONFIRM(503), CONFIRM(400), CONFIRM(503),
+                     CONFIRM(503)},
+        [FRESH] = {CONFIRM(404), CANCEL_JOB, CONFIRM(503), CONFIRM(400), CONFIRM(503),
                    CONFIRM(503)},
 };
 
-static void each_request_at_each_node(void **state)
+static void decision_depends_on_request_job_and_cache(void **state)
 {
-    struct lmn_settings cfg = settings();
+    struct lmn_settings test_settings = make_settings();
     (void)state;
 
-    for (enum view view = 0; view < VIEWS; view++)
-        for (enum job kind = 0; kind < KINDS_OF_JOBS; kind++)
-            for (enum request what = 0; what < REQUESTS; what++) {
-                struct lmn_core *core = core_with(&cfg, view);
-                struct lmn_request_decision d = decide(core, what, refs[kind]);
-                bool shown = view != JUST_STARTED && kind != UNKNOWN;
-                struct expected e = shown ? active[view][what] : unknown[view][what];
-                if (shown && kind != ACTIVE)
-                    e = (struct expected)REPLY(200);
-                assert_int_equal(d.step, e.step);
-                assert_int_equal(d.step == LMN_STEP_REPLY ? d.reply.status
-                                                          : d.absent_status,
-                                 e.status);
-                assert_int_equal(d.reply.includes_job, e.status == 200);
-                if (e.status == 200)
-                    assert_int_equal(d.reply.phase,
-                                     kind == DONE ? LMN_JOB_DONE : LMN_JOB_CANCELLED);
-                core_end(core);
+    for (enum cache_state cache_state = 0; cache_state < CACHE_STATES; cache_state++)
+        for (enum job_kind job_kind = 0; job_kind < JOB_KINDS; job_kind++)
+            for (enum request_kind request_kind = 0; request_kind < REQUEST_KINDS;
+                 request_kind++) {
+                struct lmn_core *core = new_core(&test_settings, cache_state);
+                struct lmn_request_decision decision =
+                    decide(core, request_kind, JOB_IDS[job_kind]);
+                bool is_cached = cache_state != NOT_SYNCED && job_kind != UNKNOWN;
+                struct expected_decision expected =
+                    is_cached ? ACTIVE_JOB_DECISIONS[cache_state][request_kind]
+                              : UNKNOWN_JOB_DECISIONS[cache_state][request_kind];
+                if (is_cached && job_kind != ACTIVE)
+                    expected = (struct expected_decision)REPLY(200);
+                assert_int_equal(decision.step, expected.step);
+                assert_int_equal(decision.step == LMN_STEP_REPLY ? decision.reply.status
+                                                                 : decision.absent_status,
+                                 expected.status);
+                assert_int_equal(decision.reply.includes_job, expected.status == 200);
+                if (expected.status == 200)
+                    assert_int_equal(decision.reply.phase,
+                                     job_kind == DONE ? LMN_JOB_DONE : LMN_JOB_CANCELLED);
+                free_core(core);
             }
 }
 
-static void what_names_no_job(void **state)
+static void request_without_valid_job_id_is_refused_at_once(void **state)
 {
-    struct lmn_settings cfg = settings();
-    struct lmn_submission s;
+    struct lmn_settings test_settings = make_settings();
+    struct lmn_submission submission;
     (void)state;
 
-    for (enum view view = 0; view < VIEWS; view++) {
-        struct lmn_core *core = core_with(&cfg, view);
+    for (enum cache_state cache_state = 0; cache_state < CACHE_STATES; cache_state++) {
+        struct lmn_core *core = new_core(&test_settings, cache_state);
         assert_int_equal(lmn_decide_status(core, "nonsense", now).reply.status, 404);
         assert_int_equal(lmn_decide_cancel(core, "run-").reply.status, 404);
         const char *const bodies[] = {"", "\xa0", "\x80", "\xff\xff", "\x01"};
         for (size_t i = 0; i < G_N_ELEMENTS(bodies); i++) {
-            lmn_submission_parse(&s, &cfg, (const guint8 *)bodies[i], strlen(bodies[i]));
-            struct lmn_request_decision d = lmn_decide_submission(core, &s, now);
-            assert_int_equal(d.step, LMN_STEP_REPLY);
-            assert_int_equal(d.reply.status, 400);
-            lmn_submission_clear(&s);
+            lmn_submission_parse(&submission, &test_settings, (const guint8 *)bodies[i],
+                                 strlen(bodies[i]));
+            struct lmn_request_decision decision =
+                lmn_decide_submission(core, &submission, now);
+            assert_int_equal(decision.step, LMN_STEP_REPLY);
+            assert_int_equal(decision.reply.status, 400);
+            lmn_submission_clear(&submission);
         }
-        core_end(core);
+        free_core(core);
     }
 }
 
-static void confirmations(void **state)
+static void reply_needs_a_confirmed_view(void **state)
 {
-    struct lmn_settings cfg = settings();
-    struct lmn_core *core = core_with(&cfg, FOLLOWING);
-    GPtrArray *failed = g_ptr_array_new();
-    struct lmn_job_view v, absent;
+    struct lmn_settings test_settings = make_settings();
+    struct lmn_core *core = new_core(&test_settings, FRESH);
+    GPtrArray *failed_keys = g_ptr_array_new();
+    struct lmn_job_view view, absent;
     (void)state;
 
-    lmn_job_view_from_cache(core, refs[ACTIVE], &v);
-    lmn_job_view_from_cache(core, refs[UNKNOWN], &absent);
-    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_COMMITTED, failed),
+    lmn_job_view_from_cache(core, JOB_IDS[ACTIVE], &view);
+    lmn_job_view_from_cache(core, JOB_IDS[UNKNOWN], &absent);
+    assert_int_equal(lmn_job_view_confirmation(&view, LMN_TXN_COMMITTED, failed_keys),
                      LMN_CONFIRMATION_LATEST);
-    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_UNKNOWN, failed),
+    assert_int_equal(lmn_job_view_confirmation(&view, LMN_TXN_UNKNOWN, failed_keys),
                      LMN_CONFIRMATION_UNKNOWN);
-    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_REJECTED, failed),
+    assert_int_equal(lmn_job_view_confirmation(&view, LMN_TXN_REJECTED, failed_keys),
                      LMN_CONFIRMATION_UNKNOWN);
-    /* A conflict that names nothing says nothing. */
-    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_CONFLICT, failed),
+    /* A conflict that names no key proves nothing about any view. */
+    assert_int_equal(lmn_job_view_confirmation(&view, LMN_TXN_CONFLICT, failed_keys),
                      LMN_CONFIRMATION_UNKNOWN);
-    g_ptr_array_add(failed, (char *)"j/run-000001");
-    assert_int_equal(lmn_job_view_confirmation(&v, LMN_TXN_CONFLICT, failed),
+    g_ptr_array_add(failed_keys, (char *)"j/run-000001");
+    assert_int_equal(lmn_job_view_confirmation(&view, LMN_TXN_CONFLICT, failed_keys),
                      LMN_CONFIRMATION_OUTDATED);
-    assert_int_equal(lmn_job_view_confirmation(&absent, LMN_TXN_CONFLICT, failed),
+    assert_int_equal(lmn_job_view_confirmation(&absent, LMN_TXN_CONFLICT, failed_keys),
                      LMN_CONFIRMATION_LATEST);
 
     for (int status = 400; status < 504; status++) {
-        struct lmn_job_reply r = lmn_job_reply_confirmed(core, &absent, status);
-        assert_int_equal(r.status, status);
-        assert_false(r.includes_job);
+        struct lmn_job_reply reply = lmn_job_reply_confirmed(core, &absent, status);
+        assert_int_equal(reply.status, status);
+        assert_false(reply.includes_job);
     }
-    /* What the mirror has learnt since is told, by its revision. */
-    struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, refs[ACTIVE]);
-    assert_int_equal(lmn_job_reply_confirmed(core, &v, 404).phase, LMN_JOB_ACTIVE);
+    /* If the watch cache has a later revision by now, its state is replied. */
+    struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, JOB_IDS[ACTIVE]);
+    assert_int_equal(lmn_job_reply_confirmed(core, &view, 404).phase, LMN_JOB_ACTIVE);
     job->phase = LMN_JOB_DONE;
     job->revision++;
-    assert_int_equal(lmn_job_reply_confirmed(core, &v, 404).phase, LMN_JOB_DONE);
-    struct lmn_job_read_result reading = {
-        .status = 200, .revision = v.revision, .phase = LMN_JOB_ACTIVE, .spec.tasks = 3};
+    assert_int_equal(lmn_job_reply_confirmed(core, &view, 404).phase, LMN_JOB_DONE);
+    struct lmn_job_read_result read_result = {.status = 200,
+                                              .revision = view.revision,
+                                              .phase = LMN_JOB_ACTIVE,
+                                              .spec.tasks = 3};
     assert_int_equal(
-        lmn_job_reply_from_read_result(core, refs[ACTIVE], &reading, 404).phase,
+        lmn_job_reply_from_read_result(core, JOB_IDS[ACTIVE], &read_result, 404).phase,
         LMN_JOB_DONE);
-    reading.revision = job->revision + 1;
+    read_result.revision = job->revision + 1;
     assert_int_equal(
-        lmn_job_reply_from_read_result(core, refs[ACTIVE], &reading, 404).phase,
+        lmn_job_reply_from_read_result(core, JOB_IDS[ACTIVE], &read_result, 404).phase,
         LMN_JOB_ACTIVE);
-    know(core, UNKNOWN, LMN_JOB_ACTIVE);
+    add_job(core, UNKNOWN, LMN_JOB_ACTIVE);
     assert_int_equal(lmn_job_reply_confirmed(core, &absent, 422).status, 200);
-    g_ptr_array_free(failed, TRUE);
-    core_end(core);
+    g_ptr_array_free(failed_keys, TRUE);
+    free_core(core);
 }
 
-static void cancellations(void **state)
+static void reply_follows_transaction_outcome(void **state)
 {
-    struct lmn_job_reply r;
-    struct lmn_job_read_result reading = {.status = 200, .phase = LMN_JOB_DONE};
+    struct lmn_job_reply reply;
+    struct lmn_job_read_result read_result = {.status = 200, .phase = LMN_JOB_DONE};
     (void)state;
 
-    assert_null(lmn_cancellation_txn("run-000001", &reading, 404, &r));
-    assert_int_equal(r.phase, LMN_JOB_DONE);
-    reading.status = 404;
-    assert_null(lmn_cancellation_txn("run-000001", &reading, 404, &r));
-    assert_int_equal(r.status, 404);
-    reading.status = LMN_HTTP_NO_RESPONSE;
-    assert_null(lmn_cancellation_txn("run-000001", &reading, 404, &r));
-    assert_int_equal(r.status, 503);
-    assert_true(lmn_cancellation_is_final(LMN_TXN_COMMITTED, &r));
-    assert_int_equal(r.phase, LMN_JOB_CANCELLED);
-    assert_true(lmn_cancellation_is_final(LMN_TXN_UNKNOWN, &r));
-    assert_int_equal(r.status, 503);
-    assert_false(lmn_cancellation_is_final(LMN_TXN_CONFLICT, &r)); /* it is read again */
-    assert_int_equal(r.status, 503); /* or that was the last try */
-    /* Only what is known to be committed is told as accepted. */
+    assert_null(lmn_cancellation_txn("run-000001", &read_result, 404, &reply));
+    assert_int_equal(reply.phase, LMN_JOB_DONE);
+    read_result.status = 404;
+    assert_null(lmn_cancellation_txn("run-000001", &read_result, 404, &reply));
+    assert_int_equal(reply.status, 404);
+    read_result.status = LMN_HTTP_NO_RESPONSE;
+    assert_null(lmn_cancellation_txn("run-000001", &read_result, 404, &reply));
+    assert_int_equal(reply.status, 503);
+    assert_true(lmn_cancellation_is_final(LMN_TXN_COMMITTED, &reply));
+    assert_int_equal(reply.phase, LMN_JOB_CANCELLED);
+    assert_true(lmn_cancellation_is_final(LMN_TXN_UNKNOWN, &reply));
+    assert_int_equal(reply.status, 503);
+    assert_false(
+        lmn_cancellation_is_final(LMN_TXN_CONFLICT, &reply)); /* the job is read again */
+    assert_int_equal(reply.status, 503); /* the reply after the last attempt */
+    /* A submission is only replied as accepted if its transaction is known to be
+     * committed. */
     assert_int_equal(lmn_decide_commit_outcome(LMN_TXN_COMMITTED).reply.status, 201);
     assert_int_equal(lmn_decide_commit_outcome(LMN_TXN_UNKNOWN).reply.status, 503);
     assert_int_equal(lmn_decide_commit_outcome(LMN_TXN_REJECTED).reply.status, 503);
@@ -288,10 +314,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(each_request_at_each_node),
-        cmocka_unit_test(what_names_no_job),
-        cmocka_unit_test(confirmations),
-        cmocka_unit_test(cancellations),
+        cmocka_unit_test(decision_depends_on_request_job_and_cache),
+        cmocka_unit_test(request_without_valid_job_id_is_refused_at_once),
+        cmocka_unit_test(reply_needs_a_confirmed_view),
+        cmocka_unit_test(reply_follows_transaction_outcome),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
