--- a/src/controller/controller_rpc.x
+++ b/src/controller/controller_rpc.x
@@ -1,9 +1,9 @@
-/* The messages of a controller's internal address: XDR over TCP, record marked, as ONC RPC.
+/* The ONC RPC protocol of a controller's internal address: XDR over TCP with record marking.
  *
- * The administration client and the other controllers send them; controller/rpc_server.c
- * answers. The order and the types of fields are on the wire, their names are not. A
- * procedure is never renumbered: controllers of two versions run side by side during an
- * upgrade. */
+ * The administration client and the other controllers send the calls; controller/rpc_server.c
+ * answers them. The order and types of fields are part of the wire format, their names are
+ * not. A procedure is never renumbered, because controllers of two versions run side by side
+ * during an upgrade. */
 
 const LMN_RPC_MAX_NAME = 64;
 const LMN_RPC_MAX_TEXT = 65536;
@@ -27,8 +27,8 @@
 };
 
 struct lmn_rpc_reply {
-    int code;                      /* 0: done */
-    string text<LMN_RPC_MAX_TEXT>; /* the report, or what is wrong */
+    int code;                      /* 0: success */
+    string text<LMN_RPC_MAX_TEXT>; /* the report, or the error text */
 };
 
 struct lmn_rpc_set_request {
@@ -42,7 +42,8 @@
 
 /* --- work stealing and quota --- */
 
-/* Free capacity of one kind of machine, for which a partition has no work of its own. */
+/* Free capacity of a partition for which it has no queued tasks of its own, on all machines
+ * with the same type, zone and spot flag. */
 struct lmn_rpc_capacity {
     string type<LMN_RPC_MAX_NAME>;
     string zone<LMN_RPC_MAX_NAME>;
@@ -52,7 +53,7 @@
     double memory_gb;
 };
 
-/* What a team's quota leaves free in the thief's partition. */
+/* The unused part of a team's quota in the thief's partition. */
 struct lmn_rpc_team_quota {
     string name<LMN_RPC_MAX_NAME>;
     double cpus;
@@ -61,44 +62,44 @@
 
 struct lmn_rpc_steal_request {
     int thief;  /* the partition with free capacity */
-    int victim; /* the partition that may transfer tasks to it */
+    int victim; /* the partition that is asked to transfer tasks to the thief */
     lmn_rpc_capacity capacities<LMN_RPC_MAX_ITEMS>;
     lmn_rpc_team_quota teams<LMN_RPC_MAX_TEAMS>;
 };
 
-/* A partition is short of a team's quota: by how much at best, and at least for one task. */
+/* A request for quota of a team. */
 struct lmn_rpc_quota_request {
-    int thief;
-    int victim;
+    int thief;  /* the partition that needs quota */
+    int victim; /* the partition that is asked to transfer some */
     string team<LMN_RPC_MAX_NAME>;
-    double cpus;
+    double cpus; /* that the team's queued tasks could use */
     double gpus;
-    double least_cpus;
+    double least_cpus; /* without which the largest queued task could never start */
     double least_gpus;
 };
 
 /* --- membership --- */
 
-/* What a member says of its own health. */
+/* The health that a member reports of itself. */
 struct lmn_rpc_health {
-    double delay_s;              /* how late it does what is due */
-    double cache_age_s;          /* of its watch cache */
-    double silent_machine_share; /* of its machines: those without recent heartbeats */
+    double delay_s;              /* how late its periodic tasks run */
+    double cache_age_s;          /* age of its watch cache */
+    double silent_machine_share; /* share of its machines without recent heartbeats, 0 to 1 */
 };
 
-/* What a member says of another; ages in seconds. */
+/* What a member reports about another member. */
 struct lmn_rpc_gossip {
     string member<LMN_RPC_MAX_NAME>;
     unsigned hyper incarnation;
-    double last_contact_age_s;   /* negative: never */
-    double unanswered_age_s;     /* since the first probe without an answer; 0: none */
-    unsigned redirected_workers; /* workers of it that came here */
+    double last_contact_age_s;   /* time since the last contact; negative: never */
+    double unanswered_age_s;     /* time since the first unanswered probe; 0: none */
+    unsigned redirected_workers; /* workers of that member that sent heartbeats here */
 };
 
-/* A probe; `about`: the member that is to be probed too, empty: none. */
+/* A probe. */
 struct lmn_rpc_probe {
     string from<LMN_RPC_MAX_NAME>;
-    string about<LMN_RPC_MAX_NAME>;
+    string about<LMN_RPC_MAX_NAME>; /* a member that the receiver should probe; "": none */
     lmn_rpc_health health;
     lmn_rpc_gossip gossip<LMN_RPC_MAX_GOSSIP>;
 };
@@ -111,14 +112,14 @@
 /* --- replication --- */
 
 const LMN_RPC_ATTEMPT_ENDED = 1;
-const LMN_RPC_ATTEMPT_DONE = 2; /* with LMN_RPC_ATTEMPT_ENDED */
+const LMN_RPC_ATTEMPT_DONE = 2; /* succeeded; only with LMN_RPC_ATTEMPT_ENDED */
 
-/* An attempt that may be on a machine. */
+/* An attempt of a task that may be on a machine. */
 struct lmn_rpc_attempt {
     string job_id<LMN_RPC_MAX_NAME>;
-    unsigned index;
-    unsigned hyper number;
-    unsigned state; /* LMN_RPC_ATTEMPT_... */
+    unsigned index;        /* of the task in the job */
+    unsigned hyper number; /* of the attempt */
+    unsigned state;        /* LMN_RPC_ATTEMPT_... flags */
 };
 
 struct lmn_rpc_image {
@@ -129,13 +130,13 @@
 
 const LMN_RPC_MACHINE_TERMINATED = 1;
 const LMN_RPC_MACHINE_FORGOTTEN = 2;
-const LMN_RPC_MACHINE_WITH_IMAGES = 4;
+const LMN_RPC_MACHINE_WITH_IMAGES = 4; /* `images` is valid; otherwise they are unchanged */
 
-/* A machine's whole state, as its owner replicates it. */
+/* The state of a machine as its partition's owner replicates it. */
 struct lmn_rpc_machine {
     string name<LMN_RPC_MAX_NAME>;
     unsigned hyper agent_incarnation;
-    unsigned state; /* LMN_RPC_MACHINE_... */
+    unsigned state; /* LMN_RPC_MACHINE_... flags */
     lmn_rpc_attempt attempts<LMN_RPC_MAX_ATTEMPTS>;
     lmn_rpc_image images<LMN_RPC_MAX_ITEMS>;
 };
@@ -143,9 +144,9 @@
 /* A batch of a replication stream. */
 struct lmn_rpc_replication_batch {
     int partition;
-    unsigned hyper epoch;
-    unsigned hyper stream;
-    unsigned hyper number;
+    unsigned hyper epoch;  /* of the partition's ownership */
+    unsigned hyper stream; /* id of the stream */
+    unsigned hyper number; /* of the batch in the stream */
     lmn_rpc_machine machines<LMN_RPC_MAX_MACHINES>;
 };
 
@@ -155,7 +156,7 @@
     string job_id<LMN_RPC_MAX_NAME>;
 };
 
-/* Jobs whose cancellation was committed, and of which users have been told. */
+/* Jobs whose cancellation was committed and has been confirmed to users. */
 struct lmn_rpc_tombstones {
     lmn_rpc_job_id jobs<LMN_RPC_MAX_ITEMS>;
 };
@@ -167,15 +168,15 @@
         lmn_rpc_settings LMN_RPC_SETTINGS_GET(void) = 2;
         lmn_rpc_reply LMN_RPC_SETTINGS_SET(lmn_rpc_set_request) = 3;
         lmn_rpc_reply LMN_RPC_DRAIN(lmn_rpc_machine_request) = 4;
-        unsigned LMN_RPC_LOAD(lmn_rpc_steal_request) = 5;
-        unsigned LMN_RPC_STEAL(lmn_rpc_steal_request) = 6;
-        unsigned LMN_RPC_STALENESS(void) = 7;      /* of the watch cache, in milliseconds */
-        unsigned LMN_RPC_QUOTA(lmn_rpc_quota_request) = 8;    /* 1: some is being transferred */
+        unsigned LMN_RPC_LOAD(lmn_rpc_steal_request) = 5;  /* tasks the thief could start */
+        unsigned LMN_RPC_STEAL(lmn_rpc_steal_request) = 6;  /* tasks being transferred */
+        unsigned LMN_RPC_STALENESS(void) = 7;  /* age of the watch cache in milliseconds */
+        unsigned LMN_RPC_QUOTA(lmn_rpc_quota_request) = 8;  /* 1: quota is being transferred */
         lmn_rpc_probe_reply LMN_RPC_PROBE(lmn_rpc_probe) = 9;
-        lmn_rpc_reply LMN_RPC_MEMBERS(unsigned) = 10;  /* 1: as JSON */
+        lmn_rpc_reply LMN_RPC_MEMBERS(unsigned) = 10;  /* argument 1: as JSON */
         unsigned LMN_RPC_REPLICATE(lmn_rpc_replication_batch) = 11;  /* enum lmn_replica_result */
-        lmn_rpc_reply LMN_RPC_SHUTDOWN(unsigned) = 12;    /* 0: cancel a shutdown, 1: shut down */
+        lmn_rpc_reply LMN_RPC_SHUTDOWN(unsigned) = 12;  /* argument 0: cancel, 1: shut down */
         lmn_rpc_reply LMN_RPC_OWNERSHIP(void) = 13;
-        unsigned LMN_RPC_TOMBSTONES(lmn_rpc_tombstones) = 14;  /* how many were not known yet */
+        unsigned LMN_RPC_TOMBSTONES(lmn_rpc_tombstones) = 14;  /* number not known before */
     } = 1;
 } = 0x2c0a5b41;
--- a/src/controller/deferred_responses.c
+++ b/src/controller/deferred_responses.c
@@ -1,32 +1,34 @@
 /** @file
- * Heartbeat responses that wait for their standby's acknowledgement. */
+ * Heartbeat responses that are deferred until the standby has acknowledged their starts.
+ */
 #include "controller/deferred_responses.h"
 #include "replication/start_gate.h"
 
 enum { STATUS_OK = 200, STATUS_UNAVAILABLE = 503 };
 
-/** A response that waits. It belongs to the list that it is in. */
+/** A deferred response. Owned by the list that contains it. */
 struct lmn_deferred_response {
     struct lmn_http_request *request;
     GByteArray *body;
     struct lmn_deferred_starts starts;
     struct timespec deferred_at;
-    int status; /**< 0: it still waits */
+    int status; /**< HTTP status; 0: not settled yet */
 };
 
-/** Whether the partition is still owned as it was when the starts were decided on. If
- * not, its next owner does not know of them: they must not go out. */
-static bool is_owned_as_before(const struct lmn_partition *partition,
-                               const struct lmn_deferred_starts *starts)
+/** Whether this controller still owns the partition in the epoch in which it decided on
+ * the starts. If not, the next owner may not know the starts, and they must not be sent.
+ */
+static bool is_owned_in_epoch(const struct lmn_partition *partition,
+                              const struct lmn_deferred_starts *starts)
 {
     return partition->ownership.is_owned && partition->ownership.epoch == starts->epoch;
 }
 
-/** @return the response's status; 0 if it has to wait */
+/** @return the HTTP status to respond with; 0 if the response has to wait */
 static int settle_one(struct lmn_core *core, const struct lmn_partition *partition,
                       struct lmn_deferred_response *response, struct timespec now)
 {
-    if (!is_owned_as_before(partition, &response->starts)) {
+    if (!is_owned_in_epoch(partition, &response->starts)) {
         g_byte_array_set_size(response->body, 0);
         return STATUS_UNAVAILABLE;
     }
@@ -41,15 +43,15 @@
 void lmn_deferred_responses_settle(struct lmn_core *core, struct lmn_partition *partition,
                                    GQueue *settled, struct timespec now)
 {
-    GQueue *waiting = &partition->replication.stream.deferred_responses;
+    GQueue *deferred = &partition->replication.stream.deferred_responses;
 
-    for (GList *link = waiting->head, *next; link; link = next) {
+    for (GList *link = deferred->head, *next; link; link = next) {
         struct lmn_deferred_response *response = link->data;
         next = link->next;
         response->status = settle_one(core, partition, response, now);
         if (!response->status)
             continue;
-        g_queue_unlink(waiting, link);
+        g_queue_unlink(deferred, link);
         g_queue_push_tail_link(settled, link);
     }
 }
@@ -71,7 +73,7 @@
     int status = 0;
 
     pthread_mutex_lock(&core->lock);
-    if (!is_owned_as_before(partition, starts))
+    if (!is_owned_in_epoch(partition, starts))
         status = STATUS_UNAVAILABLE;
     else if (lmn_replication_covers(partition, starts->log_position))
         status = STATUS_OK;
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -1,6 +1,7 @@
 /** @file
- * Sends and answers probes. The probe thread owns its connections to the members; the
- * members' views are the core's, under its lock, which is not held during a call. */
+ * Sends and answers probes. The probe thread owns its connections to the members. The
+ * views of the members belong to the core and are guarded by its lock, which is not held
+ * during a call. */
 #include "controller/probe_client.h"
 #include "controller/rpc_client.h"
 #include "state/core.h"
@@ -10,20 +11,21 @@
 
 #include <rpc/rpc.h>
 
-/** Longer ages are sent as this: the watch cache may never have been in sync. */
+/** Longer ages are sent as this value, also that of a watch cache that was never in sync.
+ */
 static const double MAX_REPORTED_AGE_S = 1e6;
-/** A member's health as it was last told counts for so long. */
+/** Time for which a member's last reported health is valid. */
 static const double HEALTH_VALID_S = 2;
 static const double US_PER_S = 1e6;
-/** For tombstones. The member has just answered a probe; if it stops answering now, it
- * must not hold up the probes of others. */
+/** Timeout of the call that sends tombstones. Short, because the member has just answered
+ * a probe, and if it stops answering now, the probes of other members must not wait. */
 static const struct timeval TOMBSTONES_TIMEOUT = {0, 250000};
 
-/* --- an isolated view --- */
+/* --- detection of an isolated view --- */
 
-/** The member that this controller's watch cache is compared with: the first that has
- * told its health lately.
- * @return its index; -1: none has */
+/** Finds the member whose watch cache is compared with this controller's: the first with
+ * a valid health report.
+ * @return its member index; -1: none */
 static int first_reachable_member(const struct lmn_core *core, struct timespec now)
 {
     for (int i = 0; i < core->members.count; i++) {
@@ -35,10 +37,11 @@
     return -1;
 }
 
-/** Notes whether this controller's view is isolated. A controller whose watch cache is
- * stalled while another's is not, or that reaches no other, is at fault itself: its users
- * are better served elsewhere. If the other's is stalled too, the key-value store has an
- * outage, and every controller goes on. The core's lock is held. */
+/** Updates whether this controller's view is isolated: its watch cache is stalled, while
+ * another member's is not, or no other member is reachable. Then the fault is assumed to
+ * be on this controller's side, and its users should be served by another one. If the
+ * other member's watch cache is stalled too, the key-value store has an outage, and all
+ * controllers continue to serve. Called with the core's lock held. */
 static void update_isolated_view(struct lmn_core *core, struct timespec now)
 {
     double cache_age_s = core->cache.is_synced ? lmn_watch_cache_age_s(core, now) : 0;
@@ -62,7 +65,7 @@
 
 /* --- messages --- */
 
-/** The core's lock is held. */
+/** Called with the core's lock held. */
 static lmn_rpc_health encode_own_health(const struct lmn_core *core, struct timespec now)
 {
     const struct lmn_member_health *health = &core->members.health;
@@ -78,14 +81,16 @@
                                       health->silent_machine_share};
 }
 
-/** Gossip for a member, also about a third (-1: none in particular). The names are the
- * settings', which stay as they are. The core's lock is held.
- * @return how many statements */
-static u_int encode_gossip(struct lmn_core *core, int to, int about, struct timespec now,
-                           struct lmn_probe_reply_buffer *buffer)
+/** Fills the buffer with gossip for a member. The member names point into the settings,
+ * which do not change. Called with the core's lock held.
+ * @param recipient member index
+ * @param about index of a member to include in the gossip; -1: none in particular
+ * @return the number of statements */
+static u_int encode_gossip(struct lmn_core *core, int recipient, int about,
+                           struct timespec now, struct lmn_probe_reply_buffer *buffer)
 {
     struct lmn_gossip_statement statements[LMN_MAX_GOSSIP_STATEMENTS];
-    unsigned count = lmn_member_gossip(&core->members, to, about, now, statements);
+    unsigned count = lmn_member_gossip(&core->members, recipient, about, now, statements);
 
     for (unsigned i = 0; i < count; i++)
         buffer->gossip[i] = (lmn_rpc_gossip){
@@ -95,7 +100,7 @@
     return count;
 }
 
-/** The core's lock is held. */
+/** Called with the core's lock held. */
 static void record_gossip(struct lmn_core *core, int from, u_int count,
                           const lmn_rpc_gossip *gossip, struct timespec now)
 {
@@ -108,7 +113,7 @@
     }
 }
 
-/* --- answers to other members --- */
+/* --- handlers of other members' calls --- */
 
 void lmn_probe_handle(struct lmn_core *core, const lmn_rpc_probe *probe,
                       lmn_rpc_probe_reply *reply, struct lmn_probe_reply_buffer *buffer)
@@ -149,7 +154,7 @@
 
 /* --- the probe thread --- */
 
-/** A member as the probe thread reaches it. */
+/** The probe thread's connection to a member. */
 struct probe_peer {
     CLIENT *client; /**< NULL: not connected */
 };
@@ -160,7 +165,8 @@
     peer->client = NULL;
 }
 
-/** @return false: no answer; else `reply` is to be freed with xdr_free */
+/** @param reply to be freed with xdr_free if the call succeeds
+ * @return false if the member cannot be reached or does not answer */
 static bool call_member(struct lmn_core *core, struct probe_peer *peer,
                         const struct lmn_probe *probe, lmn_rpc_probe *message,
                         lmn_rpc_probe_reply *reply)
@@ -182,8 +188,8 @@
     return false;
 }
 
-/** Sends the tombstones that the member may not know of, on the connection on which it
- * has just answered. */
+/** Sends the member the tombstones that it has not acknowledged, on the connection on
+ * which it has just answered a probe. */
 static void send_tombstones(struct lmn_core *core, struct probe_peer *peer,
                             int member_index)
 {
@@ -197,7 +203,8 @@
     pthread_mutex_lock(&core->lock);
     message.jobs.jobs_len = lmn_tombstones_pending(
         &core->cache.tombstones, member_index, pending, G_N_ELEMENTS(pending), &position);
-    /* Copied: the ids are the core's, and the call is made without its lock. */
+    /* Copied, because the ids belong to the core, and its lock is not held during the
+     * call. */
     for (u_int i = 0; i < message.jobs.jobs_len; i++) {
         g_strlcpy(job_ids[i], pending[i], LMN_JOB_ID_SIZE);
         jobs[i].job_id = job_ids[i];
@@ -209,7 +216,8 @@
         clnt_call(peer->client, LMN_RPC_TOMBSTONES, (xdrproc_t)xdr_lmn_rpc_tombstones,
                   (char *)&message, (xdrproc_t)xdr_u_int, (char *)&unknown_count,
                   TOMBSTONES_TIMEOUT);
-    /* A member of an older version does not know the call, and has no use for it. */
+    /* A member with an older version does not support the call and does not need the
+     * tombstones: they count as acknowledged. */
     if (status != RPC_SUCCESS && status != RPC_PROCUNAVAIL) {
         disconnect(peer);
         return;
@@ -219,7 +227,7 @@
     pthread_mutex_unlock(&core->lock);
 }
 
-/** The core's lock is held. */
+/** Called with the core's lock held. */
 static void record_reply(struct lmn_core *core, const struct lmn_probe *probe,
                          const lmn_rpc_probe_reply *reply, struct timespec sent_at,
                          struct timespec now)
@@ -231,7 +239,7 @@
                   now);
 }
 
-/** The core's lock is held. */
+/** Called with the core's lock held. */
 static void record_timeout(struct lmn_core *core, const struct lmn_probe *probe,
                            struct timespec sent_at, struct timespec now)
 {
--- a/src/controller/replication_message.c
+++ b/src/controller/replication_message.c
@@ -1,5 +1,5 @@
 /** @file
- * Encoding and decoding of replication batches. */
+ * Conversion of replication batches to and from RPC messages. */
 #include "controller/replication_message.h"
 #include "replication/batch.h"
 
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -1,6 +1,6 @@
 /** @file
- * Reports on replication. The keys and names are read by operators' scripts and
- * dashboards: they do not follow renames in the code. */
+ * Replication in the reports for operators. The keys of the status report and the names
+ * of the metrics must not change, because operators' scripts and dashboards read them. */
 #include "controller/replication_report.h"
 #include "http/metrics.h"
 #include "replication/stream.h"
@@ -8,7 +8,7 @@
 
 #include <string.h>
 
-/** On an owned partition: its standby. */
+/** Appends the line of an owned partition: the stream to its standby. */
 static void describe_stream(GString *text, const struct lmn_core *core,
                             const struct lmn_partition *partition, struct timespec now)
 {
@@ -36,7 +36,7 @@
                            stream->counters.removals);
 }
 
-/** Whether the partition's record names the replica here as the one in sync. */
+/** Whether the partition's record names this controller's replica as the one in sync. */
 static bool is_in_sync(const struct lmn_core *core, const struct lmn_partition *partition)
 {
     const struct lmn_replica *replica = partition->replication.replica;
@@ -46,7 +46,8 @@
            !strcmp(record->standby, core->settings->node_name);
 }
 
-/** On another owner's partition, or one that was owned here: the replica. */
+/** Appends the line of this controller's replica: of a partition with another owner, or
+ * of one that this controller owned until recently. */
 static void describe_replica(GString *text, const struct lmn_core *core,
                              const struct lmn_partition *partition, struct timespec now)
 {
@@ -87,14 +88,15 @@
     return ids;
 }
 
-/** Sums over all partitions. */
+/** Totals over all partitions. */
 struct replication_totals {
     struct lmn_replication_counters counters;
     unsigned in_sync_streams, replicas, pending_machines;
     double longest_wait_s;
 };
 
-static struct replication_totals sum_up(const struct lmn_core *core, struct timespec now)
+static struct replication_totals sum_totals(const struct lmn_core *core,
+                                            struct timespec now)
 {
     struct replication_totals totals = {0};
 
@@ -124,51 +126,54 @@
 static void write_streams(GString *out, const struct replication_totals *totals)
 {
     lmn_gauge(out, "lemonspar_standby_in_step",
-              "Owned partitions whose standby is in step", totals->in_sync_streams);
+              "Owned partitions whose standby is in sync", totals->in_sync_streams);
     lmn_gauge(out, "lemonspar_standby_copies",
-              "Others' partitions that this node follows", totals->replicas);
-    lmn_gauge(out, "lemonspar_standby_untold", "Machines that standbys are to be told of",
+              "Replicas of other controllers' partitions here", totals->replicas);
+    lmn_gauge(out, "lemonspar_standby_untold",
+              "Machines with changes that were not sent to the standby yet",
               totals->pending_machines);
     lmn_gauge(out, "lemonspar_standby_wait_seconds",
-              "For how long the oldest start has waited for its standby",
+              "Age of the oldest start that the standby has not acknowledged",
               totals->longest_wait_s);
-    lmn_counter(out, "lemonspar_standby_batches", "Batches acknowledged",
-                totals->counters.batches);
-    lmn_counter(out, "lemonspar_standby_machines", "Machines told in them",
+    lmn_counter(out, "lemonspar_standby_batches",
+                "Replication batches acknowledged by standbys", totals->counters.batches);
+    lmn_counter(out, "lemonspar_standby_machines",
+                "Machine snapshots in acknowledged replication batches",
                 totals->counters.machines);
-    lmn_counter(out, "lemonspar_standby_streams", "Copies begun",
+    lmn_counter(out, "lemonspar_standby_streams", "Replication streams started",
                 totals->counters.streams);
-    lmn_counter(out, "lemonspar_standby_strikes", "Standbys struck off the record",
+    lmn_counter(out, "lemonspar_standby_strikes",
+                "Standbys removed from their partitions' records",
                 totals->counters.removals);
 }
 
 static void write_failovers(GString *out, const struct lmn_counters *counters)
 {
-    lmn_counter(
-        out, "lemonspar_tombstones",
-        "Withdrawals that another controller told of before the mirror showed them",
-        counters->tombstones);
+    lmn_counter(out, "lemonspar_tombstones",
+                "Cancellations received as tombstones before the watch cache showed them",
+                counters->tombstones);
     lmn_counter(out, "lemonspar_starts_withheld",
-                "Starts taken back since no standby acknowledged them",
+                "Starts withheld because the standby did not acknowledge them in time",
                 counters->withheld_starts);
     lmn_counter(out, "lemonspar_takeovers_warm",
-                "Takeovers with a standby's copy, or an owner's own",
+                "Failovers that restored a replica or the former owner's own state",
                 counters->warm_failovers);
     lmn_counter(out, "lemonspar_takeovers_own",
-                "Of those: by the last owner, with its own",
+                "Warm failovers by the former owner, with its own state",
                 counters->own_state_failovers);
-    lmn_counter(out, "lemonspar_takeovers_cold", "Takeovers without",
+    lmn_counter(out, "lemonspar_takeovers_cold",
+                "Failovers without a replica or the former owner's state",
                 counters->cold_failovers);
 }
 
 void lmn_replication_metrics(const struct lmn_core *core, GString *out,
                              struct timespec now)
 {
-    struct replication_totals totals = sum_up(core, now);
+    struct replication_totals totals = sum_totals(core, now);
 
     write_streams(out, &totals);
     write_failovers(out, &core->counters);
     lmn_quantiles(out, "lemonspar_standby_ack_seconds",
-                  "What starts wait for their acknowledgement",
+                  "Time from a start to its acknowledgement by the standby",
                   &core->latencies.replication);
 }
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -1,7 +1,7 @@
 /** @file
- * The replication threads. Each owns its connections; all else is the core's, under its
- * lock, which is not held during I/O: a batch belongs to the stream and is altered by
- * nobody while it is being sent. */
+ * The replication threads. Each thread owns its connections. All other state belongs to
+ * the core and is guarded by its lock, which is not held during I/O: a batch belongs to
+ * its stream, and nothing modifies it while it is being sent. */
 #include "controller/replication_thread.h"
 #include "controller/deferred_responses.h"
 #include "controller/replication_message.h"
@@ -15,9 +15,10 @@
 
 #include <rpc/rpc.h>
 
-/** Neither a batch's acknowledgement nor a connection is waited for longer. */
+/** Timeout of a connection attempt, and of a batch's acknowledgement. */
 static const double CALL_TIMEOUT_S = 0.25;
-/** Between two tries, so that one refused connection does not count as several. */
+/** Delay after a failed attempt, so that a short interruption does not count as several
+ * failures. */
 static const double RETRY_DELAY_S = 0.03;
 static const double US_PER_S = 1e6;
 
@@ -33,13 +34,13 @@
     return result;
 }
 
-/** What a replication thread works with. */
+/** The state of a replication thread. */
 struct replicator {
     struct lmn_core *core;
     struct lmn_partition *partition;
-    struct lmn_http_client *http_client; /**< to the key-value store */
+    struct lmn_http_client *http_client; /**< for the key-value store */
     CLIENT *standby_client;              /**< NULL: not connected */
-    int standby_index;                   /**< to whom standby_client is connected */
+    int standby_index;                   /**< member index of the connected standby */
 };
 
 static void disconnect(struct replicator *replicator)
@@ -48,8 +49,8 @@
     replicator->standby_client = NULL;
 }
 
-/** Connects to that member, unless it is connected to it already. */
-static void connect_to(struct replicator *replicator, int standby_index)
+/** Connects to the standby, unless there is a connection to it already. */
+static void connect_to_standby(struct replicator *replicator, int standby_index)
 {
     const struct lmn_core *core = replicator->core;
 
@@ -62,14 +63,14 @@
             CALL_TIMEOUT_S);
 }
 
-/** @return false: no answer */
+/** @return false if the standby cannot be reached or does not answer */
 static bool send_batch(struct replicator *replicator, int standby_index,
                        const struct lmn_replication_batch *batch, u_int *result)
 {
     const struct timeval timeout = {0, (suseconds_t)(US_PER_S * CALL_TIMEOUT_S)};
     lmn_rpc_machine machines[LMN_REPLICATION_BATCH_MACHINES] = {0};
 
-    connect_to(replicator, standby_index);
+    connect_to_standby(replicator, standby_index);
     if (!replicator->standby_client)
         return false;
     lmn_rpc_replication_batch message = lmn_replication_message_encode(batch, machines);
@@ -83,8 +84,8 @@
     return is_answered;
 }
 
-/** Sends a batch and records what came of it. Called without the lock; returns with it.
- */
+/** Sends a batch and records the result. Called without the core's lock held; returns
+ * with it held. */
 static void replicate_batch(struct replicator *replicator, int standby_index,
                             struct lmn_replication_batch *batch)
 {
@@ -99,7 +100,8 @@
                                (enum lmn_replica_result)result, lmn_now());
 }
 
-/** Writes who is in sync with this owner; the watch cache will show what came of it. */
+/** Commits a change of the partition's standby to its record. The outcome needs no
+ * handling: this controller learns of the change from its watch cache. */
 static void write_record(const struct replicator *replicator, struct lmn_txn *txn)
 {
     uint64_t revision;
@@ -111,8 +113,8 @@
     lmn_txn_free(txn);
 }
 
-/** Does what is due for the partition, or waits. The core's lock is held at the call and
- * at the return, and let go in between. */
+/** Runs the partition's next replication step, or waits until one is due. Called and
+ * returns with the core's lock held, which is released in between. */
 static void run_step(struct replicator *replicator)
 {
     struct lmn_core *core = replicator->core;
--- a/src/controller/rpc_client.h
+++ b/src/controller/rpc_client.h
@@ -1,6 +1,6 @@
 /** @file
- * Connections to the internal addresses of controllers. Used by the administration client
- * too: it has no core. */
+ * Connections to the internal addresses of controllers. Independent of the core, because
+ * the administration client uses it too. */
 #ifndef LMN_CONTROLLER_RPC_CLIENT_H
 #define LMN_CONTROLLER_RPC_CLIENT_H
 
@@ -8,14 +8,16 @@
 
 #include <rpc/rpc.h>
 
-/** Connects within 0.6 s.
- * @return a connection that the caller ends with clnt_destroy; NULL: there is none */
+/** Connects to an internal address with a timeout of 0.6 s.
+ * @return to be freed with clnt_destroy; NULL if the connection failed */
 CLIENT *lmn_rpc_connect(const char *address);
-/** The same within that many seconds. */
-CLIENT *lmn_rpc_connect_within(const char *address, double seconds);
-/** The same to another member, by its name.
- * @return NULL also if the settings name no such member */
+/** Connects to an internal address.
+ * @return to be freed with clnt_destroy; NULL if the connection failed */
+CLIENT *lmn_rpc_connect_within(const char *address, double timeout_s);
+/** Connects to the member of that name.
+ * @return to be freed with clnt_destroy; NULL if the connection failed, or the settings
+ *     contain no such member */
 CLIENT *lmn_rpc_connect_to_member(const struct lmn_settings *settings, const char *name,
-                                  double seconds);
+                                  double timeout_s);
 
 #endif
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -1,9 +1,10 @@
 /** @file
  * The RPC server: a table of calls, each with its decoder, handler and encoder.
  *
- * One thread (`serve`) reads all connections and runs the handlers one after the other.
- * A handler takes the core's lock for what it reads or changes; no handler is called, and
- * nothing is sent, with the lock held. A reply belongs to the thread until it is sent. */
+ * One thread (`serve`) reads all connections and runs the handlers one after the other. A
+ * handler takes the core's lock for the state that it reads or changes; the lock is not
+ * held when a handler is called or when a reply is sent. A reply belongs to the thread
+ * until it is sent. */
 #include "controller/rpc_server.h"
 #include "controller/members_report.h"
 #include "controller/ownership_report.h"
@@ -33,15 +34,16 @@
     MS_PER_S = 1000,
 };
 
-/** Longer ages are reported as this, so that they fit the reply's milliseconds. */
+/** Longer ages are reported as this value, so that they fit the reply, an unsigned
+ * integer in milliseconds. */
 static const double MAX_REPORTED_AGE_S = 1e6;
 
-/** The core that the handlers work on. The ONC RPC library calls the registered function
- * with nothing of the caller's own, so only `dispatch` reads this; set once, before the
- * serving thread exists. */
+/** The core that `dispatch` passes to the handlers. Global because the ONC RPC library
+ * passes no user data to the registered function. Set once, before the server's thread is
+ * started. */
 static struct lmn_core *served_core;
 
-/** What a call carries, by its procedure. */
+/** The argument of a call; the procedure determines which member is valid. */
 union rpc_message {
     u_int number;
     struct lmn_rpc_set_request setting;
@@ -53,11 +55,12 @@
     struct lmn_rpc_tombstones tombstones;
 };
 
-/** What is answered, by the procedure, and the memory that it points into. */
+/** The result of a call, and the memory into which it points. The procedure determines
+ * which member of `body` is valid. */
 struct rpc_response {
     union {
         u_int number;
-        struct lmn_rpc_reply reply; /**< its text is freed after it was sent */
+        struct lmn_rpc_reply reply; /**< its text is freed after sending */
         struct lmn_rpc_settings settings;
         struct lmn_rpc_probe_reply probe;
     } body;
@@ -65,19 +68,19 @@
     struct lmn_probe_reply_buffer probe_buffer;
 };
 
-/** Carries out a call. Takes the core's lock itself. */
+/** Handles a call. Takes the core's lock if it needs it. */
 typedef void rpc_handler(struct lmn_core *core, const union rpc_message *message,
                          struct rpc_response *response);
 
 struct rpc_call {
     rpcproc_t procedure;
-    xdrproc_t decode; /**< of the message; NULL: the call carries none */
+    xdrproc_t decode; /**< decoder of the argument; NULL: the call has none */
     rpc_handler *handle;
-    xdrproc_t encode; /**< of the response's body */
+    xdrproc_t encode; /**< encoder of the response's body */
 };
 
-/* xdr_void has another type than all other xdr_ functions: the cast by way of a function
- * without parameters says that this is meant. */
+/* xdr_void has another type than all other xdr_ functions. The intermediate cast to a
+ * function without parameters avoids the compiler's warning about incompatible types. */
 #define ENCODE_NOTHING ((xdrproc_t)(void (*)(void))xdr_void)
 
 /* --- handlers of the administration client's calls --- */
@@ -96,7 +99,7 @@
     char *text = lmn_status_report(core);
     (void)message;
 
-    /* A longer text could not be encoded, and a long report is of use without its end. */
+    /* A longer text cannot be encoded. A truncated report is still useful. */
     if (strlen(text) >= LMN_RPC_MAX_TEXT)
         text[LMN_RPC_MAX_TEXT - 1] = '\0';
     response->body.reply.text = text;
@@ -143,12 +146,17 @@
         reply->text = g_strdup("done");
     } else if (partition->ownership.is_owned) {
         reply->code = -1;
-        reply->text = g_strdup_printf("%s: no such machine", name);
+        reply->text =
+            g_strdup_printf("%s: no such machine in partition %d", name, partition->id);
+    } else if (*partition->record.owner) {
+        reply->code = -1;
+        reply->text = g_strdup_printf(
+            "%s: partition %d is owned by controller %s; send the command there", name,
+            partition->id, partition->record.owner);
     } else {
         reply->code = -1;
-        reply->text = g_strdup_printf("%s: ask its owner, %s", name,
-                                      *partition->record.owner ? partition->record.owner
-                                                               : "nobody now");
+        reply->text = g_strdup_printf("%s: partition %d has no owner now; retry later",
+                                      name, partition->id);
     }
     pthread_mutex_unlock(&core->lock);
 }
@@ -254,15 +262,15 @@
     return NULL;
 }
 
-/** Called by the ONC RPC library for each call that has arrived. */
+/** Handles a call. Called by the ONC RPC library when the call has been received. */
 static void dispatch(struct svc_req *request, SVCXPRT *transport)
 {
     const struct rpc_call *call = find_call(request->rq_proc);
     union rpc_message message;
     struct rpc_response response;
 
-    /* Whole, as a union's initializer need not clear more than its first member: the
-     * decoder allocates memory only where it finds a null pointer. */
+    /* The decoder allocates memory only where it finds a null pointer, and an initializer
+     * of the union might not clear more than its first member. */
     memset(&message, 0, sizeof message);
     memset(&response, 0, sizeof response);
     if (!call) {
@@ -320,13 +328,13 @@
     if (fd < 0)
         return -1;
     served_core = core;
-    /* With a limit, the library reads records as they arrive: half a request of one
-     * connection does not hold up the others. */
+    /* With a limit on the record size, the library reads the connections without
+     * blocking, so that an incomplete request on one does not delay the others. */
     int max_record_bytes = MAX_RECORD_BYTES;
     rpc_control(RPC_SVC_CONNMAXREC_SET, &max_record_bytes);
     SVCXPRT *transport = svc_vc_create(fd, 0, 0);
-    /* Registered with protocol 0, so not at a port mapper: the members' addresses are in
-     * the settings. */
+    /* Protocol 0 registers the program without a port mapper, which is not needed: the
+     * members' addresses are in the settings. */
     if (!transport ||
         !svc_reg(transport, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, dispatch, NULL))
         return -1;
--- a/src/controller/steal_client.c
+++ b/src/controller/steal_client.c
@@ -1,8 +1,9 @@
 /** @file
- * Steals work, and requests quota, from other partitions (steal_handler.h is the other
- * side). One thread owns the connections to the members; the core's lock guards all else
- * and is not held while a call is under way, so what a call returns is a hint: the victim
- * decides under its own lock, by a conditional write. */
+ * Steals tasks and requests quota from other partitions; steal_handler.h answers these
+ * requests. One thread owns the connections to the members. The core's lock guards all
+ * other state and is not held during a call, so the result of a call may be outdated when
+ * it arrives. The transfer itself is decided by the victim under its own lock, and made
+ * by a conditional write. */
 #include "controller/steal_client.h"
 #include "controller/rpc_client.h"
 #include "controller/steal_handler.h"
@@ -17,34 +18,36 @@
 #include <string.h>
 
 static const double SCAN_INTERVAL_S = 0.1;
-/** After a failed connection or call, so that an absent member holds up nobody. */
+/** Delay after a failed connection or call, so that a member that does not answer delays
+ * the calls to the other members at most once in this time. */
 static const double RECONNECT_DELAY_S = 3.0;
 static const struct timeval CALL_TIMEOUT = {1, 0};
-/** Between a partition's requests for quota: the least, doubled while none is granted. */
+/** Interval between a partition's requests for quota: the minimum after a request that
+ * was granted, doubled up to the maximum after each that was not. */
 static const double MIN_QUOTA_INTERVAL_S = 0.5;
 static const double MAX_QUOTA_INTERVAL_S = 8;
 
-/** Another controller, by its place in the settings. */
+/** The connection to another controller. */
 struct steal_peer {
     const struct lmn_member *settings;
     CLIENT *client;           /**< NULL: not connected */
-    struct timespec retry_at; /**< while not connected */
+    struct timespec retry_at; /**< earliest next connection attempt if not connected */
 };
 
 struct steal_client {
     struct lmn_core *core;
-    struct steal_peer peers[LMN_MAX_MEMBERS];
+    struct steal_peer peers[LMN_MAX_MEMBERS]; /**< in the order of the settings */
 };
 
-/** A call of the RPC program that answers with a number. */
-struct number_call {
+/** A call of the RPC program whose reply is an unsigned integer. */
+struct uint_call {
     rpcproc_t procedure;
     xdrproc_t encode;
     const void *message;
 };
 
-static bool call_peer(struct steal_peer *peer, const struct number_call *call,
-                      u_int *reply)
+/** @return false if the peer cannot be reached or does not answer */
+static bool call_peer(struct steal_peer *peer, const struct uint_call *call, u_int *reply)
 {
     struct timespec now = lmn_now();
 
@@ -65,10 +68,10 @@
     return false;
 }
 
-/** Calls the owner of a partition, if it is another member.
- * @return its answer; 0 if there is no such owner or it does not answer */
+/** Calls the owner of a partition that this controller does not own.
+ * @return the reply; 0 if no other member owns the partition, or it does not answer */
 static u_int call_owner(struct steal_client *client, int partition,
-                        const struct number_call *call)
+                        const struct uint_call *call)
 {
     struct lmn_core *core = client->core;
     char owner[LMN_NAME_SIZE];
@@ -93,44 +96,47 @@
     return is_owned;
 }
 
-/** How many tasks of the message's victim its thief could start. */
+/** @return how many queued tasks of the message's victim its thief could start */
 static u_int request_load(struct steal_client *client,
                           struct lmn_rpc_steal_request *message)
 {
     if (owns_partition(client->core, message->victim))
         return lmn_steal_load_handle(client->core, message);
-    const struct number_call call = {LMN_RPC_LOAD, (xdrproc_t)xdr_lmn_rpc_steal_request,
-                                     message};
+    const struct uint_call call = {LMN_RPC_LOAD, (xdrproc_t)xdr_lmn_rpc_steal_request,
+                                   message};
     return call_owner(client, message->victim, &call);
 }
 
-/** How many tasks the message's victim transfers to its thief. */
+/** Requests tasks from the message's victim for its thief.
+ * @return how many tasks are transferred */
 static u_int request_transfer(struct steal_client *client,
                               struct lmn_rpc_steal_request *message)
 {
     if (owns_partition(client->core, message->victim))
         return lmn_steal_transfer_handle(client->core, message);
-    const struct number_call call = {LMN_RPC_STEAL, (xdrproc_t)xdr_lmn_rpc_steal_request,
-                                     message};
+    const struct uint_call call = {LMN_RPC_STEAL, (xdrproc_t)xdr_lmn_rpc_steal_request,
+                                   message};
     return call_owner(client, message->victim, &call);
 }
 
-/** Whether the message's victim transfers quota: 1, else 0. */
+/** Requests quota from the message's victim for its thief.
+ * @return 1 if quota is transferred, else 0 */
 static u_int request_quota(struct steal_client *client,
                            struct lmn_rpc_quota_request *message)
 {
     if (owns_partition(client->core, message->victim))
         return lmn_quota_rpc_handle(client->core, message);
-    const struct number_call call = {LMN_RPC_QUOTA, (xdrproc_t)xdr_lmn_rpc_quota_request,
-                                     message};
+    const struct uint_call call = {LMN_RPC_QUOTA, (xdrproc_t)xdr_lmn_rpc_quota_request,
+                                   message};
     return call_owner(client, message->victim, &call);
 }
 
 /* --- quota --- */
 
-/** Requests quota of a team from all other partitions, beginning with `first` so that
- * they are not all called in the same order.
- * @return how many transfer some */
+/** Requests quota of a team from all other partitions, in cyclic order.
+ * @param first the partition to begin with; random, so that the first partitions are not
+ *     always asked before the others
+ * @return how many partitions transfer quota */
 static u_int request_quota_of_all(struct steal_client *client, int partition, int first,
                                   const struct lmn_quota_request *shortfall)
 {
@@ -153,7 +159,8 @@
     return granted;
 }
 
-/** Requests quota from the other partitions for each team that this one is short of. */
+/** Requests quota from the other partitions for each team whose quota is too small in
+ * this partition. */
 static void request_missing_quota(struct steal_client *client, int partition_id)
 {
     struct lmn_core *core = client->core;
@@ -187,8 +194,10 @@
 
 /* --- work --- */
 
-/** Chooses victims at random: the power of some choices instead of a call to everybody.
- * @return how many; their ids are in `victims` */
+/** Chooses a random sample of the other partitions as possible victims: to compare a few
+ * random choices takes far fewer calls than to ask all partitions.
+ * @param victims receives the ids
+ * @return the size of the sample */
 static int sample_victims(struct lmn_core *core, int thief,
                           int victims[LMN_MAX_PARTITIONS])
 {
@@ -211,7 +220,8 @@
     return MIN(sample, count);
 }
 
-/** Steals from the one of a sample that has the most tasks for the thief.
+/** Steals from that partition of a random sample which has the most queued tasks that the
+ * thief could start.
  * @return how many tasks are transferred */
 static u_int steal_from_sample(struct steal_client *client,
                                struct lmn_rpc_steal_request *message)
@@ -245,7 +255,7 @@
     pthread_mutex_unlock(&core->lock);
 }
 
-/** Steals for the partition whose free capacity the request describes. */
+/** Steals tasks for the partition whose free capacity the request describes. */
 static void steal(struct steal_client *client, const struct lmn_steal_request *request)
 {
     const struct lmn_settings *settings = client->core->settings;
--- a/src/controller/steal_handler.c
+++ b/src/controller/steal_handler.c
@@ -1,6 +1,6 @@
 /** @file
- * Requests for queued tasks and for quota, as the victim answers them. Keeps no state of
- * its own; the core's lock is taken for each request and guards all that is changed. */
+ * Answers requests for queued tasks and for quota. Keeps no state of its own; each
+ * request is handled with the core's lock held, except for its decoding. */
 #include "controller/steal_handler.h"
 #include "partition/quota_transfer.h"
 #include "partition/range_writer.h"
@@ -8,7 +8,7 @@
 #include "scheduler/work_stealing.h"
 #include "state/core.h"
 
-static bool is_partition(const struct lmn_core *core, int partition)
+static bool is_valid_partition(const struct lmn_core *core, int partition)
 {
     return partition >= 0 && partition < core->partition_count;
 }
@@ -24,7 +24,7 @@
     capacity->memory_gb = message->memory_gb;
 }
 
-/** Allocates what `request` holds: to be cleared by lmn_steal_request_clear. */
+/** @param request to be freed with lmn_steal_request_clear */
 static void decode_request(const struct lmn_core *core,
                            const struct lmn_rpc_steal_request *message,
                            struct lmn_steal_request *request)
@@ -39,7 +39,7 @@
     for (u_int i = 0; i < message->teams.teams_len; i++) {
         const struct lmn_rpc_team_quota *quota = &message->teams.teams_val[i];
         const struct lmn_team *team = lmn_settings_team(core->settings, quota->name);
-        /* The other controller may run with other settings: its team is unknown here. */
+        /* The other controller may run with settings that contain another team. */
         if (!team)
             continue;
         request->team_free_cpus[team - core->settings->teams] = quota->cpus;
@@ -52,7 +52,8 @@
 {
     struct lmn_steal_request request;
 
-    if (!is_partition(core, message->victim) || !is_partition(core, message->thief))
+    if (!is_valid_partition(core, message->victim) ||
+        !is_valid_partition(core, message->thief))
         return 0;
     decode_request(core, message, &request);
     pthread_mutex_lock(&core->lock);
@@ -67,7 +68,8 @@
 {
     struct lmn_steal_request request;
 
-    if (!is_partition(core, message->victim) || !is_partition(core, message->thief))
+    if (!is_valid_partition(core, message->victim) ||
+        !is_valid_partition(core, message->thief))
         return 0;
     decode_request(core, message, &request);
     pthread_mutex_lock(&core->lock);
@@ -85,7 +87,7 @@
 {
     const struct lmn_team *team = lmn_settings_team(core->settings, message->team);
 
-    if (!team || !is_partition(core, message->victim))
+    if (!team || !is_valid_partition(core, message->victim))
         return 0;
     const struct lmn_quota_request request = {(int)(team - core->settings->teams),
                                               message->cpus, message->gpus,
