--- a/src/controller/admin_client.c
+++ b/src/controller/admin_client.c
@@ -1,6 +1,6 @@
 /** @file
- * The administration client: a table of commands, each of which makes one call of the RPC
- * server (controller_rpc.x). One thread, no core. */
+ * The administration client: a table of commands, each of which calls one procedure of
+ * the controller's RPC server (controller_rpc.x). Single-threaded. */
 #include "controller/admin_client.h"
 #include "controller/rpc_client.h"
 #include "controller_rpc.h"
@@ -14,16 +14,16 @@
 #include <unistd.h>
 
 enum { EXIT_DONE = 0, EXIT_REFUSED = 1, EXIT_USAGE = 2 };
-/** How often, and how long apart, the progress of a shutdown is shown. */
+/** Number of calls that show the progress of a shutdown, and the time between them. */
 enum { MAX_PROGRESS_CALLS = 100, PROGRESS_INTERVAL_US = 150000 };
 
 static const struct timeval CALL_TIMEOUT = {5, 0};
 
-/* xdr_void has another type than all other xdr_ functions: the cast by way of a function
- * without parameters says that this is meant. */
+/* xdr_void has another type than all other xdr_ functions. The intermediate cast to a
+ * function without parameters avoids the compiler's warning about incompatible types. */
 #define ENCODE_NOTHING ((xdrproc_t)(void (*)(void))xdr_void)
 
-/** What a command works with. */
+/** The connection and the arguments of a command. */
 struct admin_session {
     const char *address;
     CLIENT *client; /**< NULL: the controller has ended */
@@ -31,21 +31,25 @@
     char **argv;
 };
 
-static int fail_without_answer(CLIENT *client)
+/** Prints the error of a call that failed, with the controller's address.
+ * @return the exit status */
+static int report_failed_call(const struct admin_session *session)
 {
-    fprintf(stderr, "lemonspar: %s\n", clnt_sperror(client, "no answer"));
+    fprintf(stderr, "lemonspar: %s\n", clnt_sperror(session->client, session->address));
     return EXIT_REFUSED;
 }
 
-/** Makes a call that is answered with a text, and prints that. */
-static int call_and_print(CLIENT *client, rpcproc_t procedure, xdrproc_t encode,
-                          void *message)
+/** Calls a procedure whose reply is a text, and prints the text.
+ * @return the exit status */
+static int call_and_print(const struct admin_session *session, rpcproc_t procedure,
+                          xdrproc_t encode, void *message)
 {
+    CLIENT *client = session->client;
     struct lmn_rpc_reply reply = {0};
 
     if (clnt_call(client, procedure, encode, message, (xdrproc_t)xdr_lmn_rpc_reply,
                   (char *)&reply, CALL_TIMEOUT) != RPC_SUCCESS)
-        return fail_without_answer(client);
+        return report_failed_call(session);
     fprintf(reply.code ? stderr : stdout, "%s%s", reply.text,
             *reply.text && reply.text[strlen(reply.text) - 1] == '\n' ? "" : "\n");
     return reply.code ? EXIT_REFUSED : EXIT_DONE;
@@ -55,15 +59,14 @@
 
 static int run_status(struct admin_session *session)
 {
-    return call_and_print(session->client, LMN_RPC_STATUS, ENCODE_NOTHING, NULL);
+    return call_and_print(session, LMN_RPC_STATUS, ENCODE_NOTHING, NULL);
 }
 
 static int run_members(struct admin_session *session)
 {
     u_int as_json = session->argc > 1;
 
-    return call_and_print(session->client, LMN_RPC_MEMBERS, (xdrproc_t)xdr_u_int,
-                          &as_json);
+    return call_and_print(session, LMN_RPC_MEMBERS, (xdrproc_t)xdr_u_int, &as_json);
 }
 
 static int run_get(struct admin_session *session)
@@ -73,7 +76,7 @@
     if (clnt_call(session->client, LMN_RPC_SETTINGS_GET, ENCODE_NOTHING, NULL,
                   (xdrproc_t)xdr_lmn_rpc_settings, (char *)&settings,
                   CALL_TIMEOUT) != RPC_SUCCESS)
-        return fail_without_answer(session->client);
+        return report_failed_call(session);
     for (u_int i = 0; i < settings.items.items_len; i++)
         printf("%s %g\n", settings.items.items_val[i].name,
                settings.items.items_val[i].value);
@@ -85,7 +88,7 @@
     struct lmn_rpc_set_request message = {session->argv[1],
                                           strtod(session->argv[2], NULL)};
 
-    return call_and_print(session->client, LMN_RPC_SETTINGS_SET,
+    return call_and_print(session, LMN_RPC_SETTINGS_SET,
                           (xdrproc_t)xdr_lmn_rpc_set_request, &message);
 }
 
@@ -93,13 +96,13 @@
 {
     struct lmn_rpc_machine_request message = {session->argv[1]};
 
-    return call_and_print(session->client, LMN_RPC_DRAIN,
-                          (xdrproc_t)xdr_lmn_rpc_machine_request, &message);
+    return call_and_print(session, LMN_RPC_DRAIN, (xdrproc_t)xdr_lmn_rpc_machine_request,
+                          &message);
 }
 
 static int run_balance(struct admin_session *session)
 {
-    return call_and_print(session->client, LMN_RPC_OWNERSHIP, ENCODE_NOTHING, NULL);
+    return call_and_print(session, LMN_RPC_OWNERSHIP, ENCODE_NOTHING, NULL);
 }
 
 /** Cancels a shutdown. */
@@ -107,17 +110,17 @@
 {
     u_int shut_down = 0;
 
-    return call_and_print(session->client, LMN_RPC_SHUTDOWN, (xdrproc_t)xdr_u_int,
-                          &shut_down);
+    return call_and_print(session, LMN_RPC_SHUTDOWN, (xdrproc_t)xdr_u_int, &shut_down);
 }
 
-/** Prints a shutdown's progress, unless only its time has changed.
- * @param last what was printed last, up to the time */
+/** Prints the progress of a shutdown, unless the number of partitions is as in the last
+ * progress.
+ * @param last the part of the last progress that contains that number; updated */
 static void print_progress(const char *text, char *last, size_t last_size)
 {
     const char *progress = strstr(text, ": ");
-    /* Up to the first letter e, which follows the number of partitions: the seconds in
-     * the rest of the line change all the time. */
+    /* Compared up to the first letter e, which follows the number of partitions. The rest
+     * of the line contains times, which differ in every call. */
     size_t length = progress ? strcspn(progress, "e") : 0;
 
     if (!progress || strncmp(last, progress, length))
@@ -126,7 +129,8 @@
     fflush(stdout);
 }
 
-/** Shuts the controller down, and shows the progress until it has ended. */
+/** Shuts the controller down gracefully, and shows the progress until it does not answer
+ * any more. */
 static int run_leave(struct admin_session *session)
 {
     u_int shut_down = 1;
@@ -145,7 +149,10 @@
     clnt_destroy(session->client);
     session->client = lmn_rpc_connect(session->address);
     if (session->client) {
-        fprintf(stderr, "lemonspar: %s: it has not ended\n", session->address);
+        fprintf(stderr,
+                "lemonspar: %s: shutdown not finished: the controller still accepts "
+                "connections\n",
+                session->address);
         return EXIT_REFUSED;
     }
     printf("left\n");
@@ -171,7 +178,7 @@
     return argc == 1 || (argc == 2 && !strcmp(argv[1], "--json"));
 }
 
-/** A name and a number. */
+/** Whether the arguments are a setting's name and a number. */
 static bool has_setting(int argc, char **argv)
 {
     char *end = NULL;
@@ -184,7 +191,7 @@
 
 struct admin_command {
     const char *name;
-    bool (*is_valid)(int argc, char **argv); /**< with its name as argv[0] */
+    bool (*is_valid)(int argc, char **argv); /**< argv[0] is the command's name */
     int (*run)(struct admin_session *session);
 };
 
@@ -195,7 +202,7 @@
     {"leave", has_no_arguments, run_leave},   {"join", has_no_arguments, run_join},
 };
 
-/** @return NULL if there is no such command, or its arguments are wrong */
+/** @return NULL if there is no such command, or its arguments are invalid */
 static const struct admin_command *find_command(int argc, char **argv)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(COMMANDS); i++)
@@ -215,7 +222,7 @@
     }
     struct admin_session session = {address, lmn_rpc_connect(address), argc, argv};
     if (!session.client) {
-        fprintf(stderr, "lemonspar: %s: no controller answers there\n", address);
+        fprintf(stderr, "lemonspar: %s: cannot connect to a controller\n", address);
         return EXIT_REFUSED;
     }
     int status = command->run(&session);
--- a/src/controller/members_report.c
+++ b/src/controller/members_report.c
@@ -1,7 +1,7 @@
 /** @file
- * The members' report: one JSON object for each member, from which the lines of text are
- * made too. Operators' scripts read the keys and the standings, so they do not follow
- * renames in the code. */
+ * The members' report: a JSON object for each member, from which the line of text is made
+ * as well. The keys and the values of `standing` must not change, because operators'
+ * scripts read them. */
 #include "controller/members_report.h"
 #include "protocol/json.h"
 #include "http/metrics.h"
@@ -10,10 +10,10 @@
 
 #include <stdlib.h>
 
-/** Longer ages are reported as this. */
+/** Longer ages are reported as this value. */
 static const double MAX_REPORTED_AGE_S = 1e6;
 
-/** A member's standing in a word. */
+/** The value of `standing`: the member's state in one word. */
 static const char *standing_name(const struct lmn_members *members, int member_index,
                                  struct timespec now)
 {
@@ -93,7 +93,7 @@
                         json_integer(evidence->redirected_workers));
 }
 
-/** @return an object of the caller's */
+/** @return an object owned by the caller */
 static json_t *describe_member(const struct lmn_core *core, int member_index,
                                struct timespec now)
 {
@@ -115,7 +115,7 @@
     return object;
 }
 
-/** As in "0,3"; "-" if there are none. */
+/** Appends the partitions' ids, as in "0,3", or "-" if there are none. */
 static void append_partitions(GString *text, const json_t *list)
 {
     for (size_t i = 0; i < json_array_size(list); i++)
@@ -139,7 +139,9 @@
         g_string_append(text, json_is_true(value) ? "yes" : "no");
 }
 
-/** A member's line: its name, and key=value for all else that is not null. */
+/** Appends a member's line: its name, and key=value for each other value that is not
+ * null.
+ */
 static void append_line(GString *text, const json_t *object)
 {
     const json_t *value;
@@ -203,31 +205,34 @@
     struct timespec now = lmn_now();
 
     lmn_metric_head(out, "lemonspar_member_trusted", "gauge",
-                    "1: up, not suspected, and fit by its own word");
+                    "1: present, not suspected, and healthy by its own report");
     for (int i = 0; i < members->count; i++)
         lmn_metric_sample(out, "lemonspar_member_trusted", "member",
                           lmn_member_name(members, i),
                           lmn_member_is_trusted(members, i, now));
     lmn_metric_head(out, "lemonspar_member_suspected", "gauge",
-                    "1: a suspicion of it stands");
+                    "1: suspected of having failed");
     for (int i = 0; i < members->count; i++)
         lmn_metric_sample(out, "lemonspar_member_suspected", "member",
                           lmn_member_name(members, i),
                           lmn_member_is_suspected(members, i));
     lmn_gauge(out, "lemonspar_member_health",
-              "0: this node's clocks are well, to 8: late or not heard",
+              "Local health of this controller, from 0 (healthy) to 8 (its own timing is "
+              "in doubt)",
               members->local_health);
-    lmn_counter(out, "lemonspar_member_questions", "Questions to members",
+    lmn_counter(out, "lemonspar_member_questions", "Probes sent to other members",
                 counters->probes_sent);
-    lmn_counter(out, "lemonspar_member_unanswered", "Of these, not answered",
+    lmn_counter(out, "lemonspar_member_unanswered", "Probes without a reply",
                 counters->probes_unanswered);
-    lmn_counter(out, "lemonspar_member_suspicions", "Suspicions that this node wrote",
+    lmn_counter(out, "lemonspar_member_suspicions",
+                "Suspicions of other members that this controller wrote",
                 counters->suspicions);
-    lmn_counter(out, "lemonspar_member_refutations", "Suspicions of it that it refuted",
-                counters->refutations);
+    lmn_counter(out, "lemonspar_member_refutations",
+                "Suspicions of this controller that it refuted", counters->refutations);
     lmn_counter(out, "lemonspar_member_verdicts",
-                "Partitions claimed from members that it judged",
+                "Partitions claimed from members that this controller declared failed",
                 counters->failures_declared);
-    lmn_counter(out, "lemonspar_member_gives", "Partitions that it gave to others",
+    lmn_counter(out, "lemonspar_member_gives",
+                "Partitions that this controller transferred to others",
                 counters->transfers);
 }
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -1,10 +1,10 @@
 /** @file
- * The controller's metrics, in the order in which they are listed.
+ * The controller's metrics.
  *
- * What changes under the core's lock is read with it held, once for each listing, and
- * written out after; what the members', replication's and fair shares' lists need is
- * written with the lock held, since they walk the shared structures. Names and help texts
- * are read by operators' dashboards: they do not follow renames in the code. */
+ * Most of the core's state is copied into a snapshot with the core's lock held, and
+ * written out after the lock was released. The metrics of members, replication and fair
+ * shares are written with the lock held, because they iterate over the shared structures.
+ * The names and labels must not change, because operators' dashboards read them. */
 #include "controller/metrics.h"
 #include "http/server.h"
 #include "http/metrics.h"
@@ -13,12 +13,12 @@
 #include "controller/replication_report.h"
 #include "state/core.h"
 
-/** Tasks of active jobs by their state. */
+/** Number of tasks of active jobs in each state. */
 struct task_counts {
     double queued, started, moving, done;
 };
 
-/** Sums over the owned partitions. */
+/** Totals over the owned partitions. */
 struct partition_totals {
     struct task_counts tasks;
     double machine_count, unaccounted_machines, draining_machines;
@@ -27,7 +27,7 @@
     double *used_cpus; /**< by team */
 };
 
-/** What is read with the core's lock held and written after. */
+/** The values that are copied with the core's lock held. */
 struct core_snapshot {
     struct partition_totals totals;
     struct lmn_counters counters;
@@ -52,28 +52,29 @@
 static void count_partition(const struct lmn_core *core, struct partition_totals *totals,
                             const struct lmn_partition *partition)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     totals->partition_count++;
     totals->ready_partitions += partition->ownership.is_ready;
     totals->unassigned_tasks += partition->scheduling.unassigned.task_count;
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_machine *machine = value;
         totals->machine_count += !machine->lifecycle.is_terminated;
         totals->unaccounted_machines += !machine->lifecycle.is_accounted;
         totals->draining_machines += machine->lifecycle.is_draining;
         totals->queued_tasks += machine->queue.task_count;
     }
-    g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &value))
+    g_hash_table_iter_init(&iter, partition->ranges);
+    while (g_hash_table_iter_next(&iter, NULL, &value))
         count_tasks(&totals->tasks, value);
     for (size_t i = 0; i < core->settings->team_count; i++)
         totals->used_cpus[i] += partition->quota.used_cpus[i];
 }
 
-/** The core's lock is held. Its `totals.used_cpus` is to be freed. */
+/** Called with the core's lock held.
+ * @return a snapshot whose `totals.used_cpus` is to be freed with g_free */
 static struct core_snapshot take_snapshot(const struct lmn_core *core)
 {
     struct core_snapshot snapshot = {
@@ -92,19 +93,19 @@
     return snapshot;
 }
 
-/** The core's lock is held. */
+/** Called with the core's lock held. */
 static void write_fair_shares(GString *out, const struct lmn_core *core)
 {
     g_autoptr(GArray) classes = lmn_fair_share_by_class(core);
     const struct lmn_fair_share *shares = (const struct lmn_fair_share *)classes->data;
 
     lmn_metric_head(out, "lemonspar_class_cpus", "gauge",
-                    "Processors that the tasks of a class use here");
+                    "CPUs used by the class's tasks in owned partitions");
     for (guint i = 0; i < classes->len; i++)
         lmn_metric_sample(out, "lemonspar_class_cpus", "class", shares[i].subject,
                           shares[i].used_cpus);
     lmn_metric_head(out, "lemonspar_class_waiting_cpus", "gauge",
-                    "Processors that its tasks that were not started ask for");
+                    "CPUs requested by the class's tasks that were not started yet");
     for (guint i = 0; i < classes->len; i++)
         lmn_metric_sample(out, "lemonspar_class_waiting_cpus", "class", shares[i].subject,
                           shares[i].waiting_cpus);
@@ -114,30 +115,36 @@
 {
     const struct partition_totals *totals = &snapshot->totals;
 
-    lmn_gauge(out, "lemonspar_mirror_behind_seconds", "How far the mirror may be behind",
+    lmn_gauge(out, "lemonspar_mirror_behind_seconds", "Age of the watch cache",
               snapshot->cache_age_s);
-    lmn_gauge(out, "lemonspar_partitions", "Partitions owned", totals->partition_count);
+    lmn_gauge(out, "lemonspar_partitions", "Partitions owned by this controller",
+              totals->partition_count);
     lmn_gauge(out, "lemonspar_partitions_ready",
-              "Owned partitions whose inherited tasks may start",
+              "Owned partitions that may start tasks inherited from the former owner",
               totals->ready_partitions);
     lmn_gauge(out, "lemonspar_machines", "Machines of owned partitions",
               totals->machine_count);
     lmn_gauge(out, "lemonspar_machines_unaccounted",
-              "Of these, not heard since the takeover", totals->unaccounted_machines);
-    lmn_gauge(out, "lemonspar_machines_retiring", "Of these, on their way back",
+              "Machines of owned partitions without a heartbeat since the failover",
+              totals->unaccounted_machines);
+    lmn_gauge(out, "lemonspar_machines_retiring",
+              "Machines of owned partitions that are being drained",
               totals->draining_machines);
-    lmn_gauge(out, "lemonspar_queued_tasks", "Tasks in machines' queues",
-              totals->queued_tasks);
-    lmn_gauge(out, "lemonspar_unplaced_tasks", "Tasks that no machine's queue could take",
+    lmn_gauge(out, "lemonspar_queued_tasks",
+              "Tasks in the queues of owned partitions' machines", totals->queued_tasks);
+    lmn_gauge(out, "lemonspar_unplaced_tasks",
+              "Tasks of owned partitions that are in no machine's queue",
               totals->unassigned_tasks);
-    lmn_gauge(out, "lemonspar_jobs", "Jobs in memory", snapshot->job_count);
-    lmn_gauge(out, "lemonspar_final_jobs", "Of these, final", snapshot->final_job_count);
+    lmn_gauge(out, "lemonspar_jobs", "Jobs in the watch cache", snapshot->job_count);
+    lmn_gauge(out, "lemonspar_final_jobs",
+              "Jobs in the watch cache that have ended and are retained",
+              snapshot->final_job_count);
 }
 
 static void write_tasks(GString *out, const struct task_counts *tasks)
 {
     lmn_metric_head(out, "lemonspar_tasks", "gauge",
-                    "Tasks of active jobs in owned partitions");
+                    "Tasks of active jobs in owned partitions, by state");
     lmn_metric_sample(out, "lemonspar_tasks", "state", "queued", tasks->queued);
     lmn_metric_sample(out, "lemonspar_tasks", "state", "started", tasks->started);
     lmn_metric_sample(out, "lemonspar_tasks", "state", "moving", tasks->moving);
@@ -148,7 +155,7 @@
                         const double *used_cpus)
 {
     lmn_metric_head(out, "lemonspar_team_cpus", "gauge",
-                    "Processors that a team's tasks use here");
+                    "CPUs used by the team's tasks in owned partitions");
     for (size_t i = 0; i < settings->team_count; i++)
         lmn_metric_sample(out, "lemonspar_team_cpus", "team", settings->teams[i].name,
                           used_cpus[i]);
@@ -159,37 +166,43 @@
     const struct {
         const char *name, *help;
         uint64_t value;
-    } all[] = {
-        {"lemonspar_submissions", "Submissions", counters->submissions},
-        {"lemonspar_refused", "Submissions answered 429 since too many wait",
+    } metrics[] = {
+        {"lemonspar_submissions", "Job submissions received", counters->submissions},
+        {"lemonspar_refused",
+         "Submissions refused with status 429 because the write backlog was too long",
          counters->refused_requests},
-        {"lemonspar_polls", "Polls and cancellations", counters->status_requests},
-        {"lemonspar_reports", "Workers' reports", counters->heartbeats},
-        {"lemonspar_starts", "Start commands", counters->starts},
-        {"lemonspar_kills", "Kill commands", counters->kills},
-        {"lemonspar_failures", "Tasks that ended with an error", counters->task_failures},
-        {"lemonspar_jobs_accused", "Jobs found to fail wherever they start",
+        {"lemonspar_polls", "Status requests and cancellations received",
+         counters->status_requests},
+        {"lemonspar_reports", "Heartbeats received from workers", counters->heartbeats},
+        {"lemonspar_starts", "Start commands issued to workers", counters->starts},
+        {"lemonspar_kills", "Kill commands issued to workers", counters->kills},
+        {"lemonspar_failures", "Task attempts that ended with an error",
+         counters->task_failures},
+        {"lemonspar_jobs_accused",
+         "Jobs declared faulty because their tasks fail on every machine",
          counters->faulty_jobs},
         {"lemonspar_machines_accused",
-         "Machines left because tasks fail on them that succeed elsewhere",
+         "Machines declared faulty because tasks fail on them that succeed elsewhere",
          counters->faulty_machines},
-        {"lemonspar_preempted", "Tasks stopped to make room", counters->preempted},
-        {"lemonspar_steal_tries", "Looks at a sample of queues", counters->steal_tries},
-        {"lemonspar_steals", "Steals inside partitions", counters->steals},
-        {"lemonspar_stolen_tasks", "Tasks that they took", counters->stolen_tasks},
-        {"lemonspar_moves", "Steals between partitions", counters->moves},
-        {"lemonspar_moved_tasks", "Tasks that they took", counters->moved_tasks},
-        {"lemonspar_takeovers", "Partitions taken over", counters->failovers},
+        {"lemonspar_preempted", "Tasks stopped by preemption", counters->preempted},
+        {"lemonspar_steal_tries", "Attempts to steal from a random sample of victims",
+         counters->steal_tries},
+        {"lemonspar_steals", "Successful steals", counters->steals},
+        {"lemonspar_stolen_tasks", "Tasks stolen", counters->stolen_tasks},
+        {"lemonspar_moves", "Ranges of tasks moved between partitions", counters->moves},
+        {"lemonspar_moved_tasks", "Tasks moved between partitions",
+         counters->moved_tasks},
+        {"lemonspar_takeovers", "Partitions acquired by failover", counters->failovers},
         {"lemonspar_unqueued",
-         "Queued tasks that stood in no queue (there should be none)",
+         "Queued tasks that reconciliation found in no queue (expected: 0)",
          counters->reconciled_tasks},
     };
 
-    for (size_t i = 0; i < G_N_ELEMENTS(all); i++)
-        lmn_counter(out, all[i].name, all[i].help, all[i].value);
+    for (size_t i = 0; i < G_N_ELEMENTS(metrics); i++)
+        lmn_counter(out, metrics[i].name, metrics[i].help, metrics[i].value);
 }
 
-/** The server's counts are read without a lock. */
+/** Called without the core's lock: the HTTP server has its own counters. */
 static void write_connections(GString *out, const struct lmn_core *core,
                               const struct lmn_http_server *server)
 {
@@ -198,18 +211,18 @@
 
     lmn_http_server_load(server, &load);
     lmn_metric_head(out, "lemonspar_connections", "gauge",
-                    "Connections open, by purpose");
+                    "Open connections, by kind of client");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections", "of", kinds[i], load.open[i]);
-    lmn_gauge(out, "lemonspar_connections_most", "Connections let in at a time",
+    lmn_gauge(out, "lemonspar_connections_most", "Limit of open connections",
               core->connection_budget.max_accepted);
     lmn_metric_head(out, "lemonspar_connections_closed", "counter",
-                    "Connections closed with their answer, for want of sockets");
+                    "Connections closed after a response to keep sockets free");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections_closed_total", "of", kinds[i],
                           (double)load.closed[i]);
     lmn_metric_head(out, "lemonspar_connections_turned_away", "counter",
-                    "Connections not let in, for want of sockets");
+                    "Connections refused because too many were open");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections_turned_away_total", "of", kinds[i],
                           (double)load.refused[i]);
@@ -219,16 +232,16 @@
 {
     static const char *const kinds[] = {"polls", "submissions", "starts"};
 
-    lmn_gauge(out, "lemonspar_behind_seconds", "How late the node does what is due",
-              load->delay_s);
+    lmn_gauge(out, "lemonspar_behind_seconds",
+              "How late this controller runs its periodic tasks", load->delay_s);
     lmn_metric_head(out, "lemonspar_shed", "counter",
-                    "Requests answered at once since the node was behind");
+                    "Requests and starts shed because this controller was overloaded");
     for (int i = 0; i < LMN_SHED_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_shed_total", "what", kinds[i],
                           (double)load->shed_counts[i]);
 }
 
-/** Takes the key-value client's lock; the core's is not needed. */
+/** Called without the core's lock: takes the key-value client's lock. */
 static void write_kv_client(GString *out, struct lmn_kv_client *kv_client)
 {
     struct lmn_latency write_latency;
@@ -236,9 +249,10 @@
     lmn_latency_init(&write_latency);
     double waiting_changes = lmn_kv_client_statistics(kv_client, &write_latency);
     lmn_gauge(out, "lemonspar_state_waiting_changes",
-              "Changes that wait for their budget", waiting_changes);
+              "Changes that wait for the write budget", waiting_changes);
     lmn_quantiles(out, "lemonspar_state_write_seconds",
-                  "From a transaction's sending to its answer", &write_latency);
+                  "Time from sending a transaction to the store's response",
+                  &write_latency);
     lmn_latency_clear(&write_latency);
 }
 
@@ -248,10 +262,11 @@
 
     pthread_mutex_lock(&core->lock);
     struct core_snapshot snapshot = take_snapshot(core);
-    lmn_quantiles(out, "lemonspar_accepting_seconds", "From a submission to its commit",
-                  &core->latencies.submission);
+    lmn_quantiles(out, "lemonspar_accepting_seconds",
+                  "Time from a submission to its commit", &core->latencies.submission);
     lmn_quantiles(out, "lemonspar_starting_seconds",
-                  "From a job's acceptance to a task's start", &core->latencies.start);
+                  "Time from a job's acceptance to a task's start command",
+                  &core->latencies.start);
     write_fair_shares(out, core);
     lmn_members_metrics(core, out);
     lmn_replication_metrics(core, out, lmn_now());
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -6,7 +6,9 @@
 #include "state/core_state.h"
 
 /** Appends the metrics as OpenMetrics text. Takes the core's lock.
- * @param core a struct lmn_core (the type that lmn_metrics_answer hands on) */
+ * @param core the struct lmn_core, as a pointer of the type that lmn_metrics_answer
+ * passes
+ */
 void lmn_controller_metrics(void *core, GString *out);
 
 #endif
--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -1,6 +1,6 @@
 /** @file
- * The ownership report. Operators and tests read its words, so they do not follow renames
- * in the code. */
+ * The ownership report. Its keys must not change, because operators' scripts read them.
+ */
 #include "controller/ownership_report.h"
 #include "partition/transfer_target.h"
 #include "partition/shutdown.h"
@@ -12,8 +12,8 @@
     return member_index < 0 ? "-" : lmn_member_name(&core->members, member_index);
 }
 
-/** Why a partition that its default owner does not own is not transferred back yet, in
- * the order in which the conditions have to hold. */
+/** The reason why a partition has not been transferred back to its default owner: the
+ * first condition that does not hold, in the order in which they are checked. */
 static const char *transfer_back_reason(const struct lmn_core *core,
                                         const struct lmn_partition *partition, int owner,
                                         int default_owner, struct timespec now)
@@ -22,22 +22,24 @@
     const struct lmn_member_view *view = &members->views[default_owner];
 
     if (!view->is_present)
-        return "its usual holder is gone";
+        return "the default owner has no membership record";
     if (view->is_shutting_down)
-        return "its usual holder leaves";
+        return "the default owner is shutting down";
     if (lmn_member_owned_partitions(core, owner) < 2)
-        return "its owner holds no other";
+        return "the owner owns no other partition";
     if (lmn_member_owned_partitions(core, default_owner))
-        return "its usual holder has another";
+        return "the default owner owns another partition";
     if (lmn_member_readmission_delay_s(members, default_owner, now) > 0)
-        return "its usual holder has to stay up";
+        return "the default owner is not readmitted yet";
     if (lmn_standby_in_sync(core, partition, now) != default_owner)
-        return "its usual holder is not in step yet";
-    return "due";
+        return "the default owner is not a standby in sync yet";
+    return "due now";
 }
 
-/** To whom the partition is going to be transferred, if to anybody.
- * @param owner, target a member's index; -1: none */
+/** Appends to which member the partition is to be transferred, if to any.
+ * @param owner member index; -1: none
+ * @param target member index of the next owner according to lmn_transfer_targets; -1:
+ * none */
 static void append_transfer(const struct lmn_core *core, GString *text,
                             const struct lmn_partition *partition, int owner, int target,
                             struct timespec now)
@@ -47,7 +49,8 @@
 
     if (owner < 0 || target >= 0)
         g_string_append_printf(text, " move=%s why=\"%s\"", name_or_none(core, target),
-                               owner < 0 ? "nobody owns it" : "its owner is judged");
+                               owner < 0 ? "the partition has no owner"
+                                         : "the owner was declared failed");
     else if (owner != default_owner)
         g_string_append_printf(
             text, " move=%s in_s=%.0f why=\"%s\"", name_or_none(core, default_owner),
@@ -101,7 +104,8 @@
         is_too_late = !lmn_shutdown_cancel(core);
     if (is_too_late)
         g_string_append(description,
-                        "it has given everything away and ends: start it again\n");
+                        "shutdown not cancelled: the controller has released its lease "
+                        "and is about to exit; start it again\n");
     else
         lmn_shutdown_describe(core, description, now);
     pthread_mutex_unlock(&core->lock);
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -1,22 +1,23 @@
 /** @file
- * The status report: a line for each thing, as key=value pairs. Operators' scripts read
- * the keys, so they do not follow renames in the code. Every function is called with the
- * core's lock held, but for lmn_status_report, which takes it. */
+ * The status report: a line of key=value pairs for each partition, machine, team, class
+ * and so on. The keys must not change, because operators' scripts read them. All
+ * functions but lmn_status_report, which takes the core's lock, are called with it held.
+ */
 #include "controller/status.h"
 #include "http/server.h"
 #include "scheduler/fair_share.h"
 #include "controller/replication_report.h"
 #include "state/core.h"
 
-/** A partition's line. */
+/** Appends the line of a partition. */
 static void append_partition_summary(GString *text, const struct lmn_partition *partition)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
     guint queued = 0, running = 0;
 
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_machine *machine = value;
         queued += machine->queue.task_count;
         running += machine->attempts->len;
@@ -43,11 +44,12 @@
         machine->agent.lease_expired ? " lapsed" : "");
 }
 
-/** A partition's line, and if it is owned, a line for each team and machine. */
+/** Appends the lines of a partition, with a line for each team and machine if this
+ * controller owns it. */
 static void append_partition(GString *text, const struct lmn_core *core,
                              const struct lmn_partition *partition)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
     append_partition_summary(text, partition);
@@ -58,13 +60,13 @@
         g_string_append_printf(
             text, "  team %s cpus=%.1f gpus=%.1f\n", core->settings->teams[i].name,
             partition->quota.used_cpus[i], partition->quota.used_gpus[i]);
-    g_hash_table_iter_init(&it, partition->machines);
-    while (g_hash_table_iter_next(&it, NULL, &value))
+    g_hash_table_iter_init(&iter, partition->machines);
+    while (g_hash_table_iter_next(&iter, NULL, &value))
         append_machine(text, value);
 }
 
-/** What of each class runs here and what waits, and whether the class is below its fair
- * share, so that its jobs go first. */
+/** Appends a line for each class: the CPUs of its running tasks and of its waiting tasks
+ * here, and whether it is below its fair share, so that its jobs are started first. */
 static void append_classes(GString *text, const struct lmn_core *core)
 {
     g_autoptr(GArray) classes = lmn_fair_share_by_class(core);
@@ -81,14 +83,15 @@
     }
 }
 
-/** Jobs that fail wherever they start: one task at a time is tried. */
+/** Appends a line for each faulty job, that is one whose tasks fail on every machine, so
+ * that only one task at a time is tried. */
 static void append_faulty_jobs(GString *text, const struct lmn_core *core)
 {
-    GHashTableIter it;
+    GHashTableIter iter;
     gpointer value;
 
-    g_hash_table_iter_init(&it, core->cache.jobs);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iter, core->cache.jobs);
+    while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct lmn_job *job = value;
         if (job->phase == LMN_JOB_ACTIVE && lmn_job_is_faulty(&job->failures))
             g_string_append_printf(
--- a/src/controller/status.h
+++ b/src/controller/status.h
@@ -5,8 +5,8 @@
 
 #include "state/core_state.h"
 
-/** Describes this controller: partitions, machines, shares, counters and latencies. Takes
- * the core's lock.
+/** Describes this controller: partitions, machines, fair shares, counters and latencies.
+ * Takes the core's lock.
  * @return lines of text, to be freed with g_free */
 char *lmn_status_report(struct lmn_core *core);
 
