--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -1,11 +1,11 @@
 /** @file
  * The controller process.
  *
- * The main thread starts the servers and the threads, and then runs the tick: a list of
- * tasks, all with the core's lock held, so that none of them may do I/O. Every other
- * thread of a controller is started from BACKGROUND_WORK below, but for those of the HTTP
- * server, the RPC server and the key-value client, which start in this order before it: a
- * controller that cannot listen does not start. */
+ * The main thread starts the servers and the other threads, and then runs the tick: a
+ * list of tasks that run at a fixed interval with the core's lock held, so that none of
+ * them may do I/O. The threads of the HTTP server, the RPC server and the key-value
+ * client are started first, in this order, so that a controller which cannot listen does
+ * not start. All other threads are started from BACKGROUND_WORK below. */
 #include "controller/controller.h"
 #include "util/clock.h"
 #include "http/server.h"
@@ -38,13 +38,12 @@
 #include <signal.h>
 #include <unistd.h>
 
-/** Between two ticks. */
 static const double TICK_INTERVAL_S = 0.15;
 
 /* --- signals --- */
 
-/** How often the process was told to terminate: at the first signal it shuts down
- * gracefully, at the second it ends at once. */
+/** Number of SIGTERM signals received: after the first the process shuts down gracefully,
+ * after the second it ends at once. */
 static volatile sig_atomic_t termination_requests;
 
 static void on_sigterm(int signal_number)
@@ -73,30 +72,31 @@
     }
 }
 
-/** What runs beside the tick, for as long as the process lives. */
+/** Work that runs in other threads than the tick until the process ends. Either `thread`
+ * or `start` is set. */
 struct background_work {
-    void *(*thread)(void *core);          /**< one thread, or: */
-    void (*start)(struct lmn_core *core); /**< starts threads of its own */
-    bool needs_members; /**< not started by a controller that is alone */
+    void *(*thread)(void *core);          /**< function of the only thread */
+    void (*start)(struct lmn_core *core); /**< starts one or more threads */
+    bool needs_members; /**< only started if the settings name other members */
 };
 
 /** In the order in which they are started. */
 static const struct background_work BACKGROUND_WORK[] = {
-    /* Applies the key-value store's changes to the shared state. */
+    /* Applies the key-value store's changes to the watch cache. */
     {.thread = lmn_watch_cache_thread},
     /* Renews this controller's lease; claims, transfers and releases partitions. */
     {.thread = lmn_ownership_thread},
-    /* Reads and cancels jobs for users, and follows their submissions. */
+    /* Confirms and cancels jobs for users, and checks submissions without an outcome. */
     {.start = lmn_user_api_start},
-    /* Reads the cloud's machines, provisions and releases them. */
+    /* Lists, provisions and releases the cloud's machines. */
     {.thread = lmn_provisioner_thread},
-    /* Steals work and requests quota from other partitions. */
+    /* Steals tasks and requests quota from other partitions. */
     {.thread = lmn_steal_thread},
     /* Probes the other members. */
     {.thread = lmn_probe_thread, .needs_members = true},
-    /* Replicates each owned partition to its standby: a thread for each partition. */
+    /* Replicates each owned partition to its standby, in a thread for each partition. */
     {.start = lmn_replication_start, .needs_members = true},
-    /* Push commands to workers. */
+    /* Sends commands to workers. */
     {.start = start_worker_clients},
 };
 
@@ -117,13 +117,14 @@
 
 struct tick {
     struct timespec now;
-    double elapsed_s; /**< since the tick before */
+    double elapsed_s; /**< since the previous tick */
 };
 
-/** A task of the tick. The core's lock is held. */
+/** A task of the tick. Called with the core's lock held. */
 typedef void tick_task(struct lmn_core *core, const struct tick *tick);
 
-/** Begins a graceful shutdown, or ends the process. */
+/** After a SIGTERM, begins a graceful shutdown. Ends the process if the shutdown is
+ * complete, or after a second SIGTERM. */
 static void check_shutdown(struct lmn_core *core, const struct tick *tick)
 {
     if (termination_requests)
@@ -133,13 +134,13 @@
     lmn_info("shutdown_finished after=%.2f given=%d",
              lmn_time_diff_s(tick->now, core->shutdown.began_at),
              core->shutdown.has_released_lease);
-    /* Without exit handlers: nothing is to be cleared away, and the other threads run on
-     * until the process is gone. */
+    /* _exit runs no exit handlers, which must not run while the other threads do; no
+     * handler has to release anything. */
     _exit(core->shutdown.has_released_lease ? 0 : 1);
 }
 
-/** How late the tick is says how far behind this controller is: overload sheds requests
- * by it, and the members' health tells others. */
+/** Records how late the tick is, as a measure of this controller's overload: load
+ * shedding uses it, and the other members are sent it with this member's health. */
 static void record_delay(struct lmn_core *core, const struct tick *tick)
 {
     double delay_s = tick->elapsed_s - TICK_INTERVAL_S;
@@ -155,7 +156,8 @@
     lmn_update_job_order(core, lmn_time_seconds(lmn_wall_clock_now()));
 }
 
-/** Only in a tick in which the job order was triaged: reservations follow it. */
+/** Updates the reservations in those ticks in which update_job_order has triaged the
+ * jobs, because reservations depend on the result. */
 static void update_reservations(struct lmn_core *core, const struct tick *tick)
 {
     for (int i = 0; i < core->partition_count &&
@@ -177,21 +179,22 @@
     }
 }
 
-/** Last, so that what the other tasks have changed is written in the same tick. */
+/** Writes the changed ranges. Last task of the tick, so that the changes made by the
+ * other tasks are written in the same tick. */
 static void flush_ranges(struct lmn_core *core, const struct tick *tick)
 {
     lmn_range_writer_flush(core, tick->now);
 }
 
-/** The tasks of a tick in their order. Each is called in every tick; those that do their
- * work less often keep that interval themselves. */
+/** The tasks of a tick, in their order. All are called in every tick; those that have a
+ * longer interval skip ticks themselves. */
 static tick_task *const TICK_TASKS[] = {
     check_shutdown,      record_delay,
     update_job_order,    /* triages at the interval of scheduler/job_order.c */
     update_reservations, /* after each triage */
     run_maintenance,     /* less often with many machines: partition/maintenance.c */
     make_free_capacity,  /* consolidation at the interval of scheduler/consolidation.c */
-    flush_ranges,        /* as the writes' budget allows: partition/range_writer.c */
+    flush_ranges,        /* limited by the write budget: partition/range_writer.c */
 };
 
 static _Noreturn void run_ticks(struct lmn_core *core, struct lmn_http_server *server)
@@ -202,7 +205,7 @@
         lmn_sleep(TICK_INTERVAL_S);
         lmn_http_server_expire_deferred(server);
         pthread_mutex_lock(&core->lock);
-        /* With the lock, so that waiting for it counts as being late. */
+        /* Read with the lock held, so that the wait for the lock counts as delay. */
         struct tick tick = {.now = lmn_now()};
         tick.elapsed_s = lmn_time_diff_s(tick.now, last_tick_at);
         last_tick_at = tick.now;
@@ -214,12 +217,12 @@
 
 /* --- the start --- */
 
-/** Sets up what the whole process uses.
- * @return 0, or -1 */
+/** Initializes the process: signal handlers, allocator, log and libcurl.
+ * @return 0, or -1 if libcurl could not be initialized */
 static int init_process(const struct lmn_settings *settings)
 {
     install_signal_handlers();
-    /* Few arenas: memory is scarce, and so are the threads that allocate at once. */
+    /* Few arenas, to save memory; few threads allocate at the same time. */
     mallopt(M_ARENA_MAX, 2);
     lmn_log_init(settings->node_name);
     return curl_global_init(CURL_GLOBAL_NOTHING) == 0 ? 0 : -1;
@@ -236,8 +239,9 @@
         lmn_error("settings_warning why=\"%s\"", warning);
 }
 
-/** Begins to serve users, workers, operators and the other controllers.
- * @return the HTTP server, or NULL if one of the two servers cannot listen */
+/** Starts the HTTP server for users and workers, and the RPC server for operators and the
+ * other controllers.
+ * @return the HTTP server, or NULL if one of the two cannot listen */
 static struct lmn_http_server *start_servers(struct lmn_core *core)
 {
     struct lmn_http_server *server = lmn_http_routes_start(core);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -5,9 +5,9 @@
 
 #include "config/settings.h"
 
-/** Runs a controller until the process is ended, by a signal or a graceful shutdown.
- * @param settings must stay as they are while the process lives
- * @return only if it could not start: 1 */
+/** Runs a controller until a signal or a graceful shutdown ends the process.
+ * @param settings must not change while the process runs
+ * @return 1 if the controller could not start; otherwise does not return */
 int lmn_controller_run(const struct lmn_settings *settings);
 
 #endif
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -1,8 +1,10 @@
 /** @file
- * The paths of a controller's HTTP interface, and which connections it keeps open.
+ * Routes a controller's HTTP requests, and decides which connections are accepted and
+ * kept open.
  *
- * All functions run on the HTTP server's threads. They take no lock: the handlers that
- * they call do, and what is read here of the core is set once or read atomically. */
+ * All functions but lmn_http_routes_start run on the HTTP server's threads. They take no
+ * lock, though the handlers that they call do; the fields of the core that they read are
+ * set once at the start or are read atomically. */
 #include "controller/http_routes.h"
 #include "http/metrics.h"
 #include "protocol/wire.h"
@@ -26,12 +28,13 @@
     MAX_IDLE_S = 90,
 };
 
-/** A commit or read in flight that takes longer is answered 503: the user retries. */
+/** A deferred request is answered 503 after this time, and the client retries. */
 static const double DEFERRED_TIMEOUT_S = 2.5;
 
 /* --- connections --- */
 
-/** A connection is a worker's if heartbeats come on it, else a user's. */
+/** Classifies the connection by its request: heartbeats come from workers, all other
+ * requests from users. */
 static void identify_connection(struct lmn_http_request *request, bool is_post,
                                 const char *path)
 {
@@ -41,15 +44,16 @@
                               is_heartbeat ? LMN_CONNECTION_WORKER : LMN_CONNECTION_USER);
 }
 
-/** Whether a connection stays open after its response. */
-static bool keeps_open(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
-                       unsigned kind)
+/** Whether a connection stays open after a response. */
+static bool keeps_connection_open(void *arg,
+                                  const unsigned open[LMN_HTTP_CONNECTION_KINDS],
+                                  unsigned kind)
 {
     const struct lmn_core *core = arg;
 
-    /* During a shutdown, clients are to connect to another controller. Read without the
-     * lock, which a response need not wait for: at worst one connection more or fewer
-     * stays open. */
+    /* During a shutdown, clients should connect to another controller. Read without the
+     * core's lock, so that responses do not wait for it: if the value is outdated, a
+     * connection is closed one response too early or too late. */
     if (__atomic_load_n(&core->shutdown.is_requested, __ATOMIC_RELAXED))
         return false;
     return lmn_connection_budget_keeps_open(
@@ -57,8 +61,8 @@
         __atomic_load_n(&core->cache.is_isolated_view, __ATOMIC_RELAXED));
 }
 
-/** What a new connection is, by its address alone. */
-static unsigned kind_of(void *arg, const struct sockaddr *peer)
+/** Classifies a new connection by the peer's address. */
+static unsigned classify_connection(void *arg, const struct sockaddr *peer)
 {
     struct lmn_core *core = arg;
 
@@ -68,8 +72,8 @@
 }
 
 /** Whether a new connection is accepted. */
-static bool admits(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
-                   unsigned kind)
+static bool admits_connection(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
+                              unsigned kind)
 {
     const struct lmn_core *core = arg;
 
@@ -99,12 +103,13 @@
         request, lmn_user_api_is_ready(core) ? STATUS_OK : STATUS_UNAVAILABLE, NULL, 0);
 }
 
-/** @param rest the path after that of all jobs: an id, or an id and the cancellation's
- * suffix */
+/** Handles a request about one job.
+ * @param job_path the path after WIRE_PATH_JOBS "/": the job's id, followed by
+ *     WIRE_PATH_CANCEL in a cancellation */
 static void handle_job(struct lmn_core *core, struct lmn_http_request *request,
-                       const char *rest)
+                       const char *job_path)
 {
-    g_autofree char *job_id = g_strdup(rest);
+    g_autofree char *job_id = g_strdup(job_path);
 
     if (lmn_http_request_method(request) == LMN_HTTP_GET) {
         lmn_user_api_status(core, request, job_id);
@@ -150,12 +155,13 @@
         .max_body = MAX_BODY_BYTES,
         .connection_memory = CONNECTION_MEMORY_BYTES,
         .defer_timeout_s = DEFERRED_TIMEOUT_S,
-        /* A machine that was silent for a lease keeps no connection. */
+        /* The connection of a worker that sends no heartbeat for the duration of a lease
+         * is closed. */
         .idle_s = (unsigned)CLAMP(core->settings->lease_s, MIN_IDLE_S, MAX_IDLE_S),
         .route = route,
-        .keep_open = keeps_open,
-        .connection_kind = kind_of,
-        .admit = admits,
+        .keep_open = keeps_connection_open,
+        .connection_kind = classify_connection,
+        .admit = admits_connection,
         .arg = core,
     };
 
--- a/src/controller/http_routes.h
+++ b/src/controller/http_routes.h
@@ -6,9 +6,10 @@
 #include "http/server.h"
 #include "state/core_state.h"
 
-/** Listens on the settings' client_listen, with threads of the server's own.
+/** Starts the HTTP server, with its own threads, on the address client_listen of the
+ * settings.
  * @param core must outlive the server
- * @return NULL if it cannot listen */
+ * @return NULL if the server cannot listen */
 struct lmn_http_server *lmn_http_routes_start(struct lmn_core *core);
 
 #endif
--- a/tests/test_controller.c
+++ b/tests/test_controller.c
@@ -1,7 +1,6 @@
-/* Real processes over loopback, against stand-ins for the state service, the cloud and
- * the workers: jobs are accepted and done, one is cancelled, controllers are killed on
- * the way and started again; no task is ever on two machines at once, and an accepted job
- * stays known. */
+/* Controller processes over loopback, with stand-ins for the key-value store, the cloud
+ * and the workers. While controllers are killed and restarted, accepted jobs stay known
+ * and are completed or cancelled, and no task runs on two machines at the same time. */
 #include "util/clock.h"
 #include "protocol/cbor.h"
 #include "http/client.h"
@@ -24,67 +23,67 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-enum { NODES = 3, MAX_MACHINES = 64, MAX_HELD = 128 };
-static const double PATIENCE_S = 120;
+enum { CONTROLLERS = 3, MAX_MACHINES = 64, MAX_ATTEMPTS = 128 };
+static const double TIMEOUT_S = 120;
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t changed;
 
-/* --- the state service --- */
+/* --- stand-in for the key-value store --- */
 
 struct item {
-    GByteArray *value; /* NULL: removed */
-    uint64_t rev, lease;
+    GByteArray *value; /* NULL: deleted */
+    uint64_t revision, lease;
 };
 struct event {
     char *key;
     GByteArray *value;
-    uint64_t rev;
+    uint64_t revision;
 };
 struct lease {
     uint64_t id;
-    double ttl;
-    struct timespec until;
+    double ttl_s;
+    struct timespec expires_at;
 };
 static GTree *store;
 static GPtrArray *events;
 static GArray *leases;
 static uint64_t revision, last_lease;
-static bool refusing; /* it answers 503, whatever it is asked */
+static bool is_store_unavailable; /* all requests are answered 503 */
 
-static void put(const char *key, GByteArray *value, uint64_t lease)
+static void put_key(const char *key, GByteArray *value, uint64_t lease)
 {
-    struct item *it = g_tree_lookup(store, key);
-    struct event *e = g_new0(struct event, 1);
+    struct item *item = g_tree_lookup(store, key);
+    struct event *event = g_new0(struct event, 1);
 
-    if (!it) {
-        it = g_new0(struct item, 1);
-        g_tree_insert(store, g_strdup(key), it);
+    if (!item) {
+        item = g_new0(struct item, 1);
+        g_tree_insert(store, g_strdup(key), item);
     }
-    *it = (struct item){value, revision, lease};
-    *e = (struct event){g_strdup(key), value, revision};
-    g_ptr_array_add(events, e);
+    *item = (struct item){value, revision, lease};
+    *event = (struct event){g_strdup(key), value, revision};
+    g_ptr_array_add(events, event);
     pthread_cond_broadcast(&changed);
 }
 
-static gboolean drop_leased(gpointer key, gpointer v, gpointer id)
+static gboolean delete_if_leased(gpointer key, gpointer value, gpointer lease_id)
 {
-    struct item *it = v;
-    if (it->value && it->lease == *(uint64_t *)id)
-        put(key, NULL, 0);
+    struct item *item = value;
+    if (item->value && item->lease == *(uint64_t *)lease_id)
+        put_key(key, NULL, 0);
     return FALSE;
 }
 
-static void expire(void)
+static void expire_leases(void)
 {
     struct timespec now = lmn_now();
     for (guint i = leases->len; i-- > 0;) {
-        struct lease l = g_array_index(leases, struct lease, i);
-        if (!lmn_time_before(l.until, now))
+        struct lease lease = g_array_index(leases, struct lease, i);
+        if (!lmn_time_before(lease.expires_at, now))
             continue;
         g_array_remove_index(leases, i);
         revision++;
-        g_tree_foreach(store, drop_leased, &l.id);
+        g_tree_foreach(store, delete_if_leased, &lease.id);
     }
 }
 
@@ -96,52 +95,57 @@
     return NULL;
 }
 
-static GByteArray *copy(const struct lmn_cbor_document *document,
-                        const struct lmn_cbor_value *node)
+static GByteArray *copy_value(const struct lmn_cbor_document *document,
+                              const struct lmn_cbor_value *node)
 {
-    GByteArray *b = g_byte_array_new();
+    GByteArray *buffer = g_byte_array_new();
     if (node)
-        lmn_cbor_put_value(b, document, node);
+        lmn_cbor_put_value(buffer, document, node);
     else
-        lmn_cbor_put_null(b);
-    return b;
+        lmn_cbor_put_null(buffer);
+    return buffer;
 }
 
-static int state_txn(const struct lmn_cbor_document *document, GByteArray *out)
+static int handle_txn(const struct lmn_cbor_document *document, GByteArray *out)
 {
-    const struct lmn_cbor_value *root = lmn_cbor_root(document), *node;
+    const struct lmn_cbor_value *root = lmn_cbor_root(document), *condition, *operation;
     GPtrArray *failed = g_ptr_array_new();
     char key[256];
 
-    for (node = lmn_cbor_first_child(document,
-                                     lmn_cbor_get(document, root, WIRE_CONDITIONS));
-         node; node = lmn_cbor_next(document, node)) {
+    for (condition = lmn_cbor_first_child(document,
+                                          lmn_cbor_get(document, root, WIRE_CONDITIONS));
+         condition; condition = lmn_cbor_next(document, condition)) {
         uint64_t version = 0;
-        lmn_cbor_get_text(lmn_cbor_get(document, node, WIRE_KEY), key, sizeof key);
-        lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_VERSION), &version);
-        struct item *it = g_tree_lookup(store, key);
-        if ((it && it->value ? it->rev : 0) != version)
+        lmn_cbor_get_text(lmn_cbor_get(document, condition, WIRE_KEY), key, sizeof key);
+        lmn_cbor_get_uint(lmn_cbor_get(document, condition, WIRE_VERSION), &version);
+        struct item *item = g_tree_lookup(store, key);
+        if ((item && item->value ? item->revision : 0) != version)
             g_ptr_array_add(failed, g_strdup(key));
     }
-    const struct lmn_cbor_value *then =
+    const struct lmn_cbor_value *operations =
         lmn_cbor_first_child(document, lmn_cbor_get(document, root, WIRE_OPERATIONS));
-    for (node = then; node; node = lmn_cbor_next(document, node)) {
+    for (operation = operations; operation;
+         operation = lmn_cbor_next(document, operation)) {
         uint64_t lease = 0;
-        lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_LEASE), &lease);
+        lmn_cbor_get_uint(lmn_cbor_get(document, operation, WIRE_LEASE), &lease);
         if (lease && !find_lease(lease))
             return 400;
     }
-    if (!failed->len && then) {
+    if (!failed->len && operations) {
         revision++;
-        for (node = then; node; node = lmn_cbor_next(document, node)) {
+        for (operation = operations; operation;
+             operation = lmn_cbor_next(document, operation)) {
             uint64_t lease = 0;
-            lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_LEASE), &lease);
-            if (lmn_cbor_get_text(lmn_cbor_get(document, node, WIRE_PUT), key,
+            lmn_cbor_get_uint(lmn_cbor_get(document, operation, WIRE_LEASE), &lease);
+            if (lmn_cbor_get_text(lmn_cbor_get(document, operation, WIRE_PUT), key,
                                   sizeof key))
-                put(key, copy(document, lmn_cbor_get(document, node, WIRE_VALUE)), lease);
-            else if (lmn_cbor_get_text(lmn_cbor_get(document, node, WIRE_DELETE), key,
-                                       sizeof key))
-                put(key, NULL, 0);
+                put_key(
+                    key,
+                    copy_value(document, lmn_cbor_get(document, operation, WIRE_VALUE)),
+                    lease);
+            else if (lmn_cbor_get_text(lmn_cbor_get(document, operation, WIRE_DELETE),
+                                       key, sizeof key))
+                put_key(key, NULL, 0);
         }
     }
     lmn_cbor_put_map(out, failed->len ? 2 : 1);
@@ -154,104 +158,106 @@
     return failed->len ? 409 : 200;
 }
 
-static void put_item(GByteArray *out, const char *key, const struct item *it)
+static void put_item(GByteArray *out, const char *key, const struct item *item)
 {
     lmn_cbor_put_map(out, 3);
     lmn_cbor_put_text(out, WIRE_KEY), lmn_cbor_put_text(out, key);
     lmn_cbor_put_text(out, WIRE_VALUE),
-        g_byte_array_append(out, it->value->data, it->value->len);
-    lmn_cbor_put_text(out, WIRE_VERSION), lmn_cbor_put_uint(out, it->rev);
+        g_byte_array_append(out, item->value->data, item->value->len);
+    lmn_cbor_put_text(out, WIRE_VERSION), lmn_cbor_put_uint(out, item->revision);
 }
 
 struct listing {
     GByteArray *items;
-    size_t n;
+    size_t count;
 };
 
-static gboolean list_item(gpointer key, gpointer v, gpointer arg)
+static gboolean list_item(gpointer key, gpointer value, gpointer listing_arg)
 {
-    struct listing *l = arg;
-    if (((struct item *)v)->value) {
-        put_item(l->items, key, v);
-        l->n++;
+    struct listing *listing = listing_arg;
+    if (((struct item *)value)->value) {
+        put_item(listing->items, key, value);
+        listing->count++;
     }
     return FALSE;
 }
 
-static const char *query(struct MHD_Connection *c, const char *name)
+static const char *query(struct MHD_Connection *connection, const char *name)
 {
-    const char *v = MHD_lookup_connection_value(c, MHD_GET_ARGUMENT_KIND, name);
-    return v ? v : "";
+    const char *value =
+        MHD_lookup_connection_value(connection, MHD_GET_ARGUMENT_KIND, name);
+    return value ? value : "";
 }
 
-static int state_watch(struct MHD_Connection *c, GByteArray *out)
+static int handle_watch(struct MHD_Connection *connection, GByteArray *out)
 {
-    uint64_t after = g_ascii_strtoull(query(c, WIRE_QUERY_AFTER), NULL, 10);
-    struct timespec end =
-        lmn_time_add(lmn_now(), atof(query(c, WIRE_QUERY_WAIT_MS)) / 1000);
-    size_t n = 0;
+    uint64_t after = g_ascii_strtoull(query(connection, WIRE_QUERY_AFTER), NULL, 10);
+    struct timespec deadline =
+        lmn_time_add(lmn_now(), atof(query(connection, WIRE_QUERY_WAIT_MS)) / 1000);
+    size_t event_count = 0;
 
-    while (revision <= after && lmn_time_before(lmn_now(), end)) {
+    while (revision <= after && lmn_time_before(lmn_now(), deadline)) {
         lmn_cond_wait_for(&changed, &lock, 0.05);
-        expire();
+        expire_leases();
     }
     for (guint i = 0; i < events->len; i++)
-        n += ((struct event *)events->pdata[i])->rev > after;
+        event_count += ((struct event *)events->pdata[i])->revision > after;
     lmn_cbor_put_map(out, 2);
     lmn_cbor_put_text(out, WIRE_REVISION), lmn_cbor_put_uint(out, revision);
-    lmn_cbor_put_text(out, WIRE_EVENTS), lmn_cbor_put_array(out, n);
+    lmn_cbor_put_text(out, WIRE_EVENTS), lmn_cbor_put_array(out, event_count);
     for (guint i = 0; i < events->len; i++) {
-        const struct event *e = events->pdata[i];
-        if (e->rev <= after)
+        const struct event *event = events->pdata[i];
+        if (event->revision <= after)
             continue;
-        lmn_cbor_put_map(out, e->value ? 3 : 2);
-        lmn_cbor_put_text(out, e->value ? WIRE_PUT : WIRE_DELETE),
-            lmn_cbor_put_text(out, e->key);
-        lmn_cbor_put_text(out, WIRE_VERSION), lmn_cbor_put_uint(out, e->rev);
-        if (e->value)
+        lmn_cbor_put_map(out, event->value ? 3 : 2);
+        lmn_cbor_put_text(out, event->value ? WIRE_PUT : WIRE_DELETE),
+            lmn_cbor_put_text(out, event->key);
+        lmn_cbor_put_text(out, WIRE_VERSION), lmn_cbor_put_uint(out, event->revision);
+        if (event->value)
             lmn_cbor_put_text(out, WIRE_VALUE),
-                g_byte_array_append(out, e->value->data, e->value->len);
+                g_byte_array_append(out, event->value->data, event->value->len);
     }
     return 200;
 }
 
-static int state_answer(struct MHD_Connection *c, const char *path, const char *method,
-                        const struct lmn_cbor_document *document, GByteArray *out)
+static int handle_store_request(struct MHD_Connection *connection, const char *path,
+                                const char *method,
+                                const struct lmn_cbor_document *document, GByteArray *out)
 {
-    bool post = !strcmp(method, "POST");
-    expire();
-    if (refusing)
+    bool is_post = !strcmp(method, "POST");
+    expire_leases();
+    if (is_store_unavailable)
         return 503;
-    if (post && !strcmp(path, WIRE_PATH_TXN))
-        return state_txn(document, out);
+    if (is_post && !strcmp(path, WIRE_PATH_TXN))
+        return handle_txn(document, out);
     if (!strcmp(path, WIRE_PATH_WATCH))
-        return state_watch(c, out);
-    if (post && !strcmp(path, WIRE_PATH_LEASES)) {
+        return handle_watch(connection, out);
+    if (is_post && !strcmp(path, WIRE_PATH_LEASES)) {
         uint64_t ttl = 1000;
         lmn_cbor_get_uint(lmn_cbor_get(document, lmn_cbor_root(document), WIRE_TTL_MS),
                           &ttl);
-        struct lease l = {++last_lease, (double)ttl / 1000, {0, 0}};
-        l.until = lmn_time_add(lmn_now(), l.ttl);
-        g_array_append_val(leases, l);
+        struct lease lease = {++last_lease, (double)ttl / 1000, {0, 0}};
+        lease.expires_at = lmn_time_add(lmn_now(), lease.ttl_s);
+        g_array_append_val(leases, lease);
         lmn_cbor_put_map(out, 1);
-        lmn_cbor_put_text(out, WIRE_LEASE), lmn_cbor_put_uint(out, l.id);
+        lmn_cbor_put_text(out, WIRE_LEASE), lmn_cbor_put_uint(out, lease.id);
         return 200;
     }
-    if (post && g_str_has_prefix(path, WIRE_PATH_LEASES "/")) {
-        struct lease *l =
+    if (is_post && g_str_has_prefix(path, WIRE_PATH_LEASES "/")) {
+        struct lease *lease =
             find_lease(g_ascii_strtoull(path + strlen(WIRE_PATH_LEASES "/"), NULL, 10));
-        if (l)
-            l->until = lmn_time_add(lmn_now(), l->ttl);
-        return l ? 200 : 404;
+        if (lease)
+            lease->expires_at = lmn_time_add(lmn_now(), lease->ttl_s);
+        return lease ? 200 : 404;
     }
     if (!strcmp(path, WIRE_PATH_STORE)) {
-        struct listing l = {g_byte_array_new(), 0};
-        g_tree_foreach(store, list_item, &l);
+        struct listing listing = {g_byte_array_new(), 0};
+        g_tree_foreach(store, list_item, &listing);
         lmn_cbor_put_map(out, 3);
         lmn_cbor_put_text(out, WIRE_REVISION), lmn_cbor_put_uint(out, revision);
         lmn_cbor_put_text(out, WIRE_HAS_MORE), lmn_cbor_put_bool(out, false);
-        lmn_cbor_put_text(out, WIRE_ITEMS), lmn_cbor_put_array(out, l.n);
-        g_byte_array_append(out, l.items->data, l.items->len);
+        lmn_cbor_put_text(out, WIRE_ITEMS), lmn_cbor_put_array(out, listing.count);
+        g_byte_array_append(out, listing.items->data, listing.items->len);
         return 200;
     }
     if (g_str_has_prefix(path, WIRE_PATH_STORE "/")) {
@@ -264,225 +270,241 @@
     return 400;
 }
 
-/* --- machines --- */
+/* --- stand-ins for the workers --- */
 
-struct held {
+struct attempt {
     char task[64];
-    uint64_t attempt;
+    uint64_t number;
     enum { RUNNING, ENDED, FREE } state;
-    bool done;
-    struct timespec until;
+    bool is_done;
+    struct timespec ends_at;
 };
 
 struct machine {
-    char name[16], addr[32];
-    bool gone;
-    uint64_t session, seq, token;
-    struct timespec answered;
-    struct held held[MAX_HELD];
+    char name[16], address[32];
+    bool is_terminated;
+    uint64_t incarnation, sequence, fencing_token;
+    struct timespec answered_at; /* when the last answered heartbeat was sent */
+    struct attempt attempts[MAX_ATTEMPTS];
 };
 
 static struct machine machines[MAX_MACHINES];
-static int nmachines;
-static unsigned twice, started, rented;
-static int ports[NODES][2], state_port, cloud_port;
-
-static void report(struct machine *machine, GByteArray *b)
-{
-    size_t n = 0;
-    for (int i = 0; i < MAX_HELD; i++)
-        n += machine->held[i].state != FREE;
-    lmn_cbor_put_map(b, 9);
-    lmn_cbor_put_text(b, WIRE_MACHINE), lmn_cbor_put_text(b, machine->name);
-    lmn_cbor_put_text(b, WIRE_ADDRESS), lmn_cbor_put_text(b, machine->addr);
-    lmn_cbor_put_text(b, WIRE_MACHINE_TYPE), lmn_cbor_put_text(b, "small");
-    lmn_cbor_put_text(b, WIRE_ZONE), lmn_cbor_put_text(b, "a");
-    lmn_cbor_put_text(b, WIRE_SPOT), lmn_cbor_put_bool(b, false);
-    lmn_cbor_put_text(b, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(b, machine->session);
-    lmn_cbor_put_text(b, WIRE_SEQUENCE), lmn_cbor_put_uint(b, ++machine->seq);
-    lmn_cbor_put_text(b, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(b, machine->token);
-    lmn_cbor_put_text(b, WIRE_TASKS), lmn_cbor_put_array(b, n);
-    for (int i = 0; i < MAX_HELD; i++) {
-        const struct held *h = &machine->held[i];
-        if (h->state == FREE)
+static int machine_count;
+static unsigned duplicate_starts, start_count, provisioned_count;
+static int ports[CONTROLLERS][2], state_port, cloud_port;
+
+static void write_heartbeat(struct machine *machine, GByteArray *body)
+{
+    size_t attempt_count = 0;
+    for (int i = 0; i < MAX_ATTEMPTS; i++)
+        attempt_count += machine->attempts[i].state != FREE;
+    lmn_cbor_put_map(body, 9);
+    lmn_cbor_put_text(body, WIRE_MACHINE), lmn_cbor_put_text(body, machine->name);
+    lmn_cbor_put_text(body, WIRE_ADDRESS), lmn_cbor_put_text(body, machine->address);
+    lmn_cbor_put_text(body, WIRE_MACHINE_TYPE), lmn_cbor_put_text(body, "small");
+    lmn_cbor_put_text(body, WIRE_ZONE), lmn_cbor_put_text(body, "a");
+    lmn_cbor_put_text(body, WIRE_SPOT), lmn_cbor_put_bool(body, false);
+    lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
+        lmn_cbor_put_uint(body, machine->incarnation);
+    lmn_cbor_put_text(body, WIRE_SEQUENCE), lmn_cbor_put_uint(body, ++machine->sequence);
+    lmn_cbor_put_text(body, WIRE_FENCING_TOKEN),
+        lmn_cbor_put_uint(body, machine->fencing_token);
+    lmn_cbor_put_text(body, WIRE_TASKS), lmn_cbor_put_array(body, attempt_count);
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+        const struct attempt *attempt = &machine->attempts[i];
+        if (attempt->state == FREE)
             continue;
-        lmn_cbor_put_map(b, 4);
-        lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, h->task);
-        lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, h->attempt);
-        lmn_cbor_put_text(b, WIRE_STATE),
-            lmn_cbor_put_text(b, h->state == RUNNING ? WIRE_RUNNING : WIRE_ENDED);
-        lmn_cbor_put_text(b, WIRE_EXIT_REASON),
-            lmn_cbor_put_text(b, h->done ? WIRE_DONE : WIRE_STOPPED);
+        lmn_cbor_put_map(body, 4);
+        lmn_cbor_put_text(body, WIRE_TASK), lmn_cbor_put_text(body, attempt->task);
+        lmn_cbor_put_text(body, WIRE_ATTEMPT), lmn_cbor_put_uint(body, attempt->number);
+        lmn_cbor_put_text(body, WIRE_STATE),
+            lmn_cbor_put_text(body,
+                              attempt->state == RUNNING ? WIRE_RUNNING : WIRE_ENDED);
+        lmn_cbor_put_text(body, WIRE_EXIT_REASON),
+            lmn_cbor_put_text(body, attempt->is_done ? WIRE_DONE : WIRE_STOPPED);
     }
 }
 
-static void obey(struct machine *machine, const struct lmn_cbor_document *document,
-                 const struct lmn_cbor_value *orders)
+static void run_commands(struct machine *machine,
+                         const struct lmn_cbor_document *document,
+                         const struct lmn_cbor_value *commands)
 {
-    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, orders); node;
-         node = lmn_cbor_next(document, node)) {
+    for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, commands);
+         node; node = lmn_cbor_next(document, node)) {
         const struct lmn_cbor_value *command = lmn_cbor_get(document, node, WIRE_COMMAND);
-        struct held *same = NULL, *room = NULL;
+        struct attempt *known = NULL, *free_slot = NULL;
         char task[64] = "";
-        uint64_t attempt = 0;
+        uint64_t number = 0;
         lmn_cbor_get_text(lmn_cbor_get(document, node, WIRE_TASK), task, sizeof task);
-        lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_ATTEMPT), &attempt);
-        for (int i = 0; i < MAX_HELD; i++) {
-            struct held *h = &machine->held[i];
-            if (h->state == FREE)
-                room = h;
-            else if (!strcmp(h->task, task) && h->attempt == attempt)
-                same = h;
+        lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_ATTEMPT), &number);
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
+            struct attempt *attempt = &machine->attempts[i];
+            if (attempt->state == FREE)
+                free_slot = attempt;
+            else if (!strcmp(attempt->task, task) && attempt->number == number)
+                known = attempt;
         }
-        if (lmn_cbor_text_equals(command, WIRE_START) && !same && room) {
-            for (int k = 0; k < nmachines; k++)
-                for (int i = 0; i < MAX_HELD; i++)
-                    twice += !machines[k].gone && machines[k].held[i].state == RUNNING &&
-                             !strcmp(machines[k].held[i].task, task);
-            memset(room, 0, sizeof *room);
-            g_strlcpy(room->task, task, sizeof room->task);
-            room->attempt = attempt;
-            /* The service's replicas run until they are killed. */
-            room->until =
+        if (lmn_cbor_text_equals(command, WIRE_START) && !known && free_slot) {
+            for (int k = 0; k < machine_count; k++)
+                for (int i = 0; i < MAX_ATTEMPTS; i++)
+                    duplicate_starts += !machines[k].is_terminated &&
+                                        machines[k].attempts[i].state == RUNNING &&
+                                        !strcmp(machines[k].attempts[i].task, task);
+            memset(free_slot, 0, sizeof *free_slot);
+            g_strlcpy(free_slot->task, task, sizeof free_slot->task);
+            free_slot->number = number;
+            /* Tasks of the service job run-000100 run until they are killed. */
+            free_slot->ends_at =
                 lmn_time_add(lmn_now(), g_str_has_prefix(task, "run-00010") ? 1e6 : 0.4);
-            started++;
-        } else if (lmn_cbor_text_equals(command, WIRE_KILL) && same &&
-                   same->state == RUNNING) {
-            same->state = ENDED;
-        } else if (lmn_cbor_text_equals(command, WIRE_CLEAR) && same &&
-                   same->state == ENDED) {
-            same->state = FREE;
+            start_count++;
+        } else if (lmn_cbor_text_equals(command, WIRE_KILL) && known &&
+                   known->state == RUNNING) {
+            known->state = ENDED;
+        } else if (lmn_cbor_text_equals(command, WIRE_CLEAR) && known &&
+                   known->state == ENDED) {
+            known->state = FREE;
         }
     }
 }
 
-static void pass(struct machine *machine)
+static void update_attempts(struct machine *machine)
 {
     struct timespec now = lmn_now();
-    for (int i = 0; i < MAX_HELD; i++) {
-        struct held *h = &machine->held[i];
-        if (h->state == RUNNING && lmn_time_before(h->until, now)) {
-            h->state = ENDED;
-            h->done = true;
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+        struct attempt *attempt = &machine->attempts[i];
+        if (attempt->state == RUNNING && lmn_time_before(attempt->ends_at, now)) {
+            attempt->state = ENDED;
+            attempt->is_done = true;
         }
-        if (lmn_time_diff_s(now, machine->answered) > 6)
-            h->state = FREE;
+        if (lmn_time_diff_s(now, machine->answered_at) > 6)
+            attempt->state = FREE;
     }
-    if (lmn_time_diff_s(now, machine->answered) > 6) {
-        machine->session++;
-        machine->answered = now;
+    if (lmn_time_diff_s(now, machine->answered_at) > 6) {
+        machine->incarnation++;
+        machine->answered_at = now;
     }
 }
 
-static int worker_answer(struct machine *machine, const char *path,
-                         const struct lmn_cbor_document *document, GByteArray *out)
+static int handle_worker_request(struct machine *machine, const char *path,
+                                 const struct lmn_cbor_document *document,
+                                 GByteArray *out)
 {
-    uint64_t token = 0, session = 0;
+    uint64_t fencing_token = 0, incarnation = 0;
     int status = 200;
 
-    pass(machine);
+    update_attempts(machine);
     if (!strcmp(path, WIRE_PATH_COMMANDS)) {
         lmn_cbor_get_uint(
-            lmn_cbor_get(document, lmn_cbor_root(document), WIRE_FENCING_TOKEN), &token);
+            lmn_cbor_get(document, lmn_cbor_root(document), WIRE_FENCING_TOKEN),
+            &fencing_token);
         lmn_cbor_get_uint(
             lmn_cbor_get(document, lmn_cbor_root(document), WIRE_AGENT_INCARNATION),
-            &session);
-        if (token < machine->token || session != machine->session) {
+            &incarnation);
+        if (fencing_token < machine->fencing_token ||
+            incarnation != machine->incarnation) {
             status = 409;
         } else {
-            machine->token = token;
-            obey(machine, document,
-                 lmn_cbor_get(document, lmn_cbor_root(document), WIRE_COMMANDS));
+            machine->fencing_token = fencing_token;
+            run_commands(machine, document,
+                         lmn_cbor_get(document, lmn_cbor_root(document), WIRE_COMMANDS));
         }
     }
-    report(machine, out);
+    write_heartbeat(machine, out);
     return status;
 }
 
-static void *worker(void *arg)
+static void *worker_thread(void *arg)
 {
     struct machine *machine = arg;
-    struct lmn_http_client *h[NODES];
-    GByteArray *in = g_byte_array_new();
-    int node = (int)(machine - machines) % NODES;
-
-    for (int i = 0; i < NODES; i++) {
-        char addr[32];
-        g_snprintf(addr, sizeof addr, "127.0.0.1:%d", ports[i][0]);
-        h[i] = lmn_http_client_new(addr);
+    struct lmn_http_client *clients[CONTROLLERS];
+    GByteArray *response = g_byte_array_new();
+    int controller = (int)(machine - machines) % CONTROLLERS;
+
+    for (int i = 0; i < CONTROLLERS; i++) {
+        char address[32];
+        g_snprintf(address, sizeof address, "127.0.0.1:%d", ports[i][0]);
+        clients[i] = lmn_http_client_new(address);
     }
     for (;;) {
-        GByteArray *b = g_byte_array_new();
-        struct lmn_cbor_document d;
+        GByteArray *heartbeat = g_byte_array_new();
+        struct lmn_cbor_document document;
         pthread_mutex_lock(&lock);
-        pass(machine);
-        uint64_t session = machine->session;
-        report(machine, b);
-        bool gone = machine->gone;
+        update_attempts(machine);
+        uint64_t incarnation = machine->incarnation;
+        write_heartbeat(machine, heartbeat);
+        bool is_terminated = machine->is_terminated;
         pthread_mutex_unlock(&lock);
-        if (gone)
+        if (is_terminated)
             return NULL;
-        struct timespec sent = lmn_now();
-        int status = lmn_http_client_call(h[node], "POST", WIRE_PATH_HEARTBEAT, b, 4, in);
-        g_byte_array_unref(b);
-        if (status == 200 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
-            uint64_t token = 0;
-            lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN),
-                              &token);
+        struct timespec sent_at = lmn_now();
+        int status = lmn_http_client_call(clients[controller], "POST",
+                                          WIRE_PATH_HEARTBEAT, heartbeat, 4, response);
+        g_byte_array_unref(heartbeat);
+        if (status == 200 &&
+            lmn_cbor_parse(&document, response->data, response->len) == 0) {
+            uint64_t fencing_token = 0;
+            lmn_cbor_get_uint(
+                lmn_cbor_get(&document, lmn_cbor_root(&document), WIRE_FENCING_TOKEN),
+                &fencing_token);
             pthread_mutex_lock(&lock);
-            if (!machine->gone && token >= machine->token &&
-                session == machine->session) {
-                machine->token = token;
-                machine->answered = sent;
-                obey(machine, &d, lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_COMMANDS));
+            if (!machine->is_terminated && fencing_token >= machine->fencing_token &&
+                incarnation == machine->incarnation) {
+                machine->fencing_token = fencing_token;
+                machine->answered_at = sent_at;
+                run_commands(
+                    machine, &document,
+                    lmn_cbor_get(&document, lmn_cbor_root(&document), WIRE_COMMANDS));
             }
             pthread_mutex_unlock(&lock);
-            lmn_cbor_free(&d);
+            lmn_cbor_free(&document);
             lmn_sleep(0.3);
         } else {
-            char to[32] = "";
-            if (status == 421 && lmn_cbor_parse(&d, in->data, in->len) == 0) {
-                lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_REDIRECT_TO),
-                                  to, sizeof to);
-                lmn_cbor_free(&d);
+            char redirect_to[32] = "";
+            if (status == 421 &&
+                lmn_cbor_parse(&document, response->data, response->len) == 0) {
+                lmn_cbor_get_text(
+                    lmn_cbor_get(&document, lmn_cbor_root(&document), WIRE_REDIRECT_TO),
+                    redirect_to, sizeof redirect_to);
+                lmn_cbor_free(&document);
             }
-            node = *to ? atoi(to + 1) : (node + 1) % NODES;
-            lmn_sleep(*to ? 0.1 : 0.5);
+            controller =
+                *redirect_to ? atoi(redirect_to + 1) : (controller + 1) % CONTROLLERS;
+            lmn_sleep(*redirect_to ? 0.1 : 0.5);
         }
     }
 }
 
-/* --- serving the stand-ins --- */
+/* --- HTTP servers of the stand-ins --- */
 
-static int serve(int (*answer)(void *, struct MHD_Connection *, const char *,
-                               const char *, const struct lmn_cbor_document *,
-                               GByteArray *),
-                 void *arg);
+static int start_stand_in(int (*answer)(void *, struct MHD_Connection *, const char *,
+                                        const char *, const struct lmn_cbor_document *,
+                                        GByteArray *),
+                          void *arg);
 
-static int answer_worker(void *arg, struct MHD_Connection *c, const char *path,
+static int answer_worker(void *arg, struct MHD_Connection *connection, const char *path,
                          const char *method, const struct lmn_cbor_document *document,
                          GByteArray *out)
 {
-    (void)c;
+    (void)connection;
     (void)method;
-    return worker_answer(arg, path, document, out);
+    return handle_worker_request(arg, path, document, out);
 }
 
-static int answer_state(void *arg, struct MHD_Connection *c, const char *path,
+static int answer_state(void *arg, struct MHD_Connection *connection, const char *path,
                         const char *method, const struct lmn_cbor_document *document,
                         GByteArray *out)
 {
     (void)arg;
-    return state_answer(c, path, method, document, out);
+    return handle_store_request(connection, path, method, document, out);
 }
 
-static int answer_cloud(void *arg, struct MHD_Connection *c, const char *path,
+static int answer_cloud(void *arg, struct MHD_Connection *connection, const char *path,
                         const char *method, const struct lmn_cbor_document *document,
                         GByteArray *out)
 {
     const struct lmn_cbor_value *root = lmn_cbor_root(document);
     (void)arg;
-    (void)c;
+    (void)connection;
     if (!strcmp(path, WIRE_PATH_MACHINE_TYPES)) {
         lmn_cbor_put_map(out, 1);
         lmn_cbor_put_text(out, WIRE_MACHINE_TYPES), lmn_cbor_put_array(out, 1);
@@ -504,17 +526,18 @@
         const struct lmn_cbor_value *list = lmn_cbor_get(document, root, WIRE_MACHINES);
         for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, list);
              node; node = lmn_cbor_next(document, node))
-            for (int i = 0; i < nmachines; i++)
+            for (int i = 0; i < machine_count; i++)
                 if (lmn_cbor_text_equals(node, machines[i].name))
-                    machines[i].gone = true;
+                    machines[i].is_terminated = true;
         lmn_cbor_put_map(out, 0);
         return 200;
     }
     if (!strcmp(method, "POST")) {
         uint64_t count = 0;
         lmn_cbor_get_uint(lmn_cbor_get(document, root, WIRE_COUNT), &count);
-        count = MIN(count, (uint64_t)MIN(6 - (int)rented, MAX_MACHINES - nmachines));
-        if (!count || rented >= 6) {
+        count = MIN(count, (uint64_t)MIN(6 - (int)provisioned_count,
+                                         MAX_MACHINES - machine_count));
+        if (!count || provisioned_count >= 6) {
             lmn_cbor_put_map(out, 1);
             lmn_cbor_put_text(out, "error"), lmn_cbor_put_text(out, "no capacity");
             return 503;
@@ -522,28 +545,28 @@
         lmn_cbor_put_map(out, 1);
         lmn_cbor_put_text(out, WIRE_MACHINES), lmn_cbor_put_array(out, count);
         for (uint64_t i = 0; i < count; i++) {
-            struct machine *machine = &machines[nmachines];
-            g_snprintf(machine->name, sizeof machine->name, "host-%06d", nmachines++);
-            for (int k = 0; k < MAX_HELD; k++)
-                machine->held[k].state = FREE;
-            machine->session = 1;
-            machine->answered = lmn_now();
-            g_snprintf(machine->addr, sizeof machine->addr, "127.0.0.1:%d",
-                       serve(answer_worker, machine));
+            struct machine *machine = &machines[machine_count];
+            g_snprintf(machine->name, sizeof machine->name, "host-%06d", machine_count++);
+            for (int k = 0; k < MAX_ATTEMPTS; k++)
+                machine->attempts[k].state = FREE;
+            machine->incarnation = 1;
+            machine->answered_at = lmn_now();
+            g_snprintf(machine->address, sizeof machine->address, "127.0.0.1:%d",
+                       start_stand_in(answer_worker, machine));
             lmn_cbor_put_text(out, machine->name);
-            lmn_thread(worker, machine);
-            rented++;
+            lmn_thread(worker_thread, machine);
+            provisioned_count++;
         }
         return 200;
     }
-    size_t n = 0;
-    for (int i = 0; i < nmachines; i++)
-        n += !machines[i].gone;
+    size_t listed_count = 0;
+    for (int i = 0; i < machine_count; i++)
+        listed_count += !machines[i].is_terminated;
     lmn_cbor_put_map(out, 2);
     lmn_cbor_put_text(out, WIRE_HAS_MORE), lmn_cbor_put_bool(out, false);
-    lmn_cbor_put_text(out, WIRE_MACHINES), lmn_cbor_put_array(out, n);
-    for (int i = 0; i < nmachines; i++) {
-        if (machines[i].gone)
+    lmn_cbor_put_text(out, WIRE_MACHINES), lmn_cbor_put_array(out, listed_count);
+    for (int i = 0; i < machine_count; i++) {
+        if (machines[i].is_terminated)
             continue;
         lmn_cbor_put_map(out, 6);
         lmn_cbor_put_text(out, WIRE_JOB_ID), lmn_cbor_put_text(out, machines[i].name);
@@ -562,243 +585,254 @@
     void *arg;
 };
 
-static enum MHD_Result on_request(void *arg, struct MHD_Connection *c, const char *url,
-                                  const char *method, const char *version,
-                                  const char *data, size_t *size, void **state)
+static enum MHD_Result on_request(void *arg, struct MHD_Connection *connection,
+                                  const char *url, const char *method,
+                                  const char *version, const char *data, size_t *size,
+                                  void **state)
 {
-    struct stand_in *s = arg;
-    GByteArray *in = *state, *out;
-    struct lmn_cbor_document d = {0};
+    struct stand_in *stand_in = arg;
+    GByteArray *request_body = *state, *response_body;
+    struct lmn_cbor_document document = {0};
     (void)version;
 
-    if (!in) {
+    if (!request_body) {
         *state = g_byte_array_new();
         return MHD_YES;
     }
     if (*size) {
-        g_byte_array_append(in, (const guint8 *)data, (guint)*size);
+        g_byte_array_append(request_body, (const guint8 *)data, (guint)*size);
         *size = 0;
         return MHD_YES;
     }
-    out = g_byte_array_new();
+    response_body = g_byte_array_new();
     int status = 400;
-    if (!in->len || lmn_cbor_parse(&d, in->data, in->len) == 0) {
+    if (!request_body->len ||
+        lmn_cbor_parse(&document, request_body->data, request_body->len) == 0) {
         pthread_mutex_lock(&lock);
-        status = s->answer(s->arg, c, url, method, &d, out);
+        status = stand_in->answer(stand_in->arg, connection, url, method, &document,
+                                  response_body);
         pthread_mutex_unlock(&lock);
-        lmn_cbor_free(&d);
-    }
-    struct MHD_Response *r = MHD_create_response_from_buffer(
-        out->len, out->len ? out->data : (void *)"", MHD_RESPMEM_MUST_COPY);
-    enum MHD_Result ok = MHD_queue_response(c, (unsigned)status, r);
-    MHD_destroy_response(r);
-    g_byte_array_unref(out);
-    g_byte_array_unref(in);
+        lmn_cbor_free(&document);
+    }
+    struct MHD_Response *response = MHD_create_response_from_buffer(
+        response_body->len, response_body->len ? response_body->data : (void *)"",
+        MHD_RESPMEM_MUST_COPY);
+    enum MHD_Result result = MHD_queue_response(connection, (unsigned)status, response);
+    MHD_destroy_response(response);
+    g_byte_array_unref(response_body);
+    g_byte_array_unref(request_body);
     *state = NULL;
-    return ok;
+    return result;
 }
 
-static int serve(int (*answer)(void *, struct MHD_Connection *, const char *,
-                               const char *, const struct lmn_cbor_document *,
-                               GByteArray *),
-                 void *arg)
+static int start_stand_in(int (*answer)(void *, struct MHD_Connection *, const char *,
+                                        const char *, const struct lmn_cbor_document *,
+                                        GByteArray *),
+                          void *arg)
 {
-    struct stand_in *s = g_new0(struct stand_in, 1);
-    struct sockaddr_in a = {.sin_family = AF_INET,
-                            .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-    s->answer = answer;
-    s->arg = arg;
-    struct MHD_Daemon *d = MHD_start_daemon(
-        MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL,
-        on_request, s, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&a, MHD_OPTION_END);
-    assert_non_null(d);
-    return MHD_get_daemon_info(d, MHD_DAEMON_INFO_BIND_PORT)->port;
+    struct stand_in *stand_in = g_new0(struct stand_in, 1);
+    struct sockaddr_in address = {.sin_family = AF_INET,
+                                  .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
+    stand_in->answer = answer;
+    stand_in->arg = arg;
+    struct MHD_Daemon *http_daemon =
+        MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD,
+                         0, NULL, NULL, on_request, stand_in, MHD_OPTION_SOCK_ADDR,
+                         (struct sockaddr *)&address, MHD_OPTION_END);
+    assert_non_null(http_daemon);
+    return MHD_get_daemon_info(http_daemon, MHD_DAEMON_INFO_BIND_PORT)->port;
 }
 
 /* --- controllers --- */
 
-static pid_t pids[NODES];
-static char paths[NODES][64];
+static pid_t pids[CONTROLLERS];
+static char paths[CONTROLLERS][64];
 
 static int free_port(void)
 {
-    struct sockaddr_in a = {.sin_family = AF_INET,
-                            .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-    socklen_t len = sizeof a;
+    struct sockaddr_in address = {.sin_family = AF_INET,
+                                  .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
+    socklen_t length = sizeof address;
     int fd = socket(AF_INET, SOCK_STREAM, 0);
-    assert_int_equal(bind(fd, (struct sockaddr *)&a, sizeof a), 0);
-    getsockname(fd, (struct sockaddr *)&a, &len);
+    assert_int_equal(bind(fd, (struct sockaddr *)&address, sizeof address), 0);
+    getsockname(fd, (struct sockaddr *)&address, &length);
     close(fd);
-    return ntohs(a.sin_port);
+    return ntohs(address.sin_port);
 }
 
-static void start_node(int i)
+static void start_controller(int controller)
 {
-    pids[i] = fork();
-    if (pids[i] == 0) {
-        execl(LMN_PROGRAM_PATH, "lemonspar", "--config", paths[i], (char *)NULL);
+    pids[controller] = fork();
+    if (pids[controller] == 0) {
+        execl(LMN_PROGRAM_PATH, "lemonspar", "--config", paths[controller], (char *)NULL);
         _exit(127);
     }
 }
 
-static void configure(int i)
+static void write_config(int controller)
 {
-    g_snprintf(paths[i], sizeof paths[i], "/tmp/lemonspar-test-%d-%d.toml", (int)getpid(),
-               i);
-    FILE *f = fopen(paths[i], "w");
-    assert_non_null(f);
-    fprintf(f, "host_name = 'n%d'\narea = 'a'\nclient_listen = '127.0.0.1:%d'\n", i,
-            ports[i][0]);
-    fprintf(f, "internal_addr = '127.0.0.1:%d'\n", ports[i][1]);
-    for (int k = 0; k < NODES; k++)
-        if (k != i)
+    g_snprintf(paths[controller], sizeof paths[controller],
+               "/tmp/lemonspar-test-%d-%d.toml", (int)getpid(), controller);
+    FILE *file = fopen(paths[controller], "w");
+    assert_non_null(file);
+    fprintf(file, "host_name = 'n%d'\narea = 'a'\nclient_listen = '127.0.0.1:%d'\n",
+            controller, ports[controller][0]);
+    fprintf(file, "internal_addr = '127.0.0.1:%d'\n", ports[controller][1]);
+    for (int other = 0; other < CONTROLLERS; other++)
+        if (other != controller)
             fprintf(
-                f,
+                file,
                 "[[members]]\nhost_name = 'n%d'\narea = 'a'\naddress = '127.0.0.1:%d'\n",
-                k, ports[k][1]);
-    fprintf(f, "[outside]\ncloud = '127.0.0.1:%d'\nstate = '127.0.0.1:%d'\n", cloud_port,
-            state_port);
-    fprintf(f,
+                other, ports[other][1]);
+    fprintf(file, "[outside]\ncloud = '127.0.0.1:%d'\nstate = '127.0.0.1:%d'\n",
+            cloud_port, state_port);
+    fprintf(file,
             "[params]\ninitial_size = 3\n[[params.teams]]\nname = 't'\ncpus_max = 60.0\n"
             "[params.workers]\nreport_s = 0.4\nlease_s = 6.0\ncancel_s = 20.0\n"
             "[params.state]\nrps = 600.0\nwrite_rps = 300.0\ntxn_ops = 12\n"
             "[params.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n");
-    fclose(f);
+    fclose(file);
 }
 
 /* --- a user --- */
 
-static int call_at(int i, const char *method, const char *path, const GByteArray *body,
-                   char *word)
+static int call_at(int controller, const char *method, const char *path,
+                   const GByteArray *body, char *job_state)
 {
-    static struct lmn_http_client *h[NODES];
-    GByteArray *out = g_byte_array_new();
-    struct lmn_cbor_document d;
-
-    if (!h[i]) {
-        char addr[32];
-        g_snprintf(addr, sizeof addr, "127.0.0.1:%d", ports[i][0]);
-        h[i] = lmn_http_client_new(addr);
+    static struct lmn_http_client *clients[CONTROLLERS];
+    GByteArray *response = g_byte_array_new();
+    struct lmn_cbor_document document;
+
+    if (!clients[controller]) {
+        char address[32];
+        g_snprintf(address, sizeof address, "127.0.0.1:%d", ports[controller][0]);
+        clients[controller] = lmn_http_client_new(address);
     }
-    int status = lmn_http_client_call(h[i], method, path, body, 5, out);
-    *word = '\0';
-    if (out->len && lmn_cbor_parse(&d, out->data, out->len) == 0) {
-        lmn_cbor_get_text(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_STATE), word, 32);
-        lmn_cbor_free(&d);
+    int status =
+        lmn_http_client_call(clients[controller], method, path, body, 5, response);
+    *job_state = '\0';
+    if (response->len && lmn_cbor_parse(&document, response->data, response->len) == 0) {
+        lmn_cbor_get_text(lmn_cbor_get(&document, lmn_cbor_root(&document), WIRE_STATE),
+                          job_state, 32);
+        lmn_cbor_free(&document);
     }
-    g_byte_array_unref(out);
+    g_byte_array_unref(response);
     return status;
 }
 
-static int call(const char *method, const char *path, const GByteArray *body, char *word)
+static int call_next(const char *method, const char *path, const GByteArray *body,
+                     char *job_state)
 {
     static int turn;
 
-    return call_at(turn++ % NODES, method, path, body, word);
+    return call_at(turn++ % CONTROLLERS, method, path, body, job_state);
 }
 
-/* Asks until one of two statuses, as users do. */
-static int insist(const char *method, const char *path, const GByteArray *body, int a,
-                  int b, char *word)
+/* Retries until the status is one of two, with another controller each time. */
+static int call_until(const char *method, const char *path, const GByteArray *body,
+                      int status_1, int status_2, char *job_state)
 {
-    struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
+    struct timespec deadline = lmn_time_add(lmn_now(), TIMEOUT_S);
     int status = 0;
-    while (lmn_time_before(lmn_now(), end)) {
-        status = call(method, path, body, word);
-        if (status == a || status == b)
+    while (lmn_time_before(lmn_now(), deadline)) {
+        status = call_next(method, path, body, job_state);
+        if (status == status_1 || status == status_2)
             return status;
         lmn_sleep(0.3);
     }
-    fail_msg("%s %s: still %d", method, path, status);
+    fail_msg("%s %s: last status %d, expected %d or %d within %.0f s", method, path,
+             status, status_1, status_2, TIMEOUT_S);
     return status;
 }
 
-static GByteArray *job(const char *ref, uint32_t tasks, enum lmn_job_kind kind)
+static GByteArray *encode_job(const char *job_id, uint32_t tasks, enum lmn_job_kind kind)
 {
-    struct lmn_job_spec s = {.class_name = (char *)"c",
-                             .team = (char *)"t",
-                             .image = (char *)"i",
-                             .kind = kind,
-                             .priority = LMN_PRIORITY_NORMAL,
-                             .tasks = tasks,
-                             .cpus = 1,
-                             .memory_gb = 1,
-                             .estimate_s = kind == LMN_JOB_BATCH ? 2 : 0,
-                             .deadline_s = -1};
-    GByteArray *b = g_byte_array_new();
-    g_strlcpy(s.id, ref, sizeof s.id);
-    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
-    lmn_job_spec_write(b, &s);
-    return b;
+    struct lmn_job_spec spec = {.class_name = (char *)"c",
+                                .team = (char *)"t",
+                                .image = (char *)"i",
+                                .kind = kind,
+                                .priority = LMN_PRIORITY_NORMAL,
+                                .tasks = tasks,
+                                .cpus = 1,
+                                .memory_gb = 1,
+                                .estimate_s = kind == LMN_JOB_BATCH ? 2 : 0,
+                                .deadline_s = -1};
+    GByteArray *body = g_byte_array_new();
+    g_strlcpy(spec.id, job_id, sizeof spec.id);
+    lmn_cbor_put_map(body, lmn_job_spec_pair_count());
+    lmn_job_spec_write(body, &spec);
+    return body;
 }
 
-static void jobs_survive_their_controllers(void **state)
+static void jobs_survive_controller_failures(void **state)
 {
-    char word[32], path[64];
-    GByteArray *b;
+    char job_state[32], path[64];
+    GByteArray *body;
     (void)state;
 
     for (int k = 0; k < 6; k++) {
         g_snprintf(path, sizeof path, "run-%06d", k);
-        b = job(path, 20, LMN_JOB_BATCH);
-        insist("POST", WIRE_PATH_JOBS, b, 201, 200, word);
-        g_byte_array_unref(b);
+        body = encode_job(path, 20, LMN_JOB_BATCH);
+        call_until("POST", WIRE_PATH_JOBS, body, 201, 200, job_state);
+        g_byte_array_unref(body);
     }
-    b = job("run-000100", 3, LMN_JOB_SERVICE);
-    insist("POST", WIRE_PATH_JOBS, b, 201, 200, word);
-    g_byte_array_unref(b);
+    body = encode_job("run-000100", 3, LMN_JOB_SERVICE);
+    call_until("POST", WIRE_PATH_JOBS, body, 201, 200, job_state);
+    g_byte_array_unref(body);
 
-    /* One controller after the other is killed in the midst of it, and starts again. */
-    for (int i = 0; i < NODES; i++) {
+    /* While the jobs run, each controller in turn is killed and restarted. */
+    for (int i = 0; i < CONTROLLERS; i++) {
         lmn_sleep(1.5);
         int status;
         assert_int_equal(waitpid(pids[i], &status, WNOHANG),
-                         0); /* none ended by itself */
+                         0); /* did not exit by itself */
         kill(pids[i], SIGKILL);
         waitpid(pids[i], &status, 0);
         lmn_sleep(1.0);
-        start_node(i);
+        start_controller(i);
     }
-    insist("POST", WIRE_PATH_JOBS "/run-000100" WIRE_PATH_CANCEL, NULL, 200, 200, word);
-    assert_string_equal(word, WIRE_CANCELLED);
+    call_until("POST", WIRE_PATH_JOBS "/run-000100" WIRE_PATH_CANCEL, NULL, 200, 200,
+               job_state);
+    assert_string_equal(job_state, WIRE_CANCELLED);
     for (int k = 0; k < 6; k++) {
-        struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
+        struct timespec deadline = lmn_time_add(lmn_now(), TIMEOUT_S);
         g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/run-%06d", k);
         do {
-            int status = call("GET", path, NULL, word);
+            int status = call_next("GET", path, NULL, job_state);
             assert_int_not_equal(status, 404);
             lmn_sleep(0.2);
-        } while (strcmp(word, WIRE_DONE) && lmn_time_before(lmn_now(), end));
-        assert_string_equal(word, WIRE_DONE);
-    }
-    /* Every controller gives the final answers, again and again. */
-    for (int i = 0; i < 2 * NODES; i++) {
-        insist("GET", WIRE_PATH_JOBS "/run-000100", NULL, 200, 404, word);
-        assert_string_equal(word, WIRE_CANCELLED);
-        b = job("run-000000", 20, LMN_JOB_BATCH);
-        assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 200, 422, word), 200);
-        assert_string_equal(word, WIRE_DONE);
-        g_byte_array_unref(b);
+        } while (strcmp(job_state, WIRE_DONE) && lmn_time_before(lmn_now(), deadline));
+        assert_string_equal(job_state, WIRE_DONE);
+    }
+    /* Every controller replies the final states, also when asked repeatedly. */
+    for (int i = 0; i < 2 * CONTROLLERS; i++) {
+        call_until("GET", WIRE_PATH_JOBS "/run-000100", NULL, 200, 404, job_state);
+        assert_string_equal(job_state, WIRE_CANCELLED);
+        body = encode_job("run-000000", 20, LMN_JOB_BATCH);
+        assert_int_equal(call_until("POST", WIRE_PATH_JOBS, body, 200, 422, job_state),
+                         200);
+        assert_string_equal(job_state, WIRE_DONE);
+        g_byte_array_unref(body);
     }
     pthread_mutex_lock(&lock);
-    assert_true(started >= 6 * 20);
-    assert_int_equal(twice, 0);
+    assert_true(start_count >= 6 * 20);
+    assert_int_equal(duplicate_starts, 0);
     pthread_mutex_unlock(&lock);
 }
 
-static void what_cannot_be_taken(void **state)
+static void invalid_submissions_are_refused(void **state)
 {
-    char word[32];
-    GByteArray *b = g_byte_array_new();
+    char job_state[32];
+    GByteArray *body = g_byte_array_new();
     (void)state;
 
-    g_byte_array_append(b, (const guint8 *)"\xa0", 1);
-    assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 400, 422, word), 400);
-    g_byte_array_set_size(b, 70000);
-    memset(b->data, 0, b->len);
-    assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 400, 201, word), 400);
-    g_byte_array_unref(b);
-    /* A description that no value of the state service can hold. */
+    g_byte_array_append(body, (const guint8 *)"\xa0", 1);
+    assert_int_equal(call_until("POST", WIRE_PATH_JOBS, body, 400, 422, job_state), 400);
+    g_byte_array_set_size(body, 70000);
+    memset(body->data, 0, body->len);
+    assert_int_equal(call_until("POST", WIRE_PATH_JOBS, body, 400, 201, job_state), 400);
+    g_byte_array_unref(body);
+    /* A job whose record exceeds the key-value store's value size. */
     char *types[251] = {NULL};
     for (int i = 0; i < 250; i++)
         types[i] = g_strnfill(63, 't');
@@ -811,139 +845,156 @@
                                  .cpus = 1,
                                  .deadline_s = -1,
                                  .id = "run-000201"};
-    b = g_byte_array_new();
-    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
-    lmn_job_spec_write(b, &large);
-    assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 400, 422, word), 400);
-    g_byte_array_unref(b);
+    body = g_byte_array_new();
+    lmn_cbor_put_map(body, lmn_job_spec_pair_count());
+    lmn_job_spec_write(body, &large);
+    assert_int_equal(call_until("POST", WIRE_PATH_JOBS, body, 400, 422, job_state), 400);
+    g_byte_array_unref(body);
     for (int i = 0; i < 250; i++)
         g_free(types[i]);
-    b = job("run-000200", 61,
-            LMN_JOB_SERVICE); /* all replicas: more than the team's limit */
-    assert_int_equal(insist("POST", WIRE_PATH_JOBS, b, 422, 201, word), 422);
-    g_byte_array_unref(b);
-    insist("GET", WIRE_PATH_JOBS "/run-000200", NULL, 404, 404, word);
-    insist("GET", WIRE_PATH_JOBS "/nonsense", NULL, 404, 404, word);
+    /* A service whose 61 replicas exceed the team's limit of 60 CPUs. */
+    body = encode_job("run-000200", 61, LMN_JOB_SERVICE);
+    assert_int_equal(call_until("POST", WIRE_PATH_JOBS, body, 422, 201, job_state), 422);
+    g_byte_array_unref(body);
+    call_until("GET", WIRE_PATH_JOBS "/run-000200", NULL, 404, 404, job_state);
+    call_until("GET", WIRE_PATH_JOBS "/nonsense", NULL, 404, 404, job_state);
 }
 
-/* --- odd requests, at each controller --- */
+/* --- each kind of request, at each controller --- */
 
-enum odd { ASK, CANCEL, REPEAT, NO_FIELD, NO_ROOM, ODD };
+enum request_kind {
+    STATUS,
+    CANCEL,
+    SUBMIT,
+    SUBMIT_MISSING_FIELD,
+    SUBMIT_INFEASIBLE,
+    REQUEST_KINDS
+};
 
-static GByteArray *odd_body(enum odd what, const char *ref)
+static GByteArray *submission_body(enum request_kind kind, const char *job_id)
 {
-    GByteArray *b = job(ref, what == NO_ROOM ? 61 : 1, LMN_JOB_SERVICE);
+    GByteArray *body =
+        encode_job(job_id, kind == SUBMIT_INFEASIBLE ? 61 : 1, LMN_JOB_SERVICE);
 
-    if (what == NO_FIELD) {
-        g_byte_array_set_size(b, 0);
-        lmn_cbor_put_map(b, 1);
-        lmn_cbor_put_text(b, WIRE_JOB_ID), lmn_cbor_put_text(b, ref);
+    if (kind == SUBMIT_MISSING_FIELD) {
+        g_byte_array_set_size(body, 0);
+        lmn_cbor_put_map(body, 1);
+        lmn_cbor_put_text(body, WIRE_JOB_ID), lmn_cbor_put_text(body, job_id);
     }
-    return b;
+    return body;
 }
 
-static int odd_call(int node, enum odd what, const char *ref, char *word)
+static int send_request(int controller, enum request_kind kind, const char *job_id,
+                        char *job_state)
 {
     char path[96];
 
-    if (what <= CANCEL) {
-        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s%s", ref,
-                   what == CANCEL ? WIRE_PATH_CANCEL : "");
-        return call_at(node, what == CANCEL ? "POST" : "GET", path, NULL, word);
+    if (kind <= CANCEL) {
+        g_snprintf(path, sizeof path, WIRE_PATH_JOBS "/%s%s", job_id,
+                   kind == CANCEL ? WIRE_PATH_CANCEL : "");
+        return call_at(controller, kind == CANCEL ? "POST" : "GET", path, NULL,
+                       job_state);
     }
-    GByteArray *b = odd_body(what, ref);
-    int status = call_at(node, "POST", WIRE_PATH_JOBS, b, word);
-    g_byte_array_unref(b);
+    GByteArray *body = submission_body(kind, job_id);
+    int status = call_at(controller, "POST", WIRE_PATH_JOBS, body, job_state);
+    g_byte_array_unref(body);
     return status;
 }
 
-/* Each request about the job gets this status; word: the state then told. */
-static void expect(int node, const char *ref, const int status[ODD], const char *word)
+/* Sends each kind of request for the job, and retries while the status is 503 unless that
+ * is expected. expected_state is the job state in replies with status 200; NULL: any. */
+static void expect_statuses(int controller, const char *job_id,
+                            const int expected_status[REQUEST_KINDS],
+                            const char *expected_state)
 {
-    char told[32];
+    char job_state[32];
 
-    for (enum odd what = 0; what < ODD; what++) {
-        struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
-        int got = odd_call(node, what, ref, told);
-        while (got == 503 && status[what] != 503 && lmn_time_before(lmn_now(), end)) {
+    for (enum request_kind kind = 0; kind < REQUEST_KINDS; kind++) {
+        struct timespec deadline = lmn_time_add(lmn_now(), TIMEOUT_S);
+        int actual_status = send_request(controller, kind, job_id, job_state);
+        while (actual_status == 503 && expected_status[kind] != 503 &&
+               lmn_time_before(lmn_now(), deadline)) {
             lmn_sleep(0.2);
-            got = odd_call(node, what, ref, told);
+            actual_status = send_request(controller, kind, job_id, job_state);
         }
-        if (got != status[what])
-            fail_msg("n%d, %s, request %d: %d, not %d", node, ref, what, got,
-                     status[what]);
-        if (got == 200 && word)
-            assert_string_equal(told, word);
+        if (actual_status != expected_status[kind])
+            fail_msg("controller n%d, job %s, request kind %d: status %d, expected %d",
+                     controller, job_id, kind, actual_status, expected_status[kind]);
+        if (actual_status == 200 && expected_state)
+            assert_string_equal(job_state, expected_state);
     }
 }
 
-static void refuse(bool on)
+static void set_store_unavailable(bool is_unavailable)
 {
     pthread_mutex_lock(&lock);
-    refusing = on;
+    is_store_unavailable = is_unavailable;
     pthread_mutex_unlock(&lock);
 }
 
-static void expect_unnamed(int node)
+static void expect_invalid_requests_refused(int controller)
 {
-    char word[32];
-    GByteArray *b = g_byte_array_new();
-
-    assert_int_equal(odd_call(node, ASK, "nonsense", word), 404);
-    assert_int_equal(odd_call(node, CANCEL, "nonsense", word), 404);
-    assert_int_equal(odd_call(node, NO_FIELD, "nonsense", word), 400);
-    g_byte_array_append(b, (const guint8 *)"\xff", 1);
-    assert_int_equal(call_at(node, "POST", WIRE_PATH_JOBS, b, word), 400);
-    g_byte_array_unref(b);
+    char job_state[32];
+    GByteArray *body = g_byte_array_new();
+
+    assert_int_equal(send_request(controller, STATUS, "nonsense", job_state), 404);
+    assert_int_equal(send_request(controller, CANCEL, "nonsense", job_state), 404);
+    assert_int_equal(
+        send_request(controller, SUBMIT_MISSING_FIELD, "nonsense", job_state), 400);
+    g_byte_array_append(body, (const guint8 *)"\xff", 1);
+    assert_int_equal(call_at(controller, "POST", WIRE_PATH_JOBS, body, job_state), 400);
+    g_byte_array_unref(body);
 }
 
-static void odd_requests_get_the_protocols_answer(void **state)
+static void each_request_kind_gets_its_status(void **state)
 {
-    static const int known[ODD] = {200, 200, 200, 200, 200};
-    static const int cant_tell[ODD] = {503, 503, 503, 503, 503};
-    char word[32];
-    GByteArray *b = job("run-000101", 1, LMN_JOB_SERVICE);
+    static const int ALL_OK[REQUEST_KINDS] = {200, 200, 200, 200, 200};
+    static const int ALL_UNAVAILABLE[REQUEST_KINDS] = {503, 503, 503, 503, 503};
+    char job_state[32];
+    GByteArray *body = encode_job("run-000101", 1, LMN_JOB_SERVICE);
     (void)state;
 
-    insist("POST", WIRE_PATH_JOBS, b, 201, 200, word);
-    g_byte_array_unref(b);
-    for (int i = 0; i < NODES; i++) {
-        expect(i, "run-000000", known, WIRE_DONE);
-        expect(i, "run-000100", known, WIRE_CANCELLED);
-        for (enum odd what = ASK; what < ODD; what++)
-            if (what != CANCEL)
-                assert_int_equal(odd_call(i, what, "run-000101", word), 200);
-        assert_int_equal(odd_call(i, NO_FIELD, "run-000900", word), 400);
-        assert_int_equal(odd_call(i, NO_ROOM, "run-000900", word), 422);
-        assert_int_equal(odd_call(i, CANCEL, "run-000900", word), 404);
-        assert_int_equal(odd_call(i, ASK, "run-000900", word), 404);
-        expect_unnamed(i);
-    }
-    /* An outage: ends stay known, and nothing is told that can't be confirmed; a
-     * controller that begins in it knows nothing. */
-    refuse(true);
+    call_until("POST", WIRE_PATH_JOBS, body, 201, 200, job_state);
+    g_byte_array_unref(body);
+    for (int i = 0; i < CONTROLLERS; i++) {
+        expect_statuses(i, "run-000000", ALL_OK, WIRE_DONE);
+        expect_statuses(i, "run-000100", ALL_OK, WIRE_CANCELLED);
+        for (enum request_kind kind = STATUS; kind < REQUEST_KINDS; kind++)
+            if (kind != CANCEL)
+                assert_int_equal(send_request(i, kind, "run-000101", job_state), 200);
+        assert_int_equal(send_request(i, SUBMIT_MISSING_FIELD, "run-000900", job_state),
+                         400);
+        assert_int_equal(send_request(i, SUBMIT_INFEASIBLE, "run-000900", job_state),
+                         422);
+        assert_int_equal(send_request(i, CANCEL, "run-000900", job_state), 404);
+        assert_int_equal(send_request(i, STATUS, "run-000900", job_state), 404);
+        expect_invalid_requests_refused(i);
+    }
+    /* While the store is unavailable, controllers reply only final states, since no other
+     * state can be confirmed. Controller 0, restarted now, knows no final states. */
+    set_store_unavailable(true);
     int status;
     kill(pids[0], SIGKILL);
     waitpid(pids[0], &status, 0);
-    start_node(0);
-    while (call_at(0, "GET", WIRE_PATH_READY, NULL, word) != 503)
+    start_controller(0);
+    while (call_at(0, "GET", WIRE_PATH_READY, NULL, job_state) != 503)
         lmn_sleep(0.05);
-    for (int i = 0; i < NODES; i++) {
-        expect(i, "run-000000", i ? known : cant_tell, WIRE_DONE);
-        expect(i, "run-000101", cant_tell, NULL);
-        expect(i, "run-000900", cant_tell, NULL);
-        expect_unnamed(i);
+    for (int i = 0; i < CONTROLLERS; i++) {
+        expect_statuses(i, "run-000000", i ? ALL_OK : ALL_UNAVAILABLE, WIRE_DONE);
+        expect_statuses(i, "run-000101", ALL_UNAVAILABLE, NULL);
+        expect_statuses(i, "run-000900", ALL_UNAVAILABLE, NULL);
+        expect_invalid_requests_refused(i);
     }
-    lmn_sleep(4); /* now their views are old as well */
-    for (int i = 0; i < NODES; i++) {
-        expect(i, "run-000000", i ? known : cant_tell, WIRE_DONE);
-        expect(i, "run-000101", cant_tell, NULL);
-        expect(i, "run-000900", cant_tell, NULL);
+    lmn_sleep(4); /* until the watch caches are stalled */
+    for (int i = 0; i < CONTROLLERS; i++) {
+        expect_statuses(i, "run-000000", i ? ALL_OK : ALL_UNAVAILABLE, WIRE_DONE);
+        expect_statuses(i, "run-000101", ALL_UNAVAILABLE, NULL);
+        expect_statuses(i, "run-000900", ALL_UNAVAILABLE, NULL);
     }
-    refuse(false);
-    for (int i = 0; i < NODES; i++) {
-        expect(i, "run-000000", known, WIRE_DONE);
-        expect(i, "run-000101", known, i ? WIRE_CANCELLED : NULL);
+    set_store_unavailable(false);
+    for (int i = 0; i < CONTROLLERS; i++) {
+        expect_statuses(i, "run-000000", ALL_OK, WIRE_DONE);
+        expect_statuses(i, "run-000101", ALL_OK, i ? WIRE_CANCELLED : NULL);
     }
 }
 
@@ -956,15 +1007,15 @@
     store = g_tree_new((GCompareFunc)strcmp);
     events = g_ptr_array_new();
     leases = g_array_new(FALSE, FALSE, sizeof(struct lease));
-    state_port = serve(answer_state, NULL);
-    cloud_port = serve(answer_cloud, NULL);
-    for (int i = 0; i < NODES; i++) {
+    state_port = start_stand_in(answer_state, NULL);
+    cloud_port = start_stand_in(answer_cloud, NULL);
+    for (int i = 0; i < CONTROLLERS; i++) {
         ports[i][0] = free_port();
         ports[i][1] = free_port();
     }
-    for (int i = 0; i < NODES; i++) {
-        configure(i);
-        start_node(i);
+    for (int i = 0; i < CONTROLLERS; i++) {
+        write_config(i);
+        start_controller(i);
     }
     return 0;
 }
@@ -972,7 +1023,7 @@
 static int teardown(void **state)
 {
     (void)state;
-    for (int i = 0; i < NODES; i++) {
+    for (int i = 0; i < CONTROLLERS; i++) {
         kill(pids[i], SIGKILL);
         waitpid(pids[i], NULL, 0);
         unlink(paths[i]);
@@ -980,7 +1031,7 @@
     return 0;
 }
 
-/* The stand-ins end with the process. */
+/* The stand-ins are not freed before the process exits. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
@@ -990,9 +1041,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(what_cannot_be_taken),
-        cmocka_unit_test(jobs_survive_their_controllers),
-        cmocka_unit_test(odd_requests_get_the_protocols_answer),
+        cmocka_unit_test(invalid_submissions_are_refused),
+        cmocka_unit_test(jobs_survive_controller_failures),
+        cmocka_unit_test(each_request_kind_gets_its_status),
     };
     return cmocka_run_group_tests(tests, setup, teardown);
 }
