--- a/tests/simulation/day.c
+++ b/tests/simulation/day.c
@@ -12,7 +12,7 @@
 
 const struct layout usual = {3, 7, 2, 9000, 0, 24, 20};
 struct simulation simulation;
-bool flap, standbys;
+bool flapping_members, standbys;
 const struct schedule *schedule;
 
 /* How many steps a day may go on for so that a partition that has just changed hands is
@@ -32,7 +32,7 @@
 }
 
 /* Something may go wrong. */
-bool simulation_trouble(double p)
+bool simulation_fault_chance(double p)
 {
     return !simulation.calm && simulation_chance(p);
 }
@@ -51,7 +51,7 @@
     return *name ? atoi(name + 1) : (machine->node + 1) % simulation.layout.nodes;
 }
 
-void mail_report(struct message *copy, int node, double at)
+void simulation_deliver_heartbeat(struct message *copy, int node, double at)
 {
     copy->node = node;
     copy->at = at;
@@ -63,11 +63,11 @@
     double at = simulation.now + g_rand_double_range(simulation.random, 2, 24);
     bool elsewhere = simulation.now < simulation.copies_until && simulation_chance(0.3);
 
-    mail_report(machine_report_copy(message),
-                elsewhere
-                    ? g_rand_int_range(simulation.random, 0, simulation.layout.nodes)
-                    : message->node,
-                at);
+    simulation_deliver_heartbeat(
+        heartbeat_copy(message),
+        elsewhere ? g_rand_int_range(simulation.random, 0, simulation.layout.nodes)
+                  : message->node,
+        at);
 }
 
 /* A copy of a report waits until the partition has a newer term, which one of its
@@ -89,9 +89,9 @@
 {
     struct kept_report *k = g_new0(struct kept_report, 1);
 
-    k->report = machine_report_copy(message);
+    k->report = heartbeat_copy(message);
     k->part = part_of(message);
-    k->term = simulation_term(k->part);
+    k->term = simulation_epoch(k->part);
     k->wait_s = simulation_chance(0.5) ? 0 : g_rand_double_range(simulation.random, 0, 4);
     g_ptr_array_add(simulation.kept, k);
 }
@@ -109,7 +109,7 @@
 
 static int holder_of(int part)
 {
-    uint64_t epoch = simulation_term(part);
+    uint64_t epoch = simulation_epoch(part);
 
     for (int i = 0; i < simulation.layout.nodes; i++) {
         const struct lmn_core *core = simulation.nodes[i].core;
@@ -124,14 +124,14 @@
 {
     for (guint i = simulation.kept->len; i-- > 0;) {
         struct kept_report *k = simulation.kept->pdata[i];
-        uint64_t epoch = simulation_term(k->part);
+        uint64_t epoch = simulation_epoch(k->part);
         if (!k->ready_at && epoch > k->term && has_acted(k->part, epoch))
             k->ready_at = simulation.now + k->wait_s;
         int holder =
             k->ready_at && simulation.now >= k->ready_at ? holder_of(k->part) : -1;
         if (holder < 0)
             continue;
-        mail_report(k->report, holder, simulation.now);
+        simulation_deliver_heartbeat(k->report, holder, simulation.now);
         simulation.kept_arrived++;
         g_free(k);
         g_ptr_array_remove_index_fast(simulation.kept, i);
@@ -145,7 +145,7 @@
 {
     const struct lmn_partition *partition = &node->core->partitions[part_of(message)];
 
-    if (simulation.broken_guard == GUARD_HEARTBEAT_EPOCH &&
+    if (simulation.disabled_guard == GUARD_HEARTBEAT_EPOCH &&
         partition->ownership.is_owned) {
         g_byte_array_set_size(message->body, message->token_at);
         lmn_cbor_put_uint(message->body, partition->ownership.epoch);
@@ -177,7 +177,7 @@
         g_ptr_array_remove_index(simulation.messages, i);
         if (message->direct) {
             if (!machine->dead && message->life == machine->life)
-                machine_direct(machine, message->body, NULL);
+                machine_handle_command(machine, message->body, NULL);
         } else if (message->life == machine->life ||
                    message->copy) { /* a report reaches its node */
             struct node *node = &simulation.nodes[message->node];
@@ -195,9 +195,9 @@
                     take_report(node, message, out, &held);
                 simulation.copies++;
             } else if (node_up(node) && node->core &&
-                       machine_reached(message->node, machine)) {
+                       machine_reaches_node(message->node, machine)) {
                 struct lmn_deferred_starts held;
-                if (simulation_trouble(0.03) ||
+                if (simulation_fault_chance(0.03) ||
                     (simulation.now < simulation.copies_until &&
                      simulation_chance(
                          0.5))) /* it comes again, up to well over a lease later */
@@ -208,15 +208,15 @@
                 if (status == 200 && held.log_position &&
                     !lmn_replication_covers(&node->core->partitions[held.partition],
                                             held.log_position)) {
-                    node_hold_back(node, &held, message, machine, out);
+                    node_defer_starts(node, &held, message, machine, out);
                 } else if (simulation.now < machine->unheard_until) {
                     ; /* the answer is lost */
                 } else if (status == 200 && !machine->dead &&
                            simulation.now >= machine->hang_until &&
-                           !simulation_trouble(0.05)) {
+                           !simulation_fault_chance(0.05)) {
                     struct message answer = {
                         .body = out, .session = message->session, .seq = message->seq};
-                    machine_answer(machine, &answer);
+                    machine_handle_response(machine, &answer);
                 } else if (status != 200 && machine->in_flight &&
                            machine->flight_seq == message->seq) {
                     machine->in_flight = false;
@@ -257,7 +257,7 @@
         open += part_end(job, whole, i) > part_end(job, whole, i - 1);
     b = lmn_job_record(&job->spec, LMN_JOB_ACTIVE, open, simulation.now);
     g_snprintf(key, sizeof key, "j/%s", job->id);
-    simulation_put(key, b, 0);
+    simulation_store_put(key, b, 0);
     g_byte_array_unref(b);
     for (int i = 0; i < simulation.layout.nodes; i++) {
         struct lmn_range r = {.first = at, .end = part_end(job, whole, i)};
@@ -266,7 +266,7 @@
             continue;
         b = lmn_range_record(&r, none);
         g_snprintf(key, sizeof key, "r/%d/%s/%u", i, job->id, at);
-        simulation_put(key, b, 0);
+        simulation_store_put(key, b, 0);
         g_byte_array_unref(b);
         at = r.end;
     }
@@ -280,7 +280,7 @@
     for (int k = 0; k < simulation.layout.nodes; k++) {
         struct node *node =
             &simulation.nodes[((job - simulation.jobs) + k) % simulation.layout.nodes];
-        if (node_up(node) && node->core && node_served(node))
+        if (node_up(node) && node->core && node_reaches_store(node))
             return node;
     }
     return NULL;
@@ -295,10 +295,10 @@
 
     g_snprintf(key, sizeof key, "j/%s", job->id);
     enum lmn_job_phase phase = simulation_read_job(job, &s, &open, &at);
-    if (phase == LMN_JOB_ACTIVE || simulation.broken_guard == GUARD_FINAL) {
+    if (phase == LMN_JOB_ACTIVE || simulation.disabled_guard == GUARD_FINAL) {
         GByteArray *b = lmn_job_record(&s, LMN_JOB_CANCELLED, open, at);
         simulation.revision++;
-        simulation_put(key, b, 0);
+        simulation_store_put(key, b, 0);
         g_byte_array_unref(b);
         job->cancelled_at = simulation.now;
         simulation.cancelled++;
@@ -323,7 +323,7 @@
     struct node *n = &simulation.nodes[node];
 
     if (!job->submitted || job->told_done || job->cancelled_at >= 0 || !node_up(n) ||
-        !n->core || simulation.now < n->still_until || !node_served(n))
+        !n->core || simulation.now < n->still_until || !node_reaches_store(n))
         return false;
     return cancel_through(job, n);
 }
@@ -337,7 +337,7 @@
 
 /* Once nothing goes wrong any more: no partition without an owner that is ready, nobody
  * suspected or judged for ever. */
-bool simulation_is_well(void)
+bool simulation_is_recovered(void)
 {
     for (int i = 0; i < simulation.layout.nodes; i++) {
         const struct lmn_core *core = simulation.nodes[i].core;
@@ -359,13 +359,13 @@
     return true;
 }
 
-void simulation_play(const struct layout *l, uint32_t seed, enum guard broken)
+void simulation_run(const struct layout *l, uint32_t seed, enum guard broken)
 {
     forget_world();
     simulation.layout = *l;
     simulation.random = g_rand_new_with_seed(seed);
-    simulation.broken_guard = broken;
-    simulation.flapping = flap;
+    simulation.disabled_guard = broken;
+    simulation.flapping = flapping_members;
     simulation.standbys = standbys;
     simulation.cancel_s = schedule ? schedule->cancel_s : seed % 2 ? 16 : 40;
     simulation.lease_s = schedule ? schedule->lease_s : 8;
@@ -373,7 +373,7 @@
     simulation.least_margin = simulation.cancel_s;
     simulation.helped = seed % 2 && broken != GUARD_STALE_VIEW;
     simulation.users = schedule && schedule->users;
-    simulation.lost_kind = TXN_KINDS;
+    simulation.lost_kind = TXN_KIND_COUNT;
     users_begin(seed);
     simulation.late_transactions = g_ptr_array_new();
     simulation.store = g_hash_table_new(g_str_hash, g_str_equal);
@@ -425,16 +425,16 @@
     int steps = simulation.layout.steps + simulation.layout.calm;
     /* A planned day does not end in the midst of a partition's return to its usual
      * holder. */
-    for (int step = 0; step < steps ||
-                       (schedule && !simulation_is_well() && step < steps + RETURN_STEPS);
+    for (int step = 0; step < steps || (schedule && !simulation_is_recovered() &&
+                                        step < steps + RETURN_STEPS);
          step++) {
         simulation.calm = schedule || step >= simulation.layout.steps;
         simulation.now += STEP_S;
         simulation.clock = lmn_time_add((struct timespec){0, 0}, simulation.now);
-        simulation_expire();
+        simulation_expire_leases();
         if (schedule)
             schedule->step();
-        if (simulation_trouble(0.0006))
+        if (simulation_fault_chance(0.0006))
             simulation.cloud_down_until =
                 simulation.now + g_rand_double_range(simulation.random, 5, 60);
         for (int i = 0; i < simulation.njobs; i++) {
@@ -443,16 +443,16 @@
                 simulation.now > 1000 + i * simulation.layout.every)
                 submit(job);
             else if (!schedule && job->submitted && job->cancelled_at < 0 &&
-                     (simulation.broken_guard == GUARD_FINAL || !job->told_done) &&
+                     (simulation.disabled_guard == GUARD_FINAL || !job->told_done) &&
                      i % 2 && simulation_chance(0.004))
                 simulation_cancel(job);
         }
         for (int i = 0; i < simulation.layout.machines; i++) {
             struct machine *machine = &simulation.machines[i];
-            if (simulation_trouble(0.0004))
+            if (simulation_fault_chance(0.0004))
                 machine->hang_until =
                     simulation.now + g_rand_double_range(simulation.random, 1, 25);
-            if (simulation_trouble(0.0003))
+            if (simulation_fault_chance(0.0003))
                 machine->unheard_until =
                     simulation.now + g_rand_double_range(simulation.random, 1, 40);
             if (machine->dead && (machine->up_at ? simulation.now >= machine->up_at
@@ -471,14 +471,14 @@
         }
         /* What was told stays so for ever. */
         if (simulation.users && step + 20 >= steps)
-            users_look_at_all();
+            users_query_all();
         /* Found so: a range that came between the claim and its noticing was never dealt.
          */
         for (int i = 0;
-             i < simulation.layout.nodes && simulation.broken_guard == GUARD_NONE; i++)
+             i < simulation.layout.nodes && simulation.disabled_guard == GUARD_NONE; i++)
             assert_true(!simulation.nodes[i].core ||
                         simulation.nodes[i].core->counters.reconciled_tasks == 0);
-        simulation_check();
-        simulation_check_served();
+        simulation_check_rules();
+        simulation_check_service();
     }
 }
--- a/tests/simulation/faults.c
+++ b/tests/simulation/faults.c
@@ -2,7 +2,7 @@
 #include "partition/shutdown.h"
 #include "simulation.h"
 
-static const char *const names[FAULTS] = {
+static const char *const names[FAULT_COUNT] = {
     [FAULT_REFUSED] = "refused",
     [FAULT_OUTAGE] = "outage",
     [FAULT_ISOLATED] = "isolated",
@@ -38,7 +38,7 @@
     return names[k];
 }
 
-uint64_t simulation_term(int part)
+uint64_t simulation_epoch(int part)
 {
     uint64_t epoch = 0;
 
@@ -50,7 +50,7 @@
     return epoch;
 }
 
-int simulation_leader(void)
+int simulation_largest_owner(void)
 {
     int best = 0;
     unsigned most = 0;
@@ -69,7 +69,7 @@
     return best;
 }
 
-void simulation_cancel_some(double share)
+void simulation_cancel_jobs(double share)
 {
     for (int i = 0; i < simulation.njobs; i++)
         if (simulation.jobs[i].submitted && simulation.jobs[i].cancelled_at < 0 &&
@@ -169,9 +169,9 @@
 static void old_reports_now(void)
 {
     for (int i = 0; i < simulation.layout.machines; i++) {
-        const struct message *message = machine_old_report(&simulation.machines[i]);
+        const struct message *message = machine_old_heartbeat(&simulation.machines[i]);
         for (int k = 0; message && k < simulation.layout.nodes; k++)
-            mail_report(machine_report_copy(message), k, simulation.now);
+            simulation_deliver_heartbeat(heartbeat_copy(message), k, simulation.now);
     }
 }
 
@@ -202,7 +202,7 @@
         later(&simulation.cloud_down_until, s);
         break;
     case FAULT_CANCEL:
-        simulation_cancel_some(0.5);
+        simulation_cancel_jobs(0.5);
         break;
     case FAULT_LOST_RESPONSES:
         later(&simulation.lost_until, s);
@@ -223,7 +223,7 @@
     }
 }
 
-double simulation_trouble_until(void)
+double simulation_faults_end(void)
 {
     double last = MAX(simulation.late_until,
                       MAX(simulation.copies_until, simulation.cloud_down_until));
--- a/tests/simulation/machines.c
+++ b/tests/simulation/machines.c
@@ -22,7 +22,7 @@
     return strcmp(machine->name, name) ? NULL : machine;
 }
 
-bool machine_reached(int node, const struct machine *machine)
+bool machine_reaches_node(int node, const struct machine *machine)
 {
     bool island = simulation.now < machine->island_until && machine->island == node;
     if (simulation.now < simulation.nodes[node].deaf_until ||
@@ -33,9 +33,10 @@
 }
 
 /* Whether anything from that node gets to the machine. */
-bool machine_told(int node, const struct machine *machine)
+bool node_reaches_machine(int node, const struct machine *machine)
 {
-    return machine_reached(node, machine) && simulation.now >= machine->unheard_until &&
+    return machine_reaches_node(node, machine) &&
+           simulation.now >= machine->unheard_until &&
            simulation.now >= machine->closed_until;
 }
 
@@ -73,7 +74,7 @@
     return token_at;
 }
 
-struct message *machine_report_copy(const struct message *message)
+struct message *heartbeat_copy(const struct message *message)
 {
     struct message *y = g_new0(struct message, 1);
 
@@ -92,10 +93,10 @@
         g_byte_array_unref((*place)->body);
         g_free(*place);
     }
-    *place = machine_report_copy(message);
+    *place = heartbeat_copy(message);
 }
 
-const struct message *machine_old_report(const struct machine *machine)
+const struct message *machine_old_heartbeat(const struct machine *machine)
 {
     unsigned n = MIN(machine->nreports, OLD_REPORTS);
 
@@ -128,7 +129,7 @@
             lmn_cbor_get_uint(lmn_cbor_get(document, node, WIRE_ATTEMPT), &attempt));
         char *slash = strrchr(name, '/');
         *slash = '\0';
-        int job = simulation_job(name), index = atoi(slash + 1), at = -1;
+        int job = simulation_job_index(name), index = atoi(slash + 1), at = -1;
         bool same_task = false;
         assert_true(job >= 0);
         for (int i = 0; i < machine->ntasks; i++) {
@@ -155,7 +156,7 @@
                                         WIRE_KILL)) {
             bool ours = attempt >> 24 == machine->token;
             if (at >= 0 && machine->tasks[at].state != ENDED &&
-                (ours || simulation.broken_guard != GUARD_KILL_INHERITED))
+                (ours || simulation.disabled_guard != GUARD_KILL_INHERITED))
                 machine->tasks[at].state = ENDED;
         } else if (at >= 0 && machine->tasks[at].state == ENDED) {
             machine->tasks[at] = machine->tasks[--machine->ntasks];
@@ -163,7 +164,7 @@
     }
 }
 
-void machine_answer(struct machine *machine, const struct message *message)
+void machine_handle_response(struct machine *machine, const struct message *message)
 {
     struct lmn_cbor_document d;
     uint64_t token = 0;
@@ -185,7 +186,7 @@
     lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN), &token);
     if (token >= machine->token && token) {
         bool kills =
-            simulation.broken_guard != GUARD_KILL_CANCELLED || token == machine->token;
+            simulation.disabled_guard != GUARD_KILL_CANCELLED || token == machine->token;
         if (token > machine->token)
             machine->next_report = simulation.now + 0.5;
         machine->token = token;
@@ -204,13 +205,14 @@
 
     simulation.old_terms += old_term;
     simulation.old_sessions += !old_term && old_session;
-    if (simulation.broken_guard == GUARD_FENCING_TOKEN)
+    if (simulation.disabled_guard == GUARD_FENCING_TOKEN)
         return true;
-    return (!old_term || simulation.broken_guard == GUARD_OLD_EPOCH) &&
-           (!old_session || simulation.broken_guard == GUARD_INCARNATION);
+    return (!old_term || simulation.disabled_guard == GUARD_OLD_EPOCH) &&
+           (!old_session || simulation.disabled_guard == GUARD_INCARNATION);
 }
 
-int machine_direct(struct machine *machine, const GByteArray *body, GByteArray *report)
+int machine_handle_command(struct machine *machine, const GByteArray *body,
+                           GByteArray *report)
 {
     struct lmn_cbor_document d;
     uint64_t token = 0, session = 0;
@@ -258,7 +260,7 @@
                 (simulation.jobs[task->job].spec.kind == LMN_JOB_SERVICE
                      ? 1e9
                      : g_rand_double_range(simulation.random, 1, simulation.run_s));
-            simulation_started(machine, task);
+            simulation_check_start(machine, task);
         } else {
             task->state = ENDED;
             task->done = true;
@@ -287,7 +289,7 @@
         message->session = machine->session;
         keep_report(machine, message);
         message->at =
-            simulation.now + (simulation_trouble(0.03)
+            simulation.now + (simulation_fault_chance(0.03)
                                   ? g_rand_double_range(simulation.random, 1, 30)
                                   : 0.02);
         if (schedule && schedule->link_s > 0)
--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -24,7 +24,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-bool node_served(const struct node *node)
+bool node_reaches_store(const struct node *node)
 {
     return simulation.now >= node->cut_until;
 }
@@ -44,7 +44,7 @@
                        LMN_NAME_SIZE, "n%02d", k);
     node->settings.partition_count = simulation.layout.nodes;
     node->settings.heartbeat_s = 1;
-    node->settings.lease_s = simulation.broken_guard == GUARD_LEASE
+    node->settings.lease_s = simulation.disabled_guard == GUARD_LEASE
                                  ? 0.3 * simulation.lease_s
                                  : simulation.lease_s;
     node->settings.cancel_s = simulation.cancel_s;
@@ -57,7 +57,7 @@
     node->settings.team_count = (size_t)simulation.teams;
     for (int k = 0; k < simulation.teams; k++) {
         g_strlcpy(node->settings.teams[k].name, simulation_team(k), LMN_NAME_SIZE);
-        node->settings.teams[k].cpus_max = simulation.broken_guard == GUARD_QUOTA
+        node->settings.teams[k].cpus_max = simulation.disabled_guard == GUARD_QUOTA
                                                ? 4 * simulation.layout.limit
                                                : simulation.layout.limit;
     }
@@ -91,7 +91,7 @@
     if (simulation.now < node->answer)
         return false;
     *upto = node->asked_len;
-    *asked = simulation.broken_guard == GUARD_VIEW_AGE ? simulation.now : node->asked;
+    *asked = simulation.disabled_guard == GUARD_VIEW_AGE ? simulation.now : node->asked;
     node->answer = 0;
     return true;
 }
@@ -133,12 +133,12 @@
     if (!core->cache.is_synced)
         core->cache.synced_at = simulation.clock;
     core->cache.is_synced = true;
-    if (simulation.broken_guard == GUARD_OWN_EPOCH)
+    if (simulation.disabled_guard == GUARD_OWN_EPOCH)
         trust_own_copies(core);
     lmn_watch_cache_begin_ownerships(core, simulation.clock);
 }
 
-struct lmn_member_health node_word(const struct node *node)
+struct lmn_member_health node_health(const struct node *node)
 {
     struct lmn_member_health word = node->core->members.health;
     word.cache_age_s = node->core->cache.is_synced
@@ -148,7 +148,7 @@
 }
 
 /* A write of the thread that holds the lease; what becomes of it is not always known. */
-enum lmn_txn_outcome node_send(struct node *node, struct lmn_txn *txn)
+enum lmn_txn_outcome node_send_txn(struct node *node, struct lmn_txn *txn)
 {
     enum lmn_txn_outcome r = LMN_TXN_UNKNOWN;
     uint64_t revision;
@@ -156,8 +156,8 @@
 
     digest_transaction("sending", simulation.clock, txn);
     digest_number((uint64_t)simulation.acting);
-    if (simulation_loses(txn, luck)) {
-        r = simulation_lose(node, txn);
+    if (simulation_response_is_lost(txn, luck)) {
+        r = simulation_commit_without_response(node, txn);
         lmn_txn_free(txn);
         return r;
     }
@@ -166,14 +166,14 @@
     if (luck > 0.9)
         r = LMN_TXN_UNKNOWN;
     if (luck > 0.97 || (r == LMN_TXN_UNKNOWN && simulation.now < simulation.late_until))
-        simulation_late(txn);
+        simulation_add_late_txn(txn);
     lmn_txn_free(txn);
     return r;
 }
 
 static void node_lease(struct node *node)
 {
-    if (node->lease && !simulation_lease_alive(node->lease)) {
+    if (node->lease && !simulation_lease_is_alive(node->lease)) {
         node->lease = node->core->lease.id = 0;
         for (int i = 0; i < simulation.layout.nodes; i++)
             if (node->core->partitions[i].ownership.is_owned)
@@ -194,14 +194,14 @@
     struct lmn_txn *txn =
         lmn_ownership_announce(node->core, node->lease, simulation.clock);
 
-    if (txn && simulation.broken_guard == GUARD_ANNOUNCE &&
+    if (txn && simulation.disabled_guard == GUARD_ANNOUNCE &&
         node->announced == node->lease) {
         lmn_txn_free(txn);
         return;
     }
     if (!txn)
         return;
-    enum lmn_txn_outcome r = node_send(node, txn);
+    enum lmn_txn_outcome r = node_send_txn(node, txn);
     lmn_ownership_announced(node->core, r);
     if (r == LMN_TXN_COMMITTED)
         node->announced = node->lease;
@@ -219,19 +219,19 @@
                   : lmn_ownership_suspicion(core, i, node->lease, simulation.clock);
         simulation.refutations += txn && i == core->members.self;
         if (txn)
-            node_send(node, txn);
+            node_send_txn(node, txn);
     }
     for (int i = 0; i < simulation.layout.nodes; i++) {
         uint64_t before = core->members.counters.failures_declared;
         if ((txn = lmn_ownership_claim(core, i, node->lease, simulation.clock))) {
             bool verdict = core->members.counters.failures_declared > before;
-            bool took = node_send(node, txn) == LMN_TXN_COMMITTED;
+            bool took = node_send_txn(node, txn) == LMN_TXN_COMMITTED;
             simulation.takeovers += took;
             simulation.failures_declared += took && verdict;
             node->judged[i] = verdict;
         }
         if ((txn = lmn_ownership_transfer(core, i, &successor, simulation.clock))) {
-            enum lmn_txn_outcome r = node_send(node, txn);
+            enum lmn_txn_outcome r = node_send_txn(node, txn);
             lmn_ownership_transferred(core, i, r, simulation.clock);
             simulation.transfers += r == LMN_TXN_COMMITTED;
         }
@@ -281,7 +281,7 @@
         simulation.transactions++;
         simulation.changes += lmn_txn_operation_count(txn);
         enum lmn_txn_outcome r =
-            simulation_send(node, txn, g_rand_double(simulation.random), &revision);
+            simulation_send_txn(node, txn, g_rand_double(simulation.random), &revision);
         lmn_txn_complete(txn, r, revision);
     }
 }
@@ -310,15 +310,15 @@
         g_hash_table_iter_init(&it, partition->machines);
         while (g_hash_table_iter_next(&it, NULL, &v)) {
             struct lmn_machine *machine = v;
-            if (simulation.broken_guard == GUARD_ACCOUNTED ||
-                (simulation.broken_guard == GUARD_DECLARED_FAILED && node->judged[i]))
+            if (simulation.disabled_guard == GUARD_ACCOUNTED ||
+                (simulation.disabled_guard == GUARD_DECLARED_FAILED && node->judged[i]))
                 machine->lifecycle.is_inherited = false;
-            if (simulation.broken_guard == GUARD_HEARTBEAT_ORDER)
+            if (simulation.disabled_guard == GUARD_HEARTBEAT_ORDER)
                 machine->agent.incarnation = machine->agent.sequence =
                     machine->agent.heartbeat_sequence = 0;
-            if (simulation.broken_guard == GUARD_PLACEMENT)
+            if (simulation.disabled_guard == GUARD_PLACEMENT)
                 machine->is_spot = false;
-            if (simulation.broken_guard == GUARD_ANTI_AFFINITY)
+            if (simulation.disabled_guard == GUARD_ANTI_AFFINITY)
                 for (GList *l = g_hash_table_get_values(node->core->cache.jobs); l;
                      l = l->next)
                     ((struct lmn_job *)l->data)->spec.spreads_over_zones =
@@ -326,18 +326,18 @@
             for (guint k = 0; k < machine->attempts->len; k++) {
                 struct lmn_attempt *attempt =
                     &g_array_index(machine->attempts, struct lmn_attempt, k);
-                if (simulation.broken_guard == GUARD_QUOTA_UNTIL_GONE && attempt->job &&
+                if (simulation.disabled_guard == GUARD_QUOTA_UNTIL_GONE && attempt->job &&
                     !lmn_job_may_run(node->core, attempt->job))
                     lmn_attempt_uncount(machine, attempt);
-                if (simulation.broken_guard == GUARD_UNCERTAIN_PUSH)
+                if (simulation.disabled_guard == GUARD_UNCERTAIN_PUSH)
                     attempt->push_is_uncertain = attempt->push_in_flight = false;
-                if (simulation.broken_guard == GUARD_DONE &&
+                if (simulation.disabled_guard == GUARD_DONE &&
                     attempt->state == LMN_ATTEMPT_RUNNING && attempt->range &&
                     attempt->range->task_states)
                     lmn_task_finished(attempt->range, attempt->index, simulation.clock);
             }
         }
-        if (simulation.broken_guard == GUARD_ONE_WRITE_PER_RANGE) {
+        if (simulation.disabled_guard == GUARD_ONE_WRITE_PER_RANGE) {
             g_hash_table_iter_init(&it, partition->ranges);
             while (g_hash_table_iter_next(&it, NULL, &v))
                 ((struct lmn_range *)v)->is_writing = false;
@@ -347,7 +347,7 @@
         }
         lmn_partition_check_ready(node->core, partition, simulation.clock);
     }
-    if (simulation.broken_guard == GUARD_STALE_VIEW)
+    if (simulation.disabled_guard == GUARD_STALE_VIEW)
         node->core->cache.fresh_at = simulation.clock;
 }
 
@@ -357,8 +357,8 @@
 {
     static const uint64_t pretended = G_MAXUINT64;
 
-    for (int i = 0;
-         i < simulation.layout.nodes && simulation.broken_guard == GUARD_MACHINE_RECORDED;
+    for (int i = 0; i < simulation.layout.nodes &&
+                    simulation.disabled_guard == GUARD_MACHINE_RECORDED;
          i++) {
         const GPtrArray *list = node->core->partitions[i].machine_list;
         for (guint k = 0; k < list->len; k++) {
@@ -451,7 +451,7 @@
         for (int i = 0; i < simulation.layout.nodes * simulation.layout.nodes; i++) {
             struct node *o = &simulation.nodes[i % simulation.layout.nodes];
             int victim = (first + i / simulation.layout.nodes) % simulation.layout.nodes;
-            if (victim != part && node_talks(node, o) &&
+            if (victim != part && node_reaches_node(node, o) &&
                 o->core->partitions[victim].ownership.is_owned)
                 got |= ask_for_limit(o, victim, part, &want);
         }
@@ -533,21 +533,22 @@
     if (simulation.now < node->still_until)
         return;
     pass_for_recorded(node, false);
-    if (simulation_trouble(simulation.flapping ? 0.004 : 0.001))
+    if (simulation_fault_chance(simulation.flapping ? 0.004 : 0.001))
         node->still_until =
             simulation.now + g_rand_double_range(simulation.random, 0.5, 12);
-    if (simulation_trouble(simulation.flapping ? 0.004 : 0.0007))
+    if (simulation_fault_chance(simulation.flapping ? 0.004 : 0.0007))
         node->deaf_until = simulation.now + g_rand_double_range(simulation.random, 5, 40);
-    if (simulation_trouble(simulation.flapping ? 0.004 : 0.0007))
+    if (simulation_fault_chance(simulation.flapping ? 0.004 : 0.0007))
         node->mute_until = simulation.now + g_rand_double_range(simulation.random, 2, 20);
-    if (simulation_trouble(0.0012)) { /* a crash: memory is gone, its lease runs on */
+    if (simulation_fault_chance(
+            0.0012)) { /* a crash: memory is gone, its lease runs on */
         node_crash(node, g_rand_double_range(simulation.random, 1, 6));
         return;
     }
     /* A successor's return of a machine ends what the fence guards against: it is tried
      * on days of many long cuts in which the cloud can't be reached either. */
-    bool fence = simulation.broken_guard == GUARD_STALE_VIEW;
-    if (simulation_trouble(fence ? 0.004 : 0.001)) {
+    bool fence = simulation.disabled_guard == GUARD_STALE_VIEW;
+    if (simulation_fault_chance(fence ? 0.004 : 0.001)) {
         node->cut_until =
             simulation.now + g_rand_double_range(simulation.random, fence ? 20 : 1, 40);
         if (fence)
@@ -562,27 +563,27 @@
         if (simulation_chance(0.5))
             node->zone_until = node->cut_until;
     }
-    bool cut = !node_served(node);
+    bool cut = !node_reaches_store(node);
     if (!cut) {
         node_lease(node);
         if (simulation_chance(0.7))
             node_follow(node);
     }
-    node_ask(node, i);
+    node_send_probes(node, i);
     if (!cut)
         node_announce(node);
     if (!cut && node->core->cache.is_synced)
         node_hold(node);
-    if (simulation.standbys && simulation_trouble(0.0015))
+    if (simulation.standbys && simulation_fault_chance(0.0015))
         lmn_shutdown_begin(node->core, simulation.clock);
     if (!cut && node_leave(node))
         return;
-    if (simulation.broken_guard)
+    if (simulation.disabled_guard)
         break_guards(node);
     pass_for_recorded(node, true);
     double wall = simulation.now;
     lmn_update_job_order(node->core, wall);
-    if (simulation.broken_guard == GUARD_FAIR_SHARE)
+    if (simulation.disabled_guard == GUARD_FAIR_SHARE)
         drop_floors(node->core);
     for (int i = 0;
          i < node->core->partition_count &&
@@ -591,7 +592,7 @@
         lmn_update_reservations(node->core, &node->core->partitions[i], simulation.clock);
     lmn_maintenance_run(node->core, simulation.clock);
     for (int k = 0;
-         k < simulation.layout.nodes && simulation.broken_guard == GUARD_UNACCOUNTED;
+         k < simulation.layout.nodes && simulation.disabled_guard == GUARD_UNACCOUNTED;
          k++) {
         node->core->partitions[k].ownership.unaccounted_cpus =
             node->core->partitions[k].ownership.unaccounted_gpus = 0;
@@ -613,9 +614,9 @@
             digest_transaction("refusal", simulation.clock, txn);
             lmn_txn_complete(txn, LMN_TXN_REJECTED, 0);
         }
-    node_tell(node, i, cut);
-    node_release(node);
-    node_direct(node);
+    node_replicate(node, i, cut);
+    node_send_deferred(node);
+    node_call_workers(node);
     node_steal(node);
     node_quota(node);
     node_cloud(node);
--- a/tests/simulation/peers.c
+++ b/tests/simulation/peers.c
@@ -19,7 +19,7 @@
            simulation.now >= x->zone_until && simulation.now >= y->zone_until;
 }
 
-bool node_talks(const struct node *from, const struct node *to)
+bool node_reaches_node(const struct node *from, const struct node *to)
 {
     return from == to ||
            (talk((int)(from - simulation.nodes), (int)(to - simulation.nodes)) &&
@@ -77,12 +77,13 @@
     for (unsigned i = 0; i < n; i++)
         simulation.tombstones +=
             lmn_tombstone_receive(to->core, refs[i], simulation.clock);
-    if (!simulation_trouble(0.05)) /* else the answer is lost, and they are told again */
+    if (!simulation_fault_chance(
+            0.05)) /* else the answer is lost, and they are told again */
         lmn_tombstones_acknowledge(&from->core->cache.tombstones, member_index, upto);
 }
 
 /* Ranks are places by name, as the nodes are numbered. */
-void node_ask(struct node *node, int me)
+void node_send_probes(struct node *node, int me)
 {
     struct lmn_members *members = &node->core->members;
     struct lmn_probe q;
@@ -92,23 +93,23 @@
     while (
         lmn_member_next_probe(members, simulation.random, simulation.clock, &q, &wait)) {
         struct node *o = &simulation.nodes[q.member];
-        struct lmn_member_health mine = node_word(node);
+        struct lmn_member_health mine = node_health(node);
         digest_word("question", me, q.member, &mine);
         digest_number((uint64_t)q.about);
         digest_real(q.timeout_s);
         if (!talk(me, q.member) || simulation.now < o->still_until ||
-            simulation_trouble(0.05)) {
+            simulation_fault_chance(0.05)) {
             lmn_member_record_probe_timeout(members, q.member, simulation.clock,
                                             simulation.clock);
             continue;
         }
-        struct lmn_member_health its = node_word(o);
+        struct lmn_member_health its = node_health(o);
         lmn_member_record_contact(&o->core->members, me, &mine, simulation.clock,
                                   simulation.clock);
         tell(node, o, q.about);
         if (q.about >= 0)
             lmn_member_request_probe(&o->core->members, q.about, simulation.clock);
-        if (simulation_trouble(0.05)) { /* the answer is lost */
+        if (simulation_fault_chance(0.05)) { /* the answer is lost */
             lmn_member_record_probe_timeout(members, q.member, simulation.clock,
                                             simulation.clock);
             continue;
@@ -154,7 +155,7 @@
     (void)node;
 }
 
-void node_tell(struct node *node, int me, bool cut)
+void node_replicate(struct node *node, int me, bool cut)
 {
     for (int i = 0; i < simulation.layout.nodes; i++) {
         struct lmn_partition *partition = &node->core->partitions[i];
@@ -167,7 +168,7 @@
             step = lmn_replication_next_step(node->core, partition, simulation.clock,
                                              &batch, &txn, &wait);
             if (step == LMN_REPLICATION_WRITE && !cut)
-                node_send(node, txn);
+                node_send_txn(node, txn);
             else if (step == LMN_REPLICATION_WRITE)
                 lmn_txn_free(txn);
             if (step != LMN_REPLICATION_SEND)
@@ -175,12 +176,13 @@
             struct node *o =
                 &simulation.nodes[partition->replication.stream.standby_index];
             bool heard = talk(me, partition->replication.stream.standby_index) &&
-                         simulation.now >= o->still_until && !simulation_trouble(0.02);
+                         simulation.now >= o->still_until &&
+                         !simulation_fault_chance(0.02);
             if (heard) {
-                struct lmn_replication_batch *same = batch_twin(batch);
+                struct lmn_replication_batch *same = replication_batch_copy(batch);
                 answer = lmn_replica_apply(o->core, same, simulation.clock);
                 lmn_replication_batch_free(same);
-                heard = !simulation_trouble(0.02);
+                heard = !simulation_fault_chance(0.02);
             }
             digest_batch(me, partition->replication.stream.standby_index,
                          simulation.clock, batch, heard, answer);
@@ -218,7 +220,7 @@
 
 /* How the waiting of controller/replication_thread.c ends, and that of the lanes of
  * partition/worker_client.c. */
-void node_release(struct node *node)
+void node_send_deferred(struct node *node)
 {
     for (guint i = 0; i < node->waiting->len;) {
         struct waiter *x = node->waiting->pdata[i];
@@ -226,7 +228,7 @@
         struct machine *machine = &simulation.machines[x->machine];
         bool ours =
             partition->ownership.is_owned && partition->ownership.epoch == x->held.epoch;
-        bool go = simulation.broken_guard == GUARD_REPLICATED ||
+        bool go = simulation.disabled_guard == GUARD_REPLICATED ||
                   (ours && lmn_replication_covers(partition, x->held.log_position));
         if (ours && !go && simulation.now - x->since <= LMN_REPLICATION_DEFER_S) {
             i++;
@@ -240,9 +242,11 @@
             GByteArray *answer = g_byte_array_new();
             int status = LMN_HTTP_NOT_SENT;
             if (go)
-                status = there && machine_told((int)(node - simulation.nodes), machine) &&
+                status = there &&
+                                 node_reaches_machine((int)(node - simulation.nodes),
+                                                      machine) &&
                                  !held_up(machine, x->body)
-                             ? machine_direct(machine, x->body, answer)
+                             ? machine_handle_command(machine, x->body, answer)
                              : LMN_HTTP_NO_RESPONSE;
             lmn_worker_client_push_done(node->core, x->held.machine, status, answer,
                                         simulation.clock);
@@ -254,16 +258,16 @@
             struct message answer = {
                 .body = x->body, .session = x->session, .seq = x->seq};
             if (there && simulation.now >= machine->unheard_until)
-                machine_answer(machine, &answer);
+                machine_handle_response(machine, &answer);
         }
         g_byte_array_unref(x->body);
         g_free(x);
     }
 }
 
-void node_hold_back(struct node *node, const struct lmn_deferred_starts *deferred,
-                    const struct message *message, struct machine *machine,
-                    GByteArray *body)
+void node_defer_starts(struct node *node, const struct lmn_deferred_starts *deferred,
+                       const struct message *message, struct machine *machine,
+                       GByteArray *body)
 {
     struct waiter *y = g_new0(struct waiter, 1);
 
@@ -278,7 +282,7 @@
     g_ptr_array_add(node->waiting, y);
 }
 
-void node_direct(struct node *node)
+void node_call_workers(struct node *node)
 {
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
     char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
@@ -293,7 +297,7 @@
         digest_text(addr);
         digest_number(epoch);
         struct machine *machine = machine_named(name);
-        if (!machine || !machine_told(me, machine) || simulation_chance(0.3)) {
+        if (!machine || !node_reaches_machine(me, machine) || simulation_chance(0.3)) {
             lmn_worker_client_probe_done(node->core, name, epoch, LMN_HTTP_NO_RESPONSE,
                                          answer, simulation.clock);
             continue;
@@ -310,8 +314,9 @@
         lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
             lmn_cbor_put_uint(body, machine->session);
         lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, 0);
-        int status = held_up(machine, body) ? LMN_HTTP_NO_RESPONSE
-                                            : machine_direct(machine, body, answer);
+        int status = held_up(machine, body)
+                         ? LMN_HTTP_NO_RESPONSE
+                         : machine_handle_command(machine, body, answer);
         lmn_worker_client_probe_done(node->core, name, epoch, status, answer,
                                      simulation.clock);
     }
@@ -334,12 +339,12 @@
             g_byte_array_append(own, body->data, body->len);
             held.epoch = node->core->partitions[held.partition].ownership.epoch;
             g_strlcpy(held.machine, name, LMN_NAME_SIZE);
-            node_hold_back(node, &held, NULL, machine, own);
+            node_defer_starts(node, &held, NULL, machine, own);
             g_byte_array_unref(own);
             continue;
         }
         g_byte_array_set_size(answer, 0);
-        if (!machine || !machine_told(me, machine) || luck < 0.25) {
+        if (!machine || !node_reaches_machine(me, machine) || luck < 0.25) {
             /* No answer: lost for good, or delivered up to half a minute later. */
             if (machine && !machine->dead && simulation_chance(0.8))
                 call_late(machine, body,
@@ -351,7 +356,7 @@
             lmn_worker_client_push_done(node->core, name, LMN_HTTP_NO_RESPONSE, answer,
                                         simulation.clock);
         } else {
-            int status = machine_direct(machine, body, answer);
+            int status = machine_handle_command(machine, body, answer);
             lmn_worker_client_push_done(node->core, name, status, answer,
                                         simulation.clock);
         }
--- a/tests/simulation/request_handling.c
+++ b/tests/simulation/request_handling.c
@@ -83,15 +83,15 @@
     read->absent_status = absent_status;
     read->received_at = simulation.clock;
     g_strlcpy(read->job_id, q->ref, sizeof read->job_id);
-    if (simulation.broken_guard != GUARD_SHARED_CONFIRMATION ||
+    if (simulation.disabled_guard != GUARD_SHARED_CONFIRMATION ||
         !join(&askers[q->node], read))
         lmn_read_batch_add(&askers[q->node].asks, read);
 }
 
 static void answer(struct lmn_read_request *read, const struct lmn_job_reply *reply)
 {
-    request_reply(request_of(read), reply);
-    request_over(request_of(read));
+    request_return(request_of(read), reply);
+    request_finish(request_of(read));
     g_free(read);
 }
 
@@ -119,7 +119,7 @@
 static void read_job(struct asker *k, const struct node *node, const char *ref)
 {
     lmn_job_reading_clear(&k->reading);
-    if (node_served(node) && !chance(0.02))
+    if (node_reaches_store(node) && !chance(0.02))
         simulation_read_record(ref, &k->reading);
     else
         k->reading.status = LMN_HTTP_NO_RESPONSE;
@@ -139,7 +139,7 @@
     struct lmn_job_reply r;
     uint64_t revision = 0;
 
-    if (simulation.broken_guard == GUARD_FINAL && k->reading.status == 200) {
+    if (simulation.disabled_guard == GUARD_FINAL && k->reading.status == 200) {
         /* Written whatever the record has become. */
         lmn_job_reading_clear(&k->reading);
         simulation_read_record(ref, &k->reading);
@@ -152,8 +152,8 @@
         return;
     }
     k->outcome =
-        node_served(node)
-            ? simulation_send(node, txn, g_rand_double(random_numbers), &revision)
+        node_reaches_store(node)
+            ? simulation_send_txn(node, txn, g_rand_double(random_numbers), &revision)
             : LMN_TXN_REJECTED;
     lmn_txn_free(txn);
     if (k->outcome == LMN_TXN_COMMITTED)
@@ -179,11 +179,11 @@
     struct lmn_txn *txn = lmn_confirmation_txn(k->views, k->n);
     k->outcome = simulation_confirm(txn, k->failed);
     lmn_txn_free(txn);
-    if (!node_served(node))
+    if (!node_reaches_store(node))
         k->outcome = LMN_TXN_REJECTED;
     else if (chance(simulation.now < simulation.lost_until ? 0.3 : 0.02))
         k->outcome = LMN_TXN_UNKNOWN;
-    if (simulation.broken_guard == GUARD_CONFIRM)
+    if (simulation.disabled_guard == GUARD_CONFIRM)
         k->outcome = LMN_TXN_COMMITTED;
     k->stage = CONFIRM_ENDS;
     k->at = simulation.now + on_the_way(node);
@@ -293,14 +293,14 @@
     lmn_read_batch_init(&k->asks);
 }
 
-void serving_begin(GRand *r)
+void request_handling_begin(GRand *r)
 {
     random_numbers = r;
     for (int i = 0; i < MAX_NODES; i++)
         reset(&askers[i], NULL);
 }
 
-void serving_step(void)
+void request_handling_step(void)
 {
     for (int i = 0; i < simulation.layout.nodes; i++) {
         struct node *node = &simulation.nodes[i];
@@ -323,15 +323,15 @@
     (void)txn;
     (void)revision;
 
-    if (simulation.broken_guard == GUARD_UNKNOWN_OUTCOME && outcome == LMN_TXN_UNKNOWN)
+    if (simulation.disabled_guard == GUARD_UNKNOWN_OUTCOME && outcome == LMN_TXN_UNKNOWN)
         outcome = LMN_TXN_COMMITTED;
     struct lmn_request_decision d = lmn_decide_submitted(outcome);
     if (d.step != LMN_STEP_REPLY) {
         enqueue(LMN_READ_STATUS, q, d.absent_status);
         return;
     }
-    request_reply(q, &d.reply);
-    request_over(q);
+    request_return(q, &d.reply);
+    request_finish(q);
 }
 
 static GByteArray *body_of(const struct request *q)
@@ -365,14 +365,14 @@
 {
     struct lmn_request_decision d = decide(q, node);
 
-    if (simulation.broken_guard == GUARD_DUPLICATE_REQUEST && q->form != SOUND &&
+    if (simulation.disabled_guard == GUARD_DUPLICATE_REQUEST && q->form != SOUND &&
         d.step == LMN_STEP_CONFIRM)
         d = (struct lmn_request_decision){.step = LMN_STEP_REPLY,
                                           .reply.status = d.absent_status};
     switch (d.step) {
     case LMN_STEP_REPLY:
-        request_reply(q, &d.reply);
-        request_over(q);
+        request_return(q, &d.reply);
+        request_finish(q);
         break;
     case LMN_STEP_CONFIRM:
         enqueue(LMN_READ_STATUS, q, d.absent_status);
@@ -387,12 +387,12 @@
     }
 }
 
-void serving_arrive(struct request *q)
+void request_handling_advance(struct request *q)
 {
     struct node *node = &simulation.nodes[q->node];
 
     if (!node_up(node) || !node->core || (q->arrived && q->life != node->core)) {
-        request_over(q); /* nobody answers */
+        request_finish(q); /* nobody answers */
         return;
     }
     if (simulation.now < node->still_until)
@@ -403,6 +403,6 @@
         carry_out(q, node);
     } else if (!q->answered && simulation.now - q->sent > PATIENCE_S) {
         const struct lmn_job_reply r = lmn_job_reply_unavailable();
-        request_reply(q, &r);
+        request_return(q, &r);
     }
 }
--- a/tests/simulation/requests.h
+++ b/tests/simulation/requests.h
@@ -33,16 +33,16 @@
 /* --- request_handling.c: what the controllers do with them --- */
 
 /* Forgets what an earlier day has left; random numbers are of r. */
-void serving_begin(GRand *r);
+void request_handling_begin(GRand *r);
 /* As far as it gets at this instant. */
-void serving_arrive(struct request *q);
-void serving_step(void);
+void request_handling_advance(struct request *q);
+void request_handling_step(void);
 
 /* --- users.c --- */
 
 /* The first answer; the user hears no other. */
-void request_reply(struct request *q, const struct lmn_job_reply *reply);
+void request_return(struct request *q, const struct lmn_job_reply *reply);
 /* The controller has nothing more to do with it. */
-void request_over(struct request *q);
+void request_finish(struct request *q);
 
 #endif
--- a/tests/simulation/rules.c
+++ b/tests/simulation/rules.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-int simulation_job(const char *ref)
+int simulation_job_index(const char *ref)
 {
     int i = strlen(ref) > 4 ? atoi(ref + 4) : -1;
 
@@ -13,7 +13,7 @@
 
 /* Whether what the machine holds still counts. One that hangs past its lease has lost its
  * tasks, though it will notice only when it goes on. */
-bool simulation_holds(const struct machine *machine)
+bool simulation_machine_is_live(const struct machine *machine)
 {
     /* Nor in the step in which it goes on, before its turn: the first thing that it does
      * is to end them. */
@@ -23,12 +23,12 @@
            !(hangs && simulation.now - machine->lease_from > simulation.lease_s);
 }
 
-bool simulation_active(const struct machine *machine, const struct task *task)
+bool simulation_task_is_active(const struct machine *machine, const struct task *task)
 {
-    return task->state != ENDED && simulation_holds(machine);
+    return task->state != ENDED && simulation_machine_is_live(machine);
 }
 
-void simulation_started(struct machine *machine, const struct task *task)
+void simulation_check_start(struct machine *machine, const struct task *task)
 {
     struct job *job = &simulation.jobs[task->job];
     double cpus = 0;
@@ -38,44 +38,46 @@
         for (int k = 0; k < simulation.machines[i].ntasks; k++) {
             const struct task *o = &simulation.machines[i].tasks[k];
             here += o->job == task->job && o->state == RUNNING &&
-                    simulation_holds(&simulation.machines[i]) &&
+                    simulation_machine_is_live(&simulation.machines[i]) &&
                     !strcmp(simulation.machines[i].zone, machine->zone);
-            if (o->state != RUNNING || !simulation_holds(&simulation.machines[i]))
+            if (o->state != RUNNING ||
+                !simulation_machine_is_live(&simulation.machines[i]))
                 continue;
             elsewhere += o->job == task->job &&
                          strcmp(simulation.machines[i].zone, machine->zone) != 0;
             if (&simulation.machines[i] != machine && o->job == task->job &&
                 o->index == task->index)
-                simulation.broken_rules[R_TWICE]++;
+                simulation.violations[RULE_RAN_TWICE]++;
             if (!strcmp(simulation.jobs[o->job].spec.team, job->spec.team))
                 cpus += simulation.jobs[o->job].spec.cpus;
         }
     if (cpus > simulation.layout.limit + 1e-6)
-        simulation.broken_rules[R_QUOTA]++;
+        simulation.violations[RULE_QUOTA_EXCEEDED]++;
     if ((machine->spot && !job->spec.may_use_spot) ||
         (job->spec.zone && strcmp(job->spec.zone, machine->zone)))
-        simulation.broken_rules[R_PLACE]++;
+        simulation.violations[RULE_WRONG_PLACE]++;
     if (job->spec.spreads_over_zones && here > (job->spec.tasks + 1) / 2)
-        simulation.broken_rules[R_PLACE]++;
+        simulation.violations[RULE_WRONG_PLACE]++;
     if (job->spec.requires_one_zone && elsewhere)
-        simulation.broken_rules[R_PLACE]++;
+        simulation.violations[RULE_WRONG_PLACE]++;
     if (job->began_at < 0)
         job->began_at = simulation.now;
     simulation.starts++;
 }
 
-void simulation_check(void)
+void simulation_check_rules(void)
 {
     for (int i = 0; i < simulation.layout.machines; i++)
         for (int k = 0; k < simulation.machines[i].ntasks; k++) {
             const struct task *task = &simulation.machines[i].tasks[k];
             const struct job *job = &simulation.jobs[task->job];
-            if (task->state != RUNNING || !simulation_holds(&simulation.machines[i]) ||
+            if (task->state != RUNNING ||
+                !simulation_machine_is_live(&simulation.machines[i]) ||
                 job->cancelled_at < 0)
                 continue;
             double margin = simulation.cancel_s - (simulation.now - job->cancelled_at);
             simulation.least_margin = MIN(simulation.least_margin, margin);
-            simulation.broken_rules[R_CANCELLED] += margin < 0;
+            simulation.violations[RULE_RAN_CANCELLED] += margin < 0;
         }
     for (int i = 0; i < simulation.njobs; i++) {
         struct job *job = &simulation.jobs[i];
@@ -94,12 +96,12 @@
             simulation.finished++;
             for (uint32_t k = 0; k < job->spec.tasks; k++)
                 if (!job->done[k]) {
-                    simulation.broken_rules[R_NOT_DONE]++;
+                    simulation.violations[RULE_DONE_TOO_EARLY]++;
                     break;
                 }
         }
         if ((job->told_done && phase != LMN_JOB_DONE) ||
             (job->cancelled_at >= 0 && phase != LMN_JOB_CANCELLED))
-            simulation.broken_rules[R_WENT_BACK]++;
+            simulation.violations[RULE_STATE_REVERTED]++;
     }
 }
--- a/tests/simulation/scenario.c
+++ b/tests/simulation/scenario.c
@@ -42,12 +42,12 @@
            simulation_chance(STEP_S / s);
 }
 
-double scenario_drawn(double from, double to)
+double scenario_random(double from, double to)
 {
     return g_rand_double_range(simulation.random, from, to);
 }
 
-void scenario_usual_draw(struct schedule *p, GRand *r)
+void scenario_default_parameters(struct schedule *p, GRand *r)
 {
     p->lease_s = g_rand_double_range(r, 5, 12);
     p->cancel_s = p->lease_s + g_rand_double_range(r, 5, 24);
@@ -68,7 +68,7 @@
 static double since_faults(void)
 {
     return simulation.now -
-           MAX(simulation_trouble_until(), 1000 + simulation.layout.steps * STEP_S);
+           MAX(simulation_faults_end(), 1000 + simulation.layout.steps * STEP_S);
 }
 
 bool scenario_is_over(void)
@@ -102,8 +102,8 @@
     }
     if (scenario_is_over()) {
         simulation.run_s = 3;
-        if (well < 0 && simulation.now > simulation_trouble_until() &&
-            simulation_is_well())
+        if (well < 0 && simulation.now > simulation_faults_end() &&
+            simulation_is_recovered())
             well = since_faults();
         if (answered < 0 && all_answered())
             answered = MAX(since_faults(), 0);
@@ -115,7 +115,8 @@
     }
     played->step();
     /* Without its guard, a day is over as soon as it has failed. */
-    if (simulation.broken_guard && played->rule == NOT_SERVED && *simulation.unserved)
+    if (simulation.disabled_guard && played->rule == NOT_SERVED &&
+        *simulation.service_failure)
         simulation.layout.steps = simulation.layout.calm = 0;
 }
 
@@ -151,16 +152,16 @@
     char *name = g_strconcat(m->name, g ? "_without_guard" : "", NULL);
     digest_begin(program_invocation_short_name, name, seed);
     g_free(name);
-    simulation_play(m->layout ? m->layout : &day, seed, g);
+    simulation_run(m->layout ? m->layout : &day, seed, g);
     digest_end();
     standbys = false;
     schedule = NULL;
     bool broke = false;
-    for (int i = 0; i < RULES; i++)
-        broke = broke ||
-                (simulation.broken_rules[i] && (m->rule == i || m->rule == ANY_RULE));
-    return broke || (m->rule == NOT_RECOVERED && !simulation_is_well()) ||
-           (m->rule == NOT_SERVED && *simulation.unserved);
+    for (int i = 0; i < RULE_COUNT; i++)
+        broke =
+            broke || (simulation.violations[i] && (m->rule == i || m->rule == ANY_RULE));
+    return broke || (m->rule == NOT_RECOVERED && !simulation_is_recovered()) ||
+           (m->rule == NOT_SERVED && *simulation.service_failure);
 }
 
 static void holds(void **state)
@@ -173,24 +174,24 @@
 
     for (uint32_t seed = 1; seed <= factor * m->days; seed++) {
         play(m, seed, GUARD_NONE);
-        for (int i = 0; i < RULES; i++)
-            if (simulation.broken_rules[i])
+        for (int i = 0; i < RULE_COUNT; i++)
+            if (simulation.violations[i])
                 fail_msg("%s, seed %u: %s broken %u times", m->name, seed, rule_names[i],
-                         simulation.broken_rules[i]);
-        if (!simulation_is_well())
+                         simulation.violations[i]);
+        if (!simulation_is_recovered())
             fail_msg("%s, seed %u: not all is well at the end", m->name, seed);
         const struct job *one;
         unsigned n = unfinished(&one);
         if (n) {
-            simulation_explain(one);
+            simulation_print_wait_reasons(one);
             fail_msg("%s, seed %u: %u jobs have not run, as %s", m->name, seed, n,
                      one->id);
         }
         if (simulation.layout.calm > layout->calm)
             fail_msg("%s, seed %u: the last job was answered %.0f s late", m->name, seed,
                      (simulation.layout.calm - layout->calm) * STEP_S);
-        if (*simulation.unserved)
-            fail_msg("%s, seed %u: %s", m->name, seed, simulation.unserved);
+        if (*simulation.service_failure)
+            fail_msg("%s, seed %u: %s", m->name, seed, simulation.service_failure);
         if (well < 0 || well > LONGEST_S)
             fail_msg("%s, seed %u: all was well %.1f s after the last trouble", m->name,
                      seed, well);
@@ -227,9 +228,9 @@
     for (uint32_t seed = 1; seed <= 10 * m->days; seed++)
         if (play(m, seed, m->guard)) {
             print_message("%s: broken without its guard by seed %u:", m->name, seed);
-            for (int i = 0; i < RULES; i++)
-                if (simulation.broken_rules[i])
-                    print_message(" %s %u", rule_names[i], simulation.broken_rules[i]);
+            for (int i = 0; i < RULE_COUNT; i++)
+                if (simulation.violations[i])
+                    print_message(" %s %u", rule_names[i], simulation.violations[i]);
             print_message("\n");
             return;
         }
--- a/tests/simulation/scenario.h
+++ b/tests/simulation/scenario.h
@@ -9,7 +9,7 @@
 /* What a scenario breaks without its guard besides a single rule: any of them, or that
  * the service recovers by the end of the day, or that everything is served in time
  * (simulation/service_checks.c). */
-enum { ANY_RULE = RULES, NOT_RECOVERED, NOT_SERVED };
+enum { ANY_RULE = RULE_COUNT, NOT_RECOVERED, NOT_SERVED };
 
 struct scenario {
     const char *name;
@@ -32,9 +32,9 @@
 /* About every so many seconds, as long as faults are to begin. */
 bool scenario_every(double s);
 /* A random number of the day. */
-double scenario_drawn(double from, double to);
+double scenario_random(double from, double to);
 /* Usual leases, limits of cancellations and run times. */
-void scenario_usual_draw(struct schedule *p, GRand *r);
+void scenario_default_parameters(struct schedule *p, GRand *r);
 /* Whether no fault begins any more. */
 bool scenario_is_over(void);
 
--- a/tests/simulation/service_checks.c
+++ b/tests/simulation/service_checks.c
@@ -9,14 +9,14 @@
 static const double BESIDE_S = 90;
 static const double MACHINE_CPUS = 6;
 
-void simulation_unserved(const char *format, ...)
+void simulation_fail_service(const char *format, ...)
 {
     va_list v;
 
-    if (*simulation.unserved)
+    if (*simulation.service_failure)
         return;
     va_start(v, format);
-    g_vsnprintf(simulation.unserved, sizeof simulation.unserved, format, v);
+    g_vsnprintf(simulation.service_failure, sizeof simulation.service_failure, format, v);
     va_end(v);
 }
 
@@ -44,7 +44,7 @@
         for (int k = 0; k < machine->ntasks; k++) {
             const struct task *task = &machine->tasks[k];
             const struct job *job = &simulation.jobs[task->job];
-            if (!simulation_active(machine, task))
+            if (!simulation_task_is_active(machine, task))
                 continue;
             l->team[team_of(job)] += job->spec.cpus;
             l->machine[i] += job->spec.cpus;
@@ -54,7 +54,7 @@
     }
 }
 
-double simulation_team_use(int team)
+double simulation_team_cpus(int team)
 {
     static struct load l;
 
@@ -126,7 +126,7 @@
     return lmn_wait_reason_name(said);
 }
 
-void simulation_explain(const struct job *j)
+void simulation_print_wait_reasons(const struct job *j)
 {
     static struct load l;
     int job = (int)(j - simulation.jobs);
@@ -151,16 +151,17 @@
         *since = simulation.now;
     simulation.longest_beside = MAX(simulation.longest_beside, simulation.now - *since);
     if (simulation.now - *since >= BESIDE_S)
-        simulation_unserved("%s has waited for %.0f s beside %s: %s", job->id,
-                            simulation.now - *since, simulation.machines[machine].name,
-                            reason(job, &simulation.machines[machine]));
+        simulation_fail_service("%s has waited for %.0f s beside %s: %s", job->id,
+                                simulation.now - *since,
+                                simulation.machines[machine].name,
+                                reason(job, &simulation.machines[machine]));
 }
 
-void simulation_check_served(void)
+void simulation_check_service(void)
 {
     static struct load l;
 
-    if (!simulation.calm || simulation.now < simulation_trouble_until()) {
+    if (!simulation.calm || simulation.now < simulation_faults_end()) {
         simulation.quiet_from = simulation.now;
         return;
     }
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -73,28 +73,28 @@
 
 /* What a transaction is for. */
 enum txn_kind {
-    TXN_ACCEPTANCE,
+    TXN_SUBMISSION,
     TXN_CANCELLATION,
-    TXN_CLAIM, /* or a partition is given away */
-    TXN_LIMIT,
+    TXN_OWNERSHIP, /* or a partition is given away */
+    TXN_QUOTA,
     TXN_RANGE,
-    TXN_BLOCK,
+    TXN_MACHINE_BLOCK,
     TXN_STANDBY,
     TXN_SUSPICION,
-    TXN_MEMBER, /* a controller's record of itself */
-    TXN_KINDS
+    TXN_MEMBER_RECORD, /* a controller's record of itself */
+    TXN_KIND_COUNT
 };
 
 enum rule {
-    R_TWICE,
-    R_QUOTA,
-    R_PLACE,
-    R_CANCELLED,
-    R_NOT_DONE,
-    R_WENT_BACK,
-    R_FORGOTTEN,
-    R_INVENTED,
-    RULES
+    RULE_RAN_TWICE,
+    RULE_QUOTA_EXCEEDED,
+    RULE_WRONG_PLACE,
+    RULE_RAN_CANCELLED,
+    RULE_DONE_TOO_EARLY,
+    RULE_STATE_REVERTED,
+    RULE_JOB_FORGOTTEN,
+    RULE_JOB_INVENTED,
+    RULE_COUNT
 };
 
 /* --- the state service --- */
@@ -248,16 +248,16 @@
     double cloud_down_until;
     double late_until, copies_until; /* many transactions, and reports, are late */
     double lost_until;               /* many transactions' answers are lost */
-    int lost_kind;                   /* of this kind (enum txn_kind); TXN_KINDS: of all */
-    bool lost_ends;                  /* their controllers often end with it */
+    int lost_kind;  /* of this kind (enum txn_kind); TXN_KIND_COUNT: of all */
+    bool lost_ends; /* their controllers often end with it */
     double repeated_reads_until, odd_requests_until, cancel_at_end_until;
-    double keep_until;     /* copies of reports are kept for the next leader */
-    GPtrArray *kept;       /* struct kept_report */
-    int acting;            /* the controller whose step this is */
-    double commands_until; /* many direct commands are */
-    double quiet_from;     /* no fault has been in force since */
-    double longest_beside; /* a task has waited beside a machine with room for it */
-    char unserved[160];    /* what the day fails by, besides the rules */
+    double keep_until;         /* copies of reports are kept for the next leader */
+    GPtrArray *kept;           /* struct kept_report */
+    int acting;                /* the controller whose step this is */
+    double commands_until;     /* many direct commands are */
+    double quiet_from;         /* no fault has been in force since */
+    double longest_beside;     /* a task has waited beside a machine with room for it */
+    char service_failure[160]; /* what the day fails by, besides the rules */
     unsigned transactions, changes, most_queued; /* of the owners' writes */
     unsigned late_commands;
     struct node nodes[MAX_NODES];
@@ -265,12 +265,12 @@
     struct job jobs[MAX_JOBS];
     int njobs, teams;
     GPtrArray *messages;
-    enum guard broken_guard;
-    unsigned broken_rules[RULES];
+    enum guard disabled_guard;
+    unsigned violations[RULE_COUNT];
     unsigned starts, finished, takeovers, steals, preempted;
     unsigned failures_declared, refutations, transfers;
     unsigned warm, compared, withheld, leaves, copies, cancelled, tombstones, lates;
-    unsigned lost[TXN_KINDS]; /* answers to transactions that were carried out */
+    unsigned lost[TXN_KIND_COUNT]; /* answers to transactions that were carried out */
     /* Users' requests that were answered; so many went back, came after a newer answer
      * that was asked for later, and were 503. */
     unsigned answers, answers_back, answers_overtaken, answers_none;
@@ -287,18 +287,18 @@
 };
 extern struct simulation simulation;
 extern const struct schedule *schedule; /* of the next day; NULL: troubles at random */
-extern bool flap;                       /* whether members flap in the next day */
-extern bool standbys;                   /* whether controllers follow each other in it */
+extern bool flapping_members; /* whether members flapping_members in the next day */
+extern bool standbys;         /* whether controllers follow each other in it */
 
 const char *simulation_team(int number);
 /* A chance of the day; one that something goes wrong. */
 bool simulation_chance(double p);
-bool simulation_trouble(double p);
+bool simulation_fault_chance(double p);
 
 /* --- store.c: the state service --- */
 
 /* One change, at the revision that the caller has raised. */
-void simulation_put(const char *key, const GByteArray *value, uint64_t lease);
+void simulation_store_put(const char *key, const GByteArray *value, uint64_t lease);
 /* The job's record as it stands; the description is to be cleared. */
 enum lmn_job_phase simulation_read_job(const struct job *job, struct lmn_job_spec *spec,
                                        uint32_t *open, double *at);
@@ -309,40 +309,41 @@
 enum txn_kind simulation_txn_kind(const struct lmn_txn *txn);
 const char *simulation_txn_name(enum txn_kind k);
 /* Whether its answer is to be lost now, by luck (0 to 1). */
-bool simulation_loses(const struct lmn_txn *txn, double luck);
+bool simulation_response_is_lost(const struct lmn_txn *txn, double luck);
 /* The transaction is carried out, and the node does not hear of it. */
-enum lmn_txn_outcome simulation_lose(struct node *node, const struct lmn_txn *txn);
+enum lmn_txn_outcome simulation_commit_without_response(struct node *node,
+                                                        const struct lmn_txn *txn);
 /* A transaction of the node is carried out, refused, lost or late, by luck. */
-enum lmn_txn_outcome simulation_send(struct node *node, const struct lmn_txn *txn,
-                                     double luck, uint64_t *rev);
+enum lmn_txn_outcome simulation_send_txn(struct node *node, const struct lmn_txn *txn,
+                                         double luck, uint64_t *rev);
 /* The same transaction, once more: to be carried out seconds later, after newer ones. */
-void simulation_late(const struct lmn_txn *txn);
-bool simulation_lease_alive(uint64_t id);
+void simulation_add_late_txn(const struct lmn_txn *txn);
+bool simulation_lease_is_alive(uint64_t id);
 /* Leases that are over end, with what hangs on them; what is late is carried out. */
-void simulation_expire(void);
+void simulation_expire_leases(void);
 
 /* --- rules.c --- */
 
-int simulation_job(const char *ref); /* -1: there is none */
+int simulation_job_index(const char *ref); /* -1: there is none */
 /* Whether what the machine holds still counts. One that hangs past its lease has lost its
  * tasks, though it will notice only when it goes on. */
-bool simulation_holds(const struct machine *machine);
+bool simulation_machine_is_live(const struct machine *machine);
 /* A task is on the machine, or on its way to run there. */
-bool simulation_active(const struct machine *machine, const struct task *task);
+bool simulation_task_is_active(const struct machine *machine, const struct task *task);
 /* A task has started there. */
-void simulation_started(struct machine *machine, const struct task *task);
-void simulation_check(void);
+void simulation_check_start(struct machine *machine, const struct task *task);
+void simulation_check_rules(void);
 
 /* --- service_checks.c --- */
 
 /* The day fails, by that; the first counts. */
-void simulation_unserved(const char *format, ...) G_GNUC_PRINTF(1, 2);
+void simulation_fail_service(const char *format, ...) G_GNUC_PRINTF(1, 2);
 /* Processors that the team's tasks use. */
-double simulation_team_use(int team);
+double simulation_team_cpus(int team);
 /* Prints what each machine's owner says of why the job does not start there. */
-void simulation_explain(const struct job *job);
+void simulation_print_wait_reasons(const struct job *job);
 /* No task waits beside room for longer than it may. */
-void simulation_check_served(void);
+void simulation_check_service(void);
 
 /* --- machines.c --- */
 
@@ -352,24 +353,25 @@
 struct machine *machine_named(const char *name);
 /* Whether the machine's messages get to the node; and whether anything from there gets
  * back. */
-bool machine_reached(int node, const struct machine *machine);
-bool machine_told(int node, const struct machine *machine);
-void machine_answer(struct machine *machine, const struct message *message);
-int machine_direct(struct machine *machine, const GByteArray *body, GByteArray *report);
+bool machine_reaches_node(int node, const struct machine *machine);
+bool node_reaches_machine(int node, const struct machine *machine);
+void machine_handle_response(struct machine *machine, const struct message *message);
+int machine_handle_command(struct machine *machine, const GByteArray *body,
+                           GByteArray *report);
 void machine_step(struct machine *machine);
 /* A copy of a report, with its own body. */
-struct message *machine_report_copy(const struct message *message);
+struct message *heartbeat_copy(const struct message *message);
 /* One of the machine's earlier reports; NULL: there is none. */
-const struct message *machine_old_report(const struct machine *machine);
+const struct message *machine_old_heartbeat(const struct machine *machine);
 /* A machine of another name has the place, and is up at once. */
 void machine_replace(struct machine *machine);
 
 /* --- nodes.c: controllers --- */
 
 bool node_up(const struct node *node);
-struct lmn_member_health node_word(const struct node *node);
+struct lmn_member_health node_health(const struct node *node);
 /* A write of the thread that holds the lease; what becomes of it is not always known. */
-enum lmn_txn_outcome node_send(struct node *node, struct lmn_txn *txn);
+enum lmn_txn_outcome node_send_txn(struct node *node, struct lmn_txn *txn);
 void node_step(struct node *node, int i);
 /* Its memory is gone, its lease runs on; it is back after so many seconds. */
 void node_crash(struct node *node, double down_s);
@@ -377,16 +379,16 @@
 /* --- peers.c: what they send each other, and straight to workers --- */
 
 /* Whether a question gets there, and its answer back. */
-bool node_talks(const struct node *from, const struct node *to);
-void node_ask(struct node *node, int me);
-void node_tell(struct node *node, int me, bool cut);
-void node_release(struct node *node);
+bool node_reaches_node(const struct node *from, const struct node *to);
+void node_send_probes(struct node *node, int me);
+void node_replicate(struct node *node, int me, bool cut);
+void node_send_deferred(struct node *node);
 /* Holds an answer to a report, or with x NULL a call, until a standby has acknowledged
  * it. */
-void node_hold_back(struct node *node, const struct lmn_deferred_starts *deferred,
-                    const struct message *message, struct machine *machine,
-                    GByteArray *body);
-void node_direct(struct node *node);
+void node_defer_starts(struct node *node, const struct lmn_deferred_starts *deferred,
+                       const struct message *message, struct machine *machine,
+                       GByteArray *body);
+void node_call_workers(struct node *node);
 
 /* --- faults.c: what a schedule begins --- */
 
@@ -419,14 +421,14 @@
     FAULT_NEW_MACHINES,   /* machines are gone, and others up within two seconds */
     FAULT_MACHINE_REACHES_NOBODY, /* it reaches no controller, and hears direct calls */
     FAULT_LATE_COMMANDS, /* direct commands get no answer and are carried out late */
-    FAULTS
+    FAULT_COUNT
 };
 const char *fault_name(enum fault k);
 /* The highest term in which a controller holds the partition; 0: none does. */
-uint64_t simulation_term(int part);
+uint64_t simulation_epoch(int part);
 /* Who owns most machines. */
-int simulation_leader(void);
-void simulation_cancel_some(double share);
+int simulation_largest_owner(void);
+void simulation_cancel_jobs(double share);
 /* who: the controller that it befalls, if one is to. */
 void fault_begin(enum fault k, int who, double s);
 
@@ -440,25 +442,25 @@
 /* What users do at this instant; several times a step. */
 void users_step(void);
 /* Each job is asked about at each node. */
-void users_look_at_all(void);
+void users_query_all(void);
 
 /* --- day.c --- */
 
 /* A copy of a report arrives there at that time; the copy is taken. */
-void mail_report(struct message *copy, int node, double at);
+void simulation_deliver_heartbeat(struct message *copy, int node, double at);
 /* The user cancels the job through a node that reaches the state service; not if there is
  * none. */
 void simulation_cancel(struct job *job);
 /* Through that node; false if it does not serve users, or the job is over. */
 bool simulation_cancel_through(struct job *job, int node);
 /* Whether the node reaches the state service now. */
-bool node_served(const struct node *node);
+bool node_reaches_store(const struct node *node);
 /* Once nothing goes wrong any more: no partition without an owner that is ready, nobody
  * suspected or judged for ever. */
-bool simulation_is_well(void);
+bool simulation_is_recovered(void);
 /* When the last of the troubles that have begun is over. */
-double simulation_trouble_until(void);
+double simulation_faults_end(void);
 /* A whole day. */
-void simulation_play(const struct layout *l, uint32_t seed, enum guard broken);
+void simulation_run(const struct layout *l, uint32_t seed, enum guard broken);
 
 #endif
--- a/tests/simulation/store.c
+++ b/tests/simulation/store.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-void simulation_put(const char *key, const GByteArray *value, uint64_t lease)
+void simulation_store_put(const char *key, const GByteArray *value, uint64_t lease)
 {
     struct item *it = g_hash_table_lookup(simulation.store, key);
     struct event *e = g_new0(struct event, 1);
@@ -35,7 +35,7 @@
     digest_number(lease);
 }
 
-bool simulation_lease_alive(uint64_t id)
+bool simulation_lease_is_alive(uint64_t id)
 {
     for (guint i = 0; i < simulation.leases->len; i++)
         if (g_array_index(simulation.leases, struct holder, i).id == id)
@@ -65,7 +65,7 @@
 {
     (void)key;
     (void)value;
-    if (lease && !simulation_lease_alive(lease))
+    if (lease && !simulation_lease_is_alive(lease))
         *(bool *)arg = false;
 }
 
@@ -73,7 +73,7 @@
                          uint64_t lease)
 {
     (void)arg;
-    simulation_put(key, value, lease);
+    simulation_store_put(key, value, lease);
 }
 
 static enum lmn_txn_outcome carry_out(const struct lmn_txn *txn, bool late, uint64_t *rev)
@@ -84,7 +84,7 @@
     if (!ok)
         return LMN_TXN_REJECTED;
     lmn_txn_foreach_condition(txn, check_condition, &ok);
-    if (!ok && !(late && simulation.broken_guard == GUARD_LATE_WRITE))
+    if (!ok && !(late && simulation.disabled_guard == GUARD_LATE_WRITE))
         return LMN_TXN_CONFLICT;
     *rev = ++simulation.revision;
     lmn_txn_foreach_operation(txn, apply_change, NULL);
@@ -142,34 +142,35 @@
     lmn_txn_foreach_operation(txn, note_key, &k);
     lmn_txn_foreach_condition(txn, note_new_job, &k);
     if (k.has['j'] && k.new_job)
-        return TXN_ACCEPTANCE;
-    return k.has['o']   ? TXN_CLAIM
-           : k.has['q'] ? TXN_LIMIT
-           : k.has['m'] ? TXN_BLOCK
+        return TXN_SUBMISSION;
+    return k.has['o']   ? TXN_OWNERSHIP
+           : k.has['q'] ? TXN_QUOTA
+           : k.has['m'] ? TXN_MACHINE_BLOCK
            : k.has['b'] ? TXN_STANDBY
            : k.has['u'] ? TXN_SUSPICION
-           : k.has['n'] ? TXN_MEMBER
+           : k.has['n'] ? TXN_MEMBER_RECORD
            : k.has['r'] ? TXN_RANGE
                         : TXN_CANCELLATION;
 }
 
 const char *simulation_txn_name(enum txn_kind k)
 {
-    static const char *const names[TXN_KINDS] = {
+    static const char *const names[TXN_KIND_COUNT] = {
         "acceptance", "cancellation", "claim",     "limit",        "range",
         "block",      "standby",      "suspicion", "member record"};
 
     return names[k];
 }
 
-bool simulation_loses(const struct lmn_txn *txn, double luck)
+bool simulation_response_is_lost(const struct lmn_txn *txn, double luck)
 {
     return simulation.now < simulation.lost_until && luck >= 0.4 && luck < 0.8 &&
-           (simulation.lost_kind == TXN_KINDS ||
+           (simulation.lost_kind == TXN_KIND_COUNT ||
             simulation.lost_kind == (int)simulation_txn_kind(txn));
 }
 
-enum lmn_txn_outcome simulation_lose(struct node *node, const struct lmn_txn *txn)
+enum lmn_txn_outcome simulation_commit_without_response(struct node *node,
+                                                        const struct lmn_txn *txn)
 {
     uint64_t revision;
 
@@ -178,19 +179,19 @@
     simulation.lost[simulation_txn_kind(txn)]++;
     if (simulation.lost_ends && simulation_chance(0.2))
         node->ends = true;
-    return simulation.broken_guard == GUARD_LOST_RESPONSE ? LMN_TXN_CONFLICT
-                                                          : LMN_TXN_UNKNOWN;
+    return simulation.disabled_guard == GUARD_LOST_RESPONSE ? LMN_TXN_CONFLICT
+                                                            : LMN_TXN_UNKNOWN;
 }
 
-enum lmn_txn_outcome simulation_send(struct node *node, const struct lmn_txn *txn,
-                                     double luck, uint64_t *rev)
+enum lmn_txn_outcome simulation_send_txn(struct node *node, const struct lmn_txn *txn,
+                                         double luck, uint64_t *rev)
 {
     digest_transaction("sending", simulation.clock, txn);
     digest_number((uint64_t)simulation.acting);
-    if (simulation_loses(txn, luck))
-        return simulation_lose(node, txn);
+    if (simulation_response_is_lost(txn, luck))
+        return simulation_commit_without_response(node, txn);
     if (simulation.now < simulation.late_until && luck < 0.3) {
-        simulation_late(txn);
+        simulation_add_late_txn(txn);
         return LMN_TXN_UNKNOWN;
     }
     if (luck < 0.04)
@@ -201,7 +202,7 @@
     }
     if (luck < 0.10) { /* not applied, or late, and the answer is lost */
         if (luck < 0.09)
-            simulation_late(txn);
+            simulation_add_late_txn(txn);
         return LMN_TXN_UNKNOWN;
     }
     return simulation_commit(txn, rev);
@@ -209,7 +210,7 @@
 
 /* --- transactions that are late --- */
 
-void simulation_late(const struct lmn_txn *txn)
+void simulation_add_late_txn(const struct lmn_txn *txn)
 {
     struct late *l = g_new0(struct late, 1);
 
@@ -236,7 +237,7 @@
     }
 }
 
-void simulation_expire(void)
+void simulation_expire_leases(void)
 {
     carry_out_late();
     for (guint i = simulation.leases->len; i-- > 0;) {
@@ -249,7 +250,7 @@
         for (GList *l = keys; l; l = l->next) {
             struct item *it = g_hash_table_lookup(simulation.store, l->data);
             if (it->value && it->lease == h.id)
-                simulation_put(l->data, NULL, 0);
+                simulation_store_put(l->data, NULL, 0);
         }
         g_list_free(keys);
     }
--- a/tests/simulation/users.c
+++ b/tests/simulation/users.c
@@ -43,7 +43,7 @@
 void simulation_read_record(const char *ref, struct lmn_job_reading *reading)
 {
     const struct item *it = simulation_record(ref);
-    const struct job *job = &simulation.jobs[MAX(simulation_job(ref), 0)];
+    const struct job *job = &simulation.jobs[MAX(simulation_job_index(ref), 0)];
 
     memset(reading, 0, sizeof *reading);
     reading->status = it ? 200 : 404;
@@ -59,9 +59,9 @@
 static void wrong(const struct request *q, enum rule rule,
                   const struct lmn_job_reply *reply)
 {
-    simulation.broken_rules[rule]++;
+    simulation.violations[rule]++;
     simulation.answers_back++;
-    if (simulation.broken_guard == GUARD_NONE)
+    if (simulation.disabled_guard == GUARD_NONE)
         print_message("%.1f: %s asked of n%02d (kind %d, form %d): %d, phase %d; the "
                       "record was %s, phase %d\n",
                       simulation.now, q->ref, q->node, q->kind, q->form, reply->status,
@@ -74,17 +74,17 @@
     struct job *job = q->job;
 
     if (!job || !job->offered) {
-        wrong(q, R_INVENTED, reply);
+        wrong(q, RULE_JOB_INVENTED, reply);
         return;
     }
     if ((q->phase != LMN_JOB_ACTIVE && reply->phase != q->phase) ||
         (q->told != LMN_JOB_ACTIVE && reply->phase != q->told) ||
         (reply->phase == LMN_JOB_CANCELLED && !job->cancel_asked) ||
         (q->kind == CANCELLATION && reply->phase == LMN_JOB_ACTIVE))
-        wrong(q, R_WENT_BACK, reply);
+        wrong(q, RULE_STATE_REVERTED, reply);
     for (uint32_t k = 0; reply->phase == LMN_JOB_DONE && k < job->spec.tasks; k++)
         if (!job->done[k]) {
-            wrong(q, R_NOT_DONE, reply);
+            wrong(q, RULE_DONE_TOO_EARLY, reply);
             break;
         }
     job->accepted = true;
@@ -111,18 +111,18 @@
     case 201:
         check_state(q, reply);
         if (reply->status == 201 && (q->recorded || q->form != SOUND))
-            wrong(q, R_INVENTED, reply); /* it was known, or can't be accepted */
+            wrong(q, RULE_JOB_INVENTED, reply); /* it was known, or can't be accepted */
         break;
     case 404:
         if (q->recorded || q->accepted || q->kind == SUBMISSION)
-            wrong(q, R_FORGOTTEN, reply);
+            wrong(q, RULE_JOB_FORGOTTEN, reply);
         simulation.answers_overtaken += job && job->accepted && !q->accepted;
         break;
     case 400:
     case 422:
         if (q->recorded || q->accepted || q->kind != SUBMISSION ||
             q->form != (reply->status == 400 ? LACKS_FIELD : FITS_NOWHERE))
-            wrong(q, R_FORGOTTEN, reply);
+            wrong(q, RULE_JOB_FORGOTTEN, reply);
         break;
     default:
         assert_int_equal(reply->status, 503);
@@ -148,7 +148,7 @@
         g_byte_array_unref(body);
 }
 
-void request_reply(struct request *q, const struct lmn_job_reply *reply)
+void request_return(struct request *q, const struct lmn_job_reply *reply)
 {
     int i = q->job ? (int)(q->job - simulation.jobs) : -1;
 
@@ -165,19 +165,19 @@
         }
 }
 
-void request_over(struct request *q)
+void request_finish(struct request *q)
 {
     const struct lmn_job_reply nobody = {0};
 
     if (!q->answered)
-        request_reply(q, &nobody);
+        request_return(q, &nobody);
     q->over = true;
 }
 
 static void send(enum request_kind kind, enum form form, const char *ref, int node)
 {
     struct request *q = g_new0(struct request, 1);
-    int i = simulation_job(ref);
+    int i = simulation_job_index(ref);
     const struct item *it = simulation_record(ref);
 
     q->kind = kind;
@@ -204,7 +204,7 @@
             users.pending[i][which] = q;
     }
     g_ptr_array_add(users.requests, q);
-    serving_arrive(q);
+    request_handling_advance(q);
 }
 
 static int any_node(void)
@@ -221,7 +221,7 @@
     memset(&users, 0, sizeof users);
     users.r = g_rand_new_with_seed(seed + 1000);
     users.requests = g_ptr_array_new();
-    serving_begin(users.r);
+    request_handling_begin(users.r);
 }
 
 void users_submit(struct job *job)
@@ -303,11 +303,11 @@
 
 static void go_on_with_requests(void)
 {
-    serving_step();
+    request_handling_step();
     for (guint i = users.requests->len; i-- > 0;) {
         struct request *q = users.requests->pdata[i];
         if (!q->over)
-            serving_arrive(q);
+            request_handling_advance(q);
         if (!q->over)
             continue;
         lmn_submission_clear(&q->submission);
@@ -334,7 +334,7 @@
     go_on_with_requests();
 }
 
-void users_look_at_all(void)
+void users_query_all(void)
 {
     for (int i = 0; i < JOBS; i++)
         for (int k = 0; k < simulation.layout.nodes && simulation.jobs[i].offered; k++)
--- a/tests/takeover/replication.c
+++ b/tests/takeover/replication.c
@@ -12,7 +12,7 @@
 {
     if (to > B || explored.nodes[to].stalled)
         return false;
-    struct lmn_replication_batch *received = batch_twin(batch);
+    struct lmn_replication_batch *received = replication_batch_copy(batch);
     *answer = lmn_replica_apply(explored.nodes[to].core, received, explored.now);
     lmn_replication_batch_free(received);
     return true;
--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -16,7 +16,7 @@
                           enum guard broken)
 {
     digest_begin("test_model", scenario, seed);
-    simulation_play(l, seed, broken);
+    simulation_run(l, seed, broken);
     digest_end();
 }
 
@@ -55,12 +55,12 @@
             standbys = seed % 2;
             play_digested("any layout", &l, 500 + 10 * k + seed, GUARD_NONE);
             standbys = false;
-            for (int i = 0; i < RULES; i++)
-                if (simulation.broken_rules[i])
+            for (int i = 0; i < RULE_COUNT; i++)
+                if (simulation.violations[i])
                     fail_msg("%d controllers, %d machines, %d zones, seed %u: %s broken "
                              "%u times",
                              l.nodes, l.machines, l.zones, seed, rule_names[i],
-                             simulation.broken_rules[i]);
+                             simulation.violations[i]);
             starts += simulation.starts;
             takeovers += simulation.takeovers;
         }
@@ -78,10 +78,10 @@
         standbys = seed % 2;
         play(seed, GUARD_NONE);
         standbys = false;
-        for (int i = 0; i < RULES; i++)
-            if (simulation.broken_rules[i])
+        for (int i = 0; i < RULE_COUNT; i++)
+            if (simulation.violations[i])
                 fail_msg("seed %u: %s broken %u times", seed, rule_names[i],
-                         simulation.broken_rules[i]);
+                         simulation.violations[i]);
         finished += simulation.finished;
         takeovers += simulation.takeovers;
         steals += simulation.steals;
@@ -119,23 +119,24 @@
                            .limit = 8.0 * n};
         l.every = l.steps * STEP_S / JOBS / 2;
         for (uint32_t seed = 1; seed <= 3; seed++) {
-            flap = true;
+            flapping_members = true;
             standbys = seed != 2;
             play_digested("flapping", &l, 900 + 10 * k + seed, GUARD_NONE);
-            flap = standbys = false;
+            flapping_members = standbys = false;
             for (int i = 0; i < n; i++)
                 warm += (unsigned)simulation.nodes[i].core->counters.warm_failovers;
             warm += simulation.warm;
             compared += simulation.compared;
             withheld += simulation.withheld;
             leaves += simulation.leaves;
-            assert_true(simulation_is_well());
-            if (*simulation.unserved)
-                fail_msg("%d controllers, seed %u: %s", n, seed, simulation.unserved);
-            for (int i = 0; i < RULES; i++)
-                if (simulation.broken_rules[i])
+            assert_true(simulation_is_recovered());
+            if (*simulation.service_failure)
+                fail_msg("%d controllers, seed %u: %s", n, seed,
+                         simulation.service_failure);
+            for (int i = 0; i < RULE_COUNT; i++)
+                if (simulation.violations[i])
                     fail_msg("%d controllers, seed %u: %s broken %u times", n, seed,
-                             rule_names[i], simulation.broken_rules[i]);
+                             rule_names[i], simulation.violations[i]);
             verdicts += simulation.failures_declared;
             refutations += simulation.refutations;
             gives += simulation.transfers;
@@ -161,7 +162,7 @@
 {
     for (uint32_t seed = FIRST_SEED; seed <= LAST_SEED; seed++) {
         play(seed, g);
-        if (!simulation.broken_rules[r])
+        if (!simulation.violations[r])
             continue;
         print_message("%s broken by seed %u\n", rule_names[r], seed);
         return;
@@ -173,69 +174,69 @@
 {
     (void)state;
     standbys = true;
-    breaks(GUARD_REPLICATED, R_TWICE);
+    breaks(GUARD_REPLICATED, RULE_RAN_TWICE);
     standbys = false;
 }
 
 static void accounting_is_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_ACCOUNTED, R_TWICE);
+    breaks(GUARD_ACCOUNTED, RULE_RAN_TWICE);
 }
 
 /* Of a copy that comes late, what was started since is missing. */
 static void the_order_of_reports_is_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_HEARTBEAT_ORDER, R_TWICE);
+    breaks(GUARD_HEARTBEAT_ORDER, RULE_RAN_TWICE);
 }
 
 static void unsure_starts_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_UNCERTAIN_PUSH, R_TWICE);
+    breaks(GUARD_UNCERTAIN_PUSH, RULE_RAN_TWICE);
 }
 
 static void shares_of_limits_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_QUOTA, R_QUOTA);
+    breaks(GUARD_QUOTA, RULE_QUOTA_EXCEEDED);
 }
 
 static void accounting_is_needed_after_a_verdict(void **state)
 {
     (void)state;
-    breaks(GUARD_DECLARED_FAILED, R_TWICE);
+    breaks(GUARD_DECLARED_FAILED, RULE_RAN_TWICE);
 }
 
 static void places_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_PLACEMENT, R_PLACE);
+    breaks(GUARD_PLACEMENT, RULE_WRONG_PLACE);
 }
 
 static void the_fence_is_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_STALE_VIEW, R_CANCELLED);
+    breaks(GUARD_STALE_VIEW, RULE_RAN_CANCELLED);
 }
 
 static void reported_results_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_DONE, R_NOT_DONE);
+    breaks(GUARD_DONE, RULE_DONE_TOO_EARLY);
 }
 
 static void conditions_on_final_states_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_FINAL, R_WENT_BACK);
+    breaks(GUARD_FINAL, RULE_STATE_REVERTED);
 }
 
 static void looking_at_zones_is_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_ANTI_AFFINITY, R_PLACE);
+    breaks(GUARD_ANTI_AFFINITY, RULE_WRONG_PLACE);
 }
 
 int main(void)
--- a/tests/test_scenarios.c
+++ b/tests/test_scenarios.c
@@ -19,13 +19,13 @@
 static void gap_step(void)
 {
     if (scenario_at(gap.at)) {
-        gap.who = simulation_leader();
+        gap.who = simulation_largest_owner();
         fault_begin(FAULT_REFUSED, gap.who, gap.refuse_s);
         if (gap.alone)
             fault_begin(FAULT_NODE_LOSES_PEERS, gap.who, gap.outage_s);
     }
     if (scenario_between(gap.at + 0.2, gap.outage_at))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
     if (scenario_at(gap.outage_at))
         fault_begin(FAULT_OUTAGE, 0, gap.outage_s);
 }
@@ -50,7 +50,7 @@
     static uint64_t token[MAX_MACHINES];
 
     if (scenario_at(gap.at)) {
-        gap.who = simulation_leader();
+        gap.who = simulation_largest_owner();
         fault_begin(FAULT_ISOLATED, gap.who, gap.outage_s);
         fault_begin(FAULT_CLOUD, 0, gap.outage_s);
         for (int i = 0; i < simulation.layout.machines; i++)
@@ -61,7 +61,7 @@
             }
     }
     if (scenario_between(gap.at + 0.2, gap.outage_at))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
     for (int i = 0; i < simulation.layout.machines; i++) {
         struct machine *machine = &simulation.machines[i];
         if (scenario_between(gap.at + 1, gap.at + gap.outage_s) &&
@@ -88,9 +88,9 @@
 static void slow_step(void)
 {
     if (scenario_at(gap.at))
-        fault_begin(FAULT_SLOW_STATE, gap.who = simulation_leader(), gap.outage_s);
+        fault_begin(FAULT_SLOW_STATE, gap.who = simulation_largest_owner(), gap.outage_s);
     if (scenario_between(gap.outage_at - 3, gap.outage_at))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
     if (scenario_at(gap.outage_at)) {
         fault_begin(FAULT_OUTAGE, 0, gap.outage_s);
         fault_begin(FAULT_NODE_LOSES_PEERS, gap.who, gap.outage_s);
@@ -110,10 +110,10 @@
 static void isolated_step(void)
 {
     if (scenario_every(25))
-        fault_begin(FAULT_ISOLATED, simulation_leader(),
-                    scenario_drawn(1, 1.5 * simulation.cancel_s));
+        fault_begin(FAULT_ISOLATED, simulation_largest_owner(),
+                    scenario_random(1, 1.5 * simulation.cancel_s));
     if (scenario_every(4))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
 }
 
 /* --- the others --- */
@@ -125,32 +125,32 @@
     simulation.copies_until =
         simulation.now + (scenario_time() < simulation.layout.steps * STEP_S);
     if (scenario_every(12))
-        fault_begin(FAULT_REFUSED, simulation_leader(), scenario_drawn(0.2, 8));
+        fault_begin(FAULT_REFUSED, simulation_largest_owner(), scenario_random(0.2, 8));
     if (scenario_every(20))
-        fault_begin(FAULT_HANG, 0, scenario_drawn(1, 1.5 * simulation.lease_s));
+        fault_begin(FAULT_HANG, 0, scenario_random(1, 1.5 * simulation.lease_s));
     if (scenario_every(20))
         fault_begin(FAULT_MACHINE_HEARS_NOTHING, 0,
-                    scenario_drawn(1, 1.5 * simulation.lease_s));
+                    scenario_random(1, 1.5 * simulation.lease_s));
 }
 
 /* A leader ends while machines with long tasks can't be reached, or don't hear. */
 static void unreached_step(void)
 {
     if (scenario_every(20)) {
-        int who = simulation_leader();
+        int who = simulation_largest_owner();
         if (simulation_chance(0.3))
-            fault_begin(FAULT_ZONE, who, scenario_drawn(1, 2 * simulation.lease_s));
+            fault_begin(FAULT_ZONE, who, scenario_random(1, 2 * simulation.lease_s));
         fault_begin(simulation_chance(0.5) ? FAULT_MACHINE_HEARS_NOTHING : FAULT_HANG,
-                    who, scenario_drawn(0.5, 1.5 * simulation.lease_s));
+                    who, scenario_random(0.5, 1.5 * simulation.lease_s));
         if (simulation_chance(0.2))
-            fault_begin(FAULT_CRASH_ALL, 0, scenario_drawn(0.2, 5));
+            fault_begin(FAULT_CRASH_ALL, 0, scenario_random(0.2, 5));
         else
-            fault_begin(FAULT_CRASH, who, scenario_drawn(0.2, 20));
+            fault_begin(FAULT_CRASH, who, scenario_random(0.2, 20));
     }
     if (scenario_every(30))
-        fault_begin(FAULT_CLOUD, 0, scenario_drawn(5, 30));
+        fault_begin(FAULT_CLOUD, 0, scenario_random(5, 30));
     if (scenario_every(10))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
 }
 
 /* Commands sent straight to a machine are held up, and come while it goes on; terms,
@@ -158,14 +158,14 @@
 static void held_step(void)
 {
     if (scenario_every(5))
-        fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_drawn(0.3, simulation.lease_s));
+        fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_random(0.3, simulation.lease_s));
     if (scenario_every(15))
-        fault_begin(FAULT_HANG, 0, scenario_drawn(0.5, 1.5 * simulation.lease_s));
+        fault_begin(FAULT_HANG, 0, scenario_random(0.5, 1.5 * simulation.lease_s));
     if (scenario_every(20))
         fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_REFUSED,
-                    simulation_leader(), scenario_drawn(0.2, 8));
+                    simulation_largest_owner(), scenario_random(0.2, 8));
     if (scenario_every(8))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
 }
 
 /* Transactions get no answer and are carried out after newer ones of their controller. */
@@ -175,11 +175,11 @@
         simulation.now + (scenario_time() < simulation.layout.steps * STEP_S);
     if (scenario_every(15))
         fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_FREEZE,
-                    simulation_leader(), scenario_drawn(0.2, 8));
+                    simulation_largest_owner(), scenario_random(0.2, 8));
     if (scenario_every(15))
-        fault_begin(FAULT_LEAVE, simulation_leader(), 0);
+        fault_begin(FAULT_LEAVE, simulation_largest_owner(), 0);
     if (scenario_every(8))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
 }
 
 /* Controllers are back before anybody noticed, one, several or all, again and again. */
@@ -190,13 +190,13 @@
     if (scenario_every(6))
         fault_begin(FAULT_CRASH,
                     g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
-                    scenario_drawn(0.05, 1));
+                    scenario_random(0.05, 1));
     if (scenario_every(20))
-        fault_begin(FAULT_CRASH_ALL, 0, scenario_drawn(0.05, 1));
+        fault_begin(FAULT_CRASH_ALL, 0, scenario_random(0.05, 1));
     if (scenario_every(10))
         fault_begin(FAULT_NODE_LOSES_PEERS,
                     g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
-                    scenario_drawn(0.3, 4));
+                    scenario_random(0.3, 4));
     if (scenario_every(20))
         fault_begin(FAULT_LEAVE,
                     g_rand_int_range(simulation.random, 0, simulation.layout.nodes), 0);
@@ -210,7 +210,7 @@
             simulation.jobs[i].spec.tasks = 2 + (uint32_t)i % 2;
     if (scenario_every(8))
         fault_begin(simulation_chance(0.6) ? FAULT_CRASH : FAULT_REFUSED,
-                    simulation_leader(), scenario_drawn(0.1, 6));
+                    simulation_largest_owner(), scenario_random(0.1, 6));
     if (scenario_every(20))
         fault_begin(FAULT_MACHINE_DIES, 0, 0);
     if (scenario_every(30))
@@ -219,16 +219,16 @@
 
 /* --- each with each --- */
 
-static unsigned met[FAULTS][FAULTS];
-static double until[FAULTS], when[3];
+static unsigned met[FAULT_COUNT][FAULT_COUNT];
+static double until[FAULT_COUNT], when[3];
 
 static void begin(enum fault k)
 {
-    double s = simulation_chance(0.3)   ? scenario_drawn(0.1, 1)
-               : simulation_chance(0.6) ? scenario_drawn(1, 10)
-                                        : scenario_drawn(5, 1.3 * simulation.cancel_s);
+    double s = simulation_chance(0.3)   ? scenario_random(0.1, 1)
+               : simulation_chance(0.6) ? scenario_random(1, 10)
+                                        : scenario_random(5, 1.3 * simulation.cancel_s);
 
-    for (int o = 0; o < FAULTS; o++)
+    for (int o = 0; o < FAULT_COUNT; o++)
         if (until[o] > simulation.now) {
             met[k][o]++;
             met[o][k] += o != (int)k;
@@ -236,7 +236,7 @@
     until[k] = simulation.now + MAX(s, 1);
     fault_begin(k,
                 simulation_chance(0.6)
-                    ? simulation_leader()
+                    ? simulation_largest_owner()
                     : g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
                 s);
 }
@@ -254,7 +254,7 @@
     if (!scenario_every(12))
         return;
     unsigned least = ~0u;
-    for (int a = 0; a < FAULTS; a++)
+    for (int a = 0; a < FAULT_COUNT; a++)
         for (int b = 0; b <= a; b++) {
             unsigned n =
                 2 * met[a][b] + (unsigned)g_rand_int_range(simulation.random, 0, 2);
@@ -264,15 +264,15 @@
                 next[1] = (enum fault)b;
             }
         }
-    next[2] = (enum fault)g_rand_int_range(simulation.random, 0, FAULTS);
+    next[2] = (enum fault)g_rand_int_range(simulation.random, 0, FAULT_COUNT);
     when[0] = simulation.now;
-    when[1] = simulation.now + scenario_drawn(0, 0.9);
-    when[2] = simulation_chance(0.5) ? simulation.now + scenario_drawn(0, 0.9) : 0;
+    when[1] = simulation.now + scenario_random(0, 0.9);
+    when[2] = simulation_chance(0.5) ? simulation.now + scenario_random(0, 0.9) : 0;
 }
 
 static void pairs_draw(struct schedule *p, GRand *r)
 {
-    scenario_usual_draw(p, r);
+    scenario_default_parameters(p, r);
     p->users = true;
 }
 
@@ -286,7 +286,7 @@
 {
     unsigned pairs = 0, times = 0, missed = 0;
 
-    for (int a = 0; a < FAULTS; a++)
+    for (int a = 0; a < FAULT_COUNT; a++)
         for (int b = 0; b <= a; b++) {
             pairs++;
             times += met[a][b];
@@ -302,28 +302,28 @@
 }
 
 static const struct scenario scenarios[] = {
-    {"gap", gap_step, gap_draw, GUARD_STALE_VIEW, R_CANCELLED, false, 8, NULL, NULL,
-     NULL},
-    {"last answer", last_answer_step, last_answer_draw, GUARD_KILL_CANCELLED, R_CANCELLED,
+    {"gap", gap_step, gap_draw, GUARD_STALE_VIEW, RULE_RAN_CANCELLED, false, 8, NULL,
+     NULL, NULL},
+    {"last answer", last_answer_step, last_answer_draw, GUARD_KILL_CANCELLED,
+     RULE_RAN_CANCELLED, false, 8, NULL, NULL, NULL},
+    {"slow state service", slow_step, slow_draw, GUARD_VIEW_AGE, RULE_RAN_CANCELLED,
      false, 8, NULL, NULL, NULL},
-    {"slow state service", slow_step, slow_draw, GUARD_VIEW_AGE, R_CANCELLED, false, 8,
-     NULL, NULL, NULL},
-    {"isolated leader", isolated_step, scenario_usual_draw, GUARD_REPLICATED, R_TWICE,
-     true, 8, NULL, NULL, NULL},
-    {"old reports", old_reports_step, scenario_usual_draw, GUARD_HEARTBEAT_ORDER, R_TWICE,
+    {"isolated leader", isolated_step, scenario_default_parameters, GUARD_REPLICATED,
+     RULE_RAN_TWICE, true, 8, NULL, NULL, NULL},
+    {"old reports", old_reports_step, scenario_default_parameters, GUARD_HEARTBEAT_ORDER,
+     RULE_RAN_TWICE, false, 8, NULL, NULL, NULL},
+    {"unreached machines", unreached_step, scenario_default_parameters, GUARD_ACCOUNTED,
+     RULE_RAN_TWICE, false, 8, NULL, NULL, NULL},
+    {"held commands", held_step, scenario_default_parameters, GUARD_UNCERTAIN_PUSH,
+     RULE_RAN_TWICE, false, 8, NULL, NULL, NULL},
+    {"late writes", late_writes_step, scenario_default_parameters, GUARD_LATE_WRITE,
+     ANY_RULE, false, 8, NULL, NULL, NULL},
+    {"lives", lives_step, scenario_default_parameters, GUARD_ANNOUNCE, NOT_RECOVERED,
      false, 8, NULL, NULL, NULL},
-    {"unreached machines", unreached_step, scenario_usual_draw, GUARD_ACCOUNTED, R_TWICE,
-     false, 8, NULL, NULL, NULL},
-    {"held commands", held_step, scenario_usual_draw, GUARD_UNCERTAIN_PUSH, R_TWICE,
-     false, 8, NULL, NULL, NULL},
-    {"late writes", late_writes_step, scenario_usual_draw, GUARD_LATE_WRITE, ANY_RULE,
-     false, 8, NULL, NULL, NULL},
-    {"lives", lives_step, scenario_usual_draw, GUARD_ANNOUNCE, NOT_RECOVERED, false, 8,
-     NULL, NULL, NULL},
-    {"small jobs", apart_step, scenario_usual_draw, GUARD_DONE, R_NOT_DONE, false, 8,
-     NULL, NULL, NULL},
-    {"pairs", pairs_step, pairs_draw, GUARD_ACCOUNTED, R_TWICE, false, 64, pairs_begin,
-     all_have_met, NULL},
+    {"small jobs", apart_step, scenario_default_parameters, GUARD_DONE,
+     RULE_DONE_TOO_EARLY, false, 8, NULL, NULL, NULL},
+    {"pairs", pairs_step, pairs_draw, GUARD_ACCOUNTED, RULE_RAN_TWICE, false, 64,
+     pairs_begin, all_have_met, NULL},
 };
 
 int main(int argc, char **argv)
--- a/tests/test_scenarios_leaders.c
+++ b/tests/test_scenarios_leaders.c
@@ -16,7 +16,7 @@
 {
     if (count < t->seen) /* another day */
         t->seen = 0;
-    if (!simulation.broken_guard)
+    if (!simulation.disabled_guard)
         t->sum += count - t->seen;
     t->seen = count;
 }
@@ -52,7 +52,7 @@
 
 static void recovery_ended(void)
 {
-    if (!recovery.over || simulation.broken_guard)
+    if (!recovery.over || simulation.disabled_guard)
         return;
     recovered.times++;
     if (recovery.began >= 0) {
@@ -121,7 +121,7 @@
     bool began = false;
 
     for (int part = 0; part < simulation.layout.nodes; part++) {
-        uint64_t epoch = simulation_term(part);
+        uint64_t epoch = simulation_epoch(part);
         began = began || epoch > terms[part];
         terms[part] = MAX(terms[part], epoch);
     }
@@ -131,12 +131,12 @@
 /* A leader ends, or loses its partition, with or without machines that can't be asked. */
 static void change_leader(void)
 {
-    int who = simulation_leader();
+    int who = simulation_largest_owner();
 
     if (simulation_chance(0.4))
-        fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_drawn(0.5, simulation.lease_s));
+        fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_random(0.5, simulation.lease_s));
     fault_begin(simulation_chance(0.6) ? FAULT_CRASH : FAULT_REFUSED, who,
-                scenario_drawn(0.1, 8));
+                scenario_random(0.1, 8));
 }
 
 /* An old report of each machine reaches every controller just as a new leader begins. */
@@ -145,11 +145,11 @@
     if (scenario_every(10))
         change_leader();
     if (scenario_every(20))
-        fault_begin(FAULT_HANG, 0, scenario_drawn(1, 1.5 * simulation.lease_s));
+        fault_begin(FAULT_HANG, 0, scenario_random(1, 1.5 * simulation.lease_s));
     if (scenario_every(30))
         fault_begin(FAULT_MACHINE_DIES, 0, 0);
     if (scenario_every(8))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
     if (leader_began() && scenario_time() > 30)
         fault_begin(FAULT_OLD_HEARTBEATS, 0, 0);
 }
@@ -165,9 +165,9 @@
         change_leader();
     if (scenario_every(20))
         fault_begin(FAULT_MACHINE_HEARS_NOTHING, 0,
-                    scenario_drawn(1, simulation.lease_s));
+                    scenario_random(1, simulation.lease_s));
     if (scenario_every(8))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
     add_up(&kept_arrived, simulation.kept_arrived);
 }
 
@@ -187,7 +187,7 @@
 
 static void away_draw(struct schedule *p, GRand *r)
 {
-    scenario_usual_draw(p, r);
+    scenario_default_parameters(p, r);
     for (int i = 0; i < 2; i++) {
         away.at[i] = 32 + 42 * i + g_rand_double_range(r, 0, 5);
         away.s[i] = p->lease_s * g_rand_double_range(r, 1.05, 2);
@@ -204,11 +204,11 @@
             fault_begin(FAULT_PUSH_BLOCKED, 0, away.s[i] + 3);
         if (!scenario_at(away.at[i]))
             continue;
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
         int first = g_rand_int_range(simulation.random, 0, simulation.layout.nodes);
         for (int k = 0; k < simulation.layout.nodes; k++)
             fault_begin(away.still[i] ? FAULT_FREEZE : FAULT_CRASH, k,
-                        away.s[i] + (k == first ? 0 : scenario_drawn(0, 6)));
+                        away.s[i] + (k == first ? 0 : scenario_random(0, 6)));
         recovery_from(simulation.now + away.s[i]);
     }
     recovery_step();
@@ -223,7 +223,7 @@
 
 static void changes_draw(struct schedule *p, GRand *r)
 {
-    scenario_usual_draw(p, r);
+    scenario_default_parameters(p, r);
     changes.outage_at = g_rand_double_range(r, 45, 70);
     changes.outage_s = g_rand_double_range(r, 3, 20);
 }
@@ -243,12 +243,13 @@
             enum fault k =
                 kinds[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(kinds))];
             if (simulation_chance(0.5))
-                fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_drawn(1, simulation.lease_s));
-            fault_begin(k, simulation_leader(), scenario_drawn(0.2, 6));
-            leaders_changed += !simulation.broken_guard;
+                fault_begin(FAULT_PUSH_BLOCKED, 0,
+                            scenario_random(1, simulation.lease_s));
+            fault_begin(k, simulation_largest_owner(), scenario_random(0.2, 6));
+            leaders_changed += !simulation.disabled_guard;
         }
     if (scenario_every(8))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
     recovery_step();
 }
 
@@ -266,7 +267,7 @@
 
 static void alone_draw(struct schedule *p, GRand *r)
 {
-    scenario_usual_draw(p, r);
+    scenario_default_parameters(p, r);
     for (int i = 0; i < 2; i++) {
         alone.at[i] = 40 + 35 * i + g_rand_double_range(r, 0, 5);
         alone.first_s[i] = g_rand_double_range(r, 0.05, 1);
@@ -282,7 +283,7 @@
         if (scenario_between(alone.at[i] - 12, alone.at[i]) && scenario_every(2))
             fault_begin(simulation_chance(0.5) ? FAULT_LEAVE : FAULT_CRASH,
                         g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
-                        scenario_drawn(0.05, 1));
+                        scenario_random(0.05, 1));
         if (!scenario_at(alone.at[i]))
             continue;
         int first = g_rand_int_range(simulation.random, 0, simulation.layout.nodes);
@@ -304,7 +305,7 @@
  * one after the other, or in the same step. */
 static void zone_draw(struct schedule *p, GRand *r)
 {
-    scenario_usual_draw(p, r);
+    scenario_default_parameters(p, r);
     zone.at = g_rand_double_range(r, 35, 40);
     double *ways[] = {&zone.state_s, &zone.peers_s, &zone.workers_s};
     double first = p->lease_s * g_rand_double_range(r, 1.05, 3);
@@ -318,7 +319,7 @@
 static void zone_step(void)
 {
     if (scenario_at(zone.at)) {
-        zone.who = simulation_leader();
+        zone.who = simulation_largest_owner();
         fault_begin(FAULT_ZONE, zone.who, zone.workers_s);
         fault_begin(FAULT_REFUSED, zone.who, zone.state_s);
         simulation.nodes[zone.who].zone_until = simulation.now + zone.peers_s;
@@ -327,7 +328,7 @@
                       MAX(zone.state_s, MAX(zone.peers_s, zone.workers_s)));
     }
     if (scenario_between(zone.at, zone.at + zone.workers_s) && simulation_chance(0.05))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
     recovery_step();
 }
 
@@ -336,15 +337,15 @@
 static void late_messages(void)
 {
     if (scenario_every(15))
-        fault_begin(FAULT_HEARTBEATS_FOR_NEXT_OWNER, 0, scenario_drawn(2, 15));
+        fault_begin(FAULT_HEARTBEATS_FOR_NEXT_OWNER, 0, scenario_random(2, 15));
     if (scenario_every(15))
         fault_begin(FAULT_OLD_HEARTBEATS, 0, 0);
     if (scenario_every(20))
-        fault_begin(FAULT_LATE_HEARTBEATS, 0, scenario_drawn(2, 10));
+        fault_begin(FAULT_LATE_HEARTBEATS, 0, scenario_random(2, 10));
     if (scenario_every(30))
         fault_begin(FAULT_NEW_MACHINES, 0, 0);
     if (scenario_every(30))
-        fault_begin(FAULT_LATE_WRITES, 0, scenario_drawn(1, 5));
+        fault_begin(FAULT_LATE_WRITES, 0, scenario_random(1, 5));
 }
 
 /* A leader ends while machines with long tasks can't be reached, or don't hear. */
@@ -352,15 +353,15 @@
 {
     late_messages();
     if (scenario_every(15)) {
-        int who = simulation_leader();
+        int who = simulation_largest_owner();
         fault_begin(simulation_chance(0.5) ? FAULT_MACHINE_HEARS_NOTHING : FAULT_HANG,
-                    who, scenario_drawn(0.5, 1.5 * simulation.lease_s));
-        fault_begin(FAULT_CRASH, who, scenario_drawn(0.2, 20));
+                    who, scenario_random(0.5, 1.5 * simulation.lease_s));
+        fault_begin(FAULT_CRASH, who, scenario_random(0.2, 20));
     }
     if (scenario_every(30))
-        fault_begin(FAULT_CLOUD, 0, scenario_drawn(5, 30));
+        fault_begin(FAULT_CLOUD, 0, scenario_random(5, 30));
     if (scenario_every(10))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
 }
 
 /* A leader that has only its workers and users, while jobs are cancelled through the new
@@ -369,10 +370,10 @@
 {
     late_messages();
     if (scenario_every(25))
-        fault_begin(FAULT_ISOLATED, simulation_leader(),
-                    scenario_drawn(1, 1.5 * simulation.cancel_s));
+        fault_begin(FAULT_ISOLATED, simulation_largest_owner(),
+                    scenario_random(1, 1.5 * simulation.cancel_s));
     if (scenario_every(4))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
 }
 
 /* Jobs of two or three tasks that end far apart, across changes of the leader. */
@@ -397,11 +398,11 @@
     simulation.late_until =
         simulation.now + (scenario_time() < simulation.layout.steps * STEP_S);
     if (scenario_every(4))
-        fault_begin(FAULT_CRASH, simulation_leader(), scenario_drawn(0.05, 1));
+        fault_begin(FAULT_CRASH, simulation_largest_owner(), scenario_random(0.05, 1));
     if (scenario_every(15))
-        fault_begin(FAULT_LEAVE, simulation_leader(), 0);
+        fault_begin(FAULT_LEAVE, simulation_largest_owner(), 0);
     if (scenario_every(6))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
     add_up(&ended_writers, simulation.ended_writers);
 }
 
@@ -436,7 +437,7 @@
 
 static void old_commands_draw(struct schedule *p, GRand *r)
 {
-    scenario_usual_draw(p, r);
+    scenario_default_parameters(p, r);
     p->run_s = g_rand_double_range(r, 15, 25);
 }
 
@@ -445,17 +446,17 @@
 static void old_commands_step(void)
 {
     if (scenario_every(6)) {
-        leader_ends_at = simulation.now + scenario_drawn(0.5, 2);
+        leader_ends_at = simulation.now + scenario_random(0.5, 2);
         for (int i = 0; i < simulation.layout.machines; i++)
-            simulation.machines[i].closed_until = leader_ends_at + scenario_drawn(3, 8);
+            simulation.machines[i].closed_until = leader_ends_at + scenario_random(3, 8);
     }
     if (leader_ends_at && simulation.now >= leader_ends_at) {
         leader_ends_at = 0;
         fault_begin(simulation_chance(0.7) ? FAULT_CRASH : FAULT_ISOLATED,
-                    simulation_leader(), scenario_drawn(3, 10));
+                    simulation_largest_owner(), scenario_random(3, 10));
     }
     if (scenario_every(8))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
     count_refused_calls();
 }
 
@@ -469,8 +470,8 @@
             if (simulation.now < machine->closed_until || !simulation_chance(0.4))
                 continue;
             machine->unheard_until =
-                simulation.now + simulation.lease_s * scenario_drawn(1.02, 1.2);
-            machine->closed_until = machine->unheard_until + scenario_drawn(0, 5);
+                simulation.now + simulation.lease_s * scenario_random(1.02, 1.2);
+            machine->closed_until = machine->unheard_until + scenario_random(0, 5);
         }
     count_refused_calls();
 }
@@ -492,44 +493,44 @@
     if (scenario_every(5)) {
         fault_begin(FAULT_NEW_MACHINES, 0, 0);
         fault_begin(FAULT_LATE_WRITES, 0, 4);
-        fault_begin(FAULT_SLOW_STATE, simulation_leader(), 4);
-        leader_ends_at = simulation.now + scenario_drawn(1, 4);
+        fault_begin(FAULT_SLOW_STATE, simulation_largest_owner(), 4);
+        leader_ends_at = simulation.now + scenario_random(1, 4);
     }
     if (leader_ends_at && simulation.now >= leader_ends_at) {
         leader_ends_at = 0;
-        fault_begin(FAULT_CRASH, simulation_leader(), scenario_drawn(0.1, 5));
+        fault_begin(FAULT_CRASH, simulation_largest_owner(), scenario_random(0.1, 5));
     }
 }
 
 static const struct scenario scenarios[] = {
-    {"old reports as a leader begins", old_reports_step, scenario_usual_draw,
-     GUARD_HEARTBEAT_EPOCH, R_TWICE, false, 6, old_reports_begin, NULL, NULL},
-    {"reports held for the next leader", held_reports_step, scenario_usual_draw,
-     GUARD_HEARTBEAT_EPOCH, R_TWICE, false, 6, NULL, held_reports_report, NULL},
-    {"all controllers away", away_step, away_draw, GUARD_ACCOUNTED, R_TWICE, false, 6,
-     recovery_begin, recovery_report, NULL},
-    {"ten leaders", changes_step, changes_draw, GUARD_ACCOUNTED, R_TWICE, false, 6,
+    {"old reports as a leader begins", old_reports_step, scenario_default_parameters,
+     GUARD_HEARTBEAT_EPOCH, RULE_RAN_TWICE, false, 6, old_reports_begin, NULL, NULL},
+    {"reports held for the next leader", held_reports_step, scenario_default_parameters,
+     GUARD_HEARTBEAT_EPOCH, RULE_RAN_TWICE, false, 6, NULL, held_reports_report, NULL},
+    {"all controllers away", away_step, away_draw, GUARD_ACCOUNTED, RULE_RAN_TWICE, false,
+     6, recovery_begin, recovery_report, NULL},
+    {"ten leaders", changes_step, changes_draw, GUARD_ACCOUNTED, RULE_RAN_TWICE, false, 6,
      recovery_begin, changes_report, NULL},
-    {"one returns", alone_step, alone_draw, GUARD_ACCOUNTED, R_TWICE, false, 6,
-     recovery_begin, recovery_report, NULL},
-    {"a zone by itself", zone_step, zone_draw, GUARD_STALE_VIEW, R_CANCELLED, false, 8,
+    {"one returns", alone_step, alone_draw, GUARD_ACCOUNTED, RULE_RAN_TWICE, false, 6,
      recovery_begin, recovery_report, NULL},
-    {"a zone by itself: both sides", zone_step, zone_draw, GUARD_ACCOUNTED, R_TWICE,
-     false, 4, recovery_begin, recovery_report, NULL},
-    {"unreached machines, late messages", unreached_step, scenario_usual_draw,
-     GUARD_ACCOUNTED, R_TWICE, false, 6, NULL, NULL, NULL},
-    {"isolated leader, late messages", isolated_step, scenario_usual_draw,
-     GUARD_REPLICATED, R_TWICE, true, 6, NULL, NULL, NULL},
-    {"small jobs, late messages", small_jobs_step, scenario_usual_draw, GUARD_DONE,
-     R_NOT_DONE, false, 6, NULL, NULL, NULL},
-    {"writes of an ended controller", ended_writer_step, scenario_usual_draw,
+    {"a zone by itself", zone_step, zone_draw, GUARD_STALE_VIEW, RULE_RAN_CANCELLED,
+     false, 8, recovery_begin, recovery_report, NULL},
+    {"a zone by itself: both sides", zone_step, zone_draw, GUARD_ACCOUNTED,
+     RULE_RAN_TWICE, false, 4, recovery_begin, recovery_report, NULL},
+    {"unreached machines, late messages", unreached_step, scenario_default_parameters,
+     GUARD_ACCOUNTED, RULE_RAN_TWICE, false, 6, NULL, NULL, NULL},
+    {"isolated leader, late messages", isolated_step, scenario_default_parameters,
+     GUARD_REPLICATED, RULE_RAN_TWICE, true, 6, NULL, NULL, NULL},
+    {"small jobs, late messages", small_jobs_step, scenario_default_parameters,
+     GUARD_DONE, RULE_DONE_TOO_EARLY, false, 6, NULL, NULL, NULL},
+    {"writes of an ended controller", ended_writer_step, scenario_default_parameters,
      GUARD_LATE_WRITE, ANY_RULE, false, 6, NULL, ended_writer_report, NULL},
     {"commands of an ended leader", old_commands_step, old_commands_draw, GUARD_OLD_EPOCH,
-     R_TWICE, false, 8, leader_ends_begin, old_commands_report, &roomy},
+     RULE_RAN_TWICE, false, 8, leader_ends_begin, old_commands_report, &roomy},
     {"commands for an earlier session", old_sessions_step, old_commands_draw,
-     GUARD_INCARNATION, R_TWICE, false, 6, NULL, old_commands_report, &roomy},
-    {"new machines at once", new_machines_step, scenario_usual_draw,
-     GUARD_MACHINE_RECORDED, R_TWICE, false, 6, leader_ends_begin, NULL, NULL},
+     GUARD_INCARNATION, RULE_RAN_TWICE, false, 6, NULL, old_commands_report, &roomy},
+    {"new machines at once", new_machines_step, scenario_default_parameters,
+     GUARD_MACHINE_RECORDED, RULE_RAN_TWICE, false, 6, leader_ends_begin, NULL, NULL},
 };
 
 int main(int argc, char **argv)
--- a/tests/test_scenarios_limits.c
+++ b/tests/test_scenarios_limits.c
@@ -9,7 +9,7 @@
 
 static void limited_draw(struct schedule *p, GRand *r)
 {
-    scenario_usual_draw(p, r);
+    scenario_default_parameters(p, r);
     p->teams = 3;
 }
 
@@ -20,7 +20,7 @@
                                        FAULT_ZONE, FAULT_MACHINE_REACHES_NOBODY};
 
     fault_begin(kinds[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(kinds))],
-                simulation_leader(), scenario_drawn(1, 1.5 * simulation.lease_s));
+                simulation_largest_owner(), scenario_random(1, 1.5 * simulation.lease_s));
 }
 
 /* --- limits --- */
@@ -34,8 +34,8 @@
 
     /* No team could start one more of the larger tasks. */
     for (int k = 0; k < simulation.teams; k++)
-        all = all && simulation_team_use(k) + 3 > simulation.layout.limit;
-    simulation_cancel_some(share);
+        all = all && simulation_team_cpus(k) + 3 > simulation.layout.limit;
+    simulation_cancel_jobs(share);
     at_limit += all ? simulation.cancelled - before : 0;
 }
 
@@ -48,13 +48,13 @@
     if (scenario_every(10)) {
         machines_fail();
         cancel_at_limit(0.2);
-        change_at = simulation.now + scenario_drawn(0, 2);
+        change_at = simulation.now + scenario_random(0, 2);
     }
     if (change_at && simulation.now >= change_at) {
         static const enum fault kinds[] = {FAULT_CRASH, FAULT_REFUSED, FAULT_FREEZE,
                                            FAULT_LEAVE};
         fault_begin(kinds[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(kinds))],
-                    simulation_leader(), scenario_drawn(0.5, 10));
+                    simulation_largest_owner(), scenario_random(0.5, 10));
         change_at = 0;
     }
 }
@@ -70,10 +70,10 @@
 static void limit_cold_step(void)
 {
     if (scenario_every(15)) {
-        fault_begin(FAULT_HANG, 0, scenario_drawn(1, simulation.lease_s));
-        fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_drawn(2, simulation.lease_s));
-        fault_begin(FAULT_CLOUD, 0, scenario_drawn(5, 20));
-        fault_begin(FAULT_CRASH_ALL, 0, scenario_drawn(0.2, 3));
+        fault_begin(FAULT_HANG, 0, scenario_random(1, simulation.lease_s));
+        fault_begin(FAULT_PUSH_BLOCKED, 0, scenario_random(2, simulation.lease_s));
+        fault_begin(FAULT_CLOUD, 0, scenario_random(5, 20));
+        fault_begin(FAULT_CRASH_ALL, 0, scenario_random(0.2, 3));
     }
     if (scenario_every(5))
         cancel_at_limit(0.1);
@@ -84,8 +84,8 @@
 static void limit_warm_step(void)
 {
     if (scenario_every(7)) {
-        int who = simulation_leader();
-        double s = scenario_drawn(3, 15);
+        int who = simulation_largest_owner();
+        double s = scenario_random(3, 15);
         fault_begin(FAULT_CLOUD, 0, s);
         if (simulation_chance(0.7)) {
             fault_begin(FAULT_ISOLATED, who, s);
@@ -203,12 +203,12 @@
     if (scenario_every(8))
         fault_begin(kinds[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(kinds))],
                     g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
-                    scenario_drawn(0.5, 6));
+                    scenario_random(0.5, 6));
     if (scenario_every(15))
         fault_begin(FAULT_LATE_WRITES, 0, 4);
     if (scenario_every(15))
         fault_begin(FAULT_MACHINE_HEARS_NOTHING, 0,
-                    scenario_drawn(1, 2 * simulation.lease_s));
+                    scenario_random(1, 2 * simulation.lease_s));
 }
 
 static void handover_report(void)
@@ -235,12 +235,12 @@
 static void instant_step(void)
 {
     if (scenario_at(gap.at)) {
-        int who = simulation_leader();
+        int who = simulation_largest_owner();
         if (gap.before)
-            simulation_cancel_some(0.6);
+            simulation_cancel_jobs(0.6);
         fault_begin(FAULT_REFUSED, who, gap.outage_s);
         if (!gap.before)
-            simulation_cancel_some(0.6);
+            simulation_cancel_jobs(0.6);
     }
     if (scenario_at(gap.outage_at))
         fault_begin(FAULT_OUTAGE, 0, gap.outage_s);
@@ -264,12 +264,12 @@
 {
     if (scenario_every(10))
         fault_begin(FAULT_MACHINE_REACHES_NOBODY, 0,
-                    scenario_drawn(1, 2 * simulation.lease_s));
+                    scenario_random(1, 2 * simulation.lease_s));
     if (scenario_every(25))
         fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_REFUSED,
-                    simulation_leader(), scenario_drawn(0.5, 8));
+                    simulation_largest_owner(), scenario_random(0.5, 8));
     if (scenario_every(8))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
 }
 
 /* Direct commands are carried out late, when another leader has acted, or a machine has
@@ -279,12 +279,12 @@
     simulation.commands_until = simulation.now + (scenario_is_over() ? 0 : 1);
     if (scenario_every(10))
         fault_begin(simulation_chance(0.5) ? FAULT_MACHINE_REACHES_NOBODY : FAULT_HANG, 0,
-                    scenario_drawn(1, 1.5 * simulation.lease_s));
+                    scenario_random(1, 1.5 * simulation.lease_s));
     if (scenario_every(8))
         fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_FREEZE,
-                    simulation_leader(), scenario_drawn(0.2, 8));
+                    simulation_largest_owner(), scenario_random(0.2, 8));
     if (scenario_every(8))
-        simulation_cancel_some(0.1);
+        simulation_cancel_jobs(0.1);
 }
 
 /* --- load --- */
@@ -318,15 +318,15 @@
         fault_begin(FAULT_OUTAGE, 0, 5);
     if (scenario_every(20))
         fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_FREEZE,
-                    simulation_leader(), scenario_drawn(0.2, 4));
+                    simulation_largest_owner(), scenario_random(0.2, 4));
     if (scenario_every(20))
         fault_begin(FAULT_LATE_HEARTBEATS, 0, 5);
     /* A job has two records: its own, and its tasks'. */
     if (simulation.most_queued > 2 * SMALL_JOBS)
-        simulation_unserved("%u changes wait to be written", simulation.most_queued);
+        simulation_fail_service("%u changes wait to be written", simulation.most_queued);
     small_queued =
-        MAX(small_queued, simulation.broken_guard ? 0 : simulation.most_queued);
-    if (!simulation.broken_guard && scenario_at(239)) {
+        MAX(small_queued, simulation.disabled_guard ? 0 : simulation.most_queued);
+    if (!simulation.disabled_guard && scenario_at(239)) {
         small_days++;
         small_transactions += simulation.transactions;
         small_changes += simulation.changes;
@@ -335,7 +335,7 @@
 
 static void many_jobs_draw(struct schedule *p, GRand *r)
 {
-    scenario_usual_draw(p, r);
+    scenario_default_parameters(p, r);
     p->run_s = 3;
     p->jobs = SMALL_JOBS;
     p->writes = SMALL_WRITES;
@@ -372,7 +372,7 @@
 
 static void bound_draw(struct schedule *p, GRand *r)
 {
-    scenario_usual_draw(p, r);
+    scenario_default_parameters(p, r);
     p->describe = bound;
 }
 
@@ -381,13 +381,13 @@
     if (scenario_every(8))
         fault_begin(FAULT_MACHINE_DIES, 0, 0);
     if (scenario_every(15))
-        fault_begin(FAULT_HANG, 0, scenario_drawn(1, 1.5 * simulation.lease_s));
+        fault_begin(FAULT_HANG, 0, scenario_random(1, 1.5 * simulation.lease_s));
     if (scenario_every(20))
-        fault_begin(FAULT_CRASH, simulation_leader(), scenario_drawn(0.2, 6));
+        fault_begin(FAULT_CRASH, simulation_largest_owner(), scenario_random(0.2, 6));
     if (scenario_every(30))
-        fault_begin(FAULT_CLOUD, 0, scenario_drawn(5, 20));
+        fault_begin(FAULT_CLOUD, 0, scenario_random(5, 20));
     if (scenario_every(10))
-        simulation_cancel_some(0.05);
+        simulation_cancel_jobs(0.05);
 }
 
 /* Half as much work again as there is room for, over slow links. */
@@ -456,21 +456,21 @@
             continue;
         double waited =
             (job->began_at < 0 ? simulation.now : job->began_at) - job->accepted_at;
-        if (!simulation.broken_guard)
+        if (!simulation.disabled_guard)
             latest_begin = MAX(latest_begin, waited);
         if (waited > LARGEST_BEGINS_S)
-            simulation_unserved("%s, one of the largest, has not begun for %.0f s",
-                                job->id, waited);
+            simulation_fail_service("%s, one of the largest, has not begun for %.0f s",
+                                    job->id, waited);
     }
     if (!scenario_at(simulation.layout.steps * STEP_S))
         return;
     for (int k = 0; k < 3; k++) {
         double share = MIN(begun(k, 0), begun(-1, k));
-        if (!simulation.broken_guard)
+        if (!simulation.disabled_guard)
             least_share = MIN(least_share ? least_share : 1, share);
         if (share < 0.5)
-            simulation_unserved("class or team %d: %.2f of its jobs have begun", k,
-                                share);
+            simulation_fail_service("class or team %d: %.2f of its jobs have begun", k,
+                                    share);
     }
 }
 
@@ -484,23 +484,24 @@
 
 static const struct scenario scenarios[] = {
     {"limits and cancellations", limit_cancel_step, limited_draw, GUARD_QUOTA_UNTIL_GONE,
-     R_QUOTA, false, 8, NULL, limit_report, &limited},
-    {"limits, cold takeovers", limit_cold_step, limited_draw, GUARD_UNACCOUNTED, R_QUOTA,
-     false, 8, NULL, NULL, &limited},
+     RULE_QUOTA_EXCEEDED, false, 8, NULL, limit_report, &limited},
+    {"limits, cold takeovers", limit_cold_step, limited_draw, GUARD_UNACCOUNTED,
+     RULE_QUOTA_EXCEEDED, false, 8, NULL, NULL, &limited},
     {"limits, warm takeovers", limit_warm_step, limited_draw, GUARD_REPLICATED, ANY_RULE,
      true, 16, NULL, NULL, &limited},
-    {"cancellations during a change of owner", handover_step, scenario_usual_draw,
-     GUARD_KILL_INHERITED, R_CANCELLED, true, 12, handover_begin, handover_report, NULL},
+    {"cancellations during a change of owner", handover_step, scenario_default_parameters,
+     GUARD_KILL_INHERITED, RULE_RAN_CANCELLED, true, 12, handover_begin, handover_report,
+     NULL},
     {"cancellations at the refusal", instant_step, instant_draw, GUARD_STALE_VIEW,
-     R_CANCELLED, false, 12, NULL, NULL, NULL},
-    {"mute machines", mute_step, scenario_usual_draw, GUARD_LEASE, R_TWICE, false, 8,
-     NULL, NULL, NULL},
-    {"late commands", late_commands_step, scenario_usual_draw, GUARD_FENCING_TOKEN,
-     R_TWICE, false, 8, NULL, NULL, NULL},
+     RULE_RAN_CANCELLED, false, 12, NULL, NULL, NULL},
+    {"mute machines", mute_step, scenario_default_parameters, GUARD_LEASE, RULE_RAN_TWICE,
+     false, 8, NULL, NULL, NULL},
+    {"late commands", late_commands_step, scenario_default_parameters,
+     GUARD_FENCING_TOKEN, RULE_RAN_TWICE, false, 8, NULL, NULL, NULL},
     {"many small jobs", many_jobs_step, many_jobs_draw, GUARD_ONE_WRITE_PER_RANGE,
      NOT_SERVED, false, 4, NULL, many_jobs_report, &quarter_second},
-    {"jobs bound to zones", bound_step, bound_draw, GUARD_ANTI_AFFINITY, R_PLACE, false,
-     8, NULL, NULL, &three_zones},
+    {"jobs bound to zones", bound_step, bound_draw, GUARD_ANTI_AFFINITY, RULE_WRONG_PLACE,
+     false, 8, NULL, NULL, &three_zones},
     {"more work than room", load_step, load_draw, GUARD_FAIR_SHARE, NOT_SERVED, false, 3,
      NULL, load_report, &overload},
 };
--- a/tests/test_scenarios_takeback.c
+++ b/tests/test_scenarios_takeback.c
@@ -21,14 +21,14 @@
     note_own();
     if (!scenario_every(15))
         return;
-    double s = scenario_drawn(3.2, 1.2 * simulation.lease_s);
+    double s = scenario_random(3.2, 1.2 * simulation.lease_s);
     bool together = simulation_chance(0.5);
     if (together && simulation_chance(0.5)) {
         fault_begin(FAULT_OUTAGE, 0, s);
         return;
     }
     for (int i = 0; i < simulation.layout.nodes; i++)
-        fault_begin(FAULT_FREEZE, i, together ? s : scenario_drawn(0, 2 * s));
+        fault_begin(FAULT_FREEZE, i, together ? s : scenario_random(0, 2 * s));
 }
 
 /* A leader stands still for longer than its lease; whoever has its partition by then ends
@@ -45,12 +45,12 @@
         back = 0;
         for (int i = 0; i < simulation.layout.nodes; i++)
             if (i != leader)
-                fault_begin(FAULT_CRASH, i, scenario_drawn(5, 8));
+                fault_begin(FAULT_CRASH, i, scenario_random(5, 8));
     }
     if (back || !scenario_every(15))
         return;
-    leader = simulation_leader();
-    back = simulation.now + scenario_drawn(5, 9);
+    leader = simulation_largest_owner();
+    back = simulation.now + scenario_random(5, 9);
     fault_begin(FAULT_FREEZE, leader, back - simulation.now);
 }
 
@@ -72,7 +72,7 @@
     if (scenario_every(6))
         fault_begin(others[g_rand_int_range(simulation.random, 0, G_N_ELEMENTS(others))],
                     g_rand_int_range(simulation.random, 0, simulation.layout.nodes),
-                    scenario_drawn(0.5, simulation.lease_s));
+                    scenario_random(0.5, simulation.lease_s));
 }
 
 static void some_were_taken_back(void)
@@ -83,10 +83,10 @@
 }
 
 static const struct scenario scenarios[] = {
-    {"all leases end", all_leases_end_step, scenario_usual_draw, GUARD_OWN_EPOCH, R_TWICE,
-     false, 20, NULL, some_were_taken_back, NULL},
-    {"all leases end, with others", with_others_step, scenario_usual_draw,
-     GUARD_OWN_EPOCH, R_TWICE, false, 20, NULL, some_were_taken_back, NULL},
+    {"all leases end", all_leases_end_step, scenario_default_parameters, GUARD_OWN_EPOCH,
+     RULE_RAN_TWICE, false, 20, NULL, some_were_taken_back, NULL},
+    {"all leases end, with others", with_others_step, scenario_default_parameters,
+     GUARD_OWN_EPOCH, RULE_RAN_TWICE, false, 20, NULL, some_were_taken_back, NULL},
 };
 
 int main(int argc, char **argv)
--- a/tests/twin.h
+++ b/tests/twin.h
@@ -6,7 +6,7 @@
 
 /* A copy of the batch, but for images; to be freed. */
 static inline struct lmn_replication_batch *
-batch_twin(const struct lmn_replication_batch *b)
+replication_batch_copy(const struct lmn_replication_batch *b)
 {
     struct lmn_replication_batch *c = lmn_replication_batch_new();
     GPtrArray *machines = c->machines;
