--- a/tests/test_scenarios_limits.c
+++ b/tests/test_scenarios_limits.c
@@ -1,20 +1,21 @@
-/* Scenarios of limits, cancellations, hanging machines and load: each a schedule of
- * faults, and the guard without which such days break a rule (simulation/scenario.h). */
+/* Scenarios of quotas, cancellations, hanging machines and load. Each has a schedule,
+ * and names the guard without which some of its runs break a rule or fail
+ * (simulation/scenario.h). */
 #include "scenario.h"
 
 #include <string.h>
 
-/* Three teams that ask for more than their limits. */
-static const struct layout limited = {3, 9, 1, 1100, 1300, 9, 2};
+/* Each of three teams asks for more than its quota. */
+static const struct layout layout_over_quota = {3, 9, 1, 1100, 1300, 9, 2};
 
-static void limited_draw(struct schedule *p, GRand *r)
+static void over_quota_parameters(struct schedule *parameters, GRand *random)
 {
-    scenario_default_parameters(p, r);
-    p->teams = 3;
+    scenario_default_parameters(parameters, random);
+    parameters->teams = 3;
 }
 
-/* A machine's fault, of those under which a cancelled task may go on there. */
-static void machines_fail(void)
+/* Begins a fault under which a cancelled task may keep running on its machine. */
+static void machine_fault(void)
 {
     static const enum fault kinds[] = {FAULT_HANG, FAULT_MACHINE_HEARS_NOTHING,
                                        FAULT_ZONE, FAULT_MACHINE_REACHES_NOBODY};
@@ -23,30 +24,32 @@
                 simulation_largest_owner(), scenario_random(1, 1.5 * simulation.lease_s));
 }
 
-/* --- limits --- */
+/* --- quotas --- */
 
-static unsigned at_limit; /* cancellations while every team was at its limit */
+/* Cancellations while every team used its whole quota. */
+static unsigned cancelled_at_limit;
 
-static void cancel_at_limit(double share)
+static void cancel_at_limit(double probability)
 {
-    unsigned before = simulation.cancelled;
-    bool all = true;
-
-    /* No team could start one more of the larger tasks. */
-    for (int k = 0; k < simulation.teams; k++)
-        all = all && simulation_team_cpus(k) + 3 > simulation.layout.limit;
-    simulation_cancel_jobs(share);
-    at_limit += all ? simulation.cancelled - before : 0;
+    unsigned before = simulation.cancelled_jobs;
+    bool all_at_limit = true;
+
+    /* No team could start another of the larger tasks, of 3 processors. */
+    for (int k = 0; k < simulation.team_count; k++)
+        all_at_limit =
+            all_at_limit && simulation_team_cpus(k) + 3 > simulation.layout.team_cpus_max;
+    simulation_cancel_jobs(probability);
+    cancelled_at_limit += all_at_limit ? simulation.cancelled_jobs - before : 0;
 }
 
-/* Every team is at its limit; jobs are cancelled whose machines hang, don't hear or are
- * cut off, and the leader changes a second later. */
-static void limit_cancel_step(void)
+/* Every team uses its whole quota. Jobs are cancelled whose machines hang, receive
+ * nothing or are isolated, and the owner changes up to 2 s later. */
+static void quota_cancel_step(void)
 {
     static double change_at;
 
     if (scenario_every(10)) {
-        machines_fail();
+        machine_fault();
         cancel_at_limit(0.2);
         change_at = simulation.now + scenario_random(0, 2);
     }
@@ -59,15 +62,16 @@
     }
 }
 
-static void limit_report(void)
+static void quota_report(void)
 {
-    print_message("%u jobs cancelled while every team was at its limit\n", at_limit);
-    assert_true(at_limit > 0);
+    print_message("%u jobs cancelled while every team used its whole quota\n",
+                  cancelled_at_limit);
+    assert_true(cancelled_at_limit > 0);
 }
 
-/* All controllers, or the leader, end while machines hang and the cloud can't be asked
- * whether they are gone: nobody knows what runs there. */
-static void limit_cold_step(void)
+/* All controllers crash while machines hang, and the cloud provider can't be asked
+ * whether the machines are gone: no controller knows what runs there. */
+static void quota_cold_step(void)
 {
     if (scenario_every(15)) {
         fault_begin(FAULT_HANG, 0, scenario_random(1, simulation.lease_s));
@@ -79,20 +83,21 @@
         cancel_at_limit(0.1);
 }
 
-/* The leader is alone with its machines, and goes on; or it ends while machines hang. A
- * standby takes over. */
-static void limit_warm_step(void)
+/* The owner of most machines is isolated together with them and continues, or it ends
+ * while machines hang. A standby takes over. */
+static void quota_warm_step(void)
 {
     if (scenario_every(7)) {
-        int who = simulation_largest_owner();
-        double s = scenario_random(3, 15);
-        fault_begin(FAULT_CLOUD, 0, s);
+        int leader = simulation_largest_owner();
+        double duration_s = scenario_random(3, 15);
+        fault_begin(FAULT_CLOUD, 0, duration_s);
         if (simulation_chance(0.7)) {
-            fault_begin(FAULT_ISOLATED, who, s);
-            fault_begin(FAULT_ZONE, who, s);
+            fault_begin(FAULT_ISOLATED, leader, duration_s);
+            fault_begin(FAULT_ZONE, leader, duration_s);
         } else {
-            machines_fail();
-            fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_FREEZE, who, s);
+            machine_fault();
+            fault_begin(simulation_chance(0.5) ? FAULT_CRASH : FAULT_FREEZE, leader,
+                        duration_s);
         }
     }
     if (scenario_every(4))
@@ -101,93 +106,106 @@
 
 /* --- cancellations --- */
 
-enum handover_step { CLAIMED, COPIED, NAMING, STRIKING, HANDING, HANDOVER_STEPS };
-static const char *const handover_names[] = {"claim", "copy", "naming the standby",
-                                             "striking it off", "hand-over"};
-enum confirmer { OLD_OWNER, NEW_OWNER, THIRD, CONFIRMERS };
-static unsigned confirmed[HANDOVER_STEPS][CONFIRMERS];
+enum handover_step {
+    CLAIM,
+    REPLICATION,
+    STANDBY_JOINS,
+    STANDBY_REMOVED,
+    TRANSFER,
+    HANDOVER_STEPS
+};
+static const char *const handover_names[] = {"claim", "replication", "standby joins",
+                                             "standby removed", "transfer"};
+enum canceller { OLD_OWNER, NEW_OWNER, OTHER_NODE, CANCELLERS };
+static unsigned cancellations[HANDOVER_STEPS][CANCELLERS];
 static struct {
     int owner, previous;
     enum lmn_replication_phase phase;
     bool releasing;
     uint64_t batches;
-} seen[MAX_NODES];
+} last_seen[MAX_NODES];
 
 static void handover_begin(void)
 {
     for (int i = 0; i < MAX_NODES; i++) {
-        memset(&seen[i], 0, sizeof seen[i]);
-        seen[i].owner = seen[i].previous = -1;
+        memset(&last_seen[i], 0, sizeof last_seen[i]);
+        last_seen[i].owner = last_seen[i].previous = -1;
     }
 }
 
-/* One job with tasks in the partition is cancelled, by who confirmed least at that step.
- */
-static void cancel_during(enum handover_step s, int owner, int successor)
+/* Cancels a job that has started, through the one of the three controllers that has
+ * done so least often at this step of the handover. */
+static void cancel_during(enum handover_step step, int owner, int successor)
 {
-    int nodes[CONFIRMERS] = {owner, successor, 0};
-    enum confirmer by = OLD_OWNER;
-
-    while (nodes[THIRD] == owner || nodes[THIRD] == successor)
-        nodes[THIRD]++;
-    for (int k = 0; k < CONFIRMERS; k++)
-        if (confirmed[s][k] < confirmed[s][by])
-            by = (enum confirmer)k;
-    if (nodes[by] < 0 || nodes[by] >= simulation.layout.nodes)
+    int nodes[CANCELLERS] = {owner, successor, 0};
+    enum canceller canceller_kind = OLD_OWNER;
+
+    while (nodes[OTHER_NODE] == owner || nodes[OTHER_NODE] == successor)
+        nodes[OTHER_NODE]++;
+    for (int k = 0; k < CANCELLERS; k++)
+        if (cancellations[step][k] < cancellations[step][canceller_kind])
+            canceller_kind = (enum canceller)k;
+    if (nodes[canceller_kind] < 0 || nodes[canceller_kind] >= simulation.layout.nodes)
         return;
-    for (int n = 0, i = g_rand_int_range(simulation.random, 0, simulation.njobs);
-         n < simulation.njobs; n++, i++) {
-        struct job *job = &simulation.jobs[i % simulation.njobs];
-        if (job->began_at >= 0 && simulation_cancel_through(job, nodes[by])) {
-            confirmed[s][by]++;
+    for (int checked = 0,
+             i = g_rand_int_range(simulation.random, 0, simulation.job_count);
+         checked < simulation.job_count; checked++, i++) {
+        struct job *job = &simulation.jobs[i % simulation.job_count];
+        if (job->first_start_at >= 0 &&
+            simulation_cancel_through(job, nodes[canceller_kind])) {
+            cancellations[step][canceller_kind]++;
             return;
         }
     }
 }
 
-/* Looks at each partition's owner: what has begun since the last step. */
-static void watch_partition(int part)
+/* Cancels a job if a step of a handover has begun at the partition since the last
+ * call. */
+static void watch_partition(int partition_index)
 {
     int owner = -1;
 
     for (int i = 0; i < simulation.layout.nodes; i++)
         if (simulation.nodes[i].core &&
-            simulation.nodes[i].core->partitions[part].ownership.is_owned &&
+            simulation.nodes[i].core->partitions[partition_index].ownership.is_owned &&
             (owner < 0 ||
-             simulation.nodes[i].core->partitions[part].ownership.epoch >
-                 simulation.nodes[owner].core->partitions[part].ownership.epoch))
+             simulation.nodes[i].core->partitions[partition_index].ownership.epoch >
+                 simulation.nodes[owner]
+                     .core->partitions[partition_index]
+                     .ownership.epoch))
             owner = i;
     if (owner < 0)
         return;
     const struct lmn_partition *partition =
-        &simulation.nodes[owner].core->partitions[part];
+        &simulation.nodes[owner].core->partitions[partition_index];
     enum lmn_replication_phase phase = partition->replication.stream.phase;
     int other = phase == LMN_STREAM_NONE ? (owner + 1) % simulation.layout.nodes
                                          : partition->replication.stream.standby_index;
-    if (seen[part].owner != owner) {
-        if (seen[part].owner >= 0)
-            cancel_during(CLAIMED, seen[part].owner, owner);
-        seen[part].previous = seen[part].owner;
-        seen[part].owner = owner;
+    if (last_seen[partition_index].owner != owner) {
+        if (last_seen[partition_index].owner >= 0)
+            cancel_during(CLAIM, last_seen[partition_index].owner, owner);
+        last_seen[partition_index].previous = last_seen[partition_index].owner;
+        last_seen[partition_index].owner = owner;
     }
-    if (phase != seen[part].phase) {
+    if (phase != last_seen[partition_index].phase) {
         if (phase == LMN_STREAM_JOINING)
-            cancel_during(NAMING, owner, other);
+            cancel_during(STANDBY_JOINS, owner, other);
         if (phase == LMN_STREAM_REMOVING)
-            cancel_during(STRIKING, owner, other);
-        seen[part].phase = phase;
+            cancel_during(STANDBY_REMOVED, owner, other);
+        last_seen[partition_index].phase = phase;
     }
     uint64_t batches = partition->replication.stream.counters.batches;
-    if (batches != seen[part].batches && phase != LMN_STREAM_JOINING &&
+    if (batches != last_seen[partition_index].batches && phase != LMN_STREAM_JOINING &&
         simulation_chance(0.02))
-        cancel_during(COPIED, owner, other);
-    seen[part].batches = batches;
-    if (partition->ownership.is_transferring && !seen[part].releasing)
-        cancel_during(HANDING, owner, other);
-    seen[part].releasing = partition->ownership.is_transferring;
+        cancel_during(REPLICATION, owner, other);
+    last_seen[partition_index].batches = batches;
+    if (partition->ownership.is_transferring && !last_seen[partition_index].releasing)
+        cancel_during(TRANSFER, owner, other);
+    last_seen[partition_index].releasing = partition->ownership.is_transferring;
 }
 
-/* Partitions change hands in every way, while machines don't hear and writes are late. */
+/* Partitions change their owners in every way, while machines receive nothing and
+ * writes are late. */
 static void handover_step(void)
 {
     static const enum fault kinds[] = {FAULT_LEAVE,
@@ -215,52 +233,56 @@
 {
     unsigned missed = 0;
 
-    for (int s = 0; s < HANDOVER_STEPS; s++) {
-        print_message("%s: %u cancelled through the old owner, %u the new, %u a third\n",
-                      handover_names[s], confirmed[s][OLD_OWNER], confirmed[s][NEW_OWNER],
-                      confirmed[s][THIRD]);
-        for (int k = 0; k < CONFIRMERS; k++)
-            missed += !confirmed[s][k];
+    for (int step = 0; step < HANDOVER_STEPS; step++) {
+        print_message(
+            "%s: %u jobs cancelled through the old owner, %u through the new one, "
+            "%u through another\n",
+            handover_names[step], cancellations[step][OLD_OWNER],
+            cancellations[step][NEW_OWNER], cancellations[step][OTHER_NODE]);
+        for (int k = 0; k < CANCELLERS; k++)
+            missed += !cancellations[step][k];
     }
     assert_int_equal(missed, 0);
 }
 
 static struct {
-    double at, outage_at, outage_s;
-    bool before; /* confirmed just before the refusal, else just after it */
-} gap;
-
-/* Jobs are cancelled in the very step in which the state service refuses the leader, and
- * a second later it is down for everybody, for longer than cancel_s. */
-static void instant_step(void)
+    double starts_at, outage_at, outage_s;
+    /* Jobs are cancelled just before the rejection, else just after it. */
+    bool cancel_before;
+} refusal;
+
+/* Jobs are cancelled in the very step in which the state service begins to reject the
+ * owner of most machines; one second later it is down for all, for longer than
+ * cancel_s. */
+static void refusal_step(void)
 {
-    if (scenario_at(gap.at)) {
-        int who = simulation_largest_owner();
-        if (gap.before)
+    if (scenario_at(refusal.starts_at)) {
+        int leader = simulation_largest_owner();
+        if (refusal.cancel_before)
             simulation_cancel_jobs(0.6);
-        fault_begin(FAULT_REFUSED, who, gap.outage_s);
-        if (!gap.before)
+        fault_begin(FAULT_REFUSED, leader, refusal.outage_s);
+        if (!refusal.cancel_before)
             simulation_cancel_jobs(0.6);
     }
-    if (scenario_at(gap.outage_at))
-        fault_begin(FAULT_OUTAGE, 0, gap.outage_s);
+    if (scenario_at(refusal.outage_at))
+        fault_begin(FAULT_OUTAGE, 0, refusal.outage_s);
 }
 
-static void instant_draw(struct schedule *p, GRand *r)
+static void refusal_parameters(struct schedule *parameters, GRand *random)
 {
-    p->lease_s = g_rand_double_range(r, 5, 14);
-    p->cancel_s = p->lease_s + g_rand_double_range(r, 4, 24);
-    p->run_s = 3 * p->cancel_s;
-    gap.at = 40 + g_rand_double_range(r, 0, 5);
-    gap.outage_at = gap.at + 1;
-    gap.outage_s = p->cancel_s * g_rand_double_range(r, 1.1, 2);
-    gap.before = g_rand_boolean(r);
+    parameters->lease_s = g_rand_double_range(random, 5, 14);
+    parameters->cancel_s = parameters->lease_s + g_rand_double_range(random, 4, 24);
+    parameters->max_task_s = 3 * parameters->cancel_s;
+    refusal.starts_at = 40 + g_rand_double_range(random, 0, 5);
+    refusal.outage_at = refusal.starts_at + 1;
+    refusal.outage_s = parameters->cancel_s * g_rand_double_range(random, 1.1, 2);
+    refusal.cancel_before = g_rand_boolean(random);
 }
 
-/* --- machines that can't be reached one way, and late commands --- */
+/* --- machines that are cut off in one direction, and late commands --- */
 
-/* Machines reach no controller, while direct commands reach them; leaders change. */
-static void mute_step(void)
+/* Machines reach no controller, while pushed commands reach them; owners change. */
+static void mute_machines_step(void)
 {
     if (scenario_every(10))
         fault_begin(FAULT_MACHINE_REACHES_NOBODY, 0,
@@ -272,11 +294,11 @@
         simulation_cancel_jobs(0.1);
 }
 
-/* Direct commands are carried out late, when another leader has acted, or a machine has
- * ended its session. */
+/* Pushed commands are executed late, when another owner has sent commands, or the
+ * agent has begun a new incarnation. */
 static void late_commands_step(void)
 {
-    simulation.commands_until = simulation.now + (scenario_is_over() ? 0 : 1);
+    simulation.late_commands_until = simulation.now + (scenario_is_over() ? 0 : 1);
     if (scenario_every(10))
         fault_begin(simulation_chance(0.5) ? FAULT_MACHINE_REACHES_NOBODY : FAULT_HANG, 0,
                     scenario_random(1, 1.5 * simulation.lease_s));
@@ -289,11 +311,12 @@
 
 /* --- load --- */
 
-enum { SMALL_JOBS = 240, SMALL_WRITES = 5 };
-static const struct layout quarter_second = {3, 9, 1, 1100, 1300, 36, 0.25};
-static unsigned small_transactions, small_changes, small_queued, small_days;
+enum { SMALL_JOBS = 240, SMALL_JOB_TRANSACTIONS = 5 };
+static const struct layout four_jobs_per_second = {3, 9, 1, 1100, 1300, 36, 0.25};
+static unsigned small_job_transactions, small_job_operations, small_job_most_queued,
+    small_job_runs;
 
-static void one_task(struct job *job, int number)
+static void describe_small_job(struct job *job, int number)
 {
     job->spec.kind = LMN_JOB_BATCH;
     job->spec.tasks = 1;
@@ -304,11 +327,12 @@
     job->spec.estimate_s = 2;
 }
 
-/* One-task jobs come four a second, a quarter are cancelled soon after; the state service
- * is down in between, and takes few transactions a second after that. */
-static void many_jobs_step(void)
+/* Four jobs of one task are submitted each second, and most of every fourth are
+ * cancelled within 4 s. The state service is down for 5 s, and each controller may
+ * send only SMALL_JOB_TRANSACTIONS transactions in a step. */
+static void small_jobs_step(void)
 {
-    for (int i = 0; i < simulation.njobs; i += 4) {
+    for (int i = 0; i < simulation.job_count; i += 4) {
         struct job *job = &simulation.jobs[i];
         if (job->submitted && simulation.now - job->accepted_at < 4 &&
             simulation_chance(0.04))
@@ -321,42 +345,45 @@
                     simulation_largest_owner(), scenario_random(0.2, 4));
     if (scenario_every(20))
         fault_begin(FAULT_LATE_HEARTBEATS, 0, 5);
-    /* A job has two records: its own, and its tasks'. */
-    if (simulation.most_queued > 2 * SMALL_JOBS)
-        simulation_fail_service("%u changes wait to be written", simulation.most_queued);
-    small_queued =
-        MAX(small_queued, simulation.disabled_guard ? 0 : simulation.most_queued);
+    /* A job has two records: its own, and its range's. */
+    if (simulation.most_queued_operations > 2 * SMALL_JOBS)
+        simulation_fail_service("%u operations wait to be written, limit %d",
+                                simulation.most_queued_operations, 2 * SMALL_JOBS);
+    small_job_most_queued =
+        MAX(small_job_most_queued,
+            simulation.disabled_guard ? 0 : simulation.most_queued_operations);
     if (!simulation.disabled_guard && scenario_at(239)) {
-        small_days++;
-        small_transactions += simulation.transactions;
-        small_changes += simulation.changes;
+        small_job_runs++;
+        small_job_transactions += simulation.transactions;
+        small_job_operations += simulation.operations;
     }
 }
 
-static void many_jobs_draw(struct schedule *p, GRand *r)
+static void small_jobs_parameters(struct schedule *parameters, GRand *random)
 {
-    scenario_default_parameters(p, r);
-    p->run_s = 3;
-    p->jobs = SMALL_JOBS;
-    p->writes = SMALL_WRITES;
-    p->describe = one_task;
+    scenario_default_parameters(parameters, random);
+    parameters->max_task_s = 3;
+    parameters->jobs = SMALL_JOBS;
+    parameters->max_transactions = SMALL_JOB_TRANSACTIONS;
+    parameters->describe_job = describe_small_job;
 }
 
-static void many_jobs_report(void)
+static void small_jobs_report(void)
 {
-    double jobs = (double)small_days * SMALL_JOBS;
+    double jobs = (double)small_job_runs * SMALL_JOBS;
 
     print_message(
-        "%.2f transactions and %.2f changes of owners a job; at most %u changes "
+        "%.2f transactions and %.2f operations of owners per job; at most %u operations "
         "waited\n",
-        small_transactions / jobs, small_changes / jobs, small_queued);
+        small_job_transactions / jobs, small_job_operations / jobs,
+        small_job_most_queued);
 }
 
-/* Each partition has the machines of one zone. */
+/* Three zones; all machines of a partition are in the same zone. */
 static const struct layout three_zones = {3, 9, 3, 1100, 1300, 54, 2};
 
-/* Jobs bound to a zone, to any one zone, to both, and spread over them. */
-static void bound(struct job *job, int number)
+/* Jobs bound to a given zone, to any one zone, to both, or spread over the zones. */
+static void describe_bound_job(struct job *job, int number)
 {
     static const char *const zones[] = {"a", "b", "c"};
 
@@ -370,10 +397,10 @@
         job->spec.kind = LMN_JOB_BATCH;
 }
 
-static void bound_draw(struct schedule *p, GRand *r)
+static void bound_parameters(struct schedule *parameters, GRand *random)
 {
-    scenario_default_parameters(p, r);
-    p->describe = bound;
+    scenario_default_parameters(parameters, random);
+    parameters->describe_job = describe_bound_job;
 }
 
 static void bound_step(void)
@@ -390,11 +417,11 @@
         simulation_cancel_jobs(0.05);
 }
 
-/* Half as much work again as there is room for, over slow links. */
+/* One and a half times the work that there is room for, and slow heartbeats. */
 enum { LOAD_JOBS = 250, CLASSES = 3, LARGEST_OF = 25 };
-static const struct layout overload = {3, 9, 1, 5000, 5000, 20, 2};
-static const double LARGEST_BEGINS_S = 240;
-static double latest_begin;
+static const struct layout overload_layout = {3, 9, 1, 5000, 5000, 20, 2};
+static const double MAX_FIRST_START_S = 240;
+static double longest_first_start_s;
 static double least_share;
 
 static bool is_largest(int number)
@@ -402,7 +429,7 @@
     return number % LARGEST_OF < CLASSES;
 }
 
-static void load(struct job *job, int number)
+static void describe_load(struct job *job, int number)
 {
     static const char *const classes[CLASSES] = {"urgent", "usual", "idle"};
     static const enum lmn_priority urgency[CLASSES] = {
@@ -411,7 +438,7 @@
     job->spec.kind = LMN_JOB_BATCH;
     job->spec.class_name = (char *)classes[number % CLASSES];
     job->spec.priority = urgency[number % CLASSES];
-    job->spec.team = (char *)simulation_team(number / CLASSES % simulation.teams);
+    job->spec.team = (char *)simulation_team(number / CLASSES % simulation.team_count);
     job->spec.spreads_over_zones = false;
     job->spec.zone = NULL;
     job->spec.may_use_spot = true;
@@ -420,90 +447,95 @@
     job->spec.estimate_s = 8;
 }
 
-static void load_draw(struct schedule *p, GRand *r)
+static void load_parameters(struct schedule *parameters, GRand *random)
 {
-    p->lease_s = g_rand_double_range(r, 8, 12);
-    p->cancel_s = 3 * p->lease_s;
-    p->run_s = g_rand_double_range(r, 14, 17);
-    p->link_s = g_rand_double_range(r, 0.5, 2);
-    p->jobs = LOAD_JOBS;
-    p->teams = 3;
-    p->describe = load;
+    parameters->lease_s = g_rand_double_range(random, 8, 12);
+    parameters->cancel_s = 3 * parameters->lease_s;
+    parameters->max_task_s = g_rand_double_range(random, 14, 17);
+    parameters->max_heartbeat_delay_s = g_rand_double_range(random, 0.5, 2);
+    parameters->jobs = LOAD_JOBS;
+    parameters->teams = 3;
+    parameters->describe_job = describe_load;
 }
 
-/* Of the jobs of a class, or with class -1 of a team, the share that has begun. */
-static double begun(int class, int team)
+/* The share of jobs that have started: those of a class, or with class_index -1 those
+ * of a team. */
+static double started_share(int class_index, int team_index)
 {
-    unsigned all = 0, n = 0;
+    unsigned submitted = 0, started = 0;
 
-    for (int i = 0; i < simulation.njobs; i++) {
+    for (int i = 0; i < simulation.job_count; i++) {
         const struct job *job = &simulation.jobs[i];
-        bool counts = class >= 0 ? i % CLASSES == class
-                                 : !strcmp(job->spec.team, simulation_team(team));
+        bool counts = class_index >= 0
+                          ? i % CLASSES == class_index
+                          : !strcmp(job->spec.team, simulation_team(team_index));
         if (!counts || !job->submitted)
             continue;
-        all++;
-        n += job->began_at >= 0;
+        submitted++;
+        started += job->first_start_at >= 0;
     }
-    return (double)n / all;
+    return (double)started / submitted;
 }
 
 static void load_step(void)
 {
-    for (int i = 0; i < simulation.njobs; i++) {
+    for (int i = 0; i < simulation.job_count; i++) {
         const struct job *job = &simulation.jobs[i];
         if (!job->submitted || !is_largest(i))
             continue;
-        double waited =
-            (job->began_at < 0 ? simulation.now : job->began_at) - job->accepted_at;
+        double waited = (job->first_start_at < 0 ? simulation.now : job->first_start_at) -
+                        job->accepted_at;
         if (!simulation.disabled_guard)
-            latest_begin = MAX(latest_begin, waited);
-        if (waited > LARGEST_BEGINS_S)
-            simulation_fail_service("%s, one of the largest, has not begun for %.0f s",
-                                    job->id, waited);
+            longest_first_start_s = MAX(longest_first_start_s, waited);
+        if (waited > MAX_FIRST_START_S)
+            simulation_fail_service(
+                "%s, one of the largest jobs, waited %.0f s for its first start "
+                "(limit %.0f s)",
+                job->id, waited, MAX_FIRST_START_S);
     }
     if (!scenario_at(simulation.layout.steps * STEP_S))
         return;
     for (int k = 0; k < 3; k++) {
-        double share = MIN(begun(k, 0), begun(-1, k));
+        double share = MIN(started_share(k, 0), started_share(-1, k));
         if (!simulation.disabled_guard)
             least_share = MIN(least_share ? least_share : 1, share);
         if (share < 0.5)
-            simulation_fail_service("class or team %d: %.2f of its jobs have begun", k,
-                                    share);
+            simulation_fail_service(
+                "class or team %d: %.2f of its jobs have started, least 0.50", k, share);
     }
 }
 
 static void load_report(void)
 {
     print_message(
-        "the largest began after %.0f s at most; of each class and team %.2f of "
-        "the jobs had begun at least\n",
-        latest_begin, least_share);
+        "the largest jobs started after %.0f s at most; of each class and team at least "
+        "%.2f of the jobs had started\n",
+        longest_first_start_s, least_share);
 }
 
 static const struct scenario scenarios[] = {
-    {"limits and cancellations", limit_cancel_step, limited_draw, GUARD_QUOTA_UNTIL_GONE,
-     RULE_QUOTA_EXCEEDED, false, 8, NULL, limit_report, &limited},
-    {"limits, cold takeovers", limit_cold_step, limited_draw, GUARD_UNACCOUNTED,
-     RULE_QUOTA_EXCEEDED, false, 8, NULL, NULL, &limited},
-    {"limits, warm takeovers", limit_warm_step, limited_draw, GUARD_REPLICATED, ANY_RULE,
-     true, 16, NULL, NULL, &limited},
+    {"limits and cancellations", quota_cancel_step, over_quota_parameters,
+     GUARD_QUOTA_UNTIL_GONE, RULE_QUOTA_EXCEEDED, false, 8, NULL, quota_report,
+     &layout_over_quota},
+    {"limits, cold takeovers", quota_cold_step, over_quota_parameters, GUARD_UNACCOUNTED,
+     RULE_QUOTA_EXCEEDED, false, 8, NULL, NULL, &layout_over_quota},
+    {"limits, warm takeovers", quota_warm_step, over_quota_parameters, GUARD_REPLICATED,
+     ANY_RULE, true, 16, NULL, NULL, &layout_over_quota},
     {"cancellations during a change of owner", handover_step, scenario_default_parameters,
      GUARD_KILL_INHERITED, RULE_RAN_CANCELLED, true, 12, handover_begin, handover_report,
      NULL},
-    {"cancellations at the refusal", instant_step, instant_draw, GUARD_STALE_VIEW,
+    {"cancellations at the refusal", refusal_step, refusal_parameters, GUARD_STALE_VIEW,
      RULE_RAN_CANCELLED, false, 12, NULL, NULL, NULL},
-    {"mute machines", mute_step, scenario_default_parameters, GUARD_LEASE, RULE_RAN_TWICE,
-     false, 8, NULL, NULL, NULL},
+    {"mute machines", mute_machines_step, scenario_default_parameters, GUARD_LEASE,
+     RULE_RAN_TWICE, false, 8, NULL, NULL, NULL},
     {"late commands", late_commands_step, scenario_default_parameters,
      GUARD_FENCING_TOKEN, RULE_RAN_TWICE, false, 8, NULL, NULL, NULL},
-    {"many small jobs", many_jobs_step, many_jobs_draw, GUARD_ONE_WRITE_PER_RANGE,
-     NOT_SERVED, false, 4, NULL, many_jobs_report, &quarter_second},
-    {"jobs bound to zones", bound_step, bound_draw, GUARD_ANTI_AFFINITY, RULE_WRONG_PLACE,
-     false, 8, NULL, NULL, &three_zones},
-    {"more work than room", load_step, load_draw, GUARD_FAIR_SHARE, NOT_SERVED, false, 3,
-     NULL, load_report, &overload},
+    {"many small jobs", small_jobs_step, small_jobs_parameters, GUARD_ONE_WRITE_PER_RANGE,
+     NOT_SERVED, false, 4, NULL, small_jobs_report, &four_jobs_per_second},
+    {"jobs bound to zones", bound_step, bound_parameters, GUARD_ANTI_AFFINITY,
+     RULE_WRONG_PLACE, false, 8, NULL, NULL, &three_zones},
+    {"more work than room", load_step, load_parameters, GUARD_FAIR_SHARE, NOT_SERVED,
+     false, 3, NULL, load_report, &overload_layout},
 };
 
 int main(int argc, char **argv)
--- a/tests/twin.h
+++ b/tests/twin.h
@@ -1,29 +1,31 @@
-/* What a message of the product's is after its way through a network: the same, apart. */
+/* Copies of product messages, as a receiver gets them over a network: equal to what
+ * was sent, but sharing no memory with it. */
 #ifndef LMN_TESTS_TWIN_H
 #define LMN_TESTS_TWIN_H
 
 #include "replication/batch.h"
 
-/* A copy of the batch, but for images; to be freed. */
+/* Copies the batch except for the images of its machines. The caller frees the copy. */
 static inline struct lmn_replication_batch *
-replication_batch_copy(const struct lmn_replication_batch *b)
+replication_batch_copy(const struct lmn_replication_batch *batch)
 {
-    struct lmn_replication_batch *c = lmn_replication_batch_new();
-    GPtrArray *machines = c->machines;
+    struct lmn_replication_batch *copy = lmn_replication_batch_new();
+    GPtrArray *machines = copy->machines;
 
-    *c = *b;
-    c->machines = machines;
-    for (guint i = 0; i < b->machines->len; i++) {
-        const struct lmn_machine_snapshot *t = b->machines->pdata[i];
-        struct lmn_machine_snapshot *u = lmn_machine_snapshot_new(t->name);
-        u->agent_incarnation = t->agent_incarnation;
-        u->is_terminated = t->is_terminated;
-        u->is_forgotten = t->is_forgotten;
-        if (t->attempts->len)
-            g_array_append_vals(u->attempts, t->attempts->data, t->attempts->len);
-        g_ptr_array_add(machines, u);
+    *copy = *batch;
+    copy->machines = machines;
+    for (guint i = 0; i < batch->machines->len; i++) {
+        const struct lmn_machine_snapshot *original = batch->machines->pdata[i];
+        struct lmn_machine_snapshot *snapshot = lmn_machine_snapshot_new(original->name);
+        snapshot->agent_incarnation = original->agent_incarnation;
+        snapshot->is_terminated = original->is_terminated;
+        snapshot->is_forgotten = original->is_forgotten;
+        if (original->attempts->len)
+            g_array_append_vals(snapshot->attempts, original->attempts->data,
+                                original->attempts->len);
+        g_ptr_array_add(machines, snapshot);
     }
-    return c;
+    return copy;
 }
 
 #endif
