--- a/tests/test_model.c
+++ b/tests/test_model.c
@@ -16,7 +16,7 @@
                           enum guard broken)
 {
     digest_begin("test_model", scenario, seed);
-    simulation_play(l, seed, broken);
+    simulation_run(l, seed, broken);
     digest_end();
 }
 
@@ -25,7 +25,7 @@
     char *scenario =
         broken ? g_strdup_printf("usual without guard %d", broken) : g_strdup("usual");
 
-    play_digested(scenario, &usual, seed, broken);
+    play_digested(scenario, &default_layout, seed, broken);
     g_free(scenario);
 }
 
@@ -49,18 +49,18 @@
                                .machines = g_rand_int_range(r, n, 2 * n + 1),
                                .zones = g_rand_int_range(r, 1, 6),
                                .steps = 48000 / (n + 11),
-                               .limit = 8.0 * n};
-            l.every = l.steps * STEP_S / JOBS / 2;
+                               .team_cpus_max = 8.0 * n};
+            l.job_interval_s = l.steps * STEP_S / JOBS / 2;
             g_rand_free(r);
-            standbys = seed % 2;
+            enable_standbys = seed % 2;
             play_digested("any layout", &l, 500 + 10 * k + seed, GUARD_NONE);
-            standbys = false;
-            for (int i = 0; i < RULES; i++)
-                if (simulation.broken_rules[i])
+            enable_standbys = false;
+            for (int i = 0; i < RULE_COUNT; i++)
+                if (simulation.violations[i])
                     fail_msg("%d controllers, %d machines, %d zones, seed %u: %s broken "
                              "%u times",
                              l.nodes, l.machines, l.zones, seed, rule_names[i],
-                             simulation.broken_rules[i]);
+                             simulation.violations[i]);
             starts += simulation.starts;
             takeovers += simulation.takeovers;
         }
@@ -75,14 +75,14 @@
     (void)state;
 
     for (uint32_t seed = 1; seed <= 12; seed++) {
-        standbys = seed % 2;
+        enable_standbys = seed % 2;
         play(seed, GUARD_NONE);
-        standbys = false;
-        for (int i = 0; i < RULES; i++)
-            if (simulation.broken_rules[i])
+        enable_standbys = false;
+        for (int i = 0; i < RULE_COUNT; i++)
+            if (simulation.violations[i])
                 fail_msg("seed %u: %s broken %u times", seed, rule_names[i],
-                         simulation.broken_rules[i]);
-        finished += simulation.finished;
+                         simulation.violations[i]);
+        finished += simulation.finished_jobs;
         takeovers += simulation.takeovers;
         steals += simulation.steals;
         preempted += simulation.preempted;
@@ -115,30 +115,31 @@
                            .machines = 2 * n,
                            .zones = 1 + n % 3,
                            .steps = 48000 / (n + 11),
-                           .calm = 1300,
-                           .limit = 8.0 * n};
-        l.every = l.steps * STEP_S / JOBS / 2;
+                           .recovery_steps = 1300,
+                           .team_cpus_max = 8.0 * n};
+        l.job_interval_s = l.steps * STEP_S / JOBS / 2;
         for (uint32_t seed = 1; seed <= 3; seed++) {
-            flap = true;
-            standbys = seed != 2;
+            flapping_members = true;
+            enable_standbys = seed != 2;
             play_digested("flapping", &l, 900 + 10 * k + seed, GUARD_NONE);
-            flap = standbys = false;
+            flapping_members = enable_standbys = false;
             for (int i = 0; i < n; i++)
                 warm += (unsigned)simulation.nodes[i].core->counters.warm_failovers;
-            warm += simulation.warm;
-            compared += simulation.compared;
-            withheld += simulation.withheld;
-            leaves += simulation.leaves;
-            assert_true(simulation_is_well());
-            if (*simulation.unserved)
-                fail_msg("%d controllers, seed %u: %s", n, seed, simulation.unserved);
-            for (int i = 0; i < RULES; i++)
-                if (simulation.broken_rules[i])
+            warm += simulation.warm_takeovers;
+            compared += simulation.compared_replicas;
+            withheld += simulation.withheld_starts;
+            leaves += simulation.shutdowns;
+            assert_true(simulation_is_recovered());
+            if (*simulation.service_failure)
+                fail_msg("%d controllers, seed %u: %s", n, seed,
+                         simulation.service_failure);
+            for (int i = 0; i < RULE_COUNT; i++)
+                if (simulation.violations[i])
                     fail_msg("%d controllers, seed %u: %s broken %u times", n, seed,
-                             rule_names[i], simulation.broken_rules[i]);
+                             rule_names[i], simulation.violations[i]);
             verdicts += simulation.failures_declared;
             refutations += simulation.refutations;
-            gives += simulation.transfers;
+            gives += simulation.partition_transfers;
         }
     }
     /* The days were worth playing. */
@@ -161,7 +162,7 @@
 {
     for (uint32_t seed = FIRST_SEED; seed <= LAST_SEED; seed++) {
         play(seed, g);
-        if (!simulation.broken_rules[r])
+        if (!simulation.violations[r])
             continue;
         print_message("%s broken by seed %u\n", rule_names[r], seed);
         return;
@@ -172,70 +173,70 @@
 static void acknowledgements_are_needed(void **state)
 {
     (void)state;
-    standbys = true;
-    breaks(GUARD_REPLICATED, R_TWICE);
-    standbys = false;
+    enable_standbys = true;
+    breaks(GUARD_REPLICATED, RULE_RAN_TWICE);
+    enable_standbys = false;
 }
 
 static void accounting_is_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_ACCOUNTED, R_TWICE);
+    breaks(GUARD_ACCOUNTED, RULE_RAN_TWICE);
 }
 
 /* Of a copy that comes late, what was started since is missing. */
 static void the_order_of_reports_is_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_HEARTBEAT_ORDER, R_TWICE);
+    breaks(GUARD_HEARTBEAT_ORDER, RULE_RAN_TWICE);
 }
 
 static void unsure_starts_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_UNCERTAIN_PUSH, R_TWICE);
+    breaks(GUARD_UNCERTAIN_PUSH, RULE_RAN_TWICE);
 }
 
 static void shares_of_limits_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_QUOTA, R_QUOTA);
+    breaks(GUARD_QUOTA, RULE_QUOTA_EXCEEDED);
 }
 
 static void accounting_is_needed_after_a_verdict(void **state)
 {
     (void)state;
-    breaks(GUARD_DECLARED_FAILED, R_TWICE);
+    breaks(GUARD_DECLARED_FAILED, RULE_RAN_TWICE);
 }
 
 static void places_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_PLACEMENT, R_PLACE);
+    breaks(GUARD_PLACEMENT, RULE_WRONG_PLACE);
 }
 
 static void the_fence_is_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_STALE_VIEW, R_CANCELLED);
+    breaks(GUARD_STALE_VIEW, RULE_RAN_CANCELLED);
 }
 
 static void reported_results_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_DONE, R_NOT_DONE);
+    breaks(GUARD_DONE, RULE_DONE_TOO_EARLY);
 }
 
 static void conditions_on_final_states_are_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_FINAL, R_WENT_BACK);
+    breaks(GUARD_FINAL, RULE_STATE_REVERTED);
 }
 
 static void looking_at_zones_is_needed(void **state)
 {
     (void)state;
-    breaks(GUARD_ANTI_AFFINITY, R_PLACE);
+    breaks(GUARD_ANTI_AFFINITY, RULE_WRONG_PLACE);
 }
 
 int main(void)
