--- a/src/partition/heartbeat.c
+++ b/src/partition/heartbeat.c
@@ -324,10 +324,10 @@
     struct lmn_machine *machine = request->machine;
 
     record_accounted(request);
-    lmn_heartbeat_settle_tasks(core, machine, request->document,
-                               request->heartbeat->tasks, commands, request->now);
-    deferred->settled_commands = commands->count;
-    deferred->settled_bytes = commands->encoded->len;
+    lmn_heartbeat_reconcile_tasks(core, machine, request->document,
+                                  request->heartbeat->tasks, commands, request->now);
+    deferred->commands_before_starts = commands->count;
+    deferred->bytes_before_starts = commands->encoded->len;
     lmn_partition_check_ready(core, request->partition, request->now);
     /* An overloaded controller settles what was, and starts nothing. */
     if (!lmn_load_should_shed(&core->load, LMN_SHED_START, core->random))
@@ -456,15 +456,15 @@
         if (attempt->log_position > deferred->from_position &&
             attempt->log_position <= deferred->log_position) {
             core->counters.withheld_starts++;
-            lmn_attempt_vanished(core, machine, i, now);
+            lmn_attempt_remove_absent(core, machine, i, now);
         }
     }
     /* Kills and clears stay: a reply without them would renew the lease of tasks that
      * have to end. */
     struct lmn_command_list settled = lmn_command_list_new();
-    settled.count = deferred->settled_commands;
+    settled.count = deferred->commands_before_starts;
     g_byte_array_append(settled.encoded, out->data + deferred->commands_offset,
-                        deferred->settled_bytes);
+                        deferred->bytes_before_starts);
     g_byte_array_set_size(out, 0);
     const struct lmn_heartbeat_reply reply = {deferred->epoch, &settled};
     lmn_heartbeat_reply_encode(out, &reply);
--- a/src/partition/heartbeat.h
+++ b/src/partition/heartbeat.h
@@ -24,7 +24,7 @@
     guint commands_offset;
     /** The commands before the new starts, which go out in any case: their bytes and
      * their count. */
-    guint settled_bytes, settled_commands;
+    guint bytes_before_starts, commands_before_starts;
 };
 
 /** Handles a heartbeat. Takes the core's lock.
--- a/src/partition/heartbeat_reply.c
+++ b/src/partition/heartbeat_reply.c
@@ -104,7 +104,7 @@
             continue;
         ignored_starts += attempt->state == LMN_ATTEMPT_SENT && !attempt->was_reported &&
                           !attempt->from_replica;
-        lmn_attempt_vanished(core, machine, i, now);
+        lmn_attempt_remove_absent(core, machine, i, now);
     }
     return ignored_starts;
 }
@@ -166,10 +166,10 @@
     }
 }
 
-void lmn_heartbeat_settle_tasks(struct lmn_core *core, struct lmn_machine *machine,
-                                const struct lmn_cbor_document *document,
-                                const struct lmn_cbor_value *tasks,
-                                struct lmn_command_list *commands, struct timespec now)
+void lmn_heartbeat_reconcile_tasks(struct lmn_core *core, struct lmn_machine *machine,
+                                   const struct lmn_cbor_document *document,
+                                   const struct lmn_cbor_value *tasks,
+                                   struct lmn_command_list *commands, struct timespec now)
 {
     lmn_heartbeat_apply_tasks(core, machine, document, tasks, now);
     if (remove_unreported_attempts(core, machine, now))
--- a/src/partition/heartbeat_reply.h
+++ b/src/partition/heartbeat_reply.h
@@ -12,10 +12,11 @@
  * one that was written under the owner's epoch and was not overtaken. Attempts that it
  * does not name are gone, unless a pushed start of theirs may still arrive. Adds the
  * commands that follow. */
-void lmn_heartbeat_settle_tasks(struct lmn_core *core, struct lmn_machine *machine,
-                                const struct lmn_cbor_document *document,
-                                const struct lmn_cbor_value *tasks,
-                                struct lmn_command_list *commands, struct timespec now);
+void lmn_heartbeat_reconcile_tasks(struct lmn_core *core, struct lmn_machine *machine,
+                                   const struct lmn_cbor_document *document,
+                                   const struct lmn_cbor_value *tasks,
+                                   struct lmn_command_list *commands,
+                                   struct timespec now);
 
 /** Adds kills for tasks of jobs that may not run any more, for a reply that cannot settle
  * what is on the machine: the heartbeat is from before the owner's epoch, or it was
--- a/src/partition/machine_attempts.c
+++ b/src/partition/machine_attempts.c
@@ -26,8 +26,8 @@
     return true;
 }
 
-void lmn_attempt_vanished(struct lmn_core *core, struct lmn_machine *machine,
-                          guint position, struct timespec now)
+void lmn_attempt_remove_absent(struct lmn_core *core, struct lmn_machine *machine,
+                               guint position, struct timespec now)
 {
     struct lmn_attempt *attempt =
         &g_array_index(machine->attempts, struct lmn_attempt, position);
--- a/src/partition/machine_attempts.h
+++ b/src/partition/machine_attempts.h
@@ -13,7 +13,7 @@
 /** Removes the attempt at that position of machine->attempts, which is proven not to be
  * on the machine; its task is queued again unless the attempt had ended. The last attempt
  * takes its position. */
-void lmn_attempt_vanished(struct lmn_core *core, struct lmn_machine *machine,
-                          guint position, struct timespec now);
+void lmn_attempt_remove_absent(struct lmn_core *core, struct lmn_machine *machine,
+                               guint position, struct timespec now);
 
 #endif
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -134,8 +134,9 @@
     block->is_writing = false;
 }
 
-void lmn_machine_block_sweep(struct lmn_core *core, struct lmn_partition *partition,
-                             struct timespec now)
+void lmn_machine_blocks_remove_unlisted(struct lmn_core *core,
+                                        struct lmn_partition *partition,
+                                        struct timespec now)
 {
     for (guint i = 0; i < partition->blocks->len; i++) {
         struct lmn_machine_block *block = partition->blocks->pdata[i];
@@ -147,7 +148,7 @@
     }
 }
 
-void lmn_machine_blocks_reset(struct lmn_partition *partition)
+void lmn_machine_blocks_reset_writes(struct lmn_partition *partition)
 {
     for (guint i = 0; i < partition->blocks->len; i++) {
         struct lmn_machine_block *block = partition->blocks->pdata[i];
--- a/src/partition/machine_block.h
+++ b/src/partition/machine_block.h
@@ -18,11 +18,12 @@
                              struct timespec now);
 
 /** After a whole listing: removes the machines of blocks that it did not name. */
-void lmn_machine_block_sweep(struct lmn_core *core, struct lmn_partition *partition,
-                             struct timespec now);
+void lmn_machine_blocks_remove_unlisted(struct lmn_core *core,
+                                        struct lmn_partition *partition,
+                                        struct timespec now);
 
 /** Forgets writes in flight: the partition was acquired, and none is ours any more. */
-void lmn_machine_blocks_reset(struct lmn_partition *partition);
+void lmn_machine_blocks_reset_writes(struct lmn_partition *partition);
 
 /** Writes the blocks that machines have come to or gone from.
  * @param has_spare_writes removals alone are written only then: they are not urgent */
--- a/src/partition/machine_silence.c
+++ b/src/partition/machine_silence.c
@@ -95,7 +95,7 @@
     return entry->silent > MAX_SINGLE_FAILURES && 2 * entry->silent > entry->total;
 }
 
-bool lmn_machine_silence_is_general(const GArray *silence)
+bool lmn_machine_majority_is_silent(const GArray *silence)
 {
     return is_majority_silent(&g_array_index(silence, struct lmn_machine_silence, 0));
 }
@@ -149,8 +149,8 @@
     }
 }
 
-bool lmn_zone_is_cut(const struct lmn_partition *partition, const char *zone,
-                     struct timespec now)
+bool lmn_zone_is_cut_off(const struct lmn_partition *partition, const char *zone,
+                         struct timespec now)
 {
     const struct lmn_zone_cut *cut = find_cut(partition, zone);
 
--- a/src/partition/machine_silence.h
+++ b/src/partition/machine_silence.h
@@ -25,15 +25,15 @@
 
 /** Whether most machines of the whole partition are silent: then the fault is more likely
  * on this controller's side. */
-bool lmn_machine_silence_is_general(const GArray *silence);
+bool lmn_machine_majority_is_silent(const GArray *silence);
 
 /** Records zones most of whose machines are silent as cut off, for a while. */
 void lmn_zone_cuts_update(const struct lmn_core *core, struct lmn_partition *partition,
                           const GArray *silence, struct timespec now);
 
 /** Whether the zone counts as cut off now. */
-bool lmn_zone_is_cut(const struct lmn_partition *partition, const char *zone,
-                     struct timespec now);
+bool lmn_zone_is_cut_off(const struct lmn_partition *partition, const char *zone,
+                         struct timespec now);
 
 /** Since when this controller has answered heartbeats without a break. A machine that was
  * silent by then was refused here, or had nobody to talk to, which says nothing about its
--- a/src/partition/maintenance.c
+++ b/src/partition/maintenance.c
@@ -243,8 +243,8 @@
     if (lmn_watch_cache_age_s(core, now) > LMN_MAX_CACHE_AGE_S)
         return;
     const struct machine_surroundings surroundings = {
-        .most_are_silent = lmn_machine_silence_is_general(silence),
-        .zone_is_cut = lmn_zone_is_cut(machine->partition, machine->zone, now)};
+        .most_are_silent = lmn_machine_majority_is_silent(silence),
+        .zone_is_cut = lmn_zone_is_cut_off(machine->partition, machine->zone, now)};
     drain_if_unreachable(core, machine, &surroundings, now);
     drain_if_lease_expired(core, machine, &surroundings, now);
     drain_if_spot_ended(core, machine, now);
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -32,7 +32,7 @@
     .partition_acquired = lmn_partition_own,
     .partition_lost = lmn_partition_lose,
     .block_changed = lmn_machine_block_apply,
-    .blocks_listed = lmn_machine_block_sweep,
+    .blocks_listed = lmn_machine_blocks_remove_unlisted,
     .quota_changed = lmn_quota_record_apply,
     .partition_freed = lmn_replication_clear,
 };
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -144,7 +144,7 @@
     begin_ownership(partition, now);
     core->counters.failovers++;
     reset_quota(core, partition);
-    lmn_machine_blocks_reset(partition);
+    lmn_machine_blocks_reset_writes(partition);
     /* Zone cuts of an earlier epoch of ours would hold up returns that need not wait. */
     g_array_set_size(partition->zone_cuts, 0);
     reset_machines(partition);
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -107,7 +107,7 @@
 {
     int partition_id;
     uint64_t log_position =
-        lmn_worker_client_log_position(core, push->machine, &partition_id);
+        lmn_worker_client_push_log_position(core, push->machine, &partition_id);
     struct lmn_partition *partition = &core->partitions[partition_id];
     uint64_t epoch = partition->ownership.epoch;
     double remaining_s;
--- a/src/partition/worker_probe.c
+++ b/src/partition/worker_probe.c
@@ -216,7 +216,7 @@
      * will be: a command that is still on its way is of an older epoch. */
     for (guint i = machine->attempts->len; i-- > 0;)
         if (g_array_index(machine->attempts, struct lmn_attempt, i).from_replica)
-            lmn_attempt_vanished(core, machine, i, now);
+            lmn_attempt_remove_absent(core, machine, i, now);
     lmn_machine_mark_unreplicated(machine);
     lmn_partition_check_ready(core, partition, now);
     /* The thread that has a connection to the worker pushes to it next. */
--- a/src/partition/worker_push.c
+++ b/src/partition/worker_push.c
@@ -145,7 +145,7 @@
         attempt->push_in_flight = false;
         bool is_unnamed = answer.is_newer && !attempt->in_last_heartbeat;
         if (status == LMN_HTTP_NOT_SENT || (status == 409 && is_unnamed))
-            lmn_attempt_vanished(core, machine, i, now);
+            lmn_attempt_remove_absent(core, machine, i, now);
         else if (!answer.is_read || (status == 200 && is_unnamed))
             attempt->push_is_uncertain = any_uncertain = true;
     }
@@ -175,8 +175,8 @@
     }
 }
 
-uint64_t lmn_worker_client_log_position(const struct lmn_core *core, const char *name,
-                                        int *partition_id)
+uint64_t lmn_worker_client_push_log_position(const struct lmn_core *core,
+                                             const char *name, int *partition_id)
 {
     *partition_id = lmn_partition_for_machine(name, core->partition_count);
     const struct lmn_machine *machine =
--- a/src/partition/worker_push.h
+++ b/src/partition/worker_push.h
@@ -28,7 +28,7 @@
 /** The log position that the starts of the machine's push in flight wait for, until the
  * standby has acknowledged it; 0: none.
  * @param partition_id set to the machine's partition */
-uint64_t lmn_worker_client_log_position(const struct lmn_core *core, const char *name,
-                                        int *partition_id);
+uint64_t lmn_worker_client_push_log_position(const struct lmn_core *core,
+                                             const char *name, int *partition_id);
 
 #endif
--- a/tests/simulation/peers.c
+++ b/tests/simulation/peers.c
@@ -326,7 +326,7 @@
         double luck = g_rand_double(simulation.random);
         struct lmn_deferred_starts held = {0};
         held.log_position =
-            lmn_worker_client_log_position(node->core, name, &held.partition);
+            lmn_worker_client_push_log_position(node->core, name, &held.partition);
         if (machine && held.log_position &&
             !lmn_replication_covers(&node->core->partitions[held.partition],
                                     held.log_position)) {
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -44,7 +44,8 @@
 
     if (!node->pending || node->stalled)
         return false;
-    uint64_t mark = lmn_worker_client_log_position(node->core, node->pending_to, &id);
+    uint64_t mark =
+        lmn_worker_client_push_log_position(node->core, node->pending_to, &id);
     bool covered = node_partition(n)->ownership.is_owned &&
                    lmn_replication_covers(node_partition(n), mark);
     if (covered || explored.without == GUARD_ACKNOWLEDGED) {
@@ -86,7 +87,7 @@
     digest_text(name);
     digest_text(addr);
     digest_array(body);
-    if (!lmn_worker_client_log_position(node->core, name, &id))
+    if (!lmn_worker_client_push_log_position(node->core, name, &id))
         return send_directly(n, name, body);
     node->pending = body;
     g_strlcpy(node->pending_to, name, LMN_NAME_SIZE);
