--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -1,4 +1,5 @@
-/* What owners and machines exchange: reports, direct starts, probes, late copies. */
+/* Messages between owners and machines: heartbeats, pushed starts, probes and heartbeats
+ * that are duplicated and delivered late. */
 #include "takeover.h"
 
 #include "protocol/wire.h"
@@ -11,188 +12,193 @@
 
 #include <string.h>
 
-static int machine_index(const char *name)
+static int parse_machine_index(const char *name)
 {
     return name[strlen(name) - 1] - '0';
 }
 
-static struct command *free_command(void)
+static struct push *find_free_push(void)
 {
-    for (int i = 0; i < COMMANDS; i++)
-        if (!explored.commands[i].body)
-            return &explored.commands[i];
+    for (int i = 0; i < MAX_PUSHES; i++)
+        if (!model.pushes[i].body)
+            return &model.pushes[i];
     return NULL;
 }
 
-/* Sends a command that is never answered. */
-static bool send_directly(int n, const char *name, GByteArray *body)
+/* Puts a push in flight. It may reach the machine later, but its sender never receives a
+ * response. */
+static bool send_push(int node_index, const char *name, GByteArray *body)
 {
-    struct command *c = free_command();
+    struct push *push = find_free_push();
 
-    if (!c)
+    if (!push)
         return false;
-    lmn_worker_client_push_done(explored.nodes[n].core, name, LMN_HTTP_NO_RESPONSE, NULL,
-                                explored.now);
-    *c = (struct command){machine_index(name), body};
+    lmn_worker_client_push_done(model.nodes[node_index].core, name, LMN_HTTP_NO_RESPONSE,
+                                NULL, model.now);
+    *push = (struct push){parse_machine_index(name), body};
     return true;
 }
 
-bool release_pending(int n)
+bool release_deferred_push(int node_index)
 {
-    struct node *node = &explored.nodes[n];
-    int id;
+    struct node *node = &model.nodes[node_index];
+    int partition_id;
 
-    if (!node->pending || node->stalled)
+    if (!node->deferred_push || node->is_paused)
         return false;
-    uint64_t mark =
-        lmn_worker_client_push_log_position(node->core, node->pending_to, &id);
-    bool covered = node_partition(n)->ownership.is_owned &&
-                   lmn_replication_covers(node_partition(n), mark);
-    if (covered || explored.without == GUARD_ACKNOWLEDGED) {
-        if (!send_directly(n, node->pending_to, node->pending))
+    uint64_t log_position = lmn_worker_client_push_log_position(
+        node->core, node->deferred_push_machine, &partition_id);
+    bool is_acknowledged =
+        node_partition(node_index)->ownership.is_owned &&
+        lmn_replication_covers(node_partition(node_index), log_position);
+    if (is_acknowledged || model.disabled_guard == GUARD_ACKNOWLEDGEMENT) {
+        if (!send_push(node_index, node->deferred_push_machine, node->deferred_push))
             return false;
     } else {
-        lmn_worker_client_push_done(node->core, node->pending_to, LMN_HTTP_NOT_SENT, NULL,
-                                    explored.now);
-        g_byte_array_unref(node->pending);
+        lmn_worker_client_push_done(node->core, node->deferred_push_machine,
+                                    LMN_HTTP_NOT_SENT, NULL, model.now);
+        g_byte_array_unref(node->deferred_push);
     }
-    node->pending = NULL;
+    node->deferred_push = NULL;
     return true;
 }
 
-bool start_directly(int n)
+bool push_start(int node_index)
 {
-    struct node *node = &explored.nodes[n];
-    struct lmn_partition *partition = node_partition(n);
-    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
-    int id;
+    struct node *node = &model.nodes[node_index];
+    struct lmn_partition *partition = node_partition(node_index);
+    char name[LMN_NAME_SIZE], address[LMN_ADDRESS_SIZE];
+    int partition_id;
 
-    if (!free_command() || node->stalled || node->pending)
+    if (!find_free_push() || node->is_paused || node->deferred_push)
         return false;
-    for (guint k = 0; k < partition->machine_list->len; k++) {
-        struct lmn_machine *machine = partition->machine_list->pdata[k];
-        if (explored.without == GUARD_RECORD && partition->ownership.is_owned &&
-            !machine->record.revision)
+    for (guint machine_index = 0; machine_index < partition->machine_list->len;
+         machine_index++) {
+        struct lmn_machine *machine = partition->machine_list->pdata[machine_index];
+        if (model.disabled_guard == GUARD_MACHINE_RECORD &&
+            partition->ownership.is_owned && !machine->record.revision)
             machine->record.revision = 1;
         if (partition->ownership.is_owned && !machine->push.is_in_flight)
             lmn_machine_wake(machine);
     }
     GByteArray *body = g_byte_array_new();
-    if (!lmn_worker_client_next_push(node->core, 0, 1, name, addr, body, explored.now)) {
+    if (!lmn_worker_client_next_push(node->core, 0, 1, name, address, body, model.now)) {
         g_byte_array_unref(body);
         return false;
     }
-    digest_message("direct", explored.now);
-    digest_number((uint64_t)n);
+    digest_message("direct", model.now);
+    digest_number((uint64_t)node_index);
     digest_text(name);
-    digest_text(addr);
+    digest_text(address);
     digest_array(body);
-    if (!lmn_worker_client_push_log_position(node->core, name, &id))
-        return send_directly(n, name, body);
-    node->pending = body;
-    g_strlcpy(node->pending_to, name, LMN_NAME_SIZE);
+    if (!lmn_worker_client_push_log_position(node->core, name, &partition_id))
+        return send_push(node_index, name, body);
+    node->deferred_push = body;
+    g_strlcpy(node->deferred_push_machine, name, LMN_NAME_SIZE);
     return true;
 }
 
-static void keep_last(int k, GByteArray *body)
+static void remember_heartbeat(int machine_index, GByteArray *body)
 {
-    struct machine *machine = &explored.machines[k];
+    struct machine *machine = &model.machines[machine_index];
 
-    if (machine->last_report)
-        g_byte_array_unref(machine->last_report);
-    machine->last_report = g_byte_array_ref(body);
+    if (machine->last_heartbeat)
+        g_byte_array_unref(machine->last_heartbeat);
+    machine->last_heartbeat = g_byte_array_ref(body);
 }
 
-/* Hands a report to the owner; returns its status, and the answer. */
-static int answer_report(int n, const GByteArray *body, GByteArray *answer)
+/* Passes a heartbeat to the node. Sets `answer` to the reply, and returns its HTTP
+ * status. */
+static int handle_heartbeat(int node_index, const GByteArray *body, GByteArray *answer)
 {
-    struct lmn_core *core = explored.nodes[n].core;
-    struct lmn_partition *partition = node_partition(n);
-    struct lmn_deferred_starts held;
+    struct lmn_core *core = model.nodes[node_index].core;
+    struct lmn_partition *partition = node_partition(node_index);
+    struct lmn_deferred_starts deferred;
     int status =
-        lmn_heartbeat_handle(core, body->data, body->len, answer, &held, explored.now);
-    digest_message("report", explored.now);
-    digest_number((uint64_t)n);
+        lmn_heartbeat_handle(core, body->data, body->len, answer, &deferred, model.now);
+    digest_message("report", model.now);
+    digest_number((uint64_t)node_index);
     digest_array(body);
     digest_number((uint64_t)status);
     digest_array(answer);
-    digest_number(status == 200 ? held.log_position : 0);
+    digest_number(status == 200 ? deferred.log_position : 0);
 
-    if (status != 200 || !held.log_position)
+    if (status != 200 || !deferred.log_position)
         return status;
-    while (explored.fair && !lmn_replication_covers(partition, held.log_position) &&
-           replicate(n, DELIVERED))
-        write_standby_record(n, true);
-    if (!lmn_replication_covers(partition, held.log_position) &&
-        explored.without != GUARD_ACKNOWLEDGED)
-        lmn_heartbeat_withhold_starts(core, &held, answer, explored.now);
+    while (model.is_fair_schedule &&
+           !lmn_replication_covers(partition, deferred.log_position) &&
+           replicate(node_index, DELIVERED))
+        finish_standby_txn(node_index, true);
+    if (!lmn_replication_covers(partition, deferred.log_position) &&
+        model.disabled_guard != GUARD_ACKNOWLEDGEMENT)
+        lmn_heartbeat_withhold_starts(core, &deferred, answer, model.now);
     return status;
 }
 
-bool report(int n, int k)
+bool send_heartbeat(int node_index, int machine_index)
 {
-    if (explored.nodes[n].stalled)
+    if (model.nodes[node_index].is_paused)
         return false;
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
-    machine_report(k, body);
-    keep_last(k, body);
-    if (answer_report(n, body, answer) == 200)
-        machine_accept(k, answer, false);
+    machine_write_heartbeat(machine_index, body);
+    remember_heartbeat(machine_index, body);
+    if (handle_heartbeat(node_index, body, answer) == 200)
+        machine_handle_commands(machine_index, answer, false);
     g_byte_array_unref(body);
     g_byte_array_unref(answer);
     return true;
 }
 
-bool keep_copy(int k)
+bool keep_heartbeat(int machine_index)
 {
-    struct machine *machine = &explored.machines[k];
+    struct machine *machine = &model.machines[machine_index];
 
-    if (explored.had.copies == explored.allowed.copies || explored.late_report ||
-        !machine->last_report)
+    if (model.injected_faults.late_heartbeats == model.allowed_faults.late_heartbeats ||
+        model.kept_heartbeat || !machine->last_heartbeat)
         return false;
-    explored.had.copies++;
-    explored.late_report = g_byte_array_ref(machine->last_report);
-    explored.late_machine = k;
+    model.injected_faults.late_heartbeats++;
+    model.kept_heartbeat = g_byte_array_ref(machine->last_heartbeat);
+    model.kept_heartbeat_machine = machine_index;
     return true;
 }
 
-bool deliver_copy(int n)
+bool deliver_kept_heartbeat(int node_index)
 {
-    if (!explored.late_report || explored.nodes[n].stalled)
+    if (!model.kept_heartbeat || model.nodes[node_index].is_paused)
         return false;
-    if (explored.without == GUARD_REPORT_ORDER) {
-        const char *name = explored.machines[explored.late_machine].name;
+    if (model.disabled_guard == GUARD_HEARTBEAT_ORDER) {
+        const char *name = model.machines[model.kept_heartbeat_machine].name;
         struct lmn_machine *machine =
-            g_hash_table_lookup(node_partition(n)->machines, name);
+            g_hash_table_lookup(node_partition(node_index)->machines, name);
         if (machine)
             machine->agent.sequence = machine->agent.heartbeat_sequence = 0;
     }
     GByteArray *answer = g_byte_array_new();
-    answer_report(n, explored.late_report, answer);
+    handle_heartbeat(node_index, model.kept_heartbeat, answer);
     g_byte_array_unref(answer);
     return true;
 }
 
-bool probe(int n)
+bool send_probe(int node_index)
 {
-    struct lmn_core *core = explored.nodes[n].core;
-    char name[LMN_NAME_SIZE], addr[LMN_ADDRESS_SIZE];
+    struct lmn_core *core = model.nodes[node_index].core;
+    char name[LMN_NAME_SIZE], address[LMN_ADDRESS_SIZE];
     uint64_t epoch;
 
-    if (!lmn_worker_client_next_probe(core, 0, 1, name, addr, &epoch, explored.now) ||
+    if (!lmn_worker_client_next_probe(core, 0, 1, name, address, &epoch, model.now) ||
         !epoch)
         return false;
     GByteArray *body = g_byte_array_new(), *answer = g_byte_array_new();
-    int k = machine_index(name);
+    int machine_index = parse_machine_index(name);
     lmn_cbor_put_map(body, 3);
     lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, epoch);
     lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION),
-        lmn_cbor_put_uint(body, explored.machines[k].session);
+        lmn_cbor_put_uint(body, model.machines[machine_index].incarnation);
     lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, 0);
-    bool accepted = machine_accept(k, body, true);
-    machine_report(k, answer);
+    bool accepted = machine_handle_commands(machine_index, body, true);
+    machine_write_heartbeat(machine_index, answer);
     lmn_worker_client_probe_done(core, name, epoch, accepted ? 200 : 409, answer,
-                                 explored.now);
+                                 model.now);
     g_byte_array_unref(body);
     g_byte_array_unref(answer);
     return true;
--- a/tests/takeover/explorer.c
+++ b/tests/takeover/explorer.c
@@ -1,13 +1,15 @@
-/* The explorer: a breadth-first search over sequences of moves. A path is played anew
- * from its beginning, and states that were seen are not gone on from. */
+/* A breadth-first search over sequences of moves. A path is replayed from the initial
+ * state each time it is extended. A path to a state that was found before is not
+ * extended. */
 #include "takeover.h"
 
 #include <errno.h>
 
 enum {
-    STATES = 3000,        /* that a search goes up to */
-    FEWEST_STATES = 2500, /* fewer: it did not find what it should */
-    FAIR_EVERY = 16,      /* states, of which one is played to its fair end */
+    MAX_STATES = 3000, /* at which a search ends */
+    MIN_STATES = 2500, /* a search that ends with fewer states fails */
+    /* From each state whose number is a multiple of this, a fair schedule is played. */
+    FAIR_CHECK_INTERVAL = 16,
 };
 
 void begin_search_digest(void)
@@ -32,91 +34,97 @@
 
 static void replay(const GByteArray *path)
 {
-    explored_begin();
+    model_reset();
     for (guint i = 0; i < path->len; i++) {
-        play((enum move)path->data[i]);
-        check_rules();
+        play_move((enum move)path->data[i]);
+        check_invariants();
     }
 }
 
-/* Plays the sequence, every move of which must be possible. */
-static GByteArray *play_all(struct sequence from)
+/* Plays the sequence and returns its path. Fails the test if a move is not possible. */
+static GByteArray *play_sequence(struct sequence start)
 {
     GByteArray *path = g_byte_array_new();
 
-    explored_begin();
-    for (guint i = 0; i < from.len; i++) {
-        guint8 code = (guint8)from.moves[i];
-        if (!play(from.moves[i]))
-            fail_msg("move %u of the sequence, %d, is not possible", i, from.moves[i]);
-        check_rules();
+    model_reset();
+    for (guint i = 0; i < start.len; i++) {
+        guint8 code = (guint8)start.moves[i];
+        if (!play_move(start.moves[i]))
+            fail_msg("move %u of the sequence, %d, is not possible", i, start.moves[i]);
+        check_invariants();
         g_byte_array_append(path, &code, 1);
     }
     return path;
 }
 
-guint explore(enum guard without, struct sequence from, guint states, const char **broken)
+guint explore(enum guard disabled_guard, struct sequence start, guint max_states,
+              const char **violation)
 {
-    GHashTable *seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    GPtrArray *work = g_ptr_array_new_with_free_func((GDestroyNotify)g_byte_array_unref);
-    guint at = 0;
+    GHashTable *found_states =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    GPtrArray *paths = g_ptr_array_new_with_free_func((GDestroyNotify)g_byte_array_unref);
+    guint next = 0;
 
-    *broken = NULL;
-    explored.without = without;
+    *violation = NULL;
+    model.disabled_guard = disabled_guard;
     begin_search_digest();
-    g_ptr_array_add(work, play_all(from));
-    while (at < work->len && work->len < states && !*broken) {
-        const GByteArray *path = work->pdata[at++];
-        for (int move = 0; move < MOVES && !*broken; move++) {
+    g_ptr_array_add(paths, play_sequence(start));
+    while (next < paths->len && paths->len < max_states && !*violation) {
+        const GByteArray *path = paths->pdata[next++];
+        for (int move = 0; move < MOVE_COUNT && !*violation; move++) {
             replay(path);
-            if (!play((enum move)move))
+            if (!play_move((enum move)move))
                 continue;
-            check_rules();
-            *broken = explored.broken_rule;
-            if (!g_hash_table_add(seen, summary()))
+            check_invariants();
+            *violation = model.violated_invariant;
+            if (!g_hash_table_add(found_states, state_summary()))
                 continue;
-            g_ptr_array_add(work, path_with(path, (enum move)move));
-            /* From each there is a way to the end. */
-            if (without == GUARD_NONE && work->len % FAIR_EVERY == 0 && !*broken)
-                *broken = finish_fairly();
+            g_ptr_array_add(paths, path_with(path, (enum move)move));
+            /* Under a fair schedule the job finishes from every state. */
+            if (disabled_guard == GUARD_NONE && paths->len % FAIR_CHECK_INTERVAL == 0 &&
+                !*violation)
+                *violation = finish_under_fair_schedule();
         }
     }
-    guint found = g_hash_table_size(seen);
-    digest_message("end", explored.now);
-    digest_number(found);
-    digest_text(*broken);
+    guint state_count = g_hash_table_size(found_states);
+    digest_message("end", model.now);
+    digest_number(state_count);
+    digest_text(*violation);
     digest_end();
-    if (*broken) {
-        const GByteArray *path = work->pdata[at - 1];
-        print_message("after %u states, %u moves: %s\n", found, path->len + 1, *broken);
+    if (*violation) {
+        const GByteArray *path = paths->pdata[next - 1];
+        print_message("after %u states, %u moves: %s\n", state_count, path->len + 1,
+                      *violation);
     }
-    explored.without = GUARD_NONE;
-    g_hash_table_destroy(seen);
-    g_ptr_array_free(work, TRUE);
-    return found;
+    model.disabled_guard = GUARD_NONE;
+    g_hash_table_destroy(found_states);
+    g_ptr_array_free(paths, TRUE);
+    return state_count;
 }
 
-void keeps_rules_after(struct sequence from)
+void assert_invariants_hold_after(struct sequence start)
 {
-    const char *broken;
-    guint found = explore(GUARD_NONE, from, STATES, &broken);
+    const char *violation;
+    guint state_count = explore(GUARD_NONE, start, MAX_STATES, &violation);
 
-    if (broken)
-        fail_msg("%s", broken);
-    print_message("%u states after %u moves, no rule broken\n", found, from.len);
-    assert_true(found > FEWEST_STATES);
+    if (violation)
+        fail_msg("%s", violation);
+    print_message("%u states after %u moves, no invariant violated\n", state_count,
+                  start.len);
+    assert_true(state_count > MIN_STATES);
 }
 
-void breaks_rule_after(enum guard without, struct sequence from, const char *rule)
+void assert_violation_after(enum guard disabled_guard, struct sequence start,
+                            const char *expected_violation)
 {
-    const struct faults allowed[] = {only_a_restart, faults_allowed};
+    const struct faults allowed[] = {one_restart, all_faults};
 
     for (guint i = 0; i < G_N_ELEMENTS(allowed); i++) {
-        const char *broken;
-        explored.allowed = allowed[i];
-        explore(without, from, STATES, &broken);
-        explored.allowed = only_a_restart;
-        assert_non_null(broken);
-        assert_string_equal(broken, rule);
+        const char *violation;
+        model.allowed_faults = allowed[i];
+        explore(disabled_guard, start, MAX_STATES, &violation);
+        model.allowed_faults = one_restart;
+        assert_non_null(violation);
+        assert_string_equal(violation, expected_violation);
     }
 }
--- a/tests/takeover/fair.c
+++ b/tests/takeover/fair.c
@@ -1,5 +1,5 @@
-/* Fair steps alone: everybody mirrors, asks, reports and writes, machines complete what
- * they run, and the job is finished in the end. */
+/* A schedule that is fair: in each round all nodes sync their caches, probe, receive
+ * heartbeats and write, and machines complete their tasks. The job must finish. */
 #include "takeover.h"
 
 #include "partition/ownership.h"
@@ -7,18 +7,18 @@
 #include "partition/maintenance.h"
 #include "state/records.h"
 
-enum { MOST_ROUNDS = 60, ROUNDS_A_TASK = 4 };
+enum { MAX_ROUNDS = 60, ROUNDS_PER_TASK = 4 };
 
-/* What is on its way arrives. */
-static void settle_messages(int n)
+/* Commits or delivers the node's transactions and pushes in flight. */
+static void complete_messages(int node_index)
 {
-    if (explored.nodes[n].ownership)
-        apply_ownership(n);
-    write_standby_record(n, true);
-    release_pending(n);
+    if (model.nodes[node_index].ownership_txn)
+        commit_ownership_txn(node_index);
+    finish_standby_txn(node_index, true);
+    release_deferred_push(node_index);
 }
 
-static void commit_if_any(struct lmn_txn *txn)
+static void commit_and_free(struct lmn_txn *txn)
 {
     uint64_t revision;
 
@@ -28,81 +28,83 @@
     lmn_txn_free(txn);
 }
 
-/* A node whose lease ended loses its partition, and joins with a new one. */
-static void renew_lease(int n)
+/* A node whose lease has ended loses its partition and joins with a new lease. */
+static void renew_lease(int node_index)
 {
-    struct node *node = &explored.nodes[n];
+    struct node *node = &model.nodes[node_index];
 
-    if (explored.lease_alive[node->lease])
+    if (model.lease_alive[node->lease_id])
         return;
-    if (node_partition(n)->ownership.is_owned)
-        lmn_partition_lose(node->core, node_partition(n), "lease ended");
-    node_join(n);
-    node_mirror(n);
+    if (node_partition(node_index)->ownership.is_owned)
+        lmn_partition_lose(node->core, node_partition(node_index), "lease ended");
+    node_join(node_index);
+    node_sync_cache(node_index);
 }
 
-static void step_of_node(int n)
+static void run_node_step(int node_index)
 {
-    struct node *node = &explored.nodes[n];
+    struct node *node = &model.nodes[node_index];
     struct lmn_core *core = node->core;
     int successor;
 
-    node_mirror(n);
-    commit_if_any(lmn_ownership_transfer(core, 0, &successor, explored.now));
-    renew_lease(n);
-    struct lmn_txn *txn = lmn_ownership_refutation(core, node->lease, explored.now);
-    commit_if_any(txn ? txn : lmn_ownership_claim(core, 0, node->lease, explored.now));
-    node_mirror(n);
-    probe(n);
+    node_sync_cache(node_index);
+    commit_and_free(lmn_ownership_transfer(core, 0, &successor, model.now));
+    renew_lease(node_index);
+    struct lmn_txn *txn = lmn_ownership_refutation(core, node->lease_id, model.now);
+    commit_and_free(txn ? txn : lmn_ownership_claim(core, 0, node->lease_id, model.now));
+    node_sync_cache(node_index);
+    send_probe(node_index);
     for (int k = 0; k < MACHINES; k++)
-        report(n, k);
-    flush(n, true);
-    lmn_maintenance_run(core, explored.now);
-    while (replicate(n, DELIVERED) && !node->standby_record)
+        send_heartbeat(node_index, k);
+    flush_records(node_index, true);
+    lmn_maintenance_run(core, model.now);
+    while (replicate(node_index, DELIVERED) && !node->standby_txn)
         ;
-    write_standby_record(n, true);
+    finish_standby_txn(node_index, true);
 }
 
 static bool job_is_finished(void)
 {
-    const struct entry *e = &explored.store[store_index("j/run-000001")];
-    struct lmn_cbor_document d;
+    const struct store_entry *entry = &model.store[store_index("j/run-000001")];
+    struct lmn_cbor_document document;
     struct lmn_job_spec spec;
     enum lmn_job_phase phase;
-    uint32_t open;
-    double when;
+    uint32_t open_tasks;
+    double finished_at;
 
-    lmn_cbor_parse(&d, e->value->data, e->value->len);
-    lmn_job_read(&d, lmn_cbor_root(&d), &spec, &phase, &open, &when);
+    lmn_cbor_parse(&document, entry->value->data, entry->value->len);
+    lmn_job_read(&document, lmn_cbor_root(&document), &spec, &phase, &open_tasks,
+                 &finished_at);
     lmn_job_spec_clear(&spec);
-    lmn_cbor_free(&d);
+    lmn_cbor_free(&document);
     return phase == LMN_JOB_DONE;
 }
 
 static const char *play_rounds(void)
 {
-    explored.nodes[A].stalled = false;
-    for (int n = 0; n < NODES; n++)
-        settle_messages(n);
-    for (int round = 1; round <= MOST_ROUNDS; round++) {
-        advance(0.5);
-        for (int n = 0; n < NODES; n++)
-            step_of_node(n);
-        for (int k = 0; k < MACHINES && round % ROUNDS_A_TASK == 0; k++)
-            machine_complete(k);
-        check_rules();
-        if (explored.broken_rule)
-            return explored.broken_rule;
+    model.nodes[NODE_A].is_paused = false;
+    for (int node_index = 0; node_index < NODES; node_index++)
+        complete_messages(node_index);
+    for (int round = 1; round <= MAX_ROUNDS; round++) {
+        advance_time(0.5);
+        for (int node_index = 0; node_index < NODES; node_index++)
+            run_node_step(node_index);
+        for (int k = 0; k < MACHINES && round % ROUNDS_PER_TASK == 0; k++)
+            machine_complete_tasks(k);
+        check_invariants();
+        if (model.violated_invariant)
+            return model.violated_invariant;
         if (job_is_finished())
             return NULL;
     }
+    /* The text is part of the search's digest, so it must not change. */
     return "the job is never done";
 }
 
-const char *finish_fairly(void)
+const char *finish_under_fair_schedule(void)
 {
-    explored.fair = true;
-    const char *broken = play_rounds();
-    explored.fair = false;
-    return broken;
+    model.is_fair_schedule = true;
+    const char *violation = play_rounds();
+    model.is_fair_schedule = false;
+    return violation;
 }
--- a/tests/takeover/moves.c
+++ b/tests/takeover/moves.c
@@ -1,221 +1,224 @@
-/* The moves that a path is made of, and the rules that are checked after each. */
+/* The moves that form a path, and the invariants that are checked after each move. */
 #include "takeover.h"
 
 #include "membership/membership.h"
 
-enum { MOST_JUMPS = 2 };
+enum { MAX_CLOCK_JUMPS = 2 };
 
-static bool mirror(int n)
+static bool sync_cache(int node_index)
 {
-    const struct node *node = &explored.nodes[n];
+    const struct node *node = &model.nodes[node_index];
 
-    if (node->stalled || node->seen == explored.nevents)
+    if (node->is_paused || node->applied_events == model.event_count)
         return false;
-    node_mirror(n);
+    node_sync_cache(node_index);
     return true;
 }
 
-static bool deliver(int i)
+static bool deliver_push(int push_index)
 {
-    const struct command *c = &explored.commands[i];
+    const struct push *push = &model.pushes[push_index];
 
-    if (!c->body)
+    if (!push->body)
         return false;
-    machine_accept(c->machine, c->body, true);
+    machine_handle_commands(push->machine, push->body, true);
     return true;
 }
 
-static bool lose_command(void)
+static bool lose_push(void)
 {
-    if (!explored.commands[0].body)
+    if (!model.pushes[0].body)
         return false;
-    g_byte_array_unref(explored.commands[0].body);
-    explored.commands[0] = explored.commands[1];
-    explored.commands[1].body = NULL;
+    g_byte_array_unref(model.pushes[0].body);
+    model.pushes[0] = model.pushes[1];
+    model.pushes[1].body = NULL;
     return true;
 }
 
-static bool suspicion_ages(void)
+static bool let_suspicion_age(void)
 {
-    const struct lmn_members *members = &explored.nodes[B].core->members;
+    const struct lmn_members *members = &model.nodes[NODE_B].core->members;
 
-    if (explored.jumps >= MOST_JUMPS || !lmn_member_is_suspected(members, A))
+    if (model.clock_jumps >= MAX_CLOCK_JUMPS || !lmn_member_is_suspected(members, NODE_A))
         return false;
-    explored.jumps++;
-    advance(members->timeouts.suspicion_s + 0.2);
-    node_mirror(B);
-    speak_against_a();
+    model.clock_jumps++;
+    advance_time(members->timeouts.suspicion_s + 0.2);
+    node_sync_cache(NODE_B);
+    record_evidence_against_a();
     return true;
 }
 
 static bool drop_claim(void)
 {
-    struct node *b = &explored.nodes[B];
+    struct node *node_b = &model.nodes[NODE_B];
 
-    if (!b->ownership)
+    if (!node_b->ownership_txn)
         return false;
-    lmn_txn_free(b->ownership);
-    b->ownership = NULL;
+    lmn_txn_free(node_b->ownership_txn);
+    node_b->ownership_txn = NULL;
     return true;
 }
 
-static bool set_stalled(bool stalled)
+static bool set_paused(bool is_paused)
 {
-    struct node *a = &explored.nodes[A];
+    struct node *node_a = &model.nodes[NODE_A];
 
-    if (a->stalled == stalled || (stalled && explored.jumps > 0))
+    if (node_a->is_paused == is_paused || (is_paused && model.clock_jumps > 0))
         return false;
-    a->stalled = stalled;
+    node_a->is_paused = is_paused;
     return true;
 }
 
-static bool expire_lease(int n)
+static bool expire_lease(int node_index)
 {
-    uint64_t lease = explored.nodes[n].lease;
+    uint64_t lease_id = model.nodes[node_index].lease_id;
 
-    if (!explored.lease_alive[lease])
+    if (!model.lease_alive[lease_id])
         return false;
-    store_end_lease(lease);
+    store_end_lease(lease_id);
     return true;
 }
 
-/* The process ends and is back at once, with a new lease. A's old one stands on until it
- * would have ended anyway; B's ends, so that its record names another incarnation. */
-static bool restart(int n)
+/* The process restarts at once, with a new lease. A's previous lease remains valid until
+ * a later move expires it. B's previous lease ends immediately, so that the record of
+ * member B gets another incarnation. */
+static bool restart(int node_index)
 {
-    if (explored.had.restarts == explored.allowed.restarts)
+    if (model.injected_faults.restarts == model.allowed_faults.restarts)
         return false;
-    explored.had.restarts++;
-    if (n == B)
-        store_end_lease(explored.nodes[B].lease);
-    node_discard(n);
-    node_boot(n);
-    node_join(n);
+    model.injected_faults.restarts++;
+    if (node_index == NODE_B)
+        store_end_lease(model.nodes[NODE_B].lease_id);
+    node_discard(node_index);
+    node_boot(node_index);
+    node_join(node_index);
     return true;
 }
 
-static bool complete(int k)
+static bool complete_tasks(int machine_index)
 {
-    if (!machine_runs(k))
+    if (!machine_is_running_task(machine_index))
         return false;
-    machine_complete(k);
+    machine_complete_tasks(machine_index);
     return true;
 }
 
-static bool wait_for_warm(void)
+static bool wait_for_warm_start(void)
 {
-    if (!explored.with_standby || explored.waits++)
+    if (!model.with_standby || model.waits++)
         return false;
-    advance(0.6);
+    advance_time(0.6);
     return true;
 }
 
-static bool claim_again(void)
+static bool claim_after_restart(void)
 {
-    return explored.both_restart && !explored.nodes[A].stalled &&
-           !node_partition(A)->ownership.is_owned && claim(A);
+    return model.both_nodes_may_restart && !model.nodes[NODE_A].is_paused &&
+           !node_partition(NODE_A)->ownership.is_owned && prepare_claim(NODE_A);
 }
 
-static bool carry_out(enum move move)
+static bool perform(enum move move)
 {
     switch (move) {
-    case MIRROR_A:
-    case MIRROR_B:
-        return mirror(move - MIRROR_A);
-    case START_A:
-    case START_B:
-        return start_directly(move - START_A);
-    case DELIVER:
-    case DELIVER_2:
-        return deliver(move - DELIVER);
-    case LOSE_COMMAND:
-        return lose_command();
-    case REPORT_A_0:
-    case REPORT_A_1:
-        return report(A, move - REPORT_A_0);
-    case REPORT_B_0:
-    case REPORT_B_1:
-        return node_partition(B)->ownership.is_owned && report(B, move - REPORT_B_0);
+    case SYNC_CACHE_A:
+    case SYNC_CACHE_B:
+        return sync_cache(move - SYNC_CACHE_A);
+    case PUSH_START_A:
+    case PUSH_START_B:
+        return push_start(move - PUSH_START_A);
+    case DELIVER_PUSH_0:
+    case DELIVER_PUSH_1:
+        return deliver_push(move - DELIVER_PUSH_0);
+    case LOSE_PUSH:
+        return lose_push();
+    case HEARTBEAT_A_0:
+    case HEARTBEAT_A_1:
+        return send_heartbeat(NODE_A, move - HEARTBEAT_A_0);
+    case HEARTBEAT_B_0:
+    case HEARTBEAT_B_1:
+        return node_partition(NODE_B)->ownership.is_owned &&
+               send_heartbeat(NODE_B, move - HEARTBEAT_B_0);
     case PROBE_B:
-        return probe(B);
-    case SUSPECT:
-        return suspect();
-    case SUSPICION_AGES:
-        return suspicion_ages();
-    case REFUTE:
-        return refute();
+        return send_probe(NODE_B);
+    case SUSPECT_A:
+        return commit_suspicion();
+    case AGE_SUSPICION:
+        return let_suspicion_age();
+    case REFUTE_A:
+        return commit_refutation();
     case CLAIM_B:
-        return claim(B);
-    case HAND_OVER:
-        return hand_over();
-    case APPLY_A:
-    case APPLY_B:
-        return apply_ownership(move - APPLY_A);
-    case DROP_B:
+        return prepare_claim(NODE_B);
+    case TRANSFER_A:
+        return prepare_transfer();
+    case COMMIT_OWNER_A:
+    case COMMIT_OWNER_B:
+        return commit_ownership_txn(move - COMMIT_OWNER_A);
+    case DROP_CLAIM_B:
         return drop_claim();
-    case STALL:
-    case WAKE:
-        return set_stalled(move == STALL);
+    case PAUSE_A:
+    case RESUME_A:
+        return set_paused(move == PAUSE_A);
     case EXPIRE_LEASE_A:
-        return expire_lease(A);
+        return expire_lease(NODE_A);
     case RESTART_A:
-        return restart(A);
+        return restart(NODE_A);
     case RESTART_B:
-        return explored.both_restart && restart(B);
+        return model.both_nodes_may_restart && restart(NODE_B);
     case COMPLETE_0:
     case COMPLETE_1:
-        return complete(move - COMPLETE_0);
+        return complete_tasks(move - COMPLETE_0);
     case FLUSH_A:
     case FLUSH_B:
-        return flush(move - FLUSH_A, true);
-    case FLUSH_UNANSWERED_A:
-    case FLUSH_UNANSWERED_B:
-        return flush(move - FLUSH_UNANSWERED_A, false);
+        return flush_records(move - FLUSH_A, true);
+    case FLUSH_ANSWER_LOST_A:
+    case FLUSH_ANSWER_LOST_B:
+        return flush_records(move - FLUSH_ANSWER_LOST_A, false);
     case REPLICATE_A:
     case REPLICATE_B:
         return replicate(move - REPLICATE_A, DELIVERED);
     case REPLICATE_UNACKNOWLEDGED:
-        return replicate(A, ACKNOWLEDGEMENT_LOST);
+        return replicate(NODE_A, ACKNOWLEDGEMENT_LOST);
     case REPLICATE_LOST:
-        return replicate(A, BATCH_LOST);
-    case RELEASE_A:
-    case RELEASE_B:
-        return release_pending(move - RELEASE_A);
-    case RECORD_A:
-    case DROP_RECORD_A:
-        return write_standby_record(A, move == RECORD_A);
+        return replicate(NODE_A, BATCH_LOST);
+    case RELEASE_PUSH_A:
+    case RELEASE_PUSH_B:
+        return release_deferred_push(move - RELEASE_PUSH_A);
+    case COMMIT_STANDBY_A:
+    case DROP_STANDBY_A:
+        return finish_standby_txn(NODE_A, move == COMMIT_STANDBY_A);
     case CLAIM_A:
-        return claim_again();
-    case WAIT:
-        return wait_for_warm();
-    case COPY_0:
-    case COPY_1:
-        return keep_copy(move - COPY_0);
-    case DELIVER_COPY_A:
-    case DELIVER_COPY_B:
-        return deliver_copy(move - DELIVER_COPY_A);
+        return claim_after_restart();
+    case WARM_DELAY:
+        return wait_for_warm_start();
+    case KEEP_HEARTBEAT_0:
+    case KEEP_HEARTBEAT_1:
+        return keep_heartbeat(move - KEEP_HEARTBEAT_0);
+    case DELIVER_KEPT_A:
+    case DELIVER_KEPT_B:
+        return deliver_kept_heartbeat(move - DELIVER_KEPT_A);
     default:
         return false;
     }
 }
 
-bool play(enum move move)
+bool play_move(enum move move)
 {
-    bool possible = carry_out(move);
+    bool possible = perform(move);
 
-    digest_message("move", explored.now);
+    digest_message("move", model.now);
     digest_number((uint64_t)move);
     digest_number(possible);
     return possible;
 }
 
-void check_rules(void)
+void check_invariants(void)
 {
-    if (machine_runs(0) && machine_runs(1))
-        explored.broken_rule = TASK_RUNS_TWICE;
-    if (explored.without != GUARD_ACCOUNTING)
+    if (machine_is_running_task(0) && machine_is_running_task(1))
+        model.violated_invariant = TASK_RUNS_TWICE;
+    if (model.disabled_guard != GUARD_ACCOUNTING)
         return;
-    const GPtrArray *machines = node_partition(B)->machine_list;
-    for (guint k = 0; k < machines->len; k++)
-        ((struct lmn_machine *)machines->pdata[k])->lifecycle.is_inherited = false;
+    const GPtrArray *machines = node_partition(NODE_B)->machine_list;
+    for (guint machine_index = 0; machine_index < machines->len; machine_index++)
+        ((struct lmn_machine *)machines->pdata[machine_index])->lifecycle.is_inherited =
+            false;
 }
--- a/tests/takeover/ownership.c
+++ b/tests/takeover/ownership.c
@@ -1,23 +1,24 @@
-/* Suspicion, refutation, claims, hand-overs, and what an owner writes. */
+/* Suspicions, refutations, claims, transfers, and the owners' writes. */
 #include "takeover.h"
 
 #include "membership/membership.h"
 #include "partition/range_writer.h"
 #include "partition/ownership.h"
 
-enum { MOST_SUSPICIONS = 2 };
+enum { MAX_SUSPICIONS = 2 };
 
-void speak_against_a(void)
+void record_evidence_against_a(void)
 {
-    struct lmn_members *members = &explored.nodes[B].core->members;
-    struct lmn_gossip_statement says = {A, members->views[A].incarnation, 20, 10, 0};
+    struct lmn_members *members = &model.nodes[NODE_B].core->members;
+    struct lmn_gossip_statement statement = {NODE_A, members->views[NODE_A].incarnation,
+                                             20, 10, 0};
 
-    lmn_member_record_probe_timeout(members, A, lmn_time_add(explored.now, -10),
-                                    explored.now);
-    lmn_member_record_gossip(members, C, &says, explored.now);
+    lmn_member_record_probe_timeout(members, NODE_A, lmn_time_add(model.now, -10),
+                                    model.now);
+    lmn_member_record_gossip(members, NODE_C, &statement, model.now);
 }
 
-/* Carries the transaction out and frees it; false if there is none. */
+/* Commits and frees the transaction. Returns false if it is NULL. */
 static bool commit_and_free(struct lmn_txn *txn)
 {
     uint64_t revision;
@@ -29,86 +30,94 @@
     return true;
 }
 
-bool suspect(void)
+bool commit_suspicion(void)
 {
-    struct node *b = &explored.nodes[B];
+    struct node *node_b = &model.nodes[NODE_B];
 
-    if (explored.suspicions == MOST_SUSPICIONS)
+    if (model.suspicions == MAX_SUSPICIONS)
         return false;
-    speak_against_a();
-    if (!commit_and_free(lmn_ownership_suspicion(b->core, A, b->lease, explored.now)))
+    record_evidence_against_a();
+    if (!commit_and_free(
+            lmn_ownership_suspicion(node_b->core, NODE_A, node_b->lease_id, model.now)))
         return false;
-    explored.suspicions++;
+    model.suspicions++;
     return true;
 }
 
-bool refute(void)
+bool commit_refutation(void)
 {
-    struct node *a = &explored.nodes[A];
+    struct node *node_a = &model.nodes[NODE_A];
 
-    return !a->stalled &&
-           commit_and_free(lmn_ownership_refutation(a->core, a->lease, explored.now));
+    return !node_a->is_paused && commit_and_free(lmn_ownership_refutation(
+                                     node_a->core, node_a->lease_id, model.now));
 }
 
-bool claim(int n)
+bool prepare_claim(int node_index)
 {
-    struct node *node = &explored.nodes[n];
-    struct lmn_partition *partition = node_partition(n);
+    struct node *node = &model.nodes[node_index];
+    struct lmn_partition *partition = node_partition(node_index);
 
-    if (node->ownership)
+    if (node->ownership_txn)
         return false;
-    if (explored.without == GUARD_TERM && n == B && partition->record.standby_stream)
+    if (model.disabled_guard == GUARD_REPLICA_EPOCH && node_index == NODE_B &&
+        partition->record.standby_stream)
         partition->record.standby_epoch = partition->record.epoch;
-    node->ownership = lmn_ownership_claim(node->core, 0, node->lease, explored.now);
-    node->handover = false;
-    return node->ownership != NULL;
+    node->ownership_txn = lmn_ownership_claim(node->core, 0, node->lease_id, model.now);
+    node->is_transfer = false;
+    return node->ownership_txn != NULL;
 }
 
-bool hand_over(void)
+bool prepare_transfer(void)
 {
-    struct node *a = &explored.nodes[A];
-    struct lmn_members *members = &a->core->members;
-    struct lmn_gossip_statement says = {A, members->views[A].incarnation, 0.1, 0, 40};
+    struct node *node_a = &model.nodes[NODE_A];
+    struct lmn_members *members = &node_a->core->members;
+    struct lmn_gossip_statement statement = {NODE_A, members->views[NODE_A].incarnation,
+                                             0.1, 0, 40};
     int successor;
 
-    if (a->stalled || a->ownership || !node_partition(A)->ownership.is_owned)
+    if (node_a->is_paused || node_a->ownership_txn ||
+        !node_partition(NODE_A)->ownership.is_owned)
         return false;
-    /* It hears none of its machines, and B says that they come there. */
-    members->views[A].machine_count = MACHINES;
+    /* A receives no heartbeats, and learns from B's gossip that A's machines send theirs
+     * to B. */
+    members->views[NODE_A].machine_count = MACHINES;
     members->health.silent_machine_share = 1;
-    lmn_member_record_gossip(members, B, &says, explored.now);
-    a->ownership = lmn_ownership_transfer(a->core, 0, &successor, explored.now);
-    a->handover = true;
+    lmn_member_record_gossip(members, NODE_B, &statement, model.now);
+    node_a->ownership_txn =
+        lmn_ownership_transfer(node_a->core, 0, &successor, model.now);
+    node_a->is_transfer = true;
     members->health.silent_machine_share = 0;
     members->is_isolated_from_workers = false;
-    return a->ownership != NULL;
+    return node_a->ownership_txn != NULL;
 }
 
-/* Who claims learns from the mirror; who hands over learns nothing: the answer is lost.
- */
-bool apply_ownership(int n)
+/* A claimant learns of its commit from the watch cache. The answer to a transfer is lost,
+ * so its outcome stays unknown to the node. */
+bool commit_ownership_txn(int node_index)
 {
-    struct node *node = &explored.nodes[n];
+    struct node *node = &model.nodes[node_index];
 
-    if (!commit_and_free(node->ownership))
+    if (!commit_and_free(node->ownership_txn))
         return false;
-    node->ownership = NULL;
-    if (node->handover)
-        lmn_ownership_transferred(node->core, 0, LMN_TXN_UNKNOWN, explored.now);
+    node->ownership_txn = NULL;
+    if (node->is_transfer)
+        lmn_ownership_transferred(node->core, 0, LMN_TXN_UNKNOWN, model.now);
     return true;
 }
 
-bool flush(int n, bool answered)
+bool flush_records(int node_index, bool answered)
 {
-    struct lmn_core *core = explored.nodes[n].core;
+    struct lmn_core *core = model.nodes[node_index].core;
     struct lmn_txn *txn;
-    bool any = false;
+    bool has_written = false;
 
-    if (explored.nodes[n].stalled || !node_partition(n)->ownership.is_owned)
+    if (model.nodes[node_index].is_paused ||
+        !node_partition(node_index)->ownership.is_owned)
         return false;
-    if (!answered && explored.had.unanswered == explored.allowed.unanswered)
+    if (!answered &&
+        model.injected_faults.lost_answers == model.allowed_faults.lost_answers)
         return false;
-    lmn_range_writer_flush(core, explored.now);
+    lmn_range_writer_flush(core, model.now);
     while ((txn = lmn_kv_client_dequeue(core->kv_client))) {
         uint64_t revision = 0;
         enum lmn_txn_outcome outcome = store_commit(txn, &revision);
@@ -117,8 +126,8 @@
             revision = 0;
         }
         lmn_txn_complete(txn, outcome, revision);
-        any = true;
+        has_written = true;
     }
-    explored.had.unanswered += any && !answered;
-    return any;
+    model.injected_faults.lost_answers += has_written && !answered;
+    return has_written;
 }
--- a/tests/takeover/placement.c
+++ b/tests/takeover/placement.c
@@ -1,185 +1,195 @@
-/* Faults placed at each step of a sequence: copies of reports that arrive late, answers
- * of the state service that are lost, and processes that end and are back at once. */
+/* Injects faults at each step of a sequence: heartbeats that arrive late, lost answers of
+ * the key-value store, and process restarts. */
 #include "takeover.h"
 
 #include <string.h>
 
-/* Insertions into a sequence: each move is played before the step of that number. */
+/* A move that is inserted into a sequence before the step with the given index. */
 struct insertion {
     enum move move;
     guint step;
 };
 
-enum { MOST_INSERTIONS = 4 };
+enum { MAX_INSERTIONS = 4 };
 
-/* Of a search from each step, where its digest alone is asked for: the whole search takes
- * longer than all other digests together. */
+/* The limit of states per search in explore_each_step when only digests are wanted: the
+ * full searches take longer than all other digests together. */
 enum { DIGEST_STATES = 60 };
 
 struct schedule {
     struct sequence sequence;
-    struct insertion insertions[MOST_INSERTIONS];
-    int ninsertions;
+    struct insertion insertions[MAX_INSERTIONS];
+    int insertion_count;
 };
 
-/* What a round of placements has come to. */
-struct tally {
-    GHashTable *seen; /* states at the ends */
-    guint placed, impossible;
-    struct faults held; /* by all that were placed */
-    const char *broken;
+/* The result of all schedules of a call to place_faults. */
+struct placement_result {
+    GHashTable *end_states;   /* summaries of the states at the schedules' ends */
+    guint placed, impossible; /* schedules */
+    struct faults faults;     /* sum over all placed schedules */
+    const char *violation;
 };
 
-static void insert(struct schedule *s, enum move move, guint step)
+static void insert(struct schedule *schedule, enum move move, guint step)
 {
-    assert_true(s->ninsertions < MOST_INSERTIONS);
-    s->insertions[s->ninsertions++] = (struct insertion){move, step};
+    assert_true(schedule->insertion_count < MAX_INSERTIONS);
+    schedule->insertions[schedule->insertion_count++] = (struct insertion){move, step};
 }
 
 static bool play_checked(enum move move)
 {
-    bool played = play(move);
+    bool played = play_move(move);
 
-    check_rules();
+    check_invariants();
     return played;
 }
 
-/* Moves of the sequence that the faults made impossible are left out. Returns false if
- * an inserted one was impossible. */
-static bool play_schedule(const struct schedule *s)
+/* Plays the sequence with the inserted moves. Moves of the sequence that a fault made
+ * impossible are skipped. Returns false if an inserted move was impossible. */
+static bool play_schedule(const struct schedule *schedule)
 {
-    explored_begin();
-    for (guint step = 0; step <= s->sequence.len; step++) {
-        for (int i = 0; i < s->ninsertions; i++)
-            if (s->insertions[i].step == step && !play_checked(s->insertions[i].move))
+    model_reset();
+    for (guint step = 0; step <= schedule->sequence.len; step++) {
+        for (int i = 0; i < schedule->insertion_count; i++)
+            if (schedule->insertions[i].step == step &&
+                !play_checked(schedule->insertions[i].move))
                 return false;
-        if (step < s->sequence.len)
-            play_checked(s->sequence.moves[step]);
+        if (step < schedule->sequence.len)
+            play_checked(schedule->sequence.moves[step]);
     }
     return true;
 }
 
-static void print_broken(const struct schedule *s, const struct tally *tally)
+static void print_violation(const struct schedule *schedule,
+                            const struct placement_result *result)
 {
-    for (int i = 0; i < s->ninsertions; i++)
-        print_message("with move %d before step %u, ", s->insertions[i].move,
-                      s->insertions[i].step);
-    print_message("%u steps: %s\n", s->sequence.len, tally->broken);
+    for (int i = 0; i < schedule->insertion_count; i++)
+        print_message("with move %d before step %u, ", schedule->insertions[i].move,
+                      schedule->insertions[i].step);
+    print_message("%u steps: %s\n", schedule->sequence.len, result->violation);
 }
 
-static void check_schedule(const struct schedule *s, struct tally *tally)
+static void check_schedule(const struct schedule *schedule,
+                           struct placement_result *result)
 {
-    if (tally->broken)
+    if (result->violation)
         return;
-    if (!play_schedule(s)) {
-        tally->impossible++;
+    if (!play_schedule(schedule)) {
+        result->impossible++;
         return;
     }
-    tally->placed++;
-    tally->held.copies += explored.had.copies;
-    tally->held.unanswered += explored.had.unanswered;
-    tally->held.restarts += explored.had.restarts;
-    tally->broken = explored.broken_rule;
-    /* States that were seen have been played to their end. */
-    if (!tally->broken && g_hash_table_add(tally->seen, summary()))
-        tally->broken = finish_fairly();
-    if (tally->broken)
-        print_broken(s, tally);
+    result->placed++;
+    result->faults.late_heartbeats += model.injected_faults.late_heartbeats;
+    result->faults.lost_answers += model.injected_faults.lost_answers;
+    result->faults.restarts += model.injected_faults.restarts;
+    result->violation = model.violated_invariant;
+    /* The fair schedule has already been played from states that were found before. */
+    if (!result->violation && g_hash_table_add(result->end_states, state_summary()))
+        result->violation = finish_under_fair_schedule();
+    if (result->violation)
+        print_violation(schedule, result);
 }
 
-/* A copy of each machine's last report is kept at each step, and delivered to each node
- * at each later one. */
-static void place_copies(const struct schedule *base, struct tally *tally)
+/* Keeps a duplicate of each machine's last heartbeat at each step, and delivers it to
+ * each node at the same and at each later step. */
+static void place_late_heartbeats(const struct schedule *base,
+                                  struct placement_result *result)
 {
-    for (guint kept = 0; kept <= base->sequence.len; kept++)
-        for (guint late = kept; late <= base->sequence.len; late++)
+    for (guint keep_step = 0; keep_step <= base->sequence.len; keep_step++)
+        for (guint deliver_step = keep_step; deliver_step <= base->sequence.len;
+             deliver_step++)
             for (int k = 0; k < MACHINES; k++)
-                for (int n = 0; n < NODES; n++) {
-                    struct schedule s = *base;
-                    insert(&s, COPY_0 + (enum move)k, kept);
-                    insert(&s, DELIVER_COPY_A + (enum move)n, late);
-                    check_schedule(&s, tally);
+                for (int node_index = 0; node_index < NODES; node_index++) {
+                    struct schedule schedule = *base;
+                    insert(&schedule, KEEP_HEARTBEAT_0 + (enum move)k, keep_step);
+                    insert(&schedule, DELIVER_KEPT_A + (enum move)node_index,
+                           deliver_step);
+                    check_schedule(&schedule, result);
                 }
 }
 
-static void place_single(const struct schedule *base, enum move move, struct tally *tally)
+static void place_single(const struct schedule *base, enum move move,
+                         struct placement_result *result)
 {
     for (guint step = 0; step <= base->sequence.len; step++) {
-        struct schedule s = *base;
-        insert(&s, move, step);
-        check_schedule(&s, tally);
+        struct schedule schedule = *base;
+        insert(&schedule, move, step);
+        check_schedule(&schedule, result);
     }
 }
 
 static void place_pair(const struct schedule *base, enum move first, enum move second,
-                       struct tally *tally)
+                       struct placement_result *result)
 {
     for (guint step = 0; step <= base->sequence.len; step++) {
-        struct schedule s = *base;
-        insert(&s, first, step);
-        place_single(&s, second, tally);
+        struct schedule schedule = *base;
+        insert(&schedule, first, step);
+        place_single(&schedule, second, result);
     }
 }
 
-static void place_all(const struct schedule *base, struct tally *tally)
+static void place_all(const struct schedule *base, struct placement_result *result)
 {
-    static const enum move lost[] = {FLUSH_UNANSWERED_A, FLUSH_UNANSWERED_B};
+    static const enum move lost_answers[] = {FLUSH_ANSWER_LOST_A, FLUSH_ANSWER_LOST_B};
     static const enum move restarts[] = {RESTART_A, RESTART_B};
 
-    check_schedule(base, tally);
-    place_copies(base, tally);
-    for (int n = 0; n < NODES; n++) {
-        place_single(base, lost[n], tally);
-        place_single(base, restarts[n], tally);
-        for (int m = 0; m < NODES; m++) {
-            place_pair(base, lost[n], restarts[m], tally);
-            place_pair(base, restarts[n], restarts[m], tally);
+    check_schedule(base, result);
+    place_late_heartbeats(base, result);
+    for (int node_index = 0; node_index < NODES; node_index++) {
+        place_single(base, lost_answers[node_index], result);
+        place_single(base, restarts[node_index], result);
+        for (int other_node_index = 0; other_node_index < NODES; other_node_index++) {
+            place_pair(base, lost_answers[node_index], restarts[other_node_index],
+                       result);
+            place_pair(base, restarts[node_index], restarts[other_node_index], result);
         }
         for (guint step = 0; step <= base->sequence.len; step++) {
-            struct schedule s = *base;
-            insert(&s, restarts[n], step);
-            place_copies(&s, tally);
+            struct schedule schedule = *base;
+            insert(&schedule, restarts[node_index], step);
+            place_late_heartbeats(&schedule, result);
         }
     }
 }
 
-const char *place_faults(enum guard without, struct sequence sequence)
+const char *place_faults(enum guard disabled_guard, struct sequence sequence)
 {
     struct schedule base = {.sequence = sequence};
-    struct tally tally = {
-        .seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL)};
+    struct placement_result result = {
+        .end_states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL)};
 
-    explored.without = without;
-    explored.allowed = faults_allowed;
+    model.disabled_guard = disabled_guard;
+    model.allowed_faults = all_faults;
     begin_search_digest();
-    place_all(&base, &tally);
-    digest_message("end", explored.now);
-    digest_number(g_hash_table_size(tally.seen));
-    digest_text(tally.broken);
+    place_all(&base, &result);
+    digest_message("end", model.now);
+    digest_number(g_hash_table_size(result.end_states));
+    digest_text(result.violation);
     digest_end();
-    explored.without = GUARD_NONE;
-    explored.allowed = only_a_restart;
-    print_message("%u steps: %u placements (copies %u, lost answers %u, restarts %u), %u "
-                  "impossible, %u states at their ends\n",
-                  sequence.len, tally.placed, tally.held.copies, tally.held.unanswered,
-                  tally.held.restarts, tally.impossible, g_hash_table_size(tally.seen));
-    g_hash_table_destroy(tally.seen);
-    return tally.broken;
+    model.disabled_guard = GUARD_NONE;
+    model.allowed_faults = one_restart;
+    print_message("%u steps: %u placements (%u late heartbeats, %u lost answers, %u "
+                  "restarts), %u impossible, %u distinct end states\n",
+                  sequence.len, result.placed, result.faults.late_heartbeats,
+                  result.faults.lost_answers, result.faults.restarts, result.impossible,
+                  g_hash_table_size(result.end_states));
+    g_hash_table_destroy(result.end_states);
+    return result.violation;
 }
 
-const char *explore_each_step(struct sequence sequence, guint states)
+const char *explore_each_step(struct sequence sequence, guint max_states)
 {
-    const char *broken = NULL;
-    guint sum = 0;
+    const char *violation = NULL;
+    guint state_count = 0;
 
     if (digest_is_wanted())
-        states = MIN(states, DIGEST_STATES);
-    explored.allowed = faults_allowed;
-    for (guint step = 0; step <= sequence.len && !broken; step++) {
-        struct sequence from = {sequence.moves, step};
-        sum += explore(GUARD_NONE, from, states, &broken);
+        max_states = MIN(max_states, DIGEST_STATES);
+    model.allowed_faults = all_faults;
+    for (guint step = 0; step <= sequence.len && !violation; step++) {
+        struct sequence start = {sequence.moves, step};
+        state_count += explore(GUARD_NONE, start, max_states, &violation);
     }
-    explored.allowed = only_a_restart;
-    print_message("%u steps: %u states with faults among the moves\n", sequence.len, sum);
-    return broken;
+    model.allowed_faults = one_restart;
+    print_message("%u steps: %u states with faults among the moves\n", sequence.len,
+                  state_count);
+    return violation;
 }
--- a/tests/takeover/sequences.h
+++ b/tests/takeover/sequences.h
@@ -1,13 +1,15 @@
-/* Sequences of moves that the searches set out from. */
+/* Sequences of moves that several searches start with. */
 #ifndef LMN_TESTS_TAKEOVER_SEQUENCES_H
 #define LMN_TESTS_TAKEOVER_SEQUENCES_H
 
 #include "takeover.h"
 
-/* The standby's copy is complete, its record written and mirrored by both. */
-#define IN_STEP                                                                          \
-    REPLICATE_A, REPLICATE_A, REPLICATE_A, RECORD_A, MIRROR_A, MIRROR_B, REPLICATE_A
-/* B suspects A for so long that it may judge it. */
-#define SUSPECTED SUSPECT, MIRROR_B, SUSPICION_AGES
+/* The standby's replica is complete. The record that names the standby is committed, and
+ * is in both watch caches. */
+#define SYNC_STANDBY                                                                     \
+    REPLICATE_A, REPLICATE_A, REPLICATE_A, COMMIT_STANDBY_A, SYNC_CACHE_A, SYNC_CACHE_B, \
+        REPLICATE_A
+/* B has suspected A for long enough to declare A failed. */
+#define SUSPICION_DUE SUSPECT_A, SYNC_CACHE_B, AGE_SUSPICION
 
 #endif
--- a/tests/takeover/store.c
+++ b/tests/takeover/store.c
@@ -1,101 +1,102 @@
-/* The state service: keys with revisions, conditional transactions, leases. */
+/* The key-value store: keys with revisions, conditional transactions and leases. */
 #include "takeover.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Set when a verdict was carried out although its incarnation had been refuted. */
-static bool judged_late;
+/* Set if a transaction that declares a member failed would be committed although the
+ * member's record has changed since, as after a refutation. */
+static bool failed_after_refutation;
 
 int store_index(const char *key)
 {
-    for (int i = 0; i < KEYS; i++) {
-        struct entry *e = &explored.store[i];
-        if (!*e->key)
-            g_strlcpy(e->key, key, sizeof e->key);
-        if (!strcmp(e->key, key))
+    for (int i = 0; i < MAX_KEYS; i++) {
+        struct store_entry *entry = &model.store[i];
+        if (!*entry->key)
+            g_strlcpy(entry->key, key, sizeof entry->key);
+        if (!strcmp(entry->key, key))
             return i;
     }
     abort();
 }
 
-void store_put(void *unused, const char *key, const GByteArray *value, uint64_t lease)
+void store_put(void *unused, const char *key, const GByteArray *value, uint64_t lease_id)
 {
-    struct entry *e = &explored.store[store_index(key)];
+    struct store_entry *entry = &model.store[store_index(key)];
     (void)unused;
 
-    /* The event holds the reference. */
-    e->value = value ? g_byte_array_ref((GByteArray *)value) : NULL;
-    e->revision = explored.revision;
-    e->lease = lease;
-    digest_message("event", explored.now);
+    /* The event, not the entry, holds the reference to the value. */
+    entry->value = value ? g_byte_array_ref((GByteArray *)value) : NULL;
+    entry->revision = model.revision;
+    entry->lease_id = lease_id;
+    digest_message("event", model.now);
     digest_text(key);
     digest_array(value);
-    digest_number(explored.revision);
-    digest_number(lease);
-    assert_true(explored.nevents < EVENTS);
-    explored.events[explored.nevents++] = *e;
+    digest_number(model.revision);
+    digest_number(lease_id);
+    assert_true(model.event_count < MAX_EVENTS);
+    model.events[model.event_count++] = *entry;
 }
 
-static void check_condition(void *arg, const char *key, uint64_t version)
+static void check_condition(void *arg, const char *key, uint64_t expected_version)
 {
-    const struct entry *e = &explored.store[store_index(key)];
-    uint64_t have = e->value ? e->revision : 0;
+    const struct store_entry *entry = &model.store[store_index(key)];
+    uint64_t current_version = entry->value ? entry->revision : 0;
 
-    if (have == version)
+    if (current_version == expected_version)
         return;
-    if (key[0] == 'n' && explored.without == GUARD_INCARNATION)
-        judged_late = true;
-    else if (key[0] == 'b' && explored.without == GUARD_NAMED)
+    if (key[0] == 'n' && model.disabled_guard == GUARD_INCARNATION)
+        failed_after_refutation = true;
+    else if (key[0] == 'b' && model.disabled_guard == GUARD_RECORDED_STANDBY)
         return;
     else
         *(bool *)arg = false;
 }
 
 static void check_lease(void *arg, const char *key, const GByteArray *value,
-                        uint64_t lease)
+                        uint64_t lease_id)
 {
     (void)key;
     (void)value;
-    if (lease && !explored.lease_alive[lease])
+    if (lease_id && !model.lease_alive[lease_id])
         *(bool *)arg = false;
 }
 
-static enum lmn_txn_outcome carry_out(const struct lmn_txn *transaction,
-                                      uint64_t *revision)
+static enum lmn_txn_outcome apply_transaction(const struct lmn_txn *transaction,
+                                              uint64_t *revision)
 {
-    bool holds = true;
+    bool all_hold = true;
 
-    judged_late = false;
-    lmn_txn_foreach_operation(transaction, check_lease, &holds);
-    if (!holds)
+    failed_after_refutation = false;
+    lmn_txn_foreach_operation(transaction, check_lease, &all_hold);
+    if (!all_hold)
         return LMN_TXN_REJECTED;
-    lmn_txn_foreach_condition(transaction, check_condition, &holds);
-    if (!holds)
+    lmn_txn_foreach_condition(transaction, check_condition, &all_hold);
+    if (!all_hold)
         return LMN_TXN_CONFLICT;
-    if (judged_late)
-        explored.broken_rule = JUDGED_AFTER_REFUTATION;
-    *revision = ++explored.revision;
+    if (failed_after_refutation)
+        model.violated_invariant = FAILED_AFTER_REFUTATION;
+    *revision = ++model.revision;
     lmn_txn_foreach_operation(transaction, store_put, NULL);
     return LMN_TXN_COMMITTED;
 }
 
 enum lmn_txn_outcome store_commit(const struct lmn_txn *transaction, uint64_t *revision)
 {
-    enum lmn_txn_outcome outcome = carry_out(transaction, revision);
+    enum lmn_txn_outcome outcome = apply_transaction(transaction, revision);
 
-    digest_transaction("transaction", explored.now, transaction);
+    digest_transaction("transaction", model.now, transaction);
     digest_outcome(outcome);
     return outcome;
 }
 
-void store_end_lease(uint64_t lease)
+void store_end_lease(uint64_t lease_id)
 {
-    explored.lease_alive[lease] = false;
-    explored.revision++;
-    for (int i = 0; i < KEYS; i++) {
-        const struct entry *e = &explored.store[i];
-        if (e->value && e->lease == lease)
-            store_put(NULL, e->key, NULL, 0);
+    model.lease_alive[lease_id] = false;
+    model.revision++;
+    for (int i = 0; i < MAX_KEYS; i++) {
+        const struct store_entry *entry = &model.store[i];
+        if (entry->value && entry->lease_id == lease_id)
+            store_put(NULL, entry->key, NULL, 0);
     }
 }
--- a/tests/takeover/summary.c
+++ b/tests/takeover/summary.c
@@ -1,4 +1,4 @@
-/* Summaries of states, by which the explorer knows those that it has seen. */
+/* Summaries of states, by which the search recognizes states that it has found before. */
 #include "takeover.h"
 
 #include "protocol/wire.h"
@@ -6,155 +6,159 @@
 #include "replication/stream.h"
 #include "state/task_ledger.h"
 
-/* A term fills the upper bits of an attempt's number. */
-enum { TERM_SHIFT = 24 };
+/* The owner's epoch is in the upper bits of an attempt's number. */
+enum { EPOCH_SHIFT = 24 };
 
-static int term_of(uint64_t attempt)
+static int epoch_of(uint64_t attempt)
 {
-    return (int)(attempt >> TERM_SHIFT);
+    return (int)(attempt >> EPOCH_SHIFT);
 }
 
-static void add_replication(GString *s, int n)
+static void add_replication(GString *text, int node_index)
 {
-    const struct node *node = &explored.nodes[n];
-    const struct lmn_partition *partition = node_partition(n);
+    const struct node *node = &model.nodes[node_index];
+    const struct lmn_partition *partition = node_partition(node_index);
     const struct lmn_replication_stream *stream = &partition->replication.stream;
 
     g_string_append_printf(
-        s, "{%d%d%d%d%d%d%d%d%d %d}", stream->phase, stream->standby_index,
+        text, "{%d%d%d%d%d%d%d%d%d %d}", stream->phase, stream->standby_index,
         stream->batch != NULL, stream->next_batch_number > 0,
         stream->acknowledged_position<stream->log_position, stream->send_failures> 0,
-        partition->replication.pending_machines->len, node->standby_record != NULL,
-        node->pending != NULL,
+        partition->replication.pending_machines->len, node->standby_txn != NULL,
+        node->deferred_push != NULL,
         partition->record.standby_stream ? (int)partition->record.standby_epoch : 0);
     if (!partition->replication.replica)
         return;
-    g_string_append_printf(s, "[%d%d", (int)partition->replication.replica->epoch,
+    g_string_append_printf(text, "[%d%d", (int)partition->replication.replica->epoch,
                            partition->replication.replica->stream ==
                                partition->record.standby_stream);
     for (int k = 0; k < MACHINES; k++) {
         const struct lmn_machine_snapshot *snapshot = g_hash_table_lookup(
-            partition->replication.replica->machines, explored.machines[k].name);
-        g_string_append_printf(s, ",%d", snapshot ? (int)snapshot->attempts->len : 9);
+            partition->replication.replica->machines, model.machines[k].name);
+        g_string_append_printf(text, ",%d", snapshot ? (int)snapshot->attempts->len : 9);
     }
 }
 
-static void add_ownership(GString *s, int n)
+static void add_ownership(GString *text, int node_index)
 {
-    const struct node *node = &explored.nodes[n];
-    const struct lmn_partition *partition = node_partition(n);
+    const struct node *node = &model.nodes[node_index];
+    const struct lmn_partition *partition = node_partition(node_index);
     const struct lmn_members *members = &node->core->members;
 
     g_string_append_printf(
-        s, "|%d%d%d%d %d %d %d%d%d %d%d %d", node->stalled, node->ownership != NULL,
-        partition->ownership.is_owned,
+        text, "|%d%d%d%d %d %d %d%d%d %d%d %d", node->is_paused,
+        node->ownership_txn != NULL, partition->ownership.is_owned,
         partition->ownership.is_ready + 2 * partition->ownership.inherited_may_start,
-        (int)partition->ownership.epoch, (int)(explored.nevents - node->seen),
-        lmn_member_is_suspected(members, A),
-        members->views[A].unanswered_since.tv_sec != 0,
-        lmn_member_is_declared_failed(members, A, explored.now),
-        partition->ownership.is_transferring, lmn_self_may_reply(members, explored.now),
+        (int)partition->ownership.epoch, (int)(model.event_count - node->applied_events),
+        lmn_member_is_suspected(members, NODE_A),
+        members->views[NODE_A].unanswered_since.tv_sec != 0,
+        lmn_member_is_declared_failed(members, NODE_A, model.now),
+        partition->ownership.is_transferring, lmn_self_may_reply(members, model.now),
         (int)partition->record.owner_epoch);
 }
 
-static void add_tasks(GString *s, int n)
+static void add_tasks(GString *text, int node_index)
 {
-    const struct lmn_partition *partition = node_partition(n);
+    const struct lmn_partition *partition = node_partition(node_index);
     GHashTableIter it;
-    gpointer v;
+    gpointer value;
 
     g_hash_table_iter_init(&it, partition->ranges);
-    while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const struct lmn_range *range = v;
-        g_string_append_printf(s, " r%d%d%d",
+    while (g_hash_table_iter_next(&it, NULL, &value)) {
+        const struct lmn_range *range = value;
+        g_string_append_printf(text, " r%d%d%d",
                                range->task_states ? range->task_states[0] : 9,
                                range->done_count, range->is_writing);
     }
     for (guint k = 0; k < partition->machine_list->len; k++) {
         const struct lmn_machine *machine = partition->machine_list->pdata[k];
         g_string_append_printf(
-            s, " %s%d%d%d%d", machine->name + 5, machine->lifecycle.is_accounted,
+            text, " %s%d%d%d%d", machine->name + 5, machine->lifecycle.is_accounted,
             machine->lifecycle.is_inherited, machine->record.revision != 0,
             machine->agent.has_reported);
         for (guint i = 0; i < machine->attempts->len; i++) {
             const struct lmn_attempt *attempt =
                 &g_array_index(machine->attempts, struct lmn_attempt, i);
-            g_string_append_printf(s, "a%d.%d.%d%d%d", term_of(attempt->number),
+            g_string_append_printf(text, "a%d.%d.%d%d%d", epoch_of(attempt->number),
                                    attempt->state, attempt->push_is_uncertain,
                                    attempt->is_done, attempt->range != NULL);
         }
     }
 }
 
-static void add_machines(GString *s)
+static void add_machines(GString *text)
 {
     for (int k = 0; k < MACHINES; k++) {
-        const struct machine *machine = &explored.machines[k];
-        g_string_append_printf(s, "|%d", (int)machine->token);
-        for (int i = 0; i < machine->nattempts; i++)
-            g_string_append_printf(s, " %d%d%d", term_of(machine->attempts[i].number),
+        const struct machine *machine = &model.machines[k];
+        g_string_append_printf(text, "|%d", (int)machine->fencing_token);
+        for (int i = 0; i < machine->attempt_count; i++)
+            g_string_append_printf(text, " %d%d%d", epoch_of(machine->attempts[i].number),
                                    machine->attempts[i].running,
                                    machine->attempts[i].done);
     }
 }
 
-static int token_of(const GByteArray *body)
+static int read_fencing_token(const GByteArray *body)
 {
-    struct lmn_cbor_document d;
-    uint64_t token = 0;
-
-    lmn_cbor_parse(&d, body->data, body->len);
-    lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_FENCING_TOKEN), &token);
-    lmn_cbor_free(&d);
-    return (int)token;
+    struct lmn_cbor_document document;
+    uint64_t fencing_token = 0;
+
+    lmn_cbor_parse(&document, body->data, body->len);
+    lmn_cbor_get_uint(
+        lmn_cbor_get(&document, lmn_cbor_root(&document), WIRE_FENCING_TOKEN),
+        &fencing_token);
+    lmn_cbor_free(&document);
+    return (int)fencing_token;
 }
 
-static void add_messages(GString *s)
+static void add_pushes(GString *text)
 {
-    for (int i = 0; i < COMMANDS; i++) {
-        const struct command *c = &explored.commands[i];
-        if (c->body)
-            g_string_append_printf(s, "|f%d.%d", c->machine, token_of(c->body));
+    for (int i = 0; i < MAX_PUSHES; i++) {
+        const struct push *push = &model.pushes[i];
+        if (push->body)
+            g_string_append_printf(text, "|f%d.%d", push->machine,
+                                   read_fencing_token(push->body));
     }
 }
 
-/* What a report says is fixed by its bytes, but for its number, which only tells how old
- * it is: whether newer ones were sent since. */
-static void add_copy(GString *s)
+/* Adds the kept heartbeat by the checksum of its bytes, and whether the machine has sent
+ * a newer one since. */
+static void add_kept_heartbeat(GString *text)
 {
-    if (!explored.late_report)
+    if (!model.kept_heartbeat)
         return;
-    const GByteArray *body = explored.late_report;
-    const struct machine *machine = &explored.machines[explored.late_machine];
+    const GByteArray *body = model.kept_heartbeat;
+    const struct machine *machine = &model.machines[model.kept_heartbeat_machine];
     char *digest = g_compute_checksum_for_data(G_CHECKSUM_MD5, body->data, body->len);
-    g_string_append_printf(s, "|c%d%d%s", explored.late_machine,
-                           machine->last_report == body, digest);
+    g_string_append_printf(text, "|c%d%d%s", model.kept_heartbeat_machine,
+                           machine->last_heartbeat == body, digest);
     g_free(digest);
 }
 
-static void add_budgets(GString *s)
+static void add_move_limits(GString *text)
 {
-    for (int i = 0; i < KEYS && *explored.store[i].key; i++)
-        g_string_append_printf(s, "%d", explored.store[i].value != NULL);
-    g_string_append_printf(s, " %d%d%d%d%d", explored.lease_alive[1], (int)explored.jumps,
-                           (int)explored.had.restarts, (int)explored.suspicions,
-                           (int)explored.waits);
-    if (explored.had.copies || explored.had.unanswered)
-        g_string_append_printf(s, "!%u%u", explored.had.copies, explored.had.unanswered);
+    for (int i = 0; i < MAX_KEYS && *model.store[i].key; i++)
+        g_string_append_printf(text, "%d", model.store[i].value != NULL);
+    g_string_append_printf(text, " %d%d%d%d%d", model.lease_alive[1],
+                           (int)model.clock_jumps, (int)model.injected_faults.restarts,
+                           (int)model.suspicions, (int)model.waits);
+    if (model.injected_faults.late_heartbeats || model.injected_faults.lost_answers)
+        g_string_append_printf(text, "!%u%u", model.injected_faults.late_heartbeats,
+                               model.injected_faults.lost_answers);
 }
 
-char *summary(void)
+char *state_summary(void)
 {
-    GString *s = g_string_new(NULL);
+    GString *text = g_string_new(NULL);
 
-    for (int n = 0; n < NODES; n++) {
-        add_replication(s, n);
-        add_ownership(s, n);
-        add_tasks(s, n);
+    for (int node_index = 0; node_index < NODES; node_index++) {
+        add_replication(text, node_index);
+        add_ownership(text, node_index);
+        add_tasks(text, node_index);
     }
-    add_machines(s);
-    add_messages(s);
-    add_budgets(s);
-    add_copy(s);
-    return g_string_free(s, FALSE);
+    add_machines(text);
+    add_pushes(text);
+    add_move_limits(text);
+    add_kept_heartbeat(text);
+    return g_string_free(text, FALSE);
 }
--- a/tests/takeover/takeover.h
+++ b/tests/takeover/takeover.h
@@ -1,8 +1,10 @@
-/* The system that test_takeover*.c explores: the product's own mirror, membership,
- * partitions, ownership and answers to workers, for an owner (A) that is judged while it
- * may be alive, a claimant (B), a third member (C) that only speaks, two machines and one
- * task. Time, network and state service are simulated and deterministic, so a sequence of
- * moves always leads to the same state. */
+/* A model of a partition's takeover, whose states test_takeover*.c search.
+ *
+ * Node A owns the partition and is declared failed while it may be alive. Node B claims
+ * the partition. Member C only sends gossip. There are two machines and one task. The
+ * watch caches, membership, ownership, replication and the exchange with workers are the
+ * product's code. Time, network and key-value store are simulated without randomness, so
+ * a sequence of moves always leads to the same state. */
 #ifndef LMN_TESTS_TAKEOVER_H
 #define LMN_TESTS_TAKEOVER_H
 
@@ -19,36 +21,49 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-enum { NODES = 2, MACHINES = 2, COMMANDS = 2, KEYS = 16, EVENTS = 256, TASKS = 3 };
-enum { LEASES = 16 };
-enum { A, B, C };
+enum {
+    NODES = 2,
+    MACHINES = 2,
+    MAX_PUSHES = 2,
+    MAX_KEYS = 16,
+    MAX_EVENTS = 256,
+    MAX_ATTEMPTS = 3,
+    MAX_LEASES = 16
+};
+enum { NODE_A, NODE_B, NODE_C };
 
-/* A safeguard of the product that a search is run without. */
+/* A safeguard of the product that can be disabled, to test that a search then finds a
+ * violation. The comments say what each safeguard enforces. */
 enum guard {
     GUARD_NONE,
-    GUARD_ACCOUNTING,   /* inherited tasks wait for the machines that may have them */
-    GUARD_TOKEN,        /* machines refuse commands of an older term */
-    GUARD_RECORD,       /* a machine is recorded before its first start */
-    GUARD_INCARNATION,  /* a verdict is about an incarnation */
-    GUARD_ACKNOWLEDGED, /* a start waits until the standby has acknowledged it */
-    GUARD_STRUCK_OFF,   /* the standby is struck off before starts go on without it */
-    GUARD_NAMED,        /* a warm takeover is by the standby that the record names */
-    GUARD_TERM,         /* nobody owned it between the copy's owner and the claimant */
-    GUARD_HELD,         /* what was replicated is held until its machine has spoken */
-    GUARD_REPORT_ORDER, /* a report that newer ones overtook says nothing */
+    /* Inherited tasks are not started until the machines that may run them answer. */
+    GUARD_ACCOUNTING,
+    GUARD_FENCING_TOKEN,   /* machines refuse commands of an older epoch */
+    GUARD_MACHINE_RECORD,  /* a machine is recorded before the first start on it */
+    GUARD_INCARNATION,     /* only the suspected incarnation can be declared failed */
+    GUARD_ACKNOWLEDGEMENT, /* a start is sent once the standby has acknowledged it */
+    /* The standby is removed from the record before starts are sent without it. */
+    GUARD_STANDBY_REMOVAL,
+    GUARD_RECORDED_STANDBY, /* only the recorded standby can take over warm */
+    /* A replica is used only if no other epoch began between its owner's and the
+     * claimant's. */
+    GUARD_REPLICA_EPOCH,
+    /* A replicated attempt's task is not started again until the machine has answered. */
+    GUARD_REPLICATED_ATTEMPTS,
+    GUARD_HEARTBEAT_ORDER, /* heartbeats that arrive after newer ones are ignored */
 };
 
 struct node {
     struct lmn_settings settings;
     struct lmn_core *core;
-    uint64_t lease;
-    guint seen; /* events of the state service that its mirror shows */
-    bool stalled;
-    struct lmn_txn *ownership; /* a claim or a hand-over on its way */
-    bool handover;
-    struct lmn_txn *standby_record; /* on its way */
-    GByteArray *pending;            /* a start that waits for an acknowledgement */
-    char pending_to[LMN_NAME_SIZE];
+    uint64_t lease_id;
+    guint applied_events; /* events of the store that the watch cache contains */
+    bool is_paused;
+    struct lmn_txn *ownership_txn; /* claim or transfer in flight; may be NULL */
+    bool is_transfer;              /* ownership_txn is a transfer */
+    struct lmn_txn *standby_txn;   /* write of the standby's record in flight, or NULL */
+    GByteArray *deferred_push;     /* starts that wait for an acknowledgement, or NULL */
+    char deferred_push_machine[LMN_NAME_SIZE];
 };
 
 struct attempt {
@@ -58,195 +73,201 @@
 
 struct machine {
     char name[16];
-    uint64_t token, seq, session;
-    struct attempt attempts[TASKS];
-    int nattempts;
-    GByteArray *last_report;
+    uint64_t fencing_token, sequence, incarnation;
+    struct attempt attempts[MAX_ATTEMPTS];
+    int attempt_count;
+    GByteArray *last_heartbeat;
 };
 
-struct entry {
+struct store_entry {
     char key[24];
     GByteArray *value;
-    uint64_t revision, lease;
+    uint64_t revision, lease_id;
 };
 
-/* A command on its way to a machine; it may arrive more than once. */
-struct command {
+/* A push in flight to a machine. It may arrive more than once. */
+struct push {
     int machine;
     GByteArray *body;
 };
 
-/* Faults that a path may hold, and those that it has held. */
+/* Numbers of faults on a path: duplicates of heartbeats that arrive late, lost answers of
+ * the store, and process restarts. */
 struct faults {
-    unsigned copies, unanswered, restarts;
+    unsigned late_heartbeats, lost_answers, restarts;
 };
 
-struct explored {
+struct model {
     bool with_standby;
-    bool both_restart; /* B restarts as well, and a new life of A claims what was its own
-                        */
-    bool unrecorded;   /* the second machine is not recorded at the beginning */
-    bool fair;         /* what waits for an acknowledgement gets it */
-    enum guard without;
-    struct faults allowed;
-
-    /* What follows belongs to one path, and is forgotten by explored_forget. */
+    /* B may restart too, and A after a restart may claim the partition that it owned. */
+    bool both_nodes_may_restart;
+    bool second_machine_is_unrecorded; /* in the state after model_reset */
+    bool is_fair_schedule; /* batches are replicated at once when starts wait for them */
+    enum guard disabled_guard;
+    struct faults allowed_faults;
+
+    /* The state of the current path. model_clear clears all fields from here on. */
     struct node nodes[NODES];
     struct machine machines[MACHINES];
-    struct entry store[KEYS];
-    struct entry events[EVENTS];
-    guint nevents;
-    uint64_t revision, next_lease;
-    bool lease_alive[LEASES];
-    struct command commands[COMMANDS];
-    GByteArray *late_report; /* a copy of a report that the network has kept */
-    int late_machine;
-    struct faults had;
-    unsigned jumps, suspicions, waits;
+    struct store_entry store[MAX_KEYS];
+    struct store_entry events[MAX_EVENTS];
+    guint event_count;
+    uint64_t revision, next_lease_id;
+    bool lease_alive[MAX_LEASES];
+    struct push pushes[MAX_PUSHES];
+    GByteArray *kept_heartbeat; /* duplicate of a heartbeat, which is delivered late */
+    int kept_heartbeat_machine;
+    struct faults injected_faults;
+    unsigned clock_jumps, suspicions, waits; /* moves made so far, which are limited */
     struct timespec now;
-    const char *broken_rule;
+    const char *violated_invariant; /* NULL: none */
 };
 
-extern struct explored explored;
+extern struct model model;
 
-/* What a path may hold where faults are searched for, and elsewhere. */
-extern const struct faults faults_allowed, only_a_restart;
+/* Values for allowed_faults: for tests of faults, and the default. */
+extern const struct faults all_faults, one_restart;
 
+/* Violations of invariants. The texts are part of the searches' digests, so they must not
+ * change. */
 #define TASK_RUNS_TWICE "the task runs on both machines"
-#define JUDGED_AFTER_REFUTATION "one that had refuted was judged"
+#define FAILED_AFTER_REFUTATION "one that had refuted was judged"
 
-/* The state service (store.c). */
+/* The key-value store (store.c). */
 
 int store_index(const char *key);
-void store_put(void *unused, const char *key, const GByteArray *value, uint64_t lease);
-/* All of it, or none if a condition does not hold. */
+void store_put(void *unused, const char *key, const GByteArray *value, uint64_t lease_id);
+/* Commits the whole transaction, or nothing if a condition does not hold. */
 enum lmn_txn_outcome store_commit(const struct lmn_txn *transaction, uint64_t *revision);
-void store_end_lease(uint64_t lease);
+void store_end_lease(uint64_t lease_id);
 
 /* Nodes (nodes.c). */
 
-struct lmn_partition *node_partition(int n);
-void node_boot(int n);
-/* Acquires a lease, and writes the member's record that hangs on it. */
-void node_join(int n);
-void node_discard(int n);
-/* Its mirror shows all that was committed. */
-void node_mirror(int n);
-void advance(double seconds);
-void explored_forget(void);
-/* A owns the partition and two machines; the second is not recorded yet if `unrecorded`
- * or without GUARD_RECORD. A job of one task has been accepted. */
-void explored_begin(void);
+struct lmn_partition *node_partition(int node_index);
+void node_boot(int node_index);
+/* Acquires a lease, and writes the member's record, which is bound to the lease. */
+void node_join(int node_index);
+void node_discard(int node_index);
+/* Applies all committed events to the node's watch cache. */
+void node_sync_cache(int node_index);
+void advance_time(double seconds);
+void model_clear(void);
+/* Sets the state in which every path begins. A owns the partition and two machines, and a
+ * job of one task has been accepted. The second machine is not recorded yet if
+ * second_machine_is_unrecorded is set or GUARD_MACHINE_RECORD is disabled. */
+void model_reset(void);
 
 /* Machines (machines.c). */
 
-/* Appends a new report of the machine. */
-void machine_report(int k, GByteArray *body);
-/* Carries commands out, unless they are of an older token or, sent directly, of another
- * session. */
-bool machine_accept(int k, const GByteArray *body, bool direct);
-bool machine_runs(int k);
-void machine_complete(int k);
-
-/* What owners and machines exchange (commands.c). Each returns false if it is not
- * possible now. */
-
-bool start_directly(int n);
-/* A start that waited for an acknowledgement goes out, or is taken back. */
-bool release_pending(int n);
-bool report(int n, int k);
-bool probe(int n);
-bool keep_copy(int k);
-/* The copy arrives; its answer reaches nobody. */
-bool deliver_copy(int n);
-
-/* What owner and standby exchange (replication.c). */
+/* Appends the encoded heartbeat to `body`, with the machine's next sequence number. */
+void machine_write_heartbeat(int machine_index, GByteArray *body);
+/* Executes the commands of a heartbeat's reply or of a push. Commands of an older epoch,
+ * and pushes to another agent incarnation, are refused.
+ * Returns whether the commands were accepted. */
+bool machine_handle_commands(int machine_index, const GByteArray *body, bool is_push);
+bool machine_is_running_task(int machine_index);
+void machine_complete_tasks(int machine_index);
+
+/* Messages between owners and machines (commands.c). Each function returns false if the
+ * message is not possible in the current state. */
+
+bool push_start(int node_index);
+/* Sends a push that waited for an acknowledgement, or cancels it if there is none. */
+bool release_deferred_push(int node_index);
+bool send_heartbeat(int node_index, int machine_index);
+bool send_probe(int node_index);
+bool keep_heartbeat(int machine_index);
+/* Delivers the kept duplicate of a heartbeat. The reply is lost. */
+bool deliver_kept_heartbeat(int node_index);
+
+/* Messages between owner and standby (replication.c). */
 
 enum delivery { DELIVERED, ACKNOWLEDGEMENT_LOST, BATCH_LOST };
 
-bool replicate(int n, enum delivery how);
-bool write_standby_record(int n, bool applied);
+bool replicate(int node_index, enum delivery delivery);
+/* Commits the write of the standby's record that is in flight, or drops it. */
+bool finish_standby_txn(int node_index, bool applied);
 
-/* Suspicion, claims and owners' writes (ownership.c). */
+/* Suspicions, claims, transfers and the owners' writes (ownership.c). */
 
-void speak_against_a(void);
-bool suspect(void);
-bool refute(void);
-bool claim(int n);
-bool hand_over(void);
-bool apply_ownership(int n);
-/* Writes what an owner has to write; not answered: carried out, and the answer is lost.
- */
-bool flush(int n, bool answered);
+void record_evidence_against_a(void);
+bool commit_suspicion(void);
+bool commit_refutation(void);
+bool prepare_claim(int node_index);
+bool prepare_transfer(void);
+bool commit_ownership_txn(int node_index);
+/* Commits all of the owner's pending writes. If `answered` is false, the store's answers
+ * are lost. */
+bool flush_records(int node_index, bool answered);
 
 /* Moves (moves.c). */
 
 enum move {
-    MIRROR_A,
-    MIRROR_B,
-    START_A,
-    START_B,
-    DELIVER, /* the first or second command on its way arrives, perhaps again */
-    DELIVER_2,
-    LOSE_COMMAND,
-    REPORT_A_0,
-    REPORT_A_1,
-    REPORT_B_0,
-    REPORT_B_1,
+    SYNC_CACHE_A,
+    SYNC_CACHE_B,
+    PUSH_START_A,
+    PUSH_START_B,
+    DELIVER_PUSH_0, /* the first or second push in flight arrives, perhaps repeatedly */
+    DELIVER_PUSH_1,
+    LOSE_PUSH,
+    HEARTBEAT_A_0, /* a heartbeat to node A from machine 0 */
+    HEARTBEAT_A_1,
+    HEARTBEAT_B_0,
+    HEARTBEAT_B_1,
     PROBE_B,
-    SUSPECT,
-    SUSPICION_AGES,
-    REFUTE,
+    SUSPECT_A,
+    AGE_SUSPICION, /* time passes until A may be declared failed */
+    REFUTE_A,
     CLAIM_B,
-    HAND_OVER,
-    APPLY_A, /* a claim or a hand-over on its way is carried out */
-    APPLY_B,
-    DROP_B,
-    STALL, /* the owner stands still, and wakes */
-    WAKE,
+    TRANSFER_A,
+    COMMIT_OWNER_A, /* the claim or transfer in flight is committed */
+    COMMIT_OWNER_B,
+    DROP_CLAIM_B,
+    PAUSE_A, /* A's process makes no progress until RESUME_A */
+    RESUME_A,
     EXPIRE_LEASE_A,
     RESTART_A,
-    COMPLETE_0,
+    COMPLETE_0, /* the attempts on machine 0 finish */
     COMPLETE_1,
     FLUSH_A,
     FLUSH_B,
     REPLICATE_A,
     REPLICATE_B,
     REPLICATE_UNACKNOWLEDGED, /* the batch arrives, its acknowledgement is lost */
-    REPLICATE_LOST,           /* neither arrives, however often it is sent */
-    RELEASE_A,
-    RELEASE_B,
-    RECORD_A, /* the standby's record on its way is written, or lost */
-    DROP_RECORD_A,
-    RESTART_B, /* another life, with another lease, that has no copy */
-    CLAIM_A,   /* another life of the owner claims what the last one held */
-    WAIT,      /* so long that a warm successor deals, whoever has spoken */
-    COPY_0,    /* the network keeps a copy of the machine's last report */
-    COPY_1,
-    DELIVER_COPY_A,
-    DELIVER_COPY_B,
-    FLUSH_UNANSWERED_A,
-    FLUSH_UNANSWERED_B,
-    MOVES
+    REPLICATE_LOST,           /* all attempts to send the batch fail */
+    RELEASE_PUSH_A,
+    RELEASE_PUSH_B,
+    COMMIT_STANDBY_A, /* the write of the standby's record is committed, or dropped */
+    DROP_STANDBY_A,
+    RESTART_B,        /* B restarts with another lease and without a replica */
+    CLAIM_A,          /* after a restart A claims the partition that it owned before */
+    WARM_DELAY,       /* time after which a warm successor starts inherited tasks even if
+                       * some machines have not answered */
+    KEEP_HEARTBEAT_0, /* the network keeps a duplicate of machine 0's last heartbeat */
+    KEEP_HEARTBEAT_1,
+    DELIVER_KEPT_A,
+    DELIVER_KEPT_B,
+    FLUSH_ANSWER_LOST_A,
+    FLUSH_ANSWER_LOST_B,
+    MOVE_COUNT
 };
 
-/* False: not possible now. */
-bool play(enum move move);
-/* Sets broken_rule if a rule is broken. */
-void check_rules(void);
+/* Returns false if the move is not possible in the current state. */
+bool play_move(enum move move);
+/* Sets violated_invariant if the current state violates one. */
+void check_invariants(void);
 
-/* The explorer (summary.c, fair.c, explorer.c). */
+/* The search (summary.c, fair.c, explorer.c). */
 
-/* Two states of equal summaries are equal for all that can follow, but for revisions and
- * times. To be freed. */
-char *summary(void);
-/* Plays fair steps alone, in which everybody mirrors, asks, reports and writes, and tells
- * what is broken in the end, or NULL. */
-const char *finish_fairly(void);
+/* A text that is equal for two states if the same moves have the same effects in both,
+ * apart from revisions and times. To be freed by the caller. */
+char *state_summary(void);
+/* Continues from the current state without faults: in each round all nodes sync their
+ * caches, probe, receive heartbeats and write, until the job is finished.
+ * Returns the violated invariant, or NULL. */
+const char *finish_under_fair_schedule(void);
 
-/* Begins the digest of the program's next search. Searches are numbered, and have no
- * seed.
- */
+/* Begins the digest of the program's next search, which is identified by its number. */
 void begin_search_digest(void);
 
 struct sequence {
@@ -256,23 +277,28 @@
 
 #define SEQUENCE(array) ((struct sequence){array, G_N_ELEMENTS(array)})
 
-/* Searches breadth first from the end of the sequence until about that many states were
- * seen or a rule is broken; returns their number. */
-guint explore(enum guard without, struct sequence from, guint states,
-              const char **broken);
-/* Fails the test if a rule is broken or fewer states than expected are found. */
-void keeps_rules_after(struct sequence from);
-/* Fails the test unless the search breaks exactly this rule, both without and with copies
- * of reports, lost answers and restarts among the moves. */
-void breaks_rule_after(enum guard without, struct sequence from, const char *rule);
-
-/* Placement of faults (placement.c). Both tell what is broken, or NULL. */
-
-/* Searches from each step of the sequence, with the faults allowed among the moves. */
-const char *explore_each_step(struct sequence sequence, guint states);
-/* Plays the sequence with each fault, and pairs of a restart and another, at each step, a
- * copy being delivered at each later step, and then fair steps to the job's end. Moves
- * that a fault made impossible are left out. */
-const char *place_faults(enum guard without, struct sequence sequence);
+/* Searches breadth first from the state after `start`, until about max_states states are
+ * found or an invariant is violated.
+ * Returns the number of states found. */
+guint explore(enum guard disabled_guard, struct sequence start, guint max_states,
+              const char **violation);
+/* Fails the test if an invariant is violated or fewer states than expected are found. */
+void assert_invariants_hold_after(struct sequence start);
+/* Fails the test unless the search finds exactly this violation, both with one restart
+ * among the moves and with late heartbeats, lost answers and two restarts. */
+void assert_violation_after(enum guard disabled_guard, struct sequence start,
+                            const char *expected_violation);
+
+/* Fault injection (placement.c). Both functions return the violated invariant or NULL. */
+
+/* Searches from the state after each step of the sequence, with all kinds of faults among
+ * the moves. */
+const char *explore_each_step(struct sequence sequence, guint max_states);
+/* Plays the sequence many times with faults before its steps, and each time continues
+ * under a fair schedule until the job is finished. The faults are: each single lost
+ * answer and restart, each pair of one of these with a restart, and each late heartbeat,
+ * alone and after a restart. Moves of the sequence that a fault made impossible are
+ * skipped. */
+const char *place_faults(enum guard disabled_guard, struct sequence sequence);
 
 #endif
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -1,61 +1,70 @@
-/* Cold takeovers: every order of starts, losses, late and doubled commands, suspicions,
- * refutations, claims, hand-overs, stalls, restarts and ends of leases, up to a number of
- * states. With each guard taken away the same search must break what it guards. */
+/* Searches of cold takeovers, without a standby. They cover all orders of starts, lost,
+ * late and duplicate commands, suspicions, refutations, claims, transfers, paused
+ * processes, restarts and expired leases, up to a number of states. With a guard
+ * disabled, the search must find the violation that the guard prevents. */
 #include "takeover/sequences.h"
 
 #include "util/log.h"
 
-/* A start is on its way, the owner suspected, the claim on its way; then carried out, and
- * mirrored by the claimant alone. */
-static const enum move suspected[] = {START_A, SUSPECTED, CLAIM_B};
-static const enum move claimed[] = {START_A, SUSPECTED, CLAIM_B, APPLY_B, MIRROR_B};
-static const enum move handed_over[] = {START_A, HAND_OVER, APPLY_A, MIRROR_B};
-static const enum move stalled[] = {START_A, STALL, SUSPECTED, CLAIM_B};
-/* The second machine is not recorded when a task starts there. */
-static const enum move unrecorded[] = {REPORT_A_1, REPORT_A_1, START_A, SUSPECTED,
-                                       CLAIM_B,    APPLY_B,    MIRROR_B};
-
-static void keeps_the_rules(void **state)
+/* A pushed start is in flight, and the owner may be declared failed. The claim is first
+ * in flight, then committed and in the claimant's cache only. */
+static const enum move claim_in_flight[] = {PUSH_START_A, SUSPICION_DUE, CLAIM_B};
+static const enum move claim_committed[] = {PUSH_START_A, SUSPICION_DUE, CLAIM_B,
+                                            COMMIT_OWNER_B, SYNC_CACHE_B};
+static const enum move transferred[] = {PUSH_START_A, TRANSFER_A, COMMIT_OWNER_A,
+                                        SYNC_CACHE_B};
+static const enum move owner_paused[] = {PUSH_START_A, PAUSE_A, SUSPICION_DUE, CLAIM_B};
+/* A task is started on the second machine before that machine is recorded. */
+static const enum move unrecorded_machine[] = {
+    HEARTBEAT_A_1, HEARTBEAT_A_1,  PUSH_START_A, SUSPICION_DUE,
+    CLAIM_B,       COMMIT_OWNER_B, SYNC_CACHE_B};
+
+static void cold_takeover_keeps_all_invariants(void **state)
 {
     (void)state;
-    keeps_rules_after((struct sequence){NULL, 0});
-    keeps_rules_after(SEQUENCE(suspected));
-    keeps_rules_after(SEQUENCE(claimed));
-    keeps_rules_after(SEQUENCE(handed_over));
-    keeps_rules_after(SEQUENCE(stalled));
+    assert_invariants_hold_after((struct sequence){NULL, 0});
+    assert_invariants_hold_after(SEQUENCE(claim_in_flight));
+    assert_invariants_hold_after(SEQUENCE(claim_committed));
+    assert_invariants_hold_after(SEQUENCE(transferred));
+    assert_invariants_hold_after(SEQUENCE(owner_paused));
 }
 
-static void accounting_is_needed(void **state)
+static void without_accounting_a_task_runs_twice(void **state)
 {
     (void)state;
-    breaks_rule_after(GUARD_ACCOUNTING, SEQUENCE(claimed), TASK_RUNS_TWICE);
-    breaks_rule_after(GUARD_ACCOUNTING, SEQUENCE(handed_over), TASK_RUNS_TWICE);
+    assert_violation_after(GUARD_ACCOUNTING, SEQUENCE(claim_committed), TASK_RUNS_TWICE);
+    assert_violation_after(GUARD_ACCOUNTING, SEQUENCE(transferred), TASK_RUNS_TWICE);
 }
 
-static void tokens_are_needed(void **state)
+static void without_fencing_tokens_a_task_runs_twice(void **state)
 {
     (void)state;
-    breaks_rule_after(GUARD_TOKEN, SEQUENCE(claimed), TASK_RUNS_TWICE);
+    assert_violation_after(GUARD_FENCING_TOKEN, SEQUENCE(claim_committed),
+                           TASK_RUNS_TWICE);
 }
 
-static void records_are_needed(void **state)
+static void without_machine_records_a_task_runs_twice(void **state)
 {
     (void)state;
-    breaks_rule_after(GUARD_RECORD, SEQUENCE(unrecorded), TASK_RUNS_TWICE);
+    assert_violation_after(GUARD_MACHINE_RECORD, SEQUENCE(unrecorded_machine),
+                           TASK_RUNS_TWICE);
 }
 
-static void incarnations_are_needed(void **state)
+static void without_incarnations_a_member_is_declared_failed_after_refuting(void **state)
 {
     (void)state;
-    breaks_rule_after(GUARD_INCARNATION, SEQUENCE(suspected), JUDGED_AFTER_REFUTATION);
+    assert_violation_after(GUARD_INCARNATION, SEQUENCE(claim_in_flight),
+                           FAILED_AFTER_REFUTATION);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(keeps_the_rules),         cmocka_unit_test(accounting_is_needed),
-        cmocka_unit_test(tokens_are_needed),       cmocka_unit_test(records_are_needed),
-        cmocka_unit_test(incarnations_are_needed),
+        cmocka_unit_test(cold_takeover_keeps_all_invariants),
+        cmocka_unit_test(without_accounting_a_task_runs_twice),
+        cmocka_unit_test(without_fencing_tokens_a_task_runs_twice),
+        cmocka_unit_test(without_machine_records_a_task_runs_twice),
+        cmocka_unit_test(without_incarnations_a_member_is_declared_failed_after_refuting),
     };
     lmn_log_level = LMN_LOG_ERROR;
     return cmocka_run_group_tests(tests, NULL, NULL);
