--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -33,7 +33,7 @@
     .partition_acquired = lmn_partition_begin_ownership,
     .partition_lost = lmn_partition_end_ownership,
     .block_changed = lmn_machine_block_apply,
-    .blocks_listed = lmn_machine_block_sweep,
+    .blocks_listed = lmn_machine_blocks_remove_unlisted,
     .quota_changed = lmn_quota_record_apply,
     .partition_freed = lmn_replication_clear,
 };
--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -146,7 +146,7 @@
     reset_ownership(partition, now);
     core->counters.failovers++;
     reset_quota(core, partition);
-    lmn_machine_blocks_reset(partition);
+    lmn_machine_blocks_reset_writes(partition);
     /* Zone cuts recorded in an earlier epoch of this controller would delay the return of
      * machines without need. */
     g_array_set_size(partition->zone_cuts, 0);
--- a/tests/simulation/peers.c
+++ b/tests/simulation/peers.c
@@ -342,7 +342,7 @@
         double luck = g_rand_double(simulation.random);
         struct lmn_deferred_starts deferred = {0};
         deferred.log_position =
-            lmn_worker_client_log_position(node->core, name, &deferred.partition);
+            lmn_worker_client_push_log_position(node->core, name, &deferred.partition);
         if (machine && deferred.log_position &&
             !lmn_replication_covers(&node->core->partitions[deferred.partition],
                                     deferred.log_position)) {
