--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -86,7 +86,7 @@
 };
 
 /** Number of machines of one type and zone. */
-struct machine_kind {
+struct machine_group {
     const struct lmn_machine_type *type;
     const char *zone;
     unsigned count;
@@ -94,18 +94,18 @@
 };
 
 /** Returns the entry for the type and zone; adds one if there is none. */
-static struct machine_kind *get_kind(GArray *kinds, const struct lmn_machine_type *type,
-                                     const char *zone)
+static struct machine_group *
+get_group(GArray *groups, const struct lmn_machine_type *type, const char *zone)
 {
-    struct machine_kind new_kind = {type, zone, 0, 0};
+    struct machine_group new_group = {type, zone, 0, 0};
 
-    for (guint i = 0; i < kinds->len; i++) {
-        struct machine_kind *kind = &g_array_index(kinds, struct machine_kind, i);
-        if (kind->type == type && !strcmp(kind->zone, zone))
-            return kind;
+    for (guint i = 0; i < groups->len; i++) {
+        struct machine_group *group = &g_array_index(groups, struct machine_group, i);
+        if (group->type == type && !strcmp(group->zone, zone))
+            return group;
     }
-    g_array_append_val(kinds, new_kind);
-    return &g_array_index(kinds, struct machine_kind, kinds->len - 1);
+    g_array_append_val(groups, new_group);
+    return &g_array_index(groups, struct machine_group, groups->len - 1);
 }
 
 /** Whether the machine is still booting after its boot timeout. */
@@ -121,10 +121,10 @@
 
 /** Counts the machines, and the late machines, of each type and zone.
  * @return struct machine_kind; the caller frees the array */
-static GArray *count_kinds(const struct lmn_core *core,
-                           const struct lmn_autoscaler *autoscaler, struct timespec now)
+static GArray *count_groups(const struct lmn_core *core,
+                            const struct lmn_autoscaler *autoscaler, struct timespec now)
 {
-    GArray *kinds = g_array_new(FALSE, FALSE, sizeof(struct machine_kind));
+    GArray *groups = g_array_new(FALSE, FALSE, sizeof(struct machine_group));
     GHashTableIter iter;
     gpointer value;
 
@@ -135,11 +135,11 @@
             lmn_machine_type_by_name(core, machine->type);
         if (!type || machine->is_broken)
             continue;
-        struct machine_kind *kind = get_kind(kinds, type, machine->zone);
-        kind->count++;
-        kind->late_count += is_late(core, autoscaler, machine, type, now);
+        struct machine_group *group = get_group(groups, type, machine->zone);
+        group->count++;
+        group->late_count += is_late(core, autoscaler, machine, type, now);
     }
-    return kinds;
+    return groups;
 }
 
 /** Subtracts the processors of late machines, so that replacements are provisioned.
@@ -149,7 +149,7 @@
                           const struct lmn_autoscaler *autoscaler,
                           struct capacity *capacity, struct timespec now)
 {
-    GArray *kinds = count_kinds(core, autoscaler, now);
+    GArray *groups = count_groups(core, autoscaler, now);
     double late_cpus = 0, late_ordinary_cpus = 0;
     GHashTableIter iter;
     gpointer value;
@@ -161,14 +161,14 @@
             lmn_machine_type_by_name(core, machine->type);
         if (!type || machine->is_broken)
             continue;
-        const struct machine_kind *kind = get_kind(kinds, type, machine->zone);
+        const struct machine_group *group = get_group(groups, type, machine->zone);
         if (is_late(core, autoscaler, machine, type, now) &&
-            MACHINES_PER_LATE_MACHINE * kind->late_count <= kind->count) {
+            MACHINES_PER_LATE_MACHINE * group->late_count <= group->count) {
             late_cpus += type->cpus;
             late_ordinary_cpus += machine->is_spot ? 0 : type->cpus;
         }
     }
-    g_array_free(kinds, TRUE);
+    g_array_free(groups, TRUE);
     capacity->cpus -= late_cpus;
     capacity->ordinary_cpus -= late_ordinary_cpus;
 }
--- a/src/scheduler/consolidation.c
+++ b/src/scheduler/consolidation.c
@@ -148,7 +148,7 @@
 }
 
 /** Lists the machines that replicas could be moved to. Empty machines are not listed, nor
- * are spot instances: they run other jobs, and the cloud takes them back anyway. */
+ * are spot instances: they also run other jobs, and the cloud reclaims them by itself. */
 static struct partition_summary summarize_machines(const struct lmn_core *core,
                                                    const struct lmn_partition *partition,
                                                    struct timespec now)
--- a/src/scheduler/fair_share.c
+++ b/src/scheduler/fair_share.c
@@ -179,7 +179,8 @@
            !lmn_job_spec_has_objective(settings, spec);
 }
 
-/** Whether the partition has a spot instance that could run the job. */
+/** Whether the partition has a spot instance that could run the job. If it has none, the
+ * job may use any machine. */
 static bool has_spot_for(const struct lmn_partition *partition,
                          const struct lmn_job_spec *spec)
 {
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -146,8 +146,8 @@
             job, job->spec.cpus, job->spec.gpus, lmn_time_add(now, JOB_RESERVATION_S)};
 }
 
-/** Reserves quota for a task of the range if it lacks quota, else a machine if none has
- * room.
+/** Reserves quota for a task of the range if it lacks quota. Otherwise reserves a machine
+ * if no machine of the partition has enough free capacity for the task.
  * @param[in,out] machines_left number of machines that may still be reserved */
 static void reserve_for_range(struct lmn_core *core, struct lmn_range *range,
                               guint *machines_left, struct timespec now)
--- a/src/scheduler/work_stealing.c
+++ b/src/scheduler/work_stealing.c
@@ -171,8 +171,8 @@
 }
 
 /** Number of the range's tasks that may move to the thief. An indivisible job moves as a
- * whole if the thief could start one task of it: otherwise it would wait for ever in a
- * partition without a machine in its zone. */
+ * whole if the thief could start one task of it: otherwise it would wait indefinitely in
+ * a partition without a machine in its zone. */
 static uint32_t count_movable(const struct lmn_core *core,
                               const struct lmn_steal_request *request,
                               const struct lmn_range *range)
--- a/tests/test_quota.c
+++ b/tests/test_quota.c
@@ -306,7 +306,7 @@
 }
 
 /* Guards against a task that needs more than an even share of its team's limit waiting
- * for ever. */
+ * indefinitely. */
 static void large_task_gets_quota_of_idle_partitions(void **state)
 {
     (void)state;
--- a/tests/test_wait_reason.c
+++ b/tests/test_wait_reason.c
@@ -206,8 +206,8 @@
     .team_free_cpus = free_cpus_by_team,
     .team_free_gpus = free_gpus_by_team};
 
-/* Guards against a job that must run in one zone waiting for ever in a partition without
- * a machine in that zone. */
+/* Guards against a job that must run in one zone waiting indefinitely in a partition
+ * without a machine in that zone. */
 static void untouched_one_zone_job_moves_as_a_whole(void **state)
 {
     (void)state;
