--- a/src/controller/settings_writer.c
+++ b/src/controller/settings_writer.c
@@ -9,8 +9,7 @@
 
 /** Attempts at a write while concurrent changes to the record make it fail. */
 enum { MAX_ATTEMPTS = 5 };
-/** Delay between two attempts, in which the watch cache receives the concurrent change.
- */
+/** Delay between two attempts, so that the watch cache receives the concurrent change. */
 static const double RETRY_DELAY_S = 0.2;
 static const char SETTINGS_KEY[] = "s";
 
--- a/src/controller/steal_client.c
+++ b/src/controller/steal_client.c
@@ -211,9 +211,9 @@
                      ? (int)core->cache.operator_settings.sample
                      : (int)ceil(sqrt(count));
     for (int i = 0; i < count; i++) {
-        int k = g_rand_int_range(core->random, i, count), swapped = victims[i];
-        victims[i] = victims[k];
-        victims[k] = swapped;
+        int chosen = g_rand_int_range(core->random, i, count), swapped = victims[i];
+        victims[i] = victims[chosen];
+        victims[chosen] = swapped;
     }
     core->counters.steal_tries++;
     pthread_mutex_unlock(&core->lock);
--- a/tests/test_controller.c
+++ b/tests/test_controller.c
@@ -261,10 +261,10 @@
         return 200;
     }
     if (g_str_has_prefix(path, WIRE_PATH_STORE "/")) {
-        struct item *it = g_tree_lookup(store, path + strlen(WIRE_PATH_STORE "/"));
-        if (!it || !it->value)
+        struct item *item = g_tree_lookup(store, path + strlen(WIRE_PATH_STORE "/"));
+        if (!item || !item->value)
             return 404;
-        put_item(out, path + strlen(WIRE_PATH_STORE "/"), it);
+        put_item(out, path + strlen(WIRE_PATH_STORE "/"), item);
         return 200;
     }
     return 400;
