--- a/src/controller/read_thread.c
+++ b/src/controller/read_thread.c
@@ -60,8 +60,9 @@
     lmn_read_batch_init(&queue.batch);
 }
 
-void lmn_read_enqueue(enum lmn_read_request_kind kind, struct lmn_http_request *request,
-                      const char *job_id, int absent_status)
+void lmn_read_request_enqueue(enum lmn_read_request_kind kind,
+                              struct lmn_http_request *request, const char *job_id,
+                              int absent_status)
 {
     struct lmn_read_request *read = g_new0(struct lmn_read_request, 1);
 
--- a/src/controller/read_thread.h
+++ b/src/controller/read_thread.h
@@ -13,7 +13,8 @@
 /** Enqueues a user's request, which must be deferred already; a read thread responds to
  * it. May be called before the threads are started, as the HTTP server starts first.
  * @param absent_status HTTP status of the response if there is no such job */
-void lmn_read_enqueue(enum lmn_read_request_kind kind, struct lmn_http_request *request,
-                      const char *job_id, int absent_status);
+void lmn_read_request_enqueue(enum lmn_read_request_kind kind,
+                              struct lmn_http_request *request, const char *job_id,
+                              int absent_status);
 
 #endif
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -64,8 +64,9 @@
             is_in_sync(core, partition));
 }
 
-void lmn_replication_describe(GString *text, const struct lmn_core *core,
-                              const struct lmn_partition *partition, struct timespec now)
+void lmn_replication_report_partition(GString *text, const struct lmn_core *core,
+                                      const struct lmn_partition *partition,
+                                      struct timespec now)
 {
     if (partition->ownership.is_owned)
         describe_stream(text, core, partition, now);
--- a/src/controller/replication_report.h
+++ b/src/controller/replication_report.h
@@ -10,8 +10,9 @@
 
 /** Appends a line that describes the partition's replication stream if this controller
  * owns it, or else this controller's replica of the partition if there is one. */
-void lmn_replication_describe(GString *text, const struct lmn_core *core,
-                              const struct lmn_partition *partition, struct timespec now);
+void lmn_replication_report_partition(GString *text, const struct lmn_core *core,
+                                      const struct lmn_partition *partition,
+                                      struct timespec now);
 /** Lists the partitions whose records name the member as the standby in sync, according
  * to the watch cache.
  * @return an array of partition ids, owned by the caller */
--- a/src/controller/status.c
+++ b/src/controller/status.c
@@ -53,7 +53,7 @@
     gpointer value;
 
     append_partition_summary(text, partition);
-    lmn_replication_describe(text, core, partition, lmn_now());
+    lmn_replication_report_partition(text, core, partition, lmn_now());
     if (!partition->ownership.is_owned)
         return;
     for (size_t i = 0; i < core->settings->team_count; i++)
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -20,9 +20,9 @@
     if (decision->step == LMN_STEP_REPLY)
         lmn_job_response_send(request, job_id, &decision->reply);
     else
-        lmn_read_enqueue(decision->step == LMN_STEP_CANCEL ? LMN_READ_CANCEL
-                                                           : LMN_READ_STATUS,
-                         request, job_id, decision->absent_status);
+        lmn_read_request_enqueue(decision->step == LMN_STEP_CANCEL ? LMN_READ_CANCEL
+                                                                   : LMN_READ_STATUS,
+                                 request, job_id, decision->absent_status);
 }
 
 /** Carries out a decision other than LMN_STEP_COMMIT for a request that is not deferred
