--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -65,7 +65,8 @@
 }
 
 void lmn_replication_report_partition(GString *text, const struct lmn_core *core,
-                              const struct lmn_partition *partition, struct timespec now)
+                                      const struct lmn_partition *partition,
+                                      struct timespec now)
 {
     if (partition->ownership.is_owned)
         describe_stream(text, core, partition, now);
