--- a/tests/simulation/day.c
+++ b/tests/simulation/day.c
@@ -17,7 +17,7 @@
 
 /* How many more steps a run with a schedule may take, so that a partition that has
  * just changed its owner becomes ready. */
-enum { RETURN_STEPS = 50 };
+enum { MAX_EXTRA_STEPS = 50 };
 
 bool simulation_chance(double probability)
 {
@@ -53,16 +53,16 @@
     return *name ? atoi(name + 1) : (machine->node + 1) % simulation.layout.nodes;
 }
 
-void simulation_deliver_heartbeat(struct message *heartbeat, int node, double at)
+void simulation_deliver_heartbeat(struct message *heartbeat, int node, double arrives_at)
 {
     heartbeat->node = node;
-    heartbeat->arrives_at = at;
+    heartbeat->arrives_at = arrives_at;
     g_ptr_array_add(simulation.messages, heartbeat);
 }
 
 static void deliver_copy(const struct message *message)
 {
-    double at = simulation.now + g_rand_double_range(simulation.random, 2, 24);
+    double arrives_at = simulation.now + g_rand_double_range(simulation.random, 2, 24);
     bool elsewhere =
         simulation.now < simulation.copied_heartbeats_until && simulation_chance(0.3);
 
@@ -70,7 +70,7 @@
         heartbeat_copy(message),
         elsewhere ? g_rand_int_range(simulation.random, 0, simulation.layout.nodes)
                   : message->node,
-        at);
+        arrives_at);
 }
 
 /* The copy of a heartbeat that is delivered once the partition has a newer epoch, one
@@ -442,7 +442,7 @@
     /* A run with a schedule does not end while a partition is being returned to its
      * preferred owner. */
     for (int step = 0; step < steps || (schedule && !simulation_is_recovered() &&
-                                        step < steps + RETURN_STEPS);
+                                        step < steps + MAX_EXTRA_STEPS);
          step++) {
         simulation.faults_stopped = schedule || step >= simulation.layout.steps;
         simulation.now += STEP_S;
--- a/tests/simulation/machines.c
+++ b/tests/simulation/machines.c
@@ -227,7 +227,7 @@
 }
 
 int machine_handle_command(struct machine *machine, const GByteArray *body,
-                           GByteArray *report)
+                           GByteArray *heartbeat)
 {
     struct lmn_cbor_document document;
     uint64_t token = 0, incarnation = 0;
@@ -247,13 +247,13 @@
         status = 200;
     }
     lmn_cbor_free(&document);
-    if (report)
-        write_heartbeat(machine, report);
+    if (heartbeat)
+        write_heartbeat(machine, heartbeat);
     digest_message("command", simulation.clock);
     digest_text(machine->name);
     digest_array(body);
     digest_number((uint64_t)status);
-    digest_array(report);
+    digest_array(heartbeat);
     return status;
 }
 
--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -161,20 +161,20 @@
 {
     enum lmn_txn_outcome outcome = LMN_TXN_UNKNOWN;
     uint64_t revision;
-    double luck = g_rand_double(simulation.random);
+    double random_value = g_rand_double(simulation.random);
 
     digest_transaction("sending", simulation.clock, txn);
     digest_number((uint64_t)simulation.current_node);
-    if (simulation_response_is_lost(txn, luck)) {
+    if (simulation_response_is_lost(txn, random_value)) {
         outcome = simulation_commit_without_response(node, txn);
         lmn_txn_free(txn);
         return outcome;
     }
-    if (luck < (simulation.now < simulation.late_writes_until ? 0.6 : 0.95))
+    if (random_value < (simulation.now < simulation.late_writes_until ? 0.6 : 0.95))
         outcome = simulation_commit(txn, &revision);
-    if (luck > 0.9)
+    if (random_value > 0.9)
         outcome = LMN_TXN_UNKNOWN;
-    if (luck > 0.97 ||
+    if (random_value > 0.97 ||
         (outcome == LMN_TXN_UNKNOWN && simulation.now < simulation.late_writes_until))
         simulation_add_late_txn(txn);
     lmn_txn_free(txn);
--- a/tests/simulation/peers.c
+++ b/tests/simulation/peers.c
@@ -339,7 +339,7 @@
         digest_text(address);
         digest_array(body);
         struct machine *machine = simulation_find_machine(name);
-        double luck = g_rand_double(simulation.random);
+        double random_value = g_rand_double(simulation.random);
         struct lmn_deferred_starts deferred = {0};
         deferred.log_position =
             lmn_worker_client_log_position(node->core, name, &deferred.partition);
@@ -355,7 +355,7 @@
             continue;
         }
         g_byte_array_set_size(response, 0);
-        if (!machine || !node_reaches_machine(self, machine) || luck < 0.25) {
+        if (!machine || !node_reaches_machine(self, machine) || random_value < 0.25) {
             /* The sender gets no response: the command is lost, or executed up to 30 s
              * later. */
             if (machine && !machine->is_terminated && simulation_chance(0.8))
--- a/tests/simulation/request_handling.c
+++ b/tests/simulation/request_handling.c
@@ -54,7 +54,7 @@
     return chance(0.1) ? g_rand_double_range(users_random, 0, 0.4) : 0;
 }
 
-/* --- the reading thread --- */
+/* --- the thread that reads from the state service --- */
 
 static struct request *waiting_request(const struct lmn_read_request *read)
 {
--- a/tests/simulation/scenario.c
+++ b/tests/simulation/scenario.c
@@ -77,7 +77,7 @@
            MAX(simulation_faults_end(), RUN_START_S + simulation.layout.steps * STEP_S);
 }
 
-bool scenario_is_over(void)
+bool scenario_faults_are_over(void)
 {
     return scenario_time() >= simulation.layout.steps * STEP_S;
 }
@@ -102,11 +102,11 @@
         struct job *job = &simulation.jobs[i];
         if (!job->submitted && !job->submission_begun)
             job->spec.tasks = MIN(job->spec.tasks, 6);
-        else if (scenario_is_over() && job->spec.kind == LMN_JOB_SERVICE &&
+        else if (scenario_faults_are_over() && job->spec.kind == LMN_JOB_SERVICE &&
                  job->cancelled_at < 0)
             simulation_cancel(job);
     }
-    if (scenario_is_over()) {
+    if (scenario_faults_are_over()) {
         simulation.max_task_s = 3;
         if (recovered_after_s < 0 && simulation.now > simulation_faults_end() &&
             simulation_is_recovered())
--- a/tests/simulation/scenario.h
+++ b/tests/simulation/scenario.h
@@ -39,7 +39,7 @@
 /* Sets lease_s, cancel_s and max_task_s to the usual random values. */
 void scenario_default_parameters(struct schedule *parameters, GRand *random);
 /* Whether no fault begins any more. */
-bool scenario_is_over(void);
+bool scenario_faults_are_over(void);
 
 /* Runs each scenario with all guards, and without the one that it needs. The first
  * argument of the program, if any, multiplies the number of seeds; the second selects
--- a/tests/simulation/service_checks.c
+++ b/tests/simulation/service_checks.c
@@ -32,11 +32,11 @@
 
 static int team_index(const struct job *job)
 {
-    int k = 0;
+    int team = 0;
 
-    while (strcmp(simulation_team(k), job->spec.team))
-        k++;
-    return k;
+    while (strcmp(simulation_team(team), job->spec.team))
+        team++;
+    return team;
 }
 
 static void count_load(struct load *load)
@@ -68,12 +68,12 @@
 static bool has_waiting_task(const struct load *load, int job_index)
 {
     const struct job *job = &simulation.jobs[job_index];
-    uint64_t here = load->placed[job_index];
+    uint64_t placed = load->placed[job_index];
 
     if (!job->submitted || job->cancelled_at >= 0 || job->recorded_done)
         return false;
     for (uint32_t k = 0; k < job->spec.tasks; k++)
-        if (!job->done[k] && !(here >> k & 1))
+        if (!job->done[k] && !(placed >> k & 1))
             return true;
     return false;
 }
@@ -83,13 +83,13 @@
                         const struct machine *machine)
 {
     const struct job *job = &simulation.jobs[job_index];
-    int here = load->zones[job_index][machine->zone[0] - 'a'], total = 0;
+    int in_zone = load->zones[job_index][machine->zone[0] - 'a'], total = 0;
 
     for (int z = 0; z < 8; z++)
         total += load->zones[job_index][z];
-    if (job->spec.requires_one_zone && total > here)
+    if (job->spec.requires_one_zone && total > in_zone)
         return false;
-    return !job->spec.spreads_over_zones || here < (int)(job->spec.tasks + 1) / 2;
+    return !job->spec.spreads_over_zones || in_zone < (int)(job->spec.tasks + 1) / 2;
 }
 
 static bool has_room(const struct load *load, int job_index, int machine_index)
--- a/tests/simulation/simulation.h
+++ b/tests/simulation/simulation.h
@@ -358,13 +358,13 @@
 enum txn_kind simulation_txn_kind(const struct lmn_txn *txn);
 const char *simulation_txn_name(enum txn_kind kind);
 /* Whether the response to the transaction is lost, by a random number from 0 to 1. */
-bool simulation_response_is_lost(const struct lmn_txn *txn, double luck);
+bool simulation_response_is_lost(const struct lmn_txn *txn, double random_value);
 /* Executes the transaction; the controller does not learn the outcome. */
 enum lmn_txn_outcome simulation_commit_without_response(struct node *node,
                                                         const struct lmn_txn *txn);
 /* Executes, rejects, loses or delays the transaction, by a random number from 0 to 1. */
 enum lmn_txn_outcome simulation_send_txn(struct node *node, const struct lmn_txn *txn,
-                                         double luck, uint64_t *revision);
+                                         double random_value, uint64_t *revision);
 /* Executes a copy of the transaction some seconds later, after newer ones. */
 void simulation_add_late_txn(const struct lmn_txn *txn);
 bool simulation_lease_is_alive(uint64_t id);
@@ -406,10 +406,10 @@
 /* Whether messages get from the controller to the machine. */
 bool node_reaches_machine(int node, const struct machine *machine);
 void machine_handle_response(struct machine *machine, const struct message *message);
-/* Handles a pushed command and appends a heartbeat to report, which may be NULL; returns
- * the HTTP status. */
+/* Handles a pushed command and returns the HTTP status. A heartbeat is appended to
+ * heartbeat unless it is NULL. */
 int machine_handle_command(struct machine *machine, const GByteArray *body,
-                           GByteArray *report);
+                           GByteArray *heartbeat);
 void machine_step(struct machine *machine);
 /* A copy of a heartbeat with a body of its own. */
 struct message *heartbeat_copy(const struct message *message);
@@ -500,8 +500,8 @@
 
 /* --- day.c: a whole run --- */
 
-/* Delivers the heartbeat to the controller at that time, and takes ownership of it. */
-void simulation_deliver_heartbeat(struct message *heartbeat, int node, double at);
+/* Delivers the heartbeat to the controller at that time, and frees it then. */
+void simulation_deliver_heartbeat(struct message *heartbeat, int node, double arrives_at);
 /* The user cancels the job through a controller that reaches the state service; nothing
  * happens if there is none. */
 void simulation_cancel(struct job *job);
--- a/tests/simulation/store.c
+++ b/tests/simulation/store.c
@@ -166,10 +166,10 @@
     return names[kind];
 }
 
-bool simulation_response_is_lost(const struct lmn_txn *txn, double luck)
+bool simulation_response_is_lost(const struct lmn_txn *txn, double random_value)
 {
-    return simulation.now < simulation.lost_responses_until && luck >= 0.4 &&
-           luck < 0.8 &&
+    return simulation.now < simulation.lost_responses_until && random_value >= 0.4 &&
+           random_value < 0.8 &&
            (simulation.lost_response_kind == TXN_KIND_COUNT ||
             simulation.lost_response_kind == (int)simulation_txn_kind(txn));
 }
@@ -189,24 +189,24 @@
 }
 
 enum lmn_txn_outcome simulation_send_txn(struct node *node, const struct lmn_txn *txn,
-                                         double luck, uint64_t *revision)
+                                         double random_value, uint64_t *revision)
 {
     digest_transaction("sending", simulation.clock, txn);
     digest_number((uint64_t)simulation.current_node);
-    if (simulation_response_is_lost(txn, luck))
+    if (simulation_response_is_lost(txn, random_value))
         return simulation_commit_without_response(node, txn);
-    if (simulation.now < simulation.late_writes_until && luck < 0.3) {
+    if (simulation.now < simulation.late_writes_until && random_value < 0.3) {
         simulation_add_late_txn(txn);
         return LMN_TXN_UNKNOWN;
     }
-    if (luck < 0.04)
+    if (random_value < 0.04)
         return LMN_TXN_REJECTED;
-    if (luck < 0.08) { /* executed, but the response is lost */
+    if (random_value < 0.08) { /* executed, but the response is lost */
         simulation_commit(txn, revision);
         return LMN_TXN_UNKNOWN;
     }
-    if (luck < 0.10) { /* not executed, or late, and the response is lost */
-        if (luck < 0.09)
+    if (random_value < 0.10) { /* not executed, or late, and the response is lost */
+        if (random_value < 0.09)
             simulation_add_late_txn(txn);
         return LMN_TXN_UNKNOWN;
     }
--- a/tests/simulation/users.c
+++ b/tests/simulation/users.c
@@ -178,10 +178,10 @@
 
 void request_finish(struct request *request)
 {
-    const struct lmn_job_reply nobody = {0};
+    const struct lmn_job_reply no_reply = {0};
 
     if (!request->answered)
-        request_return(request, &nobody);
+        request_return(request, &no_reply);
     request->is_finished = true;
 }
 
@@ -210,9 +210,9 @@
         request->job->cancel_sent = request->job->cancel_sent || kind == CANCELLATION;
     }
     if (kind != STATUS && request->job && defect == NO_DEFECT) {
-        int which = kind == CANCELLATION;
-        if (!users.pending[job_index][which])
-            users.pending[job_index][which] = request;
+        int pending_index = kind == CANCELLATION;
+        if (!users.pending[job_index][pending_index])
+            users.pending[job_index][pending_index] = request;
     }
     g_ptr_array_add(users.requests, request);
     request_handling_advance(request);
--- a/tests/test_scenarios.c
+++ b/tests/test_scenarios.c
@@ -13,23 +13,23 @@
     /* The other controllers don't reach it either, so none can send it tombstones. */
     bool loses_peers;
     int node;
-} gap;
+} store_fault;
 
 /* The state service rejects the largest owner alone, while others cancel jobs; then it
  * is down for all controllers, for longer than cancel_s, while workers keep sending
  * heartbeats to that owner. */
 static void gap_step(void)
 {
-    if (scenario_at(gap.starts_at)) {
-        gap.node = simulation_largest_owner();
-        fault_begin(FAULT_REFUSED, gap.node, gap.refused_s);
-        if (gap.loses_peers)
-            fault_begin(FAULT_NODE_LOSES_PEERS, gap.node, gap.outage_s);
+    if (scenario_at(store_fault.starts_at)) {
+        store_fault.node = simulation_largest_owner();
+        fault_begin(FAULT_REFUSED, store_fault.node, store_fault.refused_s);
+        if (store_fault.loses_peers)
+            fault_begin(FAULT_NODE_LOSES_PEERS, store_fault.node, store_fault.outage_s);
     }
-    if (scenario_between(gap.starts_at + 0.2, gap.outage_at))
+    if (scenario_between(store_fault.starts_at + 0.2, store_fault.outage_at))
         simulation_cancel_jobs(0.1);
-    if (scenario_at(gap.outage_at))
-        fault_begin(FAULT_OUTAGE, 0, gap.outage_s);
+    if (scenario_at(store_fault.outage_at))
+        fault_begin(FAULT_OUTAGE, 0, store_fault.outage_s);
 }
 
 static void gap_parameters(struct schedule *parameters, GRand *random)
@@ -37,11 +37,11 @@
     parameters->lease_s = g_rand_double_range(random, 5, 14);
     parameters->cancel_s = parameters->lease_s + g_rand_double_range(random, 4, 24);
     parameters->max_task_s = 3 * parameters->cancel_s;
-    gap.starts_at = 40 + g_rand_double_range(random, 0, 5);
-    gap.outage_at = gap.starts_at + g_rand_double_range(random, 0.4, 3);
-    gap.refused_s = gap.outage_at - gap.starts_at + 1;
-    gap.outage_s = parameters->cancel_s * g_rand_double_range(random, 1.1, 2);
-    gap.loses_peers = g_rand_boolean(random);
+    store_fault.starts_at = 40 + g_rand_double_range(random, 0, 5);
+    store_fault.outage_at = store_fault.starts_at + g_rand_double_range(random, 0.4, 3);
+    store_fault.refused_s = store_fault.outage_at - store_fault.starts_at + 1;
+    store_fault.outage_s = parameters->cancel_s * g_rand_double_range(random, 1.1, 2);
+    store_fault.loses_peers = g_rand_boolean(random);
 }
 
 /* A zone is isolated together with its controller, which the state service rejects:
@@ -52,25 +52,27 @@
 {
     static uint64_t last_token[MAX_MACHINES];
 
-    if (scenario_at(gap.starts_at)) {
-        gap.node = simulation_largest_owner();
-        fault_begin(FAULT_ISOLATED, gap.node, gap.outage_s);
-        fault_begin(FAULT_CLOUD, 0, gap.outage_s);
+    if (scenario_at(store_fault.starts_at)) {
+        store_fault.node = simulation_largest_owner();
+        fault_begin(FAULT_ISOLATED, store_fault.node, store_fault.outage_s);
+        fault_begin(FAULT_CLOUD, 0, store_fault.outage_s);
         for (int i = 0; i < simulation.layout.machines; i++)
-            if (simulation.machines[i].node == gap.node) {
-                simulation.machines[i].isolated_with = gap.node;
-                simulation.machines[i].isolated_until = simulation.now + gap.refused_s;
+            if (simulation.machines[i].node == store_fault.node) {
+                simulation.machines[i].isolated_with = store_fault.node;
+                simulation.machines[i].isolated_until =
+                    simulation.now + store_fault.refused_s;
                 simulation.machines[i].commands_delayed_until =
-                    simulation.now + gap.outage_s;
+                    simulation.now + store_fault.outage_s;
             }
     }
-    if (scenario_between(gap.starts_at + 0.2, gap.outage_at))
+    if (scenario_between(store_fault.starts_at + 0.2, store_fault.outage_at))
         simulation_cancel_jobs(0.1);
     for (int i = 0; i < simulation.layout.machines; i++) {
         struct machine *machine = &simulation.machines[i];
-        if (scenario_between(gap.starts_at + 1, gap.starts_at + gap.outage_s) &&
+        if (scenario_between(store_fault.starts_at + 1,
+                             store_fault.starts_at + store_fault.outage_s) &&
             machine->token > last_token[i] && last_token[i])
-            machine->inbound_lost_until = simulation.now + gap.outage_s;
+            machine->inbound_lost_until = simulation.now + store_fault.outage_s;
         last_token[i] = machine->token;
     }
 }
@@ -80,28 +82,28 @@
     parameters->lease_s = g_rand_double_range(random, 9, 16);
     parameters->cancel_s = parameters->lease_s + g_rand_double_range(random, 4, 8);
     parameters->max_task_s = 3 * parameters->cancel_s;
-    gap.starts_at = 40 + g_rand_double_range(random, 0, 5);
-    gap.outage_at = gap.starts_at + 1;
+    store_fault.starts_at = 40 + g_rand_double_range(random, 0, 5);
+    store_fault.outage_at = store_fault.starts_at + 1;
     /* The machines reach other controllers again once the owner has answered for the
      * last time. */
-    gap.refused_s = parameters->cancel_s - parameters->lease_s -
-                    MAX(1, 0.05 * parameters->cancel_s) +
-                    g_rand_double_range(random, 0, parameters->lease_s - 2);
-    gap.outage_s = 3 * parameters->cancel_s;
+    store_fault.refused_s = parameters->cancel_s - parameters->lease_s -
+                            MAX(1, 0.05 * parameters->cancel_s) +
+                            g_rand_double_range(random, 0, parameters->lease_s - 2);
+    store_fault.outage_s = 3 * parameters->cancel_s;
 }
 
 /* The state service responds late, then not at all: the age of the cache has to count
  * from the request. */
 static void slow_state_service_step(void)
 {
-    if (scenario_at(gap.starts_at))
-        fault_begin(FAULT_SLOW_STATE, gap.node = simulation_largest_owner(),
-                    gap.outage_s);
-    if (scenario_between(gap.outage_at - 3, gap.outage_at))
+    if (scenario_at(store_fault.starts_at))
+        fault_begin(FAULT_SLOW_STATE, store_fault.node = simulation_largest_owner(),
+                    store_fault.outage_s);
+    if (scenario_between(store_fault.outage_at - 3, store_fault.outage_at))
         simulation_cancel_jobs(0.1);
-    if (scenario_at(gap.outage_at)) {
-        fault_begin(FAULT_OUTAGE, 0, gap.outage_s);
-        fault_begin(FAULT_NODE_LOSES_PEERS, gap.node, gap.outage_s);
+    if (scenario_at(store_fault.outage_at)) {
+        fault_begin(FAULT_OUTAGE, 0, store_fault.outage_s);
+        fault_begin(FAULT_NODE_LOSES_PEERS, store_fault.node, store_fault.outage_s);
     }
 }
 
@@ -109,8 +111,8 @@
 {
     gap_parameters(parameters, random);
     parameters->cancel_s = parameters->lease_s + g_rand_double_range(random, 4, 8);
-    gap.outage_at = gap.starts_at + g_rand_double_range(random, 5, 8);
-    gap.outage_s = 3 * parameters->cancel_s;
+    store_fault.outage_at = store_fault.starts_at + g_rand_double_range(random, 5, 8);
+    store_fault.outage_s = 3 * parameters->cancel_s;
 }
 
 /* The owner of most machines keeps its workers and users but loses the state service
--- a/tests/test_scenarios_leaders.c
+++ b/tests/test_scenarios_leaders.c
@@ -25,6 +25,9 @@
 
 /* --- how long it takes until tasks start again --- */
 
+/* How long after the end of a fault the recovery is measured. */
+static const double MAX_MEASURED_S = 30;
+
 static struct {
     double fault_ends_at; /* of the fault that is measured; 0: none is */
     unsigned starts;
@@ -89,7 +92,7 @@
     if (recovery.ready_s < 0 && all_partitions_ready())
         recovery.ready_s = simulation.now - recovery.fault_ends_at;
     if ((recovery.first_start_s >= 0 && recovery.ready_s >= 0) ||
-        simulation.now > recovery.fault_ends_at + 30)
+        simulation.now > recovery.fault_ends_at + MAX_MEASURED_S)
         record_recovery();
 }
 
@@ -101,10 +104,10 @@
 static void recovery_report(void)
 {
     print_message(
-        "  %u faults, a task started within 30 s of %u of them: first start after "
+        "  %u faults, a task started within %.0f s of %u of them: first start after "
         "%.1f s (mean), %.1f s (longest); all partitions ready after %.1f s "
         "(mean), %.1f s (longest)\n",
-        recoveries.faults, recoveries.restarted,
+        recoveries.faults, MAX_MEASURED_S, recoveries.restarted,
         recoveries.first_start_sum_s / MAX(recoveries.restarted, 1),
         recoveries.first_start_max_s, recoveries.ready_sum_s / MAX(recoveries.faults, 1),
         recoveries.ready_max_s);
@@ -189,15 +192,16 @@
 static struct {
     double starts_at[2], duration_s[2];
     bool is_freeze[2]; /* they are frozen; else they are down */
-} away;
+} all_away;
 
 static void away_parameters(struct schedule *parameters, GRand *random)
 {
     scenario_default_parameters(parameters, random);
     for (int i = 0; i < 2; i++) {
-        away.starts_at[i] = 32 + 42 * i + g_rand_double_range(random, 0, 5);
-        away.duration_s[i] = parameters->lease_s * g_rand_double_range(random, 1.05, 2);
-        away.is_freeze[i] = g_rand_boolean(random);
+        all_away.starts_at[i] = 32 + 42 * i + g_rand_double_range(random, 0, 5);
+        all_away.duration_s[i] =
+            parameters->lease_s * g_rand_double_range(random, 1.05, 2);
+        all_away.is_freeze[i] = g_rand_boolean(random);
     }
 }
 
@@ -207,16 +211,17 @@
 static void away_step(void)
 {
     for (int i = 0; i < 2; i++) {
-        if (scenario_at(away.starts_at[i] - 2))
-            fault_begin(FAULT_PUSH_BLOCKED, 0, away.duration_s[i] + 3);
-        if (!scenario_at(away.starts_at[i]))
+        if (scenario_at(all_away.starts_at[i] - 2))
+            fault_begin(FAULT_PUSH_BLOCKED, 0, all_away.duration_s[i] + 3);
+        if (!scenario_at(all_away.starts_at[i]))
             continue;
         simulation_cancel_jobs(0.1);
         int first = g_rand_int_range(simulation.random, 0, simulation.layout.nodes);
         for (int k = 0; k < simulation.layout.nodes; k++)
-            fault_begin(away.is_freeze[i] ? FAULT_FREEZE : FAULT_CRASH, k,
-                        away.duration_s[i] + (k == first ? 0 : scenario_random(0, 6)));
-        measure_recovery(simulation.now + away.duration_s[i]);
+            fault_begin(all_away.is_freeze[i] ? FAULT_FREEZE : FAULT_CRASH, k,
+                        all_away.duration_s[i] +
+                            (k == first ? 0 : scenario_random(0, 6)));
+        measure_recovery(simulation.now + all_away.duration_s[i]);
     }
     recovery_step();
 }
--- a/tests/test_scenarios_limits.c
+++ b/tests/test_scenarios_limits.c
@@ -215,7 +215,7 @@
                                        FAULT_NODE_LOSES_PEERS,
                                        FAULT_NODE_LOSES_WORKERS};
 
-    if (scenario_time() > 30 && !scenario_is_over())
+    if (scenario_time() > 30 && !scenario_faults_are_over())
         for (int i = 0; i < simulation.layout.nodes; i++)
             watch_partition(i);
     if (scenario_every(8))
@@ -298,7 +298,8 @@
  * agent has begun a new incarnation. */
 static void late_commands_step(void)
 {
-    simulation.late_commands_until = simulation.now + (scenario_is_over() ? 0 : 1);
+    simulation.late_commands_until =
+        simulation.now + (scenario_faults_are_over() ? 0 : 1);
     if (scenario_every(10))
         fault_begin(simulation_chance(0.5) ? FAULT_MACHINE_REACHES_NOBODY : FAULT_HANG, 0,
                     scenario_random(1, 1.5 * simulation.lease_s));
