--- a/src/partition/heartbeat_message.c
+++ b/src/partition/heartbeat_message.c
@@ -87,8 +87,7 @@
     if (!lmn_cbor_get_text(lmn_cbor_get(document, map, WIRE_MACHINE), name,
                            sizeof name) ||
         !is_valid_name(name))
-        return WIRE_MACHINE
-            ": expected 1 to 63 printable ASCII characters, without spaces and '/'";
+        return WIRE_MACHINE ": expected a name";
     g_strlcpy(heartbeat->name, name, sizeof heartbeat->name);
     if (!lmn_cbor_get_text(lmn_cbor_get(document, map, WIRE_ADDRESS), heartbeat->address,
                            sizeof heartbeat->address))
