--- a/src/partition/partition.c
+++ b/src/partition/partition.c
@@ -104,7 +104,7 @@
     lmn_quota_transfer_reset(partition);
 }
 
-static void reset_ownership(struct lmn_partition *partition, struct timespec now)
+static void init_ownership(struct lmn_partition *partition, struct timespec now)
 {
     struct lmn_partition_ownership *ownership = &partition->ownership;
 
@@ -143,7 +143,7 @@
                                    struct timespec now)
 {
     lmn_replication_reset(core, partition);
-    reset_ownership(partition, now);
+    init_ownership(partition, now);
     core->counters.failovers++;
     reset_quota(core, partition);
     lmn_machine_blocks_reset(partition);
