--- a/bench/state.c
+++ b/bench/state.c
@@ -263,7 +263,7 @@
         return 0;
     }
     struct lmn_db_reader *reader = lmn_db_reader_new(db);
-    if (lmn_db_view(reader, &meta) != 0)
+    if (lmn_db_view_begin(reader, &meta) != 0)
         complain("can't be viewed", dir);
     lmn_db_list(reader, "own/", NULL, take_own, own);
     g_assert(w.acked != NULL); /* made by begin_writers */
--- a/src/admission/load_shedding.c
+++ b/src/admission/load_shedding.c
@@ -40,7 +40,7 @@
     return is_shed;
 }
 
-int lmn_retry_after(double wait_s, GRand *rng)
+int lmn_retry_after_s(double wait_s, GRand *rng)
 {
     double wait = CLAMP(wait_s, MIN_WAIT_S, MAX_WAIT_S);
 
--- a/src/admission/load_shedding.h
+++ b/src/admission/load_shedding.h
@@ -39,6 +39,6 @@
 
 /** After how many seconds a refused client should come back: 1 to 30, by chance from an
  * interval that grows with wait_s, so that clients do not come back together. */
-int lmn_retry_after(double wait_s, GRand *rng);
+int lmn_retry_after_s(double wait_s, GRand *rng);
 
 #endif
--- a/src/cli/kv_store.c
+++ b/src/cli/kv_store.c
@@ -37,7 +37,7 @@
 {
     struct lmn_kv_store_options o = lmn_kv_store_default_options;
     char *config = NULL, *listen = NULL, *data = NULL, err[512];
-    gboolean one_by_one = FALSE;
+    gboolean one_txn_per_sync = FALSE;
     const GOptionEntry entries[] = {
         {"config", 'c', 0, G_OPTION_ARG_FILENAME, &config, "Settings; options go before",
          "FILE"},
@@ -54,7 +54,7 @@
          "KiB of a value, as JSON (16)", "N"},
         {"txn-ops", 0, 0, G_OPTION_ARG_INT, &o.max_txn_operations,
          "Changes a transaction (48)", "N"},
-        {"one-by-one", 0, 0, G_OPTION_ARG_NONE, &one_by_one,
+        {"one-by-one", 0, 0, G_OPTION_ARG_NONE, &one_txn_per_sync,
          "A sync for each transaction (to measure by)", NULL},
         G_OPTION_ENTRY_NULL,
     };
@@ -80,7 +80,7 @@
     if (o.requests_per_s < 0 || o.writes_per_s < 0 || o.max_value_kb < 0 ||
         o.max_txn_operations < 0 || o.map_gb <= 0)
         return lmn_cli_fail(LMN_EXIT_USAGE, "limits are numbers from 0 on (0: none)");
-    o.one_by_one = one_by_one;
+    o.one_txn_per_sync = one_txn_per_sync;
     lmn_log_init("state");
     if (!lmn_kv_store_start(&o, err, sizeof err))
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
@@ -217,7 +217,7 @@
     if (!db)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
     struct lmn_db_reader *reader = lmn_db_reader_new(db);
-    if (lmn_db_view(reader, &meta) == 0) {
+    if (lmn_db_view_begin(reader, &meta) == 0) {
         lmn_db_list(reader, "", NULL, json ? dump_json : dump_cbor, NULL);
         lmn_db_view_end(reader);
     }
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -236,10 +236,10 @@
         return reply_now(reply);
     if (lmn_load_should_shed(&core->load, LMN_SHED_POLL, core->random))
         return reply_now(status_reply(
-            STATUS_UNAVAILABLE, lmn_retry_after(2 * core->load.delay_s, core->random)));
+            STATUS_UNAVAILABLE, lmn_retry_after_s(2 * core->load.delay_s, core->random)));
     if (is_cache_stalled(core, now))
         return reply_now(status_reply(STATUS_UNAVAILABLE,
-                                      lmn_retry_after(RETRY_SOON_S, core->random)));
+                                      lmn_retry_after_s(RETRY_SOON_S, core->random)));
     return next_step(LMN_STEP_CONFIRM, STATUS_NOT_FOUND);
 }
 
@@ -261,12 +261,12 @@
     if (backlog_s > MAX_BACKLOG_S) {
         core->counters.refused_requests++;
         return reply_now(status_reply(STATUS_TOO_MANY_REQUESTS,
-                                      lmn_retry_after(backlog_s, core->random)));
+                                      lmn_retry_after_s(backlog_s, core->random)));
     }
     if (lmn_load_should_shed(&core->load, LMN_SHED_SUBMISSION, core->random))
         return reply_now(
             status_reply(STATUS_TOO_MANY_REQUESTS,
-                         lmn_retry_after(2 * core->load.delay_s, core->random)));
+                         lmn_retry_after_s(2 * core->load.delay_s, core->random)));
     return next_step(LMN_STEP_COMMIT, STATUS_UNAVAILABLE);
 }
 
@@ -298,7 +298,7 @@
         return reply_now(status_reply(STATUS_UNAVAILABLE, RETRY_STARTING_S));
     if (is_cache_stalled(core, now))
         return reply_now(status_reply(STATUS_UNAVAILABLE,
-                                      lmn_retry_after(RETRY_SOON_S, core->random)));
+                                      lmn_retry_after_s(RETRY_SOON_S, core->random)));
     if (!lmn_job_spec_is_feasible(&submission->spec, core->settings,
                                   &core->cloud.machine_types, &reason)) {
         lmn_debug("job_infeasible job=%s why=\"%s\"", submission->spec.id, reason);
--- a/src/kv_store/db.h
+++ b/src/kv_store/db.h
@@ -27,9 +27,9 @@
 #include <stdint.h>
 
 enum {
-    LMN_DB_FORMAT = 1,      /**< of the records on the disk */
-    LMN_DB_KEY = 200,       /**< longest key, in bytes */
-    LMN_DB_CHANGES = 10000, /**< changes that the log keeps */
+    LMN_DB_FORMAT_VERSION = 1,         /**< of the records on the disk */
+    LMN_DB_MAX_KEY_BYTES = 200,        /**< longest key, in bytes */
+    LMN_DB_MAX_LOGGED_CHANGES = 10000, /**< changes that the log keeps */
 };
 
 /** An open database. */
@@ -53,7 +53,7 @@
 
 /** The meta record, as of the last commit or of the view. Stored as it stands here. */
 struct lmn_db_meta {
-    uint32_t format; /**< LMN_DB_FORMAT */
+    uint32_t format; /**< LMN_DB_FORMAT_VERSION */
     uint64_t revision;
     uint64_t next_lease;
     uint64_t compact_revision; /**< changes up to here may be missing from the log */
@@ -66,7 +66,7 @@
  * @{ */
 
 /** A condition of a compare-and-swap transaction. */
-struct lmn_db_cond {
+struct lmn_db_condition {
     const char *key;
     uint64_t revision; /**< that the record must have; 0: there must be no such key */
 };
@@ -81,7 +81,7 @@
 
 /** A compare-and-swap transaction: the changes are made if all conditions hold. */
 struct lmn_db_txn {
-    struct lmn_db_cond *conditions;
+    struct lmn_db_condition *conditions;
     struct lmn_db_change *changes;
     size_t condition_count, change_count;
 };
@@ -91,7 +91,7 @@
     LMN_DB_APPLIED,
     LMN_DB_CONFLICT, /**< a condition failed; nothing was changed */
     LMN_DB_NO_LEASE, /**< a put names a lease that does not exist; nothing was changed */
-    LMN_DB_BROKEN,   /**< LMDB reported an error: the batch can only be given up */
+    LMN_DB_FAILED,   /**< LMDB reported an error: the batch can only be given up */
 };
 
 /** Transactions that are committed together, and so share one sync of the disk. */
@@ -108,11 +108,11 @@
                                  uint64_t *revision, GPtrArray *failed);
 
 /** Makes a new lease. @return its id; 0 if the batch is broken */
-uint64_t lmn_db_grant(struct lmn_db_batch *batch, uint32_t ttl_ms);
+uint64_t lmn_db_grant_lease(struct lmn_db_batch *batch, uint32_t ttl_ms);
 
 /** Ends a lease and deletes the records that are attached to it.
  * @return false if there is no such lease, or the batch is broken */
-bool lmn_db_revoke(struct lmn_db_batch *batch, uint64_t lease);
+bool lmn_db_revoke_lease(struct lmn_db_batch *batch, uint64_t lease);
 
 /** The revision that the database will have once the batch is committed. */
 uint64_t lmn_db_batch_revision(const struct lmn_db_batch *batch);
@@ -151,14 +151,14 @@
  * shows again, so it must be short.
  * @param meta is set to the meta record of the view
  * @return 0 or LMDB's code; then there is no view to end */
-int lmn_db_view(struct lmn_db_reader *reader, struct lmn_db_meta *meta);
+int lmn_db_view_begin(struct lmn_db_reader *reader, struct lmn_db_meta *meta);
 
 /** Ends the view. */
 void lmn_db_view_end(struct lmn_db_reader *reader);
 
 /** A record, or a change of the log. */
 struct lmn_db_item {
-    char key[LMN_DB_KEY + 1];
+    char key[LMN_DB_MAX_KEY_BYTES + 1];
     const void *value; /**< NULL in the log: the key was deleted */
     size_t len;
     uint64_t revision; /**< of the transaction that wrote it */
@@ -176,12 +176,14 @@
 
 /** Calls `visit` for each logged change after the revision, whatever its key, in their
  * order, until it returns false. */
-void lmn_db_changes(struct lmn_db_reader *reader, uint64_t after,
-                    bool (*visit)(void *arg, const struct lmn_db_item *item), void *arg);
+void lmn_db_list_changes(struct lmn_db_reader *reader, uint64_t after,
+                         bool (*visit)(void *arg, const struct lmn_db_item *item),
+                         void *arg);
 
 /** Calls `visit` for each lease. */
-void lmn_db_leases(struct lmn_db_reader *reader,
-                   void (*visit)(void *arg, uint64_t id, uint32_t ttl_ms), void *arg);
+void lmn_db_list_leases(struct lmn_db_reader *reader,
+                        void (*visit)(void *arg, uint64_t id, uint32_t ttl_ms),
+                        void *arg);
 
 /** @}
  * @name Check, backup and restore
--- a/src/kv_store/db_backup.c
+++ b/src/kv_store/db_backup.c
@@ -64,7 +64,7 @@
     meta.revision += RESTORE_GAP;
     meta.next_lease += RESTORE_GAP;
     meta.compact_revision = meta.revision;
-    meta.incarnation = lmn_db_draw_incarnation();
+    meta.incarnation = lmn_db_new_incarnation();
     return lmn_db_meta_write(txn, db, &meta);
 }
 
--- a/src/kv_store/db_check.c
+++ b/src/kv_store/db_check.c
@@ -65,7 +65,8 @@
 
 static bool is_indexed_by_lease(struct check *check, uint64_t lease, const MDB_val *key)
 {
-    g_autoptr(GByteArray) bytes = lmn_db_leased_key(lease, key->mv_data, key->mv_size);
+    g_autoptr(GByteArray) bytes =
+        lmn_db_lease_index_key(lease, key->mv_data, key->mv_size);
     MDB_val leased_key = {bytes->len, bytes->data}, value;
 
     return mdb_get(check->txn, check->db->dbi[LMN_DB_LEASED], &leased_key, &value) == 0;
@@ -81,11 +82,11 @@
                          struct data_totals *totals)
 {
     const char *name = key->mv_data;
-    int name_len = (int)MIN(key->mv_size, LMN_DB_KEY);
-    struct lmn_db_head head;
+    int name_len = (int)MIN(key->mv_size, LMN_DB_MAX_KEY_BYTES);
+    struct lmn_db_record_header head;
 
     totals->count++;
-    if (key->mv_size > LMN_DB_KEY || !lmn_db_intact(key, value)) {
+    if (key->mv_size > LMN_DB_MAX_KEY_BYTES || !lmn_db_record_is_intact(key, value)) {
         report_fault(check, "record %.*s: the checksum does not hold", name_len, name);
         return;
     }
@@ -135,7 +136,8 @@
          rc = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
         struct lmn_db_item item;
         struct lmn_db_log_key log_key = {0, 0};
-        if (!lmn_db_intact(&key, &value) || !lmn_db_log_read(&key, &value, &item)) {
+        if (!lmn_db_record_is_intact(&key, &value) ||
+            !lmn_db_log_read(&key, &value, &item)) {
             report_fault(
                 check, "log: a change after revision %" G_GUINT64_FORMAT " does not hold",
                 last);
@@ -162,7 +164,7 @@
         return;
     for (rc = mdb_cursor_get(cursor, &key, &value, MDB_FIRST); !rc;
          rc = mdb_cursor_get(cursor, &key, &value, MDB_NEXT))
-        if (!lmn_db_intact(&key, &value))
+        if (!lmn_db_record_is_intact(&key, &value))
             report_fault(check, "leases: a lease's checksum does not hold");
     close_cursor(check, cursor, "leases", rc);
     if (mdb_stat(check->txn, check->db->dbi[LMN_DB_LEASED], &statistics) != 0 ||
--- a/src/kv_store/db_format.c
+++ b/src/kv_store/db_format.c
@@ -16,9 +16,9 @@
     return XXH3_64bits_withSeed(bytes, len, XXH3_64bits(key->mv_data, key->mv_size));
 }
 
-bool lmn_db_intact(const MDB_val *key, const MDB_val *value)
+bool lmn_db_record_is_intact(const MDB_val *key, const MDB_val *value)
 {
-    struct lmn_db_head head;
+    struct lmn_db_record_header head;
 
     if (value->mv_size < sizeof head)
         return false;
@@ -31,14 +31,15 @@
 {
     GByteArray *record = g_byte_array_new();
 
-    g_byte_array_set_size(record, sizeof(struct lmn_db_head));
+    g_byte_array_set_size(record, sizeof(struct lmn_db_record_header));
     return record;
 }
 
 int lmn_db_record_put(MDB_txn *txn, MDB_dbi dbi, MDB_val *key, GByteArray *record,
-                      const struct lmn_db_head *head, unsigned flags, uint64_t *sum)
+                      const struct lmn_db_record_header *head, unsigned flags,
+                      uint64_t *sum)
 {
-    struct lmn_db_head stored = *head;
+    struct lmn_db_record_header stored = *head;
     MDB_val value = {record->len, record->data};
 
     memcpy(record->data, &stored, sizeof stored);
@@ -50,7 +51,7 @@
     return mdb_put(txn, dbi, key, &value, flags);
 }
 
-GByteArray *lmn_db_leased_key(uint64_t lease, const void *key, size_t len)
+GByteArray *lmn_db_lease_index_key(uint64_t lease, const void *key, size_t len)
 {
     GByteArray *bytes = g_byte_array_new();
     uint64_t stored_lease = GUINT64_TO_BE(lease);
@@ -62,9 +63,9 @@
 
 bool lmn_db_data_read(const MDB_val *key, const MDB_val *value, struct lmn_db_item *item)
 {
-    struct lmn_db_head head;
+    struct lmn_db_record_header head;
 
-    if (key->mv_size > LMN_DB_KEY || value->mv_size < sizeof head)
+    if (key->mv_size > LMN_DB_MAX_KEY_BYTES || value->mv_size < sizeof head)
         return false;
     memcpy(&head, value->mv_data, sizeof head);
     memcpy(item->key, key->mv_data, key->mv_size);
@@ -79,7 +80,7 @@
 bool lmn_db_log_read(const MDB_val *key, const MDB_val *value, struct lmn_db_item *item)
 {
     enum { KIND_AND_LENGTH = 2 };
-    struct lmn_db_head head;
+    struct lmn_db_record_header head;
     const guint8 *bytes = value->mv_data;
     size_t left = value->mv_size;
 
@@ -91,7 +92,7 @@
     left -= sizeof head;
     bool is_put = bytes[0] != 0;
     size_t key_len = bytes[1];
-    if (key_len > LMN_DB_KEY || left < KIND_AND_LENGTH + key_len)
+    if (key_len > LMN_DB_MAX_KEY_BYTES || left < KIND_AND_LENGTH + key_len)
         return false;
     memcpy(item->key, bytes + KIND_AND_LENGTH, key_len);
     item->key[key_len] = '\0';
@@ -109,17 +110,18 @@
 
     if (rc)
         return rc;
-    if (value.mv_size != sizeof(struct lmn_db_head) + sizeof *meta ||
-        !lmn_db_intact(&key, &value))
+    if (value.mv_size != sizeof(struct lmn_db_record_header) + sizeof *meta ||
+        !lmn_db_record_is_intact(&key, &value))
         return MDB_CORRUPTED;
-    memcpy(meta, (const char *)value.mv_data + sizeof(struct lmn_db_head), sizeof *meta);
+    memcpy(meta, (const char *)value.mv_data + sizeof(struct lmn_db_record_header),
+           sizeof *meta);
     return 0;
 }
 
 int lmn_db_meta_write(MDB_txn *txn, const struct lmn_db *db,
                       const struct lmn_db_meta *meta)
 {
-    const struct lmn_db_head head = {.revision = meta->revision};
+    const struct lmn_db_record_header head = {.revision = meta->revision};
     MDB_val key = {strlen(meta_key), meta_key};
     g_autoptr(GByteArray) record = lmn_db_record_new();
 
@@ -127,7 +129,7 @@
     return lmn_db_record_put(txn, db->dbi[LMN_DB_META], &key, record, &head, 0, NULL);
 }
 
-uint64_t lmn_db_draw_incarnation(void)
+uint64_t lmn_db_new_incarnation(void)
 {
     return (uint64_t)g_random_int() << 32 | g_random_int();
 }
--- a/src/kv_store/db_format.h
+++ b/src/kv_store/db_format.h
@@ -2,12 +2,11 @@
  * How records lie in LMDB: for the files db_*.c of this folder only.
  *
  *     table    key                -> value
- *     data     key                -> struct lmn_db_head, value (CBOR)
- *     log      revision, number   -> struct lmn_db_head, kind (1: put, 0: delete; one
- *                                    byte), length of the key (one byte), key, value
- *     leases   id                 -> struct lmn_db_head, ttl in ms (32 bits)
- *     leased   id, key            -> (nothing)
- *     meta     "meta"             -> struct lmn_db_head, struct lmn_db_meta
+ *     data     key                -> struct lmn_db_record_header, value (CBOR)
+ *     log      revision, number   -> struct lmn_db_record_header, kind (1: put, 0:
+ * delete; one byte), length of the key (one byte), key, value leases   id -> struct
+ * lmn_db_record_header, ttl in ms (32 bits) leased   id, key            -> (nothing) meta
+ * "meta"             -> struct lmn_db_record_header, struct lmn_db_meta
  *
  * "leased" is the index from leases to the records that are attached to them. Numbers in
  * keys are big-endian, so that LMDB's order of bytes is the order of the numbers. Other
@@ -23,7 +22,7 @@
 #include <lmdb.h>
 
 /** The beginning of each stored value but those of "leased". */
-struct lmn_db_head {
+struct lmn_db_record_header {
     uint64_t sum; /**< XXH3 of the key and of all that follows here */
     uint64_t revision, lease;
 };
@@ -61,13 +60,14 @@
  * @param sum if not NULL, is set to the record's checksum
  * @return LMDB's code */
 int lmn_db_record_put(MDB_txn *txn, MDB_dbi dbi, MDB_val *key, GByteArray *record,
-                      const struct lmn_db_head *head, unsigned flags, uint64_t *sum);
+                      const struct lmn_db_record_header *head, unsigned flags,
+                      uint64_t *sum);
 
 /** Whether the value is long enough to have a head and its checksum holds. */
-bool lmn_db_intact(const MDB_val *key, const MDB_val *value);
+bool lmn_db_record_is_intact(const MDB_val *key, const MDB_val *value);
 
 /** The key of a record's entry in "leased"; the caller frees it. */
-GByteArray *lmn_db_leased_key(uint64_t lease, const void *key, size_t len);
+GByteArray *lmn_db_lease_index_key(uint64_t lease, const void *key, size_t len);
 
 /** Reads a record of "data". @return false if it is none */
 bool lmn_db_data_read(const MDB_val *key, const MDB_val *value, struct lmn_db_item *item);
@@ -83,7 +83,7 @@
                       const struct lmn_db_meta *meta);
 
 /** A new random incarnation. */
-uint64_t lmn_db_draw_incarnation(void);
+uint64_t lmn_db_new_incarnation(void);
 
 /** What an operator can do about an error. @param rc LMDB's code */
 const char *lmn_db_error_advice(int rc);
--- a/src/kv_store/db_open.c
+++ b/src/kv_store/db_open.c
@@ -97,9 +97,9 @@
         return rc;
     if (!may_create)
         return MDB_INVALID;
-    *meta = (struct lmn_db_meta){.format = LMN_DB_FORMAT,
+    *meta = (struct lmn_db_meta){.format = LMN_DB_FORMAT_VERSION,
                                  .next_lease = 1,
-                                 .incarnation = lmn_db_draw_incarnation()};
+                                 .incarnation = lmn_db_new_incarnation()};
     return lmn_db_meta_write(txn, db, meta);
 }
 
@@ -116,9 +116,9 @@
     rc = open_tables(db, is_writer, txn);
     if (!rc)
         rc = read_or_create_meta(db, txn, is_writer && is_new, &meta);
-    if (!rc && meta.format != LMN_DB_FORMAT) {
+    if (!rc && meta.format != LMN_DB_FORMAT_VERSION) {
         snprintf(err, len, "%s: format %u, this program reads %d; use a newer lemonspar",
-                 db->dir, meta.format, LMN_DB_FORMAT);
+                 db->dir, meta.format, LMN_DB_FORMAT_VERSION);
         rc = MDB_VERSION_MISMATCH;
     }
     if (rc) {
--- a/src/kv_store/db_read.c
+++ b/src/kv_store/db_read.c
@@ -26,7 +26,7 @@
     g_free(reader);
 }
 
-int lmn_db_view(struct lmn_db_reader *reader, struct lmn_db_meta *meta)
+int lmn_db_view_begin(struct lmn_db_reader *reader, struct lmn_db_meta *meta)
 {
     int rc = reader->txn ? mdb_txn_renew(reader->txn)
                          : mdb_txn_begin(reader->db->env, NULL, MDB_RDONLY, &reader->txn);
@@ -79,8 +79,9 @@
     mdb_cursor_close(cursor);
 }
 
-void lmn_db_changes(struct lmn_db_reader *reader, uint64_t after,
-                    bool (*visit)(void *arg, const struct lmn_db_item *item), void *arg)
+void lmn_db_list_changes(struct lmn_db_reader *reader, uint64_t after,
+                         bool (*visit)(void *arg, const struct lmn_db_item *item),
+                         void *arg)
 {
     struct lmn_db_log_key log_key = {GUINT64_TO_BE(after + 1), 0};
     MDB_val key = {sizeof log_key, &log_key}, value;
@@ -96,8 +97,8 @@
     mdb_cursor_close(cursor);
 }
 
-void lmn_db_leases(struct lmn_db_reader *reader,
-                   void (*visit)(void *arg, uint64_t id, uint32_t ttl_ms), void *arg)
+void lmn_db_list_leases(struct lmn_db_reader *reader,
+                        void (*visit)(void *arg, uint64_t id, uint32_t ttl_ms), void *arg)
 {
     MDB_cursor *cursor;
     MDB_val key, value;
@@ -109,10 +110,10 @@
         uint64_t stored_id;
         uint32_t ttl_ms;
         if (key.mv_size != sizeof stored_id ||
-            value.mv_size != sizeof(struct lmn_db_head) + sizeof ttl_ms)
+            value.mv_size != sizeof(struct lmn_db_record_header) + sizeof ttl_ms)
             continue;
         memcpy(&stored_id, key.mv_data, sizeof stored_id);
-        memcpy(&ttl_ms, (const char *)value.mv_data + sizeof(struct lmn_db_head),
+        memcpy(&ttl_ms, (const char *)value.mv_data + sizeof(struct lmn_db_record_header),
                sizeof ttl_ms);
         visit(arg, GUINT64_FROM_BE(stored_id), ttl_ms);
     }
--- a/src/kv_store/db_write.c
+++ b/src/kv_store/db_write.c
@@ -46,7 +46,7 @@
 
 /* Reads the head of a record of "data"; false if there is none. */
 static bool read_head(struct lmn_db_batch *batch, const char *key,
-                      struct lmn_db_head *head)
+                      struct lmn_db_record_header *head)
 {
     MDB_val stored_key = {strlen(key), (void *)key}, value;
     int rc = mdb_get(batch->txn, batch->db->dbi[LMN_DB_DATA], &stored_key, &value);
@@ -63,7 +63,7 @@
 
 static void attach_to_lease(struct lmn_db_batch *batch, uint64_t lease, const char *key)
 {
-    g_autoptr(GByteArray) bytes = lmn_db_leased_key(lease, key, strlen(key));
+    g_autoptr(GByteArray) bytes = lmn_db_lease_index_key(lease, key, strlen(key));
     MDB_val leased_key = {bytes->len, bytes->data}, nothing = {0, (void *)""};
 
     succeeded(batch, mdb_put(batch->txn, batch->db->dbi[LMN_DB_LEASED], &leased_key,
@@ -72,7 +72,7 @@
 
 static void detach_from_lease(struct lmn_db_batch *batch, uint64_t lease, const char *key)
 {
-    g_autoptr(GByteArray) bytes = lmn_db_leased_key(lease, key, strlen(key));
+    g_autoptr(GByteArray) bytes = lmn_db_lease_index_key(lease, key, strlen(key));
     MDB_val leased_key = {bytes->len, bytes->data};
 
     succeeded(batch,
@@ -82,8 +82,8 @@
 /* Appends the change to the log, which the watches are served from. */
 static void log_change(struct lmn_db_batch *batch, const struct lmn_db_change *change)
 {
-    const struct lmn_db_head head = {.revision = batch->meta.revision,
-                                     .lease = change->lease};
+    const struct lmn_db_record_header head = {.revision = batch->meta.revision,
+                                              .lease = change->lease};
     struct lmn_db_log_key log_key = {GUINT64_TO_BE(batch->meta.revision),
                                      GUINT32_TO_BE(batch->change_number)};
     MDB_val key = {sizeof log_key, &log_key};
@@ -102,8 +102,8 @@
 
 static void put_record(struct lmn_db_batch *batch, const struct lmn_db_change *change)
 {
-    const struct lmn_db_head head = {.revision = batch->meta.revision,
-                                     .lease = change->lease};
+    const struct lmn_db_record_header head = {.revision = batch->meta.revision,
+                                              .lease = change->lease};
     MDB_val key = {strlen(change->key), (void *)change->key};
     g_autoptr(GByteArray) record = lmn_db_record_new();
     uint64_t sum = 0;
@@ -121,7 +121,7 @@
  * log. */
 static void apply_change(struct lmn_db_batch *batch, const struct lmn_db_change *change)
 {
-    struct lmn_db_head old;
+    struct lmn_db_record_header old;
     bool existed = read_head(batch, change->key, &old);
 
     if (existed) {
@@ -167,8 +167,8 @@
     bool all_hold = true;
 
     for (size_t i = 0; i < txn->condition_count; i++) {
-        const struct lmn_db_cond *condition = &txn->conditions[i];
-        struct lmn_db_head head = {0};
+        const struct lmn_db_condition *condition = &txn->conditions[i];
+        struct lmn_db_record_header head = {0};
         uint64_t revision = read_head(batch, condition->key, &head) ? head.revision : 0;
         if (revision == condition->revision)
             continue;
@@ -189,10 +189,10 @@
 {
     *revision = batch->meta.revision;
     if (!all_leases_exist(batch, txn))
-        return batch->rc ? LMN_DB_BROKEN : LMN_DB_NO_LEASE;
+        return batch->rc ? LMN_DB_FAILED : LMN_DB_NO_LEASE;
     bool may_apply = conditions_hold(batch, txn, failed);
     if (batch->rc)
-        return LMN_DB_BROKEN;
+        return LMN_DB_FAILED;
     if (!may_apply)
         return LMN_DB_CONFLICT;
     if (!txn->change_count)
@@ -201,13 +201,13 @@
     for (size_t i = 0; i < txn->change_count && !batch->rc; i++)
         apply_change(batch, &txn->changes[i]);
     *revision = batch->meta.revision;
-    return batch->rc ? LMN_DB_BROKEN : LMN_DB_APPLIED;
+    return batch->rc ? LMN_DB_FAILED : LMN_DB_APPLIED;
 }
 
-uint64_t lmn_db_grant(struct lmn_db_batch *batch, uint32_t ttl_ms)
+uint64_t lmn_db_grant_lease(struct lmn_db_batch *batch, uint32_t ttl_ms)
 {
     uint64_t id = batch->meta.next_lease++, stored_id = GUINT64_TO_BE(id);
-    const struct lmn_db_head head = {.lease = id};
+    const struct lmn_db_record_header head = {.lease = id};
     MDB_val key = {sizeof stored_id, &stored_id};
     g_autoptr(GByteArray) record = lmn_db_record_new();
 
@@ -242,7 +242,7 @@
     return keys;
 }
 
-bool lmn_db_revoke(struct lmn_db_batch *batch, uint64_t lease)
+bool lmn_db_revoke_lease(struct lmn_db_batch *batch, uint64_t lease)
 {
     uint64_t stored_lease = GUINT64_TO_BE(lease);
     MDB_val lease_key = {sizeof stored_lease, &stored_lease};
@@ -265,7 +265,7 @@
     return batch->meta.revision;
 }
 
-/* Drops the oldest changes from the log, down to LMN_DB_CHANGES. */
+/* Drops the oldest changes from the log, down to LMN_DB_MAX_LOGGED_CHANGES. */
 static void compact_log(struct lmn_db_batch *batch)
 {
     MDB_dbi dbi = batch->db->dbi[LMN_DB_LOG];
@@ -274,10 +274,10 @@
     MDB_val key, value;
 
     if (!succeeded(batch, mdb_stat(batch->txn, dbi, &statistics)) ||
-        statistics.ms_entries <= LMN_DB_CHANGES ||
+        statistics.ms_entries <= LMN_DB_MAX_LOGGED_CHANGES ||
         !succeeded(batch, mdb_cursor_open(batch->txn, dbi, &cursor)))
         return;
-    for (size_t surplus = statistics.ms_entries - LMN_DB_CHANGES;
+    for (size_t surplus = statistics.ms_entries - LMN_DB_MAX_LOGGED_CHANGES;
          surplus > 0 && !batch->rc; surplus--) {
         struct lmn_db_log_key log_key;
         if (!succeeded(batch, mdb_cursor_get(cursor, &key, &value, MDB_FIRST)))
--- a/src/kv_store/kv_store.h
+++ b/src/kv_store/kv_store.h
@@ -26,7 +26,7 @@
     double max_value_kb; /**< KiB of a value, counted as JSON */
     int max_txn_operations; /**< puts and deletes a transaction; four times as many
                                conditions */
-    bool one_by_one;        /**< a sync for each transaction: for measurements only */
+    bool one_txn_per_sync;  /**< a sync for each transaction: for measurements only */
 };
 
 /** The defaults; `dir` is not set. */
--- a/src/kv_store/kv_store_internal.h
+++ b/src/kv_store/kv_store_internal.h
@@ -27,7 +27,7 @@
 };
 
 /** The longest body of a request, also counted as JSON. */
-enum { LMN_KV_STORE_MAX_BODY = 64 * 1024 };
+enum { LMN_KV_STORE_MAX_BODY_BYTES = 64 * 1024 };
 
 /** What an operation does. */
 enum lmn_kv_store_operation_kind {
@@ -112,11 +112,11 @@
 
 /** Takes the amount from the bucket. If that is more than it holds the request is
  * answered 429 and counted. Takes the lock. @return whether it was answered */
-bool lmn_kv_store_is_rate_limited(struct lmn_kv_store *store,
-                                  struct lmn_http_request *request,
-                                  struct lmn_token_bucket *bucket, double amount);
+bool lmn_kv_store_reject_if_rate_limited(struct lmn_kv_store *store,
+                                         struct lmn_http_request *request,
+                                         struct lmn_token_bucket *bucket, double amount);
 
-/** Whether the text may be a key: 1 to LMN_DB_KEY bytes without spaces. */
+/** Whether the text may be a key: 1 to LMN_DB_MAX_KEY_BYTES bytes without spaces. */
 bool lmn_kv_store_key_is_valid(const char *key);
 
 /** @name Handlers of requests, on the HTTP thread
--- a/src/kv_store/metrics.c
+++ b/src/kv_store/metrics.c
@@ -8,7 +8,7 @@
     struct lmn_db_meta meta = {0};
     struct lmn_db_reader *reader = lmn_db_reader_new(store->db);
 
-    if (lmn_db_view(reader, &meta) == 0)
+    if (lmn_db_view_begin(reader, &meta) == 0)
         lmn_db_view_end(reader);
     lmn_db_reader_free(reader);
     lmn_gauge(out, "lemonspar_state_revision", "Revision of the last commit",
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -30,12 +30,12 @@
 {
     size_t len = strlen(key);
 
-    return len >= 1 && len <= LMN_DB_KEY && !strchr(key, ' ');
+    return len >= 1 && len <= LMN_DB_MAX_KEY_BYTES && !strchr(key, ' ');
 }
 
-bool lmn_kv_store_is_rate_limited(struct lmn_kv_store *store,
-                                  struct lmn_http_request *request,
-                                  struct lmn_token_bucket *bucket, double amount)
+bool lmn_kv_store_reject_if_rate_limited(struct lmn_kv_store *store,
+                                         struct lmn_http_request *request,
+                                         struct lmn_token_bucket *bucket, double amount)
 {
     bool has_limit = bucket->rate > 0;
 
@@ -80,7 +80,7 @@
         lmn_http_request_respond(request, LMN_KV_STORE_INVALID, body, 0);
         return;
     }
-    if (lmn_db_view(store->reader, &meta) != 0) {
+    if (lmn_db_view_begin(store->reader, &meta) != 0) {
         lmn_http_request_respond(request, LMN_KV_STORE_UNAVAILABLE, body, 0);
         return;
     }
@@ -106,7 +106,7 @@
 static bool add_to_page(void *arg, const struct lmn_db_item *item)
 {
     struct list_page *page = arg;
-    bool too_long = page->items->len + item->len + LMN_DB_KEY > MAX_LIST_BYTES;
+    bool too_long = page->items->len + item->len + LMN_DB_MAX_KEY_BYTES > MAX_LIST_BYTES;
 
     if (page->count == page->max_count || (page->count && too_long)) {
         page->has_more = true;
@@ -132,7 +132,7 @@
                               WIRE_QUERY_LIMIT ": from 1 to 1000");
         return;
     }
-    if (lmn_db_view(store->reader, &meta) != 0) {
+    if (lmn_db_view_begin(store->reader, &meta) != 0) {
         lmn_http_request_respond(request, LMN_KV_STORE_UNAVAILABLE, NULL, 1);
         return;
     }
@@ -160,7 +160,7 @@
     struct lmn_db_meta meta;
     GByteArray *body = g_byte_array_new();
 
-    if (lmn_db_view(store->reader, &meta) != 0) {
+    if (lmn_db_view_begin(store->reader, &meta) != 0) {
         lmn_http_request_respond(request, LMN_KV_STORE_UNAVAILABLE, body, 1);
         return;
     }
@@ -223,7 +223,7 @@
         lmn_metrics_answer(request, lmn_kv_store_metrics, store);
     else if (method == LMN_HTTP_GET && strcmp(path, WIRE_PATH_READY) == 0)
         lmn_http_request_respond(request, LMN_KV_STORE_OK, NULL, 0);
-    else if (!lmn_kv_store_is_rate_limited(store, request, &store->requests, 1))
+    else if (!lmn_kv_store_reject_if_rate_limited(store, request, &store->requests, 1))
         route_limited(store, request, method, path);
 }
 
@@ -268,7 +268,7 @@
     const struct lmn_http_server_options options = {
         .listen = store->options.listen,
         .connections = MAX_CONNECTIONS,
-        .max_body = LMN_KV_STORE_MAX_BODY,
+        .max_body = LMN_KV_STORE_MAX_BODY_BYTES,
         .route = route,
         .arg = store,
     };
@@ -290,11 +290,11 @@
         return NULL;
     ignore_signals();
     struct lmn_kv_store *store = store_new(options, db, now);
-    if (lmn_db_view(store->reader, &meta) != 0) {
+    if (lmn_db_view_begin(store->reader, &meta) != 0) {
         snprintf(err, len, "%s: can't be read", options->dir);
         return NULL;
     }
-    lmn_db_leases(store->reader, load_lease, store);
+    lmn_db_list_leases(store->reader, load_lease, store);
     lmn_db_view_end(store->reader);
     store->revision = meta.revision;
     lmn_thread(lmn_kv_store_writer_thread, store);
--- a/src/kv_store/txn_request.c
+++ b/src/kv_store/txn_request.c
@@ -11,7 +11,7 @@
 static const char *copy_key(struct lmn_kv_store_operation *operation,
                             const struct lmn_cbor_value *node)
 {
-    char key[LMN_DB_KEY + 2]; /* a longer one must be seen to be too long */
+    char key[LMN_DB_MAX_KEY_BYTES + 2]; /* a longer one must be seen to be too long */
 
     if (!lmn_cbor_get_text(node, key, sizeof key) || !lmn_kv_store_key_is_valid(key))
         return NULL;
@@ -25,7 +25,7 @@
                                   const struct lmn_cbor_document *document,
                                   const struct lmn_cbor_value *node)
 {
-    struct lmn_db_cond *condition =
+    struct lmn_db_condition *condition =
         &operation->txn.conditions[operation->txn.condition_count++];
 
     condition->key = copy_key(operation, lmn_cbor_get(document, node, WIRE_KEY));
@@ -92,7 +92,7 @@
         (conditions && conditions->type != LMN_CBOR_ARRAY) ||
         (changes && changes->type != LMN_CBOR_ARRAY))
         return "a map with lists " WIRE_CONDITIONS " and " WIRE_OPERATIONS " is expected";
-    if (lmn_cbor_json_size(document, root) > LMN_KV_STORE_MAX_BODY)
+    if (lmn_cbor_json_size(document, root) > LMN_KV_STORE_MAX_BODY_BYTES)
         return "more than 64 KiB";
     if (max_changes > 0 &&
         ((changes && changes->len > (uint32_t)max_changes) ||
@@ -115,7 +115,7 @@
     if (fault)
         return fault;
     operation->txn.conditions =
-        g_new0(struct lmn_db_cond, conditions ? conditions->len : 0);
+        g_new0(struct lmn_db_condition, conditions ? conditions->len : 0);
     operation->txn.changes = g_new0(struct lmn_db_change, changes ? changes->len : 0);
     for (node = lmn_cbor_first_child(document, conditions); node && !fault;
          node = lmn_cbor_next(document, node))
@@ -136,8 +136,8 @@
     const char *fault = read_txn(store, operation, document);
     if (fault)
         lmn_http_request_fail(request, LMN_KV_STORE_INVALID, fault);
-    if (fault || lmn_kv_store_is_rate_limited(store, request, &store->writes,
-                                              (double)operation->txn.change_count))
+    if (fault || lmn_kv_store_reject_if_rate_limited(store, request, &store->writes,
+                                                     (double)operation->txn.change_count))
         lmn_kv_store_operation_free(operation);
     else
         lmn_kv_store_submit(store, operation);
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -130,7 +130,7 @@
                               WIRE_QUERY_WAIT_MS ": at most 60000");
         return;
     }
-    if (lmn_db_view(store->reader, &meta) != 0) {
+    if (lmn_db_view_begin(store->reader, &meta) != 0) {
         lmn_http_request_respond(request, LMN_KV_STORE_UNAVAILABLE, NULL, 1);
         return;
     }
@@ -140,7 +140,7 @@
         return;
     }
     g_autoptr(GPtrArray) events = g_ptr_array_new_with_free_func(event_free);
-    lmn_db_changes(store->reader, after, collect_event, events);
+    lmn_db_list_changes(store->reader, after, collect_event, events);
     lmn_db_view_end(store->reader);
     GByteArray *body = build_response(events, prefix, after, meta.revision, wait_ms == 0);
     if (body)
@@ -213,13 +213,13 @@
     struct watch_round round = {.now = lmn_now()};
     uint64_t oldest = UINT64_MAX;
 
-    if (lmn_db_view(reader, &round.meta) != 0)
+    if (lmn_db_view_begin(reader, &round.meta) != 0)
         return;
     for (GList *node = watches->head; node; node = node->next)
         oldest = MIN(oldest, ((struct lmn_kv_store_watch *)node->data)->scanned_revision);
     round.events = g_ptr_array_new_with_free_func(event_free);
     if (oldest < round.meta.revision && oldest >= round.meta.compact_revision)
-        lmn_db_changes(reader, oldest, collect_event, round.events);
+        lmn_db_list_changes(reader, oldest, collect_event, round.events);
     lmn_db_view_end(reader);
     round.responses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                             (GDestroyNotify)g_byte_array_unref);
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -90,11 +90,11 @@
     case LMN_KV_STORE_TXN:
         return apply_txn(batch, operation);
     case LMN_KV_STORE_GRANT:
-        operation->lease = lmn_db_grant(batch, operation->ttl_ms);
+        operation->lease = lmn_db_grant_lease(batch, operation->ttl_ms);
         operation->status = LMN_KV_STORE_OK;
         return operation->lease != 0;
     default:
-        operation->status = lmn_db_revoke(batch, operation->lease)
+        operation->status = lmn_db_revoke_lease(batch, operation->lease)
                                 ? LMN_KV_STORE_OK
                                 : LMN_KV_STORE_NOT_FOUND;
         return true;
@@ -279,7 +279,7 @@
 void *lmn_kv_store_writer_thread(void *arg)
 {
     struct lmn_kv_store *store = arg;
-    guint max_batch = store->options.one_by_one ? 1 : MAX_BATCH;
+    guint max_batch = store->options.one_txn_per_sync ? 1 : MAX_BATCH;
 
     for (;;) {
         GQueue operations = G_QUEUE_INIT;
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -164,7 +164,7 @@
     struct lmn_cbor_document d;
     bool found = false;
 
-    if (lmn_db_view(reader, &meta) == 0) {
+    if (lmn_db_view_begin(reader, &meta) == 0) {
         found = lmn_db_get(reader, key, &i) && lmn_cbor_parse(&d, i.value, i.len) == 0;
         if (found) {
             for (const struct lmn_cbor_value *node =
@@ -682,7 +682,7 @@
     s->machines = g_tree_new_full(by_name, NULL, NULL, NULL);
     s->slots = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     struct lmn_db_reader *reader = lmn_db_reader_new(db);
-    if (lmn_db_view(reader, &meta) == 0) {
+    if (lmn_db_view_begin(reader, &meta) == 0) {
         lmn_db_list(reader, "machine/", NULL, read_machine, s);
         if (lmn_db_get(reader, "number", &i) &&
             lmn_cbor_parse(&doc, i.value, i.len) == 0) {
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -198,14 +198,14 @@
      */
     unsigned at[31] = {0};
     for (int i = 0; i < 3000; i++) {
-        int s = lmn_retry_after(8, rng);
+        int s = lmn_retry_after_s(8, rng);
         assert_in_range(s, 8, 12);
         at[s]++;
     }
     for (int s = 9; s <= 12; s++)
         assert_true(at[s] > 500);
-    assert_in_range(lmn_retry_after(0, rng), 1, 2);
-    assert_in_range(lmn_retry_after(1e9, rng), 20, 30);
+    assert_in_range(lmn_retry_after_s(0, rng), 1, 2);
+    assert_in_range(lmn_retry_after_s(1e9, rng), 20, 30);
     g_rand_free(rng);
 }
 
--- a/tests/test_kv_store.c
+++ b/tests/test_kv_store.c
@@ -66,7 +66,7 @@
                                   uint64_t lease, uint64_t *rev)
 {
     GPtrArray *failed = g_ptr_array_new_with_free_func(g_free);
-    struct lmn_db_cond c = {key, cond};
+    struct lmn_db_condition c = {key, cond};
     struct lmn_db_change w = {key, value, value ? strlen(value) : 0, lease};
     const struct lmn_db_txn t = {&c, &w, conditional, 1};
     enum lmn_db_outcome r = lmn_db_apply(batch, &t, rev, failed);
@@ -180,11 +180,11 @@
             g_hash_table_insert(model, g_strdup(key), n);
         }
         if (!lease) {
-            lease = lmn_db_grant(batch, 5000);
+            lease = lmn_db_grant_lease(batch, 5000);
             assert_true(lease > 0);
         } else if (g_rand_int_range(r, 0, 6) == 0) {
             uint64_t revision;
-            assert_true(lmn_db_revoke(batch, lease));
+            assert_true(lmn_db_revoke_lease(batch, lease));
             forget_leased(model, lease);
             assert_int_equal(apply1(batch, "k/x", 0, false, "x", lease, &revision),
                              LMN_DB_NO_LEASE);
@@ -198,7 +198,7 @@
         }
     }
     struct lmn_db_reader *view = lmn_db_reader_new(db);
-    assert_int_equal(lmn_db_view(view, &meta), 0);
+    assert_int_equal(lmn_db_view_begin(view, &meta), 0);
     assert_int_equal(meta.revision, last);
     assert_int_equal(meta.count, g_hash_table_size(model));
     lmn_db_list(view, "k/", NULL, compare, model);
@@ -236,11 +236,11 @@
     lmn_db_close(db);
     db = must_open();
     struct lmn_db_reader *view = lmn_db_reader_new(db);
-    assert_int_equal(lmn_db_view(view, &meta), 0);
+    assert_int_equal(lmn_db_view_begin(view, &meta), 0);
     assert_int_equal(meta.compact_revision,
                      3000); /* a watch from 2999 would miss a change: 410 */
-    lmn_db_changes(view, meta.compact_revision, follow, seen);
-    assert_int_equal(seen[0], LMN_DB_CHANGES);
+    lmn_db_list_changes(view, meta.compact_revision, follow, seen);
+    assert_int_equal(seen[0], LMN_DB_MAX_LOGGED_CHANGES);
     assert_int_equal(seen[1], 13000);
     lmn_db_view_end(view);
     lmn_db_reader_free(view);
@@ -274,7 +274,7 @@
     struct lmn_db *db = must_open();
     struct lmn_db_reader *reader = lmn_db_reader_new(db);
     struct lmn_db_meta meta;
-    assert_int_equal(lmn_db_view(reader, &meta), 0);
+    assert_int_equal(lmn_db_view_begin(reader, &meta), 0);
     lmn_db_view_end(reader);
     lmn_db_reader_free(reader);
     lmn_db_close(db);
@@ -414,7 +414,7 @@
     put1(db, "after", "room again");
     struct lmn_db_reader *reader = lmn_db_reader_new(db);
     struct lmn_db_item item;
-    assert_int_equal(lmn_db_view(reader, &meta), 0);
+    assert_int_equal(lmn_db_view_begin(reader, &meta), 0);
     assert_true(lmn_db_get(reader, "kept", &item) && lmn_db_get(reader, "after", &item));
     assert_int_equal(meta.count, 2 + 10 - failed);
     lmn_db_view_end(reader);
@@ -452,7 +452,7 @@
     /* A newer format. */
     assert_int_equal(mdb_txn_begin(db->env, NULL, 0, &txn), 0);
     assert_int_equal(lmn_db_meta_read(txn, db, &meta), 0);
-    meta.format = LMN_DB_FORMAT + 1;
+    meta.format = LMN_DB_FORMAT_VERSION + 1;
     assert_int_equal(lmn_db_meta_write(txn, db, &meta), 0);
     assert_int_equal(mdb_txn_commit(txn), 0);
     lmn_db_close(db);
