--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -1,6 +1,6 @@
 /** @file
- * The key-value store's client: see kv_client/kv_client.h. Here are the queues of
- * transactions, which the client's lock guards, and the threads that send them. */
+ * The client of the key-value store (kv_client/kv_client.h): the queues of transactions,
+ * guarded by the client's lock, and the writer threads that send them. */
 #include "kv_client/kv_client.h"
 
 #include "kv_client/txn_batch.h"
@@ -17,53 +17,57 @@
 #include <pthread.h>
 
 enum {
-    /* Usually one batch is in flight at a time, so that what is submitted meanwhile
-     * shares the next one (util/in_flight.h); the other writers are for answers that are
-     * slow. */
+    /* Usually one batch is in flight at a time, so that transactions submitted meanwhile
+     * share the next batch (util/in_flight.h). The other threads send batches while a
+     * response is slow. */
     WRITER_THREADS = 4,
     HTTP_BAD_REQUEST = 400,
     HTTP_TOO_MANY_REQUESTS = 429,
 };
 
 static const double TXN_TIMEOUT_S = 2.0;
-/** For a transaction of conditions alone, which can be sent again at any time. */
+/** Timeout of a transaction without operations: it changes nothing, so the caller can
+ * repeat it at any time. */
 static const double CHECK_TIMEOUT_S = 0.6;
-/** A transaction that the store puts off (429) is sent again until it is so old. */
+/** A transaction that the store answered with 429 is queued again until this long after
+ * its submission. */
 static const double RESUBMIT_WITHIN_S = 1.5;
-/** Pause of all writers after a 429, with a random part so that controllers spread out.
+/** Pause of all writer threads after a 429: the minimum plus a random part, so that the
+ * controllers do not all send again at the same time.
  */
 static const double THROTTLED_MIN_S = 0.1, THROTTLED_RANDOM_S = 0.2;
-/** Added to waits, so that what was waited for has come for certain. */
+/** Added to each wait for the budget, so that the tokens are available when it ends. */
 static const double WAIT_MARGIN_S = 1e-3;
-/** The limit of requests: part of the share that is used (a little less than all, since
- * the store counts seconds by its own clock), and the bucket's size. */
+/** The limit of requests: the fraction of this controller's share that is used (less than
+ * all, since the store measures seconds by its own clock), and the bucket's size in
+ * seconds of the rate and in requests. */
 static const double REQUEST_RATE_MARGIN = 0.95, REQUEST_BURST_S = 0.5,
                     MIN_REQUEST_BURST = 2;
 
 struct lmn_kv_client {
     const struct lmn_settings *settings;
     pthread_mutex_t lock;                /* guards everything below */
-    pthread_cond_t submitted;            /* a transaction was queued */
+    pthread_cond_t submitted;            /* signaled when a transaction is queued */
     GQueue queues[LMN_WRITE_PRIORITIES]; /* struct lmn_txn */
     double queued_operations[LMN_WRITE_PRIORITIES];
     struct lmn_token_bucket requests;
     struct lmn_write_budget budget;
-    struct lmn_latency batch_latency; /* from a batch's sending to its answer */
-    struct lmn_in_flight in_flight;   /* batches */
-    struct timespec throttled_until;  /* after a 429: no batch is sent before */
+    struct lmn_latency batch_latency; /* seconds from sending a batch to its response */
+    struct lmn_in_flight in_flight;   /* batches that are sent and not answered */
+    struct timespec throttled_until;  /* after a 429: no batch is sent before this time */
 };
 
-/** What became of a batch, or of a transaction that was sent alone. */
+/** The store's response to a batch or to a single transaction. */
 struct response {
-    int status; /* HTTP status, or one of http/client.h's negative ones */
+    int status; /* HTTP status, or a negative error code of http/client.h */
     enum lmn_txn_outcome outcome;
-    uint64_t revision; /* of the store; set if it committed or was in conflict */
+    uint64_t revision; /* the store's; set if the outcome is committed or conflict */
 };
 
 struct lmn_kv_client *lmn_kv_client_new(const struct lmn_settings *settings)
 {
     struct lmn_kv_client *client = g_new0(struct lmn_kv_client, 1);
-    /* The settings list the other members; one more share is this one's. */
+    /* settings->member_count does not include this controller. */
     double share = 1.0 / (double)(settings->member_count + 1);
     double requests_per_s = settings->state_requests_per_s * share;
     struct timespec now = lmn_now();
@@ -104,7 +108,8 @@
     }
 }
 
-/** Operations that are queued with a priority up to the given one; the lock is held. */
+/** The number of queued operations of the priority `last` and all higher ones. The lock
+ * is held. */
 static double count_queued(const struct lmn_kv_client *client,
                            enum lmn_write_priority last)
 {
@@ -156,7 +161,8 @@
     return spare;
 }
 
-/** Sends transactions as one. Blocks; no lock is held. */
+/** Sends the transactions in one request and decodes the response. Blocks; no lock is
+ * held. */
 static struct response send_txns(struct lmn_http_client *http_client,
                                  struct lmn_txn *const *txns, guint count,
                                  double timeout_s, GPtrArray *conflicts)
@@ -191,8 +197,8 @@
     return response.outcome;
 }
 
-/** Whether the transaction may be sent in the batch now. One that exceeds the limits of
- * any batch is sent alone, and left to the store to judge. */
+/** Whether the transaction may be sent in the batch now. A transaction that exceeds the
+ * limits of a batch by itself is sent alone, so that the store accepts or rejects it. */
 static bool may_join(const struct lmn_kv_client *client,
                      const struct lmn_txn_batch *batch, const struct lmn_txn *txn)
 {
@@ -202,8 +208,9 @@
     return batch->count == 0 || lmn_txn_batch_fits(batch, txn);
 }
 
-/** Moves the next transactions, by priority and then by age, from the queues to the empty
- * batch, and charges the budget with them. The lock is held. */
+/** Moves the transactions that may be sent from the queues to the empty batch, highest
+ * priority first and oldest first within a priority, and charges their operations to the
+ * budget. The lock is held. */
 static void fill_batch(struct lmn_kv_client *client, struct lmn_txn_batch *batch)
 {
     for (int i = 0; i < LMN_WRITE_PRIORITIES; i++) {
@@ -241,8 +248,8 @@
     return batch.count ? batch.txns[0] : NULL;
 }
 
-/** Seconds until the next batch may be sent; 0 or less: now; infinite: nothing is queued.
- * The lock is held. */
+/** Seconds until the next batch may be sent; 0 or less: now; INFINITY: no transaction is
+ * queued. The lock is held. */
 static double next_batch_wait_s(struct lmn_kv_client *client, struct timespec now)
 {
     double wait_s = INFINITY;
@@ -258,8 +265,9 @@
     return MAX(wait_s, lmn_time_diff_s(client->throttled_until, now));
 }
 
-/** Waits until something may be sent, and takes it. The budget is waited for before
- * transactions are chosen, so that urgent ones that come meanwhile still go first. */
+/** Waits until a batch may be sent, and takes its transactions off the queues. They are
+ * chosen after the wait for the budget, so that transactions of a higher priority that
+ * are submitted during the wait are sent first. */
 static struct lmn_txn_batch take_batch(struct lmn_kv_client *client)
 {
     struct lmn_txn_batch batch = empty_batch(client, LMN_MAX_BATCH_TXNS);
@@ -280,7 +288,8 @@
     return batch;
 }
 
-/** Records that a batch was answered, or timed out. */
+/** Records that a batch was answered or timed out, and pauses all writer threads if the
+ * store answered 429. */
 static void record_answer(struct lmn_kv_client *client, struct timespec sent_at,
                           int status)
 {
@@ -293,8 +302,9 @@
     pthread_mutex_unlock(&client->lock);
 }
 
-/** Sends a transaction alone, whose batch the store found invalid: which of the batch is
- * (one that names a lease that has ended, say) shows only so. */
+/** Sends a transaction alone after the store rejected its batch with 400. The response to
+ * the batch does not say which transaction is invalid, for example because it names a
+ * lease that has ended. */
 static void send_alone(struct lmn_kv_client *client, struct lmn_http_client *http_client,
                        struct lmn_txn *txn)
 {
@@ -305,7 +315,8 @@
     lmn_txn_complete(txn, outcome, revision);
 }
 
-/** Completes a transaction of a batch that was answered, or sends it again. */
+/** Completes a transaction after the response to its batch, or queues or sends it again.
+ */
 static void handle_answered(struct lmn_kv_client *client,
                             struct lmn_http_client *http_client, struct lmn_txn *txn,
                             bool was_alone, const struct response *response,
@@ -313,7 +324,7 @@
 {
     if (response->outcome == LMN_TXN_CONFLICT && !was_alone &&
         !lmn_txn_has_condition_on(txn, conflicts)) {
-        /* Only conditions of others in the batch did not hold. */
+        /* Only conditions of other transactions in the batch did not hold. */
         lmn_kv_client_submit(client, txn);
     } else if (response->outcome == LMN_TXN_REJECTED &&
                response->status == HTTP_BAD_REQUEST && !was_alone) {
@@ -326,7 +337,7 @@
     }
 }
 
-/** Body of a writer thread; never returns. */
+/** Main function of a writer thread; never returns. */
 static void *run_writer(void *arg)
 {
     struct lmn_kv_client *client = arg;
--- a/src/kv_client/txn_batch.c
+++ b/src/kv_client/txn_batch.c
@@ -8,7 +8,9 @@
 
 enum {
     MAX_BATCH_BYTES = 60000,
-    MAX_CONDITIONS_PER_OPERATION = 4, /* of the store's limits, not of a transaction's */
+    /* The store's limit of conditions per request is this multiple of its limit of
+     * operations per request. */
+    CONDITIONS_PER_OPERATION = 4,
 };
 
 /** Whether the transaction has an operation or a condition on the key. */
@@ -23,9 +25,9 @@
     return false;
 }
 
-/** Whether the first transaction changes a key that the second names. Two such can't
- * share a batch, since the conditions of a batch are all checked against the state before
- * it. */
+/** Whether the first transaction changes a key on which the second has an operation or a
+ * condition. Such transactions can't share a batch: the store checks all conditions of a
+ * batch against the state before the batch. */
 static bool affects(const struct lmn_txn *first, const struct lmn_txn *second)
 {
     for (guint i = 0; i < first->operations->len; i++)
@@ -39,7 +41,7 @@
     if (batch->count >= batch->max_txns ||
         batch->operations + txn->operations->len > batch->max_operations ||
         batch->conditions + txn->conditions->len >
-            MAX_CONDITIONS_PER_OPERATION * batch->max_operations ||
+            CONDITIONS_PER_OPERATION * batch->max_operations ||
         batch->bytes + txn->bytes > MAX_BATCH_BYTES)
         return false;
     for (guint i = 0; i < batch->count; i++)
--- a/src/kv_client/txn_batch.h
+++ b/src/kv_client/txn_batch.h
@@ -1,6 +1,7 @@
 /** @file
- * Batches: transactions that are sent to the store as one. For the files of kv_client/
- * only; a batch has no lock, one thread at a time uses it. */
+ * Batches: groups of transactions that are sent to the store in one request, as one
+ * transaction. Internal to kv_client/. A batch has no lock: only one thread at a time may
+ * use it. */
 #ifndef LMN_KV_CLIENT_TXN_BATCH_H
 #define LMN_KV_CLIENT_TXN_BATCH_H
 
@@ -9,27 +10,29 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** Most transactions of a batch. */
+/** The most transactions in a batch. */
 enum { LMN_MAX_BATCH_TXNS = 64 };
 
-/** A batch; all zero but max_txns and max_operations: an empty one. */
+/** A batch. In an empty batch all fields but max_txns and max_operations are zero. */
 struct lmn_txn_batch {
     struct lmn_txn *txns[LMN_MAX_BATCH_TXNS];
     guint count;
     guint max_txns;       /**< at most LMN_MAX_BATCH_TXNS */
-    guint max_operations; /**< that the store takes in one request */
+    guint max_operations; /**< the store's limit of operations per request */
     guint operations, conditions;
-    size_t bytes; /**< as lmn_txn's */
+    size_t bytes; /**< the sum of the transactions' bytes (struct lmn_txn) */
 };
 
-/** Whether the transaction can be sent in the batch: the request keeps within the store's
- * limits, and no two of its transactions depend on each other. */
+/** Whether the transaction can be added to the batch: the request stays within the limits
+ * of the store, and neither the transaction nor one of the batch changes a key that the
+ * other reads or changes. */
 bool lmn_txn_batch_fits(const struct lmn_txn_batch *batch, const struct lmn_txn *txn);
 
-/** Adds the transaction, without a check; there has to be a place for it. */
+/** Adds the transaction without checking any limit. The batch must hold fewer than
+ * LMN_MAX_BATCH_TXNS transactions. */
 void lmn_txn_batch_add(struct lmn_txn_batch *batch, struct lmn_txn *txn);
 
-/** Whether one of the transaction's conditions is on one of the keys (char *). */
+/** Whether the transaction has a condition on at least one of the keys (char *). */
 bool lmn_txn_has_condition_on(const struct lmn_txn *txn, const GPtrArray *keys);
 
 #endif
--- a/src/kv_client/txn_codec.c
+++ b/src/kv_client/txn_codec.c
@@ -1,5 +1,5 @@
 /** @file
- * Transactions on the wire: see kv_client/txn_codec.h. */
+ * Encoding of transactions and decoding of responses (kv_client/txn_codec.h). */
 #include "kv_client/txn_codec.h"
 
 #include "http/client.h"
--- a/src/kv_client/txn_codec.h
+++ b/src/kv_client/txn_codec.h
@@ -1,20 +1,20 @@
 /** @file
- * Transactions on the wire: the body of a request that carries some, and what its
- * response says of their outcome. Pure functions; for the files of kv_client/ only. */
+ * Encodes transactions as the body of a request, and decodes their outcome from the
+ * response. Pure functions, internal to kv_client/. */
 #ifndef LMN_KV_CLIENT_TXN_CODEC_H
 #define LMN_KV_CLIENT_TXN_CODEC_H
 
 #include "kv_client/txn.h"
 
-/** Encodes the transactions as one, all of whose conditions must hold. The buffer is the
- * caller's. */
+/** Encodes the transactions as a single transaction, which the store applies only if the
+ * conditions of all of them hold. The caller owns the returned buffer. */
 GByteArray *lmn_txn_encode(struct lmn_txn *const *txns, guint count);
 
 /** Decodes the response to a transaction.
  *
- * @param status     HTTP status, or one of http/client.h's negative ones
+ * @param status     HTTP status, or a negative error code of http/client.h
  * @param response   the response's body
- * @param revision   set if the response has one
+ * @param revision   set to the store's revision if the response contains it
  * @param conflicts  keys whose condition did not hold are added to it (char *, which it
  *                   must free); may be NULL */
 enum lmn_txn_outcome lmn_txn_decode_response(int status, const GByteArray *response,
--- a/src/kv_client/txn_impl.c
+++ b/src/kv_client/txn_impl.c
@@ -1,12 +1,12 @@
 /** @file
- * Compare-and-swap transactions: see kv_client/txn.h. Making, reading and freeing them;
- * how they are sent is kv_client/kv_client.h's. */
+ * Creates, reads, copies and frees compare-and-swap transactions (kv_client/txn.h). */
 #include "kv_client/txn_impl.h"
 
 #include <string.h>
 
-/** Bytes that the store counts beyond keys and values. It counts them as JSON, where
- * numbers and quotes take more than in CBOR: a value is taken for half as much again. */
+/** Upper estimates of the bytes that the store counts beyond keys and values. The store
+ * limits the size of the JSON encoding, in which numbers and quotes are longer than in
+ * CBOR; a value is therefore estimated at 1.5 times its CBOR size. */
 enum { TXN_OVERHEAD_BYTES = 32, CONDITION_BYTES = 40, PUT_BYTES = 60, DELETE_BYTES = 40 };
 
 struct lmn_txn *lmn_txn_new(enum lmn_write_priority priority, lmn_txn_callback *done,
@@ -31,7 +31,7 @@
     txn->bytes += strlen(key) + CONDITION_BYTES;
 }
 
-/** A put; counts its bytes. */
+/** Makes a put operation and adds its size to the transaction's bytes. */
 static struct lmn_txn_operation make_put(struct lmn_txn *txn, const char *key,
                                          GByteArray *value, uint64_t lease)
 {
--- a/src/kv_client/txn_impl.h
+++ b/src/kv_client/txn_impl.h
@@ -1,5 +1,5 @@
 /** @file
- * What a transaction consists of; for the files of kv_client/ only. */
+ * The structure of a transaction; internal to kv_client/. */
 #ifndef LMN_KV_CLIENT_TXN_IMPL_H
 #define LMN_KV_CLIENT_TXN_IMPL_H
 
@@ -8,17 +8,17 @@
 #include <stddef.h>
 #include <time.h>
 
-/** A condition: the key is at the version. */
+/** A condition: the key has the version. */
 struct lmn_txn_condition {
     char *key;
-    uint64_t version; /**< 0: it does not exist */
+    uint64_t version; /**< 0: the key does not exist */
 };
 
 /** An operation on a key. */
 struct lmn_txn_operation {
     char *key;
     GByteArray *value; /**< NULL: the key is removed */
-    uint64_t lease;    /**< 0: none */
+    uint64_t lease;    /**< that the key is attached to; 0: none */
 };
 
 /** A transaction. */
@@ -28,7 +28,8 @@
     void *arg;
     GArray *conditions; /**< struct lmn_txn_condition */
     GArray *operations; /**< struct lmn_txn_operation */
-    size_t bytes;       /**< an upper estimate of its size as the store counts it */
+    size_t bytes;       /**< upper estimate of the transaction's size, encoded as JSON, by
+                             which the store limits requests */
     struct timespec submitted_at;
 };
 
--- a/src/kv_client/write_budget.c
+++ b/src/kv_client/write_budget.c
@@ -1,21 +1,23 @@
 /** @file
- * The budget for writes: see kv_client/write_budget.h. */
+ * The write budget: see kv_client/write_budget.h. */
 #include "kv_client/write_budget.h"
 
-/** The bucket holds so many seconds of the rate, but a few operations at least. */
+/** The bucket holds the tokens of BURST_S seconds, but at least MIN_BURST operations. */
 static const double BURST_S = 0.9, MIN_BURST = 4;
-/** Part of the share that is used: a little less than all, since the store counts seconds
- * by its own clock. */
+/** The fraction of this controller's share that it uses: less than all, since the store
+ * measures seconds by its own clock. */
 static const double RATE_MARGIN = 0.95;
-/** Part of the rate that deferrable writes may use. */
+/** The fraction of the rate that deferrable writes may use. */
 static const double DEFERRABLE_SHARE = 0.5;
-/** Parts of the burst that a priority leaves to those before it. */
+/** The fractions of the burst that a priority leaves unused for higher priorities. */
 static const double DEFERRABLE_RESERVE = 0.5, CLOSE_RESERVE = 0.2;
-/** Part of the burst by which owners and users may overdraw the bucket. */
+/** The fraction of the burst by which writes of owners and users may overdraw the bucket.
+ */
 static const double URGENT_OVERDRAFT = 1.0;
-/** A transaction that is larger than this part of the burst is sent when so much is
- * there, since the bucket never holds more beyond the largest reserve; it is paid off
- * afterwards.
+/** A transaction that is larger than this fraction of the burst is sent as soon as the
+ * bucket holds this fraction beyond the reserve: with the largest reserve (0.5) the
+ * bucket never holds much more, and the transaction would wait for ever. The bucket's
+ * level becomes negative and recovers afterwards.
  */
 static const double MAX_LEVEL_NEEDED = 0.45;
 
@@ -33,11 +35,12 @@
     lmn_token_bucket_refill(&budget->writes, now);
 }
 
-/** Operations that a priority leaves in the bucket for those before it: a submission that
- * finds the bucket emptied by done sets would wait longer than its user likes. Users
- * often come to one controller alone, as after a restart of all: their writes and the
- * owners' may overdraw its share (a negative reserve), which the other controllers'
- * unused shares cover; if they do not, the store answers 429. */
+/** The number of tokens that a priority must leave in the bucket for higher priorities:
+ * without a reserve, progress writes emptied the bucket and a user's submission waited
+ * seconds for it to refill. Users often reach only one controller, for example after all
+ * have restarted. Writes of users and owners may therefore overdraw this controller's
+ * share (a negative reserve), which the unused shares of the other controllers make up
+ * for; if these are used too, the store answers 429. */
 static double reserve(const struct lmn_write_budget *budget,
                       enum lmn_write_priority priority)
 {
@@ -51,7 +54,7 @@
     }
 }
 
-/** The level, beyond the reserve, that so many operations need. */
+/** The tokens that the bucket must hold beyond the reserve to send the operations. */
 static double level_needed(const struct lmn_write_budget *budget, guint operations)
 {
     return MIN(operations, MAX_LEVEL_NEEDED * budget->writes.burst);
