--- a/src/admission/connection_budget.c
+++ b/src/admission/connection_budget.c
@@ -1,22 +1,23 @@
 /** @file
- * The connection budget (admission/connection_budget.h). */
+ * The division of a controller's sockets by purpose (admission/connection_budget.h). */
 #include "admission/connection_budget.h"
 
 #include <glib.h>
 
 enum {
-    /** Listening, the log, the key-value store (watch, writes, reads, the lease), the
-     * machine provider, and some to spare. */
+    /** The listening socket, the log, the connections to the key-value store (watch,
+     * writes, reads, lease) and to the machine provider, and a few spare ones. */
     FIXED_CONNECTIONS = 12,
-    /** For each other member a call and a probe each way, and one that is just being
-     * replaced; for each partition, of which there are as many, its standby, that
-     * standby's record, and the owner that this controller stands by for. */
+    /** For each other member: a call and a probe in each direction, and one connection
+     * that is being replaced. For each partition (there are as many as members):
+     * its standby, the record of that standby, and the owner for which this controller is
+     * the standby. */
     CONNECTIONS_PER_MEMBER = 8,
     MIN_ACCEPTED = 16,
     MIN_RESERVED = 4,
 };
 
-/** Connections that this controller needs whatever the workers do. */
+/** Connections that this controller needs independently of the number of workers. */
 static unsigned base_connections(const struct lmn_settings *settings)
 {
     return FIXED_CONNECTIONS + CONNECTIONS_PER_MEMBER * (unsigned)settings->member_count;
@@ -32,16 +33,16 @@
 {
     unsigned max_connections = (unsigned)settings->max_connections;
 
-    /* Each thread has one call in flight at most, whatever it keeps open besides. */
+    /* At least one connection per thread, for the call that it has in flight. */
     budget->worker_connections = MAX(lmn_settings_worker_connections(settings),
                                      (unsigned)LMN_WORKER_CLIENT_THREADS);
     budget->own_connections = base_connections(settings) + budget->worker_connections;
     budget->max_accepted = max_connections > budget->own_connections + MIN_ACCEPTED
                                ? max_connections - budget->own_connections
                                : MIN_ACCEPTED;
-    /* An eighth stays free for short connections, however many are kept open: a heartbeat
-     * needs one for as long as its reply takes. A quarter each is for users and workers
-     * alone; the rest is for whoever needs it. */
+    /* An eighth is reserved for connections that are not identified yet, so that a
+     * heartbeat can always get a connection for the time of its reply. A quarter each is
+     * reserved for users and for workers; any kind may use the rest. */
     budget->reserved[LMN_CONNECTION_UNIDENTIFIED] =
         MAX(budget->max_accepted / 8, (unsigned)MIN_RESERVED);
     budget->reserved[LMN_CONNECTION_USER] =
@@ -53,8 +54,8 @@
 double lmn_connection_budget_max_machines(const struct lmn_connection_budget *budget,
                                           const struct lmn_settings *settings)
 {
-    /* How long a heartbeat holds its connection: a few round trips between distant zones,
-     * and the wait for its turn. */
+    /* How long a heartbeat occupies its connection: a few round trips between distant
+     * zones and the wait until the controller handles it. */
     static const double held_s = 0.25;
     double per_controller = budget->max_accepted - budget->reserved[LMN_CONNECTION_USER];
 
@@ -80,13 +81,14 @@
 {
     unsigned others = 0;
 
-    /* Users of a controller that can't confirm anything, while others can, have to leave
-     * it: refused with 503 on a connection that stays open, they sent the same controller
-     * request after request until the load balancer noticed. */
+    /* If this controller can't confirm writes while others can, its users' connections
+     * are closed so that they connect to another controller. When they were answered 503
+     * on a connection that stayed open, they repeated their requests to the same
+     * controller until the load balancer took it out of service. */
     if (is_at_fault && kind == LMN_CONNECTION_USER)
         return false;
-    for (int k = 0; k < LMN_CONNECTION_KINDS; k++)
-        if (k != (int)kind)
-            others += MAX(budget->reserved[k], open[k]);
+    for (int other = 0; other < LMN_CONNECTION_KINDS; other++)
+        if (other != (int)kind)
+            others += MAX(budget->reserved[other], open[other]);
     return open[kind] + others <= budget->max_accepted;
 }
--- a/src/admission/load_shedding.c
+++ b/src/admission/load_shedding.c
@@ -1,19 +1,20 @@
 /** @file
- * Load shedding (admission/load_shedding.h). */
+ * Load shedding: refuses some requests while the controller's work is late
+ * (admission/load_shedding.h). */
 #include "admission/load_shedding.h"
 
 #include <math.h>
 
-/** The delay from which on some requests of a kind are refused. Clients wait for 2 s for
- * a poll and 5 s for a submission, workers 4 s for the reply to a heartbeat: each kind is
- * refused before its client would give up. */
+/** The delay above which some requests of a kind are refused. Clients time out after 2 s
+ * for a poll and 5 s for a submission, workers after 4 s for a heartbeat: each kind is
+ * refused before its client times out. */
 static const double SHED_THRESHOLD_S[LMN_SHED_KINDS] = {
     [LMN_SHED_POLL] = 0.4, [LMN_SHED_SUBMISSION] = 1.0, [LMN_SHED_START] = 1.5};
-/** The time constant with which the delay falls. */
+/** The time constant of the exponential decay of the delay. */
 static const double DELAY_DECAY_S = 1;
-/** Bounds of the wait that a Retry-After is drawn from, and of the result. */
+/** Bounds of the wait from which a Retry-After is computed, and of the Retry-After. */
 static const double MIN_WAIT_S = 1, MAX_WAIT_S = 20, MAX_RETRY_AFTER_S = 30;
-/** A Retry-After is the wait, and up to half as long again. */
+/** A Retry-After is drawn from the interval between the wait and this multiple of it. */
 static const double MAX_WAIT_FACTOR = 1.5;
 
 void lmn_load_record_delay(struct lmn_load *load, double late_s, double elapsed_s)
@@ -44,8 +45,9 @@
 {
     double wait = CLAMP(wait_s, MIN_WAIT_S, MAX_WAIT_S);
 
-    /* CLAMP evaluates its first argument up to three times, with a draw each: later draws
-     * from the same generator depend on how many there are. */
+    /* CLAMP evaluates its first argument up to three times and so draws up to three
+     * random numbers. Drawing fewer would change all later draws from the same generator.
+     */
     return (int)CLAMP(ceil(wait * g_rand_double_range(rng, 1, MAX_WAIT_FACTOR)),
                       MIN_WAIT_S, MAX_RETRY_AFTER_S);
 }
--- a/src/admission/worker_hosts.c
+++ b/src/admission/worker_hosts.c
@@ -7,7 +7,7 @@
 #include <netinet/in.h>
 #include <sys/socket.h>
 
-/** Stands for a host that is not counted. */
+/** Marks a host that is not counted. */
 enum { NO_HOST = 0 };
 
 static bool is_loopback(guint32 host)
@@ -15,7 +15,8 @@
     return host >> 24 == 127;
 }
 
-/** The host of "IPv4:port" as a number in host byte order, or NO_HOST. */
+/** Parses the host of "IPv4:port" to a number in host byte order. Returns NO_HOST if the
+ * address is malformed, loopback, or this controller's own host. */
 static guint32 parse_host(const struct lmn_worker_hosts *hosts, const char *address)
 {
     char host_text[LMN_ADDRESS_SIZE];
