--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -1,7 +1,7 @@
 /** @file
  * The key-value store's server: starts it, routes requests, and answers reads from views
- * of the database. All requests are handled on the HTTP server's one thread; those that
- * write are handed on (txn_request.c, lease.c), and answered by the writer. */
+ * of the database. All requests are handled on the HTTP server's one thread. Writes are
+ * queued (txn_request.c, lease.c) and answered by the writer. */
 #include "kv_store/kv_store.h"
 #include "util/clock.h"
 #include "protocol/cbor.h"
@@ -16,7 +16,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A page of a list: so many items, or bytes; and connections. */
+/* Limits of a page of a list, in items and bytes, and of open connections. */
 enum { MAX_ITEMS = 1000, MAX_LIST_BYTES = 512 * 1024, MAX_CONNECTIONS = 16384 };
 
 const struct lmn_kv_store_options lmn_kv_store_default_options = {
@@ -30,12 +30,12 @@
 {
     size_t len = strlen(key);
 
-    return len >= 1 && len <= LMN_DB_KEY && !strchr(key, ' ');
+    return len >= 1 && len <= LMN_DB_MAX_KEY_BYTES && !strchr(key, ' ');
 }
 
-bool lmn_kv_store_is_rate_limited(struct lmn_kv_store *store,
-                                  struct lmn_http_request *request,
-                                  struct lmn_token_bucket *bucket, double amount)
+bool lmn_kv_store_reject_if_rate_limited(struct lmn_kv_store *store,
+                                         struct lmn_http_request *request,
+                                         struct lmn_token_bucket *bucket, double amount)
 {
     bool has_limit = bucket->rate > 0;
 
@@ -80,7 +80,7 @@
         lmn_http_request_respond(request, LMN_KV_STORE_INVALID, body, 0);
         return;
     }
-    if (lmn_db_view(store->reader, &meta) != 0) {
+    if (lmn_db_view_begin(store->reader, &meta) != 0) {
         lmn_http_request_respond(request, LMN_KV_STORE_UNAVAILABLE, body, 0);
         return;
     }
@@ -95,18 +95,19 @@
     lmn_http_request_respond(request, status, body, 0);
 }
 
-/* A page of a list while it is collected. */
+/* A page of a list that is being collected. */
 struct list_page {
     GByteArray *items;
     size_t count, max_count;
     bool has_more;
 };
 
-/* Adds an item unless the page is full. A page has at least one item, however large. */
+/* Adds an item unless the page is full. A page can always take one item, whatever its
+ * size. */
 static bool add_to_page(void *arg, const struct lmn_db_item *item)
 {
     struct list_page *page = arg;
-    bool too_long = page->items->len + item->len + LMN_DB_KEY > MAX_LIST_BYTES;
+    bool too_long = page->items->len + item->len + LMN_DB_MAX_KEY_BYTES > MAX_LIST_BYTES;
 
     if (page->count == page->max_count || (page->count && too_long)) {
         page->has_more = true;
@@ -132,7 +133,7 @@
                               WIRE_QUERY_LIMIT ": from 1 to 1000");
         return;
     }
-    if (lmn_db_view(store->reader, &meta) != 0) {
+    if (lmn_db_view_begin(store->reader, &meta) != 0) {
         lmn_http_request_respond(request, LMN_KV_STORE_UNAVAILABLE, NULL, 1);
         return;
     }
@@ -152,15 +153,15 @@
     lmn_http_request_respond(request, LMN_KV_STORE_OK, body, 0);
 }
 
-/* Beyond the protocol: by the incarnation others see that this state was restored from a
- * backup. */
+/* Not part of docs/state.md. Clients detect by a changed incarnation that the database
+ * was restored from a backup. */
 static void handle_incarnation(struct lmn_kv_store *store,
                                struct lmn_http_request *request)
 {
     struct lmn_db_meta meta;
     GByteArray *body = g_byte_array_new();
 
-    if (lmn_db_view(store->reader, &meta) != 0) {
+    if (lmn_db_view_begin(store->reader, &meta) != 0) {
         lmn_http_request_respond(request, LMN_KV_STORE_UNAVAILABLE, body, 1);
         return;
     }
@@ -189,7 +190,7 @@
     lmn_cbor_free(&document);
 }
 
-/* The requests that count against the limit of requests a second. */
+/* Routes the requests that count towards the limit of requests per second. */
 static void route_limited(struct lmn_kv_store *store, struct lmn_http_request *request,
                           enum lmn_http_method method, const char *path)
 {
@@ -218,22 +219,25 @@
     const char *path = lmn_http_request_path(request);
     enum lmn_http_method method = lmn_http_request_method(request);
 
-    /* An overloaded store must still be seen to be there, and why it answers 429. */
+    /* Not rate limited: an overloaded store must still answer readiness checks, and its
+     * metrics show why it answers 429. */
     if (method == LMN_HTTP_GET && strcmp(path, "/metrics") == 0)
         lmn_metrics_answer(request, lmn_kv_store_metrics, store);
     else if (method == LMN_HTTP_GET && strcmp(path, WIRE_PATH_READY) == 0)
         lmn_http_request_respond(request, LMN_KV_STORE_OK, NULL, 0);
-    else if (!lmn_kv_store_is_rate_limited(store, request, &store->requests, 1))
+    else if (!lmn_kv_store_reject_if_rate_limited(store, request, &store->requests, 1))
         route_limited(store, request, method, path);
 }
 
 /* --- start --- */
 
-/* Ignores signals that would end the process where an error is wanted. */
+/* Ignores signals that would end the process instead of returning an error from write().
+ */
 static void ignore_signals(void)
 {
     signal(SIGPIPE, SIG_IGN);
-    signal(SIGXFSZ, SIG_IGN); /* a file at its limit is an error like a full disk */
+    /* Reaching the file size limit is handled like a full disk. */
+    signal(SIGXFSZ, SIG_IGN);
 }
 
 static struct lmn_kv_store *store_new(const struct lmn_kv_store_options *options,
@@ -262,13 +266,13 @@
     lmn_kv_store_add_lease(store, id, ttl_ms, lmn_now());
 }
 
-/* Starts the HTTP server's thread; false with errno. */
+/* Starts the HTTP server's thread. Returns false with errno set on an error. */
 static bool serve(struct lmn_kv_store *store)
 {
     const struct lmn_http_server_options options = {
         .listen = store->options.listen,
         .connections = MAX_CONNECTIONS,
-        .max_body = LMN_KV_STORE_MAX_BODY,
+        .max_body = LMN_KV_STORE_MAX_BODY_BYTES,
         .route = route,
         .arg = store,
     };
@@ -290,11 +294,11 @@
         return NULL;
     ignore_signals();
     struct lmn_kv_store *store = store_new(options, db, now);
-    if (lmn_db_view(store->reader, &meta) != 0) {
-        snprintf(err, len, "%s: can't be read", options->dir);
+    if (lmn_db_view_begin(store->reader, &meta) != 0) {
+        snprintf(err, len, "%s: can't read the database", options->dir);
         return NULL;
     }
-    lmn_db_leases(store->reader, load_lease, store);
+    lmn_db_list_leases(store->reader, load_lease, store);
     lmn_db_view_end(store->reader);
     store->revision = meta.revision;
     lmn_thread(lmn_kv_store_writer_thread, store);
