--- a/bench/retention.c
+++ b/bench/retention.c
@@ -45,8 +45,8 @@
         g_snprintf(s.id, sizeof s.id, "run-%09lu", n);
         g_snprintf(key, sizeof key, "j/%s", s.id);
         for (int final = 0; final < 2; final++) {
-            GByteArray *b =
-                lmn_job_record(&s, final ? LMN_JOB_DONE : LMN_JOB_ACTIVE, !final, 1);
+            GByteArray *b = lmn_job_record_encode(
+                &s, final ? LMN_JOB_DONE : LMN_JOB_ACTIVE, !final, 1);
             struct lmn_cbor_document d;
             if (lmn_cbor_parse(&d, b->data, b->len) != 0)
                 return 1;
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -45,12 +45,12 @@
 static void update_isolated_view(struct lmn_core *core, struct timespec now)
 {
     double cache_age_s = core->cache.is_synced ? lmn_watch_cache_age_s(core, now) : 0;
-    bool is_stalled = cache_age_s >= LMN_CACHE_STALLED_S && core->members.count > 1;
+    bool is_stalled = cache_age_s >= LMN_CACHE_STALLED_AGE_S && core->members.count > 1;
     int peer = is_stalled ? first_reachable_member(core, now) : -1;
     bool is_alone = peer < 0;
     bool is_isolated =
-        is_stalled &&
-        (is_alone || core->members.views[peer].health.cache_age_s < LMN_CACHE_STALLED_S);
+        is_stalled && (is_alone || core->members.views[peer].health.cache_age_s <
+                                       LMN_CACHE_STALLED_AGE_S);
 
     if (is_isolated != core->cache.is_isolated_view)
         lmn_info("isolated_view_changed odd=%d stale=%.1f alone=%d", is_isolated,
--- a/src/controller/request_decisions.c
+++ b/src/controller/request_decisions.c
@@ -206,7 +206,7 @@
  * answered STATUS_UNAVAILABLE. */
 static bool is_cache_stalled(const struct lmn_core *core, struct timespec now)
 {
-    return lmn_watch_cache_age_s(core, now) > LMN_CACHE_STALLED_S;
+    return lmn_watch_cache_age_s(core, now) > LMN_CACHE_STALLED_AGE_S;
 }
 
 /** Whether the reply needs no confirmation, because the id is invalid or its job has
@@ -359,9 +359,10 @@
     const struct lmn_cbor_value *root = lmn_cbor_root(&document);
     if (lmn_cbor_get_uint(lmn_cbor_get(&document, root, WIRE_VERSION),
                           &read_result->revision) &&
-        lmn_job_read(&document, lmn_cbor_get(&document, root, WIRE_VALUE),
-                     &read_result->spec, &read_result->phase, &read_result->open_ranges,
-                     &read_result->accepted_at_s) == 0)
+        lmn_job_record_decode(&document, lmn_cbor_get(&document, root, WIRE_VALUE),
+                              &read_result->spec, &read_result->phase,
+                              &read_result->open_ranges,
+                              &read_result->accepted_at_s) == 0)
         read_result->status = STATUS_OK;
     lmn_cbor_free(&document);
 }
@@ -419,8 +420,9 @@
     job_key(key, sizeof key, job_id);
     lmn_txn_require_version(txn, key, read_result->revision);
     lmn_txn_put(txn, key,
-                lmn_job_record(&read_result->spec, LMN_JOB_CANCELLED,
-                               read_result->open_ranges, read_result->accepted_at_s),
+                lmn_job_record_encode(&read_result->spec, LMN_JOB_CANCELLED,
+                                      read_result->open_ranges,
+                                      read_result->accepted_at_s),
                 0);
     return txn;
 }
--- a/src/controller/submission.c
+++ b/src/controller/submission.c
@@ -175,7 +175,7 @@
     char key[RANGE_KEY_SIZE];
 
     g_snprintf(key, sizeof key, "r/%d/%s/%u", partition, job_id, first);
-    lmn_txn_put(txn, key, lmn_range_record(&range, none_done), 0);
+    lmn_txn_put(txn, key, lmn_range_record_encode(&range, none_done), 0);
 }
 
 struct lmn_txn *lmn_submission_txn(struct lmn_core *core, const struct lmn_job_spec *spec,
@@ -200,8 +200,9 @@
         }
     /* A watch delivers the changes in the order of the transaction's operations. If the
      * ranges came first, watch caches would see ranges of an unknown job. */
-    lmn_txn_put_first(txn, job_key,
-                      lmn_job_record(spec, LMN_JOB_ACTIVE, open_ranges, accepted_at));
+    lmn_txn_put_first(
+        txn, job_key,
+        lmn_job_record_encode(spec, LMN_JOB_ACTIVE, open_ranges, accepted_at));
     return txn;
 }
 
@@ -218,7 +219,7 @@
      * encoded to be checked. */
     if (types_size + MAX_OTHER_FIELDS_SIZE < max_size)
         return false;
-    GByteArray *buffer = lmn_job_record(spec, LMN_JOB_ACTIVE, UINT32_MAX, 1e10);
+    GByteArray *buffer = lmn_job_record_encode(spec, LMN_JOB_ACTIVE, UINT32_MAX, 1e10);
     bool is_larger = lmn_cbor_parse(&document, buffer->data, buffer->len) == 0 &&
                      lmn_cbor_json_size(&document, lmn_cbor_root(&document)) > max_size;
     lmn_cbor_free(&document);
--- a/src/controller/user_api.c
+++ b/src/controller/user_api.c
@@ -59,7 +59,7 @@
     double cache_age_s = lmn_watch_cache_age_s(core, lmn_now());
     /* In an outage of the key-value store, every controller's watch cache is stalled, so
      * that no other controller would serve the users better. */
-    bool is_current = cache_age_s < LMN_CACHE_STALLED_S ||
+    bool is_current = cache_age_s < LMN_CACHE_STALLED_AGE_S ||
                       (!core->cache.is_isolated_view && cache_age_s < MAX_SERVING_AGE_S);
     bool is_ready = core->cache.is_synced && core->cloud.machine_types_known &&
                     !core->shutdown.is_requested && is_current;
--- a/src/partition/machine_block.c
+++ b/src/partition/machine_block.c
@@ -121,7 +121,7 @@
                              const struct lmn_cbor_value *value, uint64_t revision,
                              struct timespec now)
 {
-    if (id >= LMN_MAX_BLOCKS)
+    if (id >= LMN_MAX_MACHINE_BLOCKS)
         return;
     struct lmn_machine_block *block = find_or_add_block(partition, (guint)id);
     block->generation = core->cache.generation;
--- a/src/partition/ownership.c
+++ b/src/partition/ownership.c
@@ -51,11 +51,11 @@
                                        struct timespec now)
 {
     if (!lease || lmn_ownership_is_announced(core, lease) ||
-        (core->lease.announced == lease &&
+        (core->lease.announced_lease_id == lease &&
          core->lease.announced_shutdown == core->shutdown.is_requested &&
          lmn_time_diff_s(now, core->lease.announced_at) < ANNOUNCE_INTERVAL_S))
         return NULL;
-    core->lease.announced = lease;
+    core->lease.announced_lease_id = lease;
     core->lease.announced_shutdown = core->shutdown.is_requested;
     core->lease.announced_at = now;
     return write_own_record(core, lease);
@@ -66,7 +66,7 @@
     /* The watch cache was behind the store: the next try need not wait for
      * ANNOUNCE_INTERVAL_S. */
     if (outcome == LMN_TXN_CONFLICT)
-        core->lease.announced = 0;
+        core->lease.announced_lease_id = 0;
 }
 
 struct lmn_txn *lmn_ownership_refute(const struct lmn_core *core, uint64_t lease,
--- a/src/partition/range_writer.c
+++ b/src/partition/range_writer.c
@@ -103,7 +103,8 @@
     g_snprintf(key, sizeof key, "j/%s", job->spec.id);
     lmn_txn_require_version(txn, key, job->revision);
     lmn_txn_put(txn, key,
-                lmn_job_record(&job->spec, phase, open_ranges, job->accepted_at_s), 0);
+                lmn_job_record_encode(&job->spec, phase, open_ranges, job->accepted_at_s),
+                0);
 }
 
 /* A bit set, of the range's size, of the done ones among its first `count` tasks; freed
@@ -133,12 +134,12 @@
     g_snprintf(key, sizeof key, "r/%d/%s/%u", range->move_to, job->spec.id,
                range->move_at);
     lmn_txn_require_version(txn, key, 0);
-    lmn_txn_put(txn, key, lmn_range_record(&moved, none_done), 0);
+    lmn_txn_put(txn, key, lmn_range_record_encode(&moved, none_done), 0);
     if (range->move_at == range->first) {
         lmn_txn_delete(txn, range->key);
     } else {
         g_autofree uint8_t *done = encode_done_tasks(range, kept.end - kept.first);
-        lmn_txn_put(txn, range->key, lmn_range_record(&kept, done), 0);
+        lmn_txn_put(txn, range->key, lmn_range_record_encode(&kept, done), 0);
         put_job(txn, job, job->phase, job->open_ranges + 1);
     }
     range->move_revision = range->revision;
@@ -194,7 +195,7 @@
         lmn_txn_delete(txn, range->key);
     } else {
         g_autofree uint8_t *done = encode_done_tasks(range, range->end - range->first);
-        lmn_txn_put(txn, range->key, lmn_range_record(range, done), 0);
+        lmn_txn_put(txn, range->key, lmn_range_record_encode(range, done), 0);
     }
     range->dirty_since = now;
     lmn_kv_client_submit(core->kv_client, txn);
--- a/src/state/core.h
+++ b/src/state/core.h
@@ -34,7 +34,7 @@
 
 /** Age in seconds from which the watch cache counts as stalled: a watch request ends at
  * least every 0.8 s (state/watch_thread.c). */
-#define LMN_CACHE_STALLED_S 3.0
+#define LMN_CACHE_STALLED_AGE_S 3.0
 
 /** Seconds by which the watch cache may be behind the store; very many if it has never
  * been whole. */
--- a/src/state/core_state.h
+++ b/src/state/core_state.h
@@ -67,7 +67,7 @@
     uint64_t id; /**< 0: none */
     struct timespec acquired_at;
     /* the last try to write this node's record: */
-    uint64_t announced; /**< with this lease */
+    uint64_t announced_lease_id; /**< with this lease */
     bool announced_shutdown;
     struct timespec announced_at;
 };
--- a/src/state/job_records.c
+++ b/src/state/job_records.c
@@ -133,8 +133,9 @@
         job->generation = core->cache.generation;
         return;
     }
-    if (lmn_job_read(change->document, change->value, &record.spec, &record.phase,
-                     &record.open_ranges, &record.accepted_at_s) != 0) {
+    if (lmn_job_record_decode(change->document, change->value, &record.spec,
+                              &record.phase, &record.open_ranges,
+                              &record.accepted_at_s) != 0) {
         lmn_error("record_unreadable key=%s", change->key);
         lmn_job_spec_clear(&record.spec);
         return;
--- a/src/state/machine.h
+++ b/src/state/machine.h
@@ -182,6 +182,6 @@
 };
 
 /** Most blocks of a partition; a record that names a higher one is ignored. */
-enum { LMN_MAX_BLOCKS = 4096 };
+enum { LMN_MAX_MACHINE_BLOCKS = 4096 };
 
 #endif
--- a/src/state/records.c
+++ b/src/state/records.c
@@ -5,8 +5,9 @@
 
 enum { JOB_RECORD_SIZE = 512 /* bytes that are allocated at first */ };
 
-GByteArray *lmn_job_record(const struct lmn_job_spec *spec, enum lmn_job_phase phase,
-                           uint32_t open_ranges, double accepted_at_s)
+GByteArray *lmn_job_record_encode(const struct lmn_job_spec *spec,
+                                  enum lmn_job_phase phase, uint32_t open_ranges,
+                                  double accepted_at_s)
 {
     GByteArray *buffer = g_byte_array_sized_new(JOB_RECORD_SIZE);
 
@@ -21,9 +22,10 @@
     return buffer;
 }
 
-int lmn_job_read(const struct lmn_cbor_document *document,
-                 const struct lmn_cbor_value *value, struct lmn_job_spec *spec,
-                 enum lmn_job_phase *phase, uint32_t *open_ranges, double *accepted_at_s)
+int lmn_job_record_decode(const struct lmn_cbor_document *document,
+                          const struct lmn_cbor_value *value, struct lmn_job_spec *spec,
+                          enum lmn_job_phase *phase, uint32_t *open_ranges,
+                          double *accepted_at_s)
 {
     const char *reason;
     uint64_t phase_number, open_count;
@@ -40,7 +42,7 @@
     return 0;
 }
 
-GByteArray *lmn_range_record(const struct lmn_range *range, const uint8_t *done)
+GByteArray *lmn_range_record_encode(const struct lmn_range *range, const uint8_t *done)
 {
     GByteArray *buffer = g_byte_array_new();
 
--- a/src/state/records.h
+++ b/src/state/records.h
@@ -10,20 +10,22 @@
  *
  * @param open_ranges    ranges of the job that are not closed yet
  * @param accepted_at_s  time of day at which the job was accepted */
-GByteArray *lmn_job_record(const struct lmn_job_spec *spec, enum lmn_job_phase phase,
-                           uint32_t open_ranges, double accepted_at_s);
+GByteArray *lmn_job_record_encode(const struct lmn_job_spec *spec,
+                                  enum lmn_job_phase phase, uint32_t open_ranges,
+                                  double accepted_at_s);
 
 /** Decodes a job's record into the other arguments. The spec is the caller's to clear,
  * whatever is returned.
  *
  * @return 0, or -1 if the value is no job's record */
-int lmn_job_read(const struct lmn_cbor_document *document,
-                 const struct lmn_cbor_value *value, struct lmn_job_spec *spec,
-                 enum lmn_job_phase *phase, uint32_t *open_ranges, double *accepted_at_s);
+int lmn_job_record_decode(const struct lmn_cbor_document *document,
+                          const struct lmn_cbor_value *value, struct lmn_job_spec *spec,
+                          enum lmn_job_phase *phase, uint32_t *open_ranges,
+                          double *accepted_at_s);
 
 /** Encodes a range's record.
  *
  * @param done  bit set of the tasks that are done, as long as the range */
-GByteArray *lmn_range_record(const struct lmn_range *range, const uint8_t *done);
+GByteArray *lmn_range_record_encode(const struct lmn_range *range, const uint8_t *done);
 
 #endif
--- a/tests/simulation/day.c
+++ b/tests/simulation/day.c
@@ -268,7 +268,7 @@
                              : -1;
     for (int i = 0; i < simulation.layout.nodes; i++)
         open += range_end(job, only_partition, i) > range_end(job, only_partition, i - 1);
-    record = lmn_job_record(&job->spec, LMN_JOB_ACTIVE, open, simulation.now);
+    record = lmn_job_record_encode(&job->spec, LMN_JOB_ACTIVE, open, simulation.now);
     g_snprintf(key, sizeof key, "j/%s", job->id);
     simulation_store_put(key, record, 0);
     g_byte_array_unref(record);
@@ -278,7 +278,7 @@
         uint8_t no_states[8] = {0};
         if (range.end == range.first)
             continue;
-        record = lmn_range_record(&range, no_states);
+        record = lmn_range_record_encode(&range, no_states);
         g_snprintf(key, sizeof key, "r/%d/%s/%u", i, job->id, first);
         simulation_store_put(key, record, 0);
         g_byte_array_unref(record);
@@ -312,7 +312,8 @@
     g_snprintf(key, sizeof key, "j/%s", job->id);
     enum lmn_job_phase phase = simulation_read_job(job, &spec, &open, &accepted_at);
     if (phase == LMN_JOB_ACTIVE || simulation.disabled_guard == GUARD_FINAL) {
-        GByteArray *record = lmn_job_record(&spec, LMN_JOB_CANCELLED, open, accepted_at);
+        GByteArray *record =
+            lmn_job_record_encode(&spec, LMN_JOB_CANCELLED, open, accepted_at);
         simulation.revision++;
         simulation_store_put(key, record, 0);
         g_byte_array_unref(record);
--- a/tests/simulation/store.c
+++ b/tests/simulation/store.c
@@ -275,8 +275,8 @@
     const struct stored_value *stored = g_hash_table_lookup(simulation.store, key);
     assert_int_equal(lmn_cbor_parse(&document, stored->value->data, stored->value->len),
                      0);
-    assert_int_equal(lmn_job_read(&document, lmn_cbor_root(&document), spec, &phase, open,
-                                  accepted_at),
+    assert_int_equal(lmn_job_record_decode(&document, lmn_cbor_root(&document), spec,
+                                           &phase, open, accepted_at),
                      0);
     lmn_cbor_free(&document);
     return phase;
--- a/tests/takeover/fair.c
+++ b/tests/takeover/fair.c
@@ -36,7 +36,8 @@
     if (model.lease_alive[node->lease_id])
         return;
     if (node_partition(node_index)->ownership.is_owned)
-        lmn_partition_end_ownership(node->core, node_partition(node_index), "lease ended");
+        lmn_partition_end_ownership(node->core, node_partition(node_index),
+                                    "lease ended");
     node_join(node_index);
     node_sync_cache(node_index);
 }
@@ -73,8 +74,8 @@
     double finished_at;
 
     lmn_cbor_parse(&document, entry->value->data, entry->value->len);
-    lmn_job_read(&document, lmn_cbor_root(&document), &spec, &phase, &open_tasks,
-                 &finished_at);
+    lmn_job_record_decode(&document, lmn_cbor_root(&document), &spec, &phase, &open_tasks,
+                          &finished_at);
     lmn_job_spec_clear(&spec);
     lmn_cbor_free(&document);
     return phase == LMN_JOB_DONE;
--- a/tests/takeover/nodes.c
+++ b/tests/takeover/nodes.c
@@ -247,8 +247,8 @@
     uint8_t done_bits = 0;
 
     g_strlcpy(spec.id, "run-000001", sizeof spec.id);
-    GByteArray *job = lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000);
-    GByteArray *tasks = lmn_range_record(&range, &done_bits);
+    GByteArray *job = lmn_job_record_encode(&spec, LMN_JOB_ACTIVE, 1, 1000);
+    GByteArray *tasks = lmn_range_record_encode(&range, &done_bits);
     model.revision++;
     store_put(NULL, "j/run-000001", job, 0);
     store_put(NULL, "r/0/run-000001/0", tasks, 0);
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -198,19 +198,20 @@
     struct lmn_cbor_document d;
     double read_at;
 
-    GByteArray *b = lmn_job_record(&spec, phase, open, at);
+    GByteArray *b = lmn_job_record_encode(&spec, phase, open, at);
     golden_same(name, b->data, b->len);
     g_byte_array_unref(b);
 
     GByteArray *kept = golden_read(name);
     assert_int_equal(lmn_cbor_parse(&d, kept->data, kept->len), 0);
-    assert_int_equal(
-        lmn_job_read(&d, lmn_cbor_root(&d), &read, &read_phase, &read_open, &read_at), 0);
+    assert_int_equal(lmn_job_record_decode(&d, lmn_cbor_root(&d), &read, &read_phase,
+                                           &read_open, &read_at),
+                     0);
     same_spec(&read, &spec);
     assert_int_equal(read_phase, phase);
     assert_int_equal(read_open, open);
     assert_true(read_at == at);
-    b = lmn_job_record(&read, read_phase, read_open, read_at);
+    b = lmn_job_record_encode(&read, read_phase, read_open, read_at);
     golden_same(name, b->data, b->len);
     g_byte_array_unref(b);
     lmn_job_spec_clear(&read);
@@ -290,7 +291,7 @@
     for (uint32_t i = 0; i < 40; i += i % 3 + 1)
         lmn_bitset_set(done, i);
     struct lmn_range range = {.first = 20, .end = 80};
-    GByteArray *b = lmn_range_record(&range, done);
+    GByteArray *b = lmn_range_record_encode(&range, done);
     golden_same("range_done", b->data, b->len);
     g_byte_array_unref(b);
 
@@ -304,7 +305,7 @@
     assert_int_equal(r->end, 80);
     assert_memory_equal(r->done, done, 8);
     assert_int_equal(r->done_count, lmn_bitset_count(done, 60));
-    b = lmn_range_record(r, r->done);
+    b = lmn_range_record_encode(r, r->done);
     golden_same("range_done", b->data, b->len);
     g_byte_array_unref(b);
 
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -203,8 +203,8 @@
     /* It has not seen the term yet; then nothing has to be done. */
     answers(core, report(1, 41, NULL, NULL, 0), "worker_answer_without_commands");
     answers(core, report(2, 42, tasks, states, 2), "worker_answer_kill_and_clear");
-    put(core, "j/run-000412", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1e9), 3);
-    put(core, "r/0/run-000412/0", lmn_range_record(&range, &none), 3);
+    put(core, "j/run-000412", lmn_job_record_encode(&spec, LMN_JOB_ACTIVE, 1, 1e9), 3);
+    put(core, "r/0/run-000412/0", lmn_range_record_encode(&range, &none), 3);
     struct lmn_machine *machine = core->partitions[0].machine_list->pdata[0];
     machine->record.revision = 1; /* recorded */
     answers(core, report(3, 42, NULL, NULL, 0), "worker_answer_start");
--- a/tests/test_machine_block.c
+++ b/tests/test_machine_block.c
@@ -266,7 +266,7 @@
         uint32_t task_count = range.end - range.first;
         uint8_t *done = g_malloc((task_count + 7) / 8);
         memset(done, 0xff, (task_count + 7) / 8);
-        GByteArray *value = lmn_range_record(&range, done);
+        GByteArray *value = lmn_range_record_encode(&range, done);
         assert_true(value->len <= max_value_kb * 1024);
         g_byte_array_unref(value);
         g_free(done);
--- a/tests/test_pending_submission.c
+++ b/tests/test_pending_submission.c
@@ -119,7 +119,7 @@
 static void committed_submission_is_confirmed(void **state)
 {
     struct lmn_cbor_document document;
-    GByteArray *record = lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000);
+    GByteArray *record = lmn_job_record_encode(&spec, LMN_JOB_ACTIVE, 1, 1000);
     (void)state;
 
     submit();
--- a/tests/test_queue_priority.c
+++ b/tests/test_queue_priority.c
@@ -146,7 +146,7 @@
             g_snprintf(spec.id, sizeof spec.id, "run-%06d", i);
             g_snprintf(key, sizeof key, "j/%s", spec.id);
             GByteArray *record =
-                lmn_job_record(&spec, final ? LMN_JOB_DONE : LMN_JOB_ACTIVE, 1, i);
+                lmn_job_record_encode(&spec, final ? LMN_JOB_DONE : LMN_JOB_ACTIVE, 1, i);
             assert_int_equal(lmn_cbor_parse(&document, record->data, record->len), 0);
             lmn_watch_cache_apply(core, key, &document, lmn_cbor_root(&document),
                                   ++revision, now);
--- a/tests/test_replication.c
+++ b/tests/test_replication.c
@@ -191,8 +191,8 @@
             lmn_cbor_put_text(b, "t");
         lmn_cbor_put_text(b, "z"), lmn_cbor_put_bool(b, false);
     }
-    put("j/run-000001", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000), 10);
-    put("r/0/run-000001/0", lmn_range_record(&range, &done), 10);
+    put("j/run-000001", lmn_job_record_encode(&spec, LMN_JOB_ACTIVE, 1, 1000), 10);
+    put("r/0/run-000001/0", lmn_range_record_encode(&range, &done), 10);
     put("m/0/0", b, 11);
     put("o/0", owner("nb", 2, 1, 0), 12);
     put("b/0", owner("na", 1, 1, copied), 13);
--- a/tests/test_request_decisions.c
+++ b/tests/test_request_decisions.c
@@ -68,7 +68,7 @@
         return core;
     core->cache.is_synced = core->cloud.machine_types_known = true;
     core->cache.fresh_at =
-        cache_state == STALLED ? lmn_time_add(now, -LMN_CACHE_STALLED_S - 1) : now;
+        cache_state == STALLED ? lmn_time_add(now, -LMN_CACHE_STALLED_AGE_S - 1) : now;
     core->cloud.machine_types.count = 1;
     core->cloud.machine_types.types[0] = (struct lmn_machine_type){
         .name = "small", .cpus = 4, .memory_gb = 16, .zone_count = 1, .zones = {"a"}};
--- a/tests/test_retention.c
+++ b/tests/test_retention.c
@@ -65,7 +65,8 @@
 
     g_snprintf(spec.id, sizeof spec.id, "run-%06d", job_number);
     g_snprintf(key, sizeof key, "j/%s", spec.id);
-    apply_record(core, key, lmn_job_record(&spec, phase, phase == LMN_JOB_ACTIVE, 1));
+    apply_record(core, key,
+                 lmn_job_record_encode(&spec, phase, phase == LMN_JOB_ACTIVE, 1));
 }
 
 /* Writes the record of a range of the job with the number. */
@@ -76,7 +77,7 @@
     char key[64];
 
     g_snprintf(key, sizeof key, "r/0/run-%06d/0", job_number);
-    apply_record(core, key, lmn_range_record(&range, &none_done));
+    apply_record(core, key, lmn_range_record_encode(&range, &none_done));
 }
 
 /* Whether the job with the number is in memory. */
--- a/tests/test_takeback.c
+++ b/tests/test_takeback.c
@@ -176,8 +176,8 @@
     uint8_t none_done = 0;
 
     put_machine_records();
-    apply_record("j/run-000001", lmn_job_record(&spec, LMN_JOB_ACTIVE, 1, 1000));
-    apply_record("r/0/run-000001/0", lmn_range_record(&range, &none_done));
+    apply_record("j/run-000001", lmn_job_record_encode(&spec, LMN_JOB_ACTIVE, 1, 1000));
+    apply_record("r/0/run-000001/0", lmn_range_record_encode(&range, &none_done));
     apply_claim("nb", 1, epoch);
     assert_true(partition_0->ownership.is_owned && !partition_0->ownership.is_warm);
 }
