--- a/src/job/bitset.c
+++ b/src/job/bitset.c
@@ -1,12 +1,12 @@
 /**
  * @file
- * Reading, writing and counting of task sets.
+ * Encodes, decodes and counts task sets; see job/bitset.h.
  */
 #include "job/bitset.h"
 
 #include <string.h>
 
-/** Bytes that a set of `count` tasks takes. */
+/** Size in bytes of a set of `count` tasks. */
 static uint32_t byte_count(uint32_t count)
 {
     return (count + 7) / 8;
@@ -39,7 +39,7 @@
             return -1;
         bits[i] = (uint8_t)(high << 4 | low);
     }
-    /* The last byte may have room for tasks that do not exist. */
+    /* The last byte's bits beyond `count` must be zero. */
     if (count % 8 && bits[count / 8] >> (count % 8))
         return -1;
     return 0;
--- a/src/job/job_spec.c
+++ b/src/job/job_spec.c
@@ -1,24 +1,24 @@
 /**
  * @file
- * What follows from a job description alone: valid ids, allowed machines, feasibility and
- * objectives. Pure functions.
+ * Checks of a job description: valid ids, allowed machines, feasibility and objectives.
+ * Pure functions.
  */
 #include "job/job_spec.h"
 #include "protocol/wire.h"
 
 #include <string.h>
 
-/** An id is shorter than its buffers by this many bytes. */
+/** Bytes of an id's buffer of LMN_JOB_ID_SIZE bytes that a valid id leaves unused. */
 enum { JOB_ID_SPARE_BYTES = 8 };
 
 bool lmn_job_id_is_valid(const char *id)
 {
-    size_t prefix = strlen(WIRE_JOB_ID_PREFIX), len = strlen(id);
+    size_t prefix_len = strlen(WIRE_JOB_ID_PREFIX), len = strlen(id);
 
-    if (len <= prefix || len >= LMN_JOB_ID_SIZE - JOB_ID_SPARE_BYTES ||
-        strncmp(id, WIRE_JOB_ID_PREFIX, prefix))
+    if (len <= prefix_len || len >= LMN_JOB_ID_SIZE - JOB_ID_SPARE_BYTES ||
+        strncmp(id, WIRE_JOB_ID_PREFIX, prefix_len))
         return false;
-    return strspn(id + prefix, "0123456789") == len - prefix;
+    return strspn(id + prefix_len, "0123456789") == len - prefix_len;
 }
 
 bool lmn_job_spec_allows(const struct lmn_job_spec *spec,
@@ -33,8 +33,8 @@
            g_strv_contains((const char *const *)spec->machine_types, type->name);
 }
 
-/** Whether the quota limit of the team lets the job run. All replicas of a service run at
- * once; the tasks of a batch job may run one after another. */
+/** Whether the job can run within the team's quota limit: a service needs capacity for
+ * all its replicas at once, a batch job for one task at a time. */
 static bool is_within_quota_limit(const struct lmn_job_spec *spec,
                                   const struct lmn_team *team)
 {
@@ -44,7 +44,7 @@
            !(team->gpus_max > 0 && tasks_at_once * spec->gpus > team->gpus_max);
 }
 
-/** Whether some type in some zone could run a task on an on-demand machine. */
+/** Whether an on-demand machine of some type in some zone could run a task. */
 static bool fits_some_type(const struct lmn_job_spec *spec,
                            const struct lmn_machine_types *types)
 {
--- a/src/job/job_spec.h
+++ b/src/job/job_spec.h
@@ -1,12 +1,11 @@
 /**
  * @file
- * Job descriptions as their users submit them: the structure, its form in messages and
- * stored records, and the questions that follow from a description alone (which machines
- * it allows, whether it can ever run, whether it has an objective). What becomes of a job
- * is kept elsewhere (state/job.h).
+ * Job descriptions as submitted by users: the structure, its encoding in messages and
+ * stored records, and checks that need only the description (allowed machines,
+ * feasibility, objectives). A job's runtime state is in state/job.h.
  *
- * A description is filled once and then only read, so that no lock is needed for it; the
- * structure that contains it says who may free it.
+ * A description does not change after it was parsed, so reading needs no lock. The
+ * structure that contains the description determines who frees it.
  */
 #ifndef LMN_JOB_JOB_SPEC_H
 #define LMN_JOB_JOB_SPEC_H
@@ -21,15 +20,15 @@
 #include <stdint.h>
 
 enum {
-    LMN_JOB_ID_SIZE = 32,  /**< bytes of a job id with its closing zero byte */
-    LMN_MAX_TASKS = 100000 /**< tasks of one job */
+    LMN_JOB_ID_SIZE = 32,  /**< bytes of a job id including the terminating NUL */
+    LMN_MAX_TASKS = 100000 /**< maximum number of tasks in one job */
 };
 
 /** Whether tasks end by themselves (batch) or are replicas that run until the job is
  * cancelled (service). */
 enum lmn_job_kind { LMN_JOB_BATCH, LMN_JOB_SERVICE };
 
-/** Priority of a job, the lowest first. */
+/** Priority of a job, in ascending order. */
 enum lmn_priority {
     LMN_PRIORITY_IDLE,
     LMN_PRIORITY_NORMAL,
@@ -37,11 +36,11 @@
     LMN_PRIORITY_PRODUCTION
 };
 
-/** State of a whole job; done and cancelled are final. */
+/** Phase of a job; done and cancelled are final. */
 enum lmn_job_phase { LMN_JOB_ACTIVE, LMN_JOB_DONE, LMN_JOB_CANCELLED };
 
-/** A job description: an array of equal tasks. Filled by lmn_job_spec_parse(), released
- * by lmn_job_spec_clear(). The names in capitals are those of the fields in messages. */
+/** A job description: a number of identical tasks. Filled by lmn_job_spec_parse(),
+ * released by lmn_job_spec_clear(). Each WIRE_ macro is the field's name in messages. */
 struct lmn_job_spec {
     char id[LMN_JOB_ID_SIZE]; /**< WIRE_JOB_ID */
     char *class_name;       /**< WIRE_CLASS: the class that objectives refer to; owned */
@@ -68,51 +67,52 @@
     bool may_use_spot;       /**< WIRE_SPOT: spot instances are allowed */
 };
 
-/** Whether the text has the form of a job id: a prefix and digits. A job with any other
- * id can never have been accepted, and ids become file names and paths of requests. */
+/** Whether the text is a valid job id: WIRE_JOB_ID_PREFIX and decimal digits. Job ids are
+ * used in file names and request paths, so no other text may pass as one. */
 bool lmn_job_id_is_valid(const char *id);
 
 /**
- * Reads a description from a map.
- * @param spec   filled; its former content is overwritten, not freed. It is to be
- * released by lmn_job_spec_clear() also after a failure.
- * @param map    may be NULL or no map: a failure.
- * @param field  on failure: the name of the first field that is missing or invalid, a
- * static string ("body" if there is no map).
+ * Reads a description from a CBOR map.
+ * @param spec   set; previous contents are overwritten without being freed. The caller
+ * must call lmn_job_spec_clear() even after a failure.
+ * @param map    NULL or a value that is not a map gives -1.
+ * @param field  on failure set to a static string: the name of the first missing or
+ * invalid field, or "body" if `map` is not a map.
  * @return 0, or -1 if a field is missing or invalid.
  */
 int lmn_job_spec_parse(struct lmn_job_spec *spec,
                        const struct lmn_cbor_document *document,
                        const struct lmn_cbor_value *map, const char **field);
 
-/** Frees what the description owns and sets all of it to zero. */
+/** Frees the memory that the description owns and sets all fields to zero. */
 void lmn_job_spec_clear(struct lmn_job_spec *spec);
 
-/** Appends the fields to an open map, as many pairs as lmn_job_spec_pair_count() says. */
+/** Appends all fields, lmn_job_spec_pair_count() pairs, to the CBOR map that the caller
+ * has begun in `buffer`. */
 void lmn_job_spec_write(GByteArray *buffer, const struct lmn_job_spec *spec);
 
-/** @return the pairs that lmn_job_spec_write() appends. */
+/** @return the number of pairs that lmn_job_spec_write() appends. */
 size_t lmn_job_spec_pair_count(void);
 
-/** Whether a task may run on a machine of the type, in the zone, on a spot instance or
- * not. Free capacity isn't considered. */
+/** Whether a task may run on an empty machine of the type in the zone.
+ * @param spot  the machine is a spot instance. */
 bool lmn_job_spec_allows(const struct lmn_job_spec *spec,
                          const struct lmn_machine_type *type, const char *zone,
                          bool spot);
 
 /**
  * Whether the job could run if all machines were free.
- * @param reason  if it could not: why, a static string for the user.
+ * @param reason  if it could not: set to a static string with the reason, for the user.
  */
 bool lmn_job_spec_is_feasible(const struct lmn_job_spec *spec,
                               const struct lmn_settings *settings,
                               const struct lmn_machine_types *types, const char **reason);
 
-/** Whether the objective sets a time for such a job to start or to end. */
+/** Whether the objective limits the start or end time of jobs with this description. */
 bool lmn_objective_applies(const struct lmn_objective *objective,
                            const struct lmn_job_spec *spec);
 
-/** Whether any objective of the settings, or a deadline of its own, sets such a time. */
+/** Whether the job has a deadline, or an objective in the settings applies to it. */
 bool lmn_job_spec_has_objective(const struct lmn_settings *settings,
                                 const struct lmn_job_spec *spec);
 
--- a/src/job/job_spec_codec.c
+++ b/src/job/job_spec_codec.c
@@ -1,9 +1,8 @@
 /**
  * @file
- * Reading and writing of job descriptions. One table lists the fields in the order in
- * which they are written, checked and reported as invalid; each has a type that knows how
- * to read and to write it. The order of the table is part of the format of stored
- * records.
+ * Encodes and decodes job descriptions. The table `fields` lists the fields in the order
+ * in which they are written and checked; each field has a type with functions that read
+ * and write its value. The order of the table is part of the format of stored records.
  */
 #include "job/job_spec.h"
 #include "protocol/wire.h"
@@ -12,36 +11,37 @@
 #include <string.h>
 
 enum {
-    MAX_TEXT_SIZE = 200,    /**< bytes of a text field with its closing zero byte */
+    MAX_TEXT_SIZE = 200,    /**< bytes of a text field including the terminating NUL */
     MAX_MACHINE_TYPES = 256 /**< machine types that a description may list */
 };
 
-/** Bound of all amounts and times, far above what is meant. */
+/** Upper bound of all amounts and times, far above any meaningful value. */
 static const double MAX_AMOUNT = 1e9;
 
 struct field;
 
-/** Reads a value into its member of the description. @param value NULL if the field is
- * absent or null. @return false if it is not valid. */
+/** Reads a value into the description's member for the field.
+ * @param value NULL if the field is absent or null.
+ * @return false if the value is invalid. */
 typedef bool field_reader(const struct field *field,
                           const struct lmn_cbor_document *document,
                           const struct lmn_cbor_value *value, void *member);
 
-/** Appends the value of a member. */
+/** Appends the member's value to `buffer` as CBOR. */
 typedef void field_writer(const struct field *field, GByteArray *buffer,
                           const void *member);
 
-/** How a kind of field is read and written. */
+/** Functions that read and write one type of field. */
 struct field_type {
     field_reader *read;
     field_writer *write;
 };
 
 struct field {
-    const char *name; /**< in messages */
+    const char *name; /**< key in messages and stored records */
     size_t offset;    /**< of the member in struct lmn_job_spec */
     const struct field_type *type;
-    const char *const *words; /**< of enumerations: their words, NULL-terminated */
+    const char *const *words; /**< enumerations: NULL-terminated names by value */
 };
 
 /* Job ids: an array of LMN_JOB_ID_SIZE characters. */
@@ -63,7 +63,7 @@
 
 static const struct field_type id_type = {read_id, write_id};
 
-/* Text that may not be empty: an allocated string. */
+/* Required text, not empty; the member is an allocated string. */
 
 static bool read_text(const struct field *field, const struct lmn_cbor_document *document,
                       const struct lmn_cbor_value *value, void *member)
@@ -86,7 +86,7 @@
 
 static const struct field_type text_type = {read_text, write_text};
 
-/* Text that may be absent: NULL then. */
+/* Optional text; the member is NULL if the text is absent. */
 
 static bool read_optional_text(const struct field *field,
                                const struct lmn_cbor_document *document,
@@ -107,7 +107,7 @@
 static const struct field_type optional_text_type = {read_optional_text,
                                                      write_optional_text};
 
-/* A list of names that may be absent: a NULL-terminated array, NULL if absent. */
+/* Optional list of names; the member is a NULL-terminated array, NULL if absent. */
 
 static bool read_names(const struct field *field,
                        const struct lmn_cbor_document *document,
@@ -148,7 +148,7 @@
 
 static const struct field_type names_type = {read_names, write_names};
 
-/* Enumerations: an unsigned number that counts the words. */
+/* Enumerations; the member is the index in field->words. */
 
 static bool read_word(const struct field *field, const struct lmn_cbor_document *document,
                       const struct lmn_cbor_value *value, void *member)
@@ -194,7 +194,7 @@
 
 static const struct field_type task_count_type = {read_task_count, write_task_count};
 
-/* Amounts and times: a number that is not negative. */
+/* Required amounts and times: numbers from 0 to MAX_AMOUNT. */
 
 static bool read_amount(const struct field *field,
                         const struct lmn_cbor_document *document,
@@ -216,7 +216,7 @@
 
 static const struct field_type amount_type = {read_amount, write_amount};
 
-/* An amount that may be absent: negative then. */
+/* Optional amounts; the member is -1 if the amount is absent. */
 
 static bool read_optional_amount(const struct field *field,
                                  const struct lmn_cbor_document *document,
@@ -256,10 +256,10 @@
 
 static const struct field_type bool_type = {read_bool, write_bool};
 
-/** By enum lmn_job_kind. */
+/** Names of enum lmn_job_kind. */
 static const char *const job_kind_words[] = {WIRE_BATCH, WIRE_SERVICE, NULL};
 
-/** By enum lmn_priority. */
+/** Names of enum lmn_priority. */
 static const char *const priority_words[] = {"idle", "normal", "high", "prod", NULL};
 
 #define OFFSET(member) offsetof(struct lmn_job_spec, member)
--- a/src/state/command.c
+++ b/src/state/command.c
@@ -1,11 +1,11 @@
 /** @file
- * The encoding of commands; see command.h. */
+ * Encodes commands to workers as CBOR; see state/command.h. */
 #include "state/command.h"
 
 #include "protocol/cbor.h"
 #include "protocol/wire.h"
 
-/** Bytes of a task's name: job, slash, index. */
+/** Buffer size in bytes for a task name of the form JOB/INDEX. */
 enum { TASK_NAME_SIZE = LMN_JOB_ID_SIZE + 16 };
 
 static const char *command_name(enum lmn_command_kind kind)
--- a/src/state/command.h
+++ b/src/state/command.h
@@ -1,7 +1,7 @@
 /** @file
- * Commands to workers: what a worker is told to do with one attempt, and how that is
- * written. The only place that builds a command's bytes; messages that carry commands are
- * in partition/heartbeat_message.h. Pure functions, no lock. */
+ * Commands to workers: the operation that a worker has to perform on one attempt, and its
+ * CBOR encoding. All encoded commands are built here; the messages that carry them are in
+ * partition/heartbeat_message.h. Pure functions, no lock. */
 #ifndef LMN_STATE_COMMAND_H
 #define LMN_STATE_COMMAND_H
 
@@ -9,11 +9,11 @@
 
 #include <glib.h>
 
-/** What a worker is commanded to do with an attempt. */
+/** Operation that a worker performs on an attempt. */
 enum lmn_command_kind {
     LMN_COMMAND_START,
     LMN_COMMAND_KILL,
-    LMN_COMMAND_CLEAR /**< forget an attempt that has ended */
+    LMN_COMMAND_CLEAR /**< discard the record of an ended attempt */
 };
 
 /** A command that carries no grace period. */
@@ -23,10 +23,10 @@
 struct lmn_command {
     enum lmn_command_kind kind;
     const struct lmn_attempt *attempt;
-    double grace_s; /**< to save a checkpoint; negative (LMN_COMMAND_NO_GRACE): unset */
+    double grace_s; /**< seconds to save a checkpoint; LMN_COMMAND_NO_GRACE: not sent */
 };
 
-/** Appends the encoded command. */
+/** Appends the command's CBOR encoding to `out`. */
 void lmn_command_encode(GByteArray *out, const struct lmn_command *command);
 
 #endif
--- a/src/state/core.c
+++ b/src/state/core.c
@@ -1,5 +1,5 @@
 /** @file
- * Making, freeing and asking the shared state: see state/core.h. */
+ * Allocation, release and queries of the shared state: see state/core.h. */
 #include "state/core.h"
 
 #include "state/task_ledger.h"
@@ -10,7 +10,7 @@
 
 enum { MAX_MACHINE_TYPES = 256 };
 
-/** Age, in seconds, of a watch cache that has never been whole. */
+/** Age in seconds that is returned until a complete listing has been applied. */
 static const double AGE_UNKNOWN_S = 1e9;
 
 static void free_machine(gpointer machine)
@@ -142,7 +142,7 @@
     lmn_latency_init(&core->latencies.replication);
     for (int i = 0; i < core->partition_count; i++)
         init_partition(core, i);
-    /* Never reallocated, since machines point at their types. */
+    /* Never reallocated: machines hold pointers into this array. */
     core->cloud.machine_types.types = g_new0(struct lmn_machine_type, MAX_MACHINE_TYPES);
     return core;
 }
@@ -178,7 +178,7 @@
 
 void lmn_core_free(struct lmn_core *core)
 {
-    /* Before the jobs, since machines that are freed uncount their tasks of them. */
+    /* Partitions first: freeing a machine updates the task counts of jobs. */
     for (int i = 0; i < core->partition_count; i++)
         clear_partition(core, &core->partitions[i]);
     g_free(core->partitions);
@@ -231,7 +231,7 @@
 {
     struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, job_id);
 
-    /* Nothing was started here of a job that the watch cache does not show yet. */
+    /* A job that the watch cache does not show yet has no tasks started here. */
     if (!job || job->phase != LMN_JOB_ACTIVE)
         return false;
     if (!job->tombstone_at.tv_sec)
--- a/src/state/core_state.h
+++ b/src/state/core_state.h
@@ -1,13 +1,14 @@
 /** @file
  * The state that all threads of a controller share.
  *
- * One short lock, `lock`, guards everything below it but `worker_hosts`, which has a lock
- * of its own, and what is set once at the start. Nobody does I/O while holding it.
+ * The mutex `lock` of struct lmn_core guards all of its fields except `worker_hosts`,
+ * which has its own lock, and the fields that are set once at startup. No thread does I/O
+ * while it holds `lock`.
  *
- * Records (jobs, ranges, owners, machines) are changed by the watch cache alone, which
- * applies the key-value store's changes in their order: what a controller sees is always
- * a past state, whole. What an owner knows of its machines stands beside them in the same
- * structures. */
+ * Only the watch cache changes records (jobs, ranges, owners, machines). It applies the
+ * key-value store's changes in commit order, so a controller always sees a consistent,
+ * possibly outdated, state of the store. The structures also hold what an owner learns
+ * from its machines' heartbeats. */
 #ifndef LMN_STATE_CORE_STATE_H
 #define LMN_STATE_CORE_STATE_H
 
@@ -36,25 +37,26 @@
 
 struct lmn_http_server;
 
-/** Final jobs that are kept in memory at least (state/retention.h). */
+/** Minimum number of final jobs kept in memory (state/retention.h). */
 enum { LMN_RETAINED_JOBS = 20000 };
 
-/** The watch cache's own state. Owner: state/watch_cache.h, but for is_isolated_view and
- * isolated_since, which the probe thread sets (controller/probe_client.h). */
+/** State of the watch cache. Written by state/watch_cache.h, except is_isolated_view and
+ * isolated_since, which the probe thread writes (controller/probe_client.h). */
 struct lmn_watch_cache {
     GHashTable *jobs;           /**< id -> struct lmn_job */
-    GQueue final_jobs;          /**< those that are final, the oldest first */
-    guint max_retained_jobs;    /**< final jobs that are kept at least */
+    GQueue final_jobs;          /**< jobs done or cancelled, the oldest first */
+    guint max_retained_jobs;    /**< final jobs above this number may be evicted */
     GHashTable *needed_job_ids; /**< during a listing: ids of jobs with ranges; or NULL */
     bool is_listing;
-    bool too_many_final_jobs; /**< the listing has to be done by needed_job_ids */
+    bool too_many_final_jobs; /**< the listing must restart with needed_job_ids */
     bool must_relist;
-    uint32_t generation; /**< of the last listing */
-    bool is_synced;      /**< it has shown a whole state once */
+    uint32_t generation; /**< number of the last listing */
+    bool is_synced;      /**< a complete listing was applied at least once */
     struct timespec synced_at;
-    struct timespec fresh_at; /**< it is no older than this */
-    bool is_isolated_view;    /**< it stands still, and only here, as far as known */
-    /** Since when no other controller has been reached either; 0: some are. */
+    struct timespec fresh_at; /**< the cache shows the store as of this time, or later */
+    bool is_isolated_view;    /**< the cache is stalled here, and not on some other
+                                 member, or no other member is reachable */
+    /** Since when the view is isolated with no other member reachable; 0: it is not. */
     struct timespec isolated_since;
     struct lmn_operator_settings operator_settings;
     uint64_t operator_settings_revision;
@@ -66,72 +68,75 @@
 struct lmn_own_lease {
     uint64_t id; /**< 0: none */
     struct timespec acquired_at;
-    /* the last try to write this node's record: */
-    uint64_t announced_lease_id; /**< with this lease */
+    /* the last attempt to write this member's record: */
+    uint64_t announced_lease_id; /**< lease in that record */
     bool announced_shutdown;
     struct timespec announced_at;
 };
 
 /** A graceful shutdown. Owner: partition/shutdown.h. */
 struct lmn_shutdown {
-    bool is_requested;       /**< partitions are being given away */
-    bool has_released_lease; /**< no partition and no lease is left */
+    bool is_requested;       /**< partitions are being transferred to other members */
+    bool has_released_lease; /**< no partition is owned and the lease is released */
     struct timespec began_at;
 };
 
-/** Quotas over all partitions; arrays are by team. Owner: partition/quota_transfer.h. */
+/** Quota state of all partitions together; arrays are indexed by team. Owner:
+ * partition/quota_transfer.h. */
 struct lmn_quota_ledger {
-    uint64_t *revision; /**< of the teams' records of shares; 0: none */
-    bool *has_record;   /**< there is a record, and for the present limit */
+    uint64_t *revision; /**< of each team's record of quota shares; 0: none */
+    bool *has_record;   /**< a record exists that matches the present limit */
     uint64_t transfer_count;
     double *demanded_cpus,
-        *demanded_gpus; /**< of the teams' active jobs, all their tasks */
+        *demanded_gpus; /**< sum over all tasks of the team's active jobs */
 };
 
-/** Scratch values of the scheduler. Owner: scheduler/. */
+/** The scheduler's working state. Owner: scheduler/. */
 struct lmn_scheduling {
     uint64_t scan_generation;   /**< count of scans over queues */
     uint64_t start_generation;  /**< count of starts within them */
     double wall_clock_s;        /**< time of day at the last tick */
     double last_triage_s;       /**< time of day at the last triage */
-    bool has_underserved_share; /**< a class or team was under its fair share then */
+    bool has_underserved_share; /**< at the last triage a class or team was below its
+                                    fair share */
 };
 
-/** When the maintenance loop last did what. Owner: partition/maintenance.h. */
+/** Times kept by the maintenance loop. Owner: partition/maintenance.h. */
 struct lmn_maintenance {
     struct timespec last_run_at, last_reconciled_at;
-    /** Until when this controller answered no heartbeats, having stalled or having too
-     * old a view; 0: it always has. */
+    /** Last time at which this controller refused heartbeats because it had stalled or
+     * its watch cache was too old; 0: never. */
     struct timespec heartbeats_refused_until;
-    /** When a controller that gets no heartbeats may next probe one of its workers. */
+    /** Earliest time for the next probe of a worker, while no heartbeats arrive. */
     struct timespec next_reach_probe_at;
     struct timespec last_malformed_logged_at;
 };
 
-/** What the cloud has said. Owner: partition/provisioner.h. */
+/** Responses of the cloud provider. Owner: partition/provisioner.h. */
 struct lmn_cloud_view {
     struct lmn_machine_types machine_types;
     bool machine_types_known;
-    GHashTable *returned_machines; /**< names of machines that were returned */
+    GHashTable *returned_machines; /**< names of machines returned to the cloud */
 };
 
 /** A controller's shared state. */
 struct lmn_core {
     pthread_mutex_t lock;
-    pthread_cond_t ownership_changed; /**< of partitions or members */
+    pthread_cond_t ownership_changed; /**< ownership or membership changed */
     pthread_cond_t probe_due;
-    pthread_cond_t machines_woken;           /**< machines are to be given work at once */
-    pthread_cond_t replication_acknowledged; /**< or nothing waits for it any more */
+    pthread_cond_t machines_woken; /**< some machine may get work before its heartbeat */
+    pthread_cond_t replication_acknowledged; /**< or no start waits for it any longer */
 
     /* set once at the start: */
     const struct lmn_settings *settings;
     struct lmn_kv_client *kv_client;
     const struct lmn_owner_ops *owner_ops;
     struct lmn_connection_budget connection_budget;
-    struct lmn_http_server *http_server; /**< users' and workers'; NULL: none */
+    struct lmn_http_server *http_server; /**< for users and workers; NULL: none */
     struct timespec booted_at;
 
-    struct lmn_worker_hosts worker_hosts; /**< of all machines known; own lock */
+    struct lmn_worker_hosts
+        worker_hosts; /**< hosts of all known machines; has its own lock */
     struct lmn_load load;
     GRand *random;
     struct lmn_watch_cache cache;
--- a/src/state/failures.c
+++ b/src/state/failures.c
@@ -1,31 +1,34 @@
 /** @file
- * Whether a job or a machine is at fault: see state/failures.h. */
+ * Attribution of failures to jobs and machines: see state/failures.h. */
 #include "state/failures.h"
 
 #include "util/clock.h"
 
 #include <math.h>
 
-/** So many machines are not faulty at a time by chance: a job that has failed on as many
- * is at fault itself. More are needed if the job has proved that it can succeed. */
+/** Number of machines on which a job must have failed to count as faulty: that many
+ * machines are unlikely to be faulty at once. The second value is for jobs of which a
+ * task has succeeded. */
 enum { FAULTY_JOB_MACHINES = 3, FAULTY_PROVEN_JOB_MACHINES = 6 };
-/** A job's failures are forgotten after so long without another. */
+/** Seconds without a failure after which a job's earlier failures are cleared. */
 static const double FORGET_AFTER_S = 300;
-/** A failure's weight against a machine halves in this time. */
+/** Half-life, in seconds, of a failure's weight against a machine. */
 static const double WEIGHT_HALF_LIFE_S = 60;
-/** Backoff of a job after its first round of failures, and at most. */
+/** Base of a job's backoff, which doubles with each round of failures, and its maximum,
+ * in seconds. */
 static const double BACKOFF_FIRST_S = 0.5, BACKOFF_MAX_S = 4;
-/** The same of a faulty job, which is tried less and less often. */
+/** Base and maximum of a faulty job's backoff, in seconds. */
 static const double FAULTY_BACKOFF_FIRST_S = 4, FAULTY_BACKOFF_MAX_S = 60;
-/** The backoff doubles at most so many times. */
+/** Limit of the backoff's doublings, which keeps the shift in range. */
 static const unsigned MAX_DOUBLINGS = 6;
-/** Sum of weights at which a machine is faulty: failures of three jobs of which nothing
- * else is known, or of two that succeed elsewhere, or of one that does, three times. */
+/** Sum of weights at which a machine is faulty. It is reached by failures of three jobs
+ * that have never succeeded, of two jobs that have, or by PROVEN_JOB_REPEATS failures of
+ * one job that has. */
 static const double FAULTY_MACHINE_WEIGHT = 1.5;
 static const double UNPROVEN_JOB_WEIGHT = 0.5, PROVEN_JOB_WEIGHT = 1;
 enum { PROVEN_JOB_REPEATS = 3 };
-/** Part of the weight that is enough, since failures that came together have faded a
- * little. */
+/** Fraction of FAULTY_MACHINE_WEIGHT that suffices, since the weights of failures within
+ * a few seconds have already decayed slightly. */
 static const double FADED_SHARE = 0.9;
 
 static void forget_failures(struct lmn_job_failures *failures)
@@ -73,8 +76,8 @@
                             struct timespec started_at, struct timespec now)
 {
     add_machine(failures, machine, now);
-    /* The tasks of a large job fail by the dozen. If each of them doubled the backoff, a
-     * job whose first machine is faulty would wait for a minute. */
+    /* Many tasks of a large job fail at about the same time. If each failure doubled the
+     * backoff, a job whose first machine is faulty would wait for a minute. */
     if (!failures->round_started_at.tv_sec ||
         lmn_time_before(failures->round_started_at, started_at)) {
         failures->rounds++;
@@ -114,7 +117,7 @@
     double fading = exp2(-lmn_time_diff_s(now, last_at) / WEIGHT_HALF_LIFE_S);
     double weight = UNPROVEN_JOB_WEIGHT;
 
-    /* A job that fails on other machines too is more likely at fault itself. */
+    /* The more other machines the job has failed on, the likelier the job is at fault. */
     if (!count || other_machines >= 2 || lmn_job_is_faulty(failures))
         return 0;
     if (failures->has_succeeded)
--- a/src/state/failures.h
+++ b/src/state/failures.h
@@ -1,10 +1,10 @@
 /** @file
- * Failures of tasks (exit reason `error`): whether the job or the machine is at fault.
+ * Attributes task failures (exit reason `error`) to the job or to the machine.
  *
- * A job that was submitted with a mistake fails wherever it starts; a faulty machine
- * fails whatever starts on it. What tells them apart is how many machines and how many
- * jobs share the failures, and whether anything has succeeded since. Pure functions of
- * what was seen and a time. */
+ * A faulty job fails on every machine; on a faulty machine every job fails. The two are
+ * told apart by the number of machines on which a job has failed, the number of jobs that
+ * have failed on a machine, and whether any task has succeeded since. Pure functions of
+ * the recorded failures and a time. */
 #ifndef LMN_FAILURES_H
 #define LMN_FAILURES_H
 
@@ -12,19 +12,20 @@
 #include <stdbool.h>
 #include <time.h>
 
-/** Most machines that are remembered for a job. */
+/** Maximum number of machines recorded for a job's failures. */
 enum { LMN_MAX_FAILURE_MACHINES = 8 };
 
-/** A job's failures, as one controller knows them. */
+/** A job's failures on machines of one controller's partitions. */
 struct lmn_job_failures {
-    /** Machines on which it has failed since it last succeeded: hashes of their names. */
+    /** Name hashes of the machines on which the job failed since its last success. */
     guint machines[LMN_MAX_FAILURE_MACHINES];
     unsigned machine_count;
-    /** Rounds of failures in a row; failures of tasks that started together are one. */
+    /** Consecutive rounds of failures. Tasks that started before a round's first failure
+     * belong to that round. */
     unsigned rounds;
-    bool has_succeeded; /**< some task of it has succeeded */
+    bool has_succeeded; /**< some task of the job has succeeded */
     struct timespec round_started_at, last_failed_at;
-    struct timespec backoff_until; /**< it starts nothing before */
+    struct timespec backoff_until; /**< no task of the job starts before */
 };
 
 /** Records that a task of the job has failed on the machine.
@@ -34,35 +35,40 @@
 void lmn_job_record_failure(struct lmn_job_failures *failures, guint machine,
                             struct timespec started_at, struct timespec now);
 
-/** Records a failure that an earlier owner of the partition has left in the machine's
- * heartbeats, having found the job faulty (lmn_job_is_faulty). Counts once a machine. */
+/** Records a failure that the machine's heartbeats report from the time of an earlier
+ * partition owner, which had judged the job faulty (lmn_job_is_faulty). Each machine
+ * counts once. */
 void lmn_job_record_inherited_failure(struct lmn_job_failures *failures, guint machine,
                                       struct timespec now);
 
-/** Records that a task of the job has succeeded: its failures are forgotten. */
+/** Records that a task of the job has succeeded, and clears the job's failures. */
 void lmn_job_record_success(struct lmn_job_failures *failures);
 
-/** Whether the job itself is at fault, as far as known: it has failed on so many machines
- * that they can't all be. Such a job is tried with one task at a time, and its failures
- * count against no machine. */
+/** Whether the job counts as faulty: it has failed on more machines than are likely to be
+ * faulty at the same time. A faulty job starts one task at a time, and its failures do
+ * not count against machines. */
 bool lmn_job_is_faulty(const struct lmn_job_failures *failures);
 
-/** Records that a faulty job is tried once more: the next try has to wait. */
+/** Records that a task of a faulty job starts again, and sets the backoff before the next
+ * start. */
 void lmn_job_record_retry(struct lmn_job_failures *failures, struct timespec now);
 
-/** How much a job's failures on a machine count against the machine: 0, or a weight that
- * fades with time. Weights of several jobs are added up.
+/** Weight of a job's failures as evidence against a machine: 0 if the job itself is more
+ * likely at fault, else a value that decays exponentially with the time since the last
+ * failure. The caller sums the weights of all jobs.
  *
- * @param count    failures there since any task succeeded there
- * @param last_at  when the last of them was */
+ * @param count    the job's failures on the machine since any task succeeded there
+ * @param last_at  time of the last of these failures */
 double lmn_failure_weight(const struct lmn_job_failures *failures, guint machine,
                           unsigned count, struct timespec last_at, struct timespec now);
 
-/** Whether weights that add up to this sum are enough to stop using the machine. */
+/** Whether a machine with this sum of weights counts as faulty and is taken out of use.
+ */
 bool lmn_machine_is_faulty(double weight_sum);
 
-/** Seconds for which a machine starts nothing after a failure, given the sum of weights
- * against it. */
+/** Seconds after a failure during which the machine starts no tasks.
+ *
+ * @param weight_sum  sum of lmn_failure_weight over all jobs */
 double lmn_machine_quarantine_s(double weight_sum);
 
 #endif
--- a/src/state/job.h
+++ b/src/state/job.h
@@ -1,8 +1,10 @@
 /** @file
- * Jobs as the watch cache shows them, with what the scheduler has worked out about them.
+ * Jobs as the watch cache shows them, with the values that the scheduler computes for
+ * each.
  *
- * Owner: the watch cache (state/watch_cache.h) makes jobs and sets what their records
- * say; the scheduler sets the fields that it says are its own. All under the core's lock.
+ * Owner: the watch cache (state/watch_cache.h) allocates jobs and sets the fields that
+ * come from records; partition/ and scheduler/ set the fields that are marked as theirs.
+ * All under the core's lock.
  */
 #ifndef LMN_STATE_JOB_H
 #define LMN_STATE_JOB_H
@@ -17,7 +19,7 @@
 
 struct lmn_partition;
 
-/** How many of a job's tasks are, or may be, on machines of a zone. */
+/** Number of a job's tasks that are, or may be, on machines of one zone. */
 struct lmn_zone_tasks {
     const char *zone; /**< interned */
     int tasks;
@@ -28,7 +30,7 @@
     struct lmn_job_spec spec;
     /* from its record */
     enum lmn_job_phase phase;
-    uint32_t open_ranges;   /**< ranges that are not closed yet */
+    uint32_t open_ranges;   /**< ranges with tasks that are not done */
     double accepted_at_s;   /**< time of day at which it was accepted */
     uint64_t revision;      /**< of its record */
     uint32_t generation;    /**< of the listing that last named it */
@@ -36,37 +38,40 @@
     const char *image;      /**< interned, since it is compared for every machine */
     const char *class_name; /**< interned */
     int team;               /**< index in the settings; -1: the settings lack it */
-    /** When this controller learned from another that the job was cancelled; 0: it has
-     * not. */
+    /** When another controller last sent a tombstone of the job (state/tombstone.h); 0:
+     * never. */
     struct timespec tombstone_at;
-    /** When the watch cache showed it final, or somebody last asked about it since. */
+    /** When the job last entered the list of final jobs (state/retention.h). */
     struct timespec final_at;
 
     /* set by partition/: */
-    uint64_t closing_revision; /**< revision on which a close of ours is in flight */
+    uint64_t closing_revision; /**< record revision that a write closing the job,
+                                    now in flight, is conditional on */
 
     /* set by scheduler/: */
-    bool is_under_fair_share; /**< its class or team has less than its fair-share floor */
-    bool is_starving;  /**< it has waited for long, and nothing of it has started here */
-    bool is_spot_only; /**< it is left to spot machines (lmn_is_spot_only) */
-    /** Time of day by which its next task has to start for the next objective that can
-     * still be met. */
+    bool is_under_fair_share; /**< its class or team is below its fair-share floor */
+    bool is_starving;         /**< it has waited long and has no task started here */
+    bool is_spot_only;        /**< only spot machines run it (lmn_is_spot_only) */
+    /** Time of day by which the next task must start to meet the earliest objective that
+     * can still be met. */
     double latest_start_s;
     bool has_missed_objective; /**< no objective can be met any more */
-    bool is_within_guarantee; /**< it fitted into its team's guaranteed quota when it came
-                               */
-    bool is_deferred; /**< overload triage puts it off: meeting its objective would cost
-                         more other jobs theirs (lmn_overload_triage) */
-    double remaining_cpu_s; /**< processor seconds of tasks that have not started */
-    /** struct lmn_zone_tasks; NULL unless affinity or anti-affinity is asked for. */
+    bool is_within_guarantee;  /**< on arrival it fitted the team's guaranteed quota */
+    bool is_deferred; /**< overload triage defers the job: to meet its objective, more
+                         other jobs would miss theirs (lmn_overload_triage) */
+    double remaining_cpu_s; /**< estimated CPU seconds of tasks not yet started */
+    /** struct lmn_zone_tasks; NULL unless the job has zone affinity or anti-affinity. */
     GArray *zones;
-    const struct lmn_partition *triage_partition; /**< mark of the triage under way */
-    /** Results of one scan over queues: the job can't start on the machine, it can, its
-     * image's fetch time is known. The first is valid while it equals the core's scan
-     * generation, the others while they equal its start generation. */
+    const struct lmn_partition
+        *triage_partition; /**< set while triage visits that partition */
+    /** Results of the queue scan for one machine: the job can't start on the machine; the
+     * job can start there; the image's fetch time is in fetch_s. The first holds while
+     * rejected_scan equals lmn_scheduling's scan_generation, the others while they equal
+     * its start_generation. */
     uint64_t rejected_scan, accepted_scan, fetch_scan;
-    double fetch_s; /**< with fetch_scan: seconds that the image's fetch takes there */
-    struct lmn_job_failures failures; /**< holds back a job whose tasks fail */
+    double fetch_s; /**< valid with fetch_scan: seconds to fetch the image there */
+    struct lmn_job_failures
+        failures; /**< failures that delay further starts of the job */
 };
 
 #endif
--- a/src/state/job_records.c
+++ b/src/state/job_records.c
@@ -1,7 +1,7 @@
 /** @file
- * Applies records of jobs and of ranges of their tasks to the watch cache: see
- * state/job_records.h. It owns the fields of struct lmn_job and struct lmn_range that
- * come from records, and the teams' demand. The core's lock is held throughout. */
+ * Applies job and range records to the watch cache: see state/job_records.h. Owns the
+ * fields of struct lmn_job and struct lmn_range that come from records, and the teams'
+ * demand in struct lmn_quota_ledger. */
 #include "state/job_records.h"
 
 #include "protocol/wire.h"
@@ -12,11 +12,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/** Demand is summed in floating point: by how much a sum may exceed a quota and still
- * count as within it. */
+/** CPUs or GPUs by which a sum of demand may exceed a quota because of floating-point
+ * rounding. */
 static const double QUOTA_TOLERANCE = 1e-6;
 
-/** What a job's record says. */
+/** A decoded job record. */
 struct job_record {
     struct lmn_job_spec spec;
     enum lmn_job_phase phase;
@@ -24,22 +24,22 @@
     double accepted_at_s; /* time of day */
 };
 
-/** What a range's key and record say of its bounds. */
+/** A range's bounds, from its key and its record. */
 struct range_bounds {
     char job_id[LMN_JOB_ID_SIZE];
     uint32_t first;
     uint64_t end;
 };
 
-/** Index of the team in the settings; -1: they lack it. */
+/** Index of the team in the settings; -1: no such team. */
 static int team_index(const struct lmn_settings *settings, const char *name)
 {
     const struct lmn_team *team = lmn_settings_team(settings, name);
     return team ? (int)(team - settings->teams) : -1;
 }
 
-/** Adds the job's resources to what its team's active jobs demand (sign 1), or takes them
- * off (sign -1). */
+/** Adds the resources of all the job's tasks to its team's demand (sign 1), or subtracts
+ * them (sign -1). */
 static void change_demand(struct lmn_core *core, const struct lmn_job *job, int sign)
 {
     if (job->team < 0)
@@ -48,8 +48,8 @@
     core->quota.demanded_gpus[job->team] += sign * job->spec.gpus * job->spec.tasks;
 }
 
-/** Whether the job, whose demand was just added, fits into its team's guaranteed quota
- * together with all active jobs that came before it. */
+/** Whether the team's guaranteed quota covers the demand of all its active jobs,
+ * including this one, which must have been added already. */
 static bool fits_guarantee(const struct lmn_core *core, const struct lmn_job *job)
 {
     if (job->team < 0)
@@ -62,12 +62,13 @@
             core->quota.demanded_gpus[job->team] <= team->gpus + QUOTA_TOLERANCE);
 }
 
-/** Whether an unknown job is left out. Final jobs beyond those that are retained are left
- * out of a listing, unless ranges of theirs exist, since ranges refer to their job. Which
- * jobs have ranges is known in a second listing only, which too_many_final_jobs asks for.
+/** Whether to skip a job that the cache does not contain. A listing skips final jobs
+ * above max_retained_jobs, except those that have ranges, since a range refers to its
+ * job. Which jobs have ranges is known only in a second listing, which
+ * too_many_final_jobs requests.
  */
-static bool is_left_out(struct lmn_core *core, const char *job_id,
-                        enum lmn_job_phase phase)
+static bool should_skip_job(struct lmn_core *core, const char *job_id,
+                            enum lmn_job_phase phase)
 {
     if (!core->cache.is_listing || phase == LMN_JOB_ACTIVE ||
         core->cache.final_jobs.length < core->cache.max_retained_jobs)
@@ -78,7 +79,7 @@
     return true;
 }
 
-/** Adds a job that was not known; takes the spec over. */
+/** Adds a job to the cache and takes ownership of the record's spec. */
 static struct lmn_job *add_job(struct lmn_core *core, const char *job_id,
                                const struct job_record *record)
 {
@@ -98,8 +99,8 @@
     return job;
 }
 
-/** Sets the job's phase, and what follows from it: the team's demand and the list of
- * final jobs. The job's revision is still that of the record before; 0: it is new. */
+/** Sets the job's phase, and updates the team's demand and the list of final jobs. Must
+ * be called before job->revision is set: 0 there means that the job is new. */
 static void set_phase(struct lmn_core *core, struct lmn_job *job, const char *job_id,
                       enum lmn_job_phase phase, struct timespec now)
 {
@@ -140,7 +141,7 @@
         lmn_job_spec_clear(&record.spec);
         return;
     }
-    if (!job && is_left_out(core, job_id, record.phase)) {
+    if (!job && should_skip_job(core, job_id, record.phase)) {
         lmn_job_spec_clear(&record.spec);
         return;
     }
@@ -154,14 +155,16 @@
     job->generation = core->cache.generation;
 }
 
-/** Tells the owner's modules, then frees the range. */
+/** Calls range_removed, then frees the range. */
 static void remove_range(struct lmn_core *core, struct lmn_range *range)
 {
     core->owner_ops->range_removed(core, range);
     g_hash_table_remove(range->partition->ranges, range->key);
 }
 
-/** Reads the range's bounds; false: the key or the record is malformed. */
+/** Reads the range's bounds.
+ *
+ * @return false if the key or the record is malformed */
 static bool read_bounds(const struct lmn_record_change *change,
                         struct range_bounds *bounds)
 {
@@ -176,7 +179,7 @@
     return true;
 }
 
-/** Adds a range that was not known to the partition and to its job. */
+/** Adds a new range to the partition and to its job. */
 static struct lmn_range *add_range(struct lmn_partition *partition, struct lmn_job *job,
                                    const struct range_bounds *bounds,
                                    const struct lmn_record_change *change)
@@ -196,7 +199,7 @@
     return range;
 }
 
-/** Takes over the set of tasks that are done, and the record's revision. */
+/** Updates the range's set of done tasks and its revision from the record. */
 static void update_range(struct lmn_core *core, struct lmn_range *range,
                          const struct lmn_record_change *change)
 {
@@ -211,9 +214,9 @@
         range->is_writing = false;
 }
 
-/** Whether a move of ours is in flight that another write of the range has overtaken: it
- * is conditional on the revision before that write, so it can't be applied any more. */
-static bool has_overtaken_move(const struct lmn_range *range, uint64_t revision)
+/** Whether this controller has a move of the range in flight that can no longer be
+ * committed: the move is conditional on a revision that another write has replaced. */
+static bool has_stale_move(const struct lmn_range *range, uint64_t revision)
 {
     return range->move_to >= 0 && range->task_states && revision > range->move_revision &&
            range->move_revision;
@@ -237,8 +240,8 @@
     if (!read_bounds(change, &bounds))
         return;
     struct lmn_job *job = g_hash_table_lookup(core->cache.jobs, bounds.job_id);
-    /* The job became final after the listing of the jobs that are needed, so it was left
-     * out, although it has this range: only another listing can mend that. */
+    /* The job became final after needed_job_ids was listed, so it was skipped although it
+     * has this range. Only another listing can add the job. */
     if (!job && core->cache.needed_job_ids)
         core->cache.must_relist = true;
     if (!job || bounds.end <= bounds.first || bounds.end > job->spec.tasks) {
@@ -251,7 +254,7 @@
     if (bounds.end < range->end)
         core->owner_ops->range_truncated(core, range, (uint32_t)bounds.end);
     update_range(core, range, change);
-    if (has_overtaken_move(range, change->revision))
+    if (has_stale_move(range, change->revision))
         core->owner_ops->move_cancelled(core, range, change->now);
     if (is_new && partition->ownership.is_owned)
         core->owner_ops->range_created(core, range, change->now);
--- a/src/state/machine.h
+++ b/src/state/machine.h
@@ -1,6 +1,6 @@
 /** @file
- * Machines as their owner knows them: the record, the agent's last heartbeat, the
- * attempts that are or may be there, and what the scheduler plans with them.
+ * State of machines on the controller that owns their partition: record, last heartbeat
+ * of the agent, attempts that run or may run there, queue and reservations.
  *
  * Owner: the controller that owns the machine's partition. partition/ writes the record,
  * agent, lifecycle and push parts, scheduler/ the stealing and reservation parts. All
@@ -21,38 +21,38 @@
 struct lmn_partition;
 struct lmn_machine_block;
 
-/** How far an attempt is, as far as its owner knows. */
+/** Progress of an attempt as last reported to the machine's owner. */
 enum lmn_attempt_state {
-    LMN_ATTEMPT_SENT, /**< the start command went out; no heartbeat has named it */
+    LMN_ATTEMPT_SENT, /**< start command sent; not in a heartbeat yet */
     LMN_ATTEMPT_FETCHING,
     LMN_ATTEMPT_RUNNING,
     LMN_ATTEMPT_SAVING,
     LMN_ATTEMPT_ENDED
 };
 
-/** One attempt at a task, which is or may be on a machine. */
+/** One attempt at a task that runs, or may run, on a machine. */
 struct lmn_attempt {
     char job_id[LMN_JOB_ID_SIZE];
-    struct lmn_job *job;     /**< NULL: unknown here */
-    struct lmn_range *range; /**< NULL: none of ours, or closed */
+    struct lmn_job *job;     /**< NULL: the watch cache lacks it */
+    struct lmn_range *range; /**< NULL: in no owned partition, or closed */
     uint32_t index;          /**< of the task in its job */
     uint64_t number;         /**< of the attempt; rises with each start of the task */
     enum lmn_attempt_state state;
-    bool holds_capacity; /**< it counts against the machine's capacity and the quota */
+    bool holds_capacity; /**< counted in machine capacity and team quota */
     bool is_done;
-    bool in_last_heartbeat; /**< the heartbeat that is being handled names it */
+    bool in_last_heartbeat; /**< the heartbeat being processed lists it */
     bool kill_sent;
-    bool has_failed; /**< it has ended with an error */
-    bool must_stop;  /**< it is preempted, with grace_s to save a checkpoint */
-    double grace_s;
-    bool push_in_flight; /**< its start is in a call to the worker that is in flight */
-    /** Its start was in a call that got no answer: it may yet arrive while the agent's
-     * incarnation lasts. */
+    bool has_failed;     /**< it has ended with an error */
+    bool must_stop;      /**< preempted; it has grace_s to save a checkpoint */
+    double grace_s;      /**< seconds */
+    bool push_in_flight; /**< a call in flight to the worker contains its start */
+    /** A call that contained its start got no answer. Until the agent's incarnation ends,
+     * the start may still arrive. */
     bool push_is_uncertain;
-    bool was_reported; /**< a heartbeat has named it */
-    bool from_replica; /**< a predecessor's by its replica, and not reported yet */
-    /** Log position of its start, which waits until the standby has acknowledged it; 0:
-     * it did not have to wait. */
+    bool was_reported; /**< a heartbeat has listed it */
+    bool from_replica; /**< known from an earlier owner's replica only */
+    /** Replication log position of its start. The start is sent once the standby has
+     * acknowledged this position; 0: it did not have to wait. */
     uint64_t log_position;
     struct timespec started_at;
 };
@@ -64,87 +64,88 @@
     struct timespec last_failed_at;
 };
 
-/** An image that a machine caches or fetches, as far as known. */
+/** An image that a machine has cached or is fetching, as last reported or planned. */
 struct lmn_image {
     const char *name; /**< interned */
     double gb;
-    struct timespec ready_at; /**< when the fetch should be over; 0: it is cached */
+    struct timespec ready_at; /**< expected end of the fetch; 0: cached */
 };
 
 /** Where a machine is recorded in the key-value store. */
 struct lmn_machine_record {
-    uint64_t revision; /**< of the record that first named it; 0: not recorded */
-    struct lmn_machine_block *block; /**< that records it, or will */
-    uint64_t block_revision;         /**< of the last record that named it */
+    uint64_t revision;               /**< of the first record that lists it; 0: none */
+    struct lmn_machine_block *block; /**< block whose record lists it, or will */
+    uint64_t block_revision;         /**< of the last record that lists it */
 };
 
-/** What is known of a machine's agent. */
+/** State of a machine's agent. */
 struct lmn_agent_view {
-    bool has_reported;  /**< a heartbeat has come since the partition is owned */
+    bool has_reported;  /**< a heartbeat arrived since the partition is owned */
     bool lease_expired; /**< its tasks are given up */
     uint64_t incarnation;
-    uint64_t sequence;           /**< highest of any message of this incarnation */
-    uint64_t heartbeat_sequence; /**< highest of its heartbeats */
+    uint64_t sequence;           /**< highest one of this incarnation's messages */
+    uint64_t heartbeat_sequence; /**< highest one of its heartbeats */
     struct timespec first_seen_at, last_heartbeat_at;
-    struct timespec redirected_at; /**< when it was last sent to another controller */
-    /** Replies or commands in a row that had no effect: its heartbeats arrive, and what
-     * is sent to it does not. */
+    struct timespec redirected_at; /**< last redirected to another controller */
+    /** Consecutive replies or commands without effect: the machine's heartbeats arrive
+     * here, but messages to the machine do not. */
     unsigned ignored_commands;
     unsigned unanswered_probes; /**< since the partition is owned */
     struct timespec next_probe_at;
 };
 
-/** How a machine came to this owner, and how it goes. */
+/** Acquisition, draining and return of a machine. */
 struct lmn_machine_lifecycle {
-    bool is_inherited;      /**< a predecessor recorded it */
-    bool is_accounted;      /**< it has reported with our epoch: it holds what it says */
-    bool is_terminated;     /**< the cloud has said so; only its record is left */
-    bool is_draining;       /**< it starts nothing more, and is returned once empty */
-    bool drain_at_once;     /**< its tasks can't be waited for */
+    bool is_inherited;      /**< an earlier owner recorded it */
+    bool is_accounted;      /**< it reported with this owner's epoch, so its list of
+                                 attempts is complete */
+    bool is_terminated;     /**< the cloud reports its end; only the record is left */
+    bool is_draining;       /**< no more starts; returned to the cloud once empty */
+    bool drain_at_once;     /**< drains without waiting for its tasks */
     bool is_being_returned; /**< the request to the cloud is in flight */
     bool has_spot_notice;
-    double spot_notice_s; /**< seconds until the cloud takes it, as of spot_notice_at */
+    double spot_notice_s; /**< seconds from spot_notice_at until the cloud reclaims it */
     struct timespec spot_notice_at, drain_began_at;
     struct timespec idle_since; /**< 0: it is not idle */
 };
 
-/** Capacity that attempts on a machine take, those whose start is in flight included. */
+/** Capacity used by a machine's attempts, including those whose start is in flight. */
 struct lmn_machine_usage {
     double cpus, gpus, memory_gb;
 };
 
-/** When a machine with free capacity tries to steal within its partition. */
+/** Work stealing between machine queues of one partition. */
 struct lmn_machine_stealing {
-    double interval_s; /**< doubles with each failure, reset by success */
+    double interval_s; /**< between attempts; doubles on failure, reset on success */
     struct timespec next_at;
-    bool is_idle_with_capacity; /**< nothing in its partition fits its free capacity */
+    bool is_idle_with_capacity; /**< no queued task of its partition fits it */
 };
 
-/** What speaks against a machine. */
+/** Failures on a machine (state/failures.h). */
 struct lmn_machine_failures {
     GArray *jobs;                      /**< struct lmn_failing_job */
-    struct timespec quarantined_until; /**< it starts nothing before */
+    struct timespec quarantined_until; /**< no task starts here before */
 };
 
-/** What the standby does not know of a machine yet. */
+/** Changes of a machine that are not replicated yet. */
 struct lmn_machine_replication {
-    bool is_pending;   /**< it stands in the partition's list of pending machines */
-    guint images_hash; /**< of the images as last replicated */
+    bool is_pending;   /**< it is in the partition's pending_machines */
+    guint images_hash; /**< hash of the image list last replicated */
 };
 
-/** Capacity that is kept free on a machine. */
+/** Reservation of a machine's capacity. */
 struct lmn_machine_reservation {
-    const struct lmn_job *job; /**< that it runs empty for; NULL: none */
+    const struct lmn_job *job; /**< job that the machine is kept free for; NULL: none */
     struct timespec until;
-    /** Tasks that others are being preempted for: nothing of lower priority starts until
-     * preemption_until. */
+    /** Number of tasks for which others are being preempted. Until preemption_until no
+     * task of lower priority starts on the machine. */
     uint32_t preemption_tasks;
     struct timespec preemption_until;
 };
 
-/** Commands that go straight to a machine's agent. */
+/** Commands pushed to a machine's agent outside of heartbeat replies. */
 struct lmn_machine_push {
-    bool is_woken; /**< it is to get work at once, and stands in the partition's list */
+    bool is_woken; /**< it is in the partition's woken_machines, to get work at once */
     bool is_in_flight;
 };
 
@@ -170,18 +171,18 @@
     struct lmn_machine_reservation reservation;
 };
 
-/** Machines that one record of the key-value store names. */
+/** Machines listed in one record of the key-value store. */
 struct lmn_machine_block {
     guint id;
-    uint64_t revision; /**< 0: there is no such record */
+    uint64_t revision; /**< of its record; 0: no record exists */
     uint32_t generation;
     GPtrArray *machines;
-    size_t bytes; /**< that the record takes */
+    size_t bytes; /**< size of the record */
     bool is_writing;
     struct timespec written_at, retry_at;
 };
 
-/** Most blocks of a partition; a record that names a higher one is ignored. */
+/** Maximum number of blocks in a partition; records of higher blocks are ignored. */
 enum { LMN_MAX_MACHINE_BLOCKS = 4096 };
 
 #endif
--- a/src/state/member_records.c
+++ b/src/state/member_records.c
@@ -1,14 +1,13 @@
 /** @file
- * Applies records of members and of suspicions to the membership: see
- * state/member_records.h. What follows from them is membership/'s to decide. The core's
- * lock is held throughout. */
+ * Applies member and suspicion records to the membership: see state/member_records.h.
+ * Decisions that follow from a change are made in membership/. */
 #include "state/member_records.h"
 
 #include "protocol/wire.h"
 #include "util/log.h"
 
-/** Reads a member's record: its lease alone or, if the member can say that it is about to
- * shut down, a map of both. */
+/** Reads a member's record. It is either the lease's id alone or, from members that
+ * announce their shutdown, a map with the lease's id and the shutdown flag. */
 static void read_member(const struct lmn_record_change *change, uint64_t *lease,
                         bool *is_shutting_down)
 {
@@ -23,7 +22,7 @@
     }
 }
 
-/** Logs what the record changes; the view is still that of before it. */
+/** Logs the change. Must be called before the change is applied to the member's view. */
 static void log_member_change(const struct lmn_core *core, int member_index,
                               const struct lmn_record_change *change)
 {
--- a/src/state/ownership_records.c
+++ b/src/state/ownership_records.c
@@ -1,24 +1,23 @@
 /** @file
- * Applies a partition's records of its owner, its epoch and its standby: see
- * state/ownership_records.h. It owns struct lmn_partition_record. The core's lock is held
- * throughout. */
+ * Applies a partition's owner, epoch and standby records: see state/ownership_records.h.
+ * Owns struct lmn_partition_record. */
 #include "state/ownership_records.h"
 
 #include "protocol/wire.h"
 
 #include <string.h>
 
-/** What an owner's record says. */
+/** A decoded owner record. */
 struct owner_claim {
     char owner[LMN_NAME_SIZE];
     uint64_t lease, epoch;
     uint64_t stream; /* replication stream that the claim was conditional on; 0: none */
 };
 
-/** Counts a failure of the member that loses the partition to `new_owner` (empty:
- * nobody). Three members have not failed: one that owns it still, one that is shutting
- * down and so gives its partitions away, and one that owned it in place of the
- * partition's home member, which takes it back. */
+/** Counts a failure of the member that loses the partition to `new_owner` (empty: no
+ * owner). No failure is counted if the owner stays the same, if the previous owner is
+ * shutting down and so transfers its partitions, or if the new owner is the partition's
+ * home member (partition id modulo member count), which takes it back. */
 static void record_owner_failure(struct lmn_core *core,
                                  const struct lmn_partition *partition,
                                  const char *new_owner, struct timespec now)
@@ -36,8 +35,9 @@
     lmn_member_record_failure(&core->members, loser, now);
 }
 
-/** What every change of the owner's record begins with, while the fields still show the
- * owner before. `new_owner` is empty if the record was removed. */
+/** Ends the previous owner's ownership. Must be called before the fields of the
+ * partition's record are changed. `new_owner` is empty if the owner record was removed.
+ */
 static void end_ownership(struct lmn_core *core, struct lmn_partition *partition,
                           const char *new_owner, const char *reason, struct timespec now)
 {
@@ -46,15 +46,15 @@
     record_owner_failure(core, partition, new_owner, now);
 }
 
-/** The owner's record was removed: nobody owns the partition. Leaves owner_epoch alone;
- * see the two callers. */
+/** Clears the partition's owner after its owner record was removed. Does not change
+ * owner_epoch: only one of the two callers resets it. */
 static void remove_owner(struct lmn_core *core, struct lmn_partition *partition,
                          struct timespec now)
 {
     struct lmn_partition_record *record = &partition->record;
 
-    end_ownership(core, partition, "", "owner key gone", now);
-    /* Told of a removal twice, it keeps what it knows of the owner before the first. */
+    end_ownership(core, partition, "", "owner record removed", now);
+    /* A removal may be applied twice; the second must not clear last_owner. */
     if (record->owner_revision)
         g_strlcpy(record->last_owner, record->owner, sizeof record->last_owner);
     record->owner[0] = '\0';
@@ -100,8 +100,8 @@
         set_owner(core, partition, &claim, change->revision, change->now);
     } else {
         remove_owner(core, partition, change->now);
-        /* Unlike lmn_owner_record_sweep, which leaves the epoch of the last owner in
-         * place: the status page shows it, so the two are told apart from outside. */
+        /* lmn_owner_record_sweep keeps the last owner's epoch instead. The status page
+         * shows owner_epoch, so this difference is visible to operators. */
         partition->record.owner_epoch = 0;
     }
     pthread_cond_broadcast(&core->ownership_changed);
--- a/src/state/range.h
+++ b/src/state/range.h
@@ -1,10 +1,10 @@
 /** @file
- * Ranges of a job's tasks, and queues of those that wait.
+ * Ranges of a job's tasks, and queues of tasks that wait to start.
  *
  * A range is the unit of ownership: each lies in one partition, and only the partition's
- * owner writes it. Owner: the watch cache makes ranges and sets what their records say;
- * partition/ and scheduler/ set the owner's fields while the partition is owned here. All
- * under the core's lock. */
+ * owner writes its record. Owner: the watch cache allocates ranges and sets the fields
+ * that come from records; partition/ and scheduler/ set the owner's fields while this
+ * controller owns the partition. All under the core's lock. */
 #ifndef LMN_STATE_RANGE_H
 #define LMN_STATE_RANGE_H
 
@@ -16,12 +16,12 @@
 struct lmn_job;
 struct lmn_partition;
 
-/** Where a task of an owned range stands. */
+/** State of a task in an owned range. */
 enum lmn_task_state {
-    LMN_TASK_QUEUED,  /**< on no machine */
-    LMN_TASK_STARTED, /**< on a machine, or possibly on its way to one */
+    LMN_TASK_QUEUED,  /**< waiting, on no machine */
+    LMN_TASK_STARTED, /**< on a machine, or its start may be in flight */
     LMN_TASK_DONE,
-    LMN_TASK_MOVING, /**< neither queued nor started until a move's outcome is known */
+    LMN_TASK_MOVING, /**< part of a move whose outcome is not known yet */
 };
 
 /** Tasks first..end-1 of a job, in one partition. */
@@ -36,29 +36,29 @@
     uint64_t created_revision; /**< of its record's first write */
     uint32_t generation;       /**< of the listing that last named it */
 
-    /* the owner's: */
+    /* set by the owner: */
     uint8_t *task_states; /**< an enum lmn_task_state for each task; NULL: not owned */
-    bool is_assigned;     /**< its queued tasks stand in queues */
+    bool is_assigned;     /**< its queued tasks are in queues */
     uint32_t started_count, finished_count;
     bool is_writing;
-    uint64_t written_revision; /**< of our last write, until the watch cache shows it */
+    uint64_t written_revision; /**< of the owner's last write, until the cache shows it */
     struct timespec dirty_since, retry_at;
-    /* a move of the tasks from move_at on to another partition, while it is in flight */
+    /* the move in flight, of tasks move_at..end-1 to partition move_to */
     uint32_t move_at;
-    int move_to;            /**< partition; -1: no move */
-    bool move_is_uncertain; /**< a write's outcome is unknown: only the cache can tell */
+    int move_to; /**< partition; -1: no move */
+    bool
+        move_is_uncertain; /**< the write's outcome is unknown until the cache shows it */
     uint64_t move_revision;
 };
 
 /** Consecutive queued tasks first..end-1 of a range. */
 struct lmn_queue_segment {
     struct lmn_range *range;
-    struct lmn_job
-        *job; /**< the range's, since scans over queues need nothing else of it */
+    struct lmn_job *job; /**< range->job, cached for scans over queues */
     uint32_t first, end;
 };
 
-/** Queued tasks of a machine, or those of a partition that no machine's queue holds. */
+/** Queue of a machine, or of a partition's tasks that are in no machine's queue. */
 struct lmn_queue {
     GPtrArray *segments; /**< struct lmn_queue_segment */
     uint32_t task_count;
--- a/src/state/record_keys.h
+++ b/src/state/record_keys.h
@@ -1,15 +1,14 @@
 /** @file
  * The keys of the records that controllers keep in the key-value store.
  *
- * Each record's key is a prefix that says its kind, followed by what it belongs to. The
- * prefixes, and the names of the fields in the records, are stored in running clusters:
- * they must not change. "Partition" is a partition's number in decimal digits. Who writes
- * a record always writes it on conditions on the revisions that the write was derived
- * from. */
+ * A key consists of a prefix for the record's kind and the name of the object. Running
+ * clusters have stored the prefixes and the records' field names: they must not change.
+ * PARTITION is a partition's number in decimal digits. Every write is conditional on the
+ * revisions of the records that it was derived from. */
 #ifndef LMN_STATE_RECORD_KEYS_H
 #define LMN_STATE_RECORD_KEYS_H
 
-/** JOB: a job's description, its phase, and how many of its ranges are open
+/** JOB: a job's description, its phase, and its number of open ranges
  * (state/records.h). Written by the controller that accepts, cancels or finishes the job,
  * and never removed. */
 #define LMN_KEY_JOB "j/"
@@ -37,19 +36,19 @@
  * owner alone, before the first start on a machine (partition/machine_block.h). */
 #define LMN_KEY_MACHINE_BLOCK "m/"
 
-/** TEAM: the partitions' shares of the team's quota limit, once they are not even any
- * more. Written by the owner that transfers a share (partition/quota_transfer.h). */
+/** TEAM: the partitions' shares of the team's quota limit, once they are no longer equal.
+ * Written by the owner that transfers a share (partition/quota_transfer.h). */
 #define LMN_KEY_QUOTA "q/"
 
-/** MEMBER: a controller that is up, and whether it is shutting down. Tied to its lease;
- * written by itself alone. */
+/** MEMBER: a running controller, and whether it is shutting down. Tied to that
+ * controller's lease; written by that controller alone. */
 #define LMN_KEY_MEMBER "n/"
 
-/** MEMBER: a suspicion that the controller has failed. Tied to the lease of the
- * controller that suspects it and writes this. */
+/** MEMBER: a suspicion that the controller has failed. Written by the controller that
+ * suspects it, and tied to that controller's lease. */
 #define LMN_KEY_SUSPICION "u/"
 
-/** The whole key of the operators' settings (config/operator_settings.h). */
+/** The complete key of the operators' settings (config/operator_settings.h). */
 #define LMN_KEY_OPERATOR_SETTINGS "s"
 
 #endif
--- a/src/state/records.c
+++ b/src/state/records.c
@@ -1,15 +1,15 @@
 /** @file
- * How jobs and ranges are written in the key-value store: see state/records.h. The names
- * of the fields are stored in running clusters: they must not change. */
+ * Encoding of job and range records: see state/records.h. Running clusters have stored
+ * the field names: they must not change. */
 #include "state/records.h"
 
-enum { JOB_RECORD_SIZE = 512 /* bytes that are allocated at first */ };
+enum { INITIAL_JOB_RECORD_BYTES = 512 };
 
 GByteArray *lmn_job_record_encode(const struct lmn_job_spec *spec,
                                   enum lmn_job_phase phase, uint32_t open_ranges,
                                   double accepted_at_s)
 {
-    GByteArray *buffer = g_byte_array_sized_new(JOB_RECORD_SIZE);
+    GByteArray *buffer = g_byte_array_sized_new(INITIAL_JOB_RECORD_BYTES);
 
     lmn_cbor_put_map(buffer, lmn_job_spec_pair_count() + 3);
     lmn_job_spec_write(buffer, spec);
--- a/src/state/records.h
+++ b/src/state/records.h
@@ -1,6 +1,6 @@
 /** @file
- * How jobs and ranges are written in the key-value store (state/record_keys.h). Pure
- * functions; buffers that they return are the caller's. */
+ * Encoding of jobs and ranges as records of the key-value store (state/record_keys.h).
+ * Pure functions; the caller owns the buffers that they return. */
 #ifndef LMN_RECORDS_H
 #define LMN_RECORDS_H
 
@@ -8,16 +8,15 @@
 
 /** Encodes a job's record.
  *
- * @param open_ranges    ranges of the job that are not closed yet
+ * @param open_ranges    number of the job's ranges with tasks that are not done
  * @param accepted_at_s  time of day at which the job was accepted */
 GByteArray *lmn_job_record_encode(const struct lmn_job_spec *spec,
                                   enum lmn_job_phase phase, uint32_t open_ranges,
                                   double accepted_at_s);
 
-/** Decodes a job's record into the other arguments. The spec is the caller's to clear,
- * whatever is returned.
+/** Decodes a job's record. The caller has to clear `spec`, even after a failure.
  *
- * @return 0, or -1 if the value is no job's record */
+ * @return 0, or -1 if the value is not a valid job record */
 int lmn_job_record_decode(const struct lmn_cbor_document *document,
                           const struct lmn_cbor_value *value, struct lmn_job_spec *spec,
                           enum lmn_job_phase *phase, uint32_t *open_ranges,
@@ -25,7 +24,7 @@
 
 /** Encodes a range's record.
  *
- * @param done  bit set of the tasks that are done, as long as the range */
+ * @param done  bit set of the tasks that are done; one bit for each task of the range */
 GByteArray *lmn_range_record_encode(const struct lmn_range *range, const uint8_t *done);
 
 #endif
--- a/src/state/retention.c
+++ b/src/state/retention.c
@@ -1,17 +1,18 @@
 /** @file
- * Retention of final jobs: see state/retention.h. It owns lmn_watch_cache's final_jobs.
+ * Retention of final jobs: see state/retention.h. Owns final_jobs of struct
+ * lmn_watch_cache.
  */
 #include "state/retention.h"
 
 #include "state/task_ledger.h"
 #include "util/log.h"
 
-/** Whatever a cancelled job's tasks do on machines that have been unreachable for so long
- * has to count against its team's quota limit: so a job that has been final for a shorter
- * time stays, however many there are. */
+/** Minimum time in seconds for which a final job stays in memory, however many there are.
+ * A cancelled job's tasks may still run on unreachable machines for this long; they have
+ * to count against the team's quota limit, which needs the job. */
 static const double MIN_RETENTION_S = 600;
-/** Jobs are evicted so many at a time: to find out what machines refer to takes a scan
- * over all of them. */
+/** Minimum number of excess jobs before any are evicted: each eviction scans all machines
+ * for the jobs that they refer to. */
 enum { EVICTION_BATCH = 1000 };
 
 void lmn_retention_add(struct lmn_core *core, struct lmn_job *job, struct timespec now)
@@ -30,7 +31,7 @@
             jobs, g_array_index(machine->failures.jobs, struct lmn_failing_job, i).job);
 }
 
-/** The jobs that machines' attempts and failures point at. The set is the caller's. */
+/** Set of the jobs that machines' attempts and failures refer to; the caller frees it. */
 static GHashTable *jobs_of_machines(const struct lmn_core *core)
 {
     GHashTable *jobs = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -74,7 +75,7 @@
             break;
         g_queue_pop_head(final_jobs);
         if (job->ranges->len || g_hash_table_contains(referenced, job)) {
-            /* Considered again together with the jobs that become final now. */
+            /* Reconsidered together with the jobs that become final now. */
             lmn_retention_add(core, job, now);
             continue;
         }
--- a/src/state/retention.h
+++ b/src/state/retention.h
@@ -1,8 +1,9 @@
 /** @file
- * Retention of final jobs. The key-value store keeps them for ever, a controller's memory
- * does not: beyond a number (lmn_watch_cache's max_retained_jobs) those that have been
- * final for long, and that nothing in memory refers to, are evicted. Requests about an
- * evicted job are answered from the store. The core's lock is held throughout. */
+ * Retention of final (done or cancelled) jobs in memory. The key-value store keeps them
+ * without limit. A controller keeps max_retained_jobs of struct lmn_watch_cache; above
+ * that number it evicts jobs that have been final for at least 600 s and that no range,
+ * attempt or failure in memory refers to. Requests about an evicted job are answered from
+ * the store. The caller holds the core's lock. */
 #ifndef LMN_RETENTION_H
 #define LMN_RETENTION_H
 
@@ -11,9 +12,9 @@
 /** Adds a job that has just become final, as the watch cache shows it. */
 void lmn_retention_add(struct lmn_core *core, struct lmn_job *job, struct timespec now);
 
-/** Evicts the jobs that can go, if enough have come together.
+/** Evicts final jobs, if at least a batch of them exceeds the number to retain.
  *
- * @return how many were evicted */
+ * @return the number of evicted jobs */
 guint lmn_retention_evict(struct lmn_core *core, struct timespec now);
 
 #endif
--- a/src/state/task_ledger.c
+++ b/src/state/task_ledger.c
@@ -4,11 +4,14 @@
 
 #include <string.h>
 
-/** Part of the lease, and of the heartbeat interval with an allowance, after which a
- * heartbeat is overdue: the smaller of the two counts. */
+/** A heartbeat is overdue after the smaller of SILENT_LEASE_SHARE leases and
+ * SILENT_HEARTBEATS heartbeat intervals plus HEARTBEAT_ALLOWANCE_S seconds. */
 static const double SILENT_LEASE_SHARE = 0.6, SILENT_HEARTBEATS = 1.25,
                     HEARTBEAT_ALLOWANCE_S = 2;
 
+/** Bytes of a machine's entry in its block's record besides the four texts. */
+enum { MACHINE_RECORD_OVERHEAD_BYTES = 24 };
+
 void lmn_queue_init(struct lmn_queue *queue)
 {
     queue->segments = g_ptr_array_new();
@@ -61,7 +64,7 @@
         struct lmn_queue_segment *segment = queue->segments->pdata[i];
         if (segment->range != range || index < segment->first || index >= segment->end)
             continue;
-        /* The segment is cut off before the task; what follows the task is added anew. */
+        /* Truncate the segment before the task, then add the tasks after it again. */
         uint32_t end = segment->end;
         struct lmn_range *segment_range = segment->range;
         queue->task_count -= end - index;
@@ -93,7 +96,7 @@
 size_t lmn_machine_record_size(const struct lmn_machine *machine)
 {
     return strlen(machine->name) + strlen(machine->address) + strlen(machine->type_name) +
-           strlen(machine->zone) + 24;
+           strlen(machine->zone) + MACHINE_RECORD_OVERHEAD_BYTES;
 }
 
 void lmn_machine_leave_block(struct lmn_machine *machine)
@@ -105,9 +108,10 @@
     machine->record.block = NULL;
 }
 
-/* The counts are kept, not made anew for each candidate: a scan over all machines each
- * time would grow with the square of their number. A job with affinity or anti-affinity
- * lies whole in one partition, so its owner knows all its tasks. */
+/* The counts are updated incrementally: recounting for each candidate machine would scan
+ * all machines each time, at a cost quadratic in their number. All ranges of a job with
+ * zone affinity or anti-affinity are in one partition, so its owner knows all its tasks.
+ */
 void lmn_job_add_zone_tasks(struct lmn_job *job, const char *zone, int change)
 {
     struct lmn_zone_tasks *zone_tasks;
@@ -158,8 +162,8 @@
 
     lmn_machine_mark_unreplicated(machine);
     if (stream->phase < LMN_STREAM_CATCHING_UP) {
-        /* The start does not wait for the standby; but the standby has to acknowledge it
-         * before a record may name it as in sync. */
+        /* This start does not wait for the standby, but the standby must acknowledge it
+         * before it is recorded as in sync. */
         stream->log_position++;
         return 0;
     }
@@ -210,7 +214,7 @@
     if (*machine->address)
         lmn_worker_hosts_remove(machine->partition->worker_hosts, machine->address);
     lmn_machine_leave_block(machine);
-    /* The last of the list takes its place. */
+    /* Move the list's last machine to the freed index. */
     list->pdata[machine->list_index] = last;
     last->list_index = machine->list_index;
     g_ptr_array_set_size(list, (gint)list->len - 1);
@@ -222,7 +226,8 @@
     g_free(machine);
 }
 
-/** Adds the attempt's resources to what is used (sign 1), or takes them off (sign -1). */
+/** Adds the attempt's resources to the used capacity and quota (sign 1), or subtracts
+ * them (sign -1). */
 static void change_usage(struct lmn_machine *machine, const struct lmn_attempt *attempt,
                          int sign)
 {
@@ -290,11 +295,11 @@
 
     if (partition->ownership.inherited_may_start)
         return true;
-    /* A range that is younger than our ownership never had tasks of an earlier owner:
-     * that one sees the changes in their order, so before such a range it saw that it had
-     * lost the partition. This holds for jobs with affinity or anti-affinity too, whose
-     * tasks depend on each other's places, since such a job lies whole in one partition
-     * and is created as a whole. */
+    /* An earlier owner never started tasks of a range that was created after this
+     * ownership began: it applies changes in commit order, so it sees the loss of the
+     * partition before it sees the range. This also holds for jobs with zone affinity or
+     * anti-affinity, where the zone of one task restricts the others: all ranges of such
+     * a job are in one partition and are created in one transaction. */
     return range->created_revision > partition->ownership.revision;
 }
 
--- a/src/state/tombstone.c
+++ b/src/state/tombstone.c
@@ -1,5 +1,5 @@
 /** @file
- * Tombstones of cancelled jobs: see state/tombstone.h. */
+ * Ring buffer of tombstones: see state/tombstone.h. */
 #include "state/tombstone.h"
 
 #include <glib.h>
@@ -11,7 +11,7 @@
 }
 
 unsigned lmn_tombstones_pending(const struct lmn_tombstones *tombstones, int member_index,
-                                const char **job_ids, unsigned max, uint64_t *upto)
+                                const char **job_ids, unsigned max, uint64_t *end)
 {
     uint64_t oldest = tombstones->count > LMN_MAX_TOMBSTONES
                           ? tombstones->count - LMN_MAX_TOMBSTONES
@@ -21,13 +21,13 @@
 
     for (unsigned i = 0; i < count; i++)
         job_ids[i] = tombstones->job_ids[(first + i) % LMN_MAX_TOMBSTONES];
-    *upto = first + count;
+    *end = first + count;
     return count;
 }
 
 void lmn_tombstones_acknowledge(struct lmn_tombstones *tombstones, int member_index,
-                                uint64_t upto)
+                                uint64_t end)
 {
     tombstones->acknowledged[member_index] =
-        MAX(tombstones->acknowledged[member_index], upto);
+        MAX(tombstones->acknowledged[member_index], end);
 }
--- a/src/state/watch_cache.c
+++ b/src/state/watch_cache.c
@@ -1,6 +1,5 @@
 /** @file
- * The watch cache: finds out what kind of record a change is of, and has it applied. See
- * state/watch_cache.h. The core's lock is held throughout. */
+ * The watch cache: dispatches changes by the record's kind; see state/watch_cache.h. */
 #include "state/watch_cache.h"
 
 #include "protocol/wire.h"
@@ -37,7 +36,7 @@
                                    change->value, change->revision, change->now);
 }
 
-/** Kinds of records whose key is the prefix and a name. */
+/** Record kinds with keys of the form PREFIX NAME. */
 static const struct record_kind {
     const char *prefix;
     void (*apply)(struct lmn_core *core, const struct lmn_record_change *change);
@@ -48,8 +47,7 @@
     {LMN_KEY_SUSPICION, lmn_suspicion_record_apply},
 };
 
-/** Kinds of records whose key is the prefix and a partition's number, which a slash and a
- * name may follow. */
+/** Record kinds with keys of the form PREFIX PARTITION or PREFIX PARTITION/NAME. */
 static const struct partition_record_kind {
     const char *prefix;
     bool has_name;
@@ -63,8 +61,8 @@
     {LMN_KEY_MACHINE_BLOCK, true, apply_machine_block},
 };
 
-/** Applies a change of a record of the kind; ignores a key that is not one of the kind,
- * or of a partition that the settings lack. */
+/** Applies a change of a record of the kind. Ignores malformed keys, and partitions
+ * beyond the configured number. */
 static void apply_to_partition(struct lmn_core *core,
                                const struct partition_record_kind *kind,
                                struct lmn_record_change *change)
@@ -122,7 +120,7 @@
     pthread_cond_broadcast(&core->ownership_changed);
 }
 
-/** Whether the partition's record names this controller under its present lease. */
+/** Whether the partition's owner record contains this controller's present lease. */
 static bool is_recorded_as_own(const struct lmn_core *core,
                                const struct lmn_partition *partition)
 {
--- a/src/state/watch_thread.c
+++ b/src/state/watch_thread.c
@@ -1,9 +1,9 @@
 /** @file
- * The thread that keeps the watch cache up to date: it lists all records of the key-value
- * store, then follows the store's watch, and lists again when it has fallen so far behind
- * that the store no longer has the changes in between.
+ * The thread that keeps the watch cache up to date. It lists all records of the key-value
+ * store, then follows the store's watch. When the store has compacted changes that the
+ * thread has not read yet, the thread lists all records again.
  *
- * The core's lock is taken only to apply what was read, never during a request. */
+ * The core's lock is taken only to apply responses, never during a request. */
 #include "http/client.h"
 #include "protocol/wire.h"
 #include "state/record_keys.h"
@@ -17,45 +17,47 @@
 enum {
     LIST_PAGE_RECORDS = 500,
     MAX_KEY_LENGTH = 256,
-    WATCH_WAIT_MS = 800, /* how long the store may hold back an answer without changes */
-    /* The same while a member is suspected: it has to see that in time to refute it, and
-     * to declare it failed takes a view of the store that is up to date. */
+    WATCH_WAIT_MS = 800, /* maximum wait of the store for a change */
+    /* The maximum wait while a member is suspected: the member must see the suspicion in
+     * time to refute it, and declaring a member failed needs an up-to-date cache. */
     WATCH_WAIT_SUSPICION_MS = 200,
     HTTP_OK = 200,
-    HTTP_GONE = 410, /* the store has compacted the changes that were asked for */
+    HTTP_GONE = 410, /* the store has compacted the requested changes */
 };
 
 static const double LIST_TIMEOUT_S = 3.0;
-/** How much longer than the store may wait the response may take. */
+/** Seconds that a watch response may take beyond the store's maximum wait. */
 static const double WATCH_TIMEOUT_MARGIN_S = 2.0;
-/** Changes come in bursts: a pause between two requests bounds what watching costs. */
+/** Minimum seconds between two watch requests. Changes arrive in bursts; without a pause
+ * each would cost a request. */
 static const double MIN_REQUEST_INTERVAL_S = 0.06;
-/** Pause after a failed request, with a random part so that controllers spread out. */
+/** Pause after a failed request, in seconds; the random part spreads the controllers'
+ * retries. */
 static const double RETRY_MIN_S = 0.15, RETRY_RANDOM_S = 0.15;
 
 /** How a listing ended. */
 enum listing_outcome {
     LISTING_COMPLETE,
     LISTING_FAILED,
-    LISTING_TOO_MANY_JOBS, /**< it has to be done again by the jobs that are needed */
+    LISTING_TOO_MANY_JOBS, /**< must be repeated with only the needed final jobs */
 };
 
 /** The thread's own state. */
 struct watch {
     struct lmn_core *core;
     struct lmn_http_client *client;
-    GByteArray *response; /* scratch: the last response's body */
-    uint64_t revision;    /* all changes up to it are applied */
-    bool is_listed;       /* the cache is whole as of the revision */
-    bool is_first_wait;   /* nothing was watched since the listing */
+    GByteArray *response; /* buffer for the last response's body */
+    uint64_t revision;    /* all changes up to this one are applied */
+    bool is_listed;       /* a complete listing was applied */
+    bool is_first_wait;   /* no watch request since the listing */
 };
 
-/** Requests a page of a listing; false: the request failed.
+/** Requests one page of a listing.
  *
- * @param prefix    of the keys
- * @param after     last key of the page before; empty: first page
- * @param document  set on success: the caller's to free, and valid until the watch's next
- *                  request */
+ * @param prefix    key prefix of the records to list
+ * @param after     last key of the previous page; empty: first page
+ * @param document  set on success; the caller frees it. Valid until the next request
+ * @return false if the request failed */
 static bool list_page(struct watch *watch, const char *prefix, const char *after,
                       struct lmn_cbor_document *document)
 {
@@ -74,7 +76,7 @@
     return false;
 }
 
-/** Whether the listing goes on behind the page. */
+/** Whether the listing has pages after this one. */
 static bool has_more_pages(const struct lmn_cbor_document *document)
 {
     const struct lmn_cbor_value *root = lmn_cbor_root(document);
@@ -85,7 +87,7 @@
     return has_more && items && items->len;
 }
 
-/** Adds the job that the range's key PREFIX/PARTITION/JOB/FIRST names. */
+/** Adds the job's id from a range's key of the form PREFIX/PARTITION/JOB/FIRST. */
 static void add_job_of_range(GHashTable *job_ids, const char *range_key)
 {
     g_auto(GStrv) parts = g_strsplit(range_key, "/", 4);
@@ -94,8 +96,9 @@
         g_hash_table_add(job_ids, g_strdup(parts[2]));
 }
 
-/** Lists which jobs have ranges: of the final jobs, only those are needed. NULL: the
- * listing failed. The set is the caller's. */
+/** Lists the ids of jobs that have ranges. Other final jobs need not be cached.
+ *
+ * @return a set that the caller frees; NULL: the listing failed */
 static GHashTable *list_needed_jobs(struct watch *watch)
 {
     GHashTable *job_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -119,9 +122,9 @@
     return job_ids;
 }
 
-/** Applies a page of a listing; the core's lock is held.
+/** Applies a page of a listing. The caller holds the core's lock.
  *
- * @param last_key  of MAX_KEY_LENGTH bytes; set to the page's last key, if it has one */
+ * @param last_key  buffer of MAX_KEY_LENGTH bytes; set to the page's last key, if any */
 static void apply_page(struct lmn_core *core, const struct lmn_cbor_document *page,
                        char *last_key)
 {
@@ -141,8 +144,8 @@
     }
 }
 
-/** Lists and applies all records. The watch's revision becomes that of the first page:
- * later pages may show later changes, which the watch will tell once more. */
+/** Lists and applies all records. Sets watch->revision to the first page's revision:
+ * later pages may contain later changes, which the watch then reports again. */
 static enum listing_outcome list_records(struct watch *watch)
 {
     struct lmn_core *core = watch->core;
@@ -171,8 +174,8 @@
     return LISTING_COMPLETE;
 }
 
-/** Lists all records, but of the final jobs only those that have ranges: there are more
- * final jobs than are kept in memory. */
+/** Lists all records, skipping final jobs without ranges. Used when there are more final
+ * jobs than are kept in memory. */
 static enum listing_outcome list_needed_records(struct watch *watch)
 {
     struct lmn_core *core = watch->core;
@@ -185,7 +188,9 @@
     return needed_job_ids ? list_records(watch) : LISTING_FAILED;
 }
 
-/** Makes the cache whole; true: it is, as of the watch's revision. */
+/** Lists and applies all records, and removes cached objects that the listing lacks.
+ *
+ * @return false if the listing failed or must be repeated */
 static bool list_all(struct watch *watch)
 {
     struct lmn_core *core = watch->core;
@@ -227,7 +232,7 @@
     }
 }
 
-/** Milliseconds for which the store may hold back its next answer. */
+/** Maximum wait of the store for a change in the next watch request, in milliseconds. */
 static int watch_wait_ms(const struct watch *watch)
 {
     struct lmn_core *core = watch->core;
@@ -241,23 +246,24 @@
     return wait_ms;
 }
 
-/** Applies the watch's answer and what follows from its changes; the core's lock is held.
+/** Applies a watch response, then begins ownerships and evicts final jobs. The caller
+ * holds the core's lock.
  *
- * @param sent  when the request was sent. The answer may have been under way for long, so
- *              it proves only that the cache is no older than that. */
-static void apply_answer(struct watch *watch, const struct lmn_cbor_document *answer,
-                         struct timespec sent)
+ * @param sent_at  when the request was sent. The response may have been delayed on the
+ *                 network, so the cache is only known to be as recent as this time. */
+static void apply_response(struct watch *watch, const struct lmn_cbor_document *response,
+                           struct timespec sent_at)
 {
     struct lmn_core *core = watch->core;
-    const struct lmn_cbor_value *root = lmn_cbor_root(answer);
+    const struct lmn_cbor_value *root = lmn_cbor_root(response);
     uint64_t revision = watch->revision;
     struct timespec now = lmn_now();
 
-    lmn_cbor_get_uint(lmn_cbor_get(answer, root, WIRE_REVISION), &revision);
-    apply_events(core, answer, lmn_cbor_get(answer, root, WIRE_EVENTS), now);
+    lmn_cbor_get_uint(lmn_cbor_get(response, root, WIRE_REVISION), &revision);
+    apply_events(core, response, lmn_cbor_get(response, root, WIRE_EVENTS), now);
     watch->revision = MAX(watch->revision, revision);
-    core->cache.fresh_at = sent;
-    lmn_members_record_watch(&core->members, sent);
+    core->cache.fresh_at = sent_at;
+    lmn_members_record_watch(&core->members, sent_at);
     if (!core->cache.is_synced) {
         core->cache.is_synced = true;
         core->cache.synced_at = now;
@@ -267,16 +273,17 @@
     lmn_retention_evict(core, now);
 }
 
-/** Waits for changes once, and applies them. Returns the request's HTTP status or, if
- * there was no valid answer, one of http/client.h's negative ones. */
+/** Sends one watch request and applies the changes in its response.
+ *
+ * @return the HTTP status; a negative LMN_HTTP_ code if there was no valid response */
 static int wait_for_changes(struct watch *watch)
 {
     char path[256];
-    struct lmn_cbor_document answer;
+    struct lmn_cbor_document response;
     int wait_ms = watch_wait_ms(watch);
 
     lmn_kv_client_wait_for_token(watch->core->kv_client);
-    struct timespec sent = lmn_now();
+    struct timespec sent_at = lmn_now();
     g_snprintf(path, sizeof path,
                WIRE_PATH_WATCH "?" WIRE_QUERY_PREFIX "=&" WIRE_QUERY_AFTER
                                "=%" G_GUINT64_FORMAT "&" WIRE_QUERY_WAIT_MS "=%d",
@@ -286,17 +293,18 @@
                              wait_ms / 1000.0 + WATCH_TIMEOUT_MARGIN_S, watch->response);
     if (status != HTTP_OK)
         return status;
-    if (lmn_cbor_parse(&answer, watch->response->data, watch->response->len) != 0)
+    if (lmn_cbor_parse(&response, watch->response->data, watch->response->len) != 0)
         return LMN_HTTP_NO_RESPONSE;
     pthread_mutex_lock(&watch->core->lock);
-    apply_answer(watch, &answer, sent);
+    apply_response(watch, &response, sent_at);
     pthread_mutex_unlock(&watch->core->lock);
-    lmn_cbor_free(&answer);
+    lmn_cbor_free(&response);
     return HTTP_OK;
 }
 
-/** Lists the records if need be, then waits for changes once. Returns as
- * wait_for_changes. */
+/** Lists all records if they are not listed yet, then sends one watch request.
+ *
+ * @return as wait_for_changes */
 static int list_and_watch(struct watch *watch)
 {
     if (!watch->is_listed) {
