--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -1,6 +1,6 @@
-/* Records of the state service keep their bytes: each golden record is read, and what was
- * read is written again to the same bytes; the writes that carry them go to the same keys
- * and hang on the same leases. */
+/* Guards against changes in the encoding of records in the key-value store, which running
+ * clusters have stored. Each golden record is decoded and encoded again to the same
+ * bytes, and the transactions that write it use the same key and lease. */
 #include "golden.h"
 
 #include "util/clock.h"
@@ -20,7 +20,7 @@
 #include "state/records.h"
 #include "kv_client/kv_client.h"
 
-/* Past cores are left behind as they are. */
+/* The tests do not free their cores, so leak detection is off. */
 const char *__asan_default_options(void);
 const char *__asan_default_options(void)
 {
@@ -30,26 +30,26 @@
 static struct timespec now = {1000000, 0};
 static struct lmn_team teams[] = {
     {.name = "ml train", .cpus = 10, .cpus_max = 100.5, .gpus = 1, .gpus_max = 8}};
-static struct lmn_settings cfg;
+static struct lmn_settings settings;
 
-static struct lmn_core *make(void)
+static struct lmn_core *new_core(void)
 {
-    memset(&cfg, 0, sizeof cfg);
-    g_strlcpy(cfg.node_name, "na", LMN_NAME_SIZE);
-    g_strlcpy(cfg.zone, "y", LMN_NAME_SIZE);
-    cfg.member_count = 1;
-    g_strlcpy(cfg.members[0].name, "nb", LMN_NAME_SIZE);
-    g_strlcpy(cfg.members[0].zone, "z", LMN_NAME_SIZE);
-    cfg.partition_count = 2;
-    cfg.heartbeat_s = 1;
-    cfg.lease_s = 8;
-    cfg.cancel_s = 30;
-    cfg.state_requests_per_s = cfg.state_writes_per_s = 1e6;
-    cfg.max_value_kb = 16;
-    cfg.max_txn_operations = 12;
-    cfg.teams = teams;
-    cfg.team_count = G_N_ELEMENTS(teams);
-    struct lmn_core *core = lmn_core_new(&cfg, lmn_kv_client_new(&cfg), 1);
+    memset(&settings, 0, sizeof settings);
+    g_strlcpy(settings.node_name, "na", LMN_NAME_SIZE);
+    g_strlcpy(settings.zone, "y", LMN_NAME_SIZE);
+    settings.member_count = 1;
+    g_strlcpy(settings.members[0].name, "nb", LMN_NAME_SIZE);
+    g_strlcpy(settings.members[0].zone, "z", LMN_NAME_SIZE);
+    settings.partition_count = 2;
+    settings.heartbeat_s = 1;
+    settings.lease_s = 8;
+    settings.cancel_s = 30;
+    settings.state_requests_per_s = settings.state_writes_per_s = 1e6;
+    settings.max_value_kb = 16;
+    settings.max_txn_operations = 12;
+    settings.teams = teams;
+    settings.team_count = G_N_ELEMENTS(teams);
+    struct lmn_core *core = lmn_core_new(&settings, lmn_kv_client_new(&settings), 1);
     core->cloud.machine_types.count = 1;
     core->cloud.machine_types.types[0] =
         (struct lmn_machine_type){.name = "x", .cpus = 8, .memory_gb = 64};
@@ -63,46 +63,49 @@
     return core;
 }
 
-/* --- what a transaction writes --- */
+/* --- writes of a transaction --- */
 
-struct sought {
+struct key_search {
     const char *key;
     GByteArray *value;
     uint64_t lease;
     bool removed;
 };
 
-static void seek(void *arg, const char *key, const GByteArray *value, uint64_t lease)
+static void find_write(void *arg, const char *key, const GByteArray *value,
+                       uint64_t lease)
 {
-    struct sought *s = arg;
+    struct key_search *search = arg;
 
-    if (strcmp(s->key, key))
+    if (strcmp(search->key, key))
         return;
-    s->removed = !value;
-    s->lease = lease;
+    search->removed = !value;
+    search->lease = lease;
     if (value)
-        s->value = g_byte_array_append(g_byte_array_new(), value->data, value->len);
+        search->value = g_byte_array_append(g_byte_array_new(), value->data, value->len);
 }
 
-/* The write to the key is the golden record, and hangs on the lease. */
+/* Asserts that the transaction writes the golden record to the key, tied to the lease. */
 static void writes_record(const struct lmn_txn *txn, const char *key, uint64_t lease,
                           const char *name)
 {
-    struct sought s = {.key = key};
+    struct key_search search = {.key = key};
 
     assert_non_null(txn);
-    lmn_txn_foreach_operation(txn, seek, &s);
-    if (!s.value) {
-        fail_msg("nothing is written to %s", key);
-        return; /* for the analyzer, which does not know that fail_msg never returns */
+    lmn_txn_foreach_operation(txn, find_write, &search);
+    if (!search.value) {
+        fail_msg("the transaction writes nothing to key %s", key);
+        return; /* not reached; the static analyzer does not know that fail_msg never
+                   returns */
     }
-    assert_int_equal(s.lease, lease);
-    golden_same(name, s.value->data, s.value->len);
-    g_byte_array_unref(s.value);
+    assert_int_equal(search.lease, lease);
+    golden_assert_equal(name, search.value->data, search.value->len);
+    g_byte_array_unref(search.value);
 }
 
-static void take_record(struct lmn_core *core, const char *key, uint64_t lease,
-                        const char *name)
+/* Asserts the same of the next queued transaction, and rejects that transaction. */
+static void next_txn_writes_record(struct lmn_core *core, const char *key, uint64_t lease,
+                                   const char *name)
 {
     struct lmn_txn *txn = lmn_kv_client_dequeue(core->kv_client);
 
@@ -113,18 +116,18 @@
 static void apply(struct lmn_core *core, const char *key, const char *name,
                   uint64_t revision)
 {
-    GByteArray *b = golden_read(name);
-    struct lmn_cbor_document d;
+    GByteArray *bytes = golden_read(name);
+    struct lmn_cbor_document document;
 
-    assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-    lmn_watch_cache_apply(core, key, &d, lmn_cbor_root(&d), revision, now);
-    lmn_cbor_free(&d);
-    g_byte_array_unref(b);
+    assert_int_equal(lmn_cbor_parse(&document, bytes->data, bytes->len), 0);
+    lmn_watch_cache_apply(core, key, &document, lmn_cbor_root(&document), revision, now);
+    lmn_cbor_free(&document);
+    g_byte_array_unref(bytes);
 }
 
 /* --- jobs --- */
 
-static struct lmn_job_spec plain(void)
+static struct lmn_job_spec required_fields_spec(void)
 {
     return (struct lmn_job_spec){.id = "run-000412",
                                  .class_name = (char *)"etl",
@@ -140,7 +143,7 @@
                                  .deadline_s = -1};
 }
 
-static struct lmn_job_spec full(void)
+static struct lmn_job_spec all_fields_spec(void)
 {
     static const char *const types[] = {"x", "y-large", NULL};
 
@@ -166,76 +169,85 @@
                                  .may_use_spot = true};
 }
 
-static void same_spec(const struct lmn_job_spec *a, const struct lmn_job_spec *b)
+static void assert_same_spec(const struct lmn_job_spec *actual,
+                             const struct lmn_job_spec *expected)
 {
-    assert_string_equal(a->id, b->id);
-    assert_string_equal(a->class_name, b->class_name);
-    assert_string_equal(a->team, b->team);
-    assert_string_equal(a->image, b->image);
-    assert_int_equal(g_strcmp0(a->zone, b->zone), 0);
-    assert_int_equal(a->machine_types != NULL, b->machine_types != NULL);
-    if (a->machine_types)
-        assert_true(g_strv_equal((const char *const *)a->machine_types,
-                                 (const char *const *)b->machine_types));
-    assert_int_equal(a->kind, b->kind);
-    assert_int_equal(a->priority, b->priority);
-    assert_int_equal(a->tasks, b->tasks);
-    assert_true(a->cpus == b->cpus && a->gpus == b->gpus && a->memory_gb == b->memory_gb);
-    assert_true(a->image_gb == b->image_gb && a->estimate_s == b->estimate_s);
-    assert_true(a->checkpoint_s == b->checkpoint_s && a->save_s == b->save_s);
-    assert_true(a->deadline_s == b->deadline_s);
-    assert_int_equal(a->requires_one_zone, b->requires_one_zone);
-    assert_int_equal(a->spreads_over_zones, b->spreads_over_zones);
-    assert_int_equal(a->may_use_spot, b->may_use_spot);
+    assert_string_equal(actual->id, expected->id);
+    assert_string_equal(actual->class_name, expected->class_name);
+    assert_string_equal(actual->team, expected->team);
+    assert_string_equal(actual->image, expected->image);
+    assert_int_equal(g_strcmp0(actual->zone, expected->zone), 0);
+    assert_int_equal(actual->machine_types != NULL, expected->machine_types != NULL);
+    if (actual->machine_types)
+        assert_true(g_strv_equal((const char *const *)actual->machine_types,
+                                 (const char *const *)expected->machine_types));
+    assert_int_equal(actual->kind, expected->kind);
+    assert_int_equal(actual->priority, expected->priority);
+    assert_int_equal(actual->tasks, expected->tasks);
+    assert_true(actual->cpus == expected->cpus && actual->gpus == expected->gpus &&
+                actual->memory_gb == expected->memory_gb);
+    assert_true(actual->image_gb == expected->image_gb &&
+                actual->estimate_s == expected->estimate_s);
+    assert_true(actual->checkpoint_s == expected->checkpoint_s &&
+                actual->save_s == expected->save_s);
+    assert_true(actual->deadline_s == expected->deadline_s);
+    assert_int_equal(actual->requires_one_zone, expected->requires_one_zone);
+    assert_int_equal(actual->spreads_over_zones, expected->spreads_over_zones);
+    assert_int_equal(actual->may_use_spot, expected->may_use_spot);
 }
 
-static void job_keeps(const char *name, struct lmn_job_spec spec,
-                      enum lmn_job_phase phase, uint32_t open, double at)
+static void job_record_keeps_bytes(const char *name, struct lmn_job_spec spec,
+                                   enum lmn_job_phase phase, uint32_t open_ranges,
+                                   double accepted_at_s)
 {
     enum lmn_job_phase read_phase;
-    struct lmn_job_spec read;
-    uint32_t read_open;
-    struct lmn_cbor_document d;
-    double read_at;
+    struct lmn_job_spec read_spec;
+    uint32_t read_open_ranges;
+    struct lmn_cbor_document document;
+    double read_accepted_at_s;
 
-    GByteArray *b = lmn_job_record_encode(&spec, phase, open, at);
-    golden_same(name, b->data, b->len);
-    g_byte_array_unref(b);
+    GByteArray *bytes = lmn_job_record_encode(&spec, phase, open_ranges, accepted_at_s);
+    golden_assert_equal(name, bytes->data, bytes->len);
+    g_byte_array_unref(bytes);
 
     GByteArray *kept = golden_read(name);
-    assert_int_equal(lmn_cbor_parse(&d, kept->data, kept->len), 0);
-    assert_int_equal(lmn_job_record_decode(&d, lmn_cbor_root(&d), &read, &read_phase,
-                                           &read_open, &read_at),
+    assert_int_equal(lmn_cbor_parse(&document, kept->data, kept->len), 0);
+    assert_int_equal(lmn_job_record_decode(&document, lmn_cbor_root(&document),
+                                           &read_spec, &read_phase, &read_open_ranges,
+                                           &read_accepted_at_s),
                      0);
-    same_spec(&read, &spec);
+    assert_same_spec(&read_spec, &spec);
     assert_int_equal(read_phase, phase);
-    assert_int_equal(read_open, open);
-    assert_true(read_at == at);
-    b = lmn_job_record_encode(&read, read_phase, read_open, read_at);
-    golden_same(name, b->data, b->len);
-    g_byte_array_unref(b);
-    lmn_job_spec_clear(&read);
-    lmn_cbor_free(&d);
+    assert_int_equal(read_open_ranges, open_ranges);
+    assert_true(read_accepted_at_s == accepted_at_s);
+    bytes = lmn_job_record_encode(&read_spec, read_phase, read_open_ranges,
+                                  read_accepted_at_s);
+    golden_assert_equal(name, bytes->data, bytes->len);
+    g_byte_array_unref(bytes);
+    lmn_job_spec_clear(&read_spec);
+    lmn_cbor_free(&document);
     g_byte_array_unref(kept);
 }
 
 static void job_record_of_an_active_job_keeps_its_bytes(void **state)
 {
     (void)state;
-    job_keeps("job_active", plain(), LMN_JOB_ACTIVE, 1, 1700000000.25);
+    job_record_keeps_bytes("job_active", required_fields_spec(), LMN_JOB_ACTIVE, 1,
+                           1700000000.25);
 }
 
 static void job_record_of_a_cancelled_job_keeps_its_bytes(void **state)
 {
     (void)state;
-    job_keeps("job_withdrawn", plain(), LMN_JOB_CANCELLED, 1, 1700000000.25);
-    struct lmn_job_read_result r = {.status = 200,
-                                    .revision = 5,
-                                    .spec = plain(),
-                                    .open_ranges = 1,
-                                    .accepted_at_s = 1700000000.25};
+    job_record_keeps_bytes("job_withdrawn", required_fields_spec(), LMN_JOB_CANCELLED, 1,
+                           1700000000.25);
+    struct lmn_job_read_result read_result = {.status = 200,
+                                              .revision = 5,
+                                              .spec = required_fields_spec(),
+                                              .open_ranges = 1,
+                                              .accepted_at_s = 1700000000.25};
     struct lmn_job_reply reply;
-    struct lmn_txn *txn = lmn_cancellation_txn("run-000412", &r, 404, &reply);
+    struct lmn_txn *txn = lmn_cancellation_txn("run-000412", &read_result, 404, &reply);
     writes_record(txn, "j/run-000412", 0, "job_withdrawn");
     lmn_txn_free(txn);
 }
@@ -243,35 +255,37 @@
 static void job_record_of_a_finished_job_keeps_its_bytes(void **state)
 {
     (void)state;
-    job_keeps("job_finished", plain(), LMN_JOB_DONE, 0, 1700000000.25);
+    job_record_keeps_bytes("job_finished", required_fields_spec(), LMN_JOB_DONE, 0,
+                           1700000000.25);
 }
 
 static void job_record_with_all_optional_fields_keeps_its_bytes(void **state)
 {
     (void)state;
-    job_keeps("job_all_fields", full(), LMN_JOB_ACTIVE, 300, 0);
-    job_keeps("job_all_fields_withdrawn", full(), LMN_JOB_CANCELLED, 70000, 1e10);
+    job_record_keeps_bytes("job_all_fields", all_fields_spec(), LMN_JOB_ACTIVE, 300, 0);
+    job_record_keeps_bytes("job_all_fields_withdrawn", all_fields_spec(),
+                           LMN_JOB_CANCELLED, 70000, 1e10);
 }
 
 static void submission_writes_the_records_of_job_and_range(void **state)
 {
-    struct lmn_core *core = make();
-    struct lmn_job_spec s = plain();
+    struct lmn_core *core = new_core();
+    struct lmn_job_spec spec = required_fields_spec();
     (void)state;
 
-    s.requires_one_zone = true; /* in one partition */
-    struct lmn_txn *txn = lmn_submission_txn(core, &s, 1700000000.25, NULL, NULL);
+    spec.requires_one_zone = true; /* so that there is one range, in one partition */
+    struct lmn_txn *txn = lmn_submission_txn(core, &spec, 1700000000.25, NULL, NULL);
     assert_int_equal(lmn_txn_operation_count(txn), 2);
     writes_record(txn, "j/run-000412", 0, "job_submitted");
-    int part = (int)(g_str_hash(s.id) % 2);
+    int partition = (int)(g_str_hash(spec.id) % 2);
     char key[64];
-    g_snprintf(key, sizeof key, "r/%d/run-000412/0", part);
+    g_snprintf(key, sizeof key, "r/%d/run-000412/0", partition);
     writes_record(txn, key, 0, "range_submitted");
     lmn_txn_free(txn);
     apply(core, "j/run-000412", "job_submitted", 3);
     apply(core, key, "range_submitted", 3);
     const struct lmn_range *range =
-        g_hash_table_lookup(core->partitions[part].ranges, key);
+        g_hash_table_lookup(core->partitions[partition].ranges, key);
     assert_non_null(range);
     assert_int_equal(range->first, 0);
     assert_int_equal(range->end, 100);
@@ -285,45 +299,45 @@
 {
     static const char key[] = "r/1/run-000412/20";
     uint8_t done[8] = {0};
-    struct lmn_core *core = make();
+    struct lmn_core *core = new_core();
     (void)state;
 
     for (uint32_t i = 0; i < 40; i += i % 3 + 1)
         lmn_bitset_set(done, i);
     struct lmn_range range = {.first = 20, .end = 80};
-    GByteArray *b = lmn_range_record_encode(&range, done);
-    golden_same("range_done", b->data, b->len);
-    g_byte_array_unref(b);
+    GByteArray *bytes = lmn_range_record_encode(&range, done);
+    golden_assert_equal("range_done", bytes->data, bytes->len);
+    g_byte_array_unref(bytes);
 
     core->partitions[1].ownership.is_owned = core->partitions[1].ownership.is_ready =
         true;
     apply(core, "j/run-000412", "job_active", 3);
     apply(core, key, "range_done", 4);
-    struct lmn_range *r = g_hash_table_lookup(core->partitions[1].ranges, key);
-    assert_non_null(r);
-    assert_int_equal(r->first, 20);
-    assert_int_equal(r->end, 80);
-    assert_memory_equal(r->done, done, 8);
-    assert_int_equal(r->done_count, lmn_bitset_count(done, 60));
-    b = lmn_range_record_encode(r, r->done);
-    golden_same("range_done", b->data, b->len);
-    g_byte_array_unref(b);
-
-    /* As its owner writes it, with one task more. */
-    r->task_states[59] = LMN_TASK_DONE;
-    r->finished_count++;
-    r->dirty_since = lmn_time_add(now, -10);
+    struct lmn_range *cached_range = g_hash_table_lookup(core->partitions[1].ranges, key);
+    assert_non_null(cached_range);
+    assert_int_equal(cached_range->first, 20);
+    assert_int_equal(cached_range->end, 80);
+    assert_memory_equal(cached_range->done, done, 8);
+    assert_int_equal(cached_range->done_count, lmn_bitset_count(done, 60));
+    bytes = lmn_range_record_encode(cached_range, cached_range->done);
+    golden_assert_equal("range_done", bytes->data, bytes->len);
+    g_byte_array_unref(bytes);
+
+    /* The owner writes the range with one more task done. */
+    cached_range->task_states[59] = LMN_TASK_DONE;
+    cached_range->finished_count++;
+    cached_range->dirty_since = lmn_time_add(now, -10);
     lmn_range_writer_flush(core, now);
-    take_record(core, key, 0, "range_done_last");
+    next_txn_writes_record(core, key, 0, "range_done_last");
 
-    /* Its job ends with it. */
-    memset(r->task_states, LMN_TASK_DONE, 60);
-    r->finished_count = 60;
+    /* With all tasks done, the owner removes the range and finishes the job. */
+    memset(cached_range->task_states, LMN_TASK_DONE, 60);
+    cached_range->finished_count = 60;
     lmn_range_writer_flush(core, lmn_time_add(now, 5));
     struct lmn_txn *txn = lmn_kv_client_dequeue(core->kv_client);
-    struct sought removal = {.key = key};
+    struct key_search removal = {.key = key};
     writes_record(txn, "j/run-000412", 0, "job_finished");
-    lmn_txn_foreach_operation(txn, seek, &removal);
+    lmn_txn_foreach_operation(txn, find_write, &removal);
     assert_true(removal.removed);
     lmn_txn_complete(txn, LMN_TXN_REJECTED, 0);
 }
@@ -335,7 +349,7 @@
     static const char *const names[] = {"host-1", "host-2", "host-3"};
     (void)state;
 
-    struct lmn_core *core = make();
+    struct lmn_core *core = new_core();
     struct lmn_partition *partition = &core->partitions[0];
     partition->ownership.is_owned = partition->ownership.is_ready = true;
     for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
@@ -348,7 +362,8 @@
         g_strlcpy(machine->zone, i % 2 ? "a" : "b", LMN_NAME_SIZE);
         machine->is_spot = i == 2;
         machine->agent.has_reported = machine->lifecycle.is_accounted = true;
-        /* One after another: the order of a table is no part of the record. */
+        /* Flushed after each machine, so that the record's order does not depend on the
+         * order of the hash table. */
         lmn_machine_blocks_flush(core, partition, false, lmn_time_add(now, 10 * i));
         struct lmn_txn *txn;
         while ((txn = lmn_kv_client_dequeue(core->kv_client))) {
@@ -360,7 +375,7 @@
             (struct timespec){0, 0};
     }
 
-    struct lmn_core *other = make();
+    struct lmn_core *other = new_core();
     apply(other, "m/0/0", "machines", 9);
     assert_int_equal(other->partitions[0].machine_list->len, 3);
     const struct lmn_machine *machine =
@@ -375,17 +390,17 @@
     assert_false(machine->is_spot);
 }
 
-/* --- parts of limits --- */
+/* --- quota shares --- */
 
-static void record_of_a_teams_parts_keeps_its_bytes(void **state)
+static void record_of_a_teams_quota_shares_keeps_its_bytes(void **state)
 {
-    struct lmn_core *core = make();
+    struct lmn_core *core = new_core();
     (void)state;
 
     core->partitions[0].ownership.is_owned = core->partitions[0].ownership.is_ready =
         true;
     assert_true(lmn_quota_transfer_begin(core, &core->partitions[0], 0, 1, 7.25, 2));
-    take_record(core, "q/ml%20train", 0, "team_parts");
+    next_txn_writes_record(core, "q/ml%20train", 0, "team_parts");
     apply(core, "q/ml%20train", "team_parts", 6);
     assert_true(core->quota.has_record[0]);
     assert_true(core->partitions[0].quota.cpus[0] == 43);
@@ -396,9 +411,9 @@
 
 /* --- ownership --- */
 
-static void records_of_owner_and_term_keep_their_bytes(void **state)
+static void records_of_owner_and_epoch_keep_their_bytes(void **state)
 {
-    struct lmn_core *core = make();
+    struct lmn_core *core = new_core();
     struct lmn_partition *partition = &core->partitions[1];
     (void)state;
 
@@ -415,7 +430,7 @@
     assert_int_equal(partition->record.owner_epoch, 42);
     assert_int_equal(partition->record.owner_stream, 0);
 
-    /* To a standby in step. */
+    /* A transfer to a standby that is in sync. */
     g_strlcpy(partition->record.standby, "nb", LMN_NAME_SIZE);
     partition->record.standby_stream = (uint64_t)42 << 20 | 3;
     partition->record.standby_epoch = 42;
@@ -454,7 +469,7 @@
 
 static void record_of_a_standby_keeps_its_bytes(void **state)
 {
-    struct lmn_core *core = make();
+    struct lmn_core *core = new_core();
     (void)state;
 
     struct lmn_txn *txn = standby_write(core, LMN_STREAM_JOINING);
@@ -466,7 +481,7 @@
     assert_int_equal(core->partitions[1].record.standby_stream, (uint64_t)42 << 20 | 3);
     assert_int_equal(core->partitions[1].record.standby_epoch, 42);
 
-    core = make();
+    core = new_core();
     txn = standby_write(core, LMN_STREAM_REMOVING);
     writes_record(txn, "b/1", 0, "standby_struck");
     lmn_txn_free(txn);
@@ -481,7 +496,7 @@
 
 static void record_of_a_controller_keeps_its_bytes(void **state)
 {
-    struct lmn_core *core = make();
+    struct lmn_core *core = new_core();
     (void)state;
 
     struct lmn_txn *txn = lmn_ownership_announce(core, 77, now);
@@ -503,7 +518,7 @@
 
 static void record_of_a_suspicion_keeps_its_bytes(void **state)
 {
-    struct lmn_core *core = make();
+    struct lmn_core *core = new_core();
     struct lmn_member_view *member = &core->members.views[1];
     (void)state;
 
@@ -529,25 +544,25 @@
 
 static void record_of_operators_settings_keeps_its_bytes(void **state)
 {
-    struct lmn_core *core = make();
-    struct lmn_operator_settings t = lmn_operator_settings_default;
+    struct lmn_core *core = new_core();
+    struct lmn_operator_settings operator_settings = lmn_operator_settings_default;
     (void)state;
 
-    GByteArray *b = lmn_operator_settings_record(&t);
-    golden_same("settings_default", b->data, b->len);
-    g_byte_array_unref(b);
-    t = (struct lmn_operator_settings){.sample = 12,
-                                       .share = 0.25,
-                                       .poll_floor_s = 0.002,
-                                       .poll_cap_s = 2.5,
-                                       .idle_return_s = 60,
-                                       .spare_cpus = 128,
-                                       .horizon_s = 45,
-                                       .spot = 0,
-                                       .standby = 0};
-    b = lmn_operator_settings_record(&t);
-    golden_same("settings_all_set", b->data, b->len);
-    g_byte_array_unref(b);
+    GByteArray *bytes = lmn_operator_settings_record(&operator_settings);
+    golden_assert_equal("settings_default", bytes->data, bytes->len);
+    g_byte_array_unref(bytes);
+    operator_settings = (struct lmn_operator_settings){.sample = 12,
+                                                       .share = 0.25,
+                                                       .poll_floor_s = 0.002,
+                                                       .poll_cap_s = 2.5,
+                                                       .idle_return_s = 60,
+                                                       .spare_cpus = 128,
+                                                       .horizon_s = 45,
+                                                       .spot = 0,
+                                                       .standby = 0};
+    bytes = lmn_operator_settings_record(&operator_settings);
+    golden_assert_equal("settings_all_set", bytes->data, bytes->len);
+    g_byte_array_unref(bytes);
     apply(core, "s", "settings_all_set", 4);
     assert_true(core->cache.operator_settings.sample == 12 &&
                 core->cache.operator_settings.share == 0.25);
@@ -558,9 +573,9 @@
     assert_true(core->cache.operator_settings.horizon_s == 45);
     assert_true(core->cache.operator_settings.spot == 0 &&
                 core->cache.operator_settings.standby == 0);
-    b = lmn_operator_settings_record(&core->cache.operator_settings);
-    golden_same("settings_all_set", b->data, b->len);
-    g_byte_array_unref(b);
+    bytes = lmn_operator_settings_record(&core->cache.operator_settings);
+    golden_assert_equal("settings_all_set", bytes->data, bytes->len);
+    g_byte_array_unref(bytes);
 }
 
 int main(void)
@@ -573,12 +588,12 @@
         cmocka_unit_test(submission_writes_the_records_of_job_and_range),
         cmocka_unit_test(range_record_with_a_done_set_keeps_its_bytes),
         cmocka_unit_test(block_record_of_machines_keeps_its_bytes),
-        cmocka_unit_test(record_of_a_teams_parts_keeps_its_bytes),
-        cmocka_unit_test(records_of_owner_and_term_keep_their_bytes),
+        cmocka_unit_test(record_of_a_teams_quota_shares_keeps_its_bytes),
+        cmocka_unit_test(records_of_owner_and_epoch_keep_their_bytes),
         cmocka_unit_test(record_of_a_standby_keeps_its_bytes),
         cmocka_unit_test(record_of_a_controller_keeps_its_bytes),
         cmocka_unit_test(record_of_a_suspicion_keeps_its_bytes),
         cmocka_unit_test(record_of_operators_settings_keeps_its_bytes),
     };
-    return golden_end(cmocka_run_group_tests(tests, NULL, NULL));
+    return golden_exit_status(cmocka_run_group_tests(tests, NULL, NULL));
 }
--- a/tests/test_job_spec.c
+++ b/tests/test_job_spec.c
@@ -1,4 +1,4 @@
-/* Jobs' descriptions, done sets, and what can never run. */
+/* Job descriptions, sets of done tasks, and feasibility of jobs. */
 #include "protocol/cbor.h"
 #include "job/job_spec.h"
 #include "config/settings.h"
@@ -11,93 +11,99 @@
 #include <math.h>
 #include <string.h>
 
-static void random_spec(GRand *r, struct lmn_job_spec *spec)
+static void random_spec(GRand *random, struct lmn_job_spec *spec)
 {
     memset(spec, 0, sizeof *spec);
-    g_snprintf(spec->id, sizeof spec->id, "run-%06d", g_rand_int_range(r, 0, 1000000));
+    g_snprintf(spec->id, sizeof spec->id, "run-%06d",
+               g_rand_int_range(random, 0, 1000000));
     spec->class_name = g_strdup("c");
     spec->team = g_strdup("t");
-    spec->image = g_strdup_printf("img-%d", g_rand_int_range(r, 0, 9));
-    spec->zone = g_rand_boolean(r) ? g_strdup("a") : NULL;
-    spec->machine_types = g_rand_boolean(r) ? g_strsplit("x,y", ",", -1) : NULL;
-    spec->kind = g_rand_boolean(r) ? LMN_JOB_BATCH : LMN_JOB_SERVICE;
-    spec->priority = (enum lmn_priority)g_rand_int_range(r, 0, 4);
-    spec->tasks = (uint32_t)g_rand_int_range(r, 1, LMN_MAX_TASKS + 1);
-    spec->cpus = g_rand_int_range(r, 0, 64) / 2.0;
-    spec->memory_gb = g_rand_double_range(r, 0, 100);
-    spec->deadline_s = g_rand_boolean(r) ? g_rand_double_range(r, 0, 1000) : -1;
-    spec->may_use_spot = g_rand_boolean(r);
+    spec->image = g_strdup_printf("img-%d", g_rand_int_range(random, 0, 9));
+    spec->zone = g_rand_boolean(random) ? g_strdup("a") : NULL;
+    spec->machine_types = g_rand_boolean(random) ? g_strsplit("x,y", ",", -1) : NULL;
+    spec->kind = g_rand_boolean(random) ? LMN_JOB_BATCH : LMN_JOB_SERVICE;
+    spec->priority = (enum lmn_priority)g_rand_int_range(random, 0, 4);
+    spec->tasks = (uint32_t)g_rand_int_range(random, 1, LMN_MAX_TASKS + 1);
+    spec->cpus = g_rand_int_range(random, 0, 64) / 2.0;
+    spec->memory_gb = g_rand_double_range(random, 0, 100);
+    spec->deadline_s = g_rand_boolean(random) ? g_rand_double_range(random, 0, 1000) : -1;
+    spec->may_use_spot = g_rand_boolean(random);
 }
 
 static GByteArray *encode(const struct lmn_job_spec *spec)
 {
-    GByteArray *b = g_byte_array_new();
-    lmn_cbor_put_map(b, lmn_job_spec_pair_count());
-    lmn_job_spec_write(b, spec);
-    return b;
+    GByteArray *buffer = g_byte_array_new();
+    lmn_cbor_put_map(buffer, lmn_job_spec_pair_count());
+    lmn_job_spec_write(buffer, spec);
+    return buffer;
 }
 
-static void round_trip(void **state)
+static void a_parsed_description_encodes_to_the_same_bytes(void **state)
 {
-    GRand *r = g_rand_new_with_seed(3);
+    GRand *random = g_rand_new_with_seed(3);
     (void)state;
 
     for (int i = 0; i < 500; i++) {
-        struct lmn_job_spec a, b;
-        struct lmn_cbor_document d;
-        const char *what;
-        random_spec(r, &a);
-        GByteArray *x = encode(&a);
-        assert_int_equal(lmn_cbor_parse(&d, x->data, x->len), 0);
-        assert_int_equal(lmn_job_spec_parse(&b, &d, lmn_cbor_root(&d), &what), 0);
-        GByteArray *y = encode(&b);
-        assert_int_equal(x->len, y->len);
-        assert_memory_equal(x->data, y->data, x->len);
-        g_byte_array_unref(x);
-        g_byte_array_unref(y);
-        lmn_job_spec_clear(&a);
-        lmn_job_spec_clear(&b);
-        lmn_cbor_free(&d);
+        struct lmn_job_spec spec, parsed;
+        struct lmn_cbor_document document;
+        const char *invalid_field;
+        random_spec(random, &spec);
+        GByteArray *encoded = encode(&spec);
+        assert_int_equal(lmn_cbor_parse(&document, encoded->data, encoded->len), 0);
+        assert_int_equal(lmn_job_spec_parse(&parsed, &document, lmn_cbor_root(&document),
+                                            &invalid_field),
+                         0);
+        GByteArray *encoded_again = encode(&parsed);
+        assert_int_equal(encoded->len, encoded_again->len);
+        assert_memory_equal(encoded->data, encoded_again->data, encoded->len);
+        g_byte_array_unref(encoded);
+        g_byte_array_unref(encoded_again);
+        lmn_job_spec_clear(&spec);
+        lmn_job_spec_clear(&parsed);
+        lmn_cbor_free(&document);
     }
-    g_rand_free(r);
+    g_rand_free(random);
 }
 
-/* Writes the description once more with one field left out, or replaced. */
+/* Parses the description's encoding with the value of one field replaced, or with the
+ * field left out if `replacement` is NULL. Asserts that an error names this field. */
 static int parse_with(const struct lmn_job_spec *spec, const char *field,
-                      const GByteArray *instead)
+                      const GByteArray *replacement)
 {
-    GByteArray *x = encode(spec), *y = g_byte_array_new();
-    struct lmn_cbor_document d, e;
-    struct lmn_job_spec t;
-    const char *what;
+    GByteArray *encoded = encode(spec), *changed = g_byte_array_new();
+    struct lmn_cbor_document document, changed_document;
+    struct lmn_job_spec parsed;
+    const char *invalid_field;
 
-    assert_int_equal(lmn_cbor_parse(&d, x->data, x->len), 0);
-    lmn_cbor_put_map(y, lmn_job_spec_pair_count() - (instead ? 0 : 1));
-    for (const struct lmn_cbor_value *key = lmn_cbor_first_child(&d, lmn_cbor_root(&d));
+    assert_int_equal(lmn_cbor_parse(&document, encoded->data, encoded->len), 0);
+    lmn_cbor_put_map(changed, lmn_job_spec_pair_count() - (replacement ? 0 : 1));
+    for (const struct lmn_cbor_value *key =
+             lmn_cbor_first_child(&document, lmn_cbor_root(&document));
          key;) {
-        const struct lmn_cbor_value *value = lmn_cbor_next(&d, key);
+        const struct lmn_cbor_value *value = lmn_cbor_next(&document, key);
         if (!lmn_cbor_text_equals(key, field)) {
-            lmn_cbor_put_value(y, &d, key);
-            lmn_cbor_put_value(y, &d, value);
-        } else if (instead) {
-            lmn_cbor_put_value(y, &d, key);
-            g_byte_array_append(y, instead->data, instead->len);
+            lmn_cbor_put_value(changed, &document, key);
+            lmn_cbor_put_value(changed, &document, value);
+        } else if (replacement) {
+            lmn_cbor_put_value(changed, &document, key);
+            g_byte_array_append(changed, replacement->data, replacement->len);
         }
-        key = lmn_cbor_next(&d, value);
+        key = lmn_cbor_next(&document, value);
     }
-    assert_int_equal(lmn_cbor_parse(&e, y->data, y->len), 0);
-    int rc = lmn_job_spec_parse(&t, &e, lmn_cbor_root(&e), &what);
-    if (rc)
-        assert_string_equal(what, field);
-    lmn_job_spec_clear(&t);
-    lmn_cbor_free(&d);
-    lmn_cbor_free(&e);
-    g_byte_array_unref(x);
-    g_byte_array_unref(y);
-    return rc;
+    assert_int_equal(lmn_cbor_parse(&changed_document, changed->data, changed->len), 0);
+    int result = lmn_job_spec_parse(&parsed, &changed_document,
+                                    lmn_cbor_root(&changed_document), &invalid_field);
+    if (result)
+        assert_string_equal(invalid_field, field);
+    lmn_job_spec_clear(&parsed);
+    lmn_cbor_free(&document);
+    lmn_cbor_free(&changed_document);
+    g_byte_array_unref(encoded);
+    g_byte_array_unref(changed);
+    return result;
 }
 
-static void each_field_is_checked(void **state)
+static void missing_or_invalid_fields_are_rejected(void **state)
 {
     static const char *const required[] = {WIRE_JOB_ID,
                                            WIRE_CLASS,
@@ -118,126 +124,130 @@
                                            WIRE_SAVE_S};
     static const char *const optional[] = {WIRE_MACHINE_TYPES, WIRE_ZONE,
                                            WIRE_DEADLINE_S};
-    GRand *r = g_rand_new_with_seed(4);
-    struct lmn_job_spec s;
+    GRand *random = g_rand_new_with_seed(4);
+    struct lmn_job_spec spec;
     GByteArray *list = g_byte_array_new(), *nan = g_byte_array_new(),
-               *minus = g_byte_array_new(), *null = g_byte_array_new();
+               *negative = g_byte_array_new(), *null = g_byte_array_new();
     (void)state;
 
-    random_spec(r, &s);
+    random_spec(random, &spec);
     lmn_cbor_put_array(list, 0);
     lmn_cbor_put_number(nan, NAN);
-    lmn_cbor_put_number(minus, -1);
+    lmn_cbor_put_number(negative, -1);
     lmn_cbor_put_null(null);
     for (size_t i = 0; i < G_N_ELEMENTS(required); i++) {
-        assert_int_equal(parse_with(&s, required[i], NULL), -1);
-        assert_int_equal(parse_with(&s, required[i], list), -1);
-        assert_int_equal(parse_with(&s, required[i], nan), -1);
-        assert_int_equal(parse_with(&s, required[i], minus), -1);
+        assert_int_equal(parse_with(&spec, required[i], NULL), -1);
+        assert_int_equal(parse_with(&spec, required[i], list), -1);
+        assert_int_equal(parse_with(&spec, required[i], nan), -1);
+        assert_int_equal(parse_with(&spec, required[i], negative), -1);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(optional); i++) {
-        assert_int_equal(parse_with(&s, optional[i], NULL), 0);
-        assert_int_equal(parse_with(&s, optional[i], null), 0);
-        assert_int_equal(parse_with(&s, optional[i], minus), -1);
+        assert_int_equal(parse_with(&spec, optional[i], NULL), 0);
+        assert_int_equal(parse_with(&spec, optional[i], null), 0);
+        assert_int_equal(parse_with(&spec, optional[i], negative), -1);
     }
-    GByteArray *unknown[] = {list, nan, minus, null};
+    GByteArray *unknown[] = {list, nan, negative, null};
     for (size_t i = 0; i < G_N_ELEMENTS(unknown); i++)
         g_byte_array_unref(unknown[i]);
-    lmn_job_spec_clear(&s);
-    g_rand_free(r);
+    lmn_job_spec_clear(&spec);
+    g_rand_free(random);
 }
 
-static void forms_of_ids(void **state)
+static void malformed_job_ids_are_rejected(void **state)
 {
     (void)state;
     assert_true(lmn_job_id_is_valid("run-000412"));
-    static const char *const bad[] = {"",
-                                      "run-",
-                                      "run",
-                                      "run-00041x",
-                                      "Run-000412",
-                                      "run-000412/0",
-                                      "job-000412",
-                                      "run--00412",
-                                      " run-000412",
-                                      "run-000000000000000000000000000000412"};
-    for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
-        assert_false(lmn_job_id_is_valid(bad[i]));
+    static const char *const malformed_ids[] = {"",
+                                                "run-",
+                                                "run",
+                                                "run-00041x",
+                                                "Run-000412",
+                                                "run-000412/0",
+                                                "job-000412",
+                                                "run--00412",
+                                                " run-000412",
+                                                "run-000000000000000000000000000000412"};
+    for (size_t i = 0; i < G_N_ELEMENTS(malformed_ids); i++)
+        assert_false(lmn_job_id_is_valid(malformed_ids[i]));
 }
 
-/* Done sets against a naive model: any set comes back as it was, and a text that names a
- * task that there is not is refused. */
-static void done_sets(void **state)
+/* Random sets are decoded as they were encoded, and a set that contains a task beyond the
+ * expected count is rejected. */
+static void decoded_done_sets_equal_the_encoded_ones(void **state)
 {
-    GRand *r = g_rand_new_with_seed(5);
+    GRand *random = g_rand_new_with_seed(5);
     (void)state;
 
     for (int i = 0; i < 800; i++) {
-        uint32_t n = (uint32_t)g_rand_int_range(r, 1, 300), count = 0;
-        uint8_t bits[40] = {0}, again[40];
-        bool model[300] = {false};
-        double p = g_rand_double(r);
-        struct lmn_cbor_document d;
-        for (uint32_t k = 0; k < n; k++)
-            if ((model[k] = g_rand_double(r) < p)) {
-                lmn_bitset_set(bits, k);
+        uint32_t task_count = (uint32_t)g_rand_int_range(random, 1, 300), count = 0;
+        uint8_t bits[40] = {0}, decoded[40];
+        bool expected[300] = {false};
+        double probability = g_rand_double(random);
+        struct lmn_cbor_document document;
+        for (uint32_t task = 0; task < task_count; task++)
+            if ((expected[task] = g_rand_double(random) < probability)) {
+                lmn_bitset_set(bits, task);
                 count++;
             }
-        GByteArray *b = g_byte_array_new();
-        lmn_bitset_write(b, bits, n);
-        assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-        assert_int_equal(lmn_bitset_read(lmn_cbor_root(&d), again, n), 0);
-        assert_int_equal(lmn_bitset_count(again, n), count);
-        for (uint32_t k = 0; k < n; k++)
-            assert_int_equal(lmn_bitset_get(again, k), model[k]);
-        if (model[n - 1] && n > 1) {
-            assert_int_equal(lmn_bitset_read(lmn_cbor_root(&d), again, n - 1), -1);
+        GByteArray *buffer = g_byte_array_new();
+        lmn_bitset_write(buffer, bits, task_count);
+        assert_int_equal(lmn_cbor_parse(&document, buffer->data, buffer->len), 0);
+        assert_int_equal(lmn_bitset_read(lmn_cbor_root(&document), decoded, task_count),
+                         0);
+        assert_int_equal(lmn_bitset_count(decoded, task_count), count);
+        for (uint32_t task = 0; task < task_count; task++)
+            assert_int_equal(lmn_bitset_get(decoded, task), expected[task]);
+        if (expected[task_count - 1] && task_count > 1) {
+            assert_int_equal(
+                lmn_bitset_read(lmn_cbor_root(&document), decoded, task_count - 1), -1);
         }
-        lmn_cbor_free(&d);
-        g_byte_array_unref(b);
+        lmn_cbor_free(&document);
+        g_byte_array_unref(buffer);
     }
-    g_rand_free(r);
+    g_rand_free(random);
 }
 
-/* 0 in a team's limit means that there is none. */
-static void what_can_never_run(void **state)
+/* A team limit of 0 means no limit. */
+static void infeasible_jobs_are_rejected(void **state)
 {
     struct lmn_team teams[2] = {0};
-    struct lmn_settings cfg = {.teams = teams, .team_count = 2};
-    struct lmn_machine_type t = {
+    struct lmn_settings settings = {.teams = teams, .team_count = 2};
+    struct lmn_machine_type type = {
         .name = "x", .cpus = 8, .memory_gb = 16, .zones = {"a"}, .zone_count = 1};
-    struct lmn_machine_types types = {&t, 1};
-    const char *why;
-    struct lmn_job_spec s = {
-        .team = (char *)"free", .tasks = 10, .cpus = 4, .memory_gb = 4};
+    struct lmn_machine_types types = {&type, 1};
+    const char *reason;
+    struct lmn_job_spec spec = {
+        .team = (char *)"unlimited", .tasks = 10, .cpus = 4, .memory_gb = 4};
     (void)state;
 
-    g_strlcpy(cfg.teams[0].name, "free", LMN_NAME_SIZE);
-    g_strlcpy(cfg.teams[1].name, "held", LMN_NAME_SIZE);
-    cfg.teams[1].cpus_max = 20;
-    assert_true(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
-    s.team = (char *)"held";
-    assert_true(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
-    s.kind = LMN_JOB_SERVICE; /* all replicas count */
-    assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
-    s.tasks = 5;
-    assert_true(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
-    s.memory_gb = 17;
-    assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
-    s.memory_gb = 4;
-    s.zone = (char *)"b";
-    assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
-    s.zone = NULL;
-    s.team = (char *)"nobody";
-    assert_false(lmn_job_spec_is_feasible(&s, &cfg, &types, &why));
+    g_strlcpy(settings.teams[0].name, "unlimited", LMN_NAME_SIZE);
+    g_strlcpy(settings.teams[1].name, "limited", LMN_NAME_SIZE);
+    settings.teams[1].cpus_max = 20;
+    assert_true(lmn_job_spec_is_feasible(&spec, &settings, &types, &reason));
+    spec.team = (char *)"limited";
+    assert_true(lmn_job_spec_is_feasible(&spec, &settings, &types, &reason));
+    spec.kind = LMN_JOB_SERVICE; /* all replicas have to run at once */
+    assert_false(lmn_job_spec_is_feasible(&spec, &settings, &types, &reason));
+    spec.tasks = 5;
+    assert_true(lmn_job_spec_is_feasible(&spec, &settings, &types, &reason));
+    spec.memory_gb = 17;
+    assert_false(lmn_job_spec_is_feasible(&spec, &settings, &types, &reason));
+    spec.memory_gb = 4;
+    spec.zone = (char *)"b";
+    assert_false(lmn_job_spec_is_feasible(&spec, &settings, &types, &reason));
+    spec.zone = NULL;
+    spec.team = (char *)"nobody";
+    assert_false(lmn_job_spec_is_feasible(&spec, &settings, &types, &reason));
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(round_trip),         cmocka_unit_test(each_field_is_checked),
-        cmocka_unit_test(forms_of_ids),       cmocka_unit_test(done_sets),
-        cmocka_unit_test(what_can_never_run),
+        cmocka_unit_test(a_parsed_description_encodes_to_the_same_bytes),
+        cmocka_unit_test(missing_or_invalid_fields_are_rejected),
+        cmocka_unit_test(malformed_job_ids_are_rejected),
+        cmocka_unit_test(decoded_done_sets_equal_the_encoded_ones),
+        cmocka_unit_test(infeasible_jobs_are_rejected),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
