--- a/src/state/job.h
+++ b/src/state/job.h
@@ -25,15 +25,15 @@
     int tasks;
 };
 
-/** A job. */
+/** A job, with its tasks in all partitions. */
 struct lmn_job {
     struct lmn_job_spec spec;
     /* from its record */
     enum lmn_job_phase phase;
-    uint32_t open_ranges;   /**< ranges with tasks that are not done */
+    uint32_t open_ranges;   /**< ranges not closed yet; closing one deletes its record */
     double accepted_at_s;   /**< time of day at which it was accepted */
-    uint64_t revision;      /**< of its record */
-    uint32_t generation;    /**< of the listing that last named it */
+    uint64_t revision;      /**< store revision of its record */
+    uint32_t generation;    /**< number of the listing that last contained it */
     GPtrArray *ranges;      /**< struct lmn_range, in all partitions */
     const char *image;      /**< interned, since it is compared for every machine */
     const char *class_name; /**< interned */
@@ -51,7 +51,7 @@
     /* set by scheduler/: */
     bool is_under_fair_share; /**< its class or team is below its fair-share floor */
     bool is_starving;         /**< it has waited long and has no task started here */
-    bool is_spot_only;        /**< only spot machines run it (lmn_is_spot_only) */
+    bool is_spot_only;        /**< left to spot machines (lmn_is_spot_only) */
     /** Time of day by which the next task must start to meet the earliest objective that
      * can still be met. */
     double latest_start_s;
@@ -63,7 +63,8 @@
     /** struct lmn_zone_tasks; NULL unless the job has zone affinity or anti-affinity. */
     GArray *zones;
     const struct lmn_partition
-        *triage_partition; /**< set while triage visits that partition */
+        *triage_partition; /**< while triage runs in that partition: the job was visited;
+                              else NULL */
     /** Results of the queue scan for one machine: the job can't start on the machine; the
      * job can start there; the image's fetch time is in fetch_s. The first holds while
      * rejected_scan equals lmn_scheduling's scan_generation, the others while they equal
--- a/src/state/machine.h
+++ b/src/state/machine.h
@@ -35,8 +35,8 @@
     char job_id[LMN_JOB_ID_SIZE];
     struct lmn_job *job;     /**< NULL: the watch cache lacks it */
     struct lmn_range *range; /**< NULL: in no owned partition, or closed */
-    uint32_t index;          /**< of the task in its job */
-    uint64_t number;         /**< of the attempt; rises with each start of the task */
+    uint32_t index;          /**< index of the task in its job */
+    uint64_t number; /**< number of the attempt; rises with each start of the task */
     enum lmn_attempt_state state;
     bool holds_capacity; /**< counted in machine capacity and team quota */
     bool is_done;
@@ -81,7 +81,7 @@
 /** State of a machine's agent. */
 struct lmn_agent_view {
     bool has_reported;  /**< a heartbeat arrived since the partition is owned */
-    bool lease_expired; /**< its tasks are given up */
+    bool lease_expired; /**< no heartbeat within the lease; its tasks were requeued */
     uint64_t incarnation;
     uint64_t sequence;           /**< highest one of this incarnation's messages */
     uint64_t heartbeat_sequence; /**< highest one of its heartbeats */
@@ -97,8 +97,8 @@
 /** Acquisition, draining and return of a machine. */
 struct lmn_machine_lifecycle {
     bool is_inherited;      /**< an earlier owner recorded it */
-    bool is_accounted;      /**< it reported with this owner's epoch, so its list of
-                                 attempts is complete */
+    bool is_accounted;      /**< its attempts are known: it reported with this owner's
+                                 epoch, or it is terminated */
     bool is_terminated;     /**< the cloud reports its end; only the record is left */
     bool is_draining;       /**< no more starts; returned to the cloud once empty */
     bool drain_at_once;     /**< drains without waiting for its tasks */
--- a/src/state/partition.h
+++ b/src/state/partition.h
@@ -67,7 +67,7 @@
 /** This controller's ownership of a partition. */
 struct lmn_partition_ownership {
     bool is_owned;
-    bool is_ready;        /**< every inherited machine has reported or has ended */
+    bool is_ready;        /**< every inherited machine is accounted for */
     bool is_transferring; /**< being transferred to another member: no starts */
     /** The task ledger was restored from a replica and contains every task that may be on
      * a machine, although some machines have not reported. */
@@ -108,14 +108,14 @@
 
 /** A partition's replication: as its owner, and as the standby of another owner. */
 struct lmn_partition_replication {
-    struct lmn_replication_stream stream; /**< to our standby */
-    struct lmn_replica *replica; /**< replica of another owner's state; NULL: none */
+    struct lmn_replication_stream stream; /**< as owner: to the standby */
+    struct lmn_replica *replica; /**< as standby: of the owner's state; NULL: none */
     GPtrArray *pending_machines; /**< machines with changes not sent to the standby */
     GPtrArray *pending_removals; /**< names of machines that the standby may drop */
     pthread_cond_t due;          /**< signalled when there is something to send */
 };
 
-/** A partition. */
+/** A partition of the machines, with the ranges of tasks that belong to it. */
 struct lmn_partition {
     int id;
     struct lmn_partition_record record;
--- a/src/state/range.h
+++ b/src/state/range.h
@@ -32,9 +32,9 @@
     char *key;                 /**< of its record */
     uint8_t *done;             /**< bit set of the tasks that are recorded as done */
     uint32_t done_count;       /**< bits set in done */
-    uint64_t revision;         /**< of its record's last write */
-    uint64_t created_revision; /**< of its record's first write */
-    uint32_t generation;       /**< of the listing that last named it */
+    uint64_t revision;         /**< store revision of its record's last write */
+    uint64_t created_revision; /**< store revision of its record's first write */
+    uint32_t generation;       /**< number of the listing that last contained it */
 
     /* set by the owner: */
     uint8_t *task_states; /**< an enum lmn_task_state for each task; NULL: not owned */
--- a/src/state/records.h
+++ b/src/state/records.h
@@ -8,7 +8,7 @@
 
 /** Encodes a job's record.
  *
- * @param open_ranges    number of the job's ranges with tasks that are not done
+ * @param open_ranges    number of the job's ranges that are not closed yet (state/job.h)
  * @param accepted_at_s  time of day at which the job was accepted */
 GByteArray *lmn_job_record_encode(const struct lmn_job_spec *spec,
                                   enum lmn_job_phase phase, uint32_t open_ranges,
