--- a/src/state/core_state.h
+++ b/src/state/core_state.h
@@ -49,9 +49,9 @@
     GHashTable *needed_job_ids; /**< during a listing: ids of jobs with ranges; or NULL */
     bool is_listing;
     bool too_many_final_jobs; /**< the listing must restart with needed_job_ids */
-    bool must_relist;
-    uint32_t generation; /**< number of the last listing */
-    bool is_synced;      /**< a complete listing was applied at least once */
+    bool must_relist;         /**< the listing under way must be repeated */
+    uint32_t generation;      /**< number of the last listing */
+    bool is_synced;           /**< a complete listing was applied at least once */
     struct timespec synced_at;
     struct timespec fresh_at; /**< the cache shows the store as of this time, or later */
     bool is_isolated_view;    /**< the cache is stalled here, and not on some other
@@ -123,7 +123,7 @@
 struct lmn_core {
     pthread_mutex_t lock;
     pthread_cond_t ownership_changed; /**< ownership or membership changed */
-    pthread_cond_t probe_due;
+    pthread_cond_t probe_due;         /**< a member should be probed at once */
     pthread_cond_t machines_woken; /**< some machine may get work before its heartbeat */
     pthread_cond_t replication_acknowledged; /**< or no start waits for it any longer */
 
--- a/src/state/machine.h
+++ b/src/state/machine.h
@@ -90,7 +90,7 @@
     /** Consecutive replies or commands without effect: the machine's heartbeats arrive
      * here, but messages to the machine do not. */
     unsigned ignored_commands;
-    unsigned unanswered_probes; /**< since the partition is owned */
+    unsigned unanswered_probes; /**< count since the partition was acquired */
     struct timespec next_probe_at;
 };
 
--- a/tests/test_golden.c
+++ b/tests/test_golden.c
@@ -103,7 +103,8 @@
     g_byte_array_unref(search.value);
 }
 
-/* Asserts the same of the next queued transaction, and rejects that transaction. */
+/* Takes the next transaction from the client's queue, asserts that it writes the golden
+ * record to the key, tied to the lease, and rejects it. */
 static void next_txn_writes_record(struct lmn_core *core, const char *key, uint64_t lease,
                                    const char *name)
 {
