--- a/bench/submit.h
+++ b/bench/submit.h
@@ -19,7 +19,7 @@
 
     w.spec = (struct lmn_job_spec){.class_name = (char *)"c",
                                    .team = (char *)"t",
-                                   .image = (char *)LMN_NO_IMAGE,
+                                   .image = (char *)LMN_EMPTY_IMAGE_NAME,
                                    .priority = LMN_PRIORITY_NORMAL,
                                    .tasks = tasks,
                                    .cpus = 1,
--- a/src/cli/job.c
+++ b/src/cli/job.c
@@ -269,7 +269,7 @@
     struct request q = {.class_name = (char *)"batch",
                         .kind = (char *)"batch",
                         .urgency = (char *)"normal",
-                        .image = (char *)LMN_NO_IMAGE,
+                        .image = (char *)LMN_EMPTY_IMAGE_NAME,
                         .tasks = 1,
                         .cpus = 1,
                         .mem = 0.1,
@@ -553,7 +553,8 @@
 
     if (!rc && argc != 3)
         rc = lmn_cli_fail(LMN_EXIT_USAGE, "expected: image put NAME DIR");
-    if (!rc && (!lmn_image_name_is_valid(argv[1]) || !strcmp(argv[1], LMN_NO_IMAGE)))
+    if (!rc &&
+        (!lmn_image_name_is_valid(argv[1]) || !strcmp(argv[1], LMN_EMPTY_IMAGE_NAME)))
         rc = lmn_cli_fail(LMN_EXIT_USAGE, "%s: can't be an image's name", argv[1]);
     if (rc || (rc = open_users(&u, true)))
         return rc;
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -198,7 +198,7 @@
         lmn_slot_run(&slot);
         return LMN_EXIT_OK;
     }
-    if (lmn_worker_load(config, &o, err, sizeof err) != 0)
+    if (lmn_worker_load_settings(config, &o, err, sizeof err) != 0)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
     lmn_log_init(o.name);
     lmn_worker_run(&o, err, sizeof err);
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -165,7 +165,8 @@
 
     if (lmn_http_request_method(request) == LMN_HTTP_POST &&
         !strcmp(lmn_http_request_path(request), WIRE_PATH_COMMANDS))
-        status = lmn_agent_execute(&unit->w.agent, body->data, body->len, out, lmn_now());
+        status = lmn_agent_handle_commands(&unit->w.agent, body->data, body->len, out,
+                                           lmn_now());
     else if (lmn_http_request_method(request) == LMN_HTTP_GET &&
              !strcmp(lmn_http_request_path(request), WIRE_PATH_SHOW))
         status = lmn_agent_show(&unit->w.agent, out, lmn_now());
--- a/src/emulator/worker.c
+++ b/src/emulator/worker.c
@@ -235,7 +235,7 @@
 void lmn_emu_worker_pass(struct lmn_emu_worker *worker, struct timespec now)
 {
     now_of_call = now;
-    lmn_agent_tick(&worker->agent, now);
+    lmn_agent_check_lease(&worker->agent, now);
     /* In the order of their times: what rings may set more. */
     for (;;) {
         int first = -1;
--- a/src/image_store/image.c
+++ b/src/image_store/image.c
@@ -177,7 +177,7 @@
     struct lmn_http_client *client;
     struct lmn_image_store_error *error;
     double bytes_per_s; /**< 0: no limit */
-    bool (*should_go_on)(void *argument);
+    bool (*should_continue)(void *argument);
     void *argument;
     struct timespec started_at;
     uint64_t bytes; /**< written to files so far */
@@ -216,7 +216,7 @@
     g_autoptr(GByteArray) piece = g_byte_array_new();
     char digest[LMN_DIGEST_SIZE];
 
-    if (download->should_go_on && !download->should_go_on(download->argument))
+    if (download->should_continue && !download->should_continue(download->argument))
         return fail(download->error, path, "given up: no task waits for it");
     if (!lmn_cbor_get_text(digest_value, digest, sizeof digest))
         return fail(download->error, path, "its pieces can't be read");
@@ -315,14 +315,14 @@
 }
 
 int lmn_image_get(struct lmn_http_client *client, const char *name, const char *dir,
-                  double bytes_per_s, bool (*should_go_on)(void *argument),
+                  double bytes_per_s, bool (*should_continue)(void *argument),
                   void *argument, uint64_t *bytes, struct lmn_image_store_error *error)
 {
     g_autofree char *partial = g_strdup_printf("%s.part", dir);
     struct download download = {.client = client,
                                 .error = error,
                                 .bytes_per_s = bytes_per_s,
-                                .should_go_on = should_go_on,
+                                .should_continue = should_continue,
                                 .argument = argument,
                                 .started_at = lmn_now()};
 
--- a/src/image_store/image.h
+++ b/src/image_store/image.h
@@ -32,14 +32,14 @@
  * Downloads an image into a directory that must not exist. The directory appears when it
  * is complete, or not at all; until then the files are in "DIR.part".
  * @param bytes_per_s   at most so fast on average; 0: no limit.
- * @param should_go_on  asked before each piece; if it returns false, the download fails.
- *                      May be NULL.
- * @param argument      passed to `should_go_on`.
+ * @param should_continue  asked before each piece; if it returns false, the download
+ * fails. May be NULL.
+ * @param argument      passed to `should_continue`.
  * @param bytes         receives the total size of the files, on success.
  * @return 0, or -1 with `error` filled in.
  */
 int lmn_image_get(struct lmn_http_client *client, const char *name, const char *dir,
-                  double bytes_per_s, bool (*should_go_on)(void *argument),
+                  double bytes_per_s, bool (*should_continue)(void *argument),
                   void *argument, uint64_t *bytes, struct lmn_image_store_error *error);
 
 #endif
--- a/src/image_store/image_store.h
+++ b/src/image_store/image_store.h
@@ -36,7 +36,7 @@
 /** The kind of the names of images; such a name may be bound anew. */
 #define LMN_IMAGE_STORE_KIND_IMAGE "image"
 /** The name of the empty image, which is never fetched. */
-#define LMN_NO_IMAGE "none"
+#define LMN_EMPTY_IMAGE_NAME "none"
 
 /**
  * Serves a directory, which is created if needed, until the process ends.
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -45,7 +45,7 @@
     options->heartbeat_s = lmn_config_number(config, "report_s", 1.5, 0.05, 600);
     options->lease_s = lmn_config_number(config, "lease_s", 10, 0.1, 3600);
     options->log_kb = lmn_config_number(config, "log_kb", 256, 1, 7 * 1024);
-    lmn_worker_controllers(config, options);
+    lmn_worker_read_controllers(config, options);
     if (options->lease_s <= options->heartbeat_s)
         lmn_config_fail(config, "lease_s", "must be longer than report_s");
 }
@@ -149,8 +149,8 @@
                          double seconds)
 {
     char *dir = g_build_filename(o->directory, name, NULL),
-         *mark = lmn_executor_mark(dir);
-    bool ok = lmn_executor_clear(dir, mark, seconds);
+         *mark = lmn_executor_environment_mark(dir);
+    bool ok = lmn_executor_kill_machine_processes(dir, mark, seconds);
 
     if (ok && lmn_tree_remove(dir) != 0)
         lmn_error("directory_not_removed path=%s error=\"%s\"", dir, strerror(errno));
--- a/src/site/supervise.c
+++ b/src/site/supervise.c
@@ -260,8 +260,10 @@
 
     while (machines && (name = g_dir_read_name(machines))) {
         g_autofree char *directory = g_build_filename(root, name, NULL);
-        g_autofree char *mark = lmn_executor_mark(directory);
-        all_ended = lmn_executor_clear(directory, mark, KILL_TIMEOUT_S) && all_ended;
+        g_autofree char *mark = lmn_executor_environment_mark(directory);
+        all_ended =
+            lmn_executor_kill_machine_processes(directory, mark, KILL_TIMEOUT_S) &&
+            all_ended;
     }
     return all_ended;
 }
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -303,7 +303,7 @@
 
     /* A process that stood still, while the clock went on, may find its lease expired
      * only here: then this answer must not revive it. */
-    lmn_agent_tick(agent, now);
+    lmn_agent_check_lease(agent, now);
     if (agent->is_ending || incarnation != agent->incarnation ||
         lmn_cbor_parse(&document, body, len) != 0)
         return false;
@@ -352,12 +352,12 @@
     return STATUS_OK;
 }
 
-int lmn_agent_execute(struct lmn_agent *agent, const void *body, size_t len,
-                      GByteArray *out, struct timespec now)
+int lmn_agent_handle_commands(struct lmn_agent *agent, const void *body, size_t len,
+                              GByteArray *out, struct timespec now)
 {
     struct lmn_cbor_document document;
 
-    lmn_agent_tick(agent, now);
+    lmn_agent_check_lease(agent, now);
     if (agent->is_ending)
         return STATUS_ENDING;
     if (lmn_cbor_parse(&document, body, len) != 0)
@@ -371,7 +371,7 @@
 
 int lmn_agent_show(struct lmn_agent *agent, GByteArray *out, struct timespec now)
 {
-    lmn_agent_tick(agent, now);
+    lmn_agent_check_lease(agent, now);
     if (agent->is_ending)
         return STATUS_ENDING;
     write_response(agent, out, now);
@@ -412,7 +412,7 @@
     agent->ops->kill_all(agent->arg);
 }
 
-void lmn_agent_tick(struct lmn_agent *agent, struct timespec now)
+void lmn_agent_check_lease(struct lmn_agent *agent, struct timespec now)
 {
     if (!agent->is_ending && lmn_time_diff_s(now, agent->lease_from) > agent->lease_s)
         lmn_agent_expire_lease(agent, "the lease is over");
@@ -430,9 +430,9 @@
     agent->ops->extend_lease(agent->arg, lmn_time_add(now, agent->lease_s));
 }
 
-void lmn_agent_spot_notice(struct lmn_agent *agent, struct timespec gone_at)
+void lmn_agent_spot_notice(struct lmn_agent *agent, struct timespec reclaimed_at)
 {
     agent->has_spot_notice = true;
-    agent->gone_at = gone_at;
+    agent->reclaimed_at = reclaimed_at;
     agent->has_news = true;
 }
--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -97,7 +97,8 @@
     uint64_t incarnation, sequence, fencing_token, next_run_id;
     bool is_ending; /**< between two incarnations: it says nothing */
     bool has_spot_notice;
-    struct timespec gone_at;    /**< with has_spot_notice: when the cloud takes it away */
+    struct timespec
+        reclaimed_at;           /**< with has_spot_notice: when the cloud takes it away */
     struct timespec lease_from; /**< when the heartbeat that renewed the lease was sent */
     /** When a higher fencing token was last worth a heartbeat. */
     struct timespec fencing_token_reported_at;
@@ -132,18 +133,18 @@
  * @param out gets the body: a heartbeat
  * @return the HTTP status: 503 while it is ending, 400: malformed, 409: from a fenced
  *     owner or for another incarnation, and nothing was done */
-int lmn_agent_execute(struct lmn_agent *agent, const void *body, size_t len,
-                      GByteArray *out, struct timespec now);
+int lmn_agent_handle_commands(struct lmn_agent *agent, const void *body, size_t len,
+                              GByteArray *out, struct timespec now);
 
 /** Handles a request to show the machine (GET WIRE_PATH_SHOW).
  * @return the HTTP status: 503 while it is ending */
 int lmn_agent_show(struct lmn_agent *agent, GByteArray *out, struct timespec now);
 
 /** Ends the incarnation if its lease has expired. To be called often. */
-void lmn_agent_tick(struct lmn_agent *agent, struct timespec now);
+void lmn_agent_check_lease(struct lmn_agent *agent, struct timespec now);
 
 /** The cloud takes the machine away at the time. */
-void lmn_agent_spot_notice(struct lmn_agent *agent, struct timespec gone_at);
+void lmn_agent_spot_notice(struct lmn_agent *agent, struct timespec reclaimed_at);
 
 /** The run with that id; NULL: forgotten. */
 struct lmn_task_run *lmn_agent_find_run(struct lmn_agent *agent, uint64_t id);
--- a/src/worker/agent_heartbeat.c
+++ b/src/worker/agent_heartbeat.c
@@ -68,7 +68,7 @@
     put_uint_field(buffer, WIRE_FENCING_TOKEN, agent->fencing_token);
     if (agent->has_spot_notice) {
         lmn_cbor_put_text(buffer, WIRE_SPOT_NOTICE_S);
-        lmn_cbor_put_number(buffer, MAX(lmn_time_diff_s(agent->gone_at, now), 0));
+        lmn_cbor_put_number(buffer, MAX(lmn_time_diff_s(agent->reclaimed_at, now), 0));
     }
     lmn_cbor_put_text(buffer, WIRE_TASKS);
     lmn_cbor_put_array(buffer, agent->runs->len);
--- a/src/worker/agent_ops.c
+++ b/src/worker/agent_ops.c
@@ -80,7 +80,7 @@
                     g_strdup_printf("LEMONSPAR_MACHINE=%s", worker->options->name));
     g_ptr_array_add(variables,
                     g_strdup_printf("LEMONSPAR_ZONE=%s", worker->options->zone));
-    if (strcmp(run->image, LMN_NO_IMAGE) != 0) {
+    if (strcmp(run->image, LMN_EMPTY_IMAGE_NAME) != 0) {
         g_autofree char *image = lmn_image_directory(worker, run->image);
         g_ptr_array_add(variables, g_strdup_printf("LEMONSPAR_IMAGE=%s", image));
     }
@@ -108,33 +108,34 @@
     g_auto(GStrv) environment = task_environment(worker, command, run);
     char *checkpoint = checkpoint_directory(worker, run);
     if (checkpoint)
-        lmn_worker_queue_message(worker, NULL, checkpoint);
+        lmn_worker_queue_executor_request(worker, NULL, checkpoint);
     char *directory = lmn_worker_run_directory(worker, run);
     GByteArray *message = lmn_executor_encode_start(run->id, command->argv, environment,
                                                     directory, log_bytes);
-    lmn_worker_queue_message(worker, message, directory);
+    lmn_worker_queue_executor_request(worker, message, directory);
     lmn_debug("task_started task=%s/%u attempt=%" G_GUINT64_FORMAT, run->job_id,
               run->index, run->attempt);
 }
 
 static void save(void *arg, struct lmn_task_run *run, double grace_s)
 {
-    lmn_worker_queue_message(arg, lmn_executor_encode_save(run->id, grace_s), NULL);
+    lmn_worker_queue_executor_request(arg, lmn_executor_encode_save(run->id, grace_s),
+                                      NULL);
 }
 
 static void kill_run(void *arg, struct lmn_task_run *run)
 {
-    lmn_worker_queue_message(arg, lmn_executor_encode_kill(run->id), NULL);
+    lmn_worker_queue_executor_request(arg, lmn_executor_encode_kill(run->id), NULL);
 }
 
 static void kill_all(void *arg)
 {
-    lmn_worker_queue_message(arg, lmn_executor_encode_kill_all(), NULL);
+    lmn_worker_queue_executor_request(arg, lmn_executor_encode_kill_all(), NULL);
 }
 
 static void extend_lease(void *arg, struct timespec until)
 {
-    lmn_worker_queue_message(arg, lmn_executor_encode_lease(until), NULL);
+    lmn_worker_queue_executor_request(arg, lmn_executor_encode_lease(until), NULL);
 }
 
 const struct lmn_agent_ops lmn_worker_agent_ops = {
--- a/src/worker/descriptions.c
+++ b/src/worker/descriptions.c
@@ -87,7 +87,7 @@
         g_queue_push_tail(&worker->pending, request);
         request = NULL;
     }
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
     return request;
 }
 
@@ -112,7 +112,7 @@
         g_free(command);
         break;
     }
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
 }
 
 void *lmn_description_thread(void *arg)
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -18,14 +18,15 @@
 /* Of the socket pair: room for messages while the other side is busy. */
 enum { SEND_BUFFER_BYTES = 512 * 1024 };
 
-char *lmn_executor_mark(const char *dir)
+char *lmn_executor_environment_mark(const char *dir)
 {
     g_autofree char *path = g_canonicalize_filename(dir, NULL);
 
     return g_strdup_printf("LEMONSPAR_MACHINE_DIR=%s", path);
 }
 
-bool lmn_executor_clear(const char *dir, const char *mark, double seconds)
+bool lmn_executor_kill_machine_processes(const char *dir, const char *mark,
+                                         double seconds)
 {
     g_autofree char *agent_lock = g_build_filename(dir, "agent.lock", NULL);
     g_autofree char *executor_lock = g_build_filename(dir, "keeper.lock", NULL);
--- a/src/worker/executor.h
+++ b/src/worker/executor.h
@@ -28,9 +28,10 @@
 /** Ends whatever still runs of the machine in dir: agent, executor, tasks.
  * @param seconds to wait for the end of each of the three
  * @return false if something is still alive */
-bool lmn_executor_clear(const char *dir, const char *mark, double seconds);
+bool lmn_executor_kill_machine_processes(const char *dir, const char *mark,
+                                         double seconds);
 
 /** The mark of the machine in dir. The caller frees it by g_free(). */
-char *lmn_executor_mark(const char *dir);
+char *lmn_executor_environment_mark(const char *dir);
 
 #endif
--- a/src/worker/executor_events.c
+++ b/src/worker/executor_events.c
@@ -48,7 +48,7 @@
         g_queue_push_tail(&worker->ended, new_ended_attempt(worker, run, message));
         pthread_cond_signal(&worker->attempt_ended);
     }
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
 }
 
 /* Nothing of the incarnation runs any more: the next one may begin. Its number is drawn
@@ -59,14 +59,14 @@
 
     lmn_worker_lock(worker);
     lmn_agent_incarnation_ended(&worker->agent, incarnation, lmn_worker_now());
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
 }
 
 static void handle_lease_expired(struct lmn_worker *worker)
 {
     lmn_worker_lock(worker);
     lmn_agent_expire_lease(&worker->agent, "the keeper found the lease over");
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
 }
 
 static void handle_event(struct lmn_worker *worker,
@@ -77,7 +77,7 @@
     case LMN_EXECUTOR_START_FAILED:
         handle_task_end(worker, message);
         break;
-    case LMN_EXECUTOR_EMPTY:
+    case LMN_EXECUTOR_ALL_KILLED:
         handle_empty(worker);
         break;
     case LMN_EXECUTOR_LEASE_EXPIRED:
--- a/src/worker/executor_loop.c
+++ b/src/worker/executor_loop.c
@@ -144,7 +144,7 @@
     executor->is_ending = false;
     send_event(executor,
                executor->is_lease_expired ? LMN_EXECUTOR_LEASE_EXPIRED
-                                          : LMN_EXECUTOR_EMPTY,
+                                          : LMN_EXECUTOR_ALL_KILLED,
                0, 0, "");
 }
 
--- a/src/worker/executor_message.h
+++ b/src/worker/executor_message.h
@@ -36,7 +36,7 @@
 enum lmn_executor_event {
     LMN_EXECUTOR_EXITED,        /**< id, status: none of the task's processes is left */
     LMN_EXECUTOR_START_FAILED,  /**< id, what */
-    LMN_EXECUTOR_EMPTY,         /**< after kill_all: nothing is left */
+    LMN_EXECUTOR_ALL_KILLED,    /**< after kill_all: nothing is left */
     LMN_EXECUTOR_LEASE_EXPIRED, /**< the lease has expired; nothing is left */
 };
 
--- a/src/worker/heartbeats.c
+++ b/src/worker/heartbeats.c
@@ -64,7 +64,7 @@
         lmn_agent_write_heartbeat(&worker->agent, out, *sent_at);
         worker->heartbeats++;
     }
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
     return !is_ending;
 }
 
@@ -77,7 +77,7 @@
     lmn_agent_heartbeat_answered(&worker->agent, incarnation, sent_at,
                                  sender->response->data, sender->response->len,
                                  lmn_worker_now());
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
 }
 
 /* The controller that a redirection names; the present one if it names no other that is
--- a/src/worker/images.c
+++ b/src/worker/images.c
@@ -37,7 +37,7 @@
     g_queue_push_tail(&worker->image_order, (gpointer)interned_name);
 }
 
-void lmn_images_open(struct lmn_worker *worker)
+void lmn_images_load_cached(struct lmn_worker *worker)
 {
     g_autofree char *root = g_strdup_printf("%s/images", worker->options->directory);
     const char *name;
@@ -182,7 +182,7 @@
     *is_wanted = is_in_use(worker, request->name);
     if (!*is_cached && *is_wanted)
         choose_evictions(worker, request->gb * BYTES_PER_GB, evicted);
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
     return request;
 }
 
@@ -208,7 +208,7 @@
         if (worker->cancelled_fetch == request->name)
             worker->cancelled_fetch = NULL;
         lmn_agent_fetched(&worker->agent, request->name, ok, lmn_worker_now());
-        lmn_worker_unlock(worker);
+        lmn_worker_unlock_and_send(worker);
         g_free(request);
     }
     return NULL;
--- a/src/worker/images.h
+++ b/src/worker/images.h
@@ -12,7 +12,7 @@
 
 /** Finds the images that earlier processes have fetched, and removes those that are not
  * whole. Before the threads start. */
-void lmn_images_open(struct lmn_worker *worker);
+void lmn_images_load_cached(struct lmn_worker *worker);
 
 /** Fetches images that are queued, for ever (a thread).
  * @param worker struct lmn_worker */
--- a/src/worker/results.c
+++ b/src/worker/results.c
@@ -62,7 +62,7 @@
         pthread_cond_wait(&worker->attempt_ended, &worker->lock);
     GQueue ended = worker->ended;
     g_queue_init(&worker->ended);
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
     return ended;
 }
 
@@ -116,7 +116,7 @@
                          lmn_worker_now());
         queue_log(worker, attempt);
     }
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
 }
 
 void *lmn_result_thread(void *arg)
--- a/src/worker/task_logs.c
+++ b/src/worker/task_logs.c
@@ -75,7 +75,7 @@
     g_free(attempt);
 }
 
-void *lmn_log_thread(void *arg)
+void *lmn_log_upload_thread(void *arg)
 {
     struct lmn_worker *worker = arg;
     struct lmn_http_client *client = lmn_http_client_new(worker->options->image_store);
--- a/src/worker/task_logs.h
+++ b/src/worker/task_logs.h
@@ -5,6 +5,6 @@
 
 /** Uploads the output of attempts that are queued, for ever (a thread).
  * @param worker struct lmn_worker */
-void *lmn_log_thread(void *worker);
+void *lmn_log_upload_thread(void *worker);
 
 #endif
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -36,12 +36,12 @@
 
 /** Reads the tables [[controllers]], with name and address: 1 to LMN_MAX_CONTROLLERS.
  * Errors are the config's (lmn_config_fail()). */
-void lmn_worker_controllers(struct lmn_config *config,
-                            struct lmn_worker_options *options);
+void lmn_worker_read_controllers(struct lmn_config *config,
+                                 struct lmn_worker_options *options);
 
 /** Reads a worker's settings file. @return 0, or -1 with err */
-int lmn_worker_load(const char *path, struct lmn_worker_options *options, char *err,
-                    size_t len);
+int lmn_worker_load_settings(const char *path, struct lmn_worker_options *options,
+                             char *err, size_t len);
 
 /** Runs the agent until the process ends.
  * @param options must stay valid
--- a/src/worker/worker_http.c
+++ b/src/worker/worker_http.c
@@ -48,11 +48,11 @@
     GByteArray *response = g_byte_array_new();
     lmn_worker_lock(worker);
     if (method == LMN_HTTP_POST && strcmp(path, WIRE_PATH_COMMANDS) == 0)
-        status = lmn_agent_execute(&worker->agent, body->data, body->len, response,
-                                   lmn_worker_now());
+        status = lmn_agent_handle_commands(&worker->agent, body->data, body->len,
+                                           response, lmn_worker_now());
     else if (method == LMN_HTTP_GET && strcmp(path, WIRE_PATH_SHOW) == 0)
         status = lmn_agent_show(&worker->agent, response, lmn_worker_now());
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
     lmn_http_request_respond(request, status, response, 0);
 }
 
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -51,7 +51,7 @@
                                          char *err, size_t len)
 {
     g_autofree char *tasks = g_build_filename(options->directory, "tasks", NULL);
-    g_autofree char *mark = lmn_executor_mark(options->directory);
+    g_autofree char *mark = lmn_executor_environment_mark(options->directory);
     int executor_fd = lmn_executor_start(options->directory, mark, err, len);
 
     if (executor_fd < 0)
@@ -97,7 +97,7 @@
         options->name, options->type.name, options->zone, worker->agent.address,
         worker->incarnation, g_hash_table_size(worker->results));
     int line_len = g_snprintf(line, sizeof line, "%s\n", worker->agent.address);
-    lmn_worker_unlock(worker);
+    lmn_worker_unlock_and_send(worker);
     lmn_file_put(path, line, (size_t)line_len);
 }
 
@@ -109,8 +109,8 @@
     for (;;) {
         lmn_sleep(TICK_S);
         lmn_worker_lock(worker);
-        lmn_agent_tick(&worker->agent, lmn_worker_now());
-        lmn_worker_unlock(worker);
+        lmn_agent_check_lease(&worker->agent, lmn_worker_now());
+        lmn_worker_unlock_and_send(worker);
     }
     return NULL;
 }
@@ -121,7 +121,7 @@
     lmn_thread(lmn_description_thread, worker);
     lmn_thread(lmn_image_thread, worker);
     lmn_thread(lmn_result_thread, worker);
-    lmn_thread(lmn_log_thread, worker);
+    lmn_thread(lmn_log_upload_thread, worker);
     lmn_thread(lease_thread, worker);
 }
 
@@ -133,7 +133,7 @@
     struct lmn_worker *worker = start_executor(options, err, len);
     if (!worker)
         return -1;
-    lmn_images_open(worker);
+    lmn_images_load_cached(worker);
     if (lmn_results_open(worker) != 0) {
         g_snprintf(err, len, "%s: results: %s", options->directory, strerror(errno));
         return -1;
--- a/src/worker/worker_settings.c
+++ b/src/worker/worker_settings.c
@@ -7,7 +7,8 @@
 #include <glib.h>
 #include <string.h>
 
-void lmn_worker_controllers(struct lmn_config *config, struct lmn_worker_options *options)
+void lmn_worker_read_controllers(struct lmn_config *config,
+                                 struct lmn_worker_options *options)
 {
     guint count = lmn_config_count(config, "controllers");
     char path[64];
@@ -54,8 +55,8 @@
     type->pull_gb_per_s = lmn_config_number(config, "type.pull_gb_per_s", 1, 0, 1e6);
 }
 
-int lmn_worker_load(const char *path, struct lmn_worker_options *options, char *err,
-                    size_t len)
+int lmn_worker_load_settings(const char *path, struct lmn_worker_options *options,
+                             char *err, size_t len)
 {
     struct lmn_config *config = lmn_config_load(path, err, len);
 
@@ -70,7 +71,7 @@
     options->lease_s = lmn_config_number(config, "lease_s", 10, 0.1, 3600);
     options->log_kb = lmn_config_number(config, "log_kb", 256, 1, 7 * 1024);
     read_machine_type(config, &options->type);
-    lmn_worker_controllers(config, options);
+    lmn_worker_read_controllers(config, options);
     if (options->lease_s <= options->heartbeat_s)
         lmn_config_fail(config, "lease_s", "must be longer than report_s");
     int rc = lmn_config_finish(config, err, len);
--- a/src/worker/worker_state.c
+++ b/src/worker/worker_state.c
@@ -54,7 +54,7 @@
 
 static bool is_image_cached(const struct lmn_worker *worker, const char *name)
 {
-    return strcmp(name, LMN_NO_IMAGE) == 0 ||
+    return strcmp(name, LMN_EMPTY_IMAGE_NAME) == 0 ||
            g_hash_table_contains(worker->cached_images, name);
 }
 
@@ -117,8 +117,8 @@
 
 /* --- the executor's requests --- */
 
-void lmn_worker_queue_message(struct lmn_worker *worker, GByteArray *message,
-                              char *directory)
+void lmn_worker_queue_executor_request(struct lmn_worker *worker, GByteArray *message,
+                                       char *directory)
 {
     struct lmn_executor_request *request = g_new(struct lmn_executor_request, 1);
 
@@ -161,7 +161,7 @@
     pthread_mutex_unlock(&worker->sending);
 }
 
-void lmn_worker_unlock(struct lmn_worker *worker)
+void lmn_worker_unlock_and_send(struct lmn_worker *worker)
 {
     process_pending(worker);
     bool has_requests = worker->outbox.head != NULL;
--- a/src/worker/worker_state.h
+++ b/src/worker/worker_state.h
@@ -3,11 +3,11 @@
  *
  * `lock` guards the state machine and all queues and tables. The state machine's ops run
  * under it and only queue (worker/agent_ops.h). Whoever has used the state machine
- * releases the lock by lmn_worker_unlock(): what can be answered at once is answered,
- * then the lock is released, and what was queued for the executor is sent.
+ * releases the lock by lmn_worker_unlock_and_send(): what can be answered at once is
+ * answered, then the lock is released, and what was queued for the executor is sent.
  *
- * `sending` is taken before `lock`, by lmn_worker_unlock() only. Nobody does I/O while
- * holding `lock`. */
+ * `sending` is taken before `lock`, by lmn_worker_unlock_and_send() only. Nobody does I/O
+ * while holding `lock`. */
 #ifndef LMN_WORKER_WORKER_STATE_H
 #define LMN_WORKER_WORKER_STATE_H
 
@@ -85,12 +85,12 @@
 
 /** Answers the state machine's requests that can be answered at once, queues the others
  * for their threads, releases the lock, and sends what was queued for the executor. */
-void lmn_worker_unlock(struct lmn_worker *worker);
+void lmn_worker_unlock_and_send(struct lmn_worker *worker);
 
 /** Queues a request for the executor. The lock is held.
  * @param message,directory either may be NULL; owned by the queue then */
-void lmn_worker_queue_message(struct lmn_worker *worker, GByteArray *message,
-                              char *directory);
+void lmn_worker_queue_executor_request(struct lmn_worker *worker, GByteArray *message,
+                                       char *directory);
 
 /** The directory that a run is started in. The caller frees it. */
 char *lmn_worker_run_directory(const struct lmn_worker *worker,
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -194,7 +194,7 @@
     GByteArray *b = orders(token, session), *out = g_byte_array_new();
     if (direct) {
         bool was = w.a.is_ending;
-        int status = lmn_agent_execute(&w.a, b->data, b->len, out, w.now);
+        int status = lmn_agent_handle_commands(&w.a, b->data, b->len, out, w.now);
         if (was || w.a.is_ending)
             assert_int_equal(status, 503);
         else
@@ -312,7 +312,7 @@
             report();
         else
             something_ends();
-        lmn_agent_tick(&w.a, w.now);
+        lmn_agent_check_lease(&w.a, w.now);
         if (w.emptying && some(3) == 0) {
             /* Everything is dead: what comes of it now is of no session. */
             g_array_set_size(w.live, 0);
--- a/tests/test_executor.c
+++ b/tests/test_executor.c
@@ -28,7 +28,7 @@
     g_snprintf(dir, sizeof dir, "/tmp/lemonspar-keeper-%d", (int)getpid());
     lmn_tree_remove(dir);
     g_mkdir_with_parents(dir, 0755);
-    mark = lmn_executor_mark(dir);
+    mark = lmn_executor_environment_mark(dir);
     return 0;
 }
 
@@ -229,7 +229,7 @@
     nothing_marked_is_left();
     say(sock, lmn_executor_encode_kill_all());
     m = hear(sock);
-    assert_int_equal(m.event, LMN_EXECUTOR_EMPTY);
+    assert_int_equal(m.event, LMN_EXECUTOR_ALL_KILLED);
     g_free(script);
     close(sock);
 }
--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -58,7 +58,7 @@
     g_strlcpy(a.type.name, "x", sizeof a.type.name);
     a.incarnation = 5;
     a.is_spot = a.has_spot_notice = true;
-    a.gone_at = lmn_time_add(now, 30.5);
+    a.reclaimed_at = lmn_time_add(now, 30.5);
     a.fencing_token = 42;
     a.sequence = 16;
     for (uint32_t i = 0; i < 4 + LMN_EXIT_NO_SUCH_JOB + 1; i++) {
--- a/tests/test_machine_provider.c
+++ b/tests/test_machine_provider.c
@@ -340,7 +340,7 @@
     char *back[] = {(char *)"host-000000", (char *)"host-000001", (char *)"host-000002",
                     (char *)"host-999999"};
     char *machine = g_build_filename(local.directory, "host-000001", NULL);
-    char *mark = lmn_executor_mark(machine);
+    char *mark = lmn_executor_environment_mark(machine);
     assert_int_equal(lmn_static_provider_ops.give_back(s, back, 4), 200);
     assert_false(lmn_lock_held(lock, &pid));
     assert_int_equal(lmn_kill_marked(mark), 0);
@@ -414,7 +414,7 @@
 {
     char *home = g_path_get_dirname(file),
          *lock = g_build_filename(home, "agent.lock", NULL);
-    char *mark = lmn_executor_mark(home);
+    char *mark = lmn_executor_environment_mark(home);
     pid_t other;
 
     if (lmn_lock_file(lock, &other) < 0)
