--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -212,7 +212,8 @@
     }
     lmn_emu_worker_pass(&unit->w, lmn_now());
     ask_jobs(emulation, unit);
-    bool soon = unit->w.agent.has_news && lmn_time_diff_s(lmn_now(), unit->last) > 0.5;
+    bool soon = unit->w.agent.has_unreported_change &&
+                lmn_time_diff_s(lmn_now(), unit->last) > 0.5;
     if (!unit->busy && !unit->w.agent.is_ending && !machine->cut &&
         (soon || !lmn_time_before(lmn_now(), unit->next))) {
         unit->busy = true;
@@ -333,7 +334,7 @@
     double wait = emulation->o.worker.heartbeat_s * (0.75 + 0.5 * g_random_double());
     if (status != 200) {
         unsigned next = status == 421 ? turn(emulation, in, to) : to;
-        unit->w.agent.has_news = true;
+        unit->w.agent.has_unreported_change = true;
         wait = next != to ? 0 : 1;
         unit->controller =
             next != to ? next : (to + 1) % emulation->o.worker.controller_count;
--- a/src/image_store/client.c
+++ b/src/image_store/client.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * The client of the image store: blobs and names. It has no state of its own; whoever
- * owns the HTTP client serializes the calls on it.
+ * The client of the image store: blobs and names. It has no state of its own; the owner
+ * of the HTTP client serializes the calls.
  */
 #include "image_store/image_store.h"
 
@@ -26,19 +26,23 @@
     g_strlcpy(digest, hex, LMN_DIGEST_SIZE);
 }
 
-/** Fills in the error for a status, or for a call without a response. @return -1 */
+/** Fills in the error for an unexpected status, or for a call without a response.
+ * @param what the path of the request
+ * @return -1 */
 static int fail_with_status(struct lmn_image_store_error *error, int status,
                             const char *what)
 {
     error->status = MAX(status, 0);
     if (status == LMN_HTTP_NOT_SENT)
-        g_snprintf(error->what, sizeof error->what, "%s: the depot can't be reached",
-                   what);
+        g_snprintf(error->what, sizeof error->what,
+                   "%s: can't connect to the image store", what);
     else if (status < 0)
-        g_snprintf(error->what, sizeof error->what, "%s: the depot did not answer", what);
+        g_snprintf(error->what, sizeof error->what,
+                   "%s: no answer from the image store (time limit %g s)", what,
+                   CALL_TIMEOUT_S);
     else
-        g_snprintf(error->what, sizeof error->what, "%s: the depot answered %d", what,
-                   status);
+        g_snprintf(error->what, sizeof error->what,
+                   "%s: the image store answered with HTTP status %d", what, status);
     return -1;
 }
 
@@ -77,8 +81,9 @@
     if (!strcmp(actual_digest, digest))
         return 0;
     error->status = 0;
-    g_snprintf(error->what, sizeof error->what, "%s: the bytes have another digest",
-               path);
+    g_snprintf(error->what, sizeof error->what,
+               "%s: the %u bytes received have the digest %s", path, blob->len,
+               actual_digest);
     return -1;
 }
 
--- a/src/image_store/image.c
+++ b/src/image_store/image.c
@@ -35,7 +35,7 @@
     return true;
 }
 
-/** Fills in the error for a path. @return -1 */
+/** Fills in the error for a path or an image's name. @return -1 */
 static int fail(struct lmn_image_store_error *error, const char *path, const char *reason)
 {
     error->status = 0;
@@ -49,7 +49,7 @@
 struct upload {
     struct lmn_http_client *client;
     struct lmn_image_store_error *error;
-    GByteArray *entries; /**< the list of files so far, as CBOR without its head */
+    GByteArray *entries; /**< the files so far: the elements of a CBOR array */
     size_t file_count;
     uint64_t bytes; /**< read from files so far */
 };
@@ -70,10 +70,10 @@
         if (length == 0)
             return 0;
         g_byte_array_set_size(piece, (guint)length);
-        int rc = lmn_image_store_put(upload->client, piece, digest, upload->error);
+        int result = lmn_image_store_put(upload->client, piece, digest, upload->error);
         upload->bytes += (uint64_t)length;
-        if (rc != 0)
-            return rc;
+        if (result != 0)
+            return result;
         lmn_cbor_put_text(digests, digest);
         (*count)++;
     }
@@ -102,16 +102,25 @@
 
     if (fd < 0)
         return fail(upload->error, path, strerror(errno));
-    int rc = upload_pieces(upload, fd, path, digests, &piece_count);
+    int result = upload_pieces(upload, fd, path, digests, &piece_count);
     close(fd);
-    if (rc == 0)
+    if (result == 0)
         append_entry(upload, relative_path, mode, digests, piece_count);
-    return rc;
+    return result;
 }
 
 static int upload_directory(struct upload *upload, const char *path,
                             const char *relative_path);
 
+/** Fails because the image has too many files. @return -1 */
+static int fail_with_file_count(struct lmn_image_store_error *error, const char *path)
+{
+    char reason[64];
+
+    g_snprintf(reason, sizeof reason, "the image has more than %d files", MAX_FILES);
+    return fail(error, path, reason);
+}
+
 static int upload_child(struct upload *upload, const char *path,
                         const char *relative_path)
 {
@@ -123,9 +132,9 @@
         return upload_directory(upload, path, relative_path);
     if (!S_ISREG(status.st_mode))
         return fail(upload->error, path,
-                    "neither a file nor a directory; take it out of the image");
+                    "neither a regular file nor a directory; an image can't contain it");
     if (upload->file_count >= MAX_FILES)
-        return fail(upload->error, path, "an image has at most 100000 files");
+        return fail_with_file_count(upload->error, path);
     return upload_file(upload, path, relative_path, status.st_mode);
 }
 
@@ -135,18 +144,18 @@
     g_autoptr(GError) open_error = NULL;
     g_autoptr(GDir) directory = g_dir_open(path, 0, &open_error);
     const char *name;
-    int rc = 0;
+    int result = 0;
 
     if (!directory)
         return fail(upload->error, path, open_error->message);
-    while (rc == 0 && (name = g_dir_read_name(directory))) {
+    while (result == 0 && (name = g_dir_read_name(directory))) {
         g_autofree char *child = g_build_filename(path, name, NULL);
         g_autofree char *relative_child =
             *relative_path ? g_strdup_printf("%s/%s", relative_path, name)
                            : g_strdup(name);
-        rc = upload_child(upload, child, relative_child);
+        result = upload_child(upload, child, relative_child);
     }
-    return rc;
+    return result;
 }
 
 int lmn_image_put(struct lmn_http_client *client, const char *name, const char *dir,
@@ -157,16 +166,16 @@
     struct upload upload = {.client = client, .error = error, .entries = entries};
     char digest[LMN_DIGEST_SIZE];
 
-    int rc = upload_directory(&upload, dir, "");
+    int result = upload_directory(&upload, dir, "");
     *bytes = upload.bytes;
-    if (rc != 0)
-        return rc;
+    if (result != 0)
+        return result;
     lmn_cbor_put_array(list, upload.file_count);
     g_byte_array_append(list, entries->data, entries->len);
-    /* The name is bound last, so that it never points at an incomplete image. */
-    rc = lmn_image_store_put(client, list, digest, error);
-    if (rc != 0)
-        return rc;
+    /* Binds the name last, so that it never refers to an incomplete image. */
+    result = lmn_image_store_put(client, list, digest, error);
+    if (result != 0)
+        return result;
     return lmn_image_store_bind(client, LMN_IMAGE_STORE_KIND_IMAGE, name, digest, error);
 }
 
@@ -184,7 +193,7 @@
 };
 
 /** Whether a file with this path is inside the image's directory. The list of files comes
- * from the network and must not make a worker write elsewhere. */
+ * from the network; a path such as "../x" would make a worker write elsewhere. */
 static bool path_is_inside_image(const char *path)
 {
     if (!*path || *path == '/' || strstr(path, "//") || g_str_has_suffix(path, "/"))
@@ -196,7 +205,7 @@
     return true;
 }
 
-/** Sleeps for as long as the download is ahead of its limit. */
+/** Sleeps until the average rate of the download is not above its limit. */
 static void limit_rate(const struct download *download)
 {
     if (download->bytes_per_s <= 0)
@@ -217,9 +226,11 @@
     char digest[LMN_DIGEST_SIZE];
 
     if (download->should_continue && !download->should_continue(download->argument))
-        return fail(download->error, path, "given up: no task waits for it");
+        return fail(download->error, path,
+                    "download cancelled: the image is no longer needed");
     if (!lmn_cbor_get_text(digest_value, digest, sizeof digest))
-        return fail(download->error, path, "its pieces can't be read");
+        return fail(download->error, path,
+                    "malformed list of files: a piece has no valid digest");
     if (lmn_image_store_get(download->client, digest, piece, download->error) != 0)
         return -1;
     if (write(fd, piece->data, piece->len) != (ssize_t)piece->len)
@@ -237,18 +248,18 @@
 {
     g_autofree char *target = g_build_filename(directory, path, NULL);
     g_autofree char *parent = g_path_get_dirname(target);
-    int rc = 0;
+    int result = 0;
 
-    /* If this fails, so does open, with a reason to report. */
+    /* If this fails, open() fails, too, and its errno is reported. */
     g_mkdir_with_parents(parent, DIRECTORY_MODE);
     int fd = open(target, O_WRONLY | O_CREAT | O_EXCL | O_NOFOLLOW | O_CLOEXEC, mode);
     if (fd < 0)
         return fail(download->error, target, strerror(errno));
     for (const struct lmn_cbor_value *piece = lmn_cbor_first_child(document, pieces);
-         piece && rc == 0; piece = lmn_cbor_next(document, piece))
-        rc = download_piece(download, piece, fd, path, target);
+         piece && result == 0; piece = lmn_cbor_next(document, piece))
+        result = download_piece(download, piece, fd, path, target);
     close(fd);
-    return rc;
+    return result;
 }
 
 /** Downloads the file that an entry of the image's list describes. */
@@ -262,7 +273,8 @@
     if (!lmn_cbor_get_text(lmn_cbor_get(document, entry, "Path"), path, sizeof path) ||
         !path_is_inside_image(path) ||
         !lmn_cbor_get_uint(lmn_cbor_get(document, entry, "Mode"), &mode))
-        return fail(download->error, "image", "its list of files can't be read");
+        return fail(download->error, "image",
+                    "malformed list of files: invalid Path or Mode");
     return download_pieces(download, directory, path, (mode_t)(mode & PERMISSION_BITS),
                            document, lmn_cbor_get(document, entry, "Pieces"));
 }
@@ -270,33 +282,37 @@
 static int download_files(struct download *download, const char *directory,
                           const struct lmn_cbor_document *document)
 {
-    int rc = 0;
+    int result = 0;
 
-    /* What an interrupted download has left. */
+    /* An interrupted download may have left files. */
     lmn_tree_remove(directory);
     if (g_mkdir_with_parents(directory, DIRECTORY_MODE) != 0)
         return fail(download->error, directory, strerror(errno));
     for (const struct lmn_cbor_value *entry =
              lmn_cbor_first_child(document, lmn_cbor_root(document));
-         entry && rc == 0; entry = lmn_cbor_next(document, entry))
-        rc = download_file(download, directory, document, entry);
-    return rc;
+         entry && result == 0; entry = lmn_cbor_next(document, entry))
+        result = download_file(download, directory, document, entry);
+    return result;
 }
 
-/** Looks the image's name up and downloads its list of files. */
+/** Looks up the image's name and downloads its list of files. */
 static int download_list(struct download *download, const char *name, GByteArray *list)
 {
     char digest[LMN_DIGEST_SIZE];
 
     if (!lmn_image_name_is_valid(name))
-        return fail(download->error, name, "can't be an image's name");
+        return fail(
+            download->error, name,
+            "invalid image name: expected 1 to 120 letters, digits, '-', '_' or '.', not "
+            "beginning with '.'");
     if (lmn_image_store_lookup(download->client, LMN_IMAGE_STORE_KIND_IMAGE, name, digest,
                                download->error) != 0)
         return -1;
     return lmn_image_store_get(download->client, digest, list, download->error);
 }
 
-/** Downloads the image into `partial` and renames that to `dir` once it is complete. */
+/** Downloads the image into `partial`, and renames `partial` to `dir` when the image is
+ * complete. */
 static int download_image(struct download *download, const char *name,
                           const char *partial, const char *dir)
 {
@@ -306,12 +322,12 @@
     if (download_list(download, name, list) != 0)
         return -1;
     if (lmn_cbor_parse(&document, list->data, list->len) != 0)
-        return fail(download->error, name, "its list of files can't be read");
-    int rc = download_files(download, partial, &document);
+        return fail(download->error, name, "malformed list of files: not CBOR");
+    int result = download_files(download, partial, &document);
     lmn_cbor_free(&document);
-    if (rc == 0 && rename(partial, dir) != 0)
-        rc = fail(download->error, dir, strerror(errno));
-    return rc;
+    if (result == 0 && rename(partial, dir) != 0)
+        result = fail(download->error, dir, strerror(errno));
+    return result;
 }
 
 int lmn_image_get(struct lmn_http_client *client, const char *name, const char *dir,
@@ -326,9 +342,9 @@
                                 .argument = argument,
                                 .started_at = lmn_now()};
 
-    int rc = download_image(&download, name, partial, dir);
-    if (rc != 0)
+    int result = download_image(&download, name, partial, dir);
+    if (result != 0)
         lmn_tree_remove(partial);
     *bytes = download.bytes;
-    return rc;
+    return result;
 }
--- a/src/image_store/image.h
+++ b/src/image_store/image.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * Images: directories of files that tasks run in. In the image store an image is a name
+ * Images: directories of files that tasks use. In the image store an image is a name
  * bound to a blob, which lists the files with their modes and the digests of their
- * pieces, and each piece is a blob. No shared state; the caller owns the HTTP client and
- * the directories.
+ * pieces. Each piece of a file is a blob, too. There is no shared state; the caller owns
+ * the HTTP client and the directories.
  */
 #ifndef LMN_IMAGE_STORE_IMAGE_H
 #define LMN_IMAGE_STORE_IMAGE_H
@@ -13,15 +13,15 @@
 #include <stdbool.h>
 
 /**
- * Whether the text can name an image. Since an image's name is also that of a directory,
- * it consists of at most 120 letters, digits, '-', '_' and '.', and does not begin with
- * '.'.
+ * Whether the text is a valid image name: 1 to 120 ASCII letters, digits, '-', '_' and
+ * '.', not beginning with '.'. The name is also used as the name of a directory.
  */
 bool lmn_image_name_is_valid(const char *name);
 
 /**
  * Uploads a directory and binds the name to it. Only regular files and directories are
- * accepted; anything else, such as a link or a device, is refused by its path.
+ * accepted; for anything else, such as a link or a device, the call fails and `error`
+ * names its path.
  * @param bytes  receives the total size of the files that were read.
  * @return 0, or -1 with `error` filled in.
  */
@@ -31,7 +31,7 @@
 /**
  * Downloads an image into a directory that must not exist. The directory appears when it
  * is complete, or not at all; until then the files are in "DIR.part".
- * @param bytes_per_s   at most so fast on average; 0: no limit.
+ * @param bytes_per_s   limit of the average rate; 0 for no limit.
  * @param should_continue  asked before each piece; if it returns false, the download
  * fails. May be NULL.
  * @param argument      passed to `should_continue`.
--- a/src/image_store/server.c
+++ b/src/image_store/server.c
@@ -4,8 +4,8 @@
  * blobs/XX/HEX (XX: the first two digits of HEX), names are names/KIND/NAME, output is
  * logs/JOB/NAME.
  *
- * The HTTP server calls the route from its one thread, which owns the state here; there
- * is no lock.
+ * The HTTP server calls route() from its only thread, which owns the state; there is no
+ * lock.
  */
 #include "util/log.h"
 #include "util/process.h"
@@ -96,8 +96,9 @@
 
     lmn_digest(body->data, body->len, actual_digest);
     if (strcmp(actual_digest, digest))
-        lmn_http_request_fail(request, STATUS_BAD_REQUEST,
-                              "the bytes have another digest");
+        lmn_http_request_fail(
+            request, STATUS_BAD_REQUEST,
+            "the SHA-256 of the body differs from the digest in the path");
     else if (file_exists(path))
         lmn_http_request_respond(request, STATUS_OK, NULL, 0);
     else
@@ -117,8 +118,9 @@
                        const char *digest)
 {
     if (!digest_is_valid(digest)) {
-        lmn_http_request_fail(request, STATUS_BAD_REQUEST,
-                              "a digest is 64 digits of hexadecimal");
+        lmn_http_request_fail(
+            request, STATUS_BAD_REQUEST,
+            "the path must end in a digest: 64 lowercase hexadecimal digits");
         return;
     }
     g_autofree char *path = blob_path(store, digest);
@@ -143,7 +145,7 @@
     const char *name;
 
     while (directory && (name = g_dir_read_name(directory)))
-        /* Files that lmn_file_put() has not renamed yet are not there for readers. */
+        /* Skips temporary files, which lmn_file_put() has not renamed yet. */
         if (!strstr(name, ".tmp-"))
             g_ptr_array_add(names, g_strdup(name));
     g_ptr_array_sort(names, compare_names);
@@ -190,16 +192,20 @@
     if (body->len == LMN_DIGEST_SIZE - 1)
         memcpy(digest, body->data, LMN_DIGEST_SIZE - 1);
     if (!digest_is_valid(digest))
-        lmn_http_request_fail(request, STATUS_BAD_REQUEST, "a name points at a digest");
+        lmn_http_request_fail(
+            request, STATUS_BAD_REQUEST,
+            "the body must be a digest: 64 lowercase hexadecimal digits");
     else if (!blob_exists(store, digest))
-        /* Whoever finds a name must find its blob, too. */
-        lmn_http_request_fail(request, STATUS_BAD_REQUEST, "there is no such blob yet");
+        /* A reader that looks up a name must find its blob. */
+        lmn_http_request_fail(
+            request, STATUS_BAD_REQUEST,
+            "no blob with this digest is stored; upload the blob first");
     else if (is_bound && file_equals(path, body))
         lmn_http_request_respond(request, STATUS_OK, NULL, 0);
     else if (is_bound && !strcmp(kind, LMN_IMAGE_STORE_KIND_JOB))
         /* Attempts of one job must never run different commands. */
         lmn_http_request_fail(request, STATUS_CONFLICT,
-                              "the job has another description");
+                              "the job is already bound to another description");
     else
         store_body(request, path, STATUS_CREATED);
 }
@@ -227,8 +233,8 @@
         store_body(request, path, STATUS_OK);
 }
 
-/** Whether all components below the first are names, which cannot lead out of the
- * server's directory. */
+/** Whether all components after the first are valid names. Such a path cannot lead out of
+ * the server's directory. */
 static bool components_are_names(char *const *components, guint count)
 {
     if (count < 2 || count > 3)
@@ -260,9 +266,10 @@
         else
             route_file(store, request, is_name ? components[1] : NULL, path);
     } else {
-        lmn_http_request_fail(request,
-                              is_name || is_log ? STATUS_BAD_REQUEST : STATUS_NOT_FOUND,
-                              "no such path, or a name that can't be one");
+        lmn_http_request_fail(
+            request, is_name || is_log ? STATUS_BAD_REQUEST : STATUS_NOT_FOUND,
+            "unknown path, or a name in it is invalid (1 to 120 letters, "
+            "digits, '-', '_' or '.', not beginning with '.')");
     }
 }
 
@@ -273,7 +280,7 @@
         g_snprintf(err, len, "%s: %s", dir, strerror(errno));
         return NULL;
     }
-    /* Lives as long as the server, that is until the process ends. */
+    /* Never freed: the server runs until the process ends. */
     struct image_store *store = g_new0(struct image_store, 1);
     store->dir = g_strdup(dir);
     const struct lmn_http_server_options options = {.listen = listen,
--- a/src/image_store/work.c
+++ b/src/image_store/work.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Encoding and decoding of the description of what a job's tasks run.
+ * Encoding and decoding of jobs' descriptions (image_store/work.h).
  */
 #include "image_store/work.h"
 
@@ -31,8 +31,9 @@
     return buffer;
 }
 
-/** @return the strings, NULL-terminated; NULL if the value is no array of at most
- * MAX_STRINGS texts. A text with a zero byte is refused, since it would be cut there. */
+/** @return the strings, NULL-terminated; NULL if the value is not an array of at most
+ * MAX_STRINGS texts. A text that contains a zero byte is refused, since it would be
+ * truncated there. */
 static char **decode_strings(const struct lmn_cbor_document *document,
                              const struct lmn_cbor_value *list)
 {
@@ -75,11 +76,11 @@
     *what = "not CBOR";
     if (lmn_cbor_parse(&document, bytes, len) != 0)
         return -1;
-    int rc = decode_fields(command, &document, what);
-    if (rc != 0)
+    int result = decode_fields(command, &document, what);
+    if (result != 0)
         lmn_task_command_clear(command);
     lmn_cbor_free(&document);
-    return rc;
+    return result;
 }
 
 void lmn_task_command_clear(struct lmn_task_command *command)
--- a/src/worker/agent.c
+++ b/src/worker/agent.c
@@ -3,9 +3,9 @@
  *
  * Two rules keep a task from running twice. A command counts only if its fencing token is
  * not lower than any that was seen, so that an owner that was replaced can't start
- * anything. And all runs end when the lease expires, which only answered heartbeats
- * renew, counted from when they were sent: whoever waits out a lease knows that nothing
- * runs. */
+ * anything. And all runs end when the lease expires. Only answered heartbeats renew it,
+ * from the time at which they were sent: a controller that has waited for the length of
+ * a lease since it last answered knows that none of the machine's tasks still runs. */
 #include "worker/agent.h"
 #include "util/clock.h"
 #include "util/log.h"
@@ -21,8 +21,9 @@
     STATUS_FENCED = 409,
     STATUS_ENDING = 503,
 };
-/* Sums of a machine's shares may be off by so much. */
-static const double ROUNDING = 1e-6;
+/* Tolerance for sums of CPUs, GPUs and GB, which floating-point rounding may raise above
+ * the machine's capacity. */
+static const double CAPACITY_TOLERANCE = 1e-6;
 
 void lmn_agent_init(struct lmn_agent *agent, const struct lmn_agent_ops *ops, void *arg,
                     uint64_t incarnation, struct timespec now)
@@ -32,7 +33,7 @@
     agent->incarnation = incarnation;
     agent->sequence = agent->fencing_token = agent->next_run_id = 0;
     agent->is_ending = agent->has_spot_notice = false;
-    agent->has_news = true;
+    agent->has_unreported_change = true;
     agent->lease_from = now;
     agent->fencing_token_reported_at = (struct timespec){0, 0};
     agent->runs = g_ptr_array_new_with_free_func(g_free);
@@ -56,14 +57,15 @@
 
 /* --- commands --- */
 
-/* A higher token is worth a heartbeat, but not each one is: while several controllers
- * dispute a partition, each would be flooded with heartbeats. */
+/* Records the fencing token. A higher one makes a heartbeat due at once, but at most once
+ * in half a lease: while several controllers compete for a partition, tokens rise quickly
+ * and would otherwise flood the controllers with heartbeats. */
 static void take_fencing_token(struct lmn_agent *agent, uint64_t token,
                                struct timespec now)
 {
     if (token > agent->fencing_token &&
         lmn_time_diff_s(now, agent->fencing_token_reported_at) > agent->lease_s / 2) {
-        agent->has_news = true;
+        agent->has_unreported_change = true;
         agent->fencing_token_reported_at = now;
     }
     agent->fencing_token = token;
@@ -76,10 +78,10 @@
     run->exit_reason = reason;
     agent->finished += reason == LMN_EXIT_DONE;
     agent->refused += reason > LMN_EXIT_ERROR;
-    agent->has_news = true;
+    agent->has_unreported_change = true;
 }
 
-/* Until it is described it is not known what it uses. */
+/* Before the description has arrived, the resources that the run needs are unknown. */
 static bool uses_capacity(const struct lmn_task_run *run)
 {
     return run->is_described && run->state != LMN_RUN_ENDED;
@@ -98,17 +100,18 @@
         gpus += other->gpus;
         memory_gb += other->memory_gb;
     }
-    return cpus <= agent->type.cpus + ROUNDING && gpus <= agent->type.gpus + ROUNDING &&
-           memory_gb <= agent->type.memory_gb + ROUNDING;
+    return cpus <= agent->type.cpus + CAPACITY_TOLERANCE &&
+           gpus <= agent->type.gpus + CAPACITY_TOLERANCE &&
+           memory_gb <= agent->type.memory_gb + CAPACITY_TOLERANCE;
 }
 
-/* Starts a run whose image is there; a task that has completed on this machine before is
- * reported as done, and not run again. */
+/* Starts a run whose image is on the machine. A task that has already completed on this
+ * machine is reported as done and does not run again. */
 static void begin_run(struct lmn_agent *agent, struct lmn_task_run *run,
                       struct timespec now)
 {
     run->since = now;
-    agent->has_news = true;
+    agent->has_unreported_change = true;
     if (agent->ops->has_result(agent->arg, run->job_id, run->index)) {
         end_run(agent, run, LMN_EXIT_DONE);
         return;
@@ -158,7 +161,7 @@
     }
 }
 
-/* Cancels the fetching of an image that no run waits for any more. */
+/* Cancels the fetch of the image unless a run still waits for it. */
 static void cancel_fetch_if_unused(struct lmn_agent *agent, const char *image)
 {
     for (guint i = 0; i < agent->runs->len; i++) {
@@ -181,8 +184,8 @@
     return false;
 }
 
-/* Adds a run for the command to start a task. It is refused if another attempt at the
- * task has not ended here. */
+/* Adds a run for the command to start a task. The run is refused if another attempt at
+ * the task has not ended on this machine. */
 static void start(struct lmn_agent *agent, const char *job_id, uint32_t index,
                   uint64_t attempt, struct timespec now)
 {
@@ -196,17 +199,18 @@
     run->since = now;
     g_ptr_array_add(agent->runs, run);
     agent->starts++;
-    agent->has_news = true;
+    agent->has_unreported_change = true;
     if (is_busy)
         end_run(agent, run, LMN_EXIT_BUSY);
-    else if (!lmn_job_id_is_valid(job_id)) /* ids become paths */
+    else if (!lmn_job_id_is_valid(job_id)) /* the id becomes part of a path */
         end_run(agent, run, LMN_EXIT_NO_SUCH_JOB);
     else
         agent->ops->describe(agent->arg, run);
 }
 
-/* Stops a run: it may save its progress if the grace period is long enough for it, else
- * it is killed. A run that saves already goes on unless it is to end at once. */
+/* Stops a run. A running task is told to save its progress if the grace period is at
+ * least the time it needs for that; otherwise it is killed. A task that is already saving
+ * is only killed if the grace period is 0. */
 static void stop(struct lmn_agent *agent, struct lmn_task_run *run, double grace_s)
 {
     switch (run->state) {
@@ -220,7 +224,7 @@
     case LMN_RUN_RUNNING:
         if (run->can_save && grace_s >= run->save_s) {
             run->state = LMN_RUN_SAVING;
-            agent->has_news = true;
+            agent->has_unreported_change = true;
             agent->ops->save(agent->arg, run, grace_s);
             return;
         }
@@ -249,8 +253,9 @@
     return NULL;
 }
 
-/* Executes one command; one that is malformed, or out of date, does nothing. Commands may
- * come twice: an attempt is started only once, and only ended runs are cleared. */
+/* Executes one command. Malformed and outdated commands have no effect. A command may
+ * arrive more than once: an attempt that is listed is not started again, and only ended
+ * runs are cleared. */
 static void execute_command(struct lmn_agent *agent,
                             const struct lmn_cbor_document *document,
                             const struct lmn_cbor_value *node, struct timespec now)
@@ -276,7 +281,7 @@
     } else if (lmn_cbor_text_equals(command, WIRE_CLEAR) && run &&
                run->state == LMN_RUN_ENDED) {
         g_ptr_array_remove(agent->runs, run);
-        agent->has_news = true;
+        agent->has_unreported_change = true;
     }
 }
 
@@ -301,8 +306,8 @@
     struct lmn_cbor_document document;
     uint64_t token = 0;
 
-    /* A process that stood still, while the clock went on, may find its lease expired
-     * only here: then this answer must not revive it. */
+    /* If the process was suspended, the lease may have expired without being noticed yet:
+     * then this answer must not renew it. */
     lmn_agent_check_lease(agent, now);
     if (agent->is_ending || incarnation != agent->incarnation ||
         lmn_cbor_parse(&document, body, len) != 0)
@@ -323,18 +328,18 @@
     return is_valid;
 }
 
-/* Writes a heartbeat as the response to a request. It tells everything, but only
- * heartbeats that are answered renew the lease: if one was due, it still is. */
+/* Writes a heartbeat as the response to a request. Unlike a heartbeat that is sent, it
+ * does not renew the lease, so a heartbeat that was due at once stays due. */
 static void write_response(struct lmn_agent *agent, GByteArray *out, struct timespec now)
 {
-    bool had_news = agent->has_news;
+    bool had_unreported_change = agent->has_unreported_change;
 
     lmn_agent_write_heartbeat(agent, out, now);
-    agent->has_news = had_news;
+    agent->has_unreported_change = had_unreported_change;
 }
 
-/* Executes the commands of a request unless it is malformed, from a fenced owner, or for
- * another incarnation. Returns the HTTP status. */
+/* Executes the commands of a request unless it is malformed, has a lower fencing token
+ * than an earlier request, or is for another incarnation. Returns the HTTP status. */
 static int execute_request(struct lmn_agent *agent,
                            const struct lmn_cbor_document *document, struct timespec now)
 {
@@ -404,8 +409,8 @@
         return;
     lmn_info("agent_incarnation_ended session=%" G_GUINT64_FORMAT " tasks=%u why=\"%s\"",
              agent->incarnation, agent->runs->len, why);
-    /* Nothing is said in the old incarnation's name any more, and nothing started, until
-     * all of its processes are gone. */
+    /* Until all processes of the old incarnation are gone, no heartbeat is sent and no
+     * task is started: a controller could otherwise start a task that still runs. */
     agent->is_ending = true;
     agent->expired_leases++;
     g_ptr_array_set_size(agent->runs, 0);
@@ -415,7 +420,7 @@
 void lmn_agent_check_lease(struct lmn_agent *agent, struct timespec now)
 {
     if (!agent->is_ending && lmn_time_diff_s(now, agent->lease_from) > agent->lease_s)
-        lmn_agent_expire_lease(agent, "the lease is over");
+        lmn_agent_expire_lease(agent, "the lease has expired");
 }
 
 void lmn_agent_incarnation_ended(struct lmn_agent *agent, uint64_t incarnation,
@@ -426,7 +431,7 @@
     agent->is_ending = false;
     agent->incarnation = incarnation;
     agent->lease_from = now;
-    agent->has_news = true;
+    agent->has_unreported_change = true;
     agent->ops->extend_lease(agent->arg, lmn_time_add(now, agent->lease_s));
 }
 
@@ -434,5 +439,5 @@
 {
     agent->has_spot_notice = true;
     agent->reclaimed_at = reclaimed_at;
-    agent->has_news = true;
+    agent->has_unreported_change = true;
 }
--- a/src/worker/agent_heartbeat.c
+++ b/src/worker/agent_heartbeat.c
@@ -4,8 +4,8 @@
 #include "util/clock.h"
 #include "protocol/wire.h"
 
-/* By enum lmn_exit_reason. */
-static const char *const exit_reason_words[] = {
+/* Indexed by enum lmn_exit_reason. */
+static const char *const exit_reason_names[] = {
     WIRE_DONE, WIRE_STOPPED, WIRE_ERROR, WIRE_NO_CAPACITY, WIRE_BUSY, WIRE_NO_SUCH_JOB};
 
 static void put_text_field(GByteArray *buffer, const char *name, const char *value)
@@ -20,7 +20,7 @@
     lmn_cbor_put_uint(buffer, value);
 }
 
-static const char *state_word(const struct lmn_task_run *run)
+static const char *state_name(const struct lmn_task_run *run)
 {
     switch (run->state == LMN_RUN_ENDING ? run->reported_state : run->state) {
     case LMN_RUN_RUNNING:
@@ -44,9 +44,9 @@
     lmn_cbor_put_map(buffer, 3 + ended + stopped);
     put_text_field(buffer, WIRE_TASK, task);
     put_uint_field(buffer, WIRE_ATTEMPT, run->attempt);
-    put_text_field(buffer, WIRE_STATE, state_word(run));
+    put_text_field(buffer, WIRE_STATE, state_name(run));
     if (ended)
-        put_text_field(buffer, WIRE_EXIT_REASON, exit_reason_words[run->exit_reason]);
+        put_text_field(buffer, WIRE_EXIT_REASON, exit_reason_names[run->exit_reason]);
     if (stopped) {
         lmn_cbor_put_text(buffer, WIRE_SAVED);
         lmn_cbor_put_bool(buffer, run->is_saved);
@@ -74,5 +74,5 @@
     lmn_cbor_put_array(buffer, agent->runs->len);
     for (guint i = 0; i < agent->runs->len; i++)
         put_run(buffer, agent->runs->pdata[i]);
-    agent->has_news = false;
+    agent->has_unreported_change = false;
 }
--- a/src/worker/agent_ops.c
+++ b/src/worker/agent_ops.c
@@ -11,6 +11,8 @@
 
 #include <string.h>
 
+static const double BYTES_PER_KIB = 1024;
+
 static void describe(void *arg, struct lmn_task_run *run)
 {
     struct lmn_worker *worker = arg;
@@ -32,7 +34,7 @@
     request->name = run->image;
     request->gb = command ? command->spec.image_gb : 0;
     if (worker->cancelled_fetch == request->name)
-        worker->cancelled_fetch = NULL; /* it is wanted again */
+        worker->cancelled_fetch = NULL; /* a run needs the image again */
     g_queue_push_tail(&worker->pending, request);
 }
 
@@ -48,7 +50,8 @@
     return lmn_results_contain(arg, job_id, index);
 }
 
-/* The directory for a task's progress; NULL if it can't save any. The caller frees it. */
+/* The directory in which a task saves its progress; NULL if the task can't save it. The
+ * caller frees it. */
 static char *checkpoint_directory(const struct lmn_worker *worker,
                                   const struct lmn_task_run *run)
 {
@@ -59,8 +62,8 @@
     return g_strdup_printf("%s/%s/%u", checkpoints, run->job_id, run->index);
 }
 
-/* The environment that a task is started with, beside the agent's own. The caller frees
- * it by g_strfreev(). */
+/* The variables that are added to the agent's environment for a task. The caller frees
+ * them with g_strfreev(). */
 static char **task_environment(const struct lmn_worker *worker,
                                const struct lmn_task_command *command,
                                const struct lmn_task_run *run)
@@ -96,10 +99,10 @@
     struct lmn_worker *worker = arg;
     const struct lmn_task_command *command =
         g_hash_table_lookup(worker->task_commands, run->job_id);
-    uint64_t log_bytes = (uint64_t)(worker->options->log_kb * 1024);
+    uint64_t log_bytes = (uint64_t)(worker->options->log_kb * BYTES_PER_KIB);
 
-    /* The description was there when the image was requested; if it was dropped since, it
-     * has to be fetched again. */
+    /* The description was in memory when the image was requested. If it has been dropped
+     * since then, fetch it again. */
     if (!command) {
         run->state = LMN_RUN_DESCRIBING;
         describe(arg, run);
--- a/src/worker/descriptions.c
+++ b/src/worker/descriptions.c
@@ -1,6 +1,7 @@
 /** @file
  * Fetches the descriptions of jobs (worker/descriptions.h). They are kept in memory, in
- * `task_commands`, until there are many. */
+ * `task_commands`; once there are MAX_DESCRIPTIONS, those that no run needs are dropped.
+ */
 #include "worker/descriptions.h"
 #include "http/client.h"
 #include "image_store/image.h"
@@ -18,7 +19,7 @@
 enum fetch_result {
     FETCH_DONE,
     FETCH_NO_SUCH_JOB,
-    FETCH_RETRY, /* the image store could not tell */
+    FETCH_RETRY, /* the image store did not answer, or answered with an error */
 };
 
 static bool is_job_on_machine(const struct lmn_worker *worker, const char *job_id)
@@ -31,18 +32,19 @@
     return false;
 }
 
-/* Drops the descriptions that no run needs, if there are many. The lock is held. */
+/* Drops the descriptions that no run needs, if there are MAX_DESCRIPTIONS or more. The
+ * lock is held. */
 static void drop_unused(struct lmn_worker *worker)
 {
-    GHashTableIter it;
+    GHashTableIter iterator;
     gpointer job_id;
 
     if (g_hash_table_size(worker->task_commands) < MAX_DESCRIPTIONS)
         return;
-    g_hash_table_iter_init(&it, worker->task_commands);
-    while (g_hash_table_iter_next(&it, &job_id, NULL))
+    g_hash_table_iter_init(&iterator, worker->task_commands);
+    while (g_hash_table_iter_next(&iterator, &job_id, NULL))
         if (!is_job_on_machine(worker, job_id))
-            g_hash_table_iter_remove(&it);
+            g_hash_table_iter_remove(&iterator);
 }
 
 static enum fetch_result fetch_description(struct lmn_http_client *client,
@@ -53,16 +55,17 @@
     char digest[LMN_DIGEST_SIZE];
     struct lmn_image_store_error error = {0};
     const char *wrong_field = "";
-    int rc =
+    int status =
         lmn_image_store_lookup(client, LMN_IMAGE_STORE_KIND_JOB, job_id, digest, &error);
 
-    if (rc == 0)
-        rc = lmn_image_store_get(client, digest, bytes, &error);
-    if (rc != 0) {
+    if (status == 0)
+        status = lmn_image_store_get(client, digest, bytes, &error);
+    if (status != 0) {
         lmn_info("job_description_missing job=%s why=\"%s\"", job_id, error.what);
         return error.status == 404 ? FETCH_NO_SUCH_JOB : FETCH_RETRY;
     }
-    /* The image's name becomes a path. */
+    /* The image's name becomes a path, so it is checked like the rest of the description.
+     */
     if (lmn_task_command_decode(command, bytes->data, bytes->len, &wrong_field) != 0 ||
         strcmp(command->spec.id, job_id) != 0 ||
         !lmn_image_name_is_valid(command->spec.image)) {
@@ -72,8 +75,9 @@
     return FETCH_DONE;
 }
 
-/* Waits for a request and takes it. Returns NULL if there is nothing to fetch: its run is
- * gone, or another request brought the description meanwhile, which answers it. */
+/* Waits for a request and removes it from the queue. Returns NULL if there is nothing to
+ * fetch: the run has been cleared, or the description was fetched for another run in the
+ * meantime; then the request is queued again, to be answered from memory. */
 static struct lmn_fetch_request *take_request(struct lmn_worker *worker)
 {
     lmn_worker_lock(worker);
@@ -91,7 +95,7 @@
     return request;
 }
 
-/* Takes in what came of the request; owns both request and command. */
+/* Handles the outcome of a fetch. Takes ownership of request and command. */
 static void finish_request(struct lmn_worker *worker, struct lmn_fetch_request *request,
                            struct lmn_task_command *command, enum fetch_result result)
 {
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -13,9 +13,9 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* How long the end of an earlier executor, and of its tasks, is waited for. */
-static const double CLEAR_TIMEOUT_S = 30;
-/* Of the socket pair: room for messages while the other side is busy. */
+/* Time to wait for the end of an earlier executor, and again for the end of its tasks. */
+static const double END_TIMEOUT_S = 30;
+/* Send buffer of each socket: holds messages while the receiver is busy. */
 enum { SEND_BUFFER_BYTES = 512 * 1024 };
 
 char *lmn_executor_environment_mark(const char *dir)
@@ -30,32 +30,31 @@
 {
     g_autofree char *agent_lock = g_build_filename(dir, "agent.lock", NULL);
     g_autofree char *executor_lock = g_build_filename(dir, "keeper.lock", NULL);
-    bool is_clear = true;
+    bool all_ended = true;
 
     if (lmn_lock_signal(agent_lock, SIGKILL))
-        is_clear = lmn_lock_wait(agent_lock, seconds);
-    /* The executor sees the agent's end, and ends the tasks. */
-    is_clear = lmn_lock_wait(executor_lock, seconds) && is_clear;
-    is_clear = lmn_kill_marked_all(mark, seconds) && is_clear;
-    return is_clear;
+        all_ended = lmn_lock_wait(agent_lock, seconds);
+    /* The executor notices the end of the agent, kills the tasks, and exits. */
+    all_ended = lmn_lock_wait(executor_lock, seconds) && all_ended;
+    all_ended = lmn_kill_marked_all(mark, seconds) && all_ended;
+    return all_ended;
 }
 
-/* Waits for the end of an earlier executor, then kills the tasks of one that was killed;
- * false if something is still alive. */
+/* Waits for the end of an earlier executor, then kills the tasks that it left if it was
+ * killed. Returns false if one of these processes is still alive. */
 static bool end_earlier_executor(const char *dir, const char *mark)
 {
     g_autofree char *lock = g_build_filename(dir, "keeper.lock", NULL);
 
-    return lmn_lock_wait(lock, CLEAR_TIMEOUT_S) &&
-           lmn_kill_marked_all(mark, CLEAR_TIMEOUT_S);
+    return lmn_lock_wait(lock, END_TIMEOUT_S) && lmn_kill_marked_all(mark, END_TIMEOUT_S);
 }
 
-/* Forks the executor as nobody's child: the agent's end must not take it along, and the
- * agent need not reap it. Returns false with errno. */
+/* Forks twice, so that the executor is not a child of the agent and the agent need not
+ * reap it. Returns false with errno. */
 static bool fork_executor(const char *dir, const char *mark, int agent_sock,
                           int executor_sock)
 {
-    fflush(NULL); /* or the child could write what is buffered a second time */
+    fflush(NULL); /* otherwise the child could write the buffered output again */
     pid_t pid = fork();
     if (pid < 0)
         return false;
@@ -75,11 +74,15 @@
     int socks[2] = {-1, -1}, size = SEND_BUFFER_BYTES;
 
     if (!end_earlier_executor(dir, mark)) {
-        snprintf(err, len, "%s: processes of an earlier session can't be ended", dir);
+        snprintf(err, len,
+                 "%s: processes of an earlier agent or executor are still alive after "
+                 "waiting %g s",
+                 dir, END_TIMEOUT_S);
         return -1;
     }
     if (socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0, socks) != 0) {
-        snprintf(err, len, "%s: no socket pair: %s", dir, strerror(errno));
+        snprintf(err, len, "%s: can't create a socket pair for the executor: %s", dir,
+                 strerror(errno));
         return -1;
     }
     for (int i = 0; i < 2; i++)
@@ -89,7 +92,7 @@
     close(socks[1]);
     if (is_started)
         return socks[0];
-    snprintf(err, len, "%s: no keeper: %s", dir, strerror(error));
+    snprintf(err, len, "%s: can't fork the executor: %s", dir, strerror(error));
     close(socks[0]);
     return -1;
 }
--- a/src/worker/executor_events.c
+++ b/src/worker/executor_events.c
@@ -11,8 +11,9 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* With EXIT_SAVED (EX_TEMPFAIL) a stopped task exits that has saved its progress. */
-enum { EXIT_SAVED = 75, MAX_MESSAGE = 4096 };
+/* Exit status (EX_TEMPFAIL) of a stopped task that has saved its progress. */
+enum { EXIT_SAVED = 75 };
+enum { MAX_MESSAGE_BYTES = 4096 };
 
 static struct lmn_ended_attempt *
 new_ended_attempt(const struct lmn_worker *worker, const struct lmn_task_run *run,
@@ -31,29 +32,29 @@
     return attempt;
 }
 
-/* A task's processes are gone, or were never there. The state machine learns of it from
- * the results thread, after the result is on the disk. */
+/* Handles the end of a task's processes, or the failure to start them. The results thread
+ * reports the end to the state machine once the result is on disk. */
 static void handle_task_end(struct lmn_worker *worker,
                             const struct lmn_executor_event_message *message)
 {
     lmn_worker_lock(worker);
     const struct lmn_task_run *run = lmn_agent_find_run(&worker->agent, message->id);
     if (run) {
-        lmn_debug("task_exited task=%s/%u attempt=%" G_GUINT64_FORMAT
-                  " status=%d what=\"%s\"",
-                  run->job_id, run->index, run->attempt, message->status, message->what);
+        lmn_debug(
+            "task_exited task=%s/%u attempt=%" G_GUINT64_FORMAT " status=%d what=\"%s\"",
+            run->job_id, run->index, run->attempt, message->status, message->reason);
         if (message->event == LMN_EXECUTOR_START_FAILED)
             lmn_info("task_start_failed task=%s/%u why=\"%s\"", run->job_id, run->index,
-                     message->what);
+                     message->reason);
         g_queue_push_tail(&worker->ended, new_ended_attempt(worker, run, message));
         pthread_cond_signal(&worker->attempt_ended);
     }
     lmn_worker_unlock_and_send(worker);
 }
 
-/* Nothing of the incarnation runs any more: the next one may begin. Its number is drawn
+/* No process of the incarnation is left, so the next one begins. Its number is allocated
  * before the lock is taken, since that waits for the disk. */
-static void handle_empty(struct lmn_worker *worker)
+static void handle_all_killed(struct lmn_worker *worker)
 {
     uint64_t incarnation = lmn_worker_next_incarnation(worker);
 
@@ -65,7 +66,7 @@
 static void handle_lease_expired(struct lmn_worker *worker)
 {
     lmn_worker_lock(worker);
-    lmn_agent_expire_lease(&worker->agent, "the keeper found the lease over");
+    lmn_agent_expire_lease(&worker->agent, "the executor found the lease expired");
     lmn_worker_unlock_and_send(worker);
 }
 
@@ -78,7 +79,7 @@
         handle_task_end(worker, message);
         break;
     case LMN_EXECUTOR_ALL_KILLED:
-        handle_empty(worker);
+        handle_all_killed(worker);
         break;
     case LMN_EXECUTOR_LEASE_EXPIRED:
         handle_lease_expired(worker);
@@ -89,7 +90,7 @@
 void *lmn_executor_event_thread(void *arg)
 {
     struct lmn_worker *worker = arg;
-    char bytes[MAX_MESSAGE];
+    char bytes[MAX_MESSAGE_BYTES];
 
     for (;;) {
         struct lmn_executor_event_message message;
@@ -97,8 +98,8 @@
         if (len < 0 && errno == EINTR)
             continue;
         if (len <= 0) {
-            /* Nobody would report the tasks' ends any more. The agent that is started
-             * next kills what is left of them. */
+            /* Without an executor, no task's end would be reported any more. The agent
+             * that is started next kills the tasks that are left. */
             lmn_error("executor_exited");
             _exit(1);
         }
--- a/src/worker/executor_loop.c
+++ b/src/worker/executor_loop.c
@@ -1,6 +1,6 @@
 /** @file
- * The executor's event loop: the agent's messages, the ends of processes, the lease, and
- * the tasks' output (worker/executor_loop.h). */
+ * The executor's event loop (worker/executor_loop.h). It handles the agent's messages,
+ * the ends of processes, the expiry of the lease, and the tasks' output. */
 #include "worker/executor_loop.h"
 #include "util/clock.h"
 #include "util/log.h"
@@ -19,27 +19,31 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* A message from the agent, in bytes, at most. */
-enum { MAX_MESSAGE = 192 * 1024, MAX_SIGNALS_READ = 16 };
-/* Between two looks at processes that are being killed: an orphan's end is not always
- * signalled to the executor. */
+/* Maximum size of a message from the agent. */
+enum { MAX_MESSAGE_BYTES = 192 * 1024 };
+/* Signals that one read takes from the signalfd. */
+enum { MAX_SIGNALS_READ = 16 };
+/* Interval at which processes that are being killed are checked: SIGCHLD does not
+ * announce the end of every orphan. */
 static const double KILL_POLL_S = 0.005;
-/* Between two kills of a task that outlives its grace period, at least. */
-static const double REKILL_S = 0.02;
-/* The same as KILL_POLL_S when only the end of everything is waited for. */
+/* Minimum interval between two kills of a task that outlives its grace period. */
+static const double REPEATED_KILL_INTERVAL_S = 0.02;
+/* Interval at which killed processes are checked once the agent is gone. */
 enum { SHUTDOWN_POLL_US = 2000 };
 
 struct executor {
-    int sock, signals; /* to the agent; a signalfd for SIGCHLD */
-    GPtrArray *tasks;  /* struct lmn_executor_task, owned */
+    int sock;         /* to the agent */
+    int signals;      /* a signalfd for SIGCHLD */
+    GPtrArray *tasks; /* struct lmn_executor_task, owned */
     char *mark;
     bool has_lease;
     struct timespec lease_until;
-    bool is_ending;        /* everything is being killed */
-    bool is_lease_expired; /* why, if is_ending */
+    bool is_ending;        /* all tasks are being killed */
+    bool is_lease_expired; /* with is_ending: because the lease expired */
 };
 
-/* The clock that goes on in sleep: so does a lease. */
+/* Leases are measured by CLOCK_BOOTTIME, which keeps running while the machine is
+ * suspended. */
 static struct timespec boot_time_now(void)
 {
     struct timespec now;
@@ -49,9 +53,9 @@
 }
 
 static void send_event(const struct executor *executor, enum lmn_executor_event event,
-                       uint64_t id, int status, const char *what)
+                       uint64_t id, int status, const char *reason)
 {
-    g_autoptr(GByteArray) message = lmn_executor_event_encode(event, id, status, what);
+    g_autoptr(GByteArray) message = lmn_executor_event_encode(event, id, status, reason);
 
     if (send(executor->sock, message->data, message->len, MSG_NOSIGNAL) < 0)
         lmn_debug("executor_message_invalid event=%d", event);
@@ -72,7 +76,7 @@
 
 /* --- the ends of processes --- */
 
-/* Reaps all children that have exited, tasks and the orphans of tasks. */
+/* Reaps all children that have exited: tasks, and orphans of tasks. */
 static void reap(struct executor *executor)
 {
     pid_t pid;
@@ -98,10 +102,10 @@
     return false;
 }
 
-/* Kills the children whose task has ended, or that have left their task's session and
- * lost their parent; if everything ends, all children. Returns how many there were. A
- * process that dies leaves its own children to the executor, so this is repeated until
- * there are none. */
+/* Kills the children of the executor that are not in the session of a living task: their
+ * task has ended, or they left its session and lost their parent. While is_ending, kills
+ * all children. Returns the number of processes killed. The children of a killed process
+ * become children of the executor, so the caller repeats this until it returns 0. */
 static unsigned kill_orphans(struct executor *executor)
 {
     g_autofree char *path =
@@ -111,8 +115,8 @@
 
     if (!g_file_get_contents(path, &text, NULL, NULL))
         return 0;
-    char *at = text, *end;
-    for (pid_t pid; (pid = (pid_t)strtol(at, &end, 10)) > 0; at = end) {
+    char *cursor = text, *end;
+    for (pid_t pid; (pid = (pid_t)strtol(cursor, &end, 10)) > 0; cursor = end) {
         if (!executor->is_ending && is_session_of_living_task(executor, getsid(pid)))
             continue;
         kill(pid, SIGKILL);
@@ -121,23 +125,23 @@
     return count;
 }
 
-/* Kills what is left in the process groups of tasks that have exited. Returns whether
- * there are such tasks. */
+/* Kills the processes left in the process groups of tasks that have been reaped. Returns
+ * whether any task has been reaped. */
 static bool kill_groups_of_reaped(struct executor *executor)
 {
-    bool any = false;
+    bool any_reaped = false;
 
     for (guint i = 0; i < executor->tasks->len; i++) {
         const struct lmn_executor_task *task = task_at(executor, i);
         if (!task->is_reaped)
             continue;
         kill(-task->pid, SIGKILL);
-        any = true;
+        any_reaped = true;
     }
-    return any;
+    return any_reaped;
 }
 
-/* Everything was killed, and nothing is left. */
+/* Reports that no process is left after all tasks were killed. */
 static void finish_ending(struct executor *executor)
 {
     g_ptr_array_set_size(executor->tasks, 0);
@@ -148,7 +152,8 @@
                0, 0, "");
 }
 
-/* Reports the tasks that have exited, with all of their output kept. */
+/* Writes the remaining output of the tasks that have been reaped to their logs, and
+ * reports their exits. */
 static void report_reaped(struct executor *executor)
 {
     for (guint i = executor->tasks->len; i-- > 0;) {
@@ -164,8 +169,9 @@
     }
 }
 
-/* Reports ends, but only once none of the processes concerned is left: the agent may
- * start the task anew, or report a new incarnation, as soon as it knows. */
+/* Reports the ends of tasks, but only once none of their processes is left: as soon as
+ * the agent knows of an end, the task may be started again, or a new incarnation begin.
+ */
 static void settle(struct executor *executor)
 {
     reap(executor);
@@ -179,7 +185,7 @@
     }
 }
 
-/* Kills everything; settle() reports when nothing is left. */
+/* Kills all tasks; settle() sends the report once no process is left. */
 static void begin_ending(struct executor *executor, bool is_lease_expired)
 {
     executor->is_lease_expired = is_lease_expired;
@@ -205,7 +211,8 @@
         send_event(executor, LMN_EXECUTOR_START_FAILED, id, 0, g_strerror(error));
 }
 
-/* Tells the task to save; if it does not exit by then it is killed. */
+/* Tells the task to save its progress, and schedules its kill at the end of the grace
+ * period. */
 static void save_task(struct lmn_executor_task *task,
                       const struct lmn_cbor_document *document)
 {
@@ -255,17 +262,18 @@
 
 /* --- timers --- */
 
-/* Kills a saving task whose grace period is over, and again until it is gone. Returns the
- * seconds until it is to be looked at again. */
+/* Kills a saving task whose grace period is over; the kill is repeated until the task is
+ * reaped. Returns the seconds until the next check. */
 static double enforce_grace_period(const struct lmn_executor_task *task,
                                    struct timespec now)
 {
     if (lmn_time_before(task->kill_at, now))
         kill(-task->pid, SIGKILL);
-    return MAX(lmn_time_diff_s(task->kill_at, now), REKILL_S);
+    return MAX(lmn_time_diff_s(task->kill_at, now), REPEATED_KILL_INTERVAL_S);
 }
 
-/* Does what is due. Returns the seconds until something is; -1: nothing. */
+/* Handles an expired lease and ended grace periods. Returns the seconds until the next
+ * check, or -1 if none is needed. */
 static double run_timers(struct executor *executor)
 {
     struct timespec now = boot_time_now();
@@ -295,7 +303,8 @@
 
 /* --- the loop --- */
 
-/* The descriptors that poll() waits for: these two, then the pipes of each task. */
+/* Indices into the descriptors that poll() waits for: these two, then the pipes of each
+ * task from POLL_TASKS on. */
 enum { POLL_SOCKET, POLL_SIGNALS, POLL_TASKS };
 
 static void add_descriptor(GArray *descriptors, int fd)
@@ -328,7 +337,7 @@
                 lmn_executor_task_read_output(task_at(executor, i), (int)stream);
 }
 
-/* Empties the signalfd. What the signals say is found out by settle(). */
+/* Empties the signalfd. settle() then reaps the children by waitpid(). */
 static void read_signals(struct executor *executor)
 {
     struct signalfd_siginfo signals[MAX_SIGNALS_READ];
@@ -337,10 +346,10 @@
         lmn_error("executor_signals_failed error=\"%s\"", strerror(errno));
 }
 
-/* Handles a message; false if the agent is gone. */
+/* Receives and handles a message; returns false if the agent is gone. */
 static bool receive_message(struct executor *executor, char *buffer)
 {
-    ssize_t len = recv(executor->sock, buffer, MAX_MESSAGE, 0);
+    ssize_t len = recv(executor->sock, buffer, MAX_MESSAGE_BYTES, 0);
 
     if (len == 0 || (len < 0 && errno != EINTR && errno != EAGAIN))
         return false;
@@ -349,11 +358,11 @@
     return true;
 }
 
-/* Runs until the agent is gone, then ends everything. */
+/* Runs until the agent is gone, then kills all tasks. */
 static void run_loop(struct executor *executor)
 {
     g_autoptr(GArray) descriptors = g_array_new(FALSE, TRUE, sizeof(struct pollfd));
-    g_autofree char *buffer = g_malloc(MAX_MESSAGE);
+    g_autofree char *buffer = g_malloc(MAX_MESSAGE_BYTES);
 
     for (;;) {
         double wait_s = run_timers(executor);
@@ -373,8 +382,8 @@
 
 /* --- the process --- */
 
-/* SIGCHLD comes by the signalfd; signals that are meant for the agent, as from a
- * terminal, don't end the executor: it exits when the agent has. */
+/* SIGCHLD is delivered through the signalfd. Signals that are meant for the agent, such
+ * as those of a terminal, are ignored: the executor exits after the agent has. */
 static int set_up_signals(void)
 {
     sigset_t child_signal;
@@ -401,7 +410,7 @@
     pid_t other;
 
     setsid();
-    /* Orphans of tasks become its children, so that it finds and kills them. */
+    /* Orphans of tasks become children of the executor, which finds and kills them. */
     prctl(PR_SET_CHILD_SUBREAPER, 1);
     prctl(PR_SET_NAME, "lmn-keeper");
     executor.signals = set_up_signals();
--- a/src/worker/executor_message.c
+++ b/src/worker/executor_message.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* Begins a command with so many fields. */
+/* Begins a command with the given number of fields after "op". */
 static GByteArray *begin_command(const char *command, size_t fields)
 {
     GByteArray *buffer = g_byte_array_new();
@@ -85,7 +85,7 @@
 }
 
 GByteArray *lmn_executor_event_encode(enum lmn_executor_event event, uint64_t id,
-                                      int status, const char *what)
+                                      int status, const char *reason)
 {
     GByteArray *buffer = g_byte_array_new();
 
@@ -93,7 +93,7 @@
     put_uint_field(buffer, "event", event);
     put_uint_field(buffer, "id", id);
     put_uint_field(buffer, "status", (uint64_t)status);
-    put_text_field(buffer, "what", what);
+    put_text_field(buffer, "what", reason);
     return buffer;
 }
 
@@ -111,8 +111,8 @@
                     event <= LMN_EXECUTOR_LEASE_EXPIRED;
     lmn_cbor_get_uint(lmn_cbor_get(&document, root, "id"), &message->id);
     lmn_cbor_get_uint(lmn_cbor_get(&document, root, "status"), &status);
-    lmn_cbor_get_text(lmn_cbor_get(&document, root, "what"), message->what,
-                      sizeof message->what);
+    lmn_cbor_get_text(lmn_cbor_get(&document, root, "what"), message->reason,
+                      sizeof message->reason);
     message->event = (enum lmn_executor_event)event;
     message->status = (int)status;
     lmn_cbor_free(&document);
--- a/src/worker/executor_task.c
+++ b/src/worker/executor_task.c
@@ -10,10 +10,10 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-static const char DROPPED[] = "\n[lemonspar: further output was dropped]\n";
+static const char DROPPED_MESSAGE[] = "\n[lemonspar: further output was dropped]\n";
 static const char *const log_names[LMN_EXECUTOR_STREAMS] = {"stdout", "stderr"};
-enum { LOG_MODE = 0644, READ_SIZE = 16384, MAX_PATH = 4096 };
-/* Exit statuses of a child that could not become the task, as a shell has them. */
+enum { LOG_MODE = 0644, READ_SIZE = 16384, MAX_PATH_SIZE = 4096 };
+/* Exit statuses of a child that could not execute the program, like those of a shell. */
 enum { EXIT_NOT_REPORTED = 126, EXIT_NOT_STARTED = 127 };
 
 /* --- output --- */
@@ -33,13 +33,14 @@
     uint64_t *room = &task->log_room[stream];
 
     if (!*room)
-        return; /* it was read all the same, so that the task isn't held up */
+        return; /* the pipe was read nevertheless: a full pipe would block the task */
     size_t kept = MIN(len, *room);
     *room -= kept;
     if (write(task->logs[stream], bytes, kept) < 0)
         *room = 0;
-    if (!*room && write(task->logs[stream], DROPPED, sizeof DROPPED - 1) < 0)
-        return; /* a full disk costs the output, but not the task */
+    if (!*room &&
+        write(task->logs[stream], DROPPED_MESSAGE, sizeof DROPPED_MESSAGE - 1) < 0)
+        return; /* on a full disk the output is lost, but the task continues */
 }
 
 void lmn_executor_task_read_output(struct lmn_executor_task *task, int stream)
@@ -70,14 +71,15 @@
 
 /* --- the start --- */
 
-/* What a task is started with. */
+/* The content of a message of lmn_executor_encode_start(). */
 struct start_request {
     char **argv, **env;
-    char cwd[MAX_PATH];
+    char cwd[MAX_PATH_SIZE];
     uint64_t log_bytes;
 };
 
-/* A NULL-terminated vector of the list's texts and of one more, unless that is NULL. */
+/* Copies the list's texts, then `last` unless it is NULL, into a NULL-terminated array.
+ */
 static char **copy_texts(const struct lmn_cbor_document *document,
                          const struct lmn_cbor_value *list, const char *last)
 {
@@ -119,8 +121,8 @@
     return open(path, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, LOG_MODE);
 }
 
-/* Opens the pipes and logs. `outputs` gets the task's ends of the pipes, -1 for none.
- * Returns 0 or an errno value; then some may be open. */
+/* Opens the pipes and logs. `outputs` receives the task's ends of the pipes, or -1 where
+ * pipe2() failed. Returns 0 or an errno value; after an error some may be open. */
 static int open_streams(struct lmn_executor_task *task,
                         const struct start_request *request, int *outputs)
 {
@@ -136,40 +138,40 @@
         task->log_room[stream] = request->log_bytes;
         if (task->logs[stream] < 0)
             error = errno;
-        /* Only the executor's end must not block: tasks expect a pipe that does. */
+        /* Only the executor's end is non-blocking: tasks expect writes to block. */
         if (outputs[stream] >= 0)
             fcntl(outputs[stream], F_SETFL, 0);
     }
     return error;
 }
 
-/* The executor blocks and ignores signals; the task must not inherit that: an ignored
- * signal stays ignored, and sh can't even trap it. */
+/* Restores the signals that the executor blocks or ignores, which the task would inherit:
+ * a shell, for instance, can't trap a signal that was ignored when it started. */
 static void reset_signals(void)
 {
     static const int ignored[] = {SIGPIPE, SIGTERM, SIGINT, SIGHUP};
-    sigset_t none;
+    sigset_t empty_set;
 
-    sigemptyset(&none);
-    sigprocmask(SIG_SETMASK, &none, NULL);
+    sigemptyset(&empty_set);
+    sigprocmask(SIG_SETMASK, &empty_set, NULL);
     for (guint i = 0; i < G_N_ELEMENTS(ignored); i++)
         signal(ignored[i], SIG_DFL);
 }
 
-/* In the child: becomes the task. Does not return; if it fails, the errno value goes to
- * `error_pipe`, which a successful exec closes. */
+/* Executes the task's program in the child. Does not return. On failure it writes the
+ * errno value to `error_pipe`, which a successful exec closes. */
 G_NORETURN static void run_task(const struct start_request *request, const int *outputs,
                                 int error_pipe, pid_t executor)
 {
-    int in = open("/dev/null", O_RDONLY);
+    int input = open("/dev/null", O_RDONLY);
 
     setsid();
-    /* If the executor is killed, its tasks are, too. */
+    /* If the executor is killed, the kernel kills this process, too. */
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != executor)
-        _exit(EXIT_NOT_STARTED); /* it was gone before the line above */
+        _exit(EXIT_NOT_STARTED); /* the executor ended before prctl() */
     reset_signals();
-    dup2(in, STDIN_FILENO);
+    dup2(input, STDIN_FILENO);
     dup2(outputs[0], STDOUT_FILENO);
     dup2(outputs[1], STDERR_FILENO);
     for (char **variable = request->env; *variable; variable++)
@@ -182,8 +184,8 @@
     _exit(EXIT_NOT_STARTED);
 }
 
-/* Forks the task and waits until it has become its program. Returns 0 or an errno value;
- * after a failed exec the child is still to be reaped. */
+/* Forks the task and waits until its program has been executed. Returns 0 or an errno
+ * value; after a failed exec the caller must reap the child. */
 static int spawn_task(struct lmn_executor_task *task, const struct start_request *request,
                       const int *outputs)
 {
@@ -220,8 +222,8 @@
     if (!*error)
         *error = spawn_task(task, &request, outputs);
     clear_start_request(&request);
-    /* Without the executor's copies the pipes end when the last process of the task
-     * closes them. */
+    /* Closes the executor's copies, so that the pipes end when the last process of the
+     * task closes its own. */
     for (int stream = 0; stream < LMN_EXECUTOR_STREAMS; stream++)
         if (outputs[stream] >= 0)
             close(outputs[stream]);
--- a/src/worker/heartbeats.c
+++ b/src/worker/heartbeats.c
@@ -1,6 +1,7 @@
 /** @file
- * Sends heartbeats (worker/heartbeats.h): to one controller until it redirects the worker
- * to another, or can't be reached; then to the next one. */
+ * Sends heartbeats (worker/heartbeats.h). They go to one controller until it redirects
+ * the worker to another one, or does not answer with status 200; then to the next in the
+ * list. */
 #include "worker/heartbeats.h"
 #include "http/client.h"
 #include "protocol/wire.h"
@@ -12,37 +13,43 @@
 #include <string.h>
 
 enum { STATUS_OK = 200, STATUS_REDIRECT = 421 };
-/* How long an answer is waited for. */
+/* Time to wait for the answer to a heartbeat. */
 static const double ANSWER_TIMEOUT_S = 4;
-/* Between heartbeats for news, at least, so that many changes share one. */
-static const double NEWS_INTERVAL_S = 0.5;
-/* The interval is random between these shares of the setting: else the heartbeats of
- * workers that were started together would arrive together for ever. */
-static const double MIN_INTERVAL_SHARE = 0.75, INTERVAL_SHARE_RANGE = 0.5;
+/* Minimum interval between two heartbeats that report changes, so that changes in quick
+ * succession share a heartbeat. */
+static const double CHANGE_INTERVAL_S = 0.5;
+/* The interval is the setting times a random factor from this range. With a fixed
+ * interval the heartbeats of workers that were started together would always arrive
+ * together. */
+static const double MIN_INTERVAL_FACTOR = 0.75, INTERVAL_FACTOR_RANGE = 0.5;
+/* Minimum time to sleep, also while a due heartbeat has to wait for the incarnation's
+ * end. */
 static const double MIN_WAIT_S = 0.01;
-/* Before the next controller is tried. */
+/* Time to wait before trying the next controller. */
 static const double NEXT_CONTROLLER_DELAY_S = 1;
 
 /* The heartbeat thread's own state. */
 struct sender {
     struct lmn_worker *worker;
     struct lmn_http_client *clients[LMN_MAX_CONTROLLERS];
-    unsigned controller; /* the index of the one that heartbeats go to */
+    unsigned controller; /* index of the controller that heartbeats go to */
     struct timespec last_sent_at;
     GByteArray *response;
 };
 
-/* Waits until a heartbeat is due: the interval, or sooner if there is news. */
+/* Waits until a heartbeat is due: for the interval, or less if there is a change that has
+ * not been reported. */
 static void wait_until_due(struct lmn_worker *worker, struct timespec last_sent_at)
 {
-    double share = MIN_INTERVAL_SHARE + INTERVAL_SHARE_RANGE * g_random_double();
-    double interval_s = worker->options->heartbeat_s * share;
+    double factor = MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * g_random_double();
+    double interval_s = worker->options->heartbeat_s * factor;
 
     pthread_mutex_lock(&worker->lock);
     for (;;) {
         double since_s = lmn_time_diff_s(lmn_now(), last_sent_at);
-        double due_s =
-            worker->agent.has_news ? MIN(NEWS_INTERVAL_S, interval_s) : interval_s;
+        double due_s = worker->agent.has_unreported_change
+                           ? MIN(CHANGE_INTERVAL_S, interval_s)
+                           : interval_s;
         double wait_s = due_s - since_s;
         if (wait_s <= 0 && !worker->agent.is_ending)
             break;
@@ -51,8 +58,8 @@
     pthread_mutex_unlock(&worker->lock);
 }
 
-/* Writes the next heartbeat. Returns false if there is none: the incarnation is ending.
- */
+/* Writes the next heartbeat. Returns false if the incarnation is ending: then none may be
+ * sent. */
 static bool write_heartbeat(struct lmn_worker *worker, GByteArray *out,
                             uint64_t *incarnation, struct timespec *sent_at)
 {
@@ -80,8 +87,8 @@
     lmn_worker_unlock_and_send(worker);
 }
 
-/* The controller that a redirection names; the present one if it names no other that is
- * known. */
+/* Returns the index of the controller that a redirection names, or of the current one if
+ * the redirection names no other controller of the settings. */
 static unsigned redirection_target(const struct sender *sender)
 {
     const struct lmn_worker_options *options = sender->worker->options;
@@ -101,8 +108,8 @@
     return sender->controller;
 }
 
-/* The heartbeat did not renew the lease: chooses the controller for the next one, which a
- * redirection makes due at once. */
+/* Chooses the controller for the next heartbeat after one that did not renew the lease. A
+ * redirection to another controller makes the next heartbeat due at once. */
 static void change_controller(struct sender *sender, int status)
 {
     struct lmn_worker *worker = sender->worker;
@@ -112,11 +119,12 @@
     lmn_debug("heartbeat_redirected status=%d to=%s", status,
               worker->options->controllers[next].name);
     pthread_mutex_lock(&worker->lock);
-    worker->agent.has_news = true; /* what was not received is still news */
+    worker->agent.has_unreported_change =
+        true; /* the heartbeat may not have been received */
     worker->redirects++;
     pthread_mutex_unlock(&worker->lock);
     if (next != sender->controller) {
-        sender->last_sent_at = lmn_time_add(lmn_now(), -1);
+        sender->last_sent_at = lmn_time_add(lmn_now(), -2 * CHANGE_INTERVAL_S);
     } else {
         next = (sender->controller + 1) % worker->options->controller_count;
         lmn_sleep(NEXT_CONTROLLER_DELAY_S);
@@ -148,7 +156,7 @@
     const struct lmn_worker_options *options = worker->options;
     struct sender sender = {.worker = worker, .response = g_byte_array_new()};
 
-    /* Spreads the workers over the controllers. */
+    /* Distributes the workers among the controllers. */
     sender.controller = g_str_hash(options->name) % options->controller_count;
     for (unsigned i = 0; i < options->controller_count; i++)
         sender.clients[i] = lmn_http_client_new(options->controllers[i].addr);
--- a/src/worker/heartbeats.h
+++ b/src/worker/heartbeats.h
@@ -3,7 +3,7 @@
 #ifndef LMN_WORKER_HEARTBEATS_H
 #define LMN_WORKER_HEARTBEATS_H
 
-/** Sends heartbeats, for ever (a thread). @param worker struct lmn_worker */
+/** Thread function: sends heartbeats; never returns. @param worker struct lmn_worker */
 void *lmn_heartbeat_thread(void *worker);
 
 #endif
--- a/src/worker/images.c
+++ b/src/worker/images.c
@@ -25,8 +25,8 @@
     return g_strdup_printf("%s/sizes/%s", worker->options->directory, image);
 }
 
-/* Makes an image known as cached, as the most recently used one. The lock is held, or the
- * threads don't run yet. */
+/* Registers a cached image as the most recently used one. The lock is held, or the
+ * threads have not been started yet. */
 static void add_cached_image(struct lmn_worker *worker, const char *interned_name,
                              guint64 bytes)
 {
@@ -72,21 +72,22 @@
 static double total_image_bytes(const struct lmn_worker *worker)
 {
     double total = 0;
-    GHashTableIter it;
+    GHashTableIter iterator;
     gpointer size;
 
-    g_hash_table_iter_init(&it, worker->cached_images);
-    while (g_hash_table_iter_next(&it, NULL, &size))
+    g_hash_table_iter_init(&iterator, worker->cached_images);
+    while (g_hash_table_iter_next(&iterator, NULL, &size))
         total += (double)*(guint64 *)size;
     return total;
 }
 
-/* Forgets the least recently used images that no run needs, until so many more bytes fit
- * into the cache. Their names are added to `evicted`; the caller removes their files once
- * the lock, which is held, is released. */
-static void choose_evictions(struct lmn_worker *worker, double bytes, GPtrArray *evicted)
+/* Unregisters the least recently used images that no run needs, until `needed_bytes` more
+ * bytes fit into the cache. Their names are added to `evicted`. The lock is held; the
+ * caller removes the files after releasing it. */
+static void choose_evictions(struct lmn_worker *worker, double needed_bytes,
+                             GPtrArray *evicted)
 {
-    double total = bytes + total_image_bytes(worker);
+    double total = needed_bytes + total_image_bytes(worker);
     double max_bytes = worker->options->type.cache_gb * BYTES_PER_GB;
 
     for (GList *node = worker->image_order.head, *next; node && total > max_bytes;
@@ -102,14 +103,14 @@
     }
 }
 
-/* Removes the files of the images, and empties the list. */
+/* Removes the files of the evicted images, and empties the list. */
 static void remove_evicted(struct lmn_worker *worker, GPtrArray *evicted)
 {
     for (guint i = 0; i < evicted->len; i++) {
         const char *name = evicted->pdata[i];
         g_autofree char *directory = lmn_image_directory(worker, name);
         g_autofree char *size_path = size_file(worker, name);
-        unlink(size_path); /* first: an image without a size is fetched anew */
+        unlink(size_path); /* first: after a crash, an image without a size is removed */
         lmn_tree_remove(directory);
         lmn_info("image_evicted image=%s", name);
     }
@@ -118,24 +119,24 @@
 
 /* --- fetching --- */
 
-/* A fetch that is going on. */
+/* The argument of is_still_needed(). */
 struct fetch {
     struct lmn_worker *worker;
     const char *image; /* interned */
 };
 
 /* Whether a run still waits for the image. */
-static bool is_still_wanted(void *arg)
+static bool is_still_needed(void *arg)
 {
     const struct fetch *fetch = arg;
 
     pthread_mutex_lock(&fetch->worker->lock);
-    bool is_wanted = fetch->worker->cancelled_fetch != fetch->image;
+    bool is_needed = fetch->worker->cancelled_fetch != fetch->image;
     pthread_mutex_unlock(&fetch->worker->lock);
-    return is_wanted;
+    return is_needed;
 }
 
-/* Writes the image's size: from then on it counts as whole. Returns 0 or -1. */
+/* Writes the image's size, which marks the image as complete. Returns 0 or -1. */
 static int write_size(const struct lmn_worker *worker, const char *name, uint64_t bytes)
 {
     g_autofree char *path = size_file(worker, name);
@@ -156,12 +157,12 @@
     struct timespec begun_at = lmn_now();
 
     g_mkdir_with_parents(sizes, DIRECTORY_MODE);
-    lmn_tree_remove(directory); /* what an earlier fetch may have left */
-    int rc = lmn_image_get(client, name, directory, bytes_per_s, is_still_wanted, &fetch,
-                           bytes, &error);
-    if (rc == 0)
-        rc = write_size(worker, name, *bytes);
-    if (rc != 0) {
+    lmn_tree_remove(directory); /* an earlier fetch may have left files */
+    int result = lmn_image_get(client, name, directory, bytes_per_s, is_still_needed,
+                               &fetch, bytes, &error);
+    if (result == 0)
+        result = write_size(worker, name, *bytes);
+    if (result != 0) {
         lmn_error("image_fetch_failed image=%s why=\"%s\"", name, error.what);
         return false;
     }
@@ -170,17 +171,18 @@
     return true;
 }
 
-/* Waits for a request and takes it. */
+/* Waits for a request and removes it from the queue. If the image has to be fetched,
+ * chooses the images to evict for it. */
 static struct lmn_fetch_request *take_request(struct lmn_worker *worker, bool *is_cached,
-                                              bool *is_wanted, GPtrArray *evicted)
+                                              bool *is_needed, GPtrArray *evicted)
 {
     lmn_worker_lock(worker);
     while (!worker->images.head)
         pthread_cond_wait(&worker->image_queued, &worker->lock);
     struct lmn_fetch_request *request = g_queue_pop_head(&worker->images);
     *is_cached = g_hash_table_contains(worker->cached_images, request->name);
-    *is_wanted = is_in_use(worker, request->name);
-    if (!*is_cached && *is_wanted)
+    *is_needed = is_in_use(worker, request->name);
+    if (!*is_cached && *is_needed)
         choose_evictions(worker, request->gb * BYTES_PER_GB, evicted);
     lmn_worker_unlock_and_send(worker);
     return request;
@@ -193,21 +195,22 @@
     GPtrArray *evicted = g_ptr_array_new();
 
     for (;;) {
-        bool is_cached, is_wanted;
+        bool is_cached, is_needed;
         uint64_t bytes = 0;
         struct lmn_fetch_request *request =
-            take_request(worker, &is_cached, &is_wanted, evicted);
+            take_request(worker, &is_cached, &is_needed, evicted);
         remove_evicted(worker, evicted);
-        bool ok = is_cached ||
-                  (is_wanted && fetch_image(worker, client, request->name, &bytes));
+        bool is_available =
+            is_cached ||
+            (is_needed && fetch_image(worker, client, request->name, &bytes));
         lmn_worker_lock(worker);
-        if (ok && !is_cached) {
+        if (is_available && !is_cached) {
             add_cached_image(worker, request->name, bytes);
             worker->fetched_bytes += bytes;
         }
         if (worker->cancelled_fetch == request->name)
             worker->cancelled_fetch = NULL;
-        lmn_agent_fetched(&worker->agent, request->name, ok, lmn_worker_now());
+        lmn_agent_fetched(&worker->agent, request->name, is_available, lmn_worker_now());
         lmn_worker_unlock_and_send(worker);
         g_free(request);
     }
--- a/src/worker/images.h
+++ b/src/worker/images.h
@@ -1,20 +1,20 @@
 /** @file
  * The images that are cached on a real machine: directories below "images", fetched from
- * the image store. The size of an image that was fetched to its end lies in a file below
- * "sizes"; a directory without one is not whole. */
+ * the image store. Once an image is complete, its size in bytes is written to a file of
+ * the image's name below "sizes"; an image directory without that file is incomplete. */
 #ifndef LMN_WORKER_IMAGES_H
 #define LMN_WORKER_IMAGES_H
 
 #include "worker/worker_state.h"
 
-/** The directory of an image. The caller frees it. */
+/** Returns the path of an image's directory. The caller frees it. */
 char *lmn_image_directory(const struct lmn_worker *worker, const char *image);
 
-/** Finds the images that earlier processes have fetched, and removes those that are not
- * whole. Before the threads start. */
+/** Registers the images that earlier processes have fetched, and removes incomplete ones.
+ * Must be called before the threads start. */
 void lmn_images_load_cached(struct lmn_worker *worker);
 
-/** Fetches images that are queued, for ever (a thread).
+/** Thread function: fetches queued images; never returns.
  * @param worker struct lmn_worker */
 void *lmn_image_thread(void *worker);
 
--- a/src/worker/incarnation.c
+++ b/src/worker/incarnation.c
@@ -1,5 +1,5 @@
 /** @file
- * Draws incarnation numbers (worker/incarnation.h). */
+ * Allocates incarnation numbers (worker/incarnation.h). */
 #include "worker/incarnation.h"
 #include "util/log.h"
 #include "util/process.h"
@@ -20,8 +20,8 @@
     last = MAX(last, worker->incarnation) + 1;
     int len = g_snprintf(line, sizeof line, "%" G_GUINT64_FORMAT "\n", last);
     if (lmn_file_put(path, line, (size_t)len) != 0) {
-        /* A number that could be used twice must not be used at all: controllers would
-         * take the tasks of two incarnations for those of one. */
+        /* After a restart this number could be allocated again: controllers would take
+         * the tasks of two incarnations for those of one. */
         lmn_error("agent_incarnation_write_failed path=%s error=\"%s\"", path,
                   strerror(errno));
         _exit(1);
--- a/src/worker/incarnation.h
+++ b/src/worker/incarnation.h
@@ -1,13 +1,15 @@
 /** @file
- * The numbers of a real machine's incarnations, kept in the file "session". */
+ * The numbers of a real machine's incarnations. The last one is stored in the file
+ * "session" of the machine's directory. */
 #ifndef LMN_WORKER_INCARNATION_H
 #define LMN_WORKER_INCARNATION_H
 
 #include "worker/worker_state.h"
 
-/** Draws the next incarnation's number: above all earlier ones, and on the disk before
- * anybody learns of it. Ends the process if it can't be written. Used before the threads
- * start, and by the thread of the executor's events. */
+/** Allocates the next incarnation's number, which is higher than all earlier ones and is
+ * on disk when the function returns. Exits the process if it can't be written. Not
+ * thread-safe: called before the threads start, then only by the thread of the executor's
+ * events. */
 uint64_t lmn_worker_next_incarnation(struct lmn_worker *worker);
 
 #endif
--- a/src/worker/results.c
+++ b/src/worker/results.c
@@ -8,7 +8,8 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Attempts whose output waits to be uploaded, at most; that of others is lost. */
+/* Maximum number of attempts whose output waits for its upload. The output of further
+ * attempts is lost. */
 enum { MAX_QUEUED_LOGS = 10000, RESULTS_MODE = 0644 };
 
 bool lmn_results_contain(const struct lmn_worker *worker, const char *job_id,
@@ -20,18 +21,19 @@
     return g_hash_table_contains(worker->results, task);
 }
 
-/* Takes in the file's whole lines. Returns their length: a line without its end was being
- * written when the machine died, and says nothing. */
+/* Reads the complete lines of the file, and returns their length in bytes. A last line
+ * without a newline is ignored: it was being written when the machine failed. */
 static gsize read_lines(struct lmn_worker *worker, const char *text, gsize len)
 {
-    gsize at = 0;
+    gsize offset = 0;
 
-    for (const char *end; at < len && (end = memchr(text + at, '\n', len - at));) {
-        gsize line_len = (gsize)(end - text) - at;
-        g_hash_table_add(worker->results, g_strndup(text + at, line_len));
-        at += line_len + 1;
+    for (const char *end;
+         offset < len && (end = memchr(text + offset, '\n', len - offset));) {
+        gsize line_len = (gsize)(end - text) - offset;
+        g_hash_table_add(worker->results, g_strndup(text + offset, line_len));
+        offset += line_len + 1;
     }
-    return at;
+    return offset;
 }
 
 int lmn_results_open(struct lmn_worker *worker)
@@ -47,14 +49,14 @@
         return -1;
     if (!g_file_get_contents(path, &text, &len, NULL))
         return 0;
-    gsize whole = read_lines(worker, text, len);
-    if (whole < len && ftruncate(worker->results_fd, (off_t)whole) != 0)
+    gsize complete_len = read_lines(worker, text, len);
+    if (complete_len < len && ftruncate(worker->results_fd, (off_t)complete_len) != 0)
         lmn_error("task_results_truncate_failed path=%s error=\"%s\"", path,
                   strerror(errno));
     return 0;
 }
 
-/* Takes all attempts that have ended, once there are some. */
+/* Waits until attempts have ended, and removes all of them from the queue. */
 static GQueue take_ended(struct lmn_worker *worker)
 {
     lmn_worker_lock(worker);
@@ -66,11 +68,12 @@
     return ended;
 }
 
-/* Writes the results of those that are done, by one sync; false if they may be lost. */
+/* Writes the results of the completed attempts, with a single sync. Returns false if they
+ * may not be on disk. */
 static bool write_results(struct lmn_worker *worker, const GQueue *ended)
 {
     GString *lines = g_string_new(NULL);
-    bool is_kept = true;
+    bool is_recorded = true;
 
     for (GList *node = ended->head; node; node = node->next) {
         const struct lmn_ended_attempt *attempt = node->data;
@@ -78,16 +81,17 @@
             g_string_append_printf(lines, "%s/%u\n", attempt->job_id, attempt->index);
     }
     if (lines->len)
-        is_kept =
+        is_recorded =
             write(worker->results_fd, lines->str, lines->len) == (ssize_t)lines->len &&
             fdatasync(worker->results_fd) == 0;
-    if (!is_kept)
+    if (!is_recorded)
         lmn_error("task_result_lost error=\"%s\"", strerror(errno));
     g_string_free(lines, TRUE);
-    return is_kept;
+    return is_recorded;
 }
 
-/* Queues the upload of the attempt's output; owns the attempt. The lock is held. */
+/* Queues the upload of the attempt's output; takes ownership of the attempt. The lock is
+ * held. */
 static void queue_log(struct lmn_worker *worker, struct lmn_ended_attempt *attempt)
 {
     if (worker->logs.length < MAX_QUEUED_LOGS) {
@@ -100,15 +104,15 @@
     }
 }
 
-/* Tells the state machine of the attempts' ends. A result that is not on the disk does
- * not count: the attempt has failed then. */
-static void report_ended(struct lmn_worker *worker, GQueue *ended, bool is_kept)
+/* Reports the attempts' ends to the state machine. If the results could not be written,
+ * the completed attempts are reported as failed. */
+static void report_ended(struct lmn_worker *worker, GQueue *ended, bool is_recorded)
 {
     struct lmn_ended_attempt *attempt;
 
     lmn_worker_lock(worker);
     while ((attempt = g_queue_pop_head(ended))) {
-        bool is_done = attempt->is_done && is_kept;
+        bool is_done = attempt->is_done && is_recorded;
         if (is_done)
             g_hash_table_add(worker->results,
                              g_strdup_printf("%s/%u", attempt->job_id, attempt->index));
@@ -125,8 +129,8 @@
 
     for (;;) {
         GQueue ended = take_ended(worker);
-        bool is_kept = write_results(worker, &ended);
-        report_ended(worker, &ended, is_kept);
+        bool is_recorded = write_results(worker, &ended);
+        report_ended(worker, &ended, is_recorded);
     }
     return NULL;
 }
--- a/src/worker/task_logs.c
+++ b/src/worker/task_logs.c
@@ -7,11 +7,12 @@
 #include "util/thread.h"
 #include "worker/worker_state.h"
 
-enum { MAX_TRIES = 20, MAX_BACKOFF_DOUBLINGS = 6, PATH_SIZE = 160 };
+enum { MAX_TRIES = 20, MAX_BACKOFF_DOUBLINGS = 6, PATH_SIZE = 160, STATUS_OK = 200 };
 static const double UPLOAD_TIMEOUT_S = 30;
 static const double MIN_BACKOFF_S = 0.1, MAX_BACKOFF_S = 5;
 
-/* Uploads one stream; an attempt that wrote nothing has no log. */
+/* Uploads the output of one stream. Nothing is uploaded, and true returned, if the file
+ * is empty or can't be read. */
 static bool upload_stream(struct lmn_http_client *client,
                           const struct lmn_ended_attempt *attempt, const char *stream)
 {
@@ -28,7 +29,7 @@
     g_snprintf(path, sizeof path, "/logs/%s/%u.%" G_GUINT64_FORMAT ".%s", attempt->job_id,
                attempt->index, attempt->attempt, stream);
     return lmn_http_client_call(client, "PUT", path, body, UPLOAD_TIMEOUT_S, response) ==
-           200;
+           STATUS_OK;
 }
 
 static bool upload(struct lmn_http_client *client,
@@ -48,7 +49,7 @@
     return attempt;
 }
 
-/* Waits, then queues the attempt again. */
+/* Queues the attempt again after a delay that doubles with each try. */
 static void retry_later(struct lmn_worker *worker, struct lmn_ended_attempt *attempt)
 {
     int doublings = MIN(attempt->tries, MAX_BACKOFF_DOUBLINGS);
@@ -59,7 +60,7 @@
     pthread_mutex_unlock(&worker->lock);
 }
 
-/* The output is uploaded or given up: counts it, removes it, frees the attempt. */
+/* Counts the output as uploaded or lost, removes it, and frees the attempt. */
 static void finish_attempt(struct lmn_worker *worker, struct lmn_ended_attempt *attempt,
                            bool is_uploaded)
 {
--- a/src/worker/task_logs.h
+++ b/src/worker/task_logs.h
@@ -1,9 +1,10 @@
 /** @file
- * The output of attempts that have ended: uploaded to the image store, then removed. */
+ * Uploads the output of attempts that have ended to the image store, and removes it from
+ * the machine. */
 #ifndef LMN_WORKER_TASK_LOGS_H
 #define LMN_WORKER_TASK_LOGS_H
 
-/** Uploads the output of attempts that are queued, for ever (a thread).
+/** Thread function: uploads the output of queued attempts; never returns.
  * @param worker struct lmn_worker */
 void *lmn_log_upload_thread(void *worker);
 
--- a/src/worker/worker_http.c
+++ b/src/worker/worker_http.c
@@ -1,5 +1,5 @@
 /** @file
- * The HTTP server of a real machine's agent (worker/worker_http.h). */
+ * The HTTP routes of a real machine's agent (worker/worker_http.h). */
 #include "worker/worker_http.h"
 #include "http/metrics.h"
 #include "http/server.h"
@@ -7,7 +7,7 @@
 
 #include <string.h>
 
-enum { MAX_BODY = 64 * 1024, MAX_CONNECTIONS = 256, STATUS_NOT_FOUND = 404 };
+enum { MAX_BODY_BYTES = 64 * 1024, MAX_CONNECTIONS = 256, STATUS_NOT_FOUND = 404 };
 
 static void put_metrics(void *arg, GString *out)
 {
@@ -15,17 +15,20 @@
 
     pthread_mutex_lock(&worker->lock);
     const struct lmn_agent *agent = &worker->agent;
-    lmn_gauge(out, "lemonspar_worker_session", "Session", (double)agent->incarnation);
-    lmn_gauge(out, "lemonspar_worker_attempts", "Attempts on the machine",
-              agent->runs->len);
-    lmn_counter(out, "lemonspar_worker_starts", "Start commands", agent->starts);
-    lmn_counter(out, "lemonspar_worker_done", "Tasks that completed", agent->finished);
-    lmn_counter(out, "lemonspar_worker_refused", "Starts refused", agent->refused);
-    lmn_counter(out, "lemonspar_worker_lapses", "Leases that ran out",
+    lmn_gauge(out, "lemonspar_worker_session", "Number of the agent's incarnation",
+              (double)agent->incarnation);
+    lmn_gauge(out, "lemonspar_worker_attempts",
+              "Attempts listed on the machine, running or ended", agent->runs->len);
+    lmn_counter(out, "lemonspar_worker_starts", "Start commands executed", agent->starts);
+    lmn_counter(out, "lemonspar_worker_done", "Attempts reported as done",
+                agent->finished);
+    lmn_counter(out, "lemonspar_worker_refused", "Start commands refused",
+                agent->refused);
+    lmn_counter(out, "lemonspar_worker_lapses", "Leases that expired",
                 agent->expired_leases);
-    lmn_counter(out, "lemonspar_worker_reports", "Reports sent", worker->heartbeats);
-    lmn_counter(out, "lemonspar_worker_turned_reports", "Reports that were turned away",
-                worker->redirects);
+    lmn_counter(out, "lemonspar_worker_reports", "Heartbeats sent", worker->heartbeats);
+    lmn_counter(out, "lemonspar_worker_turned_reports",
+                "Heartbeats redirected, refused or not answered", worker->redirects);
     lmn_counter(out, "lemonspar_worker_image_bytes", "Bytes of images fetched",
                 worker->fetched_bytes);
     lmn_counter(out, "lemonspar_worker_lost_logs", "Attempts whose output was lost",
@@ -61,7 +64,7 @@
     const struct lmn_http_server_options options = {
         .listen = worker->options->listen,
         .connections = MAX_CONNECTIONS,
-        .max_body = MAX_BODY,
+        .max_body = MAX_BODY_BYTES,
         .route = route,
         .arg = worker,
     };
--- a/src/worker/worker_http.h
+++ b/src/worker/worker_http.h
@@ -1,5 +1,6 @@
 /** @file
- * What a real machine's agent serves by HTTP: commands, its state, metrics. */
+ * The HTTP server of a real machine's agent: it accepts commands, and serves the
+ * machine's state and metrics. */
 #ifndef LMN_WORKER_WORKER_HTTP_H
 #define LMN_WORKER_WORKER_HTTP_H
 
@@ -7,7 +8,7 @@
 
 struct lmn_http_server;
 
-/** Starts the HTTP server's thread. @return NULL with errno */
+/** Starts the HTTP server's thread. @return the server, or NULL with errno */
 struct lmn_http_server *lmn_worker_serve(struct lmn_worker *worker);
 
 #endif
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -1,6 +1,6 @@
 /** @file
- * The process of a real machine's agent: starts it in the order that keeps two
- * incarnations from running at the same time (worker/worker.h). */
+ * The process of a real machine's agent (worker/worker.h). It starts the agent's parts in
+ * an order that keeps two incarnations from running tasks at the same time. */
 #include "worker/worker.h"
 #include "http/server.h"
 #include "util/log.h"
@@ -24,10 +24,10 @@
 #include <string.h>
 
 enum { DIRECTORY_MODE = 0755 };
-/* How often the lease is looked at. */
-static const double TICK_S = 0.05;
+/* Interval at which the lease is checked for its expiry. */
+static const double LEASE_CHECK_INTERVAL_S = 0.05;
 
-/* Takes the lock on the machine's directory for this process's life. */
+/* Locks the machine's directory until the process ends. */
 static bool lock_directory(const struct lmn_worker_options *options, char *err,
                            size_t len)
 {
@@ -38,15 +38,17 @@
         lmn_lock_file(path, &holder) >= 0)
         return true;
     if (holder)
-        g_snprintf(err, len, "%s: process %ld is this machine's agent",
+        g_snprintf(err, len,
+                   "%s: already locked by process %ld, another agent of this machine",
                    options->directory, (long)holder);
     else
-        g_snprintf(err, len, "%s: %s", options->directory, strerror(errno));
+        g_snprintf(err, len, "%s: can't create or lock the directory: %s",
+                   options->directory, strerror(errno));
     return false;
 }
 
-/* Starts the executor, which ends all that an earlier incarnation may have left. Nothing
- * of it runs after that: only then may there be a next one. */
+/* Starts the executor, which first kills all processes of an earlier incarnation. Only
+ * when none of them is left may the next incarnation begin. */
 static struct lmn_worker *start_executor(const struct lmn_worker_options *options,
                                          char *err, size_t len)
 {
@@ -59,7 +61,7 @@
     lmn_tree_remove(tasks);
     struct lmn_worker *worker = lmn_worker_new(options);
     worker->executor_fd = executor_fd;
-    worker->mark = g_steal_pointer(&mark);
+    worker->environment_mark = g_steal_pointer(&mark);
     return worker;
 }
 
@@ -77,8 +79,8 @@
                    lmn_worker_next_incarnation(worker), lmn_worker_now());
 }
 
-/* Tells the agent its address, now that the port is known, and writes it to the file
- * "address", where the machine provider reads it. */
+/* Sets the agent's address, whose port is known once the server has started, and writes
+ * it to the file "address", from which the machine provider reads it. */
 static void publish_address(struct lmn_worker *worker,
                             const struct lmn_http_server *server)
 {
@@ -101,13 +103,13 @@
     lmn_file_put(path, line, (size_t)line_len);
 }
 
-/* Ends the incarnation when its lease has expired, for ever (a thread). */
+/* Thread function: ends the incarnation when its lease has expired; never returns. */
 static void *lease_thread(void *arg)
 {
     struct lmn_worker *worker = arg;
 
     for (;;) {
-        lmn_sleep(TICK_S);
+        lmn_sleep(LEASE_CHECK_INTERVAL_S);
         lmn_worker_lock(worker);
         lmn_agent_check_lease(&worker->agent, lmn_worker_now());
         lmn_worker_unlock_and_send(worker);
@@ -135,7 +137,8 @@
         return -1;
     lmn_images_load_cached(worker);
     if (lmn_results_open(worker) != 0) {
-        g_snprintf(err, len, "%s: results: %s", options->directory, strerror(errno));
+        g_snprintf(err, len, "%s: can't open the file \"results\": %s",
+                   options->directory, strerror(errno));
         return -1;
     }
     curl_global_init(CURL_GLOBAL_NOTHING);
--- a/src/worker/worker_settings.c
+++ b/src/worker/worker_settings.c
@@ -1,6 +1,6 @@
 /** @file
- * Reads a worker's settings (worker/worker.h). The names in the file are the operators'
- * and don't change. */
+ * Reads a worker's settings (worker/worker.h). Operators' settings files depend on the
+ * names of the keys, which therefore stay as they are. */
 #include "config/config.h"
 #include "worker/worker.h"
 
@@ -34,8 +34,10 @@
     g_strlcpy(options->listen, lmn_config_text(config, "listen", "127.0.0.1:0"),
               sizeof options->listen);
     if (!strchr(options->listen, ':'))
-        lmn_config_fail(config, "listen",
-                        "expected an IPv4 address and a port (0: one that is free)");
+        lmn_config_fail(
+            config, "listen",
+            "expected an IPv4 address and a port, as in 127.0.0.1:0 (0 selects "
+            "a free port)");
     g_strlcpy(options->image_store, lmn_config_address(config, "depot", NULL),
               sizeof options->image_store);
     g_strlcpy(options->directory, lmn_config_text(config, "data", NULL),
@@ -73,8 +75,10 @@
     read_machine_type(config, &options->type);
     lmn_worker_read_controllers(config, options);
     if (options->lease_s <= options->heartbeat_s)
-        lmn_config_fail(config, "lease_s", "must be longer than report_s");
-    int rc = lmn_config_finish(config, err, len);
+        lmn_config_fail(
+            config, "lease_s",
+            "must be longer than report_s, or leases expire between heartbeats");
+    int result = lmn_config_finish(config, err, len);
     lmn_config_free(config);
-    return rc;
+    return result;
 }
--- a/src/worker/worker_state.c
+++ b/src/worker/worker_state.c
@@ -1,6 +1,6 @@
 /** @file
- * The shared state of a real machine's agent: the lock, and what goes out when it is
- * released (worker/worker_state.h). */
+ * The shared state of a real machine's agent (worker/worker_state.h): the lock, and the
+ * requests that are answered or sent when it is released. */
 #include "worker/worker_state.h"
 #include "image_store/image_store.h"
 #include "image_store/work.h"
@@ -28,7 +28,7 @@
 
     worker->options = options;
     pthread_mutex_init(&worker->lock, NULL);
-    pthread_mutex_init(&worker->sending, NULL);
+    pthread_mutex_init(&worker->send_lock, NULL);
     for (guint i = 0; i < G_N_ELEMENTS(conditions); i++)
         lmn_cond_init(conditions[i]);
     worker->task_commands =
@@ -68,7 +68,8 @@
     g_queue_push_tail_link(&worker->image_order, node);
 }
 
-/* Answers the request from what is on the machine; false if that is not possible. */
+/* Answers the request if the image or description is already on the machine; returns
+ * whether it is. */
 static bool answer_at_once(struct lmn_worker *worker,
                            const struct lmn_fetch_request *request)
 {
@@ -100,7 +101,8 @@
     }
 }
 
-/* Answers or queues all requests; answers may make new ones. The lock is held. */
+/* Answers or queues all pending requests, including those that the answers cause. The
+ * lock is held. */
 static void process_pending(struct lmn_worker *worker)
 {
     struct lmn_fetch_request *request;
@@ -111,11 +113,11 @@
         else
             queue_fetch(worker, request);
     }
-    if (worker->agent.has_news)
+    if (worker->agent.has_unreported_change)
         pthread_cond_signal(&worker->heartbeat_due);
 }
 
-/* --- the executor's requests --- */
+/* --- requests to the executor --- */
 
 void lmn_worker_queue_executor_request(struct lmn_worker *worker, GByteArray *message,
                                        char *directory)
@@ -126,7 +128,7 @@
     g_queue_push_tail(&worker->outbox, request);
 }
 
-/* Does what the request says, and frees it. */
+/* Creates the request's directory, sends its message, and frees the request. */
 static void send_request(const struct lmn_worker *worker,
                          struct lmn_executor_request *request)
 {
@@ -145,20 +147,20 @@
     g_free(request);
 }
 
-/* Sends the outbox. It is taken while `sending` is held, so that two threads can't send
- * in another order than was queued. */
+/* Sends the outbox. `send_lock` is held while the outbox is emptied and sent, so that two
+ * threads can't reorder the requests. */
 static void flush_outbox(struct lmn_worker *worker)
 {
     struct lmn_executor_request *request;
 
-    pthread_mutex_lock(&worker->sending);
+    pthread_mutex_lock(&worker->send_lock);
     pthread_mutex_lock(&worker->lock);
     GQueue requests = worker->outbox;
     g_queue_init(&worker->outbox);
     pthread_mutex_unlock(&worker->lock);
     while ((request = g_queue_pop_head(&requests)))
         send_request(worker, request);
-    pthread_mutex_unlock(&worker->sending);
+    pthread_mutex_unlock(&worker->send_lock);
 }
 
 void lmn_worker_unlock_and_send(struct lmn_worker *worker)
--- a/tests/test_agent.c
+++ b/tests/test_agent.c
@@ -1,6 +1,7 @@
-/* The worker's side of the protocol, under generated histories: commands come doubled,
- * late, with old tokens, for old sessions; processes and images end whenever they like;
- * answers are lost. */
+/* Tests the agent's state machine with random histories: commands arrive repeatedly,
+ * late, with old fencing tokens and for old incarnations; descriptions, images and
+ * processes finish in any order; answers to heartbeats are lost. Guards against a task
+ * that runs twice, and against commands of a replaced owner that take effect. */
 #include "worker/agent.h"
 #include "util/clock.h"
 #include "protocol/wire.h"
@@ -15,334 +16,366 @@
 enum { JOBS = 4, TASKS = 3, ATTEMPTS = 4, STEPS = 60000 };
 
 static struct {
-    GRand *r;
+    GRand *random;
     struct timespec now;
-    struct lmn_agent a;
+    struct lmn_agent agent;
     struct lmn_job_spec specs[JOBS];
-    /* what was asked of the ops and not answered */
-    GArray *asked; /* uint64_t: runs to be described */
-    GPtrArray *images;
-    GArray *live;                /* uint64_t: runs whose processes run */
-    GHashTable *results, *begun; /* "ref/index"; ids of runs */
-    bool emptying;
-    uint64_t token, session, starts, lapses, saves, done;
-    struct timespec leased;
-} w;
+    /* What the agent has requested by its ops and has not been answered. */
+    GArray *pending_descriptions; /* uint64_t: ids of runs */
+    GPtrArray *pending_images;    /* interned names */
+    GArray *running;              /* uint64_t: ids of runs whose processes exist */
+    GHashTable *results;          /* "job/index" of completed tasks */
+    GHashTable *started;          /* ids of all runs that were started */
+    bool is_killing_all;          /* kill_all was requested and not answered */
+    uint64_t token, incarnation;  /* the last that were seen */
+    uint64_t starts, expired_leases, saves, completed;
+    struct timespec leased_until;
+} machine;
 
-static int some(int n)
+static int random_below(int limit)
 {
-    return g_rand_int_range(w.r, 0, n);
+    return g_rand_int_range(machine.random, 0, limit);
 }
 
-static void drop_id(GArray *v, uint64_t id)
+static void remove_id(GArray *ids, uint64_t id)
 {
-    for (guint i = v->len; i-- > 0;)
-        if (g_array_index(v, uint64_t, i) == id)
-            g_array_remove_index_fast(v, i);
+    for (guint i = ids->len; i-- > 0;)
+        if (g_array_index(ids, uint64_t, i) == id)
+            g_array_remove_index_fast(ids, i);
 }
 
-static void describe(void *arg, struct lmn_task_run *r)
+static void describe(void *arg, struct lmn_task_run *run)
 {
     (void)arg;
-    g_array_append_val(w.asked, r->id);
+    g_array_append_val(machine.pending_descriptions, run->id);
 }
 
-static void fetch(void *arg, struct lmn_task_run *r)
+static void fetch(void *arg, struct lmn_task_run *run)
 {
     (void)arg;
-    if (!g_ptr_array_find(w.images, r->image, NULL))
-        g_ptr_array_add(w.images, r->image);
+    if (!g_ptr_array_find(machine.pending_images, run->image, NULL))
+        g_ptr_array_add(machine.pending_images, run->image);
 }
 
-static void give_up(void *arg, const char *image)
+static void cancel_fetch(void *arg, const char *image)
 {
     (void)arg;
-    for (guint i = 0; i < w.a.runs->len; i++) {
-        const struct lmn_task_run *r = w.a.runs->pdata[i];
-        assert_false(r->state == LMN_RUN_FETCHING && !strcmp(r->image, image));
+    for (guint i = 0; i < machine.agent.runs->len; i++) {
+        const struct lmn_task_run *run = machine.agent.runs->pdata[i];
+        assert_false(run->state == LMN_RUN_FETCHING && !strcmp(run->image, image));
     }
 }
 
-static bool has_result(void *arg, const char *ref, uint32_t index)
+static bool has_result(void *arg, const char *job_id, uint32_t index)
 {
     char key[64];
     (void)arg;
-    g_snprintf(key, sizeof key, "%s/%u", ref, index);
-    return g_hash_table_contains(w.results, key);
+    g_snprintf(key, sizeof key, "%s/%u", job_id, index);
+    return g_hash_table_contains(machine.results, key);
 }
 
-static void start(void *arg, struct lmn_task_run *r)
+static void start(void *arg, struct lmn_task_run *run)
 {
     uint64_t *id = g_new(uint64_t, 1);
     (void)arg;
-    *id = r->id;
-    /* A repeated start, or a late one, never starts an attempt that is still known anew.
-     */
-    assert_true(g_hash_table_add(w.begun, id));
-    for (guint i = 0; i < w.live->len; i++) {
-        const struct lmn_task_run *o =
-            lmn_agent_find_run(&w.a, g_array_index(w.live, uint64_t, i));
-        assert_false(o && o->index == r->index && !strcmp(o->job_id, r->job_id));
+    *id = run->id;
+    /* A repeated or late start command must not start an attempt that is still listed. */
+    assert_true(g_hash_table_add(machine.started, id));
+    for (guint i = 0; i < machine.running->len; i++) {
+        const struct lmn_task_run *other = lmn_agent_find_run(
+            &machine.agent, g_array_index(machine.running, uint64_t, i));
+        assert_false(other && other->index == run->index &&
+                     !strcmp(other->job_id, run->job_id));
     }
-    g_array_append_val(w.live, r->id);
-    w.starts++;
+    g_array_append_val(machine.running, run->id);
+    machine.starts++;
 }
 
-static void save(void *arg, struct lmn_task_run *r, double grace)
+static void save(void *arg, struct lmn_task_run *run, double grace_s)
 {
     (void)arg;
-    assert_true(r->can_save && grace >= r->save_s);
-    w.saves++;
+    assert_true(run->can_save && grace_s >= run->save_s);
+    machine.saves++;
 }
 
-static void kill_run(void *arg, struct lmn_task_run *r)
+static void kill_run(void *arg, struct lmn_task_run *run)
 {
     (void)arg;
-    (void)r;
+    (void)run;
 }
 
 static void kill_all(void *arg)
 {
     (void)arg;
-    assert_false(w.emptying);
-    w.emptying = true;
-    w.lapses++;
+    assert_false(machine.is_killing_all);
+    machine.is_killing_all = true;
+    machine.expired_leases++;
 }
 
-static void leased(void *arg, struct timespec until)
+static void extend_lease(void *arg, struct timespec until)
 {
     (void)arg;
-    w.leased = until;
+    machine.leased_until = until;
 }
 
-static const struct lmn_agent_ops ops = {describe, fetch,    give_up,  has_result, start,
-                                         save,     kill_run, kill_all, leased};
+static const struct lmn_agent_ops ops = {describe,   fetch,    cancel_fetch,
+                                         has_result, start,    save,
+                                         kill_run,   kill_all, extend_lease};
 
-/* Commands, mostly sensible. */
-static GByteArray *orders(uint64_t token, uint64_t session)
+/* A message with up to 3 random commands. */
+static GByteArray *random_commands(uint64_t token, uint64_t incarnation)
 {
-    GByteArray *b = g_byte_array_new();
-    int n = some(4);
+    GByteArray *body = g_byte_array_new();
+    int count = random_below(4);
 
-    lmn_cbor_put_map(b, 3);
-    lmn_cbor_put_text(b, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(b, token);
-    lmn_cbor_put_text(b, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(b, session);
-    lmn_cbor_put_text(b, WIRE_COMMANDS), lmn_cbor_put_array(b, (size_t)n);
-    for (int i = 0; i < n; i++) {
-        static const char *const words[] = {WIRE_START, WIRE_START, WIRE_KILL, WIRE_CLEAR,
-                                            WIRE_CLEAR};
-        const char *op = words[some(5)];
+    lmn_cbor_put_map(body, 3);
+    lmn_cbor_put_text(body, WIRE_FENCING_TOKEN), lmn_cbor_put_uint(body, token);
+    lmn_cbor_put_text(body, WIRE_AGENT_INCARNATION), lmn_cbor_put_uint(body, incarnation);
+    lmn_cbor_put_text(body, WIRE_COMMANDS), lmn_cbor_put_array(body, (size_t)count);
+    for (int i = 0; i < count; i++) {
+        static const char *const commands[] = {WIRE_START, WIRE_START, WIRE_KILL,
+                                               WIRE_CLEAR, WIRE_CLEAR};
+        const char *command = commands[random_below(5)];
         char task[64];
-        int ref = some(JOBS), index = some(TASKS), attempt = 1 + some(ATTEMPTS);
-        /* Often about something that is there. */
-        if (w.a.runs->len && some(3)) {
-            const struct lmn_task_run *r = w.a.runs->pdata[some((int)w.a.runs->len)];
-            ref = r->job_id[strlen(r->job_id) - 1] - '0';
-            index = (int)r->index;
-            attempt = (int)r->attempt;
+        int job = random_below(JOBS), index = random_below(TASKS),
+            attempt = 1 + random_below(ATTEMPTS);
+        /* In two of three cases, about a run that is listed. */
+        if (machine.agent.runs->len && random_below(3)) {
+            const struct lmn_task_run *run =
+                machine.agent.runs->pdata[random_below((int)machine.agent.runs->len)];
+            job = run->job_id[strlen(run->job_id) - 1] - '0';
+            index = (int)run->index;
+            attempt = (int)run->attempt;
         }
-        g_snprintf(task, sizeof task, "run-%06d/%d", ref, index);
-        lmn_cbor_put_map(b, 4);
-        lmn_cbor_put_text(b, WIRE_COMMAND), lmn_cbor_put_text(b, op);
-        lmn_cbor_put_text(b, WIRE_TASK), lmn_cbor_put_text(b, task);
-        lmn_cbor_put_text(b, WIRE_ATTEMPT), lmn_cbor_put_uint(b, (uint64_t)attempt);
-        lmn_cbor_put_text(b, WIRE_GRACE_S), lmn_cbor_put_number(b, some(2) ? 10 : 0);
+        g_snprintf(task, sizeof task, "run-%06d/%d", job, index);
+        lmn_cbor_put_map(body, 4);
+        lmn_cbor_put_text(body, WIRE_COMMAND), lmn_cbor_put_text(body, command);
+        lmn_cbor_put_text(body, WIRE_TASK), lmn_cbor_put_text(body, task);
+        lmn_cbor_put_text(body, WIRE_ATTEMPT), lmn_cbor_put_uint(body, (uint64_t)attempt);
+        lmn_cbor_put_text(body, WIRE_GRACE_S),
+            lmn_cbor_put_number(body, random_below(2) ? 10 : 0);
     }
-    return b;
+    return body;
 }
 
-static void check(void)
+static void check_invariants(void)
 {
     double cpus = 0;
 
-    for (guint i = 0; i < w.a.runs->len; i++) {
-        const struct lmn_task_run *r = w.a.runs->pdata[i];
-        if (r->is_described && r->state != LMN_RUN_ENDED)
-            cpus += r->cpus;
-        for (guint k = 0; k < i; k++) {
-            const struct lmn_task_run *o = w.a.runs->pdata[k];
-            bool same = o->index == r->index && !strcmp(o->job_id, r->job_id);
-            /* One attempt of a task at a time, and each attempt once. */
-            assert_false(same && o->state != LMN_RUN_ENDED && r->state != LMN_RUN_ENDED);
-            assert_false(same && o->attempt == r->attempt);
+    for (guint i = 0; i < machine.agent.runs->len; i++) {
+        const struct lmn_task_run *run = machine.agent.runs->pdata[i];
+        if (run->is_described && run->state != LMN_RUN_ENDED)
+            cpus += run->cpus;
+        for (guint j = 0; j < i; j++) {
+            const struct lmn_task_run *other = machine.agent.runs->pdata[j];
+            bool is_same_task =
+                other->index == run->index && !strcmp(other->job_id, run->job_id);
+            /* At most one attempt at a task has not ended, and each attempt is listed
+             * once. */
+            assert_false(is_same_task && other->state != LMN_RUN_ENDED &&
+                         run->state != LMN_RUN_ENDED);
+            assert_false(is_same_task && other->attempt == run->attempt);
         }
     }
-    assert_true(cpus <= w.a.type.cpus + 1e-6);
-    assert_true(w.a.fencing_token >= w.token);
-    w.token = w.a.fencing_token;
-    assert_true(w.a.incarnation >= w.session);
-    w.session = w.a.incarnation;
-    assert_int_equal(w.a.is_ending, w.emptying);
-    if (w.emptying)
-        assert_int_equal(w.a.runs->len, 0);
+    assert_true(cpus <= machine.agent.type.cpus + 1e-6);
+    assert_true(machine.agent.fencing_token >= machine.token);
+    machine.token = machine.agent.fencing_token;
+    assert_true(machine.agent.incarnation >= machine.incarnation);
+    machine.incarnation = machine.agent.incarnation;
+    assert_int_equal(machine.agent.is_ending, machine.is_killing_all);
+    if (machine.is_killing_all)
+        assert_int_equal(machine.agent.runs->len, 0);
     else
-        assert_true(lmn_time_diff_s(w.now, w.a.lease_from) <= w.a.lease_s + 0.5);
+        assert_true(lmn_time_diff_s(machine.now, machine.agent.lease_from) <=
+                    machine.agent.lease_s + 0.5);
 }
 
-static void command(void)
+static void send_commands(void)
 {
-    uint64_t token = w.a.fencing_token + (uint64_t)some(3), session = w.a.incarnation;
-    bool old = some(5) == 0, late = some(6) == 0, direct = some(2);
-    guint before = w.a.runs->len;
-    uint64_t starts = w.starts, seq = w.a.sequence;
+    uint64_t token = machine.agent.fencing_token + (uint64_t)random_below(3),
+             incarnation = machine.agent.incarnation;
+    bool has_old_token = random_below(5) == 0, has_old_incarnation = random_below(6) == 0,
+         is_request = random_below(2);
+    guint runs_before = machine.agent.runs->len;
+    uint64_t starts_before = machine.starts, sequence_before = machine.agent.sequence;
 
-    if (old)
+    if (has_old_token)
         token = token > 3 ? token - 3 : 0;
-    if (late)
-        session = session > 1 ? session - 1 : 0;
-    bool drop = token < w.a.fencing_token || session != w.a.incarnation;
-    GByteArray *b = orders(token, session), *out = g_byte_array_new();
-    if (direct) {
-        bool was = w.a.is_ending;
-        int status = lmn_agent_handle_commands(&w.a, b->data, b->len, out, w.now);
-        if (was || w.a.is_ending)
+    if (has_old_incarnation)
+        incarnation = incarnation > 1 ? incarnation - 1 : 0;
+    bool is_outdated =
+        token < machine.agent.fencing_token || incarnation != machine.agent.incarnation;
+    GByteArray *body = random_commands(token, incarnation), *out = g_byte_array_new();
+    if (is_request) {
+        bool was_ending = machine.agent.is_ending;
+        int status = lmn_agent_handle_commands(&machine.agent, body->data, body->len, out,
+                                               machine.now);
+        if (was_ending || machine.agent.is_ending)
             assert_int_equal(status, 503);
         else
-            assert_int_equal(status, drop ? 409 : 200);
-        assert_true(status == 503 || w.a.sequence == seq + 1);
+            assert_int_equal(status, is_outdated ? 409 : 200);
+        assert_true(status == 503 || machine.agent.sequence == sequence_before + 1);
     } else {
-        struct timespec sent = lmn_time_add(w.now, -0.1 * some(10));
-        bool took =
-            lmn_agent_heartbeat_answered(&w.a, session, sent, b->data, b->len, w.now);
-        assert_true(!took || !drop);
+        struct timespec sent_at = lmn_time_add(machine.now, -0.1 * random_below(10));
+        bool is_accepted = lmn_agent_heartbeat_answered(
+            &machine.agent, incarnation, sent_at, body->data, body->len, machine.now);
+        assert_true(!is_accepted || !is_outdated);
     }
-    if (drop) {
-        assert_int_equal(w.starts, starts);
-        assert_true(w.a.runs->len == before || w.a.is_ending);
+    if (is_outdated) {
+        assert_int_equal(machine.starts, starts_before);
+        assert_true(machine.agent.runs->len == runs_before || machine.agent.is_ending);
     }
-    g_byte_array_unref(b);
+    g_byte_array_unref(body);
     g_byte_array_unref(out);
 }
 
-static void something_ends(void)
+static void report_random_outcome(void)
 {
-    /* As if they were other jobs: with all results there, nothing would run any more. */
-    if (some(60) == 0)
-        g_hash_table_remove_all(w.results);
-    switch (some(3)) {
+    /* Once all tasks have results, none would be started any more. */
+    if (random_below(60) == 0)
+        g_hash_table_remove_all(machine.results);
+    switch (random_below(3)) {
     case 0:
-        if (w.asked->len) {
-            uint64_t id = g_array_index(w.asked, uint64_t, some((int)w.asked->len));
-            const struct lmn_task_run *r = lmn_agent_find_run(&w.a, id);
-            drop_id(w.asked, id);
-            int job = r ? r->job_id[strlen(r->job_id) - 1] - '0' : 0;
-            lmn_agent_described(&w.a, id, some(20) ? &w.specs[job] : NULL, w.now);
+        if (machine.pending_descriptions->len) {
+            uint64_t id =
+                g_array_index(machine.pending_descriptions, uint64_t,
+                              random_below((int)machine.pending_descriptions->len));
+            const struct lmn_task_run *run = lmn_agent_find_run(&machine.agent, id);
+            remove_id(machine.pending_descriptions, id);
+            int job = run ? run->job_id[strlen(run->job_id) - 1] - '0' : 0;
+            lmn_agent_described(&machine.agent, id,
+                                random_below(20) ? &machine.specs[job] : NULL,
+                                machine.now);
         }
         return;
     case 1:
-        if (w.images->len) {
-            const char *image =
-                g_ptr_array_remove_index_fast(w.images, (guint)some((int)w.images->len));
-            lmn_agent_fetched(&w.a, image, some(10) > 0, w.now);
+        if (machine.pending_images->len) {
+            const char *image = g_ptr_array_remove_index_fast(
+                machine.pending_images,
+                (guint)random_below((int)machine.pending_images->len));
+            lmn_agent_fetched(&machine.agent, image, random_below(10) > 0, machine.now);
         }
         return;
     default:
-        if (w.live->len && !w.emptying) {
-            uint64_t id = g_array_index(w.live, uint64_t, some((int)w.live->len));
-            const struct lmn_task_run *r = lmn_agent_find_run(&w.a, id);
-            bool done = some(2);
-            assert_non_null(r); /* what runs is known until its session ends */
-            if (done) {
-                g_hash_table_add(w.results,
-                                 g_strdup_printf("%s/%u", r->job_id, r->index));
-                w.done++;
+        if (machine.running->len && !machine.is_killing_all) {
+            uint64_t id = g_array_index(machine.running, uint64_t,
+                                        random_below((int)machine.running->len));
+            const struct lmn_task_run *run = lmn_agent_find_run(&machine.agent, id);
+            bool is_done = random_below(2);
+            assert_non_null(run); /* a running run is listed until its incarnation ends */
+            if (is_done) {
+                g_hash_table_add(machine.results,
+                                 g_strdup_printf("%s/%u", run->job_id, run->index));
+                machine.completed++;
             }
-            drop_id(w.live, id);
-            lmn_agent_exited(&w.a, id, done, some(2), w.now);
-            r = lmn_agent_find_run(&w.a, id);
-            assert_int_equal(r->state, LMN_RUN_ENDED);
-            assert_int_equal(r->exit_reason == LMN_EXIT_DONE, done);
+            remove_id(machine.running, id);
+            lmn_agent_exited(&machine.agent, id, is_done, random_below(2), machine.now);
+            run = lmn_agent_find_run(&machine.agent, id);
+            assert_int_equal(run->state, LMN_RUN_ENDED);
+            assert_int_equal(run->exit_reason == LMN_EXIT_DONE, is_done);
         }
     }
 }
 
-static void report(void)
+static void send_heartbeat(void)
 {
-    GByteArray *b = g_byte_array_new();
-    struct lmn_cbor_document d;
-    uint64_t seq = w.a.sequence, told = 0;
+    GByteArray *body = g_byte_array_new();
+    struct lmn_cbor_document document;
+    uint64_t sequence_before = machine.agent.sequence, sequence = 0;
 
-    if (w.a.is_ending) {
-        g_byte_array_unref(b);
+    if (machine.agent.is_ending) {
+        g_byte_array_unref(body);
         return;
     }
-    lmn_agent_write_heartbeat(&w.a, b, w.now);
-    assert_int_equal(lmn_cbor_parse(&d, b->data, b->len), 0);
-    assert_true(
-        lmn_cbor_get_uint(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_SEQUENCE), &told) &&
-        told == seq + 1);
-    assert_int_equal(lmn_cbor_get(&d, lmn_cbor_root(&d), WIRE_TASKS)->len, w.a.runs->len);
-    lmn_cbor_free(&d);
-    if (some(5)) {
-        /* It is answered, by whoever holds the highest token. */
-        GByteArray *o = orders(w.a.fencing_token + (some(30) == 0), w.a.incarnation);
-        bool took = lmn_agent_heartbeat_answered(&w.a, w.a.incarnation, w.now, o->data,
-                                                 o->len, w.now);
-        assert_true(!took || lmn_time_diff_s(w.leased, w.now) > w.a.lease_s - 0.01);
-        g_byte_array_unref(o);
+    lmn_agent_write_heartbeat(&machine.agent, body, machine.now);
+    assert_int_equal(lmn_cbor_parse(&document, body->data, body->len), 0);
+    assert_true(lmn_cbor_get_uint(
+                    lmn_cbor_get(&document, lmn_cbor_root(&document), WIRE_SEQUENCE),
+                    &sequence) &&
+                sequence == sequence_before + 1);
+    assert_int_equal(lmn_cbor_get(&document, lmn_cbor_root(&document), WIRE_TASKS)->len,
+                     machine.agent.runs->len);
+    lmn_cbor_free(&document);
+    if (random_below(5)) {
+        /* The heartbeat is answered, sometimes by a new owner with a higher token. */
+        GByteArray *answer =
+            random_commands(machine.agent.fencing_token + (random_below(30) == 0),
+                            machine.agent.incarnation);
+        bool is_accepted = lmn_agent_heartbeat_answered(
+            &machine.agent, machine.agent.incarnation, machine.now, answer->data,
+            answer->len, machine.now);
+        assert_true(!is_accepted || lmn_time_diff_s(machine.leased_until, machine.now) >
+                                        machine.agent.lease_s - 0.01);
+        g_byte_array_unref(answer);
     }
-    g_byte_array_unref(b);
+    g_byte_array_unref(body);
 }
 
-static void history(uint32_t seed)
+static void run_history(uint32_t seed)
 {
-    memset(&w, 0, sizeof w);
-    w.r = g_rand_new_with_seed(seed);
-    w.now = (struct timespec){1000, 0};
-    w.asked = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    w.live = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    w.images = g_ptr_array_new();
-    w.results = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    w.begun = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+    memset(&machine, 0, sizeof machine);
+    machine.random = g_rand_new_with_seed(seed);
+    machine.now = (struct timespec){1000, 0};
+    machine.pending_descriptions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    machine.running = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    machine.pending_images = g_ptr_array_new();
+    machine.results = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    machine.started = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     for (int i = 0; i < JOBS; i++)
-        w.specs[i] = (struct lmn_job_spec){.tasks = TASKS - (i == 3),
-                                           .cpus = 1 + i,
-                                           .image = (char *)(i % 2 ? "one" : "two"),
-                                           .checkpoint_s = i == 1 ? 5 : 0,
-                                           .save_s = 2};
-    g_strlcpy(w.a.name, "host-000001", sizeof w.a.name);
-    w.a.type.cpus = 6;
-    w.a.lease_s = 10;
-    lmn_agent_init(&w.a, &ops, NULL, 1, w.now);
+        machine.specs[i] = (struct lmn_job_spec){.tasks = TASKS - (i == 3),
+                                                 .cpus = 1 + i,
+                                                 .image = (char *)(i % 2 ? "one" : "two"),
+                                                 .checkpoint_s = i == 1 ? 5 : 0,
+                                                 .save_s = 2};
+    g_strlcpy(machine.agent.name, "host-000001", sizeof machine.agent.name);
+    machine.agent.type.cpus = 6;
+    machine.agent.lease_s = 10;
+    lmn_agent_init(&machine.agent, &ops, NULL, 1, machine.now);
     for (int step = 0; step < STEPS; step++) {
-        w.now = lmn_time_add(w.now, some(200) ? 0.05 * some(5) : 0.1 * some(150));
-        if (some(4) == 0)
-            command();
-        else if (some(3) == 0)
-            report();
+        machine.now =
+            lmn_time_add(machine.now, random_below(200) ? 0.05 * random_below(5)
+                                                        : 0.1 * random_below(150));
+        if (random_below(4) == 0)
+            send_commands();
+        else if (random_below(3) == 0)
+            send_heartbeat();
         else
-            something_ends();
-        lmn_agent_check_lease(&w.a, w.now);
-        if (w.emptying && some(3) == 0) {
-            /* Everything is dead: what comes of it now is of no session. */
-            g_array_set_size(w.live, 0);
-            w.emptying = false;
-            uint64_t id = w.a.next_run_id;
-            lmn_agent_incarnation_ended(&w.a, w.a.incarnation + 1, w.now);
-            lmn_agent_exited(&w.a, id, true, false, w.now);
-            assert_int_equal(w.a.runs->len, 0);
+            report_random_outcome();
+        lmn_agent_check_lease(&machine.agent, machine.now);
+        if (machine.is_killing_all && random_below(3) == 0) {
+            /* All processes are gone. An exit that is reported afterwards must have no
+             * effect. */
+            g_array_set_size(machine.running, 0);
+            machine.is_killing_all = false;
+            uint64_t id = machine.agent.next_run_id;
+            lmn_agent_incarnation_ended(&machine.agent, machine.agent.incarnation + 1,
+                                        machine.now);
+            lmn_agent_exited(&machine.agent, id, true, false, machine.now);
+            assert_int_equal(machine.agent.runs->len, 0);
         }
-        check();
+        check_invariants();
     }
-    assert_true(w.starts > 100 && w.lapses > 5 && w.saves > 5 && w.done > 50);
-    lmn_agent_clear(&w.a);
-    g_rand_free(w.r);
-    g_array_free(w.asked, TRUE);
-    g_array_free(w.live, TRUE);
-    g_ptr_array_free(w.images, TRUE);
-    g_hash_table_destroy(w.results);
-    g_hash_table_destroy(w.begun);
+    assert_true(machine.starts > 100 && machine.expired_leases > 5 && machine.saves > 5 &&
+                machine.completed > 50);
+    lmn_agent_clear(&machine.agent);
+    g_rand_free(machine.random);
+    g_array_free(machine.pending_descriptions, TRUE);
+    g_array_free(machine.running, TRUE);
+    g_ptr_array_free(machine.pending_images, TRUE);
+    g_hash_table_destroy(machine.results);
+    g_hash_table_destroy(machine.started);
 }
 
-static void histories_keep_the_protocol(void **state)
+static void agent_keeps_the_protocol_in_random_histories(void **state)
 {
     (void)state;
     for (uint32_t seed = 1; seed <= 6; seed++)
-        history(seed);
+        run_history(seed);
 }
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(histories_keep_the_protocol)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(agent_keeps_the_protocol_in_random_histories)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
