--- a/src/image_store/image.h
+++ b/src/image_store/image.h
@@ -32,8 +32,8 @@
  * Downloads an image into a directory that must not exist. The directory appears when it
  * is complete, or not at all; until then the files are in "DIR.part".
  * @param bytes_per_s   limit of the average rate; 0 for no limit.
- * @param should_continue  asked before each piece; if it returns false, the download
- * fails. May be NULL.
+ * @param should_continue  called before each piece; the download fails if it returns
+ *                      false. May be NULL.
  * @param argument      passed to `should_continue`.
  * @param bytes         receives the total size of the files, on success.
  * @return 0, or -1 with `error` filled in.
--- a/src/image_store/image_store.h
+++ b/src/image_store/image_store.h
@@ -10,13 +10,16 @@
  *
  *     PUT /blobs/HEX         stores the bytes whose SHA-256 is HEX: 201, or 200 if they
  *                            are stored already; 400 if their SHA-256 is not HEX
- *     GET /blobs/HEX         the bytes; with ?Stat=1 only the status: 200 if
- *                            they are stored, else 404
- *     PUT /names/KIND/NAME   binds the name to the digest that the body is, as text; a
- * name of the kind "job" can't be bound to another digest: 409 GET /names/KIND/NAME   the
- * digest GET /names/KIND        {"Names": [...]}, sorted PUT /logs/JOB/NAME     the
- * output of an attempt, replaced as it grows GET /logs/JOB/NAME     the output GET
- * /logs/JOB          {"Names": [...]}, sorted GET /ready             200
+ *     GET /blobs/HEX         the bytes; with ?Stat=1 only the status: 200 if they are
+ *                            stored, else 404
+ *     PUT /names/KIND/NAME   binds the name to the digest in the body (text); a name of
+ *                            kind "job" can't be bound to another digest: 409
+ *     GET /names/KIND/NAME   the digest
+ *     GET /names/KIND        {"Names": [...]}, sorted
+ *     PUT /logs/JOB/NAME     the output of an attempt, replaced as it grows
+ *     GET /logs/JOB/NAME     the output
+ *     GET /logs/JOB          {"Names": [...]}, sorted
+ *     GET /ready             200
  */
 #ifndef LMN_IMAGE_STORE_IMAGE_STORE_H
 #define LMN_IMAGE_STORE_IMAGE_STORE_H
--- a/src/worker/agent.h
+++ b/src/worker/agent.h
@@ -42,14 +42,14 @@
     LMN_EXIT_DONE, /**< the task completed, and its result is recorded on this machine */
     LMN_EXIT_STOPPED,     /**< killed, or told to save and exit, by a command */
     LMN_EXIT_ERROR,       /**< the image could not be fetched, or the task failed */
-    LMN_EXIT_NO_CAPACITY, /**< refused: the machine has no room for it */
+    LMN_EXIT_NO_CAPACITY, /**< refused: not enough free CPUs, GPUs or memory */
     LMN_EXIT_BUSY,        /**< refused: another attempt at the task is on the machine */
     LMN_EXIT_NO_SUCH_JOB  /**< refused: there is no description of its job */
 };
 
 /** A run: one attempt at a task, on this machine. */
 struct lmn_task_run {
-    uint64_t id; /**< chosen by the agent, which never reuses an id while it runs */
+    uint64_t id; /**< chosen by the agent; not reused until the agent restarts */
     char job_id[LMN_JOB_ID_SIZE];
     uint32_t index; /**< of the task within its job */
     uint64_t attempt;
@@ -110,8 +110,7 @@
     struct timespec lease_from; /**< when the heartbeat that renewed the lease was sent */
     /** When a higher fencing token last made a heartbeat due at once. */
     struct timespec fencing_token_reported_at;
-    bool has_unreported_change; /**< the state changed: the next heartbeat is due at once
-                                 */
+    bool has_unreported_change; /**< not yet in a heartbeat; the next one is due early */
     GPtrArray *runs;            /**< struct lmn_task_run, owned */
     uint64_t starts, finished, refused, expired_leases;
 };
--- a/src/worker/heartbeats.c
+++ b/src/worker/heartbeats.c
@@ -18,7 +18,7 @@
 /* Minimum interval between two heartbeats that report changes, so that changes in quick
  * succession share a heartbeat. */
 static const double CHANGE_INTERVAL_S = 0.5;
-/* The interval is the setting times a random factor from this range. With a fixed
+/* The interval is the setting times a random factor of 0.75 to 1.25. With a fixed
  * interval the heartbeats of workers that were started together would always arrive
  * together. */
 static const double MIN_INTERVAL_FACTOR = 0.75, INTERVAL_FACTOR_RANGE = 0.5;
--- a/src/worker/worker.h
+++ b/src/worker/worker.h
@@ -20,7 +20,7 @@
     char image_store[LMN_ADDRESS_SIZE];
     struct lmn_machine_type type;
     bool is_spot;
-    char directory[512]; /**< where the machine's own files are */
+    char directory[512]; /**< contains the files of this machine */
     /** Directory, shared by all machines, with a subdirectory for each task's checkpoint.
      * Empty if there is none. */
     char checkpoints[512];
--- a/src/worker/worker_state.h
+++ b/src/worker/worker_state.h
@@ -3,9 +3,9 @@
  *
  * `lock` guards the state machine and all queues and tables. The state machine's ops run
  * under it and only queue requests (worker/agent_ops.h). A thread that has called the
- * state machine releases the lock by lmn_worker_unlock_and_send(): what can be answered
- * at once is answered, then the lock is released, and what was queued for the executor is
- * sent.
+ * state machine releases the lock by lmn_worker_unlock_and_send(). That function answers
+ * the requests that need no fetch, releases the lock, and sends the queued requests to
+ * the executor.
  *
  * `send_lock` is acquired before `lock`, by lmn_worker_unlock_and_send() only. No thread
  * does I/O while holding `lock`. */
@@ -20,8 +20,8 @@
 
 /** A request to the executor. The directory is created before the message is sent. */
 struct lmn_executor_request {
-    GByteArray *message; /**< NULL: none */
-    char *directory;     /**< NULL: none */
+    GByteArray *message; /**< to send; may be NULL */
+    char *directory;     /**< to create first; may be NULL */
 };
 
 /** A request of the state machine for a job's description or for an image. */
--- a/tests/test_executor.c
+++ b/tests/test_executor.c
@@ -26,7 +26,7 @@
 static int create_directory(void **state)
 {
     (void)state;
-    g_snprintf(dir, sizeof dir, "/tmp/lemonspar-keeper-%d", (int)getpid());
+    g_snprintf(dir, sizeof dir, "/tmp/lemonspar-executor-%d", (int)getpid());
     lmn_tree_remove(dir);
     g_mkdir_with_parents(dir, 0755);
     mark = lmn_executor_environment_mark(dir);
