--- a/tests/test_golden_protocol.c
+++ b/tests/test_golden_protocol.c
@@ -60,7 +60,7 @@
     g_strlcpy(agent.type.name, "x", sizeof agent.type.name);
     agent.incarnation = 5;
     agent.is_spot = agent.has_spot_notice = true;
-    agent.gone_at = lmn_time_add(now, 30.5);
+    agent.reclaimed_at = lmn_time_add(now, 30.5);
     agent.fencing_token = 42;
     agent.sequence = 16;
     for (uint32_t i = 0; i < 4 + LMN_EXIT_NO_SUCH_JOB + 1; i++) {
