--- a/bench/failover.c
+++ b/bench/failover.c
@@ -134,7 +134,7 @@
     }
     close(fd[1]);
     p->out = fd[0];
-    lmn_thread(listen_to, p);
+    lmn_thread_start_detached(listen_to, p);
 }
 
 static void finish(struct process *p, int sig)
--- a/bench/relay.h
+++ b/bench/relay.h
@@ -133,7 +133,7 @@
     struct relay_loop *l = calloc(1, sizeof *l);
 
     l->epoll = epoll_create1(EPOLL_CLOEXEC);
-    lmn_thread(relay_run, l);
+    lmn_thread_start_detached(relay_run, l);
     return l;
 }
 
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -124,7 +124,7 @@
 
 int lmn_cli_main(int argc, char **argv)
 {
-    lmn_lock_keep();
+    lmn_lock_set_close_on_exec();
     /* The platform's way to start a controller: options and no command. */
     if (argc >= 2 && argv[1][0] == '-') {
         if (!strcmp(argv[1], "--version")) {
--- a/src/cli/gateway.c
+++ b/src/cli/gateway.c
@@ -45,7 +45,7 @@
     struct lmn_http_client *client = lmn_http_client_new(o.listen);
     GByteArray *in = g_byte_array_new();
     int status = lmn_http_client_call(client, method, path, NULL, 30, in);
-    json_t *j = in->len ? lmn_json_of_bytes(in->data, in->len) : NULL;
+    json_t *j = in->len ? lmn_json_from_cbor_bytes(in->data, in->len) : NULL;
 
     *rc = LMN_EXIT_OK;
     if (status == 404 && unknown)
--- a/src/cli/kv_store.c
+++ b/src/cli/kv_store.c
@@ -177,7 +177,7 @@
 
 static bool dump_json(void *arg, const struct lmn_db_item *item)
 {
-    json_t *v = lmn_json_of_bytes(item->value, item->len);
+    json_t *v = lmn_json_from_cbor_bytes(item->value, item->len);
     (void)arg;
     lmn_json_print(json_pack("{s:s, s:I, s:I, s:o*}", "key", item->key, "revision",
                              (json_int_t)item->revision, "lease", (json_int_t)item->lease,
--- a/src/cli/machine_provider.c
+++ b/src/cli/machine_provider.c
@@ -102,7 +102,7 @@
     }
     int status = lmn_http_client_call(client, argc == 3 ? "POST" : "GET", "/troubles",
                                       buffer, 5, in);
-    json_t *j = in->len ? lmn_json_of_bytes(in->data, in->len) : NULL;
+    json_t *j = in->len ? lmn_json_from_cbor_bytes(in->data, in->len) : NULL;
     if (status != 200)
         return lmn_cli_fail(LMN_EXIT_FAILED, "%s: %s", addr,
                             j ? json_string_value(json_object_get(j, "error"))
--- a/src/controller/controller.c
+++ b/src/controller/controller.c
@@ -68,7 +68,7 @@
 
     for (unsigned i = 0; i < G_N_ELEMENTS(clients); i++) {
         clients[i] = (struct lmn_worker_client){core, i, G_N_ELEMENTS(clients)};
-        lmn_thread(lmn_worker_client_thread, &clients[i]);
+        lmn_thread_start_detached(lmn_worker_client_thread, &clients[i]);
     }
 }
 
@@ -107,7 +107,7 @@
         if (work->needs_members && !core->settings->member_count)
             continue;
         if (work->thread)
-            lmn_thread(work->thread, core);
+            lmn_thread_start_detached(work->thread, core);
         else
             work->start(core);
     }
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -136,7 +136,7 @@
     else if (is_post && !strcmp(path, WIRE_PATH_HEARTBEAT))
         handle_heartbeat(core, request);
     else if (!is_post && !strcmp(path, "/metrics"))
-        lmn_metrics_answer(request, lmn_controller_metrics, core);
+        lmn_metrics_respond(request, lmn_controller_metrics, core);
     else if (!is_post && !strcmp(path, WIRE_PATH_READY))
         handle_ready(core, request);
     else if (is_post && !strcmp(path, WIRE_PATH_JOBS))
--- a/src/controller/members_report.c
+++ b/src/controller/members_report.c
@@ -216,23 +216,26 @@
         lmn_metric_sample(out, "lemonspar_member_suspected", "member",
                           lmn_member_name(members, i),
                           lmn_member_is_suspected(members, i));
-    lmn_gauge(out, "lemonspar_member_health",
-              "Local health of this controller, from 0 (healthy) to 8 (its own timing is "
-              "in doubt)",
-              members->local_health);
-    lmn_counter(out, "lemonspar_member_questions", "Probes sent to other members",
-                counters->probes_sent);
-    lmn_counter(out, "lemonspar_member_unanswered", "Probes without a reply",
-                counters->probes_unanswered);
-    lmn_counter(out, "lemonspar_member_suspicions",
-                "Suspicions of other members that this controller wrote",
-                counters->suspicions);
-    lmn_counter(out, "lemonspar_member_refutations",
-                "Suspicions of this controller that it refuted", counters->refutations);
-    lmn_counter(out, "lemonspar_member_verdicts",
-                "Partitions claimed from members that this controller declared failed",
-                counters->failures_declared);
-    lmn_counter(out, "lemonspar_member_gives",
-                "Partitions that this controller transferred to others",
-                counters->transfers);
+    lmn_metric_gauge(
+        out, "lemonspar_member_health",
+        "Local health of this controller, from 0 (healthy) to 8 (its own timing is "
+        "in doubt)",
+        members->local_health);
+    lmn_metric_counter(out, "lemonspar_member_questions", "Probes sent to other members",
+                       counters->probes_sent);
+    lmn_metric_counter(out, "lemonspar_member_unanswered", "Probes without a reply",
+                       counters->probes_unanswered);
+    lmn_metric_counter(out, "lemonspar_member_suspicions",
+                       "Suspicions of other members that this controller wrote",
+                       counters->suspicions);
+    lmn_metric_counter(out, "lemonspar_member_refutations",
+                       "Suspicions of this controller that it refuted",
+                       counters->refutations);
+    lmn_metric_counter(
+        out, "lemonspar_member_verdicts",
+        "Partitions claimed from members that this controller declared failed",
+        counters->failures_declared);
+    lmn_metric_counter(out, "lemonspar_member_gives",
+                       "Partitions that this controller transferred to others",
+                       counters->transfers);
 }
--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -115,30 +115,34 @@
 {
     const struct partition_totals *totals = &snapshot->totals;
 
-    lmn_gauge(out, "lemonspar_mirror_behind_seconds", "Age of the watch cache",
-              snapshot->cache_age_s);
-    lmn_gauge(out, "lemonspar_partitions", "Partitions owned by this controller",
-              totals->partition_count);
-    lmn_gauge(out, "lemonspar_partitions_ready",
-              "Owned partitions that may start tasks inherited from the former owner",
-              totals->ready_partitions);
-    lmn_gauge(out, "lemonspar_machines", "Machines of owned partitions",
-              totals->machine_count);
-    lmn_gauge(out, "lemonspar_machines_unaccounted",
-              "Machines of owned partitions without a heartbeat since the failover",
-              totals->unaccounted_machines);
-    lmn_gauge(out, "lemonspar_machines_retiring",
-              "Machines of owned partitions that are being drained",
-              totals->draining_machines);
-    lmn_gauge(out, "lemonspar_queued_tasks",
-              "Tasks in the queues of owned partitions' machines", totals->queued_tasks);
-    lmn_gauge(out, "lemonspar_unplaced_tasks",
-              "Tasks of owned partitions that are in no machine's queue",
-              totals->unassigned_tasks);
-    lmn_gauge(out, "lemonspar_jobs", "Jobs in the watch cache", snapshot->job_count);
-    lmn_gauge(out, "lemonspar_final_jobs",
-              "Jobs in the watch cache that have ended and are retained",
-              snapshot->final_job_count);
+    lmn_metric_gauge(out, "lemonspar_mirror_behind_seconds", "Age of the watch cache",
+                     snapshot->cache_age_s);
+    lmn_metric_gauge(out, "lemonspar_partitions", "Partitions owned by this controller",
+                     totals->partition_count);
+    lmn_metric_gauge(
+        out, "lemonspar_partitions_ready",
+        "Owned partitions that may start tasks inherited from the former owner",
+        totals->ready_partitions);
+    lmn_metric_gauge(out, "lemonspar_machines", "Machines of owned partitions",
+                     totals->machine_count);
+    lmn_metric_gauge(
+        out, "lemonspar_machines_unaccounted",
+        "Machines of owned partitions without a heartbeat since the failover",
+        totals->unaccounted_machines);
+    lmn_metric_gauge(out, "lemonspar_machines_retiring",
+                     "Machines of owned partitions that are being drained",
+                     totals->draining_machines);
+    lmn_metric_gauge(out, "lemonspar_queued_tasks",
+                     "Tasks in the queues of owned partitions' machines",
+                     totals->queued_tasks);
+    lmn_metric_gauge(out, "lemonspar_unplaced_tasks",
+                     "Tasks of owned partitions that are in no machine's queue",
+                     totals->unassigned_tasks);
+    lmn_metric_gauge(out, "lemonspar_jobs", "Jobs in the watch cache",
+                     snapshot->job_count);
+    lmn_metric_gauge(out, "lemonspar_final_jobs",
+                     "Jobs in the watch cache that have ended and are retained",
+                     snapshot->final_job_count);
 }
 
 static void write_tasks(GString *out, const struct task_counts *tasks)
@@ -199,7 +203,7 @@
     };
 
     for (size_t i = 0; i < G_N_ELEMENTS(metrics); i++)
-        lmn_counter(out, metrics[i].name, metrics[i].help, metrics[i].value);
+        lmn_metric_counter(out, metrics[i].name, metrics[i].help, metrics[i].value);
 }
 
 /** Called without the core's lock: the HTTP server has its own counters. */
@@ -214,8 +218,8 @@
                     "Open connections, by kind of client");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections", "of", kinds[i], load.open[i]);
-    lmn_gauge(out, "lemonspar_connections_most", "Limit of open connections",
-              core->connection_budget.max_accepted);
+    lmn_metric_gauge(out, "lemonspar_connections_most", "Limit of open connections",
+                     core->connection_budget.max_accepted);
     lmn_metric_head(out, "lemonspar_connections_closed", "counter",
                     "Connections closed after a response to keep sockets free");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
@@ -232,8 +236,8 @@
 {
     static const char *const kinds[] = {"polls", "submissions", "starts"};
 
-    lmn_gauge(out, "lemonspar_behind_seconds",
-              "How late this controller runs its periodic tasks", load->delay_s);
+    lmn_metric_gauge(out, "lemonspar_behind_seconds",
+                     "How late this controller runs its periodic tasks", load->delay_s);
     lmn_metric_head(out, "lemonspar_shed", "counter",
                     "Requests and starts shed because this controller was overloaded");
     for (int i = 0; i < LMN_SHED_KINDS; i++)
@@ -248,11 +252,11 @@
 
     lmn_latency_init(&write_latency);
     double waiting_changes = lmn_kv_client_statistics(kv_client, &write_latency);
-    lmn_gauge(out, "lemonspar_state_waiting_changes",
-              "Changes that wait for the write budget", waiting_changes);
-    lmn_quantiles(out, "lemonspar_state_write_seconds",
-                  "Time from sending a transaction to the store's response",
-                  &write_latency);
+    lmn_metric_gauge(out, "lemonspar_state_waiting_changes",
+                     "Changes that wait for the write budget", waiting_changes);
+    lmn_metric_duration_summary(out, "lemonspar_state_write_seconds",
+                                "Time from sending a transaction to the store's response",
+                                &write_latency);
     lmn_latency_clear(&write_latency);
 }
 
@@ -262,11 +266,12 @@
 
     pthread_mutex_lock(&core->lock);
     struct core_snapshot snapshot = take_snapshot(core);
-    lmn_quantiles(out, "lemonspar_accepting_seconds",
-                  "Time from a submission to its commit", &core->latencies.submission);
-    lmn_quantiles(out, "lemonspar_starting_seconds",
-                  "Time from a job's acceptance to a task's start command",
-                  &core->latencies.start);
+    lmn_metric_duration_summary(out, "lemonspar_accepting_seconds",
+                                "Time from a submission to its commit",
+                                &core->latencies.submission);
+    lmn_metric_duration_summary(out, "lemonspar_starting_seconds",
+                                "Time from a job's acceptance to a task's start command",
+                                &core->latencies.start);
     write_fair_shares(out, core);
     lmn_members_metrics(core, out);
     lmn_replication_metrics(core, out, lmn_now());
--- a/src/controller/metrics.h
+++ b/src/controller/metrics.h
@@ -6,7 +6,7 @@
 #include "state/core_state.h"
 
 /** Appends the metrics as OpenMetrics text. Takes the core's lock.
- * @param core the struct lmn_core, as a pointer of the type that lmn_metrics_answer
+ * @param core the struct lmn_core, as a pointer of the type that lmn_metrics_respond
  * passes
  */
 void lmn_controller_metrics(void *core, GString *out);
--- a/src/controller/pending_submission.c
+++ b/src/controller/pending_submission.c
@@ -212,5 +212,5 @@
 {
     lmn_cond_init(&pending.added);
     pending.respond = respond;
-    lmn_thread(pending_submission_thread, core);
+    lmn_thread_start_detached(pending_submission_thread, core);
 }
--- a/src/controller/read_thread.c
+++ b/src/controller/read_thread.c
@@ -302,5 +302,5 @@
 void lmn_read_threads_start(struct lmn_core *core)
 {
     for (int i = 0; i < READ_THREADS; i++)
-        lmn_thread(read_thread, core);
+        lmn_thread_start_detached(read_thread, core);
 }
--- a/src/controller/replication_report.c
+++ b/src/controller/replication_report.c
@@ -126,45 +126,50 @@
 
 static void write_streams(GString *out, const struct replication_totals *totals)
 {
-    lmn_gauge(out, "lemonspar_standby_in_step",
-              "Owned partitions whose standby is in sync", totals->in_sync_streams);
-    lmn_gauge(out, "lemonspar_standby_copies",
-              "Replicas of other controllers' partitions here", totals->replicas);
-    lmn_gauge(out, "lemonspar_standby_untold",
-              "Machines with changes that were not sent to the standby yet",
-              totals->pending_machines);
-    lmn_gauge(out, "lemonspar_standby_wait_seconds",
-              "Age of the oldest start that the standby has not acknowledged",
-              totals->longest_wait_s);
-    lmn_counter(out, "lemonspar_standby_batches",
-                "Replication batches acknowledged by standbys", totals->counters.batches);
-    lmn_counter(out, "lemonspar_standby_machines",
-                "Machine snapshots in acknowledged replication batches",
-                totals->counters.machines);
-    lmn_counter(out, "lemonspar_standby_streams", "Replication streams started",
-                totals->counters.streams);
-    lmn_counter(out, "lemonspar_standby_strikes",
-                "Standbys removed from their partitions' records",
-                totals->counters.removals);
+    lmn_metric_gauge(out, "lemonspar_standby_in_step",
+                     "Owned partitions whose standby is in sync",
+                     totals->in_sync_streams);
+    lmn_metric_gauge(out, "lemonspar_standby_copies",
+                     "Replicas of other controllers' partitions here", totals->replicas);
+    lmn_metric_gauge(out, "lemonspar_standby_untold",
+                     "Machines with changes that were not sent to the standby yet",
+                     totals->pending_machines);
+    lmn_metric_gauge(out, "lemonspar_standby_wait_seconds",
+                     "Age of the oldest start that the standby has not acknowledged",
+                     totals->longest_wait_s);
+    lmn_metric_counter(out, "lemonspar_standby_batches",
+                       "Replication batches acknowledged by standbys",
+                       totals->counters.batches);
+    lmn_metric_counter(out, "lemonspar_standby_machines",
+                       "Machine snapshots in acknowledged replication batches",
+                       totals->counters.machines);
+    lmn_metric_counter(out, "lemonspar_standby_streams", "Replication streams started",
+                       totals->counters.streams);
+    lmn_metric_counter(out, "lemonspar_standby_strikes",
+                       "Standbys removed from their partitions' records",
+                       totals->counters.removals);
 }
 
 static void write_failovers(GString *out, const struct lmn_counters *counters)
 {
-    lmn_counter(out, "lemonspar_tombstones",
-                "Cancellations received as tombstones before the watch cache showed them",
-                counters->tombstones);
-    lmn_counter(out, "lemonspar_starts_withheld",
-                "Starts withheld because the standby did not acknowledge them in time",
-                counters->withheld_starts);
-    lmn_counter(out, "lemonspar_takeovers_warm",
-                "Failovers that restored a replica or the former owner's own state",
-                counters->warm_failovers);
-    lmn_counter(out, "lemonspar_takeovers_own",
-                "Warm failovers by the former owner, with its own state",
-                counters->own_state_failovers);
-    lmn_counter(out, "lemonspar_takeovers_cold",
-                "Failovers without a replica or the former owner's state",
-                counters->cold_failovers);
+    lmn_metric_counter(
+        out, "lemonspar_tombstones",
+        "Cancellations received as tombstones before the watch cache showed them",
+        counters->tombstones);
+    lmn_metric_counter(
+        out, "lemonspar_starts_withheld",
+        "Starts withheld because the standby did not acknowledge them in time",
+        counters->withheld_starts);
+    lmn_metric_counter(
+        out, "lemonspar_takeovers_warm",
+        "Failovers that restored a replica or the former owner's own state",
+        counters->warm_failovers);
+    lmn_metric_counter(out, "lemonspar_takeovers_own",
+                       "Warm failovers by the former owner, with its own state",
+                       counters->own_state_failovers);
+    lmn_metric_counter(out, "lemonspar_takeovers_cold",
+                       "Failovers without a replica or the former owner's state",
+                       counters->cold_failovers);
 }
 
 void lmn_replication_metrics(const struct lmn_core *core, GString *out,
@@ -174,7 +179,7 @@
 
     write_streams(out, &totals);
     write_failovers(out, &core->counters);
-    lmn_quantiles(out, "lemonspar_standby_ack_seconds",
-                  "Time from a start to its acknowledgement by the standby",
-                  &core->latencies.replication);
+    lmn_metric_duration_summary(out, "lemonspar_standby_ack_seconds",
+                                "Time from a start to its acknowledgement by the standby",
+                                &core->latencies.replication);
 }
--- a/src/controller/replication_thread.c
+++ b/src/controller/replication_thread.c
@@ -161,6 +161,6 @@
         struct replicator *replicator = g_new0(struct replicator, 1);
         replicator->core = core;
         replicator->partition = &core->partitions[i];
-        lmn_thread(replication_thread, replicator);
+        lmn_thread_start_detached(replication_thread, replicator);
     }
 }
--- a/src/controller/rpc_server.c
+++ b/src/controller/rpc_server.c
@@ -338,6 +338,6 @@
     if (!transport ||
         !svc_reg(transport, LMN_RPC_PROGRAM, LMN_RPC_VERSION_1, dispatch, NULL))
         return -1;
-    lmn_thread(serve, NULL);
+    lmn_thread_start_detached(serve, NULL);
     return 0;
 }
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -537,36 +537,38 @@
         failed += unit->w.failed;
         lapses += unit->w.agent.expired_leases;
     }
-    lmn_gauge(out, "lemonspar_emulated_up", "Emulated machines that are up",
-              g_hash_table_size(emulation->units));
-    lmn_counter(out, "lemonspar_emulated_rented", "Machines rented out",
-                emulation->cloud.rented);
-    lmn_counter(out, "lemonspar_emulated_refused", "Rentals refused",
-                emulation->cloud.refused);
-    lmn_counter(out, "lemonspar_emulated_returned", "Machines returned",
-                emulation->cloud.returned);
-    lmn_counter(out, "lemonspar_emulated_taken", "Spot machines taken",
-                emulation->cloud.taken);
-    lmn_counter(out, "lemonspar_emulated_died", "Machines that died",
-                emulation->cloud.died);
-    lmn_gauge(out, "lemonspar_emulated_spent", "Money spent on returned machines",
-              emulation->cloud.spent);
-    lmn_counter(out, "lemonspar_emulated_reports", "Reports sent", emulation->reports);
-    lmn_counter(out, "lemonspar_emulated_turned_reports", "Reports that were turned away",
-                emulation->failed_reports);
-    lmn_gauge(out, "lemonspar_emulated_done", "Tasks done by machines that are up",
-              (double)done);
-    lmn_gauge(out, "lemonspar_emulated_failed", "Tasks failed on machines that are up",
-              (double)failed);
-    lmn_counter(out, "lemonspar_emulated_starts", "Tasks begun",
-                emulation->ledger.starts);
-    lmn_counter(out, "lemonspar_emulated_twice",
-                "Tasks that began while they ran elsewhere (there should be none)",
-                emulation->ledger.twice);
-    lmn_counter(out, "lemonspar_emulated_lapsed_tasks",
-                "Tasks that ended with their machine's lease", emulation->ledger.lapsed);
-    lmn_gauge(out, "lemonspar_emulated_lapses", "Leases over on machines that are up",
-              (double)lapses);
+    lmn_metric_gauge(out, "lemonspar_emulated_up", "Emulated machines that are up",
+                     g_hash_table_size(emulation->units));
+    lmn_metric_counter(out, "lemonspar_emulated_rented", "Machines rented out",
+                       emulation->cloud.rented);
+    lmn_metric_counter(out, "lemonspar_emulated_refused", "Rentals refused",
+                       emulation->cloud.refused);
+    lmn_metric_counter(out, "lemonspar_emulated_returned", "Machines returned",
+                       emulation->cloud.returned);
+    lmn_metric_counter(out, "lemonspar_emulated_taken", "Spot machines taken",
+                       emulation->cloud.taken);
+    lmn_metric_counter(out, "lemonspar_emulated_died", "Machines that died",
+                       emulation->cloud.died);
+    lmn_metric_gauge(out, "lemonspar_emulated_spent", "Money spent on returned machines",
+                     emulation->cloud.spent);
+    lmn_metric_counter(out, "lemonspar_emulated_reports", "Reports sent",
+                       emulation->reports);
+    lmn_metric_counter(out, "lemonspar_emulated_turned_reports",
+                       "Reports that were turned away", emulation->failed_reports);
+    lmn_metric_gauge(out, "lemonspar_emulated_done", "Tasks done by machines that are up",
+                     (double)done);
+    lmn_metric_gauge(out, "lemonspar_emulated_failed",
+                     "Tasks failed on machines that are up", (double)failed);
+    lmn_metric_counter(out, "lemonspar_emulated_starts", "Tasks begun",
+                       emulation->ledger.starts);
+    lmn_metric_counter(out, "lemonspar_emulated_twice",
+                       "Tasks that began while they ran elsewhere (there should be none)",
+                       emulation->ledger.twice);
+    lmn_metric_counter(out, "lemonspar_emulated_lapsed_tasks",
+                       "Tasks that ended with their machine's lease",
+                       emulation->ledger.lapsed);
+    lmn_metric_gauge(out, "lemonspar_emulated_lapses",
+                     "Leases over on machines that are up", (double)lapses);
     pthread_mutex_unlock(&emulation->lock);
 }
 
@@ -712,12 +714,12 @@
                    strerror(errno));
         return NULL;
     }
-    lmn_thread(passer, emulation);
-    lmn_thread(acceptor, emulation);
+    lmn_thread_start_detached(passer, emulation);
+    lmn_thread_start_detached(acceptor, emulation);
     for (int i = 0; i < SENDERS; i++)
-        lmn_thread(sender, emulation);
+        lmn_thread_start_detached(sender, emulation);
     for (int i = 0; i < ASKERS; i++)
-        lmn_thread(asker, emulation);
+        lmn_thread_start_detached(asker, emulation);
     lmn_info("emulation_started seed=%u troubles=%u", options->seed,
              options->script->len);
     return emulation;
--- a/src/gateway/gateway_process.c
+++ b/src/gateway/gateway_process.c
@@ -199,9 +199,9 @@
     if (lmn_origin_start(gateway, err, len) != 0)
         return -1;
     for (unsigned i = 0; i < options->peer_count; i++)
-        lmn_thread(lmn_execution_thread, &gateway->peers[i]);
-    lmn_thread(lmn_cluster_client_thread, gateway);
-    lmn_thread(lmn_gateway_pull_thread, gateway);
+        lmn_thread_start_detached(lmn_execution_thread, &gateway->peers[i]);
+    lmn_thread_start_detached(lmn_cluster_client_thread, gateway);
+    lmn_thread_start_detached(lmn_gateway_pull_thread, gateway);
     for (unsigned turn = 0;; turn++) {
         lmn_sleep(0.1);
         /* While the state service does not answer, users are told so, and when to come
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -422,15 +422,17 @@
         lmn_metric_sample(out, "lemonspar_gateway_peer_silent_seconds", "site",
                           gateway->options->peers[i].site,
                           lmn_time_diff_s(lmn_now(), gateway->peers[i].last_contact_at));
-    lmn_counter(out, "lemonspar_gateway_submitted", "Jobs accepted", gateway->submitted);
-    lmn_counter(out, "lemonspar_gateway_cancelled", "Cancellations", gateway->cancelled);
-    lmn_counter(out, "lemonspar_gateway_pulls", "Pulls answered", gateway->pulls);
-    lmn_counter(out, "lemonspar_gateway_empty_pulls", "Pulls that brought nothing",
-                gateway->empty_pulls);
-    lmn_counter(out, "lemonspar_gateway_writes", "Records written",
-                gateway->records.writes);
-    lmn_counter(out, "lemonspar_gateway_conflicts", "Writes that were not taken",
-                gateway->records.conflicts);
+    lmn_metric_counter(out, "lemonspar_gateway_submitted", "Jobs accepted",
+                       gateway->submitted);
+    lmn_metric_counter(out, "lemonspar_gateway_cancelled", "Cancellations",
+                       gateway->cancelled);
+    lmn_metric_counter(out, "lemonspar_gateway_pulls", "Pulls answered", gateway->pulls);
+    lmn_metric_counter(out, "lemonspar_gateway_empty_pulls", "Pulls that brought nothing",
+                       gateway->empty_pulls);
+    lmn_metric_counter(out, "lemonspar_gateway_writes", "Records written",
+                       gateway->records.writes);
+    lmn_metric_counter(out, "lemonspar_gateway_conflicts", "Writes that were not taken",
+                       gateway->records.conflicts);
     pthread_mutex_unlock(&gateway->records.lock);
 }
 
@@ -460,7 +462,7 @@
     if (get && !strcmp(path, WIRE_PATH_READY))
         lmn_http_request_respond(request, 200, NULL, 0);
     else if (get && !strcmp(path, "/metrics"))
-        lmn_metrics_answer(request, metrics, gateway);
+        lmn_metrics_respond(request, metrics, gateway);
     else if (get && !strcmp(path, "/gateway"))
         status(gateway, request);
     else if (get && g_str_has_prefix(path, WIRE_PATH_JOBS "/"))
@@ -484,7 +486,7 @@
                                               .arg = gateway};
 
     for (int i = 0; i < HANDS; i++)
-        lmn_thread(hand, gateway);
+        lmn_thread_start_detached(hand, gateway);
     gateway->http_server = lmn_http_server_start(&o);
     return gateway->http_server ? 0 : -1;
 }
--- a/src/gateway/origin.c
+++ b/src/gateway/origin.c
@@ -397,7 +397,7 @@
         }
         struct conn *c = g_new(struct conn, 1);
         *c = (struct conn){l->g, fd};
-        lmn_thread(serve_link, c);
+        lmn_thread_start_detached(serve_link, c);
     }
     return NULL;
 }
@@ -421,6 +421,6 @@
                    g_strerror(errno));
         return -1;
     }
-    lmn_thread(accept_links, l);
+    lmn_thread_start_detached(accept_links, l);
     return 0;
 }
--- a/src/gateway/records.c
+++ b/src/gateway/records.c
@@ -334,7 +334,7 @@
                 lmn_sleep(0.3);
         }
     }
-    lmn_thread(keep_lease, b);
+    lmn_thread_start_detached(keep_lease, b);
     b->incarnation = read_number(client, "/incarnation", "Incarnation", &revision, in);
     was = read_number(client, WIRE_PATH_STORE "/g/i", WIRE_VALUE, &revision, in);
     *restored = revision && was != b->incarnation;
--- a/src/http/metrics.c
+++ b/src/http/metrics.c
@@ -38,20 +38,20 @@
     g_string_append_printf(out, " %.17g\n", sample);
 }
 
-void lmn_gauge(GString *out, const char *name, const char *help, double value)
+void lmn_metric_gauge(GString *out, const char *name, const char *help, double value)
 {
     lmn_metric_head(out, name, "gauge", help);
     lmn_metric_sample(out, name, NULL, NULL, value);
 }
 
-void lmn_counter(GString *out, const char *name, const char *help, uint64_t value)
+void lmn_metric_counter(GString *out, const char *name, const char *help, uint64_t value)
 {
     lmn_metric_head(out, name, "counter", help);
     g_string_append_printf(out, "%s_total %" G_GUINT64_FORMAT "\n", name, value);
 }
 
-void lmn_quantiles(GString *out, const char *name, const char *help,
-                   const struct lmn_latency *latency)
+void lmn_metric_duration_summary(GString *out, const char *name, const char *help,
+                                 const struct lmn_latency *latency)
 {
     static const struct {
         const char *label;
@@ -65,8 +65,8 @@
     g_string_append_printf(out, "%s_count %.0f\n", name, lmn_latency_count(latency));
 }
 
-void lmn_metrics_answer(struct lmn_http_request *request,
-                        void (*fill)(void *arg, GString *out), void *arg)
+void lmn_metrics_respond(struct lmn_http_request *request,
+                         void (*fill)(void *arg, GString *out), void *arg)
 {
     GString *text = g_string_new(NULL);
 
--- a/src/http/metrics.h
+++ b/src/http/metrics.h
@@ -11,14 +11,14 @@
 #include "util/latency.h"
 
 /** Appends a gauge without labels: a value that rises and falls. */
-void lmn_gauge(GString *out, const char *name, const char *help, double value);
+void lmn_metric_gauge(GString *out, const char *name, const char *help, double value);
 
 /** Appends a counter without labels. @param name without "_total", which is added. */
-void lmn_counter(GString *out, const char *name, const char *help, uint64_t value);
+void lmn_metric_counter(GString *out, const char *name, const char *help, uint64_t value);
 
 /** Appends a summary of durations: the quantiles 0.5, 0.95 and 0.99, and their number. */
-void lmn_quantiles(GString *out, const char *name, const char *help,
-                   const struct lmn_latency *latency);
+void lmn_metric_duration_summary(GString *out, const char *name, const char *help,
+                                 const struct lmn_latency *latency);
 
 /** Appends the head of a metric with labels, to be followed by a sample for each label.
  * @param kind "gauge" or "counter". */
@@ -34,7 +34,7 @@
                        const char *value, double sample);
 
 /** Answers a request for metrics with what `fill` appends. */
-void lmn_metrics_answer(struct lmn_http_request *request,
-                        void (*fill)(void *arg, GString *out), void *arg);
+void lmn_metrics_respond(struct lmn_http_request *request,
+                         void (*fill)(void *arg, GString *out), void *arg);
 
 #endif
--- a/src/image_store/server.c
+++ b/src/image_store/server.c
@@ -61,7 +61,7 @@
 
     if (g_mkdir_with_parents(directory, DIRECTORY_MODE) != 0)
         return -1;
-    return lmn_file_put(path, content->data, content->len);
+    return lmn_file_replace_durably(path, content->data, content->len);
 }
 
 /** Writes the request's body to a file and responds only once it is on the disk. */
@@ -143,7 +143,8 @@
     const char *name;
 
     while (directory && (name = g_dir_read_name(directory)))
-        /* Files that lmn_file_put() has not renamed yet are not there for readers. */
+        /* Files that lmn_file_replace_durably() has not renamed yet are not there for
+         * readers. */
         if (!strstr(name, ".tmp-"))
             g_ptr_array_add(names, g_strdup(name));
     g_ptr_array_sort(names, compare_names);
--- a/src/kv_client/kv_client.c
+++ b/src/kv_client/kv_client.c
@@ -351,5 +351,5 @@
 void lmn_kv_client_start(struct lmn_kv_client *client)
 {
     for (int i = 0; i < WRITER_THREADS; i++)
-        lmn_thread(run_writer, client);
+        lmn_thread_start_detached(run_writer, client);
 }
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -220,7 +220,7 @@
 
     /* An overloaded store must still be seen to be there, and why it answers 429. */
     if (method == LMN_HTTP_GET && strcmp(path, "/metrics") == 0)
-        lmn_metrics_answer(request, lmn_kv_store_metrics, store);
+        lmn_metrics_respond(request, lmn_kv_store_metrics, store);
     else if (method == LMN_HTTP_GET && strcmp(path, WIRE_PATH_READY) == 0)
         lmn_http_request_respond(request, LMN_KV_STORE_OK, NULL, 0);
     else if (!lmn_kv_store_is_rate_limited(store, request, &store->requests, 1))
@@ -297,9 +297,9 @@
     lmn_db_leases(store->reader, load_lease, store);
     lmn_db_view_end(store->reader);
     store->revision = meta.revision;
-    lmn_thread(lmn_kv_store_writer_thread, store);
-    lmn_thread(lmn_kv_store_watch_thread, store);
-    lmn_thread(lmn_kv_store_lease_thread, store);
+    lmn_thread_start_detached(lmn_kv_store_writer_thread, store);
+    lmn_thread_start_detached(lmn_kv_store_watch_thread, store);
+    lmn_thread_start_detached(lmn_kv_store_lease_thread, store);
     if (!serve(store)) {
         snprintf(err, len, "%s: can't listen: %s", options->listen, strerror(errno));
         return NULL;
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -111,7 +111,7 @@
     int rc = 0;
 
     if (g_mkdir_with_parents(dir, 0755) != 0 ||
-        lmn_file_put(file, text->str, text->len) != 0) {
+        lmn_file_replace_durably(file, text->str, text->len) != 0) {
         g_snprintf(err, len, "%s: %s", file, strerror(errno));
         rc = -1;
     } else {
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -211,8 +211,9 @@
 {
     struct front *api = arg;
 
-    lmn_counter(out, "lemonspar_fleet_requests", "Requests", api->requests);
-    lmn_counter(out, "lemonspar_fleet_limited", "Requests answered 429", api->limited);
+    lmn_metric_counter(out, "lemonspar_fleet_requests", "Requests", api->requests);
+    lmn_metric_counter(out, "lemonspar_fleet_limited", "Requests answered 429",
+                       api->limited);
     api->ops->metrics(api->arg, out);
 }
 
@@ -228,7 +229,7 @@
                          !strcmp(path, WIRE_PATH_MACHINES));
 
     if (get && !strcmp(path, "/metrics")) {
-        lmn_metrics_answer(request, metrics, api);
+        lmn_metrics_respond(request, metrics, api);
         return;
     }
     if (get && !strcmp(path, WIRE_PATH_READY)) {
@@ -274,6 +275,6 @@
     pthread_mutex_init(&api->lock, NULL);
     lmn_cond_init(&api->more);
     for (int i = 0; i < HANDS; i++)
-        lmn_thread(hand, api);
+        lmn_thread_start_detached(hand, api);
     return lmn_http_server_start(&o);
 }
--- a/src/machine_provider/static_provider.c
+++ b/src/machine_provider/static_provider.c
@@ -463,13 +463,13 @@
     struct lmn_static_provider *s = arg;
 
     pthread_mutex_lock(&s->lock);
-    lmn_gauge(out, "lemonspar_fleet_machines", "Machines rented",
-              g_tree_nnodes(s->machines));
-    lmn_counter(out, "lemonspar_fleet_rented", "Machines rented out", s->rentals);
-    lmn_counter(out, "lemonspar_fleet_returned", "Machines returned", s->returns);
-    lmn_counter(out, "lemonspar_fleet_starts", "Starts of agents", s->starts);
-    lmn_counter(out, "lemonspar_fleet_refused", "Rentals refused for want of machines",
-                s->refused);
+    lmn_metric_gauge(out, "lemonspar_fleet_machines", "Machines rented",
+                     g_tree_nnodes(s->machines));
+    lmn_metric_counter(out, "lemonspar_fleet_rented", "Machines rented out", s->rentals);
+    lmn_metric_counter(out, "lemonspar_fleet_returned", "Machines returned", s->returns);
+    lmn_metric_counter(out, "lemonspar_fleet_starts", "Starts of agents", s->starts);
+    lmn_metric_counter(out, "lemonspar_fleet_refused",
+                       "Rentals refused for want of machines", s->refused);
     pthread_mutex_unlock(&s->lock);
 }
 
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -16,7 +16,7 @@
 
     for (const struct lmn_cbor_value *item = lmn_cbor_first_child(document, node); item;
          item = lmn_cbor_next(document, item))
-        json_array_append_new(array, lmn_json_of(document, item));
+        json_array_append_new(array, lmn_json_from_cbor(document, item));
     return array;
 }
 
@@ -28,14 +28,14 @@
     for (const struct lmn_cbor_value *key = lmn_cbor_first_child(document, node); key;) {
         const struct lmn_cbor_value *value = lmn_cbor_next(document, key);
         g_autofree char *name = g_strndup(key->s, key->len);
-        json_object_set_new(object, name, lmn_json_of(document, value));
+        json_object_set_new(object, name, lmn_json_from_cbor(document, value));
         key = lmn_cbor_next(document, value);
     }
     return object;
 }
 
-json_t *lmn_json_of(const struct lmn_cbor_document *document,
-                    const struct lmn_cbor_value *node)
+json_t *lmn_json_from_cbor(const struct lmn_cbor_document *document,
+                           const struct lmn_cbor_value *node)
 {
     switch (node->type) {
     case LMN_CBOR_BOOL:
@@ -58,13 +58,13 @@
     }
 }
 
-json_t *lmn_json_of_bytes(const void *bytes, size_t len)
+json_t *lmn_json_from_cbor_bytes(const void *bytes, size_t len)
 {
     struct lmn_cbor_document document;
 
     if (lmn_cbor_parse(&document, bytes, len) != 0)
         return NULL;
-    json_t *value = lmn_json_of(&document, lmn_cbor_root(&document));
+    json_t *value = lmn_json_from_cbor(&document, lmn_cbor_root(&document));
     lmn_cbor_free(&document);
     return value;
 }
@@ -78,7 +78,7 @@
     json_object_foreach(object, key, member)
     {
         lmn_cbor_put_text(buffer, key);
-        lmn_json_put(buffer, member);
+        lmn_json_append_cbor(buffer, member);
     }
 }
 
@@ -88,7 +88,7 @@
     size_t i;
 
     lmn_cbor_put_array(buffer, json_array_size(array));
-    json_array_foreach(array, i, item) lmn_json_put(buffer, item);
+    json_array_foreach(array, i, item) lmn_json_append_cbor(buffer, item);
 }
 
 /** Negative numbers go out as floats: no field of the protocol is a negative integer. */
@@ -100,7 +100,7 @@
         lmn_cbor_put_number(buffer, (double)integer);
 }
 
-void lmn_json_put(GByteArray *buffer, json_t *value)
+void lmn_json_append_cbor(GByteArray *buffer, json_t *value)
 {
     switch (json_typeof(value)) {
     case JSON_OBJECT:
--- a/src/site/process_settings.c
+++ b/src/site/process_settings.c
@@ -116,7 +116,7 @@
                           char *err, size_t len)
 {
     g_autofree char *path = lmn_site_path(site, name, ".toml");
-    int rc = lmn_file_put(path, text->str, text->len);
+    int rc = lmn_file_replace_durably(path, text->str, text->len);
 
     if (rc != 0)
         g_snprintf(err, len, "%s: %s", path, strerror(errno));
--- a/src/util/process.c
+++ b/src/util/process.c
@@ -109,7 +109,7 @@
     return is_sent;
 }
 
-void lmn_lock_keep(void)
+void lmn_lock_set_close_on_exec(void)
 {
     const char *fd = g_getenv(LMN_LOCK_FD);
 
@@ -219,7 +219,7 @@
     return false;
 }
 
-unsigned lmn_kill_marked(const char *mark)
+unsigned lmn_kill_with_environment_entry(const char *mark)
 {
     g_autoptr(GDir) processes = g_dir_open("/proc", 0, NULL);
     const char *name;
@@ -235,7 +235,7 @@
     return count;
 }
 
-bool lmn_kill_marked_all(const char *mark, double seconds)
+bool lmn_kill_all_with_environment_entry(const char *mark, double seconds)
 {
     enum { SCANS_WITHOUT_A_FIND = 2 };
     struct timespec deadline = lmn_time_add(lmn_now(), seconds);
@@ -243,7 +243,7 @@
     /* One scan may miss a process that is forked while it runs. A second scan that finds
      * none can't: each process that was found is dying and forks no more. */
     for (int empty_scans = 0; empty_scans < SCANS_WITHOUT_A_FIND;) {
-        empty_scans = lmn_kill_marked(mark) ? 0 : empty_scans + 1;
+        empty_scans = lmn_kill_with_environment_entry(mark) ? 0 : empty_scans + 1;
         if (!empty_scans && lmn_time_before(deadline, lmn_now()))
             return false;
         if (!empty_scans)
@@ -280,7 +280,7 @@
     return rc;
 }
 
-int lmn_file_put(const char *path, const void *bytes, size_t len)
+int lmn_file_replace_durably(const char *path, const void *bytes, size_t len)
 {
     char *temporary =
         g_strdup_printf("%s.tmp-%ld-%u", path, (long)getpid(), g_random_int());
--- a/src/util/process.h
+++ b/src/util/process.h
@@ -48,7 +48,7 @@
 /** Keeps the descriptor named by LMN_LOCK_FD from being inherited, so that the lock ends
  * with this process and not with the last of its children. To be called before starting
  * any. */
-void lmn_lock_keep(void);
+void lmn_lock_set_close_on_exec(void);
 
 /**
  * Starts a program detached: in a session of its own and as nobody's child.
@@ -61,16 +61,16 @@
 
 /** Kills each process, this one excepted, whose environment contains the entry `mark`
  * ("NAME=value"). @return how many there were. */
-unsigned lmn_kill_marked(const char *mark);
+unsigned lmn_kill_with_environment_entry(const char *mark);
 
 /** Kills them until none is found twice in a row. @return false if some are still alive
  * after so many seconds. */
-bool lmn_kill_marked_all(const char *mark, double seconds);
+bool lmn_kill_all_with_environment_entry(const char *mark, double seconds);
 
 /** Replaces a file's content durably: afterwards, also after a crash, the file has either
  * the new content or what it had before. @return 0, or -1 with errno: the old content,
  * or, if only the directory could not be synced, either of the two. */
-int lmn_file_put(const char *path, const void *bytes, size_t len);
+int lmn_file_replace_durably(const char *path, const void *bytes, size_t len);
 
 /** Removes a directory with all its content, without following links; no error if it
  * doesn't exist. @return 0, or -1 with errno. */
--- a/src/util/thread.c
+++ b/src/util/thread.c
@@ -11,13 +11,13 @@
 
 const struct timespec *lmn_test_clock;
 
-void lmn_thread(void *(*function)(void *), void *arg)
+void lmn_thread_start_detached(void *(*function)(void *), void *arg)
 {
     pthread_attr_t attributes;
     pthread_t thread;
 
     pthread_attr_init(&attributes);
-    pthread_attr_setstacksize(&attributes, LMN_STACK);
+    pthread_attr_setstacksize(&attributes, LMN_THREAD_STACK_BYTES);
     pthread_attr_setdetachstate(&attributes, PTHREAD_CREATE_DETACHED);
     int error = pthread_create(&thread, &attributes, function, arg);
     pthread_attr_destroy(&attributes);
--- a/src/util/thread.h
+++ b/src/util/thread.h
@@ -10,11 +10,11 @@
 
 /** Stack of each thread, bytes: a process may have hundreds of threads and little memory.
  */
-enum { LMN_STACK = 256 * 1024 };
+enum { LMN_THREAD_STACK_BYTES = 256 * 1024 };
 
 /** Starts a detached thread. Aborts the process if there can't be one: nothing here works
  * with a part of its threads. */
-void lmn_thread(void *(*function)(void *), void *arg);
+void lmn_thread_start_detached(void *(*function)(void *), void *arg);
 
 /** Initialises a condition variable for lmn_cond_wait_for(). */
 void lmn_cond_init(pthread_cond_t *condition);
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -35,7 +35,7 @@
         is_clear = lmn_lock_wait(agent_lock, seconds);
     /* The executor sees the agent's end, and ends the tasks. */
     is_clear = lmn_lock_wait(executor_lock, seconds) && is_clear;
-    is_clear = lmn_kill_marked_all(mark, seconds) && is_clear;
+    is_clear = lmn_kill_all_with_environment_entry(mark, seconds) && is_clear;
     return is_clear;
 }
 
@@ -46,7 +46,7 @@
     g_autofree char *lock = g_build_filename(dir, "keeper.lock", NULL);
 
     return lmn_lock_wait(lock, CLEAR_TIMEOUT_S) &&
-           lmn_kill_marked_all(mark, CLEAR_TIMEOUT_S);
+           lmn_kill_all_with_environment_entry(mark, CLEAR_TIMEOUT_S);
 }
 
 /* Forks the executor as nobody's child: the agent's end must not take it along, and the
--- a/src/worker/images.c
+++ b/src/worker/images.c
@@ -142,7 +142,7 @@
     char text[32];
     int len = g_snprintf(text, sizeof text, "%" G_GUINT64_FORMAT "\n", bytes);
 
-    return lmn_file_put(path, text, (size_t)len);
+    return lmn_file_replace_durably(path, text, (size_t)len);
 }
 
 static bool fetch_image(struct lmn_worker *worker, struct lmn_http_client *client,
--- a/src/worker/incarnation.c
+++ b/src/worker/incarnation.c
@@ -19,7 +19,7 @@
         last = g_ascii_strtoull(text, NULL, 10);
     last = MAX(last, worker->incarnation) + 1;
     int len = g_snprintf(line, sizeof line, "%" G_GUINT64_FORMAT "\n", last);
-    if (lmn_file_put(path, line, (size_t)len) != 0) {
+    if (lmn_file_replace_durably(path, line, (size_t)len) != 0) {
         /* A number that could be used twice must not be used at all: controllers would
          * take the tasks of two incarnations for those of one. */
         lmn_error("agent_incarnation_write_failed path=%s error=\"%s\"", path,
--- a/src/worker/worker_http.c
+++ b/src/worker/worker_http.c
@@ -15,21 +15,24 @@
 
     pthread_mutex_lock(&worker->lock);
     const struct lmn_agent *agent = &worker->agent;
-    lmn_gauge(out, "lemonspar_worker_session", "Session", (double)agent->incarnation);
-    lmn_gauge(out, "lemonspar_worker_attempts", "Attempts on the machine",
-              agent->runs->len);
-    lmn_counter(out, "lemonspar_worker_starts", "Start commands", agent->starts);
-    lmn_counter(out, "lemonspar_worker_done", "Tasks that completed", agent->finished);
-    lmn_counter(out, "lemonspar_worker_refused", "Starts refused", agent->refused);
-    lmn_counter(out, "lemonspar_worker_lapses", "Leases that ran out",
-                agent->expired_leases);
-    lmn_counter(out, "lemonspar_worker_reports", "Reports sent", worker->heartbeats);
-    lmn_counter(out, "lemonspar_worker_turned_reports", "Reports that were turned away",
-                worker->redirects);
-    lmn_counter(out, "lemonspar_worker_image_bytes", "Bytes of images fetched",
-                worker->fetched_bytes);
-    lmn_counter(out, "lemonspar_worker_lost_logs", "Attempts whose output was lost",
-                worker->lost_logs);
+    lmn_metric_gauge(out, "lemonspar_worker_session", "Session",
+                     (double)agent->incarnation);
+    lmn_metric_gauge(out, "lemonspar_worker_attempts", "Attempts on the machine",
+                     agent->runs->len);
+    lmn_metric_counter(out, "lemonspar_worker_starts", "Start commands", agent->starts);
+    lmn_metric_counter(out, "lemonspar_worker_done", "Tasks that completed",
+                       agent->finished);
+    lmn_metric_counter(out, "lemonspar_worker_refused", "Starts refused", agent->refused);
+    lmn_metric_counter(out, "lemonspar_worker_lapses", "Leases that ran out",
+                       agent->expired_leases);
+    lmn_metric_counter(out, "lemonspar_worker_reports", "Reports sent",
+                       worker->heartbeats);
+    lmn_metric_counter(out, "lemonspar_worker_turned_reports",
+                       "Reports that were turned away", worker->redirects);
+    lmn_metric_counter(out, "lemonspar_worker_image_bytes", "Bytes of images fetched",
+                       worker->fetched_bytes);
+    lmn_metric_counter(out, "lemonspar_worker_lost_logs",
+                       "Attempts whose output was lost", worker->lost_logs);
     pthread_mutex_unlock(&worker->lock);
 }
 
@@ -41,7 +44,7 @@
     int status = STATUS_NOT_FOUND;
 
     if (method == LMN_HTTP_GET && strcmp(path, "/metrics") == 0) {
-        lmn_metrics_answer(request, put_metrics, worker);
+        lmn_metrics_respond(request, put_metrics, worker);
         return;
     }
     const GByteArray *body = lmn_http_request_body(request);
--- a/src/worker/worker_process.c
+++ b/src/worker/worker_process.c
@@ -98,7 +98,7 @@
         worker->incarnation, g_hash_table_size(worker->results));
     int line_len = g_snprintf(line, sizeof line, "%s\n", worker->agent.address);
     lmn_worker_unlock(worker);
-    lmn_file_put(path, line, (size_t)line_len);
+    lmn_file_replace_durably(path, line, (size_t)line_len);
 }
 
 /* Ends the incarnation when its lease has expired, for ever (a thread). */
@@ -117,12 +117,12 @@
 
 static void start_threads(struct lmn_worker *worker)
 {
-    lmn_thread(lmn_executor_event_thread, worker);
-    lmn_thread(lmn_description_thread, worker);
-    lmn_thread(lmn_image_thread, worker);
-    lmn_thread(lmn_result_thread, worker);
-    lmn_thread(lmn_log_thread, worker);
-    lmn_thread(lease_thread, worker);
+    lmn_thread_start_detached(lmn_executor_event_thread, worker);
+    lmn_thread_start_detached(lmn_description_thread, worker);
+    lmn_thread_start_detached(lmn_image_thread, worker);
+    lmn_thread_start_detached(lmn_result_thread, worker);
+    lmn_thread_start_detached(lmn_log_thread, worker);
+    lmn_thread_start_detached(lease_thread, worker);
 }
 
 int lmn_worker_run(const struct lmn_worker_options *options, char *err, size_t len)
--- a/tests/test_controller.c
+++ b/tests/test_controller.c
@@ -554,7 +554,7 @@
             g_snprintf(machine->address, sizeof machine->address, "127.0.0.1:%d",
                        start_stand_in(answer_worker, machine));
             lmn_cbor_put_text(out, machine->name);
-            lmn_thread(worker_thread, machine);
+            lmn_thread_start_detached(worker_thread, machine);
             provisioned_count++;
         }
         return 200;
--- a/tests/test_executor.c
+++ b/tests/test_executor.c
@@ -35,7 +35,7 @@
 static int wipe(void **state)
 {
     (void)state;
-    lmn_kill_marked_all(mark, 10);
+    lmn_kill_all_with_environment_entry(mark, 10);
     lmn_tree_remove(dir);
     g_free(mark);
     return 0;
@@ -111,7 +111,7 @@
 static void nothing_marked_is_left(void)
 {
     struct timespec end = lmn_time_add(lmn_now(), PATIENCE_S);
-    while (lmn_kill_marked("none=such") || true) {
+    while (lmn_kill_with_environment_entry("none=such") || true) {
         /* Looked for without being ended: a mark that only this test's tasks carry. */
         bool any = false;
         GDir *d = g_dir_open("/proc", 0, NULL);
--- a/tests/test_http_client.c
+++ b/tests/test_http_client.c
@@ -70,7 +70,7 @@
     assert_int_equal(listen(listener, 8), 0);
     getsockname(listener, (struct sockaddr *)&a, &len);
     g_snprintf(addr, sizeof addr, "127.0.0.1:%d", ntohs(a.sin_port));
-    lmn_thread(serve, NULL);
+    lmn_thread_start_detached(serve, NULL);
 
     struct lmn_http_client *client = lmn_http_client_new(addr);
     g_byte_array_append(body, (const guint8 *)"{}", 2);
--- a/tests/test_machine_provider.c
+++ b/tests/test_machine_provider.c
@@ -327,7 +327,7 @@
     assert_string_equal(listed->str, "host-000001 host-000002 ");
     /* An agent that dies is started again; one that is returned is not, with all that it
      * has. */
-    lmn_thread(lmn_static_provider_thread, s);
+    lmn_thread_start_detached(lmn_static_provider_thread, s);
     char *lock = g_build_filename(local.directory, "host-000000", "agent.lock", NULL);
     pid_t first;
     assert_true(lmn_lock_held(lock, &first));
@@ -343,7 +343,7 @@
     char *mark = lmn_executor_mark(machine);
     assert_int_equal(lmn_static_provider_ops.give_back(s, back, 4), 200);
     assert_false(lmn_lock_held(lock, &pid));
-    assert_int_equal(lmn_kill_marked(mark), 0);
+    assert_int_equal(lmn_kill_with_environment_entry(mark), 0);
     assert_int_equal(rent(s, "r-3", 1, b), 200);
     assert_string_equal(b->pdata[0], "host-000003"); /* never a name again */
     assert_int_equal(lmn_static_provider_ops.give_back(s, (char **)b->pdata, 1), 200);
@@ -385,7 +385,7 @@
     g_strlcpy(o.name, "rack-1", sizeof o.name);
     g_snprintf(o.provider_address, sizeof o.provider_address, "127.0.0.1:%d",
                lmn_http_server_port(server));
-    lmn_thread(run_slot, &o);
+    lmn_thread_start_detached(run_slot, &o);
     for (int round = 0; round < 2; round++) {
         GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
         char addr[LMN_ADDRESS_SIZE];
