--- a/src/image_store/work.c
+++ b/src/image_store/work.c
@@ -42,9 +42,9 @@
     guint count = 0;
     for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, list); node;
          node = lmn_cbor_next(document, node)) {
-        if (node->type != LMN_CBOR_TEXT || memchr(node->s, '\0', node->len))
+        if (node->type != LMN_CBOR_TEXT || memchr(node->text, '\0', node->len))
             return NULL;
-        strings[count++] = g_strndup(node->s, node->len);
+        strings[count++] = g_strndup(node->text, node->len);
     }
     return g_steal_pointer(&strings);
 }
--- a/src/job/bitset.c
+++ b/src/job/bitset.c
@@ -33,8 +33,8 @@
     if (text->type != LMN_CBOR_TEXT || text->len % 2 || text->len / 2 > byte_count(count))
         return -1;
     for (uint32_t i = 0; i < text->len / 2; i++) {
-        int high = g_ascii_xdigit_value(text->s[2 * i]);
-        int low = g_ascii_xdigit_value(text->s[2 * i + 1]);
+        int high = g_ascii_xdigit_value(text->text[2 * i]);
+        int low = g_ascii_xdigit_value(text->text[2 * i + 1]);
         if (high < 0 || low < 0)
             return -1;
         bits[i] = (uint8_t)(high << 4 | low);
--- a/src/kv_client/txn_codec.c
+++ b/src/kv_client/txn_codec.c
@@ -79,7 +79,7 @@
     for (const struct lmn_cbor_value *key = lmn_cbor_first_child(document, keys); key;
          key = lmn_cbor_next(document, key))
         if (key->type == LMN_CBOR_TEXT)
-            g_ptr_array_add(conflicts, g_strndup(key->s, key->len));
+            g_ptr_array_add(conflicts, g_strndup(key->text, key->len));
 }
 
 enum lmn_txn_outcome lmn_txn_decode_response(int status, const GByteArray *response,
--- a/src/partition/heartbeat_tasks.c
+++ b/src/partition/heartbeat_tasks.c
@@ -209,7 +209,7 @@
 
     lmn_debug("task_ended task=%s/%u attempt=%" G_GUINT64_FORMAT " machine=%s why=%.*s",
               attempt->job_id, attempt->index, attempt->number, machine->name,
-              reason ? (int)reason->len : 0, reason ? reason->s : "");
+              reason ? (int)reason->len : 0, reason ? reason->text : "");
     attempt->has_failed = lmn_cbor_text_equals(reason, WIRE_ERROR);
     attempt->range = NULL;
     if (attempt->has_failed)
--- a/src/protocol/cbor.c
+++ b/src/protocol/cbor.c
@@ -1,15 +1,15 @@
 /**
  * @file
- * Accessors of a parsed CBOR document, and the size of its items as JSON. They only read:
- * any number of threads may share a document.
+ * Accessors of a parsed CBOR document, and the size of its items as JSON. They do not
+ * modify the document, so that any number of threads may share it.
  */
 #include "protocol/cbor.h"
 
 #include <math.h>
 #include <string.h>
 
-/** Floats below this bound (under 2^53) hold every whole number exactly, so that a count
- * that was sent as a float is accepted without a loss. */
+/** Floats below this bound (less than 2^53) represent every integer exactly, so that a
+ * count that was sent as a float is converted without loss. */
 static const double MAX_EXACT_INTEGER = 9e15;
 
 const struct lmn_cbor_value *lmn_cbor_get(const struct lmn_cbor_document *document,
@@ -30,15 +30,15 @@
 bool lmn_cbor_text_equals(const struct lmn_cbor_value *node, const char *text)
 {
     return node && node->type == LMN_CBOR_TEXT && node->len == strlen(text) &&
-           !memcmp(node->s, text, node->len);
+           !memcmp(node->text, text, node->len);
 }
 
 bool lmn_cbor_get_text(const struct lmn_cbor_value *node, char *out, size_t len)
 {
     if (!node || node->type != LMN_CBOR_TEXT || node->len >= len ||
-        memchr(node->s, 0, node->len))
+        memchr(node->text, 0, node->len))
         return false;
-    memcpy(out, node->s, node->len);
+    memcpy(out, node->text, node->len);
     out[node->len] = '\0';
     return true;
 }
@@ -82,13 +82,13 @@
     return true;
 }
 
-/** @return the bytes of a text as a JSON string, its quotes included. */
+/** @return the size in bytes of a text as a JSON string, including the quotes. */
 static size_t json_text_size(const struct lmn_cbor_value *node)
 {
     size_t size = 2;
 
     for (uint32_t i = 0; i < node->len; i++) {
-        unsigned char character = (unsigned char)node->s[i];
+        unsigned char character = (unsigned char)node->text[i];
         if (character == '"' || character == '\\')
             size += 2;
         else if (character < 0x20)
@@ -99,9 +99,9 @@
     return size;
 }
 
-/** @return the bytes of an array or map: its brackets, a comma after each item but the
- * last and a colon after each key. A colon takes the place of the comma after a key, so
- * that each child but the last adds one byte. */
+/** @return the size in bytes of an array or map as JSON: two brackets, the children, and
+ * one separator after each child except the last (in a map a colon after each key and a
+ * comma after each value). */
 static size_t json_container_size(const struct lmn_cbor_document *document,
                                   const struct lmn_cbor_value *node)
 {
@@ -130,7 +130,7 @@
         return 1 + (size_t)g_snprintf(digits, sizeof digits, "%" G_GUINT64_FORMAT,
                                       node->integer + 1);
     case LMN_CBOR_FLOAT:
-        /* A whole number is written with a closing ".0". */
+        /* An integral float is written with ".0" at the end. */
         return strlen(g_ascii_dtostr(digits, sizeof digits, node->number)) +
                (node->number == (double)(int64_t)node->number ? 2 : 0);
     case LMN_CBOR_TEXT:
--- a/src/protocol/cbor.h
+++ b/src/protocol/cbor.h
@@ -7,11 +7,11 @@
  * null, booleans, integers, floats, UTF-8 text, and arrays and maps of a stated length
  * whose keys are text. Byte strings, tags, `undefined` and items of indefinite length are
  * refused. It never allocates more than a fixed multiple of the message's length, so that
- * a forged length or a deep nesting costs nothing.
+ * a forged length or deep nesting can't exhaust memory or stack.
  *
  * Ownership: a document owns its nodes; the text of a node points into the parsed
- * message, which must therefore outlive the document. Nothing here is locked: a document
- * may be read by several threads, but a byte array belongs to one thread at a time.
+ * message, which must therefore outlive the document. Nothing here is locked: several
+ * threads may read a document, but a byte array belongs to one thread at a time.
  *
  * Not here: conversion from and to JSON values (protocol/json.h) and the names of fields
  * (protocol/wire.h).
@@ -39,7 +39,7 @@
 /** One item of a document. Items refer to each other by index, since the array of nodes
  * moves while it grows. */
 struct lmn_cbor_value {
-    uint8_t type;   /**< an enum lmn_cbor_type, kept small */
+    uint8_t type;   /**< an enum lmn_cbor_type in one byte, to keep nodes small */
     bool truth;     /**< of LMN_CBOR_BOOL */
     uint32_t next;  /**< index of the next sibling, 0 if there is none */
     uint32_t child; /**< index of the first child, 0 if there is none; the children of a
@@ -49,12 +49,12 @@
         uint64_t integer; /**< of LMN_CBOR_UINT: the value; of LMN_CBOR_NEGINT: n, where
                                the value is -1 - n */
         double number;    /**< of LMN_CBOR_FLOAT */
-        const char *s;    /**< of LMN_CBOR_TEXT: `len` bytes of the message, without a
+        const char *text; /**< of LMN_CBOR_TEXT: `len` bytes of the message, without a
                                closing zero byte */
     };
 };
 
-/** Containers may be nested this deep; a message with a deeper nesting is refused. */
+/** Maximum nesting of arrays and maps; a message with deeper nesting is refused. */
 enum { LMN_CBOR_MAX_DEPTH = 16 };
 
 /** A parsed message. Filled by lmn_cbor_parse(), released by lmn_cbor_free(). */
@@ -72,7 +72,7 @@
  */
 int lmn_cbor_parse(struct lmn_cbor_document *document, const void *bytes, size_t len);
 
-/** Releases the nodes. The document itself and the message stay the caller's. */
+/** Frees the nodes, but neither the document structure nor the message. */
 void lmn_cbor_free(struct lmn_cbor_document *document);
 
 /** @return the outermost item; NULL if the document was freed. */
@@ -101,8 +101,8 @@
 /**
  * Looks a key up in a map.
  * @param map may be NULL or no map; the result is then NULL.
- * @return the value; NULL if it is absent or null, since the protocol gives both the same
- *         meaning.
+ * @return the value; NULL if it is absent or null, since null and an absent key mean the
+ *         same in the protocol.
  */
 const struct lmn_cbor_value *lmn_cbor_get(const struct lmn_cbor_document *document,
                                           const struct lmn_cbor_value *map,
@@ -155,8 +155,8 @@
 void lmn_cbor_put_value(GByteArray *buffer, const struct lmn_cbor_document *document,
                         const struct lmn_cbor_value *node);
 
-/** @return the bytes that a node takes as compact JSON: the form in which the limits on
- * sizes are counted. */
+/** @return the size in bytes of a node as compact JSON. The limits on sizes apply to this
+ * form. */
 size_t lmn_cbor_json_size(const struct lmn_cbor_document *document,
                           const struct lmn_cbor_value *node);
 
--- a/src/protocol/cbor_parser.c
+++ b/src/protocol/cbor_parser.c
@@ -17,7 +17,7 @@
 struct open_container {
     uint32_t node;       /**< index of the container */
     uint32_t last_child; /**< index of the child read last, 0 if none was */
-    uint64_t missing;    /**< children that are still to come */
+    uint64_t missing;    /**< children not read yet */
 };
 
 struct parser {
@@ -27,7 +27,7 @@
     bool is_invalid;  /**< the message is refused */
     bool is_complete; /**< the outermost item has been read whole */
     size_t remaining; /**< bytes from the start of the item being decoded */
-    struct lmn_cbor_value discarded; /**< receives items after the message was refused */
+    struct lmn_cbor_value discarded; /**< written to after the message was refused */
 };
 
 /** Links a new node into the innermost open container. */
@@ -37,8 +37,8 @@
     struct open_container *container = &parser->stack[parser->depth - 1];
     struct lmn_cbor_value *parent = &nodes[container->node];
 
-    /* A map has an even number of children missing whenever a key comes next, and the
-     * protocol's keys are text. */
+    /* The number of missing children of a map is even if the next child is a key, and
+     * keys must be text. */
     if (parent->type == LMN_CBOR_MAP && container->missing % 2 == 0 &&
         type != LMN_CBOR_TEXT)
         parser->is_invalid = true;
@@ -50,7 +50,8 @@
     container->missing--;
 }
 
-/** @return the new node, valid until the next one is added; never NULL. */
+/** @return the new node, valid until another node is added; `discarded` if the message is
+ * refused; never NULL. */
 static struct lmn_cbor_value *add_node(struct parser *parser, enum lmn_cbor_type type)
 {
     struct lmn_cbor_document *document = parser->document;
@@ -73,7 +74,8 @@
     return node;
 }
 
-/** Closes the containers that the item just read has filled. */
+/** Closes the innermost containers whose children have all been read, now that another
+ * item is complete. */
 static void close_filled_containers(struct parser *parser)
 {
     while (parser->depth > 0 && parser->stack[parser->depth - 1].missing == 0)
@@ -86,8 +88,9 @@
 {
     struct lmn_cbor_value *node = add_node(parser, type);
 
-    /* Every item takes at least one byte, so a length beyond the bytes that remain is
-     * false. This also keeps `items * 2` from overflowing. */
+    /* Every item takes at least one byte, so a message that announces more items than it
+     * has bytes is invalid. The first comparison also keeps `items * 2` from
+     * overflowing. */
     if (items > parser->remaining ||
         (type == LMN_CBOR_MAP && items * 2 > parser->remaining)) {
         parser->is_invalid = true;
@@ -169,7 +172,7 @@
     struct parser *parser = context;
     struct lmn_cbor_value *node = add_node(parser, LMN_CBOR_TEXT);
 
-    node->s = (const char *)text;
+    node->text = (const char *)text;
     node->len = (uint32_t)len;
     if (!g_utf8_validate((const char *)text, (gssize)len, NULL))
         parser->is_invalid = true;
--- a/src/protocol/cbor_writer.c
+++ b/src/protocol/cbor_writer.c
@@ -1,14 +1,15 @@
 /**
  * @file
  * Encoding of CBOR items at the end of a byte array, which belongs to the caller. Nothing
- * is checked here: that a map gets as many pairs as were announced is the caller's part.
+ * is checked here: the caller must append as many items or pairs as it announced.
  */
 #include "protocol/cbor.h"
 
 #include <cbor.h>
 #include <string.h>
 
-/** An item's type byte and the longest number or length that may follow it. */
+/** Bytes of the longest head of an item: a type byte and a number or length of 8 bytes.
+ */
 enum { MAX_HEAD_BYTES = 9 };
 
 static void append(GByteArray *buffer, const unsigned char *bytes, size_t len)
@@ -88,7 +89,7 @@
         lmn_cbor_put_number(buffer, node->number);
         return;
     case LMN_CBOR_TEXT:
-        put_text_bytes(buffer, node->s, node->len);
+        put_text_bytes(buffer, node->text, node->len);
         return;
     case LMN_CBOR_ARRAY:
         lmn_cbor_put_array(buffer, node->len);
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Conversion between CBOR and JSON. Both directions recurse; the depth is bounded by
- * LMN_CBOR_MAX_DEPTH on the one side, and by the code that built the value on the other.
+ * Conversion between CBOR and JSON. Both directions recurse. From CBOR, the depth is at
+ * most LMN_CBOR_MAX_DEPTH; to CBOR, it is the depth of the JSON value, which only our own
+ * code builds.
  */
 #include "protocol/json.h"
 
@@ -27,7 +28,7 @@
 
     for (const struct lmn_cbor_value *key = lmn_cbor_first_child(document, node); key;) {
         const struct lmn_cbor_value *value = lmn_cbor_next(document, key);
-        g_autofree char *name = g_strndup(key->s, key->len);
+        g_autofree char *name = g_strndup(key->text, key->len);
         json_object_set_new(object, name, lmn_json_from_cbor(document, value));
         key = lmn_cbor_next(document, value);
     }
@@ -48,7 +49,7 @@
     case LMN_CBOR_FLOAT:
         return json_real(node->number);
     case LMN_CBOR_TEXT:
-        return json_stringn(node->s, node->len);
+        return json_stringn(node->text, node->len);
     case LMN_CBOR_ARRAY:
         return array_of(document, node);
     case LMN_CBOR_MAP:
@@ -91,7 +92,8 @@
     json_array_foreach(array, i, item) lmn_json_append_cbor(buffer, item);
 }
 
-/** Negative numbers go out as floats: no field of the protocol is a negative integer. */
+/** Encodes a negative integer as a float, since no field of the protocol is a negative
+ * integer. */
 static void put_integer(GByteArray *buffer, json_int_t integer)
 {
     if (integer >= 0)
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -1,7 +1,7 @@
 /**
  * @file
  * Conversion between CBOR messages and jansson's JSON values: for command-line output,
- * log and status pages, not for the paths that every request takes. References follow
+ * logs and status pages. Too slow for code that runs for every request. References follow
  * jansson's rules. No shared state; a value belongs to one thread at a time.
  */
 #ifndef LMN_PROTOCOL_JSON_H
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -1,13 +1,13 @@
 /**
  * @file
- * The names that the interfaces use for fields, values and paths. They were given from
- * outside and are partly French, so they stand here only; the code uses the terms of
+ * The names that the interfaces use for fields, values and paths. They are given by the
+ * platform and partly French, so they are defined only here; the code uses the terms of
  * docs/glossary.md. The strings must never change: clients, workers, the cloud and stored
  * records depend on them.
  *
- * A name that ends in _S is a number of seconds, _MS milliseconds, _GB gigabytes. Several
- * interfaces use the same word for different things; each name is listed under the
- * interface that it is named for.
+ * The value of a field whose macro ends in _S is in seconds, _MS in milliseconds, _GB in
+ * gigabytes. Several interfaces use the same word with different meanings; each macro is
+ * listed under the interface that its name describes.
  */
 #ifndef LMN_PROTOCOL_WIRE_H
 #define LMN_PROTOCOL_WIRE_H
@@ -41,7 +41,7 @@
 #define WIRE_CANCELLED "withdrawn"  /**< state: cancelled by a user */
 #define WIRE_BATCH "batch"          /**< kind of a job whose tasks end by themselves */
 #define WIRE_SERVICE "daemon"       /**< kind of a job that runs until it is cancelled */
-#define WIRE_JOB_ID_PREFIX "run-"   /**< how each job id starts; digits follow */
+#define WIRE_JOB_ID_PREFIX "run-"   /**< prefix of each job id; digits follow */
 /** @} */
 
 /** @name Workers: heartbeats, their replies, and commands
@@ -55,7 +55,7 @@
 #define WIRE_SPOT_NOTICE_S "PreavisS" /**< time until a spot instance is reclaimed */
 #define WIRE_TASK "Course"            /**< index of a task in its job */
 #define WIRE_ATTEMPT "Essai"          /**< id of one attempt to run a task */
-#define WIRE_EXIT_REASON "Motif"      /**< why an attempt ended; one of the words below */
+#define WIRE_EXIT_REASON "Motif"      /**< why an attempt ended: an exit reason below */
 #define WIRE_COMMANDS "Ordres"        /**< list of commands to a worker */
 #define WIRE_COMMAND "Ordre"          /**< WIRE_START, WIRE_KILL or WIRE_CLEAR */
 #define WIRE_GRACE_S "SursisS"        /**< time that a killed task has for a checkpoint */
@@ -87,7 +87,8 @@
 #define WIRE_COUNT "HowMany"          /**< number of machines asked for */
 #define WIRE_MACHINES "Flotte"        /**< list of machines */
 #define WIRE_AGE_S "AgeS"             /**< time since a machine was provisioned */
-#define WIRE_HAS_MORE "HasNext" /**< the list goes on: ask again after its last item */
+#define WIRE_HAS_MORE                                                                    \
+    "HasNext" /**< true if a further request, after the last item, gets more */
 #define WIRE_BOOTING "starting" /**< state of a machine: not ready yet */
 #define WIRE_BROKEN "failed"    /**< state of a machine: lost for good */
 /** @} */
@@ -124,10 +125,10 @@
 #define WIRE_PATH_TXN "/multi"           /**< store: compare-and-swap transaction */
 #define WIRE_PATH_LEASES "/holds"        /**< store: granting and revoking of leases */
 #define WIRE_PATH_RENEW "/renew"         /**< store, after a lease's path: renew it */
-#define WIRE_PATH_WATCH "/changes"  /**< store: watch, answered when something changed */
+#define WIRE_PATH_WATCH "/changes"  /**< store: watch, answered when an item changed */
 #define WIRE_QUERY_PREFIX "Under"   /**< only keys with this prefix */
 #define WIRE_QUERY_AFTER "After"    /**< only keys or revisions after this one */
-#define WIRE_QUERY_LIMIT "Limit"    /**< at most so many items */
+#define WIRE_QUERY_LIMIT "Limit"    /**< maximum number of items in the reply */
 #define WIRE_QUERY_WAIT_MS "WaitMs" /**< how long a watch may wait for a change */
 /** @} */
 
--- a/src/util/clock.h
+++ b/src/util/clock.h
@@ -1,20 +1,20 @@
 /**
  * @file
- * The two clocks, and arithmetic on struct timespec, the type of a moment throughout.
- * Durations are doubles in seconds. All functions are pure or read a clock; any thread
- * may call them.
+ * The monotonic clock and the time of day, and arithmetic on struct timespec, which all
+ * modules use for points in time. Durations are doubles in seconds. All functions are
+ * pure or only read a clock; any thread may call them.
  */
 #ifndef LMN_UTIL_CLOCK_H
 #define LMN_UTIL_CLOCK_H
 
 #include <time.h>
 
-/** A test's own clock: if set, lmn_now() returns what it points to. To be set before
- * other threads start, and always NULL outside of tests. */
+/** A clock that a test controls: if it is not NULL, lmn_now() returns the time that it
+ * points to. Must be set before other threads start; always NULL outside of tests. */
 extern const struct timespec *lmn_test_clock;
 
-/** @return the monotonic clock: for durations and deadlines on this machine. Its moments
- * mean nothing to another machine, nor after a reboot. */
+/** @return the time of the monotonic clock, for durations and deadlines on this machine.
+ * It can't be compared with times of another machine or from before a reboot. */
 static inline struct timespec lmn_now(void)
 {
     struct timespec now;
@@ -24,8 +24,8 @@
     return now;
 }
 
-/** @return the time of day. It may jump, and may be compared with other nodes' only
- * within the bound that the settings allow. */
+/** @return the time of day. It may jump when the clock is adjusted, and the clocks of
+ * other nodes may differ from it by the skew that the settings allow. */
 static inline struct timespec lmn_wall_clock_now(void)
 {
     struct timespec now;
@@ -33,20 +33,20 @@
     return now;
 }
 
-/** @return the moment as seconds since its clock's start. */
+/** @return the time in seconds since the zero point of its clock. */
 static inline double lmn_time_seconds(struct timespec time)
 {
     return (double)time.tv_sec + (double)time.tv_nsec * 1e-9;
 }
 
-/** @return seconds from `earlier` to `later`; negative if their order is the other. */
+/** @return seconds from `earlier` to `later`; negative if `earlier` is the later one. */
 static inline double lmn_time_diff_s(struct timespec later, struct timespec earlier)
 {
     return (double)(later.tv_sec - earlier.tv_sec) +
            (double)(later.tv_nsec - earlier.tv_nsec) * 1e-9;
 }
 
-/** @return the moment that many seconds later; earlier if they are negative. */
+/** @return the time `seconds` after `time`; before it if `seconds` is negative. */
 static inline struct timespec lmn_time_add(struct timespec time, double seconds)
 {
     time_t whole = (time_t)seconds;
@@ -62,7 +62,7 @@
     return time;
 }
 
-/** Whether the first moment is earlier than the second. */
+/** Whether `first` is earlier than `second`. */
 static inline int lmn_time_before(struct timespec first, struct timespec second)
 {
     return first.tv_sec < second.tv_sec ||
--- a/src/util/latency.c
+++ b/src/util/latency.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Histograms of durations over GSL's.
+ * Histograms of durations, built on the GNU Scientific Library (GSL).
  */
 #include "util/latency.h"
 
@@ -12,8 +12,8 @@
     FIRST_DECADE = -4 /**< the first bin starts at 1e-4 s */
 };
 
-/** Durations are moved into the range of the bins: GSL ignores what lies outside of it.
- */
+/** Shorter and longer durations are counted as these, since GSL ignores values outside of
+ * the range of the bins. */
 static const double MIN_COUNTED_S = 1.0001e-4, MAX_COUNTED_S = 99.99;
 
 void lmn_latency_init(struct lmn_latency *latency)
--- a/src/util/latency.h
+++ b/src/util/latency.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * Histograms of durations, for the status page and metrics. The caller locks a histogram;
- * to read one without holding up its writers, copy it under the lock.
+ * Histograms of durations, for the status page and metrics. The caller locks a histogram.
+ * To compute quantiles without blocking writers, copy the histogram under the lock and
+ * read the copy.
  */
 #ifndef LMN_UTIL_LATENCY_H
 #define LMN_UTIL_LATENCY_H
@@ -12,16 +13,16 @@
  * longer durations count in the outermost bins. */
 struct lmn_latency {
     gsl_histogram *histogram; /**< owned */
-    double max;               /**< the longest duration, seconds, without a bound */
+    double max;               /**< the longest duration, seconds; may exceed 100 */
 };
 
 /** Allocates an empty histogram; to be released by lmn_latency_clear(). */
 void lmn_latency_init(struct lmn_latency *latency);
 
-/** Replaces the content of a histogram, which must have been initialised, by a copy. */
+/** Copies `from` into `latency`; both must have been initialised. */
 void lmn_latency_copy(struct lmn_latency *latency, const struct lmn_latency *from);
 
-/** Releases the histogram. */
+/** Frees the bins that lmn_latency_init() allocated. */
 void lmn_latency_clear(struct lmn_latency *latency);
 
 /** Counts a duration. */
@@ -31,7 +32,7 @@
  * the quantile; 0 if nothing was counted. */
 double lmn_latency_quantile(const struct lmn_latency *latency, double quantile);
 
-/** @return how many durations were counted. */
+/** @return the number of durations counted. */
 double lmn_latency_count(const struct lmn_latency *latency);
 
 #endif
--- a/src/util/log.c
+++ b/src/util/log.c
@@ -19,8 +19,8 @@
 static char node_name[MAX_NODE_NAME_BYTES] = "-";
 static bool as_json;
 
-/** Adds the first field of `name=value name="a value" ...` to an object. @return the next
- * field; NULL after the last. */
+/** Adds the first field of a message such as `name=value name="a value"` to the object.
+ * @return the start of the next field; NULL after the last. */
 static const char *take_field(const char *field, json_t *object)
 {
     const char *equals = strchr(field, '=');
@@ -104,7 +104,7 @@
             message = fields[i].value;
     int len = as_json ? json_line(line, sizeof line, level_word(level), message)
                       : text_line(line, sizeof line, level_word(level), message);
-    /* One write for each line, so that lines of several threads do not mix. */
+    /* One write() for each line, so that lines of several threads are not interleaved. */
     if (write(STDERR_FILENO, line, (size_t)len) < 0)
         return G_LOG_WRITER_UNHANDLED;
     return G_LOG_WRITER_HANDLED;
@@ -125,7 +125,7 @@
 
 void lmn_log_write(enum lmn_log_level level, const char *format, ...)
 {
-    /* By enum lmn_log_level. */
+    /* Indexed by enum lmn_log_level. */
     static const GLogLevelFlags flags[] = {G_LOG_LEVEL_WARNING, G_LOG_LEVEL_MESSAGE,
                                            G_LOG_LEVEL_DEBUG};
     va_list arguments;
--- a/src/util/log.h
+++ b/src/util/log.h
@@ -1,9 +1,10 @@
 /**
  * @file
  * Logging: one line for each event on standard error, written as the event's name
- * followed by key=value pairs. The level and the form come from the environment and are
- * fixed by lmn_log_init(), which must run before other threads start; afterwards any
- * thread may log, and lines of several threads never mix.
+ * followed by key=value pairs. lmn_log_init() reads the level and the format from the
+ * environment and must be called before other threads start. Afterwards any thread may
+ * log; each line is written with one system call, so that lines of several threads are
+ * not interleaved.
  */
 #ifndef LMN_UTIL_LOG_H
 #define LMN_UTIL_LOG_H
@@ -11,16 +12,17 @@
 /** Levels, the most important first. */
 enum lmn_log_level { LMN_LOG_ERROR, LMN_LOG_INFO, LMN_LOG_DEBUG };
 
-/** Events above this level are left out. */
+/** Events of a less important level are not written. */
 extern enum lmn_log_level lmn_log_level;
 
-/** Reads LOG_LEVEL (error, info, debug; info if unset) and LOG_FORMAT (text, or json: an
- * object on each line), and takes over GLib's log writer. @param node stands in each
- * line. */
+/** Reads LOG_LEVEL (error, info or debug; info if unset) and LOG_FORMAT (text, or json
+ * for a JSON object on each line), and installs the writer of GLib's log. @param node
+ * name of this node, written in each line; cut to 63 bytes. */
 void lmn_log_init(const char *node);
 
-/** Writes an event whatever the level; to be called through the macros below. A line
- * longer than about 1,000 bytes is cut, or in JSON replaced by a note. */
+/** Writes an event without checking lmn_log_level; call it through the macros below. A
+ * line longer than about 1,000 bytes is cut; in JSON it is replaced by an event
+ * `too-long`. */
 void lmn_log_write(enum lmn_log_level level, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
--- a/src/util/process.c
+++ b/src/util/process.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Lock files, detached processes, killing by a mark in the environment, durable files.
+ * Lock files, detached processes, killing processes by an entry of their environment, and
+ * durable replacement of files.
  */
 #include "util/process.h"
 #include "util/clock.h"
@@ -18,13 +19,13 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/** Bytes for the text of a process's number. */
+/** Size in bytes of the buffer for a process id in decimal digits. */
 enum { PID_TEXT_BYTES = 32 };
 
-/** How often a state that nobody tells about is looked at, seconds. */
+/** Interval of polling for states that the kernel does not notify us of, seconds. */
 static const double POLL_INTERVAL_S = 0.01;
 
-/** @return the number in a lock file; 0 if there is none. */
+/** @return the process id in a lock file; 0 if there is none. */
 static pid_t read_pid(int fd)
 {
     char text[PID_TEXT_BYTES];
@@ -118,9 +119,9 @@
     g_unsetenv(LMN_LOCK_FD);
 }
 
-/** Runs the program in this process, or reports the errno value of a failure to the pipe,
- * which a successful exec closes. Between fork and exec of a threaded process only
- * async-signal-safe functions may be called. */
+/** Replaces this process by the program. If exec fails, writes the errno value to
+ * `error_pipe`; a successful exec closes the pipe. Between fork and exec in a process
+ * with several threads only async-signal-safe functions may be called. */
 static void run_detached(char *const arguments[], const char *log, int error_pipe)
 {
     int in = open("/dev/null", O_RDONLY);
@@ -145,8 +146,8 @@
     _exit(127);
 }
 
-/** The process in between: starts the program as its own child, reports the number, and
- * ends, so that the program is nobody's child. */
+/** Runs in the intermediate process: starts the program as a child, writes the child's
+ * process id to `pid_pipe` and exits, so that init adopts the program. */
 static void run_intermediate(char *const arguments[], const char *log, int error_pipe,
                              int pid_pipe)
 {
@@ -159,8 +160,8 @@
     _exit(0);
 }
 
-/** Waits for the process in between and for the program's exec. @return 0 or an errno
- * value. */
+/** Waits until the intermediate process has exited and the program's exec has succeeded
+ * or failed. @return 0, or the errno value of the failure. */
 static int await_start(pid_t intermediate, int error_pipe, int pid_pipe, pid_t *pid)
 {
     int status, error;
@@ -169,7 +170,7 @@
         ;
     if (read(pid_pipe, pid, sizeof *pid) != sizeof *pid)
         return EAGAIN;
-    /* The end of the pipe without a message: exec has closed it. */
+    /* End of file without a message: exec succeeded and closed the pipe. */
     if (read(error_pipe, &error, sizeof error) != sizeof error)
         return 0;
     return error;
@@ -188,8 +189,8 @@
         close(error_pipe[1]);
         return error;
     }
-    /* Forks twice, so that the program is not this process's child: whoever started it
-     * may come and go. */
+    /* Forks twice, so that the program is not a child of this process and does not depend
+     * on its life. */
     pid_t intermediate = fork();
     if (intermediate == 0)
         run_intermediate(arguments, log, error_pipe[1], pid_pipe[1]);
@@ -204,7 +205,7 @@
 }
 
 /** Whether the environment of a process contains the entry. */
-static bool is_marked(const char *pid, const char *mark)
+static bool has_environment_entry(const char *pid, const char *entry)
 {
     char path[64];
     g_autofree char *environment = NULL;
@@ -214,12 +215,12 @@
     if (!g_file_get_contents(path, &environment, &len, NULL))
         return false;
     for (gsize at = 0; at < len; at += strlen(environment + at) + 1)
-        if (!strcmp(environment + at, mark))
+        if (!strcmp(environment + at, entry))
             return true;
     return false;
 }
 
-unsigned lmn_kill_with_environment_entry(const char *mark)
+unsigned lmn_kill_with_environment_entry(const char *entry)
 {
     g_autoptr(GDir) processes = g_dir_open("/proc", 0, NULL);
     const char *name;
@@ -227,7 +228,7 @@
 
     while (processes && (name = g_dir_read_name(processes))) {
         pid_t pid = (pid_t)strtol(name, NULL, 10);
-        if (pid <= 1 || pid == getpid() || !is_marked(name, mark))
+        if (pid <= 1 || pid == getpid() || !has_environment_entry(name, entry))
             continue;
         kill(pid, SIGKILL);
         count++;
@@ -235,15 +236,15 @@
     return count;
 }
 
-bool lmn_kill_all_with_environment_entry(const char *mark, double seconds)
+bool lmn_kill_all_with_environment_entry(const char *entry, double timeout_s)
 {
-    enum { SCANS_WITHOUT_A_FIND = 2 };
-    struct timespec deadline = lmn_time_add(lmn_now(), seconds);
+    enum { REQUIRED_EMPTY_SCANS = 2 };
+    struct timespec deadline = lmn_time_add(lmn_now(), timeout_s);
 
-    /* One scan may miss a process that is forked while it runs. A second scan that finds
-     * none can't: each process that was found is dying and forks no more. */
-    for (int empty_scans = 0; empty_scans < SCANS_WITHOUT_A_FIND;) {
-        empty_scans = lmn_kill_with_environment_entry(mark) ? 0 : empty_scans + 1;
+    /* One scan of /proc may miss a process that is forked during the scan. Two empty
+     * scans in a row miss none, since a process that was killed forks no more. */
+    for (int empty_scans = 0; empty_scans < REQUIRED_EMPTY_SCANS;) {
+        empty_scans = lmn_kill_with_environment_entry(entry) ? 0 : empty_scans + 1;
         if (!empty_scans && lmn_time_before(deadline, lmn_now()))
             return false;
         if (!empty_scans)
@@ -265,7 +266,7 @@
     return true;
 }
 
-/** Makes a rename in the directory of the path durable. */
+/** Syncs the directory that contains the path, so that a rename in it is durable. */
 static int sync_directory_of(const char *path)
 {
     char *directory = g_path_get_dirname(path);
@@ -287,7 +288,8 @@
     int fd = open(temporary, O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
     int rc = -1, error;
 
-    /* The content is durable before the rename: a crash never shows a part of it. */
+    /* The content is synced before the rename, so that a crash never leaves a file with a
+     * part of it. */
     if (fd >= 0 && write_all(fd, bytes, len) && fsync(fd) == 0 &&
         rename(temporary, path) == 0) {
         rc = sync_directory_of(path);
--- a/src/util/process.h
+++ b/src/util/process.h
@@ -1,12 +1,12 @@
 /**
  * @file
- * Processes and files of this machine: lock files that tell which process runs, starting
- * and reliably ending processes, files that are written whole or not at all. No shared
- * state; any thread may call these functions.
+ * Processes and files of this machine: lock files that show which process is running,
+ * starting and reliably killing processes, atomic replacement of files. No shared state;
+ * any thread may call these functions.
  *
  * A lock is a file lock (flock) of an open descriptor, which the kernel releases when the
- * process ends, however it ends. The file's text, the number of its holder, is only a
- * hint without the lock: numbers of processes are used again.
+ * process ends, also after a crash. The file contains the process id of the holder, which
+ * is only valid while the lock is held: the kernel reuses process ids.
  */
 #ifndef LMN_UTIL_PROCESS_H
 #define LMN_UTIL_PROCESS_H
@@ -23,53 +23,55 @@
 
 /**
  * Locks a file, which is created if needed, for the life of this process and writes the
- * process's number there.
- * @param holder  if another process holds the lock: its number, or 0 if not known.
+ * process id to it.
+ * @param holder  if another process holds the lock: its process id, or 0 if not known.
  * @return the descriptor, to be kept open; LMN_LOCK_HELD or LMN_LOCK_ERROR.
  */
 int lmn_lock_file(const char *path, pid_t *holder);
 
-/** Whether a process holds the lock. @param holder its number; 0 if not known. */
+/** Whether a process holds the lock. @param holder receives its process id; 0 if not
+ * known. */
 bool lmn_lock_held(const char *path, pid_t *holder);
 
-/** Waits until nobody holds the lock. @return false if that takes longer than `seconds`.
+/** Waits until no process holds the lock. @return false if that takes longer than
+ * `seconds`.
  */
 bool lmn_lock_wait(const char *path, double seconds);
 
-/** Sends a signal to the lock's holder, and to no other process that has got the holder's
- * number meanwhile. @return false if nobody holds the lock or the signal can't be sent.
- */
+/** Sends a signal to the lock's holder, and never to another process that has got the
+ * holder's process id after the holder ended. @return false if no process holds the lock
+ * or the signal can't be sent. */
 bool lmn_lock_signal(const char *path, int signal_number);
 
-/** The environment variable with the descriptor of a lock that a process was started
- * with. */
+/** Environment variable with the number of the descriptor of a lock that a process
+ * inherited from the process that started it. */
 #define LMN_LOCK_FD "LEMONSPAR_LOCK_FD"
 
-/** Keeps the descriptor named by LMN_LOCK_FD from being inherited, so that the lock ends
- * with this process and not with the last of its children. To be called before starting
- * any. */
+/** Sets close-on-exec on the descriptor named by LMN_LOCK_FD, so that the lock ends with
+ * this process and not with the last of its children. Must be called before any child is
+ * started. */
 void lmn_lock_set_close_on_exec(void);
 
 /**
- * Starts a program detached: in a session of its own and as nobody's child.
+ * Starts a program detached: in a session of its own, adopted by init.
  * @param arguments  the program's path and its arguments, NULL-terminated.
  * @param log        file that its standard output and error are appended to.
- * @param pid        receives its number; 0 if it could not be started.
+ * @param pid        receives its process id; 0 if it could not be started.
  * @return 0, or the errno value of the failure.
  */
 int lmn_spawn(char *const arguments[], const char *log, pid_t *pid);
 
-/** Kills each process, this one excepted, whose environment contains the entry `mark`
- * ("NAME=value"). @return how many there were. */
-unsigned lmn_kill_with_environment_entry(const char *mark);
+/** Kills each process, except this one, whose environment contains the entry
+ * ("NAME=value"). @return the number of processes found. */
+unsigned lmn_kill_with_environment_entry(const char *entry);
 
-/** Kills them until none is found twice in a row. @return false if some are still alive
- * after so many seconds. */
-bool lmn_kill_all_with_environment_entry(const char *mark, double seconds);
+/** Repeats lmn_kill_with_environment_entry() until it finds no process twice in a row.
+ * @return false if it still finds processes after `timeout_s` seconds. */
+bool lmn_kill_all_with_environment_entry(const char *entry, double timeout_s);
 
-/** Replaces a file's content durably: afterwards, also after a crash, the file has either
- * the new content or what it had before. @return 0, or -1 with errno: the old content,
- * or, if only the directory could not be synced, either of the two. */
+/** Replaces a file's content durably: after a crash at any time the file has either the
+ * new content or the old one. @return 0, or -1 with errno: the file has the old content
+ * or, if only its directory could not be synced, may have either. */
 int lmn_file_replace_durably(const char *path, const void *bytes, size_t len);
 
 /** Removes a directory with all its content, without following links; no error if it
--- a/src/util/token_bucket.h
+++ b/src/util/token_bucket.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A token bucket: limits the rate of something, such as requests to the key-value store,
- * and allows bursts up to its size. The caller passes the time and locks the bucket.
+ * A token bucket: limits the rate of events such as requests to the key-value store, and
+ * allows bursts of up to `burst` tokens. The caller passes the time and locks the bucket.
  */
 #ifndef LMN_UTIL_TOKEN_BUCKET_H
 #define LMN_UTIL_TOKEN_BUCKET_H
@@ -10,15 +10,15 @@
 
 /** The state of one bucket. */
 struct lmn_token_bucket {
-    double rate;  /**< tokens added for each second */
-    double burst; /**< the most tokens that it holds */
-    double level; /**< tokens it holds; negative after a take of more than a
-                       burst */
-    struct timespec refilled_at; /**< the moment that `level` belongs to */
+    double rate;  /**< tokens added per second */
+    double burst; /**< capacity, tokens */
+    double level; /**< tokens available; negative after more than `burst` tokens were
+                       taken at once */
+    struct timespec refilled_at; /**< time at which `level` was computed */
 };
 
-/** Added to each wait, seconds, so that rounding doesn't make the next take fail again by
- * a hair. */
+/** Added to each returned wait, seconds, so that rounding does not leave the bucket
+ * slightly short of the tokens when the caller tries again. */
 static const double LMN_TOKEN_BUCKET_EXTRA_WAIT_S = 1e-3;
 
 /** Starts with a full bucket. */
@@ -29,8 +29,8 @@
         .rate = rate, .burst = burst, .level = burst, .refilled_at = now};
 }
 
-/** Adds the tokens of the time since the last refill. A clock that stands still or goes
- * back changes nothing. */
+/** Adds the tokens for the time since the last refill. Does nothing if `now` is not later
+ * than the last refill. */
 static inline void lmn_token_bucket_refill(struct lmn_token_bucket *bucket,
                                            struct timespec now)
 {
@@ -44,9 +44,9 @@
 }
 
 /**
- * Takes tokens if they are there. More than a burst is taken from a full bucket, which
- * then goes into debt, since it would never hold as many.
- * @return 0 if they were taken; otherwise the seconds until they can be.
+ * Takes tokens if enough are available. More than `burst` tokens are taken as soon as the
+ * bucket is full, which leaves `level` negative: the bucket could never hold that many.
+ * @return 0 if the tokens were taken; otherwise the seconds until they can be taken.
  */
 static inline double lmn_token_bucket_take(struct lmn_token_bucket *bucket, double tokens,
                                            struct timespec now)
--- a/src/worker/executor_task.c
+++ b/src/worker/executor_task.c
@@ -86,7 +86,7 @@
     for (const struct lmn_cbor_value *node = lmn_cbor_first_child(document, list); node;
          node = lmn_cbor_next(document, node))
         if (node->type == LMN_CBOR_TEXT)
-            g_ptr_array_add(texts, g_strndup(node->s, node->len));
+            g_ptr_array_add(texts, g_strndup(node->text, node->len));
     if (last)
         g_ptr_array_add(texts, g_strdup(last));
     g_ptr_array_add(texts, NULL);
