--- a/src/config/config.c
+++ b/src/config/config.c
@@ -16,7 +16,7 @@
     char *text;    /**< owned */
     double number; /**< of an array: its length */
     unsigned line;
-    bool is_used; /**< some getter has read it */
+    bool is_used; /**< a getter has read it */
 };
 
 struct lmn_config {
@@ -85,7 +85,7 @@
         config->error = g_strdup_printf("%s: %s: %s", config->name, path, what);
 }
 
-/** How messages name what was expected. By enum lmn_config_kind. */
+/** Names of the kinds of fields in errors. Indexed by enum lmn_config_kind. */
 static const char *const kind_words[] = {"a text in quotes", "a number", "true or false",
                                          "an array", "a table"};
 
@@ -114,7 +114,8 @@
     const struct item *item = find_item(config, path, LMN_CONFIG_TEXT, !fallback);
 
     if (item && !*item->text)
-        lmn_config_fail(config, path, "expected a text that is not empty");
+        lmn_config_fail(config, path,
+                        "expected a text of at least 1 character, got \"\"");
     if (item)
         return item->text;
     return fallback ? fallback : "";
@@ -138,9 +139,10 @@
     const char *name = lmn_config_text(config, path, fallback);
 
     if (!is_name(name))
-        lmn_config_fail(config, path,
-                        "expected a name of 1 to %d letters, digits, '-', '_' and '.'",
-                        LMN_NAME_SIZE - 1);
+        lmn_config_fail(
+            config, path,
+            "expected a name of 1 to %d letters, digits, '-', '_' and '.', got \"%s\"",
+            LMN_NAME_SIZE - 1, name);
     return name;
 }
 
@@ -154,8 +156,10 @@
     /* An empty text is an absent optional field, or has been reported already. */
     if (*address && (strlen(address) >= LMN_ADDRESS_SIZE ||
                      lmn_address_split(address, host, sizeof host, &port) != 0))
-        lmn_config_fail(config, path,
-                        "expected an IPv4 address and a port, as in 127.0.0.1:8080");
+        lmn_config_fail(
+            config, path,
+            "expected an IPv4 address and a port, as in 127.0.0.1:8080, got \"%s\"",
+            address);
     return address;
 }
 
@@ -168,7 +172,8 @@
         return fallback;
     /* Written so that a NaN is refused too. */
     if (!(item->number >= min && item->number <= max)) {
-        lmn_config_fail(config, path, "expected a number from %g to %g", min, max);
+        lmn_config_fail(config, path, "expected a number from %g to %g, got %g", min, max,
+                        item->number);
         return fallback;
     }
     return item->number;
@@ -191,15 +196,15 @@
     return g_hash_table_contains(config->items, path);
 }
 
-/** Reports the first field that nobody read. Tables are left out: a table is known by its
- * fields. */
+/** Reports the first field that no getter has read. Skips tables: an unknown table is
+ * reported by its fields. */
 static void report_unknown_field(struct lmn_config *config)
 {
     for (guint i = 0; i < config->order->len && !config->error; i++) {
         const char *path = config->order->pdata[i];
         const struct item *item = g_hash_table_lookup(config->items, path);
         if (!item->is_used && item->kind != LMN_CONFIG_TABLE)
-            lmn_config_fail(config, path, "no such field; take it out, or mend its name");
+            lmn_config_fail(config, path, "no such field; remove it or correct its name");
     }
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,13 +1,14 @@
 /**
  * @file
  * Reading of operators' TOML files (sites, machine inventories, gateways, ...). A file is
- * flattened into fields by path; the callers read the fields one by one, and whatever is
- * wrong is reported with file, line, field and what was expected. The file that the
+ * flattened into fields by path; the callers read the fields one by one, and each
+ * error names the file, line, field and expected value. The file that the
  * platform hands to a controller has a reader of its own (config/settings.h).
  *
- * Errors: only the first one is kept. After it the getters go on with their defaults, so
- * that callers need no checks in between; lmn_config_finish() reports it, and also
- * reports a field that nobody read, since that is a misspelt name.
+ * Errors: only the first one is kept. After an error the getters return
+ * their fallbacks or the values as read, so that callers need no checks between them;
+ * lmn_config_finish() reports it, and also reports a field that no getter has read, since
+ * its name is unknown or misspelt.
  *
  * Paths are dotted, with indices for arrays: "machines[2].zone". A configuration belongs
  * to one thread; it owns all the text that its getters return.
@@ -44,24 +45,25 @@
  */
 struct lmn_config *lmn_config_load(const char *path, char *err, size_t len);
 
-/** The same for a text in memory. @param name stands for the file in messages. */
+/** Like lmn_config_load(), for text in memory. @param name written in place of the file's
+ * path in errors. */
 struct lmn_config *lmn_config_parse(const char *text, const char *name, char *err,
                                     size_t len);
 
-/** Makes an empty configuration. For the TOML reader. */
+/** Creates an empty configuration. For the TOML reader. */
 struct lmn_config *lmn_config_new(const char *name);
 
 /**
  * Adds a field. For the TOML reader.
  * @param text    copied; of LMN_CONFIG_TEXT: the value.
  * @param number  the value of a number; 0 or 1 for a boolean; the length of an array.
- * @param line    where it stands in the file.
+ * @param line    number of its line in the file.
  */
 void lmn_config_add(struct lmn_config *config, const char *path,
                     enum lmn_config_kind kind, const char *text, double number,
                     unsigned line);
 
-/** Frees the configuration and all the text that its getters have returned. */
+/** Frees the configuration, including all text that its getters have returned. */
 void lmn_config_free(struct lmn_config *config);
 
 #ifdef __cplusplus
@@ -92,7 +94,7 @@
 /** @return the number of elements of an array; 0 if it is absent. */
 guint lmn_config_count(struct lmn_config *config, const char *path);
 
-/** Whether the file contains the field, of whatever kind. */
+/** Whether the file contains the field, of any kind. */
 bool lmn_config_has(struct lmn_config *config, const char *path);
 
 /** Reports an error that the caller found in a field: printf-like, as in "expected ...".
@@ -104,7 +106,7 @@
  * Ends the reading. The configuration stays valid and is still to be freed.
  * @param err  receives the first error as "file: line N: field: what", cut to `len`
  * bytes.
- * @return 0, or -1 if there was an error or a field that nobody read.
+ * @return 0, or -1 if there was an error or a field that no getter has read.
  */
 int lmn_config_finish(struct lmn_config *config, char *err, size_t len);
 
--- a/src/config/operator_settings.c
+++ b/src/config/operator_settings.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * One table of all operator settings: names, places in the structure and ranges.
+ * Table of all operator settings: names, offsets in the structure and ranges.
  */
 #include "config/operator_settings.h"
 
@@ -60,14 +60,14 @@
             continue;
         /* Written so that a NaN is refused too. */
         if (!(value >= fields[i].min && value <= fields[i].max)) {
-            snprintf(err, len, "%s: expected a number from %g to %g", name, fields[i].min,
-                     fields[i].max);
+            snprintf(err, len, "%s: expected a number from %g to %g, got %g", name,
+                     fields[i].min, fields[i].max, value);
             return -1;
         }
         *(double *)((char *)settings + fields[i].offset) = value;
         return 0;
     }
-    snprintf(err, len, "%s: no such setting", name);
+    snprintf(err, len, "%s: no operator setting has this name", name);
     return -1;
 }
 
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Questions about the settings. The file is read in toml.cpp.
+ * Values derived from the settings, and look-ups in them. The file is read in toml.cpp.
  */
 #include "config/settings.h"
 
@@ -12,11 +12,14 @@
 
 enum { MAX_PORT = 65535 };
 
-/** The margin of a view's age: a share of cancel_s, and at least so many seconds. */
+/** Margin subtracted from the maximum age of a controller's view of the key-value store,
+ * for clock drift and for killing tasks: a share of cancel_s, but at least MIN_MARGIN_S
+ * seconds. */
 static const double MARGIN_SHARE = 0.05, MIN_MARGIN_S = 1;
 
-/** A view is up to about a second old when all is well, and older when the key-value
- * store is slow: settings that leave less than this deserve a warning. */
+/** Maximum age of a view, seconds, at or below which the settings cause a warning. A view
+ * is up to about one second old in normal operation, and older if the key-value store is
+ * slow. */
 static const double SAFE_CACHE_AGE_S = 3;
 
 void lmn_settings_free(struct lmn_settings *settings)
@@ -64,13 +67,13 @@
         return false;
     snprintf(
         text, len,
-        "params.workers.cancel_s = %g, lease_s = %g: beside a lease and a margin of "
-        "%g s, a cancellation leaves a controller's view %g s to be old; %s. Raise "
-        "cancel_s to %g or more, or lower lease_s",
+        "params.workers.cancel_s = %g, lease_s = %g: after a lease and a margin of "
+        "%g s, a controller's view of the key-value store may be at most %g s old; %s. "
+        "Raise cancel_s to %g or more, or lower lease_s",
         settings->cancel_s, settings->lease_s, margin_s(settings),
         max_age_s > 0 ? max_age_s : 0,
-        max_age_s > 0 ? "whenever the state service is slower than that, all tasks "
-                        "are lost"
+        max_age_s > 0 ? "whenever the store is slower than that, leases expire and all "
+                        "tasks are lost"
                       : "no worker is ever answered, and no task ever starts",
         ceil((settings->lease_s + SAFE_CACHE_AGE_S + MIN_MARGIN_S) / (1 - MARGIN_SHARE)));
     return true;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -2,8 +2,9 @@
  * @file
  * The settings that the platform hands to a controller in a TOML file: read once at the
  * start and never changed afterwards, so that all threads may read them without a lock.
- * The names of the file are the platform's and stay; each field says which one it comes
- * from. Settings that operators change at run time are in config/operator_settings.h.
+ * The platform defines the names in the file; the comment of each field says which name
+ * it is read from. Settings that operators change at run time are in
+ * config/operator_settings.h.
  */
 #ifndef LMN_CONFIG_SETTINGS_H
 #define LMN_CONFIG_SETTINGS_H
@@ -16,13 +17,13 @@
     LMN_ADDRESS_SIZE = 64, /**< bytes of "IPv4:port" with its closing zero byte */
     LMN_MAX_MEMBERS = 32,  /**< controllers other than the node itself */
     LMN_MAX_PARTITIONS = LMN_MAX_MEMBERS + 1,
-    /** Refuses files that can't be meant. Nothing is allocated for it in advance: what is
-     * kept by team is allocated by the number of teams there are. */
+    /** Files with more teams are refused as erroneous. Memory is allocated for the teams
+     * in the file, not for this number. */
     LMN_MAX_TEAMS = 4096,
     LMN_MAX_OBJECTIVES = 64 /**< further ones are ignored */
 };
 
-/** Another controller of the group (members). */
+/** Another controller of the group: an entry of `members`. */
 struct lmn_member {
     char name[LMN_NAME_SIZE];       /**< host_name */
     char zone[LMN_NAME_SIZE];       /**< area; "": not known */
@@ -40,7 +41,8 @@
     double gpus_max;          /**< gpus_max: limit of GPUs */
 };
 
-/** What an objective expects of a class of jobs; the words of its `kind` stand beside. */
+/** What an objective requires of a class of jobs. Each comment starts with the word that
+ * the file has in `kind`. */
 enum lmn_objective_kind {
     LMN_OBJECTIVE_START,    /**< wait: tasks start within a time */
     LMN_OBJECTIVE_FINISH,   /**< finished: the job is done within a time */
@@ -78,10 +80,10 @@
     int partition_count; /**< params.initial_size; default: the number of controllers */
 
     double heartbeat_s; /**< params.workers.report_s: interval of heartbeats, seconds */
-    double lease_s;  /**< params.workers.lease_s: a worker that got no reply for so many
-                          seconds stops its tasks */
-    double cancel_s; /**< params.workers.cancel_s: seconds in which the last task of a
-                          cancelled job must have ended */
+    double lease_s;     /**< params.workers.lease_s: time without a
+                             reply after which a worker stops its tasks, seconds */
+    double cancel_s;    /**< params.workers.cancel_s: seconds in which the last task of a
+                             cancelled job must have ended */
 
     double
         state_requests_per_s; /**< params.state.rps: budget of all controllers together */
@@ -91,8 +93,8 @@
 
     double
         cloud_requests_per_s; /**< params.cloud.rps: budget of all controllers together */
-    double list_lag_s;        /**< params.cloud.list_lag_s: age of the cloud's lists,
-                                   seconds */
+    double list_lag_s;        /**< params.cloud.list_lag_s: maximum age of the
+                                   cloud's lists of machines, seconds */
 
     double cores;        /**< params.resources.cores: processors for this process */
     double memory_mb;    /**< params.resources.memory_mb: memory for this process, MB */
@@ -106,37 +108,40 @@
 /**
  * Reads a file.
  * @param settings  filled; its former content is overwritten, not freed.
- * @param err       on failure: "file: field: what", cut to `len` bytes with the closing
- * zero byte.
+ * @param err       on failure: receives "file: field: error", cut to `len` bytes with the
+ * closing zero byte.
  * @return 0, or -1 after a failure, which leaves nothing to be freed.
  */
 int lmn_settings_load(const char *path, struct lmn_settings *settings, char *err,
                       size_t len);
 
-/** The same for a text in memory. @param name stands for the file in messages. */
+/** Like lmn_settings_load(), for text in memory. @param name written in place of the
+ * file's path in errors. */
 int lmn_settings_parse(const char *text, const char *name, struct lmn_settings *settings,
                        char *err, size_t len);
 
-/** Releases what the settings own. */
+/** Frees the memory that the settings own, but not the structure. */
 void lmn_settings_free(struct lmn_settings *settings);
 
 /**
- * How old a controller's view of the key-value store may be for it to answer workers.
+ * Maximum age of a controller's view of the key-value store at which it may answer
+ * workers.
  *
  * An answer renews the worker's lease. A cancellation that the view doesn't show yet is
- * enforced by the lease's expiry at the latest, so that the view's age and a lease
- * together must stay within cancel_s, with a margin for the drift of clocks and for
+ * enforced at the latest when the lease expires. Therefore the age of the view plus
+ * lease_s must stay below cancel_s, with a margin for the drift of clocks and for
  * killing the task.
  *
- * @return seconds; 0 or less: no view is ever fresh enough.
+ * @return seconds; 0 or less: no view is fresh enough, and no worker is answered.
  */
 double lmn_settings_max_cache_age_s(const struct lmn_settings *settings);
 
-/** Describes settings that are valid but leave too little for a view's age. @return
- * false, with `text` untouched, if there is nothing to warn of. */
+/** Writes a warning if the settings are valid but lmn_settings_max_cache_age_s() is 3 s
+ * or less. @return false, with `text` untouched, if there is nothing to warn of. */
 bool lmn_settings_warning(const struct lmn_settings *settings, char *text, size_t len);
 
-/** @return how many connections to workers a controller keeps open for its own calls. */
+/** @return the number of connections to workers that a controller keeps open for its own
+ * calls. */
 static inline unsigned
 lmn_settings_worker_connections(const struct lmn_settings *settings)
 {
@@ -147,8 +152,9 @@
 const struct lmn_team *lmn_settings_team(const struct lmn_settings *settings,
                                          const char *name);
 
-/** @return the place of a controller among all by name, from 0: it decides who prefers
- * which partition, and all controllers compute the same. */
+/** @return the index of a controller, from 0, in the list of all controllers sorted by
+ * name. It decides which controller prefers which partition; every controller computes
+ * the same index. */
 int lmn_settings_member_index(const struct lmn_settings *settings, const char *node);
 
 /** Splits "10.0.0.1:8080". @return 0, or -1 if it is no IPv4 address with a port from 1
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -2,8 +2,8 @@
  * @file
  * Parsing of TOML: the platform's settings into struct lmn_settings, and operators' files
  * into the flat fields of struct lmn_config. The one C++ file, since Debian packages
- * toml++ but no C library for TOML. Exceptions end here: the functions with C linkage
- * turn them into messages. No shared state.
+ * toml++ but no C library for TOML. The functions with C linkage catch all
+ * exceptions and return their messages. No shared state.
  */
 #include "config/config.h"
 #include "config/settings.h"
@@ -24,10 +24,12 @@
 namespace
 {
 
-/** Upper bounds of settings: far above what is meant, so that a slip is noticed. */
+/** Upper bounds of settings, far above sensible values, so that typing errors are
+ * refused.
+ */
 constexpr double MAX_AMOUNT = 1e9, MAX_FACTOR = 1e6, MAX_PERIOD_S = 3600;
 
-/** A field of the settings that is missing or invalid: "field: what". */
+/** A field of the settings that is missing or invalid; the message is "field: error". */
 struct invalid_field : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -44,7 +46,8 @@
     }
 };
 
-/** Copies a text without spaces and slashes, since names become keys and paths. */
+/** Copies a text. Spaces and slashes are refused, since names become parts of keys and
+ * paths. */
 void read_text(const section &from, const char *key, char *out, size_t size,
                bool is_required = true)
 {
@@ -59,7 +62,8 @@
         value->find_first_of(" \t\n/") != std::string::npos)
         throw invalid_field(from.name_of(key) + ": expected a text of 1 to " +
                             std::to_string(size - 1) +
-                            " characters without spaces or slashes");
+                            " characters without spaces or slashes" +
+                            (value ? ", got \"" + *value + "\"" : ""));
     // `value` holds the text itself, and nothing changes it in between.
     // NOLINTNEXTLINE(clang-analyzer-cplusplus.InnerPointer)
     std::memcpy(out, value->c_str(), value->size() + 1);
@@ -71,8 +75,10 @@
     int port;
     read_text(from, key, out, LMN_ADDRESS_SIZE);
     if (lmn_address_split(out, host, sizeof host, &port) != 0)
-        throw invalid_field(from.name_of(key) +
-                            ": expected an IPv4 address and a port, as in 10.0.0.1:8080");
+        throw invalid_field(
+            from.name_of(key) +
+            ": expected an IPv4 address and a port, as in 10.0.0.1:8080, got \"" + out +
+            "\"");
 }
 
 double read_number(const section &from, const char *key, double fallback, double min,
@@ -94,7 +100,8 @@
 {
     double value = read_number(from, key, fallback, min, max);
     if (value != std::floor(value))
-        throw invalid_field(from.name_of(key) + ": expected a whole number");
+        throw invalid_field(from.name_of(key) + ": expected a whole number, got " +
+                            std::to_string(value));
     return static_cast<int>(value);
 }
 
@@ -129,16 +136,19 @@
 void read_member(const section &from, lmn_settings &settings)
 {
     if (settings.member_count == LMN_MAX_MEMBERS)
-        throw invalid_field("members: too many");
+        throw invalid_field("members: more than " + std::to_string(LMN_MAX_MEMBERS) +
+                            " controllers");
     lmn_member &member = settings.members[settings.member_count++];
     read_text(from, "host_name", member.name, sizeof member.name);
     read_text(from, "area", member.zone, sizeof member.zone, false);
     read_address(from, "address", member.address);
     for (size_t i = 0; i + 1 < settings.member_count; i++)
         if (!std::strcmp(settings.members[i].name, member.name))
-            throw invalid_field(from.name_of("host_name") + ": named twice");
+            throw invalid_field(from.name_of("host_name") + ": \"" + member.name +
+                                "\" is the name of an earlier member");
     if (!std::strcmp(settings.node_name, member.name))
-        throw invalid_field(from.name_of("host_name") + ": names this node itself");
+        throw invalid_field(from.name_of("host_name") + ": \"" + member.name +
+                            "\" is the name of this node");
 }
 
 /** Allocates with malloc, since lmn_settings_free() is C. */
@@ -169,14 +179,15 @@
         throw invalid_field(from.name_of("gpus") + ": more than gpus_max");
     for (size_t i = 0; i + 1 < settings.team_count; i++)
         if (!std::strcmp(settings.teams[i].name, team.name))
-            throw invalid_field(from.name_of("name") + ": named twice");
+            throw invalid_field(from.name_of("name") + ": \"" + team.name +
+                                "\" is the name of an earlier team");
 }
 
-/** Ignores an objective of an unknown kind: a later version of the platform may have more
- * kinds than this one knows. */
+/** Adds an objective. Ignores one of an unknown kind, since a later version of the
+ * platform may define further kinds. */
 void read_objective(const section &from, lmn_settings &settings)
 {
-    // By enum lmn_objective_kind.
+    // Indexed by enum lmn_objective_kind.
     static const char *const kind_words[] = {"wait", "finished", "deadline", "guarantee"};
     char word[LMN_NAME_SIZE] = "";
     lmn_objective objective = {};
@@ -258,7 +269,8 @@
     read_params(subtable(table, "params"), settings);
 }
 
-/** Runs `action`. @return false, with "name: what" in `err`, if it threw an exception. */
+/** Runs `action`. @return false, with "name: error" in `err`, if it threw an exception.
+ */
 template <class Action>
 bool run_catching(const char *name, char *err, size_t len, Action action)
 {
@@ -286,7 +298,7 @@
     return -1;
 }
 
-/** Adds a node of an operator's file and all that it contains. */
+/** Adds a node of an operator's file and all nodes in it. */
 void flatten(lmn_config *config, const std::string &path, const toml::node &node)
 {
     unsigned line = static_cast<unsigned>(node.source().begin.line);
@@ -312,7 +324,8 @@
     } else if (auto text = node.value<std::string>()) {
         add(LMN_CONFIG_TEXT, text->c_str(), 0);
     } else {
-        // Dates and times: no field has this kind, so that whoever reads it reports it.
+        // Dates and times are added as tables: no getter reads a table, so that the
+        // getter of the field reports a wrong kind.
         add(LMN_CONFIG_TABLE, "", 0);
     }
 }
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -15,7 +15,7 @@
     STATUS_OK = 200
 };
 
-/** Bound of the time to connect, seconds: a dead address is noticed long before the
+/** Maximum time to connect, seconds, so that an unreachable address fails long before the
  * timeout of a long call. */
 static const double MAX_CONNECT_S = 1.5;
 
@@ -26,11 +26,12 @@
     CURL *curl;
     struct curl_slist *headers;
     char base_url[96];
-    const GByteArray *body; /**< of the request being sent; the caller's */
-    size_t sent;            /**< bytes of it that libcurl has taken */
+    const GByteArray *body; /**< of the request being sent; owned by the caller */
+    size_t body_sent;       /**< bytes of `body` that libcurl has read */
 };
 
-/** Receives a part of the response; taking less than was offered ends the call. */
+/** Receives a part of the response. Returning fewer bytes than were passed makes libcurl
+ * abort the call. */
 static size_t on_response(char *bytes, size_t size, size_t count, void *arg)
 {
     GByteArray *out = arg;
@@ -43,20 +44,20 @@
 }
 
 /**
- * Hands out the body once.
+ * Passes the body to libcurl once.
  *
- * libcurl sends a request again by itself when a kept connection ends without a response.
- * The first one may have been executed all the same, and a repeated transaction would
- * then be reported as a conflict, as if nothing had been applied. libcurl can't do so
- * with a body that it can't rewind, so no seek function is set.
+ * libcurl repeats a request if a reused connection ends without a response. The server
+ * may have executed the first request, and a repeated transaction would then be reported
+ * as a conflict although it was applied. libcurl can't repeat a request whose body it
+ * can't rewind, so no seek function is set.
  */
 static size_t on_send(char *out, size_t size, size_t count, void *arg)
 {
     struct lmn_http_client *client = arg;
-    size_t len = MIN(size * count, client->body->len - client->sent);
+    size_t len = MIN(size * count, client->body->len - client->body_sent);
 
-    memcpy(out, client->body->data + client->sent, len);
-    client->sent += len;
+    memcpy(out, client->body->data + client->body_sent, len);
+    client->body_sent += len;
     return len;
 }
 
@@ -69,16 +70,18 @@
     client->curl = curl;
     g_snprintf(client->base_url, sizeof client->base_url, "http://%s", address);
     client->headers = curl_slist_append(NULL, "Content-Type: application/cbor");
-    /* Without a value: libcurl leaves these headers out. */
+    /* A header without a value makes libcurl omit that header. */
     client->headers = curl_slist_append(client->headers, "Expect:");
     client->headers = curl_slist_append(client->headers, "Accept:");
-    curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L); /* there are many threads */
+    curl_easy_setopt(curl, CURLOPT_NOSIGNAL,
+                     1L); /* signals are unsafe with several threads */
     curl_easy_setopt(curl, CURLOPT_HTTPHEADER, client->headers);
     curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_response);
     curl_easy_setopt(curl, CURLOPT_READFUNCTION, on_send);
     curl_easy_setopt(curl, CURLOPT_READDATA, client);
     curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
-    curl_easy_setopt(curl, CURLOPT_PROXY, ""); /* none, whatever the environment says */
+    curl_easy_setopt(curl, CURLOPT_PROXY,
+                     ""); /* no proxy, also if the environment names one */
     curl_easy_setopt(curl, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(curl, CURLOPT_BUFFERSIZE, (long)RECEIVE_BUFFER_BYTES);
     return client;
@@ -91,8 +94,8 @@
     g_free(client);
 }
 
-/** Sets a POST or PUT. An empty body is given as a text, so that on_send() isn't called:
- * there may be no byte array. */
+/** Prepares a POST or PUT. An empty body is passed as an empty string, so that libcurl
+ * does not call on_send(), which needs a byte array. */
 static void set_request_with_body(struct lmn_http_client *client, const char *method,
                                   const GByteArray *body)
 {
@@ -101,7 +104,7 @@
     curl_easy_setopt(client->curl, CURLOPT_CUSTOMREQUEST, is_put ? method : NULL);
     curl_easy_setopt(client->curl, CURLOPT_POST, 1L);
     client->body = body;
-    client->sent = 0;
+    client->body_sent = 0;
     curl_easy_setopt(client->curl, CURLOPT_POSTFIELDS, body && body->len ? NULL : "");
     curl_easy_setopt(client->curl, CURLOPT_POSTFIELDSIZE, body ? (long)body->len : 0L);
 }
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,8 +1,8 @@
 /**
  * @file
  * Blocking HTTP/1.1 calls over libcurl. A client keeps one connection to one address and
- * belongs to one thread; nothing is locked. Retries are the caller's: only the caller
- * knows whether a request may be executed twice.
+ * belongs to one thread; nothing is locked. The client never retries: only the
+ * caller knows whether a request may be executed twice.
  */
 #ifndef LMN_HTTP_CLIENT_H
 #define LMN_HTTP_CLIENT_H
@@ -19,18 +19,18 @@
     LMN_HTTP_NO_RESPONSE = -2 /**< the request may or may not have been executed */
 };
 
-/** Makes a client, which connects with its first call. @param address "IPv4:port". */
+/** Creates a client, which connects on its first call. @param address "IPv4:port". */
 struct lmn_http_client *lmn_http_client_new(const char *address);
 
 /** Closes the connection and frees the client. */
 void lmn_http_client_free(struct lmn_http_client *client);
 
 /**
- * Makes a call and waits for the response. A request with a body is sent at most once.
+ * Sends a request and waits for the response. A request with a body is sent at most once.
  * @param method     "GET", "POST", "PUT" or "DELETE".
  * @param path       path and query.
- * @param body       CBOR of a POST or PUT; NULL: empty. Stays the caller's.
- * @param timeout_s  seconds for the whole call; connecting takes at most 1.5 of them.
+ * @param body       CBOR of a POST or PUT; NULL: empty. Remains owned by the caller.
+ * @param timeout_s  seconds for the whole call; connecting takes at most 1.5 s.
  * @param out        its content is replaced by the body of the response.
  * @return the HTTP status, LMN_HTTP_NOT_SENT or LMN_HTTP_NO_RESPONSE. A response of more
  * than 8 MiB counts as none.
@@ -39,10 +39,11 @@
                          const char *path, const GByteArray *body, double timeout_s,
                          GByteArray *out);
 
-/** @return seconds that the last response asked to wait (Retry-After); 0: none. */
+/** @return seconds in the Retry-After header of the last response; 0: none. */
 double lmn_http_client_retry_after(struct lmn_http_client *client);
 
-/** Whether the service at the address says that it is ready; waits for up to a second. */
+/** Whether the readiness probe of the service at the address is answered with 200 within
+ * one second. */
 bool lmn_http_is_ready(const char *address);
 
 #endif
--- a/src/http/metrics.c
+++ b/src/http/metrics.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * OpenMetrics text.
+ * Formatting of metrics as OpenMetrics text.
  */
 #include "http/metrics.h"
 
--- a/src/http/metrics.h
+++ b/src/http/metrics.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * Metrics as OpenMetrics text. Debian packages a client library for C++ only; the text
- * form is small enough to write with GLib's strings. Nothing is kept here: each request
- * collects the values anew, and whoever appends them holds the locks that they need.
+ * Metrics as OpenMetrics text. Debian packages a client library for C++ only, and the
+ * format is simple enough to write with GLib's strings. No state is kept: each request
+ * collects the values again, and the caller holds the locks that protect them.
  */
 #ifndef LMN_HTTP_METRICS_H
 #define LMN_HTTP_METRICS_H
@@ -16,7 +16,8 @@
 /** Appends a counter without labels. @param name without "_total", which is added. */
 void lmn_metric_counter(GString *out, const char *name, const char *help, uint64_t value);
 
-/** Appends a summary of durations: the quantiles 0.5, 0.95 and 0.99, and their number. */
+/** Appends a summary of durations: the quantiles 0.5, 0.95 and 0.99, and the number of
+ * durations. */
 void lmn_metric_duration_summary(GString *out, const char *name, const char *help,
                                  const struct lmn_latency *latency);
 
@@ -33,7 +34,7 @@
 void lmn_metric_sample(GString *out, const char *name, const char *label,
                        const char *value, double sample);
 
-/** Answers a request for metrics with what `fill` appends. */
+/** Responds to a request for metrics with the text that `fill` appends. */
 void lmn_metrics_respond(struct lmn_http_request *request,
                          void (*fill)(void *arg, GString *out), void *arg);
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -6,8 +6,8 @@
  * thread each.
  *
  * Threads and locks: callbacks of the options run on the server's thread and must not
- * block. Each server has one lock, taken only inside these functions, under which nothing
- * of the caller is called; callers may hold their own locks.
+ * block. Each server has one lock, taken only inside these functions, and calls no
+ * callback while it is held; callers may hold their own locks.
  *
  * Not here: authentication, TLS, routing by path (each service has its own), and the
  * meaning of connection kinds (admission/connection_budget.h).
@@ -38,8 +38,8 @@
 /** Answers a request that was received whole, or defers it. */
 typedef void lmn_http_handler(void *arg, struct lmn_http_request *request);
 
-/** Connections are counted by kind. Kinds are numbers below this one; the caller gives
- * them a meaning. */
+/** Connections are counted by kind, a number from 0 to LMN_HTTP_CONNECTION_KINDS - 1
+ * whose meaning the caller defines. */
 enum { LMN_HTTP_CONNECTION_KINDS = 4 };
 
 /** Whether a connection of this kind may stay open after its response. @param open number
@@ -55,17 +55,18 @@
 typedef bool lmn_http_admit(void *arg, const unsigned open[LMN_HTTP_CONNECTION_KINDS],
                             unsigned kind);
 
-/** How a server is to run. Copied; the structure need not outlive the start. */
+/** Options of a server. Copied at the start; the structure need not exist afterwards. */
 struct lmn_http_server_options {
     /** "IPv4:port", port 0: any free one; NULL: connections come by
      * lmn_http_server_adopt() only. */
     const char *listen;
-    /** Most open connections; further ones are refused. */
+    /** Maximum number of open connections; further ones are refused. */
     unsigned connections;
-    /** Bytes; a longer body is read to its end, not kept, and answered with 400. */
+    /** Maximum length of a body, bytes. A longer body is read to its end, not stored, and
+     * answered with 400. */
     size_t max_body;
-    /** Bytes that libmicrohttpd allocates for each connection, which bound the length of
-     * the headers; 0: 32 KiB. */
+    /** Bytes that libmicrohttpd allocates for each connection, which limits the length
+     * of the headers; 0: 32 KiB. */
     size_t connection_memory;
     /** Seconds after which lmn_http_server_expire_deferred() answers a deferred request
      * with 503; 0: never. */
@@ -75,37 +76,38 @@
     lmn_http_handler *route;                   /**< required */
     lmn_http_keep_open *keep_open;             /**< NULL: all connections stay open */
     lmn_http_connection_kind *connection_kind; /**< NULL: all are of kind 0 */
-    /** NULL, or connection_kind NULL: all connections are accepted. One that is not
-     * accepted is closed at once. */
+    /** If this or connection_kind is NULL, all connections are accepted. A connection
+     * that is not accepted is closed at once. */
     lmn_http_admit *admit;
-    void *arg; /**< of all callbacks; must outlive the server */
+    void *arg; /**< passed to all callbacks; must outlive the server */
 };
 
 /** Starts a server. @return NULL if it can't listen (errno says why). */
 struct lmn_http_server *
 lmn_http_server_start(const struct lmn_http_server_options *options);
 
-/** @return the port that the server listens on: for an address with port 0. */
+/** @return the port that the server listens on, also if `listen` had port 0. */
 int lmn_http_server_port(const struct lmn_http_server *server);
 
-/** Serves a connection that the caller has accepted, and takes its descriptor over.
+/** Serves a connection that the caller has accepted, and takes ownership of `fd`.
  * @return 0, or -1 if the server refuses it. Any thread. */
 int lmn_http_server_adopt(struct lmn_http_server *server, int fd);
 
-/** Answers deferred requests that have waited too long with 503 and Retry-After. To be
- * called regularly, on any thread. */
+/** Answers deferred requests older than `defer_timeout_s` with 503 and Retry-After. Must
+ * be called regularly, on any thread. */
 void lmn_http_server_expire_deferred(struct lmn_http_server *server);
 
 /** Connections by kind. */
 struct lmn_http_server_load {
     unsigned open[LMN_HTTP_CONNECTION_KINDS];    /**< now */
-    uint64_t closed[LMN_HTTP_CONNECTION_KINDS];  /**< closed with a response since the
-                                                      start, as keep_open said so */
+    uint64_t closed[LMN_HTTP_CONNECTION_KINDS];  /**< closed after a response because
+                                                      keep_open returned false, since
+                                                      the start */
     uint64_t refused[LMN_HTTP_CONNECTION_KINDS]; /**< not accepted since the start */
 };
 
-/** Reads the counters. Any thread; they are read one by one, so that they may differ by
- * the connections of the moment. */
+/** Reads the counters. Any thread; they are read one after another, so that their sum
+ * may be off by connections that open or close meanwhile. */
 void lmn_http_server_load(const struct lmn_http_server *server,
                           struct lmn_http_server_load *load);
 
@@ -127,31 +129,31 @@
  * not known. */
 int lmn_http_request_port(const struct lmn_http_request *request);
 
-/** Counts the request's connection among those of the kind from now on. Only on the
+/** Changes the kind that the request's connection is counted under. Only on the
  * server's thread, before the request is answered or deferred. */
 void lmn_http_request_set_kind(struct lmn_http_request *request, unsigned kind);
 
 /**
  * Answers a request with CBOR. If it was answered already, or its connection has ended,
  * the response is dropped. A deferred request must not be used afterwards. Any thread.
- * @param body         taken over; NULL: none.
+ * @param body         the server takes ownership; NULL: none.
  * @param retry_after  seconds for the Retry-After header; 0: none.
  */
 void lmn_http_request_respond(struct lmn_http_request *request, int status,
                               GByteArray *body, int retry_after);
 
-/** The same with a body of another type, as in "text/plain". @param type must outlive the
- * request: a string constant. */
+/** Like lmn_http_request_respond(), with a body of another content type, such as
+ * "text/plain". @param type a string constant, since it must outlive the request. */
 void lmn_http_request_respond_as(struct lmn_http_request *request, int status,
                                  const char *type, GByteArray *body);
 
-/** The same with {"error": what}. */
+/** Like lmn_http_request_respond(), with the body {"error": what}. */
 void lmn_http_request_fail(struct lmn_http_request *request, int status,
                            const char *what);
 
-/** Announces that the response will come later. The request stays valid until it is
- * answered, which must happen exactly once, also after its connection has ended. Only in
- * the handler. */
+/** Defers the response. The request stays valid until it is answered, which must happen
+ * exactly once, also after its connection has ended. May only be called by the handler.
+ */
 void lmn_http_request_defer(struct lmn_http_request *request);
 
 #endif
--- a/src/http/server_connections.c
+++ b/src/http/server_connections.c
@@ -1,14 +1,15 @@
 /**
  * @file
- * Connections of an HTTP server by kind: who is accepted, who stays open, and the
- * counters. The counters are atomic; decisions are taken on the server's thread.
+ * Connections of an HTTP server by kind: which are accepted, which stay open, and the
+ * counters. The counters are atomic; connections are accepted and closed on the server's
+ * thread.
  */
 #include "http/server_internal.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
 
-/** What is kept with a connection, from its start to its end. */
+/** State of a connection, from its start to its end. */
 struct connection_context {
     unsigned kind;
 };
@@ -97,7 +98,8 @@
                           struct lmn_http_server_load *load)
 {
     for (int kind = 0; kind < LMN_HTTP_CONNECTION_KINDS; kind++) {
-        /* A count may be seen between the two steps of a change of kind. */
+        /* lmn_http_request_set_kind() and the end of a connection change counts in
+         * separate steps; a count read in between is never reported as negative. */
         load->open[kind] = (unsigned)MAX(g_atomic_int_get(&server->open[kind]), 0);
         load->closed[kind] = __atomic_load_n(&server->closed[kind], __ATOMIC_RELAXED);
         load->refused[kind] = __atomic_load_n(&server->refused[kind], __ATOMIC_RELAXED);
--- a/src/http/server_daemon.c
+++ b/src/http/server_daemon.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * The libmicrohttpd daemon of an HTTP server, and the callbacks that take requests in and
- * send responses. All callbacks run on the daemon's thread.
+ * The libmicrohttpd daemon of an HTTP server, and the callbacks that receive requests
+ * and send responses. All callbacks run on the daemon's thread.
  */
 #include "http/server_internal.h"
 #include "config/settings.h"
@@ -26,7 +26,7 @@
     MHD_add_response_header(response, "Retry-After", text);
 }
 
-/** Hands the response of an answered request to libmicrohttpd. */
+/** Passes the response of an answered request to libmicrohttpd. */
 static enum MHD_Result send_response(struct lmn_http_request *request)
 {
     const GByteArray *body = request->response;
@@ -47,8 +47,8 @@
     return result;
 }
 
-/** Keeps a part of the body. One that is too long is read to its end but not kept: a
- * client that is still sending would not read a response. */
+/** Stores a part of the body. A body that is too long is read to its end but not stored:
+ * a client that is still sending would not read a response. */
 static void receive_body(struct lmn_http_request *request, const char *bytes, size_t len)
 {
     if (request->body->len + len > request->server->options.max_body)
@@ -57,7 +57,7 @@
         g_byte_array_append(request->body, (const guint8 *)bytes, (guint)len);
 }
 
-/** Answers a request that was received whole, or lets the handler do so. */
+/** Passes a completely received request to the handler, or answers it with an error. */
 static void dispatch(struct lmn_http_request *request)
 {
     const struct lmn_http_server_options *options = &request->server->options;
@@ -70,8 +70,8 @@
         options->route(options->arg, request);
 }
 
-/** Called when the headers are there, then for each part of the body, then at its end,
- * and once more after a suspended connection was resumed. */
+/** Called by libmicrohttpd when the headers have been received, for each part of the
+ * body, at the end of the body, and again after a suspended connection was resumed. */
 static enum MHD_Result handle_request(void *arg, struct MHD_Connection *connection,
                                       const char *path, const char *method,
                                       const char *version, const char *body, size_t *len,
@@ -89,7 +89,8 @@
         *len = 0;
         return MHD_YES;
     }
-    /* Read without the lock: only this thread ends the phase of receiving. */
+    /* Read without the lock: only this thread changes the phase from
+     * LMN_HTTP_RECEIVING. */
     if (request->phase == LMN_HTTP_RECEIVING)
         dispatch(request);
     return lmn_http_request_is_answered(request) ? send_response(request) : MHD_YES;
@@ -134,7 +135,7 @@
                                                : (size_t)DEFAULT_CONNECTION_MEMORY;
     unsigned idle_s = options->idle_s ? options->idle_s : (unsigned)DEFAULT_IDLE_S;
 
-    /* One option a line. */
+    /* One option on each line. */
     /* clang-format off */
     return MHD_start_daemon(
         flags, ntohs(address->sin_port),
--- a/src/http/server_internal.h
+++ b/src/http/server_internal.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * What the parts of the HTTP server share: the daemon and its callbacks
+ * Declarations shared by the sources of the HTTP server: the daemon and its callbacks
  * (server_daemon.c), requests and their responses (server_request.c), the counting of
  * connections (server_connections.c). Not for other modules.
  */
@@ -17,15 +17,16 @@
 struct lmn_http_server {
     struct MHD_Daemon *daemon;
     struct lmn_http_server_options
-        options; /**< never changes; `listen` isn't used later */
+        options; /**< constant; `listen` is invalid after the start */
 
     /* Connections by kind: atomic, written by the server's thread, read by any. */
     gint open[LMN_HTTP_CONNECTION_KINDS];
     guint64 closed[LMN_HTTP_CONNECTION_KINDS];
     guint64 refused[LMN_HTTP_CONNECTION_KINDS];
 
-    pthread_mutex_t lock; /**< of `deferred`, and of the requests' fields that say so */
-    GQueue deferred;      /**< requests that wait for a response, the oldest first */
+    pthread_mutex_t
+        lock;        /**< protects `deferred`, and the fields of requests marked below */
+    GQueue deferred; /**< requests that wait for a response, the oldest first */
 };
 
 /** State of a request. */
@@ -45,26 +46,28 @@
     bool is_body_too_large;
     struct timespec received_at;
 
-    /* Under the server's lock. The response is written once, with the phase, and then
-     * only read by the server's thread. */
+    /* Protected by the server's lock. The response is written once, with the phase, and
+     * then only read by the server's thread. */
     enum lmn_http_request_phase phase;
-    int references; /**< the connection's, and one of who is to answer if deferred */
-    GList *deferred_link; /**< its place in the server's queue; NULL unless deferred */
+    int references; /**< 1 for the connection, and 1 for the code that answers if deferred
+                     */
+    GList *deferred_link; /**< link in the server's queue; NULL unless deferred */
     int status;
     int retry_after; /**< seconds; 0: none */
     const char *content_type;
     GByteArray *response; /**< owned; NULL: empty */
 };
 
-/** Makes a request that holds the connection's reference. */
+/** Creates a request with one reference, held by the connection. */
 struct lmn_http_request *lmn_http_request_new(struct lmn_http_server *server,
                                               struct MHD_Connection *connection,
                                               const char *path, const char *method);
 
-/** Gives up the connection's reference, as the connection or its exchange has ended. */
+/** Releases the connection's reference after the connection or the exchange of request
+ * and response has ended. */
 void lmn_http_request_end(struct lmn_http_request *request);
 
-/** Whether there is a response to be sent. */
+/** Whether the request is in phase LMN_HTTP_ANSWERED. */
 bool lmn_http_request_is_answered(struct lmn_http_request *request);
 
 /** libmicrohttpd's callback for a new connection, before it is accepted. */
@@ -75,7 +78,8 @@
 void lmn_http_count_connection(void *arg, struct MHD_Connection *connection,
                                void **context, enum MHD_ConnectionNotificationCode event);
 
-/** Whether the request's connection is to be closed with its response; counts it then. */
+/** Whether the request's connection must be closed after the response; counts the
+ * connection as closed if so. */
 bool lmn_http_closes_connection(struct lmn_http_request *request);
 
 #endif
--- a/src/http/server_request.c
+++ b/src/http/server_request.c
@@ -1,8 +1,8 @@
 /**
  * @file
  * Requests of an HTTP server, from their first byte to their response. A request is freed
- * when its connection has given it up and, if it was deferred, whoever answers it has
- * done so; the two may happen in either order and on different threads.
+ * when its connection has released it and, if it was deferred, the code that defers it
+ * has answered it; these two may happen in either order and on different threads.
  */
 #include "http/server_internal.h"
 #include "util/clock.h"
@@ -18,7 +18,7 @@
 
 static enum lmn_http_method method_of(const char *word)
 {
-    /* By enum lmn_http_method. */
+    /* Indexed by enum lmn_http_method. */
     static const char *const words[] = {"GET", "POST", "PUT", "DELETE"};
 
     for (guint i = 0; i < G_N_ELEMENTS(words); i++)
@@ -43,7 +43,7 @@
     return request;
 }
 
-/** Gives up a reference. The server's lock is held. */
+/** Releases a reference. The caller holds the server's lock. */
 static void release(struct lmn_http_request *request)
 {
     if (--request->references > 0)
@@ -55,15 +55,15 @@
     g_free(request);
 }
 
-/** Takes a deferred request out of the queue. The server's lock is held. */
+/** Removes a deferred request from the queue. The caller holds the server's lock. */
 static void remove_deferred(struct lmn_http_request *request)
 {
     g_queue_delete_link(&request->server->deferred, request->deferred_link);
     request->deferred_link = NULL;
 }
 
-/** Stores the response, and resumes the connection if it was suspended. The server's lock
- * is held. */
+/** Stores the response, and resumes the connection if it was suspended. The caller holds
+ * the server's lock. */
 static void set_response(struct lmn_http_request *request, int status,
                          const char *content_type, GByteArray *body, int retry_after)
 {
@@ -86,7 +86,7 @@
     struct lmn_http_server *server = request->server;
 
     pthread_mutex_lock(&server->lock);
-    /* A handler that answers at once has no reference of its own. */
+    /* Only a request that was deferred has a reference for the code that answers. */
     bool has_reference = request->phase != LMN_HTTP_RECEIVING;
     if (request->phase == LMN_HTTP_ANSWERED) {
         if (body)
@@ -146,7 +146,8 @@
         struct lmn_http_request *oldest = server->deferred.head->data;
         if (lmn_time_diff_s(now, oldest->received_at) < timeout_s)
             break;
-        /* Whoever was to answer still has a reference, and gives it up when it does. */
+        /* The code that deferred the request still has a reference, and releases it when
+         * it answers. */
         set_response(oldest, STATUS_UNAVAILABLE, CBOR_CONTENT_TYPE, NULL,
                      EXPIRED_RETRY_AFTER_S);
     }
@@ -168,7 +169,7 @@
     pthread_mutex_lock(&server->lock);
     if (request->phase == LMN_HTTP_DEFERRED)
         remove_deferred(request);
-    /* A response that still comes finds the request answered, and is dropped. */
+    /* A response that is given later finds this phase and is dropped. */
     request->phase = LMN_HTTP_ANSWERED;
     release(request);
     pthread_mutex_unlock(&server->lock);
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-/* A thin program on top of the library. */
+/* The program lemonspar: runs the command line of the library. */
 #include "cli/cli.h"
 
 int main(int argc, char **argv)
