--- a/src/cli/site.c
+++ b/src/cli/site.c
@@ -59,7 +59,7 @@
      * it. */
     if (lmn_site_write(&site, err, sizeof err) != 0)
         rc = lmn_cli_fail(LMN_EXIT_FAILED, "%s", err);
-    int error = rc ? 0 : lmn_spawn(argv, log, &pid);
+    int error = rc ? 0 : lmn_spawn_detached(argv, log, &pid);
     if (error)
         rc = lmn_cli_fail(LMN_EXIT_FAILED, "%s: %s", argv[0], strerror(error));
     g_free(log);
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -29,8 +29,8 @@
     settings->team_count = 0;
 }
 
-const struct lmn_team *lmn_settings_team(const struct lmn_settings *settings,
-                                         const char *name)
+const struct lmn_team *lmn_settings_find_team(const struct lmn_settings *settings,
+                                              const char *name)
 {
     for (size_t i = 0; i < settings->team_count; i++)
         if (!strcmp(settings->teams[i].name, name))
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -149,8 +149,8 @@
 }
 
 /** @return the team of this name; NULL if there is none. */
-const struct lmn_team *lmn_settings_team(const struct lmn_settings *settings,
-                                         const char *name);
+const struct lmn_team *lmn_settings_find_team(const struct lmn_settings *settings,
+                                              const char *name);
 
 /** @return the index of a controller, from 0, in the list of all controllers sorted by
  * name. It decides which controller prefers which partition; every controller computes
--- a/src/controller/http_routes.c
+++ b/src/controller/http_routes.c
@@ -152,12 +152,13 @@
     const struct lmn_http_server_options options = {
         .listen = core->settings->client_listen,
         .connections = core->connection_budget.max_accepted,
-        .max_body = MAX_BODY_BYTES,
-        .connection_memory = CONNECTION_MEMORY_BYTES,
+        .max_body_bytes = MAX_BODY_BYTES,
+        .connection_memory_bytes = CONNECTION_MEMORY_BYTES,
         .defer_timeout_s = DEFERRED_TIMEOUT_S,
         /* The connection of a worker that sends no heartbeat for the duration of a lease
          * is closed. */
-        .idle_s = (unsigned)CLAMP(core->settings->lease_s, MIN_IDLE_S, MAX_IDLE_S),
+        .idle_timeout_s =
+            (unsigned)CLAMP(core->settings->lease_s, MIN_IDLE_S, MAX_IDLE_S),
         .route = route,
         .keep_open = keeps_connection_open,
         .connection_kind = classify_connection,
--- a/src/controller/steal_handler.c
+++ b/src/controller/steal_handler.c
@@ -38,7 +38,7 @@
                         &request->capacities[request->capacity_count++]);
     for (u_int i = 0; i < message->teams.teams_len; i++) {
         const struct lmn_rpc_team_quota *quota = &message->teams.teams_val[i];
-        const struct lmn_team *team = lmn_settings_team(core->settings, quota->name);
+        const struct lmn_team *team = lmn_settings_find_team(core->settings, quota->name);
         /* The other controller may run with settings that contain another team. */
         if (!team)
             continue;
@@ -85,7 +85,7 @@
 u_int lmn_quota_rpc_handle(struct lmn_core *core,
                            const struct lmn_rpc_quota_request *message)
 {
-    const struct lmn_team *team = lmn_settings_team(core->settings, message->team);
+    const struct lmn_team *team = lmn_settings_find_team(core->settings, message->team);
 
     if (!team || !is_valid_partition(core, message->victim))
         return 0;
--- a/src/emulator/driver.c
+++ b/src/emulator/driver.c
@@ -687,8 +687,10 @@
                                           char *err, size_t len)
 {
     struct lmn_emulation *emulation = g_new0(struct lmn_emulation, 1);
-    const struct lmn_http_server_options h = {
-        .connections = 32768, .max_body = MAX_BODY, .route = route, .arg = emulation};
+    const struct lmn_http_server_options h = {.connections = 32768,
+                                              .max_body_bytes = MAX_BODY,
+                                              .route = route,
+                                              .arg = emulation};
 
     emulation->o = *options;
     emulation->begun = lmn_now();
--- a/src/gateway/http_api.c
+++ b/src/gateway/http_api.c
@@ -480,7 +480,7 @@
 {
     const struct lmn_http_server_options o = {.listen = gateway->options->listen,
                                               .connections = 4096,
-                                              .max_body = MAX_BODY,
+                                              .max_body_bytes = MAX_BODY,
                                               .defer_timeout_s = PATIENCE_S,
                                               .route = route,
                                               .arg = gateway};
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -64,15 +64,15 @@
     unsigned connections;
     /** Maximum length of a body, bytes. A longer body is read to its end, not stored, and
      * answered with 400. */
-    size_t max_body;
+    size_t max_body_bytes;
     /** Bytes that libmicrohttpd allocates for each connection, which limits the length
      * of the headers; 0: 32 KiB. */
-    size_t connection_memory;
+    size_t connection_memory_bytes;
     /** Seconds after which lmn_http_server_expire_deferred() answers a deferred request
      * with 503; 0: never. */
     double defer_timeout_s;
     /** Seconds without traffic after which a connection is closed; 0: 90. */
-    unsigned idle_s;
+    unsigned idle_timeout_s;
     lmn_http_handler *route;                   /**< required */
     lmn_http_keep_open *keep_open;             /**< NULL: all connections stay open */
     lmn_http_connection_kind *connection_kind; /**< NULL: all are of kind 0 */
--- a/src/http/server_daemon.c
+++ b/src/http/server_daemon.c
@@ -51,7 +51,7 @@
  * a client that is still sending would not read a response. */
 static void receive_body(struct lmn_http_request *request, const char *bytes, size_t len)
 {
-    if (request->body->len + len > request->server->options.max_body)
+    if (request->body->len + len > request->server->options.max_body_bytes)
         request->is_body_too_large = true;
     else
         g_byte_array_append(request->body, (const guint8 *)bytes, (guint)len);
@@ -131,9 +131,10 @@
                                        const struct sockaddr_in *address)
 {
     const struct lmn_http_server_options *options = &server->options;
-    size_t memory = options->connection_memory ? options->connection_memory
-                                               : (size_t)DEFAULT_CONNECTION_MEMORY;
-    unsigned idle_s = options->idle_s ? options->idle_s : (unsigned)DEFAULT_IDLE_S;
+    size_t memory = options->connection_memory_bytes ? options->connection_memory_bytes
+                                                     : (size_t)DEFAULT_CONNECTION_MEMORY;
+    unsigned idle_timeout_s =
+        options->idle_timeout_s ? options->idle_timeout_s : (unsigned)DEFAULT_IDLE_S;
 
     /* One option on each line. */
     /* clang-format off */
@@ -146,7 +147,7 @@
         MHD_OPTION_NOTIFY_CONNECTION, lmn_http_count_connection, server,
         MHD_OPTION_CONNECTION_LIMIT, options->connections,
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, memory,
-        MHD_OPTION_CONNECTION_TIMEOUT, idle_s,
+        MHD_OPTION_CONNECTION_TIMEOUT, idle_timeout_s,
         MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
         MHD_OPTION_THREAD_STACK_SIZE, (size_t)THREAD_STACK_BYTES,
         MHD_OPTION_END);
--- a/src/image_store/server.c
+++ b/src/image_store/server.c
@@ -279,7 +279,7 @@
     store->dir = g_strdup(dir);
     const struct lmn_http_server_options options = {.listen = listen,
                                                     .connections = MAX_CONNECTIONS,
-                                                    .max_body = LMN_MAX_BLOB_BYTES,
+                                                    .max_body_bytes = LMN_MAX_BLOB_BYTES,
                                                     .route = route,
                                                     .arg = store};
     struct lmn_http_server *server = lmn_http_server_start(&options);
--- a/src/job/job_spec.c
+++ b/src/job/job_spec.c
@@ -61,7 +61,7 @@
                               const struct lmn_settings *settings,
                               const struct lmn_machine_types *types, const char **reason)
 {
-    const struct lmn_team *team = lmn_settings_team(settings, spec->team);
+    const struct lmn_team *team = lmn_settings_find_team(settings, spec->team);
 
     if (!team) {
         *reason = "unknown team";
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -268,7 +268,7 @@
     const struct lmn_http_server_options options = {
         .listen = store->options.listen,
         .connections = MAX_CONNECTIONS,
-        .max_body = LMN_KV_STORE_MAX_BODY,
+        .max_body_bytes = LMN_KV_STORE_MAX_BODY,
         .route = route,
         .arg = store,
     };
--- a/src/machine_provider/local_agents.c
+++ b/src/machine_provider/local_agents.c
@@ -115,7 +115,7 @@
         g_snprintf(err, len, "%s: %s", file, strerror(errno));
         rc = -1;
     } else {
-        int error = lmn_spawn(argv, log, &pid);
+        int error = lmn_spawn_detached(argv, log, &pid);
         if (error) {
             g_snprintf(err, len, "%s: %s", argv[0], strerror(error));
             rc = -1;
--- a/src/machine_provider/server.c
+++ b/src/machine_provider/server.c
@@ -265,7 +265,7 @@
     struct front *api = g_new0(struct front, 1);
     const struct lmn_http_server_options o = {.listen = listen,
                                               .connections = 1024,
-                                              .max_body = MAX_BODY,
+                                              .max_body_bytes = MAX_BODY,
                                               .route = route,
                                               .arg = api};
 
--- a/src/state/job_records.c
+++ b/src/state/job_records.c
@@ -34,7 +34,7 @@
 /** Index of the team in the settings; -1: they lack it. */
 static int team_index(const struct lmn_settings *settings, const char *name)
 {
-    const struct lmn_team *team = lmn_settings_team(settings, name);
+    const struct lmn_team *team = lmn_settings_find_team(settings, name);
     return team ? (int)(team - settings->teams) : -1;
 }
 
--- a/src/util/process.c
+++ b/src/util/process.c
@@ -176,7 +176,7 @@
     return error;
 }
 
-int lmn_spawn(char *const arguments[], const char *log, pid_t *pid)
+int lmn_spawn_detached(char *const arguments[], const char *log, pid_t *pid)
 {
     int error_pipe[2], pid_pipe[2], error;
 
--- a/src/util/process.h
+++ b/src/util/process.h
@@ -59,7 +59,7 @@
  * @param pid        receives its process id; 0 if it could not be started.
  * @return 0, or the errno value of the failure.
  */
-int lmn_spawn(char *const arguments[], const char *log, pid_t *pid);
+int lmn_spawn_detached(char *const arguments[], const char *log, pid_t *pid);
 
 /** Kills each process, except this one, whose environment contains the entry
  * ("NAME=value"). @return the number of processes found. */
--- a/src/worker/worker_http.c
+++ b/src/worker/worker_http.c
@@ -64,7 +64,7 @@
     const struct lmn_http_server_options options = {
         .listen = worker->options->listen,
         .connections = MAX_CONNECTIONS,
-        .max_body = MAX_BODY,
+        .max_body_bytes = MAX_BODY,
         .route = route,
         .arg = worker,
     };
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -267,7 +267,7 @@
     lmn_connection_budget_init(&s, &plan);
     const struct lmn_http_server_options o = {.listen = "127.0.0.1:0",
                                               .connections = plan.max_accepted,
-                                              .max_body = 1024,
+                                              .max_body_bytes = 1024,
                                               .route = answer,
                                               .keep_open = stands};
     struct lmn_http_server *server = lmn_http_server_start(&o);
--- a/tests/test_kv_client.c
+++ b/tests/test_kv_client.c
@@ -165,7 +165,7 @@
     (void)state;
     struct lmn_http_server_options o = {.listen = "127.0.0.1:0",
                                         .connections = 16,
-                                        .max_body = 65536,
+                                        .max_body_bytes = 65536,
                                         .route = lose_the_first};
     static int done;
 
--- a/tests/test_pending_submission.c
+++ b/tests/test_pending_submission.c
@@ -62,7 +62,7 @@
 {
     struct lmn_http_server_options options = {.listen = "127.0.0.1:0",
                                               .connections = 16,
-                                              .max_body = 65536,
+                                              .max_body_bytes = 65536,
                                               .route = answer_all_but_first};
     struct lmn_http_server *server = lmn_http_server_start(&options);
     (void)state;
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -51,8 +51,8 @@
     lmn_settings_free(&large);
     g_free(rest);
     g_free(text);
-    assert_non_null(lmn_settings_team(&settings, "t"));
-    assert_null(lmn_settings_team(&settings, "u"));
+    assert_non_null(lmn_settings_find_team(&settings, "t"));
+    assert_null(lmn_settings_find_team(&settings, "u"));
     lmn_settings_free(&settings);
 }
 
@@ -86,7 +86,8 @@
         assert_int_equal(settings.team_count, team_counts[i]);
         assert_string_equal(settings.teams[0].name, "t");
         assert_true(settings.teams[team_counts[i] - 1].cpus_max == team_counts[i] - 1);
-        assert_ptr_equal(lmn_settings_team(&settings, "team64"), &settings.teams[64]);
+        assert_ptr_equal(lmn_settings_find_team(&settings, "team64"),
+                         &settings.teams[64]);
         lmn_settings_free(&settings);
     }
     assert_int_equal(parse_with_teams(LMN_MAX_TEAMS + 1, &settings, err, sizeof err), -1);
