--- a/src/image_store/server.c
+++ b/src/image_store/server.c
@@ -61,7 +61,7 @@
 
     if (g_mkdir_with_parents(directory, DIRECTORY_MODE) != 0)
         return -1;
-    return lmn_file_put(path, content->data, content->len);
+    return lmn_file_replace_durably(path, content->data, content->len);
 }
 
 /** Writes the request's body to a file and responds only once it is on the disk. */
@@ -145,7 +145,7 @@
     const char *name;
 
     while (directory && (name = g_dir_read_name(directory)))
-        /* Skips temporary files, which lmn_file_put() has not renamed yet. */
+        /* Skips temporary files, which lmn_file_replace_durably() has not renamed yet. */
         if (!strstr(name, ".tmp-"))
             g_ptr_array_add(names, g_strdup(name));
     g_ptr_array_sort(names, compare_names);
@@ -285,7 +285,7 @@
     store->dir = g_strdup(dir);
     const struct lmn_http_server_options options = {.listen = listen,
                                                     .connections = MAX_CONNECTIONS,
-                                                    .max_body = LMN_MAX_BLOB_BYTES,
+                                                    .max_body_bytes = LMN_MAX_BLOB_BYTES,
                                                     .route = route,
                                                     .arg = store};
     struct lmn_http_server *server = lmn_http_server_start(&options);
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -222,7 +222,7 @@
     /* Not rate limited: an overloaded store must still answer readiness checks, and its
      * metrics show why it answers 429. */
     if (method == LMN_HTTP_GET && strcmp(path, "/metrics") == 0)
-        lmn_metrics_answer(request, lmn_kv_store_metrics, store);
+        lmn_metrics_respond(request, lmn_kv_store_metrics, store);
     else if (method == LMN_HTTP_GET && strcmp(path, WIRE_PATH_READY) == 0)
         lmn_http_request_respond(request, LMN_KV_STORE_OK, NULL, 0);
     else if (!lmn_kv_store_reject_if_rate_limited(store, request, &store->requests, 1))
@@ -272,7 +272,7 @@
     const struct lmn_http_server_options options = {
         .listen = store->options.listen,
         .connections = MAX_CONNECTIONS,
-        .max_body = LMN_KV_STORE_MAX_BODY_BYTES,
+        .max_body_bytes = LMN_KV_STORE_MAX_BODY_BYTES,
         .route = route,
         .arg = store,
     };
@@ -301,9 +301,9 @@
     lmn_db_list_leases(store->reader, load_lease, store);
     lmn_db_view_end(store->reader);
     store->revision = meta.revision;
-    lmn_thread(lmn_kv_store_writer_thread, store);
-    lmn_thread(lmn_kv_store_watch_thread, store);
-    lmn_thread(lmn_kv_store_lease_thread, store);
+    lmn_thread_start_detached(lmn_kv_store_writer_thread, store);
+    lmn_thread_start_detached(lmn_kv_store_watch_thread, store);
+    lmn_thread_start_detached(lmn_kv_store_lease_thread, store);
     if (!serve(store)) {
         snprintf(err, len, "%s: can't listen: %s", options->listen, strerror(errno));
         return NULL;
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Conversion between CBOR and JSON. Both directions recurse; the depth is bounded by
- * LMN_CBOR_MAX_DEPTH on the one side, and by the code that built the value on the other.
+ * Conversion between CBOR and JSON. Both directions recurse. From CBOR, the depth is at
+ * most LMN_CBOR_MAX_DEPTH; to CBOR, it is the depth of the JSON value, which only our own
+ * code builds.
  */
 #include "protocol/json.h"
 
@@ -16,7 +17,7 @@
 
     for (const struct lmn_cbor_value *item = lmn_cbor_first_child(document, node); item;
          item = lmn_cbor_next(document, item))
-        json_array_append_new(array, lmn_json_of(document, item));
+        json_array_append_new(array, lmn_json_from_cbor(document, item));
     return array;
 }
 
@@ -27,15 +28,15 @@
 
     for (const struct lmn_cbor_value *key = lmn_cbor_first_child(document, node); key;) {
         const struct lmn_cbor_value *value = lmn_cbor_next(document, key);
-        g_autofree char *name = g_strndup(key->s, key->len);
-        json_object_set_new(object, name, lmn_json_of(document, value));
+        g_autofree char *name = g_strndup(key->text, key->len);
+        json_object_set_new(object, name, lmn_json_from_cbor(document, value));
         key = lmn_cbor_next(document, value);
     }
     return object;
 }
 
-json_t *lmn_json_of(const struct lmn_cbor_document *document,
-                    const struct lmn_cbor_value *node)
+json_t *lmn_json_from_cbor(const struct lmn_cbor_document *document,
+                           const struct lmn_cbor_value *node)
 {
     switch (node->type) {
     case LMN_CBOR_BOOL:
@@ -48,7 +49,7 @@
     case LMN_CBOR_FLOAT:
         return json_real(node->number);
     case LMN_CBOR_TEXT:
-        return json_stringn(node->s, node->len);
+        return json_stringn(node->text, node->len);
     case LMN_CBOR_ARRAY:
         return array_of(document, node);
     case LMN_CBOR_MAP:
@@ -58,13 +59,13 @@
     }
 }
 
-json_t *lmn_json_of_bytes(const void *bytes, size_t len)
+json_t *lmn_json_from_cbor_bytes(const void *bytes, size_t len)
 {
     struct lmn_cbor_document document;
 
     if (lmn_cbor_parse(&document, bytes, len) != 0)
         return NULL;
-    json_t *value = lmn_json_of(&document, lmn_cbor_root(&document));
+    json_t *value = lmn_json_from_cbor(&document, lmn_cbor_root(&document));
     lmn_cbor_free(&document);
     return value;
 }
@@ -78,7 +79,7 @@
     json_object_foreach(object, key, member)
     {
         lmn_cbor_put_text(buffer, key);
-        lmn_json_put(buffer, member);
+        lmn_json_append_cbor(buffer, member);
     }
 }
 
@@ -88,10 +89,11 @@
     size_t i;
 
     lmn_cbor_put_array(buffer, json_array_size(array));
-    json_array_foreach(array, i, item) lmn_json_put(buffer, item);
+    json_array_foreach(array, i, item) lmn_json_append_cbor(buffer, item);
 }
 
-/** Negative numbers go out as floats: no field of the protocol is a negative integer. */
+/** Encodes a negative integer as a float, since no field of the protocol is a negative
+ * integer. */
 static void put_integer(GByteArray *buffer, json_int_t integer)
 {
     if (integer >= 0)
@@ -100,7 +102,7 @@
         lmn_cbor_put_number(buffer, (double)integer);
 }
 
-void lmn_json_put(GByteArray *buffer, json_t *value)
+void lmn_json_append_cbor(GByteArray *buffer, json_t *value)
 {
     switch (json_typeof(value)) {
     case JSON_OBJECT:
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -36,7 +36,7 @@
         all_ended = lmn_lock_wait(agent_lock, seconds);
     /* The executor notices the end of the agent, kills the tasks, and exits. */
     all_ended = lmn_lock_wait(executor_lock, seconds) && all_ended;
-    all_ended = lmn_kill_marked_all(mark, seconds) && all_ended;
+    all_ended = lmn_kill_all_with_environment_entry(mark, seconds) && all_ended;
     return all_ended;
 }
 
@@ -46,7 +46,7 @@
 {
     g_autofree char *lock = g_build_filename(dir, "keeper.lock", NULL);
 
-    return lmn_lock_wait(lock, END_TIMEOUT_S) && lmn_kill_marked_all(mark, END_TIMEOUT_S);
+    return lmn_lock_wait(lock, END_TIMEOUT_S) && lmn_kill_all_with_environment_entry(mark, END_TIMEOUT_S);
 }
 
 /* Forks twice, so that the executor is not a child of the agent and the agent need not
--- a/src/worker/worker_http.c
+++ b/src/worker/worker_http.c
@@ -15,23 +15,23 @@
 
     pthread_mutex_lock(&worker->lock);
     const struct lmn_agent *agent = &worker->agent;
-    lmn_gauge(out, "lemonspar_worker_session", "Number of the agent's incarnation",
+    lmn_metric_gauge(out, "lemonspar_worker_session", "Number of the agent's incarnation",
               (double)agent->incarnation);
-    lmn_gauge(out, "lemonspar_worker_attempts",
+    lmn_metric_gauge(out, "lemonspar_worker_attempts",
               "Attempts listed on the machine, running or ended", agent->runs->len);
-    lmn_counter(out, "lemonspar_worker_starts", "Start commands executed", agent->starts);
-    lmn_counter(out, "lemonspar_worker_done", "Attempts reported as done",
+    lmn_metric_counter(out, "lemonspar_worker_starts", "Start commands executed", agent->starts);
+    lmn_metric_counter(out, "lemonspar_worker_done", "Attempts reported as done",
                 agent->finished);
-    lmn_counter(out, "lemonspar_worker_refused", "Start commands refused",
+    lmn_metric_counter(out, "lemonspar_worker_refused", "Start commands refused",
                 agent->refused);
-    lmn_counter(out, "lemonspar_worker_lapses", "Leases that expired",
+    lmn_metric_counter(out, "lemonspar_worker_lapses", "Leases that expired",
                 agent->expired_leases);
-    lmn_counter(out, "lemonspar_worker_reports", "Heartbeats sent", worker->heartbeats);
-    lmn_counter(out, "lemonspar_worker_turned_reports",
+    lmn_metric_counter(out, "lemonspar_worker_reports", "Heartbeats sent", worker->heartbeats);
+    lmn_metric_counter(out, "lemonspar_worker_turned_reports",
                 "Heartbeats redirected, refused or not answered", worker->redirects);
-    lmn_counter(out, "lemonspar_worker_image_bytes", "Bytes of images fetched",
+    lmn_metric_counter(out, "lemonspar_worker_image_bytes", "Bytes of images fetched",
                 worker->fetched_bytes);
-    lmn_counter(out, "lemonspar_worker_lost_logs", "Attempts whose output was lost",
+    lmn_metric_counter(out, "lemonspar_worker_lost_logs", "Attempts whose output was lost",
                 worker->lost_logs);
     pthread_mutex_unlock(&worker->lock);
 }
@@ -44,7 +44,7 @@
     int status = STATUS_NOT_FOUND;
 
     if (method == LMN_HTTP_GET && strcmp(path, "/metrics") == 0) {
-        lmn_metrics_answer(request, put_metrics, worker);
+        lmn_metrics_respond(request, put_metrics, worker);
         return;
     }
     const GByteArray *body = lmn_http_request_body(request);
@@ -64,7 +64,7 @@
     const struct lmn_http_server_options options = {
         .listen = worker->options->listen,
         .connections = MAX_CONNECTIONS,
-        .max_body = MAX_BODY_BYTES,
+        .max_body_bytes = MAX_BODY_BYTES,
         .route = route,
         .arg = worker,
     };
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -291,7 +291,7 @@
     const struct lmn_http_server_options options = {.listen = "127.0.0.1:0",
                                                     .connections =
                                                         server_budget.max_accepted,
-                                                    .max_body = 1024,
+                                                    .max_body_bytes = 1024,
                                                     .route = handle_request,
                                                     .keep_open = may_stay_open};
     struct lmn_http_server *server = lmn_http_server_start(&options);
--- a/tests/test_executor.c
+++ b/tests/test_executor.c
@@ -36,7 +36,7 @@
 static int remove_directory(void **state)
 {
     (void)state;
-    lmn_kill_marked_all(mark, 10);
+    lmn_kill_all_with_environment_entry(mark, 10);
     lmn_tree_remove(dir);
     g_free(mark);
     return 0;
@@ -112,8 +112,8 @@
 static void wait_until_no_marked_process(void)
 {
     struct timespec end = lmn_time_add(lmn_now(), TIMEOUT_S);
-    while (lmn_kill_marked("none=such") || true) {
-        /* Looks for this test's mark in /proc: lmn_kill_marked(mark) would kill the
+    while (lmn_kill_with_environment_entry("none=such") || true) {
+        /* Looks for this test's mark in /proc: lmn_kill_with_environment_entry(mark) would kill the
          * processes that the executor has to kill. */
         bool any_left = false;
         GDir *directory = g_dir_open("/proc", 0, NULL);
--- a/tests/test_kv_client.c
+++ b/tests/test_kv_client.c
@@ -172,7 +172,7 @@
     (void)state;
     struct lmn_http_server_options options = {.listen = "127.0.0.1:0",
                                               .connections = 16,
-                                              .max_body = 65536,
+                                              .max_body_bytes = 65536,
                                               .route = leave_first_unanswered};
     static int is_committed;
 
