--- a/src/membership/failure_detector.c
+++ b/src/membership/failure_detector.c
@@ -1,37 +1,40 @@
 /** @file
- * Concludes from the evidence who is suspected, who is declared failed and who is trusted
+ * Evaluates the evidence: which members are suspected, declared failed or trusted
  * (membership/membership.h). */
 #include "membership/membership.h"
 
 #include <string.h>
 
-/** A member's unanswered probes speak against it when a reply that late is this
- * unlikely. */
+/** Unanswered probes are evidence against a member from this phi on. */
 static const double SUSPICIOUS_PHI = 3;
-/** For how long what a member says counts, of others and of itself. */
+/** For how long a member's reports count, about others and about itself. */
 static const double GOSSIP_VALID_S = 2;
-/** Above the first age a watch cache is stale: it is refreshed every 0.8 s at least, and
- * its age counts from the last request but one. To say that a member's cache is stale,
- * this controller's own must be younger than the second age. */
+/** A watch cache that is older than STALE_CACHE_S is stale. It is normally refreshed at
+ * least every 0.8 s, and its age is counted from when the last answered request was sent.
+ * Another member's cache counts as stale only while this controller's own cache is
+ * younger than FRESH_CACHE_S. */
 static const double STALE_CACHE_S = 2.5, FRESH_CACHE_S = 2;
-/** Largest share of its machines that a member may not hear while others do. */
-static const double MAX_SILENT_SHARE = 0.5;
-/** How long after a failure a member is readmitted; twice as long for each further one.
+/** Largest share of its machines from which a healthy member may receive no heartbeats.
  */
+static const double MAX_SILENT_SHARE = 0.5;
+/** Delay of the readmission after a member's first failure; each further failure doubles
+ * it. */
 static const double READMISSION_S = 15;
-/** After each such time one failure, or refutation, is forgotten. */
-static const double FORGET_FAILURE_S = 300;
-/** Nobody is declared failed before this controller has observed the others for so long.
+/** One failure, and one refutation, is forgotten for each such period since the latest.
  */
+static const double FORGET_FAILURE_S = 300;
+/** How long this controller must have followed the store before it declares a member
+ * failed. */
 static const double MIN_OBSERVATION_S = 3;
-/** A member that was present so recently still counts for the majority. */
+/** A member that was present within this time still counts for the majority. */
 static const double RECENTLY_PRESENT_S = 30;
-/** One in so many of a member's workers must have come elsewhere to be a witness, and
- * never fewer than the second number, unless it has fewer workers. */
+/** The redirected workers of a member count as a witness if they are at least one in
+ * WORKERS_PER_WITNESS of its machines, and at least MIN_WITNESS_WORKERS, or all of its
+ * machines if it has fewer. */
 enum { WORKERS_PER_WITNESS = 20, MIN_WITNESS_WORKERS = 3 };
 
-/** How many redirected workers are independent evidence against the member. Without any
- * recorded machine no number is. */
+/** Returns how many redirected workers count as a witness against the member. Without a
+ * recorded machine, no number of them does. */
 static unsigned min_redirected_workers(const struct lmn_member_view *member)
 {
     if (!member->machine_count)
@@ -41,8 +44,8 @@
                  LMN_MAX_REDIRECTED_WORKERS / 2);
 }
 
-/** Whether the member says that it does not hear most of its machines, and enough of them
- * have come elsewhere. */
+/** Whether the member reports that it receives no heartbeats from most of its machines,
+ * and enough of its workers have sent theirs to other members. */
 static bool misses_heartbeats(const struct lmn_failure_evidence *evidence,
                               const struct lmn_member_view *member)
 {
@@ -50,15 +53,17 @@
            evidence->redirected_workers >= min_redirected_workers(member);
 }
 
-/** A wait for a reply, shortened by how much this controller's own timing is in doubt. */
+/** Returns the wait for a reply, reduced according to local_health: while this controller
+ * itself may be slow, a long wait says less about the other member. */
 static double discounted_wait_s(const struct lmn_members *members, double wait_s)
 {
     return wait_s / (1 + members->local_health);
 }
 
-/** Whether another member has had contact since our first unanswered probe, and recently:
- * a member is probed again at once when somebody asks about it, so that an older contact
- * does not show that it still replies. */
+/** Whether the statement shows a contact with the member after this controller's first
+ * unanswered probe, and a recent one. The sender probes a member at once when it hears of
+ * an unanswered probe, so that an older contact does not show that the member still
+ * replies. */
 static bool is_recent_contact(const struct lmn_members *members,
                               const struct lmn_member_view *member,
                               const struct lmn_gossip_statement *statement, double age_s,
@@ -72,7 +77,8 @@
                members->timeouts.probe_timeout_s + 2 * members->timeouts.probe_interval_s;
 }
 
-/** Adds what another member says of this one, if that is not too old. */
+/** Adds another member's statement to the evidence, unless it is older than
+ * GOSSIP_VALID_S. */
 static void add_gossip(const struct lmn_members *members,
                        const struct lmn_member_view *member,
                        const struct lmn_gossip_record *record, struct timespec now,
@@ -99,9 +105,10 @@
         evidence->other_witnesses++;
 }
 
-/** Whether the member's watch cache was stale while ours was fresh for longer than that:
- * when an outage of the key-value store ends, some caches are refreshed a moment before
- * others, and that is no fault. */
+/** Whether the member's watch cache is stale although this controller's has been fresh
+ * for longer than the age of the member's. Without the second condition, members would be
+ * suspected at the end of an outage of the key-value store, when some caches are
+ * refreshed a moment before others. */
 static bool has_stale_cache(const struct lmn_members *members,
                             const struct lmn_member_view *member,
                             const struct lmn_failure_evidence *evidence,
@@ -114,7 +121,8 @@
            lmn_time_diff_s(now, members->cache_fresh_at) < FRESH_CACHE_S;
 }
 
-/** Decides what the evidence speaks for, and how many independent witnesses there are. */
+/** Determines the cause that the evidence indicates, and the number of independent
+ * witnesses. */
 static void decide_cause(const struct lmn_members *members,
                          const struct lmn_member_view *member, double health_age_s,
                          struct timespec now, struct lmn_failure_evidence *evidence)
@@ -125,10 +133,10 @@
     if (!is_unresponsive &&
         has_stale_cache(members, member, evidence, health_age_s, now)) {
         evidence->cause = LMN_CAUSE_STALE_CACHE;
-        evidence->independent_witnesses = 2; /* its own statement, and our cache */
+        evidence->independent_witnesses = 2; /* its own report, and this cache */
     } else if (!is_unresponsive && misses_heartbeats(evidence, member)) {
         evidence->cause = LMN_CAUSE_NO_HEARTBEATS;
-        evidence->independent_witnesses = 2; /* its own statement, and its workers */
+        evidence->independent_witnesses = 2; /* its own report, and its workers */
     } else {
         bool is_seen_by_workers =
             evidence->redirected_workers >= min_redirected_workers(member);
@@ -170,9 +178,9 @@
     return member->is_present && member->suspected_incarnation == member->incarnation;
 }
 
-/** Whether the member has refuted a suspicion so recently that the next one has to wait:
- * longer with each refutation, up to the lease. Refutations are forgotten as failures
- * are. */
+/** Whether the member has refuted a suspicion so recently that it may not be suspected
+ * again yet. The wait doubles with each refutation, up to lease_s; one refutation is
+ * forgotten for each FORGET_FAILURE_S. */
 static bool has_refuted_recently(const struct lmn_members *members,
                                  const struct lmn_member_view *member,
                                  struct timespec now)
@@ -188,7 +196,7 @@
                          members->timeouts.lease_s);
 }
 
-/** Whether there is a member that replies, and could probe the one in question. */
+/** Whether a third member without unanswered probes could probe member about_index. */
 static bool has_other_witnesses(const struct lmn_members *members, int about_index)
 {
     for (int i = 0; i < members->count; i++)
@@ -198,8 +206,8 @@
     return false;
 }
 
-/** Whether other members have had the time to say that they reach the member, or there is
- * none to ask. */
+/** Whether other members have had time to report that they reach the member, or there is
+ * no other member to ask. */
 static bool have_others_been_asked(const struct lmn_members *members, int member_index,
                                    const struct lmn_failure_evidence *evidence,
                                    struct timespec now)
@@ -230,9 +238,10 @@
            have_others_been_asked(members, member_index, evidence, now);
 }
 
-/** Whether a majority of the members that were present remains if this one is declared
- * failed as well. If most seem to have failed, the fault is here: only the member's
- * workers, which have come here, can show that it is not. */
+/** Whether more than half of the recently present members remain if this member is
+ * declared failed as well. If most members seem to have failed, the fault is probably
+ * this controller's own; only the member's workers, by sending their heartbeats here, can
+ * show that it is not. */
 static bool leaves_majority(const struct lmn_members *members,
                             const struct lmn_member_view *member,
                             const struct lmn_failure_evidence *evidence,
@@ -248,15 +257,15 @@
         if (i == members->self || !other->ever_contacted || !was_present_recently)
             continue;
         present_count++;
-        /* The member itself is counted below. Counted here too, it would count twice once
-         * a first partition of it was claimed, and the claims of its other partitions
-         * would wait for its workers. */
+        /* The member itself is subtracted in the return statement. If it were counted
+         * here as well, it would count twice once its first partition was claimed, and
+         * the claims of its other partitions would have to wait for its workers. */
         failed_count += other != member &&
                         (!other->is_present ||
                          (other->is_declared_failed && other->unanswered_since.tv_sec));
     }
-    /* Of two members, each may declare the other failed: what decides is which of them
-     * does not refute the suspicion. */
+    /* In a group of two, either may declare the other failed: the one that does not
+     * refute its suspicion fails. */
     return members->count <= 2 ||
            evidence->redirected_workers >= min_redirected_workers(member) ||
            2 * (present_count - failed_count - 1) > present_count;
@@ -267,8 +276,8 @@
 {
     const struct lmn_member_view *member = &members->views[member_index];
     struct lmn_failure_evidence evidence;
-    /* With two members there is no third to confirm it: one witness has to suffice, and
-     * the suspicion stands for twice as long. */
+    /* In a group of two there is no third member to confirm the failure. One witness is
+     * enough then, but the suspicion has to stand for twice as long. */
     bool is_pair = members->count <= 2;
 
     if (member_index == members->self ||
@@ -276,7 +285,7 @@
         !lmn_self_may_claim(members, now))
         return false;
     lmn_member_failure_evidence(members, member_index, now, &evidence);
-    /* A member that does everything late needs longer to refute. */
+    /* A member that carries out its work late also needs longer to refute. */
     double min_suspicion_s =
         members->timeouts.suspicion_s * (1 + members->local_health) * (is_pair ? 2 : 1) +
         MIN(2 * member->health.delay_s, members->timeouts.lease_s);
@@ -343,8 +352,9 @@
             members->health.silent_machine_share <= MAX_SILENT_SHARE);
 }
 
-/** How many of this controller's workers have come to the member, by its own recent
- * statement; 0 if they are too few to be evidence, or the member is not trusted. */
+/** Returns how many of this controller's workers have sent their heartbeats to the
+ * member, as it has recently reported; 0 if they are too few to count as a witness, or
+ * the member is not trusted. */
 static unsigned workers_redirected_to(const struct lmn_members *members, int member_index,
                                       struct timespec now)
 {
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -1,32 +1,32 @@
 /** @file
- * Records what is observed of the members, and of this controller itself
+ * Records observations of the other members and of this controller itself
  * (membership/membership.h). */
 #include "membership/membership.h"
 
 #include <string.h>
 
-/** After a longer gap between two answered watch requests every suspicion begins anew:
- * while the key-value store was down, nobody could refute. A watch request waits for up
- * to 0.8 s. */
+/** After a longer gap between two answered watch requests, the time that each suspicion
+ * must stand starts again: while the key-value store was down, no member could refute. A
+ * watch request normally waits up to 0.8 s for a change. */
 static const double MAX_WATCH_GAP_S = 1.6;
 /** The weight of the latest tick in the smoothed delay of ticks. */
 static const double TICK_DELAY_WEIGHT = 0.1;
 enum {
     MAX_LOCAL_HEALTH = 8,
-    /** A stall says more about this controller's timing than a single error does. */
+    /** Points added to local_health by a stall; other signs of bad timing add one. */
     STALL_PENALTY = 2,
-    /** Further failures do not delay the readmission any more. */
+    /** Further failures do not lengthen the readmission delay. */
     MAX_FAILURES_DECLARED = 6,
-    /** Up to so many failures each make the next probe of a member wait for longer. */
+    /** Largest number of unanswered probes that lengthens the wait for the next probe. */
     MAX_PROBE_BACKOFF = 8,
 };
 
 void lmn_membership_timeouts_init(const struct lmn_settings *settings,
                                   struct lmn_membership_timeouts *timeouts)
 {
-    /* Short enough that the next owner answers the workers of a failed one within their
-     * lease, long enough for the stalls of a process that gets a small share of a core.
-     */
+    /* Short enough that a new owner answers the workers of a failed one within the
+     * workers' lease; long enough that a process with a small share of a processor core,
+     * which stalls often, does not lose its lease. */
     timeouts->lease_s = CLAMP(0.4 * settings->lease_s, 2.0, 8.0);
     timeouts->probe_interval_s = timeouts->lease_s / 16;
     timeouts->probe_timeout_s = MAX(timeouts->probe_interval_s, 0.4);
@@ -77,7 +77,7 @@
 
 /* --- this controller --- */
 
-/** Adds to the doubt in this controller's own timing. */
+/** Adds points to local_health: this controller's own timing is in doubt. */
 static void raise_local_health(struct lmn_members *members, unsigned points)
 {
     members->local_health =
@@ -87,13 +87,14 @@
 /** Whether the process has stalled since its last tick. */
 static bool has_stalled(const struct lmn_members *members, struct timespec now)
 {
-    enum { USUAL_DELAYS = 4 };
+    enum { STALL_FACTOR = 4 };
     double gap_s =
         members->last_tick_at.tv_sec ? lmn_time_diff_s(now, members->last_tick_at) : 0;
 
-    /* A controller whose ticks are always late has not stalled. */
+    /* Under constant overload every tick is late; only a gap well above the usual delay
+     * is a stall. */
     return gap_s > members->timeouts.stall_s &&
-           gap_s > USUAL_DELAYS * members->tick_delay_s;
+           gap_s > STALL_FACTOR * members->tick_delay_s;
 }
 
 void lmn_members_tick(struct lmn_members *members, double late_s, struct timespec now)
@@ -120,8 +121,8 @@
 
 bool lmn_self_may_reply(const struct lmn_members *members, struct timespec now)
 {
-    /* After a stall another may own the partitions by now: a view that is older than that
-     * answers no worker. */
+    /* During a stall another member may have claimed this controller's partitions.
+     * Workers are answered again only once the watch cache is newer than the stall. */
     return !has_stalled(members, now) &&
            !(members->resumed_at.tv_sec &&
              lmn_time_before(members->cache_fresh_at, members->resumed_at));
@@ -135,7 +136,7 @@
 
 /* --- the records, as the watch cache shows them --- */
 
-/** The member was certainly alive after its unanswered probes were sent. */
+/** Forgets the unanswered probes: the member was certainly alive after they were sent. */
 static void clear_unanswered(struct lmn_member_view *member)
 {
     member->unanswered_since = (struct timespec){0, 0};
@@ -156,7 +157,7 @@
         member->refutations++;
         member->last_refutation_at = now;
         members->counters.refutations += member_index == members->self;
-        if (member_index == members->self) /* others could not reach this controller */
+        if (member_index == members->self) /* others failed to reach this controller */
             raise_local_health(members, 1);
     }
     member->is_present = revision != 0;
@@ -164,7 +165,7 @@
     member->incarnation_seen_at = now;
     member->lease = revision ? lease : 0;
     member->is_declared_failed = false;
-    if (revision) /* only a live member writes its record */
+    if (revision) /* only a running member writes its record */
         clear_unanswered(member);
 }
 
@@ -182,9 +183,9 @@
         member->next_probe_at = now;
     }
     member->suspected_incarnation = revision ? incarnation : 0;
-    /* A member stays declared failed for as long as the suspicion that led to it stands.
-     * Otherwise, if the suspicion was deleted before the member refuted it, the member
-     * would have nothing left to refute, and would stay declared failed for ever. */
+    /* The declaration of failure ends with its suspicion. If it outlasted a suspicion
+     * that was deleted before the member refuted it, the member would have nothing left
+     * to refute, and would stay declared failed for ever. */
     member->is_declared_failed = member->is_declared_failed &&
                                  member->suspected_incarnation == member->incarnation;
     member->suspicion_cause = cause;
@@ -196,11 +197,12 @@
 {
     struct lmn_member_view *member = &members->views[member_index];
 
-    /* A member that has transferred its partitions itself is not suspected, and has
-     * nothing to refute: declared failed, it would never get a partition back. */
+    /* Only a suspected member is declared failed. A member that has transferred its
+     * partitions itself is not suspected and has no suspicion to refute; if it were
+     * declared failed, it would never get a partition back. */
     member->is_declared_failed =
         member->is_declared_failed || lmn_member_is_suspected(members, member_index);
-    /* The loss of all its partitions at once is one failure. */
+    /* Losing several partitions within one lease counts as one failure. */
     if (member->last_failure_at.tv_sec &&
         lmn_time_diff_s(now, member->last_failure_at) < members->timeouts.lease_s)
         return;
@@ -211,7 +213,7 @@
 
 /* --- probes, gossip and workers --- */
 
-/** The member was alive at alive_at, and has said how it is. */
+/** Records that the member was alive at alive_at and has reported its health. */
 static void record_alive(struct lmn_members *members, int member_index,
                          const struct lmn_member_health *health, struct timespec alive_at,
                          struct timespec now)
@@ -221,7 +223,7 @@
     member->ever_contacted = true;
     if (lmn_time_before(member->last_contact_at, alive_at))
         member->last_contact_at = alive_at;
-    /* A probe that was sent later is still unanswered. */
+    /* Probes sent after alive_at are still unanswered. */
     if (!lmn_time_before(alive_at, member->unanswered_since))
         clear_unanswered(member);
     member->health = *health;
@@ -254,15 +256,15 @@
 
     members->counters.probes_unanswered++;
     if (lmn_time_before(sent_at, member->last_contact_at))
-        return; /* it has contacted us in another way meanwhile */
+        return; /* the member was in contact after this probe was sent */
     if (!member->unanswered_since.tv_sec) {
         member->unanswered_since = sent_at;
         member->indirect_probes = 0;
         member->next_indirect_probe_at = now;
     }
     member->probe_failures++;
-    /* It is probed again soon, but a member that stays away must not take up all
-     * probes. */
+    /* Probe it again soon, but with a growing delay, so that a member that stays
+     * unreachable does not take up all probes. */
     unsigned backoff = MIN(member->probe_failures, (unsigned)MAX_PROBE_BACKOFF);
     member->probe_next = true;
     member->next_probe_at =
@@ -282,7 +284,8 @@
     if (statement->member == members->self)
         return;
     member->last_gossip_at = now;
-    /* Another reaches the member and this controller does not: the fault may be here. */
+    /* The sender reaches the member and this controller does not: the fault may be this
+     * controller's. */
     if (member->unanswered_since.tv_sec && statement->last_contact_age_s >= 0 &&
         statement->unanswered_age_s <= 0 &&
         statement->last_contact_age_s < lmn_time_diff_s(now, member->unanswered_since) &&
@@ -308,8 +311,8 @@
     member->next_probe_at = now;
 }
 
-/** The worker's entry; if it has none, the one to be reused: the one seen least recently.
- */
+/** Returns the worker's entry; if it has none, the entry to be reused, which is the one
+ * seen least recently. */
 static struct lmn_redirected_worker *
 find_redirected_worker(struct lmn_member_view *member, guint name_hash)
 {
@@ -334,7 +337,8 @@
         find_redirected_worker(&members->views[member_index], name_hash);
     bool is_known = entry->name_hash == name_hash && entry->seen_at.tv_sec;
 
-    /* A duplicate of a heartbeat that arrives minutes later is no evidence. */
+    /* A duplicate or reordered heartbeat may arrive minutes late and shows nothing about
+     * the member's present state. */
     if (is_known && (agent_incarnation < entry->agent_incarnation ||
                      (agent_incarnation == entry->agent_incarnation &&
                       sequence_number <= entry->sequence_number)))
--- a/src/membership/phi_accrual.c
+++ b/src/membership/phi_accrual.c
@@ -5,11 +5,12 @@
 #include <gsl/gsl_cdf.h>
 #include <math.h>
 
-/** Quick replies alone would make any delay look like a failure. */
+/** Lower bound of the standard deviation: if all replies came within a few milliseconds,
+ * any small delay would look like a failure. */
 static const double MIN_DEVIATION_S = 0.05;
-/** The probability behind a higher phi is below the precision of its computation. */
+/** Probabilities below 1e-16 are beyond the precision of a double. */
 static const double MAX_PHI = 16;
-/** Once so many replies have come, each new one has the weight 1 / WINDOW_SAMPLES. */
+/** After this number of replies, each new one has the weight 1 / WINDOW_SAMPLES. */
 static const unsigned WINDOW_SAMPLES = 50;
 
 void lmn_phi_accrual_add(struct lmn_phi_accrual *accrual, double seconds)
--- a/src/membership/probe_schedule.c
+++ b/src/membership/probe_schedule.c
@@ -1,28 +1,28 @@
 /** @file
- * Which member is probed next, and what is said along with a probe
+ * Chooses the next probe and the gossip that is sent with it
  * (membership/membership.h).
  *
- * As in SWIM (A. Das and others, 2002), members are probed one at a time in an order that
- * is shuffled each round, so that each is probed once in a round; when one does not
- * reply, up to three others are asked to probe it. */
+ * As in SWIM (A. Das and others, 2002), members are probed one at a time, each once a
+ * round, in an order that is shuffled for each round. When a member does not reply, up to
+ * three others are asked to probe it (indirect probes). */
 #include "membership/membership.h"
 
 #include <string.h>
 
-/** Others that are asked to probe a member, in one turn. */
+/** Maximum number of other members that are asked to probe a member in one series. */
 enum { MAX_INDIRECT_PROBES = 3 };
-/** Probes beyond the round, at most, in one probe interval. */
+/** Maximum number of probes outside the round in one probe interval. */
 enum { EXTRA_PROBES_PER_INTERVAL = 4 };
-/** A probe times out when a reply is this unlikely to come. */
+/** A probe times out when phi reaches this value. */
 static const double TIMEOUT_PHI = 8;
-/** The shortest wait for the round's next probe. */
+/** Lower bound of the wait for the round's next probe. */
 static const double MIN_WAIT_S = 0.01;
-/** For how long after its heartbeat was due a redirected worker counts: it comes back
- * with its next heartbeat at the latest. */
+/** For how long beyond heartbeat_overdue_s a redirected worker counts as evidence: one
+ * that still cannot reach its owner sends another heartbeat here within that time. */
 static const double REDIRECTED_WORKER_GRACE_S = 5;
 
-/** How long to wait for the member's reply: longer while this controller's own timing is
- * in doubt. */
+/** Returns how long to wait for the member's reply; the wait grows with local_health,
+ * that is while this controller itself may be slow. */
 static double reply_timeout_s(const struct lmn_members *members,
                               const struct lmn_member_view *member)
 {
@@ -32,7 +32,8 @@
                  2 * members->timeouts.probe_timeout_s);
 }
 
-/** Fills the probe. Returns true: a probe is due. */
+/** Fills in and counts the probe. Always returns true, so that callers can return its
+ * result. */
 static bool set_probe(struct lmn_members *members, int member_index, int about_index,
                       struct lmn_probe *probe)
 {
@@ -43,8 +44,8 @@
     return true;
 }
 
-/** Whether the member has not replied, is not declared failed yet, and its turn of
- * indirect probes is open. */
+/** Whether the member has not replied, is not declared failed yet, and another indirect
+ * probe of it may be sent now. */
 static bool needs_indirect_probe(const struct lmn_members *members, int member_index,
                                  struct timespec now)
 {
@@ -55,7 +56,8 @@
            !lmn_time_before(now, member->next_indirect_probe_at);
 }
 
-/** A random member that replies, to probe another; -1: there is none. */
+/** Returns a random member without unanswered probes, to probe member about_index; -1 if
+ * there is none. */
 static int choose_prober(const struct lmn_members *members, int about_index, GRand *rng)
 {
     int first = g_rand_int_range(rng, 0, members->count);
@@ -70,7 +72,7 @@
     return -1;
 }
 
-/** Probes a member that is to be probed before its turn. */
+/** Finds a member that is to be probed before its turn. Returns whether there is one. */
 static bool find_direct_probe(struct lmn_members *members, struct timespec now,
                               struct lmn_probe *probe)
 {
@@ -86,8 +88,8 @@
     return false;
 }
 
-/** Counts an indirect probe, and closes the member's turn after the last one, or when
- * there is nobody to send it. */
+/** Counts an indirect probe. After the last one of a series, or if no member can send it,
+ * the next series has to wait for half a probe interval. */
 static void count_indirect_probe(const struct lmn_members *members,
                                  struct lmn_member_view *member, bool has_prober,
                                  struct timespec now)
@@ -102,7 +104,8 @@
         lmn_time_add(now, members->timeouts.probe_interval_s / 2);
 }
 
-/** Has another member probe one that has not replied. */
+/** Finds a member that has not replied, and another member to probe it. Returns whether
+ * there is such a pair. */
 static bool find_indirect_probe(struct lmn_members *members, GRand *rng,
                                 struct timespec now, struct lmn_probe *probe)
 {
@@ -118,9 +121,9 @@
     return false;
 }
 
-/** A probe beyond the round. Direct and indirect ones take turns, and so do the members:
- * when a third of them failed at once, the first ones in order were probed all the time,
- * and nobody spoke of the last. */
+/** Finds a probe outside the round. Direct and indirect probes alternate, and each scan
+ * begins at another member. With a fixed order, when a third of the members failed at
+ * once, the first of them took up all probes, and nobody gossiped about the last. */
 static bool find_extra_probe(struct lmn_members *members, GRand *rng, struct timespec now,
                              struct lmn_probe *probe)
 {
@@ -132,7 +135,7 @@
            find_direct_probe(members, now, probe);
 }
 
-/** Shuffles the order of the members for a new round (Fisher and Yates). */
+/** Shuffles the order of the members for a new round (Fisher-Yates shuffle). */
 static void begin_round(struct lmn_members *members, GRand *rng)
 {
     members->probe_position = 0;
@@ -144,7 +147,7 @@
     }
 }
 
-/** The round's next probe. */
+/** Finds the round's next probe. Returns whether there is a member to probe. */
 static bool find_round_probe(struct lmn_members *members, GRand *rng,
                              struct lmn_probe *probe)
 {
@@ -153,7 +156,7 @@
             begin_round(members, rng);
         int member_index = members->probe_order[members->probe_position++];
         const struct lmn_member_view *member = &members->views[member_index];
-        /* Those that have not replied are probed beyond the round. */
+        /* Members with unanswered probes are probed outside the round. */
         if (member_index != members->self && member->is_present &&
             !member->unanswered_since.tv_sec)
             return set_probe(members, member_index, -1, probe);
@@ -216,7 +219,7 @@
     };
 }
 
-/** Whether something speaks against the member that the statement is about. */
+/** Whether there is evidence against the member that the statement is about. */
 static bool is_worth_telling(const struct lmn_members *members,
                              const struct lmn_gossip_statement *statement)
 {
@@ -233,8 +236,8 @@
         statements[count++] = make_statement(members, to_index, now);
     if (about_index >= 0 && about_index != members->self && about_index != to_index)
         statements[count++] = make_statement(members, about_index, now);
-    /* The scan begins at another member each time, so that none is left out for good when
-     * there are more than fit. */
+    /* The scan begins at another member each time, so that no member is always left out
+     * when there are more statements than fit. */
     members->gossip_cursor = (members->gossip_cursor + 1) % members->count;
     for (int offset = 0; offset < members->count && count < LMN_MAX_GOSSIP_STATEMENTS;
          offset++) {
