--- a/src/replication/batch.c
+++ b/src/replication/batch.c
@@ -39,8 +39,9 @@
         struct lmn_image_snapshot snapshot = {.gb = image->gb,
                                               .is_present = !image->ready_at.tv_sec};
 
-        /* A cut name would be another image's. The standby can do without: images only
-         * make a placement better. */
+        /* Truncated, the name could be that of another image. Leaving the image out is
+         * safe: the standby uses images only to prefer machines that already have them.
+         */
         if (strlen(image->name) >= sizeof snapshot.name)
             continue;
         g_strlcpy(snapshot.name, image->name, sizeof snapshot.name);
--- a/src/replication/batch_builder.c
+++ b/src/replication/batch_builder.c
@@ -1,10 +1,10 @@
 /** @file
- * A batch from the machines that have changed (replication/batch_builder.h). */
+ * Builds batches from the machines that have changed (replication/batch_builder.h). */
 #include "replication/batch_builder.h"
 
-/** A hash over the machine's images and whether each is present, whatever their order. It
- * starts at 1 so that a machine without images differs from one whose images were never
- * sent, for which 0 stands. */
+/** Returns a hash of the machine's images and of whether each is present, independent of
+ * their order. The hash of no images is 1, because 0 stands for images that were never
+ * sent. */
 static guint images_hash(const struct lmn_machine *machine)
 {
     enum { PRESENT_FACTOR = 7, PULLING_FACTOR = 3 };
@@ -19,8 +19,8 @@
     return hash;
 }
 
-/** The machine's snapshot, with its images only if they have changed since the last one:
- * they are most of its bytes, and change seldom. */
+/** Returns the machine's snapshot, with its images only if they have changed since the
+ * last snapshot: images make up most of a snapshot's bytes and rarely change. */
 static struct lmn_machine_snapshot *take_snapshot(struct lmn_machine *machine)
 {
     guint hash = images_hash(machine);
@@ -66,8 +66,8 @@
     batch->number = stream->next_batch_number;
     move_removals(partition->replication.pending_removals, batch->machines);
     move_machines(partition->replication.pending_machines, batch->machines);
-    /* The batch acknowledges all starts only if it leaves no machine behind: a start may
-     * be on one of those. */
+    /* If machines remain for a later batch, one of them may hold an unacknowledged start,
+     * so that this batch must not acknowledge any further starts. */
     batch->log_position = partition->replication.pending_machines->len
                               ? stream->acknowledged_position
                               : stream->log_position;
--- a/src/replication/failover.c
+++ b/src/replication/failover.c
@@ -13,31 +13,33 @@
     const struct lmn_partition_record *record = &partition->record;
     const struct lmn_replica *replica = partition->replication.replica;
 
-    /* Each claim raises the epoch by one, on condition of the epoch before. If ours is
-     * the next one, nobody has owned the partition since this process did. */
+    /* Each claim raises the epoch by one, on condition that it has not changed. If this
+     * owner's epoch is the one after the replica's, no other member has owned the
+     * partition since the replica was taken. */
     if (replica && replica->is_own_state)
         return replica->epoch + 1 == record->owner_epoch
                    ? NULL
-                   : "another has owned it meanwhile";
-    /* The claim, or the transfer to us, was conditional on a record that names us as in
-     * sync. Until it was applied no start went out that we had not acknowledged; none can
-     * go out after it, since the former owner can no longer remove us from the record. */
+                   : "another member has owned the partition since";
+    /* The claim, or the transfer to this member, was conditional on a record b/P that
+     * names this member as in sync. Before the claim was applied, no start went out
+     * without this member's acknowledgement; afterwards none can, since the former owner
+     * can no longer remove this member from the record. */
     if (!record->owner_stream)
-        return "nobody was in step";
+        return "no standby was in sync";
     if (record->owner_stream != record->standby_stream ||
         strcmp(record->standby, core->settings->node_name))
-        return "another was in step";
+        return "another member was in sync";
     if (!replica)
-        return "no copy: another life was in step";
+        return "no replica: an earlier process of this member was in sync";
     if (replica->stream != record->owner_stream)
-        return "the copy is of another stream";
+        return "the replica is of another stream";
     if (replica->epoch != record->standby_epoch ||
         replica->epoch + 1 != record->owner_epoch)
-        return "the copy is of another term";
+        return "the replica is of another epoch";
     return NULL;
 }
 
-/** A key that all attempts of a task share. */
+/** Returns the key of the attempt's task, JOB/INDEX; the caller frees it. */
 static char *task_key_new(const struct lmn_attempt_snapshot *attempt)
 {
     return g_strdup_printf("%s/%u", attempt->job_id, attempt->index);
@@ -52,8 +54,9 @@
         g_hash_table_replace(newest, g_steal_pointer(&task), (gpointer)attempt);
 }
 
-/** The newest attempt of each task, by task_key_new. Only that one can be on a machine:
- * before its owner made it, it had concluded that the earlier ones were gone. */
+/** Returns the newest attempt of each task, keyed by task_key_new. Only the newest
+ * attempt can be on a machine: an owner makes a further attempt only after it has
+ * established that the earlier ones are gone. */
 static GHashTable *newest_attempts(const struct lmn_replica *replica)
 {
     GHashTable *newest = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -70,8 +73,8 @@
     return newest;
 }
 
-/** Puts the attempt on the machine, as one that its worker has yet to report. Returns
- * whether it may still be there. */
+/** Adds the attempt to the machine, marked as not yet reported by its worker, if it may
+ * still be there. Returns whether it was added. */
 static bool restore_attempt(struct lmn_core *core, struct lmn_machine *machine,
                             const struct lmn_attempt_snapshot *snapshot,
                             struct timespec now)
@@ -86,9 +89,9 @@
     attempt.job = g_hash_table_lookup(core->cache.jobs, snapshot->job_id);
     attempt.range =
         lmn_partition_find_range(machine->partition, attempt.job, snapshot->index);
-    /* A failed attempt is no longer on the machine, and its task was queued again. One
-     * that is done is kept until the worker reports it or is gone: its task may not be
-     * recorded as done yet. */
+    /* A failed attempt is no longer on the machine, and its task was queued again. An
+     * attempt that is done is kept until its worker reports it or is gone, because the
+     * task may not be recorded as done yet. */
     if (snapshot->has_ended && (!snapshot->is_done || !attempt.range))
         return false;
     uint8_t *task_state =
@@ -98,7 +101,7 @@
         *task_state = LMN_TASK_STARTED;
         attempt.range->started_count++;
     } else {
-        /* The task is recorded as done, or has moved to another partition. */
+        /* The task is recorded as done, or its range has moved to another partition. */
         attempt.range = NULL;
         if (snapshot->has_ended)
             return false;
@@ -121,7 +124,7 @@
         struct lmn_image image = {
             g_intern_string(image_snapshot->name), image_snapshot->gb, {0, 0}};
 
-        /* When the fetch began is not known; at the latest it begins now. */
+        /* It is unknown when the fetch began; assume now, the latest possible time. */
         if (!image_snapshot->is_present)
             image.ready_at = lmn_time_add(
                 now, pull_gb_per_s > 0 ? image_snapshot->gb / pull_gb_per_s : 0);
@@ -129,7 +132,8 @@
     }
 }
 
-/** Nothing can run on a terminated machine: it is accounted for. */
+/** Marks the machine as terminated. No attempt can run on a terminated machine, so that
+ * it counts as accounted for. */
 static void restore_terminated(struct lmn_core *core, struct lmn_machine *machine)
 {
     machine->lifecycle.is_terminated = true;
@@ -138,7 +142,8 @@
     g_hash_table_add(core->cloud.returned_machines, g_strdup(machine->name));
 }
 
-/** Returns how many attempts were restored. */
+/** Restores the machine's images and the newest attempts of tasks from its snapshot.
+ * Returns how many attempts were restored. */
 static guint restore_machine(struct lmn_core *core, struct lmn_machine *machine,
                              const struct lmn_machine_snapshot *snapshot,
                              GHashTable *newest, struct timespec now)
@@ -171,7 +176,7 @@
         const struct lmn_machine_snapshot *snapshot =
             g_hash_table_lookup(replica->machines, machine->name);
         if (!snapshot)
-            continue; /* nothing was started on it */
+            continue; /* no attempt was started on this machine */
         machines_in_replica++;
         if (snapshot->is_terminated)
             restore_terminated(core, machine);
--- a/src/replication/replica.c
+++ b/src/replication/replica.c
@@ -1,5 +1,5 @@
 /** @file
- * A replica of another owner's state (replication/replica.h). */
+ * Replicas of partitions that this controller does not own (replication/replica.h). */
 #include "replication/replica.h"
 
 #include <string.h>
@@ -23,7 +23,7 @@
     return replica;
 }
 
-/** Replaces the machine's snapshot by the given one, which is taken over. */
+/** Replaces the machine's snapshot by the given one, and takes ownership of it. */
 static void apply_snapshot(struct lmn_replica *replica,
                            struct lmn_machine_snapshot *snapshot)
 {
@@ -46,9 +46,10 @@
 /** How a batch relates to the replica. */
 enum batch_order {
     BATCH_REPEATED,     /**< it was applied before */
-    BATCH_FIRST,        /**< it begins a newer stream */
-    BATCH_NEXT,         /**< it follows the last one that was applied */
-    BATCH_OUT_OF_ORDER, /**< one is missing, or it is of another or older stream */
+    BATCH_FIRST,        /**< it is the first of a newer stream */
+    BATCH_NEXT,         /**< it follows the latest batch that was applied */
+    BATCH_OUT_OF_ORDER, /**< a batch before it is missing, or its stream is not followed
+                         */
 };
 
 static enum batch_order classify_batch(const struct lmn_replica *replica,
@@ -76,8 +77,8 @@
                               const struct lmn_partition *partition,
                               const struct lmn_replication_batch *batch)
 {
-    /* An owner of an earlier epoch than the watch cache shows has been replaced. A
-     * controller that shuts down can't take the partition over. */
+    /* An owner whose epoch is below the one in the watch cache has been replaced. A
+     * controller that is shutting down cannot take the partition over. */
     return partition->ownership.is_owned || batch->epoch < partition->record.epoch ||
            core->shutdown.is_requested;
 }
@@ -118,8 +119,8 @@
 
 void lmn_replica_keep_own(struct lmn_partition *partition)
 {
-    /* An owner that recovered without a replica does not know what its predecessors
-     * started before every machine is accounted for. */
+    /* Until every machine is accounted for, an owner that recovered without a replica
+     * does not know all attempts that its predecessors started. */
     if (!partition->ownership.is_ready && !partition->ownership.is_warm)
         return;
     struct lmn_replica *replica = replica_new(partition->ownership.epoch, 0);
@@ -150,8 +151,8 @@
     if (partition->ownership.is_owned || !replica || !replica->is_own_state ||
         record->epoch <= replica->epoch)
         return;
-    /* Our own claim may be the one that has raised the epoch by one; the watch cache
-     * shows the owner after the epoch. */
+    /* This process's own claim may have raised the epoch by one; the watch cache shows
+     * the new epoch before the new owner. */
     if (record->epoch == replica->epoch + 1 &&
         (!*record->owner || !strcmp(record->owner, core->settings->node_name)))
         return;
--- a/src/replication/replica_choice.c
+++ b/src/replication/replica_choice.c
@@ -1,5 +1,5 @@
 /** @file
- * The choice of a standby (replication/replica_choice.h). */
+ * Chooses the standby of a partition (replication/replica_choice.h). */
 #include "replication/replica_choice.h"
 
 #include <string.h>
@@ -19,8 +19,8 @@
     return strcmp(zone_of(core, member_index), core->settings->zone) != 0;
 }
 
-/** How much the member has to do for partitions other than the given one: two for each
- * that it owns, one for each that it stands by for. */
+/** Returns the member's load from partitions other than the given one: OWNED_WEIGHT for
+ * each that it owns, STANDBY_WEIGHT for each whose standby it is. */
 static unsigned partition_load(const struct lmn_core *core, int member_index,
                                const struct lmn_partition *excluded)
 {
@@ -40,12 +40,13 @@
     return load;
 }
 
-/** The member's weight in the rendezvous hash of the partition. Each partition has its
- * own order of members, so that a member that fails moves only its own partitions. */
+/** Returns the member's weight in the partition's rendezvous hash. Each partition orders
+ * the members differently, so that only the partitions of a failed member move. */
 static guint rendezvous_weight(const struct lmn_core *core, int member_index,
                                const struct lmn_partition *partition)
 {
-    /* Knuth's multiplicative hash: spreads the similar hashes of similar names. */
+    /* Knuth's multiplicative hash: similar names have similar string hashes, which the
+     * multiplication spreads over all weights. */
     static const guint multiplier = 2654435761u;
     char text[LMN_NAME_SIZE + 16];
 
@@ -70,7 +71,8 @@
     unsigned candidate_load = partition_load(core, candidate, partition);
     unsigned best_load = partition_load(core, best, partition);
 
-    /* Another zone first: an outage of this one must not take both. */
+    /* Prefer another zone, so that the outage of one zone does not stop both the owner
+     * and the standby. */
     if (is_candidate_far != is_in_other_zone(core, best))
         return is_candidate_far;
     if (candidate_load != best_load)
@@ -86,8 +88,8 @@
     int preferred_index = partition->id % members->count;
     int best = -1;
 
-    /* The preferred holder will own the partition again, and a standby takes it over
-     * without a recovery. */
+    /* The preferred owner gets the partition back later; as its standby it can then take
+     * the partition over without a recovery. */
     if (can_stand_by(members, preferred_index, now))
         return preferred_index;
     for (int i = 0; i < members->count; i++) {
@@ -104,11 +106,11 @@
 {
     const struct lmn_partition_record *record = &partition->record;
 
-    /* A record of an earlier epoch is about a former owner's stream. */
+    /* A record of an earlier epoch belongs to a former owner's stream. */
     if (!record->standby_stream || record->standby_epoch != record->epoch)
         return -1;
     int member_index = lmn_member_index(&core->members, record->standby);
-    /* With another lease the member has restarted, and has no replica. */
+    /* A member with another lease has restarted since, and has lost its replica. */
     if (member_index < 0 ||
         core->members.views[member_index].lease != record->standby_lease ||
         !lmn_member_is_trusted(&core->members, member_index, now))
--- a/src/replication/standby_record.c
+++ b/src/replication/standby_record.c
@@ -1,13 +1,14 @@
 /** @file
- * The record of the standby that is in sync (replication/standby_record.h). */
+ * Reads and writes the record of the standby that is in sync
+ * (replication/standby_record.h). */
 #include "replication/standby_record.h"
 
 #include <string.h>
 
 enum { KEY_SIZE = 32 };
 
-/** The record's value. Keys and their order are the stored format, in which the epoch is
- * called "term". */
+/** Returns the record's value. The keys and their order are the stored format, in which
+ * the epoch is called "term". */
 static GByteArray *encode_record(const struct lmn_core *core,
                                  const struct lmn_partition *partition,
                                  bool names_standby)
--- a/src/replication/start_gate.c
+++ b/src/replication/start_gate.c
@@ -1,5 +1,5 @@
 /** @file
- * Which starts wait for the standby (replication/start_gate.h). */
+ * Holds starts back until they are acknowledged (replication/start_gate.h). */
 #include "replication/start_gate.h"
 
 const double LMN_REPLICATION_DEFER_S = 0.3;
--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -1,6 +1,6 @@
 /** @file
- * The stream to a standby as a state machine (replication/stream.h). The functions below
- * follow its phases in order; the public ones come last. */
+ * The state machine of a stream to a standby (replication/stream.h). The functions follow
+ * the phases in order; the public functions come last. */
 #include "replication/stream.h"
 #include "replication/batch_builder.h"
 #include "replication/replica_choice.h"
@@ -11,39 +11,44 @@
 #include <string.h>
 
 const double LMN_REPLICATION_TIMEOUT_S = 0.4;
-/** Starts that are decided on within this time share a batch: a call for each took a
- * fifth more processor time, at 22 starts a second. */
+/** Starts that are decided within this time share a batch. At 22 starts a second, one
+ * call for each start took 20 % more processor time. */
 static const double BATCH_WINDOW_S = 0.003;
-/** Changes that no start waits for are sent within this time. */
+/** Changes on which no start waits are sent within this time. */
 static const double IDLE_FLUSH_S = 0.5;
-/** A write of the record whose outcome the watch cache does not show is tried again. */
+/** A write of the record b/P is repeated if the watch cache does not show its outcome
+ * within this time. */
 static const double RECORD_RETRY_S = 0.5;
-/** How long to wait before a batch that was not answered is sent again. */
+/** The wait before a batch without a reply is sent again. */
 static const double RESEND_S = 0.05;
-/** The shortest wait for the batch window to end. */
+/** Lower bound of the wait for the end of the batch window. */
 static const double MIN_WAIT_S = 0.0005;
-/** The delay before the next stream after one that failed; it doubles with each further
- * failure, up to the maximum. */
+/** The delay before the next stream after a failure; it doubles with each consecutive
+ * failure, up to MAX_BACKOFF_S. */
 static const double BACKOFF_S = 2, MAX_BACKOFF_S = 60;
-/** A stream that has lasted for so long does not count as a further failure in a row. */
+/** The failure of a stream that has lasted for longer than this counts as the first
+ * failure again, not as a consecutive one. */
 static const double STABLE_STREAM_S = 30;
-/** How long before it may be readmitted the preferred standby is brought in sync. */
+/** How long before its readmission the preferred standby is brought in sync. */
 static const double READMISSION_LEAD_S = 3;
 enum {
     MAX_SEND_FAILURES = 3,
     MAX_CONSECUTIVE_REMOVALS = 10,
-    /** A stream's id is the epoch, then so many bits of a count. */
+    /** A stream's id is the epoch, followed by this many bits of the stream count. */
     STREAM_COUNT_BITS = 20,
     STREAM_COUNT_MASK = (1 << STREAM_COUNT_BITS) - 1,
 };
 
-/* Why a stream ended. Operators read these in the log and in the status page. */
-static const char PREFERRED_IS_BACK[] = "the usual holder is back";
-static const char NOT_TRUSTED[] = "suspected, or another life";
-static const char NOT_ACKNOWLEDGED[] = "no acknowledgement";
-static const char NOT_ANSWERED[] = "no answer";
-static const char STREAM_UNKNOWN[] = "it does not know the stream";
-static const char STREAM_REJECTED[] = "it refuses the stream";
+/* Why a stream ended, as shown in the log and in the status page. The limits in these
+ * texts are LMN_REPLICATION_TIMEOUT_S and MAX_SEND_FAILURES. */
+static const char PREFERRED_IS_BACK[] = "the partition's preferred owner is back";
+static const char NOT_TRUSTED[] =
+    "the standby is suspected, has restarted, or standbys are turned off";
+static const char NOT_ACKNOWLEDGED[] =
+    "the standby did not acknowledge starts within 0.4 s";
+static const char NOT_ANSWERED[] = "the standby did not reply to 3 batches in a row";
+static const char STREAM_UNKNOWN[] = "the standby does not follow this stream";
+static const char STREAM_REJECTED[] = "the standby rejected the stream";
 
 const char *lmn_replication_phase_name(enum lmn_replication_phase phase)
 {
@@ -53,7 +58,7 @@
     return names[phase];
 }
 
-/** Whether a start was decided on that the standby has not acknowledged. */
+/** Whether there are starts that the standby has not acknowledged. */
 static bool has_unacknowledged_starts(const struct lmn_replication_stream *stream)
 {
     return stream->acknowledged_position < stream->log_position;
@@ -87,7 +92,7 @@
                                  struct timespec now)
 {
     stream->last_failure_reason = why;
-    /* The preferred standby is ready to follow at once; nothing has failed. */
+    /* Nothing has failed: the stream to the preferred standby may start at once. */
     if (why == PREFERRED_IS_BACK) {
         stream->consecutive_removals = 0;
         stream->next_step_at = now;
@@ -102,9 +107,10 @@
     stream->next_step_at = lmn_time_add(now, MIN(backoff_s, MAX_BACKOFF_S));
 }
 
-/** To NONE: no start waits for an acknowledgement any more, and nothing is sent.
+/** Transition to NONE: starts no longer wait for an acknowledgement, and nothing is sent.
  *
- * @param why the reason that is shown and delays the next stream; NULL: neither */
+ * @param why the reason to record, after which the next stream is delayed; NULL: no
+ * reason and no delay */
 static void end_stream(struct lmn_core *core, struct lmn_partition *partition,
                        const char *why, struct timespec now)
 {
@@ -119,8 +125,9 @@
     pthread_cond_signal(&partition->replication.due);
 }
 
-/** To REMOVING: the record may name the standby. Until it no longer does, the standby may
- * take the partition over as one that knows every start, so that starts go on waiting. */
+/** Transition to REMOVING. While the record may still name the standby, the standby may
+ * take the partition over on the assumption that it knows every start, so that starts
+ * continue to wait. */
 static void remove_standby(struct lmn_core *core, struct lmn_partition *partition,
                            const char *why)
 {
@@ -152,8 +159,8 @@
     struct lmn_replication_stream *stream = &partition->replication.stream;
 
     /* The record has changed since JOINING read its revision, and does not name the
-     * stream. A delayed write of JOINING is conditional on that revision, so that it
-     * can't be applied any more either. */
+     * stream. A delayed write from JOINING is conditional on that earlier revision and
+     * can no longer be applied. */
     if (partition->record.standby_revision > stream->join_revision &&
         !lmn_standby_record_names_stream(partition))
         end_stream(core, partition, stream->last_failure_reason, now);
@@ -166,15 +173,15 @@
 {
     const struct lmn_partition_ownership *ownership = &partition->ownership;
 
-    /* Before it is ready or warm, the owner does not know what may run on its machines,
-     * and a replica of that would be incomplete. */
+    /* Until the owner is ready or warm, it does not know all attempts on its machines,
+     * and a replica of its state would be incomplete. */
     return (ownership->is_ready || ownership->is_warm) &&
            core->cache.operator_settings.standby > 0 && !ownership->is_transferring &&
            core->load.delay_s < LMN_STANDBY_MAX_LOAD_DELAY_S &&
            !lmn_time_before(now, partition->replication.stream.next_step_at);
 }
 
-/** To SNAPSHOT: all machines are pending. */
+/** Transition to SNAPSHOT: marks all machines as pending. */
 static void begin_snapshot(struct lmn_core *core, struct lmn_partition *partition,
                            int standby_index, struct timespec now)
 {
@@ -183,15 +190,15 @@
     stream->phase = LMN_STREAM_SNAPSHOT;
     stream->standby_index = standby_index;
     stream->standby_lease = core->members.views[standby_index].lease;
-    /* Ids rise within an epoch, so that the standby recognizes a delayed batch of an
+    /* Ids rise within an epoch, so that the standby can recognize a delayed batch of an
      * earlier stream. */
     stream->id = partition->ownership.epoch << STREAM_COUNT_BITS |
                  (++stream->counters.streams & STREAM_COUNT_MASK);
     stream->next_batch_number = 0;
     stream->send_failures = 0;
     stream->began_at = now;
-    /* Earlier acknowledgements are another standby's. The log position is never set back;
-     * it rises, so that this standby has something to acknowledge. */
+    /* Earlier acknowledgements came from another stream. The log position never falls; it
+     * is raised here so that the new stream has a position to acknowledge. */
     stream->acknowledged_position = 0;
     stream->log_position++;
     for (guint i = 0; i < partition->machine_list->len; i++) {
@@ -214,13 +221,15 @@
         begin_snapshot(core, partition, standby_index, now);
 }
 
-/* --- a stream that runs --- */
+/* --- the phases of a running stream --- */
 
-/** Whether the standby is the process that the stream began with, and nobody suspects it.
+/** Whether the standby is still the process with which the stream began, it is not
+ * suspected, and the operator allows standbys.
  *
- * Its own health does not count: in an outage of the key-value store every member's watch
- * cache is stale, and no standby could be removed from the record, so that all starts
- * would wait for the end of the outage. Whether it answers shows in the batches. */
+ * The standby's own health report is ignored. During an outage of the key-value store
+ * every member's watch cache is stale; if that failed the stream, the standby could not
+ * be removed from the record, and all starts would wait until the outage ends. Whether
+ * the standby responds shows in its replies to batches. */
 static bool is_standby_usable(const struct lmn_core *core,
                               const struct lmn_partition *partition)
 {
@@ -232,8 +241,8 @@
            !lmn_member_is_suspected(&core->members, stream->standby_index);
 }
 
-/** Whether another member is the standby although the preferred holder could be, and is
- * about to get its partition back. */
+/** Whether another member is the standby although the partition's preferred owner is
+ * trusted and about to get the partition back. */
 static bool is_preferred_standby_back(const struct lmn_core *core,
                                       const struct lmn_partition *partition,
                                       struct timespec now)
@@ -248,7 +257,7 @@
                READMISSION_LEAD_S;
 }
 
-/** Why the stream can't go on; NULL: it can. */
+/** Returns why the stream cannot continue; NULL if it can. */
 static const char *find_failure(const struct lmn_core *core,
                                 const struct lmn_partition *partition,
                                 struct timespec now)
@@ -265,8 +274,8 @@
     return NULL;
 }
 
-/** Whether at least one batch is acknowledged, none is under way, and what has changed
- * since fits in half a batch: starts then wait only briefly for the rest. */
+/** Whether at least one batch is acknowledged, no batch is being sent, and the remaining
+ * changes fit in half a batch, so that starts will wait only briefly for them. */
 static bool is_snapshot_nearly_sent(const struct lmn_partition *partition)
 {
     const struct lmn_replication_stream *stream = &partition->replication.stream;
@@ -277,8 +286,8 @@
            !partition->replication.pending_removals->len;
 }
 
-/** Makes the transition that acknowledgements and the watch cache allow. Returns whether
- * there was one. */
+/** Makes the transition that acknowledgements and the watch cache allow, if any. Returns
+ * whether it made one. */
 static bool advance_phase(const struct lmn_core *core, struct lmn_partition *partition,
                           struct timespec now)
 {
@@ -308,7 +317,7 @@
     return false;
 }
 
-/** Makes at most one transition. */
+/** Makes at most one transition of the stream's phase. */
 static void advance(struct lmn_core *core, struct lmn_partition *partition,
                     struct timespec now)
 {
@@ -333,7 +342,7 @@
     pthread_cond_broadcast(&core->replication_acknowledged);
 }
 
-/* --- what is due --- */
+/* --- the step that is due --- */
 
 static bool is_record_write_due(const struct lmn_replication_stream *stream,
                                 struct timespec now)
@@ -361,7 +370,7 @@
            lmn_time_diff_s(now, stream->last_batch_at) > IDLE_FLUSH_S;
 }
 
-/** For how long there is nothing to do, unless `due` is signalled. */
+/** Returns how long to wait for the next step, unless `due` is signalled before. */
 static double waiting_time_s(const struct lmn_replication_stream *stream,
                              struct timespec now)
 {
@@ -411,10 +420,10 @@
     stream->next_batch_number++;
     stream->counters.batches++;
     stream->counters.machines += batch->machines->len;
-    /* The acknowledged position only rises. */
+    /* The acknowledged position never falls. */
     if (batch->log_position <= stream->acknowledged_position)
         return;
-    /* During the snapshot no start waits, and there is no latency to measure. */
+    /* During the snapshot no start waits, so that there is no latency to measure. */
     if (stream->phase >= LMN_STREAM_CATCHING_UP)
         lmn_latency_add(&core->latencies.replication,
                         lmn_time_diff_s(now, stream->waiting_since));
@@ -436,7 +445,7 @@
     stream->is_sending = false;
     if (!answered) {
         stream->send_failures++;
-        return; /* the stream keeps the batch, which is sent again */
+        return; /* the stream keeps the batch and sends it again */
     }
     stream->batch = NULL;
     stream->send_failures = 0;
