--- a/src/simulation/controller_group.c
+++ b/src/simulation/controller_group.c
@@ -1,13 +1,14 @@
 /** @file
- * A simulated group of controllers (simulation/controller_group.h): its faults, and its
- * course. */
+ * Fault injection and the main loop of a simulated group of controllers
+ * (simulation/controller_group.h). */
 #include "simulation/controller_group.h"
 #include "simulation/simulated_group.h"
 
 #include <string.h>
 
-/** Before the simulation begins: no period of refusals has been. */
+/** Stands for "no period of refused connections so far": long before the simulation. */
 static const double NEVER_S = -1e9;
+
 static void inject_faults(struct lmn_simulated_group *group)
 {
     const struct lmn_controller_group_options *options = group->options;
@@ -79,7 +80,7 @@
             lmn_simulated_controller_step(group, &group->controllers[i]);
 }
 
-/** False for none at all. */
+/** Whether all of the first `count` flags are set; false if `count` is 0. */
 static bool are_all_set(const bool *flags, int count)
 {
     for (int i = 0; i < count; i++)
@@ -106,7 +107,7 @@
             are_all_set(group.was_suspected, options->failing_members))
             result->suspected_s = since_failure_s;
         if (are_all_set(group.was_declared_failed, options->failing_members)) {
-            /* Negative if they were declared failed before they failed. */
+            /* Negative if the members were declared failed before they failed. */
             result->declared_failed_s = since_failure_s;
             break;
         }
--- a/src/simulation/simulated_controller.c
+++ b/src/simulation/simulated_controller.c
@@ -4,16 +4,16 @@
 #include "simulation/controller_group.h"
 #include "simulation/simulated_group.h"
 
-/** How long a watch request waits for a change: usually, and while a member is suspected.
+/** How long a watch request waits for a change, and how long while a member is suspected.
  */
 static const double WATCH_WAIT_S = 0.8, SUSPECTED_WATCH_WAIT_S = 0.2;
-/** Between the reply to a watch request and the next request. */
+/** Time between the reply to a watch request and the next request. */
 static const double WATCH_PAUSE_S = 0.06;
-/** A change cuts a waiting watch request short if it is not older than this. */
+/** A change ends the wait of a watch request if the change is not older than this. */
 static const double CHANGE_NOTICE_S = 0.5;
-/** What is left of a controller's delay at its next tick. */
+/** Factor by which a controller's reported delay decreases with each punctual tick. */
 static const double DELAY_DECAY = 0.9;
-/** All members' records are tied to a lease; which does not matter. */
+/** The lease id of every member's record; the simulation does not use its value. */
 enum { ANY_LEASE = 1 };
 
 /* --- a controller's watch --- */
@@ -55,7 +55,7 @@
     lmn_members_record_watch(&controller->members, lmn_simulated_time(watch->sent_at_s));
 }
 
-/** Sends a watch request. It is answered at once if there are unseen changes. */
+/** Sends a watch request, which the store answers at once if there are unseen changes. */
 static void send_watch(struct lmn_simulated_group *group,
                        struct lmn_simulated_controller *controller)
 {
@@ -84,7 +84,7 @@
     send_watch(group, controller);
 }
 
-/** A change cuts the wait of a watch request short. */
+/** Ends the wait of a watch request early if the store has an unseen change. */
 static void notify_watch(struct lmn_simulated_group *group,
                          struct lmn_simulated_controller *controller)
 {
@@ -138,14 +138,14 @@
     }
 }
 
-/** When the target handles a probe that is sent now. */
+/** Draws the time at which the target handles a probe that is sent now. */
 static double probe_arrival_s(struct lmn_simulated_group *group,
                               const struct lmn_simulated_controller *target)
 {
     double arrives_at_s = group->now_s + lmn_simulated_one_way_s(group);
 
-    /* The way is drawn a second time unless the target is stalled: the results of given
-     * seeds depend on it. */
+    /* Unless the target is stalled, the one-way time is drawn a second time: the results
+     * of given seeds depend on that draw. */
     arrives_at_s = arrives_at_s > target->stalled_until_s
                        ? group->now_s + lmn_simulated_one_way_s(group)
                        : target->stalled_until_s;
@@ -201,7 +201,8 @@
 
 /* --- a controller's decisions --- */
 
-/** Whether a rule that knows no suspicion declares the member failed. */
+/** Whether one of the comparison rules, which use no suspicions, declares the member
+ * failed. */
 static bool is_failed_by_simple_rule(const struct lmn_simulated_group *group,
                                      const struct lmn_simulated_controller *controller,
                                      int member_index)
@@ -238,7 +239,7 @@
                                         .cause = evidence.cause});
 }
 
-/** Suspects the member if that is due. Returns whether it is to be declared failed. */
+/** Suspects the member if the evidence suffices. Returns whether to declare it failed. */
 static bool decide_on_member(struct lmn_simulated_group *group,
                              struct lmn_simulated_controller *controller,
                              int member_index)
--- a/src/simulation/simulated_group.h
+++ b/src/simulation/simulated_group.h
@@ -1,9 +1,9 @@
 /** @file
- * The state of a simulated group of controllers, shared by the files of this folder.
+ * The state of a simulated group of controllers, shared by the files in this directory.
  *
- * simulated_store.c is the network and the key-value store, simulated_controller.c a
- * controller, controller_group.c the group as a whole. The result of a seed depends on
- * the order of the random draws. */
+ * simulated_store.c simulates the network and the key-value store, simulated_controller.c
+ * one controller, and controller_group.c the group. The result for a seed depends on the
+ * order of the random draws, which a change to these files has to keep. */
 #ifndef LMN_SIMULATION_SIMULATED_GROUP_H
 #define LMN_SIMULATION_SIMULATED_GROUP_H
 
@@ -12,18 +12,18 @@
 struct lmn_controller_group_options;
 struct lmn_controller_group_result;
 
-/** The simulation's step. */
+/** Simulated time between two steps. */
 #define LMN_SIMULATION_STEP_S 0.01
-/** Between two ticks of a controller's maintenance loop. */
+/** Time between two ticks of a controller's maintenance loop. */
 #define LMN_SIMULATION_TICK_INTERVAL_S 0.15
-/** How long members refuse each other's connections. */
+/** Duration of a period in which members refuse each other's connections. */
 #define LMN_SIMULATION_REFUSAL_S 10
 
-/** A record of the key-value store: a member's, or a suspicion. */
+/** A record in the key-value store: a member's record or a suspicion. */
 struct lmn_simulated_record {
     uint64_t revision;
-    int by_index;         /**< who wrote the suspicion */
-    uint64_t incarnation; /**< that is suspected */
+    int by_index;         /**< suspicion: index of the member that wrote it */
+    uint64_t incarnation; /**< suspicion: the suspected incarnation */
     enum lmn_suspicion_cause cause;
 };
 
@@ -35,9 +35,9 @@
     double at_s;
 };
 
-/** What a controller writes to the store. */
+/** The kinds of writes that controllers send to the store. */
 enum lmn_simulated_write_kind {
-    LMN_SIMULATED_REFUTATION, /**< a member writes its record anew */
+    LMN_SIMULATED_REFUTATION, /**< a member rewrites its record */
     LMN_SIMULATED_SUSPICION,
     LMN_SIMULATED_FAILURE, /**< a member is declared failed */
 };
@@ -51,21 +51,22 @@
     double arrives_at_s;
 };
 
-/** A watch request of a controller, in flight or answered. */
+/** A controller's current watch request, in flight or answered. */
 struct lmn_simulated_watch {
     double sent_at_s, reply_at_s;
-    guint changes_seen; /**< of the store's history */
+    guint changes_seen; /**< number of entries of the store's history that the controller
+                           has seen */
 };
 
-/** A probe of a controller. */
+/** A probe that a controller has sent. */
 struct lmn_simulated_probe_in_flight {
     bool is_active;
     struct lmn_probe probe;
     double sent_at_s, times_out_at_s;
-    double reply_at_s; /**< 0: none will come */
+    double reply_at_s; /**< 0: no reply will come */
 };
 
-/** A controller. */
+/** A simulated controller. */
 struct lmn_simulated_controller {
     struct lmn_settings settings;
     struct lmn_members members;
@@ -75,12 +76,12 @@
     double next_decision_s;
     struct lmn_simulated_watch watch;
     struct lmn_simulated_probe_in_flight probe;
-    /** Writes that were sent, and do not show in the watch yet. */
+    /** Writes that were sent, and whose outcome the watch has not shown yet. */
     bool is_refuting, is_suspecting[LMN_MAX_MEMBERS + 1],
         is_declaring[LMN_MAX_MEMBERS + 1];
 };
 
-/** The whole simulation. */
+/** The state of the whole simulation. */
 struct lmn_simulated_group {
     const struct lmn_controller_group_options *options;
     struct lmn_controller_group_result *result;
@@ -96,19 +97,21 @@
     bool was_suspected[LMN_MAX_MEMBERS + 1], was_declared_failed[LMN_MAX_MEMBERS + 1];
 };
 
-/** The simulated time as one of the steady clock. */
+/** Converts a simulated time to a time of the steady clock. */
 struct timespec lmn_simulated_time(double simulated_s);
-/** A random number from 0 to max. Draws only if max is positive. */
+/** Returns a random number from 0 to max. If max is not positive, returns 0 without
+ * drawing a number. */
 double lmn_simulated_random(struct lmn_simulated_group *group, double max);
 /** Whether the member has not failed and is not stalled. */
 bool lmn_simulated_is_running(const struct lmn_simulated_group *group, int member_index);
-/** How long a message takes one way; a lost one is sent again. */
+/** Draws how long a message takes one way, including the time to send lost messages
+ * again. */
 double lmn_simulated_one_way_s(struct lmn_simulated_group *group);
-/** How long a request to the key-value store takes, both ways included. */
+/** Draws how long a request to the key-value store and its reply take together. */
 double lmn_simulated_store_round_trip_s(struct lmn_simulated_group *group);
 /** Whether members refuse each other's connections now. */
 bool lmn_simulated_connections_refused(const struct lmn_simulated_group *group);
-/** Writes the member's record anew: it has a new incarnation. */
+/** Rewrites the member's record, which gives the member a new incarnation. */
 void lmn_simulated_renew_member_record(struct lmn_simulated_group *group,
                                        int member_index);
 /** Sends a write to the store. */
@@ -116,7 +119,7 @@
                               struct lmn_simulated_write write);
 /** Applies the writes that have arrived at the store. */
 void lmn_simulated_apply_writes(struct lmn_simulated_group *group);
-/** Lets a controller do what is due. */
+/** Runs the work of a controller that is due in this step. */
 void lmn_simulated_controller_step(struct lmn_simulated_group *group,
                                    struct lmn_simulated_controller *controller);
 
--- a/src/simulation/simulated_store.c
+++ b/src/simulation/simulated_store.c
@@ -3,10 +3,11 @@
 #include "simulation/controller_group.h"
 #include "simulation/simulated_group.h"
 
-/** The network: the shortest way, the most that it takes longer, and after how long a
- * lost message is sent again for the first time. */
+/** The network: the shortest one-way time, the largest random addition to it, and the
+ * time after which a lost message is first sent again. */
 static const double MIN_LATENCY_S = 0.0005, MAX_JITTER_S = 0.0005, RESEND_S = 0.2;
-/** The simulated time 0 as a time of the steady clock: one of 0 seconds means "never". */
+/** Seconds of the steady clock at the simulated time 0. They must not be 0, because a
+ * time with 0 seconds means "never". */
 enum { START_S = 1000 };
 
 struct timespec lmn_simulated_time(double simulated_s)
@@ -89,7 +90,7 @@
     group->was_declared_failed[member_index] = true;
     if (has_failed)
         return;
-    /* A member that has not failed notices it, and writes its record anew. */
+    /* A member that has not failed notices the declaration and rewrites its record. */
     group->result->false_failures++;
     lmn_simulated_renew_member_record(group, member_index);
 }
