--- a/src/controller/deferred_responses.c
+++ b/src/controller/deferred_responses.c
@@ -32,7 +32,7 @@
         g_byte_array_set_size(response->body, 0);
         return STATUS_UNAVAILABLE;
     }
-    if (lmn_replication_covers(partition, response->starts.log_position))
+    if (lmn_replication_allows_starts_up_to(partition, response->starts.log_position))
         return STATUS_OK;
     if (lmn_time_diff_s(now, response->deferred_at) <= LMN_REPLICATION_DEFER_S)
         return 0;
@@ -75,7 +75,7 @@
     pthread_mutex_lock(&core->lock);
     if (!is_owned_in_epoch(partition, starts))
         status = STATUS_UNAVAILABLE;
-    else if (lmn_replication_covers(partition, starts->log_position))
+    else if (lmn_replication_allows_starts_up_to(partition, starts->log_position))
         status = STATUS_OK;
     if (!status) {
         struct lmn_deferred_response *response = g_new0(struct lmn_deferred_response, 1);
--- a/src/controller/probe_client.c
+++ b/src/controller/probe_client.c
@@ -90,7 +90,8 @@
                            struct timespec now, struct lmn_probe_reply_buffer *buffer)
 {
     struct lmn_gossip_statement statements[LMN_MAX_GOSSIP_STATEMENTS];
-    unsigned count = lmn_member_gossip(&core->members, recipient, about, now, statements);
+    unsigned count =
+        lmn_member_select_gossip(&core->members, recipient, about, now, statements);
 
     for (unsigned i = 0; i < count; i++)
         buffer->gossip[i] = (lmn_rpc_gossip){
--- a/src/membership/failure_detector.c
+++ b/src/membership/failure_detector.c
@@ -160,7 +160,7 @@
             &member->reply_times,
             discounted_wait_s(members, lmn_time_diff_s(now, member->unanswered_since)));
     evidence->redirected_workers =
-        lmn_member_redirected_workers(members, member_index, now);
+        lmn_member_count_redirected_workers(members, member_index, now);
     for (int i = 0; i < members->count; i++)
         if (i != member_index && i != members->self)
             add_gossip(members, member, &member->gossip[i], now, evidence);
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -39,7 +39,7 @@
 {
     static const char *const names[] = {"silent", "deaf", "blind"};
 
-    return cause < LMN_SUSPICION_CAUSES ? names[cause] : "unknown";
+    return cause < LMN_SUSPICION_CAUSE_COUNT ? names[cause] : "unknown";
 }
 
 void lmn_members_init(struct lmn_members *members, const struct lmn_settings *settings,
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -50,7 +50,7 @@
     LMN_CAUSE_UNRESPONSIVE,  /**< the member does not reply to probes */
     LMN_CAUSE_NO_HEARTBEATS, /**< its workers' heartbeats reach other members only */
     LMN_CAUSE_STALE_CACHE, /**< its watch cache is stale while the observer's is fresh */
-    LMN_SUSPICION_CAUSES
+    LMN_SUSPICION_CAUSE_COUNT
 };
 /** The cause's name in the suspicion record and in the status page, as a static string;
  * "unknown" for a value that a newer version has written. */
@@ -301,12 +301,13 @@
  * @param about_index the member that the receiver is asked to probe; -1: none
  * @param statements room for LMN_MAX_GOSSIP_STATEMENTS
  * @return how many statements were written */
-unsigned lmn_member_gossip(struct lmn_members *members, int to_index, int about_index,
-                           struct timespec now, struct lmn_gossip_statement *statements);
+unsigned lmn_member_select_gossip(struct lmn_members *members, int to_index,
+                                  int about_index, struct timespec now,
+                                  struct lmn_gossip_statement *statements);
 /** Returns how many of the member's workers have recently sent heartbeats to this
  * controller instead. */
-unsigned lmn_member_redirected_workers(const struct lmn_members *members,
-                                       int member_index, struct timespec now);
+unsigned lmn_member_count_redirected_workers(const struct lmn_members *members,
+                                             int member_index, struct timespec now);
 
 /* --- evaluation of other members --- */
 
--- a/src/membership/probe_schedule.c
+++ b/src/membership/probe_schedule.c
@@ -185,8 +185,8 @@
     return false;
 }
 
-unsigned lmn_member_redirected_workers(const struct lmn_members *members,
-                                       int member_index, struct timespec now)
+unsigned lmn_member_count_redirected_workers(const struct lmn_members *members,
+                                             int member_index, struct timespec now)
 {
     const struct lmn_member_view *member = &members->views[member_index];
     double counts_for_s =
@@ -215,7 +215,8 @@
         .unanswered_age_s = member->unanswered_since.tv_sec
                                 ? lmn_time_diff_s(now, member->unanswered_since)
                                 : 0,
-        .redirected_workers = lmn_member_redirected_workers(members, member_index, now),
+        .redirected_workers =
+            lmn_member_count_redirected_workers(members, member_index, now),
     };
 }
 
@@ -227,8 +228,9 @@
            lmn_member_is_suspected(members, statement->member);
 }
 
-unsigned lmn_member_gossip(struct lmn_members *members, int to_index, int about_index,
-                           struct timespec now, struct lmn_gossip_statement *statements)
+unsigned lmn_member_select_gossip(struct lmn_members *members, int to_index,
+                                  int about_index, struct timespec now,
+                                  struct lmn_gossip_statement *statements)
 {
     unsigned count = 0;
 
--- a/src/partition/heartbeat.h
+++ b/src/partition/heartbeat.h
@@ -14,7 +14,7 @@
 #include "state/core_state.h"
 
 /** The start commands of a reply that the partition's standby has to acknowledge before
- * the reply is sent (lmn_replication_covers). */
+ * the reply is sent (lmn_replication_allows_starts_up_to). */
 struct lmn_deferred_starts {
     int partition;
     uint64_t epoch;
--- a/src/partition/worker_client.c
+++ b/src/partition/worker_client.c
@@ -119,12 +119,12 @@
         return true;
     struct timespec deadline = lmn_time_add(lmn_now(), LMN_REPLICATION_DEFER_S);
     while (partition->ownership.is_owned && partition->ownership.epoch == epoch &&
-           !lmn_replication_covers(partition, log_position) &&
+           !lmn_replication_allows_starts_up_to(partition, log_position) &&
            (remaining_s = lmn_time_diff_s(deadline, lmn_now())) > 0)
         lmn_cond_wait_for(&core->replication_acknowledged, &core->lock, remaining_s);
     bool is_acknowledged = partition->ownership.is_owned &&
                            partition->ownership.epoch == epoch &&
-                           lmn_replication_covers(partition, log_position);
+                           lmn_replication_allows_starts_up_to(partition, log_position);
     if (!is_acknowledged)
         core->counters.withheld_starts++;
     return is_acknowledged;
--- a/src/replication/start_gate.c
+++ b/src/replication/start_gate.c
@@ -10,7 +10,8 @@
            partition->replication.stream.phase >= LMN_STREAM_CATCHING_UP;
 }
 
-bool lmn_replication_covers(const struct lmn_partition *partition, uint64_t log_position)
+bool lmn_replication_allows_starts_up_to(const struct lmn_partition *partition,
+                                         uint64_t log_position)
 {
     return !lmn_replication_gates_starts(partition) ||
            partition->replication.stream.acknowledged_position >= log_position;
--- a/src/replication/start_gate.h
+++ b/src/replication/start_gate.h
@@ -16,7 +16,8 @@
 
 /** Whether the starts up to a log position may be sent: they are acknowledged, or starts
  * do not have to wait. */
-bool lmn_replication_covers(const struct lmn_partition *partition, uint64_t log_position);
+bool lmn_replication_allows_starts_up_to(const struct lmn_partition *partition,
+                                         uint64_t log_position);
 
 /** Whether starts have waited for an acknowledgement for longer than
  * LMN_REPLICATION_DEFER_S, so that no further start may be decided. */
--- a/src/simulation/simulated_controller.c
+++ b/src/simulation/simulated_controller.c
@@ -109,8 +109,8 @@
 {
     struct lmn_gossip_statement statements[LMN_MAX_GOSSIP_STATEMENTS];
     struct timespec now = lmn_simulated_time(group->now_s);
-    unsigned count =
-        lmn_member_gossip(&from->members, to->members.self, about_index, now, statements);
+    unsigned count = lmn_member_select_gossip(&from->members, to->members.self,
+                                              about_index, now, statements);
 
     for (unsigned i = 0; i < count; i++)
         lmn_member_record_gossip(&to->members, from->members.self, &statements[i], now);
--- a/src/state/member_records.c
+++ b/src/state/member_records.c
@@ -96,7 +96,7 @@
     }
     lmn_member_apply_suspicion(
         &core->members, member_index, change->value ? change->revision : 0, incarnation,
-        suspected_by, (enum lmn_suspicion_cause)MIN(cause, LMN_SUSPICION_CAUSES),
+        suspected_by, (enum lmn_suspicion_cause)MIN(cause, LMN_SUSPICION_CAUSE_COUNT),
         change->now);
     if (lmn_member_is_suspected(&core->members, member_index))
         lmn_info("member_suspected member=%s incarnation=%" G_GUINT64_FORMAT
--- a/tests/simulation/day.c
+++ b/tests/simulation/day.c
@@ -216,8 +216,9 @@
                     keep_for_next_owner(message);
                 int status = handle_heartbeat(node, message, response, &deferred);
                 if (status == 200 && deferred.log_position &&
-                    !lmn_replication_covers(&node->core->partitions[deferred.partition],
-                                            deferred.log_position)) {
+                    !lmn_replication_allows_starts_up_to(
+                        &node->core->partitions[deferred.partition],
+                        deferred.log_position)) {
                     node_defer_starts(node, &deferred, message, machine, response);
                 } else if (simulation.now < machine->inbound_lost_until) {
                     ; /* the response is lost */
--- a/tests/simulation/peers.c
+++ b/tests/simulation/peers.c
@@ -52,8 +52,9 @@
 static void send_gossip(struct node *from, struct node *to, int about)
 {
     struct lmn_gossip_statement statements[LMN_MAX_GOSSIP_STATEMENTS];
-    unsigned count = lmn_member_gossip(&from->core->members, to->core->members.self,
-                                       about, simulation.clock, statements);
+    unsigned count =
+        lmn_member_select_gossip(&from->core->members, to->core->members.self, about,
+                                 simulation.clock, statements);
     digest_message("statements", simulation.clock);
     digest_number((uint64_t)from->core->members.self);
     digest_number((uint64_t)to->core->members.self);
@@ -236,7 +237,7 @@
         bool still_owned = partition->ownership.is_owned &&
                            partition->ownership.epoch == deferred->starts.epoch;
         bool may_send = simulation.disabled_guard == GUARD_REPLICATED ||
-                        (still_owned && lmn_replication_covers(
+                        (still_owned && lmn_replication_allows_starts_up_to(
                                             partition, deferred->starts.log_position));
         if (still_owned && !may_send &&
             simulation.now - deferred->since <= LMN_REPLICATION_DEFER_S) {
@@ -344,8 +345,8 @@
         deferred.log_position =
             lmn_worker_client_push_log_position(node->core, name, &deferred.partition);
         if (machine && deferred.log_position &&
-            !lmn_replication_covers(&node->core->partitions[deferred.partition],
-                                    deferred.log_position)) {
+            !lmn_replication_allows_starts_up_to(
+                &node->core->partitions[deferred.partition], deferred.log_position)) {
             GByteArray *held_body = g_byte_array_new();
             g_byte_array_append(held_body, body->data, body->len);
             deferred.epoch = node->core->partitions[deferred.partition].ownership.epoch;
--- a/tests/takeover/commands.c
+++ b/tests/takeover/commands.c
@@ -50,7 +50,7 @@
         node->core, node->deferred_push_machine, &partition_id);
     bool is_acknowledged =
         node_partition(node_index)->ownership.is_owned &&
-        lmn_replication_covers(node_partition(node_index), log_position);
+        lmn_replication_allows_starts_up_to(node_partition(node_index), log_position);
     if (is_acknowledged || model.disabled_guard == GUARD_ACKNOWLEDGEMENT) {
         if (!send_push(node_index, node->deferred_push_machine, node->deferred_push))
             return false;
@@ -126,10 +126,10 @@
     if (status != 200 || !deferred.log_position)
         return status;
     while (model.is_fair_schedule &&
-           !lmn_replication_covers(partition, deferred.log_position) &&
+           !lmn_replication_allows_starts_up_to(partition, deferred.log_position) &&
            replicate(node_index, DELIVERED))
         finish_standby_txn(node_index, true);
-    if (!lmn_replication_covers(partition, deferred.log_position) &&
+    if (!lmn_replication_allows_starts_up_to(partition, deferred.log_position) &&
         model.disabled_guard != GUARD_ACKNOWLEDGEMENT)
         lmn_heartbeat_withhold_starts(core, &deferred, answer, model.now);
     return status;
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -212,16 +212,16 @@
     pass_time(1, 3, true);
     lmn_member_record_redirected_worker(&members, 2, "host-1", 3, 7, at(now));
     lmn_member_record_redirected_worker(&members, 2, "host-2", 1, 9, at(now));
-    assert_int_equal(lmn_member_redirected_workers(&members, 2, at(now)), 2);
+    assert_int_equal(lmn_member_count_redirected_workers(&members, 2, at(now)), 2);
     pass_time(60, 3, true);
-    assert_int_equal(lmn_member_redirected_workers(&members, 2, at(now)), 0);
+    assert_int_equal(lmn_member_count_redirected_workers(&members, 2, at(now)), 0);
     lmn_member_record_redirected_worker(&members, 2, "host-1", 3, 7, at(now));
     lmn_member_record_redirected_worker(&members, 2, "host-1", 2, 99, at(now));
     lmn_member_record_redirected_worker(&members, 2, "host-2", 1, 8, at(now));
-    assert_int_equal(lmn_member_redirected_workers(&members, 2, at(now)), 0);
+    assert_int_equal(lmn_member_count_redirected_workers(&members, 2, at(now)), 0);
     lmn_member_record_redirected_worker(&members, 2, "host-1", 4, 1, at(now));
     lmn_member_record_redirected_worker(&members, 2, "host-2", 1, 10, at(now));
-    assert_int_equal(lmn_member_redirected_workers(&members, 2, at(now)), 2);
+    assert_int_equal(lmn_member_count_redirected_workers(&members, 2, at(now)), 2);
 }
 
 static void a_majority_is_never_declared_failed(void **state)
--- a/tests/test_replication.c
+++ b/tests/test_replication.c
@@ -364,7 +364,8 @@
     lmn_replication_next_step(core, partition, now, &batch, &txn, &wait_s);
     assert_int_equal(stream->phase, LMN_STREAM_IN_SYNC);
     uint64_t log_position = lmn_machine_log_start(partition->machine_list->pdata[0], now);
-    assert_true(log_position && !lmn_replication_covers(partition, log_position) &&
+    assert_true(log_position &&
+                !lmn_replication_allows_starts_up_to(partition, log_position) &&
                 !lmn_replication_is_stuck(partition, now));
     for (int k = 0; k < 3; k++) {
         now = lmn_time_add(now, 0.15);
@@ -382,13 +383,13 @@
     lmn_txn_free(txn);
     /* The starts wait until the record is changed, however long that takes. */
     now = lmn_time_add(now, 100);
-    assert_false(lmn_replication_covers(partition, log_position));
+    assert_false(lmn_replication_allows_starts_up_to(partition, log_position));
     lmn_replication_next_step(core, partition, now, &batch, &txn, &wait_s);
     assert_int_equal(stream->phase, LMN_STREAM_REMOVING);
     lmn_txn_free(txn);
     apply_record("b/0", encode_record("", 0, 2, 0), 21);
     lmn_replication_next_step(core, partition, now, &batch, &txn, &wait_s);
-    assert_true(lmn_replication_covers(partition, log_position) &&
+    assert_true(lmn_replication_allows_starts_up_to(partition, log_position) &&
                 !lmn_replication_is_stuck(partition, now));
 }
 
