--- a/src/membership/failure_detector.c
+++ b/src/membership/failure_detector.c
@@ -20,8 +20,8 @@
 /** Delay of the readmission after a member's first failure; each further failure doubles
  * it. */
 static const double READMISSION_S = 15;
-/** One failure, and one refutation, is forgotten for each such period since the latest.
- */
+/** For each period of this length since a member's latest failure, one of its failures is
+ * forgotten; refutations are forgotten likewise. */
 static const double FORGET_FAILURE_S = 300;
 /** How long this controller must have followed the store before it declares a member
  * failed. */
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -200,8 +200,8 @@
     /** Lifeguard's local health multiplier, 0 (healthy) to 8: each point gives other
      * members more time to reply, since this controller itself may be slow. */
     unsigned local_health;
-    /** No worker's heartbeat reaches this controller; it claims no partition until one
-     * does. */
+    /** No worker's heartbeat reaches this controller; it neither owns nor claims a
+     * partition until one does. */
     bool is_isolated_from_workers;
     struct timespec last_worker_contact_at;
     /** @} */
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -46,9 +46,9 @@
 }
 
 /* Lets time pass with a fresh watch cache and punctual ticks. Members from first_silent
- * on do not reply to this controller's probes. The other members' gossip says that they
- * do not reply to those either, if silent_to_others is set, and that they do otherwise.
- */
+ * on do not reply to this controller's probes. The gossip of the other members says that
+ * these members do not reply to them either if silent_to_others is set, and otherwise
+ * that they do reply. */
 static void pass_time(double seconds, int first_silent, bool silent_to_others)
 {
     for (double end = now + seconds; now < end; now += 0.1) {
