--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -46,7 +46,8 @@
 {
     g_autofree char *lock = g_build_filename(dir, "keeper.lock", NULL);
 
-    return lmn_lock_wait(lock, END_TIMEOUT_S) && lmn_kill_all_with_environment_entry(mark, END_TIMEOUT_S);
+    return lmn_lock_wait(lock, END_TIMEOUT_S) &&
+           lmn_kill_all_with_environment_entry(mark, END_TIMEOUT_S);
 }
 
 /* Forks twice, so that the executor is not a child of the agent and the agent need not
--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -187,7 +187,8 @@
         node->lease = node->core->lease.id = 0;
         for (int i = 0; i < simulation.layout.nodes; i++)
             if (node->core->partitions[i].ownership.is_owned)
-                lmn_partition_end_ownership(node->core, &node->core->partitions[i], "lease ended");
+                lmn_partition_end_ownership(node->core, &node->core->partitions[i],
+                                            "lease ended");
     }
     if (!node->lease) {
         struct store_lease lease = {++simulation.last_lease, simulation.now + 3};
@@ -397,7 +398,7 @@
             owner->core->partitions[victim].ownership.is_owned &&
             lmn_victim_load(owner->core, &owner->core->partitions[victim], request))
             stolen = lmn_victim_begin_move(owner->core, &owner->core->partitions[victim],
-                                         request, simulation.clock);
+                                           request, simulation.clock);
     }
     digest_message("theft", simulation.clock);
     digest_number((uint64_t)request->partition);
--- a/tests/simulation/request_handling.c
+++ b/tests/simulation/request_handling.c
@@ -115,7 +115,7 @@
 
     thread->batch_count =
         lmn_read_batch_dequeue(&thread->reads, thread->batch, MAX_BATCH, &thread->cancel,
-                            &expired, simulation.clock);
+                               &expired, simulation.clock);
     thread->tries = 0;
     thread->stage = thread->cancel ? CANCEL_READ : CONFIRM;
     reply_unavailable(expired);
--- a/tests/test_executor.c
+++ b/tests/test_executor.c
@@ -113,8 +113,8 @@
 {
     struct timespec end = lmn_time_add(lmn_now(), TIMEOUT_S);
     while (lmn_kill_with_environment_entry("none=such") || true) {
-        /* Looks for this test's mark in /proc: lmn_kill_with_environment_entry(mark) would kill the
-         * processes that the executor has to kill. */
+        /* Looks for this test's mark in /proc: lmn_kill_with_environment_entry(mark)
+         * would kill the processes that the executor has to kill. */
         bool any_left = false;
         GDir *directory = g_dir_open("/proc", 0, NULL);
         const char *name;
--- a/tests/test_replication.c
+++ b/tests/test_replication.c
@@ -198,7 +198,8 @@
             lmn_cbor_put_text(machines, "t");
         lmn_cbor_put_text(machines, "z"), lmn_cbor_put_bool(machines, false);
     }
-    apply_record("j/run-000001", lmn_job_record_encode(&spec, LMN_JOB_ACTIVE, 1, 1000), 10);
+    apply_record("j/run-000001", lmn_job_record_encode(&spec, LMN_JOB_ACTIVE, 1, 1000),
+                 10);
     apply_record("r/0/run-000001/0", lmn_range_record_encode(&range, &done_tasks), 10);
     apply_record("m/0/0", machines, 11);
     apply_record("o/0", encode_record("nb", 2, 1, 0), 12);
