--- a/src/replication/stream.c
+++ b/src/replication/stream.c
@@ -46,7 +46,8 @@
     "the standby is suspected, has restarted, or standbys are turned off";
 static const char NOT_ACKNOWLEDGED[] =
     "the standby did not acknowledge starts within 0.4 s";
-static const char NOT_ANSWERED[] = "the standby did not reply to 3 batches in a row";
+static const char NOT_ANSWERED[] =
+    "the standby did not reply to a batch that was sent 3 times";
 static const char STREAM_UNKNOWN[] = "the standby does not follow this stream";
 static const char STREAM_REJECTED[] = "the standby rejected the stream";
 
