--- a/src/config/config.c
+++ b/src/config/config.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 /** A field of the file. */
-struct item {
+struct config_field {
     enum lmn_config_kind kind;
     char *text;    /**< owned */
     double number; /**< of an array: its length */
@@ -20,32 +20,32 @@
 };
 
 struct lmn_config {
-    char *name;        /**< of the file, for messages */
-    GHashTable *items; /**< path -> struct item; owns both */
-    GPtrArray *order;  /**< the paths in the file's order, so that the first unknown field
-                          is  reported; the strings are the keys of `items` */
-    char *error;       /**< the first error; NULL: none */
+    char *name;         /**< of the file, for messages */
+    GHashTable *fields; /**< path -> struct config_field; owns both */
+    GPtrArray *order; /**< the paths in the file's order, so that the first unknown field
+                         is  reported; the strings are the keys of `fields` */
+    char *error;      /**< the first error; NULL: none */
 };
 
-static void free_item(gpointer data)
+static void free_field(gpointer data)
 {
-    struct item *item = data;
-    g_free(item->text);
-    g_free(item);
+    struct config_field *field = data;
+    g_free(field->text);
+    g_free(field);
 }
 
 struct lmn_config *lmn_config_new(const char *name)
 {
     struct lmn_config *config = g_new0(struct lmn_config, 1);
     config->name = g_strdup(name);
-    config->items = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_item);
+    config->fields = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_field);
     config->order = g_ptr_array_new();
     return config;
 }
 
 void lmn_config_free(struct lmn_config *config)
 {
-    g_hash_table_destroy(config->items);
+    g_hash_table_destroy(config->fields);
     g_ptr_array_free(config->order, TRUE);
     g_free(config->name);
     g_free(config->error);
@@ -56,33 +56,33 @@
                     enum lmn_config_kind kind, const char *text, double number,
                     unsigned line)
 {
-    struct item *item = g_new0(struct item, 1);
+    struct config_field *field = g_new0(struct config_field, 1);
     char *key = g_strdup(path);
 
-    *item = (struct item){.kind = kind,
-                          .text = g_strdup(text),
-                          .number = number,
-                          .line = line,
-                          .is_used = false};
-    g_hash_table_replace(config->items, key, item);
+    *field = (struct config_field){.kind = kind,
+                                   .text = g_strdup(text),
+                                   .number = number,
+                                   .line = line,
+                                   .is_used = false};
+    g_hash_table_replace(config->fields, key, field);
     g_ptr_array_add(config->order, key);
 }
 
 void lmn_config_fail(struct lmn_config *config, const char *path, const char *format, ...)
 {
-    const struct item *item = g_hash_table_lookup(config->items, path);
+    const struct config_field *field = g_hash_table_lookup(config->fields, path);
     va_list arguments;
 
     if (config->error)
         return;
     va_start(arguments, format);
-    g_autofree char *what = g_strdup_vprintf(format, arguments);
+    g_autofree char *error = g_strdup_vprintf(format, arguments);
     va_end(arguments);
-    if (item)
-        config->error =
-            g_strdup_printf("%s: line %u: %s: %s", config->name, item->line, path, what);
+    if (field)
+        config->error = g_strdup_printf("%s: line %u: %s: %s", config->name, field->line,
+                                        path, error);
     else
-        config->error = g_strdup_printf("%s: %s: %s", config->name, path, what);
+        config->error = g_strdup_printf("%s: %s: %s", config->name, path, error);
 }
 
 /** Names of the kinds of fields in errors. Indexed by enum lmn_config_kind. */
@@ -91,19 +91,19 @@
 
 /** @return the field if it is there and of the kind; NULL otherwise, after reporting a
  * wrong kind or, if `is_required`, an absent field. */
-static const struct item *find_item(struct lmn_config *config, const char *path,
-                                    enum lmn_config_kind kind, bool is_required)
+static const struct config_field *find_field(struct lmn_config *config, const char *path,
+                                             enum lmn_config_kind kind, bool is_required)
 {
-    struct item *item = g_hash_table_lookup(config->items, path);
+    struct config_field *field = g_hash_table_lookup(config->fields, path);
 
-    if (!item) {
+    if (!field) {
         if (is_required)
             lmn_config_fail(config, path, "missing; expected %s", kind_words[kind]);
         return NULL;
     }
-    item->is_used = true;
-    if (item->kind == kind)
-        return item;
+    field->is_used = true;
+    if (field->kind == kind)
+        return field;
     lmn_config_fail(config, path, "expected %s", kind_words[kind]);
     return NULL;
 }
@@ -111,13 +111,14 @@
 const char *lmn_config_text(struct lmn_config *config, const char *path,
                             const char *fallback)
 {
-    const struct item *item = find_item(config, path, LMN_CONFIG_TEXT, !fallback);
+    const struct config_field *field =
+        find_field(config, path, LMN_CONFIG_TEXT, !fallback);
 
-    if (item && !*item->text)
+    if (field && !*field->text)
         lmn_config_fail(config, path,
                         "expected a text of at least 1 character, got \"\"");
-    if (item)
-        return item->text;
+    if (field)
+        return field->text;
     return fallback ? fallback : "";
 }
 
@@ -166,34 +167,34 @@
 double lmn_config_number(struct lmn_config *config, const char *path, double fallback,
                          double min, double max)
 {
-    const struct item *item = find_item(config, path, LMN_CONFIG_NUMBER, false);
+    const struct config_field *field = find_field(config, path, LMN_CONFIG_NUMBER, false);
 
-    if (!item)
+    if (!field)
         return fallback;
     /* Written so that a NaN is refused too. */
-    if (!(item->number >= min && item->number <= max)) {
+    if (!(field->number >= min && field->number <= max)) {
         lmn_config_fail(config, path, "expected a number from %g to %g, got %g", min, max,
-                        item->number);
+                        field->number);
         return fallback;
     }
-    return item->number;
+    return field->number;
 }
 
 bool lmn_config_bool(struct lmn_config *config, const char *path, bool fallback)
 {
-    const struct item *item = find_item(config, path, LMN_CONFIG_BOOL, false);
-    return item ? item->number != 0 : fallback;
+    const struct config_field *field = find_field(config, path, LMN_CONFIG_BOOL, false);
+    return field ? field->number != 0 : fallback;
 }
 
 guint lmn_config_count(struct lmn_config *config, const char *path)
 {
-    const struct item *item = find_item(config, path, LMN_CONFIG_ARRAY, false);
-    return item ? (guint)item->number : 0;
+    const struct config_field *field = find_field(config, path, LMN_CONFIG_ARRAY, false);
+    return field ? (guint)field->number : 0;
 }
 
 bool lmn_config_has(struct lmn_config *config, const char *path)
 {
-    return g_hash_table_contains(config->items, path);
+    return g_hash_table_contains(config->fields, path);
 }
 
 /** Reports the first field that no getter has read. Skips tables: an unknown table is
@@ -202,8 +203,8 @@
 {
     for (guint i = 0; i < config->order->len && !config->error; i++) {
         const char *path = config->order->pdata[i];
-        const struct item *item = g_hash_table_lookup(config->items, path);
-        if (!item->is_used && item->kind != LMN_CONFIG_TABLE)
+        const struct config_field *field = g_hash_table_lookup(config->fields, path);
+        if (!field->is_used && field->kind != LMN_CONFIG_TABLE)
             lmn_config_fail(config, path, "no such field; remove it or correct its name");
     }
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -38,8 +38,8 @@
 
 /**
  * Reads a file.
- * @param err  receives "file: line N: what" or "file: cannot be read: why", cut to `len`
- *             bytes with the closing zero byte.
+ * @param err  receives "file: line N: error" or "file: cannot be read: reason", cut to
+ * `len` bytes with the closing zero byte.
  * @return to be released by lmn_config_free(); NULL if the file can't be read or is not
  * TOML.
  */
@@ -104,7 +104,7 @@
 
 /**
  * Ends the reading. The configuration stays valid and is still to be freed.
- * @param err  receives the first error as "file: line N: field: what", cut to `len`
+ * @param err  receives the first error as "file: line N: field: error", cut to `len`
  * bytes.
  * @return 0, or -1 if there was an error or a field that no getter has read.
  */
--- a/src/util/log.h
+++ b/src/util/log.h
@@ -26,9 +26,9 @@
 void lmn_log_write(enum lmn_log_level level, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
-/** Writes an event of a level: printf-like, as in
+/** Writes an event with printf-like arguments, as in
  * `lmn_info("task_started job=%s task=%u", id, index)`. The arguments aren't evaluated if
- * the level is left out. */
+ * events of the level are not written. */
 #define lmn_log(level, ...)                                                              \
     do {                                                                                 \
         if ((level) <= lmn_log_level)                                                    \
