--- a/src/util/process.c
+++ b/src/util/process.c
@@ -93,16 +93,16 @@
 
 bool lmn_lock_signal(const char *path, int signal_number)
 {
-    pid_t pid, pid_again;
+    pid_t pid, current_pid;
 
     if (!lmn_lock_held(path, &pid) || pid <= 1)
         return false;
     int pid_fd = (int)syscall(SYS_pidfd_open, pid, 0);
-    /* Between reading the number and opening the descriptor the holder may have ended and
-     * its number may have passed to another process. Only if the same process still holds
-     * the lock afterwards does the descriptor surely belong to it. */
-    bool is_same = lmn_lock_held(path, &pid_again) && pid_again == pid;
-    if (pid_fd < 0) /* a kernel without such descriptors: a small race remains */
+    /* The holder may have ended, and the kernel may have reused its process id, before
+     * the pidfd was opened. The pidfd belongs to the holder if the same process still
+     * holds the lock now. */
+    bool is_same = lmn_lock_held(path, &current_pid) && current_pid == pid;
+    if (pid_fd < 0) /* no pidfd_open: the id may be reused before kill() */
         return is_same && kill(pid, signal_number) == 0;
     bool is_sent =
         is_same && syscall(SYS_pidfd_send_signal, pid_fd, signal_number, NULL, 0) == 0;
