--- a/src/worker/worker_http.c
+++ b/src/worker/worker_http.c
@@ -15,8 +15,7 @@
 
     pthread_mutex_lock(&worker->lock);
     const struct lmn_agent *agent = &worker->agent;
-    lmn_gauge(out, "lemonspar_worker_session", "Number of the agent's incarnation",
-              (double)agent->incarnation);
+    lmn_gauge(out, "lemonspar_worker_session", "Session", (double)agent->incarnation);
     lmn_gauge(out, "lemonspar_worker_attempts",
               "Attempts listed on the machine, running or ended", agent->runs->len);
     lmn_counter(out, "lemonspar_worker_starts", "Start commands executed", agent->starts);
