--- a/src/controller/metrics.c
+++ b/src/controller/metrics.c
@@ -4,7 +4,8 @@
  * Most of the core's state is copied into a snapshot with the core's lock held, and
  * written out after the lock was released. The metrics of members, replication and fair
  * shares are written with the lock held, because they iterate over the shared structures.
- * The names and labels must not change, because operators' dashboards read them. */
+ * The names, labels and help texts must not change, because operators' dashboards read
+ * them. */
 #include "controller/metrics.h"
 #include "http/server.h"
 #include "http/metrics.h"
@@ -100,12 +101,12 @@
     const struct lmn_fair_share *shares = (const struct lmn_fair_share *)classes->data;
 
     lmn_metric_head(out, "lemonspar_class_cpus", "gauge",
-                    "CPUs used by the class's tasks in owned partitions");
+                    "Processors that the tasks of a class use here");
     for (guint i = 0; i < classes->len; i++)
         lmn_metric_sample(out, "lemonspar_class_cpus", "class", shares[i].subject,
                           shares[i].used_cpus);
     lmn_metric_head(out, "lemonspar_class_waiting_cpus", "gauge",
-                    "CPUs requested by the class's tasks that were not started yet");
+                    "Processors that its tasks that were not started ask for");
     for (guint i = 0; i < classes->len; i++)
         lmn_metric_sample(out, "lemonspar_class_waiting_cpus", "class", shares[i].subject,
                           shares[i].waiting_cpus);
@@ -115,40 +116,34 @@
 {
     const struct partition_totals *totals = &snapshot->totals;
 
-    lmn_metric_gauge(out, "lemonspar_mirror_behind_seconds", "Age of the watch cache",
-                     snapshot->cache_age_s);
-    lmn_metric_gauge(out, "lemonspar_partitions", "Partitions owned by this controller",
+    lmn_metric_gauge(out, "lemonspar_mirror_behind_seconds",
+                     "How far the mirror may be behind", snapshot->cache_age_s);
+    lmn_metric_gauge(out, "lemonspar_partitions", "Partitions owned",
                      totals->partition_count);
-    lmn_metric_gauge(
-        out, "lemonspar_partitions_ready",
-        "Owned partitions that may start tasks inherited from the former owner",
-        totals->ready_partitions);
+    lmn_metric_gauge(out, "lemonspar_partitions_ready",
+                     "Owned partitions whose inherited tasks may start",
+                     totals->ready_partitions);
     lmn_metric_gauge(out, "lemonspar_machines", "Machines of owned partitions",
                      totals->machine_count);
-    lmn_metric_gauge(
-        out, "lemonspar_machines_unaccounted",
-        "Machines of owned partitions without a heartbeat since the failover",
-        totals->unaccounted_machines);
-    lmn_metric_gauge(out, "lemonspar_machines_retiring",
-                     "Machines of owned partitions that are being drained",
+    lmn_metric_gauge(out, "lemonspar_machines_unaccounted",
+                     "Of these, not heard since the takeover",
+                     totals->unaccounted_machines);
+    lmn_metric_gauge(out, "lemonspar_machines_retiring", "Of these, on their way back",
                      totals->draining_machines);
-    lmn_metric_gauge(out, "lemonspar_queued_tasks",
-                     "Tasks in the queues of owned partitions' machines",
+    lmn_metric_gauge(out, "lemonspar_queued_tasks", "Tasks in machines' queues",
                      totals->queued_tasks);
     lmn_metric_gauge(out, "lemonspar_unplaced_tasks",
-                     "Tasks of owned partitions that are in no machine's queue",
+                     "Tasks that no machine's queue could take",
                      totals->unassigned_tasks);
-    lmn_metric_gauge(out, "lemonspar_jobs", "Jobs in the watch cache",
-                     snapshot->job_count);
-    lmn_metric_gauge(out, "lemonspar_final_jobs",
-                     "Jobs in the watch cache that have ended and are retained",
+    lmn_metric_gauge(out, "lemonspar_jobs", "Jobs in memory", snapshot->job_count);
+    lmn_metric_gauge(out, "lemonspar_final_jobs", "Of these, final",
                      snapshot->final_job_count);
 }
 
 static void write_tasks(GString *out, const struct task_counts *tasks)
 {
     lmn_metric_head(out, "lemonspar_tasks", "gauge",
-                    "Tasks of active jobs in owned partitions, by state");
+                    "Tasks of active jobs in owned partitions");
     lmn_metric_sample(out, "lemonspar_tasks", "state", "queued", tasks->queued);
     lmn_metric_sample(out, "lemonspar_tasks", "state", "started", tasks->started);
     lmn_metric_sample(out, "lemonspar_tasks", "state", "moving", tasks->moving);
@@ -159,7 +154,7 @@
                         const double *used_cpus)
 {
     lmn_metric_head(out, "lemonspar_team_cpus", "gauge",
-                    "CPUs used by the team's tasks in owned partitions");
+                    "Processors that a team's tasks use here");
     for (size_t i = 0; i < settings->team_count; i++)
         lmn_metric_sample(out, "lemonspar_team_cpus", "team", settings->teams[i].name,
                           used_cpus[i]);
@@ -171,34 +166,28 @@
         const char *name, *help;
         uint64_t value;
     } metrics[] = {
-        {"lemonspar_submissions", "Job submissions received", counters->submissions},
-        {"lemonspar_refused",
-         "Submissions refused with status 429 because the write backlog was too long",
+        {"lemonspar_submissions", "Submissions", counters->submissions},
+        {"lemonspar_refused", "Submissions answered 429 since too many wait",
          counters->refused_requests},
-        {"lemonspar_polls", "Status requests and cancellations received",
-         counters->status_requests},
-        {"lemonspar_reports", "Heartbeats received from workers", counters->heartbeats},
-        {"lemonspar_starts", "Start commands issued to workers", counters->starts},
-        {"lemonspar_kills", "Kill commands issued to workers", counters->kills},
-        {"lemonspar_failures", "Task attempts that ended with an error",
-         counters->task_failures},
-        {"lemonspar_jobs_accused",
-         "Jobs declared faulty because their tasks fail on every machine",
+        {"lemonspar_polls", "Polls and cancellations", counters->status_requests},
+        {"lemonspar_reports", "Workers' reports", counters->heartbeats},
+        {"lemonspar_starts", "Start commands", counters->starts},
+        {"lemonspar_kills", "Kill commands", counters->kills},
+        {"lemonspar_failures", "Tasks that ended with an error", counters->task_failures},
+        {"lemonspar_jobs_accused", "Jobs found to fail wherever they start",
          counters->faulty_jobs},
         {"lemonspar_machines_accused",
-         "Machines declared faulty because tasks fail on them that succeed elsewhere",
+         "Machines left because tasks fail on them that succeed elsewhere",
          counters->faulty_machines},
-        {"lemonspar_preempted", "Tasks stopped by preemption", counters->preempted},
-        {"lemonspar_steal_tries", "Attempts to steal from a random sample of victims",
-         counters->steal_tries},
-        {"lemonspar_steals", "Successful steals", counters->steals},
-        {"lemonspar_stolen_tasks", "Tasks stolen", counters->stolen_tasks},
-        {"lemonspar_moves", "Ranges of tasks moved between partitions", counters->moves},
-        {"lemonspar_moved_tasks", "Tasks moved between partitions",
-         counters->moved_tasks},
-        {"lemonspar_takeovers", "Partitions acquired by failover", counters->failovers},
+        {"lemonspar_preempted", "Tasks stopped to make room", counters->preempted},
+        {"lemonspar_steal_tries", "Looks at a sample of queues", counters->steal_tries},
+        {"lemonspar_steals", "Steals inside partitions", counters->steals},
+        {"lemonspar_stolen_tasks", "Tasks that they took", counters->stolen_tasks},
+        {"lemonspar_moves", "Steals between partitions", counters->moves},
+        {"lemonspar_moved_tasks", "Tasks that they took", counters->moved_tasks},
+        {"lemonspar_takeovers", "Partitions taken over", counters->failovers},
         {"lemonspar_unqueued",
-         "Queued tasks that reconciliation found in no queue (expected: 0)",
+         "Queued tasks that stood in no queue (there should be none)",
          counters->reconciled_tasks},
     };
 
@@ -215,18 +204,18 @@
 
     lmn_http_server_load(server, &load);
     lmn_metric_head(out, "lemonspar_connections", "gauge",
-                    "Open connections, by kind of client");
+                    "Connections open, by purpose");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections", "of", kinds[i], load.open[i]);
-    lmn_metric_gauge(out, "lemonspar_connections_most", "Limit of open connections",
+    lmn_metric_gauge(out, "lemonspar_connections_most", "Connections let in at a time",
                      core->connection_budget.max_accepted);
     lmn_metric_head(out, "lemonspar_connections_closed", "counter",
-                    "Connections closed after a response to keep sockets free");
+                    "Connections closed with their answer, for want of sockets");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections_closed_total", "of", kinds[i],
                           (double)load.closed[i]);
     lmn_metric_head(out, "lemonspar_connections_turned_away", "counter",
-                    "Connections refused because too many were open");
+                    "Connections not let in, for want of sockets");
     for (int i = 0; i < LMN_CONNECTION_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_connections_turned_away_total", "of", kinds[i],
                           (double)load.refused[i]);
@@ -237,9 +226,9 @@
     static const char *const kinds[] = {"polls", "submissions", "starts"};
 
     lmn_metric_gauge(out, "lemonspar_behind_seconds",
-                     "How late this controller runs its periodic tasks", load->delay_s);
+                     "How late the node does what is due", load->delay_s);
     lmn_metric_head(out, "lemonspar_shed", "counter",
-                    "Requests and starts shed because this controller was overloaded");
+                    "Requests answered at once since the node was behind");
     for (int i = 0; i < LMN_SHED_KINDS; i++)
         lmn_metric_sample(out, "lemonspar_shed_total", "what", kinds[i],
                           (double)load->shed_counts[i]);
@@ -253,9 +242,9 @@
     lmn_latency_init(&write_latency);
     double waiting_changes = lmn_kv_client_statistics(kv_client, &write_latency);
     lmn_metric_gauge(out, "lemonspar_state_waiting_changes",
-                     "Changes that wait for the write budget", waiting_changes);
+                     "Changes that wait for their budget", waiting_changes);
     lmn_metric_duration_summary(out, "lemonspar_state_write_seconds",
-                                "Time from sending a transaction to the store's response",
+                                "From a transaction's sending to its answer",
                                 &write_latency);
     lmn_latency_clear(&write_latency);
 }
@@ -267,10 +256,10 @@
     pthread_mutex_lock(&core->lock);
     struct core_snapshot snapshot = take_snapshot(core);
     lmn_metric_duration_summary(out, "lemonspar_accepting_seconds",
-                                "Time from a submission to its commit",
+                                "From a submission to its commit",
                                 &core->latencies.submission);
     lmn_metric_duration_summary(out, "lemonspar_starting_seconds",
-                                "Time from a job's acceptance to a task's start command",
+                                "From a job's acceptance to a task's start",
                                 &core->latencies.start);
     write_fair_shares(out, core);
     lmn_members_metrics(core, out);
--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -1,6 +1,6 @@
 /** @file
- * The ownership report. Its keys must not change, because operators' scripts read them.
- */
+ * The ownership report. Its keys and texts must not change, because operators and their
+ * scripts read them. */
 #include "controller/ownership_report.h"
 #include "partition/transfer_target.h"
 #include "partition/shutdown.h"
@@ -22,18 +22,18 @@
     const struct lmn_member_view *view = &members->views[default_owner];
 
     if (!view->is_present)
-        return "the default owner has no membership record";
+        return "its usual holder is gone";
     if (view->is_shutting_down)
-        return "the default owner is shutting down";
+        return "its usual holder leaves";
     if (lmn_member_owned_partitions(core, owner) < 2)
-        return "the owner owns no other partition";
+        return "its owner holds no other";
     if (lmn_member_owned_partitions(core, default_owner))
-        return "the default owner owns another partition";
+        return "its usual holder has another";
     if (lmn_member_readmission_delay_s(members, default_owner, now) > 0)
-        return "the default owner is not readmitted yet";
+        return "its usual holder has to stay up";
     if (lmn_standby_in_sync(core, partition, now) != default_owner)
-        return "the default owner is not a standby in sync yet";
-    return "due now";
+        return "its usual holder is not in step yet";
+    return "due";
 }
 
 /** Appends to which member the partition is to be transferred, if to any.
@@ -49,8 +49,7 @@
 
     if (owner < 0 || target >= 0)
         g_string_append_printf(text, " move=%s why=\"%s\"", name_or_none(core, target),
-                               owner < 0 ? "the partition has no owner"
-                                         : "the owner was declared failed");
+                               owner < 0 ? "nobody owns it" : "its owner is judged");
     else if (owner != default_owner)
         g_string_append_printf(
             text, " move=%s in_s=%.0f why=\"%s\"", name_or_none(core, default_owner),
@@ -104,8 +103,7 @@
         is_too_late = !lmn_shutdown_cancel(core);
     if (is_too_late)
         g_string_append(description,
-                        "shutdown not cancelled: the controller has released its lease "
-                        "and is about to exit; start it again\n");
+                        "it has given everything away and ends: start it again\n");
     else
         lmn_shutdown_describe(core, description, now);
     pthread_mutex_unlock(&core->lock);
--- a/src/controller/settings_writer.c
+++ b/src/controller/settings_writer.c
@@ -40,7 +40,7 @@
     return outcome == LMN_TXN_UNKNOWN
                ? "no answer, so the write may have been carried out"
            : outcome == LMN_TXN_REJECTED ? "the write was refused"
-                                         : "conflict with concurrent changes";
+                                         : "conflict";
 }
 
 int lmn_operator_settings_write(struct lmn_core *core, const char *name, double value,
--- a/src/worker/worker_http.c
+++ b/src/worker/worker_http.c
@@ -15,23 +15,28 @@
 
     pthread_mutex_lock(&worker->lock);
     const struct lmn_agent *agent = &worker->agent;
-    lmn_metric_gauge(out, "lemonspar_worker_session", "Session", (double)agent->incarnation);
+    lmn_metric_gauge(out, "lemonspar_worker_session", "Session",
+                     (double)agent->incarnation);
     lmn_metric_gauge(out, "lemonspar_worker_attempts",
-              "Attempts listed on the machine, running or ended", agent->runs->len);
-    lmn_metric_counter(out, "lemonspar_worker_starts", "Start commands executed", agent->starts);
+                     "Attempts listed on the machine, running or ended",
+                     agent->runs->len);
+    lmn_metric_counter(out, "lemonspar_worker_starts", "Start commands executed",
+                       agent->starts);
     lmn_metric_counter(out, "lemonspar_worker_done", "Attempts reported as done",
-                agent->finished);
+                       agent->finished);
     lmn_metric_counter(out, "lemonspar_worker_refused", "Start commands refused",
-                agent->refused);
+                       agent->refused);
     lmn_metric_counter(out, "lemonspar_worker_lapses", "Leases that expired",
-                agent->expired_leases);
-    lmn_metric_counter(out, "lemonspar_worker_reports", "Heartbeats sent", worker->heartbeats);
+                       agent->expired_leases);
+    lmn_metric_counter(out, "lemonspar_worker_reports", "Heartbeats sent",
+                       worker->heartbeats);
     lmn_metric_counter(out, "lemonspar_worker_turned_reports",
-                "Heartbeats redirected, refused or not answered", worker->redirects);
+                       "Heartbeats redirected, refused or not answered",
+                       worker->redirects);
     lmn_metric_counter(out, "lemonspar_worker_image_bytes", "Bytes of images fetched",
-                worker->fetched_bytes);
-    lmn_metric_counter(out, "lemonspar_worker_lost_logs", "Attempts whose output was lost",
-                worker->lost_logs);
+                       worker->fetched_bytes);
+    lmn_metric_counter(out, "lemonspar_worker_lost_logs",
+                       "Attempts whose output was lost", worker->lost_logs);
     pthread_mutex_unlock(&worker->lock);
 }
 
