--- a/src/kv_store/db_format.h
+++ b/src/kv_store/db_format.h
@@ -1,19 +1,23 @@
 /** @file
  * The layout of records in LMDB. Internal to the files db_*.c of kv_store/.
  *
- *     table    key                -> value
- *     data     key                -> struct lmn_db_record_header, value (CBOR)
- *     log      revision, number   -> struct lmn_db_record_header, kind (1: put, 0:
- * delete; one byte), length of the key (one byte), key, value leases   id -> struct
- * lmn_db_record_header, ttl in ms (32 bits) leased   id, key            -> (nothing) meta
- * "meta"             -> struct lmn_db_record_header, struct lmn_db_meta
+ * The tables, each with its key and its value. Every value but those of "leased" begins
+ * with a struct lmn_db_record_header; the list gives what follows the header.
+ *
+ * - data: the record's key -> the record's value (CBOR)
+ * - log: struct lmn_db_log_key -> kind of the change (one byte; 1: put, 0: delete),
+ *   length of the record's key (one byte), the record's key, its new value (put only)
+ * - leases: id of the lease (64 bits) -> time to live in ms (32 bits)
+ * - leased: id of the lease (64 bits), key of a record -> (empty)
+ * - meta: "meta" -> struct lmn_db_meta
  *
  * "leased" is the index from leases to the records that are attached to them. Numbers in
- * keys are big-endian, so that LMDB's byte-wise order of keys is the numeric order. Other
- * numbers are in the machine's byte order: a backup can only be restored on a machine of
- * the same byte order, a dump on any.
+ * keys are big-endian, so that LMDB's byte-wise order of keys is the numeric order.
+ * Numbers in values are in the machine's byte order: a backup can be restored only on a
+ * machine with the byte order of the machine that wrote it, a dump on any machine.
  *
- * Only the thread that has the open batch writes the tables. */
+ * The tables are written only by the thread that holds the open batch (lmn_db_begin()).
+ */
 #ifndef LMN_KV_STORE_DB_FORMAT_H
 #define LMN_KV_STORE_DB_FORMAT_H
 
@@ -34,7 +38,7 @@
     LMN_DB_LEASES,
     LMN_DB_LEASED,
     LMN_DB_META,
-    LMN_DB_TABLES
+    LMN_DB_TABLES /**< number of tables */
 };
 
 /** An open database. */
@@ -51,13 +55,14 @@
     uint32_t number;   /**< big-endian: the change's position within its transaction */
 } __attribute__((packed));
 
-/** Creates a buffer with space for the header, to which the caller appends the value.
- */
+/** Creates a buffer that begins with space for the header. The caller appends the value
+ * to the buffer. */
 GByteArray *lmn_db_record_new(void);
 
-/** Fills in the header of a record from lmn_db_record_new(), including the checksum, and
- * writes the record.
- * @param flags of mdb_put()
+/** Writes a record. Its header is copied from `header`, except for the checksum, which is
+ * computed here.
+ * @param record a buffer that lmn_db_record_new() created
+ * @param flags for mdb_put()
  * @param checksum if not NULL, is set to the record's checksum
  * @return LMDB's code */
 int lmn_db_record_put(MDB_txn *txn, MDB_dbi dbi, MDB_val *key, GByteArray *record,
@@ -70,24 +75,26 @@
 /** The key of a record's entry in "leased"; the caller frees it. */
 GByteArray *lmn_db_lease_index_key(uint64_t lease, const void *key, size_t len);
 
-/** Decodes a record of "data". @return false if it is malformed */
+/** Decodes a record of "data" without verifying its checksum. item->value points into the
+ * value. @return false if the record is malformed */
 bool lmn_db_data_read(const MDB_val *key, const MDB_val *value, struct lmn_db_item *item);
 
-/** Decodes a change of "log". @return false if it is malformed */
+/** Decodes a change of "log" without verifying its checksum. item->value points into the
+ * value. @return false if the change is malformed */
 bool lmn_db_log_read(const MDB_val *key, const MDB_val *value, struct lmn_db_item *item);
 
-/** Reads the meta record. @return LMDB's code; MDB_CORRUPTED: the size or the checksum is
- * wrong */
+/** Reads the meta record. @return LMDB's code; MDB_CORRUPTED: the record's size or
+ * checksum is wrong */
 int lmn_db_meta_read(MDB_txn *txn, const struct lmn_db *db, struct lmn_db_meta *meta);
 
 /** Writes the meta record. @return LMDB's code */
 int lmn_db_meta_write(MDB_txn *txn, const struct lmn_db *db,
                       const struct lmn_db_meta *meta);
 
-/** Returns a new random incarnation. */
+/** Returns a random incarnation for a database that is created or restored. */
 uint64_t lmn_db_new_incarnation(void);
 
-/** Advice to the operator for an error. @param result LMDB's result code */
+/** Returns advice to the operator about an error. @param result LMDB's result code */
 const char *lmn_db_error_advice(int result);
 
 #endif
--- a/src/partition/heartbeat_message.h
+++ b/src/partition/heartbeat_message.h
@@ -2,10 +2,10 @@
  * Messages between a controller and its workers: decodes heartbeats, and encodes replies
  * and pushed commands.
  *
- * Every message from a controller to a worker is encoded here, except for the single
- * commands in it, which state/command.h encodes: the scheduler appends a start command as
- * soon as it decides on it (lmn_schedule_machine). The functions depend on their
- * arguments only and need no lock. */
+ * Every message from a controller to a worker is encoded here. The individual commands in
+ * a message are encoded by state/command.h, because the scheduler appends each start
+ * command as soon as it has decided on the start (lmn_schedule_machine). The functions
+ * here use only their arguments and need no lock. */
 #ifndef LMN_PARTITION_HEARTBEAT_MESSAGE_H
 #define LMN_PARTITION_HEARTBEAT_MESSAGE_H
 
@@ -18,16 +18,17 @@
     char name[LMN_NAME_SIZE], address[LMN_ADDRESS_SIZE], type[LMN_NAME_SIZE],
         zone[LMN_NAME_SIZE];
     bool is_spot;
-    bool has_spot_notice; /**< the cloud has announced that it reclaims the machine */
+    bool has_spot_notice; /**< the cloud has announced that it will reclaim the machine */
     uint64_t agent_incarnation, sequence;
-    uint64_t fencing_token; /**< highest that the worker has seen; 0: none yet */
-    double notice_s;        /**< seconds until the cloud reclaims the machine */
-    const struct lmn_cbor_value *tasks; /**< points into the document; may be NULL */
+    uint64_t fencing_token; /**< highest token that the worker has seen; 0: none yet */
+    double notice_s;        /**< seconds until the reclaim; 0 without has_spot_notice */
+    const struct lmn_cbor_value *tasks; /**< in the decoded document; NULL: no list */
 };
 
 /** Decodes a heartbeat.
- * @return NULL, or an error text (a static string) that names the malformed field. Fields
- * that were decoded before it, such as the machine's name, are set in that case too. */
+ * @return NULL, or an error text (a static string) that names the malformed field. In
+ * that case the fields that precede the malformed one, such as the machine's name, are
+ * set too. */
 const char *lmn_heartbeat_parse(struct lmn_heartbeat *heartbeat,
                                 const struct lmn_cbor_document *document);
 
@@ -46,7 +47,7 @@
 
 /** Creates an empty list, to be freed with lmn_command_list_free. */
 struct lmn_command_list lmn_command_list_new(void);
-/** Frees the encoded commands, and leaves the list empty. */
+/** Frees the encoded commands. No command can be added to the list afterwards. */
 void lmn_command_list_free(struct lmn_command_list *commands);
 /** Encodes a command and appends it to the list. */
 void lmn_command_list_add(struct lmn_command_list *commands, enum lmn_command_kind kind,
@@ -63,15 +64,15 @@
 guint lmn_heartbeat_reply_encode(GByteArray *out,
                                  const struct lmn_heartbeat_reply *reply);
 
-/** Appends a reply to `out` that redirects the worker to another member. */
+/** Appends a reply to `out` that redirects the worker to another controller. */
 void lmn_heartbeat_redirect_encode(GByteArray *out, const char *member_name);
 
-/** Appends a reply to `out` that carries an error text of lmn_heartbeat_parse. */
+/** Appends a reply to `out` that carries an error text from lmn_heartbeat_parse. */
 void lmn_heartbeat_error_encode(GByteArray *out, const char *error);
 
 /** Commands that a controller sends to a worker without waiting for a heartbeat. */
 struct lmn_command_push {
-    uint64_t epoch;
+    uint64_t epoch;             /**< the owner's fencing token */
     uint64_t agent_incarnation; /**< an agent of another incarnation refuses the push */
     const struct lmn_command_list *commands; /**< NULL in a probe, which has none */
 };
--- a/src/partition/heartbeat_tasks.h
+++ b/src/partition/heartbeat_tasks.h
@@ -9,9 +9,10 @@
 #include "partition/heartbeat_message.h"
 #include "state/core_state.h"
 
-/** Applies each entry of the task list, and sets in_last_heartbeat for the attempts in
- * the list only. Other attempts are kept: the caller knows whether their absence from the
- * list proves that they are not on the machine. */
+/** Applies each entry of the task list. Sets in_last_heartbeat for the machine's attempts
+ * that are in the list, and clears it for all others. The other attempts are kept: only
+ * the caller knows whether absence from the list proves that an attempt is not on the
+ * machine. */
 void lmn_heartbeat_apply_tasks(struct lmn_core *core, struct lmn_machine *machine,
                                const struct lmn_cbor_document *document,
                                const struct lmn_cbor_value *tasks, struct timespec now);
--- a/src/partition/owner.c
+++ b/src/partition/owner.c
@@ -1,6 +1,6 @@
-/* Connects the watch cache to the modules that act on owned partitions: for each kind of
- * change of a record, the function that it calls (struct lmn_owner_ops). The core's lock
- * is held in each of these calls. */
+/* Connects the watch cache to the modules that act on owned partitions: owner_ops names
+ * the function to call for each kind of event (struct lmn_owner_ops). The core's lock is
+ * held during each of these calls. */
 #include "partition/owner.h"
 #include "replication/stream.h"
 #include "scheduler/queue.h"
@@ -12,9 +12,9 @@
 #include "state/task_ledger.h"
 #include "state/core.h"
 
-/* Assigns the tasks of a new range, if they may start. A range of which a previous owner
- * may have started tasks waits until the partition's machines are accounted for:
- * lmn_partition_check_ready assigns it then. */
+/* Opens a new range, and assigns its tasks if they may start. If a previous owner may
+ * have started tasks of the range, lmn_partition_check_ready assigns the range's tasks
+ * later, once all machines of the partition are accounted for. */
 static void open_created_range(struct lmn_core *core, struct lmn_range *range,
                                struct timespec now)
 {
--- a/src/partition/owner.h
+++ b/src/partition/owner.h
@@ -7,10 +7,11 @@
 #include "state/core_state.h"
 
 /** Creates the shared state of a controller.
- * @param settings must outlive it
- * @param kv_client must outlive it
- * @param seed of its random generator
- * @return never freed by a controller process; simulations and tests use lmn_core_free */
+ * @param settings must outlive the returned core
+ * @param kv_client must outlive the returned core
+ * @param seed the seed of the core's random generator
+ * @return the core. A controller process never frees it; simulations and tests free it
+ * with lmn_core_free */
 struct lmn_core *lmn_core_new(const struct lmn_settings *settings,
                               struct lmn_kv_client *kv_client, uint32_t seed);
 
--- a/src/worker/executor.c
+++ b/src/worker/executor.c
@@ -1,5 +1,6 @@
 /** @file
- * Starts and ends a machine's executor, on the agent's side (worker/executor.h). */
+ * Starts a machine's executor, and kills all processes of a machine
+ * (worker/executor.h). */
 #include "worker/executor.h"
 #include "util/process.h"
 #include "worker/executor_loop.h"
@@ -13,9 +14,10 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* Time to wait for the end of an earlier executor, and again for the end of its tasks. */
+/* Time-out for the exit of an earlier executor, and a second one of this length for the
+ * end of its tasks. */
 static const double END_TIMEOUT_S = 30;
-/* Send buffer of each socket: holds messages while the receiver is busy. */
+/* Size of each socket's send buffer, which holds messages while the receiver is busy. */
 enum { SEND_BUFFER_BYTES = 512 * 1024 };
 
 char *lmn_executor_environment_mark(const char *dir)
@@ -34,14 +36,15 @@
 
     if (lmn_lock_signal(agent_lock, SIGKILL))
         all_ended = lmn_lock_wait(agent_lock, seconds);
-    /* The executor notices the end of the agent, kills the tasks, and exits. */
+    /* Once the agent has exited, the executor kills the tasks and exits. */
     all_ended = lmn_lock_wait(executor_lock, seconds) && all_ended;
     all_ended = lmn_kill_all_with_environment_entry(mark, seconds) && all_ended;
     return all_ended;
 }
 
-/* Waits for the end of an earlier executor, then kills the tasks that it left if it was
- * killed. Returns false if one of these processes is still alive. */
+/* Waits until an earlier executor has exited, then kills its remaining tasks: an executor
+ * that was itself killed may leave some. Returns false if the executor or one of its
+ * tasks is still alive after END_TIMEOUT_S. */
 static bool end_earlier_executor(const char *dir, const char *mark)
 {
     g_autofree char *lock = g_build_filename(dir, "keeper.lock", NULL);
@@ -51,7 +54,8 @@
 }
 
 /* Forks twice, so that the executor is not a child of the agent and the agent need not
- * reap it. Returns false with errno. */
+ * reap it. Returns false and sets errno if the first fork fails. A failure of the
+ * second fork is not reported. */
 static bool fork_executor(const char *dir, const char *mark, int agent_sock,
                           int executor_sock)
 {
--- a/tests/takeover/store.c
+++ b/tests/takeover/store.c
@@ -1,11 +1,14 @@
-/* The key-value store: keys with revisions, conditional transactions and leases. */
+/* The key-value store of the model: keys with revisions, conditional transactions and
+ * leases. */
 #include "takeover.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Set if a transaction that declares a member failed would be committed although the
- * member's record has changed since, as after a refutation. */
+/* Whether the transaction that is being applied would declare a member failed although
+ * that member's record has changed since the transaction was built, for instance because
+ * the member has refuted the suspicion. Set only while GUARD_INCARNATION is disabled:
+ * otherwise such a transaction fails with LMN_TXN_CONFLICT. */
 static bool failed_after_refutation;
 
 int store_index(const char *key)
@@ -25,7 +28,8 @@
     struct store_entry *entry = &model.store[store_index(key)];
     (void)unused;
 
-    /* The event, not the entry, holds the reference to the value. */
+    /* This reference belongs to the event below: model_clear drops it, and the entry
+     * borrows the value. */
     entry->value = value ? g_byte_array_ref((GByteArray *)value) : NULL;
     entry->revision = model.revision;
     entry->lease_id = lease_id;
--- a/tests/test_scenarios.c
+++ b/tests/test_scenarios.c
@@ -1,23 +1,27 @@
-/* Scenarios of faults that overlap. Each has a schedule, and names the guard without
- * which some of its runs break a rule (simulation/simulation.h). Times, durations and
- * leases are drawn for each seed. At the end of a run the service has recovered, and
- * each job that was not cancelled has finished. */
+/* Scenarios of overlapping faults. Each scenario has a schedule and names a guard
+ * (simulation/simulation.h): with the guard disabled, some of the scenario's runs break a
+ * rule or do not recover. Times, durations and leases are drawn from the run's
+ * seed. At the end of a run with all guards the service has recovered, and each job that
+ * was not cancelled has finished. */
 #include "scenario.h"
 
 #include <string.h>
 
 /* --- a cancellation that the partition's owner does not see --- */
 
+/* The faults of one run of the scenarios in this section. The values named _at
+ * are seconds from the start of the run. */
 static struct {
     double starts_at, refused_s, outage_at, outage_s;
-    /* The other controllers don't reach it either, so none can send it tombstones. */
+    /* Whether the affected controller also loses the other controllers, so that none of
+     * them can send it tombstones. */
     bool loses_peers;
-    int node;
+    int node; /* the affected controller */
 } store_fault;
 
-/* The state service rejects the largest owner alone, while others cancel jobs; then it
- * is down for all controllers, for longer than cancel_s, while workers keep sending
- * heartbeats to that owner. */
+/* First only the owner of most machines loses the state service, while jobs are cancelled
+ * through other controllers. Then all controllers lose the state service for longer than
+ * cancel_s, while workers keep sending heartbeats to that owner. */
 static void gap_step(void)
 {
     if (scenario_at(store_fault.starts_at)) {
@@ -44,10 +48,11 @@
     store_fault.loses_peers = g_rand_boolean(random);
 }
 
-/* A zone is isolated together with its controller, which the state service rejects:
- * the controller answers its workers until its cache is too old. When their leases are
- * nearly over, the workers turn to the successor, which could not reach them before,
- * hear its first response and nothing after it. */
+/* A controller and its workers are isolated from the other controllers, and the
+ * controller also loses the state service: it answers its workers until its watch cache
+ * is too old. Shortly before their leases expire, the workers turn to the partition's
+ * new owner, whose pushed commands are delayed. They receive the new owner's first
+ * response and no later one. */
 static void last_answer_step(void)
 {
     static uint64_t last_token[MAX_MACHINES];
@@ -84,16 +89,16 @@
     parameters->max_task_s = 3 * parameters->cancel_s;
     store_fault.starts_at = 40 + g_rand_double_range(random, 0, 5);
     store_fault.outage_at = store_fault.starts_at + 1;
-    /* The machines reach other controllers again once the owner has answered for the
-     * last time. */
+    /* The machines reach other controllers again after the isolated owner has sent its
+     * last response. */
     store_fault.refused_s = parameters->cancel_s - parameters->lease_s -
                             MAX(1, 0.05 * parameters->cancel_s) +
                             g_rand_double_range(random, 0, parameters->lease_s - 2);
     store_fault.outage_s = 3 * parameters->cancel_s;
 }
 
-/* The state service responds late, then not at all: the age of the cache has to count
- * from the request. */
+/* The state service responds late, then not at all. The age of the watch cache must count
+ * from when the request was sent, not from when the late response arrived. */
 static void slow_state_service_step(void)
 {
     if (scenario_at(store_fault.starts_at))
@@ -115,8 +120,8 @@
     store_fault.outage_s = 3 * parameters->cancel_s;
 }
 
-/* The owner of most machines keeps its workers and users but loses the state service
- * and the other controllers, through which jobs are cancelled. */
+/* The owner of most machines stays connected to its workers and users, but loses the
+ * state service and the other controllers. Jobs are cancelled through those. */
 static void isolated_leader_step(void)
 {
     if (scenario_every(25))
@@ -128,8 +133,9 @@
 
 /* --- late messages and restarts --- */
 
-/* Copies of heartbeats arrive late, at the same controller or at another, after the
- * agent has lost its lease or the partition has changed its owner and changed back. */
+/* Copies of heartbeats arrive late, at the controller that received the original or at
+ * another one. Meanwhile agents lose their leases, and partitions pass to another owner
+ * and back. */
 static void old_reports_step(void)
 {
     simulation.copied_heartbeats_until =
@@ -143,8 +149,8 @@
                     scenario_random(1, 1.5 * simulation.lease_s));
 }
 
-/* An owner crashes while machines with long tasks can't be reached, or receive
- * nothing. */
+/* The owner of most machines, or every controller, crashes while some machines hang, are
+ * isolated, or receive nothing. */
 static void unreached_machines_step(void)
 {
     if (scenario_every(20)) {
@@ -164,8 +170,8 @@
         simulation_cancel_jobs(0.1);
 }
 
-/* Pushed commands are delayed and arrive after the machine has continued; epochs,
- * incarnations and owners change meanwhile. */
+/* Pushed commands are delayed, and arrive after the machine has hung and resumed.
+ * Meanwhile epochs, incarnations and owners change. */
 static void held_commands_step(void)
 {
     if (scenario_every(5))
@@ -179,8 +185,8 @@
         simulation_cancel_jobs(0.1);
 }
 
-/* Transactions get no response and are executed after newer ones of the same
- * controller. */
+/* Some transactions get no response and are executed late, after newer transactions of
+ * the same controller. */
 static void late_writes_step(void)
 {
     simulation.late_writes_until =
@@ -194,8 +200,8 @@
         simulation_cancel_jobs(0.1);
 }
 
-/* Controllers crash and restart before another has noticed; one, several or all,
- * repeatedly. */
+/* One, several or all controllers crash, repeatedly, and restart before another
+ * controller has noticed the crash. Some also lose their peers or shut down. */
 static void restarts_step(void)
 {
     simulation.late_writes_until =
@@ -215,7 +221,7 @@
                     g_rand_int_range(simulation.random, 0, simulation.layout.nodes), 0);
 }
 
-/* Jobs have two or three tasks that end far apart. */
+/* Each job has only two or three tasks, whose ends can be far apart. */
 static void small_jobs_step(void)
 {
     for (int i = 0; i < JOBS; i++)
@@ -230,7 +236,7 @@
         fault_begin(FAULT_LATE_WRITES, 0, 5);
 }
 
-/* --- each pair of faults --- */
+/* --- each pair of fault kinds in force at the same time --- */
 
 static unsigned fault_pairs[FAULT_COUNT][FAULT_COUNT];
 static double fault_ends_at[FAULT_COUNT], pending_at[3];
@@ -255,8 +261,8 @@
                 duration_s);
 }
 
-/* Begins, within a second, the two kinds of faults that have been in force together
- * least often, and often a third one. */
+/* Chooses the pair of fault kinds that have been in force together least often, and
+ * begins both within one second; in half of the cases also a third, random one. */
 static void pairs_step(void)
 {
     static enum fault pending[3];
