--- a/src/controller/ownership_report.c
+++ b/src/controller/ownership_report.c
@@ -12,14 +12,14 @@
     return member_index < 0 ? "-" : lmn_member_name(&core->members, member_index);
 }
 
-/** The reason why a partition has not been transferred back to its default owner: the
+/** The reason why a partition has not been transferred back to its preferred owner: the
  * first condition that does not hold, in the order in which they are checked. */
 static const char *transfer_back_reason(const struct lmn_core *core,
                                         const struct lmn_partition *partition, int owner,
-                                        int default_owner, struct timespec now)
+                                        int preferred_owner, struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    const struct lmn_member_view *view = &members->views[default_owner];
+    const struct lmn_member_view *view = &members->views[preferred_owner];
 
     if (!view->is_present)
         return "its usual holder is gone";
@@ -27,11 +27,11 @@
         return "its usual holder leaves";
     if (lmn_member_owned_partitions(core, owner) < 2)
         return "its owner holds no other";
-    if (lmn_member_owned_partitions(core, default_owner))
+    if (lmn_member_owned_partitions(core, preferred_owner))
         return "its usual holder has another";
-    if (lmn_member_readmission_delay_s(members, default_owner, now) > 0)
+    if (lmn_member_readmission_delay_s(members, preferred_owner, now) > 0)
         return "its usual holder has to stay up";
-    if (lmn_standby_in_sync(core, partition, now) != default_owner)
+    if (lmn_standby_in_sync(core, partition, now) != preferred_owner)
         return "its usual holder is not in step yet";
     return "due";
 }
@@ -45,16 +45,16 @@
                             struct timespec now)
 {
     const struct lmn_members *members = &core->members;
-    int default_owner = partition->id % members->count;
+    int preferred_owner = partition->id % members->count;
 
     if (owner < 0 || target >= 0)
         g_string_append_printf(text, " move=%s why=\"%s\"", name_or_none(core, target),
                                owner < 0 ? "nobody owns it" : "its owner is judged");
-    else if (owner != default_owner)
+    else if (owner != preferred_owner)
         g_string_append_printf(
-            text, " move=%s in_s=%.0f why=\"%s\"", name_or_none(core, default_owner),
-            lmn_member_readmission_delay_s(members, default_owner, now),
-            transfer_back_reason(core, partition, owner, default_owner, now));
+            text, " move=%s in_s=%.0f why=\"%s\"", name_or_none(core, preferred_owner),
+            lmn_member_readmission_delay_s(members, preferred_owner, now),
+            transfer_back_reason(core, partition, owner, preferred_owner, now));
 }
 
 static void append_partition(const struct lmn_core *core, GString *text,
--- a/src/controller/ownership_report.h
+++ b/src/controller/ownership_report.h
@@ -6,8 +6,8 @@
 
 #include "state/core_state.h"
 
-/** Describes each partition in a line: its owner, its default owner, its standby, and if
- * it is to be transferred, the new owner, the time until then, and the reason for the
+/** Describes each partition in a line: its owner, its preferred owner, its standby, and
+ * if it is to be transferred, the new owner, the time until then, and the reason for the
  * wait.
  * @return text, to be freed with g_free */
 char *lmn_ownership_report(struct lmn_core *core);
