--- a/src/kv_store/db_backup.c
+++ b/src/kv_store/db_backup.c
@@ -1,6 +1,7 @@
 /** @file
- * Backup and restore of a database (kv_store/db.h). Neither needs the serving process to
- * stop: a backup is a view of LMDB's, and a restore makes a new directory. */
+ * Backup and restore of a database (kv_store/db.h). Neither stops the process that serves
+ * the database: a backup copies a consistent view, and a restore creates a new directory.
+ */
 #include "kv_store/db.h"
 #include "kv_store/db_format.h"
 
@@ -10,12 +11,12 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Revisions and leases of a restored database begin so far above the backup's: more than
- * the store could have given out since, so that none is ever given out twice. */
+/* Added to the backup's revision and next lease id on a restore. The store can't have
+ * used that many since the backup, so no revision or lease id is used twice. */
 static const uint64_t RESTORE_GAP = 1ull << 32;
 enum { BACKUP_MODE = 0600, DATA_MODE = 0644, DIRECTORY_MODE = 0755, REASON_SIZE = 256 };
 
-/* Syncs the directory of a file, so that the file's name survives a crash. */
+/* Syncs the directory of a file, so that the file's directory entry survives a crash. */
 static int sync_directory_of(const char *file)
 {
     g_autofree char *dir = g_path_get_dirname(file);
@@ -23,9 +24,9 @@
 
     if (fd < 0)
         return -1;
-    int rc = fsync(fd);
+    int result = fsync(fd);
     close(fd);
-    return rc;
+    return result;
 }
 
 int lmn_db_backup(const char *dir, const char *file, char *err, size_t len)
@@ -37,30 +38,30 @@
     if (!db)
         return -1;
     int fd = open(temporary, O_CREAT | O_EXCL | O_RDWR | O_CLOEXEC, BACKUP_MODE);
-    int rc = fd < 0 ? errno : mdb_env_copyfd2(db->env, fd, MDB_CP_COMPACT);
-    /* The file gets its name only when it is whole and on the disk. */
-    if (!rc &&
+    int result = fd < 0 ? errno : mdb_env_copyfd2(db->env, fd, MDB_CP_COMPACT);
+    /* The file gets its name only after the copy is complete and synced. */
+    if (!result &&
         (fsync(fd) != 0 || rename(temporary, file) != 0 || sync_directory_of(file) != 0))
-        rc = errno;
-    if (rc) {
-        snprintf(err, len, "%s: %s; nothing was left there", file, mdb_strerror(rc));
+        result = errno;
+    if (result) {
+        snprintf(err, len, "%s: backup not written: %s", file, mdb_strerror(result));
         unlink(temporary);
     }
     lmn_db_close(db);
     if (fd >= 0)
         close(fd);
-    return rc ? -1 : 0;
+    return result ? -1 : 0;
 }
 
 static int advance_meta(MDB_txn *txn, struct lmn_db *db)
 {
     struct lmn_db_meta meta;
-    int rc = lmn_db_meta_read(txn, db, &meta);
+    int result = lmn_db_meta_read(txn, db, &meta);
 
-    if (!rc)
-        rc = mdb_drop(txn, db->dbi[LMN_DB_LOG], 0);
-    if (rc)
-        return rc;
+    if (!result)
+        result = mdb_drop(txn, db->dbi[LMN_DB_LOG], 0);
+    if (result)
+        return result;
     meta.revision += RESTORE_GAP;
     meta.next_lease += RESTORE_GAP;
     meta.compact_revision = meta.revision;
@@ -68,8 +69,8 @@
     return lmn_db_meta_write(txn, db, &meta);
 }
 
-/* Makes the copy a database of its own: a new incarnation, an empty log, revisions far
- * above the backup's. */
+/* Turns the copy into a separate database: a new incarnation, an empty log, and revisions
+ * and lease ids advanced by RESTORE_GAP. */
 static int begin_new_incarnation(const char *dir, char *err, size_t len)
 {
     const struct lmn_db_options options = {.dir = dir};
@@ -78,21 +79,22 @@
 
     if (!db)
         return -1;
-    int rc = mdb_txn_begin(db->env, NULL, 0, &txn);
-    if (!rc) {
-        rc = advance_meta(txn, db);
-        if (rc)
+    int result = mdb_txn_begin(db->env, NULL, 0, &txn);
+    if (!result) {
+        result = advance_meta(txn, db);
+        if (result)
             mdb_txn_abort(txn);
         else
-            rc = mdb_txn_commit(txn);
+            result = mdb_txn_commit(txn);
     }
-    if (rc)
-        snprintf(err, len, "%s: %s", dir, mdb_strerror(rc));
+    if (result)
+        snprintf(err, len, "%s: %s", dir, mdb_strerror(result));
     lmn_db_close(db);
-    return rc ? -1 : 0;
+    return result ? -1 : 0;
 }
 
-/* Keeps the first line of a check. */
+/* Copies the first fault that a check reports into `arg`, a buffer of REASON_SIZE bytes.
+ */
 static void keep_first_fault(void *arg, const char *what)
 {
     char *first = arg;
@@ -101,7 +103,7 @@
         g_strlcpy(first, what, REASON_SIZE);
 }
 
-/* Copies the backup into the temporary directory's database, synced. */
+/* Copies the backup to the temporary file and syncs it; creates both directories. */
 static bool copy_backup(const char *file, const char *temporary_dir,
                         const char *temporary_file, const char *dir, char *err,
                         size_t len)
@@ -146,22 +148,23 @@
     g_autofree char *temporary_file = g_build_filename(temporary_dir, "data.mdb", NULL);
     char fault[REASON_SIZE] = "";
     struct lmn_db_meta meta;
-    int rc = -1;
+    int result = -1;
 
     if (g_file_test(target, G_FILE_TEST_EXISTS)) {
         snprintf(err, len,
-                 "%s: there is a database already; restore into a new directory", dir);
+                 "%s: already contains a database; restore into a new directory", dir);
     } else if (!copy_backup(file, temporary_dir, temporary_file, dir, err, len)) {
-        /* err says why */
+        /* copy_backup set err */
     } else if (lmn_db_check(temporary_dir, keep_first_fault, fault, &meta)) {
-        snprintf(err, len, "%s: not whole: %s; take another backup", file, fault);
+        snprintf(err, len, "%s: backup is damaged: %s; restore another backup", file,
+                 fault);
     } else if (begin_new_incarnation(temporary_dir, err, len) == 0) {
-        /* Only a whole database ever gets the name. */
+        /* The file gets its name only after the database is verified and complete. */
         if (rename(temporary_file, target) != 0 || sync_directory_of(target) != 0)
             snprintf(err, len, "%s: %s", target, strerror(errno));
         else
-            rc = 0;
+            result = 0;
     }
     remove_temporary_directory(temporary_dir);
-    return rc;
+    return result;
 }
--- a/src/kv_store/db_format.c
+++ b/src/kv_store/db_format.c
@@ -1,6 +1,6 @@
 /** @file
- * Records as they lie in LMDB: checksums, and the tables' keys and values
- * (kv_store/db_format.h). No state of its own. */
+ * Encodes and decodes the keys and values of the tables, with their checksums
+ * (kv_store/db_format.h). Stateless. */
 #include "kv_store/db_format.h"
 
 #include <errno.h>
@@ -10,21 +10,22 @@
 
 static char meta_key[] = "meta";
 
-/* The checksum of a record: of its key, and of its bytes after the sum. */
-static uint64_t record_sum(const MDB_val *key, const void *bytes, size_t len)
+/* The checksum of a record's key and of its bytes after the checksum field. */
+static uint64_t record_checksum(const MDB_val *key, const void *bytes, size_t len)
 {
     return XXH3_64bits_withSeed(bytes, len, XXH3_64bits(key->mv_data, key->mv_size));
 }
 
 bool lmn_db_record_is_intact(const MDB_val *key, const MDB_val *value)
 {
-    struct lmn_db_record_header head;
+    struct lmn_db_record_header header;
 
-    if (value->mv_size < sizeof head)
+    if (value->mv_size < sizeof header)
         return false;
-    memcpy(&head, value->mv_data, sizeof head);
-    return head.sum == record_sum(key, (const char *)value->mv_data + sizeof head.sum,
-                                  value->mv_size - sizeof head.sum);
+    memcpy(&header, value->mv_data, sizeof header);
+    return header.checksum ==
+           record_checksum(key, (const char *)value->mv_data + sizeof header.checksum,
+                           value->mv_size - sizeof header.checksum);
 }
 
 GByteArray *lmn_db_record_new(void)
@@ -36,18 +37,18 @@
 }
 
 int lmn_db_record_put(MDB_txn *txn, MDB_dbi dbi, MDB_val *key, GByteArray *record,
-                      const struct lmn_db_record_header *head, unsigned flags,
-                      uint64_t *sum)
+                      const struct lmn_db_record_header *header, unsigned flags,
+                      uint64_t *checksum)
 {
-    struct lmn_db_record_header stored = *head;
+    struct lmn_db_record_header stored = *header;
     MDB_val value = {record->len, record->data};
 
     memcpy(record->data, &stored, sizeof stored);
-    stored.sum = record_sum(key, record->data + sizeof stored.sum,
-                            record->len - sizeof stored.sum);
+    stored.checksum = record_checksum(key, record->data + sizeof stored.checksum,
+                                      record->len - sizeof stored.checksum);
     memcpy(record->data, &stored, sizeof stored);
-    if (sum)
-        *sum = stored.sum;
+    if (checksum)
+        *checksum = stored.checksum;
     return mdb_put(txn, dbi, key, &value, flags);
 }
 
@@ -63,33 +64,33 @@
 
 bool lmn_db_data_read(const MDB_val *key, const MDB_val *value, struct lmn_db_item *item)
 {
-    struct lmn_db_record_header head;
+    struct lmn_db_record_header header;
 
-    if (key->mv_size > LMN_DB_MAX_KEY_BYTES || value->mv_size < sizeof head)
+    if (key->mv_size > LMN_DB_MAX_KEY_BYTES || value->mv_size < sizeof header)
         return false;
-    memcpy(&head, value->mv_data, sizeof head);
+    memcpy(&header, value->mv_data, sizeof header);
     memcpy(item->key, key->mv_data, key->mv_size);
     item->key[key->mv_size] = '\0';
-    item->value = (const char *)value->mv_data + sizeof head;
-    item->len = value->mv_size - sizeof head;
-    item->revision = head.revision;
-    item->lease = head.lease;
+    item->value = (const char *)value->mv_data + sizeof header;
+    item->len = value->mv_size - sizeof header;
+    item->revision = header.revision;
+    item->lease = header.lease;
     return true;
 }
 
 bool lmn_db_log_read(const MDB_val *key, const MDB_val *value, struct lmn_db_item *item)
 {
     enum { KIND_AND_LENGTH = 2 };
-    struct lmn_db_record_header head;
+    struct lmn_db_record_header header;
     const guint8 *bytes = value->mv_data;
     size_t left = value->mv_size;
 
     if (key->mv_size != sizeof(struct lmn_db_log_key) ||
-        left < sizeof head + KIND_AND_LENGTH)
+        left < sizeof header + KIND_AND_LENGTH)
         return false;
-    memcpy(&head, bytes, sizeof head);
-    bytes += sizeof head;
-    left -= sizeof head;
+    memcpy(&header, bytes, sizeof header);
+    bytes += sizeof header;
+    left -= sizeof header;
     bool is_put = bytes[0] != 0;
     size_t key_len = bytes[1];
     if (key_len > LMN_DB_MAX_KEY_BYTES || left < KIND_AND_LENGTH + key_len)
@@ -98,18 +99,18 @@
     item->key[key_len] = '\0';
     item->value = is_put ? bytes + KIND_AND_LENGTH + key_len : NULL;
     item->len = left - KIND_AND_LENGTH - key_len;
-    item->revision = head.revision;
-    item->lease = head.lease;
+    item->revision = header.revision;
+    item->lease = header.lease;
     return true;
 }
 
 int lmn_db_meta_read(MDB_txn *txn, const struct lmn_db *db, struct lmn_db_meta *meta)
 {
     MDB_val key = {strlen(meta_key), meta_key}, value;
-    int rc = mdb_get(txn, db->dbi[LMN_DB_META], &key, &value);
+    int result = mdb_get(txn, db->dbi[LMN_DB_META], &key, &value);
 
-    if (rc)
-        return rc;
+    if (result)
+        return result;
     if (value.mv_size != sizeof(struct lmn_db_record_header) + sizeof *meta ||
         !lmn_db_record_is_intact(&key, &value))
         return MDB_CORRUPTED;
@@ -121,12 +122,12 @@
 int lmn_db_meta_write(MDB_txn *txn, const struct lmn_db *db,
                       const struct lmn_db_meta *meta)
 {
-    const struct lmn_db_record_header head = {.revision = meta->revision};
+    const struct lmn_db_record_header header = {.revision = meta->revision};
     MDB_val key = {strlen(meta_key), meta_key};
     g_autoptr(GByteArray) record = lmn_db_record_new();
 
     g_byte_array_append(record, (const guint8 *)meta, sizeof *meta);
-    return lmn_db_record_put(txn, db->dbi[LMN_DB_META], &key, record, &head, 0, NULL);
+    return lmn_db_record_put(txn, db->dbi[LMN_DB_META], &key, record, &header, 0, NULL);
 }
 
 uint64_t lmn_db_new_incarnation(void)
@@ -134,24 +135,22 @@
     return (uint64_t)g_random_int() << 32 | g_random_int();
 }
 
-const char *lmn_db_error_advice(int rc)
+const char *lmn_db_error_advice(int result)
 {
-    switch (rc) {
+    switch (result) {
     case MDB_INVALID:
     case MDB_CORRUPTED:
     case MDB_PAGE_NOTFOUND:
-        return "the file is damaged or no database of lemonspar's; 'lemonspar state "
-               "check' looks, "
-               "'lemonspar state restore' takes a backup";
+        return "the file is damaged or not a database of lemonspar; 'lemonspar state "
+               "check' lists the faults, 'lemonspar state restore' restores a backup";
     case MDB_VERSION_MISMATCH:
-        return "it was written in another format of LMDB's; use the version that wrote "
-               "it";
+        return "it was written in another format of LMDB; use the version that wrote it";
     case ENOENT:
-        return "there is no database; start 'lemonspar state' to make one";
+        return "there is no database; start 'lemonspar state' to create one";
     case ENOSPC:
     case MDB_MAP_FULL:
-        return "there is no room; free some, or raise --map-gb";
+        return "there is no space; free disk space, or raise --map-gb";
     default:
-        return "look at the directory's rights and the disk";
+        return "check the permissions of the directory and the disk";
     }
 }
--- a/src/kv_store/db_open.c
+++ b/src/kv_store/db_open.c
@@ -1,6 +1,6 @@
 /** @file
- * Opens and closes a database: the lock on its directory, LMDB's environment, the tables
- * (kv_store/db.h). */
+ * Opens and closes a database (kv_store/db.h): the lock on its directory, LMDB's
+ * environment, and the tables. */
 #include "kv_store/db.h"
 #include "kv_store/db_format.h"
 
@@ -17,8 +17,8 @@
 static const double DEFAULT_MAP_GB = 64;
 enum { MAX_READERS = 64, FILE_MODE = 0644, DIRECTORY_MODE = 0755, PID_SIZE = 32 };
 
-/* Writes this process's id into the lock file, for the message that another process gets
- * which finds the directory locked. */
+/* Writes this process's id into the lock file, for the error message of another process
+ * that finds the directory locked. */
 static bool write_lock_owner(const struct lmn_db *db, char *err, size_t len)
 {
     char pid[PID_SIZE];
@@ -27,29 +27,32 @@
     if (ftruncate(db->lock_fd, 0) == 0 &&
         pwrite(db->lock_fd, pid, (size_t)pid_len, 0) == pid_len)
         return true;
-    snprintf(err, len, "%s: the lock can't be written: %s", db->dir, strerror(errno));
+    snprintf(err, len, "%s: can't write the lock file: %s", db->dir, strerror(errno));
     return false;
 }
 
-/* Takes the lock on the directory, which only one writing process may hold. The kernel
- * releases it when the process ends, however it ends. */
+/* Takes the lock on the directory, which only one process, the writer, may hold. The
+ * kernel releases it when the process ends, also after a crash. */
 static bool lock_directory(struct lmn_db *db, char *err, size_t len)
 {
     g_autofree char *path = g_build_filename(db->dir, "lock", NULL);
 
     db->lock_fd = open(path, O_RDWR | O_CREAT | O_CLOEXEC, FILE_MODE);
     if (db->lock_fd < 0) {
-        snprintf(err, len, "%s: %s; the directory must exist and be writable", db->dir,
-                 strerror(errno));
+        snprintf(
+            err, len,
+            "%s: can't open the lock file: %s; the directory must exist and be writable",
+            db->dir, strerror(errno));
         return false;
     }
     if (flock(db->lock_fd, LOCK_EX | LOCK_NB) != 0) {
         char pid[PID_SIZE];
         ssize_t pid_len = read(db->lock_fd, pid, sizeof pid - 1);
         pid[MAX(pid_len, 0)] = '\0';
-        snprintf(err, len,
-                 "%s: process %s serves this directory; stop it, or take another one",
-                 db->dir, g_strstrip(pid));
+        snprintf(
+            err, len,
+            "%s: process %s serves this directory; stop it, or use another directory",
+            db->dir, g_strstrip(pid));
         return false;
     }
     return write_lock_owner(db, err, len);
@@ -57,44 +60,44 @@
 
 static int open_environment(struct lmn_db *db, const struct lmn_db_options *options)
 {
-    /* Readers are objects here and not threads, so LMDB must not bind them to threads. */
+    /* MDB_NOTLS: read transactions belong to reader objects and not to threads. */
     unsigned flags = MDB_NOTLS | (options->read_only ? MDB_RDONLY : 0);
     double map_gb = options->map_gb > 0 ? options->map_gb : DEFAULT_MAP_GB;
-    int rc = mdb_env_create(&db->env);
+    int result = mdb_env_create(&db->env);
 
-    if (rc)
-        return rc;
+    if (result)
+        return result;
     mdb_env_set_maxdbs(db->env, LMN_DB_TABLES);
     mdb_env_set_maxreaders(db->env, MAX_READERS);
     mdb_env_set_mapsize(db->env, (size_t)(map_gb * (1u << 30)));
-    rc = mdb_env_open(db->env, options->dir, flags, FILE_MODE);
-    /* LMDB's own lock file can't be made in a read-only directory. It is needed only
-     * against a writer, and nobody can write there. */
-    if (options->read_only && (rc == EROFS || rc == EACCES))
-        rc = mdb_env_open(db->env, options->dir, flags | MDB_NOLOCK, FILE_MODE);
-    return rc;
+    result = mdb_env_open(db->env, options->dir, flags, FILE_MODE);
+    /* LMDB can't create its lock file in a read-only directory. The lock file only
+     * coordinates with writers, and no process can write to that directory. */
+    if (options->read_only && (result == EROFS || result == EACCES))
+        result = mdb_env_open(db->env, options->dir, flags | MDB_NOLOCK, FILE_MODE);
+    return result;
 }
 
 static int open_tables(struct lmn_db *db, bool is_writer, MDB_txn *txn)
 {
     for (int i = 0; i < LMN_DB_TABLES; i++) {
-        int rc =
+        int result =
             mdb_dbi_open(txn, table_names[i], is_writer ? MDB_CREATE : 0, &db->dbi[i]);
-        if (rc)
-            return rc == MDB_NOTFOUND ? MDB_INVALID : rc;
+        if (result)
+            return result == MDB_NOTFOUND ? MDB_INVALID : result;
     }
     return 0;
 }
 
-/* Reads the meta record; a new database gets one. A file that was there without one is
- * not a database of ours, and is left alone. */
+/* Reads the meta record, or creates it in a new database. An existing file without a meta
+ * record is not a database of lemonspar and is left unchanged. */
 static int read_or_create_meta(struct lmn_db *db, MDB_txn *txn, bool may_create,
                                struct lmn_db_meta *meta)
 {
-    int rc = lmn_db_meta_read(txn, db, meta);
+    int result = lmn_db_meta_read(txn, db, meta);
 
-    if (rc != MDB_NOTFOUND)
-        return rc;
+    if (result != MDB_NOTFOUND)
+        return result;
     if (!may_create)
         return MDB_INVALID;
     *meta = (struct lmn_db_meta){.format = LMN_DB_FORMAT_VERSION,
@@ -109,21 +112,22 @@
 {
     struct lmn_db_meta meta;
     MDB_txn *txn;
-    int rc = mdb_txn_begin(db->env, NULL, is_writer ? 0 : MDB_RDONLY, &txn);
-
-    if (rc)
-        return rc;
-    rc = open_tables(db, is_writer, txn);
-    if (!rc)
-        rc = read_or_create_meta(db, txn, is_writer && is_new, &meta);
-    if (!rc && meta.format != LMN_DB_FORMAT_VERSION) {
-        snprintf(err, len, "%s: format %u, this program reads %d; use a newer lemonspar",
+    int result = mdb_txn_begin(db->env, NULL, is_writer ? 0 : MDB_RDONLY, &txn);
+
+    if (result)
+        return result;
+    result = open_tables(db, is_writer, txn);
+    if (!result)
+        result = read_or_create_meta(db, txn, is_writer && is_new, &meta);
+    if (!result && meta.format != LMN_DB_FORMAT_VERSION) {
+        snprintf(err, len,
+                 "%s: format version %u, this program reads %d; use a newer lemonspar",
                  db->dir, meta.format, LMN_DB_FORMAT_VERSION);
-        rc = MDB_VERSION_MISMATCH;
+        result = MDB_VERSION_MISMATCH;
     }
-    if (rc) {
+    if (result) {
         mdb_txn_abort(txn);
-        return rc;
+        return result;
     }
     return mdb_txn_commit(txn);
 }
@@ -140,26 +144,26 @@
 {
     struct lmn_db *db = g_new0(struct lmn_db, 1);
     bool is_new = !has_data_file(options->dir);
-    int rc = 0;
+    int result = 0;
 
     *err = '\0';
     db->dir = g_strdup(options->dir);
     db->lock_fd = -1;
     if (options->create && g_mkdir_with_parents(options->dir, DIRECTORY_MODE) != 0)
-        rc = errno;
+        result = errno;
     else if (is_new && !options->create)
-        rc = ENOENT;
-    if (!rc && !options->read_only && !lock_directory(db, err, len))
-        rc = EBUSY;
-    if (!rc)
-        rc = open_environment(db, options);
-    if (!rc)
-        rc = prepare_tables(db, !options->read_only, is_new, err, len);
-    if (!rc)
+        result = ENOENT;
+    if (!result && !options->read_only && !lock_directory(db, err, len))
+        result = EBUSY;
+    if (!result)
+        result = open_environment(db, options);
+    if (!result)
+        result = prepare_tables(db, !options->read_only, is_new, err, len);
+    if (!result)
         return db;
     if (!*err)
-        snprintf(err, len, "%s: %s; %s", options->dir, mdb_strerror(rc),
-                 lmn_db_error_advice(rc));
+        snprintf(err, len, "%s: %s; %s", options->dir, mdb_strerror(result),
+                 lmn_db_error_advice(result));
     lmn_db_close(db);
     return NULL;
 }
--- a/src/kv_store/db_read.c
+++ b/src/kv_store/db_read.c
@@ -1,6 +1,6 @@
 /** @file
- * Consistent views of the database (kv_store/db.h): each is an LMDB read transaction,
- * which the reader keeps and renews, so that a view costs no allocation. */
+ * Consistent views of the database (kv_store/db.h). A view is an LMDB read transaction,
+ * which the reader keeps and renews, so that beginning a view allocates no memory. */
 #include "kv_store/db.h"
 #include "kv_store/db_format.h"
 
@@ -28,15 +28,16 @@
 
 int lmn_db_view_begin(struct lmn_db_reader *reader, struct lmn_db_meta *meta)
 {
-    int rc = reader->txn ? mdb_txn_renew(reader->txn)
-                         : mdb_txn_begin(reader->db->env, NULL, MDB_RDONLY, &reader->txn);
-
-    if (rc)
-        return rc;
-    rc = lmn_db_meta_read(reader->txn, reader->db, meta);
-    if (rc)
+    int result = reader->txn
+                     ? mdb_txn_renew(reader->txn)
+                     : mdb_txn_begin(reader->db->env, NULL, MDB_RDONLY, &reader->txn);
+
+    if (result)
+        return result;
+    result = lmn_db_meta_read(reader->txn, reader->db, meta);
+    if (result)
         mdb_txn_reset(reader->txn);
-    return rc;
+    return result;
 }
 
 void lmn_db_view_end(struct lmn_db_reader *reader)
@@ -48,7 +49,7 @@
 {
     MDB_val stored_key = {strlen(key), (void *)key}, value;
 
-    /* The empty key is none to LMDB. */
+    /* LMDB does not accept an empty key. */
     return stored_key.mv_size &&
            mdb_get(reader->txn, reader->db->dbi[LMN_DB_DATA], &stored_key, &value) == 0 &&
            lmn_db_data_read(&stored_key, &value, item);
@@ -65,9 +66,9 @@
 
     if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_DB_DATA], &cursor) != 0)
         return;
-    int rc =
+    int result =
         mdb_cursor_get(cursor, &key, &value, key.mv_size ? MDB_SET_RANGE : MDB_FIRST);
-    for (; !rc; rc = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
+    for (; !result; result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
         if (key.mv_size < prefix_len || memcmp(key.mv_data, prefix, prefix_len) != 0)
             break;
         if (!lmn_db_data_read(&key, &value, &item) ||
@@ -90,8 +91,8 @@
 
     if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_DB_LOG], &cursor) != 0)
         return;
-    for (int rc = mdb_cursor_get(cursor, &key, &value, MDB_SET_RANGE); !rc;
-         rc = mdb_cursor_get(cursor, &key, &value, MDB_NEXT))
+    for (int result = mdb_cursor_get(cursor, &key, &value, MDB_SET_RANGE); !result;
+         result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT))
         if (lmn_db_log_read(&key, &value, &item) && !visit(arg, &item))
             break;
     mdb_cursor_close(cursor);
@@ -105,8 +106,8 @@
 
     if (mdb_cursor_open(reader->txn, reader->db->dbi[LMN_DB_LEASES], &cursor) != 0)
         return;
-    for (int rc = mdb_cursor_get(cursor, &key, &value, MDB_FIRST); !rc;
-         rc = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
+    for (int result = mdb_cursor_get(cursor, &key, &value, MDB_FIRST); !result;
+         result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
         uint64_t stored_id;
         uint32_t ttl_ms;
         if (key.mv_size != sizeof stored_id ||
--- a/src/kv_store/db_write.c
+++ b/src/kv_store/db_write.c
@@ -1,9 +1,9 @@
 /** @file
- * Batches: transactions and leases, and their commit (kv_store/db.h).
+ * Batches of transactions and lease changes, and their commit (kv_store/db.h).
  *
- * A batch is one LMDB write transaction and a copy of the meta record, which is written
- * back with the commit. The first error of LMDB's is kept in the batch; after it nothing
- * of the batch can be committed. */
+ * A batch is one LMDB write transaction and a copy of the meta record, which the commit
+ * writes back. The batch keeps the first error that LMDB reports; after an error the
+ * batch can't be committed. */
 #include "kv_store/db.h"
 #include "kv_store/db_format.h"
 
@@ -14,50 +14,51 @@
     struct lmn_db *db;
     MDB_txn *txn;
     struct lmn_db_meta meta;
-    uint32_t change_number; /* within the current transaction */
-    int rc;                 /* the first error */
+    uint32_t change_number; /* changes so far in the current transaction */
+    int result;             /* the first error of LMDB; 0: none */
 };
 
 struct lmn_db_batch *lmn_db_begin(struct lmn_db *db, char *err, size_t len)
 {
     struct lmn_db_batch *batch = g_new0(struct lmn_db_batch, 1);
-    int rc = mdb_txn_begin(db->env, NULL, 0, &batch->txn);
+    int result = mdb_txn_begin(db->env, NULL, 0, &batch->txn);
 
     batch->db = db;
-    if (!rc) {
-        rc = lmn_db_meta_read(batch->txn, db, &batch->meta);
-        if (rc)
+    if (!result) {
+        result = lmn_db_meta_read(batch->txn, db, &batch->meta);
+        if (result)
             mdb_txn_abort(batch->txn);
     }
-    if (!rc)
+    if (!result)
         return batch;
-    snprintf(err, len, "%s", mdb_strerror(rc));
+    snprintf(err, len, "%s", mdb_strerror(result));
     g_free(batch);
     return NULL;
 }
 
-/* Keeps the first error; whether there was none now. */
-static bool succeeded(struct lmn_db_batch *batch, int rc)
+/* Keeps the first error. Returns whether `result` is a success. */
+static bool succeeded(struct lmn_db_batch *batch, int result)
 {
-    if (rc && !batch->rc)
-        batch->rc = rc;
-    return rc == 0;
+    if (result && !batch->result)
+        batch->result = result;
+    return result == 0;
 }
 
-/* Reads the head of a record of "data"; false if there is none. */
-static bool read_head(struct lmn_db_batch *batch, const char *key,
-                      struct lmn_db_record_header *head)
+/* Reads the header of a record of "data". Returns false if the key does not exist or LMDB
+ * reported an error. */
+static bool read_header(struct lmn_db_batch *batch, const char *key,
+                        struct lmn_db_record_header *header)
 {
     MDB_val stored_key = {strlen(key), (void *)key}, value;
-    int rc = mdb_get(batch->txn, batch->db->dbi[LMN_DB_DATA], &stored_key, &value);
+    int result = mdb_get(batch->txn, batch->db->dbi[LMN_DB_DATA], &stored_key, &value);
 
-    if (rc == MDB_NOTFOUND)
+    if (result == MDB_NOTFOUND)
         return false;
-    if (!rc && value.mv_size < sizeof *head)
-        rc = MDB_CORRUPTED;
-    if (!succeeded(batch, rc))
+    if (!result && value.mv_size < sizeof *header)
+        result = MDB_CORRUPTED;
+    if (!succeeded(batch, result))
         return false;
-    memcpy(head, value.mv_data, sizeof *head);
+    memcpy(header, value.mv_data, sizeof *header);
     return true;
 }
 
@@ -79,11 +80,11 @@
               mdb_del(batch->txn, batch->db->dbi[LMN_DB_LEASED], &leased_key, NULL));
 }
 
-/* Appends the change to the log, which the watches are served from. */
+/* Appends the change to the log, from which watches are answered. */
 static void log_change(struct lmn_db_batch *batch, const struct lmn_db_change *change)
 {
-    const struct lmn_db_record_header head = {.revision = batch->meta.revision,
-                                              .lease = change->lease};
+    const struct lmn_db_record_header header = {.revision = batch->meta.revision,
+                                                .lease = change->lease};
     struct lmn_db_log_key log_key = {GUINT64_TO_BE(batch->meta.revision),
                                      GUINT32_TO_BE(batch->change_number)};
     MDB_val key = {sizeof log_key, &log_key};
@@ -97,35 +98,35 @@
     if (change->value)
         g_byte_array_append(record, change->value, (guint)change->len);
     succeeded(batch, lmn_db_record_put(batch->txn, batch->db->dbi[LMN_DB_LOG], &key,
-                                       record, &head, MDB_APPEND, NULL));
+                                       record, &header, MDB_APPEND, NULL));
 }
 
 static void put_record(struct lmn_db_batch *batch, const struct lmn_db_change *change)
 {
-    const struct lmn_db_record_header head = {.revision = batch->meta.revision,
-                                              .lease = change->lease};
+    const struct lmn_db_record_header header = {.revision = batch->meta.revision,
+                                                .lease = change->lease};
     MDB_val key = {strlen(change->key), (void *)change->key};
     g_autoptr(GByteArray) record = lmn_db_record_new();
-    uint64_t sum = 0;
+    uint64_t checksum = 0;
 
     g_byte_array_append(record, change->value, (guint)change->len);
     succeeded(batch, lmn_db_record_put(batch->txn, batch->db->dbi[LMN_DB_DATA], &key,
-                                       record, &head, 0, &sum));
-    batch->meta.digest ^= sum;
+                                       record, &header, 0, &checksum));
+    batch->meta.digest ^= checksum;
     batch->meta.count++;
     if (change->lease)
         attach_to_lease(batch, change->lease, change->key);
 }
 
-/* Makes one change of a transaction: the record, the index of leases, the digest, the
- * log. */
+/* Applies one change of a transaction to the record, the index of leases, the digest and
+ * the log. */
 static void apply_change(struct lmn_db_batch *batch, const struct lmn_db_change *change)
 {
     struct lmn_db_record_header old;
-    bool existed = read_head(batch, change->key, &old);
+    bool existed = read_header(batch, change->key, &old);
 
     if (existed) {
-        batch->meta.digest ^= old.sum;
+        batch->meta.digest ^= old.checksum;
         batch->meta.count--;
         if (old.lease)
             detach_from_lease(batch, old.lease, change->key);
@@ -136,7 +137,7 @@
         MDB_val key = {strlen(change->key), (void *)change->key};
         succeeded(batch, mdb_del(batch->txn, batch->db->dbi[LMN_DB_DATA], &key, NULL));
     } else {
-        return; /* a delete of what did not exist is no change, and no watch shows it */
+        return; /* deleting a missing key is no change, and no watch reports it */
     }
     log_change(batch, change);
 }
@@ -145,11 +146,11 @@
 {
     uint64_t stored_lease = GUINT64_TO_BE(lease);
     MDB_val key = {sizeof stored_lease, &stored_lease}, value;
-    int rc = mdb_get(batch->txn, batch->db->dbi[LMN_DB_LEASES], &key, &value);
+    int result = mdb_get(batch->txn, batch->db->dbi[LMN_DB_LEASES], &key, &value);
 
-    if (rc && rc != MDB_NOTFOUND)
-        succeeded(batch, rc);
-    return rc == 0;
+    if (result && result != MDB_NOTFOUND)
+        succeeded(batch, result);
+    return result == 0;
 }
 
 static bool all_leases_exist(struct lmn_db_batch *batch, const struct lmn_db_txn *txn)
@@ -160,7 +161,7 @@
     return true;
 }
 
-/* Whether all conditions hold; the keys of those that don't are added to failed. */
+/* Whether all conditions hold. Adds the keys of those that don't to `failed`. */
 static bool conditions_hold(struct lmn_db_batch *batch, const struct lmn_db_txn *txn,
                             GPtrArray *failed)
 {
@@ -168,8 +169,9 @@
 
     for (size_t i = 0; i < txn->condition_count; i++) {
         const struct lmn_db_condition *condition = &txn->conditions[i];
-        struct lmn_db_record_header head = {0};
-        uint64_t revision = read_head(batch, condition->key, &head) ? head.revision : 0;
+        struct lmn_db_record_header header = {0};
+        uint64_t revision =
+            read_header(batch, condition->key, &header) ? header.revision : 0;
         if (revision == condition->revision)
             continue;
         all_hold = false;
@@ -189,37 +191,37 @@
 {
     *revision = batch->meta.revision;
     if (!all_leases_exist(batch, txn))
-        return batch->rc ? LMN_DB_FAILED : LMN_DB_NO_LEASE;
+        return batch->result ? LMN_DB_FAILED : LMN_DB_NO_LEASE;
     bool may_apply = conditions_hold(batch, txn, failed);
-    if (batch->rc)
+    if (batch->result)
         return LMN_DB_FAILED;
     if (!may_apply)
         return LMN_DB_CONFLICT;
     if (!txn->change_count)
         return LMN_DB_APPLIED;
     begin_revision(batch);
-    for (size_t i = 0; i < txn->change_count && !batch->rc; i++)
+    for (size_t i = 0; i < txn->change_count && !batch->result; i++)
         apply_change(batch, &txn->changes[i]);
     *revision = batch->meta.revision;
-    return batch->rc ? LMN_DB_FAILED : LMN_DB_APPLIED;
+    return batch->result ? LMN_DB_FAILED : LMN_DB_APPLIED;
 }
 
 uint64_t lmn_db_grant_lease(struct lmn_db_batch *batch, uint32_t ttl_ms)
 {
     uint64_t id = batch->meta.next_lease++, stored_id = GUINT64_TO_BE(id);
-    const struct lmn_db_record_header head = {.lease = id};
+    const struct lmn_db_record_header header = {.lease = id};
     MDB_val key = {sizeof stored_id, &stored_id};
     g_autoptr(GByteArray) record = lmn_db_record_new();
 
     g_byte_array_append(record, (const guint8 *)&ttl_ms, sizeof ttl_ms);
     succeeded(batch, lmn_db_record_put(batch->txn, batch->db->dbi[LMN_DB_LEASES], &key,
-                                       record, &head, 0, NULL));
-    return batch->rc ? 0 : id;
+                                       record, &header, 0, NULL));
+    return batch->result ? 0 : id;
 }
 
 /* The keys of the records that are attached to the lease (the caller frees them); NULL if
- * they can't be read. They are collected before any is deleted, since a delete moves the
- * cursor's entries. */
+ * LMDB reported an error. All are collected before the first is deleted, since a delete
+ * moves the entries under the cursor. */
 static GPtrArray *keys_of_lease(struct lmn_db_batch *batch, uint64_t lease)
 {
     uint64_t stored_lease = GUINT64_TO_BE(lease);
@@ -230,8 +232,8 @@
                    mdb_cursor_open(batch->txn, batch->db->dbi[LMN_DB_LEASED], &cursor)))
         return NULL;
     GPtrArray *keys = g_ptr_array_new_with_free_func(g_free);
-    for (int rc = mdb_cursor_get(cursor, &key, &value, MDB_SET_RANGE); !rc;
-         rc = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
+    for (int result = mdb_cursor_get(cursor, &key, &value, MDB_SET_RANGE); !result;
+         result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
         if (key.mv_size < sizeof stored_lease ||
             memcmp(key.mv_data, &stored_lease, sizeof stored_lease) != 0)
             break;
@@ -265,7 +267,7 @@
     return batch->meta.revision;
 }
 
-/* Drops the oldest changes from the log, down to LMN_DB_MAX_LOGGED_CHANGES. */
+/* Removes the oldest changes from the log until LMN_DB_MAX_LOGGED_CHANGES are left. */
 static void compact_log(struct lmn_db_batch *batch)
 {
     MDB_dbi dbi = batch->db->dbi[LMN_DB_LOG];
@@ -278,7 +280,7 @@
         !succeeded(batch, mdb_cursor_open(batch->txn, dbi, &cursor)))
         return;
     for (size_t surplus = statistics.ms_entries - LMN_DB_MAX_LOGGED_CHANGES;
-         surplus > 0 && !batch->rc; surplus--) {
+         surplus > 0 && !batch->result; surplus--) {
         struct lmn_db_log_key log_key;
         if (!succeeded(batch, mdb_cursor_get(cursor, &key, &value, MDB_FIRST)))
             break;
@@ -289,36 +291,36 @@
     mdb_cursor_close(cursor);
 }
 
-/* Whether LMDB still takes write transactions. If a failed commit could not even take its
- * root page back, LMDB refuses the next one with MDB_PANIC: then nobody knows which of
- * the two roots stands on the disk. */
+/* Whether LMDB refuses further write transactions (MDB_PANIC), as it does after a failed
+ * commit whose root page it could not restore. It is then unknown which of the two root
+ * pages is on the disk. */
 static bool environment_panicked(struct lmn_db *db)
 {
     MDB_txn *probe;
-    int rc = mdb_txn_begin(db->env, NULL, 0, &probe);
+    int result = mdb_txn_begin(db->env, NULL, 0, &probe);
 
-    if (!rc)
+    if (!result)
         mdb_txn_abort(probe);
-    return rc == MDB_PANIC;
+    return result == MDB_PANIC;
 }
 
 int lmn_db_commit(struct lmn_db_batch *batch, char *err, size_t len)
 {
     struct lmn_db *db = batch->db;
 
-    if (!batch->rc)
+    if (!batch->result)
         compact_log(batch);
-    if (!batch->rc)
+    if (!batch->result)
         succeeded(batch, lmn_db_meta_write(batch->txn, db, &batch->meta));
-    int rc = batch->rc;
-    if (rc)
+    int result = batch->result;
+    if (result)
         mdb_txn_abort(batch->txn);
     else
-        rc = mdb_txn_commit(batch->txn);
+        result = mdb_txn_commit(batch->txn);
     g_free(batch);
-    if (!rc)
+    if (!result)
         return LMN_DB_COMMITTED;
-    snprintf(err, len, "%s; %s", mdb_strerror(rc), lmn_db_error_advice(rc));
+    snprintf(err, len, "%s; %s", mdb_strerror(result), lmn_db_error_advice(result));
     return environment_panicked(db) ? LMN_DB_COMMIT_UNKNOWN : LMN_DB_NOT_COMMITTED;
 }
 
--- a/src/kv_store/kv_store_internal.h
+++ b/src/kv_store/kv_store_internal.h
@@ -1,8 +1,9 @@
 /** @file
- * What the files of the key-value store's server share.
+ * Declarations shared by the source files of the key-value store's server.
  *
  * Two locks, never held together: `lock` guards the queue to the writer, the leases and
- * the counters; `watch_lock` guards the watches. Nobody does I/O while holding either. */
+ * the counters; `watch_lock` guards the watches. No thread does I/O while it holds one of
+ * them. */
 #ifndef LMN_KV_STORE_KV_STORE_INTERNAL_H
 #define LMN_KV_STORE_KV_STORE_INTERNAL_H
 
@@ -21,102 +22,106 @@
     LMN_KV_STORE_INVALID = 400,
     LMN_KV_STORE_NOT_FOUND = 404,
     LMN_KV_STORE_CONFLICT = 409,
-    LMN_KV_STORE_COMPACTED = 410, /**< a watch has to read everything anew */
+    LMN_KV_STORE_COMPACTED = 410, /**< changes that the watch asks for may be missing in
+                                     the log: the client must list all keys again */
     LMN_KV_STORE_RATE_LIMITED = 429,
     LMN_KV_STORE_UNAVAILABLE = 503,
 };
 
-/** The longest body of a request, also counted as JSON. */
+/** The largest body of a request, in bytes, as sent and as JSON. */
 enum { LMN_KV_STORE_MAX_BODY_BYTES = 64 * 1024 };
 
-/** What an operation does. */
+/** The kind of a queued write. */
 enum lmn_kv_store_operation_kind {
     LMN_KV_STORE_TXN,
     LMN_KV_STORE_GRANT,
-    LMN_KV_STORE_REVOKE, /**< a client ends its lease */
-    LMN_KV_STORE_EXPIRE  /**< the lease thread does */
+    LMN_KV_STORE_REVOKE, /**< a client ends a lease */
+    LMN_KV_STORE_EXPIRE  /**< the lease thread ends an expired lease */
 };
 
-/** A write that waits for the writer, and then its outcome. Owned by the queue, then by
- * the writer. */
+/** A write that is queued for the writer, and its outcome after the commit. Owned by the
+ * queue, then by the writer. */
 struct lmn_kv_store_operation {
     enum lmn_kv_store_operation_kind kind;
-    struct lmn_http_request *request; /**< to be answered; NULL: nobody's */
+    struct lmn_http_request *request; /**< request to answer; NULL: none */
     struct lmn_db_txn txn;
     GPtrArray *bytes; /**< keys and values that txn points at */
-    uint64_t lease;   /**< to be ended; or the outcome of a grant */
+    uint64_t lease;   /**< the lease to end; after a grant: the new lease */
     uint32_t ttl_ms;
     int status; /**< the outcome: enum lmn_kv_store_status */
     uint64_t revision;
-    GPtrArray *failed; /**< keys whose conditions failed */
+    GPtrArray *failed; /**< keys whose conditions did not hold */
 };
 
-/** A lease as the server knows it. Its deadline is in memory only: a restarted server
- * gives each lease its full time again. */
+/** A lease in memory. Its deadline is not stored: after a restart the server gives each
+ * lease its full time to live again. */
 struct lmn_kv_store_lease {
     uint64_t id;
     uint32_t ttl_ms;
     struct timespec expires_at;
-    bool is_ending; /**< handed to the writer: it can't be renewed any more */
+    bool is_ending; /**< its end is queued for the writer: it can't be renewed */
 };
 
 /** A watch that waits for changes. */
 struct lmn_kv_store_watch {
     struct lmn_http_request *request;
     char *prefix;
-    uint64_t scanned_revision; /**< no change up to here concerns it */
-    struct timespec deadline;  /**< it is answered then, with no changes */
+    uint64_t scanned_revision; /**< no change up to this revision matches the prefix,
+                                  unless it was in an earlier response */
+    struct timespec deadline;  /**< when it is answered with an empty list of changes */
 };
 
 /** The server. */
 struct lmn_kv_store {
     struct lmn_kv_store_options options; /**< set before the threads start */
-    struct lmn_db *db;                   /**< batches: the writer's alone */
-    struct lmn_db_reader *reader;        /**< the HTTP thread's */
+    struct lmn_db *db;                   /**< batches are used by the writer only */
+    struct lmn_db_reader *reader;        /**< used by the HTTP thread only */
     struct lmn_http_server *server;
-    struct lmn_token_bucket requests, writes; /**< the HTTP thread's */
+    struct lmn_token_bucket requests, writes; /**< used by the HTTP thread only */
 
-    pthread_mutex_t lock; /**< of what follows */
+    pthread_mutex_t lock; /**< guards the fields up to watch_lock */
     pthread_cond_t operation_queued;
     GQueue operations;  /**< struct lmn_kv_store_operation */
     GHashTable *leases; /**< id -> struct lmn_kv_store_lease */
     uint64_t applied, conflicts, refused, rate_limited, syncs, failures;
     struct lmn_latency commit_latency;
-    double largest_batch; /**< operations that shared a sync */
+    double largest_batch; /**< the most operations committed with one sync */
 
-    pthread_mutex_t watch_lock; /**< of what follows */
+    pthread_mutex_t watch_lock; /**< guards the fields below */
     pthread_cond_t watch_changed;
     GQueue watches;       /**< struct lmn_kv_store_watch */
-    uint64_t revision;    /**< the last that is committed */
-    bool has_stale_watch; /**< a commit came between a watch's view and its queueing */
+    uint64_t revision;    /**< revision of the last commit */
+    bool has_stale_watch; /**< a commit was made after the view against which a
+                               queued watch was checked */
 };
 
-/** A new operation of the kind, with nothing in it. */
+/** Creates an operation of the kind; its other fields are zero. */
 struct lmn_kv_store_operation *
 lmn_kv_store_operation_new(enum lmn_kv_store_operation_kind kind,
                            struct lmn_http_request *request);
 
-/** Frees the operation with all that it points at but the request. */
+/** Frees the operation and everything that it points to except the request. */
 void lmn_kv_store_operation_free(struct lmn_kv_store_operation *operation);
 
-/** Queues the operation for the writer, which owns it then. Takes the lock.
- * @return false if too many are queued: the request was answered 503, and the operation
- *     is freed */
+/** Queues the operation for the writer, which takes ownership. Takes the lock.
+ * @return false if the queue is full: the request was answered with 503 and the operation
+ *     was freed */
 bool lmn_kv_store_submit(struct lmn_kv_store *store,
                          struct lmn_kv_store_operation *operation);
 
-/** Makes a lease known, with its full time from now. The lock is held, or the threads
- * don't run yet. */
+/** Adds a lease in memory, which expires ttl_ms after `now` unless it is renewed. The
+ * lock is held, or the threads are not started yet. */
 void lmn_kv_store_add_lease(struct lmn_kv_store *store, uint64_t id, uint32_t ttl_ms,
                             struct timespec now);
 
-/** Takes the amount from the bucket. If that is more than it holds the request is
- * answered 429 and counted. Takes the lock. @return whether it was answered */
+/** Takes the amount from the bucket. If the bucket holds less, answers the request with
+ * 429 and counts it in rate_limited. Takes the lock. @return whether the request was
+ * answered */
 bool lmn_kv_store_reject_if_rate_limited(struct lmn_kv_store *store,
                                          struct lmn_http_request *request,
                                          struct lmn_token_bucket *bucket, double amount);
 
-/** Whether the text may be a key: 1 to LMN_DB_MAX_KEY_BYTES bytes without spaces. */
+/** Whether the text is a valid key: 1 to LMN_DB_MAX_KEY_BYTES bytes without spaces. */
 bool lmn_kv_store_key_is_valid(const char *key);
 
 /** @name Handlers of requests, on the HTTP thread
@@ -128,10 +133,13 @@
 void lmn_kv_store_handle_grant(struct lmn_kv_store *store,
                                struct lmn_http_request *request,
                                const struct lmn_cbor_document *document);
-/** Renewal or end of a lease. @param path what follows the path of leases */
+/** Renews a lease (POST), or queues its end (DELETE).
+ * @param path the path after that of leases: the lease's id, and the suffix of a renewal
+ */
 void lmn_kv_store_handle_lease(struct lmn_kv_store *store,
                                struct lmn_http_request *request, const char *path);
-/** GET of changes: answers at once if there are some, or queues a watch. */
+/** GET of changes: answers at once if there are any or no wait was asked for, otherwise
+ * queues a watch. */
 void lmn_kv_store_handle_watch(struct lmn_kv_store *store,
                                struct lmn_http_request *request);
 /** @} */
@@ -139,14 +147,14 @@
 /** Appends the metrics as OpenMetrics text. @param store struct lmn_kv_store */
 void lmn_kv_store_metrics(void *store, GString *out);
 
-/** @name Threads, each for ever
+/** @name Main functions of the threads, which never return
  * `store`: struct lmn_kv_store.
  * @{ */
-/** Commits what is queued. */
+/** Commits queued operations and answers their requests. */
 void *lmn_kv_store_writer_thread(void *store);
-/** Ends leases that were not renewed. */
+/** Queues the end of leases that have expired. */
 void *lmn_kv_store_lease_thread(void *store);
-/** Answers watches. */
+/** Answers queued watches. */
 void *lmn_kv_store_watch_thread(void *store);
 /** @} */
 
--- a/src/kv_store/lease.c
+++ b/src/kv_store/lease.c
@@ -1,10 +1,11 @@
 /** @file
  * Leases: granted, renewed and revoked by clients, and expired by the lease thread.
  *
- * The writer makes and ends leases in the database; their deadlines are kept in memory,
- * in `leases`, under the store's lock. A lease that is handed to the writer to be ended
- * is marked so (is_ending) before the lock is released: from then on it can't be renewed,
- * so no client is told that a lease lives on which is about to end. */
+ * The writer creates and ends leases in the database. Their deadlines are kept in memory
+ * only, in `leases`, under the store's lock. A lease whose end is queued for the writer
+ * is marked is_ending before the store's lock is released and can't be renewed from then
+ * on: otherwise a client could be told that its lease was renewed although it is about to
+ * end. */
 #include "kv_store/kv_store_internal.h"
 #include "protocol/wire.h"
 #include "util/clock.h"
@@ -26,7 +27,7 @@
     g_hash_table_insert(store->leases, &lease->id, lease);
 }
 
-/* --- requests of clients, on the HTTP thread --- */
+/* --- client requests, on the HTTP thread --- */
 
 void lmn_kv_store_handle_grant(struct lmn_kv_store *store,
                                struct lmn_http_request *request,
@@ -47,8 +48,9 @@
     lmn_kv_store_submit(store, operation);
 }
 
-/* Renews the lease, or marks it as ending; false if there is none that lives on. */
-static bool renew_or_begin_end(struct lmn_kv_store *store, uint64_t id, bool is_renewal)
+/* Renews the lease, or marks it as ending. Returns false if the lease does not exist or
+ * is ending already. */
+static bool renew_or_mark_ending(struct lmn_kv_store *store, uint64_t id, bool is_renewal)
 {
     pthread_mutex_lock(&store->lock);
     struct lmn_kv_store_lease *lease = g_hash_table_lookup(store->leases, &id);
@@ -70,7 +72,7 @@
     operation->lease = id;
     if (lmn_kv_store_submit(store, operation))
         return;
-    /* It was not queued: the lease lives on, and can be renewed again. */
+    /* The end was not queued: let clients renew the lease again. */
     pthread_mutex_lock(&store->lock);
     struct lmn_kv_store_lease *lease = g_hash_table_lookup(store->leases, &id);
     if (lease)
@@ -91,7 +93,7 @@
         lmn_http_request_respond(request, LMN_KV_STORE_NOT_FOUND, NULL, 0);
         return;
     }
-    bool is_alive = renew_or_begin_end(store, id, is_renewal);
+    bool is_alive = renew_or_mark_ending(store, id, is_renewal);
     if (is_alive && is_revocation) {
         submit_revocation(store, request, id);
         return;
@@ -104,22 +106,25 @@
 
 /* --- expiry, on the lease thread --- */
 
-/* How often leases are looked through. A lease may end up to 100 ms late, never early. */
+/* Interval between checks for expired leases. A lease may end up to 100 ms late, never
+ * early. */
 static const double EXPIRY_INTERVAL_S = 0.05;
-/* If the lease thread itself stood still for so long, the process did: no client could
- * renew, and every lease has its full time again, as after an outage. */
+/* If the lease thread was not run for this long, the whole process is taken to have been
+ * stopped: no client could renew its lease, so every lease gets its full time to live
+ * again, as after a restart. */
 static const double STALL_S = 1.0;
 
-/* Queues the end of all leases that have expired. They are queued past the limit of
- * lmn_kv_store_submit(): a busy store must not keep dead clients' leases alive. */
+/* Queues the end of all expired leases, or gives all leases their full time to live again
+ * if the process was stalled. The queue's limit in lmn_kv_store_submit() does not apply:
+ * an overloaded store must still end the leases of failed clients. */
 static void expire_leases(struct lmn_kv_store *store, struct timespec now, bool stalled)
 {
-    GHashTableIter it;
+    GHashTableIter iterator;
     gpointer value;
 
     pthread_mutex_lock(&store->lock);
-    g_hash_table_iter_init(&it, store->leases);
-    while (g_hash_table_iter_next(&it, NULL, &value)) {
+    g_hash_table_iter_init(&iterator, store->leases);
+    while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct lmn_kv_store_lease *lease = value;
         if (stalled && !lease->is_ending)
             lease->expires_at = lmn_time_add(now, lease->ttl_ms / 1000.0);
--- a/src/kv_store/server.c
+++ b/src/kv_store/server.c
@@ -1,7 +1,7 @@
 /** @file
  * The key-value store's server: starts it, routes requests, and answers reads from views
- * of the database. All requests are handled on the HTTP server's one thread; those that
- * write are handed on (txn_request.c, lease.c), and answered by the writer. */
+ * of the database. All requests are handled on the HTTP server's one thread. Writes are
+ * queued (txn_request.c, lease.c) and answered by the writer. */
 #include "kv_store/kv_store.h"
 #include "util/clock.h"
 #include "protocol/cbor.h"
@@ -16,7 +16,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A page of a list: so many items, or bytes; and connections. */
+/* Limits of a page of a list, in items and bytes, and of open connections. */
 enum { MAX_ITEMS = 1000, MAX_LIST_BYTES = 512 * 1024, MAX_CONNECTIONS = 16384 };
 
 const struct lmn_kv_store_options lmn_kv_store_default_options = {
@@ -95,14 +95,15 @@
     lmn_http_request_respond(request, status, body, 0);
 }
 
-/* A page of a list while it is collected. */
+/* A page of a list that is being collected. */
 struct list_page {
     GByteArray *items;
     size_t count, max_count;
     bool has_more;
 };
 
-/* Adds an item unless the page is full. A page has at least one item, however large. */
+/* Adds an item unless the page is full. A page can always take one item, whatever its
+ * size. */
 static bool add_to_page(void *arg, const struct lmn_db_item *item)
 {
     struct list_page *page = arg;
@@ -152,8 +153,8 @@
     lmn_http_request_respond(request, LMN_KV_STORE_OK, body, 0);
 }
 
-/* Beyond the protocol: by the incarnation others see that this state was restored from a
- * backup. */
+/* Not part of docs/state.md. Clients detect by a changed incarnation that the database
+ * was restored from a backup. */
 static void handle_incarnation(struct lmn_kv_store *store,
                                struct lmn_http_request *request)
 {
@@ -189,7 +190,7 @@
     lmn_cbor_free(&document);
 }
 
-/* The requests that count against the limit of requests a second. */
+/* Routes the requests that count towards the limit of requests per second. */
 static void route_limited(struct lmn_kv_store *store, struct lmn_http_request *request,
                           enum lmn_http_method method, const char *path)
 {
@@ -218,7 +219,8 @@
     const char *path = lmn_http_request_path(request);
     enum lmn_http_method method = lmn_http_request_method(request);
 
-    /* An overloaded store must still be seen to be there, and why it answers 429. */
+    /* Not rate limited: an overloaded store must still answer readiness checks, and its
+     * metrics show why it answers 429. */
     if (method == LMN_HTTP_GET && strcmp(path, "/metrics") == 0)
         lmn_metrics_answer(request, lmn_kv_store_metrics, store);
     else if (method == LMN_HTTP_GET && strcmp(path, WIRE_PATH_READY) == 0)
@@ -229,11 +231,13 @@
 
 /* --- start --- */
 
-/* Ignores signals that would end the process where an error is wanted. */
+/* Ignores signals that would end the process instead of returning an error from write().
+ */
 static void ignore_signals(void)
 {
     signal(SIGPIPE, SIG_IGN);
-    signal(SIGXFSZ, SIG_IGN); /* a file at its limit is an error like a full disk */
+    /* Reaching the file size limit is handled like a full disk. */
+    signal(SIGXFSZ, SIG_IGN);
 }
 
 static struct lmn_kv_store *store_new(const struct lmn_kv_store_options *options,
@@ -262,7 +266,7 @@
     lmn_kv_store_add_lease(store, id, ttl_ms, lmn_now());
 }
 
-/* Starts the HTTP server's thread; false with errno. */
+/* Starts the HTTP server's thread. Returns false with errno set on an error. */
 static bool serve(struct lmn_kv_store *store)
 {
     const struct lmn_http_server_options options = {
@@ -291,7 +295,7 @@
     ignore_signals();
     struct lmn_kv_store *store = store_new(options, db, now);
     if (lmn_db_view_begin(store->reader, &meta) != 0) {
-        snprintf(err, len, "%s: can't be read", options->dir);
+        snprintf(err, len, "%s: can't read the database", options->dir);
         return NULL;
     }
     lmn_db_list_leases(store->reader, load_lease, store);
--- a/src/kv_store/txn_request.c
+++ b/src/kv_store/txn_request.c
@@ -1,17 +1,18 @@
 /** @file
- * Transactions of clients: read from CBOR, checked against the limits, and queued for the
- * writer. Runs on the HTTP thread. */
+ * Decodes client transactions from CBOR, checks them against the limits, and queues them
+ * for the writer. Runs on the HTTP thread. */
 #include "kv_store/kv_store_internal.h"
 #include "protocol/wire.h"
 
-/* Each put or delete may come with so many conditions. */
+/* The limit of conditions is this multiple of the limit of puts and deletes. */
 enum { CONDITIONS_PER_CHANGE = 4 };
 
-/* Copies a key into the operation; NULL if it is none. */
+/* Copies a key into the operation. Returns NULL if it is missing or not a valid key. */
 static const char *copy_key(struct lmn_kv_store_operation *operation,
                             const struct lmn_cbor_value *node)
 {
-    char key[LMN_DB_MAX_KEY_BYTES + 2]; /* a longer one must be seen to be too long */
+    /* One byte more than a key may have, to detect longer ones, and the final 0. */
+    char key[LMN_DB_MAX_KEY_BYTES + 2];
 
     if (!lmn_cbor_get_text(node, key, sizeof key) || !lmn_kv_store_key_is_valid(key))
         return NULL;
@@ -20,7 +21,7 @@
     return copy;
 }
 
-/* Reads the next condition. Returns what is wrong with it; NULL: nothing. */
+/* Decodes the next condition. Returns an error text; NULL if it is valid. */
 static const char *read_condition(struct lmn_kv_store_operation *operation,
                                   const struct lmn_cbor_document *document,
                                   const struct lmn_cbor_value *node)
@@ -37,7 +38,7 @@
     return NULL;
 }
 
-/* Copies a value as CBOR into the operation; a put without a value puts null. */
+/* Copies a value as CBOR into the operation; null if the put has no value. */
 static void copy_value(struct lmn_kv_store_operation *operation,
                        struct lmn_db_change *change,
                        const struct lmn_cbor_document *document,
@@ -54,7 +55,7 @@
     g_ptr_array_add(operation->bytes, (gpointer)change->value);
 }
 
-/* Reads the next put or delete. Returns what is wrong with it; NULL: nothing. */
+/* Decodes the next put or delete. Returns an error text; NULL if it is valid. */
 static const char *read_change(const struct lmn_kv_store *store,
                                struct lmn_kv_store_operation *operation,
                                const struct lmn_cbor_document *document,
@@ -79,7 +80,8 @@
     return NULL;
 }
 
-/* Checks the transaction as a whole. Returns what is wrong with it; NULL: nothing. */
+/* Checks the structure and the size of the transaction. Returns an error text; NULL if
+ * both are valid. */
 static const char *check_size(const struct lmn_kv_store *store,
                               const struct lmn_cbor_document *document,
                               const struct lmn_cbor_value *conditions,
@@ -101,7 +103,7 @@
     return NULL;
 }
 
-/* Reads the whole transaction. Returns what is wrong with it; NULL: nothing. */
+/* Decodes the transaction. Returns an error text; NULL if it is valid. */
 static const char *read_txn(const struct lmn_kv_store *store,
                             struct lmn_kv_store_operation *operation,
                             const struct lmn_cbor_document *document)
--- a/src/kv_store/watch.c
+++ b/src/kv_store/watch.c
@@ -1,12 +1,10 @@
 /** @file
- * Watches: clients that wait for changes below a prefix. A watch that waits costs a
- * record in a queue and an open connection, but no thread: one thread answers all of
- * them.
+ * Watches: requests that wait for changes of keys with a prefix. A waiting watch takes a
+ * queue entry and an open connection but no thread of its own: one thread answers all.
  *
- * A request is first looked at on the HTTP thread, against a view of its own; it is
- * queued only if that view has nothing for it. The queue, under watch_lock, belongs to
- * the watch thread, which takes all of it, answers whom it can from one view, and puts
- * the others back. */
+ * The HTTP thread first checks a request against a view and queues it only if the view
+ * has no matching change. The watch thread takes all watches off the queue (under
+ * watch_lock), answers those that it can from one view, and queues the others again. */
 #include "kv_store/kv_store_internal.h"
 #include "util/clock.h"
 #include "util/thread.h"
@@ -15,14 +13,14 @@
 #include <string.h>
 
 enum { MAX_WAIT_MS = 60000 };
-/* How long the watch thread sleeps at most. */
+/* The longest sleep of the watch thread. */
 static const double MAX_SLEEP_S = 5;
 
 /* --- events: changes, copied out of a view --- */
 
 struct event {
     char *key;
-    GByteArray *bytes; /* as it goes into a response */
+    GByteArray *bytes; /* the change encoded for a response */
     uint64_t revision;
 };
 
@@ -56,8 +54,8 @@
     return true;
 }
 
-/* The response for a prefix: the changes after a revision, as of `revision`. NULL if
- * there are none, unless an empty one is wanted. */
+/* The response to a watch of the prefix: the matching events after revision `after`, read
+ * from a view at `revision`. NULL if there are none, unless even_if_empty. */
 static GByteArray *build_response(const GPtrArray *events, const char *prefix,
                                   uint64_t after, uint64_t revision, bool even_if_empty)
 {
@@ -83,9 +81,9 @@
     return body;
 }
 
-/* Whether a watch can't be served from the log, since changes after its revision are
- * missing there, or since the revision is another database's: its client has to read
- * everything anew. */
+/* Whether a watch can't be answered from the log: changes after its revision were removed
+ * from the log, or its revision is newer than the database's, as after a change to
+ * another database. The client must list all keys again. */
 static bool is_compacted(const struct lmn_db_meta *meta, uint64_t after)
 {
     return after < meta->compact_revision || after > meta->revision;
@@ -93,8 +91,9 @@
 
 /* --- requests, on the HTTP thread --- */
 
-/* Queues a watch for the watch thread. If a commit came after the view that the request
- * was looked at with, the thread has to look again at once. */
+/* Queues a watch for the watch thread. If a commit was made after the view against which
+ * the request was checked, the watch thread must check the watch at once: it was already
+ * woken for that commit. */
 static void enqueue_watch(struct lmn_kv_store *store, struct lmn_http_request *request,
                           const char *prefix, uint64_t scanned_revision, uint64_t wait_ms)
 {
@@ -189,7 +188,7 @@
     return body;
 }
 
-/* Answers a watch, and frees it; false if it waits on. */
+/* Answers and frees a watch. Returns false if there is nothing to answer yet. */
 static bool serve_watch(const struct watch_round *round, struct lmn_kv_store_watch *watch)
 {
     bool is_due = !lmn_time_before(round->now, watch->deadline);
@@ -207,7 +206,8 @@
     return true;
 }
 
-/* Answers the watches that it can; the others stay in the queue. */
+/* Answers the watches that are due or have matching changes, and removes them from the
+ * queue. */
 static void serve_watches(struct lmn_db_reader *reader, GQueue *watches)
 {
     struct watch_round round = {.now = lmn_now()};
@@ -232,7 +232,8 @@
     g_ptr_array_free(round.events, TRUE);
 }
 
-/* Seconds until the first watch is due, MAX_SLEEP_S at most. The watch_lock is held. */
+/* Seconds until the earliest deadline of a watch, at most MAX_SLEEP_S. The watch_lock is
+ * held. */
 static double time_to_deadline(const struct lmn_kv_store *store)
 {
     struct timespec now = lmn_now();
@@ -245,7 +246,8 @@
     return wait_s;
 }
 
-/* Waits until a watch is due, or there may be changes for one. The watch_lock is held. */
+/* Waits until a watch is due, or a commit may have changes for a watch. The watch_lock is
+ * held. */
 static void wait_for_work(struct lmn_kv_store *store, uint64_t served_revision)
 {
     for (;;) {
--- a/src/kv_store/writer.c
+++ b/src/kv_store/writer.c
@@ -1,7 +1,7 @@
 /** @file
- * The writer: the one thread that changes the database. All operations that are queued
- * share one transaction of LMDB's and one sync of the disk (group commit). Clients are
- * answered after the commit, never before: what was answered survives a crash. */
+ * The writer: the only thread that changes the database. All queued operations share one
+ * LMDB transaction and one sync of the disk (group commit). Clients are answered only
+ * after the commit, so every write that was answered as committed survives a crash. */
 #include "kv_store/kv_store_internal.h"
 #include "util/clock.h"
 #include "util/log.h"
@@ -10,9 +10,9 @@
 
 #include <unistd.h>
 
-/* Operations that may be queued, and that are committed together, at most. */
+/* Limits of the queue and of a batch, in operations. */
 enum { MAX_QUEUED = 8192, MAX_BATCH = 1024 };
-/* After a batch that could not even be begun: before the next try. */
+/* Delay before the next try after a batch could not be begun. */
 static const double RETRY_DELAY_S = 0.1;
 
 struct lmn_kv_store_operation *
@@ -44,7 +44,7 @@
     bool is_full = store->operations.length >= MAX_QUEUED;
     store->refused += is_full;
     if (!is_full) {
-        /* Before the writer can see it: it may answer at once. */
+        /* Before the operation is queued: the writer may answer it immediately. */
         if (operation->request)
             lmn_http_request_defer(operation->request);
         g_queue_push_tail(&store->operations, operation);
@@ -62,7 +62,7 @@
 
 /* --- applying --- */
 
-/* Applies a transaction; false if the batch is broken. */
+/* Applies a transaction. Returns false if LMDB reported an error. */
 static bool apply_txn(struct lmn_db_batch *batch,
                       struct lmn_kv_store_operation *operation)
 {
@@ -83,7 +83,7 @@
     }
 }
 
-/* Applies one operation; false if the batch is broken. */
+/* Applies one operation. Returns false if LMDB reported an error. */
 static bool apply(struct lmn_db_batch *batch, struct lmn_kv_store_operation *operation)
 {
     switch (operation->kind) {
@@ -101,13 +101,13 @@
     }
 }
 
-/* What a batch did, for the counters. */
+/* Outcomes of a batch's transactions, for the metrics. */
 struct batch_counts {
     uint64_t applied, conflicts;
 };
 
-/* Applies the operations in their order. If one breaks the batch the rest is left out:
- * the commit then fails, and says what is wrong. */
+/* Applies the operations in order. Stops if LMDB reports an error: the commit then fails
+ * and returns the error's text. */
 static struct batch_counts apply_all(struct lmn_db_batch *batch, GQueue *operations)
 {
     struct batch_counts counts = {0};
@@ -124,7 +124,7 @@
     return counts;
 }
 
-/* --- answers --- */
+/* --- responses --- */
 
 static GByteArray *txn_response(const struct lmn_kv_store_operation *operation)
 {
@@ -163,7 +163,7 @@
     return body;
 }
 
-/* Answers the client, if there is one. */
+/* Answers the operation's request, if it has one. */
 static void respond(struct lmn_kv_store_operation *operation)
 {
     if (!operation->request)
@@ -175,7 +175,7 @@
 
 /* --- the commit --- */
 
-/* Brings the leases in memory up to date, after the commit. The lock is held. */
+/* Adds or removes the operation's lease in memory after its commit. The lock is held. */
 static void update_leases(struct lmn_kv_store *store,
                           const struct lmn_kv_store_operation *operation,
                           struct timespec now)
@@ -186,8 +186,8 @@
         g_hash_table_remove(store->leases, &operation->lease);
 }
 
-/* Lets a lease live on whose end was not committed: the lease thread, or the client,
- * tries again. The lock is held. */
+/* Clears is_ending of a lease whose end was not committed: the lease thread or the client
+ * will try again. The lock is held. */
 static void unmark_lease(struct lmn_kv_store *store,
                          const struct lmn_kv_store_operation *operation)
 {
@@ -199,7 +199,8 @@
         lease->is_ending = false;
 }
 
-/* Nothing of the batch was applied: its clients are answered so. Frees the operations. */
+/* Handles a batch of which nothing was applied: answers its requests with 503 and frees
+ * the operations. */
 static void fail_batch(struct lmn_kv_store *store, GQueue *operations, const char *why)
 {
     struct lmn_kv_store_operation *operation;
@@ -218,8 +219,8 @@
     }
 }
 
-/* The batch is on the disk: updates leases and counters, then answers the clients, then
- * lets the watch thread look at the new revision. Frees the operations. */
+/* Handles a batch that was committed: updates leases and counters, answers the requests,
+ * and wakes the watch thread for the new revision. Frees the operations. */
 static void finish_batch(struct lmn_kv_store *store, GQueue *operations,
                          struct batch_counts counts, uint64_t revision,
                          struct timespec begun_at)
@@ -249,7 +250,8 @@
     pthread_mutex_unlock(&store->watch_lock);
 }
 
-/* Applies, commits and answers the operations. */
+/* Applies and commits the operations and answers their requests. Ends the process if it
+ * is unknown whether the commit was made. */
 static void commit(struct lmn_kv_store *store, GQueue *operations)
 {
     char err[256] = "";
@@ -265,8 +267,8 @@
     uint64_t revision = lmn_db_batch_revision(batch);
     int result = lmn_db_commit(batch, err, sizeof err);
     if (result == LMN_DB_COMMIT_UNKNOWN) {
-        /* No client may be answered: to them, no answer means that it may have been
-         * executed, and that is all that is known. */
+        /* No client may be answered: a client treats a missing response as "may have been
+         * executed", which is all that is known here. */
         lmn_error("database_failed why=\"%s\"", err);
         _exit(1);
     }
